--- a/crates/bench/src/agreed.rs
+++ b/crates/bench/src/agreed.rs
@@ -67,9 +67,13 @@
             let settings = PermitSettings { bounds: wide(), ..PermitSettings::new(size, 0, 0, seed) };
             let seen = Observation { zone: 0, life: 0, used: Some(60 * S), sole: false, runs: None };
             let workers: Observations = (0..40).map(|of| (Subject::Worker(of), seen)).collect();
-            let mut fleet =
-                VirtualFleet::new(size, settings, workers, LinkFaults { lost, ..LinkFaults::default() });
-            fleet.net.numbers().for_each(|of| fleet.start(of));
+            let mut fleet = VirtualFleet::new(
+                size,
+                settings,
+                workers,
+                LinkFaults { loss_rate: lost, ..LinkFaults::default() },
+            );
+            fleet.net.node_ids().for_each(|of| fleet.start(of));
             first.push(permit(&mut fleet, size / 3, Subject::Worker(0), 120 * S));
             let bytes = |fleet: &VirtualFleet| fleet.part_bytes();
             fleet.run(fleet.net.now + 10 * S);
@@ -77,7 +81,7 @@
             fleet.run(from + 20 * S);
             quiet += (bytes(&fleet) - before) as f64 / 20.0 / f64::from(size);
             for of in 0..ASKED as u32 {
-                let by = fleet.net.draw(size.into()) as MemberId;
+                let by = fleet.net.random_below(size.into()) as MemberId;
                 asked.push(permit(&mut fleet, by, Subject::Worker(of), 10 * S));
             }
             if let Some(leader) = fleet.leaders().first().copied() {
@@ -87,11 +91,11 @@
                 fleet.run(fleet.net.now + 15 * S);
             }
             let from = fleet.net.now;
-            fleet.net.act(size / 2, |one, now, out| {
+            fleet.net.with_node(size / 2, |one, now, out| {
                 one.part(now, out, |node, _, out| node.stop_all(out));
             });
             let halted = |fleet: &VirtualFleet| {
-                fleet.net.numbers().filter_map(|of| fleet.net.node(of)).all(|one| one.node.halt().on)
+                fleet.net.node_ids().filter_map(|of| fleet.net.node(of)).all(|one| one.node.halt().on)
             };
             while !halted(&fleet) && fleet.net.now < from + 60 * S {
                 let step = fleet.net.now + 10_000;
@@ -112,7 +116,7 @@
     let spec = BedSpec { program, schedulers, workers: 4, work_ms, pause_ms, seed, bounds: Some(wide()) };
     let bed = {
         let mut bed = Bed::start(spec)?;
-        bed.loss_of_all(Loss { lost, ..Loss::default() });
+        bed.loss_of_all(Loss { loss_rate: lost, ..Loss::default() });
         bed
     };
     let ask =
--- a/crates/bench/src/capacity/measure.rs
+++ b/crates/bench/src/capacity/measure.rs
@@ -161,8 +161,8 @@
 /// Members that have started together and run for 10 s.
 fn settled(size: MemberId) -> Measured<VirtualCluster> {
     let mut world = VirtualCluster::new(MembershipSettings::new(size, 0, 0, 1), LinkFaults::default());
-    world.numbers().for_each(|of| world.start(of));
-    world.pass(10 * S);
+    world.node_ids().for_each(|of| world.start(of));
+    world.run_for(10 * S);
     Ok(world)
 }
 
@@ -273,19 +273,20 @@
         let (mut start, mut death, mut quiet) = (0.0, 0.0, 0.0);
         for seed in 1..=SEEDS {
             let settings = MembershipSettings::new(size, 0, 0, seed);
-            let mut world = VirtualCluster::new(settings, LinkFaults { lost: LOST, ..LinkFaults::default() });
-            let all: Vec<MemberId> = world.numbers().collect();
+            let mut world =
+                VirtualCluster::new(settings, LinkFaults { loss_rate: LOST, ..LinkFaults::default() });
+            let all: Vec<MemberId> = world.node_ids().collect();
             let agreed = |world: &mut VirtualCluster| {
                 let from = world.now;
-                let at = world.run_until(from + PATIENCE, |world| world.agrees(&all));
+                let at = world.run_until_condition(from + PATIENCE, |world| world.agrees(&all));
                 at.map(|at| (at - from) as f64 / 1e3).ok_or("the members did not agree")
             };
             all.iter().for_each(|of| world.start(*of));
             start += agreed(&mut world)?;
-            world.pass(5 * S);
-            let before = world.counts().sent.1;
-            world.pass(10 * S);
-            quiet += (world.counts().sent.1 - before) as f64 / 10.0 / f64::from(size);
+            world.run_for(5 * S);
+            let before = world.counters().sent.1;
+            world.run_for(10 * S);
+            quiet += (world.counters().sent.1 - before) as f64 / 10.0 / f64::from(size);
             world.kill(size / 3);
             death += agreed(&mut world)?;
         }
@@ -321,9 +322,13 @@
     }
     for size in extent.of(&[8, 32, 64, 128], &[8, 16, 32]) {
         let settings = PermitSettings::new(size, 0, 0, 1);
-        let mut fleet =
-            VirtualFleet::new(size, settings, sight(40), LinkFaults { lost: 0.05, ..LinkFaults::default() });
-        fleet.net.numbers().for_each(|of| fleet.start(of));
+        let mut fleet = VirtualFleet::new(
+            size,
+            settings,
+            sight(40),
+            LinkFaults { loss_rate: 0.05, ..LinkFaults::default() },
+        );
+        fleet.net.node_ids().for_each(|of| fleet.start(of));
         fleet.run(fleet.net.now + 30 * S);
         let (from, before) = (fleet.net.now, fleet.part_bytes());
         fleet.run(from + 20 * S);
@@ -417,22 +422,22 @@
     let settings =
         MembershipSettings { bytes_per_s: 100_000, burst: 100_000, ..MembershipSettings::new(size, 0, 0, 1) };
     let mut world = VirtualCluster::new(settings, LinkFaults::default());
-    let all: Vec<MemberId> = world.numbers().collect();
+    let all: Vec<MemberId> = world.node_ids().collect();
     all.iter().for_each(|of| world.start(*of));
-    world.run_until(60 * S, |world| world.agrees(&all)).ok_or("the members did not agree")?;
-    world.pass(5 * S);
-    let sent = |world: &VirtualCluster| world.counts().sent.1 as f64;
+    world.run_until_condition(60 * S, |world| world.agrees(&all)).ok_or("the members did not agree")?;
+    world.run_for(5 * S);
+    let sent = |world: &VirtualCluster| world.counters().sent.1 as f64;
     let before = sent(&world);
-    world.pass(SPAN_S * S);
+    world.run_for(SPAN_S * S);
     let quiet = sent(&world) - before;
     let before = sent(&world);
     for fact in 0..SPAN_S * FACTS_PER_S {
-        let by = world.draw(size.into()) as MemberId;
+        let by = world.random_below(size.into()) as MemberId;
         let value = [fact as u8; FACT_BYTES];
-        world.act(by, |view, now, _| {
+        world.with_node(by, |view, now, _| {
             view.publish_fact(now, 3, &value, 5 * S);
         });
-        world.pass(S / FACTS_PER_S);
+        world.run_for(S / FACTS_PER_S);
     }
     let extra = sent(&world) - before - quiet;
     Ok(extra / f64::from(size) / (SPAN_S * FACTS_PER_S) as f64)
--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -786,7 +786,8 @@
         let largest = fitted.as_ref()?.fit.most[0];
         let points = self.points.series("admission.csv", "fact_carried_bytes");
         let measured = points.iter().find(|point| point.size == largest)?.value()?;
-        let repeats = |members: f64| f64::from(MembershipSettings::new(members as u16, 0, 0, 0).repeats());
+        let repeats =
+            |members: f64| f64::from(MembershipSettings::new(members as u16, 0, 0, 0).retransmit_limit());
         Some(measured * repeats(self.plan.schedulers) / repeats(largest))
     }
 
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -18,10 +18,10 @@
 /// A settled fleet.
 fn settled(settings: MembershipSettings, link: LinkFaults) -> VirtualCluster {
     let mut cluster = VirtualCluster::new(settings, link);
-    cluster.numbers().for_each(|of| cluster.start(of));
-    let all: Vec<_> = cluster.numbers().collect();
-    cluster.run_until(60 * S, |cluster| cluster.agrees(&all));
-    cluster.pass(5 * S);
+    cluster.node_ids().for_each(|of| cluster.start(of));
+    let all: Vec<_> = cluster.node_ids().collect();
+    cluster.run_until_condition(60 * S, |cluster| cluster.agrees(&all));
+    cluster.run_for(5 * S);
     cluster
 }
 
@@ -35,7 +35,7 @@
 ) -> Result<(), Box<dyn Error>> {
     println!("{:.0}% lost, {seeds} seeds; milliseconds until all agree, p50 / p99", lost * 100.0);
     println!("size | start | death | leave | join | heal after 6 s | bytes/s a member quiet | in the storms");
-    let link = LinkFaults { lost, ..LinkFaults::default() };
+    let link = LinkFaults { loss_rate: lost, ..LinkFaults::default() };
     for &size in sizes {
         let settings = |seed| {
             let usual = MembershipSettings::new(size, 0, 0, seed);
@@ -46,36 +46,36 @@
         let (mut quiet, mut storm) = (0.0, 0.0);
         for seed in 1..=seeds {
             let mut cluster = VirtualCluster::new(settings(seed), link);
-            let all: Vec<_> = cluster.numbers().collect();
+            let all: Vec<_> = cluster.node_ids().collect();
             all.iter().for_each(|of| cluster.start(*of));
             let took = |cluster: &mut VirtualCluster| {
                 let (from, until) = (cluster.now, cluster.now + 60 * S);
-                cluster.run_until(until, |cluster| cluster.agrees(&all)).map(|at| at - from)
+                cluster.run_until_condition(until, |cluster| cluster.agrees(&all)).map(|at| at - from)
             };
             start.push(took(&mut cluster));
-            cluster.pass(5 * S);
-            let (before, from) = (cluster.counts().sent.1, cluster.now);
-            cluster.pass(10 * S);
+            cluster.run_for(5 * S);
+            let (before, from) = (cluster.counters().sent.1, cluster.now);
+            cluster.run_for(10 * S);
             let rate = |bytes: u64, span: Micros| bytes as f64 * 1e6 / span as f64 / f64::from(size);
-            quiet += rate(cluster.counts().sent.1 - before, cluster.now - from);
+            quiet += rate(cluster.counters().sent.1 - before, cluster.now - from);
             let victim = (seed % u64::from(size)) as MemberId;
-            let (before, from) = (cluster.counts().sent.1, cluster.now);
+            let (before, from) = (cluster.counters().sent.1, cluster.now);
             cluster.kill(victim);
             death.push(took(&mut cluster));
-            cluster.pass(S);
+            cluster.run_for(S);
             cluster.start(victim);
             join.push(took(&mut cluster));
-            cluster.pass(S);
+            cluster.run_for(S);
             cluster.stop(victim);
             leave.push(took(&mut cluster));
             cluster.start(victim);
-            cluster.pass(5 * S);
+            cluster.run_for(5 * S);
             let half: Vec<_> = (0..size / 2).collect();
-            cluster.cut(&half, true);
-            cluster.pass(6 * S);
-            cluster.cut(&half, false);
+            cluster.set_isolated(&half, true);
+            cluster.run_for(6 * S);
+            cluster.set_isolated(&half, false);
             heal.push(took(&mut cluster));
-            storm += rate(cluster.counts().sent.1 - before, cluster.now - from);
+            storm += rate(cluster.counters().sent.1 - before, cluster.now - from);
         }
         println!(
             "{size} | {} | {} | {} | {} | {} | {:.0} | {:.0}",
@@ -89,13 +89,13 @@
         );
         if hours > 0.0 {
             let mut cluster = settled(settings(1), link);
-            let before = cluster.counts();
-            cluster.pass((hours * 3_600.0 * 1e6) as Micros);
-            let counts = cluster.counts();
+            let before = cluster.counters();
+            cluster.run_for((hours * 3_600.0 * 1e6) as Micros);
+            let counts = cluster.counters();
             println!(
                 "{size}: in {hours} h {} suspicions, {} times a live member taken for gone, {:.0} bytes/s a member",
-                counts.suspected - before.suspected,
-                counts.gone - before.gone,
+                counts.suspicions - before.suspicions,
+                counts.declared_gone - before.declared_gone,
                 (counts.sent.1 - before.sent.1) as f64 / (hours * 3_600.0) / f64::from(size)
             );
         }
--- a/crates/bench/src/pending.rs
+++ b/crates/bench/src/pending.rs
@@ -221,15 +221,16 @@
     let sites = vec![0, 0, 1, 1, 2, 2];
     let places = SiteMap::new(sites.clone(), 0).ok_or("not in the list")?;
     let settings = PendingSettings::new(places, 0, vec![1], seed);
-    let mut world = Sites::new(sites, settings, LinkFaults { lost: 0.0, doubled: 0.0, late });
+    let mut world =
+        Sites::new(sites, settings, LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: late });
     world.start_all();
     world.run(world.net.now + 8_000_000);
-    world.net.told.clear();
+    world.net.outputs.clear();
     let (mut began, mut times) = (BTreeMap::new(), [Vec::new(), Vec::new()]);
     let mut key = 0;
     for _ in 0..20_000 {
         world.run(world.net.now + 100);
-        for (at, of, said) in std::mem::take(&mut world.net.told) {
+        for (at, of, said) in std::mem::take(&mut world.net.outputs) {
             match said {
                 Said::Told(Output::Held { key }) => {
                     times[0].push(at - began[&key]);
@@ -245,8 +246,8 @@
                 _ => {}
             }
         }
-        if world.net.draw(10) == 0 {
-            let of = world.net.draw(6) as MemberId;
+        if world.net.random_below(10) == 0 {
+            let of = world.net.random_below(6) as MemberId;
             key += 1;
             began.insert(Key(key), world.net.now);
             world.step(of, accepted(key, 500));
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -49,7 +49,7 @@
         let all: Vec<_> = (0..schedulers).collect();
         let half: Vec<_> = (0..schedulers / 2).collect();
         let start = bed.agreement(&all, PATIENCE);
-        bed.loss_of_all(Loss { lost, ..Loss::default() });
+        bed.loss_of_all(Loss { loss_rate: lost, ..Loss::default() });
         let (before, from) = (spent(&bed), Instant::now());
         std::thread::sleep(Duration::from_secs(10));
         let cost = (spent(&bed) - before) / from.elapsed().as_secs_f64() / schedulers as f64;
--- a/crates/bench/src/scale/fleet.rs
+++ b/crates/bench/src/scale/fleet.rs
@@ -57,8 +57,11 @@
 impl Fleet {
     /// A fleet of which nobody is started; it ends waits at `deadline`.
     pub fn new(settings: MembershipSettings, layout: Layout, lost: f64, deadline: Instant) -> Self {
-        let mut net =
-            VirtualNetwork::new(settings.size, settings.seed, LinkFaults { lost, ..LinkFaults::default() });
+        let mut net = VirtualNetwork::new(
+            settings.size,
+            settings.seed,
+            LinkFaults { loss_rate: lost, ..LinkFaults::default() },
+        );
         net.set_delays(layout.delays(false));
         let next_step = net.now + STEP_US;
         let meter = ByteMeter::new(settings.size);
@@ -67,7 +70,7 @@
 
     /// All members' numbers.
     pub fn members(&self) -> Vec<MemberId> {
-        self.net.numbers().collect()
+        self.net.node_ids().collect()
     }
 
     /// A member's view, if it runs.
@@ -82,12 +85,12 @@
     pub fn start(&mut self, members: &[MemberId]) -> Result<(), SettingsError> {
         for &own in members {
             // A later life never begins before an earlier one: restarts come after the day.
-            let age_ms = self.net.draw(START_SPREAD_MS);
-            let since_first = if self.net.lives(own) == 0 { 0 } else { START_SPREAD_MS };
+            let age_ms = self.net.random_below(START_SPREAD_MS);
+            let since_first = if self.net.start_count(own) == 0 { 0 } else { START_SPREAD_MS };
             let start = EPOCH_MS + since_first + self.net.now / 1_000 + age_ms * u64::from(since_first == 0);
             let settings = MembershipSettings { own, start, ..self.settings };
             let view = Membership::new(settings, self.net.clock(own))?;
-            let before = self.net.put(own, TimedView::new(view));
+            let before = self.net.insert(own, TimedView::new(view));
             self.count_ended(before);
         }
         Ok(())
@@ -132,18 +135,18 @@
     /// Whether all that run hold the same view, and a true one: live is who runs. Views are compared by their digests;
     /// one of them is looked at entry by entry.
     pub fn is_agreed(&self) -> bool {
-        let mut views = self.net.numbers().filter_map(|member| self.view(member));
+        let mut views = self.net.node_ids().filter_map(|member| self.view(member));
         let Some(first) = views.next() else { return true };
         views.all(|view| view.digest() == first.digest())
-            && self.net.numbers().all(|member| {
+            && self.net.node_ids().all(|member| {
                 first.members()[usize::from(member)].state.is_live() == self.net.node(member).is_some()
             })
     }
 
     /// How many members hold the view that most of them hold, and how many of all entries are right, in parts of 1.
     pub fn progress(&self) -> f64 {
-        let views: Vec<_> = self.net.numbers().filter_map(|member| self.view(member)).collect();
-        let up: Vec<_> = self.net.numbers().map(|member| self.net.node(member).is_some()).collect();
+        let views: Vec<_> = self.net.node_ids().filter_map(|member| self.view(member)).collect();
+        let up: Vec<_> = self.net.node_ids().map(|member| self.net.node(member).is_some()).collect();
         let right = |view: &&Membership| {
             view.members().iter().zip(&up).filter(|(entry, up)| entry.state.is_live() == **up).count()
         };
@@ -174,17 +177,17 @@
         let next = (self.net.now + LOOK_US).min(until).min(self.next_step);
         self.net.run(next);
         // What changed is not looked at; by millions it would be most of the memory.
-        self.net.told.clear();
+        self.net.outputs.clear();
         if self.net.now >= self.next_step {
             let totals =
-                self.net.numbers().map(|of| self.net.node(of).map(|timed| timed.view.counts().sent.1));
+                self.net.node_ids().map(|of| self.net.node(of).map(|timed| timed.view.counters().sent.1));
             self.meter.end_step(totals);
             self.next_step += STEP_US;
         }
     }
 
     fn spent(&self) -> Duration {
-        let running = self.net.numbers().filter_map(|member| self.net.node(member));
+        let running = self.net.node_ids().filter_map(|member| self.net.node(member));
         running.map(TimedView::spent).sum::<Duration>() + self.ended
     }
 
--- a/crates/bench/src/scale/layout.rs
+++ b/crates/bench/src/scale/layout.rs
@@ -3,7 +3,7 @@
 //! Members are numbered zone by zone; zones are spread over the regions in order, the first region taking the larger
 //! part. A delay is drawn between the stated one-way time and a tenth above it.
 
-use basaltward_membership::{Delays, MemberId, Micros};
+use basaltward_membership::{DelayFn, MemberId, Micros};
 use std::ops::Range;
 
 /// Availability zones over all regions, by the plan that the capacity page starts from.
@@ -62,7 +62,7 @@
     }
 
     /// The delays between all; none between regions where `regions_apart`.
-    pub fn delays(self, regions_apart: bool) -> Delays {
+    pub fn delays(self, regions_apart: bool) -> DelayFn {
         Box::new(move |from, to| {
             let apart = self.in_first_region(from) != self.in_first_region(to);
             let one_way = match self.zone_of(from) == self.zone_of(to) {
--- a/crates/bench/src/scale/meter.rs
+++ b/crates/bench/src/scale/meter.rs
@@ -54,8 +54,8 @@
         due
     }
 
-    fn datagram(out: Output) -> Result<(MemberId, Vec<u8>), Output> {
-        <Membership as VirtualNode>::datagram(out)
+    fn into_datagram(out: Output) -> Result<(MemberId, Vec<u8>), Output> {
+        <Membership as VirtualNode>::into_datagram(out)
     }
 }
 
--- a/crates/bench/src/shed.rs
+++ b/crates/bench/src/shed.rs
@@ -1,7 +1,7 @@
 //! Overload answered by four sites as one beside each gateway for itself, in virtual time, on the same seeds: goodput
 //! at multiples of what the workers can do, the time to come back, and tenants beside one at ten times its quota.
 
-use basaltward_membership::{LinkFaults, MembershipSettings, Micros, SHED, Site, VirtualCluster};
+use basaltward_membership::{LinkFaults, MembershipSettings, Micros, SHED_KEYS, Site, VirtualCluster};
 use basaltward_shed::{Act, Bed, Second, Stream, World};
 use std::error::Error;
 
@@ -102,26 +102,27 @@
     for size in [8, 32] {
         let of = |bytes_per_s| {
             let settings = MembershipSettings { bytes_per_s, ..MembershipSettings::new(size, 0, 0, 1) };
-            let mut world = VirtualCluster::new(settings, LinkFaults { lost: 0.05, ..LinkFaults::default() });
-            let all: Vec<_> = world.numbers().collect();
+            let mut world =
+                VirtualCluster::new(settings, LinkFaults { loss_rate: 0.05, ..LinkFaults::default() });
+            let all: Vec<_> = world.node_ids().collect();
             all.iter().for_each(|of| world.start(*of));
-            world.run_until(60 * S, |world| world.agrees(&all));
+            world.run_until_condition(60 * S, |world| world.agrees(&all));
             let mut ages = Vec::new();
             for step in 0..120_u64 {
                 let value: Vec<u8> =
                     (0..30).map(|at| if at < 8 { (step >> (at * 8)) as u8 } else { 7 }).collect();
                 for of in &all {
-                    let facts = SHED.take(3);
+                    let facts = SHED_KEYS.take(3);
                     facts.for_each(|key| {
-                        world.act(*of, |view, now, _| {
+                        world.with_node(*of, |view, now, _| {
                             view.publish_fact(now, key, &value, 5 * S);
                         })
                     });
                 }
-                world.pass(500_000);
+                world.run_for(500_000);
                 for (of, other) in all.iter().flat_map(|of| all.iter().map(move |other| (*of, *other))) {
                     let now = world.clock(of);
-                    let told = world.membership(of).and_then(|view| view.fact(now, other, SHED.start));
+                    let told = world.membership(of).and_then(|view| view.fact(now, other, SHED_KEYS.start));
                     let told =
                         told.and_then(|told| told.first_chunk::<8>()).map(|told| u64::from_le_bytes(*told));
                     if step > 20 && of != other {
--- a/crates/cli/tests/trial.rs
+++ b/crates/cli/tests/trial.rs
@@ -145,7 +145,7 @@
         assert!(std::time::Instant::now() < until, "{:?}", bed.view(5));
         std::thread::sleep(Duration::from_millis(50));
     }
-    bed.loss_of_all(Loss { lost: 0.05, doubled: 0.02, ..Loss::default() });
+    bed.loss_of_all(Loss { loss_rate: 0.05, duplicate_rate: 0.02, ..Loss::default() });
     bed.kill(2);
     assert!(bed.agreement(&everybody, AGREE).is_some(), "a death");
     bed.up(2).expect("it comes up");
--- a/crates/cli/tests/view.rs
+++ b/crates/cli/tests/view.rs
@@ -50,7 +50,7 @@
     assert!(bed.agreement(&everybody, AGREE).is_some(), "one flapped");
     // First it can't be heard, then it can't hear: taken for gone each time, and back by its own word.
     for hears in [true, false] {
-        let cut = Loss { lost: 1.0, ..Loss::default() };
+        let cut = Loss { loss_rate: 1.0, ..Loss::default() };
         for loss in [cut, Loss::default()] {
             for other in (0..8).filter(|other| *other != 2) {
                 let (one, other) = (Party::Scheduler(2), Party::Scheduler(other));
@@ -117,7 +117,7 @@
     // Word of the earlier life from one member comes when the later one has long spoken for itself.
     let late = Duration::from_millis(2_000).as_micros() as u64;
     let way = Way { from: Party::Scheduler(3), to: Party::Scheduler(1) };
-    bed.loss(way, Loss { late: (late, late + 100_000), ..Loss::default() });
+    bed.loss(way, Loss { delay_range: (late, late + 100_000), ..Loss::default() });
     for _ in 0..3 {
         bed.kill(2);
         sees(&bed, 0, |view| view.members[2].state == MemberState::Gone);
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -6,7 +6,7 @@
 use crate::tables::{COUNT_US, ControlEnd, Fact, Owners, Tables, Word};
 use basaltward::{Micros, Repeat};
 use basaltward_config::{Config, SitesConfig};
-use basaltward_membership::{MemberId, MemberState, SHED, SiteMap};
+use basaltward_membership::{MemberId, MemberState, SHED_KEYS, SiteMap};
 use basaltward_net::{Clock, Io, NetError, monotonic};
 use basaltward_peers::{
     Channel, ConnectionConfig, ConnectionEvent, EndpointConfig, EndpointEvent, Event, PeerConfig,
@@ -393,7 +393,7 @@
     /// Tells admission what peers have published, publishes what it tells, and swaps its table.
     fn renew_shed(&mut self, now: Micros) {
         for of in 0..self.peer_count {
-            for key in SHED {
+            for key in SHED_KEYS {
                 if let Some(value) = self.endpoint.fact(now, of, key).map(<[u8]>::to_vec) {
                     self.shed.heard(now, of, key, &value);
                 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,4 +1,4 @@
-//! The membership of a fleet, kept by its members: who is up, suspected, gone, leaving or stopped, by what each was
+//! The membership member a fleet, kept by its members_at: who state up, suspicions, declared_gone, leaving or stopped, by what each previous
 //! heard to say and how old that is. It travels in datagrams of at most 256 bytes that may be late, doubled or
 //! lost. Free of I/O: datagrams and times in, datagrams, changes and the next time out.
 //!
@@ -37,16 +37,16 @@
 mod virtual_network;
 mod wire;
 
-pub use fact_keys::{CALLS, DRAINS, PENDING, ROUTE, RUNS, SHED};
+pub use fact_keys::{CALLS_KEY, DRAINS_KEY, PENDING_KEYS, ROUTE_KEYS, SHED_KEYS, VERSION_KEY};
 pub use facts::{FACT_KEYS, MAX_FACT_BYTES, MAX_FACT_LIFETIME_US, decode_counters, encode_counters};
 pub use members::Membership;
 #[doc(hidden)]
-pub use members::Newer;
+pub use members::OverrideRule;
 pub use output::{FleetShare, MembershipCounters, Output};
 pub use settings::{MembershipSettings, SettingsError};
 pub use sites::{Site, SiteMap};
 pub use status::{MemberStatus, STATUS_PAGE_MEMBERS, StatusRequest, StatusResponse};
 pub use types::{Incarnation, Member, MemberId, MemberState, Micros};
 pub use virtual_cluster::VirtualCluster;
-pub use virtual_network::{Delays, LinkFaults, VirtualNetwork, VirtualNode};
+pub use virtual_network::{DelayFn, LinkFaults, VirtualNetwork, VirtualNode};
 pub use wire::{MAX_DATAGRAM_BYTES, WireError, decode_datagram, encode_datagram};
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -25,8 +25,8 @@
 /// When a later life of ours was heard to speak.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Rival {
-    pub(crate) first_heard: Micros,
-    pub(crate) last_heard: Micros,
+    pub(crate) first_contact: Micros,
+    pub(crate) last_contact: Micros,
 }
 
 /// The membership as one member knows it, see the module's page.
@@ -59,16 +59,16 @@
     pub(crate) next_broadcast: Micros,
     /// When we were last at work.
     pub(crate) last_active: Micros,
-    pub(crate) counts: MembershipCounters,
+    pub(crate) counters: MembershipCounters,
     /// A later life of ours, where one was heard of.
     pub(crate) rival: Option<Rival>,
     pub(crate) superseded: bool,
     /// What says more: [`Member::yields_to`], but where a test plants a fault.
-    pub(crate) newer: Newer,
+    pub(crate) newer: OverrideRule,
 }
 
 /// Whether an incarnation and a state say more than what is believed of a member.
-pub type Newer = fn(&Member, Incarnation, MemberState) -> bool;
+pub type OverrideRule = fn(&Member, Incarnation, MemberState) -> bool;
 
 impl Membership {
     /// A membership that knows the list of members and has heard of none.
@@ -99,16 +99,16 @@
             next_probe: now,
             next_broadcast: now,
             last_active: now,
-            counts: MembershipCounters::default(),
+            counters: MembershipCounters::default(),
             rival: None,
             superseded: false,
-            newer: Member::yields_to,
+            newer: Member::is_overridden_by,
             settings,
         };
         membership.next_probe += membership.rng.random_range(0..settings.period);
         membership.apply(
             now,
-            Update { of: settings.own, incarnation: own, state: MemberState::Up },
+            Update { member: settings.own, incarnation: own, state: MemberState::Up },
             &mut Vec::new(),
         );
         Ok(membership)
@@ -116,7 +116,7 @@
 
     /// Plants a fault: what checks views has to find it.
     #[doc(hidden)]
-    pub fn plant(&mut self, newer: Newer) {
+    pub fn inject_fault(&mut self, newer: OverrideRule) {
         self.newer = newer;
     }
 
@@ -141,12 +141,12 @@
     }
 
     /// See [`MembershipCounters`].
-    pub fn counts(&self) -> MembershipCounters {
-        self.counts
+    pub fn counters(&self) -> MembershipCounters {
+        self.counters
     }
 
     /// Live members, we included.
-    pub fn live(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.members.iter().filter(|e| e.state.is_live()).count()
     }
 
@@ -156,11 +156,11 @@
     }
 
     /// With how much of the configured fleet we are; alone, whoever is superseded.
-    pub fn part(&self) -> FleetShare {
+    pub fn fleet_share(&self) -> FleetShare {
         if self.superseded {
             return FleetShare::Alone;
         }
-        match (self.live(), self.members.len()) {
+        match (self.live_count(), self.members.len()) {
             (live, all) if live == all => FleetShare::Whole,
             (live, all) if live * 2 > all => FleetShare::Majority,
             (1, _) => FleetShare::Alone,
@@ -175,7 +175,7 @@
             .members
             .iter()
             .zip(&self.peer_digests)
-            .filter(|(e, _)| e.last_heard >= since && e.last_heard > 0);
+            .filter(|(e, _)| e.last_contact >= since && e.last_contact > 0);
         self.updates.is_empty()
             && self.detector.suspects.is_empty()
             && late.all(|(_, theirs)| *theirs == self.digest)
@@ -184,7 +184,7 @@
     /// Tells all a fact of ours under a key, which stands for this long; a later one takes its place. False
     /// where the key or the value is out of bounds ([`FACT_KEYS`](crate::FACT_KEYS), [`MAX_FACT_BYTES`](crate::MAX_FACT_BYTES)).
     pub fn publish_fact(&mut self, now: Micros, key: u8, value: &[u8], stands: Micros) -> bool {
-        let (whose, repeats) = ((self.settings.own, self.own.start), self.settings.repeats());
+        let (whose, repeats) = ((self.settings.own, self.own.start), self.settings.retransmit_limit());
         self.fact_store.tell(now, whose, (key, value), stands, repeats)
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Facts held: bounded by the members and their keys.
-    pub fn facts(&self) -> usize {
+    pub fn fact_count(&self) -> usize {
         self.fact_store.len()
     }
 
@@ -231,7 +231,7 @@
         self.leaving = true;
         self.apply(
             now,
-            Update { of: self.settings.own, incarnation: self.own, state: MemberState::Leaving },
+            Update { member: self.settings.own, incarnation: self.own, state: MemberState::Leaving },
             out,
         );
     }
@@ -240,7 +240,7 @@
     pub fn stop(&mut self, now: Micros, out: &mut Out) {
         self.apply(
             now,
-            Update { of: self.settings.own, incarnation: self.own, state: MemberState::Stopped },
+            Update { member: self.settings.own, incarnation: self.own, state: MemberState::Stopped },
             out,
         );
         for to in self.random_live(INDIRECT_PROBE_MEMBERS * 2, None) {
@@ -269,17 +269,21 @@
     /// What a member is accused of, if it is.
     pub(crate) fn accusation(&self, of: MemberId) -> Option<Update> {
         let Member { state, incarnation, .. } = self.members[usize::from(of)];
-        matches!(state, MemberState::Suspect | MemberState::Gone).then_some(Update { of, incarnation, state })
+        matches!(state, MemberState::Suspect | MemberState::Gone).then_some(Update {
+            member: of,
+            incarnation,
+            state,
+        })
     }
 
     /// Believes an update, and passes it on.
     pub(crate) fn apply(&mut self, now: Micros, update: Update, out: &mut Out) {
-        let Update { of, incarnation, state } = update;
+        let Update { member: of, incarnation, state } = update;
         let member = &mut self.members[usize::from(of)];
         let (was, before) = (member.state, member.fingerprint(of));
         (member.state, member.incarnation) = (state, incarnation);
         if was != state {
-            member.since = now;
+            member.state_since = now;
         }
         let after = member.fingerprint(of);
         self.digest ^= before ^ after;
@@ -287,13 +291,13 @@
         // A member that leaves and is silent is never told of as suspected: its word stands.
         match state {
             MemberState::Suspect => {
-                let until = now + self.settings.suspicion();
+                let until = now + self.settings.suspicion_timeout();
                 self.detector.suspects.insert(of, Suspicion { incarnation, until });
             }
             _ => drop(self.detector.suspects.remove(&of)),
         }
         if was != state {
-            out.push(Output::Changed { of, incarnation, was, is: state });
+            out.push(Output::Changed { member: of, incarnation, previous: was, state: state });
         }
     }
 
@@ -302,12 +306,12 @@
     pub(crate) fn catch_up(&mut self, now: Micros) {
         let still = now.saturating_sub(self.last_active);
         if still > self.settings.period * 2 {
-            self.counts.stalls += 1;
+            self.counters.stalls += 1;
             self.detector.put_off(still);
             self.next_probe = now;
             // Facts of before are as old as they say: those that have ended go now.
             self.fact_store.expire(now);
-            if still > self.settings.suspicion() {
+            if still > self.settings.suspicion_timeout() {
                 self.updates = UpdateQueue::default();
                 self.detector.probes.clear();
             }
@@ -347,7 +351,7 @@
         let mut message = self.message(kind);
         let rich = self.budget.may(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES)
             && self.updates.len() <= MAX_GOSSIPED_UPDATES;
-        let (room, repeats) = (message.room(), self.settings.repeats());
+        let (room, repeats) = (message.room(), self.settings.retransmit_limit());
         message.updates = match rich {
             true => self.updates.take(room, repeats, self.own.start, first),
             false => first.into_iter().collect(),
@@ -366,8 +370,8 @@
     pub(crate) fn write(&mut self, now: Micros, to: MemberId, message: &Message, out: &mut Out) {
         let Some(bytes) = message.write().filter(|_| !self.superseded) else { return };
         self.budget.take(now, bytes.len() as u64);
-        self.counts.sent.0 += 1;
-        self.counts.sent.1 += bytes.len() as u64;
+        self.counters.sent.0 += 1;
+        self.counters.sent.1 += bytes.len() as u64;
         out.push(Output::Send { to, bytes });
     }
 
--- a/crates/membership/src/output.rs
+++ b/crates/membership/src/output.rs
@@ -17,13 +17,13 @@
     /// A member is believed to be something else now.
     Changed {
         /// Who.
-        of: MemberId,
+        member: MemberId,
         /// In which life.
         incarnation: Incarnation,
         /// What it was.
-        was: MemberState,
+        previous: MemberState,
         /// What it is.
-        is: MemberState,
+        state: MemberState,
     },
     /// A later life of ours lives on: this one says nothing any more.
     Superseded {
@@ -51,17 +51,17 @@
     /// Datagrams and bytes sent.
     pub sent: (u64, u64),
     /// Datagrams taken.
-    pub taken: u64,
+    pub received: u64,
     /// Dropped: unreadable, of another version or fleet, or not from whom they say.
     pub dropped: u64,
     /// Suspicions begun here.
-    pub suspected: u64,
+    pub suspicions: u64,
     /// Members taken for gone here, before anybody told.
-    pub gone: u64,
+    pub declared_gone: u64,
     /// Refutations of ours.
-    pub refuted: u64,
+    pub refutations: u64,
     /// Another life of ours, later than this one, was heard of: our wall clock ran back, or two have our name.
-    pub twins: u64,
+    pub later_lives: u64,
     /// We stood still for longer than a period.
     pub stalls: u64,
 }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -17,7 +17,7 @@
     /// Does what is due by `now`.
     pub fn wake(&mut self, now: Micros, out: &mut Out) {
         if self.superseded {
-            self.next_probe = now + self.settings.settling();
+            self.next_probe = now + self.settings.settling_time();
             return;
         }
         self.catch_up(now);
@@ -46,8 +46,8 @@
             self.detector.suspects.remove(&of);
             let member = self.members[usize::from(of)];
             if member.incarnation == incarnation && member.state.is_live() {
-                self.counts.gone += 1;
-                self.apply(now, Update { of, incarnation, state: MemberState::Gone }, out);
+                self.counters.declared_gone += 1;
+                self.apply(now, Update { member: of, incarnation, state: MemberState::Gone }, out);
             }
         }
     }
@@ -75,7 +75,7 @@
             if now >= probe.deadline && probe.indirect_sent {
                 self.ack_ratio -= ACK_RATIO_WEIGHT * self.ack_ratio;
                 // Whom we hear while few of our probes are acknowledged does not hear us: that is our fault.
-                let heard = self.members[usize::from(probe.to)].last_heard;
+                let heard = self.members[usize::from(probe.to)].last_contact;
                 let doubt = self.ack_ratio < MIN_ACK_RATIO && heard + self.settings.round_trip * 4 > now;
                 match probe.second_attempt {
                     true if doubt => {}
@@ -108,12 +108,12 @@
         let Member { state, incarnation, .. } = self.members[usize::from(of)];
         match state {
             MemberState::Up => {
-                self.counts.suspected += 1;
-                self.apply(now, Update { of, incarnation, state: MemberState::Suspect }, out);
+                self.counters.suspicions += 1;
+                self.apply(now, Update { member: of, incarnation, state: MemberState::Suspect }, out);
             }
             // Its own word that it leaves stands beside the suspicion.
             MemberState::Leaving => {
-                let until = now + self.settings.suspicion();
+                let until = now + self.settings.suspicion_timeout();
                 self.detector.suspects.entry(of).or_insert(Suspicion { incarnation, until });
             }
             MemberState::Unknown | MemberState::Suspect | MemberState::Gone | MemberState::Stopped => {}
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -23,10 +23,10 @@
                 && from != self.settings.own
         };
         let Some(message) = Message::read(bytes).ok().filter(good) else {
-            self.counts.dropped += 1;
+            self.counters.dropped += 1;
             return;
         };
-        self.counts.taken += 1;
+        self.counters.received += 1;
         self.peer_digests[usize::from(from)] = message.digest;
         let told = self.note_sender(now, &message, out);
         self.agreeing = if message.digest == self.digest { self.agreeing + 1 } else { 0 };
@@ -47,12 +47,12 @@
         let mut stale = Vec::new();
         for update in &message.updates {
             if self.merge(now, *update, out) {
-                stale.push(update.of);
+                stale.push(update.member);
             }
         }
         let of_others = |owner: MemberId| owner < self.settings.size && owner != self.settings.own;
         for fact in message.facts.iter().filter(|fact| of_others(fact.owner)) {
-            self.fact_store.learn(now, fact, self.settings.repeats());
+            self.fact_store.learn(now, fact, self.settings.retransmit_limit());
         }
         stale
     }
@@ -120,28 +120,28 @@
         let (of, incarnation) = (message.from, message.incarnation);
         let state = if message.leaving { MemberState::Leaving } else { MemberState::Up };
         let member = &mut self.members[usize::from(of)];
-        member.last_heard = now;
+        member.last_contact = now;
         if (self.newer)(member, incarnation, state)
             && !(member.incarnation == incarnation && member.state == MemberState::Suspect)
         {
-            self.apply(now, Update { of, incarnation, state }, out);
+            self.apply(now, Update { member: of, incarnation, state }, out);
         }
         let member = self.members[usize::from(of)];
         let wrong = member.incarnation > incarnation
             || matches!(member.state, MemberState::Suspect | MemberState::Gone | MemberState::Stopped);
-        wrong.then_some(Update { of, incarnation: member.incarnation, state: member.state })
+        wrong.then_some(Update { member: of, incarnation: member.incarnation, state: member.state })
     }
 
     /// Takes an update; true where we know better.
     fn merge(&mut self, now: Micros, update: Update, out: &mut Out) -> bool {
-        if update.of >= self.settings.size {
+        if update.member >= self.settings.size {
             return false;
         }
-        if update.of == self.settings.own {
+        if update.member == self.settings.own {
             self.refute(now, update, out);
             return false;
         }
-        let member = self.members[usize::from(update.of)];
+        let member = self.members[usize::from(update.member)];
         if (self.newer)(&member, update.incarnation, update.state) {
             self.apply(now, update, out);
             return false;
@@ -154,7 +154,7 @@
         let state = if self.leaving { MemberState::Leaving } else { MemberState::Up };
         let known = self.members[usize::from(self.settings.own)].state;
         let state = if known == MemberState::Stopped { known } else { state };
-        let Some(refuting) = self.own.refuting(state, (update.incarnation, update.state)) else { return };
+        let Some(refuting) = self.own.refutation(state, (update.incarnation, update.state)) else { return };
         if update.state != MemberState::Gone && update.incarnation.start > self.settings.start {
             self.superseded |= self.is_superseded_by_live(now);
         }
@@ -162,10 +162,10 @@
             out.push(Output::Superseded { start: update.incarnation.start });
             return;
         }
-        self.counts.twins += u64::from(update.incarnation.start > self.own.start);
-        self.counts.refuted += 1;
+        self.counters.later_lives += u64::from(update.incarnation.start > self.own.start);
+        self.counters.refutations += 1;
         self.own = refuting;
-        self.apply(now, Update { of: self.settings.own, incarnation: self.own, state }, out);
+        self.apply(now, Update { member: self.settings.own, incarnation: self.own, state }, out);
     }
 
     /// Word of a later life of ours that answers what we say. Word of a dead one, heard by whoever starts with a
@@ -173,10 +173,10 @@
     /// is one that lives. The later one goes on: it is what an operator has started in place of one that stood
     /// still.
     fn is_superseded_by_live(&mut self, now: Micros) -> bool {
-        let settling = self.settings.settling();
-        let known = self.rival.filter(|rival| rival.last_heard + settling > now);
-        let first_heard = known.map_or(now, |rival| rival.first_heard);
-        self.rival = Some(Rival { first_heard, last_heard: now });
+        let settling = self.settings.settling_time();
+        let known = self.rival.filter(|rival| rival.last_contact + settling > now);
+        let first_heard = known.map_or(now, |rival| rival.first_contact);
+        self.rival = Some(Rival { first_contact: first_heard, last_contact: now });
         now - first_heard > settling
     }
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -31,7 +31,7 @@
 pub enum SettingsError {
     /// Our number is not in the list.
     #[error("own number {own} is not below the fleet's size {size}")]
-    Own {
+    OwnNumber {
         /// The number.
         own: MemberId,
         /// The size.
@@ -39,7 +39,7 @@
     },
     /// A time or a budget is too small.
     #[error("{0} is too small")]
-    Small(&'static str),
+    TooSmall(&'static str),
 }
 
 impl MembershipSettings {
@@ -65,7 +65,7 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         let Self { own, size, .. } = *self;
         if own >= size {
-            return Err(SettingsError::Own { own, size });
+            return Err(SettingsError::OwnNumber { own, size });
         }
         // A period holds a question, then one through others.
         let figures = [
@@ -75,30 +75,30 @@
             ("burst", self.burst >= 512),
         ];
         match figures.iter().find(|(_, good)| !good) {
-            Some((name, _)) => Err(SettingsError::Small(name)),
+            Some((name, _)) => Err(SettingsError::TooSmall(name)),
             None => Ok(()),
         }
     }
 
     /// Doublings until an update has reached all.
-    pub fn rounds(&self) -> u32 {
+    pub fn gossip_rounds(&self) -> u32 {
         u32::from(self.size.max(2)).ilog2() + 1
     }
 
     /// How long a suspicion stands before its subject is taken for gone: time for it to reach its subject and
     /// for the answer to reach all.
-    pub fn suspicion(&self) -> Micros {
-        self.period * Micros::from(self.rounds().max(4))
+    pub fn suspicion_timeout(&self) -> Micros {
+        self.period * Micros::from(self.gossip_rounds().max(4))
     }
 
     /// All that reach one another agree within this after the last fault, held to at 0 to 30% lost: a question to
     /// everybody, two suspicions, and updates on its way.
-    pub fn settling(&self) -> Micros {
-        self.suspicion() * 2 + self.period * 24
+    pub fn settling_time(&self) -> Micros {
+        self.suspicion_timeout() * 2 + self.period * 24
     }
 
     /// How often an update is passed on by each member: enough that at 30% loss all hear of it.
-    pub fn repeats(&self) -> u32 {
-        self.rounds() + 2
+    pub fn retransmit_limit(&self) -> u32 {
+        self.gossip_rounds() + 2
     }
 }
--- a/crates/membership/src/sites.rs
+++ b/crates/membership/src/sites.rs
@@ -24,17 +24,17 @@
     }
 
     /// Our site.
-    pub fn here(&self) -> Site {
+    pub fn own_site(&self) -> Site {
         self.of[usize::from(self.own)]
     }
 
     /// The site of a member; none where it is not in the list.
-    pub fn site(&self, of: MemberId) -> Option<Site> {
+    pub fn site_of(&self, of: MemberId) -> Option<Site> {
         self.of.get(usize::from(of)).copied()
     }
 
     /// The members at a site.
-    pub fn members(&self, at: Site) -> impl Iterator<Item = MemberId> {
+    pub fn members_at(&self, at: Site) -> impl Iterator<Item = MemberId> {
         let all = self.of.iter().enumerate();
         all.filter(move |(_, site)| **site == at).map(|(number, _)| number as MemberId)
     }
--- a/crates/membership/src/status.rs
+++ b/crates/membership/src/status.rs
@@ -1,7 +1,7 @@
 //! How an operator asks a member for what it believes of all: a request names where to begin, its answer holds a page of
 //! [`STATUS_PAGE_MEMBERS`]. One datagram each. The JSON keys are those that `fleet view --json` prints.
 
-use crate::fact_keys::CALLS;
+use crate::fact_keys::CALLS_KEY;
 use crate::members::Membership;
 use crate::output::FleetShare;
 use crate::types::{Incarnation, Member, MemberId, MemberState, Micros};
@@ -82,7 +82,7 @@
         let seen = |entry: &Member| MemberStatus {
             state: entry.state,
             incarnation: entry.incarnation,
-            heard_ms: (entry.last_heard > 0).then(|| now.saturating_sub(entry.last_heard) / 1_000),
+            heard_ms: (entry.last_contact > 0).then(|| now.saturating_sub(entry.last_contact) / 1_000),
         };
         let members = membership
             .members()
@@ -97,9 +97,9 @@
             size: membership.members().len() as MemberId,
             digest: membership.digest(),
             settled: membership.is_settled(now),
-            part: membership.part(),
+            part: membership.fleet_share(),
             superseded: membership.is_superseded(),
-            calls: membership.counter_totals(now, CALLS).into_iter().take(MAX_TOTALS).collect(),
+            calls: membership.counter_totals(now, CALLS_KEY).into_iter().take(MAX_TOTALS).collect(),
             first: request.first,
             members,
         }
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -28,7 +28,7 @@
     /// Live members heard in the last two periods, with their digests.
     fn heard_lately(&self, now: Micros) -> impl Iterator<Item = (MemberId, u32)> {
         let since = now.saturating_sub(self.settings.period * 2);
-        let lately = move |e: &Member| e.last_heard >= since && e.last_heard > 0 && e.state.is_live();
+        let lately = move |e: &Member| e.last_contact >= since && e.last_contact > 0 && e.state.is_live();
         let all = self.members.iter().zip(&self.peer_digests).enumerate();
         all.filter(move |(_, (e, _))| lately(e)).map(|(of, (_, theirs))| (of as MemberId, *theirs))
     }
@@ -102,7 +102,7 @@
     ) {
         let update = |of: &MemberId| {
             let Member { incarnation, state, .. } = self.members[usize::from(*of)];
-            Update { of: *of, incarnation, state }
+            Update { member: *of, incarnation, state }
         };
         let mut all: Vec<_> = of.iter().map(update).collect();
         for _ in 0..most {
--- a/crates/membership/src/types.rs
+++ b/crates/membership/src/types.rs
@@ -52,14 +52,14 @@
     /// Of which life.
     pub incarnation: Incarnation,
     /// Since when, on the owner's clock.
-    pub since: Micros,
+    pub state_since: Micros,
     /// When it was last heard itself; 0 for never.
-    pub last_heard: Micros,
+    pub last_contact: Micros,
 }
 
 impl Member {
     /// Whether updates says more than this.
-    pub fn yields_to(&self, incarnation: Incarnation, state: MemberState) -> bool {
+    pub fn is_overridden_by(&self, incarnation: Incarnation, state: MemberState) -> bool {
         (incarnation, state) > (self.incarnation, self.state)
     }
 
@@ -83,7 +83,7 @@
 impl Incarnation {
     /// The incarnation by which a member that is `state` answers what it hears of itself; none where that says
     /// no more than it says itself.
-    pub fn refuting(self, state: MemberState, told: (Incarnation, MemberState)) -> Option<Self> {
+    pub fn refutation(self, state: MemberState, told: (Incarnation, MemberState)) -> Option<Self> {
         let beyond = state != MemberState::Stopped && told > (self, state);
         beyond.then(|| Self { start: told.0.start, bump: told.0.bump.saturating_add(1) })
     }
--- a/crates/membership/src/updates.rs
+++ b/crates/membership/src/updates.rs
@@ -23,10 +23,10 @@
 impl UpdateQueue {
     /// An update that is new here; `shows` says that views without it have another digest.
     pub fn add(&mut self, update: Update, shows: bool) {
-        if let Some(passed) = self.at.insert(update.of, 0) {
-            self.order.remove(&(passed, update.of));
+        if let Some(passed) = self.at.insert(update.member, 0) {
+            self.order.remove(&(passed, update.member));
         }
-        self.order.insert((0, update.of), QueuedUpdate { update, shows });
+        self.order.insert((0, update.member), QueuedUpdate { update, shows });
     }
 
     pub fn is_empty(&self) -> bool {
--- a/crates/membership/src/updates/tests.rs
+++ b/crates/membership/src/updates/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn each_update_goes_its_number_of_times_and_what_is_later_replaces_what_is_earlier() {
     let update =
-        |of, bump| Update { of, incarnation: Incarnation { start: 1, bump }, state: MemberState::Up };
+        |of, bump| Update { member: of, incarnation: Incarnation { start: 1, bump }, state: MemberState::Up };
     let mut updates = UpdateQueue::default();
     (0..3).for_each(|of| updates.add(update(of, 0), true));
     updates.add(update(1, 1), true);
--- a/crates/membership/src/virtual_cluster.rs
+++ b/crates/membership/src/virtual_cluster.rs
@@ -22,7 +22,7 @@
         Membership::next_due(self)
     }
 
-    fn datagram(out: Output) -> Result<(MemberId, Vec<u8>), Output> {
+    fn into_datagram(out: Output) -> Result<(MemberId, Vec<u8>), Output> {
         match out {
             Output::Send { to, bytes } => Ok((to, bytes)),
             told @ (Output::Changed { .. } | Output::Superseded { .. }) => Err(told),
@@ -69,8 +69,8 @@
 
     /// Plants a fault in a member that is up, see [`Membership::plant`].
     #[doc(hidden)]
-    pub fn plant(&mut self, of: MemberId, newer: crate::members::Newer) {
-        self.node_mut(of).into_iter().for_each(|membership| membership.plant(newer));
+    pub fn inject_fault(&mut self, of: MemberId, newer: crate::members::OverrideRule) {
+        self.node_mut(of).into_iter().for_each(|membership| membership.inject_fault(newer));
     }
 
     /// The configured list grows, or loses its last members, who end. Members hear of it by
@@ -78,24 +78,24 @@
     pub fn resize(&mut self, size: MemberId) {
         (size..self.settings.size).for_each(|of| self.kill(of));
         self.settings.size = size;
-        self.set_slots(size);
+        self.set_size(size);
     }
 
     /// Starts a member, which knows nothing of an earlier life.
     pub fn start(&mut self, of: MemberId) {
-        self.start_with(of, EPOCH_MS + self.now / 1_000);
+        self.start_at(of, EPOCH_MS + self.now / 1_000);
     }
 
     /// As [`VirtualCluster::start`], with a wall clock that says this many milliseconds.
-    pub fn start_with(&mut self, of: MemberId, start: u64) {
+    pub fn start_at(&mut self, of: MemberId, start: u64) {
         let settings = MembershipSettings { own: of, start, ..self.settings };
         let Ok(membership) = Membership::new(settings, self.clock(of)) else { return };
-        let ended = self.put(of, membership);
+        let ended = self.insert(of, membership);
         self.count(ended);
     }
 
     fn count(&mut self, ended: Option<Membership>) {
-        self.before = ended.map_or(self.before, |membership| sum(self.before, membership.counts()));
+        self.before = ended.map_or(self.before, |membership| sum(self.before, membership.counters()));
     }
 
     /// Kills a member outright.
@@ -106,12 +106,12 @@
 
     /// A member leaves in good order: it says so, and a little later that it is no more.
     pub fn stop(&mut self, of: MemberId) {
-        self.act(of, |membership, now, out| membership.stop(now, out));
+        self.with_node(of, |membership, now, out| membership.stop(now, out));
         self.kill(of);
     }
 
     /// Runs until a condition holds, looked at every 10 ms; when, or `None` where it does not by `until`.
-    pub fn run_until(&mut self, until: Micros, holds: impl Fn(&Self) -> bool) -> Option<Micros> {
+    pub fn run_until_condition(&mut self, until: Micros, holds: impl Fn(&Self) -> bool) -> Option<Micros> {
         while self.now < until {
             let next = (self.now + 10_000).min(until);
             self.run(next);
@@ -134,14 +134,14 @@
                     membership.members().get(usize::from(other)).is_some_and(|e| e.state.is_live())
                 };
                 Some(membership.digest()) == digest
-                    && self.numbers().all(|other| live(other) == up.contains(&other))
+                    && self.node_ids().all(|other| live(other) == up.contains(&other))
             })
         })
     }
 
     /// Whether any running member holds another that runs for gone.
-    pub fn wrong(&self) -> Vec<(MemberId, MemberId)> {
-        let up: Vec<_> = self.numbers().filter(|of| self.is_up(*of)).collect();
+    pub fn falsely_gone(&self) -> Vec<(MemberId, MemberId)> {
+        let up: Vec<_> = self.node_ids().filter(|of| self.is_up(*of)).collect();
         let gone = |of: &MemberId, other: &MemberId| {
             let member =
                 |membership: &Membership| membership.members().get(usize::from(*other)).map(|e| e.state);
@@ -152,8 +152,8 @@
     }
 
     /// What all lives of all members have counted.
-    pub fn counts(&self) -> MembershipCounters {
-        let living = self.numbers().filter_map(|of| self.membership(of)).map(Membership::counts);
+    pub fn counters(&self) -> MembershipCounters {
+        let living = self.node_ids().filter_map(|of| self.membership(of)).map(Membership::counters);
         living.fold(self.before, sum)
     }
 }
@@ -161,12 +161,12 @@
 fn sum(a: MembershipCounters, b: MembershipCounters) -> MembershipCounters {
     MembershipCounters {
         sent: (a.sent.0 + b.sent.0, a.sent.1 + b.sent.1),
-        taken: a.taken + b.taken,
+        received: a.received + b.received,
         dropped: a.dropped + b.dropped,
-        suspected: a.suspected + b.suspected,
-        gone: a.gone + b.gone,
-        refuted: a.refuted + b.refuted,
-        twins: a.twins + b.twins,
+        suspicions: a.suspicions + b.suspicions,
+        declared_gone: a.declared_gone + b.declared_gone,
+        refutations: a.refutations + b.refutations,
+        later_lives: a.later_lives + b.later_lives,
         stalls: a.stalls + b.stalls,
     }
 }
--- a/crates/membership/src/virtual_network.rs
+++ b/crates/membership/src/virtual_network.rs
@@ -19,24 +19,24 @@
     /// When [`VirtualNode::wake`] is due next.
     fn next_due(&self) -> Micros;
     /// The datagram that an output is, or the output, told to whoever watches.
-    fn datagram(out: Self::Out) -> Result<(MemberId, Vec<u8>), Self::Out>;
+    fn into_datagram(out: Self::Out) -> Result<(MemberId, Vec<u8>), Self::Out>;
 }
 
 /// What becomes of datagrams.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkFaults {
     /// Share of them that is lost.
-    pub lost: f64,
+    pub loss_rate: f64,
     /// Share that comes twice.
-    pub doubled: f64,
+    pub duplicate_rate: f64,
     /// They are late by a time drawn between these.
-    pub late: (Micros, Micros),
+    pub delay_range: (Micros, Micros),
 }
 
 impl Default for LinkFaults {
     /// As on the platform.
     fn default() -> Self {
-        Self { lost: 0.0, doubled: 0.0, late: (1_200, 33_000) }
+        Self { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: (1_200, 33_000) }
     }
 }
 
@@ -50,7 +50,7 @@
 struct Slot<P> {
     node: Option<P>,
     /// How often it was started.
-    lives: u32,
+    start_count: u32,
     /// When it is woken next; other wakes are void.
     armed: Micros,
     paused: bool,
@@ -62,7 +62,7 @@
 
 impl<P> Slot<P> {
     fn new() -> Self {
-        Self { node: None, lives: 0, armed: Micros::MAX, paused: false, rate: 1.0, inbox: Vec::new() }
+        Self { node: None, start_count: 0, armed: Micros::MAX, paused: false, rate: 1.0, inbox: Vec::new() }
     }
 }
 
@@ -71,14 +71,14 @@
 
 /// The delay of a datagram from one node to another, drawn between two times; `None` where the network between
 /// them carries nothing.
-pub type Delays = Box<dyn Fn(MemberId, MemberId) -> Option<(Micros, Micros)> + Send>;
+pub type DelayFn = Box<dyn Fn(MemberId, MemberId) -> Option<(Micros, Micros)> + Send>;
 
 /// The nodes and their network.
 pub struct VirtualNetwork<P: VirtualNode> {
     /// Datagrams between all.
     pub link: LinkFaults,
     /// Delays by sender and receiver, in place of the one range of `link`.
-    delays: Option<Delays>,
+    delays: Option<DelayFn>,
     /// Links that carry nothing.
     blocked: BTreeSet<(MemberId, MemberId)>,
     /// The simulated time.
@@ -88,9 +88,9 @@
     sequence: u64,
     rng: StdRng,
     /// What was told, with time and by whom.
-    pub told: Vec<(Micros, MemberId, P::Out)>,
+    pub outputs: Vec<(Micros, MemberId, P::Out)>,
     /// Longest datagram seen.
-    pub longest: usize,
+    pub longest_datagram: usize,
     /// Datagrams and bytes sent.
     pub sent: (u64, u64),
 }
@@ -107,14 +107,14 @@
             now: 1_000_000,
             due: BinaryHeap::new(),
             sequence: 0,
-            told: Vec::new(),
-            longest: 0,
+            outputs: Vec::new(),
+            longest_datagram: 0,
             sent: (0, 0),
         }
     }
 
     /// Slots by number.
-    pub fn numbers(&self) -> std::ops::Range<MemberId> {
+    pub fn node_ids(&self) -> std::ops::Range<MemberId> {
         0..self.slots.len() as MemberId
     }
 
@@ -135,12 +135,12 @@
     }
 
     /// How often it was started.
-    pub fn lives(&self, of: MemberId) -> u32 {
-        self.slots[usize::from(of)].lives
+    pub fn start_count(&self, of: MemberId) -> u32 {
+        self.slots[usize::from(of)].start_count
     }
 
     /// Its clock runs at this rate from its next start on.
-    pub fn set_rate(&mut self, of: MemberId, rate: f64) {
+    pub fn set_clock_rate(&mut self, of: MemberId, rate: f64) {
         self.slots[usize::from(of)].rate = rate;
     }
 
@@ -150,12 +150,12 @@
     }
 
     /// A random number below `below`, from the seed.
-    pub fn draw(&mut self, below: u64) -> u64 {
+    pub fn random_below(&mut self, below: u64) -> u64 {
         self.rng.random_range(0..below.max(1))
     }
 
     /// So many slots from now on; who is beyond has ended.
-    pub fn set_slots(&mut self, size: MemberId) {
+    pub fn set_size(&mut self, size: MemberId) {
         self.slots.resize_with(size.into(), Slot::new);
     }
 
@@ -165,10 +165,10 @@
     }
 
     /// Puts somebody at a slot; gives who was there.
-    pub fn put(&mut self, of: MemberId, node: P) -> Option<P> {
+    pub fn insert(&mut self, of: MemberId, node: P) -> Option<P> {
         let before = self.kill(of);
         let slot = &mut self.slots[usize::from(of)];
-        (slot.node, slot.paused, slot.lives) = (Some(node), false, slot.lives + 1);
+        (slot.node, slot.paused, slot.start_count) = (Some(node), false, slot.start_count + 1);
         self.arm(of);
         before
     }
@@ -188,18 +188,18 @@
     }
 
     /// Cuts a group off from all others, or takes it up again.
-    pub fn cut(&mut self, group: &[MemberId], cut: bool) {
+    pub fn set_isolated(&mut self, group: &[MemberId], cut: bool) {
         for of in group {
-            for other in self.numbers().filter(|other| !group.contains(other)) {
+            for other in self.node_ids().filter(|other| !group.contains(other)) {
                 for link in [(*of, other), (other, *of)] {
-                    self.block(link, cut);
+                    self.set_blocked(link, cut);
                 }
             }
         }
     }
 
     /// A link in one direction carries nothing, or does again.
-    pub fn block(&mut self, link: (MemberId, MemberId), blocked: bool) {
+    pub fn set_blocked(&mut self, link: (MemberId, MemberId), blocked: bool) {
         if blocked {
             self.blocked.insert(link);
         } else {
@@ -209,7 +209,7 @@
 
     /// Delays by sender and receiver from now on, for datagrams sent from now on; `link.late` holds no more. What it
     /// gives must be in order: least delay first.
-    pub fn set_delays(&mut self, delays: Delays) {
+    pub fn set_delays(&mut self, delays: DelayFn) {
         self.delays = Some(delays);
     }
 
@@ -218,7 +218,7 @@
         if self.blocked.contains(&(from, to)) {
             return None;
         }
-        self.delays.as_ref().map_or(Some(self.link.late), |delays| delays(from, to))
+        self.delays.as_ref().map_or(Some(self.link.delay_range), |delays| delays(from, to))
     }
 
     fn arm(&mut self, of: MemberId) {
@@ -234,14 +234,14 @@
 
     fn carry_out(&mut self, of: MemberId, out: Vec<P::Out>) {
         for output in out {
-            match P::datagram(output) {
+            match P::into_datagram(output) {
                 Ok((to, _)) if usize::from(to) >= self.slots.len() => {}
                 Ok((to, bytes)) => {
-                    self.longest = self.longest.max(bytes.len());
+                    self.longest_datagram = self.longest_datagram.max(bytes.len());
                     self.sent = (self.sent.0 + 1, self.sent.1 + bytes.len() as u64);
                     let copies = match (self.rng.random::<f64>(), self.rng.random::<f64>()) {
-                        (lost, _) if lost < self.link.lost => 0,
-                        (_, doubled) if doubled < self.link.doubled => 2,
+                        (lost, _) if lost < self.link.loss_rate => 0,
+                        (_, doubled) if doubled < self.link.duplicate_rate => 2,
                         _ => 1,
                     };
                     let Some((least, most)) = self.delay(of, to) else { continue };
@@ -250,13 +250,13 @@
                         self.later(self.now + late, Event::Datagram { to, from: of, bytes: bytes.clone() });
                     }
                 }
-                Err(told) => self.told.push((self.now, of, told)),
+                Err(told) => self.outputs.push((self.now, of, told)),
             }
         }
     }
 
     /// Has one that runs do something, at its own time.
-    pub fn act(&mut self, of: MemberId, act: impl FnOnce(&mut P, Micros, &mut Vec<P::Out>)) {
+    pub fn with_node(&mut self, of: MemberId, act: impl FnOnce(&mut P, Micros, &mut Vec<P::Out>)) {
         let (now, mut out) = (self.clock(of), Vec::new());
         if let Some(node) = &mut self.slots[usize::from(of)].node {
             act(node, now, &mut out);
@@ -266,7 +266,7 @@
     }
 
     /// Runs for so long.
-    pub fn pass(&mut self, span: Micros) {
+    pub fn run_for(&mut self, span: Micros) {
         self.run(self.now + span);
     }
 
@@ -286,14 +286,14 @@
                     if slot.paused && slot.node.is_some() && slot.inbox.len() < INBOX {
                         slot.inbox.push((from, bytes));
                     } else if !slot.paused {
-                        self.act(to, |node, now, out| node.handle(now, from, &bytes, out));
+                        self.with_node(to, |node, now, out| node.handle(now, from, &bytes, out));
                     }
                 }
                 Event::Wake(of) => {
                     let slot = &mut self.slots[usize::from(of)];
                     if slot.armed == at && !slot.paused {
                         slot.armed = Micros::MAX;
-                        self.act(of, |node, now, out| node.wake(now, out));
+                        self.with_node(of, |node, now, out| node.wake(now, out));
                     }
                 }
                 Event::Resume(of) => {
@@ -301,7 +301,7 @@
                     if std::mem::take(&mut slot.paused) {
                         slot.armed = Micros::MAX;
                         for (from, bytes) in std::mem::take(&mut slot.inbox) {
-                            self.act(of, |node, now, out| node.handle(now, from, &bytes, out));
+                            self.with_node(of, |node, now, out| node.handle(now, from, &bytes, out));
                         }
                         self.arm(of);
                     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -84,7 +84,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Update {
     /// Of whom.
-    pub of: MemberId,
+    pub member: MemberId,
     /// Which life.
     pub incarnation: Incarnation,
     /// What it is.
@@ -99,7 +99,7 @@
 impl WireUpdate {
     fn new(update: &Update, base: u64) -> Self {
         let life = u64::from(update.incarnation.bump) << 3 | update.state as u64;
-        Self(update.of, update.incarnation.start.wrapping_sub(base) as i64, life)
+        Self(update.member, update.incarnation.start.wrapping_sub(base) as i64, life)
     }
 
     fn update(&self, base: u64) -> Option<Update> {
@@ -114,7 +114,7 @@
         let state = *STATES.get((self.2 & 7) as usize)?;
         let bump = u32::try_from(self.2 >> 3).ok()?;
         let incarnation = Incarnation { start: base.wrapping_add(self.1 as u64), bump };
-        Some(Update { of: self.0, incarnation, state })
+        Some(Update { member: self.0, incarnation, state })
     }
 }
 
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -12,7 +12,7 @@
 #[test]
 fn what_is_written_is_read_and_all_else_is_dropped() {
     let incarnation = Incarnation { start: 1 << 63, bump: u32::MAX };
-    let update = Update { of: MemberId::MAX, incarnation, state: MemberState::Stopped };
+    let update = Update { member: MemberId::MAX, incarnation, state: MemberState::Stopped };
     assert_eq!(update_bytes(&update, 0), MAX_UPDATE_BYTES);
     let empty = message(Vec::new());
     let whole = message(vec![update; empty.room() / MAX_UPDATE_BYTES]);
--- a/crates/membership/tests/hard_cases.rs
+++ b/crates/membership/tests/hard_cases.rs
@@ -17,7 +17,7 @@
 
 /// When all agree after the last fault, at the latest.
 fn stated(cluster: &VirtualCluster) -> Micros {
-    MembershipSettings::new(cluster.numbers().end, 0, 0, 0).settling()
+    MembershipSettings::new(cluster.node_ids().end, 0, 0, 0).settling_time()
 }
 
 /// Looks at what must never be, at every step.
@@ -28,16 +28,16 @@
 
 impl Watch {
     fn new(cluster: &VirtualCluster) -> Self {
-        let size = usize::from(cluster.numbers().end);
+        let size = usize::from(cluster.node_ids().end);
         Self { known: vec![vec![Incarnation::default(); size]; size], lives: vec![0; size] }
     }
 
     fn look(&mut self, cluster: &VirtualCluster) {
-        assert!(cluster.longest <= MAX_DATAGRAM_BYTES, "a datagram of {}", cluster.longest);
-        for of in cluster.numbers() {
+        assert!(cluster.longest_datagram <= MAX_DATAGRAM_BYTES, "a datagram of {}", cluster.longest_datagram);
+        for of in cluster.node_ids() {
             let Some(view) = cluster.membership(of) else { continue };
             let own = usize::from(of);
-            let life = cluster.lives(of);
+            let life = cluster.start_count(of);
             let fresh = std::mem::replace(&mut self.lives[own], life) != life;
             for (known, entry) in self.known[own].iter_mut().zip(view.members()) {
                 let told = entry.incarnation;
@@ -60,7 +60,7 @@
 
 /// All that run agree within the stated time, and stay so.
 fn agree(cluster: &mut VirtualCluster, watch: &mut Watch, what: &str) {
-    let all: Vec<_> = cluster.numbers().collect();
+    let all: Vec<_> = cluster.node_ids().collect();
     let until = cluster.now + stated(cluster);
     let from = cluster.now;
     while !cluster.agrees(&all) {
@@ -68,7 +68,7 @@
             cluster.now < until,
             "{what}: no agreement {} us after; {} wrong",
             cluster.now - from,
-            cluster.wrong().len()
+            cluster.falsely_gone().len()
         );
         pass(cluster, watch, 100_000);
     }
@@ -77,8 +77,8 @@
     let mut since: BTreeMap<_, Micros> = BTreeMap::new();
     for step in 0..50 {
         pass(cluster, watch, S / 10);
-        let wrong = cluster.wrong();
-        assert!(step < 20 || wrong.is_empty() || cluster.link.lost > 0.2, "{what}: {wrong:?}");
+        let wrong = cluster.falsely_gone();
+        assert!(step < 20 || wrong.is_empty() || cluster.link.loss_rate > 0.2, "{what}: {wrong:?}");
         since.retain(|pair, _| wrong.contains(pair));
         for pair in wrong {
             let first = *since.entry(pair).or_insert(cluster.now);
@@ -88,10 +88,10 @@
 }
 
 fn fleet(size: MemberId, seed: u64, lost: f64) -> (VirtualCluster, Watch) {
-    let link = LinkFaults { lost, doubled: 0.02, ..LinkFaults::default() };
+    let link = LinkFaults { loss_rate: lost, duplicate_rate: 0.02, ..LinkFaults::default() };
     let mut cluster = VirtualCluster::new(MembershipSettings::new(size, 0, 0, seed), link);
     let mut watch = Watch::new(&cluster);
-    cluster.numbers().for_each(|of| cluster.start(of));
+    cluster.node_ids().for_each(|of| cluster.start(of));
     agree(&mut cluster, &mut watch, "start");
     (cluster, watch)
 }
@@ -115,26 +115,26 @@
         }
     }),
     ("halves for six seconds", |cluster, watch, _| {
-        let half: Vec<_> = (0..cluster.numbers().end / 2).collect();
-        cluster.cut(&half, true);
+        let half: Vec<_> = (0..cluster.node_ids().end / 2).collect();
+        cluster.set_isolated(&half, true);
         pass(cluster, watch, 6 * S);
-        cluster.cut(&half, false);
+        cluster.set_isolated(&half, false);
     }),
     ("thirds for twenty seconds", |cluster, watch, _| {
-        let third = cluster.numbers().end / 3;
+        let third = cluster.node_ids().end / 3;
         let parts: Vec<Vec<_>> = vec![(0..third).collect(), (third..third * 2).collect()];
-        parts.iter().for_each(|part| cluster.cut(part, true));
+        parts.iter().for_each(|part| cluster.set_isolated(part, true));
         pass(cluster, watch, 20 * S);
-        parts.iter().for_each(|part| cluster.cut(part, false));
+        parts.iter().for_each(|part| cluster.set_isolated(part, false));
     }),
     ("seven in ten killed at once and back", |cluster, watch, _| {
-        let most: Vec<_> = (0..cluster.numbers().end * 7 / 10).collect();
+        let most: Vec<_> = (0..cluster.node_ids().end * 7 / 10).collect();
         most.iter().for_each(|of| cluster.kill(*of));
         pass(cluster, watch, 3 * S);
         most.iter().for_each(|of| cluster.start(*of));
     }),
     ("a tenth restarted after another", |cluster, watch, _| {
-        let size = cluster.numbers().end;
+        let size = cluster.node_ids().end;
         let step = (size / 10).max(1);
         for from in (0..size).step_by(usize::from(step)) {
             let part: Vec<_> = (from..(from + step).min(size)).collect();
@@ -145,16 +145,16 @@
         }
     }),
     ("one hears and can't speak", |cluster, watch, of| {
-        let ways: Vec<_> = cluster.numbers().filter(|other| *other != of).map(|other| (of, other)).collect();
-        ways.iter().for_each(|way| cluster.block(*way, true));
+        let ways: Vec<_> = cluster.node_ids().filter(|other| *other != of).map(|other| (of, other)).collect();
+        ways.iter().for_each(|way| cluster.set_blocked(*way, true));
         pass(cluster, watch, 10 * S);
-        ways.iter().for_each(|way| cluster.block(*way, false));
+        ways.iter().for_each(|way| cluster.set_blocked(*way, false));
     }),
     ("one speaks and can't hear", |cluster, watch, of| {
-        let ways: Vec<_> = cluster.numbers().filter(|other| *other != of).map(|other| (other, of)).collect();
-        ways.iter().for_each(|way| cluster.block(*way, true));
+        let ways: Vec<_> = cluster.node_ids().filter(|other| *other != of).map(|other| (other, of)).collect();
+        ways.iter().for_each(|way| cluster.set_blocked(*way, true));
         pass(cluster, watch, 10 * S);
-        ways.iter().for_each(|way| cluster.block(*way, false));
+        ways.iter().for_each(|way| cluster.set_blocked(*way, false));
     }),
     ("one stands still for twenty seconds", |cluster, watch, of| {
         cluster.pause(of, 20 * S);
@@ -163,12 +163,12 @@
     ("one starts again with a wall clock an hour back", |cluster, watch, of| {
         cluster.kill(of);
         pass(cluster, watch, S);
-        cluster.start_with(of, 28_000_000_000 - 3_600_000);
+        cluster.start_at(of, 28_000_000_000 - 3_600_000);
         pass(cluster, watch, S);
     }),
     ("half of the clocks run a tenth fast", |cluster, watch, _| {
-        for of in cluster.numbers().filter(|of| of % 2 == 0) {
-            cluster.set_rate(of, 1.1);
+        for of in cluster.node_ids().filter(|of| of % 2 == 0) {
+            cluster.set_clock_rate(of, 1.1);
             cluster.start(of);
         }
         pass(cluster, watch, 30 * S);
@@ -206,10 +206,10 @@
 #[test]
 fn who_is_cut_off_knows_with_how_many_it_is() {
     let (mut cluster, mut watch) = fleet(10, 1, 0.05);
-    let part = |cluster: &VirtualCluster, of| cluster.membership(of).expect("up").part();
+    let part = |cluster: &VirtualCluster, of| cluster.membership(of).expect("up").fleet_share();
     assert_eq!(part(&cluster, 0), FleetShare::Whole);
-    cluster.cut(&[0], true);
-    cluster.cut(&[1, 2], true);
+    cluster.set_isolated(&[0], true);
+    cluster.set_isolated(&[1, 2], true);
     pass(&mut cluster, &mut watch, 10 * S);
     assert_eq!(
         [0, 1, 5].map(|of| part(&cluster, of)),
@@ -219,7 +219,7 @@
     assert!(
         alone.members()[1..]
             .iter()
-            .all(|e| e.state == MemberState::Gone && e.last_heard < cluster.now - 9 * S)
+            .all(|e| e.state == MemberState::Gone && e.last_contact < cluster.now - 9 * S)
     );
 }
 
@@ -230,17 +230,17 @@
         let (mut cluster, mut watch) = fleet(10, seed, 0.05);
         cluster.pause(4, 20 * S);
         pass(&mut cluster, &mut watch, 20 * S);
-        let before = cluster.told.len();
+        let before = cluster.outputs.len();
         let span = stated(&cluster);
         pass(&mut cluster, &mut watch, span);
         let gone = |told: &&(Micros, MemberId, basaltward_membership::Output)| {
             let is_gone =
-                matches!(told.2, basaltward_membership::Output::Changed { is: MemberState::Gone, .. });
+                matches!(told.2, basaltward_membership::Output::Changed { state: MemberState::Gone, .. });
             told.1 == 4 && is_gone
         };
-        assert_eq!(cluster.told[before..].iter().filter(gone).count(), 0, "seed {seed}");
+        assert_eq!(cluster.outputs[before..].iter().filter(gone).count(), 0, "seed {seed}");
         let view = cluster.membership(4).expect("up");
-        assert!(view.counts().stalls > 0 && view.incarnation().bump > 0, "it has refuted its own death");
+        assert!(view.counters().stalls > 0 && view.incarnation().bump > 0, "it has refuted its own death");
     }
 }
 
@@ -271,7 +271,7 @@
         }
     }
     assert!(sent > 0);
-    assert_eq!((view.counts().dropped, view.counts().taken, out), (4 + sent, 0, Vec::new()));
+    assert_eq!((view.counters().dropped, view.counters().received, out), (4 + sent, 0, Vec::new()));
     drop(cluster);
 }
 
@@ -281,17 +281,17 @@
     for seed in 0..8 {
         let (mut cluster, _) = fleet(6, seed, 0.05);
         for size in [9, 5] {
-            let before = cluster.numbers().end;
+            let before = cluster.node_ids().end;
             cluster.resize(size);
             (before..size).for_each(|of| cluster.start(of));
             let mut watch = Watch::new(&cluster);
             for of in 0..before.min(size) {
-                cluster.act(of, |view, _, _| assert!(view.resize(size)));
+                cluster.with_node(of, |view, _, _| assert!(view.resize(size)));
                 pass(&mut cluster, &mut watch, S / 2);
-                assert!(cluster.wrong().is_empty(), "seed {seed}: {:?}", cluster.wrong());
+                assert!(cluster.falsely_gone().is_empty(), "seed {seed}: {:?}", cluster.falsely_gone());
             }
             agree(&mut cluster, &mut watch, &format!("a list of {size}, seed {seed}"));
-            cluster.act(4, |view, _, _| assert!(!view.resize(4), "who is not in it keeps the old one"));
+            cluster.with_node(4, |view, _, _| assert!(!view.resize(4), "who is not in it keeps the old one"));
         }
     }
 }
@@ -310,9 +310,9 @@
     for seed in [1, 5] {
         let mut cluster =
             VirtualCluster::new(MembershipSettings::new(300, 0, 0, seed), LinkFaults::default());
-        cluster.numbers().for_each(|of| cluster.start(of));
-        let all: Vec<_> = cluster.numbers().collect();
-        let when = cluster.run_until(cluster.now + 3 * S, |cluster| cluster.agrees(&all));
+        cluster.node_ids().for_each(|of| cluster.start(of));
+        let all: Vec<_> = cluster.node_ids().collect();
+        let when = cluster.run_until_condition(cluster.now + 3 * S, |cluster| cluster.agrees(&all));
         assert!(when.is_some(), "seed {seed}");
     }
 }
@@ -324,34 +324,33 @@
         let (mut cluster, mut watch) = fleet(30, seed, lost);
         let tell = |cluster: &mut VirtualCluster, of: MemberId, counter: u64, stands: Micros| {
             let value = basaltward_membership::encode_counters(&[counter, of.into()]);
-            cluster.act(of, |view, now, _| assert!(view.publish_fact(now, 2, &value, stands)));
+            cluster.with_node(of, |view, now, _| assert!(view.publish_fact(now, 2, &value, stands)));
         };
         let total =
             |cluster: &VirtualCluster, of| cluster.membership(of).expect("up").counter_totals(cluster.now, 2);
         // A fact that somebody misses comes with its renewal.
-        let reached = |cluster: &VirtualCluster| cluster.numbers().all(|of| total(cluster, of) == [150, 435]);
+        let reached =
+            |cluster: &VirtualCluster| cluster.node_ids().all(|of| total(cluster, of) == [150, 435]);
         let renewed = (0..5).any(|_| {
-            cluster.numbers().for_each(|of| tell(&mut cluster, of, 5, 20 * S));
-            cluster.run_until(cluster.now + 2 * S, reached).is_some()
+            cluster.node_ids().for_each(|of| tell(&mut cluster, of, 5, 20 * S));
+            cluster.run_until_condition(cluster.now + 2 * S, reached).is_some()
         });
         assert!(renewed, "seed {seed}, {lost} lost");
         cluster.kill(7);
         pass(&mut cluster, &mut watch, S);
         cluster.start(7);
         let reached = |cluster: &VirtualCluster| {
-            cluster.numbers().filter(|of| *of != 7).all(|of| total(cluster, of) == [146, 435])
+            cluster.node_ids().filter(|of| *of != 7).all(|of| total(cluster, of) == [146, 435])
         };
         let renewed = (0..3).any(|_| {
             tell(&mut cluster, 7, 1, 5 * S);
-            cluster.run_until(cluster.now + 2 * S, reached).is_some()
+            cluster.run_until_condition(cluster.now + 2 * S, reached).is_some()
         });
         assert!(renewed, "seed {seed}, {lost} lost");
         pass(&mut cluster, &mut watch, 25 * S);
-        assert!(
-            cluster
-                .numbers()
-                .all(|of| total(&cluster, of).is_empty() && cluster.membership(of).expect("up").facts() == 0)
-        );
+        assert!(cluster.node_ids().all(
+            |of| total(&cluster, of).is_empty() && cluster.membership(of).expect("up").fact_count() == 0
+        ));
     }
 }
 
@@ -360,16 +359,18 @@
 #[test]
 fn facts_without_end_leave_half_of_the_budget_to_updates() {
     let (mut cluster, mut watch) = fleet(2, 1, 0.0);
-    let (before, from) = (cluster.counts().sent.1, cluster.now);
+    let (before, from) = (cluster.counters().sent.1, cluster.now);
     for round in 0..600 {
         for key in 0..16 {
-            cluster.act(0, |view, now, _| assert!(view.publish_fact(now, key, &[round as u8; 30], 20 * S)));
+            cluster.with_node(0, |view, now, _| {
+                assert!(view.publish_fact(now, key, &[round as u8; 30], 20 * S))
+            });
         }
         pass(&mut cluster, &mut watch, S / 10);
     }
     let settings = MembershipSettings::new(2, 0, 0, 0);
     let gained = settings.bytes_per_s * (cluster.now - from) / S;
-    let sent = (cluster.counts().sent.1 - before) / 2;
+    let sent = (cluster.counters().sent.1 - before) / 2;
     assert!(sent > gained / 2, "{sent} bytes a member: facts go");
     let most = settings.burst / 2 + gained + 1_000;
     assert!(sent < most, "{sent} bytes a member, {most} at most");
@@ -380,7 +381,8 @@
 #[should_panic(expected = "a return: no agreement")]
 fn a_member_that_takes_the_word_of_an_earlier_life_is_found() {
     let (mut cluster, mut watch) = fleet(5, 1, 0.05);
-    cluster.plant(3, |entry, incarnation, state| (state, incarnation) > (entry.state, entry.incarnation));
+    cluster
+        .inject_fault(3, |entry, incarnation, state| (state, incarnation) > (entry.state, entry.incarnation));
     cluster.kill(1);
     agree(&mut cluster, &mut watch, "a death");
     cluster.start(1);
@@ -432,15 +434,15 @@
     let ended: Vec<_> = told.iter().filter(ended).collect();
     assert!(ended.len() == 1 && ended[0].1 == 0 && ended[0].0 < 20 * S, "{ended:?}");
     assert_eq!(views.each_ref().map(|view| view.is_superseded()), [true, false, false, false]);
-    assert_eq!(views[0].part(), FleetShare::Alone);
+    assert_eq!(views[0].fleet_share(), FleetShare::Alone);
     let same = views[2].digest();
-    assert!(views[1..].iter().all(|view| view.digest() == same && view.part() == FleetShare::Whole));
-    let refuted = views[1].counts().refuted;
+    assert!(views[1..].iter().all(|view| view.digest() == same && view.fleet_share() == FleetShare::Whole));
+    let refuted = views[1].counters().refutations;
     assert!(refuted > 5, "{refuted}");
 
     let (mut cluster, mut watch) = fleet(5, 3, 0.05);
     cluster.kill(2);
-    cluster.start_with(2, 1);
+    cluster.start_at(2, 1);
     pass(&mut cluster, &mut watch, 60 * S);
     agree(&mut cluster, &mut watch, "a wall clock that ran back");
     assert!(!cluster.membership(2).expect("up").is_superseded());
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -46,14 +46,14 @@
 }
 
 fn entry(belief: Belief) -> Member {
-    Member { incarnation: belief.0, state: belief.1, since: 0, last_heard: 0 }
+    Member { incarnation: belief.0, state: belief.1, state_since: 0, last_contact: 0 }
 }
 
 impl Protocol {
     fn believe(&self, fleet: &mut Fleet, at: usize, (of, told): (usize, Belief)) {
         let member = &mut fleet.members[at];
         if of == at {
-            if let Some(own) = member.own.refuting(MemberState::Up, told) {
+            if let Some(own) = member.own.refutation(MemberState::Up, told) {
                 member.own = own;
                 member.beliefs[at] = (own, MemberState::Up);
                 fleet.updates.insert((at, (own, MemberState::Up)));
@@ -154,7 +154,7 @@
 
 #[test]
 fn no_belief_goes_back_and_whoever_is_there_can_say_so() {
-    let checked = check(Member::yields_to);
+    let checked = check(Member::is_overridden_by);
     checked.assert_properties();
     assert!(checked.unique_state_count() > 50_000, "{}", checked.unique_state_count());
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -242,7 +242,7 @@
 
     /// Plants a fault in its view, see [`basaltward_membership::Membership::plant`].
     #[doc(hidden)]
-    pub fn plant(&mut self, newer: basaltward_membership::Newer) {
+    pub fn plant(&mut self, newer: basaltward_membership::OverrideRule) {
         self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant(newer));
     }
 
--- a/crates/peers/src/config.rs
+++ b/crates/peers/src/config.rs
@@ -84,7 +84,7 @@
     /// Figures of what is agreed, in one life.
     pub(crate) fn permits(&self, membership: &MembershipSettings, life: u32) -> Option<PermitSettings> {
         let usual = PermitSettings::new(membership.size, membership.own, life, membership.seed);
-        let settle = membership.settling();
+        let settle = membership.settling_time();
         let times = basaltward_permits::Times { learning: usual.times.silence + settle, ..usual.times };
         Some(PermitSettings { fleet: membership.fleet, bounds: self.bounds?, settle, times, ..usual })
     }
--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -8,7 +8,8 @@
 use crate::event::Event;
 use crate::workers::{Worker, Workers};
 use basaltward_membership::{
-    DRAINS, MAX_DATAGRAM_BYTES, MemberId, MemberState, Membership, MembershipSettings, RUNS, encode_counters,
+    DRAINS_KEY, MAX_DATAGRAM_BYTES, MemberId, MemberState, Membership, MembershipSettings, VERSION_KEY,
+    encode_counters,
 };
 use basaltward_net::{Io, Micros};
 use basaltward_permits::{
@@ -171,7 +172,7 @@
         if now >= self.tell_runs {
             let interval = COUNTERS_INTERVAL.among(membership.members().len());
             self.tell_runs = now + interval;
-            membership.publish_fact(now, RUNS, &encode_counters(&[self.runs.into()]), interval * 4);
+            membership.publish_fact(now, VERSION_KEY, &encode_counters(&[self.runs.into()]), interval * 4);
         }
         if !self.drained.is_empty() && now >= self.tell {
             let interval = IN_HAND_INTERVAL.among(membership.members().len());
@@ -181,7 +182,7 @@
             let at = self.node.known().map_or((0, 0), |known| (known.epoch.ms, known.version));
             membership.publish_fact(
                 now,
-                DRAINS,
+                DRAINS_KEY,
                 &encode_counters(&[at.0, at.1.into(), held as u64]),
                 interval * 4,
             );
@@ -233,12 +234,13 @@
     fn unclear(&self, membership: &Membership, now: Micros) -> usize {
         let at = self.node.known().map_or((0, 0), |known| (known.epoch.ms, u64::from(known.version)));
         let unclear = |(of, entry): (usize, &basaltward_membership::Member)| {
-            let told =
-                membership.fact(now, of as MemberId, DRAINS).and_then(basaltward_membership::decode_counters);
+            let told = membership
+                .fact(now, of as MemberId, DRAINS_KEY)
+                .and_then(basaltward_membership::decode_counters);
             let clear = told.is_some_and(|told| matches!(told[..], [ms, v, 0] if (ms, v) >= at));
             let ended = match entry.state {
                 MemberState::Stopped => true,
-                MemberState::Gone => now >= entry.since + CLEAR_US,
+                MemberState::Gone => now >= entry.state_since + CLEAR_US,
                 // Never there, as far as we can have heard.
                 MemberState::Unknown => now >= self.started + CLEAR_US,
                 _ => false,
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -9,7 +9,7 @@
 use crate::permit_service::PermitService;
 use crate::workers::Worker;
 use basaltward_membership::{
-    CALLS, MAX_DATAGRAM_BYTES, MemberId, MemberState, Membership, Newer, Output, StatusRequest,
+    CALLS_KEY, MAX_DATAGRAM_BYTES, MemberId, MemberState, Membership, Output, OverrideRule, StatusRequest,
     StatusResponse, encode_counters,
 };
 use basaltward_net::{Io, Micros};
@@ -95,8 +95,8 @@
     }
 
     /// See [`Membership::plant`].
-    pub fn plant(&mut self, newer: Newer) {
-        self.membership.plant(newer);
+    pub fn plant(&mut self, newer: OverrideRule) {
+        self.membership.inject_fault(newer);
     }
 
     /// See [`PermitService::plant`].
@@ -169,7 +169,7 @@
         if now >= self.tell_calls {
             let interval = COUNTERS_INTERVAL.among(self.peers.len());
             self.tell_calls = now + interval;
-            self.membership.publish_fact(now, CALLS, &encode_counters(&self.calls), interval * 4);
+            self.membership.publish_fact(now, CALLS_KEY, &encode_counters(&self.calls), interval * 4);
         }
         if let Some(permits) = &mut self.permits {
             permits.wake(&mut self.membership, now, in_hand);
@@ -240,7 +240,7 @@
                         io.send_to(self.socket, *to, &bytes);
                     }
                 }
-                Output::Changed { of, incarnation, is, .. } => {
+                Output::Changed { member: of, incarnation, state: is, .. } => {
                     events.push(Event::Believed { of, incarnation, state: is });
                     self.note(now, of, is);
                 }
@@ -254,7 +254,7 @@
 
     fn note(&mut self, now: Micros, of: MemberId, is: MemberState) {
         if self.log_limiter.may(now, "fleet") {
-            info!(member = of, ?is, live = self.membership.live(), part = ?self.membership.part(), "fleet");
+            info!(member = of, ?is, live = self.membership.live_count(), part = ?self.membership.fleet_share(), "fleet");
         }
     }
 }
--- a/crates/peers/tests/links/usual.rs
+++ b/crates/peers/tests/links/usual.rs
@@ -235,12 +235,12 @@
 #[test]
 fn view_facts_and_agreement_come_with_it() {
     let mut bed = Bed::new(3);
-    let up = |bed: &Bed| bed.peers.iter().all(|f| f.endpoint.membership().live() == 3);
+    let up = |bed: &Bed| bed.peers.iter().all(|f| f.endpoint.membership().live_count() == 3);
     bed.pass_until(20 * S, "all see all", up);
     let now = bed.now;
-    assert!(bed.peers[1].endpoint.publish_fact(now, basaltward_membership::SHED.start, b"load", 20 * S));
+    assert!(bed.peers[1].endpoint.publish_fact(now, basaltward_membership::SHED_KEYS.start, b"load", 20 * S));
     bed.pass_until(10 * S, "told", |bed| {
-        bed.peers[2].endpoint.fact(bed.now, 1, basaltward_membership::SHED.start) == Some(b"load")
+        bed.peers[2].endpoint.fact(bed.now, 1, basaltward_membership::SHED_KEYS.start) == Some(b"load")
     });
     let known = |bed: &Bed| bed.peers.iter().all(|f| f.endpoint.agreed().is_some());
     bed.pass_until(60 * S, "a leader", known);
--- a/crates/pending/src/choose.rs
+++ b/crates/pending/src/choose.rs
@@ -28,14 +28,14 @@
         bytes[2..].copy_from_slice(&of.to_le_bytes());
         xxh3_64_with_seed(&bytes, seed)
     };
-    let others = (0..places.len() as MemberId).filter(|of| places.site(*of) != Some(places.here()));
+    let others = (0..places.len() as MemberId).filter(|of| places.site_of(*of) != Some(places.own_site()));
     let mut ranked: Vec<_> = others.filter_map(|of| Some((standing(of)?, rank(of), of))).collect();
     ranked.sort_unstable();
     let mut chosen: Vec<MemberId> = Vec::new();
     // One that is in doubt at another site serves less than one that answers at the same.
     for (doubted, elsewhere) in [(false, true), (false, false), (true, true), (true, false)] {
         for (standing, _, of) in &ranked {
-            let apart = chosen.iter().all(|other| places.site(*other) != places.site(*of));
+            let apart = chosen.iter().all(|other| places.site_of(*other) != places.site_of(*of));
             if chosen.len() < most
                 && !chosen.contains(of)
                 && (*standing == Standing::Doubted) == doubted
--- a/crates/pending/src/journal.rs
+++ b/crates/pending/src/journal.rs
@@ -216,7 +216,8 @@
 
     fn candidates(&self) -> impl Iterator<Item = MemberId> {
         let (places, live) = (&self.settings.places, &self.live);
-        let numbers = (0..places.len() as MemberId).filter(|of| places.site(*of) != Some(places.here()));
+        let numbers =
+            (0..places.len() as MemberId).filter(|of| places.site_of(*of) != Some(places.own_site()));
         numbers.filter(|of| live.get(usize::from(*of)) == Some(&true))
     }
 
--- a/crates/pending/src/kept.rs
+++ b/crates/pending/src/kept.rs
@@ -242,7 +242,7 @@
             return;
         }
         self.promises.close(gateway, life);
-        let site = self.places.site(gateway).map(Subject::Site);
+        let site = self.places.site_of(gateway).map(Subject::Site);
         let subjects = [Some(Subject::Gateway(gateway)), site];
         let away = subjects.into_iter().flatten().any(|subject| self.watch.has_begun(subject));
         self.behind.insert(gateway, (life, away));
@@ -308,7 +308,7 @@
                     }
                 }
                 Turn::Back(Subject::Site(site)) => {
-                    self.places.members(site).for_each(|of| self.heirs.back(of));
+                    self.places.members_at(site).for_each(|of| self.heirs.back(of));
                 }
                 Turn::Back(Subject::Gateway(of)) => self.heirs.back(of),
                 Turn::Back(_) => {}
--- a/crates/pending/src/owner.rs
+++ b/crates/pending/src/owner.rs
@@ -11,7 +11,7 @@
     let mut taken = vec![false; places.len()];
     for permit in &permit_state.permits {
         let of: Vec<MemberId> = match permit.subject {
-            Subject::Site(site) => places.members(site).collect(),
+            Subject::Site(site) => places.members_at(site).collect(),
             Subject::Gateway(of) => vec![of],
             Subject::Scheduler(_) | Subject::Worker(_) => Vec::new(),
         };
--- a/crates/pending/src/rebuild.rs
+++ b/crates/pending/src/rebuild.rs
@@ -121,7 +121,7 @@
         let places = &settings.places;
         Self {
             own: places.own(),
-            sites: (0..places.len() as MemberId).filter_map(|of| places.site(of)).collect(),
+            sites: (0..places.len() as MemberId).filter_map(|of| places.site_of(of)).collect(),
             need: settings.holders.clone(),
             slack: settings.slack,
             most: settings.most,
--- a/crates/pending/src/takeover.rs
+++ b/crates/pending/src/takeover.rs
@@ -54,7 +54,7 @@
 impl Watch {
     /// Nobody is taken over.
     pub fn new(places: &SiteMap) -> Self {
-        let sites = (0..places.len() as MemberId).filter_map(|of| places.site(of)).collect();
+        let sites = (0..places.len() as MemberId).filter_map(|of| places.site_of(of)).collect();
         Self { sites, own: places.own(), lost: BTreeMap::new(), taken: BTreeMap::new(), planted: None }
     }
 
@@ -218,7 +218,7 @@
 impl Return {
     /// Of a life that begins now.
     pub fn new(places: &SiteMap, now: Micros) -> Self {
-        let subjects = [Subject::Site(places.here()), Subject::Gateway(places.own())];
+        let subjects = [Subject::Site(places.own_site()), Subject::Gateway(places.own())];
         let permits = subjects.map(|subject| (subject, None)).into();
         Self { permits, told: BTreeSet::new(), stage: Stage::Asking, again: now }
     }
--- a/crates/pending/src/world.rs
+++ b/crates/pending/src/world.rs
@@ -162,7 +162,7 @@
         self.pending.next_due()
     }
 
-    fn datagram(out: Said) -> Result<(MemberId, Vec<u8>), Said> {
+    fn into_datagram(out: Said) -> Result<(MemberId, Vec<u8>), Said> {
         match out {
             Said::Send(to, bytes) => Ok((to, bytes)),
             told => Err(told),
@@ -243,13 +243,13 @@
             rng: StdRng::seed_from_u64(self.seed ^ life),
         };
         self.planted.into_iter().for_each(|planted| gateway.pending.plant(planted));
-        self.net.put(of, gateway);
+        self.net.insert(of, gateway);
         self.changed.insert(of, self.net.now);
     }
 
     /// Starts all, who see one another at once.
     pub fn start_all(&mut self) {
-        self.net.numbers().for_each(|of| self.start(of));
+        self.net.node_ids().for_each(|of| self.start(of));
         self.changed.clear();
         self.seen.fill(true);
         self.tell_all();
@@ -263,7 +263,7 @@
 
     /// All of a site end without a word.
     pub fn kill_site(&mut self, site: Site) {
-        let of = self.net.numbers().filter(|of| self.sites[usize::from(*of)] == site);
+        let of = self.net.node_ids().filter(|of| self.sites[usize::from(*of)] == site);
         of.collect::<Vec<_>>().into_iter().for_each(|of| self.kill(of));
     }
 
@@ -279,9 +279,9 @@
 
     /// Nothing goes between a site and all others, the voters among them, or does again.
     pub fn cut(&mut self, site: Site, cut: bool) {
-        let of = self.net.numbers().filter(|of| self.sites[usize::from(*of)] == site);
+        let of = self.net.node_ids().filter(|of| self.sites[usize::from(*of)] == site);
         let of: Vec<MemberId> = of.collect();
-        self.net.cut(&of, cut);
+        self.net.set_isolated(&of, cut);
         for of in of {
             self.changed.insert(of, self.net.now);
             if cut {
@@ -294,13 +294,13 @@
 
     /// The connection between two breaks; what is on its way may come late, or not.
     pub fn reconnect(&mut self, one: MemberId, other: MemberId) {
-        self.net.act(one, |gateway, now, out| gateway.unlinked(now, other, out));
-        self.net.act(other, |gateway, now, out| gateway.unlinked(now, one, out));
+        self.net.with_node(one, |gateway, now, out| gateway.unlinked(now, other, out));
+        self.net.with_node(other, |gateway, now, out| gateway.unlinked(now, one, out));
     }
 
     /// A loop of a gateway says something.
     pub fn step(&mut self, of: MemberId, step: Step) {
-        self.net.act(of, |gateway, now, out| gateway.tell(now, Input::Step(step), out));
+        self.net.with_node(of, |gateway, now, out| gateway.tell(now, Input::Step(step), out));
     }
 
     /// The time on a gateway's wall clock.
@@ -312,14 +312,14 @@
     /// Gateways that run and truly hold that this event was accepted, whatever anybody believes.
     pub fn holders(&self, source: Source, key: Key) -> usize {
         let holds = |of: &MemberId| self.net.node(*of).is_some_and(|one| one.pending.holds(source, key));
-        self.net.numbers().filter(holds).count()
+        self.net.node_ids().filter(holds).count()
     }
 
     /// What all see of sites and their gateways.
     fn observations(&self) -> Observations {
         let seen =
             |used: bool| Observation { zone: 0, life: 0, used: used.then_some(0), sole: false, runs: None };
-        let of = |site: Site| self.net.numbers().filter(move |of| self.sites[usize::from(*of)] == site);
+        let of = |site: Site| self.net.node_ids().filter(move |of| self.sites[usize::from(*of)] == site);
         let lives = |of: MemberId| self.seen[usize::from(of)];
         let mut observations = Observations::new();
         for site in self.sites.iter().copied().collect::<BTreeSet<_>>() {
@@ -332,7 +332,7 @@
 
     fn tell(&mut self, of: MemberId, input: Input) {
         if self.net.is_up(of) {
-            self.net.act(of, |gateway, now, out| gateway.tell(now, input, out));
+            self.net.with_node(of, |gateway, now, out| gateway.tell(now, input, out));
         }
     }
 
@@ -340,10 +340,10 @@
     fn tell_all(&mut self) {
         self.told = self.net.now;
         let observations = self.observations();
-        for of in self.net.numbers() {
+        for of in self.net.node_ids() {
             if self.apart.contains(&of) {
                 // Of whom it hears it sees as many as the others see of it.
-                let live = self.net.numbers().map(|other| self.apart.contains(&other)).collect();
+                let live = self.net.node_ids().map(|other| self.apart.contains(&other)).collect();
                 self.tell(of, Input::Live(live));
             } else {
                 self.tell(of, Input::Live(self.seen.clone()));
@@ -362,7 +362,7 @@
     fn answer(&mut self) {
         let is_asked =
             |(_, _, said): &mut (Micros, MemberId, Said)| matches!(said, Said::Told(Output::Ask(_)));
-        let asked: Vec<_> = self.net.told.extract_if(.., is_asked).collect();
+        let asked: Vec<_> = self.net.outputs.extract_if(.., is_asked).collect();
         for (_, of, said) in asked {
             let Said::Told(Output::Ask(request)) = said else { continue };
             if self.apart.contains(&of) {
--- a/crates/pending/tests/hard_cases.rs
+++ b/crates/pending/tests/hard_cases.rs
@@ -90,7 +90,7 @@
     }
 
     fn size(&self) -> MemberId {
-        self.sites.net.numbers().end
+        self.sites.net.node_ids().end
     }
 
     fn step(&mut self, of: MemberId, step: Step) {
@@ -127,7 +127,7 @@
 
     /// Does as loops do with what they are told.
     fn loops(&mut self) {
-        for (at, of, said) in std::mem::take(&mut self.sites.net.told) {
+        for (at, of, said) in std::mem::take(&mut self.sites.net.outputs) {
             let Said::Told(output) = said else { continue };
             let wall = self.sites.wall(of);
             match output {
@@ -217,7 +217,7 @@
     fn check_contents(&mut self) {
         let now = self.now();
         let mut chains = BTreeMap::new();
-        for of in self.sites.net.numbers() {
+        for of in self.sites.net.node_ids() {
             let Some(one) = self.sites.net.node(of) else { continue };
             for source in one.pending.sources() {
                 let copies = one.pending.copies(source.gateway, source.life);
@@ -243,7 +243,7 @@
     }
 
     fn block(&mut self, way: (MemberId, MemberId), span: Micros) {
-        self.sites.net.block(way, true);
+        self.sites.net.set_blocked(way, true);
         self.unblock.push((self.now() + span, way));
         self.calm = self.calm.max(self.now() + span);
     }
@@ -288,7 +288,7 @@
         }
         for (_, way) in self.unblock.extract_if(.., |(at, _)| *at <= now).collect::<Vec<_>>() {
             let still = self.unblock.iter().any(|(_, other)| *other == way);
-            self.sites.net.block(way, still);
+            self.sites.net.set_blocked(way, still);
         }
     }
 
@@ -326,9 +326,9 @@
 fn harsh(seed: u64) -> (Vec<u8>, LinkFaults, Damage) {
     let places = [vec![0, 0, 1, 1, 2, 2], vec![0, 1], vec![0, 0, 1, 1], vec![0, 1, 2, 3], vec![0, 1, 2, 2]];
     let link = match seed % 3 {
-        0 => LinkFaults { lost: 0.0, doubled: 0.0, late: (5_000, 5_000) },
-        1 => LinkFaults { lost: 0.05, doubled: 0.1, late: (1_000, 60_000) },
-        _ => LinkFaults { lost: 0.02, doubled: 0.2, late: (100_000, 300_000) },
+        0 => LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: (5_000, 5_000) },
+        1 => LinkFaults { loss_rate: 0.05, duplicate_rate: 0.1, delay_range: (1_000, 60_000) },
+        _ => LinkFaults { loss_rate: 0.02, duplicate_rate: 0.2, delay_range: (100_000, 300_000) },
     };
     let damage = match seed % 4 {
         0 => Damage::default(),
@@ -342,7 +342,7 @@
     let mut run = Run::new(places.clone(), seed, link, damage);
     run.sites.planted = plant;
     if seed % 5 == 4 {
-        (0..run.size()).for_each(|of| run.sites.net.set_rate(of, [0.95, 1.05][usize::from(of) % 2]));
+        (0..run.size()).for_each(|of| run.sites.net.set_clock_rate(of, [0.95, 1.05][usize::from(of) % 2]));
     }
     run.storm(&places, bursts);
     run
--- a/crates/pending/tests/heirs.rs
+++ b/crates/pending/tests/heirs.rs
@@ -82,14 +82,14 @@
     fn new(places: &[u8], seed: u64, blows: Vec<Blow>) -> Self {
         let own = SiteMap::new(places.to_vec(), 0).expect("one");
         let settings = PendingSettings { heir_rate: 400, ..PendingSettings::new(own, 0, vec![2], seed) };
-        let link = LinkFaults { lost: 0.01, doubled: 0.02, late: (MS, 30 * MS) };
+        let link = LinkFaults { loss_rate: 0.01, duplicate_rate: 0.02, delay_range: (MS, 30 * MS) };
         let mut sites = Sites::new(places.to_vec(), settings, link);
         sites.start_all();
         let (events, broken, cut) = (BTreeMap::new(), Vec::new(), Vec::new());
         let places = places.to_vec();
         // Clocks run up to a tenth apart.
         let rate = |of: MemberId| [1.0, 0.95, 1.05][usize::from(of) % 3];
-        sites.net.numbers().for_each(|of| sites.net.set_rate(of, rate(of)));
+        sites.net.node_ids().for_each(|of| sites.net.set_clock_rate(of, rate(of)));
         let mut run = Self { sites, places, events, blows, broken, gone: 0, late: 0, cut };
         run.pass(6 * S);
         run
@@ -153,7 +153,7 @@
     }
 
     fn loops(&mut self) {
-        for (_, of, said) in std::mem::take(&mut self.sites.net.told) {
+        for (_, of, said) in std::mem::take(&mut self.sites.net.outputs) {
             let Said::Told(output) = said else { continue };
             let source = self.sites.net.node(of).map(|one| one.pending.source());
             let ours = |run: &Self, key: &Key| source == Some(run.events[key].by);
@@ -270,7 +270,7 @@
             }
             if event.told.is_none() && event.at > At::Written {
                 let fates: Vec<Option<Fate>> =
-                    self.sites.net.numbers().map(|of| self.sites.net.node(of)?.pending.fate(*key)).collect();
+                    self.sites.net.node_ids().map(|of| self.sites.net.node(of)?.pending.fate(*key)).collect();
                 self.broken.push(format!("{key:?} {:?} {:?} has no end: {fates:?}", event.again, event.at));
             }
         }
@@ -361,7 +361,7 @@
 fn breaks(at: At, what: What, plant: impl Fn(&mut Pending)) -> bool {
     (0..6).any(|seed| {
         let mut run = Run::new(PLACES[1], seed, vec![Blow { at, inherited: false, what }]);
-        for of in run.sites.net.numbers() {
+        for of in run.sites.net.node_ids() {
             run.sites.net.node_mut(of).into_iter().for_each(|one| plant(&mut one.pending));
         }
         (0..4).for_each(|_| _ = run.accept(0, Again::Unsafe));
@@ -390,7 +390,7 @@
         let places = PLACES[seed as usize % 3];
         let mut run = Run::new(places, seed, Vec::new());
         for round in 0..100 {
-            for of in run.sites.net.numbers() {
+            for of in run.sites.net.node_ids() {
                 run.accept(of, KINDS[(round + usize::from(of)) % 3]);
             }
             run.pass(20 * MS);
--- a/crates/pending/tests/take_over.rs
+++ b/crates/pending/tests/take_over.rs
@@ -93,7 +93,7 @@
 
     fn loops(&mut self) {
         let (now, mut late) = (self.sites.net.now, Vec::new());
-        for (at, of, said) in std::mem::take(&mut self.sites.net.told) {
+        for (at, of, said) in std::mem::take(&mut self.sites.net.outputs) {
             let Said::Told(output) = said else { continue };
             let (wall, source) = (self.sites.wall(of), self.source(of));
             let ours = |event: &Event| source == Some(event.by);
@@ -170,7 +170,7 @@
             self.sites.run(self.sites.net.now + 10_000);
             self.loops();
             if load && self.rng.random_range(0..4) == 0 {
-                let of = self.rng.random_range(0..self.sites.net.numbers().end);
+                let of = self.rng.random_range(0..self.sites.net.node_ids().end);
                 self.accept(of);
             }
         }
@@ -195,7 +195,12 @@
     for seed in seeds(6) {
         let places = [vec![0, 0, 1, 1], vec![0, 0, 1, 1, 2, 2], vec![0, 1, 2]][seed as usize % 3].clone();
         let late = [(2_000, 2_000), (1_000, 30_000)][seed as usize % 2];
-        let mut run = Run::new(&places, [1, 2], seed, LinkFaults { lost: 0.0, doubled: 0.0, late });
+        let mut run = Run::new(
+            &places,
+            [1, 2],
+            seed,
+            LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: late },
+        );
         run.pass(5 * S, false);
         run.pass(3 * S, true);
         let site = run.rng.random_range(0..=places[places.len() - 1]);
@@ -214,7 +219,7 @@
 #[test]
 fn what_only_one_gateway_held_ends_though_the_other_never_heard_of_its_owner() {
     for seed in seeds(6) {
-        let link = LinkFaults { lost: 0.0, doubled: 0.0, late: (1_000, 3_000) };
+        let link = LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: (1_000, 3_000) };
         let mut run = Run::new(&[0, 0, 1, 1], [1, 1], seed, link);
         run.pass(5 * S, false);
         run.pass(3 * S, true);
@@ -234,7 +239,7 @@
 #[test]
 fn one_that_was_taken_over_while_it_ran_and_then_is_lost_is_rebuilt_as_well() {
     for seed in seeds(3) {
-        let link = LinkFaults { lost: 0.0, doubled: 0.0, late: (1_000, 3_000) };
+        let link = LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: (1_000, 3_000) };
         let mut run = Run::new(&[0, 0, 1, 1], [1, 1], seed, link);
         run.pass(5 * S, true);
         [2, 3].into_iter().for_each(|of| run.sites.slander(of, true));
@@ -255,8 +260,12 @@
 /// A site is cut off with calls in hand, longer than a lease, and comes back.
 fn cut_off(seed: u64) -> Run {
     let places = [vec![0, 0, 1, 1, 2, 2], vec![0, 1, 2]][seed as usize % 2].clone();
-    let mut run =
-        Run::new(&places, [1, 2], seed, LinkFaults { lost: 0.0, doubled: 0.0, late: (1_000, 20_000) });
+    let mut run = Run::new(
+        &places,
+        [1, 2],
+        seed,
+        LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: (1_000, 20_000) },
+    );
     run.pass(5 * S, false);
     run.pass(3 * S, true);
     let site = run.rng.random_range(0..3);
@@ -277,7 +286,7 @@
         // An owner that was cut off may have an answer that nobody heard of, so that an event ends there as well.
         let twice: Vec<&String> = run.broken.iter().filter(|text| !text.contains("ends once more")).collect();
         assert!(twice.is_empty(), "seed {seed}: {twice:?}");
-        let back = run.sites.net.numbers().filter_map(|of| run.sites.net.node(of));
+        let back = run.sites.net.node_ids().filter_map(|of| run.sites.net.node(of));
         assert!(back.into_iter().all(|one| one.pending.takes()), "seed {seed}");
         lost += run.lost;
         run.ends.iter().for_each(|(how, count)| *ends.entry(how).or_default() += count);
--- a/crates/permits/src/observer.rs
+++ b/crates/permits/src/observer.rs
@@ -5,7 +5,7 @@
 use crate::node::FleetObserver;
 use crate::state::Subject;
 use basaltward_membership::{
-    Member, MemberId, MemberState, Membership, Micros, RUNS, SiteMap, decode_counters,
+    Member, MemberId, MemberState, Membership, Micros, SiteMap, VERSION_KEY, decode_counters,
 };
 
 /// See the module's page.
@@ -23,13 +23,15 @@
 impl FleetObserver for MembershipObserver<'_> {
     fn observations(&self, now: Micros) -> Observations {
         let runs = |of: usize| {
-            let told =
-                self.membership.fact_of_current_life(now, of as MemberId, RUNS).and_then(decode_counters)?;
+            let told = self
+                .membership
+                .fact_of_current_life(now, of as MemberId, VERSION_KEY)
+                .and_then(decode_counters)?;
             told.first().and_then(|mark| u32::try_from(*mark).ok())
         };
         let seen = |(of, entry): (usize, &Member)| {
             // One that is suspected is not known to be in use.
-            let used = (entry.state == MemberState::Up).then(|| now.saturating_sub(entry.since));
+            let used = (entry.state == MemberState::Up).then(|| now.saturating_sub(entry.state_since));
             let life = (entry.incarnation.start / 1_000) as u16;
             let zone = self.zones.get(of).copied().unwrap_or(0);
             (
@@ -60,7 +62,7 @@
 pub fn sites(membership: &Membership, places: &SiteMap, settle: Micros, now: Micros) -> Observations {
     let used = |of: MemberId| {
         let entry = &membership.members()[usize::from(of)];
-        let since = now.saturating_sub(entry.since);
+        let since = now.saturating_sub(entry.state_since);
         match entry.state.is_live() || of == membership.own() {
             true => Some(if entry.state == MemberState::Up { since } else { 0 }),
             false => (since < settle).then_some(0),
@@ -71,7 +73,7 @@
     let mut observations = Observations::new();
     for site in places.sites() {
         let members: Vec<MemberId> =
-            places.members(site).filter(|of| usize::from(*of) < membership.members().len()).collect();
+            places.members_at(site).filter(|of| usize::from(*of) < membership.members().len()).collect();
         let lives = members.iter().filter_map(|of| used(*of)).max();
         observations.insert(Subject::Site(site), seen(lives, 0));
         for of in members {
--- a/crates/permits/src/settings.rs
+++ b/crates/permits/src/settings.rs
@@ -63,7 +63,7 @@
 impl PermitSettings {
     /// The usual figures: a lease of 2 s, told four times in it, and clocks that differ by a tenth of their rate.
     pub fn new(size: MemberId, own: MemberId, life: u32, seed: u64) -> Self {
-        let settle = basaltward_membership::MembershipSettings::new(size.max(1), 0, 0, 0).settling();
+        let settle = basaltward_membership::MembershipSettings::new(size.max(1), 0, 0, 0).settling_time();
         Self {
             fleet: 0,
             own,
--- a/crates/permits/src/virtual_fleet.rs
+++ b/crates/permits/src/virtual_fleet.rs
@@ -11,8 +11,8 @@
 use crate::state::Subject;
 use crate::wire::{PermitRequest, VERSION};
 use basaltward_membership::{
-    LinkFaults, MemberId, Membership, MembershipSettings, Micros, Output as MembershipOutput, RUNS, Site,
-    SiteMap, VirtualNetwork, VirtualNode, encode_counters,
+    LinkFaults, MemberId, Membership, MembershipSettings, Micros, Output as MembershipOutput, Site, SiteMap,
+    VERSION_KEY, VirtualNetwork, VirtualNode, encode_counters,
 };
 use std::collections::BTreeMap;
 
@@ -97,7 +97,12 @@
     fn wake(&mut self, now: Micros, out: &mut Vec<SchedulerOutput>) {
         if now >= self.tell_runs {
             self.tell_runs = now + TELL_US;
-            self.membership.publish_fact(now, RUNS, &encode_counters(&[self.runs.into()]), TELL_US * 4);
+            self.membership.publish_fact(
+                now,
+                VERSION_KEY,
+                &encode_counters(&[self.runs.into()]),
+                TELL_US * 4,
+            );
         }
         if self.membership.next_due() <= now {
             let mut told = Vec::new();
@@ -113,7 +118,7 @@
         self.membership.next_due().min(self.node.next_due()).min(self.tell_runs)
     }
 
-    fn datagram(out: SchedulerOutput) -> Result<(MemberId, Vec<u8>), SchedulerOutput> {
+    fn into_datagram(out: SchedulerOutput) -> Result<(MemberId, Vec<u8>), SchedulerOutput> {
         match out {
             SchedulerOutput::Send(to, bytes) => Ok((to, bytes)),
             other => Err(other),
@@ -193,9 +198,9 @@
 
     /// As [`VirtualFleet::start`], with the mark of the version that it runs.
     pub fn start_as(&mut self, of: MemberId, runs: u32) {
-        let (size, now) = (self.net.numbers().end, self.net.clock(of));
+        let (size, now) = (self.net.node_ids().end, self.net.clock(of));
         let wall = EPOCH_MS + self.net.now / 1_000;
-        let life = self.net.draw(u64::from(u32::MAX)) as u32;
+        let life = self.net.random_below(u64::from(u32::MAX)) as u32;
         let settings = PermitSettings { own: of, life, ..self.settings.clone() };
         let membership = Membership::new(MembershipSettings::new(size, of, wall, self.settings.seed), now);
         let (Ok(membership), Ok(mut node)) = (membership, PermitNode::new(settings, now)) else { return };
@@ -211,12 +216,12 @@
             runs,
             tell_runs: now,
         };
-        self.net.put(of, scheduler);
+        self.net.insert(of, scheduler);
     }
 
     /// What all are told of workers from now on.
     pub fn tell_workers(&mut self, workers: Observations) {
-        for of in self.net.numbers() {
+        for of in self.net.node_ids() {
             self.net.node_mut(of).into_iter().for_each(|one| one.workers.clone_from(&workers));
         }
         self.workers = workers;
@@ -225,7 +230,7 @@
     /// An operator asks for something through a scheduler that is up.
     pub fn ask(&mut self, by: MemberId, request: PermitRequest) {
         let mut tag = None;
-        self.net.act(by, |one, now, out| {
+        self.net.with_node(by, |one, now, out| {
             let asked = one.part(now, out, |node, observer, out| node.ask(now, request, observer, out));
             tag = Some((asked, now));
         });
@@ -236,25 +241,25 @@
 
     /// Bytes that living members have sent for what is agreed, their views aside.
     pub fn part_bytes(&self) -> u64 {
-        self.net.numbers().filter_map(|of| self.net.node(of)).map(|one| one.bytes).sum()
+        self.net.node_ids().filter_map(|of| self.net.node(of)).map(|one| one.bytes).sum()
     }
 
     /// Runs until this time, and reads the answers that have come.
     pub fn run(&mut self, until: Micros) {
         self.net.run(until);
-        for (at, by, told) in &self.net.told {
+        for (at, by, told) in &self.net.outputs {
             let SchedulerOutput::Agreed(Output::Answered { tag, answer }) = told else { continue };
             let Some(PendingRequest { request, since }) = self.asked.remove(&(*by, *tag)) else { continue };
             let until = since + self.settings.times.lease;
             self.answers.push(OperatorAnswer { at: *at, by: *by, request, answer: *answer, until });
         }
-        self.net.told.clear();
+        self.net.outputs.clear();
     }
 
     /// The schedulers that are leaders, by their own word.
     pub fn leaders(&self) -> Vec<MemberId> {
         let is = |of: &MemberId| self.net.node(*of).is_some_and(|one| one.node.is_leader());
-        self.net.numbers().filter(is).collect()
+        self.net.node_ids().filter(is).collect()
     }
 
     /// Whether a scheduler does not run.
--- a/crates/permits/tests/hard_cases.rs
+++ b/crates/permits/tests/hard_cases.rs
@@ -55,7 +55,7 @@
         let most = Limit::Number(BOUND as u16);
         let bounds = Bounds { schedulers: most, schedulers_of_zone: most, ..Bounds::default() };
         let settings = PermitSettings { bounds, ..PermitSettings::new(size, 0, 0, seed) };
-        let link = LinkFaults { lost, doubled: 0.05, ..LinkFaults::default() };
+        let link = LinkFaults { loss_rate: lost, duplicate_rate: 0.05, ..LinkFaults::default() };
         let fleet = VirtualFleet::new(size, settings.clone(), Observations::new(), link);
         Self {
             fleet,
@@ -78,16 +78,16 @@
     }
 
     fn size(&self) -> MemberId {
-        self.fleet.net.numbers().end
+        self.fleet.net.node_ids().end
     }
 
     fn up(&self) -> Vec<MemberId> {
-        self.fleet.net.numbers().filter(|of| self.fleet.net.is_up(*of)).collect()
+        self.fleet.net.node_ids().filter(|of| self.fleet.net.is_up(*of)).collect()
     }
 
     fn any_up(&mut self) -> Option<MemberId> {
         let up = self.up();
-        let at = self.fleet.net.draw(up.len() as u64) as usize;
+        let at = self.fleet.net.random_below(up.len() as u64) as usize;
         up.get(at).copied()
     }
 
@@ -119,7 +119,7 @@
             let told = self.fleet.answers[at];
             match (told.request, told.answer) {
                 (PermitRequest::Acquire(Subject::Scheduler(of)), Ok(number)) => {
-                    let at = now + self.fleet.net.draw(if self.late { 30 * S } else { 3 * S });
+                    let at = now + self.fleet.net.random_below(if self.late { 30 * S } else { 3 * S });
                     self.held.push(Held { of, number, by: told.by, until: told.until, at });
                 }
                 (PermitRequest::Return(Subject::Scheduler(of), number), Ok(_) | Err(Denied::Stale)) => {
@@ -150,8 +150,8 @@
             self.done.insert(of, number);
         }
         if now >= self.next_ask {
-            self.next_ask = now + 200_000 + self.fleet.net.draw(400_000);
-            let (of, by) = (self.fleet.net.draw(self.size().into()) as MemberId, self.any_up());
+            self.next_ask = now + 200_000 + self.fleet.net.random_below(400_000);
+            let (of, by) = (self.fleet.net.random_below(self.size().into()) as MemberId, self.any_up());
             let done = self.done.first_key_value().map(|(of, number)| (*of, *number));
             if let Some(by) = by {
                 self.fleet.ask(by, PermitRequest::Acquire(Subject::Scheduler(of)));
@@ -166,7 +166,7 @@
     fn go(&mut self, of: MemberId, number: u16) {
         let now = self.now();
         self.fleet.net.kill(of);
-        let back = now + S + self.fleet.net.draw(self.away);
+        let back = now + S + self.fleet.net.random_below(self.away);
         self.out.insert(of, (back, number));
         self.gone += 1;
         let known = now.saturating_sub(self.settings.settle + self.settings.times.lease);
@@ -197,7 +197,7 @@
     ("nothing fails", |run| run.pass(40 * S)),
     ("the leader is killed again and again, at any moment", |run| {
         for _ in 0..12 {
-            let moment = run.fleet.net.draw(4 * S);
+            let moment = run.fleet.net.random_below(4 * S);
             run.pass(moment);
             if let Some(of) = run.leader() {
                 run.kill(of);
@@ -217,7 +217,7 @@
     ("the leader stands still for the length of a lease", |run| {
         for _ in 0..10 {
             if let Some(of) = run.leader() {
-                let span = S + run.fleet.net.draw(3 * S);
+                let span = S + run.fleet.net.random_below(3 * S);
                 run.fleet.net.pause(of, span);
             }
             run.pass(5 * S);
@@ -226,9 +226,9 @@
     ("two halves", |run| {
         let half: Vec<_> = (0..run.size() / 2).collect();
         for span in [6 * S, 20 * S] {
-            run.fleet.net.cut(&half, true);
+            run.fleet.net.set_isolated(&half, true);
             run.pass(span);
-            run.fleet.net.cut(&half, false);
+            run.fleet.net.set_isolated(&half, false);
             run.pass(10 * S);
         }
     }),
@@ -236,9 +236,9 @@
         for speaks in [false, true] {
             let Some(of) = run.leader() else { continue };
             for blocked in [true, false] {
-                for other in run.fleet.net.numbers().filter(|other| *other != of) {
+                for other in run.fleet.net.node_ids().filter(|other| *other != of) {
                     let way = if speaks { (other, of) } else { (of, other) };
-                    run.fleet.net.block(way, blocked);
+                    run.fleet.net.set_blocked(way, blocked);
                 }
                 run.pass(8 * S);
             }
@@ -253,7 +253,7 @@
     ("every voter is restarted within a second", |run| {
         for _ in 0..3 {
             for of in run.settings.voters.clone() {
-                let moment = run.fleet.net.draw(S / 5);
+                let moment = run.fleet.net.random_below(S / 5);
                 run.pass(moment);
                 if run.fleet.net.node(of).is_some() {
                     run.kill(of);
@@ -270,13 +270,13 @@
                 run.kill(of);
                 run.start(of);
             }
-            let moment = S / 2 + run.fleet.net.draw(2 * S);
+            let moment = S / 2 + run.fleet.net.random_below(2 * S);
             run.pass(moment);
         }
     }),
     ("half of the clocks run a tenth fast, a quarter a tenth slow", |run| {
-        for of in run.fleet.net.numbers() {
-            run.fleet.net.set_rate(of, [1.1, 0.9, 1.1, 1.0][usize::from(of % 4)]);
+        for of in run.fleet.net.node_ids() {
+            run.fleet.net.set_clock_rate(of, [1.1, 0.9, 1.1, 1.0][usize::from(of % 4)]);
             run.kill(of);
             run.start(of);
         }
@@ -291,11 +291,11 @@
     ("a voter that was cut off is back as all others restart", |run| {
         for _ in 0..4 {
             let voters = run.settings.voters.clone();
-            let at = run.fleet.net.draw(voters.len() as u64) as usize;
-            run.fleet.net.cut(&voters[at..=at], true);
-            let span = 3 * S + run.fleet.net.draw(25 * S);
+            let at = run.fleet.net.random_below(voters.len() as u64) as usize;
+            run.fleet.net.set_isolated(&voters[at..=at], true);
+            let span = 3 * S + run.fleet.net.random_below(25 * S);
             run.pass(span);
-            run.fleet.net.cut(&voters[at..=at], false);
+            run.fleet.net.set_isolated(&voters[at..=at], false);
             for of in voters.iter().copied().filter(|of| *of != voters[at]) {
                 if run.fleet.net.node(of).is_some() {
                     run.kill(of);
@@ -316,7 +316,7 @@
     let lost = [0.05, 0.0, 0.15, 0.3][(seed % 4) as usize];
     let mut run = Run::new(size, seed, lost);
     plant(&mut run);
-    run.fleet.net.numbers().for_each(|of| run.fleet.start(of));
+    run.fleet.net.node_ids().for_each(|of| run.fleet.start(of));
     run.ready();
     (case.1)(&mut run);
     run.pass(15 * S);
@@ -332,7 +332,7 @@
                 run.ready();
             }
             assert!(run.broken.is_empty(), "{}, {size}, seed {seed}: {:?}", case.0, run.broken);
-            assert!(run.fleet.net.longest <= basaltward_membership::MAX_DATAGRAM_BYTES);
+            assert!(run.fleet.net.longest_datagram <= basaltward_membership::MAX_DATAGRAM_BYTES);
         }
     }
 }
@@ -363,11 +363,11 @@
     plant(&mut run);
     run.next_ask = Micros::MAX;
     run.away = 60 * S;
-    run.fleet.net.numbers().for_each(|of| run.fleet.start(of));
+    run.fleet.net.node_ids().for_each(|of| run.fleet.start(of));
     run.pass(40 * S);
     let missing = run.settings.voters.iter().copied().find(|of| Some(*of) != run.leader()).expect("a voter");
     let request = |of| PermitRequest::Acquire(Subject::Scheduler(of));
-    run.fleet.net.cut(&[missing], true);
+    run.fleet.net.set_isolated(&[missing], true);
     for of in [1, 3] {
         let by = run.leader().expect("a leader");
         run.fleet.ask(by, request(of));
@@ -375,7 +375,7 @@
     // They go at the last moment.
     run.pass(S);
     run.held.iter_mut().for_each(|held| held.at = held.until - S / 10);
-    run.fleet.net.cut(&[missing], false);
+    run.fleet.net.set_isolated(&[missing], false);
     for of in run.settings.voters.clone().into_iter().filter(|of| *of != missing) {
         run.kill(of);
         run.start(of);
@@ -417,7 +417,7 @@
     for seed in 0..20 {
         let mut run = Run::new(8, seed, 0.05);
         run.next_ask = Micros::MAX;
-        run.fleet.net.numbers().for_each(|of| run.fleet.start(of));
+        run.fleet.net.node_ids().for_each(|of| run.fleet.start(of));
         run.pass(40 * S);
         for _ in 0..2 {
             let of = run.leader().expect("a leader");
--- a/crates/permits/tests/release.rs
+++ b/crates/permits/tests/release.rs
@@ -28,9 +28,9 @@
             12,
             settings,
             Observations::new(),
-            LinkFaults { lost, doubled: 0.05, ..LinkFaults::default() },
+            LinkFaults { loss_rate: lost, duplicate_rate: 0.05, ..LinkFaults::default() },
         );
-        let runs: BTreeMap<_, _> = fleet.net.numbers().map(|of| (of, 1)).collect();
+        let runs: BTreeMap<_, _> = fleet.net.node_ids().map(|of| (of, 1)).collect();
         runs.iter().for_each(|(of, runs)| fleet.start_as(*of, *runs));
         fleet.run(40 * S);
         Self { fleet, runs, out: BTreeMap::new(), restarts: 0, most: 0 }
@@ -38,7 +38,7 @@
 
     fn any(&mut self) -> MemberId {
         loop {
-            let of = self.fleet.net.draw(12) as MemberId;
+            let of = self.fleet.net.random_below(12) as MemberId;
             if self.fleet.net.is_up(of) {
                 return of;
             }
@@ -113,7 +113,7 @@
                         continue;
                     }
                     if self.fleet.net.kill(of).is_some() {
-                        let at = self.fleet.net.now + S + self.fleet.net.draw(2 * S);
+                        let at = self.fleet.net.now + S + self.fleet.net.random_below(2 * S);
                         self.out.insert(of, (at, permit));
                         self.runs.insert(of, to);
                         self.restarts += 1;
@@ -147,9 +147,9 @@
             run.pass(5 * S);
         }
         (29, _) => {
-            run.fleet.net.cut(&half, true);
+            run.fleet.net.set_isolated(&half, true);
             run.pass(6 * S);
-            run.fleet.net.cut(&half, false);
+            run.fleet.net.set_isolated(&half, false);
         }
         _ => {}
     }
@@ -185,7 +185,7 @@
     let Some((_, Ok(number), _)) = run.ask(PermitRequest::Plan { to: 2, from: 1, back: false }, 3 * S) else {
         panic!("no plan")
     };
-    run.fleet.net.act(3, |one, now, out| {
+    run.fleet.net.with_node(3, |one, now, out| {
         one.part(now, out, |node, _, out| node.stop_all(out));
     });
     run.pass(2 * S);
@@ -197,5 +197,5 @@
     run.fleet.net.kill(of);
     run.pass(200 * S);
     let halted = |run: &Run, of| run.fleet.net.node(of).is_some_and(|one| one.node.halt().on);
-    assert!(run.fleet.net.numbers().filter(|other| *other != of).all(|other| halted(&run, other)));
+    assert!(run.fleet.net.node_ids().filter(|other| *other != of).all(|other| halted(&run, other)));
 }
--- a/crates/permits/tests/sites.rs
+++ b/crates/permits/tests/sites.rs
@@ -22,16 +22,16 @@
 impl Run {
     fn new(sites: &[Site], seed: u64) -> Self {
         let settings = PermitSettings::new(sites.len() as MemberId, 0, 0, seed);
-        let link = LinkFaults { lost: 0.02, doubled: 0.02, ..LinkFaults::default() };
+        let link = LinkFaults { loss_rate: 0.02, duplicate_rate: 0.02, ..LinkFaults::default() };
         let mut fleet = VirtualFleet::new(sites.len() as MemberId, settings, Observations::new(), link);
         fleet.set_sites(sites.to_vec());
-        fleet.net.numbers().for_each(|of| fleet.start(of));
+        fleet.net.node_ids().for_each(|of| fleet.start(of));
         fleet.run(25 * S);
         Self { fleet, sites: sites.to_vec() }
     }
 
     fn members(&self, site: Site) -> Vec<MemberId> {
-        self.fleet.net.numbers().filter(|of| self.sites[usize::from(*of)] == site).collect()
+        self.fleet.net.node_ids().filter(|of| self.sites[usize::from(*of)] == site).collect()
     }
 
     /// What the leader answers; asked until there is one, as whoever asks does.
@@ -84,7 +84,7 @@
     for seed in seeds(2) {
         let mut run = Run::new(&[0, 0, 1, 1, 2, 2], seed);
         let apart = run.members(1);
-        run.fleet.net.cut(&apart, true);
+        run.fleet.net.set_isolated(&apart, true);
         run.fleet.run(run.fleet.net.now + 20 * S);
         for site in [0, 2] {
             assert_eq!(
--- a/crates/permits/tests/workers.rs
+++ b/crates/permits/tests/workers.rs
@@ -32,9 +32,9 @@
         10,
         settings,
         workers(40),
-        LinkFaults { lost, doubled: 0.05, ..LinkFaults::default() },
+        LinkFaults { loss_rate: lost, duplicate_rate: 0.05, ..LinkFaults::default() },
     );
-    fleet.net.numbers().for_each(|of| fleet.start(of));
+    fleet.net.node_ids().for_each(|of| fleet.start(of));
     fleet.run(40 * S);
     assert_eq!(fleet.leaders().len(), 1, "seed {seed}");
     fleet
@@ -70,7 +70,7 @@
             let given = permitted(&fleet.answers[read..]);
             read = fleet.answers.len();
             assert!(given.len() <= 3, "seed {seed}: {given:?}");
-            let most = fleet.net.numbers().map(|of| state(&fleet, of).len()).max();
+            let most = fleet.net.node_ids().map(|of| state(&fleet, of).len()).max();
             assert!(most <= Some(3), "seed {seed}");
             for (subject, number) in given {
                 wanted.retain(|of| *of != subject);
@@ -92,7 +92,7 @@
     let drains = |fleet: &VirtualFleet, of| {
         fleet.net.node(of).and_then(|one| one.node.known()).is_some_and(|known| known.value.drains(7))
     };
-    assert!(fleet.net.numbers().all(|of| drains(&fleet, of)), "all know of it");
+    assert!(fleet.net.node_ids().all(|of| drains(&fleet, of)), "all know of it");
     let mut told = workers(40);
     told.entry(subject).and_modify(|seen| seen.used = None);
     fleet.tell_workers(told.clone());
@@ -101,7 +101,7 @@
     told.entry(subject).and_modify(|seen| (seen.used, seen.life) = (Some(6 * S), 2));
     fleet.tell_workers(told);
     fleet.run(85 * S);
-    assert!(fleet.net.numbers().all(|of| state(&fleet, of).is_empty()));
+    assert!(fleet.net.node_ids().all(|of| state(&fleet, of).is_empty()));
 }
 
 #[test]
@@ -112,7 +112,7 @@
     }
     fleet.run(45 * S);
     assert_eq!(permitted(&fleet.answers).len(), 3);
-    for of in fleet.net.numbers() {
+    for of in fleet.net.node_ids() {
         fleet.net.node_mut(of).into_iter().for_each(|one| one.node.set_bounds(bounds(1)));
     }
     let read = fleet.answers.len();
@@ -128,10 +128,10 @@
 fn a_permit_that_nobody_waits_for_is_given_back() {
     let mut fleet = fleet(4, 0.0, 3);
     let leader = fleet.leaders()[0];
-    let by = fleet.net.numbers().find(|of| *of != leader).expect("another one");
+    let by = fleet.net.node_ids().find(|of| *of != leader).expect("another one");
     // What the asker sends, to be told again later.
     let mut kept = Vec::new();
-    fleet.net.act(by, |one, now, out| {
+    fleet.net.with_node(by, |one, now, out| {
         one.part(now, out, |node, observer, out| {
             node.ask(now, PermitRequest::Acquire(Subject::Worker(3)), observer, out)
         });
@@ -156,7 +156,7 @@
         fleet.run(next);
     }
     assert_eq!(kept.len(), 1);
-    fleet.net.act(leader, |one, now, out| one.handle(now, by, &kept[0], out));
+    fleet.net.with_node(leader, |one, now, out| one.handle(now, by, &kept[0], out));
     fleet.run(fleet.net.now + 2 * S);
     let second = number(&fleet).expect("the leader can't know that it is old");
     assert!(second.back && second.number != first.number, "{second:?}");
@@ -172,7 +172,7 @@
     let before = state(&fleet, 1);
     for bytes in [vec![VERSION + 1, 0, 1, 2, 3], vec![VERSION], vec![VERSION, 9, 0, 3, 0, 0], vec![0; 400]] {
         let mut told = Vec::new();
-        fleet.net.act(1, |one, now, out| {
+        fleet.net.with_node(1, |one, now, out| {
             let heeded = one.part(now, out, |node, observer, out| {
                 let heeded = node.handle(now, 0, &bytes, observer, out);
                 told.extend(out.iter().filter(|output| !matches!(output, Output::Send { .. })).cloned());
--- a/crates/route/src/plan.rs
+++ b/crates/route/src/plan.rs
@@ -113,7 +113,7 @@
 
 impl View<'_> {
     fn here(&self) -> Site {
-        self.settings.places.here()
+        self.settings.places.own_site()
     }
 
     /// What we think of a site's cost: told figures, drawn toward our own wait as they age, the way, and what is lost by
--- a/crates/route/src/route.rs
+++ b/crates/route/src/route.rs
@@ -63,7 +63,7 @@
             parts: BTreeMap::new(),
             sites: BTreeMap::new(),
             usual: Usual::new(&settings),
-            homes: Homes::new(places.here(), settings.stay),
+            homes: Homes::new(places.own_site(), settings.stay),
             plan: Plan::default(),
             rows: Rows::default(),
             rows_by: places.own(),
@@ -82,16 +82,16 @@
 
     /// How a call ended that a loop handed over.
     pub fn handed(&mut self, _now: Micros, handed: &Handed) {
-        if let Some(site) = self.settings.places.site(handed.to) {
+        if let Some(site) = self.settings.places.site_of(handed.to) {
             self.tally.handed(site, handed);
         }
     }
 
     /// A frame of a peer.
     pub fn frame(&mut self, now: Micros, from: MemberId, bytes: &[u8]) -> Result<(), RouteError> {
-        let site = self.settings.places.site(from).ok_or(RouteError::Stranger(from))?;
+        let site = self.settings.places.site_of(from).ok_or(RouteError::Stranger(from))?;
         let frame = Frame::read(from, bytes)?;
-        let ours = site == self.settings.places.here();
+        let ours = site == self.settings.places.own_site();
         let number = match &frame {
             Frame::Part(part) if ours => part.number,
             Frame::Rows(rows) if ours => rows.number,
@@ -152,7 +152,7 @@
         if self.sent.len() > REMEMBERED {
             self.sent.pop_front();
         }
-        let (own, here) = (self.settings.places.own(), self.settings.places.here());
+        let (own, here) = (self.settings.places.own(), self.settings.places.own_site());
         let part = self.tally.part(now, self.number);
         let teller = self.teller(here);
         if teller != own {
@@ -183,7 +183,7 @@
     /// Where calls go as of now.
     pub fn table(&mut self, now: Micros) -> Table {
         self.table += 1;
-        let here = self.settings.places.here();
+        let here = self.settings.places.own_site();
         let plain = Row { home: here, warm: true, ..Row::default() };
         let mut rows = vec![plain; self.settings.functions.len()];
         for told in &self.rows.rows {
@@ -210,7 +210,7 @@
     }
 
     fn living(&self, site: Site) -> impl Iterator<Item = MemberId> {
-        self.settings.places.members(site).filter(|of| self.is_live(*of))
+        self.settings.places.members_at(site).filter(|of| self.is_live(*of))
     }
 
     /// Who tells for a site: one of its living, by rendezvous.
@@ -228,7 +228,7 @@
         self.rows_by = own;
         self.homes.clear();
         if now <= self.rows_at + self.settings.hold {
-            let here = self.settings.places.here();
+            let here = self.settings.places.own_site();
             for row in self.rows.rows.iter().filter(|row| row.home != here || row.stays) {
                 self.homes.adopt(now, row.function, row.home, row.stays);
             }
@@ -270,7 +270,7 @@
     }
 
     fn work(&mut self, now: Micros) -> (Word, Rows) {
-        let (settings, here) = (&self.settings, self.settings.places.here());
+        let (settings, here) = (&self.settings, self.settings.places.own_site());
         let mut figures = BTreeMap::<u32, Figure>::new();
         let (mut workers, mut ends) = (0, BTreeMap::<Site, Ends>::new());
         for (_, part) in self.parts.values() {
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -91,7 +91,7 @@
 
     /// A call that this loop handed over has ended.
     pub fn ended(&mut self, now: Micros, handed: &Handed) {
-        let site = self.places.site(handed.to);
+        let site = self.places.site_of(handed.to);
         let Some(seen) = site.and_then(|site| self.seen.get_mut(usize::from(site))) else { return };
         seen.out = seen.out.saturating_sub(1);
         let refused = f32::from(u8::from(handed.end == HandedEnd::Refused));
--- a/crates/route/src/world/mod.rs
+++ b/crates/route/src/world/mod.rs
@@ -105,7 +105,7 @@
 
 impl Gateway {
     fn new(of: &WorldSettings, places: &SiteMap, own: MemberId, now: Micros) -> Result<Self, RouteError> {
-        let sites: Vec<_> = (0..places.len() as MemberId).filter_map(|of| places.site(of)).collect();
+        let sites: Vec<_> = (0..places.len() as MemberId).filter_map(|of| places.site_of(of)).collect();
         let places = SiteMap::new(sites, own).ok_or(RouteError::Stranger(own))?;
         let seed = of.seed ^ (u64::from(own) << 32);
         let told = of.functions.iter().map(|f| f.told).collect();
@@ -300,7 +300,8 @@
 
     /// Calls in hand that were handed to a site.
     pub fn handed_to(&self, site: Site) -> usize {
-        let to = |c: &&Call| !c.ended && c.handed.is_some_and(|(to, _)| self.places.site(to) == Some(site));
+        let to =
+            |c: &&Call| !c.ended && c.handed.is_some_and(|(to, _)| self.places.site_of(to) == Some(site));
         self.calls.iter().filter(to).count()
     }
 
@@ -330,7 +331,7 @@
     }
 
     fn site_of(&self, of: MemberId) -> Site {
-        self.places.site(of).unwrap_or_default()
+        self.places.site_of(of).unwrap_or_default()
     }
 
     fn is_up(&self, of: MemberId) -> bool {
--- a/crates/shed/src/heard.rs
+++ b/crates/shed/src/heard.rs
@@ -1,7 +1,7 @@
 //! What one peer has told of its load. A fact that is heard again unchanged is no news: it ages all the same.
 
 use crate::wire::{Head, Load, PAGES, read_head, read_page};
-use basaltward_membership::{Micros, SHED};
+use basaltward_membership::{Micros, SHED_KEYS};
 
 #[derive(Clone, Debug)]
 struct Told<T> {
@@ -29,9 +29,9 @@
 impl Peer {
     /// Takes a fact; what can't be read changes nothing.
     pub fn take(&mut self, now: Micros, key: u8, value: &[u8], cells: usize) {
-        if key == SHED.start {
+        if key == SHED_KEYS.start {
             take(&mut self.head, now, value, read_head);
-        } else if let Some(page) = key.checked_sub(SHED.start + 1)
+        } else if let Some(page) = key.checked_sub(SHED_KEYS.start + 1)
             && let Some(place) = self.pages.get_mut(usize::from(page))
         {
             take(place, now, value, |value| read_page(value, cells));
--- a/crates/shed/src/shed.rs
+++ b/crates/shed/src/shed.rs
@@ -8,7 +8,7 @@
 use crate::table::{Share, Table};
 use crate::types::Counts;
 use crate::wire::{self, Head, Load, PAGES};
-use basaltward_membership::{MemberId, Micros, SHED};
+use basaltward_membership::{MemberId, Micros, SHED_KEYS};
 
 /// Tables are made so often.
 const STEP: Micros = 100_000;
@@ -204,7 +204,7 @@
         let renew = self.settings.stands / 3;
         let facts = [wire::head(&head, self.count)].into_iter().chain(pages);
         let mut due = Vec::new();
-        for (key, (value, told)) in (SHED).zip(facts.zip(&mut self.told)) {
+        for (key, (value, told)) in (SHED_KEYS).zip(facts.zip(&mut self.told)) {
             // The first byte counts tellings. A page that was never used need not be told.
             let changed = value.get(1..) != told.1.get(1..) && (value.len() > 1 || told.1.len() > 1);
             if changed || value.len() > 1 && now.saturating_sub(told.0) >= renew {
@@ -244,8 +244,8 @@
         let missed = f64::from(step.missed) / ended;
         let unseen = (self.settings.wait() as f64 * (missed * MISSED).min(3.0)) as Micros;
         let (wait, shed) = (wait.map(|wait| wait.max(unseen)), step.shed);
-        let here = self.settings.places.here();
-        let beside = || peers.iter().filter(|f| f.live && self.settings.places.site(f.of) == Some(here));
+        let here = self.settings.places.own_site();
+        let beside = || peers.iter().filter(|f| f.live && self.settings.places.site_of(f.of) == Some(here));
         let own = self.answered.iter().sum::<f64>();
         let answered = own + beside().map(|f| f.head.answered.min(own * MOST_TOLD)).sum::<f64>();
         let believed: Vec<f64> = beside().map(|f| f.head.capacity).filter(|told| *told > 0.0).collect();
@@ -287,8 +287,8 @@
         let mut ours = (vec![0.0; cells], 1);
         let silent = self.silent(live, peers);
         for site in &sites {
-            let here = *site == places.here();
-            let at = || peers.iter().filter(|f| places.site(f.of) == Some(*site));
+            let here = *site == places.own_site();
+            let at = || peers.iter().filter(|f| places.site_of(f.of) == Some(*site));
             let told = at().filter(|f| f.live).map(|f| f.head.capacity).filter(|capacity| *capacity > 0.0);
             let room = if here { room } else { median(told.collect()).unwrap_or(f64::MAX) };
             // What is told counts at most for all that the site can do: more could not be taken there either way.
@@ -314,7 +314,7 @@
         }
         let within_quota = within(settings, &totals, 1.0);
         let given = admitted(settings, &demand, &within_quota);
-        let here = sites.iter().position(|site| *site == places.here()).unwrap_or_default();
+        let here = sites.iter().position(|site| *site == places.own_site()).unwrap_or_default();
         let (given, demand) = (&given[here], &demand[here]);
         let least = self.least(room / ours.1 as f64, &own, peers.len() + 1);
         let rate = |cell: usize| {
@@ -336,7 +336,7 @@
     fn silent(&self, live: &[bool], peers: &[Counted]) -> usize {
         let places = &self.settings.places;
         let lives = |of: &MemberId| *of != places.own() && live.get(usize::from(*of)) == Some(&true);
-        let beside = places.members(places.here()).filter(lives);
+        let beside = places.members_at(places.own_site()).filter(lives);
         beside.filter(|of| !peers.iter().any(|peer| peer.of == *of)).count()
     }
 
@@ -362,7 +362,7 @@
     /// Our share without anybody's word: an even part of our site among all that are configured there.
     fn alone(&self, room: f64) -> Share {
         let (places, own) = (&self.settings.places, self.own());
-        let room = room / places.members(places.here()).count().max(1) as f64;
+        let room = room / places.members_at(places.own_site()).count().max(1) as f64;
         let came: Vec<f64> = own.iter().map(|load| load.came).collect();
         let within = within(&self.settings, &came, 1.0 / places.len() as f64);
         let given = admitted(&self.settings, &[Demand { room, came }], &within).swap_remove(0);
--- a/crates/shed/src/wire.rs
+++ b/crates/shed/src/wire.rs
@@ -1,12 +1,12 @@
 //! Facts of load: a head, and pages of pairs of class and tenant. Rates go as one byte each, a twelfth of a doubling
 //! apart, so that what is read is within 3% of what was told.
 
-use basaltward_membership::{MAX_FACT_BYTES, Micros, SHED};
+use basaltward_membership::{MAX_FACT_BYTES, Micros, SHED_KEYS};
 
 /// The form of facts, in the two upper bits of their first byte; the others count tellings.
 const FORM: u8 = 1;
 /// Pages of pairs.
-pub const PAGES: usize = (SHED.end - SHED.start - 1) as usize;
+pub const PAGES: usize = (SHED_KEYS.end - SHED_KEYS.start - 1) as usize;
 
 /// A gateway's load as a whole.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -109,7 +109,7 @@
 
 /// A fact with other figures in it, as a liar tells them.
 pub fn lie(key: u8, value: &mut [u8], capacity: f64, came: f64) {
-    if key == SHED.start {
+    if key == SHED_KEYS.start {
         value[3] = code(capacity);
         value[4] = code(capacity);
     } else if let Some(first) = value.first_chunk::<1>().copied() {
--- a/crates/trial/src/bed.rs
+++ b/crates/trial/src/bed.rs
@@ -272,7 +272,7 @@
     /// Connections stay open and silent, as when a zone is cut.
     pub fn cut(&mut self, group: &[usize], cut: bool) {
         let (stream, loss) = match cut {
-            true => (Stream::Stall, Loss { lost: 1.0, ..self.usual }),
+            true => (Stream::Stall, Loss { loss_rate: 1.0, ..self.usual }),
             false => (Stream::Pass, self.usual),
         };
         for &i in group {
--- a/crates/trial/src/relaying.rs
+++ b/crates/trial/src/relaying.rs
@@ -309,13 +309,13 @@
             // Of this datagram alone: what others do changes nothing for it.
             let mut rng = StdRng::seed_from_u64(self.seed ^ (number as u64) << 40 ^ pair.count);
             let copies = match (rng.random::<f64>(), rng.random::<f64>()) {
-                (lost, _) if lost < loss.lost => 0,
-                (_, doubled) if doubled < loss.doubled => 2,
+                (lost, _) if lost < loss.loss_rate => 0,
+                (_, doubled) if doubled < loss.duplicate_rate => 2,
                 _ => 1,
             };
             let now = monotonic();
             for _ in 0..copies {
-                let late = rng.random_range(loss.late.0..=loss.late.1.max(loss.late.0));
+                let late = rng.random_range(loss.delay_range.0..=loss.delay_range.1.max(loss.delay_range.0));
                 self.sequence += 1;
                 self.due.set(now + late, Due::Datagram(self.sequence));
                 self.waiting.insert(self.sequence, (number, bytes[..length].to_vec()));
--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -143,8 +143,12 @@
     fn loss(&self, faults: &mut Vec<Fault>) -> Loss {
         let share = |name: &str, faults: &mut Vec<Fault>| self.node.value::<f64>(name, faults).unwrap_or(0.0);
         let usual = Loss::default();
-        let late = self.node.value::<u64>("late-ms", faults).map_or(usual.late.1, |ms| ms * 1_000);
-        Loss { lost: share("lost", faults), doubled: share("doubled", faults), late: (usual.late.0, late) }
+        let late = self.node.value::<u64>("late-ms", faults).map_or(usual.delay_range.1, |ms| ms * 1_000);
+        Loss {
+            loss_rate: share("lost", faults),
+            duplicate_rate: share("doubled", faults),
+            delay_range: (usual.delay_range.0, late),
+        }
     }
 
     /// The step, and its end where it has one.
@@ -182,7 +186,7 @@
                 let Some(one) = self.who("scheduler", schedulers, faults) else { return };
                 let Some(to) = self.who("to", schedulers, faults) else { return };
                 let end = Act::OneWay(one, to, Loss::default());
-                (Act::OneWay(one, to, Loss { lost: 1.0, ..self.loss(faults) }), Some(end))
+                (Act::OneWay(one, to, Loss { loss_rate: 1.0, ..self.loss(faults) }), Some(end))
             }
             "late-bulletin" => {
                 let Some(one) = self.who("scheduler", schedulers, faults) else { return };
--- a/crates/trial/src/site_spec.rs
+++ b/crates/trial/src/site_spec.rs
@@ -60,7 +60,7 @@
 
     pub(crate) fn loss(&self) -> Loss {
         let lost = if self.silent || self.broken { 1.0 } else { self.lost };
-        Loss { lost, doubled: self.doubled, late: self.late }
+        Loss { loss_rate: lost, duplicate_rate: self.doubled, delay_range: self.late }
     }
 
     pub(crate) fn stream(&self) -> Stream {
--- a/crates/trial/src/ways.rs
+++ b/crates/trial/src/ways.rs
@@ -66,7 +66,7 @@
     /// What becomes of the datagrams of a way from now on.
     pub fn loss(&mut self, way: Way, loss: Loss) {
         self.relay.loss(way, loss);
-        self.note(way, format!("lost {:.2}, doubled {:.2}", loss.lost, loss.doubled));
+        self.note(way, format!("lost {:.2}, doubled {:.2}", loss.loss_rate, loss.duplicate_rate));
     }
 
     fn note(&mut self, way: Way, what: String) {
--- a/crates/trial/tests/relay.rs
+++ b/crates/trial/tests/relay.rs
@@ -111,7 +111,8 @@
 
 /// What arrives of a hundred datagrams, numbered, in order of their numbers.
 fn arrived(seed: u64) -> Vec<u8> {
-    let (_relay, sockets, mesh) = pair(seed, Loss { lost: 0.3, doubled: 0.2, late: (0, 20_000) });
+    let (_relay, sockets, mesh) =
+        pair(seed, Loss { loss_rate: 0.3, duplicate_rate: 0.2, delay_range: (0, 20_000) });
     for number in 0..100 {
         sockets[0].send_to(&[number], mesh[0][1]).expect("sent");
     }
@@ -136,7 +137,7 @@
 
 #[test]
 fn a_cut_in_one_direction_leaves_the_other_and_what_is_not_allowed_is_counted() {
-    let (relay, sockets, mesh) = pair(1, Loss { lost: 1.0, ..Loss::default() });
+    let (relay, sockets, mesh) = pair(1, Loss { loss_rate: 1.0, ..Loss::default() });
     sockets[0].send_to(b"lost", mesh[0][1]).expect("sent");
     sockets[1].send_to(&[7; 300], mesh[1][0]).expect("sent");
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("bound");
