--- a/crates/membership/src/budget.rs
+++ b/crates/membership/src/budget.rs
@@ -1,38 +1,44 @@
-//! Bytes that may be sent: so many a second, and some at once after a quiet time. Times are microseconds.
+//! A token bucket for the bytes that a member sends: a sustained rate, plus a burst saved up while it sends little. Times
+//! are microseconds.
 
 use crate::types::Micros;
 
+/// A token bucket whose tokens are bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    rate: u64,
-    most: u64,
-    /// In millionths of a byte.
-    left: u64,
-    at: Micros,
+    bytes_per_s: u64,
+    burst: u64,
+    /// Available tokens, in millionths of a byte.
+    available: u64,
+    /// The time of the last refill.
+    refilled_at: Micros,
 }
 
-const UNIT: u64 = 1_000_000;
+/// Token units per byte: at a rate in bytes per second, each microsecond earns one unit per byte of the rate.
+const UNITS_PER_BYTE: u64 = 1_000_000;
 
 impl Budget {
-    pub fn new(rate: u64, most: u64, now: Micros) -> Self {
-        Self { rate, most, left: most * UNIT, at: now }
+    /// A full bucket.
+    pub fn new(bytes_per_s: u64, burst: u64, now: Micros) -> Self {
+        Self { bytes_per_s, burst, available: burst * UNITS_PER_BYTE, refilled_at: now }
     }
 
-    fn renew(&mut self, now: Micros) {
-        let gained = now.saturating_sub(self.at).saturating_mul(self.rate);
-        self.left = self.left.saturating_add(gained).min(self.most * UNIT);
-        self.at = self.at.max(now);
+    fn refill(&mut self, now: Micros) {
+        let gained = now.saturating_sub(self.refilled_at).saturating_mul(self.bytes_per_s);
+        self.available = self.available.saturating_add(gained).min(self.burst * UNITS_PER_BYTE);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Whether so many bytes may be sent with `kept` left for what matters more.
-    pub fn may(&mut self, now: Micros, bytes: u64, kept: u64) -> bool {
-        self.renew(now);
-        self.left >= (bytes + kept) * UNIT
+    /// Whether `bytes` may be sent while `reserved` bytes remain for traffic of higher priority.
+    pub fn allows(&mut self, now: Micros, bytes: u64, reserved: u64) -> bool {
+        self.refill(now);
+        self.available >= (bytes + reserved) * UNITS_PER_BYTE
     }
 
-    /// Takes bytes; what must be sent goes even when nothing is left, and is missing later.
-    pub fn take(&mut self, now: Micros, bytes: u64) {
-        self.renew(now);
-        self.left = self.left.saturating_sub(bytes * UNIT);
+    /// Deducts sent bytes, down to zero. Mandatory messages are sent even from an empty bucket; what they take from it is
+    /// then not available to later ones.
+    pub fn spend(&mut self, now: Micros, bytes: u64) {
+        self.refill(now);
+        self.available = self.available.saturating_sub(bytes * UNITS_PER_BYTE);
     }
 }
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -1,30 +1,31 @@
-//! Facts: small values that members tell of themselves, by key, and that all pass on. A later one of an owner takes the place
-//! of an earlier one and each ends with its time. Owners renew what is to stay: a fact that was missed comes with its next
-//! renewal. Bounds: [`FACT_KEYS`] an owner, [`MAX_FACT_BYTES`] a value, [`MAX_FACT_LIFETIME_US`] a fact.
+//! Facts: small keyed values that members publish about themselves and that all members gossip. A newer version replaces an
+//! older one of the same owner and key, and each expires after its time to live. Owners republish facts that are to last, so
+//! a member that missed one receives it with the next refresh. Bounds: [`FACT_KEYS`] facts per owner, [`MAX_FACT_BYTES`] per
+//! value, and a time to live of at most [`MAX_FACT_LIFETIME_US`].
 
 use crate::types::{MemberId, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Keys that an owner has.
+/// Number of keys per owner; valid keys are below it.
 pub const FACT_KEYS: u8 = 16;
-/// Most bytes of a value.
+/// Maximum size of a value, in bytes.
 pub const MAX_FACT_BYTES: usize = 32;
-/// Longest time for which a fact stands.
+/// Maximum time to live of a fact, in microseconds.
 pub const MAX_FACT_LIFETIME_US: Micros = 600_000_000;
 
-/// A fact on its way.
+/// A fact as it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
-    /// Whose it is.
+    /// The member that published it.
     pub owner: MemberId,
-    /// Which of its facts.
+    /// Its key, below [`FACT_KEYS`].
     pub key: u8,
-    /// The start of the owner's life, then its count of facts: a later one goes before.
+    /// The start of the owner's life, then a counter of the facts published in it. The greater version wins.
     pub version: (u64, u32),
-    /// Milliseconds for which it still stands.
+    /// Remaining time to live, in milliseconds.
     pub left_ms: u32,
-    /// What it says.
+    /// The value, at most [`MAX_FACT_BYTES`] bytes.
     pub value: Vec<u8>,
 }
 
@@ -32,21 +33,21 @@
     version: (u64, u32),
     until: Micros,
     value: Vec<u8>,
-    /// How often it is still to be passed on.
+    /// Transmissions that remain.
     left: u32,
 }
 
-/// The facts that a member knows.
+/// The unexpired facts of all members, and the queue of those still to be gossiped.
 #[derive(Default)]
 pub struct FactStore {
     facts: BTreeMap<(MemberId, u8), StoredFact>,
-    /// To be passed on: those that go most often yet, last.
+    /// Facts to gossip, by transmissions that remain: the last entry is sent first.
     pending: BTreeMap<(u32, MemberId, u8), ()>,
     count: u32,
 }
 
 impl FactStore {
-    /// Tells a fact of ours; false where its key or its value is out of bounds.
+    /// Publishes a fact of the local member. Returns false if the key, the value or the time to live is out of bounds.
     pub fn tell(
         &mut self,
         now: Micros,
@@ -61,7 +62,7 @@
         self.learn(now, &Fact { owner: own, key, version, left_ms, value }, repeats)
     }
 
-    /// Takes a fact if it is within bounds and later than what is known.
+    /// Stores a fact and queues it for gossip if it is within bounds and newer than the stored version. Returns whether it did.
     pub fn learn(&mut self, now: Micros, fact: &Fact, repeats: u32) -> bool {
         let stands = Micros::from(fact.left_ms) * 1_000;
         let bounded = fact.key < FACT_KEYS
@@ -84,24 +85,24 @@
         }
     }
 
-    /// Ends what has stood for its time.
+    /// Removes facts whose time to live has ended.
     pub fn expire(&mut self, now: Micros) {
         let over: Vec<_> = self.facts.iter().filter(|(_, h)| h.until <= now).map(|(at, _)| *at).collect();
         over.into_iter().for_each(|at| self.forget(at));
     }
 
-    /// Forgets the facts of members that are not in the list any more.
+    /// Removes the facts of members that are no longer in the configured list.
     pub fn within(&mut self, size: MemberId) {
         let over: Vec<_> = self.facts.keys().filter(|(owner, _)| *owner >= size).copied().collect();
         over.into_iter().for_each(|at| self.forget(at));
     }
 
-    /// Whether anything is still to be passed on.
+    /// Whether any fact is still to be gossiped.
     pub fn is_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Takes facts that fit into `room` bytes, those passed on least first.
+    /// The next facts to gossip that fit into `capacity` bytes, those transmitted least first. Counts one transmission of each.
     pub fn take(&mut self, now: Micros, mut room: usize) -> Vec<Fact> {
         let mut told = Vec::new();
         let order: Vec<_> = self.pending.keys().rev().copied().collect();
@@ -125,18 +126,18 @@
         told
     }
 
-    /// A fact of a member, while it stands.
+    /// The value of a member's fact, unless it has expired.
     pub fn get(&self, now: Micros, owner: MemberId, key: u8) -> Option<&[u8]> {
         self.facts.get(&(owner, key)).filter(|held| held.until > now).map(|held| held.value.as_slice())
     }
 
-    /// As [`FactStore::get`], where it was told in the life that began then.
+    /// As [`FactStore::get`], for a fact published in the life that started at `life`.
     pub fn get_of(&self, now: Micros, owner: MemberId, key: u8, life: u64) -> Option<&[u8]> {
         let same = self.facts.get(&(owner, key)).is_some_and(|held| held.version.0 == life);
         self.get(now, owner, key).filter(|_| same)
     }
 
-    /// The sums, place by place, of counters that members tell under a key.
+    /// Element-wise sums of the counters that members publish under a key.
     pub fn counter_totals(&self, now: Micros, key: u8) -> Vec<u64> {
         let mut totals: Vec<u64> = Vec::new();
         for ((_, of), held) in &self.facts {
@@ -151,13 +152,13 @@
         totals
     }
 
-    /// Facts known.
+    /// Number of stored facts, expired ones not yet removed included.
     pub fn len(&self) -> usize {
         self.facts.len()
     }
 }
 
-/// Counters as a value, as many as fit.
+/// Encodes counters as a fact's value: as many, from the first on, as fit into [`MAX_FACT_BYTES`].
 pub fn encode_counters(counters: &[u64]) -> Vec<u8> {
     (0..=counters.len())
         .rev()
@@ -168,7 +169,7 @@
         .unwrap_or_default()
 }
 
-/// The counters that a value holds.
+/// Decodes the counters in a fact's value; `None` if it holds none.
 pub fn decode_counters(value: &[u8]) -> Option<Vec<u64>> {
     postcard::from_bytes(value).ok()
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,26 +1,27 @@
-//! The membership member a fleet, kept by its members_at: who state up, suspicions, declared_gone, leaving or stopped, by what each previous
-//! heard to say and how old that is. It travels in datagrams of at most 256 bytes that may be late, doubled or
-//! lost. Free of I/O: datagrams and times in, datagrams, changes and the next time out.
+//! SWIM-style group membership: which members of a fleet are up, suspected, gone, leaving or stopped, and when each was last
+//! in contact. Members exchange datagrams of at most 256 bytes, which may be delayed, duplicated or lost. The protocol does
+//! no I/O: it takes datagrams and the time, and returns datagrams to send, state changes and the time of the next wake-up.
 //!
-//! A membership says what is believed; it decides nothing, and safety never rests on its being right.
+//! Membership is a local, eventually consistent view. It makes no decisions, and no safety property depends on its accuracy.
 //!
-//! Modules use only what stands above them:
+//! Modules depend only on modules listed above them:
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `types`, `limits`, `settings`, `sites`, `fact_keys` | plain types, bounds and figures |
-//! | `facts`, `budget`, `suspicion`, `wire`, `output` | facts by owner and key; bytes a second; the failure detector's state; the datagrams; what is put out |
-//! | `updates` | the queue of updates that are passed on |
-//! | `members` | [`Membership`]: what is believed of all, how an update is applied and a message sent |
-//! | `sync` | comparison by digests |
-//! | `probe`, `receive` | what is due by itself; what comes |
-//! | `status` | what an operator asks a member, and the answer |
-//! | `virtual_network`, `virtual_cluster` | members in virtual time |
+//! | `types`, `limits`, `settings`, `sites`, `fact_keys` | basic types, bounds and settings |
+//! | `facts`, `budget`, `failure_detector`, `wire`, `output` | gossiped facts by owner and key; send budget; failure detector state; datagram format; outputs |
+//! | `updates` | queue of updates to gossip |
+//! | `members` | [`Membership`]: the state of all members, applying updates and sending messages |
+//! | `sync` | anti-entropy by digests |
+//! | `probe`, `receive` | periodic work; received datagrams |
+//! | `status` | status requests of operators and their responses |
+//! | `virtual_network`, `virtual_cluster` | simulation in virtual time |
 #![warn(missing_docs)]
 
 mod budget;
 mod fact_keys;
 mod facts;
+mod failure_detector;
 mod limits;
 mod members;
 mod output;
@@ -29,7 +30,6 @@
 mod settings;
 mod sites;
 mod status;
-mod suspicion;
 mod sync;
 mod types;
 mod updates;
--- a/crates/membership/src/limits.rs
+++ b/crates/membership/src/limits.rs
@@ -1,22 +1,22 @@
-//! Bounds that several parts of a membership share. None of them is a setting: all members of a fleet have the same.
+//! Protocol constants that several modules share. They are not settings: all members of a fleet use the same values.
 
-/// How much the latest probe weighs in the share of probes that were acknowledged: the last five or so count.
+/// Weight of the latest probe in the moving average of acknowledged probes: about the last five count.
 pub(crate) const ACK_RATIO_WEIGHT: f64 = 0.2;
-/// With a smaller share of probes acknowledged it may be we who can't be heard.
+/// Below this share of acknowledged probes, the local member's own outgoing link may be at fault.
 pub(crate) const MIN_ACK_RATIO: f64 = 0.5;
-/// Bytes of the budget that updates leave to probes and their acknowledgements: a datagram and some more.
+/// Bytes of the send budget that updates leave for probes and acks: a little more than one datagram.
 pub(crate) const RESERVED_BYTES: u64 = 300;
-/// Members asked to probe one that did not answer us.
+/// Members that get a ping request when a direct probe was not acknowledged.
 pub(crate) const INDIRECT_PROBE_MEMBERS: usize = 3;
-/// Indirect probes under way for others at most.
+/// Maximum number of indirect probes in flight on behalf of other members.
 pub(crate) const MAX_INDIRECT_PROBES: usize = 64;
-/// Suspects probed again in each period, so that they hear of the suspicion.
+/// Suspects that are probed again in each period, so that they learn of the suspicion and can refute it.
 pub(crate) const SUSPECTS_PROBED_PER_PERIOD: usize = 2;
-/// With more updates in the queue than this, more than a datagram holds, they are no longer passed on blindly: digests are
-/// compared, and only what differs is told. Three hundred members that start or are joined again would else tell each
-/// other all of it a dozen times.
+/// With more updates queued than this, which is more than a datagram holds, members stop gossiping them and sync by digests,
+/// which transfers only the differences. Otherwise three hundred members that start together, or rejoin after a partition,
+/// would send each other all updates a dozen times.
 pub(crate) const MAX_GOSSIPED_UPDATES: usize = 30;
-/// So many datagrams in a row with a digest like ours: what digests cover is known to the others.
-pub(crate) const AGREEING_MEMBERS: u32 = 3;
-/// Datagrams that answer one sync request at most; the next request brings the rest.
+/// After this many consecutive datagrams with the local digest, the others are taken to have all that digests cover.
+pub(crate) const AGREEING_DATAGRAMS: u32 = 3;
+/// Maximum number of datagrams in response to one sync request; the next request gets the rest.
 pub(crate) const MAX_SYNC_DATAGRAMS: usize = 8;
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -11,10 +11,10 @@
 
 use crate::budget::Budget;
 use crate::facts::FactStore;
+use crate::failure_detector::{FailureDetector, Suspicion};
 use crate::limits::{INDIRECT_PROBE_MEMBERS, MAX_GOSSIPED_UPDATES, RESERVED_BYTES};
 use crate::output::{FleetShare, MembershipCounters, Out, Output};
 use crate::settings::{MembershipSettings, SettingsError};
-use crate::suspicion::{FailureDetector, Suspicion};
 use crate::types::{Incarnation, Member, MemberId, MemberState, Micros};
 use crate::updates::UpdateQueue;
 use crate::wire::{MAX_DATAGRAM_BYTES, Message, MessageKind, Update};
@@ -213,7 +213,7 @@
 
     /// Half of what is saved up is left for updates.
     pub(crate) fn may_publish_facts(&mut self, now: Micros) -> bool {
-        self.budget.may(now, MAX_DATAGRAM_BYTES as u64, self.settings.burst / 2)
+        self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, self.settings.burst / 2)
     }
 
     /// When [`Membership::wake`] is due next.
@@ -349,7 +349,7 @@
         out: &mut Out,
     ) {
         let mut message = self.message(kind);
-        let rich = self.budget.may(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES)
+        let rich = self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES)
             && self.updates.len() <= MAX_GOSSIPED_UPDATES;
         let (room, repeats) = (message.room(), self.settings.retransmit_limit());
         message.updates = match rich {
@@ -369,7 +369,7 @@
     /// Puts out a message as it is; the budget may go into debt by it.
     pub(crate) fn write(&mut self, now: Micros, to: MemberId, message: &Message, out: &mut Out) {
         let Some(bytes) = message.write().filter(|_| !self.superseded) else { return };
-        self.budget.take(now, bytes.len() as u64);
+        self.budget.spend(now, bytes.len() as u64);
         self.counters.sent.0 += 1;
         self.counters.sent.1 += bytes.len() as u64;
         out.push(Output::Send { to, bytes });
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -2,13 +2,13 @@
 //! on the caller's clock, output are datagrams and changes. A period has one probe of a live member, up to
 //! [`SUSPECTS_PROBED_PER_PERIOD`] of suspects and one of a member that is not live; all go by the budget of bytes.
 
+use crate::failure_detector::{Probe, Suspicion};
 use crate::limits::{
     ACK_RATIO_WEIGHT, INDIRECT_PROBE_MEMBERS, MAX_GOSSIPED_UPDATES, MIN_ACK_RATIO, RESERVED_BYTES,
     SUSPECTS_PROBED_PER_PERIOD,
 };
 use crate::members::Membership;
 use crate::output::Out;
-use crate::suspicion::{Probe, Suspicion};
 use crate::types::{Member, MemberId, MemberState, Micros};
 use crate::wire::{MAX_DATAGRAM_BYTES, MessageKind, Update};
 use rand::seq::SliceRandom;
@@ -62,7 +62,7 @@
             return to.into_iter().for_each(|to| self.request_sync(now, to, out));
         }
         for to in self.random_live(2, None) {
-            if self.budget.may(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES) {
+            if self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES) {
                 self.send(now, to, MessageKind::Updates, None, out);
             }
         }
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -2,10 +2,10 @@
 //! the bytes and the number of the member whose address they came from; anything that is not a whole message of that member
 //! and of our fleet is counted and dropped. Output are datagrams and changes, by the budget of bytes.
 
-use crate::limits::{ACK_RATIO_WEIGHT, AGREEING_MEMBERS, MAX_INDIRECT_PROBES};
+use crate::failure_detector::IndirectProbe;
+use crate::limits::{ACK_RATIO_WEIGHT, AGREEING_DATAGRAMS, MAX_INDIRECT_PROBES};
 use crate::members::{Membership, Rival};
 use crate::output::{Out, Output};
-use crate::suspicion::IndirectProbe;
 use crate::types::{MemberId, MemberState, Micros};
 use crate::wire::{Message, MessageKind, Update};
 
@@ -30,7 +30,7 @@
         self.peer_digests[usize::from(from)] = message.digest;
         let told = self.note_sender(now, &message, out);
         self.agreeing = if message.digest == self.digest { self.agreeing + 1 } else { 0 };
-        if self.agreeing >= AGREEING_MEMBERS {
+        if self.agreeing >= AGREEING_DATAGRAMS {
             self.updates.known();
         }
         let stale = self.take_contents(now, &message, out);
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -16,7 +16,7 @@
         let differ = self.heard_lately(now).filter(|(_, theirs)| *theirs != self.digest);
         let mut differ: Vec<_> = differ.map(|(of, _)| of).collect();
         let patient = !self.updates.is_empty() && self.rng.random_range(0..4) > 0 && !self.is_behind(now);
-        if patient || !self.budget.may(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES) {
+        if patient || !self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES) {
             return;
         }
         differ.shuffle(&mut self.rng);
@@ -45,7 +45,7 @@
         let salt = self.next_sequence() as u8;
         let message =
             self.message(MessageKind::SyncRequest { salt, blocks: BlockDigests(self.blocks(salt)) });
-        if self.budget.may(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES) {
+        if self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES) {
             self.write(now, to, &message, out);
         }
     }
@@ -106,7 +106,7 @@
         };
         let mut all: Vec<_> = of.iter().map(update).collect();
         for _ in 0..most {
-            if all.is_empty() || !self.budget.may(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES) {
+            if all.is_empty() || !self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES) {
                 return;
             }
             let mut message = self.message(kind);
