--- a/crates/bench/src/scale/fleet.rs
+++ b/crates/bench/src/scale/fleet.rs
@@ -175,7 +175,7 @@
 
     fn advance(&mut self, until: Micros) {
         let next = (self.net.now + LOOK_US).min(until).min(self.next_step);
-        self.net.run(next);
+        self.net.run_until(next);
         // What changed is not looked at; by millions it would be most of the memory.
         self.net.outputs.clear();
         if self.net.now >= self.next_step {
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -24,17 +24,17 @@
     /// The start of the owner's life, then a counter of the facts published in it. The greater version wins.
     pub version: (u64, u32),
     /// Remaining time to live, in milliseconds.
-    pub left_ms: u32,
+    pub ttl_ms: u32,
     /// The value, at most [`MAX_FACT_BYTES`] bytes.
     pub value: Vec<u8>,
 }
 
 struct StoredFact {
     version: (u64, u32),
-    until: Micros,
+    expires_at: Micros,
     value: Vec<u8>,
     /// Transmissions that remain.
-    left: u32,
+    transmissions_left: u32,
 }
 
 /// The unexpired facts of all members, and the queue of those still to be gossiped.
@@ -48,7 +48,7 @@
 
 impl FactStore {
     /// Publishes a fact of the local member. Returns false if the key, the value or the time to live is out of bounds.
-    pub fn tell(
+    pub fn publish(
         &mut self,
         now: Micros,
         (own, start): (MemberId, u64),
@@ -59,12 +59,12 @@
         self.count = self.count.wrapping_add(1);
         let left_ms = (stands.min(MAX_FACT_LIFETIME_US) / 1_000) as u32;
         let (version, value) = ((start, self.count), value.to_vec());
-        self.learn(now, &Fact { owner: own, key, version, left_ms, value }, repeats)
+        self.merge(now, &Fact { owner: own, key, version, ttl_ms: left_ms, value }, repeats)
     }
 
     /// Stores a fact and queues it for gossip if it is within bounds and newer than the stored version. Returns whether it did.
-    pub fn learn(&mut self, now: Micros, fact: &Fact, repeats: u32) -> bool {
-        let stands = Micros::from(fact.left_ms) * 1_000;
+    pub fn merge(&mut self, now: Micros, fact: &Fact, repeats: u32) -> bool {
+        let stands = Micros::from(fact.ttl_ms) * 1_000;
         let bounded = fact.key < FACT_KEYS
             && fact.value.len() <= MAX_FACT_BYTES
             && (1..=MAX_FACT_LIFETIME_US).contains(&stands);
@@ -72,29 +72,30 @@
         if !bounded || self.facts.get(&at).is_some_and(|held| held.version >= fact.version) {
             return false;
         }
-        self.forget(at);
+        self.remove(at);
         let (version, until, value) = (fact.version, now + stands, fact.value.clone());
-        self.facts.insert(at, StoredFact { version, until, value, left: repeats });
+        self.facts.insert(at, StoredFact { version, expires_at: until, value, transmissions_left: repeats });
         self.pending.insert((repeats, at.0, at.1), ());
         true
     }
 
-    fn forget(&mut self, at: (MemberId, u8)) {
+    fn remove(&mut self, at: (MemberId, u8)) {
         if let Some(held) = self.facts.remove(&at) {
-            self.pending.remove(&(held.left, at.0, at.1));
+            self.pending.remove(&(held.transmissions_left, at.0, at.1));
         }
     }
 
     /// Removes facts whose time to live has ended.
     pub fn expire(&mut self, now: Micros) {
-        let over: Vec<_> = self.facts.iter().filter(|(_, h)| h.until <= now).map(|(at, _)| *at).collect();
-        over.into_iter().for_each(|at| self.forget(at));
+        let over: Vec<_> =
+            self.facts.iter().filter(|(_, h)| h.expires_at <= now).map(|(at, _)| *at).collect();
+        over.into_iter().for_each(|at| self.remove(at));
     }
 
     /// Removes the facts of members that are no longer in the configured list.
-    pub fn within(&mut self, size: MemberId) {
+    pub fn retain_below(&mut self, size: MemberId) {
         let over: Vec<_> = self.facts.keys().filter(|(owner, _)| *owner >= size).copied().collect();
-        over.into_iter().for_each(|at| self.forget(at));
+        over.into_iter().for_each(|at| self.remove(at));
     }
 
     /// Whether any fact is still to be gossiped.
@@ -103,13 +104,13 @@
     }
 
     /// The next facts to gossip that fit into `capacity` bytes, those transmitted least first. Counts one transmission of each.
-    pub fn take(&mut self, now: Micros, mut room: usize) -> Vec<Fact> {
+    pub fn take_for_datagram(&mut self, now: Micros, mut room: usize) -> Vec<Fact> {
         let mut told = Vec::new();
         let order: Vec<_> = self.pending.keys().rev().copied().collect();
         for (left, owner, key) in order {
             let Some(held) = self.facts.get_mut(&(owner, key)) else { continue };
-            let left_ms = (held.until.saturating_sub(now) / 1_000) as u32;
-            let fact = Fact { owner, key, version: held.version, left_ms, value: held.value.clone() };
+            let left_ms = (held.expires_at.saturating_sub(now) / 1_000) as u32;
+            let fact = Fact { owner, key, version: held.version, ttl_ms: left_ms, value: held.value.clone() };
             let mut bytes = [0; MAX_FACT_BYTES + 32];
             let size = postcard::to_slice(&fact, &mut bytes).map_or(usize::MAX, |told| told.len());
             if size > room {
@@ -117,9 +118,9 @@
             }
             room -= size;
             self.pending.remove(&(left, owner, key));
-            held.left = left - 1;
-            if held.left > 0 {
-                self.pending.insert((held.left, owner, key), ());
+            held.transmissions_left = left - 1;
+            if held.transmissions_left > 0 {
+                self.pending.insert((held.transmissions_left, owner, key), ());
             }
             told.extend((left_ms > 0).then_some(fact));
         }
@@ -128,11 +129,11 @@
 
     /// The value of a member's fact, unless it has expired.
     pub fn get(&self, now: Micros, owner: MemberId, key: u8) -> Option<&[u8]> {
-        self.facts.get(&(owner, key)).filter(|held| held.until > now).map(|held| held.value.as_slice())
+        self.facts.get(&(owner, key)).filter(|held| held.expires_at > now).map(|held| held.value.as_slice())
     }
 
     /// As [`FactStore::get`], for a fact published in the life that started at `life`.
-    pub fn get_of(&self, now: Micros, owner: MemberId, key: u8, life: u64) -> Option<&[u8]> {
+    pub fn get_of_life(&self, now: Micros, owner: MemberId, key: u8, life: u64) -> Option<&[u8]> {
         let same = self.facts.get(&(owner, key)).is_some_and(|held| held.version.0 == life);
         self.get(now, owner, key).filter(|_| same)
     }
@@ -141,7 +142,8 @@
     pub fn counter_totals(&self, now: Micros, key: u8) -> Vec<u64> {
         let mut totals: Vec<u64> = Vec::new();
         for ((_, of), held) in &self.facts {
-            let counters = (*of == key && held.until > now).then(|| decode_counters(&held.value)).flatten();
+            let counters =
+                (*of == key && held.expires_at > now).then(|| decode_counters(&held.value)).flatten();
             for (at, counter) in counters.unwrap_or_default().into_iter().enumerate() {
                 match totals.get_mut(at) {
                     Some(total) => *total = total.saturating_add(counter),
--- a/crates/membership/src/facts/tests.rs
+++ b/crates/membership/src/facts/tests.rs
@@ -5,13 +5,13 @@
 const S: Micros = 1_000_000;
 
 fn fact(owner: MemberId, version: (u64, u32)) -> Fact {
-    Fact { owner, key: 1, version, left_ms: 5_000, value: encode_counters(&[2, 300]) }
+    Fact { owner, key: 1, version, ttl_ms: 5_000, value: encode_counters(&[2, 300]) }
 }
 
 #[test]
 fn what_is_later_stands_until_its_time_and_what_is_out_of_bounds_is_not_taken() {
     let mut fact_store = FactStore::default();
-    assert!(fact_store.learn(S, &fact(3, (7, 2)), 2));
+    assert!(fact_store.merge(S, &fact(3, (7, 2)), 2));
     let old_life = Fact { version: (6, 9), ..fact(3, (0, 0)) };
     for wrong in [
         fact(3, (7, 2)),
@@ -19,12 +19,12 @@
         old_life,
         Fact { key: FACT_KEYS, ..fact(4, (9, 9)) },
         Fact { value: vec![0; MAX_FACT_BYTES + 1], ..fact(4, (9, 9)) },
-        Fact { left_ms: u32::MAX, ..fact(4, (9, 9)) },
-        Fact { left_ms: 0, ..fact(4, (9, 9)) },
+        Fact { ttl_ms: u32::MAX, ..fact(4, (9, 9)) },
+        Fact { ttl_ms: 0, ..fact(4, (9, 9)) },
     ] {
-        assert!(!fact_store.learn(S, &wrong, 2), "{wrong:?}");
+        assert!(!fact_store.merge(S, &wrong, 2), "{wrong:?}");
     }
-    assert!(fact_store.learn(S, &fact(4, (1, 1)), 2));
+    assert!(fact_store.merge(S, &fact(4, (1, 1)), 2));
     assert_eq!(
         (fact_store.counter_totals(S, 1), fact_store.counter_totals(S, 2)),
         (vec![4, 600], Vec::new())
@@ -37,11 +37,11 @@
 #[test]
 fn each_fact_goes_its_number_of_times_and_no_more_than_fits() {
     let mut fact_store = FactStore::default();
-    (0..3).for_each(|owner| assert!(fact_store.learn(S, &fact(owner, (1, 1)), 2)));
+    (0..3).for_each(|owner| assert!(fact_store.merge(S, &fact(owner, (1, 1)), 2)));
     let owners = |told: Vec<Fact>| told.iter().map(|f| f.owner).collect::<Vec<_>>();
-    assert_eq!(owners(fact_store.take(S, 24)), [2, 1]);
-    assert_eq!(owners(fact_store.take(S, 24)), [0, 2]);
-    assert_eq!(owners(fact_store.take(S, 1_000)), [1, 0]);
-    assert!(fact_store.take(S, 1_000).is_empty() && !fact_store.is_pending());
+    assert_eq!(owners(fact_store.take_for_datagram(S, 24)), [2, 1]);
+    assert_eq!(owners(fact_store.take_for_datagram(S, 24)), [0, 2]);
+    assert_eq!(owners(fact_store.take_for_datagram(S, 1_000)), [1, 0]);
+    assert!(fact_store.take_for_datagram(S, 1_000).is_empty() && !fact_store.is_pending());
     assert_eq!(decode_counters(&encode_counters(&[u64::MAX; 9])).map(|c| c.len()), Some(3));
 }
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -12,7 +12,7 @@
     /// Of which life.
     pub incarnation: Incarnation,
     /// When its subject is taken for gone.
-    pub until: Micros,
+    pub expires_at: Micros,
 }
 
 /// A probe that is out.
@@ -32,10 +32,10 @@
 /// A probe that another member asked us for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IndirectProbe {
-    pub from: MemberId,
+    pub requester: MemberId,
     /// The number of its own probe.
-    pub their_sequence: u32,
-    pub until: Micros,
+    pub requester_sequence: u32,
+    pub expires_at: Micros,
 }
 
 /// See the module's page.
@@ -50,24 +50,24 @@
 
 impl FailureDetector {
     /// The next time at which something here is due.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_due(&self) -> Option<Micros> {
         let probes = self.probes.iter().map(|q| if q.indirect_sent { q.deadline } else { q.indirect_at });
-        probes.chain(self.suspects.values().map(|suspicion| suspicion.until)).min()
+        probes.chain(self.suspects.values().map(|suspicion| suspicion.expires_at)).min()
     }
 
     /// We stood still for so long: nobody's silence in that time counts.
-    pub fn put_off(&mut self, by: Micros) {
+    pub fn postpone(&mut self, by: Micros) {
         for probe in &mut self.probes {
             probe.indirect_at += by;
             probe.deadline += by;
         }
-        self.suspects.values_mut().for_each(|suspicion| suspicion.until += by);
+        self.suspects.values_mut().for_each(|suspicion| suspicion.expires_at += by);
     }
 
     /// Forgets what is of members that are not in the list any more.
-    pub fn within(&mut self, size: MemberId) {
+    pub fn retain_below(&mut self, size: MemberId) {
         self.suspects.retain(|of, _| *of < size);
         self.probes.retain(|probe| probe.to < size);
-        self.indirect_probes.retain(|_, indirect_probe| indirect_probe.from < size);
+        self.indirect_probes.retain(|_, indirect_probe| indirect_probe.requester < size);
     }
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -24,7 +24,7 @@
 
 /// When a later life of ours was heard to speak.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Rival {
+pub(crate) struct LaterLife {
     pub(crate) first_contact: Micros,
     pub(crate) last_contact: Micros,
 }
@@ -33,7 +33,7 @@
 pub struct Membership {
     pub(crate) settings: MembershipSettings,
     /// Our present incarnation.
-    pub(crate) own: Incarnation,
+    pub(crate) own_incarnation: Incarnation,
     pub(crate) leaving: bool,
     /// By number.
     pub(crate) members: Vec<Member>,
@@ -54,17 +54,17 @@
     /// Share of our probes that were acknowledged, the latest weighing most.
     pub(crate) ack_ratio: f64,
     /// Datagrams in a row whose digest was like ours.
-    pub(crate) agreeing: u32,
+    pub(crate) agreeing_datagrams: u32,
     pub(crate) next_probe: Micros,
-    pub(crate) next_broadcast: Micros,
+    pub(crate) next_gossip: Micros,
     /// When we were last at work.
     pub(crate) last_active: Micros,
     pub(crate) counters: MembershipCounters,
     /// A later life of ours, where one was heard of.
-    pub(crate) rival: Option<Rival>,
+    pub(crate) later_life: Option<LaterLife>,
     pub(crate) superseded: bool,
     /// What says more: [`Member::yields_to`], but where a test plants a fault.
-    pub(crate) newer: OverrideRule,
+    pub(crate) override_rule: OverrideRule,
 }
 
 /// Whether an incarnation and a state say more than what is believed of a member.
@@ -80,7 +80,7 @@
         let own = Incarnation { start: settings.start, bump: 0 };
         let size = usize::from(settings.size);
         let mut membership = Self {
-            own,
+            own_incarnation: own,
             leaving: false,
             members: vec![Member::default(); size],
             digest: 0,
@@ -94,15 +94,15 @@
             last_dead_probed: 0,
             sequence: 0,
             ack_ratio: 1.0,
-            agreeing: 0,
+            agreeing_datagrams: 0,
             // Members that start together do not probe together.
             next_probe: now,
-            next_broadcast: now,
+            next_gossip: now,
             last_active: now,
             counters: MembershipCounters::default(),
-            rival: None,
+            later_life: None,
             superseded: false,
-            newer: Member::is_overridden_by,
+            override_rule: Member::is_overridden_by,
             settings,
         };
         membership.next_probe += membership.rng.random_range(0..settings.period);
@@ -117,7 +117,7 @@
     /// Plants a fault: what checks views has to find it.
     #[doc(hidden)]
     pub fn inject_fault(&mut self, newer: OverrideRule) {
-        self.newer = newer;
+        self.override_rule = newer;
     }
 
     /// What is believed of each member, by number.
@@ -132,7 +132,7 @@
 
     /// Our present incarnation.
     pub fn incarnation(&self) -> Incarnation {
-        self.own
+        self.own_incarnation
     }
 
     /// Equal where the same is believed of all, suspicions aside.
@@ -184,8 +184,9 @@
     /// Tells all a fact of ours under a key, which stands for this long; a later one takes its place. False
     /// where the key or the value is out of bounds ([`FACT_KEYS`](crate::FACT_KEYS), [`MAX_FACT_BYTES`](crate::MAX_FACT_BYTES)).
     pub fn publish_fact(&mut self, now: Micros, key: u8, value: &[u8], stands: Micros) -> bool {
-        let (whose, repeats) = ((self.settings.own, self.own.start), self.settings.retransmit_limit());
-        self.fact_store.tell(now, whose, (key, value), stands, repeats)
+        let (whose, repeats) =
+            ((self.settings.own, self.own_incarnation.start), self.settings.retransmit_limit());
+        self.fact_store.publish(now, whose, (key, value), stands, repeats)
     }
 
     /// A fact of a member, while it stands.
@@ -197,7 +198,7 @@
     /// itself may be otherwise now.
     pub fn fact_of_current_life(&self, now: Micros, owner: MemberId, key: u8) -> Option<&[u8]> {
         let life = self.members.get(usize::from(owner))?.incarnation.start;
-        self.fact_store.get_of(now, owner, key, life)
+        self.fact_store.get_of_life(now, owner, key, life)
     }
 
     /// The sums, place by place, of the counters that members tell under a key, see
@@ -212,7 +213,7 @@
     }
 
     /// Half of what is saved up is left for updates.
-    pub(crate) fn may_publish_facts(&mut self, now: Micros) -> bool {
+    pub(crate) fn can_send_facts(&mut self, now: Micros) -> bool {
         self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, self.settings.burst / 2)
     }
 
@@ -222,8 +223,8 @@
             return self.next_probe;
         }
         let tells = !self.updates.is_empty() || self.fact_store.is_pending();
-        let broadcast = tells.then_some(self.next_broadcast);
-        self.detector.next().into_iter().chain(broadcast).fold(self.next_probe, Micros::min)
+        let broadcast = tells.then_some(self.next_gossip);
+        self.detector.next_due().into_iter().chain(broadcast).fold(self.next_probe, Micros::min)
     }
 
     /// Says that we leave, and finish what we have.
@@ -231,7 +232,11 @@
         self.leaving = true;
         self.apply(
             now,
-            Update { member: self.settings.own, incarnation: self.own, state: MemberState::Leaving },
+            Update {
+                member: self.settings.own,
+                incarnation: self.own_incarnation,
+                state: MemberState::Leaving,
+            },
             out,
         );
     }
@@ -240,10 +245,14 @@
     pub fn stop(&mut self, now: Micros, out: &mut Out) {
         self.apply(
             now,
-            Update { member: self.settings.own, incarnation: self.own, state: MemberState::Stopped },
+            Update {
+                member: self.settings.own,
+                incarnation: self.own_incarnation,
+                state: MemberState::Stopped,
+            },
             out,
         );
-        for to in self.random_live(INDIRECT_PROBE_MEMBERS * 2, None) {
+        for to in self.random_live_members(INDIRECT_PROBE_MEMBERS * 2, None) {
             self.send(now, to, MessageKind::Updates, None, out);
         }
     }
@@ -259,9 +268,9 @@
         self.peer_digests.resize(size.into(), 0);
         self.digest =
             self.members.iter().enumerate().fold(0, |all, (of, e)| all ^ e.fingerprint(of as MemberId));
-        self.updates.within(size);
-        self.fact_store.within(size);
-        self.detector.within(size);
+        self.updates.retain_below(size);
+        self.fact_store.retain_below(size);
+        self.detector.retain_below(size);
         self.probe_order.clear();
         true
     }
@@ -292,7 +301,7 @@
         match state {
             MemberState::Suspect => {
                 let until = now + self.settings.suspicion_timeout();
-                self.detector.suspects.insert(of, Suspicion { incarnation, until });
+                self.detector.suspects.insert(of, Suspicion { incarnation, expires_at: until });
             }
             _ => drop(self.detector.suspects.remove(&of)),
         }
@@ -303,11 +312,11 @@
 
     /// Notes that we are at work. Where we stood still, what others did not say meanwhile is not held against them, and what we meant to pass
     /// on is old.
-    pub(crate) fn catch_up(&mut self, now: Micros) {
+    pub(crate) fn detect_stall(&mut self, now: Micros) {
         let still = now.saturating_sub(self.last_active);
         if still > self.settings.period * 2 {
             self.counters.stalls += 1;
-            self.detector.put_off(still);
+            self.detector.postpone(still);
             self.next_probe = now;
             // Facts of before are as old as they say: those that have ended go now.
             self.fact_store.expire(now);
@@ -326,11 +335,11 @@
     }
 
     /// A message of ours without updates and facts.
-    pub(crate) fn message(&self, kind: MessageKind) -> Message {
+    pub(crate) fn new_message(&self, kind: MessageKind) -> Message {
         Message {
             fleet: self.settings.fleet,
             from: self.settings.own,
-            incarnation: self.own,
+            incarnation: self.own_incarnation,
             leaving: self.leaving,
             digest: self.digest,
             kind,
@@ -348,17 +357,17 @@
         first: Option<Update>,
         out: &mut Out,
     ) {
-        let mut message = self.message(kind);
+        let mut message = self.new_message(kind);
         let rich = self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES)
             && self.updates.len() <= MAX_GOSSIPED_UPDATES;
-        let (room, repeats) = (message.room(), self.settings.retransmit_limit());
+        let (room, repeats) = (message.remaining_capacity(), self.settings.retransmit_limit());
         message.updates = match rich {
-            true => self.updates.take(room, repeats, self.own.start, first),
+            true => self.updates.take_for_datagram(room, repeats, self.own_incarnation.start, first),
             false => first.into_iter().collect(),
         };
         // Facts go last: renewed by hundreds they would use up what updates and comparisons need.
-        if rich && self.may_publish_facts(now) {
-            message.facts = self.fact_store.take(now, message.room());
+        if rich && self.can_send_facts(now) {
+            message.facts = self.fact_store.take_for_datagram(now, message.remaining_capacity());
         }
         if kind == MessageKind::Updates && message.updates.is_empty() && message.facts.is_empty() {
             return;
@@ -368,7 +377,7 @@
 
     /// Puts out a message as it is; the budget may go into debt by it.
     pub(crate) fn write(&mut self, now: Micros, to: MemberId, message: &Message, out: &mut Out) {
-        let Some(bytes) = message.write().filter(|_| !self.superseded) else { return };
+        let Some(bytes) = message.encode().filter(|_| !self.superseded) else { return };
         self.budget.spend(now, bytes.len() as u64);
         self.counters.sent.0 += 1;
         self.counters.sent.1 += bytes.len() as u64;
@@ -376,7 +385,7 @@
     }
 
     /// Some live members, not ourselves and not this one.
-    pub(crate) fn random_live(&mut self, count: usize, but: Option<MemberId>) -> Vec<MemberId> {
+    pub(crate) fn random_live_members(&mut self, count: usize, but: Option<MemberId>) -> Vec<MemberId> {
         let fit = |(of, e): (usize, &Member)| {
             let of = of as MemberId;
             (e.state.is_live() && of != self.settings.own && Some(of) != but).then_some(of)
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -20,26 +20,26 @@
             self.next_probe = now + self.settings.settling_time();
             return;
         }
-        self.catch_up(now);
-        self.detector.indirect_probes.retain(|_, indirect_probe| indirect_probe.until > now);
+        self.detect_stall(now);
+        self.detector.indirect_probes.retain(|_, indirect_probe| indirect_probe.expires_at > now);
         self.check_probes(now, out);
-        self.end_suspicions(now, out);
+        self.expire_suspicions(now, out);
         if now >= self.next_probe {
             // Never several at once after a delay: each period has its probe.
             self.next_probe = (self.next_probe + self.settings.period).max(now + self.settings.period / 2);
             self.probe_round(now, out);
         }
         self.fact_store.expire(now);
-        if now >= self.next_broadcast {
-            self.next_broadcast = now + self.settings.period / 3;
-            self.broadcast(now, out);
+        if now >= self.next_gossip {
+            self.next_gossip = now + self.settings.period / 3;
+            self.gossip(now, out);
         }
     }
 
     /// Takes those for gone whose suspicion has stood for its time.
-    fn end_suspicions(&mut self, now: Micros, out: &mut Out) {
+    fn expire_suspicions(&mut self, now: Micros, out: &mut Out) {
         let ended = |(of, suspicion): (&MemberId, &Suspicion)| {
-            (suspicion.until <= now).then_some((*of, suspicion.incarnation))
+            (suspicion.expires_at <= now).then_some((*of, suspicion.incarnation))
         };
         let ended: Vec<_> = self.detector.suspects.iter().filter_map(ended).collect();
         for (of, incarnation) in ended {
@@ -53,15 +53,15 @@
     }
 
     /// Passes updates and facts on, or asks for a comparison where there are too many of them.
-    fn broadcast(&mut self, now: Micros, out: &mut Out) {
-        if self.updates.is_empty() && !(self.fact_store.is_pending() && self.may_publish_facts(now)) {
+    fn gossip(&mut self, now: Micros, out: &mut Out) {
+        if self.updates.is_empty() && !(self.fact_store.is_pending() && self.can_send_facts(now)) {
             return;
         }
         if self.updates.len() > MAX_GOSSIPED_UPDATES {
-            let to = self.random_live(1, None);
+            let to = self.random_live_members(1, None);
             return to.into_iter().for_each(|to| self.request_sync(now, to, out));
         }
-        for to in self.random_live(2, None) {
+        for to in self.random_live_members(2, None) {
             if self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES) {
                 self.send(now, to, MessageKind::Updates, None, out);
             }
@@ -86,7 +86,7 @@
             }
             if now >= probe.indirect_at && !probe.indirect_sent {
                 probe.indirect_sent = true;
-                for via in self.random_live(INDIRECT_PROBE_MEMBERS, Some(probe.to)) {
+                for via in self.random_live_members(INDIRECT_PROBE_MEMBERS, Some(probe.to)) {
                     let told = self.accusation(probe.to);
                     self.send(
                         now,
@@ -114,7 +114,7 @@
             // Its own word that it leaves stands beside the suspicion.
             MemberState::Leaving => {
                 let until = now + self.settings.suspicion_timeout();
-                self.detector.suspects.entry(of).or_insert(Suspicion { incarnation, until });
+                self.detector.suspects.entry(of).or_insert(Suspicion { incarnation, expires_at: until });
             }
             MemberState::Unknown | MemberState::Suspect | MemberState::Gone | MemberState::Stopped => {}
         }
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -4,7 +4,7 @@
 
 use crate::failure_detector::IndirectProbe;
 use crate::limits::{ACK_RATIO_WEIGHT, AGREEING_DATAGRAMS, MAX_INDIRECT_PROBES};
-use crate::members::{Membership, Rival};
+use crate::members::{LaterLife, Membership};
 use crate::output::{Out, Output};
 use crate::types::{MemberId, MemberState, Micros};
 use crate::wire::{Message, MessageKind, Update};
@@ -15,26 +15,26 @@
         if self.superseded {
             return;
         }
-        self.catch_up(now);
+        self.detect_stall(now);
         let good = |m: &Message| {
             m.from == from
                 && m.fleet == self.settings.fleet
                 && from < self.settings.size
                 && from != self.settings.own
         };
-        let Some(message) = Message::read(bytes).ok().filter(good) else {
+        let Some(message) = Message::decode(bytes).ok().filter(good) else {
             self.counters.dropped += 1;
             return;
         };
         self.counters.received += 1;
         self.peer_digests[usize::from(from)] = message.digest;
-        let told = self.note_sender(now, &message, out);
-        self.agreeing = if message.digest == self.digest { self.agreeing + 1 } else { 0 };
-        if self.agreeing >= AGREEING_DATAGRAMS {
-            self.updates.known();
+        let told = self.update_sender(now, &message, out);
+        self.agreeing_datagrams = if message.digest == self.digest { self.agreeing_datagrams + 1 } else { 0 };
+        if self.agreeing_datagrams >= AGREEING_DATAGRAMS {
+            self.updates.remove_covered_by_digest();
         }
-        let stale = self.take_contents(now, &message, out);
-        self.take_kind(now, &message, told, &stale, out);
+        let stale = self.merge_contents(now, &message, out);
+        self.handle_kind(now, &message, told, &stale, out);
         // It is believed to be what it is not: it has to hear of it, to refute.
         let asked = matches!(message.kind, MessageKind::Ping(_));
         if told.is_some() && !asked {
@@ -43,7 +43,7 @@
     }
 
     /// Takes the updates and facts of a message; gives the members of which we know better.
-    fn take_contents(&mut self, now: Micros, message: &Message, out: &mut Out) -> Vec<MemberId> {
+    fn merge_contents(&mut self, now: Micros, message: &Message, out: &mut Out) -> Vec<MemberId> {
         let mut stale = Vec::new();
         for update in &message.updates {
             if self.merge(now, *update, out) {
@@ -52,13 +52,13 @@
         }
         let of_others = |owner: MemberId| owner < self.settings.size && owner != self.settings.own;
         for fact in message.facts.iter().filter(|fact| of_others(fact.owner)) {
-            self.fact_store.learn(now, fact, self.settings.retransmit_limit());
+            self.fact_store.merge(now, fact, self.settings.retransmit_limit());
         }
         stale
     }
 
     /// Does what a message is for. `told` is what its sender has to hear of itself.
-    fn take_kind(
+    fn handle_kind(
         &mut self,
         now: Micros,
         message: &Message,
@@ -70,24 +70,26 @@
         match &message.kind {
             MessageKind::Ping(sequence) => self.send(now, from, MessageKind::Ack(*sequence), told, out),
             MessageKind::PingRequest { sequence, target } => {
-                self.probe_for(now, from, *sequence, *target, out);
+                self.probe_on_behalf(now, from, *sequence, *target, out);
             }
             MessageKind::Ack(sequence) => {
                 if let Some(probe) = self.detector.indirect_probes.remove(sequence) {
-                    let kind = MessageKind::IndirectAck { sequence: probe.their_sequence, target: from };
-                    self.send(now, probe.from, kind, None, out);
+                    let kind = MessageKind::IndirectAck { sequence: probe.requester_sequence, target: from };
+                    self.send(now, probe.requester, kind, None, out);
                 }
                 self.acknowledge(*sequence, from);
             }
             MessageKind::IndirectAck { sequence, target } => self.acknowledge(*sequence, *target),
-            MessageKind::SyncRequest { salt, blocks } => self.answer_sync(now, from, *salt, blocks, out),
-            MessageKind::SyncResponse => self.correct(now, from, stale, out),
+            MessageKind::SyncRequest { salt, blocks } => {
+                self.handle_sync_request(now, from, *salt, blocks, out)
+            }
+            MessageKind::SyncResponse => self.send_corrections(now, from, stale, out),
             MessageKind::Updates => {}
         }
     }
 
     /// Pings a member in place of another one that had no answer from it.
-    fn probe_for(
+    fn probe_on_behalf(
         &mut self,
         now: Micros,
         from: MemberId,
@@ -101,7 +103,10 @@
         }
         let sequence = self.next_sequence();
         let until = now + self.settings.round_trip * 2;
-        self.detector.indirect_probes.insert(sequence, IndirectProbe { from, their_sequence, until });
+        self.detector.indirect_probes.insert(
+            sequence,
+            IndirectProbe { requester: from, requester_sequence: their_sequence, expires_at: until },
+        );
         let told = self.accusation(target);
         self.send(now, target, MessageKind::Ping(sequence), told, out);
     }
@@ -116,12 +121,12 @@
     }
 
     /// A member itself has spoken. Gives what it has to be told of itself.
-    fn note_sender(&mut self, now: Micros, message: &Message, out: &mut Out) -> Option<Update> {
+    fn update_sender(&mut self, now: Micros, message: &Message, out: &mut Out) -> Option<Update> {
         let (of, incarnation) = (message.from, message.incarnation);
         let state = if message.leaving { MemberState::Leaving } else { MemberState::Up };
         let member = &mut self.members[usize::from(of)];
         member.last_contact = now;
-        if (self.newer)(member, incarnation, state)
+        if (self.override_rule)(member, incarnation, state)
             && !(member.incarnation == incarnation && member.state == MemberState::Suspect)
         {
             self.apply(now, Update { member: of, incarnation, state }, out);
@@ -142,7 +147,7 @@
             return false;
         }
         let member = self.members[usize::from(update.member)];
-        if (self.newer)(&member, update.incarnation, update.state) {
+        if (self.override_rule)(&member, update.incarnation, update.state) {
             self.apply(now, update, out);
             return false;
         }
@@ -154,7 +159,10 @@
         let state = if self.leaving { MemberState::Leaving } else { MemberState::Up };
         let known = self.members[usize::from(self.settings.own)].state;
         let state = if known == MemberState::Stopped { known } else { state };
-        let Some(refuting) = self.own.refutation(state, (update.incarnation, update.state)) else { return };
+        let Some(refuting) = self.own_incarnation.refutation(state, (update.incarnation, update.state))
+        else {
+            return;
+        };
         if update.state != MemberState::Gone && update.incarnation.start > self.settings.start {
             self.superseded |= self.is_superseded_by_live(now);
         }
@@ -162,10 +170,10 @@
             out.push(Output::Superseded { start: update.incarnation.start });
             return;
         }
-        self.counters.later_lives += u64::from(update.incarnation.start > self.own.start);
+        self.counters.later_lives += u64::from(update.incarnation.start > self.own_incarnation.start);
         self.counters.refutations += 1;
-        self.own = refuting;
-        self.apply(now, Update { member: self.settings.own, incarnation: self.own, state }, out);
+        self.own_incarnation = refuting;
+        self.apply(now, Update { member: self.settings.own, incarnation: self.own_incarnation, state }, out);
     }
 
     /// Word of a later life of ours that answers what we say. Word of a dead one, heard by whoever starts with a
@@ -174,9 +182,9 @@
     /// still.
     fn is_superseded_by_live(&mut self, now: Micros) -> bool {
         let settling = self.settings.settling_time();
-        let known = self.rival.filter(|rival| rival.last_contact + settling > now);
+        let known = self.later_life.filter(|rival| rival.last_contact + settling > now);
         let first_heard = known.map_or(now, |rival| rival.first_contact);
-        self.rival = Some(Rival { first_contact: first_heard, last_contact: now });
+        self.later_life = Some(LaterLife { first_contact: first_heard, last_contact: now });
         now - first_heard > settling
     }
 }
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -13,7 +13,7 @@
 impl Membership {
     /// Where a digest was lately heard to differ, and no update explains it, a comparison is asked for.
     pub(crate) fn sync_if_different(&mut self, now: Micros, out: &mut Out) {
-        let differ = self.heard_lately(now).filter(|(_, theirs)| *theirs != self.digest);
+        let differ = self.recent_contacts(now).filter(|(_, theirs)| *theirs != self.digest);
         let mut differ: Vec<_> = differ.map(|(of, _)| of).collect();
         let patient = !self.updates.is_empty() && self.rng.random_range(0..4) > 0 && !self.is_behind(now);
         if patient || !self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES) {
@@ -26,7 +26,7 @@
     }
 
     /// Live members heard in the last two periods, with their digests.
-    fn heard_lately(&self, now: Micros) -> impl Iterator<Item = (MemberId, u32)> {
+    fn recent_contacts(&self, now: Micros) -> impl Iterator<Item = (MemberId, u32)> {
         let since = now.saturating_sub(self.settings.period * 2);
         let lately = move |e: &Member| e.last_contact >= since && e.last_contact > 0 && e.state.is_live();
         let all = self.members.iter().zip(&self.peer_digests).enumerate();
@@ -35,7 +35,7 @@
 
     /// Others agree among themselves and nobody with us: what differs is ours to ask for, not to tell.
     fn is_behind(&self, now: Micros) -> bool {
-        let mut theirs: Vec<_> = self.heard_lately(now).map(|(_, theirs)| theirs).collect();
+        let mut theirs: Vec<_> = self.recent_contacts(now).map(|(_, theirs)| theirs).collect();
         theirs.sort_unstable();
         !theirs.contains(&self.digest) && theirs.windows(2).any(|pair| pair[0] == pair[1])
     }
@@ -43,8 +43,8 @@
     /// Asks a member for what it believes where our digests differ.
     pub(crate) fn request_sync(&mut self, now: Micros, to: MemberId, out: &mut Out) {
         let salt = self.next_sequence() as u8;
-        let message =
-            self.message(MessageKind::SyncRequest { salt, blocks: BlockDigests(self.blocks(salt)) });
+        let message = self
+            .new_message(MessageKind::SyncRequest { salt, blocks: BlockDigests(self.block_digests(salt)) });
         if self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES) {
             self.write(now, to, &message, out);
         }
@@ -54,7 +54,7 @@
         of % DIGEST_BLOCKS
     }
 
-    fn blocks(&self, salt: u8) -> [u8; DIGEST_BLOCKS] {
+    fn block_digests(&self, salt: u8) -> [u8; DIGEST_BLOCKS] {
         let mut blocks = [0; DIGEST_BLOCKS];
         for (of, member) in self.members.iter().enumerate() {
             let print = member.fingerprint(of as MemberId).wrapping_mul(u32::from(salt) << 8 | 1);
@@ -64,7 +64,7 @@
     }
 
     /// Tells a member what we believe of those in blocks in which it differs.
-    pub(crate) fn answer_sync(
+    pub(crate) fn handle_sync_request(
         &mut self,
         now: Micros,
         to: MemberId,
@@ -75,7 +75,7 @@
         if self.is_behind(now) {
             return self.request_sync(now, to, out);
         }
-        let own = self.blocks(salt);
+        let own = self.block_digests(salt);
         let known = |e: &Member| e.state != MemberState::Unknown;
         let differs = |of: usize| own[Self::block(of)] != theirs.0[Self::block(of)];
         let wanted = |of: &usize| differs(*of) && known(&self.members[*of]);
@@ -86,7 +86,7 @@
     }
 
     /// What a member told us is older than what we believe: tells it so.
-    pub(crate) fn correct(&mut self, now: Micros, to: MemberId, stale: &[MemberId], out: &mut Out) {
+    pub(crate) fn send_corrections(&mut self, now: Micros, to: MemberId, stale: &[MemberId], out: &mut Out) {
         self.send_updates(now, to, stale, MessageKind::Updates, 1, out);
     }
 
@@ -109,8 +109,8 @@
             if all.is_empty() || !self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES) {
                 return;
             }
-            let mut message = self.message(kind);
-            let (mut room, base) = (message.room(), self.own.start);
+            let mut message = self.new_message(kind);
+            let (mut room, base) = (message.remaining_capacity(), self.own_incarnation.start);
             while let Some(update) = all.pop_if(|update| update_bytes(update, base) <= room) {
                 room -= update_bytes(&update, base);
                 message.updates.push(update);
--- a/crates/membership/src/updates.rs
+++ b/crates/membership/src/updates.rs
@@ -10,23 +10,23 @@
 struct QueuedUpdate {
     update: Update,
     /// Digests differ until all know it.
-    shows: bool,
+    in_digest: bool,
 }
 
 #[derive(Debug, Default)]
 pub struct UpdateQueue {
     /// By how often each was passed on, then by member.
     order: BTreeMap<(u32, MemberId), QueuedUpdate>,
-    at: BTreeMap<MemberId, u32>,
+    transmissions: BTreeMap<MemberId, u32>,
 }
 
 impl UpdateQueue {
     /// An update that is new here; `shows` says that views without it have another digest.
     pub fn add(&mut self, update: Update, shows: bool) {
-        if let Some(passed) = self.at.insert(update.member, 0) {
+        if let Some(passed) = self.transmissions.insert(update.member, 0) {
             self.order.remove(&(passed, update.member));
         }
-        self.order.insert((0, update.member), QueuedUpdate { update, shows });
+        self.order.insert((0, update.member), QueuedUpdate { update, in_digest: shows });
     }
 
     pub fn is_empty(&self) -> bool {
@@ -38,19 +38,25 @@
     }
 
     /// Others hold what we hold: what digests tell of need not be passed on. Suspicions and refutations must.
-    pub fn known(&mut self) {
-        self.order.retain(|_, piece| !piece.shows);
-        self.at.retain(|of, passed| self.order.contains_key(&(*passed, *of)));
+    pub fn remove_covered_by_digest(&mut self) {
+        self.order.retain(|_, piece| !piece.in_digest);
+        self.transmissions.retain(|of, passed| self.order.contains_key(&(*passed, *of)));
     }
 
     /// Forgets what is of members that are not in the list any more.
-    pub fn within(&mut self, size: MemberId) {
+    pub fn retain_below(&mut self, size: MemberId) {
         self.order.retain(|(_, of), _| *of < size);
-        self.at.retain(|of, _| *of < size);
+        self.transmissions.retain(|of, _| *of < size);
     }
 
     /// Takes what fits into `room` bytes; each piece goes `repeats` times in all. `first` goes before.
-    pub fn take(&mut self, mut room: usize, repeats: u32, base: u64, first: Option<Update>) -> Vec<Update> {
+    pub fn take_for_datagram(
+        &mut self,
+        mut room: usize,
+        repeats: u32,
+        base: u64,
+        first: Option<Update>,
+    ) -> Vec<Update> {
         let mut told = Vec::new();
         if let Some(update) = first.filter(|update| update_bytes(update, base) <= room) {
             room -= update_bytes(&update, base);
@@ -72,9 +78,9 @@
             let count = key.0 + 1;
             if count < repeats {
                 self.order.insert((count, key.1), piece);
-                self.at.insert(key.1, count);
+                self.transmissions.insert(key.1, count);
             } else {
-                self.at.remove(&key.1);
+                self.transmissions.remove(&key.1);
             }
         }
         told
--- a/crates/membership/src/updates/tests.rs
+++ b/crates/membership/src/updates/tests.rs
@@ -11,13 +11,13 @@
     (0..3).for_each(|of| updates.add(update(of, 0), true));
     updates.add(update(1, 1), true);
     let two = update_bytes(&update(0, 0), 0) * 2;
-    assert_eq!(updates.take(two, 2, 0, None), [update(0, 0), update(1, 1)]);
-    assert_eq!(updates.take(two, 2, 0, None), [update(2, 0), update(0, 0)]);
-    assert_eq!(updates.take(two, 2, 0, Some(update(1, 1))), [update(1, 1)]);
-    assert_eq!(updates.take(two, 2, 0, None), [update(2, 0)]);
-    assert!(updates.is_empty() && updates.at.is_empty());
+    assert_eq!(updates.take_for_datagram(two, 2, 0, None), [update(0, 0), update(1, 1)]);
+    assert_eq!(updates.take_for_datagram(two, 2, 0, None), [update(2, 0), update(0, 0)]);
+    assert_eq!(updates.take_for_datagram(two, 2, 0, Some(update(1, 1))), [update(1, 1)]);
+    assert_eq!(updates.take_for_datagram(two, 2, 0, None), [update(2, 0)]);
+    assert!(updates.is_empty() && updates.transmissions.is_empty());
     updates.add(update(1, 2), true);
     updates.add(update(2, 1), false);
-    updates.known();
-    assert_eq!((updates.len(), updates.at.len()), (1, 1));
+    updates.remove_covered_by_digest();
+    assert_eq!((updates.len(), updates.transmissions.len()), (1, 1));
 }
--- a/crates/membership/src/virtual_cluster.rs
+++ b/crates/membership/src/virtual_cluster.rs
@@ -35,7 +35,7 @@
     settings: MembershipSettings,
     net: VirtualNetwork<Membership>,
     /// What ended lives have counted.
-    before: MembershipCounters,
+    ended_counters: MembershipCounters,
 }
 
 impl Deref for VirtualCluster {
@@ -59,7 +59,7 @@
     /// So many members by these settings, none of them started.
     pub fn new(settings: MembershipSettings, link: LinkFaults) -> Self {
         let net = VirtualNetwork::new(settings.size, settings.seed, link);
-        Self { settings, net, before: MembershipCounters::default() }
+        Self { settings, net, ended_counters: MembershipCounters::default() }
     }
 
     /// The view of a member that is up.
@@ -91,17 +91,18 @@
         let settings = MembershipSettings { own: of, start, ..self.settings };
         let Ok(membership) = Membership::new(settings, self.clock(of)) else { return };
         let ended = self.insert(of, membership);
-        self.count(ended);
+        self.add_ended_counters(ended);
     }
 
-    fn count(&mut self, ended: Option<Membership>) {
-        self.before = ended.map_or(self.before, |membership| sum(self.before, membership.counters()));
+    fn add_ended_counters(&mut self, ended: Option<Membership>) {
+        self.ended_counters =
+            ended.map_or(self.ended_counters, |membership| sum(self.ended_counters, membership.counters()));
     }
 
     /// Kills a member outright.
     pub fn kill(&mut self, of: MemberId) {
         let ended = self.net.kill(of);
-        self.count(ended);
+        self.add_ended_counters(ended);
     }
 
     /// A member leaves in good order: it says so, and a little later that it is no more.
@@ -114,7 +115,7 @@
     pub fn run_until_condition(&mut self, until: Micros, holds: impl Fn(&Self) -> bool) -> Option<Micros> {
         while self.now < until {
             let next = (self.now + 10_000).min(until);
-            self.run(next);
+            self.run_until(next);
             if holds(self) {
                 return Some(self.now);
             }
@@ -154,7 +155,7 @@
     /// What all lives of all members have counted.
     pub fn counters(&self) -> MembershipCounters {
         let living = self.node_ids().filter_map(|of| self.membership(of)).map(Membership::counters);
-        living.fold(self.before, sum)
+        living.fold(self.ended_counters, sum)
     }
 }
 
--- a/crates/membership/src/virtual_network.rs
+++ b/crates/membership/src/virtual_network.rs
@@ -52,22 +52,29 @@
     /// How often it was started.
     start_count: u32,
     /// When it is woken next; other wakes are void.
-    armed: Micros,
+    next_wake: Micros,
     paused: bool,
     /// Its clock's rate against the simulation's.
-    rate: f64,
+    clock_rate: f64,
     /// Datagrams that came while it was paused.
     inbox: Vec<(MemberId, Vec<u8>)>,
 }
 
 impl<P> Slot<P> {
     fn new() -> Self {
-        Self { node: None, start_count: 0, armed: Micros::MAX, paused: false, rate: 1.0, inbox: Vec::new() }
+        Self {
+            node: None,
+            start_count: 0,
+            next_wake: Micros::MAX,
+            paused: false,
+            clock_rate: 1.0,
+            inbox: Vec::new(),
+        }
     }
 }
 
 /// Datagrams that a socket holds for who stands still.
-const INBOX: usize = 200;
+const INBOX_CAPACITY: usize = 200;
 
 /// The delay of a datagram from one node to another, drawn between two times; `None` where the network between
 /// them carries nothing.
@@ -84,7 +91,7 @@
     /// The simulated time.
     pub now: Micros,
     slots: Vec<Slot<P>>,
-    due: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     sequence: u64,
     rng: StdRng,
     /// What was told, with time and by whom.
@@ -105,7 +112,7 @@
             delays: None,
             blocked: BTreeSet::new(),
             now: 1_000_000,
-            due: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             sequence: 0,
             outputs: Vec::new(),
             longest_datagram: 0,
@@ -141,12 +148,12 @@
 
     /// Its clock runs at this rate from its next start on.
     pub fn set_clock_rate(&mut self, of: MemberId, rate: f64) {
-        self.slots[usize::from(of)].rate = rate;
+        self.slots[usize::from(of)].clock_rate = rate;
     }
 
     /// The time on a node's own clock.
     pub fn clock(&self, of: MemberId) -> Micros {
-        (self.now as f64 * self.slots[usize::from(of)].rate) as Micros
+        (self.now as f64 * self.slots[usize::from(of)].clock_rate) as Micros
     }
 
     /// A random number below `below`, from the seed.
@@ -159,9 +166,9 @@
         self.slots.resize_with(size.into(), Slot::new);
     }
 
-    fn later(&mut self, at: Micros, due: Event) {
+    fn schedule(&mut self, at: Micros, due: Event) {
         self.sequence += 1;
-        self.due.push(Reverse((at, self.sequence, due)));
+        self.events.push(Reverse((at, self.sequence, due)));
     }
 
     /// Puts somebody at a slot; gives who was there.
@@ -169,14 +176,14 @@
         let before = self.kill(of);
         let slot = &mut self.slots[usize::from(of)];
         (slot.node, slot.paused, slot.start_count) = (Some(node), false, slot.start_count + 1);
-        self.arm(of);
+        self.schedule_wake(of);
         before
     }
 
     /// Kills who is at a slot outright.
     pub fn kill(&mut self, of: MemberId) -> Option<P> {
         let slot = self.slots.get_mut(usize::from(of))?;
-        slot.armed = Micros::MAX;
+        slot.next_wake = Micros::MAX;
         slot.inbox.clear();
         slot.node.take()
     }
@@ -184,7 +191,7 @@
     /// One stands still for this long.
     pub fn pause(&mut self, of: MemberId, span: Micros) {
         self.slots[usize::from(of)].paused = true;
-        self.later(self.now + span, Event::Resume(of));
+        self.schedule(self.now + span, Event::Resume(of));
     }
 
     /// Cuts a group off from all others, or takes it up again.
@@ -221,18 +228,18 @@
         self.delays.as_ref().map_or(Some(self.link.delay_range), |delays| delays(from, to))
     }
 
-    fn arm(&mut self, of: MemberId) {
+    fn schedule_wake(&mut self, of: MemberId) {
         let now = self.now;
         let slot = &mut self.slots[usize::from(of)];
         let Some(node) = &slot.node else { return };
-        let at = ((node.next_due() as f64 / slot.rate) as Micros + 1).max(now);
-        if at < slot.armed {
-            slot.armed = at;
-            self.later(at, Event::Wake(of));
+        let at = ((node.next_due() as f64 / slot.clock_rate) as Micros + 1).max(now);
+        if at < slot.next_wake {
+            slot.next_wake = at;
+            self.schedule(at, Event::Wake(of));
         }
     }
 
-    fn carry_out(&mut self, of: MemberId, out: Vec<P::Out>) {
+    fn dispatch(&mut self, of: MemberId, out: Vec<P::Out>) {
         for output in out {
             match P::into_datagram(output) {
                 Ok((to, _)) if usize::from(to) >= self.slots.len() => {}
@@ -247,7 +254,10 @@
                     let Some((least, most)) = self.delay(of, to) else { continue };
                     for _ in 0..copies {
                         let late = self.rng.random_range(least..=most);
-                        self.later(self.now + late, Event::Datagram { to, from: of, bytes: bytes.clone() });
+                        self.schedule(
+                            self.now + late,
+                            Event::Datagram { to, from: of, bytes: bytes.clone() },
+                        );
                     }
                 }
                 Err(told) => self.outputs.push((self.now, of, told)),
@@ -261,21 +271,21 @@
         if let Some(node) = &mut self.slots[usize::from(of)].node {
             act(node, now, &mut out);
         }
-        self.carry_out(of, out);
-        self.arm(of);
+        self.dispatch(of, out);
+        self.schedule_wake(of);
     }
 
     /// Runs for so long.
     pub fn run_for(&mut self, span: Micros) {
-        self.run(self.now + span);
+        self.run_until(self.now + span);
     }
 
     /// Runs until this time of the simulation.
-    pub fn run(&mut self, until: Micros) {
-        while let Some(Reverse((at, ..))) = self.due.peek()
+    pub fn run_until(&mut self, until: Micros) {
+        while let Some(Reverse((at, ..))) = self.events.peek()
             && *at <= until
         {
-            let Some(Reverse((at, _, due))) = self.due.pop() else { return };
+            let Some(Reverse((at, _, due))) = self.events.pop() else { return };
             self.now = at;
             match due {
                 Event::Datagram { to, .. } | Event::Wake(to) | Event::Resume(to)
@@ -283,7 +293,7 @@
                 Event::Datagram { to, from, bytes } => {
                     let slot = &mut self.slots[usize::from(to)];
                     // A socket holds some for who stands still.
-                    if slot.paused && slot.node.is_some() && slot.inbox.len() < INBOX {
+                    if slot.paused && slot.node.is_some() && slot.inbox.len() < INBOX_CAPACITY {
                         slot.inbox.push((from, bytes));
                     } else if !slot.paused {
                         self.with_node(to, |node, now, out| node.handle(now, from, &bytes, out));
@@ -291,19 +301,19 @@
                 }
                 Event::Wake(of) => {
                     let slot = &mut self.slots[usize::from(of)];
-                    if slot.armed == at && !slot.paused {
-                        slot.armed = Micros::MAX;
+                    if slot.next_wake == at && !slot.paused {
+                        slot.next_wake = Micros::MAX;
                         self.with_node(of, |node, now, out| node.wake(now, out));
                     }
                 }
                 Event::Resume(of) => {
                     let slot = &mut self.slots[usize::from(of)];
                     if std::mem::take(&mut slot.paused) {
-                        slot.armed = Micros::MAX;
+                        slot.next_wake = Micros::MAX;
                         for (from, bytes) in std::mem::take(&mut slot.inbox) {
                             self.with_node(of, |node, now, out| node.handle(now, from, &bytes, out));
                         }
-                        self.arm(of);
+                        self.schedule_wake(of);
                     }
                 }
             }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -25,7 +25,7 @@
     Version(u8),
     /// Not a message.
     #[error("no message")]
-    Form,
+    Malformed,
 }
 
 /// What a datagram is for, beside the updates that it carries.
@@ -119,7 +119,7 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Head {
+struct Header {
     fleet: u16,
     from: MemberId,
     incarnation: Incarnation,
@@ -174,15 +174,15 @@
     }
     match postcard::take_from_bytes(rest) {
         Ok((message, [])) => Ok(message),
-        _ => Err(WireError::Form),
+        _ => Err(WireError::Malformed),
     }
 }
 
 impl Message {
     /// The bytes; `None` where they would be too many, which the caller's count of updates rules out.
-    pub fn write(&self) -> Option<Vec<u8>> {
+    pub fn encode(&self) -> Option<Vec<u8>> {
         let Self { fleet, from, incarnation, leaving, digest, kind, .. } = *self;
-        let head = Head { fleet, from, incarnation, leaving, digest, kind };
+        let head = Header { fleet, from, incarnation, leaving, digest, kind };
         let told: Vec<_> =
             self.updates.iter().map(|update| WireUpdate::new(update, incarnation.start)).collect();
         encode_datagram(VERSION, &(head, told, &self.facts))
@@ -192,17 +192,17 @@
     ///
     /// # Errors
     /// Where it is not one of ours.
-    pub fn read(bytes: &[u8]) -> Result<Self, WireError> {
-        let (head, told, facts): (Head, Vec<WireUpdate>, Vec<Fact>) = decode_datagram(VERSION, bytes)?;
-        let Head { fleet, from, incarnation, leaving, digest, kind } = head;
+    pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
+        let (head, told, facts): (Header, Vec<WireUpdate>, Vec<Fact>) = decode_datagram(VERSION, bytes)?;
+        let Header { fleet, from, incarnation, leaving, digest, kind } = head;
         let updates = told.iter().map(|told| told.update(incarnation.start)).collect::<Option<Vec<_>>>();
-        let updates = updates.ok_or(WireError::Form)?;
+        let updates = updates.ok_or(WireError::Malformed)?;
         Ok(Self { fleet, from, incarnation, leaving, digest, kind, updates, facts })
     }
 
     /// Bytes left for updates.
-    pub fn room(&self) -> usize {
-        let used = self.write().map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len());
+    pub fn remaining_capacity(&self) -> usize {
+        let used = self.encode().map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len());
         // The count of updates may take a second byte.
         MAX_DATAGRAM_BYTES.saturating_sub(used + 1)
     }
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -5,7 +5,7 @@
 fn message(updates: Vec<Update>) -> Message {
     let incarnation = Incarnation { start: 40_000_000_000, bump: 3 };
     let kind = MessageKind::SyncRequest { salt: 200, blocks: BlockDigests([255; DIGEST_BLOCKS]) };
-    let facts = vec![Fact { owner: 3, key: 1, version: (9, 9), left_ms: 4, value: vec![7; 5] }];
+    let facts = vec![Fact { owner: 3, key: 1, version: (9, 9), ttl_ms: 4, value: vec![7; 5] }];
     Message { fleet: 9, from: 299, incarnation, leaving: false, digest: u32::MAX, kind, updates, facts }
 }
 
@@ -15,16 +15,16 @@
     let update = Update { member: MemberId::MAX, incarnation, state: MemberState::Stopped };
     assert_eq!(update_bytes(&update, 0), MAX_UPDATE_BYTES);
     let empty = message(Vec::new());
-    let whole = message(vec![update; empty.room() / MAX_UPDATE_BYTES]);
-    let bytes = whole.write().expect("it fits");
+    let whole = message(vec![update; empty.remaining_capacity() / MAX_UPDATE_BYTES]);
+    let bytes = whole.encode().expect("it fits");
     assert!(bytes.len() > 220 && bytes.len() <= MAX_DATAGRAM_BYTES);
-    assert_eq!(Message::read(&bytes), Ok(whole));
-    assert_eq!(Message::read(&[]), Err(WireError::Length(0)));
-    assert_eq!(Message::read(&[0; 300]), Err(WireError::Length(300)));
-    assert_eq!(Message::read(&[2, 0]), Err(WireError::Version(2)));
+    assert_eq!(Message::decode(&bytes), Ok(whole));
+    assert_eq!(Message::decode(&[]), Err(WireError::Length(0)));
+    assert_eq!(Message::decode(&[0; 300]), Err(WireError::Length(300)));
+    assert_eq!(Message::decode(&[2, 0]), Err(WireError::Version(2)));
     for cut in 1..bytes.len() {
-        assert_eq!(Message::read(&bytes[..cut]), Err(WireError::Form), "{cut}");
+        assert_eq!(Message::decode(&bytes[..cut]), Err(WireError::Malformed), "{cut}");
     }
     let longer = [bytes, vec![0]].concat();
-    assert_eq!(Message::read(&longer), Err(WireError::Form));
+    assert_eq!(Message::decode(&longer), Err(WireError::Malformed));
 }
--- a/crates/membership/tests/hard_cases.rs
+++ b/crates/membership/tests/hard_cases.rs
@@ -53,7 +53,7 @@
     let until = cluster.now + span;
     while cluster.now < until {
         let next = (cluster.now + 100_000).min(until);
-        cluster.run(next);
+        cluster.run_until(next);
         watch.look(cluster);
     }
 }
--- a/crates/pending/src/world.rs
+++ b/crates/pending/src/world.rs
@@ -395,7 +395,7 @@
     pub fn run(&mut self, until: Micros) {
         while self.net.now < until {
             let next = (self.net.now + ROUND).min(until);
-            self.net.run(next);
+            self.net.run_until(next);
             self.answer();
             let over = self.changed.extract_if(.., |_, at| *at + self.detection <= next);
             let over: Vec<MemberId> = over.map(|(of, _)| of).collect();
--- a/crates/permits/src/virtual_fleet.rs
+++ b/crates/permits/src/virtual_fleet.rs
@@ -246,7 +246,7 @@
 
     /// Runs until this time, and reads the answers that have come.
     pub fn run(&mut self, until: Micros) {
-        self.net.run(until);
+        self.net.run_until(until);
         for (at, by, told) in &self.net.outputs {
             let SchedulerOutput::Agreed(Output::Answered { tag, answer }) = told else { continue };
             let Some(PendingRequest { request, since }) = self.asked.remove(&(*by, *tag)) else { continue };
