--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,61 +1,62 @@
-//! The failure detector's state: suspicions that run, probes that are out, and probes made for others. All are put off by
-//! the time for which we ourselves stood still: whoever was stalled doubts its own clock before it doubts others. Times are
-//! on the caller's clock. Bounds: one suspicion a member, the probes of some periods, and
+//! State of the failure detector: open suspicions, probes in flight, and indirect probes on behalf of other members. After a
+//! stall of the local process, suspicions and probes are postponed by its length, since the silence of others may be due to
+//! the stall. Times are on the caller's clock. Bounds: one suspicion per member, the probes of a few periods, and
 //! [`MAX_INDIRECT_PROBES`](crate::limits::MAX_INDIRECT_PROBES).
 
 use crate::types::{Incarnation, MemberId, Micros};
 use std::collections::BTreeMap;
 
-/// A suspicion that runs.
+/// An open suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Of which life.
+    /// The suspected incarnation.
     pub incarnation: Incarnation,
-    /// When its subject is taken for gone.
+    /// When the suspect is declared gone.
     pub expires_at: Micros,
 }
 
-/// A probe that is out.
+/// A probe in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Probe {
     pub to: MemberId,
     pub sequence: u32,
-    /// When others are asked to probe it too.
+    /// When other members are asked to probe the target.
     pub indirect_at: Micros,
-    /// When its silence is held against it.
+    /// When the probe fails if it was not acknowledged.
     pub deadline: Micros,
     pub indirect_sent: bool,
-    /// It is probed a second time: one round of losses suspects nobody, at 30% lost one in five would fail.
+    /// Whether this is the second attempt. A suspicion needs two failed attempts, since at 30% packet loss one in five single
+    /// attempts would fail.
     pub second_attempt: bool,
 }
 
-/// A probe that another member asked us for.
+/// A probe on behalf of another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IndirectProbe {
     pub requester: MemberId,
-    /// The number of its own probe.
+    /// The sequence number of the requester's own probe.
     pub requester_sequence: u32,
     pub expires_at: Micros,
 }
 
-/// See the module's page.
+/// State of the failure detector, see the module documentation.
 #[derive(Debug, Default)]
 pub struct FailureDetector {
-    /// By suspect.
+    /// Keyed by the suspect.
     pub suspects: BTreeMap<MemberId, Suspicion>,
     pub probes: Vec<Probe>,
-    /// By the number of our probe.
+    /// Keyed by the sequence number of the local probe.
     pub indirect_probes: BTreeMap<u32, IndirectProbe>,
 }
 
 impl FailureDetector {
-    /// The next time at which something here is due.
+    /// When the next probe step or suspicion timeout is due.
     pub fn next_due(&self) -> Option<Micros> {
         let probes = self.probes.iter().map(|q| if q.indirect_sent { q.deadline } else { q.indirect_at });
         probes.chain(self.suspects.values().map(|suspicion| suspicion.expires_at)).min()
     }
 
-    /// We stood still for so long: nobody's silence in that time counts.
+    /// Postpones probes and suspicions after a local stall, during which the silence of others does not count.
     pub fn postpone(&mut self, by: Micros) {
         for probe in &mut self.probes {
             probe.indirect_at += by;
@@ -64,7 +65,7 @@
         self.suspects.values_mut().for_each(|suspicion| suspicion.expires_at += by);
     }
 
-    /// Forgets what is of members that are not in the list any more.
+    /// Removes the state of members that are no longer in the configured list.
     pub fn retain_below(&mut self, size: MemberId) {
         self.suspects.retain(|of, _| *of < size);
         self.probes.retain(|probe| probe.to < size);
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,13 +1,14 @@
-//! What one member believes of all: its state, its queries, and how it applies an update and sends a message.
+//! One member's view of all members: its state and queries, applying updates and sending messages.
 //!
-//! SWIM: each period it probes one other; who does not answer is probed through three others, then suspected, and taken
-//! for gone once the suspicion has stood for its time without being refuted. Who hears of itself that it is suspected or
-//! gone refutes by a later incarnation. As the members are known from the configured list, those that are gone are probed
-//! too, one a period: a partition heals by itself. What updates have missed is found by digests (anti-entropy).
+//! The protocol is SWIM. In each period a member probes one other member. If that does not ack, three others are asked to
+//! probe it. Without an ack after a second such attempt it is suspected, and it is declared gone when the suspicion times out
+//! without a refutation. A member that learns that it is suspected or declared gone refutes with a higher incarnation. The
+//! members are known from the configured list, so members that are gone are probed too, one per period, and a healed
+//! partition is noticed without intervention. Anti-entropy by digests finds what gossip missed.
 //!
-//! Inputs are settings and times; outputs are [`Output`]s. What comes is in `receive`, what is due by itself in `probe`,
-//! the comparison of digests in `sync`; they use this module, which uses none of them. Bounds: one entry, one update and
-//! 16 facts a member, and the budget of bytes a second.
+//! Inputs are settings and times, outputs are [`Output`]s. Received datagrams are handled in `receive`, periodic work in
+//! `probe` and anti-entropy in `sync`; they use this module, which uses none of them. Bounds: one entry, one update and 16
+//! facts per member, and the send budget in bytes per second.
 
 use crate::budget::Budget;
 use crate::facts::FactStore;
@@ -22,59 +23,59 @@
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 
-/// When a later life of ours was heard to speak.
+/// The period in which a later life of the local member was seen: a process that started later under the same number.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LaterLife {
     pub(crate) first_contact: Micros,
     pub(crate) last_contact: Micros,
 }
 
-/// The membership as one member knows it, see the module's page.
+/// The group membership as seen by one member, see the module documentation.
 pub struct Membership {
     pub(crate) settings: MembershipSettings,
-    /// Our present incarnation.
+    /// The local member's current incarnation.
     pub(crate) own_incarnation: Incarnation,
     pub(crate) leaving: bool,
-    /// By number.
+    /// Indexed by member number.
     pub(crate) members: Vec<Member>,
-    /// All fingerprints of `members`, exclusive-or'd.
+    /// XOR of the fingerprints of all `members`.
     pub(crate) digest: u32,
-    /// The digest that each member was last heard with.
+    /// The digest in the last datagram received from each member.
     pub(crate) peer_digests: Vec<u32>,
     pub(crate) updates: UpdateQueue,
     pub(crate) fact_store: FactStore,
     pub(crate) detector: FailureDetector,
     pub(crate) budget: Budget,
     pub(crate) rng: StdRng,
-    /// Whom to probe next, shuffled anew each time round.
+    /// Members still to be probed in this round, in random order; taken from the end and reshuffled for each round.
     pub(crate) probe_order: Vec<MemberId>,
-    /// The member that is not live and was probed last.
+    /// The last probed of the members that are not live.
     pub(crate) last_dead_probed: MemberId,
     pub(crate) sequence: u32,
-    /// Share of our probes that were acknowledged, the latest weighing most.
+    /// Moving average of the share of local probes that were acknowledged, 0 to 1.
     pub(crate) ack_ratio: f64,
-    /// Datagrams in a row whose digest was like ours.
+    /// Consecutive datagrams received with the local digest.
     pub(crate) agreeing_datagrams: u32,
     pub(crate) next_probe: Micros,
     pub(crate) next_gossip: Micros,
-    /// When we were last at work.
+    /// When this member last did any work, for the detection of stalls.
     pub(crate) last_active: Micros,
     pub(crate) counters: MembershipCounters,
-    /// A later life of ours, where one was heard of.
+    /// A later life of the local member, if one was seen.
     pub(crate) later_life: Option<LaterLife>,
     pub(crate) superseded: bool,
-    /// What says more: [`Member::yields_to`], but where a test plants a fault.
+    /// Decides which update wins: [`Member::is_overridden_by`], unless a test injects a fault.
     pub(crate) override_rule: OverrideRule,
 }
 
-/// Whether an incarnation and a state say more than what is believed of a member.
+/// Decides whether an update with this incarnation and state overrides a member's current entry.
 pub type OverrideRule = fn(&Member, Incarnation, MemberState) -> bool;
 
 impl Membership {
-    /// A membership that knows the list of members and has heard of none.
+    /// Creates a membership in which the local member is up and all others are unknown.
     ///
     /// # Errors
-    /// Where the settings can't be used.
+    /// If the settings are invalid, see [`MembershipSettings::check`].
     pub fn new(settings: MembershipSettings, now: Micros) -> Result<Self, SettingsError> {
         settings.check()?;
         let own = Incarnation { start: settings.start, bump: 0 };
@@ -95,7 +96,7 @@
             sequence: 0,
             ack_ratio: 1.0,
             agreeing_datagrams: 0,
-            // Members that start together do not probe together.
+            // The random offset below keeps members that start together from probing at the same times.
             next_probe: now,
             next_gossip: now,
             last_active: now,
@@ -114,48 +115,48 @@
         Ok(membership)
     }
 
-    /// Plants a fault: what checks views has to find it.
+    /// Replaces the override rule by a faulty one, to test that checks of the view detect the fault.
     #[doc(hidden)]
     pub fn inject_fault(&mut self, newer: OverrideRule) {
         self.override_rule = newer;
     }
 
-    /// What is believed of each member, by number.
+    /// The entries of all members, indexed by number.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// Our number.
+    /// The local member's number.
     pub fn own(&self) -> MemberId {
         self.settings.own
     }
 
-    /// Our present incarnation.
+    /// The local member's current incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.own_incarnation
     }
 
-    /// Equal where the same is believed of all, suspicions aside.
+    /// A digest of the view, equal for views that agree on all members; suspicions are left out.
     pub fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// See [`MembershipCounters`].
+    /// Protocol counters since the start.
     pub fn counters(&self) -> MembershipCounters {
         self.counters
     }
 
-    /// Live members, we included.
+    /// Number of live members, the local one included.
     pub fn live_count(&self) -> usize {
         self.members.iter().filter(|e| e.state.is_live()).count()
     }
 
-    /// Whether a later life of ours has taken our place: this one is silent.
+    /// Whether a later life of the local member has taken over; this process then sends nothing any more.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// With how much of the configured fleet we are; alone, whoever is superseded.
+    /// The share of the configured fleet that is live here; a superseded member counts as alone.
     pub fn fleet_share(&self) -> FleetShare {
         if self.superseded {
             return FleetShare::Alone;
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Whether there is no update to pass on, and all that were heard of late have the same digest.
+    /// Whether no update or suspicion is pending and all members received from in the last four periods sent the local digest.
     pub fn is_settled(&self, now: Micros) -> bool {
         let since = now.saturating_sub(self.settings.period * 4);
         let mut late = self
@@ -181,38 +182,39 @@
             && late.all(|(_, theirs)| *theirs == self.digest)
     }
 
-    /// Tells all a fact of ours under a key, which stands for this long; a later one takes its place. False
-    /// where the key or the value is out of bounds ([`FACT_KEYS`](crate::FACT_KEYS), [`MAX_FACT_BYTES`](crate::MAX_FACT_BYTES)).
+    /// Publishes a fact of the local member to all others; it replaces an earlier one under the same key. `ttl`, in
+    /// microseconds, is capped at [`MAX_FACT_LIFETIME_US`](crate::MAX_FACT_LIFETIME_US). Returns false if the key or the value is out
+    /// of bounds ([`FACT_KEYS`](crate::FACT_KEYS), [`MAX_FACT_BYTES`](crate::MAX_FACT_BYTES)) or `ttl` is below a millisecond.
     pub fn publish_fact(&mut self, now: Micros, key: u8, value: &[u8], stands: Micros) -> bool {
         let (whose, repeats) =
             ((self.settings.own, self.own_incarnation.start), self.settings.retransmit_limit());
         self.fact_store.publish(now, whose, (key, value), stands, repeats)
     }
 
-    /// A fact of a member, while it stands.
+    /// The value of a member's fact, unless it has expired.
     pub fn fact(&self, now: Micros, owner: MemberId, key: u8) -> Option<&[u8]> {
         self.fact_store.get(now, owner, key)
     }
 
-    /// As [`Membership::fact`], but only where the member told it in the life that we know of: what an earlier life said of
-    /// itself may be otherwise now.
+    /// As [`Membership::fact`], but only if the member published it in its current life: what an earlier life published may
+    /// no longer hold.
     pub fn fact_of_current_life(&self, now: Micros, owner: MemberId, key: u8) -> Option<&[u8]> {
         let life = self.members.get(usize::from(owner))?.incarnation.start;
         self.fact_store.get_of_life(now, owner, key, life)
     }
 
-    /// The sums, place by place, of the counters that members tell under a key, see
+    /// Element-wise sums of the counters that members publish under a key, see
     /// [`encode_counters`](crate::encode_counters).
     pub fn counter_totals(&self, now: Micros, key: u8) -> Vec<u64> {
         self.fact_store.counter_totals(now, key)
     }
 
-    /// Facts held: bounded by the members and their keys.
+    /// Number of stored facts, bounded by the number of members and keys.
     pub fn fact_count(&self) -> usize {
         self.fact_store.len()
     }
 
-    /// Half of what is saved up is left for updates.
+    /// Whether the budget allows a datagram with facts. Half of the burst is reserved for updates.
     pub(crate) fn can_send_facts(&mut self, now: Micros) -> bool {
         self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, self.settings.burst / 2)
     }
@@ -227,7 +229,7 @@
         self.detector.next_due().into_iter().chain(broadcast).fold(self.next_probe, Micros::min)
     }
 
-    /// Says that we leave, and finish what we have.
+    /// Announces that the local member is leaving and finishes the work that it has.
     pub fn leave(&mut self, now: Micros, out: &mut Out) {
         self.leaving = true;
         self.apply(
@@ -241,7 +243,7 @@
         );
     }
 
-    /// Says that we are no more: the last word of this life, to as many as the budget allows.
+    /// Announces that the local member has stopped, as the final update of this life, to a few random live members.
     pub fn stop(&mut self, now: Micros, out: &mut Out) {
         self.apply(
             now,
@@ -257,8 +259,8 @@
         }
     }
 
-    /// The configured list is another: it has this many members now, those in it under their old numbers. False
-    /// where we would not be in it, and nothing changes then.
+    /// Applies a new configured list of `size` members; remaining members keep their numbers. Returns false and changes
+    /// nothing if the local member would not be in it.
     pub fn resize(&mut self, size: MemberId) -> bool {
         if self.settings.own >= size {
             return false;
@@ -275,7 +277,7 @@
         true
     }
 
-    /// What a member is accused of, if it is.
+    /// The update that accuses a member, if it is suspected or declared gone.
     pub(crate) fn accusation(&self, of: MemberId) -> Option<Update> {
         let Member { state, incarnation, .. } = self.members[usize::from(of)];
         matches!(state, MemberState::Suspect | MemberState::Gone).then_some(Update {
@@ -285,7 +287,7 @@
         })
     }
 
-    /// Believes an update, and passes it on.
+    /// Applies an update to the view and queues it for gossip.
     pub(crate) fn apply(&mut self, now: Micros, update: Update, out: &mut Out) {
         let Update { member: of, incarnation, state } = update;
         let member = &mut self.members[usize::from(of)];
@@ -297,7 +299,7 @@
         let after = member.fingerprint(of);
         self.digest ^= before ^ after;
         self.updates.add(update, before != after);
-        // A member that leaves and is silent is never told of as suspected: its word stands.
+        // A leaving member that stops responding is not gossiped as suspected: its own announcement overrides that.
         match state {
             MemberState::Suspect => {
                 let until = now + self.settings.suspicion_timeout();
@@ -310,15 +312,16 @@
         }
     }
 
-    /// Notes that we are at work. Where we stood still, what others did not say meanwhile is not held against them, and what we meant to pass
-    /// on is old.
+    /// Records activity and handles a stall of the local process. The silence of others during a stall does not count against
+    /// them, so deadlines are postponed. After a stall longer than the suspicion timeout, the queued updates and the probes
+    /// in flight are outdated and dropped.
     pub(crate) fn detect_stall(&mut self, now: Micros) {
         let still = now.saturating_sub(self.last_active);
         if still > self.settings.period * 2 {
             self.counters.stalls += 1;
             self.detector.postpone(still);
             self.next_probe = now;
-            // Facts of before are as old as they say: those that have ended go now.
+            // The lifetime of facts includes the stall: expired ones are removed before anything is sent.
             self.fact_store.expire(now);
             if still > self.settings.suspicion_timeout() {
                 self.updates = UpdateQueue::default();
@@ -328,13 +331,13 @@
         self.last_active = self.last_active.max(now);
     }
 
-    /// The number of a new probe.
+    /// The sequence number of a new probe.
     pub(crate) fn next_sequence(&mut self) -> u32 {
         self.sequence = self.sequence.wrapping_add(1);
         self.sequence
     }
 
-    /// A message of ours without updates and facts.
+    /// A message from the local member without updates and facts.
     pub(crate) fn new_message(&self, kind: MessageKind) -> Message {
         Message {
             fleet: self.settings.fleet,
@@ -348,7 +351,8 @@
         }
     }
 
-    /// Sends a message with as many updates as it holds and the budget allows; `first` goes in any case.
+    /// Sends a message, filled with queued updates and facts as far as its size and the budget allow. `first` is sent even
+    /// without budget.
     pub(crate) fn send(
         &mut self,
         now: Micros,
@@ -365,7 +369,8 @@
             true => self.updates.take_for_datagram(room, repeats, self.own_incarnation.start, first),
             false => first.into_iter().collect(),
         };
-        // Facts go last: renewed by hundreds they would use up what updates and comparisons need.
+        // Facts have the lowest priority: republished by hundreds of members, they would use up the budget that updates and
+        // anti-entropy need.
         if rich && self.can_send_facts(now) {
             message.facts = self.fact_store.take_for_datagram(now, message.remaining_capacity());
         }
@@ -375,7 +380,7 @@
         self.write(now, to, &message, out);
     }
 
-    /// Puts out a message as it is; the budget may go into debt by it.
+    /// Sends a message as it is, even if the budget does not cover it.
     pub(crate) fn write(&mut self, now: Micros, to: MemberId, message: &Message, out: &mut Out) {
         let Some(bytes) = message.encode().filter(|_| !self.superseded) else { return };
         self.budget.spend(now, bytes.len() as u64);
@@ -384,7 +389,7 @@
         out.push(Output::Send { to, bytes });
     }
 
-    /// Some live members, not ourselves and not this one.
+    /// Up to `count` random live members, without the local one and `excluded`.
     pub(crate) fn random_live_members(&mut self, count: usize, but: Option<MemberId>) -> Vec<MemberId> {
         let fit = |(of, e): (usize, &Member)| {
             let of = of as MemberId;
@@ -394,7 +399,7 @@
         all.partial_shuffle(&mut self.rng, count).0.to_vec()
     }
 
-    /// The live member to be probed next: all once, in an order drawn anew each time round.
+    /// The next live member to probe. Each round covers all members once, in a new random order.
     pub(crate) fn next_probe_target(&mut self) -> Option<MemberId> {
         for _ in 0..2 {
             while let Some(of) = self.probe_order.pop() {
--- a/crates/membership/src/output.rs
+++ b/crates/membership/src/output.rs
@@ -1,70 +1,69 @@
-//! What a membership puts out: datagrams to send, changes of what it believes, and its counters. Plain data, with nothing
-//! decided here.
+//! Outputs of a membership: datagrams to send, state changes, and counters. Plain data without logic.
 
 use crate::types::{Incarnation, MemberId, MemberState};
 use serde::{Deserialize, Serialize};
 
-/// What a view wants done or tells.
+/// An action or event for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send these bytes to a member.
+    /// A datagram to send.
     Send {
-        /// To whom.
+        /// The receiver.
         to: MemberId,
-        /// At most [`MAX_DATAGRAM_BYTES`] bytes.
+        /// The datagram, at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES) bytes.
         bytes: Vec<u8>,
     },
-    /// A member is believed to be something else now.
+    /// The state of a member has changed.
     Changed {
-        /// Who.
+        /// The member.
         member: MemberId,
-        /// In which life.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// What it was.
+        /// Its previous state.
         previous: MemberState,
-        /// What it is.
+        /// Its new state.
         state: MemberState,
     },
-    /// A later life of ours lives on: this one says nothing any more.
+    /// A later life of the local member is running; this one sends nothing any more.
     Superseded {
-        /// When that one began.
+        /// When the later life started, in milliseconds since the beginning of 2026.
         start: u64,
     },
 }
 
-/// How much of the configured fleet we are with.
+/// The share of the configured members that are live, the local one included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetShare {
     /// All members are live.
     Whole,
-    /// More than half of the configured members are.
+    /// More than half of the members are live.
     Majority,
-    /// Some are.
+    /// At most half of the members are live, and more than one.
     Minority,
-    /// Nobody else is.
+    /// No other member is live.
     Alone,
 }
 
-/// What a view has seen so far.
+/// Counters of one membership since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MembershipCounters {
     /// Datagrams and bytes sent.
     pub sent: (u64, u64),
-    /// Datagrams taken.
+    /// Valid datagrams received.
     pub received: u64,
-    /// Dropped: unreadable, of another version or fleet, or not from whom they say.
+    /// Datagrams dropped: malformed, of another version or fleet, or with a sender that does not match their address.
     pub dropped: u64,
-    /// Suspicions begun here.
+    /// Suspicions started by this member.
     pub suspicions: u64,
-    /// Members taken for gone here, before anybody told.
+    /// Members declared gone when their suspicion timed out here, rather than by an update from another member.
     pub declared_gone: u64,
-    /// Refutations of ours.
+    /// Refutations by this member.
     pub refutations: u64,
-    /// Another life of ours, later than this one, was heard of: our wall clock ran back, or two have our name.
+    /// Updates about a later life of this member: its wall clock was set back, or two processes have the same number.
     pub later_lives: u64,
-    /// We stood still for longer than a period.
+    /// Stalls of this process for longer than two periods.
     pub stalls: u64,
 }
 
-/// Outputs in the order in which they were put out.
+/// Outputs in the order in which they were produced.
 pub(crate) type Out = Vec<Output>;
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,6 +1,6 @@
-//! What a membership does by itself when time has passed: probes, the ends of suspicions, updates passed on. Input is a time
-//! on the caller's clock, output are datagrams and changes. A period has one probe of a live member, up to
-//! [`SUSPECTS_PROBED_PER_PERIOD`] of suspects and one of a member that is not live; all go by the budget of bytes.
+//! Periodic work of a membership: probes, suspicion timeouts and gossip. Input is the time on the caller's clock, outputs are
+//! datagrams and state changes. In each period it probes one live member, up to [`SUSPECTS_PROBED_PER_PERIOD`] suspects and
+//! one member that is not live. Everything sent is charged to the send budget.
 
 use crate::failure_detector::{Probe, Suspicion};
 use crate::limits::{
@@ -14,7 +14,7 @@
 use rand::seq::SliceRandom;
 
 impl Membership {
-    /// Does what is due by `now`.
+    /// Does all work that is due at `now`.
     pub fn wake(&mut self, now: Micros, out: &mut Out) {
         if self.superseded {
             self.next_probe = now + self.settings.settling_time();
@@ -25,7 +25,7 @@
         self.check_probes(now, out);
         self.expire_suspicions(now, out);
         if now >= self.next_probe {
-            // Never several at once after a delay: each period has its probe.
+            // A late wake-up does not make up for missed periods with several rounds at once.
             self.next_probe = (self.next_probe + self.settings.period).max(now + self.settings.period / 2);
             self.probe_round(now, out);
         }
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes those for gone whose suspicion has stood for its time.
+    /// Declares suspects gone whose suspicion has timed out.
     fn expire_suspicions(&mut self, now: Micros, out: &mut Out) {
         let ended = |(of, suspicion): (&MemberId, &Suspicion)| {
             (suspicion.expires_at <= now).then_some((*of, suspicion.incarnation))
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Passes updates and facts on, or asks for a comparison where there are too many of them.
+    /// Gossips updates and facts to two random members, or requests a sync if too many updates are queued.
     fn gossip(&mut self, now: Micros, out: &mut Out) {
         if self.updates.is_empty() && !(self.fact_store.is_pending() && self.can_send_facts(now)) {
             return;
@@ -68,13 +68,15 @@
         }
     }
 
-    /// Probes whose time is over: others are asked to probe, then the member is probed again, then it is suspected.
+    /// Advances unacknowledged probes: first to indirect probes through other members, then to a second attempt, then to a
+    /// suspicion.
     fn check_probes(&mut self, now: Micros, out: &mut Out) {
-        // Probes sent meanwhile come behind those that stay.
+        // Second attempts started in the loop are pushed to the emptied list, among the probes that stay in flight.
         for mut probe in std::mem::take(&mut self.detector.probes) {
             if now >= probe.deadline && probe.indirect_sent {
                 self.ack_ratio -= ACK_RATIO_WEIGHT * self.ack_ratio;
-                // Whom we hear while few of our probes are acknowledged does not hear us: that is our fault.
+                // If few probes are acknowledged while datagrams from the target still arrive, the local member's
+                // outgoing link is at fault, and the target is not suspected.
                 let heard = self.members[usize::from(probe.to)].last_contact;
                 let doubt = self.ack_ratio < MIN_ACK_RATIO && heard + self.settings.round_trip * 4 > now;
                 match probe.second_attempt {
@@ -96,14 +98,14 @@
                         out,
                     );
                 }
-                // Late ourselves, its friends still get their time.
+                // If this step runs late, the indirect probes still get their full time.
                 probe.deadline = probe.deadline.max(now + self.settings.round_trip * 2);
             }
             self.detector.probes.push(probe);
         }
     }
 
-    /// Begins a suspicion.
+    /// Starts a suspicion.
     fn suspect(&mut self, now: Micros, of: MemberId, out: &mut Out) {
         let Member { state, incarnation, .. } = self.members[usize::from(of)];
         match state {
@@ -111,7 +113,7 @@
                 self.counters.suspicions += 1;
                 self.apply(now, Update { member: of, incarnation, state: MemberState::Suspect }, out);
             }
-            // Its own word that it leaves stands beside the suspicion.
+            // The announced state stays `Leaving`; only the suspicion timeout runs.
             MemberState::Leaving => {
                 let until = now + self.settings.suspicion_timeout();
                 self.detector.suspects.entry(of).or_insert(Suspicion { incarnation, expires_at: until });
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Pings a member and waits for its acknowledgement.
+    /// Pings a member and tracks the probe until it is acknowledged or times out.
     fn probe(&mut self, now: Micros, to: MemberId, second_attempt: bool, out: &mut Out) {
         let sequence = self.next_sequence();
         let (indirect_at, deadline) = (now + self.settings.round_trip, now + self.settings.round_trip * 3);
@@ -136,7 +138,7 @@
         self.send(now, to, MessageKind::Ping(sequence), told, out);
     }
 
-    /// The probes of a period.
+    /// Sends the probes of one period.
     fn probe_round(&mut self, now: Micros, out: &mut Out) {
         if let Some(to) = self.next_probe_target() {
             self.probe(now, to, false, out);
@@ -147,7 +149,7 @@
             let (sequence, told) = (self.next_sequence(), self.accusation(to));
             self.send(now, to, MessageKind::Ping(sequence), told, out);
         }
-        // One that is not live, in turn; its silence tells nothing new.
+        // One member that is not live, in rotation. The probe is not tracked, as a missing ack would change nothing.
         let size = self.settings.size;
         let away =
             |of: &MemberId| *of != self.settings.own && !self.members[usize::from(*of)].state.is_live();
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -1,6 +1,6 @@
-//! What a membership does with a datagram: what its sender proves by it, the updates and facts in it, and its kind. Input are
-//! the bytes and the number of the member whose address they came from; anything that is not a whole message of that member
-//! and of our fleet is counted and dropped. Output are datagrams and changes, by the budget of bytes.
+//! Handling of received datagrams: the liveness of the sender, the contained updates and facts, and the kind of message.
+//! Inputs are the bytes and the number of the member that owns the source address. Anything but a complete message from that
+//! member and the local fleet is counted and dropped. Outputs are datagrams, charged to the send budget, and state changes.
 
 use crate::failure_detector::IndirectProbe;
 use crate::limits::{ACK_RATIO_WEIGHT, AGREEING_DATAGRAMS, MAX_INDIRECT_PROBES};
@@ -10,7 +10,7 @@
 use crate::wire::{Message, MessageKind, Update};
 
 impl Membership {
-    /// Takes a datagram that came from this member's address.
+    /// Handles a datagram received from the address of member `from`.
     pub fn handle(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Out) {
         if self.superseded {
             return;
@@ -35,14 +35,15 @@
         }
         let stale = self.merge_contents(now, &message, out);
         self.handle_kind(now, &message, told, &stale, out);
-        // It is believed to be what it is not: it has to hear of it, to refute.
+        // The local view of the sender is wrong. The sender has to learn of it in order to refute it; a ping's ack already
+        // carries the update.
         let asked = matches!(message.kind, MessageKind::Ping(_));
         if told.is_some() && !asked {
             self.send(now, from, MessageKind::Updates, told, out);
         }
     }
 
-    /// Takes the updates and facts of a message; gives the members of which we know better.
+    /// Merges the updates and facts of a message. Returns the members whose updates were older than the local entry.
     fn merge_contents(&mut self, now: Micros, message: &Message, out: &mut Out) -> Vec<MemberId> {
         let mut stale = Vec::new();
         for update in &message.updates {
@@ -57,7 +58,7 @@
         stale
     }
 
-    /// Does what a message is for. `told` is what its sender has to hear of itself.
+    /// Handles a message by its kind. `accusation` is the update that its sender has to refute, if any.
     fn handle_kind(
         &mut self,
         now: Micros,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Pings a member in place of another one that had no answer from it.
+    /// Probes `target` on behalf of a member that got no ack from it.
     fn probe_on_behalf(
         &mut self,
         now: Micros,
@@ -111,7 +112,7 @@
         self.send(now, target, MessageKind::Ping(sequence), told, out);
     }
 
-    /// A probe of ours is acknowledged, if it is one of ours.
+    /// Completes the local probe that an ack matches, if any.
     fn acknowledge(&mut self, sequence: u32, of: MemberId) {
         let before = self.detector.probes.len();
         self.detector.probes.retain(|q| q.sequence != sequence || q.to != of);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// A member itself has spoken. Gives what it has to be told of itself.
+    /// Updates the sender's entry from its own message. Returns the update that the sender has to refute, if its entry is wrong.
     fn update_sender(&mut self, now: Micros, message: &Message, out: &mut Out) -> Option<Update> {
         let (of, incarnation) = (message.from, message.incarnation);
         let state = if message.leaving { MemberState::Leaving } else { MemberState::Up };
@@ -137,7 +138,7 @@
         wrong.then_some(Update { member: of, incarnation: member.incarnation, state: member.state })
     }
 
-    /// Takes an update; true where we know better.
+    /// Merges an update. Returns true if the local entry is newer.
     fn merge(&mut self, now: Micros, update: Update, out: &mut Out) -> bool {
         if update.member >= self.settings.size {
             return false;
@@ -154,7 +155,7 @@
         (member.incarnation, member.state) != (update.incarnation, update.state)
     }
 
-    /// Answers an update of ourselves by a later incarnation, where it says what is not so.
+    /// Refutes a false update about the local member with a higher incarnation.
     fn refute(&mut self, now: Micros, update: Update, out: &mut Out) {
         let state = if self.leaving { MemberState::Leaving } else { MemberState::Up };
         let known = self.members[usize::from(self.settings.own)].state;
@@ -176,10 +177,10 @@
         self.apply(now, Update { member: self.settings.own, incarnation: self.own_incarnation, state }, out);
     }
 
-    /// Word of a later life of ours that answers what we say. Word of a dead one, heard by whoever starts with a
-    /// wall clock that ran back, has reached all within the settling time and is no update any more; beyond it there
-    /// is one that lives. The later one goes on: it is what an operator has started in place of one that stood
-    /// still.
+    /// Whether the later life in updates about the local member belongs to a running process, which refutes what this one
+    /// sends. A member that starts with its wall clock set back also sees updates about a later life, which is dead. Those
+    /// updates reach all members within the settling time and then cease, so updates that continue for longer come from a
+    /// running process. The later process wins: an operator started it in place of one that was stalled.
     fn is_superseded_by_live(&mut self, now: Micros) -> bool {
         let settling = self.settings.settling_time();
         let known = self.later_life.filter(|rival| rival.last_contact + settling > now);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,49 +1,49 @@
-//! Figures of a membership, with their usual values, checks, and the times that follow from them. Times are microseconds.
+//! Settings of a membership with their defaults and validation, and the times derived from them. Times are microseconds.
 
 use crate::types::{MemberId, Micros};
 use thiserror::Error;
 
-/// Figures of a view. All members of a fleet need the same, but for `own`, `seed` and `start`.
+/// Settings of a membership. All members of a fleet need the same values, except for `own`, `seed` and `start`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// Names the fleet: datagrams of another are dropped.
+    /// Identifies the fleet; datagrams of other fleets are dropped.
     pub fleet: u16,
-    /// Its members, by the configured list.
+    /// Number of members in the configured list.
     pub size: MemberId,
-    /// Our number.
+    /// The local member's number.
     pub own: MemberId,
-    /// When this life began, in milliseconds since the beginning of 2026.
+    /// When this process started by its wall clock, in milliseconds since the beginning of 2026.
     pub start: u64,
-    /// For choices among members.
+    /// Seed for random choices among members.
     pub seed: u64,
-    /// Each member asks one other in this time whether it is there.
+    /// The protocol period: each member probes one live member per period.
     pub period: Micros,
-    /// Longest way of a datagram that is not lost, there and back.
+    /// The longest round trip of datagrams that are not lost.
     pub round_trip: Micros,
-    /// Bytes that may be sent in a second ...
+    /// Sustained send budget, in bytes per second.
     pub bytes_per_s: u64,
-    /// ... and at once after a quiet time.
+    /// Maximum size of a burst after a quiet time, in bytes.
     pub burst: u64,
 }
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// Our number is not in the list.
+    /// The local member is not in the configured list.
     #[error("own number {own} is not below the fleet's size {size}")]
     OwnNumber {
-        /// The number.
+        /// The local member's number.
         own: MemberId,
-        /// The size.
+        /// The number of configured members.
         size: MemberId,
     },
-    /// A time or a budget is too small.
+    /// A time or a byte limit is below its minimum; the value is the name of the setting.
     #[error("{0} is too small")]
     TooSmall(&'static str),
 }
 
 impl MembershipSettings {
-    /// The usual figures, for the platform's datagrams of up to 33 ms each way.
+    /// Default settings, for networks that deliver datagrams within 33 ms one way.
     pub fn new(size: MemberId, own: MemberId, start: u64, seed: u64) -> Self {
         Self {
             fleet: 0,
@@ -58,16 +58,16 @@
         }
     }
 
-    /// Checks them.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// Where they can't be used.
+    /// If `own` is not below `size`, or a time or a byte limit is below its minimum.
     pub fn check(&self) -> Result<(), SettingsError> {
         let Self { own, size, .. } = *self;
         if own >= size {
             return Err(SettingsError::OwnNumber { own, size });
         }
-        // A period holds a question, then one through others.
+        // A period has to hold a direct probe and then an indirect one.
         let figures = [
             ("period", self.period >= self.round_trip * 3),
             ("round_trip", self.round_trip > 0),
@@ -80,24 +80,24 @@
         }
     }
 
-    /// Doublings until an update has reached all.
+    /// Rounds of gossip until an update has reached all members, if the number of informed members doubles in each.
     pub fn gossip_rounds(&self) -> u32 {
         u32::from(self.size.max(2)).ilog2() + 1
     }
 
-    /// How long a suspicion stands before its subject is taken for gone: time for it to reach its subject and
-    /// for the answer to reach all.
+    /// Time from a suspicion to the declaration that the member is gone. It allows for the suspicion to reach the suspect and
+    /// for the refutation to reach all members.
     pub fn suspicion_timeout(&self) -> Micros {
         self.period * Micros::from(self.gossip_rounds().max(4))
     }
 
-    /// All that reach one another agree within this after the last fault, held to at 0 to 30% lost: a question to
-    /// everybody, two suspicions, and updates on its way.
+    /// Time after the last fault within which all members that can reach one another agree, at 0 to 30% packet loss. It
+    /// covers a probe of each member, two suspicion timeouts and the gossip of their updates.
     pub fn settling_time(&self) -> Micros {
         self.suspicion_timeout() * 2 + self.period * 24
     }
 
-    /// How often an update is passed on by each member: enough that at 30% loss all hear of it.
+    /// How often each member transmits an update, enough to reach all members at 30% packet loss.
     pub fn retransmit_limit(&self) -> u32 {
         self.gossip_rounds() + 2
     }
--- a/crates/membership/src/status.rs
+++ b/crates/membership/src/status.rs
@@ -1,5 +1,6 @@
-//! How an operator asks a member for what it believes of all: a request names where to begin, its answer holds a page of
-//! [`STATUS_PAGE_MEMBERS`]. One datagram each. The JSON keys are those that `fleet view --json` prints.
+//! Status queries: an operator requests a member's view of the fleet page by page. A request names the first member, the
+//! response holds up to [`STATUS_PAGE_MEMBERS`] members, and each is one datagram. The field names are the JSON keys that
+//! `fleet view --json` prints.
 
 use crate::fact_keys::CALLS_KEY;
 use crate::members::Membership;
@@ -8,76 +9,76 @@
 use crate::wire::{WireError, decode_datagram, encode_datagram};
 use serde::{Deserialize, Serialize};
 
-/// The first byte of a request and of an answer; a member's datagrams begin otherwise.
+/// First byte of requests and responses, which distinguishes them from datagrams between members.
 const VERSION: u8 = 0x71;
-/// Entries in one answer: the largest fit.
+/// Members per response; as many entries of maximum size fit into a datagram.
 pub const STATUS_PAGE_MEMBERS: usize = 6;
-/// Totals told of at most.
+/// Maximum number of call counters in a response.
 const MAX_TOTALS: usize = 3;
 
-/// Asks for the view from this member on.
+/// Requests one page of a member's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusRequest {
-    /// Comes back with the answer.
+    /// Returned in the response, to match it to the request.
     pub tag: u32,
-    /// The first member wanted.
+    /// The first member of the requested page.
     pub first: MemberId,
 }
 
-/// What a member believes of one.
+/// One member's status in the responder's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// What it is.
+    /// Its state.
     pub state: MemberState,
-    /// Of which life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Milliseconds since it was heard itself; none for never.
+    /// Milliseconds since a datagram was received from it; `None` if none ever was.
     pub heard_ms: Option<u64>,
 }
 
-/// A page of a view.
+/// One page of the responder's view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusResponse {
-    /// Of the request.
+    /// The tag of the request.
     pub tag: u32,
-    /// Who answers.
+    /// The responder's number.
     pub own: MemberId,
-    /// Members in the configured list.
+    /// Number of members in the configured list.
     pub size: MemberId,
-    /// Equal for equal views.
+    /// Digest of the view, equal for equal views.
     pub digest: u32,
-    /// All that were heard of late hold the same.
+    /// Whether the view has settled, see [`Membership::is_settled`].
     pub settled: bool,
-    /// With how much of the fleet it is.
+    /// The share of the fleet that is live in this view.
     pub part: FleetShare,
-    /// A later life of it has taken its place.
+    /// Whether a later life of the responder has taken over.
     pub superseded: bool,
-    /// Calls that members have lately told to have served, refused and failed, all together.
+    /// Calls served, refused and failed, summed over the unexpired counters that members published.
     pub calls: Vec<u64>,
     /// The first member of this page.
     pub first: MemberId,
-    /// The page.
+    /// The members of this page.
     #[serde(rename = "entries")]
     pub members: Vec<MemberStatus>,
 }
 
 impl StatusRequest {
-    /// Its bytes.
+    /// Encodes the request.
     pub fn write(&self) -> Vec<u8> {
         encode_datagram(VERSION, self).unwrap_or_default()
     }
 
-    /// Reads one.
+    /// Decodes a request.
     ///
     /// # Errors
-    /// Where it is none.
+    /// If the bytes are not a valid request.
     pub fn read(bytes: &[u8]) -> Result<Self, WireError> {
         decode_datagram(VERSION, bytes)
     }
 }
 
 impl StatusResponse {
-    /// The page of a view that a request asks for.
+    /// Builds the response to a request.
     pub fn new(membership: &Membership, now: Micros, request: StatusRequest) -> Self {
         let seen = |entry: &Member| MemberStatus {
             state: entry.state,
@@ -105,15 +106,15 @@
         }
     }
 
-    /// Its bytes, at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES).
+    /// Encodes the response, in at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES).
     pub fn write(&self) -> Vec<u8> {
         encode_datagram(VERSION, self).unwrap_or_default()
     }
 
-    /// Reads one.
+    /// Decodes a response.
     ///
     /// # Errors
-    /// Where it is none.
+    /// If the bytes are not a valid response.
     pub fn read(bytes: &[u8]) -> Result<Self, WireError> {
         decode_datagram(VERSION, bytes)
     }
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -1,6 +1,6 @@
-//! Anti-entropy: what updates have missed. A member that hears a digest unlike its own asks for a comparison, with a digest a
-//! block of members; the answer tells what the other believes of the members in blocks that differ. Bounds: one datagram
-//! asks, [`MAX_SYNC_DATAGRAMS`] answer, and the budget of bytes.
+//! Anti-entropy, which finds what gossip missed. A member that receives a digest different from its own sends a sync request
+//! with one digest per block of members; the response holds the entries of the members in blocks that differ. Bounds: one
+//! datagram per request, [`MAX_SYNC_DATAGRAMS`] per response, and the send budget.
 
 use crate::limits::{MAX_SYNC_DATAGRAMS, RESERVED_BYTES};
 use crate::members::Membership;
@@ -11,7 +11,8 @@
 use rand::seq::SliceRandom;
 
 impl Membership {
-    /// Where a digest was lately heard to differ, and no update explains it, a comparison is asked for.
+    /// Requests a sync if a recently received digest differs. While updates are queued, which may explain the difference,
+    /// three of four requests are skipped, unless this member is behind.
     pub(crate) fn sync_if_different(&mut self, now: Micros, out: &mut Out) {
         let differ = self.recent_contacts(now).filter(|(_, theirs)| *theirs != self.digest);
         let mut differ: Vec<_> = differ.map(|(of, _)| of).collect();
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Live members heard in the last two periods, with their digests.
+    /// Live members from which a datagram was received in the last two periods, with their digests.
     fn recent_contacts(&self, now: Micros) -> impl Iterator<Item = (MemberId, u32)> {
         let since = now.saturating_sub(self.settings.period * 2);
         let lately = move |e: &Member| e.last_contact >= since && e.last_contact > 0 && e.state.is_live();
@@ -33,14 +34,15 @@
         all.filter(move |(_, (e, _))| lately(e)).map(|(of, (_, theirs))| (of as MemberId, *theirs))
     }
 
-    /// Others agree among themselves and nobody with us: what differs is ours to ask for, not to tell.
+    /// Whether this member is behind: at least two others agree and no other has the local digest. It then requests updates
+    /// instead of sending its own.
     fn is_behind(&self, now: Micros) -> bool {
         let mut theirs: Vec<_> = self.recent_contacts(now).map(|(_, theirs)| theirs).collect();
         theirs.sort_unstable();
         !theirs.contains(&self.digest) && theirs.windows(2).any(|pair| pair[0] == pair[1])
     }
 
-    /// Asks a member for what it believes where our digests differ.
+    /// Sends a sync request, if the budget allows it.
     pub(crate) fn request_sync(&mut self, now: Micros, to: MemberId, out: &mut Out) {
         let salt = self.next_sequence() as u8;
         let message = self
@@ -63,7 +65,7 @@
         blocks
     }
 
-    /// Tells a member what we believe of those in blocks in which it differs.
+    /// Responds with the entries of known members in blocks that differ. A member that is behind sends a request instead.
     pub(crate) fn handle_sync_request(
         &mut self,
         now: Micros,
@@ -80,17 +82,17 @@
         let differs = |of: usize| own[Self::block(of)] != theirs.0[Self::block(of)];
         let wanted = |of: &usize| differs(*of) && known(&self.members[*of]);
         let mut of: Vec<_> = (0..self.members.len()).filter(wanted).map(|of| of as MemberId).collect();
-        // In any order: with many to tell each answer tells others.
+        // Random order: if the entries exceed one response, successive responses cover different members.
         of.shuffle(&mut self.rng);
         self.send_updates(now, to, &of, MessageKind::SyncResponse, MAX_SYNC_DATAGRAMS, out);
     }
 
-    /// What a member told us is older than what we believe: tells it so.
+    /// Sends the newer local entries of the members for which `to` sent outdated updates.
     pub(crate) fn send_corrections(&mut self, now: Micros, to: MemberId, stale: &[MemberId], out: &mut Out) {
         self.send_updates(now, to, stale, MessageKind::Updates, 1, out);
     }
 
-    /// Tells what we believe of these, in so many datagrams at most.
+    /// Sends the entries of these members, in at most `max_datagrams` datagrams.
     fn send_updates(
         &mut self,
         now: Micros,
--- a/crates/membership/src/types.rs
+++ b/crates/membership/src/types.rs
@@ -1,4 +1,4 @@
-//! Types that all modules share: members by number, their states and incarnations, and what says more of a member.
+//! Types shared by all modules: members, their states and incarnations, and the rule by which updates override each other.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,64 +8,64 @@
 /// A member's number in the configured list.
 pub type MemberId = u16;
 
-/// One life of a member, and how often it has refuted since. Ordered: whoever starts again has a later one,
-/// though nothing survives a restart, as `start` is a wall time; one whose wall clock ran back learns of its
-/// earlier life from others and takes a later start.
+/// Identifies one life of a member, from the start of its process to the end, and counts its refutations. Incarnations are
+/// ordered: `start` is a wall-clock time, so a restarted member has a greater one without any persisted state. A member whose
+/// wall clock was set back learns of its earlier life from others and continues with a start as late as that one's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Milliseconds since the beginning of 2026, by its own wall clock.
+    /// Milliseconds since the beginning of 2026, by the member's wall clock.
     pub start: u64,
-    /// Refutations since.
+    /// Number of refutations since the start.
     pub bump: u32,
 }
 
-/// What is believed of a member. At one incarnation a later one in this order goes before an earlier one.
+/// The state of a member in a view. Within one incarnation, a later state in this order overrides an earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Nothing was heard of it yet.
+    /// No update or message received yet.
     #[default]
     Unknown,
-    /// It answers.
+    /// It responds to probes.
     Up,
-    /// It has not answered somebody.
+    /// It did not respond to the probes of some member.
     Suspect,
-    /// It has said that it leaves; it finishes what it has.
+    /// It announced that it is leaving, and finishes the work that it has.
     Leaving,
-    /// It has not answered for so long that it is taken for dead, or is out of reach.
+    /// Its suspicion timed out: it is dead or unreachable.
     Gone,
-    /// It has said that it is no more.
+    /// It announced that it has stopped.
     Stopped,
 }
 
 impl MemberState {
-    /// Whether it takes part: it answers, or did so just now.
+    /// Whether the member takes part in the protocol: up, leaving, or suspected but not yet declared gone.
     pub fn is_live(self) -> bool {
         matches!(self, Self::Up | Self::Suspect | Self::Leaving)
     }
 }
 
-/// What is believed of a member, and how old that is.
+/// The entry of a member in a view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Member {
-    /// What it is.
+    /// Its state.
     pub state: MemberState,
-    /// Of which life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Since when, on the owner's clock.
+    /// When it entered this state, on the clock of the view's owner.
     pub state_since: Micros,
-    /// When it was last heard itself; 0 for never.
+    /// When a datagram was last received from it, on the same clock; 0 if none ever was.
     pub last_contact: Micros,
 }
 
 impl Member {
-    /// Whether updates says more than this.
+    /// Whether an update with this incarnation and state overrides this entry.
     pub fn is_overridden_by(&self, incarnation: Incarnation, state: MemberState) -> bool {
         (incarnation, state) > (self.incarnation, self.state)
     }
 
-    /// What a digest covers of a member: who is what, in which life. Suspicions and their refutations come and go,
-    /// with 30% lost many times a second, and are left out: where one of them leads to something else for some and
-    /// not for others, that differs and is found. Nothing is known of it: 0.
+    /// The member's part of a digest: its number, its state and the start of its life; 0 if it is unknown. Suspicions and
+    /// refutations are left out, since at 30% packet loss there are many per second. If a suspicion leads to a different
+    /// state at only some members, their digests differ by that state.
     pub(crate) fn fingerprint(&self, of: MemberId) -> u32 {
         if self.state == MemberState::Unknown {
             return 0;
@@ -81,8 +81,8 @@
 }
 
 impl Incarnation {
-    /// The incarnation by which a member that is `state` answers what it hears of itself; none where that says
-    /// no more than it says itself.
+    /// The incarnation with which a member in `state` refutes an update about itself; `None` if the update does not override
+    /// what the member itself announces, or the member has stopped.
     pub fn refutation(self, state: MemberState, told: (Incarnation, MemberState)) -> Option<Self> {
         let beyond = state != MemberState::Stopped && told > (self, state);
         beyond.then(|| Self { start: told.0.start, bump: told.0.bump.saturating_add(1) })
--- a/crates/membership/src/updates.rs
+++ b/crates/membership/src/updates.rs
@@ -1,27 +1,29 @@
-//! The queue of updates that are passed on: each goes a number of times, those passed on least first. One update a member:
-//! what is later takes the place of what is earlier, so the queue is bounded by the fleet's size.
+//! The queue of updates to gossip. Each update is transmitted a limited number of times, those transmitted least first. A
+//! newer update about a member replaces the older one, so the queue is bounded by the fleet's size.
 
 use crate::types::MemberId;
 use crate::wire::{Update, update_bytes};
 use std::collections::BTreeMap;
 
-/// A piece on its way.
+/// An update in the queue.
 #[derive(Clone, Copy, Debug)]
 struct QueuedUpdate {
     update: Update,
-    /// Digests differ until all know it.
+    /// Whether the update changes the digest, so that anti-entropy finds members that lack it.
     in_digest: bool,
 }
 
+/// The updates to gossip, one per member.
 #[derive(Debug, Default)]
 pub struct UpdateQueue {
-    /// By how often each was passed on, then by member.
+    /// Keyed by the number of transmissions so far, then by member.
     order: BTreeMap<(u32, MemberId), QueuedUpdate>,
     transmissions: BTreeMap<MemberId, u32>,
 }
 
 impl UpdateQueue {
-    /// An update that is new here; `shows` says that views without it have another digest.
+    /// Queues a new update in place of an earlier one about the same member. `in_digest` says whether views without it have a
+    /// different digest.
     pub fn add(&mut self, update: Update, shows: bool) {
         if let Some(passed) = self.transmissions.insert(update.member, 0) {
             self.order.remove(&(passed, update.member));
@@ -37,19 +39,21 @@
         self.order.len()
     }
 
-    /// Others hold what we hold: what digests tell of need not be passed on. Suspicions and refutations must.
+    /// Removes the updates that digests cover, when the others are known to have the local digest. Suspicions and refutations,
+    /// which digests do not cover, stay queued.
     pub fn remove_covered_by_digest(&mut self) {
         self.order.retain(|_, piece| !piece.in_digest);
         self.transmissions.retain(|of, passed| self.order.contains_key(&(*passed, *of)));
     }
 
-    /// Forgets what is of members that are not in the list any more.
+    /// Removes the updates about members that are no longer in the configured list.
     pub fn retain_below(&mut self, size: MemberId) {
         self.order.retain(|(_, of), _| *of < size);
         self.transmissions.retain(|of, _| *of < size);
     }
 
-    /// Takes what fits into `room` bytes; each piece goes `repeats` times in all. `first` goes before.
+    /// The next updates to gossip that fit into `capacity` bytes, preceded by `first` if it fits. Counts a transmission of each
+    /// and removes those that reach `retransmit_limit`. `base` is the start of the sender's life, see [`update_bytes`].
     pub fn take_for_datagram(
         &mut self,
         mut room: usize,
--- a/crates/membership/src/virtual_cluster.rs
+++ b/crates/membership/src/virtual_cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of memberships in virtual time, for tests and measurements.
+//! A simulated cluster of memberships in virtual time, for tests and benchmarks.
 
 use crate::members::Membership;
 use crate::output::{MembershipCounters, Output};
@@ -30,11 +30,11 @@
     }
 }
 
-/// The fleet and its network.
+/// The members and their simulated network.
 pub struct VirtualCluster {
     settings: MembershipSettings,
     net: VirtualNetwork<Membership>,
-    /// What ended lives have counted.
+    /// Counters of ended lives.
     ended_counters: MembershipCounters,
 }
 
@@ -52,41 +52,42 @@
     }
 }
 
-/// The platform's wall clock at the simulation's beginning, in milliseconds since the beginning of 2026.
+/// The members' wall clock at the beginning of the simulation, in milliseconds since the beginning of 2026.
 const EPOCH_MS: u64 = 28_000_000_000;
 
 impl VirtualCluster {
-    /// So many members by these settings, none of them started.
+    /// Creates a cluster of `settings.size` members, none of them started.
     pub fn new(settings: MembershipSettings, link: LinkFaults) -> Self {
         let net = VirtualNetwork::new(settings.size, settings.seed, link);
         Self { settings, net, ended_counters: MembershipCounters::default() }
     }
 
-    /// The view of a member that is up.
+    /// The membership of a running member.
     pub fn membership(&self, of: MemberId) -> Option<&Membership> {
         self.node(of)
     }
 
-    /// Plants a fault in a member that is up, see [`Membership::plant`].
+    /// Injects a fault into a running member, see [`Membership::inject_fault`].
     #[doc(hidden)]
     pub fn inject_fault(&mut self, of: MemberId, newer: crate::members::OverrideRule) {
         self.node_mut(of).into_iter().for_each(|membership| membership.inject_fault(newer));
     }
 
-    /// The configured list grows, or loses its last members, who end. Members hear of it by
-    /// [`Membership::resize`](crate::Membership::resize), each in its time; who starts from now on has the new list.
+    /// Changes the size of the configured list. Members beyond a smaller list are killed. Running members keep the old list
+    /// until the caller applies [`Membership::resize`](crate::Membership::resize) to them; members started from now on have
+    /// the new one.
     pub fn resize(&mut self, size: MemberId) {
         (size..self.settings.size).for_each(|of| self.kill(of));
         self.settings.size = size;
         self.set_size(size);
     }
 
-    /// Starts a member, which knows nothing of an earlier life.
+    /// Starts a member, without any state from an earlier life.
     pub fn start(&mut self, of: MemberId) {
         self.start_at(of, EPOCH_MS + self.now / 1_000);
     }
 
-    /// As [`VirtualCluster::start`], with a wall clock that says this many milliseconds.
+    /// As [`VirtualCluster::start`], with the given wall-clock time, in milliseconds since the beginning of 2026.
     pub fn start_at(&mut self, of: MemberId, start: u64) {
         let settings = MembershipSettings { own: of, start, ..self.settings };
         let Ok(membership) = Membership::new(settings, self.clock(of)) else { return };
@@ -99,19 +100,20 @@
             ended.map_or(self.ended_counters, |membership| sum(self.ended_counters, membership.counters()));
     }
 
-    /// Kills a member outright.
+    /// Kills a member without notice to the others.
     pub fn kill(&mut self, of: MemberId) {
         let ended = self.net.kill(of);
         self.add_ended_counters(ended);
     }
 
-    /// A member leaves in good order: it says so, and a little later that it is no more.
+    /// Stops a member in good order: it announces that it has stopped, and ends.
     pub fn stop(&mut self, of: MemberId) {
         self.with_node(of, |membership, now, out| membership.stop(now, out));
         self.kill(of);
     }
 
-    /// Runs until a condition holds, looked at every 10 ms; when, or `None` where it does not by `until`.
+    /// Runs until a condition holds, checked every 10 ms of virtual time. Returns that time, or `None` if the condition does
+    /// not hold by `until`.
     pub fn run_until_condition(&mut self, until: Micros, holds: impl Fn(&Self) -> bool) -> Option<Micros> {
         while self.now < until {
             let next = (self.now + 10_000).min(until);
@@ -123,8 +125,8 @@
         None
     }
 
-    /// Whether each member of a group that runs holds the same view, and a true one: live are those of the
-    /// group that run, and no others.
+    /// Whether all running members of a group have the same, correct view: the running members of the group are live and no
+    /// others.
     pub fn agrees(&self, group: &[MemberId]) -> bool {
         let up: Vec<_> = group.iter().copied().filter(|of| self.is_up(*of)).collect();
         let digest = up.first().and_then(|of| self.membership(*of)).map(Membership::digest);
@@ -140,7 +142,7 @@
         })
     }
 
-    /// Whether any running member holds another that runs for gone.
+    /// Pairs of running members of which the first has the second as gone.
     pub fn falsely_gone(&self) -> Vec<(MemberId, MemberId)> {
         let up: Vec<_> = self.node_ids().filter(|of| self.is_up(*of)).collect();
         let gone = |of: &MemberId, other: &MemberId| {
@@ -152,7 +154,7 @@
         pairs.filter(|(of, other)| gone(of, other)).collect()
     }
 
-    /// What all lives of all members have counted.
+    /// Sums of the counters of all members, ended lives included.
     pub fn counters(&self) -> MembershipCounters {
         let living = self.node_ids().filter_map(|of| self.membership(of)).map(Membership::counters);
         living.fold(self.ended_counters, sum)
--- a/crates/membership/src/virtual_network.rs
+++ b/crates/membership/src/virtual_network.rs
@@ -1,5 +1,6 @@
-//! State machines on datagrams in virtual time: one seed, one history. They are killed, started, paused, cut off;
-//! their datagrams are lost, doubled and late; their clocks run apart. For tests and measurements.
+//! A deterministic simulation of state machines that communicate by datagrams, in virtual time: equal seeds give equal runs.
+//! It can start, kill, pause and isolate nodes, lose, duplicate and delay datagrams, and run node clocks at different rates.
+//! For tests and benchmarks.
 
 use crate::types::{MemberId, Micros};
 use rand::rngs::StdRng;
@@ -7,34 +8,34 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
-/// A state machine that lives on datagrams and on time.
+/// A state machine driven by datagrams and time.
 pub trait VirtualNode {
-    /// What it puts out.
+    /// The type of its outputs.
     type Out;
 
-    /// Takes a datagram that came from this one's address.
+    /// Handles a datagram received from the address of node `from`.
     fn handle(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Vec<Self::Out>);
-    /// Does what is due.
+    /// Does the work that is due.
     fn wake(&mut self, now: Micros, out: &mut Vec<Self::Out>);
     /// When [`VirtualNode::wake`] is due next.
     fn next_due(&self) -> Micros;
-    /// The datagram that an output is, or the output, told to whoever watches.
+    /// Extracts the receiver and bytes of an output that is a datagram; other outputs are returned as `Err`.
     fn into_datagram(out: Self::Out) -> Result<(MemberId, Vec<u8>), Self::Out>;
 }
 
-/// What becomes of datagrams.
+/// Faults that the network applies to datagrams.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkFaults {
-    /// Share of them that is lost.
+    /// Probability that a datagram is lost, 0 to 1.
     pub loss_rate: f64,
-    /// Share that comes twice.
+    /// Probability that a datagram that is not lost arrives twice, 0 to 1.
     pub duplicate_rate: f64,
-    /// They are late by a time drawn between these.
+    /// Minimum and maximum delay, in microseconds; each delay is drawn uniformly between them.
     pub delay_range: (Micros, Micros),
 }
 
 impl Default for LinkFaults {
-    /// As on the platform.
+    /// No loss or duplication, with the platform's network delays.
     fn default() -> Self {
         Self { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: (1_200, 33_000) }
     }
@@ -49,14 +50,14 @@
 
 struct Slot<P> {
     node: Option<P>,
-    /// How often it was started.
+    /// Number of starts.
     start_count: u32,
-    /// When it is woken next; other wakes are void.
+    /// Time of the next wake-up; wake events for other times are ignored.
     next_wake: Micros,
     paused: bool,
-    /// Its clock's rate against the simulation's.
+    /// Rate of the node's clock relative to the simulated time.
     clock_rate: f64,
-    /// Datagrams that came while it was paused.
+    /// Datagrams that arrived while the node was paused.
     inbox: Vec<(MemberId, Vec<u8>)>,
 }
 
@@ -73,37 +74,37 @@
     }
 }
 
-/// Datagrams that a socket holds for who stands still.
+/// Datagrams that the socket of a paused node buffers; further ones are dropped.
 const INBOX_CAPACITY: usize = 200;
 
-/// The delay of a datagram from one node to another, drawn between two times; `None` where the network between
-/// them carries nothing.
+/// Returns the minimum and maximum delay from one node to another, in microseconds; `None` if the network delivers nothing
+/// between them.
 pub type DelayFn = Box<dyn Fn(MemberId, MemberId) -> Option<(Micros, Micros)> + Send>;
 
-/// The nodes and their network.
+/// Simulated nodes and the network between them.
 pub struct VirtualNetwork<P: VirtualNode> {
-    /// Datagrams between all.
+    /// Faults of the links between all nodes.
     pub link: LinkFaults,
-    /// Delays by sender and receiver, in place of the one range of `link`.
+    /// Delays by sender and receiver, which replace the range of `link`.
     delays: Option<DelayFn>,
-    /// Links that carry nothing.
+    /// Directed links that deliver nothing, as (from, to).
     blocked: BTreeSet<(MemberId, MemberId)>,
-    /// The simulated time.
+    /// The virtual time, in microseconds.
     pub now: Micros,
     slots: Vec<Slot<P>>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     sequence: u64,
     rng: StdRng,
-    /// What was told, with time and by whom.
+    /// Outputs other than datagrams, with the virtual time and the node.
     pub outputs: Vec<(Micros, MemberId, P::Out)>,
-    /// Longest datagram seen.
+    /// Size of the longest datagram sent, in bytes.
     pub longest_datagram: usize,
     /// Datagrams and bytes sent.
     pub sent: (u64, u64),
 }
 
 impl<P: VirtualNode> VirtualNetwork<P> {
-    /// So many slots, nobody in them.
+    /// Creates a network of `size` empty slots.
     pub fn new(size: MemberId, seed: u64, link: LinkFaults) -> Self {
         Self {
             slots: (0..size).map(|_| Slot::new()).collect(),
@@ -120,33 +121,33 @@
         }
     }
 
-    /// Slots by number.
+    /// The numbers of all slots.
     pub fn node_ids(&self) -> std::ops::Range<MemberId> {
         0..self.slots.len() as MemberId
     }
 
-    /// Who is at a slot.
+    /// The node in a slot.
     pub fn node(&self, of: MemberId) -> Option<&P> {
         self.slots.get(usize::from(of)).and_then(|slot| slot.node.as_ref())
     }
 
-    /// Who is at a slot, to be changed behind the network's back.
+    /// Mutable access to the node in a slot, without handling its outputs or its next wake-up.
     pub fn node_mut(&mut self, of: MemberId) -> Option<&mut P> {
         self.slots.get_mut(usize::from(of)).and_then(|slot| slot.node.as_mut())
     }
 
-    /// Whether it runs and is not paused.
+    /// Whether the node runs and is not paused.
     pub fn is_up(&self, of: MemberId) -> bool {
         let slot = &self.slots[usize::from(of)];
         slot.node.is_some() && !slot.paused
     }
 
-    /// How often it was started.
+    /// How often a node was started in this slot.
     pub fn start_count(&self, of: MemberId) -> u32 {
         self.slots[usize::from(of)].start_count
     }
 
-    /// Its clock runs at this rate from its next start on.
+    /// Sets the rate of a node's clock relative to the virtual time. Call it before the node is started.
     pub fn set_clock_rate(&mut self, of: MemberId, rate: f64) {
         self.slots[usize::from(of)].clock_rate = rate;
     }
@@ -156,12 +157,12 @@
         (self.now as f64 * self.slots[usize::from(of)].clock_rate) as Micros
     }
 
-    /// A random number below `below`, from the seed.
+    /// A random number below `below`, or 0 if that is 0, from the seeded generator.
     pub fn random_below(&mut self, below: u64) -> u64 {
         self.rng.random_range(0..below.max(1))
     }
 
-    /// So many slots from now on; who is beyond has ended.
+    /// Sets the number of slots; nodes beyond it are removed.
     pub fn set_size(&mut self, size: MemberId) {
         self.slots.resize_with(size.into(), Slot::new);
     }
@@ -171,7 +172,7 @@
         self.events.push(Reverse((at, self.sequence, due)));
     }
 
-    /// Puts somebody at a slot; gives who was there.
+    /// Starts a node in a slot. Returns the previous one, which is killed.
     pub fn insert(&mut self, of: MemberId, node: P) -> Option<P> {
         let before = self.kill(of);
         let slot = &mut self.slots[usize::from(of)];
@@ -180,7 +181,7 @@
         before
     }
 
-    /// Kills who is at a slot outright.
+    /// Kills the node in a slot without notice, and returns it.
     pub fn kill(&mut self, of: MemberId) -> Option<P> {
         let slot = self.slots.get_mut(usize::from(of))?;
         slot.next_wake = Micros::MAX;
@@ -188,13 +189,13 @@
         slot.node.take()
     }
 
-    /// One stands still for this long.
+    /// Pauses a node for this long.
     pub fn pause(&mut self, of: MemberId, span: Micros) {
         self.slots[usize::from(of)].paused = true;
         self.schedule(self.now + span, Event::Resume(of));
     }
 
-    /// Cuts a group off from all others, or takes it up again.
+    /// Isolates a group from all other nodes, or reconnects it.
     pub fn set_isolated(&mut self, group: &[MemberId], cut: bool) {
         for of in group {
             for other in self.node_ids().filter(|other| !group.contains(other)) {
@@ -205,7 +206,7 @@
         }
     }
 
-    /// A link in one direction carries nothing, or does again.
+    /// Blocks or unblocks a link in one direction, given as (from, to).
     pub fn set_blocked(&mut self, link: (MemberId, MemberId), blocked: bool) {
         if blocked {
             self.blocked.insert(link);
@@ -214,13 +215,13 @@
         }
     }
 
-    /// Delays by sender and receiver from now on, for datagrams sent from now on; `link.late` holds no more. What it
-    /// gives must be in order: least delay first.
+    /// Sets delays by sender and receiver for datagrams sent from now on, in place of `link.delay_range`. The ranges have to
+    /// start with the minimum.
     pub fn set_delays(&mut self, delays: DelayFn) {
         self.delays = Some(delays);
     }
 
-    /// The range of delays from one node to another; `None` where nothing is carried.
+    /// The range of delays from one node to another; `None` if nothing is delivered.
     fn delay(&self, from: MemberId, to: MemberId) -> Option<(Micros, Micros)> {
         if self.blocked.contains(&(from, to)) {
             return None;
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Has one that runs do something, at its own time.
+    /// Calls a function on a running node with the time on its own clock, and handles the outputs.
     pub fn with_node(&mut self, of: MemberId, act: impl FnOnce(&mut P, Micros, &mut Vec<P::Out>)) {
         let (now, mut out) = (self.clock(of), Vec::new());
         if let Some(node) = &mut self.slots[usize::from(of)].node {
@@ -275,12 +276,12 @@
         self.schedule_wake(of);
     }
 
-    /// Runs for so long.
+    /// Runs the simulation for this long.
     pub fn run_for(&mut self, span: Micros) {
         self.run_until(self.now + span);
     }
 
-    /// Runs until this time of the simulation.
+    /// Runs the simulation until this virtual time.
     pub fn run_until(&mut self, until: Micros) {
         while let Some(Reverse((at, ..))) = self.events.peek()
             && *at <= until
@@ -292,7 +293,7 @@
                     if usize::from(to) >= self.slots.len() => {}
                 Event::Datagram { to, from, bytes } => {
                     let slot = &mut self.slots[usize::from(to)];
-                    // A socket holds some for who stands still.
+                    // The socket buffers datagrams for a paused node, up to its capacity.
                     if slot.paused && slot.node.is_some() && slot.inbox.len() < INBOX_CAPACITY {
                         slot.inbox.push((from, bytes));
                     } else if !slot.paused {
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,5 +1,5 @@
-//! Datagrams of members: one version byte, then the message by serde, 256 bytes at most. Nothing of it is trusted beyond its
-//! form. The order of variants and fields is the format.
+//! Datagrams between members: a version byte, then the message in postcard encoding, 256 bytes at most. Decoding checks only
+//! the format; contents are not trusted. The order of variants and fields defines the format.
 
 use crate::facts::Fact;
 use crate::types::{Incarnation, MemberId, MemberState};
@@ -7,63 +7,63 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use thiserror::Error;
 
-/// Longest datagram that the platform allows, in bytes.
+/// Maximum size of a datagram on the platform, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The first byte; another version is dropped.
+/// The first byte; datagrams of other versions are dropped.
 const VERSION: u8 = 1;
-/// Blocks that a comparison divides the members into.
+/// Blocks of members in a sync request, each with its own digest.
 pub const DIGEST_BLOCKS: usize = 64;
 
-/// Why a datagram is dropped.
+/// Why a datagram is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// Longer than allowed, or empty.
-    #[error("a datagram of {0} bytes")]
+    /// Longer than allowed, or empty; the value is its length in bytes.
+    #[error("invalid datagram length: {0} bytes")]
     Length(usize),
-    /// Of another version.
-    #[error("version {0}")]
+    /// Of another version; the value is its version byte.
+    #[error("unsupported version {0}")]
     Version(u8),
-    /// Not a message.
-    #[error("no message")]
+    /// Not a complete, well-formed message.
+    #[error("malformed message")]
     Malformed,
 }
 
-/// What a datagram is for, beside the updates that it carries.
+/// The kind of a message. Messages of any kind carry updates and facts besides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageKind {
-    /// Are you there?
+    /// A probe, with its sequence number.
     Ping(u32),
-    /// I am.
+    /// The response to a ping, with its sequence number.
     Ack(u32),
-    /// Ask that one for me.
+    /// Requests an indirect probe.
     PingRequest {
-        /// The number of the probe that its sender makes.
+        /// The sequence number of the requester's own probe.
         sequence: u32,
-        /// Whom to ping.
+        /// The member to ping.
         target: MemberId,
     },
-    /// That one was there.
+    /// Reports that an indirect probe was acknowledged.
     IndirectAck {
-        /// The number in the request.
+        /// The sequence number in the request.
         sequence: u32,
-        /// Who was there.
+        /// The member that acknowledged.
         target: MemberId,
     },
-    /// Nothing but updates.
+    /// Only updates and facts.
     Updates,
-    /// Digests of my view by blocks of members: tell me where yours differs. Salted: two blocks that differ
-    /// and look alike once do not the next time.
+    /// Requests the entries of members in blocks whose digests differ from these. The salt changes with each request, so that
+    /// a collision between two different blocks does not persist.
     SyncRequest {
-        /// Goes into the digests.
+        /// The salt of the digests.
         salt: u8,
-        /// A digest a block.
+        /// One digest per block.
         blocks: BlockDigests,
     },
-    /// The answer to a comparison: what I believe, whether new or not.
+    /// The response to a sync request: entries of the sender's view as updates, whether new or not.
     SyncResponse,
 }
 
-/// A byte for each block.
+/// One byte per block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BlockDigests(pub [u8; DIGEST_BLOCKS]);
 
@@ -76,23 +76,23 @@
 impl<'de> Deserialize<'de> for BlockDigests {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let bytes = <&[u8]>::deserialize(from)?;
-        bytes.try_into().map(Self).map_err(|_| D::Error::custom("blocks of another number"))
+        bytes.try_into().map(Self).map_err(|_| D::Error::custom("wrong number of block digests"))
     }
 }
 
-/// An update: what is believed of a member.
+/// An update: the state of one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Update {
-    /// Of whom.
+    /// The member it is about.
     pub member: MemberId,
-    /// Which life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// What it is.
+    /// Its state.
     pub state: MemberState,
 }
 
-/// An update on the wire: members of a fleet started at about the same time as its teller, or some days
-/// apart, so the difference takes fewer bytes.
+/// An update on the wire: the member, its start relative to the sender's, and its refutations and state. Members of a fleet
+/// start at about the same time or some days apart, so the difference takes fewer bytes than the start itself.
 #[derive(Serialize, Deserialize)]
 struct WireUpdate(MemberId, i64, u64);
 
@@ -128,31 +128,31 @@
     kind: MessageKind,
 }
 
-/// A datagram's content.
+/// The contents of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The fleet.
+    /// The fleet that the sender belongs to.
     pub fleet: u16,
-    /// Who sends it, in which life: proof that it is there.
+    /// The sender.
     pub from: MemberId,
-    /// See `from`.
+    /// The sender's incarnation. The message proves that it is alive.
     pub incarnation: Incarnation,
-    /// It leaves.
+    /// Whether the sender is leaving.
     pub leaving: bool,
-    /// Of its view.
+    /// The digest of the sender's view.
     pub digest: u32,
-    /// What it is for.
+    /// The kind of message.
     pub kind: MessageKind,
-    /// What else it tells.
+    /// Gossiped updates, or the entries of a sync response.
     pub updates: Vec<Update>,
-    /// Facts from the fact store.
+    /// Gossiped facts.
     pub facts: Vec<Fact>,
 }
 
-/// Bytes that one update may take.
+/// Maximum size of an encoded update, in bytes.
 pub const MAX_UPDATE_BYTES: usize = 3 + 10 + 5;
 
-/// The bytes of a message behind its version; `None` where they are too many.
+/// Encodes a version byte and a message; `None` if they exceed [`MAX_DATAGRAM_BYTES`].
 pub fn encode_datagram(version: u8, message: &impl Serialize) -> Option<Vec<u8>> {
     let mut bytes = vec![version; MAX_DATAGRAM_BYTES];
     let length = postcard::to_slice(message, &mut bytes[1..]).ok()?.len();
@@ -160,10 +160,10 @@
     Some(bytes)
 }
 
-/// The message behind its version, whole and with nothing after it.
+/// Decodes a message after a version byte.
 ///
 /// # Errors
-/// Where there is none.
+/// If the datagram is empty or too long, has another version, or is not exactly one message.
 pub fn decode_datagram<'a, T: Deserialize<'a>>(version: u8, bytes: &'a [u8]) -> Result<T, WireError> {
     let (told, rest) = bytes.split_first().ok_or(WireError::Length(0))?;
     if bytes.len() > MAX_DATAGRAM_BYTES {
@@ -179,7 +179,7 @@
 }
 
 impl Message {
-    /// The bytes; `None` where they would be too many, which the caller's count of updates rules out.
+    /// Encodes the message; `None` if it exceeds [`MAX_DATAGRAM_BYTES`], which callers avoid by limiting updates and facts.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let Self { fleet, from, incarnation, leaving, digest, kind, .. } = *self;
         let head = Header { fleet, from, incarnation, leaving, digest, kind };
@@ -188,10 +188,10 @@
         encode_datagram(VERSION, &(head, told, &self.facts))
     }
 
-    /// Reads one.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// Where it is not one of ours.
+    /// If the bytes are not a valid message of this version.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         let (head, told, facts): (Header, Vec<WireUpdate>, Vec<Fact>) = decode_datagram(VERSION, bytes)?;
         let Header { fleet, from, incarnation, leaving, digest, kind } = head;
@@ -200,15 +200,15 @@
         Ok(Self { fleet, from, incarnation, leaving, digest, kind, updates, facts })
     }
 
-    /// Bytes left for updates.
+    /// Bytes that remain for updates or facts.
     pub fn remaining_capacity(&self) -> usize {
         let used = self.encode().map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len());
-        // The count of updates may take a second byte.
+        // The length prefix of the updates or facts may grow to a second byte.
         MAX_DATAGRAM_BYTES.saturating_sub(used + 1)
     }
 }
 
-/// Bytes that this update takes, told by one whose life began then.
+/// The encoded size of an update, in bytes, from a sender whose life started at `base`.
 pub fn update_bytes(update: &Update, base: u64) -> usize {
     let mut bytes = [0; MAX_UPDATE_BYTES];
     postcard::to_slice(&WireUpdate::new(update, base), &mut bytes).map_or(MAX_UPDATE_BYTES, |told| told.len())
