--- a/crates/membership/src/budget.rs
+++ b/crates/membership/src/budget.rs
@@ -1,5 +1,5 @@
-//! A token bucket for the bytes that a member sends: a sustained rate, plus a burst saved up while it sends little. Times
-//! are microseconds.
+//! A token bucket for the bytes that a member sends: a sustained rate, plus a burst saved up while it sends little.
+//! Times are microseconds.
 
 use crate::types::Micros;
 
@@ -35,8 +35,8 @@
         self.available >= (bytes + reserved) * UNITS_PER_BYTE
     }
 
-    /// Deducts sent bytes, down to zero. Mandatory messages are sent even from an empty bucket; what they take from it is
-    /// then not available to later ones.
+    /// Deducts sent bytes, down to zero. Mandatory messages are sent even from an empty bucket; what they take from it
+    /// is then not available to later ones.
     pub fn spend(&mut self, now: Micros, bytes: u64) {
         self.refill(now);
         self.available = self.available.saturating_sub(bytes * UNITS_PER_BYTE);
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -1,7 +1,7 @@
-//! Facts: small keyed values that members publish about themselves and that all members gossip. A newer version replaces an
-//! older one of the same owner and key, and each expires after its time to live. Owners republish facts that are to last, so
-//! a member that missed one receives it with the next refresh. Bounds: [`FACT_KEYS`] facts per owner, [`MAX_FACT_BYTES`] per
-//! value, and a time to live of at most [`MAX_FACT_LIFETIME_US`].
+//! Facts: small keyed values that members publish about themselves and that all members gossip. A newer version
+//! replaces an older one of the same owner and key, and each expires after its time to live. Owners republish facts
+//! that are to last, so a member that missed one receives it with the next refresh. Bounds: [`FACT_KEYS`] facts per
+//! owner, [`MAX_FACT_BYTES`] per value, and a time to live of at most [`MAX_FACT_LIFETIME_US`].
 
 use crate::types::{MemberId, Micros};
 use serde::{Deserialize, Serialize};
@@ -53,49 +53,51 @@
         now: Micros,
         (own, start): (MemberId, u64),
         (key, value): (u8, &[u8]),
-        stands: Micros,
-        repeats: u32,
+        ttl: Micros,
+        retransmit_limit: u32,
     ) -> bool {
         self.count = self.count.wrapping_add(1);
-        let left_ms = (stands.min(MAX_FACT_LIFETIME_US) / 1_000) as u32;
+        let ttl_ms = (ttl.min(MAX_FACT_LIFETIME_US) / 1_000) as u32;
         let (version, value) = ((start, self.count), value.to_vec());
-        self.merge(now, &Fact { owner: own, key, version, ttl_ms: left_ms, value }, repeats)
+        self.merge(now, &Fact { owner: own, key, version, ttl_ms, value }, retransmit_limit)
     }
 
-    /// Stores a fact and queues it for gossip if it is within bounds and newer than the stored version. Returns whether it did.
-    pub fn merge(&mut self, now: Micros, fact: &Fact, repeats: u32) -> bool {
-        let stands = Micros::from(fact.ttl_ms) * 1_000;
+    /// Stores a fact and queues it for gossip if it is within bounds and newer than the stored version. Returns
+    /// whether it did.
+    pub fn merge(&mut self, now: Micros, fact: &Fact, retransmit_limit: u32) -> bool {
+        let ttl = Micros::from(fact.ttl_ms) * 1_000;
         let bounded = fact.key < FACT_KEYS
             && fact.value.len() <= MAX_FACT_BYTES
-            && (1..=MAX_FACT_LIFETIME_US).contains(&stands);
-        let at = (fact.owner, fact.key);
-        if !bounded || self.facts.get(&at).is_some_and(|held| held.version >= fact.version) {
+            && (1..=MAX_FACT_LIFETIME_US).contains(&ttl);
+        let slot = (fact.owner, fact.key);
+        if !bounded || self.facts.get(&slot).is_some_and(|stored| stored.version >= fact.version) {
             return false;
         }
-        self.remove(at);
-        let (version, until, value) = (fact.version, now + stands, fact.value.clone());
-        self.facts.insert(at, StoredFact { version, expires_at: until, value, transmissions_left: repeats });
-        self.pending.insert((repeats, at.0, at.1), ());
+        self.remove(slot);
+        let (version, expires_at, value) = (fact.version, now + ttl, fact.value.clone());
+        self.facts
+            .insert(slot, StoredFact { version, expires_at, value, transmissions_left: retransmit_limit });
+        self.pending.insert((retransmit_limit, slot.0, slot.1), ());
         true
     }
 
-    fn remove(&mut self, at: (MemberId, u8)) {
-        if let Some(held) = self.facts.remove(&at) {
-            self.pending.remove(&(held.transmissions_left, at.0, at.1));
+    fn remove(&mut self, slot: (MemberId, u8)) {
+        if let Some(stored) = self.facts.remove(&slot) {
+            self.pending.remove(&(stored.transmissions_left, slot.0, slot.1));
         }
     }
 
     /// Removes facts whose time to live has ended.
     pub fn expire(&mut self, now: Micros) {
-        let over: Vec<_> =
-            self.facts.iter().filter(|(_, h)| h.expires_at <= now).map(|(at, _)| *at).collect();
-        over.into_iter().for_each(|at| self.remove(at));
+        let expired: Vec<_> =
+            self.facts.iter().filter(|(_, stored)| stored.expires_at <= now).map(|(slot, _)| *slot).collect();
+        expired.into_iter().for_each(|slot| self.remove(slot));
     }
 
     /// Removes the facts of members that are no longer in the configured list.
     pub fn retain_below(&mut self, size: MemberId) {
-        let over: Vec<_> = self.facts.keys().filter(|(owner, _)| *owner >= size).copied().collect();
-        over.into_iter().for_each(|at| self.remove(at));
+        let removed: Vec<_> = self.facts.keys().filter(|(owner, _)| *owner >= size).copied().collect();
+        removed.into_iter().for_each(|slot| self.remove(slot));
     }
 
     /// Whether any fact is still to be gossiped.
@@ -103,49 +105,54 @@
         !self.pending.is_empty()
     }
 
-    /// The next facts to gossip that fit into `capacity` bytes, those transmitted least first. Counts one transmission of each.
-    pub fn take_for_datagram(&mut self, now: Micros, mut room: usize) -> Vec<Fact> {
-        let mut told = Vec::new();
-        let order: Vec<_> = self.pending.keys().rev().copied().collect();
-        for (left, owner, key) in order {
-            let Some(held) = self.facts.get_mut(&(owner, key)) else { continue };
-            let left_ms = (held.expires_at.saturating_sub(now) / 1_000) as u32;
-            let fact = Fact { owner, key, version: held.version, ttl_ms: left_ms, value: held.value.clone() };
+    /// The next facts to gossip that fit into `capacity` bytes, those transmitted least first. Counts one transmission
+    /// of each.
+    pub fn take_for_datagram(&mut self, now: Micros, mut capacity: usize) -> Vec<Fact> {
+        let mut facts = Vec::new();
+        let queue: Vec<_> = self.pending.keys().rev().copied().collect();
+        for (transmissions_left, owner, key) in queue {
+            let Some(stored) = self.facts.get_mut(&(owner, key)) else { continue };
+            let ttl_ms = (stored.expires_at.saturating_sub(now) / 1_000) as u32;
+            let fact = Fact { owner, key, version: stored.version, ttl_ms, value: stored.value.clone() };
             let mut bytes = [0; MAX_FACT_BYTES + 32];
-            let size = postcard::to_slice(&fact, &mut bytes).map_or(usize::MAX, |told| told.len());
-            if size > room {
+            let size = postcard::to_slice(&fact, &mut bytes).map_or(usize::MAX, |encoded| encoded.len());
+            if size > capacity {
                 break;
             }
-            room -= size;
-            self.pending.remove(&(left, owner, key));
-            held.transmissions_left = left - 1;
-            if held.transmissions_left > 0 {
-                self.pending.insert((held.transmissions_left, owner, key), ());
+            capacity -= size;
+            self.pending.remove(&(transmissions_left, owner, key));
+            stored.transmissions_left = transmissions_left - 1;
+            if stored.transmissions_left > 0 {
+                self.pending.insert((stored.transmissions_left, owner, key), ());
             }
-            told.extend((left_ms > 0).then_some(fact));
+            facts.extend((ttl_ms > 0).then_some(fact));
         }
-        told
+        facts
     }
 
     /// The value of a member's fact, unless it has expired.
     pub fn get(&self, now: Micros, owner: MemberId, key: u8) -> Option<&[u8]> {
-        self.facts.get(&(owner, key)).filter(|held| held.expires_at > now).map(|held| held.value.as_slice())
+        self.facts
+            .get(&(owner, key))
+            .filter(|stored| stored.expires_at > now)
+            .map(|stored| stored.value.as_slice())
     }
 
     /// As [`FactStore::get`], for a fact published in the life that started at `life`.
     pub fn get_of_life(&self, now: Micros, owner: MemberId, key: u8, life: u64) -> Option<&[u8]> {
-        let same = self.facts.get(&(owner, key)).is_some_and(|held| held.version.0 == life);
-        self.get(now, owner, key).filter(|_| same)
+        let of_life = self.facts.get(&(owner, key)).is_some_and(|stored| stored.version.0 == life);
+        self.get(now, owner, key).filter(|_| of_life)
     }
 
     /// Element-wise sums of the counters that members publish under a key.
     pub fn counter_totals(&self, now: Micros, key: u8) -> Vec<u64> {
         let mut totals: Vec<u64> = Vec::new();
-        for ((_, of), held) in &self.facts {
-            let counters =
-                (*of == key && held.expires_at > now).then(|| decode_counters(&held.value)).flatten();
-            for (at, counter) in counters.unwrap_or_default().into_iter().enumerate() {
-                match totals.get_mut(at) {
+        for ((_, stored_key), stored) in &self.facts {
+            let counters = (*stored_key == key && stored.expires_at > now)
+                .then(|| decode_counters(&stored.value))
+                .flatten();
+            for (index, counter) in counters.unwrap_or_default().into_iter().enumerate() {
+                match totals.get_mut(index) {
                     Some(total) => *total = total.saturating_add(counter),
                     None => totals.push(counter),
                 }
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,7 +1,7 @@
-//! State of the failure detector: open suspicions, probes in flight, and indirect probes on behalf of other members. After a
-//! stall of the local process, suspicions and probes are postponed by its length, since the silence of others may be due to
-//! the stall. Times are on the caller's clock. Bounds: one suspicion per member, the probes of a few periods, and
-//! [`MAX_INDIRECT_PROBES`](crate::limits::MAX_INDIRECT_PROBES).
+//! State of the failure detector: open suspicions, probes in flight, and indirect probes on behalf of other members.
+//! After a stall of the local process, suspicions and probes are postponed by its length, since the silence of others
+//! may be due to the stall. Times are on the caller's clock. Bounds: one suspicion per member, the probes of a few
+//! periods, and [`MAX_INDIRECT_PROBES`](crate::limits::MAX_INDIRECT_PROBES).
 
 use crate::types::{Incarnation, MemberId, Micros};
 use std::collections::BTreeMap;
@@ -25,8 +25,8 @@
     /// When the probe fails if it was not acknowledged.
     pub deadline: Micros,
     pub indirect_sent: bool,
-    /// Whether this is the second attempt. A suspicion needs two failed attempts, since at 30% packet loss one in five single
-    /// attempts would fail.
+    /// Whether this is the second attempt. A suspicion needs two failed attempts, since at 30% packet loss one in five
+    /// single attempts would fail.
     pub second_attempt: bool,
 }
 
@@ -52,7 +52,10 @@
 impl FailureDetector {
     /// When the next probe step or suspicion timeout is due.
     pub fn next_due(&self) -> Option<Micros> {
-        let probes = self.probes.iter().map(|q| if q.indirect_sent { q.deadline } else { q.indirect_at });
+        let probes = self
+            .probes
+            .iter()
+            .map(|probe| if probe.indirect_sent { probe.deadline } else { probe.indirect_at });
         probes.chain(self.suspects.values().map(|suspicion| suspicion.expires_at)).min()
     }
 
@@ -67,7 +70,7 @@
 
     /// Removes the state of members that are no longer in the configured list.
     pub fn retain_below(&mut self, size: MemberId) {
-        self.suspects.retain(|of, _| *of < size);
+        self.suspects.retain(|suspect, _| *suspect < size);
         self.probes.retain(|probe| probe.to < size);
         self.indirect_probes.retain(|_, indirect_probe| indirect_probe.requester < size);
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,10 @@
-//! SWIM-style group membership: which members of a fleet are up, suspected, gone, leaving or stopped, and when each was last
-//! in contact. Members exchange datagrams of at most 256 bytes, which may be delayed, duplicated or lost. The protocol does
-//! no I/O: it takes datagrams and the time, and returns datagrams to send, state changes and the time of the next wake-up.
+//! SWIM-style group membership: which members of a fleet are up, suspected, gone, leaving or stopped, and when each
+//! was last in contact. Members exchange datagrams of at most 256 bytes, which may be delayed, duplicated or lost. The
+//! protocol does no I/O: it takes datagrams and the time, and returns datagrams to send, state changes and the time of
+//! the next wake-up.
 //!
-//! Membership is a local, eventually consistent view. It makes no decisions, and no safety property depends on its accuracy.
+//! Membership is a local, eventually consistent view. It makes no decisions, and no safety property depends on its
+//! accuracy.
 //!
 //! Modules depend only on modules listed above them:
 //!
--- a/crates/membership/src/limits.rs
+++ b/crates/membership/src/limits.rs
@@ -12,9 +12,9 @@
 pub(crate) const MAX_INDIRECT_PROBES: usize = 64;
 /// Suspects that are probed again in each period, so that they learn of the suspicion and can refute it.
 pub(crate) const SUSPECTS_PROBED_PER_PERIOD: usize = 2;
-/// With more updates queued than this, which is more than a datagram holds, members stop gossiping them and sync by digests,
-/// which transfers only the differences. Otherwise three hundred members that start together, or rejoin after a partition,
-/// would send each other all updates a dozen times.
+/// With more updates queued than this, which is more than a datagram holds, members stop gossiping them and sync by
+/// digests, which transfers only the differences. Otherwise three hundred members that start together, or rejoin after
+/// a partition, would send each other all updates a dozen times.
 pub(crate) const MAX_GOSSIPED_UPDATES: usize = 30;
 /// After this many consecutive datagrams with the local digest, the others are taken to have all that digests cover.
 pub(crate) const AGREEING_DATAGRAMS: u32 = 3;
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,14 +1,14 @@
 //! One member's view of all members: its state and queries, applying updates and sending messages.
 //!
-//! The protocol is SWIM. In each period a member probes one other member. If that does not ack, three others are asked to
-//! probe it. Without an ack after a second such attempt it is suspected, and it is declared gone when the suspicion times out
-//! without a refutation. A member that learns that it is suspected or declared gone refutes with a higher incarnation. The
-//! members are known from the configured list, so members that are gone are probed too, one per period, and a healed
-//! partition is noticed without intervention. Anti-entropy by digests finds what gossip missed.
+//! The protocol is SWIM. In each period a member probes one other member. If that does not ack, three others are asked
+//! to probe it. Without an ack after a second such attempt it is suspected, and it is declared gone when the suspicion
+//! times out without a refutation. A member that learns that it is suspected or declared gone refutes with a higher
+//! incarnation. The members are known from the configured list, so members that are gone are probed too, one per
+//! period, and a healed partition is noticed without intervention. Anti-entropy by digests finds what gossip missed.
 //!
-//! Inputs are settings and times, outputs are [`Output`]s. Received datagrams are handled in `receive`, periodic work in
-//! `probe` and anti-entropy in `sync`; they use this module, which uses none of them. Bounds: one entry, one update and 16
-//! facts per member, and the send budget in bytes per second.
+//! Inputs are settings and times, outputs are [`Output`]s. Received datagrams are handled in `receive`, periodic work
+//! in `probe` and anti-entropy in `sync`; they use this module, which uses none of them. Bounds: one entry, one update
+//! and 16 facts per member, and the send budget in bytes per second.
 
 use crate::budget::Budget;
 use crate::facts::FactStore;
@@ -64,7 +64,7 @@
     /// A later life of the local member, if one was seen.
     pub(crate) later_life: Option<LaterLife>,
     pub(crate) superseded: bool,
-    /// Decides which update wins: [`Member::is_overridden_by`], unless a test injects a fault.
+    /// Decides which update wins: [`Member::is_overridden_by`], unless a test has injected a fault.
     pub(crate) override_rule: OverrideRule,
 }
 
@@ -117,8 +117,8 @@
 
     /// Replaces the override rule by a faulty one, to test that checks of the view detect the fault.
     #[doc(hidden)]
-    pub fn inject_fault(&mut self, newer: OverrideRule) {
-        self.override_rule = newer;
+    pub fn inject_fault(&mut self, override_rule: OverrideRule) {
+        self.override_rule = override_rule;
     }
 
     /// The entries of all members, indexed by number.
@@ -169,26 +169,28 @@
         }
     }
 
-    /// Whether no update or suspicion is pending and all members received from in the last four periods sent the local digest.
+    /// Whether no update or suspicion is pending and all members received from in the last four periods sent the local
+    /// digest.
     pub fn is_settled(&self, now: Micros) -> bool {
         let since = now.saturating_sub(self.settings.period * 4);
-        let mut late = self
+        let mut recent = self
             .members
             .iter()
             .zip(&self.peer_digests)
             .filter(|(e, _)| e.last_contact >= since && e.last_contact > 0);
         self.updates.is_empty()
             && self.detector.suspects.is_empty()
-            && late.all(|(_, theirs)| *theirs == self.digest)
+            && recent.all(|(_, digest)| *digest == self.digest)
     }
 
     /// Publishes a fact of the local member to all others; it replaces an earlier one under the same key. `ttl`, in
-    /// microseconds, is capped at [`MAX_FACT_LIFETIME_US`](crate::MAX_FACT_LIFETIME_US). Returns false if the key or the value is out
-    /// of bounds ([`FACT_KEYS`](crate::FACT_KEYS), [`MAX_FACT_BYTES`](crate::MAX_FACT_BYTES)) or `ttl` is below a millisecond.
-    pub fn publish_fact(&mut self, now: Micros, key: u8, value: &[u8], stands: Micros) -> bool {
-        let (whose, repeats) =
+    /// microseconds, is capped at [`MAX_FACT_LIFETIME_US`](crate::MAX_FACT_LIFETIME_US). Returns false if the key or
+    /// the value is out of bounds ([`FACT_KEYS`](crate::FACT_KEYS), [`MAX_FACT_BYTES`](crate::MAX_FACT_BYTES)) or
+    /// `ttl` is below a millisecond.
+    pub fn publish_fact(&mut self, now: Micros, key: u8, value: &[u8], ttl: Micros) -> bool {
+        let (owner, retransmit_limit) =
             ((self.settings.own, self.own_incarnation.start), self.settings.retransmit_limit());
-        self.fact_store.publish(now, whose, (key, value), stands, repeats)
+        self.fact_store.publish(now, owner, (key, value), ttl, retransmit_limit)
     }
 
     /// The value of a member's fact, unless it has expired.
@@ -196,8 +198,8 @@
         self.fact_store.get(now, owner, key)
     }
 
-    /// As [`Membership::fact`], but only if the member published it in its current life: what an earlier life published may
-    /// no longer hold.
+    /// As [`Membership::fact`], but only if the member published it in its current life: what an earlier life
+    /// published may no longer hold.
     pub fn fact_of_current_life(&self, now: Micros, owner: MemberId, key: u8) -> Option<&[u8]> {
         let life = self.members.get(usize::from(owner))?.incarnation.start;
         self.fact_store.get_of_life(now, owner, key, life)
@@ -224,12 +226,12 @@
         if self.superseded {
             return self.next_probe;
         }
-        let tells = !self.updates.is_empty() || self.fact_store.is_pending();
-        let broadcast = tells.then_some(self.next_gossip);
-        self.detector.next_due().into_iter().chain(broadcast).fold(self.next_probe, Micros::min)
+        let has_gossip = !self.updates.is_empty() || self.fact_store.is_pending();
+        let gossip = has_gossip.then_some(self.next_gossip);
+        self.detector.next_due().into_iter().chain(gossip).fold(self.next_probe, Micros::min)
     }
 
-    /// Announces that the local member is leaving and finishes the work that it has.
+    /// Announces that the local member is leaving and only finishes its present work.
     pub fn leave(&mut self, now: Micros, out: &mut Out) {
         self.leaving = true;
         self.apply(
@@ -243,7 +245,8 @@
         );
     }
 
-    /// Announces that the local member has stopped, as the final update of this life, to a few random live members.
+    /// Announces that the local member has stopped, as the final update of this life: to as many of six random live
+    /// members as the budget allows.
     pub fn stop(&mut self, now: Micros, out: &mut Out) {
         self.apply(
             now,
@@ -268,8 +271,11 @@
         self.settings.size = size;
         self.members.resize(size.into(), Member::default());
         self.peer_digests.resize(size.into(), 0);
-        self.digest =
-            self.members.iter().enumerate().fold(0, |all, (of, e)| all ^ e.fingerprint(of as MemberId));
+        self.digest = self
+            .members
+            .iter()
+            .enumerate()
+            .fold(0, |digest, (id, member)| digest ^ member.fingerprint(id as MemberId));
         self.updates.retain_below(size);
         self.fact_store.retain_below(size);
         self.detector.retain_below(size);
@@ -277,11 +283,11 @@
         true
     }
 
-    /// The update that accuses a member, if it is suspected or declared gone.
-    pub(crate) fn accusation(&self, of: MemberId) -> Option<Update> {
-        let Member { state, incarnation, .. } = self.members[usize::from(of)];
+    /// The update that a member has to refute, if it is suspected or declared gone.
+    pub(crate) fn accusation(&self, member: MemberId) -> Option<Update> {
+        let Member { state, incarnation, .. } = self.members[usize::from(member)];
         matches!(state, MemberState::Suspect | MemberState::Gone).then_some(Update {
-            member: of,
+            member,
             incarnation,
             state,
         })
@@ -289,41 +295,41 @@
 
     /// Applies an update to the view and queues it for gossip.
     pub(crate) fn apply(&mut self, now: Micros, update: Update, out: &mut Out) {
-        let Update { member: of, incarnation, state } = update;
-        let member = &mut self.members[usize::from(of)];
-        let (was, before) = (member.state, member.fingerprint(of));
+        let Update { member: id, incarnation, state } = update;
+        let member = &mut self.members[usize::from(id)];
+        let (previous, old_fingerprint) = (member.state, member.fingerprint(id));
         (member.state, member.incarnation) = (state, incarnation);
-        if was != state {
+        if previous != state {
             member.state_since = now;
         }
-        let after = member.fingerprint(of);
-        self.digest ^= before ^ after;
-        self.updates.add(update, before != after);
+        let new_fingerprint = member.fingerprint(id);
+        self.digest ^= old_fingerprint ^ new_fingerprint;
+        self.updates.add(update, old_fingerprint != new_fingerprint);
         // A leaving member that stops responding is not gossiped as suspected: its own announcement overrides that.
         match state {
             MemberState::Suspect => {
-                let until = now + self.settings.suspicion_timeout();
-                self.detector.suspects.insert(of, Suspicion { incarnation, expires_at: until });
+                let expires_at = now + self.settings.suspicion_timeout();
+                self.detector.suspects.insert(id, Suspicion { incarnation, expires_at });
             }
-            _ => drop(self.detector.suspects.remove(&of)),
+            _ => drop(self.detector.suspects.remove(&id)),
         }
-        if was != state {
-            out.push(Output::Changed { member: of, incarnation, previous: was, state: state });
+        if previous != state {
+            out.push(Output::Changed { member: id, incarnation, previous, state });
         }
     }
 
-    /// Records activity and handles a stall of the local process. The silence of others during a stall does not count against
-    /// them, so deadlines are postponed. After a stall longer than the suspicion timeout, the queued updates and the probes
-    /// in flight are outdated and dropped.
+    /// Records activity and handles a stall of the local process. The silence of others during a stall does not count
+    /// against them, so deadlines are postponed. After a stall longer than the suspicion timeout, the queued updates
+    /// and the probes in flight are outdated and dropped.
     pub(crate) fn detect_stall(&mut self, now: Micros) {
-        let still = now.saturating_sub(self.last_active);
-        if still > self.settings.period * 2 {
+        let stalled = now.saturating_sub(self.last_active);
+        if stalled > self.settings.period * 2 {
             self.counters.stalls += 1;
-            self.detector.postpone(still);
+            self.detector.postpone(stalled);
             self.next_probe = now;
             // The lifetime of facts includes the stall: expired ones are removed before anything is sent.
             self.fact_store.expire(now);
-            if still > self.settings.suspicion_timeout() {
+            if stalled > self.settings.suspicion_timeout() {
                 self.updates = UpdateQueue::default();
                 self.detector.probes.clear();
             }
@@ -351,8 +357,8 @@
         }
     }
 
-    /// Sends a message, filled with queued updates and facts as far as its size and the budget allow. `first` is sent even
-    /// without budget.
+    /// Sends a message, filled with queued updates and facts as far as its size and the budget allow. `first` is sent
+    /// even without budget.
     pub(crate) fn send(
         &mut self,
         now: Micros,
@@ -362,26 +368,28 @@
         out: &mut Out,
     ) {
         let mut message = self.new_message(kind);
-        let rich = self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES)
+        let has_capacity = self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES)
             && self.updates.len() <= MAX_GOSSIPED_UPDATES;
-        let (room, repeats) = (message.remaining_capacity(), self.settings.retransmit_limit());
-        message.updates = match rich {
-            true => self.updates.take_for_datagram(room, repeats, self.own_incarnation.start, first),
+        let (capacity, retransmit_limit) = (message.remaining_capacity(), self.settings.retransmit_limit());
+        message.updates = match has_capacity {
+            true => {
+                self.updates.take_for_datagram(capacity, retransmit_limit, self.own_incarnation.start, first)
+            }
             false => first.into_iter().collect(),
         };
-        // Facts have the lowest priority: republished by hundreds of members, they would use up the budget that updates and
-        // anti-entropy need.
-        if rich && self.can_send_facts(now) {
+        // Facts have the lowest priority: republished by hundreds of members, they would use up the budget that
+        // updates and anti-entropy need.
+        if has_capacity && self.can_send_facts(now) {
             message.facts = self.fact_store.take_for_datagram(now, message.remaining_capacity());
         }
         if kind == MessageKind::Updates && message.updates.is_empty() && message.facts.is_empty() {
             return;
         }
-        self.write(now, to, &message, out);
+        self.send_message(now, to, &message, out);
     }
 
     /// Sends a message as it is, even if the budget does not cover it.
-    pub(crate) fn write(&mut self, now: Micros, to: MemberId, message: &Message, out: &mut Out) {
+    pub(crate) fn send_message(&mut self, now: Micros, to: MemberId, message: &Message, out: &mut Out) {
         let Some(bytes) = message.encode().filter(|_| !self.superseded) else { return };
         self.budget.spend(now, bytes.len() as u64);
         self.counters.sent.0 += 1;
@@ -390,21 +398,21 @@
     }
 
     /// Up to `count` random live members, without the local one and `excluded`.
-    pub(crate) fn random_live_members(&mut self, count: usize, but: Option<MemberId>) -> Vec<MemberId> {
-        let fit = |(of, e): (usize, &Member)| {
-            let of = of as MemberId;
-            (e.state.is_live() && of != self.settings.own && Some(of) != but).then_some(of)
+    pub(crate) fn random_live_members(&mut self, count: usize, excluded: Option<MemberId>) -> Vec<MemberId> {
+        let eligible = |(id, member): (usize, &Member)| {
+            let id = id as MemberId;
+            (member.state.is_live() && id != self.settings.own && Some(id) != excluded).then_some(id)
         };
-        let mut all: Vec<_> = self.members.iter().enumerate().filter_map(fit).collect();
-        all.partial_shuffle(&mut self.rng, count).0.to_vec()
+        let mut candidates: Vec<_> = self.members.iter().enumerate().filter_map(eligible).collect();
+        candidates.partial_shuffle(&mut self.rng, count).0.to_vec()
     }
 
     /// The next live member to probe. Each round covers all members once, in a new random order.
     pub(crate) fn next_probe_target(&mut self) -> Option<MemberId> {
         for _ in 0..2 {
-            while let Some(of) = self.probe_order.pop() {
-                if of != self.settings.own && self.members[usize::from(of)].state.is_live() {
-                    return Some(of);
+            while let Some(id) = self.probe_order.pop() {
+                if id != self.settings.own && self.members[usize::from(id)].state.is_live() {
+                    return Some(id);
                 }
             }
             self.probe_order = (0..self.settings.size).collect();
--- a/crates/membership/src/output.rs
+++ b/crates/membership/src/output.rs
@@ -59,7 +59,8 @@
     pub declared_gone: u64,
     /// Refutations by this member.
     pub refutations: u64,
-    /// Updates about a later life of this member: its wall clock was set back, or two processes have the same number.
+    /// Refuted updates about a later life of this member: its wall clock was set back, or two processes have its
+    /// number.
     pub later_lives: u64,
     /// Stalls of this process for longer than two periods.
     pub stalls: u64,
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,6 +1,7 @@
-//! Periodic work of a membership: probes, suspicion timeouts and gossip. Input is the time on the caller's clock, outputs are
-//! datagrams and state changes. In each period it probes one live member, up to [`SUSPECTS_PROBED_PER_PERIOD`] suspects and
-//! one member that is not live. Everything sent is charged to the send budget.
+//! Periodic work of a membership: probes, suspicion timeouts and gossip. Input is the time on the caller's clock,
+//! outputs are datagrams and state changes. In each period it probes one live member, up to
+//! [`SUSPECTS_PROBED_PER_PERIOD`] suspects and one member that is not live. Everything sent is charged to the send
+//! budget.
 
 use crate::failure_detector::{Probe, Suspicion};
 use crate::limits::{
@@ -38,16 +39,16 @@
 
     /// Declares suspects gone whose suspicion has timed out.
     fn expire_suspicions(&mut self, now: Micros, out: &mut Out) {
-        let ended = |(of, suspicion): (&MemberId, &Suspicion)| {
-            (suspicion.expires_at <= now).then_some((*of, suspicion.incarnation))
+        let expired = |(id, suspicion): (&MemberId, &Suspicion)| {
+            (suspicion.expires_at <= now).then_some((*id, suspicion.incarnation))
         };
-        let ended: Vec<_> = self.detector.suspects.iter().filter_map(ended).collect();
-        for (of, incarnation) in ended {
-            self.detector.suspects.remove(&of);
-            let member = self.members[usize::from(of)];
+        let expired: Vec<_> = self.detector.suspects.iter().filter_map(expired).collect();
+        for (id, incarnation) in expired {
+            self.detector.suspects.remove(&id);
+            let member = self.members[usize::from(id)];
             if member.incarnation == incarnation && member.state.is_live() {
                 self.counters.declared_gone += 1;
-                self.apply(now, Update { member: of, incarnation, state: MemberState::Gone }, out);
+                self.apply(now, Update { member: id, incarnation, state: MemberState::Gone }, out);
             }
         }
     }
@@ -68,19 +69,20 @@
         }
     }
 
-    /// Advances unacknowledged probes: first to indirect probes through other members, then to a second attempt, then to a
-    /// suspicion.
+    /// Advances unacknowledged probes: first to indirect probes through other members, then to a second attempt, then
+    /// to a suspicion.
     fn check_probes(&mut self, now: Micros, out: &mut Out) {
-        // Second attempts started in the loop are pushed to the emptied list, among the probes that stay in flight.
+        // The list is emptied first; probes that stay in flight and second attempts are pushed to it again.
         for mut probe in std::mem::take(&mut self.detector.probes) {
             if now >= probe.deadline && probe.indirect_sent {
                 self.ack_ratio -= ACK_RATIO_WEIGHT * self.ack_ratio;
                 // If few probes are acknowledged while datagrams from the target still arrive, the local member's
                 // outgoing link is at fault, and the target is not suspected.
-                let heard = self.members[usize::from(probe.to)].last_contact;
-                let doubt = self.ack_ratio < MIN_ACK_RATIO && heard + self.settings.round_trip * 4 > now;
+                let last_contact = self.members[usize::from(probe.to)].last_contact;
+                let own_link_faulty =
+                    self.ack_ratio < MIN_ACK_RATIO && last_contact + self.settings.round_trip * 4 > now;
                 match probe.second_attempt {
-                    true if doubt => {}
+                    true if own_link_faulty => {}
                     true => self.suspect(now, probe.to, out),
                     false => self.probe(now, probe.to, true, out),
                 }
@@ -89,12 +91,12 @@
             if now >= probe.indirect_at && !probe.indirect_sent {
                 probe.indirect_sent = true;
                 for via in self.random_live_members(INDIRECT_PROBE_MEMBERS, Some(probe.to)) {
-                    let told = self.accusation(probe.to);
+                    let accusation = self.accusation(probe.to);
                     self.send(
                         now,
                         via,
                         MessageKind::PingRequest { sequence: probe.sequence, target: probe.to },
-                        told,
+                        accusation,
                         out,
                     );
                 }
@@ -106,17 +108,17 @@
     }
 
     /// Starts a suspicion.
-    fn suspect(&mut self, now: Micros, of: MemberId, out: &mut Out) {
-        let Member { state, incarnation, .. } = self.members[usize::from(of)];
+    fn suspect(&mut self, now: Micros, id: MemberId, out: &mut Out) {
+        let Member { state, incarnation, .. } = self.members[usize::from(id)];
         match state {
             MemberState::Up => {
                 self.counters.suspicions += 1;
-                self.apply(now, Update { member: of, incarnation, state: MemberState::Suspect }, out);
+                self.apply(now, Update { member: id, incarnation, state: MemberState::Suspect }, out);
             }
             // The announced state stays `Leaving`; only the suspicion timeout runs.
             MemberState::Leaving => {
-                let until = now + self.settings.suspicion_timeout();
-                self.detector.suspects.entry(of).or_insert(Suspicion { incarnation, expires_at: until });
+                let expires_at = now + self.settings.suspicion_timeout();
+                self.detector.suspects.entry(id).or_insert(Suspicion { incarnation, expires_at });
             }
             MemberState::Unknown | MemberState::Suspect | MemberState::Gone | MemberState::Stopped => {}
         }
@@ -134,8 +136,8 @@
             indirect_sent: false,
             second_attempt,
         });
-        let told = self.accusation(to);
-        self.send(now, to, MessageKind::Ping(sequence), told, out);
+        let accusation = self.accusation(to);
+        self.send(now, to, MessageKind::Ping(sequence), accusation, out);
     }
 
     /// Sends the probes of one period.
@@ -146,19 +148,19 @@
         let mut suspects: Vec<_> = self.detector.suspects.keys().copied().collect();
         suspects.shuffle(&mut self.rng);
         for to in suspects.into_iter().take(SUSPECTS_PROBED_PER_PERIOD) {
-            let (sequence, told) = (self.next_sequence(), self.accusation(to));
-            self.send(now, to, MessageKind::Ping(sequence), told, out);
+            let (sequence, accusation) = (self.next_sequence(), self.accusation(to));
+            self.send(now, to, MessageKind::Ping(sequence), accusation, out);
         }
         // One member that is not live, in rotation. The probe is not tracked, as a missing ack would change nothing.
         let size = self.settings.size;
-        let away =
+        let not_live =
             |of: &MemberId| *of != self.settings.own && !self.members[usize::from(*of)].state.is_live();
-        let mut turn = (1..=size)
+        let mut rotation = (1..=size)
             .map(|step| ((u32::from(self.last_dead_probed) + u32::from(step)) % u32::from(size)) as MemberId);
-        if let Some(to) = turn.find(away) {
+        if let Some(to) = rotation.find(not_live) {
             self.last_dead_probed = to;
-            let (sequence, told) = (self.next_sequence(), self.accusation(to));
-            self.send(now, to, MessageKind::Ping(sequence), told, out);
+            let (sequence, accusation) = (self.next_sequence(), self.accusation(to));
+            self.send(now, to, MessageKind::Ping(sequence), accusation, out);
         }
         self.sync_if_different(now, out);
     }
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -1,6 +1,7 @@
-//! Handling of received datagrams: the liveness of the sender, the contained updates and facts, and the kind of message.
-//! Inputs are the bytes and the number of the member that owns the source address. Anything but a complete message from that
-//! member and the local fleet is counted and dropped. Outputs are datagrams, charged to the send budget, and state changes.
+//! Handling of received datagrams: the liveness of the sender, the contained updates and facts, and the kind of
+//! message. Inputs are the bytes and the number of the member that owns the source address. Anything but a complete
+//! message from that member and the local fleet is counted and dropped. Outputs are datagrams, charged to the send
+//! budget, and state changes.
 
 use crate::failure_detector::IndirectProbe;
 use crate::limits::{ACK_RATIO_WEIGHT, AGREEING_DATAGRAMS, MAX_INDIRECT_PROBES};
@@ -16,30 +17,30 @@
             return;
         }
         self.detect_stall(now);
-        let good = |m: &Message| {
-            m.from == from
-                && m.fleet == self.settings.fleet
+        let is_valid = |message: &Message| {
+            message.from == from
+                && message.fleet == self.settings.fleet
                 && from < self.settings.size
                 && from != self.settings.own
         };
-        let Some(message) = Message::decode(bytes).ok().filter(good) else {
+        let Some(message) = Message::decode(bytes).ok().filter(is_valid) else {
             self.counters.dropped += 1;
             return;
         };
         self.counters.received += 1;
         self.peer_digests[usize::from(from)] = message.digest;
-        let told = self.update_sender(now, &message, out);
+        let accusation = self.update_sender(now, &message, out);
         self.agreeing_datagrams = if message.digest == self.digest { self.agreeing_datagrams + 1 } else { 0 };
         if self.agreeing_datagrams >= AGREEING_DATAGRAMS {
             self.updates.remove_covered_by_digest();
         }
         let stale = self.merge_contents(now, &message, out);
-        self.handle_kind(now, &message, told, &stale, out);
-        // The local view of the sender is wrong. The sender has to learn of it in order to refute it; a ping's ack already
-        // carries the update.
-        let asked = matches!(message.kind, MessageKind::Ping(_));
-        if told.is_some() && !asked {
-            self.send(now, from, MessageKind::Updates, told, out);
+        self.handle_kind(now, &message, accusation, &stale, out);
+        // The local view of the sender is wrong. The sender has to learn of it in order to refute it; a ping's ack
+        // already carries the update.
+        let is_ping = matches!(message.kind, MessageKind::Ping(_));
+        if accusation.is_some() && !is_ping {
+            self.send(now, from, MessageKind::Updates, accusation, out);
         }
     }
 
@@ -51,8 +52,8 @@
                 stale.push(update.member);
             }
         }
-        let of_others = |owner: MemberId| owner < self.settings.size && owner != self.settings.own;
-        for fact in message.facts.iter().filter(|fact| of_others(fact.owner)) {
+        let is_other = |owner: MemberId| owner < self.settings.size && owner != self.settings.own;
+        for fact in message.facts.iter().filter(|fact| is_other(fact.owner)) {
             self.fact_store.merge(now, fact, self.settings.retransmit_limit());
         }
         stale
@@ -63,13 +64,13 @@
         &mut self,
         now: Micros,
         message: &Message,
-        told: Option<Update>,
+        accusation: Option<Update>,
         stale: &[MemberId],
         out: &mut Out,
     ) {
         let from = message.from;
         match &message.kind {
-            MessageKind::Ping(sequence) => self.send(now, from, MessageKind::Ack(*sequence), told, out),
+            MessageKind::Ping(sequence) => self.send(now, from, MessageKind::Ack(*sequence), accusation, out),
             MessageKind::PingRequest { sequence, target } => {
                 self.probe_on_behalf(now, from, *sequence, *target, out);
             }
@@ -93,8 +94,8 @@
     fn probe_on_behalf(
         &mut self,
         now: Micros,
-        from: MemberId,
-        their_sequence: u32,
+        requester: MemberId,
+        requester_sequence: u32,
         target: MemberId,
         out: &mut Out,
     ) {
@@ -103,39 +104,39 @@
             return;
         }
         let sequence = self.next_sequence();
-        let until = now + self.settings.round_trip * 2;
-        self.detector.indirect_probes.insert(
-            sequence,
-            IndirectProbe { requester: from, requester_sequence: their_sequence, expires_at: until },
-        );
-        let told = self.accusation(target);
-        self.send(now, target, MessageKind::Ping(sequence), told, out);
+        let expires_at = now + self.settings.round_trip * 2;
+        self.detector
+            .indirect_probes
+            .insert(sequence, IndirectProbe { requester, requester_sequence, expires_at });
+        let accusation = self.accusation(target);
+        self.send(now, target, MessageKind::Ping(sequence), accusation, out);
     }
 
     /// Completes the local probe that an ack matches, if any.
-    fn acknowledge(&mut self, sequence: u32, of: MemberId) {
+    fn acknowledge(&mut self, sequence: u32, target: MemberId) {
         let before = self.detector.probes.len();
-        self.detector.probes.retain(|q| q.sequence != sequence || q.to != of);
+        self.detector.probes.retain(|probe| probe.sequence != sequence || probe.to != target);
         if self.detector.probes.len() < before {
             self.ack_ratio += ACK_RATIO_WEIGHT * (1.0 - self.ack_ratio);
         }
     }
 
-    /// Updates the sender's entry from its own message. Returns the update that the sender has to refute, if its entry is wrong.
+    /// Updates the sender's entry from its own message. Returns the update that the sender has to refute, if its entry
+    /// is wrong.
     fn update_sender(&mut self, now: Micros, message: &Message, out: &mut Out) -> Option<Update> {
-        let (of, incarnation) = (message.from, message.incarnation);
+        let (sender, incarnation) = (message.from, message.incarnation);
         let state = if message.leaving { MemberState::Leaving } else { MemberState::Up };
-        let member = &mut self.members[usize::from(of)];
+        let member = &mut self.members[usize::from(sender)];
         member.last_contact = now;
         if (self.override_rule)(member, incarnation, state)
             && !(member.incarnation == incarnation && member.state == MemberState::Suspect)
         {
-            self.apply(now, Update { member: of, incarnation, state }, out);
+            self.apply(now, Update { member: sender, incarnation, state }, out);
         }
-        let member = self.members[usize::from(of)];
+        let member = self.members[usize::from(sender)];
         let wrong = member.incarnation > incarnation
             || matches!(member.state, MemberState::Suspect | MemberState::Gone | MemberState::Stopped);
-        wrong.then_some(Update { member: of, incarnation: member.incarnation, state: member.state })
+        wrong.then_some(Update { member: sender, incarnation: member.incarnation, state: member.state })
     }
 
     /// Merges an update. Returns true if the local entry is newer.
@@ -158,14 +159,14 @@
     /// Refutes a false update about the local member with a higher incarnation.
     fn refute(&mut self, now: Micros, update: Update, out: &mut Out) {
         let state = if self.leaving { MemberState::Leaving } else { MemberState::Up };
-        let known = self.members[usize::from(self.settings.own)].state;
-        let state = if known == MemberState::Stopped { known } else { state };
-        let Some(refuting) = self.own_incarnation.refutation(state, (update.incarnation, update.state))
+        let own_state = self.members[usize::from(self.settings.own)].state;
+        let state = if own_state == MemberState::Stopped { own_state } else { state };
+        let Some(incarnation) = self.own_incarnation.refutation(state, (update.incarnation, update.state))
         else {
             return;
         };
         if update.state != MemberState::Gone && update.incarnation.start > self.settings.start {
-            self.superseded |= self.is_superseded_by_live(now);
+            self.superseded |= self.is_superseded_by_running_process(now);
         }
         if self.superseded {
             out.push(Output::Superseded { start: update.incarnation.start });
@@ -173,19 +174,20 @@
         }
         self.counters.later_lives += u64::from(update.incarnation.start > self.own_incarnation.start);
         self.counters.refutations += 1;
-        self.own_incarnation = refuting;
+        self.own_incarnation = incarnation;
         self.apply(now, Update { member: self.settings.own, incarnation: self.own_incarnation, state }, out);
     }
 
-    /// Whether the later life in updates about the local member belongs to a running process, which refutes what this one
-    /// sends. A member that starts with its wall clock set back also sees updates about a later life, which is dead. Those
-    /// updates reach all members within the settling time and then cease, so updates that continue for longer come from a
-    /// running process. The later process wins: an operator started it in place of one that was stalled.
-    fn is_superseded_by_live(&mut self, now: Micros) -> bool {
-        let settling = self.settings.settling_time();
-        let known = self.later_life.filter(|rival| rival.last_contact + settling > now);
-        let first_heard = known.map_or(now, |rival| rival.first_contact);
-        self.later_life = Some(LaterLife { first_contact: first_heard, last_contact: now });
-        now - first_heard > settling
+    /// Whether the later life in updates about the local member belongs to a running process, which refutes what this
+    /// one sends. A member that starts with its wall clock set back also sees updates about a later life, which is
+    /// dead. Those updates reach all members within the settling time and then cease, so updates that continue for
+    /// longer come from a running process. The later process wins: an operator started it in place of one that was
+    /// stalled.
+    fn is_superseded_by_running_process(&mut self, now: Micros) -> bool {
+        let settling_time = self.settings.settling_time();
+        let current = self.later_life.filter(|later_life| later_life.last_contact + settling_time > now);
+        let first_contact = current.map_or(now, |later_life| later_life.first_contact);
+        self.later_life = Some(LaterLife { first_contact, last_contact: now });
+        now - first_contact > settling_time
     }
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of a membership with their defaults and validation, and the times derived from them. Times are microseconds.
+//! Settings of a membership with their defaults and validation, and the times derived from them. Times are
+//! microseconds.
 
 use crate::types::{MemberId, Micros};
 use thiserror::Error;
@@ -68,13 +69,13 @@
             return Err(SettingsError::OwnNumber { own, size });
         }
         // A period has to hold a direct probe and then an indirect one.
-        let figures = [
+        let checks = [
             ("period", self.period >= self.round_trip * 3),
             ("round_trip", self.round_trip > 0),
             ("bytes_per_s", self.bytes_per_s >= 200),
             ("burst", self.burst >= 512),
         ];
-        match figures.iter().find(|(_, good)| !good) {
+        match checks.iter().find(|(_, passed)| !passed) {
             Some((name, _)) => Err(SettingsError::TooSmall(name)),
             None => Ok(()),
         }
@@ -85,8 +86,8 @@
         u32::from(self.size.max(2)).ilog2() + 1
     }
 
-    /// Time from a suspicion to the declaration that the member is gone. It allows for the suspicion to reach the suspect and
-    /// for the refutation to reach all members.
+    /// Time from a suspicion to the declaration that the member is gone. It allows for the suspicion to reach the
+    /// suspect and for the refutation to reach all members.
     pub fn suspicion_timeout(&self) -> Micros {
         self.period * Micros::from(self.gossip_rounds().max(4))
     }
--- a/crates/membership/src/status.rs
+++ b/crates/membership/src/status.rs
@@ -1,6 +1,6 @@
-//! Status queries: an operator requests a member's view of the fleet page by page. A request names the first member, the
-//! response holds up to [`STATUS_PAGE_MEMBERS`] members, and each is one datagram. The field names are the JSON keys that
-//! `fleet view --json` prints.
+//! Status queries: an operator requests a member's view of the fleet page by page. A request names the first member,
+//! the response holds up to [`STATUS_PAGE_MEMBERS`] members, and each is one datagram. The field names are the JSON
+//! keys that `fleet view --json` prints.
 
 use crate::fact_keys::CALLS_KEY;
 use crate::members::Membership;
@@ -14,7 +14,7 @@
 /// Members per response; as many entries of maximum size fit into a datagram.
 pub const STATUS_PAGE_MEMBERS: usize = 6;
 /// Maximum number of call counters in a response.
-const MAX_TOTALS: usize = 3;
+const MAX_CALL_COUNTERS: usize = 3;
 
 /// Requests one page of a member's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,7 +64,7 @@
 
 impl StatusRequest {
     /// Encodes the request.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         encode_datagram(VERSION, self).unwrap_or_default()
     }
 
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// If the bytes are not a valid request.
-    pub fn read(bytes: &[u8]) -> Result<Self, WireError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         decode_datagram(VERSION, bytes)
     }
 }
@@ -80,17 +80,17 @@
 impl StatusResponse {
     /// Builds the response to a request.
     pub fn new(membership: &Membership, now: Micros, request: StatusRequest) -> Self {
-        let seen = |entry: &Member| MemberStatus {
-            state: entry.state,
-            incarnation: entry.incarnation,
-            heard_ms: (entry.last_contact > 0).then(|| now.saturating_sub(entry.last_contact) / 1_000),
+        let status = |member: &Member| MemberStatus {
+            state: member.state,
+            incarnation: member.incarnation,
+            heard_ms: (member.last_contact > 0).then(|| now.saturating_sub(member.last_contact) / 1_000),
         };
         let members = membership
             .members()
             .iter()
             .skip(request.first.into())
             .take(STATUS_PAGE_MEMBERS)
-            .map(seen)
+            .map(status)
             .collect();
         Self {
             tag: request.tag,
@@ -100,14 +100,14 @@
             settled: membership.is_settled(now),
             part: membership.fleet_share(),
             superseded: membership.is_superseded(),
-            calls: membership.counter_totals(now, CALLS_KEY).into_iter().take(MAX_TOTALS).collect(),
+            calls: membership.counter_totals(now, CALLS_KEY).into_iter().take(MAX_CALL_COUNTERS).collect(),
             first: request.first,
             members,
         }
     }
 
     /// Encodes the response, in at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES).
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         encode_datagram(VERSION, self).unwrap_or_default()
     }
 
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     /// If the bytes are not a valid response.
-    pub fn read(bytes: &[u8]) -> Result<Self, WireError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         decode_datagram(VERSION, bytes)
     }
 }
--- a/crates/membership/src/status/tests.rs
+++ b/crates/membership/src/status/tests.rs
@@ -9,12 +9,12 @@
     let seen = MemberStatus { state: MemberState::Stopped, incarnation, heard_ms: Some(u64::MAX) };
     let (tag, digest, own, size, first) = (u32::MAX, u32::MAX, MemberId::MAX, MemberId::MAX, MemberId::MAX);
     let (settled, superseded, part) = (true, true, FleetShare::Alone);
-    let (members, calls) = (vec![seen; STATUS_PAGE_MEMBERS], vec![u64::MAX; MAX_TOTALS]);
+    let (members, calls) = (vec![seen; STATUS_PAGE_MEMBERS], vec![u64::MAX; MAX_CALL_COUNTERS]);
     let answer = StatusResponse { tag, own, size, digest, settled, part, superseded, calls, first, members };
-    let bytes = answer.write();
+    let bytes = answer.encode();
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES && bytes.len() > 200, "{}", bytes.len());
-    assert_eq!(StatusResponse::read(&bytes), Ok(answer));
-    assert!((0..bytes.len()).all(|cut| StatusResponse::read(&bytes[..cut]).is_err()));
+    assert_eq!(StatusResponse::decode(&bytes), Ok(answer));
+    assert!((0..bytes.len()).all(|cut| StatusResponse::decode(&bytes[..cut]).is_err()));
     let request = StatusRequest { tag: 7, first: 300 };
-    assert_eq!(StatusRequest::read(&request.write()), Ok(request));
+    assert_eq!(StatusRequest::decode(&request.encode()), Ok(request));
 }
--- a/crates/membership/src/types.rs
+++ b/crates/membership/src/types.rs
@@ -1,4 +1,5 @@
-//! Types shared by all modules: members, their states and incarnations, and the rule by which updates override each other.
+//! Types shared by all modules: members, their states and incarnations, and the rule by which updates override each
+//! other.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,9 +9,10 @@
 /// A member's number in the configured list.
 pub type MemberId = u16;
 
-/// Identifies one life of a member, from the start of its process to the end, and counts its refutations. Incarnations are
-/// ordered: `start` is a wall-clock time, so a restarted member has a greater one without any persisted state. A member whose
-/// wall clock was set back learns of its earlier life from others and continues with a start as late as that one's.
+/// Identifies one life of a member, from the start of its process to the end, and counts its refutations. Incarnations
+/// are ordered: `start` is a wall-clock time, so a restarted member has a greater one without any persisted state. A
+/// member whose wall clock was set back learns of its earlier life from others and continues with a start as late as
+/// that one's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     /// Milliseconds since the beginning of 2026, by the member's wall clock.
@@ -63,15 +65,15 @@
         (incarnation, state) > (self.incarnation, self.state)
     }
 
-    /// The member's part of a digest: its number, its state and the start of its life; 0 if it is unknown. Suspicions and
-    /// refutations are left out, since at 30% packet loss there are many per second. If a suspicion leads to a different
-    /// state at only some members, their digests differ by that state.
-    pub(crate) fn fingerprint(&self, of: MemberId) -> u32 {
+    /// The member's part of a digest: its number, its state and the start of its life; 0 if it is unknown. Suspicions
+    /// and refutations are left out, since at 30% packet loss there are many per second. If a suspicion leads to a
+    /// different state at only some members, their digests differ by that state.
+    pub(crate) fn fingerprint(&self, id: MemberId) -> u32 {
         if self.state == MemberState::Unknown {
             return 0;
         }
         let state = if self.state == MemberState::Suspect { MemberState::Up } else { self.state };
-        let parts = [u64::from(of) << 8 | state as u64, self.incarnation.start];
+        let parts = [u64::from(id) << 8 | state as u64, self.incarnation.start];
         let mix = |hash: u64, part: u64| {
             let hash = (hash ^ part).wrapping_mul(0xff51_afd7_ed55_8ccd);
             hash ^ hash >> 32
@@ -81,10 +83,10 @@
 }
 
 impl Incarnation {
-    /// The incarnation with which a member in `state` refutes an update about itself; `None` if the update does not override
-    /// what the member itself announces, or the member has stopped.
-    pub fn refutation(self, state: MemberState, told: (Incarnation, MemberState)) -> Option<Self> {
-        let beyond = state != MemberState::Stopped && told > (self, state);
-        beyond.then(|| Self { start: told.0.start, bump: told.0.bump.saturating_add(1) })
+    /// The incarnation with which a member in `state` refutes an update about itself; `None` if the update does not
+    /// override what the member itself announces, or the member has stopped.
+    pub fn refutation(self, state: MemberState, update: (Incarnation, MemberState)) -> Option<Self> {
+        let overrides = state != MemberState::Stopped && update > (self, state);
+        overrides.then(|| Self { start: update.0.start, bump: update.0.bump.saturating_add(1) })
     }
 }
--- a/crates/membership/src/updates.rs
+++ b/crates/membership/src/updates.rs
@@ -1,5 +1,5 @@
-//! The queue of updates to gossip. Each update is transmitted a limited number of times, those transmitted least first. A
-//! newer update about a member replaces the older one, so the queue is bounded by the fleet's size.
+//! The queue of updates to gossip. Each update is transmitted a limited number of times, those transmitted least
+//! first. A newer update about a member replaces the older one, so the queue is bounded by the fleet's size.
 
 use crate::types::MemberId;
 use crate::wire::{Update, update_bytes};
@@ -22,13 +22,13 @@
 }
 
 impl UpdateQueue {
-    /// Queues a new update in place of an earlier one about the same member. `in_digest` says whether views without it have a
-    /// different digest.
-    pub fn add(&mut self, update: Update, shows: bool) {
-        if let Some(passed) = self.transmissions.insert(update.member, 0) {
-            self.order.remove(&(passed, update.member));
+    /// Queues a new update in place of an earlier one about the same member. `in_digest` says whether views without it
+    /// have a different digest.
+    pub fn add(&mut self, update: Update, in_digest: bool) {
+        if let Some(transmissions) = self.transmissions.insert(update.member, 0) {
+            self.order.remove(&(transmissions, update.member));
         }
-        self.order.insert((0, update.member), QueuedUpdate { update, in_digest: shows });
+        self.order.insert((0, update.member), QueuedUpdate { update, in_digest: in_digest });
     }
 
     pub fn is_empty(&self) -> bool {
@@ -39,55 +39,57 @@
         self.order.len()
     }
 
-    /// Removes the updates that digests cover, when the others are known to have the local digest. Suspicions and refutations,
-    /// which digests do not cover, stay queued.
+    /// Removes the updates that digests cover, when the others are known to have the local digest. Suspicions and
+    /// refutations, which digests do not cover, stay queued.
     pub fn remove_covered_by_digest(&mut self) {
-        self.order.retain(|_, piece| !piece.in_digest);
-        self.transmissions.retain(|of, passed| self.order.contains_key(&(*passed, *of)));
+        self.order.retain(|_, queued| !queued.in_digest);
+        self.transmissions
+            .retain(|member, transmissions| self.order.contains_key(&(*transmissions, *member)));
     }
 
     /// Removes the updates about members that are no longer in the configured list.
     pub fn retain_below(&mut self, size: MemberId) {
-        self.order.retain(|(_, of), _| *of < size);
-        self.transmissions.retain(|of, _| *of < size);
+        self.order.retain(|(_, member), _| *member < size);
+        self.transmissions.retain(|member, _| *member < size);
     }
 
-    /// The next updates to gossip that fit into `capacity` bytes, preceded by `first` if it fits. Counts a transmission of each
-    /// and removes those that reach `retransmit_limit`. `base` is the start of the sender's life, see [`update_bytes`].
+    /// The next updates to gossip that fit into `capacity` bytes, preceded by `first` if it fits. Counts a
+    /// transmission of each and removes those that reach `retransmit_limit`. `base` is the start of the sender's life,
+    /// see [`update_bytes`].
     pub fn take_for_datagram(
         &mut self,
-        mut room: usize,
-        repeats: u32,
+        mut capacity: usize,
+        retransmit_limit: u32,
         base: u64,
         first: Option<Update>,
     ) -> Vec<Update> {
-        let mut told = Vec::new();
-        if let Some(update) = first.filter(|update| update_bytes(update, base) <= room) {
-            room -= update_bytes(&update, base);
-            told.push(update);
+        let mut updates = Vec::new();
+        if let Some(update) = first.filter(|update| update_bytes(update, base) <= capacity) {
+            capacity -= update_bytes(&update, base);
+            updates.push(update);
         }
-        let mut passed = Vec::new();
+        let mut sent = Vec::new();
         for (key, QueuedUpdate { update, .. }) in &self.order {
-            if update_bytes(update, base) > room {
+            if update_bytes(update, base) > capacity {
                 break;
             }
-            room -= update_bytes(update, base);
-            passed.push(*key);
-            if !told.contains(update) {
-                told.push(*update);
+            capacity -= update_bytes(update, base);
+            sent.push(*key);
+            if !updates.contains(update) {
+                updates.push(*update);
             }
         }
-        for key in passed {
-            let Some(piece) = self.order.remove(&key) else { continue };
-            let count = key.0 + 1;
-            if count < repeats {
-                self.order.insert((count, key.1), piece);
-                self.transmissions.insert(key.1, count);
+        for key in sent {
+            let Some(queued) = self.order.remove(&key) else { continue };
+            let transmissions = key.0 + 1;
+            if transmissions < retransmit_limit {
+                self.order.insert((transmissions, key.1), queued);
+                self.transmissions.insert(key.1, transmissions);
             } else {
                 self.transmissions.remove(&key.1);
             }
         }
-        told
+        updates
     }
 }
 
--- a/crates/membership/src/virtual_cluster.rs
+++ b/crates/membership/src/virtual_cluster.rs
@@ -25,7 +25,7 @@
     fn into_datagram(out: Output) -> Result<(MemberId, Vec<u8>), Output> {
         match out {
             Output::Send { to, bytes } => Ok((to, bytes)),
-            told @ (Output::Changed { .. } | Output::Superseded { .. }) => Err(told),
+            other @ (Output::Changed { .. } | Output::Superseded { .. }) => Err(other),
         }
     }
 }
@@ -63,35 +63,35 @@
     }
 
     /// The membership of a running member.
-    pub fn membership(&self, of: MemberId) -> Option<&Membership> {
-        self.node(of)
+    pub fn membership(&self, id: MemberId) -> Option<&Membership> {
+        self.node(id)
     }
 
     /// Injects a fault into a running member, see [`Membership::inject_fault`].
     #[doc(hidden)]
-    pub fn inject_fault(&mut self, of: MemberId, newer: crate::members::OverrideRule) {
-        self.node_mut(of).into_iter().for_each(|membership| membership.inject_fault(newer));
+    pub fn inject_fault(&mut self, id: MemberId, rule: crate::members::OverrideRule) {
+        self.node_mut(id).into_iter().for_each(|membership| membership.inject_fault(rule));
     }
 
-    /// Changes the size of the configured list. Members beyond a smaller list are killed. Running members keep the old list
-    /// until the caller applies [`Membership::resize`](crate::Membership::resize) to them; members started from now on have
-    /// the new one.
+    /// Changes the size of the configured list. Members beyond a smaller list are killed. Running members keep the old
+    /// list until the caller applies [`Membership::resize`](crate::Membership::resize) to them; members started from
+    /// now on have the new one.
     pub fn resize(&mut self, size: MemberId) {
-        (size..self.settings.size).for_each(|of| self.kill(of));
+        (size..self.settings.size).for_each(|id| self.kill(id));
         self.settings.size = size;
         self.set_size(size);
     }
 
     /// Starts a member, without any state from an earlier life.
-    pub fn start(&mut self, of: MemberId) {
-        self.start_at(of, EPOCH_MS + self.now / 1_000);
+    pub fn start(&mut self, id: MemberId) {
+        self.start_at(id, EPOCH_MS + self.now / 1_000);
     }
 
     /// As [`VirtualCluster::start`], with the given wall-clock time, in milliseconds since the beginning of 2026.
-    pub fn start_at(&mut self, of: MemberId, start: u64) {
-        let settings = MembershipSettings { own: of, start, ..self.settings };
-        let Ok(membership) = Membership::new(settings, self.clock(of)) else { return };
-        let ended = self.insert(of, membership);
+    pub fn start_at(&mut self, id: MemberId, start: u64) {
+        let settings = MembershipSettings { own: id, start, ..self.settings };
+        let Ok(membership) = Membership::new(settings, self.clock(id)) else { return };
+        let ended = self.insert(id, membership);
         self.add_ended_counters(ended);
     }
 
@@ -101,40 +101,44 @@
     }
 
     /// Kills a member without notice to the others.
-    pub fn kill(&mut self, of: MemberId) {
-        let ended = self.net.kill(of);
+    pub fn kill(&mut self, id: MemberId) {
+        let ended = self.net.kill(id);
         self.add_ended_counters(ended);
     }
 
     /// Stops a member in good order: it announces that it has stopped, and ends.
-    pub fn stop(&mut self, of: MemberId) {
-        self.with_node(of, |membership, now, out| membership.stop(now, out));
-        self.kill(of);
-    }
-
-    /// Runs until a condition holds, checked every 10 ms of virtual time. Returns that time, or `None` if the condition does
-    /// not hold by `until`.
-    pub fn run_until_condition(&mut self, until: Micros, holds: impl Fn(&Self) -> bool) -> Option<Micros> {
+    pub fn stop(&mut self, id: MemberId) {
+        self.with_node(id, |membership, now, out| membership.stop(now, out));
+        self.kill(id);
+    }
+
+    /// Runs until a condition holds, checked every 10 ms of virtual time. Returns that time, or `None` if the
+    /// condition does not hold by `until`.
+    pub fn run_until_condition(
+        &mut self,
+        until: Micros,
+        condition: impl Fn(&Self) -> bool,
+    ) -> Option<Micros> {
         while self.now < until {
             let next = (self.now + 10_000).min(until);
             self.run_until(next);
-            if holds(self) {
+            if condition(self) {
                 return Some(self.now);
             }
         }
         None
     }
 
-    /// Whether all running members of a group have the same, correct view: the running members of the group are live and no
-    /// others.
+    /// Whether all running members of a group have the same, correct view: the running members of the group are live
+    /// and no others.
     pub fn agrees(&self, group: &[MemberId]) -> bool {
-        let up: Vec<_> = group.iter().copied().filter(|of| self.is_up(*of)).collect();
-        let digest = up.first().and_then(|of| self.membership(*of)).map(Membership::digest);
-        up.iter().all(|of| {
-            let membership = self.membership(*of);
+        let up: Vec<_> = group.iter().copied().filter(|id| self.is_up(*id)).collect();
+        let digest = up.first().and_then(|id| self.membership(*id)).map(Membership::digest);
+        up.iter().all(|id| {
+            let membership = self.membership(*id);
             membership.is_some_and(|membership| {
                 let live = |other: MemberId| {
-                    membership.members().get(usize::from(other)).is_some_and(|e| e.state.is_live())
+                    membership.members().get(usize::from(other)).is_some_and(|member| member.state.is_live())
                 };
                 Some(membership.digest()) == digest
                     && self.node_ids().all(|other| live(other) == up.contains(&other))
@@ -144,19 +148,20 @@
 
     /// Pairs of running members of which the first has the second as gone.
     pub fn falsely_gone(&self) -> Vec<(MemberId, MemberId)> {
-        let up: Vec<_> = self.node_ids().filter(|of| self.is_up(*of)).collect();
-        let gone = |of: &MemberId, other: &MemberId| {
-            let member =
-                |membership: &Membership| membership.members().get(usize::from(*other)).map(|e| e.state);
-            self.membership(*of).and_then(member) == Some(MemberState::Gone)
+        let up: Vec<_> = self.node_ids().filter(|id| self.is_up(*id)).collect();
+        let is_gone = |id: &MemberId, other: &MemberId| {
+            let state = |membership: &Membership| {
+                membership.members().get(usize::from(*other)).map(|member| member.state)
+            };
+            self.membership(*id).and_then(state) == Some(MemberState::Gone)
         };
-        let pairs = up.iter().flat_map(|of| up.iter().map(move |other| (*of, *other)));
-        pairs.filter(|(of, other)| gone(of, other)).collect()
+        let pairs = up.iter().flat_map(|id| up.iter().map(move |other| (*id, *other)));
+        pairs.filter(|(id, other)| is_gone(id, other)).collect()
     }
 
     /// Sums of the counters of all members, ended lives included.
     pub fn counters(&self) -> MembershipCounters {
-        let living = self.node_ids().filter_map(|of| self.membership(of)).map(Membership::counters);
+        let living = self.node_ids().filter_map(|id| self.membership(id)).map(Membership::counters);
         living.fold(self.ended_counters, sum)
     }
 }
--- a/crates/membership/src/virtual_network.rs
+++ b/crates/membership/src/virtual_network.rs
@@ -1,6 +1,6 @@
-//! A deterministic simulation of state machines that communicate by datagrams, in virtual time: equal seeds give equal runs.
-//! It can start, kill, pause and isolate nodes, lose, duplicate and delay datagrams, and run node clocks at different rates.
-//! For tests and benchmarks.
+//! A deterministic simulation of state machines that communicate by datagrams, in virtual time: equal seeds give equal
+//! runs. It can start, kill, pause and isolate nodes, lose, duplicate and delay datagrams, and run node clocks at
+//! different rates. For tests and benchmarks.
 
 use crate::types::{MemberId, Micros};
 use rand::rngs::StdRng;
@@ -55,7 +55,7 @@
     /// Time of the next wake-up; wake events for other times are ignored.
     next_wake: Micros,
     paused: bool,
-    /// Rate of the node's clock relative to the simulated time.
+    /// Rate of the node's clock relative to the virtual time.
     clock_rate: f64,
     /// Datagrams that arrived while the node was paused.
     inbox: Vec<(MemberId, Vec<u8>)>,
@@ -77,8 +77,8 @@
 /// Datagrams that the socket of a paused node buffers; further ones are dropped.
 const INBOX_CAPACITY: usize = 200;
 
-/// Returns the minimum and maximum delay from one node to another, in microseconds; `None` if the network delivers nothing
-/// between them.
+/// Returns the minimum and maximum delay from one node to another, in microseconds; `None` if the network delivers
+/// nothing between them.
 pub type DelayFn = Box<dyn Fn(MemberId, MemberId) -> Option<(Micros, Micros)> + Send>;
 
 /// Simulated nodes and the network between them.
@@ -127,34 +127,34 @@
     }
 
     /// The node in a slot.
-    pub fn node(&self, of: MemberId) -> Option<&P> {
-        self.slots.get(usize::from(of)).and_then(|slot| slot.node.as_ref())
+    pub fn node(&self, id: MemberId) -> Option<&P> {
+        self.slots.get(usize::from(id)).and_then(|slot| slot.node.as_ref())
     }
 
     /// Mutable access to the node in a slot, without handling its outputs or its next wake-up.
-    pub fn node_mut(&mut self, of: MemberId) -> Option<&mut P> {
-        self.slots.get_mut(usize::from(of)).and_then(|slot| slot.node.as_mut())
+    pub fn node_mut(&mut self, id: MemberId) -> Option<&mut P> {
+        self.slots.get_mut(usize::from(id)).and_then(|slot| slot.node.as_mut())
     }
 
     /// Whether the node runs and is not paused.
-    pub fn is_up(&self, of: MemberId) -> bool {
-        let slot = &self.slots[usize::from(of)];
+    pub fn is_up(&self, id: MemberId) -> bool {
+        let slot = &self.slots[usize::from(id)];
         slot.node.is_some() && !slot.paused
     }
 
     /// How often a node was started in this slot.
-    pub fn start_count(&self, of: MemberId) -> u32 {
-        self.slots[usize::from(of)].start_count
+    pub fn start_count(&self, id: MemberId) -> u32 {
+        self.slots[usize::from(id)].start_count
     }
 
-    /// Sets the rate of a node's clock relative to the virtual time. Call it before the node is started.
-    pub fn set_clock_rate(&mut self, of: MemberId, rate: f64) {
-        self.slots[usize::from(of)].clock_rate = rate;
+    /// Sets the rate of a node's clock relative to the virtual time, to be set before the node is started.
+    pub fn set_clock_rate(&mut self, id: MemberId, rate: f64) {
+        self.slots[usize::from(id)].clock_rate = rate;
     }
 
     /// The time on a node's own clock.
-    pub fn clock(&self, of: MemberId) -> Micros {
-        (self.now as f64 * self.slots[usize::from(of)].clock_rate) as Micros
+    pub fn clock(&self, id: MemberId) -> Micros {
+        (self.now as f64 * self.slots[usize::from(id)].clock_rate) as Micros
     }
 
     /// A random number below `below`, or 0 if that is 0, from the seeded generator.
@@ -167,40 +167,40 @@
         self.slots.resize_with(size.into(), Slot::new);
     }
 
-    fn schedule(&mut self, at: Micros, due: Event) {
+    fn schedule(&mut self, at: Micros, event: Event) {
         self.sequence += 1;
-        self.events.push(Reverse((at, self.sequence, due)));
+        self.events.push(Reverse((at, self.sequence, event)));
     }
 
     /// Starts a node in a slot. Returns the previous one, which is killed.
-    pub fn insert(&mut self, of: MemberId, node: P) -> Option<P> {
-        let before = self.kill(of);
-        let slot = &mut self.slots[usize::from(of)];
+    pub fn insert(&mut self, id: MemberId, node: P) -> Option<P> {
+        let previous = self.kill(id);
+        let slot = &mut self.slots[usize::from(id)];
         (slot.node, slot.paused, slot.start_count) = (Some(node), false, slot.start_count + 1);
-        self.schedule_wake(of);
-        before
+        self.schedule_wake(id);
+        previous
     }
 
     /// Kills the node in a slot without notice, and returns it.
-    pub fn kill(&mut self, of: MemberId) -> Option<P> {
-        let slot = self.slots.get_mut(usize::from(of))?;
+    pub fn kill(&mut self, id: MemberId) -> Option<P> {
+        let slot = self.slots.get_mut(usize::from(id))?;
         slot.next_wake = Micros::MAX;
         slot.inbox.clear();
         slot.node.take()
     }
 
     /// Pauses a node for this long.
-    pub fn pause(&mut self, of: MemberId, span: Micros) {
-        self.slots[usize::from(of)].paused = true;
-        self.schedule(self.now + span, Event::Resume(of));
+    pub fn pause(&mut self, id: MemberId, span: Micros) {
+        self.slots[usize::from(id)].paused = true;
+        self.schedule(self.now + span, Event::Resume(id));
     }
 
     /// Isolates a group from all other nodes, or reconnects it.
-    pub fn set_isolated(&mut self, group: &[MemberId], cut: bool) {
-        for of in group {
+    pub fn set_isolated(&mut self, group: &[MemberId], isolated: bool) {
+        for id in group {
             for other in self.node_ids().filter(|other| !group.contains(other)) {
-                for link in [(*of, other), (other, *of)] {
-                    self.set_blocked(link, cut);
+                for link in [(*id, other), (other, *id)] {
+                    self.set_blocked(link, isolated);
                 }
             }
         }
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Sets delays by sender and receiver for datagrams sent from now on, in place of `link.delay_range`. The ranges have to
-    /// start with the minimum.
+    /// Sets delays by sender and receiver for datagrams sent from now on, in place of `link.delay_range`. The ranges
+    /// have to start with the minimum.
     pub fn set_delays(&mut self, delays: DelayFn) {
         self.delays = Some(delays);
     }
@@ -229,51 +229,51 @@
         self.delays.as_ref().map_or(Some(self.link.delay_range), |delays| delays(from, to))
     }
 
-    fn schedule_wake(&mut self, of: MemberId) {
+    fn schedule_wake(&mut self, id: MemberId) {
         let now = self.now;
-        let slot = &mut self.slots[usize::from(of)];
+        let slot = &mut self.slots[usize::from(id)];
         let Some(node) = &slot.node else { return };
         let at = ((node.next_due() as f64 / slot.clock_rate) as Micros + 1).max(now);
         if at < slot.next_wake {
             slot.next_wake = at;
-            self.schedule(at, Event::Wake(of));
+            self.schedule(at, Event::Wake(id));
         }
     }
 
-    fn dispatch(&mut self, of: MemberId, out: Vec<P::Out>) {
-        for output in out {
+    fn dispatch(&mut self, id: MemberId, outputs: Vec<P::Out>) {
+        for output in outputs {
             match P::into_datagram(output) {
                 Ok((to, _)) if usize::from(to) >= self.slots.len() => {}
                 Ok((to, bytes)) => {
                     self.longest_datagram = self.longest_datagram.max(bytes.len());
                     self.sent = (self.sent.0 + 1, self.sent.1 + bytes.len() as u64);
                     let copies = match (self.rng.random::<f64>(), self.rng.random::<f64>()) {
-                        (lost, _) if lost < self.link.loss_rate => 0,
-                        (_, doubled) if doubled < self.link.duplicate_rate => 2,
+                        (draw, _) if draw < self.link.loss_rate => 0,
+                        (_, draw) if draw < self.link.duplicate_rate => 2,
                         _ => 1,
                     };
-                    let Some((least, most)) = self.delay(of, to) else { continue };
+                    let Some((min, max)) = self.delay(id, to) else { continue };
                     for _ in 0..copies {
-                        let late = self.rng.random_range(least..=most);
+                        let delay = self.rng.random_range(min..=max);
                         self.schedule(
-                            self.now + late,
-                            Event::Datagram { to, from: of, bytes: bytes.clone() },
+                            self.now + delay,
+                            Event::Datagram { to, from: id, bytes: bytes.clone() },
                         );
                     }
                 }
-                Err(told) => self.outputs.push((self.now, of, told)),
+                Err(other) => self.outputs.push((self.now, id, other)),
             }
         }
     }
 
     /// Calls a function on a running node with the time on its own clock, and handles the outputs.
-    pub fn with_node(&mut self, of: MemberId, act: impl FnOnce(&mut P, Micros, &mut Vec<P::Out>)) {
-        let (now, mut out) = (self.clock(of), Vec::new());
-        if let Some(node) = &mut self.slots[usize::from(of)].node {
+    pub fn with_node(&mut self, id: MemberId, act: impl FnOnce(&mut P, Micros, &mut Vec<P::Out>)) {
+        let (now, mut out) = (self.clock(id), Vec::new());
+        if let Some(node) = &mut self.slots[usize::from(id)].node {
             act(node, now, &mut out);
         }
-        self.dispatch(of, out);
-        self.schedule_wake(of);
+        self.dispatch(id, out);
+        self.schedule_wake(id);
     }
 
     /// Runs the simulation for this long.
@@ -286,9 +286,9 @@
         while let Some(Reverse((at, ..))) = self.events.peek()
             && *at <= until
         {
-            let Some(Reverse((at, _, due))) = self.events.pop() else { return };
+            let Some(Reverse((at, _, event))) = self.events.pop() else { return };
             self.now = at;
-            match due {
+            match event {
                 Event::Datagram { to, .. } | Event::Wake(to) | Event::Resume(to)
                     if usize::from(to) >= self.slots.len() => {}
                 Event::Datagram { to, from, bytes } => {
@@ -300,21 +300,21 @@
                         self.with_node(to, |node, now, out| node.handle(now, from, &bytes, out));
                     }
                 }
-                Event::Wake(of) => {
-                    let slot = &mut self.slots[usize::from(of)];
+                Event::Wake(id) => {
+                    let slot = &mut self.slots[usize::from(id)];
                     if slot.next_wake == at && !slot.paused {
                         slot.next_wake = Micros::MAX;
-                        self.with_node(of, |node, now, out| node.wake(now, out));
+                        self.with_node(id, |node, now, out| node.wake(now, out));
                     }
                 }
-                Event::Resume(of) => {
-                    let slot = &mut self.slots[usize::from(of)];
+                Event::Resume(id) => {
+                    let slot = &mut self.slots[usize::from(id)];
                     if std::mem::take(&mut slot.paused) {
                         slot.next_wake = Micros::MAX;
                         for (from, bytes) in std::mem::take(&mut slot.inbox) {
-                            self.with_node(of, |node, now, out| node.handle(now, from, &bytes, out));
+                            self.with_node(id, |node, now, out| node.handle(now, from, &bytes, out));
                         }
-                        self.schedule_wake(of);
+                        self.schedule_wake(id);
                     }
                 }
             }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,5 +1,5 @@
-//! Datagrams between members: a version byte, then the message in postcard encoding, 256 bytes at most. Decoding checks only
-//! the format; contents are not trusted. The order of variants and fields defines the format.
+//! Datagrams between members: a version byte, then the message in postcard encoding, 256 bytes at most. Decoding
+//! checks only the format; contents are not trusted. The order of variants and fields defines the format.
 
 use crate::facts::Fact;
 use crate::types::{Incarnation, MemberId, MemberState};
@@ -51,8 +51,8 @@
     },
     /// Only updates and facts.
     Updates,
-    /// Requests the entries of members in blocks whose digests differ from these. The salt changes with each request, so that
-    /// a collision between two different blocks does not persist.
+    /// Requests the entries of members in blocks whose digests differ from these. The salt changes with each request,
+    /// so that a collision between two different blocks does not persist.
     SyncRequest {
         /// The salt of the digests.
         salt: u8,
@@ -91,18 +91,18 @@
     pub state: MemberState,
 }
 
-/// An update on the wire: the member, its start relative to the sender's, and its refutations and state. Members of a fleet
-/// start at about the same time or some days apart, so the difference takes fewer bytes than the start itself.
+/// An update on the wire: the member, its start relative to the sender's, and its refutations and state. Members of a
+/// fleet start at about the same time or some days apart, so the difference takes fewer bytes than the start itself.
 #[derive(Serialize, Deserialize)]
 struct WireUpdate(MemberId, i64, u64);
 
 impl WireUpdate {
     fn new(update: &Update, base: u64) -> Self {
-        let life = u64::from(update.incarnation.bump) << 3 | update.state as u64;
-        Self(update.member, update.incarnation.start.wrapping_sub(base) as i64, life)
+        let bump_and_state = u64::from(update.incarnation.bump) << 3 | update.state as u64;
+        Self(update.member, update.incarnation.start.wrapping_sub(base) as i64, bump_and_state)
     }
 
-    fn update(&self, base: u64) -> Option<Update> {
+    fn to_update(&self, base: u64) -> Option<Update> {
         const STATES: [MemberState; 6] = [
             MemberState::Unknown,
             MemberState::Up,
@@ -165,12 +165,12 @@
 /// # Errors
 /// If the datagram is empty or too long, has another version, or is not exactly one message.
 pub fn decode_datagram<'a, T: Deserialize<'a>>(version: u8, bytes: &'a [u8]) -> Result<T, WireError> {
-    let (told, rest) = bytes.split_first().ok_or(WireError::Length(0))?;
+    let (actual, rest) = bytes.split_first().ok_or(WireError::Length(0))?;
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(WireError::Length(bytes.len()));
     }
-    if *told != version {
-        return Err(WireError::Version(*told));
+    if *actual != version {
+        return Err(WireError::Version(*actual));
     }
     match postcard::take_from_bytes(rest) {
         Ok((message, [])) => Ok(message),
@@ -179,13 +179,14 @@
 }
 
 impl Message {
-    /// Encodes the message; `None` if it exceeds [`MAX_DATAGRAM_BYTES`], which callers avoid by limiting updates and facts.
+    /// Encodes the message; `None` if it exceeds [`MAX_DATAGRAM_BYTES`], which callers avoid by limiting updates and
+    /// facts.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let Self { fleet, from, incarnation, leaving, digest, kind, .. } = *self;
-        let head = Header { fleet, from, incarnation, leaving, digest, kind };
-        let told: Vec<_> =
+        let header = Header { fleet, from, incarnation, leaving, digest, kind };
+        let updates: Vec<_> =
             self.updates.iter().map(|update| WireUpdate::new(update, incarnation.start)).collect();
-        encode_datagram(VERSION, &(head, told, &self.facts))
+        encode_datagram(VERSION, &(header, updates, &self.facts))
     }
 
     /// Decodes a message.
@@ -193,9 +194,11 @@
     /// # Errors
     /// If the bytes are not a valid message of this version.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
-        let (head, told, facts): (Header, Vec<WireUpdate>, Vec<Fact>) = decode_datagram(VERSION, bytes)?;
-        let Header { fleet, from, incarnation, leaving, digest, kind } = head;
-        let updates = told.iter().map(|told| told.update(incarnation.start)).collect::<Option<Vec<_>>>();
+        let (header, wire_updates, facts): (Header, Vec<WireUpdate>, Vec<Fact>) =
+            decode_datagram(VERSION, bytes)?;
+        let Header { fleet, from, incarnation, leaving, digest, kind } = header;
+        let updates =
+            wire_updates.iter().map(|update| update.to_update(incarnation.start)).collect::<Option<Vec<_>>>();
         let updates = updates.ok_or(WireError::Malformed)?;
         Ok(Self { fleet, from, incarnation, leaving, digest, kind, updates, facts })
     }
@@ -211,7 +214,8 @@
 /// The encoded size of an update, in bytes, from a sender whose life started at `base`.
 pub fn update_bytes(update: &Update, base: u64) -> usize {
     let mut bytes = [0; MAX_UPDATE_BYTES];
-    postcard::to_slice(&WireUpdate::new(update, base), &mut bytes).map_or(MAX_UPDATE_BYTES, |told| told.len())
+    postcard::to_slice(&WireUpdate::new(update, base), &mut bytes)
+        .map_or(MAX_UPDATE_BYTES, |encoded| encoded.len())
 }
 
 #[cfg(test)]
--- a/crates/peers/src/operator_client.rs
+++ b/crates/peers/src/operator_client.rs
@@ -67,11 +67,11 @@
 
 fn page(socket: &UdpSocket, request: StatusRequest) -> Result<StatusResponse> {
     for _ in 0..STATUS_TRIES {
-        socket.send(&request.write())?;
+        socket.send(&request.encode())?;
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
         // Answers to an earlier request may still come.
         while let Ok(length) = socket.recv(&mut bytes) {
-            if let Ok(answer) = StatusResponse::read(&bytes[..length])
+            if let Ok(answer) = StatusResponse::decode(&bytes[..length])
                 && answer.tag == request.tag
                 && (!answer.members.is_empty() || request.first >= answer.size)
             {
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -142,9 +142,9 @@
             } else if let Some(number) = self.numbers.get(&from) {
                 self.membership.handle(now, *number, bytes, &mut self.out);
             } else if self.operators.contains(&from.ip())
-                && let Ok(request) = StatusRequest::read(bytes)
+                && let Ok(request) = StatusRequest::decode(bytes)
             {
-                let answer = StatusResponse::new(&self.membership, now, request).write();
+                let answer = StatusResponse::new(&self.membership, now, request).encode();
                 io.send_to(self.socket, from, &answer);
             } else if self.operators.contains(&from.ip())
                 && let Ok(request) = OperatorRequest::read(bytes)
--- a/crates/trial/src/hollow/probe.rs
+++ b/crates/trial/src/hollow/probe.rs
@@ -23,7 +23,7 @@
     /// Asks each; the digests of those that answered in time, in no order.
     pub fn digests(&mut self, of: &[SocketAddr]) -> Vec<u32> {
         self.tag = self.tag.wrapping_add(1);
-        let question = StatusRequest { tag: self.tag, first: 0 }.write();
+        let question = StatusRequest { tag: self.tag, first: 0 }.encode();
         for at in of {
             // A question that is not taken is one without an answer.
             let _ = self.socket.send_to(&question, at);
@@ -33,7 +33,7 @@
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
         while digests.len() < of.len() && Instant::now() < until {
             let Ok((length, _)) = self.socket.recv_from(&mut bytes) else { continue };
-            match StatusResponse::read(&bytes[..length]) {
+            match StatusResponse::decode(&bytes[..length]) {
                 Ok(answer) if answer.tag == self.tag => digests.push(answer.digest),
                 _ => {}
             }
