--- a/crates/membership/src/facts/tests.rs
+++ b/crates/membership/src/facts/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of [`super`], which need its inside.
+//! Unit tests of [`super`] that use private items.
 
 use super::*;
 
@@ -9,11 +9,11 @@
 }
 
 #[test]
-fn what_is_later_stands_until_its_time_and_what_is_out_of_bounds_is_not_taken() {
+fn newer_facts_are_stored_until_they_expire_and_out_of_bounds_facts_are_rejected() {
     let mut fact_store = FactStore::default();
     assert!(fact_store.merge(S, &fact(3, (7, 2)), 2));
     let old_life = Fact { version: (6, 9), ..fact(3, (0, 0)) };
-    for wrong in [
+    for rejected in [
         fact(3, (7, 2)),
         fact(3, (7, 1)),
         old_life,
@@ -22,7 +22,7 @@
         Fact { ttl_ms: u32::MAX, ..fact(4, (9, 9)) },
         Fact { ttl_ms: 0, ..fact(4, (9, 9)) },
     ] {
-        assert!(!fact_store.merge(S, &wrong, 2), "{wrong:?}");
+        assert!(!fact_store.merge(S, &rejected, 2), "{rejected:?}");
     }
     assert!(fact_store.merge(S, &fact(4, (1, 1)), 2));
     assert_eq!(
@@ -35,10 +35,10 @@
 }
 
 #[test]
-fn each_fact_goes_its_number_of_times_and_no_more_than_fits() {
+fn each_fact_is_transmitted_up_to_its_limit_and_within_the_capacity() {
     let mut fact_store = FactStore::default();
     (0..3).for_each(|owner| assert!(fact_store.merge(S, &fact(owner, (1, 1)), 2)));
-    let owners = |told: Vec<Fact>| told.iter().map(|f| f.owner).collect::<Vec<_>>();
+    let owners = |facts: Vec<Fact>| facts.iter().map(|f| f.owner).collect::<Vec<_>>();
     assert_eq!(owners(fact_store.take_for_datagram(S, 24)), [2, 1]);
     assert_eq!(owners(fact_store.take_for_datagram(S, 24)), [0, 2]);
     assert_eq!(owners(fact_store.take_for_datagram(S, 1_000)), [1, 0]);
--- a/crates/membership/src/sites/tests.rs
+++ b/crates/membership/src/sites/tests.rs
@@ -1,13 +1,13 @@
-//! Tests of [`super`], which need its inside.
+//! Unit tests of [`super`] that use private items.
 
 use super::*;
 
 #[test]
-fn members_stand_where_the_list_says() {
-    let places = SiteMap::new(vec![0, 1, 0, 2], 3).expect("in the list");
-    assert_eq!((places.own(), places.own_site(), places.len()), (3, 2, 4));
-    assert_eq!((places.site_of(1), places.site_of(4)), (Some(1), None));
-    assert_eq!(places.members_at(0).collect::<Vec<_>>(), [0, 2]);
-    assert_eq!(places.sites(), [0, 1, 2]);
+fn members_map_to_their_configured_sites() {
+    let site_map = SiteMap::new(vec![0, 1, 0, 2], 3).expect("in the list");
+    assert_eq!((site_map.own(), site_map.own_site(), site_map.len()), (3, 2, 4));
+    assert_eq!((site_map.site_of(1), site_map.site_of(4)), (Some(1), None));
+    assert_eq!(site_map.members_at(0).collect::<Vec<_>>(), [0, 2]);
+    assert_eq!(site_map.sites(), [0, 1, 2]);
     assert_eq!(SiteMap::new(vec![0], 1), None);
 }
--- a/crates/membership/src/updates/tests.rs
+++ b/crates/membership/src/updates/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of [`super`], which need its inside.
+//! Unit tests of [`super`] that use private items.
 
 use super::*;
 use crate::types::{Incarnation, MemberState};
 
 #[test]
-fn each_update_goes_its_number_of_times_and_what_is_later_replaces_what_is_earlier() {
+fn each_update_is_transmitted_up_to_its_limit_and_newer_updates_replace_older_ones() {
     let update =
-        |of, bump| Update { member: of, incarnation: Incarnation { start: 1, bump }, state: MemberState::Up };
+        |member, bump| Update { member, incarnation: Incarnation { start: 1, bump }, state: MemberState::Up };
     let mut updates = UpdateQueue::default();
-    (0..3).for_each(|of| updates.add(update(of, 0), true));
+    (0..3).for_each(|member| updates.add(update(member, 0), true));
     updates.add(update(1, 1), true);
     let two = update_bytes(&update(0, 0), 0) * 2;
     assert_eq!(updates.take_for_datagram(two, 2, 0, None), [update(0, 0), update(1, 1)]);
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of [`super`], which need its inside.
+//! Unit tests of [`super`] that use private items.
 
 use super::*;
 
@@ -10,15 +10,15 @@
 }
 
 #[test]
-fn what_is_written_is_read_and_all_else_is_dropped() {
+fn messages_round_trip_and_invalid_datagrams_are_rejected() {
     let incarnation = Incarnation { start: 1 << 63, bump: u32::MAX };
     let update = Update { member: MemberId::MAX, incarnation, state: MemberState::Stopped };
     assert_eq!(update_bytes(&update, 0), MAX_UPDATE_BYTES);
     let empty = message(Vec::new());
-    let whole = message(vec![update; empty.remaining_capacity() / MAX_UPDATE_BYTES]);
-    let bytes = whole.encode().expect("it fits");
+    let full = message(vec![update; empty.remaining_capacity() / MAX_UPDATE_BYTES]);
+    let bytes = full.encode().expect("it fits");
     assert!(bytes.len() > 220 && bytes.len() <= MAX_DATAGRAM_BYTES);
-    assert_eq!(Message::decode(&bytes), Ok(whole));
+    assert_eq!(Message::decode(&bytes), Ok(full));
     assert_eq!(Message::decode(&[]), Err(WireError::Length(0)));
     assert_eq!(Message::decode(&[0; 300]), Err(WireError::Length(300)));
     assert_eq!(Message::decode(&[2, 0]), Err(WireError::Version(2)));
