--- a/crates/membership/src/updates.rs
+++ b/crates/membership/src/updates.rs
@@ -28,7 +28,7 @@
         if let Some(transmissions) = self.transmissions.insert(update.member, 0) {
             self.order.remove(&(transmissions, update.member));
         }
-        self.order.insert((0, update.member), QueuedUpdate { update, in_digest: in_digest });
+        self.order.insert((0, update.member), QueuedUpdate { update, in_digest });
     }
 
     pub fn is_empty(&self) -> bool {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -240,7 +240,7 @@
         Ok(node)
     }
 
-    /// Plants a fault in its view, see [`basaltward_membership::Membership::plant`].
+    /// Plants a fault in its view, see [`basaltward_membership::Membership::inject_fault`].
     #[doc(hidden)]
     pub fn plant(&mut self, newer: basaltward_membership::OverrideRule) {
         self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant(newer));
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -94,7 +94,7 @@
         self.socket
     }
 
-    /// See [`Membership::plant`].
+    /// See [`Membership::inject_fault`].
     pub fn plant(&mut self, newer: OverrideRule) {
         self.membership.inject_fault(newer);
     }
