--- a/crates/membership/src/budget.rs
+++ b/crates/membership/src/budget.rs
@@ -14,7 +14,7 @@
     refilled_at: Micros,
 }
 
-/// Token units per byte: at a rate in bytes per second, each microsecond earns one unit per byte of the rate.
+/// Units per byte. A refill adds elapsed microseconds times bytes per second, which is in millionths of a byte.
 const UNITS_PER_BYTE: u64 = 1_000_000;
 
 impl Budget {
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -43,7 +43,8 @@
     facts: BTreeMap<(MemberId, u8), StoredFact>,
     /// Facts to gossip, by transmissions that remain: the last entry is sent first.
     pending: BTreeMap<(u32, MemberId, u8), ()>,
-    count: u32,
+    /// Facts published by the local member, for their versions.
+    published_count: u32,
 }
 
 impl FactStore {
@@ -56,9 +57,9 @@
         ttl: Micros,
         retransmit_limit: u32,
     ) -> bool {
-        self.count = self.count.wrapping_add(1);
+        self.published_count = self.published_count.wrapping_add(1);
         let ttl_ms = (ttl.min(MAX_FACT_LIFETIME_US) / 1_000) as u32;
-        let (version, value) = ((start, self.count), value.to_vec());
+        let (version, value) = ((start, self.published_count), value.to_vec());
         self.merge(now, &Fact { owner: own, key, version, ttl_ms, value }, retransmit_limit)
     }
 
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -148,7 +148,7 @@
 
     /// Number of live members, the local one included.
     pub fn live_count(&self) -> usize {
-        self.members.iter().filter(|e| e.state.is_live()).count()
+        self.members.iter().filter(|member| member.state.is_live()).count()
     }
 
     /// Whether a later life of the local member has taken over; this process then sends nothing any more.
@@ -177,7 +177,7 @@
             .members
             .iter()
             .zip(&self.peer_digests)
-            .filter(|(e, _)| e.last_contact >= since && e.last_contact > 0);
+            .filter(|(member, _)| member.last_contact >= since && member.last_contact > 0);
         self.updates.is_empty()
             && self.detector.suspects.is_empty()
             && recent.all(|(_, digest)| *digest == self.digest)
@@ -357,8 +357,8 @@
         }
     }
 
-    /// Sends a message, filled with queued updates and facts as far as its size and the budget allow. `first` is sent
-    /// even without budget.
+    /// Sends a message, filled with queued updates and facts as far as its size and the budget allow, unless so many
+    /// updates are queued that a sync is due instead. `first` is sent in any case.
     pub(crate) fn send(
         &mut self,
         now: Micros,
@@ -368,10 +368,10 @@
         out: &mut Out,
     ) {
         let mut message = self.new_message(kind);
-        let has_capacity = self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES)
+        let attach_gossip = self.budget.allows(now, MAX_DATAGRAM_BYTES as u64, RESERVED_BYTES)
             && self.updates.len() <= MAX_GOSSIPED_UPDATES;
         let (capacity, retransmit_limit) = (message.remaining_capacity(), self.settings.retransmit_limit());
-        message.updates = match has_capacity {
+        message.updates = match attach_gossip {
             true => {
                 self.updates.take_for_datagram(capacity, retransmit_limit, self.own_incarnation.start, first)
             }
@@ -379,7 +379,7 @@
         };
         // Facts have the lowest priority: republished by hundreds of members, they would use up the budget that
         // updates and anti-entropy need.
-        if has_capacity && self.can_send_facts(now) {
+        if attach_gossip && self.can_send_facts(now) {
             message.facts = self.fact_store.take_for_datagram(now, message.remaining_capacity());
         }
         if kind == MessageKind::Updates && message.updates.is_empty() && message.facts.is_empty() {
--- a/crates/membership/src/output.rs
+++ b/crates/membership/src/output.rs
@@ -40,7 +40,7 @@
     Majority,
     /// At most half of the members are live, and more than one.
     Minority,
-    /// No other member is live.
+    /// No other member is live, or the local member is superseded.
     Alone,
 }
 
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -56,10 +56,12 @@
         }
     }
 
+    /// The block of the member with this number.
     fn block_of(index: usize) -> usize {
         index % DIGEST_BLOCKS
     }
 
+    /// The salted digest of each block of members.
     fn block_digests(&self, salt: u8) -> [u8; DIGEST_BLOCKS] {
         let mut blocks = [0; DIGEST_BLOCKS];
         for (index, member) in self.members.iter().enumerate() {
--- a/crates/membership/src/virtual_network.rs
+++ b/crates/membership/src/virtual_network.rs
@@ -229,6 +229,7 @@
         self.delays.as_ref().map_or(Some(self.link.delay_range), |delays| delays(from, to))
     }
 
+    /// Schedules the node's next wake-up, if it is earlier than the scheduled one.
     fn schedule_wake(&mut self, id: MemberId) {
         let now = self.now;
         let slot = &mut self.slots[usize::from(id)];
@@ -240,6 +241,7 @@
         }
     }
 
+    /// Sends the datagrams among a node's outputs with the faults of their links, and records the others.
     fn dispatch(&mut self, id: MemberId, outputs: Vec<P::Out>) {
         for output in outputs {
             match P::into_datagram(output) {
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -28,7 +28,7 @@
     Malformed,
 }
 
-/// The kind of a message. Messages of any kind carry updates and facts besides.
+/// The kind of a message. Messages of any kind may also carry updates and facts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageKind {
     /// A probe, with its sequence number.
--- a/crates/membership/tests/hard_cases.rs
+++ b/crates/membership/tests/hard_cases.rs
@@ -273,7 +273,7 @@
 fn invalid_and_foreign_datagrams_are_dropped_and_counted() {
     let (cluster, _) = settled_cluster(3, 1, 0.0);
     let mut membership = basaltward_membership::Membership::new(MembershipSettings::new(3, 0, 1, 1), 0)
-        .expect("good settings");
+        .expect("valid settings");
     let mut out = Vec::new();
     let long = [1; 300];
     for bytes in [&b""[..], b"\x01", b"\x09rubbish", &long] {
@@ -284,7 +284,7 @@
         MembershipSettings { fleet: 7, ..MembershipSettings::new(3, 2, 1, 1) },
         0,
     )
-    .expect("good settings");
+    .expect("valid settings");
     let mut outputs = Vec::new();
     other.wake(S, &mut outputs);
     let mut sent = 0;
@@ -427,7 +427,7 @@
 fn of_two_processes_with_one_number_the_later_one_continues() {
     let settings = |own, start| MembershipSettings::new(3, own, start, 7);
     let membership =
-        |own, start| basaltward_membership::Membership::new(settings(own, start), 0).expect("good settings");
+        |own, start| basaltward_membership::Membership::new(settings(own, start), 0).expect("valid settings");
     // The first two have the same number; datagrams to it reach both.
     let mut memberships =
         [membership(0, 1_000), membership(0, 9_000), membership(1, 500), membership(2, 600)];
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -51,21 +51,22 @@
 }
 
 impl Protocol {
-    fn merge(&self, fleet: &mut Fleet, at: usize, (of, update): (usize, Entry)) {
-        let member = &mut fleet.members[at];
-        if of == at {
+    /// Member `receiver` merges an update about member `subject`.
+    fn merge(&self, fleet: &mut Fleet, receiver: usize, (subject, update): (usize, Entry)) {
+        let member = &mut fleet.members[receiver];
+        if subject == receiver {
             if let Some(own) = member.own.refutation(MemberState::Up, update) {
                 member.own = own;
-                member.entries[at] = (own, MemberState::Up);
-                fleet.updates.insert((at, (own, MemberState::Up)));
+                member.entries[receiver] = (own, MemberState::Up);
+                fleet.updates.insert((receiver, (own, MemberState::Up)));
             }
             return;
         }
-        let known = member.entries[of];
+        let known = member.entries[subject];
         if (self.override_rule)(&to_member(known), update.0, update.1) {
             fleet.went_back |= update.0 < known.0;
-            member.entries[of] = update;
-            fleet.updates.insert((of, update));
+            member.entries[subject] = update;
+            fleet.updates.insert((subject, update));
         }
     }
 }
