--- a/crates/membership/src/virtual_cluster.rs
+++ b/crates/membership/src/virtual_cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of memberships in virtual time, for tests and measurements.
+//! A simulated cluster of memberships in virtual time, for tests and benchmarks.
 
 use crate::members::Membership;
 use crate::output::{MembershipCounters, Output};
@@ -22,20 +22,20 @@
         Membership::next_due(self)
     }
 
-    fn datagram(out: Output) -> Result<(MemberId, Vec<u8>), Output> {
+    fn into_datagram(out: Output) -> Result<(MemberId, Vec<u8>), Output> {
         match out {
             Output::Send { to, bytes } => Ok((to, bytes)),
-            told @ (Output::Changed { .. } | Output::Superseded { .. }) => Err(told),
+            other @ (Output::Changed { .. } | Output::Superseded { .. }) => Err(other),
         }
     }
 }
 
-/// The fleet and its network.
+/// The members and their simulated network.
 pub struct VirtualCluster {
     settings: MembershipSettings,
     net: VirtualNetwork<Membership>,
-    /// What ended lives have counted.
-    before: MembershipCounters,
+    /// Counters of ended lives.
+    ended_counters: MembershipCounters,
 }
 
 impl Deref for VirtualCluster {
@@ -52,121 +52,129 @@
     }
 }
 
-/// The platform's wall clock at the simulation's beginning, in milliseconds since the beginning of 2026.
+/// The members' wall clock at the beginning of the simulation, in milliseconds since the beginning of 2026.
 const EPOCH_MS: u64 = 28_000_000_000;
 
 impl VirtualCluster {
-    /// So many members by these settings, none of them started.
+    /// Creates a cluster of `settings.size` members, none of them started.
     pub fn new(settings: MembershipSettings, link: LinkFaults) -> Self {
         let net = VirtualNetwork::new(settings.size, settings.seed, link);
-        Self { settings, net, before: MembershipCounters::default() }
+        Self { settings, net, ended_counters: MembershipCounters::default() }
     }
 
-    /// The view of a member that is up.
-    pub fn membership(&self, of: MemberId) -> Option<&Membership> {
-        self.node(of)
+    /// The membership of a running member.
+    pub fn membership(&self, id: MemberId) -> Option<&Membership> {
+        self.node(id)
     }
 
-    /// Plants a fault in a member that is up, see [`Membership::plant`].
+    /// Injects a fault into a running member, see [`Membership::inject_fault`].
     #[doc(hidden)]
-    pub fn plant(&mut self, of: MemberId, newer: crate::members::Newer) {
-        self.node_mut(of).into_iter().for_each(|membership| membership.plant(newer));
+    pub fn inject_fault(&mut self, id: MemberId, rule: crate::members::OverrideRule) {
+        self.node_mut(id).into_iter().for_each(|membership| membership.inject_fault(rule));
     }
 
-    /// The configured list grows, or loses its last members, who end. Members hear of it by
-    /// [`Membership::resize`](crate::Membership::resize), each in its time; who starts from now on has the new list.
+    /// Changes the size of the configured list. Members beyond a smaller list are killed. Running members keep the old
+    /// list until the caller applies [`Membership::resize`](crate::Membership::resize) to them; members started from
+    /// now on have the new one.
     pub fn resize(&mut self, size: MemberId) {
-        (size..self.settings.size).for_each(|of| self.kill(of));
+        (size..self.settings.size).for_each(|id| self.kill(id));
         self.settings.size = size;
-        self.set_slots(size);
+        self.set_size(size);
     }
 
-    /// Starts a member, which knows nothing of an earlier life.
-    pub fn start(&mut self, of: MemberId) {
-        self.start_with(of, EPOCH_MS + self.now / 1_000);
+    /// Starts a member, without any state from an earlier life.
+    pub fn start(&mut self, id: MemberId) {
+        self.start_at(id, EPOCH_MS + self.now / 1_000);
     }
 
-    /// As [`VirtualCluster::start`], with a wall clock that says this many milliseconds.
-    pub fn start_with(&mut self, of: MemberId, start: u64) {
-        let settings = MembershipSettings { own: of, start, ..self.settings };
-        let Ok(membership) = Membership::new(settings, self.clock(of)) else { return };
-        let ended = self.put(of, membership);
-        self.count(ended);
+    /// As [`VirtualCluster::start`], with the given wall-clock time, in milliseconds since the beginning of 2026.
+    pub fn start_at(&mut self, id: MemberId, start: u64) {
+        let settings = MembershipSettings { own: id, start, ..self.settings };
+        let Ok(membership) = Membership::new(settings, self.clock(id)) else { return };
+        let ended = self.insert(id, membership);
+        self.add_ended_counters(ended);
     }
 
-    fn count(&mut self, ended: Option<Membership>) {
-        self.before = ended.map_or(self.before, |membership| sum(self.before, membership.counts()));
+    fn add_ended_counters(&mut self, ended: Option<Membership>) {
+        self.ended_counters =
+            ended.map_or(self.ended_counters, |membership| sum(self.ended_counters, membership.counters()));
     }
 
-    /// Kills a member outright.
-    pub fn kill(&mut self, of: MemberId) {
-        let ended = self.net.kill(of);
-        self.count(ended);
+    /// Kills a member without notice to the others.
+    pub fn kill(&mut self, id: MemberId) {
+        let ended = self.net.kill(id);
+        self.add_ended_counters(ended);
     }
 
-    /// A member leaves in good order: it says so, and a little later that it is no more.
-    pub fn stop(&mut self, of: MemberId) {
-        self.act(of, |membership, now, out| membership.stop(now, out));
-        self.kill(of);
+    /// Stops a member in good order: it announces that it has stopped, and ends.
+    pub fn stop(&mut self, id: MemberId) {
+        self.with_node(id, |membership, now, out| membership.stop(now, out));
+        self.kill(id);
     }
 
-    /// Runs until a condition holds, looked at every 10 ms; when, or `None` where it does not by `until`.
-    pub fn run_until(&mut self, until: Micros, holds: impl Fn(&Self) -> bool) -> Option<Micros> {
+    /// Runs until a condition holds, checked every 10 ms of virtual time. Returns that time, or `None` if the
+    /// condition does not hold by `until`.
+    pub fn run_until_condition(
+        &mut self,
+        until: Micros,
+        condition: impl Fn(&Self) -> bool,
+    ) -> Option<Micros> {
         while self.now < until {
             let next = (self.now + 10_000).min(until);
-            self.run(next);
-            if holds(self) {
+            self.run_until(next);
+            if condition(self) {
                 return Some(self.now);
             }
         }
         None
     }
 
-    /// Whether each member of a group that runs holds the same view, and a true one: live are those of the
-    /// group that run, and no others.
+    /// Whether all running members of a group have the same, correct view: the running members of the group are live
+    /// and no others.
     pub fn agrees(&self, group: &[MemberId]) -> bool {
-        let up: Vec<_> = group.iter().copied().filter(|of| self.is_up(*of)).collect();
-        let digest = up.first().and_then(|of| self.membership(*of)).map(Membership::digest);
-        up.iter().all(|of| {
-            let membership = self.membership(*of);
+        let up: Vec<_> = group.iter().copied().filter(|id| self.is_up(*id)).collect();
+        let digest = up.first().and_then(|id| self.membership(*id)).map(Membership::digest);
+        up.iter().all(|id| {
+            let membership = self.membership(*id);
             membership.is_some_and(|membership| {
                 let live = |other: MemberId| {
-                    membership.members().get(usize::from(other)).is_some_and(|e| e.state.is_live())
+                    membership.members().get(usize::from(other)).is_some_and(|member| member.state.is_live())
                 };
                 Some(membership.digest()) == digest
-                    && self.numbers().all(|other| live(other) == up.contains(&other))
+                    && self.node_ids().all(|other| live(other) == up.contains(&other))
             })
         })
     }
 
-    /// Whether any running member holds another that runs for gone.
-    pub fn wrong(&self) -> Vec<(MemberId, MemberId)> {
-        let up: Vec<_> = self.numbers().filter(|of| self.is_up(*of)).collect();
-        let gone = |of: &MemberId, other: &MemberId| {
-            let member =
-                |membership: &Membership| membership.members().get(usize::from(*other)).map(|e| e.state);
-            self.membership(*of).and_then(member) == Some(MemberState::Gone)
+    /// Pairs of running members of which the first has the second as gone.
+    pub fn falsely_gone(&self) -> Vec<(MemberId, MemberId)> {
+        let up: Vec<_> = self.node_ids().filter(|id| self.is_up(*id)).collect();
+        let is_gone = |id: &MemberId, other: &MemberId| {
+            let state = |membership: &Membership| {
+                membership.members().get(usize::from(*other)).map(|member| member.state)
+            };
+            self.membership(*id).and_then(state) == Some(MemberState::Gone)
         };
-        let pairs = up.iter().flat_map(|of| up.iter().map(move |other| (*of, *other)));
-        pairs.filter(|(of, other)| gone(of, other)).collect()
+        let pairs = up.iter().flat_map(|id| up.iter().map(move |other| (*id, *other)));
+        pairs.filter(|(id, other)| is_gone(id, other)).collect()
     }
 
-    /// What all lives of all members have counted.
-    pub fn counts(&self) -> MembershipCounters {
-        let living = self.numbers().filter_map(|of| self.membership(of)).map(Membership::counts);
-        living.fold(self.before, sum)
+    /// Sums of the counters of all members, ended lives included.
+    pub fn counters(&self) -> MembershipCounters {
+        let living = self.node_ids().filter_map(|id| self.membership(id)).map(Membership::counters);
+        living.fold(self.ended_counters, sum)
     }
 }
 
 fn sum(a: MembershipCounters, b: MembershipCounters) -> MembershipCounters {
     MembershipCounters {
         sent: (a.sent.0 + b.sent.0, a.sent.1 + b.sent.1),
-        taken: a.taken + b.taken,
+        received: a.received + b.received,
         dropped: a.dropped + b.dropped,
-        suspected: a.suspected + b.suspected,
-        gone: a.gone + b.gone,
-        refuted: a.refuted + b.refuted,
-        twins: a.twins + b.twins,
+        suspicions: a.suspicions + b.suspicions,
+        declared_gone: a.declared_gone + b.declared_gone,
+        refutations: a.refutations + b.refutations,
+        later_lives: a.later_lives + b.later_lives,
         stalls: a.stalls + b.stalls,
     }
 }
--- a/crates/membership/src/virtual_network.rs
+++ b/crates/membership/src/virtual_network.rs
@@ -1,5 +1,6 @@
-//! State machines on datagrams in virtual time: one seed, one history. They are killed, started, paused, cut off;
-//! their datagrams are lost, doubled and late; their clocks run apart. For tests and measurements.
+//! A deterministic simulation of state machines that communicate by datagrams, in virtual time: equal seeds give equal
+//! runs. It can start, kill, pause and isolate nodes, lose, duplicate and delay datagrams, and run node clocks at
+//! different rates. For tests and benchmarks.
 
 use crate::types::{MemberId, Micros};
 use rand::rngs::StdRng;
@@ -7,36 +8,36 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
-/// A state machine that lives on datagrams and on time.
+/// A state machine driven by datagrams and time.
 pub trait VirtualNode {
-    /// What it puts out.
+    /// The type of its outputs.
     type Out;
 
-    /// Takes a datagram that came from this one's address.
+    /// Handles a datagram received from the address of node `from`.
     fn handle(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Vec<Self::Out>);
-    /// Does what is due.
+    /// Does the work that is due.
     fn wake(&mut self, now: Micros, out: &mut Vec<Self::Out>);
     /// When [`VirtualNode::wake`] is due next.
     fn next_due(&self) -> Micros;
-    /// The datagram that an output is, or the output, told to whoever watches.
-    fn datagram(out: Self::Out) -> Result<(MemberId, Vec<u8>), Self::Out>;
+    /// Extracts the receiver and bytes of an output that is a datagram; other outputs are returned as `Err`.
+    fn into_datagram(out: Self::Out) -> Result<(MemberId, Vec<u8>), Self::Out>;
 }
 
-/// What becomes of datagrams.
+/// Faults that the network applies to datagrams.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkFaults {
-    /// Share of them that is lost.
-    pub lost: f64,
-    /// Share that comes twice.
-    pub doubled: f64,
-    /// They are late by a time drawn between these.
-    pub late: (Micros, Micros),
+    /// Probability that a datagram is lost, 0 to 1.
+    pub loss_rate: f64,
+    /// Probability that a datagram that is not lost arrives twice, 0 to 1.
+    pub duplicate_rate: f64,
+    /// Minimum and maximum delay, in microseconds; each delay is drawn uniformly between them.
+    pub delay_range: (Micros, Micros),
 }
 
 impl Default for LinkFaults {
-    /// As on the platform.
+    /// No loss or duplication, with the platform's network delays.
     fn default() -> Self {
-        Self { lost: 0.0, doubled: 0.0, late: (1_200, 33_000) }
+        Self { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: (1_200, 33_000) }
     }
 }
 
@@ -49,54 +50,61 @@
 
 struct Slot<P> {
     node: Option<P>,
-    /// How often it was started.
-    lives: u32,
-    /// When it is woken next; other wakes are void.
-    armed: Micros,
+    /// Number of starts.
+    start_count: u32,
+    /// Time of the next wake-up; wake events for other times are ignored.
+    next_wake: Micros,
     paused: bool,
-    /// Its clock's rate against the simulation's.
-    rate: f64,
-    /// Datagrams that came while it was paused.
+    /// Rate of the node's clock relative to the virtual time.
+    clock_rate: f64,
+    /// Datagrams that arrived while the node was paused.
     inbox: Vec<(MemberId, Vec<u8>)>,
 }
 
 impl<P> Slot<P> {
     fn new() -> Self {
-        Self { node: None, lives: 0, armed: Micros::MAX, paused: false, rate: 1.0, inbox: Vec::new() }
+        Self {
+            node: None,
+            start_count: 0,
+            next_wake: Micros::MAX,
+            paused: false,
+            clock_rate: 1.0,
+            inbox: Vec::new(),
+        }
     }
 }
 
-/// Datagrams that a socket holds for who stands still.
-const INBOX: usize = 200;
+/// Datagrams that the socket of a paused node buffers; further ones are dropped.
+const INBOX_CAPACITY: usize = 200;
 
-/// The delay of a datagram from one node to another, drawn between two times; `None` where the network between
-/// them carries nothing.
-pub type Delays = Box<dyn Fn(MemberId, MemberId) -> Option<(Micros, Micros)> + Send>;
+/// Returns the minimum and maximum delay from one node to another, in microseconds; `None` if the network delivers
+/// nothing between them.
+pub type DelayFn = Box<dyn Fn(MemberId, MemberId) -> Option<(Micros, Micros)> + Send>;
 
-/// The nodes and their network.
+/// Simulated nodes and the network between them.
 pub struct VirtualNetwork<P: VirtualNode> {
-    /// Datagrams between all.
+    /// Faults of the links between all nodes.
     pub link: LinkFaults,
-    /// Delays by sender and receiver, in place of the one range of `link`.
-    delays: Option<Delays>,
-    /// Links that carry nothing.
+    /// Delays by sender and receiver, which replace the range of `link`.
+    delays: Option<DelayFn>,
+    /// Directed links that deliver nothing, as (from, to).
     blocked: BTreeSet<(MemberId, MemberId)>,
-    /// The simulated time.
+    /// The virtual time, in microseconds.
     pub now: Micros,
     slots: Vec<Slot<P>>,
-    due: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     sequence: u64,
     rng: StdRng,
-    /// What was told, with time and by whom.
-    pub told: Vec<(Micros, MemberId, P::Out)>,
-    /// Longest datagram seen.
-    pub longest: usize,
+    /// Outputs other than datagrams, with the virtual time and the node.
+    pub outputs: Vec<(Micros, MemberId, P::Out)>,
+    /// Size of the longest datagram sent, in bytes.
+    pub longest_datagram: usize,
     /// Datagrams and bytes sent.
     pub sent: (u64, u64),
 }
 
 impl<P: VirtualNode> VirtualNetwork<P> {
-    /// So many slots, nobody in them.
+    /// Creates a network of `size` empty slots.
     pub fn new(size: MemberId, seed: u64, link: LinkFaults) -> Self {
         Self {
             slots: (0..size).map(|_| Slot::new()).collect(),
@@ -105,101 +113,101 @@
             delays: None,
             blocked: BTreeSet::new(),
             now: 1_000_000,
-            due: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             sequence: 0,
-            told: Vec::new(),
-            longest: 0,
+            outputs: Vec::new(),
+            longest_datagram: 0,
             sent: (0, 0),
         }
     }
 
-    /// Slots by number.
-    pub fn numbers(&self) -> std::ops::Range<MemberId> {
+    /// The numbers of all slots.
+    pub fn node_ids(&self) -> std::ops::Range<MemberId> {
         0..self.slots.len() as MemberId
     }
 
-    /// Who is at a slot.
-    pub fn node(&self, of: MemberId) -> Option<&P> {
-        self.slots.get(usize::from(of)).and_then(|slot| slot.node.as_ref())
+    /// The node in a slot.
+    pub fn node(&self, id: MemberId) -> Option<&P> {
+        self.slots.get(usize::from(id)).and_then(|slot| slot.node.as_ref())
     }
 
-    /// Who is at a slot, to be changed behind the network's back.
-    pub fn node_mut(&mut self, of: MemberId) -> Option<&mut P> {
-        self.slots.get_mut(usize::from(of)).and_then(|slot| slot.node.as_mut())
+    /// Mutable access to the node in a slot, without handling its outputs or its next wake-up.
+    pub fn node_mut(&mut self, id: MemberId) -> Option<&mut P> {
+        self.slots.get_mut(usize::from(id)).and_then(|slot| slot.node.as_mut())
     }
 
-    /// Whether it runs and is not paused.
-    pub fn is_up(&self, of: MemberId) -> bool {
-        let slot = &self.slots[usize::from(of)];
+    /// Whether the node runs and is not paused.
+    pub fn is_up(&self, id: MemberId) -> bool {
+        let slot = &self.slots[usize::from(id)];
         slot.node.is_some() && !slot.paused
     }
 
-    /// How often it was started.
-    pub fn lives(&self, of: MemberId) -> u32 {
-        self.slots[usize::from(of)].lives
+    /// How often a node was started in this slot.
+    pub fn start_count(&self, id: MemberId) -> u32 {
+        self.slots[usize::from(id)].start_count
     }
 
-    /// Its clock runs at this rate from its next start on.
-    pub fn set_rate(&mut self, of: MemberId, rate: f64) {
-        self.slots[usize::from(of)].rate = rate;
+    /// Sets the rate of a node's clock relative to the virtual time, to be set before the node is started.
+    pub fn set_clock_rate(&mut self, id: MemberId, rate: f64) {
+        self.slots[usize::from(id)].clock_rate = rate;
     }
 
     /// The time on a node's own clock.
-    pub fn clock(&self, of: MemberId) -> Micros {
-        (self.now as f64 * self.slots[usize::from(of)].rate) as Micros
+    pub fn clock(&self, id: MemberId) -> Micros {
+        (self.now as f64 * self.slots[usize::from(id)].clock_rate) as Micros
     }
 
-    /// A random number below `below`, from the seed.
-    pub fn draw(&mut self, below: u64) -> u64 {
+    /// A random number below `below`, or 0 if that is 0, from the seeded generator.
+    pub fn random_below(&mut self, below: u64) -> u64 {
         self.rng.random_range(0..below.max(1))
     }
 
-    /// So many slots from now on; who is beyond has ended.
-    pub fn set_slots(&mut self, size: MemberId) {
+    /// Sets the number of slots; nodes beyond it are removed.
+    pub fn set_size(&mut self, size: MemberId) {
         self.slots.resize_with(size.into(), Slot::new);
     }
 
-    fn later(&mut self, at: Micros, due: Event) {
+    fn schedule(&mut self, at: Micros, event: Event) {
         self.sequence += 1;
-        self.due.push(Reverse((at, self.sequence, due)));
+        self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    /// Puts somebody at a slot; gives who was there.
-    pub fn put(&mut self, of: MemberId, node: P) -> Option<P> {
-        let before = self.kill(of);
-        let slot = &mut self.slots[usize::from(of)];
-        (slot.node, slot.paused, slot.lives) = (Some(node), false, slot.lives + 1);
-        self.arm(of);
-        before
+    /// Starts a node in a slot. Returns the previous one, which is killed.
+    pub fn insert(&mut self, id: MemberId, node: P) -> Option<P> {
+        let previous = self.kill(id);
+        let slot = &mut self.slots[usize::from(id)];
+        (slot.node, slot.paused, slot.start_count) = (Some(node), false, slot.start_count + 1);
+        self.schedule_wake(id);
+        previous
     }
 
-    /// Kills who is at a slot outright.
-    pub fn kill(&mut self, of: MemberId) -> Option<P> {
-        let slot = self.slots.get_mut(usize::from(of))?;
-        slot.armed = Micros::MAX;
+    /// Kills the node in a slot without notice, and returns it.
+    pub fn kill(&mut self, id: MemberId) -> Option<P> {
+        let slot = self.slots.get_mut(usize::from(id))?;
+        slot.next_wake = Micros::MAX;
         slot.inbox.clear();
         slot.node.take()
     }
 
-    /// One stands still for this long.
-    pub fn pause(&mut self, of: MemberId, span: Micros) {
-        self.slots[usize::from(of)].paused = true;
-        self.later(self.now + span, Event::Resume(of));
+    /// Pauses a node for this long.
+    pub fn pause(&mut self, id: MemberId, span: Micros) {
+        self.slots[usize::from(id)].paused = true;
+        self.schedule(self.now + span, Event::Resume(id));
     }
 
-    /// Cuts a group off from all others, or takes it up again.
-    pub fn cut(&mut self, group: &[MemberId], cut: bool) {
-        for of in group {
-            for other in self.numbers().filter(|other| !group.contains(other)) {
-                for link in [(*of, other), (other, *of)] {
-                    self.block(link, cut);
+    /// Isolates a group from all other nodes, or reconnects it.
+    pub fn set_isolated(&mut self, group: &[MemberId], isolated: bool) {
+        for id in group {
+            for other in self.node_ids().filter(|other| !group.contains(other)) {
+                for link in [(*id, other), (other, *id)] {
+                    self.set_blocked(link, isolated);
                 }
             }
         }
     }
 
-    /// A link in one direction carries nothing, or does again.
-    pub fn block(&mut self, link: (MemberId, MemberId), blocked: bool) {
+    /// Blocks or unblocks a link in one direction, given as (from, to).
+    pub fn set_blocked(&mut self, link: (MemberId, MemberId), blocked: bool) {
         if blocked {
             self.blocked.insert(link);
         } else {
@@ -207,103 +215,108 @@
         }
     }
 
-    /// Delays by sender and receiver from now on, for datagrams sent from now on; `link.late` holds no more. What it
-    /// gives must be in order: least delay first.
-    pub fn set_delays(&mut self, delays: Delays) {
+    /// Sets delays by sender and receiver for datagrams sent from now on, in place of `link.delay_range`. The ranges
+    /// have to start with the minimum.
+    pub fn set_delays(&mut self, delays: DelayFn) {
         self.delays = Some(delays);
     }
 
-    /// The range of delays from one node to another; `None` where nothing is carried.
+    /// The range of delays from one node to another; `None` if nothing is delivered.
     fn delay(&self, from: MemberId, to: MemberId) -> Option<(Micros, Micros)> {
         if self.blocked.contains(&(from, to)) {
             return None;
         }
-        self.delays.as_ref().map_or(Some(self.link.late), |delays| delays(from, to))
+        self.delays.as_ref().map_or(Some(self.link.delay_range), |delays| delays(from, to))
     }
 
-    fn arm(&mut self, of: MemberId) {
+    /// Schedules the node's next wake-up, if it is earlier than the scheduled one.
+    fn schedule_wake(&mut self, id: MemberId) {
         let now = self.now;
-        let slot = &mut self.slots[usize::from(of)];
+        let slot = &mut self.slots[usize::from(id)];
         let Some(node) = &slot.node else { return };
-        let at = ((node.next_due() as f64 / slot.rate) as Micros + 1).max(now);
-        if at < slot.armed {
-            slot.armed = at;
-            self.later(at, Event::Wake(of));
+        let at = ((node.next_due() as f64 / slot.clock_rate) as Micros + 1).max(now);
+        if at < slot.next_wake {
+            slot.next_wake = at;
+            self.schedule(at, Event::Wake(id));
         }
     }
 
-    fn carry_out(&mut self, of: MemberId, out: Vec<P::Out>) {
-        for output in out {
-            match P::datagram(output) {
+    /// Sends the datagrams among a node's outputs with the faults of their links, and records the others.
+    fn dispatch(&mut self, id: MemberId, outputs: Vec<P::Out>) {
+        for output in outputs {
+            match P::into_datagram(output) {
                 Ok((to, _)) if usize::from(to) >= self.slots.len() => {}
                 Ok((to, bytes)) => {
-                    self.longest = self.longest.max(bytes.len());
+                    self.longest_datagram = self.longest_datagram.max(bytes.len());
                     self.sent = (self.sent.0 + 1, self.sent.1 + bytes.len() as u64);
                     let copies = match (self.rng.random::<f64>(), self.rng.random::<f64>()) {
-                        (lost, _) if lost < self.link.lost => 0,
-                        (_, doubled) if doubled < self.link.doubled => 2,
+                        (draw, _) if draw < self.link.loss_rate => 0,
+                        (_, draw) if draw < self.link.duplicate_rate => 2,
                         _ => 1,
                     };
-                    let Some((least, most)) = self.delay(of, to) else { continue };
+                    let Some((min, max)) = self.delay(id, to) else { continue };
                     for _ in 0..copies {
-                        let late = self.rng.random_range(least..=most);
-                        self.later(self.now + late, Event::Datagram { to, from: of, bytes: bytes.clone() });
+                        let delay = self.rng.random_range(min..=max);
+                        self.schedule(
+                            self.now + delay,
+                            Event::Datagram { to, from: id, bytes: bytes.clone() },
+                        );
                     }
                 }
-                Err(told) => self.told.push((self.now, of, told)),
+                Err(other) => self.outputs.push((self.now, id, other)),
             }
         }
     }
 
-    /// Has one that runs do something, at its own time.
-    pub fn act(&mut self, of: MemberId, act: impl FnOnce(&mut P, Micros, &mut Vec<P::Out>)) {
-        let (now, mut out) = (self.clock(of), Vec::new());
-        if let Some(node) = &mut self.slots[usize::from(of)].node {
+    /// Calls a function on a running node with the time on its own clock, and handles the outputs.
+    pub fn with_node(&mut self, id: MemberId, act: impl FnOnce(&mut P, Micros, &mut Vec<P::Out>)) {
+        let (now, mut out) = (self.clock(id), Vec::new());
+        if let Some(node) = &mut self.slots[usize::from(id)].node {
             act(node, now, &mut out);
         }
-        self.carry_out(of, out);
-        self.arm(of);
+        self.dispatch(id, out);
+        self.schedule_wake(id);
     }
 
-    /// Runs for so long.
-    pub fn pass(&mut self, span: Micros) {
-        self.run(self.now + span);
+    /// Runs the simulation for this long.
+    pub fn run_for(&mut self, span: Micros) {
+        self.run_until(self.now + span);
     }
 
-    /// Runs until this time of the simulation.
-    pub fn run(&mut self, until: Micros) {
-        while let Some(Reverse((at, ..))) = self.due.peek()
+    /// Runs the simulation until this virtual time.
+    pub fn run_until(&mut self, until: Micros) {
+        while let Some(Reverse((at, ..))) = self.events.peek()
             && *at <= until
         {
-            let Some(Reverse((at, _, due))) = self.due.pop() else { return };
+            let Some(Reverse((at, _, event))) = self.events.pop() else { return };
             self.now = at;
-            match due {
+            match event {
                 Event::Datagram { to, .. } | Event::Wake(to) | Event::Resume(to)
                     if usize::from(to) >= self.slots.len() => {}
                 Event::Datagram { to, from, bytes } => {
                     let slot = &mut self.slots[usize::from(to)];
-                    // A socket holds some for who stands still.
-                    if slot.paused && slot.node.is_some() && slot.inbox.len() < INBOX {
+                    // The socket buffers datagrams for a paused node, up to its capacity.
+                    if slot.paused && slot.node.is_some() && slot.inbox.len() < INBOX_CAPACITY {
                         slot.inbox.push((from, bytes));
                     } else if !slot.paused {
-                        self.act(to, |node, now, out| node.handle(now, from, &bytes, out));
+                        self.with_node(to, |node, now, out| node.handle(now, from, &bytes, out));
                     }
                 }
-                Event::Wake(of) => {
-                    let slot = &mut self.slots[usize::from(of)];
-                    if slot.armed == at && !slot.paused {
-                        slot.armed = Micros::MAX;
-                        self.act(of, |node, now, out| node.wake(now, out));
+                Event::Wake(id) => {
+                    let slot = &mut self.slots[usize::from(id)];
+                    if slot.next_wake == at && !slot.paused {
+                        slot.next_wake = Micros::MAX;
+                        self.with_node(id, |node, now, out| node.wake(now, out));
                     }
                 }
-                Event::Resume(of) => {
-                    let slot = &mut self.slots[usize::from(of)];
+                Event::Resume(id) => {
+                    let slot = &mut self.slots[usize::from(id)];
                     if std::mem::take(&mut slot.paused) {
-                        slot.armed = Micros::MAX;
+                        slot.next_wake = Micros::MAX;
                         for (from, bytes) in std::mem::take(&mut slot.inbox) {
-                            self.act(of, |node, now, out| node.handle(now, from, &bytes, out));
+                            self.with_node(id, |node, now, out| node.handle(now, from, &bytes, out));
                         }
-                        self.arm(of);
+                        self.schedule_wake(id);
                     }
                 }
             }
