--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -7,7 +7,7 @@
 mod config;
 mod discovery_log;
 mod front;
-mod given;
+
 mod gossip;
 mod gossip_wire;
 mod instance_directory;
@@ -18,6 +18,7 @@
 mod peers;
 mod recent_ids;
 mod recorder;
+mod send_progress;
 mod start_times;
 mod work;
 
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -5,10 +5,10 @@
 //! else, once its last byte is with the socket, may have run.
 
 use crate::Budget;
-use crate::given::{Given, Part, Span};
 pub use crate::job::{Done, Job};
 use crate::job::{Name, answered, cut, name, wire_id};
 use crate::recent_ids::RecentIds;
+use crate::send_progress::{Given, Part, Span};
 use crate::work::Work;
 use basaltward::{Code, FunctionId, Member, MembersKind, Micros, State, WorkerId};
 use basaltward_engine::{AttemptId, OrderId};
