--- a/crates/bench/src/capacity/measure.rs
+++ b/crates/bench/src/capacity/measure.rs
@@ -211,7 +211,7 @@
 fn listener(own: u32) -> InstanceDirectory {
     let mut words = InstanceDirectory::new(0, (own, 1_899), KEEP_US);
     let members: Vec<Member> = (0..WORKERS_TOLD).map(|at| Member::active(&told_worker(at))).collect();
-    words.members(MembersKind::Whole, &members);
+    words.update_members(MembersKind::Whole, &members);
     words
 }
 
@@ -221,11 +221,11 @@
     for fact in 0..facts {
         let (worker, function) =
             (told_worker(fact % WORKERS_TOLD), format!("function-{}", fact / WORKERS_TOLD));
-        words.saw(S, &worker.as_str().into(), &function.as_str().into(), 1);
+        words.observe(S, &worker.as_str().into(), &function.as_str().into(), 1);
     }
     let mut datagrams = Vec::new();
     let mut now = 10 * S;
-    while let Some(bytes) = words.take(now) {
+    while let Some(bytes) = words.next_datagram(now) {
         datagrams.push(bytes);
         now += 1;
     }
@@ -237,10 +237,10 @@
     let mut words = listener(1);
     // It has calls for every tenth of the functions.
     for function in (0..facts / WORKERS_TOLD).step_by(10) {
-        words.called(S, &format!("function-{function}").as_str().into());
+        words.note_call(S, &format!("function-{function}").as_str().into());
     }
-    datagrams.iter().for_each(|bytes| words.heard(10 * S, 0, bytes));
-    black_box(words.take_news());
+    datagrams.iter().for_each(|bytes| words.receive(10 * S, 0, bytes));
+    black_box(words.take_reports());
     words
 }
 
--- a/crates/cli/examples/planted.rs
+++ b/crates/cli/examples/planted.rs
@@ -14,9 +14,11 @@
     let records = std::env::args_os().next_back().ok_or("no file for records")?;
     let (recorder, writer) = Recorder::file(Path::new(&records))?;
     let mut node = Node::new(config.into(), None, recorder.clone())?;
-    node.plant(|entry, incarnation, state| (entry.incarnation, entry.state) != (incarnation, state));
-    node.plant_agreed(Fault::CountsTheViewAlone);
-    node.take_signals()?;
+    node.inject_view_fault(|entry, incarnation, state| {
+        (entry.incarnation, entry.state) != (incarnation, state)
+    });
+    node.inject_permit_fault(Fault::CountsTheViewAlone);
+    node.handle_signals()?;
     node.run()?;
     drop(recorder);
     writer.join().map_err(|_| "the writer of records has panicked")??;
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -29,12 +29,12 @@
     let listen = std::env::var("NODE_LISTEN").ok().map(|text| text.parse::<SocketAddr>());
     let listen = listen.transpose().map_err(|_| Failed::Input("NODE_LISTEN is not an address".into()))?;
     let records = Records::open(options.records.as_deref())?;
-    let open = || Node::new_as(path.clone(), listen, records.recorder.clone(), options.view);
+    let open = || Node::new_with_view(path.clone(), listen, records.recorder.clone(), options.view);
     let mut node = patiently(open).map_err(|error| match error {
         NodeError::Net(error) => Failed::Run(error.to_string()),
         error => Failed::Input(error.to_string()),
     })?;
-    node.take_signals()?;
+    node.handle_signals()?;
     node.run()?;
     records.close()
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 /// Members of a fleet at most.
-const MOST_PEERS: usize = 10_000;
+const MAX_PEERS: usize = 10_000;
 
 /// Why a configuration can't be used.
 #[derive(Debug, Error)]
@@ -120,9 +120,9 @@
     /// Where their datagrams come.
     pub listen: SocketAddr,
     /// Where each is reached and comes from, by number, our own included.
-    pub each: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// Where all are reached at once.
-    pub all: SocketAddr,
+    pub group: SocketAddr,
 }
 
 /// What a scheduler is told at its start.
@@ -141,7 +141,7 @@
     /// Its events so far.
     pub known: Known,
     /// The settings.
-    pub told: Told,
+    pub settings: Told,
     /// Other schedulers, where the settings allow datagrams to them and all are reached at once.
     pub peers: Option<Peers>,
     /// The fleet's view, where it is switched on.
@@ -150,13 +150,13 @@
 
 impl NodeConfig {
     /// The fields in which another configuration differs and that a running scheduler keeps: they take a restart.
-    pub fn kept_against(&self, other: &Self) -> Vec<&'static str> {
+    pub fn fields_needing_restart(&self, other: &Self) -> Vec<&'static str> {
         let fields = [
             ("name", self.name == other.name),
             ("listen", self.listen == other.listen),
             ("seed", self.seed == other.seed),
             ("limits", self.budget == other.budget),
-            ("settings", self.told == other.told),
+            ("settings", self.settings == other.settings),
             ("peers", self.peers == other.peers),
             ("fleet", self.fleet.is_some() == other.fleet.is_some()),
         ];
@@ -169,11 +169,11 @@
 /// # Errors
 /// Where it can't be read or used; the error names the field.
 pub fn load(path: &Path) -> Result<NodeConfig, ConfigError> {
-    load_as(path, false)
+    load_with_view(path, false)
 }
 
 /// As [`load`]; with `view` as if the fleet's view were asked for where nothing is said of it.
-pub fn load_as(path: &Path, view: bool) -> Result<NodeConfig, ConfigError> {
+pub fn load_with_view(path: &Path, view: bool) -> Result<NodeConfig, ConfigError> {
     parse(&std::fs::read(path)?, view)
 }
 
@@ -183,8 +183,8 @@
     json.end().map_err(ConfigError::Tail)?;
     refuse_renamed(&file)?;
     let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed(file.seed))?;
-    let told = basaltward_told::parse(file.settings.get())?;
-    let unsaid = FleetFile {
+    let settings = basaltward_told::parse(file.settings.get())?;
+    let without_fleet = FleetFile {
         view,
         name: String::new(),
         operators: Vec::new(),
@@ -192,14 +192,14 @@
         agreed: None,
         zones: Vec::new(),
     };
-    let allowed = file.gossip && told.peers && file.peers.len() <= MOST_PEERS;
-    let peers = file.peer_listen.zip(file.peers_all).filter(|_| allowed);
-    let peers = peers.map(|(listen, all)| Peers { listen, each: file.peers.clone(), all });
-    let fleet = match Some(file.fleet.unwrap_or(unsaid)).filter(|fleet| fleet.view) {
+    let is_gossip_on = file.gossip && settings.peers && file.peers.len() <= MAX_PEERS;
+    let peers = file.peer_listen.zip(file.peers_all).filter(|_| is_gossip_on);
+    let peers = peers.map(|(listen, all)| Peers { listen, addresses: file.peers.clone(), group: all });
+    let fleet = match Some(file.fleet.unwrap_or(without_fleet)).filter(|fleet| fleet.view) {
         None => None,
         Some(FleetFile { name, operators, permits, zones, .. }) => {
             let listen = file.peer_listen.ok_or(ConfigError::Fleet("peer_listen is missing"))?;
-            if file.peers.len() <= told.module.self_index as usize || file.peers.len() > MOST_PEERS {
+            if file.peers.len() <= settings.module.self_index as usize || file.peers.len() > MAX_PEERS {
                 return Err(ConfigError::Fleet("peers holds none of our number, or too many"));
             }
             let version = permits.as_ref().map(|permits| permits.version.clone()).unwrap_or_default();
@@ -209,7 +209,7 @@
                 listen,
                 peers: file.peers,
                 operators,
-                zones: numbered(&zones)?,
+                zones: number_names(&zones)?,
                 bounds,
                 version,
             })
@@ -222,7 +222,7 @@
         budget: Budget::new(file.limits.sockets, file.limits.memory_mb),
         bulletin: file.bulletin,
         known: file.known,
-        told,
+        settings,
         peers,
         fleet,
     })
@@ -240,7 +240,7 @@
 }
 
 /// Names as numbers, in the order in which they first come.
-fn numbered(names: &[String]) -> Result<Vec<u8>, ConfigError> {
+fn number_names(names: &[String]) -> Result<Vec<u8>, ConfigError> {
     let mut seen: Vec<&String> = Vec::new();
     let mut number = |name| {
         let known = seen.iter().position(|known| *known == name);
@@ -269,7 +269,7 @@
     fn a_configuration_is_read_and_what_is_wrong_is_named() {
         let good = parse(GOOD.as_bytes(), false).expect("it is good");
         assert_eq!((good.name.as_str(), good.seed, good.known.no), ("n3", 0x8c1f_30d2_7a5b_e964, 3));
-        assert_eq!((good.told.classes, good.told.links.streams), (vec!["call".to_owned()], 32));
+        assert_eq!((good.settings.classes, good.settings.links.streams), (vec!["call".to_owned()], 32));
         let wrong = [
             ("\"listen\":\"127.0.0.4:10080\"", "\"listen\":\"here\"", "listen"),
             ("\"seed\":\"8c1f30d27a5be964\",", "", "seed"),
@@ -304,6 +304,6 @@
         let bounds = Bounds { workers: basaltward_permits::Limit::Number(3), ..Bounds::default() };
         assert_eq!(fleet.bounds, Some(bounds));
         let many: Vec<_> = (0..257).map(|of: u32| of.to_string()).collect();
-        assert!(numbered(&many).is_err() && numbered(&many[..256]).is_ok());
+        assert!(number_names(&many).is_err() && number_names(&many[..256]).is_ok());
     }
 }
--- a/crates/node/src/discovery_log.rs
+++ b/crates/node/src/discovery_log.rs
@@ -8,11 +8,11 @@
 use tracing::{debug, warn};
 
 /// Questions that are out, at most: each worker has one, and one more where that is taken as lost.
-const OUT: usize = 8_192;
+const MAX_OUTSTANDING: usize = 8_192;
 
 /// Questions to workers since the outage began.
 #[derive(Default)]
-struct Questions {
+struct ProbeCounts {
     sent: u64,
     up: u64,
     down: u64,
@@ -23,35 +23,35 @@
 pub struct DiscoveryLog {
     name: String,
     /// When the list was last followed, and since when it is not.
-    interrupted: Option<Micros>,
+    interrupted_since: Option<Micros>,
     has_expired: bool,
-    questions: Questions,
-    out: HashMap<OrderId, WorkerId>,
+    probes: ProbeCounts,
+    outstanding: HashMap<OrderId, WorkerId>,
     /// Workers that said that they drain.
-    drains: HashSet<WorkerId>,
+    draining: HashSet<WorkerId>,
 }
 
 impl DiscoveryLog {
     pub fn new(name: &str) -> Self {
         Self {
             name: name.into(),
-            interrupted: None,
+            interrupted_since: None,
             has_expired: false,
-            questions: Questions::default(),
-            out: HashMap::new(),
-            drains: HashSet::new(),
+            probes: ProbeCounts::default(),
+            outstanding: HashMap::new(),
+            draining: HashSet::new(),
         }
     }
 
     /// The list is as fresh as this; `last` is the number of the last event held.
-    pub fn read(&mut self, now: Micros, freshness: Freshness, last: u64) {
+    pub fn update(&mut self, now: Micros, freshness: Freshness, last: u64) {
         match freshness {
             // It has a second to speak after a start.
             Freshness::Unconfirmed => {}
-            Freshness::Current { .. } => self.followed(now, last),
+            Freshness::Current { .. } => self.recovered(now, last),
             Freshness::Interrupted { told_at, why } => {
-                if self.interrupted.is_none() {
-                    self.interrupted = Some(now);
+                if self.interrupted_since.is_none() {
+                    self.interrupted_since = Some(now);
                     let told_in_ms = told_at.saturating_sub(now) / 1_000;
                     warn!(name = self.name, ?why, last, told_in_ms, "discovery is out of reach");
                 }
@@ -62,13 +62,13 @@
         }
     }
 
-    fn followed(&mut self, now: Micros, last: u64) {
+    fn recovered(&mut self, now: Micros, last: u64) {
         self.has_expired = false;
-        let Some(since) = self.interrupted.take() else { return };
-        let Questions { sent, up, down, unanswered } = std::mem::take(&mut self.questions);
+        let Some(since) = self.interrupted_since.take() else { return };
+        let ProbeCounts { sent, up, down, unanswered } = std::mem::take(&mut self.probes);
         let after_ms = now.saturating_sub(since) / 1_000;
-        let drained = self.drains.len();
-        self.drains.clear();
+        let drained = self.draining.len();
+        self.draining.clear();
         warn!(
             name = self.name,
             last, after_ms, sent, up, down, unanswered, drained, "discovery is followed again"
@@ -76,31 +76,31 @@
     }
 
     /// A worker is asked.
-    pub fn asked(&mut self, question: OrderId, worker: &WorkerId) {
-        self.questions.sent += 1;
-        if self.out.len() < OUT {
-            self.out.insert(question, worker.clone());
+    pub fn probe_sent(&mut self, probe: OrderId, worker: &WorkerId) {
+        self.probes.sent += 1;
+        if self.outstanding.len() < MAX_OUTSTANDING {
+            self.outstanding.insert(probe, worker.clone());
         }
     }
 
     /// A question has come to its end.
-    pub fn answered(&mut self, question: OrderId, code: Code) {
-        let Some(worker) = self.out.remove(&question) else { return };
+    pub fn probe_ended(&mut self, probe: OrderId, code: Code) {
+        let Some(worker) = self.outstanding.remove(&probe) else { return };
         debug!(target: "basaltward::question", name = self.name, %worker, ?code, "asked");
         match code {
             Code::Ok => {
-                self.questions.up += 1;
-                if self.drains.remove(&worker) {
+                self.probes.up += 1;
+                if self.draining.remove(&worker) {
                     warn!(name = self.name, %worker, "takes work again by its own word");
                 }
             }
             Code::Error => {
-                self.questions.down += 1;
-                if self.drains.insert(worker.clone()) {
+                self.probes.down += 1;
+                if self.draining.insert(worker.clone()) {
                     warn!(name = self.name, %worker, "drains by its own word");
                 }
             }
-            _ => self.questions.unanswered += 1,
+            _ => self.probes.unanswered += 1,
         }
     }
 }
--- a/crates/node/src/gossip_wire.rs
+++ b/crates/node/src/gossip_wire.rs
@@ -7,7 +7,7 @@
 /// The first byte; the view and what is agreed have others.
 pub const VERSION: u8 = 3;
 /// What an age counts in: the oldest that can be told is four times a usual keep-alive.
-const AGE_US: Micros = 250_000;
+const AGE_UNIT_US: Micros = 250_000;
 
 /// What was seen of one function at one worker. Names go as marks: two that share one are taken for each other, and
 /// cost a call a load at worst.
@@ -25,7 +25,7 @@
 
     pub fn new((function, worker): (u32, u32), age: Micros, copies: u32) -> Self {
         let (function, worker) = (function.to_le_bytes(), worker.to_le_bytes());
-        let age = u8::try_from(age.div_ceil(AGE_US)).unwrap_or(u8::MAX);
+        let age = u8::try_from(age.div_ceil(AGE_UNIT_US)).unwrap_or(u8::MAX);
         Self { function, worker, age, copies: u8::try_from(copies).unwrap_or(u8::MAX) }
     }
 
@@ -38,7 +38,7 @@
     }
 
     pub fn age(&self) -> Micros {
-        Micros::from(self.age) * AGE_US
+        Micros::from(self.age) * AGE_UNIT_US
     }
 
     pub fn copies(&self) -> u32 {
@@ -47,16 +47,16 @@
 }
 
 /// The mark of a name.
-pub fn mark(name: &str) -> u32 {
+pub fn name_hash(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
 
 /// The bytes; `None` where they would be too many, which [`InstanceUpdate::MAX_PER_DATAGRAM`] rules out.
-pub fn write(updates: &[InstanceUpdate]) -> Option<Vec<u8>> {
+pub fn encode(updates: &[InstanceUpdate]) -> Option<Vec<u8>> {
     encode_datagram(VERSION, &updates)
 }
 
 /// Reads them.
-pub fn read(bytes: &[u8]) -> Result<Vec<InstanceUpdate>, WireError> {
+pub fn decode(bytes: &[u8]) -> Result<Vec<InstanceUpdate>, WireError> {
     decode_datagram(VERSION, bytes)
 }
--- a/crates/node/src/job.rs
+++ b/crates/node/src/job.rs
@@ -1,6 +1,6 @@
 //! What connections to workers are used for, and how that ends.
 
-use crate::work::{Served, Work};
+use crate::work::{CallPayload, ReplyBody};
 use basaltward::{Code, CopyNote, FunctionId, Micros};
 use basaltward_engine::{AttemptEnd, AttemptId, OrderId};
 use basaltward_worker_lines::{Note, Reply, Word};
@@ -10,7 +10,7 @@
 #[derive(Clone)]
 pub enum Job {
     /// A call.
-    Attempt { id: AttemptId, work: Arc<Work>, function: FunctionId, until: Micros },
+    Attempt { id: AttemptId, work: Arc<CallPayload>, function: FunctionId, until: Micros },
     /// An order, or a question where `count` is 0.
     Order { id: OrderId, function: FunctionId, count: u32 },
     /// A probe.
@@ -20,9 +20,9 @@
 }
 
 /// How a job ended.
-pub enum Done {
+pub enum JobEnd {
     /// An attempt.
-    Attempt(AttemptId, AttemptEnd<Served>),
+    Attempt(AttemptId, AttemptEnd<ReplyBody>),
     /// An order or a question: copies standing.
     Order(OrderId, Code, u32),
     /// A probe.
@@ -31,15 +31,15 @@
 
 /// Names a job that somebody waits for.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Name {
+pub enum JobKey {
     Attempt(AttemptId),
     Order(OrderId),
 }
 
-pub fn name(job: &Job) -> Option<Name> {
+pub fn job_key(job: &Job) -> Option<JobKey> {
     match job {
-        Job::Attempt { id, .. } => Some(Name::Attempt(*id)),
-        Job::Order { id, .. } | Job::Probe(id) => Some(Name::Order(*id)),
+        Job::Attempt { id, .. } => Some(JobKey::Attempt(*id)),
+        Job::Order { id, .. } | Job::Probe(id) => Some(JobKey::Order(*id)),
         Job::Release(_) => None,
     }
 }
@@ -55,17 +55,17 @@
 }
 
 /// The end of a job that got no whole answer.
-pub fn cut(job: &Job, code: Code) -> Option<Done> {
+pub fn end_without_reply(job: &Job, code: Code) -> Option<JobEnd> {
     match job {
-        Job::Attempt { id, .. } => Some(Done::Attempt(*id, AttemptEnd::bare(code))),
-        Job::Order { id, .. } => Some(Done::Order(*id, code, 0)),
-        Job::Probe(id) => Some(Done::Probe(*id, code, Vec::new())),
+        Job::Attempt { id, .. } => Some(JobEnd::Attempt(*id, AttemptEnd::bare(code))),
+        Job::Order { id, .. } => Some(JobEnd::Order(*id, code, 0)),
+        Job::Probe(id) => Some(JobEnd::Probe(*id, code, Vec::new())),
         Job::Release(_) => None,
     }
 }
 
 /// The end of a job that was answered; `report` names the figures that are wanted.
-pub fn answered(job: &Job, reply: Reply, report: &[String]) -> Option<Done> {
+pub fn end_with_reply(job: &Job, reply: Reply, report: &[String]) -> Option<JobEnd> {
     let code = match reply.word {
         Word::Ok | Word::Up => Code::Ok,
         Word::Miss => Code::Miss,
@@ -76,7 +76,7 @@
     Some(match job {
         // Not an answer to a call: what became of it is not known.
         Job::Attempt { id, .. } if matches!(reply.word, Word::Up | Word::Down) => {
-            Done::Attempt(*id, AttemptEnd::bare(Code::Unknown))
+            JobEnd::Attempt(*id, AttemptEnd::bare(Code::Unknown))
         }
         Job::Attempt { id, .. } => {
             let copy = match (code, reply.note) {
@@ -87,17 +87,17 @@
                 _ => CopyNote::Untold,
             };
             let crowd = matches!(code, Code::Ok | Code::Full).then_some(reply.company);
-            let report = reported(&reply, report);
-            let body = (code == Code::Ok).then_some(Served(reply.body));
-            Done::Attempt(*id, AttemptEnd { code, reply: body, copy, crowd, report })
+            let report = report_values(&reply, report);
+            let body = (code == Code::Ok).then_some(ReplyBody(reply.body));
+            JobEnd::Attempt(*id, AttemptEnd { code, reply: body, copy, crowd, report })
         }
-        Job::Order { id, .. } => Done::Order(*id, code, reply.slots_up.unwrap_or(0)),
-        Job::Probe(id) => Done::Probe(*id, code, reported(&reply, report)),
+        Job::Order { id, .. } => JobEnd::Order(*id, code, reply.slots_up.unwrap_or(0)),
+        Job::Probe(id) => JobEnd::Probe(*id, code, report_values(&reply, report)),
         Job::Release(_) => return None,
     })
 }
 
-fn reported(reply: &Reply, report: &[String]) -> Vec<f64> {
+fn report_values(reply: &Reply, report: &[String]) -> Vec<f64> {
     if reply.report.is_empty() {
         return Vec::new();
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -7,7 +7,6 @@
 mod config;
 mod discovery_log;
 mod front;
-
 mod gossip;
 mod gossip_wire;
 mod instance_directory;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,15 +1,15 @@
 //! The loop: clients, engine, workers and bulletin joined. It carries bytes and messages between them.
 
 use crate::Budget;
-use crate::config::{ConfigError, NodeConfig, load_as};
+use crate::config::{ConfigError, NodeConfig, load_with_view};
 use crate::discovery_log::DiscoveryLog;
 use crate::front::{Front, Step};
 use crate::gossip::Gossip;
-use crate::links::{Done, Job, Links, WrittenJob};
-use crate::members::Names;
+use crate::links::{Job, JobEnd, Links, SentJob};
+use crate::members::MemberMapper;
 use crate::peers::Fleet;
 use crate::recorder::TraceRecorder;
-use crate::work::{Served, Work};
+use crate::work::{CallPayload, ReplyBody};
 use basaltward::{Code, ListTrust, Micros, SettingsError, State, WorkerId};
 use basaltward_bulletin::{
     FeedId, Follower, FollowerLimits, Freshness, OWED_WITHIN_US, Roster, Step as Feed,
@@ -32,23 +32,25 @@
 use tracing::{info, warn};
 
 /// What comes later than this after SIGTERM is turned away, and connections are closed as they have nothing open.
-const TERM_US: Micros = 900_000;
+const LATEST_REJECT_US: Micros = 900_000;
 /// But not before this: clients come for up to 0.6 s, and the page allows 50 ms more.
-const LEAST_TERM_US: Micros = 650_000;
+const EARLIEST_REJECT_US: Micros = 650_000;
 /// Closing the connections, with what crosses that, takes so long before SIGKILL.
-const CLOSING_US: Micros = 200_000;
+const CLOSE_CONNECTIONS_US: Micros = 200_000;
 /// What comes later than this after SIGTERM is lost if SIGKILL finds it open.
-const EXCUSED_US: Micros = 700_000;
+const EXCUSED_AFTER_TERM_US: Micros = 700_000;
 /// SIGKILL may come the longest deadline, but no more than this, and [`EXCUSED_US`] after SIGTERM.
-const LONGEST_US: Micros = 3_000_000;
+const MAX_KILL_DELAY_US: Micros = 3_000_000;
 /// What our clock and the platform's may lie apart at SIGTERM, and an answer may take to its client.
-const APART_US: Micros = 100_000;
+const CLOCK_SKEW_US: Micros = 100_000;
 /// The page's slack of each time limit: what a request takes to its worker once it is written.
-const SLACK_US: Micros = 50_000;
+const SEND_SLACK_US: Micros = 50_000;
 /// How long the last answers may take to be read, and those who still wait to be accepted.
-const LAST_US: Micros = 1_500_000;
-/// A configuration that can't be used at a signal is read again after this, so many times.
-const REREAD: (Micros, u32) = (100_000, 50);
+const LAST_ANSWERS_US: Micros = 1_500_000;
+/// Interval at which an unusable configuration is read again after SIGHUP.
+const RELOAD_RETRY_US: Micros = 100_000;
+/// Number of those retries per SIGHUP.
+const MAX_RELOAD_RETRIES: u32 = 50;
 
 /// Why a scheduler can't start or had to end.
 #[derive(Debug, Error)]
@@ -75,74 +77,74 @@
     config: NodeConfig,
     address: SocketAddr,
     /// When the configuration of the start was about to be read.
-    started: Micros,
+    started_at: Micros,
     io: Io,
-    engine: Engine<Work, Served>,
+    engine: Engine<CallPayload, ReplyBody>,
     front: Front,
     links: Links,
     follower: Follower,
     feeds: HashMap<ConnId, FeedId>,
-    names: Names,
+    members: MemberMapper,
     /// The fleet's view, where the configuration asks for it.
     fleet: Option<Fleet>,
     /// What peers tell of copies, where the settings allow it.
     gossip: Option<Gossip>,
     pace: Pace,
     /// When SIGTERM came.
-    term: Option<Micros>,
+    term_at: Option<Micros>,
     /// How long after SIGTERM requests are turned away.
-    turns_away: Micros,
+    rejects_after: Micros,
     /// How long after SIGTERM the last answer has to be given: SIGKILL may come soon after.
-    closing: Micros,
+    answer_by: Micros,
     /// When an answer was put out last.
     last_answer: Micros,
-    stopped: bool,
+    is_rejecting: bool,
     /// Someone was accepted in this turn.
-    accepted: bool,
+    has_accepted: bool,
     /// When the configuration is read again, and how often it may still be.
-    reread: Option<(Micros, u32)>,
-    outputs: Vec<Output<Work, Served>>,
+    reload: Option<(Micros, u32)>,
+    outputs: Vec<Output<CallPayload, ReplyBody>>,
     /// What writing in the middle of a turn has brought, for the next one.
-    later: Vec<Happened>,
+    deferred_events: Vec<Happened>,
     /// Ends of what was taken back in the middle of a turn.
-    taken_back: Vec<Done>,
+    withdrawn: Vec<JobEnd>,
     /// How far the list is to be believed, as the module was told it last.
     list_trust: Option<ListTrust>,
     discovery_log: DiscoveryLog,
     recorder: TraceRecorder,
-    wanted: Arc<AtomicU8>,
+    commands: Arc<AtomicU8>,
 }
 
 const STOP: u8 = 1;
-const REREAD_NOW: u8 = 2;
+const RELOAD: u8 = 2;
 
 /// Tells a scheduler from another thread what signals tell a process.
 #[derive(Clone)]
 pub struct Control {
-    wanted: Arc<AtomicU8>,
+    commands: Arc<AtomicU8>,
     waker: Waker,
 }
 
 impl Control {
-    fn want(&self, what: u8) {
-        self.wanted.fetch_or(what, Ordering::AcqRel);
+    fn command(&self, what: u8) {
+        self.commands.fetch_or(what, Ordering::AcqRel);
         self.waker.wake();
     }
 
     /// As SIGTERM.
     pub fn stop(&self) {
-        self.want(STOP);
+        self.command(STOP);
     }
 
     /// As SIGHUP.
-    pub fn reread(&self) {
-        self.want(REREAD_NOW);
+    pub fn reload(&self) {
+        self.command(RELOAD);
     }
 }
 
 fn engine_settings(config: &NodeConfig) -> EngineSettings {
-    let mut module = config.told.module.clone();
-    module.rules.send_delay = config.told.links.connect_timeout + SLACK_US;
+    let mut module = config.settings.module.clone();
+    module.rules.send_delay = config.settings.links.connect_timeout + SEND_SLACK_US;
     EngineSettings {
         module,
         in_hand: config.budget.calls,
@@ -161,78 +163,78 @@
     /// # Errors
     /// Where the configuration can't be used or the system refuses something.
     pub fn new(path: PathBuf, listen: Option<SocketAddr>, recorder: Recorder) -> Result<Self, NodeError> {
-        Self::new_as(path, listen, recorder, false)
+        Self::new_with_view(path, listen, recorder, false)
     }
 
     /// As [`Node::new`]; with `view` it keeps the fleet's view even where the configuration says nothing of it.
     ///
     /// # Errors
     /// As [`Node::new`].
-    pub fn new_as(
+    pub fn new_with_view(
         path: PathBuf,
         listen: Option<SocketAddr>,
         recorder: Recorder,
         view: bool,
     ) -> Result<Self, NodeError> {
-        Self::new_stepped(path, listen, recorder, view, Arc::default())
+        Self::new_with_wall_step(path, listen, recorder, view, Arc::default())
     }
 
     /// As [`Node::new_as`] on a machine whose wall clock counts as stepped by so many microseconds, at any time.
     #[doc(hidden)]
-    pub fn new_stepped(
+    pub fn new_with_wall_step(
         path: PathBuf,
         listen: Option<SocketAddr>,
         recorder: Recorder,
         view: bool,
         wall_step: Arc<AtomicI64>,
     ) -> Result<Self, NodeError> {
-        let started = monotonic();
-        let mut config = load_as(&path, view)?;
+        let started_at = monotonic();
+        let mut config = load_with_view(&path, view)?;
         let Budget { clients: connections, input, .. } = config.budget;
         let limits = IoLimits { connections, input, linger: 300_000, ends_at_once: true };
         let mut io = Io::new(limits)?;
         let fleet = Fleet::open(&config, &mut io, monotonic())?;
         let gossip = Gossip::open(&config, &mut io, monotonic())?;
         let known = std::mem::take(&mut config.known);
-        let following = FollowerLimits::where_connecting_takes(config.told.links.connect_timeout);
-        let longest = config.told.module.classes.iter().map(|class| class.deadline).max();
-        let kill = longest.unwrap_or(0).min(LONGEST_US) + EXCUSED_US;
+        let following = FollowerLimits::where_connecting_takes(config.settings.links.connect_timeout);
+        let longest = config.settings.module.classes.iter().map(|class| class.deadline).max();
+        let kill = longest.unwrap_or(0).min(MAX_KILL_DELAY_US) + EXCUSED_AFTER_TERM_US;
         let mut node = Self {
             name: config.name.clone(),
             path,
             address: config.listen,
-            started,
+            started_at,
             engine: Engine::new(engine_settings(&config), config.seed)?,
             front: Front::new(&config),
             links: Links::new(&config),
             follower: Follower::new(following, config.bulletin, known.no),
             feeds: HashMap::new(),
-            names: Names::new(&config, wall_step),
+            members: MemberMapper::new(&config, wall_step),
             fleet,
             gossip,
             pace: Pace::default(),
-            term: None,
-            turns_away: (kill - CLOSING_US).clamp(LEAST_TERM_US, TERM_US),
-            closing: kill - APART_US,
+            term_at: None,
+            rejects_after: (kill - CLOSE_CONNECTIONS_US).clamp(EARLIEST_REJECT_US, LATEST_REJECT_US),
+            answer_by: kill - CLOCK_SKEW_US,
             last_answer: 0,
-            stopped: false,
-            accepted: false,
-            reread: None,
+            is_rejecting: false,
+            has_accepted: false,
+            reload: None,
             outputs: Vec::new(),
-            later: Vec::new(),
-            taken_back: Vec::new(),
+            deferred_events: Vec::new(),
+            withdrawn: Vec::new(),
             list_trust: None,
             discovery_log: DiscoveryLog::new(&config.name),
             recorder: TraceRecorder::new(&config.name, recorder),
-            wanted: Arc::default(),
+            commands: Arc::default(),
             io,
             config,
         };
         let now = monotonic();
         for item in &known.items {
-            node.roster(now, &item.roster);
+            node.apply_roster(now, &item.roster);
         }
-        node.pass_list_trust(now);
+        node.update_list_trust(now);
         // Whoever connects finds a scheduler that knows its workers.
         let (_, address) = node.io.listen(bind(listen.unwrap_or(node.address), false)?)?;
         node.address = address;
@@ -242,19 +244,19 @@
 
     /// Plants a fault in its view, see [`basaltward_membership::Membership::plant`].
     #[doc(hidden)]
-    pub fn plant(&mut self, newer: basaltward_membership::Newer) {
+    pub fn inject_view_fault(&mut self, newer: basaltward_membership::Newer) {
         self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant(newer));
     }
 
     /// Plants a fault in its part in what is agreed, see [`basaltward_permits::PermitNode::plant`].
     #[doc(hidden)]
-    pub fn plant_agreed(&mut self, fault: basaltward_permits::Fault) {
+    pub fn inject_permit_fault(&mut self, fault: basaltward_permits::Fault) {
         self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant_agreed(fault, monotonic()));
     }
 
     /// Has the next system calls of this kind fail so, as many of them.
     #[doc(hidden)]
-    pub fn plant_failures(&mut self, call: SystemCall, error: Errno, times: usize) {
+    pub fn inject_system_call_failures(&mut self, call: SystemCall, error: Errno, times: usize) {
         self.io.plant_failures(call, error, times);
     }
 
@@ -265,14 +267,14 @@
 
     /// Tells it from another thread what signals tell a process.
     pub fn control(&self) -> Control {
-        Control { wanted: self.wanted.clone(), waker: self.io.waker() }
+        Control { commands: self.commands.clone(), waker: self.io.waker() }
     }
 
     /// Has the process's SIGTERM, SIGINT and SIGHUP come to this scheduler.
     ///
     /// # Errors
     /// Where the system refuses them.
-    pub fn take_signals(&mut self) -> Result<(), NodeError> {
+    pub fn handle_signals(&mut self) -> Result<(), NodeError> {
         let signals = [SIGTERM, SIGINT, SIGHUP];
         Ok(self.io.watch_signals(Signals::take(&signals)?)?)
     }
@@ -286,14 +288,14 @@
         let mut happened = Vec::new();
         loop {
             let now = monotonic();
-            let held = self.oldest().map_or(0, |came| now.saturating_sub(came));
+            let held = self.oldest_request().map_or(0, |came| now.saturating_sub(came));
             self.io.hold_accepting(!self.pace.accepts(held));
-            let wait = self.wait(now);
+            let wait = self.poll_timeout(now);
             self.io.turn(Some(wait), &mut happened)?;
             self.follower.nothing_waited(now);
             self.turn((now, now + wait), &mut happened);
             self.io.forget_ended();
-            if self.is_over(monotonic()) {
+            if self.is_finished(monotonic()) {
                 let now = monotonic();
                 self.with_peers(now, |transport, io, events| transport.stop(io, now, events));
                 self.recorder.down(monotonic());
@@ -303,32 +305,34 @@
         }
     }
 
-    fn wait(&self, now: Micros) -> Micros {
-        let term = self.term.map(|at| at + self.turns_away).filter(|at| *at > now || !self.stopped);
-        let last = self.stopped.then_some(now + 5_000);
-        let reread = self.reread.map(|(at, _)| at);
+    fn poll_timeout(&self, now: Micros) -> Micros {
+        let term =
+            self.term_at.map(|at| at + self.rejects_after).filter(|at| *at > now || !self.is_rejecting);
+        let last = self.is_rejecting.then_some(now + 5_000);
+        let reread = self.reload.map(|(at, _)| at);
         let fleet = self.fleet.as_ref().map(|fleet| fleet.transport.next_due());
         let due = [self.engine.next_due(now), self.front.next_due(), self.links.next_due()];
         let told = self.gossip.as_ref().and_then(Gossip::next_due);
         let due = due.into_iter().chain([self.follower.next_due(), term, last, reread, fleet, told]);
         let due = due.flatten().min().unwrap_or(now + 1_000_000);
-        if self.oldest().is_some() { 0 } else { due.saturating_sub(now) }
+        if self.oldest_request().is_some() { 0 } else { due.saturating_sub(now) }
     }
 
     /// When the oldest request came that was not read, or not begun.
-    fn oldest(&self) -> Option<Micros> {
-        self.front.oldest().into_iter().chain(self.engine.oldest_arrival()).min()
+    fn oldest_request(&self) -> Option<Micros> {
+        self.front.oldest_input().into_iter().chain(self.engine.oldest_arrival()).min()
     }
 
     /// Whether SIGTERM came, all who may still come have been taken, and nothing is owed. As long as a client has its
     /// connection, or lost it a moment ago, a request may be on its way.
-    fn is_over(&self, now: Micros) -> bool {
-        let Some(term) = self.term.filter(|_| self.stopped) else { return false };
-        let none_waits = !self.accepted && self.io.accepts_all() && self.oldest().is_none();
+    fn is_finished(&self, now: Micros) -> bool {
+        let Some(term) = self.term_at.filter(|_| self.is_rejecting) else { return false };
+        let none_waits = !self.has_accepted && self.io.accepts_all() && self.oldest_request().is_none();
         let settled =
-            none_waits && self.front.has_been_left(now, term + self.turns_away) && self.io.is_settled();
+            none_waits && self.front.all_clients_left(now, term + self.rejects_after) && self.io.is_settled();
         // What was answered as late as SIGKILL allows has half of the time that is left to be read.
-        let unread_until = (term + TERM_US + LAST_US).max(self.last_answer + APART_US / 2);
+        let unread_until =
+            (term + LATEST_REJECT_US + LAST_ANSWERS_US).max(self.last_answer + CLOCK_SKEW_US / 2);
         self.engine.in_hand() == 0 && (settled || unread_until <= now)
     }
 
@@ -339,24 +343,24 @@
         let mut now = monotonic();
         let began = now;
         self.pace.begin(since, due, now);
-        self.accepted = false;
+        self.has_accepted = false;
         // Those who come in last: whoever makes room for them must have brought nothing.
-        let (front, from) = (&self.front, |h: &Happened| matches!(h, Happened::Accepted { .. }));
-        happened.sort_by_key(|h| if front.concerns(h) { 0 } else { 1 + u8::from(!from(h)) });
-        let others = happened.partition_point(|h| front.concerns(h) || from(h));
+        let (front, from) = (&self.front, |event: &Happened| matches!(event, Happened::Accepted { .. }));
+        happened.sort_by_key(|event| if front.owns(event) { 0 } else { 1 + u8::from(!from(event)) });
+        let others = happened.partition_point(|event| front.owns(event) || from(event));
         for happened in happened.drain(..others) {
-            self.take(began, now, happened);
+            self.handle_event(began, now, happened);
         }
-        while let Some(came) = self.front.oldest() {
+        while let Some(came) = self.front.oldest_input() {
             now = monotonic();
             if !self.pace.may_read(now, came) {
                 break;
             }
-            let looked = self.front.look(&mut self.io, now);
-            self.asked(now, looked);
+            let looked = self.front.read_next(&mut self.io, now);
+            self.handle_steps(now, looked);
         }
         for happened in happened.drain(..) {
-            self.take(began, now, happened);
+            self.handle_event(began, now, happened);
             now = monotonic();
             if self.pace.looks(now) {
                 self.wake(now);
@@ -373,21 +377,21 @@
             // Its client may have withdrawn it in what it sent behind, and so may the next one's.
             let mut looked = None;
             while let Some(waiter) = self.engine.next_waiter().filter(|w| Some(*w) != looked)
-                && let Some(behind) = self.front.look_behind(&mut self.io, now, waiter)
+                && let Some(behind) = self.front.read_ahead(&mut self.io, now, waiter)
             {
                 looked = Some(waiter);
-                self.asked(now, behind);
+                self.handle_steps(now, behind);
             }
             let mut outputs = std::mem::take(&mut self.outputs);
             self.engine.begin_next(now, &mut outputs);
             self.carry_out(now, outputs);
         }
         self.flush();
-        if let Some(term) = self.term.filter(|_| self.stopped) {
+        if let Some(term) = self.term_at.filter(|_| self.is_rejecting) {
             // Once its answer is with the system, and before a client that never pauses has sent the next request.
-            self.front.end_idle(&mut self.io, monotonic(), term + self.turns_away);
+            self.front.close_idle(&mut self.io, monotonic(), term + self.rejects_after);
         }
-        std::mem::swap(happened, &mut self.later);
+        std::mem::swap(happened, &mut self.deferred_events);
         let Turn { began, lag, .. } = self.pace.end(monotonic(), thread_time());
         self.engine.note_late(monotonic(), began);
         if let Some(lag) = lag {
@@ -402,15 +406,17 @@
     }
 
     /// Tells the engine what clients' frames lead to.
-    fn asked(&mut self, now: Micros, steps: Vec<Step>) {
+    fn handle_steps(&mut self, now: Micros, steps: Vec<Step>) {
         for step in steps {
             match step {
                 Step::Call(call) => {
-                    self.recorder.taken(now, &call.payload.id);
-                    self.tell(now, Input::Arrived(call));
+                    self.recorder.request_accepted(now, &call.payload.id);
+                    self.notify_engine(now, Input::Arrived(call));
                 }
-                Step::Left(waiters) => waiters.into_iter().for_each(|w| self.tell(now, Input::Left(w))),
-                Step::Done => {}
+                Step::Left(waiters) => {
+                    waiters.into_iter().for_each(|w| self.notify_engine(now, Input::Left(w)))
+                }
+                Step::Nothing => {}
             }
         }
     }
@@ -419,91 +425,91 @@
     /// begin at its worker no more is taken back before, and goes elsewhere.
     fn flush(&mut self) {
         loop {
-            let late = self.take_back_late();
+            let late = self.withdraw_late();
             if late.is_empty() {
                 break;
             }
-            self.done(monotonic(), late);
+            self.jobs_ended(monotonic(), late);
         }
-        self.io.flush(&mut self.later);
-        self.recorder.gave();
+        self.io.flush(&mut self.deferred_events);
+        self.recorder.answers_flushed();
     }
 
-    fn take_back_late(&mut self) -> Vec<Done> {
-        let Self { links, io, engine, taken_back, .. } = self;
-        let mut late = links.take_back_late(io, monotonic(), |worker| engine.new_work_until(worker));
-        late.append(taken_back);
+    fn withdraw_late(&mut self) -> Vec<JobEnd> {
+        let Self { links, io, engine, withdrawn, .. } = self;
+        let mut late = links.withdraw_late(io, monotonic(), |worker| engine.new_work_until(worker));
+        late.append(withdrawn);
         late
     }
 
-    fn take(&mut self, began: Micros, now: Micros, happened: Happened) {
+    fn handle_event(&mut self, began: Micros, now: Micros, happened: Happened) {
         let mut done = Vec::new();
         match happened {
             Happened::Accepted { conn, .. } => {
-                self.accepted = true;
+                self.has_accepted = true;
                 self.front.accepted(&mut self.io, now, conn);
             }
             Happened::Connected(conn) if self.links.owns(conn) => {
                 self.links.connected(&mut self.io, now, conn);
-                self.note_written(now);
+                self.note_sent_jobs(now);
             }
             Happened::Connected(conn) => {
                 if let Some(feed) = self.feeds.get(&conn).copied() {
-                    self.follow(now, |follower, out| follower.connected(now, feed, out));
+                    self.drive_follower(now, |follower, out| follower.connected(now, feed, out));
                 }
             }
             Happened::Drained(conn) if self.links.owns(conn) => {
                 self.links.drained(&mut self.io, now, conn);
-                self.note_written(now);
+                self.note_sent_jobs(now);
             }
             Happened::Data(conn) if self.links.owns(conn) => {
-                self.links.data(&mut self.io, now, conn, &mut done);
+                self.links.receive(&mut self.io, now, conn, &mut done);
             }
-            Happened::Data(conn) if self.feeds.contains_key(&conn) => self.news(now, conn),
-            Happened::Data(conn) => self.front.came(began, conn),
+            Happened::Data(conn) if self.feeds.contains_key(&conn) => self.receive_feed(now, conn),
+            Happened::Data(conn) => self.front.input_arrived(began, conn),
             Happened::Drained(_) => {}
             Happened::Ended(conn, how) if self.links.owns(conn) => {
                 self.links.ended(&mut self.io, conn, how, &mut done);
                 // Before the ends of what was on it, which go elsewhere.
                 for worker in self.disconnected(now) {
-                    self.tell(now, Input::Disconnected(worker));
+                    self.notify_engine(now, Input::Disconnected(worker));
                 }
             }
             Happened::Ended(conn, _) => match self.feeds.remove(&conn) {
-                Some(feed) => self.follow(now, |follower, out| follower.ended(now, feed, out)),
+                Some(feed) => self.drive_follower(now, |follower, out| follower.ended(now, feed, out)),
                 None => {
                     let left = self.front.forget(conn);
-                    left.into_iter().for_each(|w| self.tell(now, Input::Left(w)));
+                    left.into_iter().for_each(|w| self.notify_engine(now, Input::Left(w)));
                 }
             },
-            Happened::Signal(SIGHUP) => self.want(now, REREAD_NOW),
-            Happened::Signal(_) => self.want(now, STOP),
+            Happened::Signal(SIGHUP) => self.command(now, RELOAD),
+            Happened::Signal(_) => self.command(now, STOP),
             Happened::Datagrams(_) => {
-                self.gossip.iter_mut().for_each(|gossip| gossip.data(&mut self.io, now));
-                let news = self.gossip.as_mut().map(Gossip::take_news).unwrap_or_default();
+                self.gossip.iter_mut().for_each(|gossip| gossip.receive(&mut self.io, now));
+                let news = self.gossip.as_mut().map(Gossip::take_reports).unwrap_or_default();
                 for (worker, function, copies) in news {
-                    self.tell(now, Input::Stands(worker, function, copies));
+                    self.notify_engine(now, Input::Stands(worker, function, copies));
                 }
                 self.with_peers(now, |transport, io, events| transport.data(io, now, events));
-                self.drains(now);
+                self.apply_drain_changes(now);
             }
             Happened::Woken => {
-                let wanted = self.wanted.swap(0, Ordering::AcqRel);
-                self.want(now, wanted);
+                let commands = self.commands.swap(0, Ordering::AcqRel);
+                self.command(now, commands);
             }
         }
-        self.done(now, done);
+        self.jobs_ended(now, done);
     }
 
-    fn want(&mut self, now: Micros, what: u8) {
-        if what & REREAD_NOW > 0 {
-            self.reread = Some((now, REREAD.1));
+    fn command(&mut self, now: Micros, what: u8) {
+        if what & RELOAD > 0 {
+            self.reload = Some((now, MAX_RELOAD_RETRIES));
         }
-        if what & STOP > 0 && self.term.is_none() {
+        if what & STOP > 0 && self.term_at.is_none() {
             info!(name = self.name, in_hand = self.engine.in_hand(), "stopping");
-            self.term = Some(now);
-            self.front.leave();
-            self.tell(now, Input::EndBy(now + self.closing));
+            self.term_at = Some(now);
+            self.front.start_stopping();
+            self.notify_engine(now, Input::EndBy(now + self.answer_by));
             self.with_peers(now, |transport, io, events| transport.leave(io, now, events));
             self.recorder.stopping(now);
         }
@@ -515,31 +521,31 @@
         if let Some(fleet) = &mut self.fleet {
             let (io, links) = (&mut self.io, &self.links);
             fleet.act(now, &self.recorder, |transport, events| {
-                transport.wake(io, now, |workers| links.in_hand(workers), events);
+                transport.wake(io, now, |workers| links.count_jobs(workers), events);
             });
         }
-        self.drains(now);
-        self.pass_list_trust(now);
-        self.gossip.iter_mut().for_each(|gossip| gossip.wake(&mut self.io, now));
+        self.apply_drain_changes(now);
+        self.update_list_trust(now);
+        self.gossip.iter_mut().for_each(|gossip| gossip.send_due(&mut self.io, now));
         loop {
             let mut outputs = std::mem::take(&mut self.outputs);
             self.engine.answer_due(now, &mut outputs);
             self.carry_out(now, outputs);
             let mut done = Vec::new();
             self.links.wake(&mut self.io, now, &mut done);
-            self.done(now, done);
+            self.jobs_ended(now, done);
             let left = self.front.wake(&mut self.io, now);
-            left.into_iter().for_each(|w| self.tell(now, Input::Left(w)));
+            left.into_iter().for_each(|w| self.notify_engine(now, Input::Left(w)));
             if self.follower.next_due().is_some_and(|due| due <= now) {
-                self.follow(now, |follower, out| follower.wake(now, out));
+                self.drive_follower(now, |follower, out| follower.wake(now, out));
             }
-            if self.reread.is_some_and(|(at, _)| at <= now) {
-                self.reread(now);
+            if self.reload.is_some_and(|(at, _)| at <= now) {
+                self.reload(now);
             }
-            if !self.stopped && self.term.is_some_and(|at| at + self.turns_away <= now) {
+            if !self.is_rejecting && self.term_at.is_some_and(|at| at + self.rejects_after <= now) {
                 // The listener stays: whoever waits in the system's queue has been taken, and is owed an answer.
-                self.stopped = true;
-                self.tell(now, Input::Stop);
+                self.is_rejecting = true;
+                self.notify_engine(now, Input::Stop);
             }
             let mut outputs = std::mem::take(&mut self.outputs);
             self.engine.wake(now, &mut outputs);
@@ -554,53 +560,53 @@
 
     // ---- the engine --------------------------------------------------------------------------------------
 
-    fn tell(&mut self, now: Micros, input: Input<Work, Served>) {
+    fn notify_engine(&mut self, now: Micros, input: Input<CallPayload, ReplyBody>) {
         let mut outputs = std::mem::take(&mut self.outputs);
         self.engine.handle(now, input, &mut outputs);
         self.carry_out(now, outputs);
     }
 
-    fn done(&mut self, now: Micros, done: Vec<Done>) {
+    fn jobs_ended(&mut self, now: Micros, done: Vec<JobEnd>) {
         for done in done {
-            let input = self.ended(now, done);
-            self.tell(now, input);
+            let input = self.job_end_input(now, done);
+            self.notify_engine(now, input);
         }
     }
 
     /// How a job ended, as the engine is told it.
-    fn ended(&mut self, now: Micros, done: Done) -> Input<Work, Served> {
-        self.gossip.iter_mut().for_each(|gossip| gossip.ended(now, &done));
+    fn job_end_input(&mut self, now: Micros, done: JobEnd) -> Input<CallPayload, ReplyBody> {
+        self.gossip.iter_mut().for_each(|gossip| gossip.job_ended(now, &done));
         match done {
-            Done::Attempt(id, end) => {
+            JobEnd::Attempt(id, end) => {
                 self.recorder.ended(now, id, &end);
                 Input::Ended(id, end)
             }
-            Done::Order(id, code, count) => Input::Ordered(id, code, count),
-            Done::Probe(id, code, report) => {
-                self.discovery_log.answered(id, code);
+            JobEnd::Order(id, code, count) => Input::Ordered(id, code, count),
+            JobEnd::Probe(id, code, report) => {
+                self.discovery_log.probe_ended(id, code);
                 Input::Probed(id, code, report)
             }
         }
     }
 
-    fn note_written(&mut self, now: Micros) {
-        for written in self.links.written.drain(..) {
-            if let WrittenJob::Attempt(id, _) = written.what {
+    fn note_sent_jobs(&mut self, now: Micros) {
+        for sent in self.links.sent_items.drain(..) {
+            if let SentJob::Attempt(id, _) = sent.job {
                 self.engine.written(id);
             }
-            self.recorder.written(now, &mut self.io, &written);
+            self.recorder.job_sent(now, &mut self.io, &sent);
         }
     }
 
     /// Carries out what the engine wants, and what follows from that, until there is no more.
-    fn carry_out(&mut self, now: Micros, mut outputs: Vec<Output<Work, Served>>) {
+    fn carry_out(&mut self, now: Micros, mut outputs: Vec<Output<CallPayload, ReplyBody>>) {
         let mut queue: VecDeque<_> = outputs.drain(..).collect();
         self.outputs = outputs;
         while let Some(output) = queue.pop_front() {
             let done = self.output(now, output);
             // Before the engine is told anything else: what was written may run.
-            self.note_written(now);
-            let news = self.gossip.as_mut().map(Gossip::take_news).unwrap_or_default();
+            self.note_sent_jobs(now);
+            let news = self.gossip.as_mut().map(Gossip::take_reports).unwrap_or_default();
             for (worker, function, copies) in news {
                 let mut more = std::mem::take(&mut self.outputs);
                 self.engine.handle(now, Input::Stands(worker, function, copies), &mut more);
@@ -614,7 +620,7 @@
                 self.outputs = more;
             }
             if let Some(done) = done {
-                let (input, mut more) = (self.ended(now, done), std::mem::take(&mut self.outputs));
+                let (input, mut more) = (self.job_end_input(now, done), std::mem::take(&mut self.outputs));
                 self.engine.handle(now, input, &mut more);
                 queue.extend(more.drain(..));
                 self.outputs = more;
@@ -622,18 +628,18 @@
         }
     }
 
-    fn output(&mut self, now: Micros, output: Output<Work, Served>) -> Option<Done> {
+    fn output(&mut self, now: Micros, output: Output<CallPayload, ReplyBody>) -> Option<JobEnd> {
         let Self {
             io,
             links,
             front,
-            later,
+            deferred_events,
             recorder,
             fleet,
             gossip,
             last_answer,
             engine,
-            taken_back,
+            withdrawn,
             discovery_log,
             ..
         } = self;
@@ -653,36 +659,38 @@
             Output::Start { attempt, worker, function, payload, until, .. } => {
                 let function = function.name.clone();
                 TraceRecorder::started(attempt, &worker, &function);
-                gossip.iter_mut().for_each(|h| h.started(now, attempt, &worker, &function));
+                gossip.iter_mut().for_each(|gossip| gossip.attempt_started(now, attempt, &worker, &function));
                 links.start(io, now, &worker, Job::Attempt { id: attempt, work: payload, function, until })
             }
             Output::Abort(attempt) => {
                 let done = links.abort_attempt(io, now, attempt);
                 // The word that gives it up goes before anything that follows from it.
-                taken_back
-                    .extend(links.take_back_late(io, monotonic(), |worker| engine.new_work_until(worker)));
-                io.flush(later);
+                withdrawn
+                    .extend(links.withdraw_late(io, monotonic(), |worker| engine.new_work_until(worker)));
+                io.flush(deferred_events);
                 done
             }
             Output::Order { order, worker, function, count } => {
-                let told = gossip.as_mut().and_then(|h| h.order(now, order, (&worker, &function), count));
+                let told = gossip
+                    .as_mut()
+                    .and_then(|gossip| gossip.answer_order(now, order, (&worker, &function), count));
                 if told.is_some() {
                     return told;
                 }
                 links.start(io, now, &worker, Job::Order { id: order, function, count })
             }
             Output::Probe(order, worker) => {
-                discovery_log.asked(order, &worker);
+                discovery_log.probe_sent(order, &worker);
                 links.start(io, now, &worker, Job::Probe(order))
             }
             Output::AbortOrder(order) => {
-                gossip.iter_mut().for_each(|h| h.forget(order));
-                discovery_log.answered(order, Code::Timeout);
+                gossip.iter_mut().for_each(|gossip| gossip.forget_order(order));
+                discovery_log.probe_ended(order, Code::Timeout);
                 links.abort_order(io, now, order);
                 None
             }
             Output::Drop(worker, function) => {
-                let shared = gossip.as_ref().is_some_and(|h| h.is_shared(now, &worker, &function));
+                let shared = gossip.as_ref().is_some_and(|gossip| gossip.is_shared(now, &worker, &function));
                 if shared { None } else { links.start(io, now, &worker, Job::Release(function)) }
             }
             // The bulletin tells every change by itself.
@@ -692,7 +700,7 @@
 
     // ---- the bulletin ------------------------------------------------------------------------------------
 
-    fn follow(&mut self, now: Micros, act: impl FnOnce(&mut Follower, &mut Vec<Feed>)) {
+    fn drive_follower(&mut self, now: Micros, act: impl FnOnce(&mut Follower, &mut Vec<Feed>)) {
         let mut steps = Vec::new();
         act(&mut self.follower, &mut steps);
         let mut steps = VecDeque::from(steps);
@@ -717,7 +725,7 @@
                         self.io.abort(conn);
                     }
                 }
-                Feed::Roster(roster) => self.roster(now, &roster),
+                Feed::Roster(roster) => self.apply_roster(now, &roster),
                 Feed::Left(_, Some(why)) => warn!(name = self.name, %why, "bulletin is asked again"),
                 Feed::Left(_, None) => {}
             }
@@ -742,16 +750,16 @@
     }
 
     /// Tells the module how far the list is to be believed, where that has changed.
-    fn pass_list_trust(&mut self, now: Micros) {
+    fn update_list_trust(&mut self, now: Micros) {
         let freshness = self.follower.freshness(now);
         let trust = match freshness {
-            Freshness::Unconfirmed => ListTrust::Unconfirmed { since: self.started },
+            Freshness::Unconfirmed => ListTrust::Unconfirmed { since: self.started_at },
             Freshness::Current { told_at } => ListTrust::Current { told_at },
             Freshness::Interrupted { told_at, .. } => ListTrust::Interrupted { told_at },
         };
-        self.discovery_log.read(now, freshness, self.follower.last());
+        self.discovery_log.update(now, freshness, self.follower.last());
         if self.list_trust.replace(trust) != Some(trust) {
-            self.tell(now, Input::ListTrust(trust));
+            self.notify_engine(now, Input::ListTrust(trust));
         }
     }
 
@@ -759,13 +767,13 @@
         self.feeds.iter().find(|(_, f)| **f == feed).map(|(conn, _)| *conn)
     }
 
-    fn news(&mut self, now: Micros, conn: ConnId) {
+    fn receive_feed(&mut self, now: Micros, conn: ConnId) {
         let Some(feed) = self.feeds.get(&conn).copied() else { return };
         let Some(input) = self.io.input(conn) else { return };
         let mut input = std::mem::take(input);
-        self.follow(now, |follower, out| follower.lines(now, feed, &mut input, out));
-        self.names.list_spoke(now);
-        self.pass_list_trust(now);
+        self.drive_follower(now, |follower, out| follower.lines(now, feed, &mut input, out));
+        self.members.list_confirmed(now);
+        self.update_list_trust(now);
         if let Some(left) = self.io.input(conn) {
             *left = input;
             self.io.release_input(conn);
@@ -781,62 +789,62 @@
     }
 
     /// Workers whose drain began or ended, by what the fleet agrees on.
-    fn drains(&mut self, now: Micros) {
-        let news = self.fleet.as_mut().map(Fleet::take_drains).unwrap_or_default();
-        news.iter().for_each(|roster| self.heard(now, roster));
+    fn apply_drain_changes(&mut self, now: Micros) {
+        let news = self.fleet.as_mut().map(Fleet::take_drain_changes).unwrap_or_default();
+        news.iter().for_each(|roster| self.apply_members(now, roster));
     }
 
-    fn roster(&mut self, now: Micros, roster: &Roster) {
+    fn apply_roster(&mut self, now: Micros, roster: &Roster) {
         match &mut self.fleet {
             Some(fleet) => {
-                let told = fleet.told(now, roster);
-                self.heard(now, &told);
+                let told = fleet.apply_roster(now, roster);
+                self.apply_members(now, &told);
             }
-            None => self.heard(now, roster),
+            None => self.apply_members(now, roster),
         }
     }
 
-    fn heard(&mut self, now: Micros, roster: &Roster) {
-        let (kind, members) = self.names.members(roster);
+    fn apply_members(&mut self, now: Micros, roster: &Roster) {
+        let (kind, members) = self.members.members(roster);
         if members.iter().any(|member| member.state == State::Active) {
             self.front.set_ready();
         }
         let addressed: Vec<_> =
             members.iter().cloned().zip(roster.targets.iter().map(|t| t.endpoint)).collect();
-        self.recorder.told(now, kind, &members);
-        self.gossip.iter_mut().for_each(|gossip| gossip.members(kind, &members));
+        self.recorder.members_changed(now, kind, &members);
+        self.gossip.iter_mut().for_each(|gossip| gossip.update_members(kind, &members));
         let mut done = Vec::new();
         // The links first, which must know whom the module sends to; what they withdraw is told after it, or
         // it would be sent there again.
-        self.links.members(&mut self.io, kind, &addressed, &mut done);
-        self.tell(now, Input::Members(kind, members));
-        self.done(now, done);
+        self.links.update_members(&mut self.io, kind, &addressed, &mut done);
+        self.notify_engine(now, Input::Members(kind, members));
+        self.jobs_ended(now, done);
     }
 
     /// SIGHUP has come: the configuration is read anew, whole or not at all. What it tells that can change in
     /// a running scheduler is where the bulletin is, and who is in the fleet.
-    fn reread(&mut self, now: Micros) {
-        let Some((_, left)) = self.reread.take() else { return };
-        match load_as(&self.path, self.config.fleet.is_some()) {
+    fn reload(&mut self, now: Micros) {
+        let Some((_, left)) = self.reload.take() else { return };
+        match load_with_view(&self.path, self.config.fleet.is_some()) {
             Ok(config) => {
                 info!(name = self.name, bulletin = %config.bulletin, "configuration read");
-                let kept = self.config.kept_against(&config);
+                let kept = self.config.fields_needing_restart(&config);
                 if !kept.is_empty() {
                     let kept = kept.join(", ");
                     warn!(name = self.name, kept, "fields that differ and take a restart stay as they were");
                 }
                 self.fleet.iter_mut().for_each(|fleet| fleet.reread(&config));
-                self.follow(now, |follower, out| {
+                self.drive_follower(now, |follower, out| {
                     follower.moved(now, config.bulletin, out);
                     follower.wake(now, out);
                 });
             }
             Err(why) => {
                 // One line for a signal, however often it is read.
-                if left == REREAD.1 {
+                if left == MAX_RELOAD_RETRIES {
                     warn!(name = self.name, %why, "configuration not taken, the one before stands");
                 }
-                self.reread = (left > 0).then_some((now + REREAD.0, left - 1));
+                self.reload = (left > 0).then_some((now + RELOAD_RETRY_US, left - 1));
             }
         }
     }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -17,17 +17,17 @@
     /// Workers as they were last told, where the fleet agrees on which are drained.
     targets: HashMap<String, Target>,
     /// News of workers whose drain began or ended, until the loop takes it.
-    drains: Vec<Roster>,
+    drain_changes: Vec<Roster>,
     events: Vec<Event>,
 }
 
-fn told(config: &NodeConfig, fleet: &FleetConfig) -> PeerConfig {
+fn peer_config(config: &NodeConfig, fleet: &FleetConfig) -> PeerConfig {
     PeerConfig {
         sites: None,
         name: fleet.name.clone(),
         listen: fleet.listen,
         peers: fleet.peers.clone(),
-        own: config.told.module.self_index as MemberId,
+        own: config.settings.module.self_index as MemberId,
         seed: config.seed,
         operators: fleet.operators.clone(),
         zones: fleet.zones.clone(),
@@ -45,15 +45,15 @@
     /// As [`PeerTransport::open`].
     pub fn open(config: &NodeConfig, io: &mut Io, now: Micros) -> Result<Option<Self>, PeerError> {
         let Some(fleet) = &config.fleet else { return Ok(None) };
-        let transport = PeerTransport::open(&told(config, fleet), io, now)?;
-        let (zones, targets) = (config.told.zones.clone(), HashMap::new());
-        Ok(Some(Self { transport, zones, targets, drains: Vec::new(), events: Vec::new() }))
+        let transport = PeerTransport::open(&peer_config(config, fleet), io, now)?;
+        let (zones, targets) = (config.settings.zones.clone(), HashMap::new());
+        Ok(Some(Self { transport, zones, targets, drain_changes: Vec::new(), events: Vec::new() }))
     }
 
     /// A new configuration: its list of members and its operators hold from now on.
     pub fn reread(&mut self, config: &NodeConfig) {
         if let Some(fleet) = &config.fleet {
-            self.transport.reread(&told(config, fleet));
+            self.transport.reread(&peer_config(config, fleet));
         }
     }
 
@@ -67,12 +67,14 @@
         act(&mut self.transport, &mut self.events);
         for event in std::mem::take(&mut self.events) {
             match event {
-                Event::Believed { of, incarnation, state } => recorder.believed(now, of, incarnation, state),
-                Event::Agreed(known) => recorder.agreed(now, &known),
+                Event::Believed { of, incarnation, state } => {
+                    recorder.view_changed(now, of, incarnation, state)
+                }
+                Event::Agreed(known) => recorder.permits_changed(now, &known),
                 Event::Held(names) => {
                     let targets = names.iter().filter_map(|name| self.targets.get(name));
-                    let targets = targets.map(|target| self.heard(target)).collect();
-                    self.drains.push(Roster { all: false, targets });
+                    let targets = targets.map(|target| self.with_drain(target)).collect();
+                    self.drain_changes.push(Roster { all: false, targets });
                 }
                 // Logged where it was found; a scheduler wishes nothing by itself.
                 Event::Superseded | Event::Answered { .. } => {}
@@ -81,7 +83,7 @@
     }
 
     /// What the bulletin tells, as the module is to hear it: whoever is drained leaves.
-    pub fn told(&mut self, now: Micros, roster: &Roster) -> Roster {
+    pub fn apply_roster(&mut self, now: Micros, roster: &Roster) -> Roster {
         if !self.transport.agrees() {
             return roster.clone();
         }
@@ -92,12 +94,12 @@
         }
         self.targets.extend(roster.targets.iter().map(|target| (target.uid.clone(), target.clone())));
         self.targets.retain(|name, _| self.transport.knows(name));
-        Roster { all: roster.all, targets: roster.targets.iter().map(|t| self.heard(t)).collect() }
+        Roster { all: roster.all, targets: roster.targets.iter().map(|t| self.with_drain(t)).collect() }
     }
 
     /// News of workers whose drain began or ended.
-    pub fn take_drains(&mut self) -> Vec<Roster> {
-        std::mem::take(&mut self.drains)
+    pub fn take_drain_changes(&mut self) -> Vec<Roster> {
+        std::mem::take(&mut self.drain_changes)
     }
 
     fn worker(&self, target: &Target) -> Worker {
@@ -110,7 +112,7 @@
         Worker { name: target.uid.clone(), zone: zone as u8, boot_ms: target.boot_ms, stands }
     }
 
-    fn heard(&self, target: &Target) -> Target {
+    fn with_drain(&self, target: &Target) -> Target {
         let drained = target.state == Standing::Ready && self.transport.holds(&target.uid);
         let state = if drained { Standing::Terminating } else { target.state };
         Target { state, ..target.clone() }
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -1,8 +1,8 @@
 //! Records of what crosses the sockets, for the checker of the rules. Off in service.
 
-use crate::front::Waiting;
-use crate::links::{Written, WrittenJob};
-use crate::work::Served;
+use crate::front::OpenRequest;
+use crate::links::{SentItem, SentJob};
+use crate::work::ReplyBody;
 use basaltward::{FunctionId, Member, MembersKind, Micros, State, WorkerId};
 use basaltward_engine::{Answer, AttemptEnd, AttemptId};
 use basaltward_membership::{Incarnation, MemberId};
@@ -19,16 +19,16 @@
     name: String,
     recorder: Recorder,
     /// Names of attempts that are out.
-    names: HashMap<AttemptId, String>,
+    attempt_names: HashMap<AttemptId, String>,
     /// Answers put out and not yet written.
-    given: Vec<(String, u16)>,
+    unflushed_answers: Vec<(String, u16)>,
     known: BTreeSet<WorkerId>,
 }
 
 impl TraceRecorder {
     pub fn new(name: &str, recorder: Recorder) -> Self {
-        let (names, given, known) = (HashMap::new(), Vec::new(), BTreeSet::new());
-        Self { name: name.into(), recorder, names, given, known }
+        let (attempt_names, unflushed_answers, known) = (HashMap::new(), Vec::new(), BTreeSet::new());
+        Self { name: name.into(), recorder, attempt_names, unflushed_answers, known }
     }
 
     fn put(&self, now: Micros, what: What) {
@@ -48,7 +48,7 @@
     }
 
     /// The fleet's view has changed.
-    pub fn believed(
+    pub fn view_changed(
         &self,
         now: Micros,
         of: MemberId,
@@ -62,7 +62,7 @@
     }
 
     /// Something later is agreed in the fleet.
-    pub fn agreed(&self, now: Micros, known: &Stored<PermitState>) {
+    pub fn permits_changed(&self, now: Micros, known: &Stored<PermitState>) {
         if self.recorder.is_on() {
             let permit = |permit: &Permit| match permit.subject {
                 Subject::Scheduler(of) => format!("scheduler {of} {}", permit.number),
@@ -76,26 +76,26 @@
         }
     }
 
-    pub fn taken(&self, now: Micros, id: &str) {
+    pub fn request_accepted(&self, now: Micros, id: &str) {
         if self.recorder.is_on() {
             self.put(now, What::Taken { event: id.into() });
         }
     }
 
     /// An id goes on a connection once, so the two name an attempt; the worker sees the same from its end.
-    pub fn written(&mut self, now: Micros, io: &mut Io, written: &Written) {
+    pub fn job_sent(&mut self, now: Micros, io: &mut Io, written: &SentItem) {
         if !self.recorder.is_on() {
             return;
         }
         let worker = written.worker.to_string();
-        match &written.what {
-            WrittenJob::Attempt(id, work) => {
+        match &written.job {
+            SentJob::Attempt(id, work) => {
                 let port = io.local_address(written.conn).map_or(0, |a| a.port());
                 let attempt = format!("{}:{}@{port}", self.name, work.id);
-                self.names.insert(*id, attempt.clone());
+                self.attempt_names.insert(*id, attempt.clone());
                 self.put(now, What::Sent { event: work.id.clone(), attempt, worker });
             }
-            WrittenJob::Order(function, count) => {
+            SentJob::Order(function, count) => {
                 self.put(now, What::Ordered { worker, function: function.to_string(), count: *count });
             }
         }
@@ -113,7 +113,7 @@
         );
     }
 
-    pub fn ended(&mut self, now: Micros, id: AttemptId, end: &AttemptEnd<Served>) {
+    pub fn ended(&mut self, now: Micros, id: AttemptId, end: &AttemptEnd<ReplyBody>) {
         let code = end.code;
         debug!(
             target: "basaltward::attempt",
@@ -124,7 +124,7 @@
             crowd = end.crowd,
             "attempt"
         );
-        if let Some(attempt) = self.names.remove(&id) {
+        if let Some(attempt) = self.attempt_names.remove(&id) {
             self.put(now, What::Ended { attempt, code: format!("{code:?}") });
         }
     }
@@ -133,8 +133,8 @@
     pub fn answered(
         &mut self,
         now: Micros,
-        asked: &Waiting,
-        answer: &Answer<Served>,
+        request: &OpenRequest,
+        answer: &Answer<ReplyBody>,
         (attempts, worker): (u32, Option<&WorkerId>),
     ) {
         let (outcome, status, why) = match answer {
@@ -144,33 +144,33 @@
         };
         debug!(
             target: "basaltward::call",
-            id = format_args!("{:016x}", asked.request),
-            class = asked.class,
-            function = %asked.function,
+            id = format_args!("{:016x}", request.request),
+            class = request.class,
+            function = %request.function,
             outcome,
             why = why.map(tracing::field::debug),
             attempts,
             worker = worker.map(WorkerId::as_str),
-            took_us = now.saturating_sub(asked.came),
+            took_us = now.saturating_sub(request.arrived),
             "call"
         );
         if self.recorder.is_on() {
-            self.given.push((format!("{:016x}", asked.request), status));
+            self.unflushed_answers.push((format!("{:016x}", request.request), status));
         }
     }
 
     /// What was put out is with the system now.
-    pub fn gave(&mut self) {
-        if self.given.is_empty() {
+    pub fn answers_flushed(&mut self) {
+        if self.unflushed_answers.is_empty() {
             return;
         }
         let now = monotonic();
-        for (event, status) in std::mem::take(&mut self.given) {
+        for (event, status) in std::mem::take(&mut self.unflushed_answers) {
             self.put(now, What::Gave { event, status });
         }
     }
 
-    pub fn told(&mut self, now: Micros, kind: MembersKind, members: &[Member]) {
+    pub fn members_changed(&mut self, now: Micros, kind: MembersKind, members: &[Member]) {
         if !self.recorder.is_on() {
             return;
         }
--- a/crates/node/src/send_progress.rs
+++ b/crates/node/src/send_progress.rs
@@ -13,22 +13,22 @@
 
 /// How much of a request its socket has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum SendProgress {
     /// No byte: it can be taken back.
-    Nothing,
+    Unsent,
     /// Some: the rest has to follow, or the lines are out of step.
-    Some,
+    Partial,
     /// All of it: it may run.
-    Whole,
+    Complete,
 }
 
 /// Counts the bytes given to one connection and not taken back.
 #[derive(Default)]
-pub struct Given {
+pub struct SentBytes {
     bytes: u64,
 }
 
-impl Given {
+impl SentBytes {
     /// Has something written to the connection's output; `None` for one that takes no more.
     pub fn write(&mut self, io: &mut Io, conn: ConnId, write: impl FnOnce(&mut BytesMut)) -> Option<Span> {
         let out = io.output(conn)?;
@@ -39,25 +39,25 @@
     }
 
     /// How much of a request the socket has.
-    pub fn part(&self, io: &mut Io, conn: ConnId, of: Span) -> Part {
+    pub fn progress(&self, io: &mut Io, conn: ConnId, of: Span) -> SendProgress {
         let taken = self.bytes - io.unsent(conn) as u64;
         match of {
-            Span { begin, .. } if taken <= begin => Part::Nothing,
-            Span { end, .. } if taken < end => Part::Some,
-            _ => Part::Whole,
+            Span { begin, .. } if taken <= begin => SendProgress::Unsent,
+            Span { end, .. } if taken < end => SendProgress::Partial,
+            _ => SendProgress::Complete,
         }
     }
 
     /// Takes a request out of the output again; `others` are the spans of the rest, which close up. False where its
     /// socket has some of it.
-    pub fn take_back<'a>(
+    pub fn withdraw<'a>(
         &mut self,
         io: &mut Io,
         conn: ConnId,
         of: Span,
         others: impl Iterator<Item = &'a mut Span>,
     ) -> bool {
-        if self.part(io, conn, of) != Part::Nothing {
+        if self.progress(io, conn, of) != SendProgress::Unsent {
             return false;
         }
         // Of a connection that has ended nothing more goes out, and what it has stays as it is.
--- a/crates/node/src/start_times.rs
+++ b/crates/node/src/start_times.rs
@@ -8,15 +8,15 @@
 /// Wall clocks that differ by less are the same: adjusted, not stepped.
 const ADJUSTED_US: u64 = 500_000;
 /// Readings of the clocks kept, one for each step: a start may be told by any of them.
-const READINGS: usize = 4;
+const MAX_READINGS: usize = 4;
 /// A list lags behind by seconds, and on bad days by some ten more. Who was not told of by this long after it started
 /// can't have started then.
 const LIST_LAG_US: Micros = 20_000_000;
 /// What is known of a worker that has gone is kept for so long, should it come back.
-const GONE_US: Micros = 600_000_000;
+const GONE_RETENTION_US: Micros = 600_000_000;
 
 /// A worker whose start was told.
-struct Known {
+struct WorkerStart {
     boot_ms: u64,
     started: Micros,
     gone: Option<Micros>,
@@ -31,41 +31,41 @@
 pub struct StartTimes {
     /// The clocks before and after each step seen, the present ones last.
     readings: Vec<Clock>,
-    workers: HashMap<String, Known>,
+    workers: HashMap<String, WorkerStart>,
     /// When the list came that is being read.
     now: Micros,
     /// When the list last said something, if only that nothing has changed.
-    spoke: Option<Micros>,
+    confirmed_at: Option<Micros>,
 }
 
 impl StartTimes {
     /// Knows no worker; the machine's clocks read so.
     pub fn new(clock: Clock) -> Self {
-        Self { readings: vec![clock], workers: HashMap::new(), now: clock.monotonic(), spoke: None }
+        Self { readings: vec![clock], workers: HashMap::new(), now: clock.monotonic(), confirmed_at: None }
     }
 
     /// A list, or a change of it, has come at this reading of the clocks.
-    pub fn list_came(&mut self, clock: Clock) {
+    pub fn list_received(&mut self, clock: Clock) {
         self.now = clock.monotonic();
         let last = self.readings.last_mut().filter(|last| last.apart(&clock) < ADJUSTED_US);
         match last {
             Some(last) => *last = clock,
             None => self.readings.push(clock),
         }
-        if self.readings.len() > READINGS {
+        if self.readings.len() > MAX_READINGS {
             self.readings.remove(0);
         }
         let now = self.now;
-        self.workers.retain(|_, known| known.gone.is_none_or(|at| at + GONE_US > now));
+        self.workers.retain(|_, known| known.gone.is_none_or(|at| at + GONE_RETENTION_US > now));
     }
 
     /// The list has said all that it has to say by now.
-    pub fn list_spoke(&mut self, now: Micros) {
-        self.spoke = Some(now);
+    pub fn list_confirmed(&mut self, now: Micros) {
+        self.confirmed_at = Some(now);
     }
 
     /// The list holds these workers and no others.
-    pub fn only(&mut self, targets: &[Target]) {
+    pub fn mark_unlisted_gone(&mut self, targets: &[Target]) {
         let listed: HashSet<_> = targets.iter().map(|target| target.uid.as_str()).collect();
         for (uid, known) in &mut self.workers {
             if !listed.contains(uid.as_str()) {
@@ -85,19 +85,19 @@
             known.gone = gone;
             return known.started;
         }
-        let started = self.place(target.boot_ms);
-        let known = Known { boot_ms: target.boot_ms, started, gone };
+        let started = self.to_monotonic(target.boot_ms);
+        let known = WorkerStart { boot_ms: target.boot_ms, started, gone };
         self.workers.insert(target.uid.clone(), known);
         started
     }
 
     /// The latest time by any of the clocks that is not in the future; now where it can't be one of them.
-    fn place(&self, boot_ms: u64) -> Micros {
+    fn to_monotonic(&self, boot_ms: u64) -> Micros {
         let wall = boot_ms.saturating_mul(1_000);
         let places = self.readings.iter().map(|clock| clock.place(wall));
         // Clocks that were not stepped lie a little apart too.
         let past = places.filter(|at| *at <= self.now + ADJUSTED_US).max();
-        let earliest = self.spoke.map_or(0, |spoke| spoke.saturating_sub(LIST_LAG_US));
+        let earliest = self.confirmed_at.map_or(0, |confirmed_at| confirmed_at.saturating_sub(LIST_LAG_US));
         past.filter(|at| *at >= earliest).unwrap_or(self.now).clamp(1, self.now.max(1))
     }
 }
--- a/crates/node/src/work.rs
+++ b/crates/node/src/work.rs
@@ -7,7 +7,7 @@
 
 /// A call as its client sent it.
 #[derive(Debug)]
-pub struct Work {
+pub struct CallPayload {
     /// Its id, passed on as it came.
     pub id: String,
     /// Its id as a number.
@@ -20,26 +20,26 @@
     pub body: Bytes,
     /// Connections that have carried an attempt of it. Another attempt goes on none of them: a late answer to
     /// the first would come under the same id.
-    pub used: Mutex<Vec<ConnId>>,
+    pub connections: Mutex<Vec<ConnId>>,
 }
 
-impl Work {
+impl CallPayload {
     /// Notes that a connection carries an attempt of it.
-    pub fn goes_on(&self, conn: ConnId) {
-        self.used.lock().unwrap_or_else(PoisonError::into_inner).push(conn);
+    pub fn note_connection(&self, conn: ConnId) {
+        self.connections.lock().unwrap_or_else(PoisonError::into_inner).push(conn);
     }
 
     /// Whether a connection has carried an attempt of it.
-    pub fn went_on(&self, conn: ConnId) -> bool {
-        self.used.lock().unwrap_or_else(PoisonError::into_inner).contains(&conn)
+    pub fn has_used(&self, conn: ConnId) -> bool {
+        self.connections.lock().unwrap_or_else(PoisonError::into_inner).contains(&conn)
     }
 }
 
 /// The body that a worker gave.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Served(pub Bytes);
+pub struct ReplyBody(pub Bytes);
 
-impl Reply for Served {
+impl Reply for ReplyBody {
     fn bytes(&self) -> usize {
         self.0.len()
     }
--- a/crates/node/tests/clocks.rs
+++ b/crates/node/tests/clocks.rs
@@ -71,7 +71,7 @@
     let told = text(Limits { deadline_ms: 2_000, ..Limits::default() }, board.address(), &known.join(","));
     std::fs::write(&config, told.replace("\"loadControl\":true", "\"loadControl\":false")).expect("written");
     let step = Arc::new(AtomicI64::new(case.at_start));
-    let node = Node::new_stepped(config.clone(), None, recorder.clone(), false, step.clone());
+    let node = Node::new_with_wall_step(config.clone(), None, recorder.clone(), false, step.clone());
     let node = node.expect("a scheduler");
     let (address, control) = (node.address(), node.control());
     let runs = std::thread::spawn(move || node.run().expect("it runs"));
--- a/crates/node/tests/sockets/fleet.rs
+++ b/crates/node/tests/sockets/fleet.rs
@@ -89,8 +89,8 @@
     let whole = text(Limits::default(), next.address(), "");
     // Half written at the signal, whole a little later; told twice, as signals may be.
     std::fs::write(&bed.config, &whole[..whole.len() / 2]).expect("written");
-    bed.control.reread();
-    bed.control.reread();
+    bed.control.reload();
+    bed.control.reload();
     assert!(matches!(bed.call(&call(2, "view")), FrontReply::Served(_)));
     std::fs::write(&bed.config, &whole).expect("written");
     told(&bed, "s-5", "active");
@@ -115,7 +115,7 @@
     let first = bed.submit(&mut kept, &call(1, "extract"));
     bed.wait(|what| matches!(what, What::Sent { .. }));
     bed.control.stop();
-    bed.control.reread();
+    bed.control.reload();
     bed.control.stop();
     bed.wait(|what| matches!(what, What::Stopping));
     assert!(matches!(bed.read(&mut kept, &[&first]), Some((_, FrontReply::Served(_)))));
--- a/crates/node/tests/sockets/local_failures.rs
+++ b/crates/node/tests/sockets/local_failures.rs
@@ -11,7 +11,9 @@
 #[test]
 fn connections_that_this_machine_refuses_for_a_moment_cost_no_call_and_no_worker() {
     for error in [Errno::ADDRNOTAVAIL, Errno::NETUNREACH, Errno::INTR, Errno::AGAIN] {
-        let plant = |node: &mut basaltward_node::Node| node.plant_failures(SystemCall::Connect, error, 12);
+        let plant = |node: &mut basaltward_node::Node| {
+            node.inject_system_call_failures(SystemCall::Connect, error, 12)
+        };
         let mut bed = Bed::planted(Limits::default(), 1, plant, |_, exec: &Exec| exec.serve());
         for (number, class) in [(1, "extract"), (2, "view")] {
             let one = call(number, class);
--- a/crates/node/tests/sockets/ready.rs
+++ b/crates/node/tests/sockets/ready.rs
@@ -99,7 +99,7 @@
     let files = [moved(there.address()), moved(closed()), first[..first.len() / 2].to_owned(), first.clone()];
     for (number, file) in files.iter().enumerate() {
         std::fs::write(&bed.config, file).expect("written");
-        bed.control.reread();
+        bed.control.reload();
         for again in 0..5 {
             ready_in_time(&mut front);
             serves_at_once(&mut bed, 10 * number as u64 + again, &format!("configuration {number}"));
--- a/crates/node/tests/sockets/reload.rs
+++ b/crates/node/tests/sockets/reload.rs
@@ -71,7 +71,7 @@
         if drain == Drain::OldAlone {
             new.silence(true);
         }
-        bed.control.reread();
+        bed.control.reload();
         match drain {
             Drain::OldThenNew | Drain::NewAlone => new.tell(&leaving),
             Drain::OldAlone => {}
--- a/crates/node/tests/sockets/shutdown.rs
+++ b/crates/node/tests/sockets/shutdown.rs
@@ -74,12 +74,12 @@
     let asked = bed.submit(&mut first, &one);
     std::fs::write(&bed.config, "{").expect("written");
     let term = monotonic();
-    bed.control.reread();
+    bed.control.reload();
     bed.control.stop();
     assert!(matches!(bed.read(&mut first, &[&asked]), Some((_, FrontReply::Served(_)))));
     sleep_until(term + 500 * MS);
     bed.control.stop();
-    bed.control.reread();
+    bed.control.reload();
     let one = call(2, "extract");
     let asked = bed.submit(&mut second, &one);
     // It may be turned away, which is an answer.
--- a/crates/node/tests/sockets/watch.rs
+++ b/crates/node/tests/sockets/watch.rs
@@ -77,7 +77,7 @@
     let new = Board::start(2).expect("a bulletin");
     new.tell(&target("s-0", bed.workers[0].address(), "Terminating"));
     name_board(&bed, bed.board.address(), new.address());
-    bed.control.reread();
+    bed.control.reload();
     told(&bed, "s-0", "leaving");
     // Only now it answers, with numbers that the new one has not told yet.
     for uid in ["old-2", "old-3", "old-4"] {
@@ -105,7 +105,7 @@
     let new = Board::start(2).expect("a bulletin");
     new.silence(true);
     name_board(&bed, bed.board.address(), new.address());
-    bed.control.reread();
+    bed.control.reload();
     wait_until("the new one is asked", || new.standing() == 1);
     let leaving = target("s-0", bed.workers[0].address(), "Terminating");
     bed.board.tell(&leaving);
@@ -131,10 +131,10 @@
     there.silence(true);
     for turn in 1..=5 {
         name_board(&bed, back, there.address());
-        bed.control.reread();
+        bed.control.reload();
         wait_until("the other is asked", || there.standing() == 1);
         name_board(&bed, there.address(), back);
-        bed.control.reread();
+        bed.control.reload();
         wait_until("asked anew", || bed.board.asked().len() == turn + 1);
         wait_until("one is left", || (bed.board.standing(), there.standing()) == (1, 0));
     }
