--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -1,32 +1,32 @@
-//! How the limits of the platform are divided: descriptors, and the memory that peers can take.
+//! Divides the platform's limits: descriptors, and the memory that remote sides can occupy.
 
-/// Descriptors that are neither a client's nor a link's: standard streams, epoll, the waker and the signals'
-/// pipes, the listener, two connections to bulletins, and some to spare for files read at a signal.
+/// Descriptors that belong to neither a client nor a link: standard streams, epoll, the waker and signal pipes, the
+/// listener, two connections to bulletins, and a few spare for files read at a signal.
 const OWN_DESCRIPTORS: usize = 20;
-/// Most bytes of a call with its body, in hand.
+/// Maximum size of a call in flight, with its body.
 const MAX_CALL_BYTES: usize = 20 << 10;
-/// Most links to one worker: beyond it requests share them.
+/// Maximum number of links to one worker; beyond it requests share them.
 const MAX_LINKS_PER_WORKER: usize = 32;
 
-/// Bounds that follow from the platform's limits.
+/// Bounds derived from the platform's limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Most connections of clients.
+    /// Maximum number of client connections.
     pub clients: usize,
-    /// Most connections to workers.
+    /// Maximum number of connections to workers.
     pub links: usize,
-    /// Most calls in hand.
+    /// Maximum number of calls in flight.
     pub calls: usize,
-    /// Most bytes of input held for one connection.
+    /// Maximum bytes of buffered input per connection.
     pub input: usize,
 }
 
 impl Budget {
-    /// The bounds under so many descriptors and megabytes.
+    /// Derives the bounds from a number of descriptors and megabytes.
     ///
-    /// Usual clients hold a third of the descriptors at most; three fifths of what is left after our own leave
-    /// room beside them for those who come to no good, the rest are links. Of the memory a half is for calls
-    /// in hand with their bodies, an eighth for the inputs of all clients.
+    /// Well-behaved clients hold at most a third of the descriptors. Three fifths of the descriptors that remain
+    /// after the process's own ones are for clients, which leaves some for misbehaving clients; the rest are for
+    /// links. Half of the memory is for calls in flight with their bodies, an eighth for the input of all clients.
     pub fn new(sockets: usize, memory_mb: f64) -> Self {
         let free = sockets.saturating_sub(OWN_DESCRIPTORS).max(10);
         let clients = free * 3 / 5;
@@ -35,7 +35,7 @@
         Self { clients, links: free - clients, calls: (memory / 2 / MAX_CALL_BYTES).max(64), input }
     }
 
-    /// Most links to each of so many workers.
+    /// Maximum number of links per worker, given the number of workers.
     pub fn links_per_worker(&self, workers: usize) -> usize {
         (self.links / workers.max(1)).clamp(1, MAX_LINKS_PER_WORKER)
     }
@@ -46,7 +46,7 @@
     use super::*;
 
     #[test]
-    fn all_that_is_held_stays_within_the_limits() {
+    fn the_bounds_stay_within_the_limits() {
         for (sockets, memory_mb) in [(256, 32.0), (1_024, 192.0), (64, 8.0)] {
             let budget = Budget::new(sockets, memory_mb);
             assert!(budget.clients + budget.links + OWN_DESCRIPTORS <= sockets, "{budget:?}");
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -9,36 +9,36 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Members of a fleet at most.
+/// Maximum number of members of a fleet.
 const MAX_PEERS: usize = 10_000;
 
 /// Why a configuration can't be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("configuration can't be read: {0}")]
     Read(#[from] std::io::Error),
-    /// A field is missing or of the wrong form.
+    /// A field is missing or malformed.
     #[error("configuration, at {0}")]
     Field(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// More follows where it should end: it is being written over a longer one.
+    /// Trailing data after the JSON value, as when the file is being written over a longer one.
     #[error("configuration, behind its end: {0}")]
     Tail(serde_json::Error),
     /// The settings object can't be used.
     #[error("configuration, at settings: {0}")]
     Settings(#[from] ToldError),
-    /// The fleet's view is switched on and can't be kept.
+    /// The fleet's view is enabled but misconfigured.
     #[error("configuration, at fleet: {0}")]
     Fleet(&'static str),
-    /// A key has another name now.
+    /// A key has been renamed.
     #[error("configuration: {old} is called {new} now: rename it")]
     Renamed {
         /// The key that was found.
         old: &'static str,
-        /// Its name now.
+        /// Its current name.
         new: &'static str,
     },
-    /// The seed is not a number in hex digits.
+    /// The seed is not a hexadecimal number.
     #[error("configuration, at seed: {0:?} is not a number of up to 16 hex digits")]
     Seed(String),
 }
@@ -56,12 +56,13 @@
     #[serde(default)]
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
-    /// Peers tell one another where copies stand. Off unless told: it spares questions, and calls are served later.
+    /// Whether peers report to one another which workers have copies loaded. Off by default: it saves probes but
+    /// calls are served later.
     #[serde(default)]
     gossip: bool,
     /// The old name of `gossip`, refused.
     words: Option<IgnoredAny>,
-    /// Absent, nothing listens for other schedulers and nothing is sent to them.
+    /// If absent, the scheduler neither listens for other schedulers nor sends to them.
     fleet: Option<FleetFile>,
 }
 
@@ -75,7 +76,7 @@
     operators: Vec<IpAddr>,
     #[serde(default)]
     zones: Vec<String>,
-    /// Absent, this scheduler has no part in what the fleet agrees on.
+    /// If absent, this scheduler takes no part in the fleet's permits.
     permits: Option<PermitsFile>,
     /// The old name of `permits`, refused.
     agreed: Option<IgnoredAny>,
@@ -89,22 +90,22 @@
     version: String,
 }
 
-/// The fleet's view, where it is kept.
+/// Configuration of the fleet's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetConfig {
-    /// Names the fleet.
+    /// The name of the fleet.
     pub name: String,
-    /// Where datagrams of the others come.
+    /// Where datagrams of peers arrive.
     pub listen: SocketAddr,
-    /// Where each is reached and comes from, by number, our own included.
+    /// The addresses that members send from and receive at, by member number, this scheduler included.
     pub peers: Vec<SocketAddr>,
-    /// From where operators may ask.
+    /// Addresses from which operators may send requests.
     pub operators: Vec<IpAddr>,
-    /// The zone of each of `peers`, as a number; those that are not told stand in the first.
+    /// The zone number of each of `peers`; members without a configured zone are in the first.
     pub zones: Vec<u8>,
-    /// How many may be out at once, where the fleet agrees on that.
+    /// Bounds on concurrent permits, if the fleet uses permits.
     pub bounds: Option<Bounds>,
-    /// The version that this configuration and its program are, by its operators' name.
+    /// The operators' name for the version of this configuration and its program.
     pub version: String,
 }
 
@@ -114,42 +115,42 @@
     sockets: usize,
 }
 
-/// How other schedulers are reached, where the settings allow it.
+/// How other schedulers are reached, if the settings allow it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peers {
-    /// Where their datagrams come.
+    /// Where their datagrams arrive.
     pub listen: SocketAddr,
-    /// Where each is reached and comes from, by number, our own included.
+    /// The addresses that members send from and receive at, by member number, this scheduler included.
     pub addresses: Vec<SocketAddr>,
-    /// Where all are reached at once.
+    /// The address that reaches all of them at once.
     pub group: SocketAddr,
 }
 
-/// What a scheduler is told at its start.
+/// The configuration of a scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeConfig {
     /// Its name.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// For the module.
+    /// Seed of the module's random choices.
     pub seed: u64,
-    /// What follows from the limits.
+    /// The bounds that follow from the limits.
     pub budget: Budget,
-    /// Where the bulletin is.
+    /// The bulletin's address.
     pub bulletin: SocketAddr,
-    /// Its events so far.
+    /// The bulletin's events known at the start.
     pub known: Known,
     /// The settings.
     pub settings: Told,
-    /// Other schedulers, where the settings allow datagrams to them and all are reached at once.
+    /// Other schedulers, if the settings allow datagrams to them and a group address is configured.
     pub peers: Option<Peers>,
-    /// The fleet's view, where it is switched on.
+    /// The fleet's view, if it is enabled.
     pub fleet: Option<FleetConfig>,
 }
 
 impl NodeConfig {
-    /// The fields in which another configuration differs and that a running scheduler keeps: they take a restart.
+    /// The fields that differ in another configuration and take effect only after a restart.
     pub fn fields_needing_restart(&self, other: &Self) -> Vec<&'static str> {
         let fields = [
             ("name", self.name == other.name),
@@ -164,15 +165,18 @@
     }
 }
 
-/// Reads a configuration, whole or not at all.
+/// Reads a configuration, completely or not at all.
 ///
 /// # Errors
-/// Where it can't be read or used; the error names the field.
+/// If it can't be read or used; the error names the field.
 pub fn load(path: &Path) -> Result<NodeConfig, ConfigError> {
     load_with_view(path, false)
 }
 
-/// As [`load`]; with `view` as if the fleet's view were asked for where nothing is said of it.
+/// As [`load`]; `view` enables the fleet's view if the configuration does not mention the fleet.
+///
+/// # Errors
+/// As [`load`].
 pub fn load_with_view(path: &Path, view: bool) -> Result<NodeConfig, ConfigError> {
     parse(&std::fs::read(path)?, view)
 }
@@ -200,7 +204,7 @@
         Some(FleetFile { name, operators, permits, zones, .. }) => {
             let listen = file.peer_listen.ok_or(ConfigError::Fleet("peer_listen is missing"))?;
             if file.peers.len() <= settings.module.self_index as usize || file.peers.len() > MAX_PEERS {
-                return Err(ConfigError::Fleet("peers holds none of our number, or too many"));
+                return Err(ConfigError::Fleet("peers has no entry for self_index, or too many entries"));
             }
             let version = permits.as_ref().map(|permits| permits.version.clone()).unwrap_or_default();
             let bounds = permits.map(|permits| permits.bounds);
@@ -228,7 +232,7 @@
     })
 }
 
-/// Refuses keys by their old names: passed over, they would switch a part off in silence.
+/// Refuses keys by their old names: ignoring them would silently disable a feature.
 fn refuse_renamed(file: &File) -> Result<(), ConfigError> {
     if file.words.is_some() {
         return Err(ConfigError::Renamed { old: "words", new: "gossip" });
@@ -239,7 +243,7 @@
     }
 }
 
-/// Names as numbers, in the order in which they first come.
+/// Numbers the names in the order of their first occurrence.
 fn number_names(names: &[String]) -> Result<Vec<u8>, ConfigError> {
     let mut seen: Vec<&String> = Vec::new();
     let mut number = |name| {
@@ -266,8 +270,8 @@
         "fallUs":1500000,"tipMultiple":4.0,"warmWithinUs":16000000}}}"#;
 
     #[test]
-    fn a_configuration_is_read_and_what_is_wrong_is_named() {
-        let good = parse(GOOD.as_bytes(), false).expect("it is good");
+    fn a_valid_configuration_is_read_and_errors_name_the_field() {
+        let good = parse(GOOD.as_bytes(), false).expect("valid configuration");
         assert_eq!((good.name.as_str(), good.seed, good.known.no), ("n3", 0x8c1f_30d2_7a5b_e964, 3));
         assert_eq!((good.settings.classes, good.settings.links.streams), (vec!["call".to_owned()], 32));
         let wrong = [
@@ -298,8 +302,9 @@
         assert!(parse(&GOOD.as_bytes()[..200], false).is_err());
         let fleet = r#""peers":["127.0.0.4:1","127.0.0.4:2","127.0.0.4:3"],"peer_listen":"127.0.0.4:1","fleet":{
             "view":true,"zones":["west","east","west"],"permits":{"version":"a","bounds":{"workers":{"number":3}}}}"#;
-        let fleet = parse(GOOD.replace("\"peers\":[]", fleet).as_bytes(), false).expect("good").fleet;
-        let fleet = fleet.expect("the view is on");
+        let fleet =
+            parse(GOOD.replace("\"peers\":[]", fleet).as_bytes(), false).expect("valid configuration").fleet;
+        let fleet = fleet.expect("the view is enabled");
         assert_eq!((fleet.zones, fleet.version.as_str()), (vec![0, 1, 0], "a"));
         let bounds = Bounds { workers: basaltward_permits::Limit::Number(3), ..Bounds::default() };
         assert_eq!(fleet.bounds, Some(bounds));
--- a/crates/node/src/discovery_log.rs
+++ b/crates/node/src/discovery_log.rs
@@ -1,5 +1,5 @@
-//! What the log says of an outage of discovery: when it began and why, when its clock ran out, which workers drain by
-//! their own word, and what it came to.
+//! Logs an outage of discovery: when it began and why, when the list expired, which workers report that they drain,
+//! and a summary at its end.
 
 use basaltward::{Code, Micros, WorkerId};
 use basaltward_bulletin::Freshness;
@@ -7,10 +7,10 @@
 use std::collections::{HashMap, HashSet};
 use tracing::{debug, warn};
 
-/// Questions that are out, at most: each worker has one, and one more where that is taken as lost.
+/// Maximum number of outstanding probes: each worker has one, and one more where the first is presumed lost.
 const MAX_OUTSTANDING: usize = 8_192;
 
-/// Questions to workers since the outage began.
+/// Probes sent to workers since the outage began.
 #[derive(Default)]
 struct ProbeCounts {
     sent: u64,
@@ -19,15 +19,15 @@
     unanswered: u64,
 }
 
-/// Tells an outage of discovery in a few lines, however long it lasts.
+/// Logs an outage of discovery in a few lines, however long it lasts.
 pub struct DiscoveryLog {
     name: String,
-    /// When the list was last followed, and since when it is not.
+    /// When the outage began, if there is one.
     interrupted_since: Option<Micros>,
     has_expired: bool,
     probes: ProbeCounts,
     outstanding: HashMap<OrderId, WorkerId>,
-    /// Workers that said that they drain.
+    /// Workers that reported that they drain.
     draining: HashSet<WorkerId>,
 }
 
@@ -43,10 +43,10 @@
         }
     }
 
-    /// The list is as fresh as this; `last` is the number of the last event held.
+    /// Updates the freshness of the list; `last` is the number of the last event held.
     pub fn update(&mut self, now: Micros, freshness: Freshness, last: u64) {
         match freshness {
-            // It has a second to speak after a start.
+            // After a start, the bulletin has a second to respond.
             Freshness::Unconfirmed => {}
             Freshness::Current { .. } => self.recovered(now, last),
             Freshness::Interrupted { told_at, why } => {
@@ -56,7 +56,7 @@
                     warn!(name = self.name, ?why, last, told_in_ms, "discovery is out of reach");
                 }
                 if now >= told_at && !std::mem::replace(&mut self.has_expired, true) {
-                    warn!(name = self.name, last, "the list has expired, workers are asked before new work");
+                    warn!(name = self.name, last, "the list has expired, workers are probed before new work");
                 }
             }
         }
@@ -75,7 +75,7 @@
         );
     }
 
-    /// A worker is asked.
+    /// A probe was sent to a worker.
     pub fn probe_sent(&mut self, probe: OrderId, worker: &WorkerId) {
         self.probes.sent += 1;
         if self.outstanding.len() < MAX_OUTSTANDING {
@@ -83,21 +83,21 @@
         }
     }
 
-    /// A question has come to its end.
+    /// A probe was answered or has failed.
     pub fn probe_ended(&mut self, probe: OrderId, code: Code) {
         let Some(worker) = self.outstanding.remove(&probe) else { return };
-        debug!(target: "basaltward::question", name = self.name, %worker, ?code, "asked");
+        debug!(target: "basaltward::question", name = self.name, %worker, ?code, "probe ended");
         match code {
             Code::Ok => {
                 self.probes.up += 1;
                 if self.draining.remove(&worker) {
-                    warn!(name = self.name, %worker, "takes work again by its own word");
+                    warn!(name = self.name, %worker, "worker reports that it takes work again");
                 }
             }
             Code::Error => {
                 self.probes.down += 1;
                 if self.draining.insert(worker.clone()) {
-                    warn!(name = self.name, %worker, "drains by its own word");
+                    warn!(name = self.name, %worker, "worker reports that it drains");
                 }
             }
             _ => self.probes.unanswered += 1,
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -1,4 +1,4 @@
-//! The Thrift front: clients' connections, their requests turned into calls, answers written back.
+//! The Thrift front end: accepts clients' connections, turns their requests into calls and writes the answers.
 
 use crate::config::NodeConfig;
 use crate::work::{CallPayload, ReplyBody};
@@ -11,72 +11,76 @@
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::{Arc, Mutex};
 
-/// Most bytes of one frame: a body of 16 KiB with its fields.
+/// Maximum size of a frame: a body of 16 KiB with its fields.
 const MAX_FRAME_BYTES: usize = 24 << 10;
-/// Most bytes of a body.
+/// Maximum size of a body.
 const MAX_BODY_BYTES: usize = 16 << 10;
-/// Most bytes of an effect's key.
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 64;
-/// Most requests open on one connection.
+/// Maximum number of open requests per connection.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// A connection that has asked nothing whole by then is of no use: whoever comes to no good is owed an end
-/// within three seconds.
+/// Time for a complete request to arrive; a connection without one is closed. A client whose connection fails must
+/// see it end within 3 s.
 const REQUEST_TIMEOUT_US: Micros = 2_400_000;
-/// Usual clients close a connection that has been idle for four seconds.
+/// Idle connections are closed after this. Clients usually close theirs after 4 s.
 const IDLE_TIMEOUT_US: Micros = 6_000_000;
-/// While connections are short, one that has been idle for so long may go.
+/// Idle time after which a connection may be closed to free it for another client, while connections are scarce.
 const RECLAIM_AFTER_US: Micros = 300_000;
-/// A connection that would go and on which something has come is asked again after this.
+/// Delay after which a connection that is due to close but has unread input is checked again.
 const RECHECK_US: Micros = 10_000;
-/// The rest of a request comes within 50 ms of its first bytes, and one that crossed the close of its connection within 50
-/// ms of that on a new one; some more for the way. Until then such a connection is not closed.
+/// The rest of a request arrives within 50 ms of its first bytes. A request that crossed the close of its
+/// connection arrives on a new connection within 50 ms. The remainder allows for network delay. Until then such a
+/// connection is not closed.
 const IN_TRANSIT_US: Micros = 60_000;
-/// Connections kept free for new clients, and how often that is seen to while they are short.
+/// Connections kept free for new clients.
 const RESERVED_CONNECTIONS: usize = 4;
+/// Interval at which idle connections are reclaimed while connections are scarce.
 const RECLAIM_INTERVAL_US: Micros = 100_000;
-/// Connections looked at for one that may go.
+/// Idle connections examined when one has to be closed.
 const MAX_RECLAIM_CANDIDATES: usize = 64;
-/// Answers that a client does not read, held for it. Past it new requests are turned away: an answer would stand
-/// behind these. They are read still, for what the client withdraws among them.
+/// Bytes of unread answers held for a client. Past this, new requests are rejected, since their answers would queue
+/// behind these. They are still read, because the client may withdraw requests among them.
 const MAX_UNREAD_BYTES: usize = 64 << 10;
-/// Requests that can't be used, taken from one connection; a usual client sends none.
+/// Invalid requests accepted per connection before it is closed. A well-behaved client sends none.
 const MAX_INVALID_REQUESTS: u32 = 4;
-/// Frames taken from one connection before others get their turn.
+/// Frames read from one connection before others get their turn.
 const FRAMES_PER_TURN: usize = 8;
-/// Frames looked at behind a request before it is begun: as many as may be open, and as many that withdraw them.
+/// Frames read ahead of a request's start: as many as may be open, and as many that withdraw them.
 const MAX_READ_AHEAD: usize = 2 * MAX_OPEN_REQUESTS;
-/// No figure of a function or a request is above this.
+/// Upper bound of a function's lanes.
 const MAX_LANES: f64 = 4_096.0;
+/// Upper bound of a function's load time.
 const MAX_LOAD_MS: f64 = 600_000.0;
 
-/// What a client's request leads to.
+/// Result of reading one frame of a client.
 pub enum Step {
     /// A call for the engine.
     Call(NewCall<CallPayload>),
-    /// These wait no longer.
+    /// These calls no longer wait for an answer.
     Left(Vec<WaiterId>),
-    /// Answered already, or nothing to answer.
+    /// Nothing for the engine: the frame has been answered already, or needs no answer.
     Nothing,
 }
 
 struct Client {
-    /// Open requests by their number.
+    /// Open requests by sequence number.
     open: Vec<(i32, WaiterId)>,
-    /// The highest number used.
+    /// The highest sequence number used.
     last_seqid: i32,
     invalid_requests: u32,
-    /// Requests turned away in a row because it does not read its answers.
+    /// Consecutive requests rejected because the client does not read its answers.
     rejected_unread: usize,
-    /// A whole request has come on it.
+    /// Whether a complete request has arrived.
     has_requested: bool,
     input_pending: bool,
-    /// When the first byte of the request now arriving came.
+    /// When the first byte of the incomplete request arrived.
     request_began: Option<Micros>,
     last_used: Micros,
-    /// When it was accepted.
+    /// When the connection was accepted.
     accepted_at: Micros,
-    /// When patience with it ends, and the timer that is set for it, which is moved only to an earlier time.
+    /// When the connection is closed unless it is used.
     close_at: Micros,
+    /// When its timer fires. The timer is only moved to an earlier time.
     timer_at: Micros,
 }
 
@@ -85,17 +89,17 @@
     id: WaiterId,
     conn: ConnId,
     seqid: i32,
-    /// Its id.
+    /// The request id.
     pub request: u64,
-    /// Its function.
+    /// The requested function.
     pub function: FunctionId,
-    /// Its class.
+    /// The class, as an index into the settings.
     pub class: usize,
-    /// When its bytes were there.
+    /// When its bytes arrived.
     pub arrived: Micros,
 }
 
-/// The front of the loop.
+/// The client side of the loop.
 pub struct Front {
     frames: Frames,
     max_clients: usize,
@@ -104,7 +108,7 @@
     memory_mb: f64,
     source: Arc<str>,
     clients: HashMap<ConnId, Client>,
-    /// Connections without an open request, by the time at which they were last used.
+    /// Connections without an open request, by the time of their last use.
     idle: BTreeSet<(Micros, ConnId)>,
     requests: Slab<OpenRequest>,
     /// Ids of open requests.
@@ -112,12 +116,13 @@
     last_waiter: u64,
     due: Timers<ConnId>,
     input_pending: VecDeque<(Micros, ConnId)>,
-    /// When room is to be made again.
+    /// When idle connections are next reclaimed.
     reclaim_at: Option<Micros>,
-    /// A worker that takes calls has been told of: what a heartbeat says.
+    /// Whether the list has ever held an active worker; heartbeats report it.
     knows_worker: bool,
     is_stopping: bool,
-    /// When the last connection was closed that stood before the scheduler turned requests away.
+    /// When the last of the connections was closed that were accepted before the scheduler began to reject
+    /// requests.
     last_closed_at: Micros,
 }
 
@@ -126,21 +131,22 @@
     digits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-/// An effect's key goes into a line to a worker as it is: nothing in it may end a word or a field there.
-fn usable_key(text: &str) -> Option<&str> {
+/// Checks an idempotency key. It is copied into a line to the worker, so it may hold no byte that ends a word or a
+/// field there.
+fn valid_key(text: &str) -> Option<&str> {
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b':');
     ((1..=MAX_KEY_BYTES).contains(&text.len()) && text.bytes().all(plain)).then_some(text)
 }
 
-fn parse_positive(text: &str, most: f64) -> Option<f64> {
-    text.parse::<f64>().ok().filter(|x| x.is_finite() && *x > 0.0 && *x <= most)
+fn parse_positive(text: &str, max: f64) -> Option<f64> {
+    text.parse::<f64>().ok().filter(|x| x.is_finite() && *x > 0.0 && *x <= max)
 }
 
-/// What the front has to know of a class.
+/// The settings of a class that the front end uses.
 struct FrontClass {
     name: String,
     deadline: Micros,
-    /// Its workers discard repeats by a key that comes with each request.
+    /// Workers discard repeated requests of this class by an idempotency key.
     keyed: bool,
 }
 
@@ -151,12 +157,12 @@
     }
 }
 
-/// Where an open request is kept, by the number of who waits for it.
+/// Index of an open request in the slab, from the low bits of its waiter id.
 fn slot(waiter: WaiterId) -> usize {
     (waiter.0 & 0xf_ffff) as usize
 }
 
-/// What the front takes out of a request.
+/// The fields of a `submit` request.
 struct ParsedRequest {
     request: u64,
     tenant: usize,
@@ -167,7 +173,7 @@
 }
 
 impl Front {
-    /// A front without clients.
+    /// Creates a front end without clients.
     pub fn new(config: &NodeConfig) -> Self {
         let classes = config.settings.classes.iter().zip(&config.settings.module.classes);
         let memory = config.settings.module.family.kind_memory_mb.iter().copied();
@@ -196,20 +202,20 @@
         self.due.next().into_iter().chain(self.reclaim_at).min()
     }
 
-    /// Where connections run short those that have been idle longest make room. Whether someone waits to be
-    /// accepted is not known once none is, so it is looked after again as long as they are short.
+    /// Closes the connections that have been idle longest while connections are scarce. Once no connection is free,
+    /// clients waiting to be accepted go unseen, so this is repeated for as long as they are scarce.
     fn reclaim_idle(&mut self, io: &mut Io, now: Micros) {
-        let short = |front: &Self| front.clients.len() + RESERVED_CONNECTIONS >= front.max_clients;
-        while short(self)
+        let is_scarce = |front: &Self| front.clients.len() + RESERVED_CONNECTIONS >= front.max_clients;
+        while is_scarce(self)
             && let Some(idle) = self.reclaim_candidate(io, now)
         {
             self.forget(idle);
             io.abort(idle);
         }
-        self.reclaim_at = short(self).then_some(now + RECLAIM_INTERVAL_US);
+        self.reclaim_at = is_scarce(self).then_some(now + RECLAIM_INTERVAL_US);
     }
 
-    /// A client has connected.
+    /// Handles a newly accepted connection.
     pub fn accepted(&mut self, io: &mut Io, now: Micros, conn: ConnId) {
         self.reclaim_idle(io, now);
         let close_at = now + REQUEST_TIMEOUT_US;
@@ -235,23 +241,23 @@
         self.set_close_time(conn, close_at);
     }
 
-    /// The connection to go where they run short: of those idle for a while one that has asked nothing yet, else
-    /// the one idle longest. Never one on which something has come that was not looked at: a request in it has
-    /// been taken.
+    /// Picks the connection to close while connections are scarce: among those idle long enough, one that has not
+    /// sent a request yet, else the one idle longest. Never one with unread input, since a request in it counts as
+    /// accepted.
     fn reclaim_candidate(&self, io: &mut Io, now: Micros) -> Option<ConnId> {
         let idle =
             self.idle.iter().take_while(|(used, _)| used + RECLAIM_AFTER_US <= now).map(|(_, conn)| *conn);
-        let silent = |c: &ConnId| self.clients.get(c).is_some_and(|c| !c.has_requested);
+        let is_unused = |c: &ConnId| self.clients.get(c).is_some_and(|c| !c.has_requested);
         let mut all: Vec<_> =
             idle.filter(|conn| self.has_no_pending_input(conn)).take(MAX_RECLAIM_CANDIDATES).collect();
-        // Before those that have not read their answers.
-        all.sort_by_cached_key(|conn| (!silent(conn), io.unsent(*conn) > 0));
-        // While we stop, a request that crosses the end of its connection has nowhere else to go.
-        all.retain(|conn| silent(conn) || !self.is_stopping);
+        // Clients that have read their answers come before those that have not.
+        all.sort_by_cached_key(|conn| (!is_unused(conn), io.unsent(*conn) > 0));
+        // While the scheduler stops, a request that crosses the close of its connection has nowhere else to go.
+        all.retain(|conn| is_unused(conn) || !self.is_stopping);
         all.into_iter().find(|conn| !io.is_stale(*conn))
     }
 
-    /// Whether nothing has come on a connection that was not looked at.
+    /// Whether a connection has no unread input.
     fn has_no_pending_input(&self, conn: &ConnId) -> bool {
         self.clients.get(conn).is_some_and(|c| c.request_began.is_none() && !c.input_pending)
     }
@@ -265,7 +271,7 @@
         }
     }
 
-    /// Drops all that is known of a connection; gives who waited on it.
+    /// Removes a connection and returns the waiters of its open requests.
     pub fn forget(&mut self, conn: ConnId) -> Vec<WaiterId> {
         let Some(client) = self.clients.remove(&conn) else { return Vec::new() };
         self.idle.remove(&(client.last_used, conn));
@@ -276,7 +282,7 @@
         waiters
     }
 
-    /// Bytes have come, or some that waited may be looked at: the connection is, in its turn.
+    /// Queues a connection whose input has arrived or may now be read.
     pub fn input_arrived(&mut self, now: Micros, conn: ConnId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.request_began.get_or_insert(now);
@@ -285,12 +291,12 @@
         }
     }
 
-    /// Since when the oldest input waits to be looked at.
+    /// When the oldest unread input arrived.
     pub fn oldest_input(&self) -> Option<Micros> {
         self.input_pending.front().map(|(came, _)| *came)
     }
 
-    /// Whether this is about a client that is known.
+    /// Whether this event concerns a client's connection.
     pub fn owns(&self, happened: &Happened) -> bool {
         match happened {
             Happened::Data(conn) | Happened::Drained(conn) | Happened::Ended(conn, _) => {
@@ -300,14 +306,13 @@
         }
     }
 
-    /// Looks at the connection that has waited longest; gives when its bytes were there, and what its requests
-    /// lead to.
+    /// Reads frames from the connection that has waited longest.
     pub fn read_next(&mut self, io: &mut Io, now: Micros) -> Vec<Step> {
         let Some((came, conn)) = self.input_pending.pop_front() else { return Vec::new() };
         self.read_from(io, now, (came, conn), FRAMES_PER_TURN)
     }
 
-    /// Looks on where the client who waits for this has sent more, of which not all was looked at.
+    /// Reads ahead on the connection of this waiter, if it has unread input.
     pub fn read_ahead(&mut self, io: &mut Io, now: Micros, waiter: WaiterId) -> Option<Vec<Step>> {
         let conn = self.requests.get(slot(waiter)).filter(|w| w.id == waiter)?.conn;
         self.clients.get(&conn).filter(|c| c.input_pending)?;
@@ -330,18 +335,18 @@
             let Some(input) = io.input(conn) else { return steps };
             let step = match next_frame(self.frames, input) {
                 Ok(Some(frame)) => {
-                    // What stands behind it is another request, with a patience of its own.
+                    // The bytes after this frame belong to another request, which has a timeout of its own.
                     if let Some(client) = self.clients.get_mut(&conn) {
                         client.request_began = None;
                     }
                     self.handle_frame(io, now, (came, conn), &frame)
                 }
                 Ok(None) => {
-                    let part = !input.is_empty();
+                    let is_partial = !input.is_empty();
                     io.release_input(conn);
                     io.pause(conn, false);
                     let Some(client) = self.clients.get_mut(&conn) else { return steps };
-                    if !part {
+                    if !is_partial {
                         client.request_began = None;
                     } else if client.has_requested {
                         let close_at = *client.request_began.get_or_insert(now) + REQUEST_TIMEOUT_US;
@@ -359,19 +364,19 @@
                 }
             }
         }
-        // More may be there: at the end of the queue, as old as it is.
+        // More input may follow: the connection goes to the end of the queue with its original arrival time.
         self.input_arrived(came, conn);
         steps
     }
 
-    /// What is sent on a connection is not by the protocol: it ends, with all that is open on it.
+    /// Closes a connection that violates the protocol, with all its open requests.
     fn close_invalid(&mut self, io: &mut Io, conn: ConnId) -> Step {
         let left = self.forget(conn);
         io.close(conn);
         Step::Left(left)
     }
 
-    /// One frame of a client; `None` where it is not by the protocol.
+    /// Handles one frame; `None` if it violates the protocol.
     fn handle_frame(
         &mut self,
         io: &mut Io,
@@ -408,7 +413,7 @@
                 self.count_invalid(conn)?;
                 Told::UnknownMethod
             }
-            // A call that must have an answer, sent as one that wants none, or a method nobody knows.
+            // A method that must be answered, sent as a one-way call, or an unknown one-way method.
             _ => return None,
         };
         write::reply(io.output(conn)?, name, seqid, &told);
@@ -416,7 +421,7 @@
         Some(Step::Nothing)
     }
 
-    /// Whether a client reads its answers; `None` where it goes on asking for too long without.
+    /// Whether the client reads its answers; `None` if it has sent too many requests without doing so.
     fn check_answers_read(&mut self, io: &mut Io, conn: ConnId) -> Option<bool> {
         let is_read = io.unsent(conn) <= MAX_UNREAD_BYTES;
         let client = self.clients.get_mut(&conn)?;
@@ -424,14 +429,14 @@
         (client.rejected_unread <= MAX_OPEN_REQUESTS).then_some(is_read)
     }
 
-    /// One more that can't be used; `None` where it is too many.
+    /// Counts an invalid request; `None` if there were too many.
     fn count_invalid(&mut self, conn: ConnId) -> Option<()> {
         let client = self.clients.get_mut(&conn)?;
         client.invalid_requests += 1;
         (client.invalid_requests <= MAX_INVALID_REQUESTS).then_some(())
     }
 
-    /// A connection was used: its idle time begins anew, or does not run while requests are open.
+    /// Notes that a connection was used: its idle timeout restarts, or is suspended while requests are open.
     fn touch(&mut self, now: Micros, conn: ConnId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         self.idle.remove(&(client.last_used, conn));
@@ -445,8 +450,8 @@
         }
     }
 
-    /// A call of `submit`: the call for the engine, what it is told at once, or `None` where its connection
-    /// can't be trusted any more.
+    /// Handles `submit`: returns the call for the engine, or an immediate answer, or `None` if the connection can
+    /// no longer be trusted.
     fn submit(
         &mut self,
         io: &mut Io,
@@ -455,7 +460,8 @@
         submit: &Submit,
     ) -> Option<Result<NewCall<CallPayload>, Told<'static>>> {
         let client = self.clients.get_mut(&conn)?;
-        // Numbers count up, and no more are open than may be: else an answer could be taken for another's.
+        // Sequence numbers must increase, and the number of open requests is limited: otherwise an answer could be
+        // mistaken for that of another request.
         if seqid <= client.last_seqid || client.open.len() >= MAX_OPEN_REQUESTS {
             return None;
         }
@@ -463,32 +469,32 @@
         if !self.check_answers_read(io, conn)? {
             return Some(Err(Told::Rejected(None)));
         }
-        let Some(read) = self.parse_submit(submit) else {
+        let Some(parsed) = self.parse_submit(submit) else {
             self.count_invalid(conn)?;
             return Some(Err(Told::Rejected(None)));
         };
-        // The request in hand under this id may run: nobody is told that trying again does no harm.
-        if !self.ids.insert(read.request) {
+        // The open request with this id may run, so the client must not be told that a retry is safe.
+        if !self.ids.insert(parsed.request) {
             self.count_invalid(conn)?;
             return Some(Err(Told::Crashed));
         }
         self.last_waiter += 1;
         let entry = self.requests.vacant_entry();
         let waiter = WaiterId(self.last_waiter << 20 | entry.key() as u64 & 0xf_ffff);
-        let (request, function, class) = (read.request, read.function.name.clone(), read.class);
+        let (request, function, class) = (parsed.request, parsed.function.name.clone(), parsed.class);
         entry.insert(OpenRequest { id: waiter, conn, seqid, request, function, class, arrived: came });
         self.clients.get_mut(&conn)?.open.push((seqid, waiter));
-        let id = format!("{:016x}", read.request);
-        let function = Arc::new(read.function);
+        let id = format!("{:016x}", parsed.request);
+        let function = Arc::new(parsed.function);
         let (name, source) = (function.name.clone(), self.source.clone());
-        let identity = Identity { tenant: read.tenant, function: name, source, id: id.as_str().into() };
+        let identity = Identity { tenant: parsed.tenant, function: name, source, id: id.as_str().into() };
         let connections = Mutex::default();
-        let (number, class, key, body) = (read.request, read.class, read.key, submit.owned_body());
+        let (number, class, key, body) = (parsed.request, parsed.class, parsed.key, submit.owned_body());
         let payload = Arc::new(CallPayload { id, number, class, key, body, connections });
-        Some(Ok(NewCall { waiter, identity, function, deadline: came + read.timeout, payload }))
+        Some(Ok(NewCall { waiter, identity, function, deadline: came + parsed.timeout, payload }))
     }
 
-    /// The fields of a request, where all of them can be used.
+    /// Parses the fields of a request; `None` if any of them is invalid.
     fn parse_submit(&self, submit: &Submit) -> Option<ParsedRequest> {
         if submit.body.len() > MAX_BODY_BYTES {
             return None;
@@ -496,23 +502,23 @@
         let field = |name| submit.fields.iter().find(|(n, _)| *n == name).map(|(_, value)| *value);
         let kind = field("kind")?;
         let class = self.classes.iter().position(|class| class.name == kind)?;
-        // Of a platform without tenants all calls count as the first one's.
+        // Without tenants, all calls belong to tenant 0.
         let tenant = match self.tenants.is_empty() {
             true => 0,
             false => field("owner").and_then(|owner| self.tenants.iter().position(|name| name == owner))?,
         };
-        // Without its key an effect could happen twice: such a call is not taken.
+        // Without its key an effect could happen twice, so a keyed call without one is rejected.
         let key = match (field("opkey"), self.classes[class].keyed) {
-            (Some(key), _) => Some(usable_key(key)?.to_owned()),
+            (Some(key), _) => Some(valid_key(key)?.to_owned()),
             (None, keyed) => (!keyed).then_some(None)?,
         };
         let request = parse_hex_id(field("req")?)?;
         let name: FunctionId = field("subject").filter(|s| parse_hex_id(s).is_some())?.into();
         let timeout = field("timeout")?.parse::<u64>().ok()?;
-        // Nobody waits many times as long as the class allows.
-        let most = self.classes[class].deadline.saturating_mul(10);
-        // None left is no nonsense: a client's last try may have less than a millisecond.
-        let timeout = timeout.checked_mul(1_000).filter(|t| *t <= most)?;
+        // No client waits for many times the deadline of its class.
+        let max_timeout = self.classes[class].deadline.saturating_mul(10);
+        // A timeout of 0 is valid: a client's last retry may have less than a millisecond left.
+        let timeout = timeout.checked_mul(1_000).filter(|t| *t <= max_timeout)?;
         let mut function = Function { name, class, memory_mb: 0.0, lanes: 0, load: None };
         for (name, value) in field("props")?.split(';').filter_map(|prop| prop.split_once(':')) {
             match name {
@@ -522,8 +528,8 @@
                 _ => {}
             }
         }
-        let usable = function.memory_mb > 0.0 && function.lanes > 0;
-        usable.then_some(ParsedRequest { request, tenant, class, key, timeout, function })
+        let is_valid = function.memory_mb > 0.0 && function.lanes > 0;
+        is_valid.then_some(ParsedRequest { request, tenant, class, key, timeout, function })
     }
 
     fn remove_request(&mut self, waiter: WaiterId) -> Option<OpenRequest> {
@@ -533,7 +539,7 @@
         Some(request)
     }
 
-    /// Writes the engine's final answer; gives the request that it is to.
+    /// Writes the engine's final answer and returns the request that it answers.
     pub fn answer(
         &mut self,
         io: &mut Io,
@@ -558,19 +564,19 @@
         Some(request)
     }
 
-    /// A worker that takes calls is known. It stays ready when all have gone again: that is no fault of this scheduler,
-    /// and another one would serve no more.
+    /// Marks the scheduler as ready: it knows an active worker. It stays ready when all workers are gone, because
+    /// that is no fault of this scheduler, and another one could serve no more.
     pub fn set_ready(&mut self) {
         self.knows_worker = true;
     }
 
-    /// The scheduler was told to stop; clients come for a while yet.
+    /// The scheduler was asked to stop; clients keep sending requests for a while.
     pub fn start_stopping(&mut self) {
         self.is_stopping = true;
     }
 
-    /// Ends the connections on which nothing is open, nothing has come and all answers are with the system: they
-    /// make room for those that still wait to be accepted. One that is closed has less time to read the rest.
+    /// Closes the connections that have no open request, no unread input and no unsent answer, to free capacity for
+    /// clients still waiting to be accepted. A client has less time to read the rest once its connection is closed.
     pub fn close_idle(&mut self, io: &mut Io, now: Micros, stopped: Micros) {
         let idle: Vec<_> = self.idle.iter().map(|(_, conn)| *conn).collect();
         for conn in idle {
@@ -584,8 +590,9 @@
         }
     }
 
-    /// Whether no request is on its way on a connection without an open one: none that was cut off by the close of the
-    /// connection before, and none that has come in part. That one may come in pieces, but not for long.
+    /// Whether no request is in transit on a connection without an open one: neither one that was cut off by the
+    /// close of the client's previous connection, nor one that has arrived in part. A partial request may arrive in
+    /// pieces, but not for long.
     fn may_close(&self, io: &mut Io, now: Micros, conn: ConnId) -> bool {
         let Some(client) = self.clients.get(&conn) else { return false };
         let expected = match (client.request_began, client.has_requested) {
@@ -596,16 +603,17 @@
         !client.input_pending && expected <= now && io.unsent(conn) == 0 && !io.is_stale(conn)
     }
 
-    /// Whether all connections that stood as the scheduler began to turn requests away have been closed, and for so long
-    /// that a request that crossed this would have come again. Of those opened since only what has not been asked on a
-    /// new one is waited for: clients that go on coming would keep it.
+    /// Whether all connections accepted before the scheduler began to reject requests have been closed, long enough
+    /// ago for a request that crossed the close to have arrived again. Of connections accepted later, only those
+    /// that may still carry such a repeated request are waited for: waiting for clients that keep connecting would
+    /// never end.
     pub fn all_clients_left(&self, now: Micros, stopped: Micros) -> bool {
-        let waits =
+        let may_send =
             |c: &Client| c.accepted_at <= stopped || !c.has_requested && now < c.accepted_at + IN_TRANSIT_US;
-        !self.clients.values().any(waits) && self.last_closed_at + IN_TRANSIT_US <= now
+        !self.clients.values().any(may_send) && self.last_closed_at + IN_TRANSIT_US <= now
     }
 
-    /// Ends connections whose patience is over; gives who waited on them.
+    /// Closes connections whose time is up; returns the waiters of their open requests.
     pub fn wake(&mut self, io: &mut Io, now: Micros) -> Vec<WaiterId> {
         let mut left = Vec::new();
         if self.reclaim_at.is_some_and(|at| at <= now) {
@@ -621,15 +629,15 @@
                 }
                 continue;
             }
-            // What has come on it is looked at first, though the loop was late to be told; the rest of a request that has
-            // only begun to come is waited for, but no longer.
-            let (looked, rest) =
+            // Unread input is read first, even if the loop was late to notice it. The rest of a partial request is
+            // waited for, but for no longer than this.
+            let (is_read, rest) =
                 (!client.input_pending, client.request_began.map(|began| began + IN_TRANSIT_US));
             if let Some(rest) = rest.filter(|rest| *rest > now) {
                 self.set_close_time(conn, rest);
                 continue;
             }
-            if !looked || rest.is_none() && io.is_stale(conn) {
+            if !is_read || rest.is_none() && io.is_stale(conn) {
                 self.set_close_time(conn, now + RECHECK_US);
                 continue;
             }
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What peers tell of copies, on the loop: between the datagrams, the orders and attempts that are out, and
+//! Gossip with peers about loaded copies: connects the datagrams, the orders and attempts in flight, and
 //! [`InstanceDirectory`].
 
 use crate::config::NodeConfig;
@@ -13,35 +13,36 @@
 
 type CopyLocation = (WorkerId, FunctionId);
 
-/// What peers tell, and what is out that will tell us something.
+/// The gossip state, and the jobs in flight whose ends will reveal copies.
 pub struct Gossip {
     directory: InstanceDirectory,
     socket: usize,
-    /// Every peer is reached there.
+    /// The address that reaches every peer.
     group: SocketAddr,
-    /// Where they send from.
+    /// Member numbers by the address that the peer sends from.
     peers: HashMap<SocketAddr, u32>,
     attempts: HashMap<AttemptId, CopyLocation>,
     orders: HashMap<OrderId, CopyLocation>,
 }
 
 impl Gossip {
-    /// Where the settings allow datagrams and the configuration says how all peers are reached. Not where it asks for
-    /// the fleet's view, which has the only socket for them.
+    /// Opens the gossip socket if the settings allow datagrams and the configuration has a group address. With the
+    /// fleet's view there is no gossip, since the view uses the only datagram socket.
     ///
     /// # Errors
-    /// Where the address can't be had.
+    /// If the address can't be bound.
     pub fn open(config: &NodeConfig, io: &mut Io, now: Micros) -> Result<Option<Self>, NetError> {
-        let Some(addresses) = config.peers.as_ref().filter(|_| config.fleet.is_none()) else {
+        let Some(addressing) = config.peers.as_ref().filter(|_| config.fleet.is_none()) else {
             return Ok(None);
         };
         let module = &config.settings.module;
-        let (socket, _) = io.datagrams(addresses.listen)?;
+        let (socket, _) = io.datagrams(addressing.listen)?;
         let (attempts, orders) = (HashMap::new(), HashMap::new());
-        let others = addresses.addresses.iter().enumerate().filter(|(n, _)| *n != module.self_index as usize);
+        let others =
+            addressing.addresses.iter().enumerate().filter(|(n, _)| *n != module.self_index as usize);
         let peers: HashMap<_, _> = others.map(|(number, at)| (*at, number as u32)).collect();
         let directory = InstanceDirectory::new(now, (module.self_index, peers.len()), module.family.keep);
-        Ok(Some(Self { directory, socket, group: addresses.group, peers, attempts, orders }))
+        Ok(Some(Self { directory, socket, group: addressing.group, peers, attempts, orders }))
     }
 
     pub fn next_due(&self) -> Option<Micros> {
@@ -52,10 +53,10 @@
         self.directory.update_members(kind, members);
     }
 
-    /// Takes what waits at the socket.
+    /// Receives the datagrams that wait at the socket.
     pub fn receive(&mut self, io: &mut Io, now: Micros) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-        // Bounded: whoever sends without end does not hold up the loop.
+        // Bounded, so that a peer that sends without end does not block the loop.
         for _ in 0..64 {
             let Some((length, from)) = io.receive(self.socket, &mut bytes) else { return };
             if let Some(number) = self.peers.get(&from) {
@@ -64,25 +65,26 @@
         }
     }
 
-    /// Tells what is due.
+    /// Sends the datagrams that are due.
     pub fn send_due(&mut self, io: &mut Io, now: Micros) {
         while let Some(bytes) = self.directory.next_datagram(now) {
             io.send_to(self.socket, self.group, &bytes);
         }
     }
 
-    /// What the module is to hear.
+    /// Takes the reports of copies for the module.
     pub fn take_reports(&mut self) -> Vec<CopyReport> {
         self.directory.take_reports()
     }
 
-    /// An attempt is begun.
+    /// Notes that an attempt was started.
     pub fn attempt_started(&mut self, now: Micros, id: AttemptId, worker: &WorkerId, function: &FunctionId) {
         self.directory.note_call(now, function);
         self.attempts.insert(id, (worker.clone(), function.clone()));
     }
 
-    /// An order or a question is to go to a worker. What peers have answered does not.
+    /// Registers an order, or a query where `count` is 0, that is about to go to a worker. Returns its end if
+    /// peers' reports answer it; it is not sent then.
     pub fn answer_order(
         &mut self,
         now: Micros,
@@ -101,17 +103,17 @@
         None
     }
 
-    /// An order is no longer waited for.
+    /// Stops waiting for an order.
     pub fn forget_order(&mut self, id: OrderId) {
         self.orders.remove(&id);
     }
 
-    /// Whether idle copies that the module wants to go are in use by peers.
+    /// Whether peers use the idle copies that the module wants to release.
     pub fn is_shared(&self, now: Micros, worker: &WorkerId, function: &FunctionId) -> bool {
         self.directory.is_shared(now, worker, function)
     }
 
-    /// Takes what the end of a job tells of copies.
+    /// Records what the end of a job reveals about copies.
     pub fn job_ended(&mut self, now: Micros, done: &JobEnd) {
         let (at, copies) = match done {
             JobEnd::Attempt(id, end) => {
@@ -119,7 +121,7 @@
                 let none = end.code == Code::Miss || end.copy == CopyNote::LoadFailed;
                 (self.attempts.remove(id), if is_loaded { Some(1) } else { none.then_some(0) })
             }
-            // An order that was turned away says nothing of copies that stood before.
+            // A rejected order says nothing about copies that were loaded before.
             JobEnd::Order(id, code, copies) => {
                 (self.orders.remove(id), (*code == Code::Ok).then_some(*copies))
             }
--- a/crates/node/src/gossip_wire.rs
+++ b/crates/node/src/gossip_wire.rs
@@ -1,16 +1,16 @@
-//! Instance updates on the wire: one version byte, then the updates by serde, within one datagram.
+//! Wire format of instance updates: one version byte, then the updates in serde's encoding, within one datagram.
 
 use basaltward::Micros;
 use basaltward_membership::{MAX_DATAGRAM_BYTES, WireError, decode_datagram, encode_datagram};
 use serde::{Deserialize, Serialize};
 
-/// The first byte; the view and what is agreed have others.
+/// The first byte; datagrams of the view and of permits have other values.
 pub const VERSION: u8 = 3;
-/// What an age counts in: the oldest that can be told is four times a usual keep-alive.
+/// Unit of an age. The oldest age that can be encoded is four times a usual keep-alive.
 const AGE_UNIT_US: Micros = 250_000;
 
-/// What was seen of one function at one worker. Names go as marks: two that share one are taken for each other, and
-/// cost a call a load at worst.
+/// An observation of one function at one worker. Names are sent as hashes. Two names with the same hash are
+/// mistaken for each other, which costs a call at worst one load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceUpdate {
     function: [u8; 4],
@@ -20,7 +20,7 @@
 }
 
 impl InstanceUpdate {
-    /// Updates that fit into a datagram, behind the version and their number.
+    /// Updates that fit into a datagram after the version and their count.
     pub const MAX_PER_DATAGRAM: usize = (MAX_DATAGRAM_BYTES - 2) / 10;
 
     pub fn new((function, worker): (u32, u32), age: Micros, copies: u32) -> Self {
@@ -46,17 +46,17 @@
     }
 }
 
-/// The mark of a name.
+/// The hash of a name.
 pub fn name_hash(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
 
-/// The bytes; `None` where they would be too many, which [`InstanceUpdate::MAX_PER_DATAGRAM`] rules out.
+/// Encodes the updates; `None` if they don't fit, which [`InstanceUpdate::MAX_PER_DATAGRAM`] rules out.
 pub fn encode(updates: &[InstanceUpdate]) -> Option<Vec<u8>> {
     encode_datagram(VERSION, &updates)
 }
 
-/// Reads them.
+/// Decodes the updates.
 pub fn decode(bytes: &[u8]) -> Result<Vec<InstanceUpdate>, WireError> {
     decode_datagram(VERSION, bytes)
 }
--- a/crates/node/src/instance_directory.rs
+++ b/crates/node/src/instance_directory.rs
@@ -1,75 +1,79 @@
-//! What peers tell of where copies stand: kept, aged, told on once, and believed in place of a question to a
-//! worker. Free of I/O. It decides nothing on a call: it answers what the module asks of workers in the module's own
-//! terms, and an update is never more than what somebody saw.
+//! What this scheduler and its peers have observed of loaded copies. Observations age, are announced to the fleet
+//! once, and can replace a query to a worker. Free of I/O. The directory makes no decision on a call: it answers
+//! the module's queries to workers in the module's own terms, and an update never says more than what some
+//! scheduler observed.
 
 use crate::gossip_wire::{InstanceUpdate, decode, encode, name_hash};
 use basaltward::{FunctionId, Member, MembersKind, Micros, State, WorkerId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Facts held at most; what comes beyond is not taken until others have aged.
+/// Maximum number of observations; further ones are dropped until others have expired.
 const MAX_OBSERVATIONS: usize = 16_384;
-/// Functions of our own calls remembered by name at most.
+/// Maximum number of locally called functions remembered by name.
 const MAX_FUNCTIONS: usize = 8_192;
 /// Delay until the first known copy of a function is announced. A datagram reaches every peer and costs each of them a
 /// turn of its loop, so updates are batched.
 const FIRST_COPY_DELAY_US: Micros = 40_000;
 /// Delay until any other update is announced.
 const UPDATE_DELAY_US: Micros = 1_500_000;
-/// What has aged is looked for so often.
+/// Interval at which expired observations are removed.
 const SWEEP_US: Micros = 1_000_000;
 
-/// What is known of one function at one worker.
+/// The latest observation of one function at one worker.
 struct Observation {
-    /// Copies that stood there when it was last seen; 0 where none did.
+    /// Copies that were loaded at that time; 0 if none was.
     copies: u32,
-    /// When that was, on our clock.
+    /// When it was observed, on the local clock.
     seen: Micros,
-    /// When anyone last told the fleet of it.
+    /// When any scheduler last announced it to the fleet.
     announced: Micros,
-    /// When the module last learnt that it stands, by itself or from us.
+    /// When the module last learned that the copy is loaded, by itself or from this directory.
     known_to_module: Option<Micros>,
-    /// A peer has told of it: it is not ours alone.
+    /// Whether a peer has announced it, so that the copy is not used by this scheduler alone.
     from_peer: bool,
 }
 
 struct Worker {
     id: WorkerId,
-    /// What was seen before is of an earlier life.
+    /// When the worker started. Earlier observations refer to a previous incarnation.
     started: Micros,
 }
 
 struct CalledFunction {
     function: FunctionId,
-    /// When a call of ours last was for it.
+    /// When the function was last called by this scheduler.
     used: Micros,
 }
 
-/// A copy that stands, as the module is to hear of it.
+/// Worker, function and number of loaded copies, as reported to the module.
 pub type CopyReport = (WorkerId, FunctionId, u32);
 
-/// What a scheduler and its peers have seen of copies.
+/// What a scheduler and its peers have observed of copies.
 pub struct InstanceDirectory {
     own: u32,
-    /// A copy in use is kept at least so long.
+    /// A copy in use is retained for at least this long.
     keep: Micros,
     peers: usize,
-    /// Since when we listen, and when each peer was last heard.
+    /// When this scheduler began to listen.
     listening_since: Micros,
+    /// When each peer was last heard from.
     last_received: HashMap<u32, Micros>,
     workers: HashMap<u32, Worker>,
     functions: HashMap<u32, CalledFunction>,
-    /// By function, then by worker.
+    /// Observations by the hashes of function and worker.
     observations: BTreeMap<u32, BTreeMap<u32, Observation>>,
     count: usize,
-    /// To be told, and when.
+    /// Observations to announce.
     pending: BTreeSet<(u32, u32)>,
+    /// When the next datagram is due.
     announce_at: Option<Micros>,
     next_sweep: Micros,
     reports: Vec<CopyReport>,
 }
 
 impl InstanceDirectory {
-    /// Of a scheduler of this number with so many peers, where a copy in use is kept at least for `keep`.
+    /// Creates the directory of the scheduler with number `own` among `peers` peers; a copy in use is retained for
+    /// at least `keep`.
     pub fn new(now: Micros, (own, peers): (u32, usize), keep: Micros) -> Self {
         Self {
             own,
@@ -88,12 +92,13 @@
         }
     }
 
-    /// When [`InstanceDirectory::take`] may have something.
+    /// When [`InstanceDirectory::next_datagram`] may return a datagram.
     pub fn next_due(&self) -> Option<Micros> {
         self.announce_at
     }
 
-    /// Takes the list of workers. What was seen of one that has left, or of an earlier life, is void.
+    /// Applies the list of workers. Observations of a worker that has left, or of a previous incarnation, are
+    /// discarded.
     pub fn update_members(&mut self, kind: MembersKind, members: &[Member]) {
         let mut void = Vec::new();
         if kind == MembersKind::Whole {
@@ -119,17 +124,17 @@
         }
     }
 
-    /// A call of ours is for this function: what peers tell of it is of use.
+    /// Notes a local call of this function, which makes peers' reports about it relevant.
     pub fn note_call(&mut self, now: Micros, function: &FunctionId) {
         let of = name_hash(function.as_str());
-        if let Some(name) = self.functions.get_mut(&of) {
-            name.used = now;
+        if let Some(called) = self.functions.get_mut(&of) {
+            called.used = now;
         } else if self.functions.len() < MAX_FUNCTIONS {
             self.functions.insert(of, CalledFunction { function: function.clone(), used: now });
         }
     }
 
-    /// We have seen so many copies stand there, or none.
+    /// Records that this scheduler observed this number of loaded copies, possibly none.
     pub fn observe(&mut self, now: Micros, worker: &WorkerId, function: &FunctionId, copies: u32) {
         let (of, at) = (name_hash(function.as_str()), name_hash(worker.as_str()));
         let announce_interval = self.announce_interval(of, at);
@@ -138,7 +143,7 @@
             .get(&of)
             .and_then(|observations| observations.get(&at))
             .map_or(0, |observation| observation.copies);
-        // That none stands is news only to whoever believes in one.
+        // That no copy is loaded matters only if one was believed to be.
         if before == 0 && copies == 0 {
             return;
         }
@@ -148,7 +153,7 @@
             (copies, now, (copies > 0).then_some(now));
         if changed || now >= observation.announced + announce_interval {
             self.pending.insert((of, at));
-            // Whoever knows another copy does not ask.
+            // Peers that know another copy don't send a query.
             let others =
                 self.observations.get(&of).into_iter().flatten().any(|(w, f)| *w != at && f.copies > 0);
             let by = now + if changed && !others { FIRST_COPY_DELAY_US } else { UPDATE_DELAY_US };
@@ -156,8 +161,8 @@
         }
     }
 
-    /// How long what was told is not told again: by a different time for each scheduler, or all would see at once that
-    /// it is due.
+    /// Time for which an announced observation is not announced again. It differs between schedulers, or all would
+    /// find it due at once.
     fn announce_interval(&self, of: u32, at: u32) -> Micros {
         let spread = crc32fast::hash(&[self.own, of, at].map(u32::to_le_bytes).concat());
         self.keep / 4 + self.keep / 4 * Micros::from(spread >> 16) / 65_536
@@ -181,7 +186,7 @@
         Some(self.observations.entry(of).or_default().entry(at).or_insert(blank))
     }
 
-    /// A datagram of the peer of this number.
+    /// Handles a datagram from the peer with this number.
     pub fn receive(&mut self, now: Micros, from: u32, bytes: &[u8]) {
         let Ok(updates) = decode(bytes) else { return };
         self.last_received.insert(from, now);
@@ -197,16 +202,16 @@
                 continue;
             }
             (observation.copies, observation.seen, observation.announced) = (update.copies(), seen, now);
-            // Told by a peer meanwhile, it is not told again.
+            // A peer has announced it in the meantime, so it is not announced again.
             self.pending.remove(&(of, at));
             self.report_to_module(now, of, at);
         }
     }
 
-    /// Lets the module know of a copy, where it has calls for it and what it knows itself grows old.
+    /// Reports a copy to the module if the module has calls for it and its own knowledge is old.
     fn report_to_module(&mut self, now: Micros, of: u32, at: u32) {
-        let recent = self.functions.get(&of).filter(|name| name.used + self.keep >= now);
-        let (Some(name), Some(worker)) = (recent, self.workers.get(&at)) else { return };
+        let recent = self.functions.get(&of).filter(|called| called.used + self.keep >= now);
+        let (Some(called), Some(worker)) = (recent, self.workers.get(&at)) else { return };
         let Some(observation) =
             self.observations.get_mut(&of).and_then(|observations| observations.get_mut(&at))
         else {
@@ -216,19 +221,20 @@
             && observation.known_to_module.is_none_or(|known| observation.seen > known + self.keep / 2)
         {
             observation.known_to_module = Some(now);
-            self.reports.push((worker.id.clone(), name.function.clone(), observation.copies));
+            self.reports.push((worker.id.clone(), called.function.clone(), observation.copies));
         }
     }
 
-    /// Whether nobody can use a copy without our hearing of it: we have listened for as long as one is kept, and lately
-    /// heard at least half of the peers.
+    /// Whether any copy in use would be known here: this scheduler has listened for as long as a copy is retained,
+    /// and has recently received datagrams from at least half of the peers.
     fn silence_is_conclusive(&self, now: Micros) -> bool {
         let recent = self.last_received.values().filter(|at| **at + self.keep / 2 >= now).count();
         now >= self.listening_since + self.keep && recent * 2 >= self.peers
     }
 
-    /// The module asks whether a worker holds copies: what peers tell of the function goes to it as news, and if they
-    /// tell of any copy, what they tell of this worker is the answer. If none of all of them does, no copy is in use.
+    /// Answers the module's query whether a worker has copies loaded. Peers' observations of the function are
+    /// reported to the module. If there is any loaded copy among them, the observation of this worker is the
+    /// answer. If there is none although enough peers are heard, no copy is in use.
     pub fn query(&mut self, now: Micros, worker: &WorkerId, function: &FunctionId) -> Option<u32> {
         self.note_call(now, function);
         let (of, keep) = (name_hash(function.as_str()), self.keep);
@@ -242,7 +248,8 @@
         for at in &loaded {
             let observation =
                 self.observations.get_mut(&of).and_then(|observations| observations.get_mut(at));
-            // It would not ask if it knew; of several questions at once the first brings all.
+            // The module would not query if it knew. Of several queries at the same time, the first reports all
+            // copies.
             if let Some(observation) = observation {
                 observation.known_to_module = observation.known_to_module.filter(|known| *known == now);
             }
@@ -253,7 +260,8 @@
         Some(here.filter(|observation| is_loaded(observation)).map_or(0, |observation| observation.copies))
     }
 
-    /// The copies that stand at a worker, where so many do as the module orders: it need not be told to load them.
+    /// The number of copies loaded at a worker, if it is at least what the module orders, so that the order need
+    /// not be sent.
     pub fn copies_for_order(
         &self,
         now: Micros,
@@ -266,19 +274,19 @@
         (observation.copies >= count && now < observation.seen + self.keep / 2).then_some(observation.copies)
     }
 
-    /// Whether a peer has told of copies there: they are not ours to unload.
+    /// Whether a peer has announced copies there, so that this scheduler must not release them.
     pub fn is_shared(&self, now: Micros, worker: &WorkerId, function: &FunctionId) -> bool {
         let observations = self.observations.get(&name_hash(function.as_str()));
         let observation = observations.and_then(|observations| observations.get(&name_hash(worker.as_str())));
         observation.is_some_and(|f| f.from_peer && f.copies > 0 && now < f.seen + self.keep)
     }
 
-    /// What the module is to hear, since this was last taken.
+    /// Takes the reports for the module since the last call.
     pub fn take_reports(&mut self) -> Vec<CopyReport> {
         std::mem::take(&mut self.reports)
     }
 
-    /// A datagram for all peers, once it is due.
+    /// Returns a datagram for all peers once one is due.
     pub fn next_datagram(&mut self, now: Micros) -> Option<Vec<u8>> {
         self.announce_at.take_if(|at| *at <= now)?;
         if now >= self.next_sweep {
@@ -312,7 +320,7 @@
             .for_each(|observations| observations.retain(|_, observation| now < observation.seen + keep));
         self.observations.retain(|_, observations| !observations.is_empty());
         self.count = self.observations.values().map(BTreeMap::len).sum();
-        self.functions.retain(|_, name| now < name.used + keep * 4);
+        self.functions.retain(|_, called| now < called.used + keep * 4);
     }
 }
 
@@ -329,7 +337,7 @@
         Member { state, started, ..Member::active(name) }
     }
 
-    /// Schedulers of these numbers that know workers a and b, and have called f.
+    /// Schedulers with these numbers that know workers a and b.
     fn fleet(numbers: std::ops::Range<u32>) -> Vec<InstanceDirectory> {
         let each = numbers.map(|own| {
             let mut directory = InstanceDirectory::new(0, (own, 4), KEEP);
@@ -340,36 +348,44 @@
         each.collect()
     }
 
-    fn is_loaded(at: &str, copies: u32) -> CopyReport {
+    fn report(at: &str, copies: u32) -> CopyReport {
         (at.into(), "f".into(), copies)
     }
 
     #[test]
-    fn what_one_has_seen_answers_the_questions_of_all_others_until_it_is_old() {
+    fn an_observation_answers_the_queries_of_all_peers_until_it_expires() {
         let [mut one, mut other] = fleet(0..2).try_into().ok().expect("two");
         let (a, b, f) = ("a".into(), "b".into(), "f".into());
-        assert_eq!(other.query(S, &b, &f), None, "nobody told: the worker is asked");
+        assert_eq!(other.query(S, &b, &f), None, "no peer reported a copy: the worker is queried");
         one.observe(S, &a, &f, 2);
-        assert_eq!(one.next_datagram(S), None, "what is new waits a moment for company");
+        assert_eq!(one.next_datagram(S), None, "an update waits to be batched");
         let told = one.next_datagram(S + FIRST_COPY_DELAY_US).expect("a datagram");
         other.receive(S + FIRST_COPY_DELAY_US, 1, &told);
-        assert_eq!(other.take_reports(), [is_loaded("a", 2)], "it has calls for the function");
+        assert_eq!(other.take_reports(), [report("a", 2)], "it has calls for the function");
         other.receive(2 * S, 1, &told);
-        assert_eq!(other.take_reports(), [], "it knows");
-        assert_eq!(other.query(3 * S, &b, &f), Some(0), "none was told of there, but elsewhere");
+        assert_eq!(other.take_reports(), [], "the module knows already");
+        assert_eq!(other.query(3 * S, &b, &f), Some(0), "no copy is known there, but one elsewhere");
         assert_eq!(other.query(3 * S, &a, &f), Some(2));
-        assert_eq!(other.take_reports(), [is_loaded("a", 2)], "told again, as it asks; once");
-        assert_eq!(other.copies_for_order(3 * S, &a, &f, 2), Some(2), "an order would bring nothing");
+        assert_eq!(
+            other.take_reports(),
+            [report("a", 2)],
+            "reported again, once, because the module queries"
+        );
+        assert_eq!(other.copies_for_order(3 * S, &a, &f, 2), Some(2), "the copies are loaded already");
         assert_eq!(
             [other.copies_for_order(3 * S, &a, &f, 3), other.copies_for_order(3 * S, &b, &f, 1)],
             [None, None]
         );
-        assert_eq!(other.copies_for_order(2 * S + KEEP / 2, &a, &f, 2), None, "it may go soon");
-        assert_eq!(other.query(2 * S + KEEP, &b, &f), None, "a copy unused for so long may be gone");
+        assert_eq!(other.copies_for_order(2 * S + KEEP / 2, &a, &f, 2), None, "it may be released soon");
+        assert_eq!(
+            other.query(2 * S + KEEP, &b, &f),
+            None,
+            "a copy unused for that long may have been released"
+        );
     }
 
     #[test]
-    fn what_a_peer_has_told_is_not_told_again_until_it_is_due() {
+    fn an_announced_observation_is_not_announced_again_until_it_is_due() {
         let mut fleet = fleet(0..40);
         let (a, f) = ("a".into(), "f".into());
         fleet[0].observe(S, &a, &f, 1);
@@ -379,7 +395,7 @@
             directory.observe(3 * S, &a, &f, 1);
             assert_eq!(directory.next_datagram(4 * S), None);
         }
-        // By then it is, for some before others.
+        // By then it is due for some and not yet for others.
         let mut again = 0;
         for directory in &mut fleet[1..] {
             directory.observe(2 * S + KEEP * 3 / 8, &a, &f, 1);
@@ -389,7 +405,7 @@
     }
 
     #[test]
-    fn a_copy_that_is_gone_or_a_worker_that_started_anew_is_not_believed_in() {
+    fn observations_of_released_copies_and_restarted_workers_are_discarded() {
         let [mut one, mut other, mut third] = fleet(0..3).try_into().ok().expect("three");
         let (a, b, f) = ("a".into(), "b".into(), "f".into());
         one.observe(S, &a, &f, 1);
@@ -398,7 +414,7 @@
         for directory in [&mut other, &mut third] {
             directory.receive(2 * S, 1, &told);
         }
-        // It was used there, and has gone since: all hear of that.
+        // A call was served there in the meantime and the copy is gone: every peer receives that.
         other.observe(3 * S, &a, &f, 0);
         let gone = other.next_datagram(5 * S).expect("a datagram");
         third.receive(5 * S, 1, &gone);
@@ -408,7 +424,7 @@
         let of_b =
             |age| encode(&[InstanceUpdate::new((name_hash("f"), name_hash("b")), age, 1)]).expect("it fits");
         third.receive(5 * S, 1, &of_b(S));
-        assert_eq!(third.query(5 * S, &b, &f), None, "seen before it started");
+        assert_eq!(third.query(5 * S, &b, &f), None, "observed before the worker started");
         third.receive(6 * S, 1, &of_b(0));
         assert_eq!(third.query(6 * S, &b, &f), Some(1));
         third.update_members(MembersKind::Changes, &[member("b", State::Leaving, 5 * S)]);
@@ -419,7 +435,7 @@
     }
 
     #[test]
-    fn silence_of_all_says_that_no_copy_is_in_use_and_silence_of_most_says_nothing() {
+    fn no_report_means_no_copy_in_use_only_if_enough_peers_are_heard() {
         let [mut many, mut few] = fleet(0..2).try_into().ok().expect("two");
         let (a, f, g) = ("a".into(), "f".into(), "g".into());
         let told = encode(&[InstanceUpdate::new((name_hash("f"), name_hash("a")), 0, 1)]).expect("it fits");
@@ -428,26 +444,26 @@
             many.receive(now, 1, &told);
             many.receive(now, 2 + second as u32 % 2, &told);
             few.receive(now, 1, &told);
-            // As long as one could stand since before we listened, the worker is asked.
+            // As long as a copy could be loaded since before this scheduler listened, the worker is queried.
             assert_eq!(many.query(now, &a, &g), (now >= KEEP).then_some(0), "{second}");
             assert_eq!((few.query(now, &a, &g), few.query(now, &a, &f)), (None, Some(1)));
         }
-        assert_eq!(many.query(11 * S + KEEP, &a, &g), None, "cut off since");
+        assert_eq!(many.query(11 * S + KEEP, &a, &g), None, "no datagram has arrived since");
     }
 
     #[test]
-    fn copies_that_peers_use_are_not_ours_to_unload() {
+    fn copies_used_by_peers_are_not_released() {
         let [mut one, mut other] = fleet(0..2).try_into().ok().expect("two");
         let (a, f) = ("a".into(), "f".into());
         one.observe(S, &a, &f, 1);
-        assert!(!one.is_shared(S, &a, &f), "ours alone");
+        assert!(!one.is_shared(S, &a, &f), "not announced by a peer");
         let told = one.next_datagram(2 * S).expect("a datagram");
         other.receive(2 * S, 1, &told);
         assert!(other.is_shared(2 * S, &a, &f) && !other.is_shared(2 * S + KEEP, &a, &f));
     }
 
     #[test]
-    fn whatever_comes_takes_bounded_memory_and_a_datagram_holds_what_it_may() {
+    fn memory_is_bounded_for_any_input_and_datagrams_are_filled() {
         let [mut one, mut other] = fleet(0..2).try_into().ok().expect("two");
         let update = |of: u32| InstanceUpdate::new((of, name_hash("a")), 0, 1);
         for first in (0..MAX_OBSERVATIONS as u32 * 2).step_by(InstanceUpdate::MAX_PER_DATAGRAM) {
@@ -469,7 +485,7 @@
         let of_another = InstanceUpdate::new((1, name_hash("unknown")), 0, 1);
         other.receive(S, 1, &encode(&[of_another]).expect("it fits"));
         assert_eq!(other.count, 0);
-        // The old make room.
+        // Expired observations free capacity.
         one.receive(2 * KEEP, 1, &encode(&[update(u32::MAX)]).expect("it fits"));
         assert_eq!(one.count, 1);
     }
--- a/crates/node/src/job.rs
+++ b/crates/node/src/job.rs
@@ -1,4 +1,4 @@
-//! What connections to workers are used for, and how that ends.
+//! Jobs sent over connections to workers, and how they end.
 
 use crate::work::{CallPayload, ReplyBody};
 use basaltward::{Code, CopyNote, FunctionId, Micros};
@@ -6,16 +6,16 @@
 use basaltward_worker_lines::{Note, Reply, Word};
 use std::sync::Arc;
 
-/// What a connection is used for.
+/// A request to a worker.
 #[derive(Clone)]
 pub enum Job {
-    /// A call.
+    /// An attempt of a call.
     Attempt { id: AttemptId, work: Arc<CallPayload>, function: FunctionId, until: Micros },
-    /// An order, or a question where `count` is 0.
+    /// An order to load copies, or a query for loaded copies if `count` is 0.
     Order { id: OrderId, function: FunctionId, count: u32 },
     /// A probe.
     Probe(OrderId),
-    /// Idle copies are to go; nobody waits for an answer.
+    /// Release of idle copies; it is not answered.
     Release(FunctionId),
 }
 
@@ -23,13 +23,13 @@
 pub enum JobEnd {
     /// An attempt.
     Attempt(AttemptId, AttemptEnd<ReplyBody>),
-    /// An order or a question: copies standing.
+    /// An order or a query, with the number of loaded copies.
     Order(OrderId, Code, u32),
-    /// A probe.
+    /// A probe, with the worker's load report.
     Probe(OrderId, Code, Vec<f64>),
 }
 
-/// Names a job that somebody waits for.
+/// Identifies a job that is waited for.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum JobKey {
     Attempt(AttemptId),
@@ -44,7 +44,8 @@
     }
 }
 
-/// The id of a job on the wire. Those of calls are hex digits alone, so no tag can be taken for one.
+/// The id of a job on the wire. Ids of calls consist of hex digits only, so they can't collide with those of orders
+/// and probes.
 pub fn wire_id(job: &Job) -> String {
     match job {
         Job::Attempt { work, .. } => work.id.clone(),
@@ -54,7 +55,7 @@
     }
 }
 
-/// The end of a job that got no whole answer.
+/// The end of a job without a complete answer.
 pub fn end_without_reply(job: &Job, code: Code) -> Option<JobEnd> {
     match job {
         Job::Attempt { id, .. } => Some(JobEnd::Attempt(*id, AttemptEnd::bare(code))),
@@ -64,7 +65,7 @@
     }
 }
 
-/// The end of a job that was answered; `report` names the figures that are wanted.
+/// The end of an answered job; `report` names the values to take from the load report.
 pub fn end_with_reply(job: &Job, reply: Reply, report: &[String]) -> Option<JobEnd> {
     let code = match reply.word {
         Word::Ok | Word::Up => Code::Ok,
@@ -74,7 +75,7 @@
         Word::Void => Code::Moot,
     };
     Some(match job {
-        // Not an answer to a call: what became of it is not known.
+        // Not a valid answer to a call: its outcome is unknown.
         Job::Attempt { id, .. } if matches!(reply.word, Word::Up | Word::Down) => {
             JobEnd::Attempt(*id, AttemptEnd::bare(Code::Unknown))
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
-//! The live scheduler of a platform: the engine and its module between clients that speak framed Thrift,
-//! workers that speak lines, and a bulletin that tells which workers there are. One loop on one thread moves
-//! the bytes; every decision on a call stays with the module.
+//! The live scheduler of a platform. It connects the engine and its module to clients that use framed Thrift, to
+//! workers that use a line protocol, and to the bulletin that lists the workers. One loop on one thread moves the
+//! bytes; every decision on a call is the module's.
 #![warn(missing_docs)]
 
 mod budget;
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -1,8 +1,8 @@
-//! Connections to the workers: several a worker, many requests on each, every one of them ended by what is
-//! proven.
+//! Connections to the workers: several per worker, with many requests on each. A request ends only with an outcome
+//! that can be proven.
 //!
-//! What proves that a request never ran: it was not given to the socket whole, or the worker says so. All
-//! else, once its last byte is with the socket, may have run.
+//! A request provably never ran if its socket did not take all of its bytes, or if the worker says so. Any other
+//! request may have run once its last byte is with the socket.
 
 use crate::Budget;
 pub use crate::job::{Job, JobEnd};
@@ -22,33 +22,33 @@
 use std::sync::Arc;
 use tracing::debug;
 
-/// Bounds of a worker's answer.
+/// Size limits of a worker's answer.
 const ANSWER_LIMITS: LineLimits = LineLimits { line: 2 << 10, body: 64 << 10 };
-/// Bytes given to a connection and not yet with its socket, past which requests wait outside; and so many its socket
-/// holds that its worker has not taken.
+/// Bytes in a connection's output buffer past which further requests wait in its queue. The same bound applies to
+/// the bytes that the system's send buffer holds and the worker has not taken.
 const MAX_UNSENT_BYTES: usize = 64 << 10;
 
-/// Requests that have ended lately, kept for each that may be in hand.
+/// Recently ended request ids that are remembered, per call that may be in flight.
 const RECENT_IDS_PER_CALL: usize = 4;
 
-/// Things due that are done at once.
+/// Timers handled in one call of [`Links::wake`].
 const MAX_DUE_PER_WAKE: usize = 32;
-/// How long a request that was given up may take to be read: half of what the terms allow an attempt to begin
-/// after its client has gone.
+/// Time for a worker to read a request that was given up. It is half of the time within which the platform lets an
+/// attempt begin after its client has gone.
 const READ_GRACE_US: Micros = 50_000;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Connection(ConnId),
     Attempt(AttemptId),
-    /// A request was given up that its worker may not have read.
+    /// Checks whether the worker has read a request that was given up.
     UnreadCheck(ConnId, Span),
 }
 
-/// A job whose bytes were given to the connection.
+/// A job whose bytes were written to the connection's output.
 struct OpenJob {
     job: Job,
-    /// Its bytes among those given to the connection.
+    /// Position of its bytes in the connection's output.
     span: Span,
     since: Micros,
 }
@@ -57,17 +57,18 @@
     worker: WorkerId,
     decoder: AnswerDecoder,
     is_connected: bool,
-    /// It takes no more jobs, and ends once those on it have.
+    /// The connection takes no more jobs and closes once its last job has ended.
     is_retired: bool,
     queue: VecDeque<Job>,
-    /// By the id on the wire.
+    /// Jobs awaiting an answer, by their id on the wire.
     open: HashMap<String, OpenJob>,
     sent_bytes: SentBytes,
     last_input: Micros,
     last_used: Micros,
-    /// Its timer is set: one for each connection, set anew where it comes too early.
+    /// Whether its timer is set. There is one timer per connection; it is set again if it fires too early.
     has_timer: bool,
-    /// Nothing has come on it since a request went out that was given up: the system may hold that request still.
+    /// Nothing has arrived since a request was sent that has been given up, so the system may still hold that
+    /// request.
     maybe_unread: bool,
 }
 
@@ -76,7 +77,7 @@
         self.open.len() + self.queue.len()
     }
 
-    /// Takes a request out again of which the socket has nothing.
+    /// Withdraws a request of which the socket has no byte.
     fn withdraw(&mut self, io: &mut Io, conn: ConnId, id: &str) -> Option<OpenJob> {
         let open = self.open.remove(id)?;
         let others = self.open.values_mut().map(|other| &mut other.span);
@@ -87,7 +88,7 @@
         None
     }
 
-    /// Takes out again the calls and orders to load of which the socket has nothing.
+    /// Withdraws the calls and load orders of which the socket has no byte.
     fn withdraw_new_work(&mut self, io: &mut Io, conn: ConnId) -> Vec<Job> {
         let new = |open: &OpenJob| match open.job {
             Job::Attempt { .. } => true,
@@ -98,7 +99,7 @@
         ids.iter().filter_map(|id| self.withdraw(io, conn, id)).map(|open| open.job).collect()
     }
 
-    /// Takes out again all that waits, and all of which the socket has nothing.
+    /// Withdraws all queued jobs, and all requests of which the socket has no byte.
     fn withdraw_all(&mut self, io: &mut Io, conn: ConnId) -> Vec<Job> {
         let ids: Vec<_> = self.open.keys().cloned().collect();
         let mut jobs: Vec<_> = ids.iter().filter_map(|id| self.withdraw(io, conn, id)).collect();
@@ -113,7 +114,7 @@
     conns: Vec<ConnId>,
 }
 
-/// All links of the loop.
+/// All connections to workers.
 pub struct Links {
     budget: Budget,
     settings: LinkFigures,
@@ -121,22 +122,23 @@
     report: Vec<String>,
     workers: BTreeMap<WorkerId, Worker>,
     conns: HashMap<ConnId, Link>,
-    /// Where each job with a name is, and its id on the wire.
+    /// The connection of each job that has a key, and the job's id on the wire.
     jobs: HashMap<JobKey, (ConnId, String)>,
     due: Timers<Due>,
     recent_ids: RecentIds,
-    /// What was given to connections since this was last taken.
+    /// Attempts and orders written since this was last drained.
     pub sent_items: Vec<SentItem>,
-    /// Connections with output that their sockets may not have.
+    /// Connections whose output may not have reached their socket.
     unsent: Vec<ConnId>,
-    /// Workers whose last connection has ended by itself, or whose only one never stood, since this was last taken.
+    /// Workers whose last open connection was closed by the other side or failed, or whose only connection was
+    /// never established, since this was last taken.
     pub disconnected: Vec<WorkerId>,
-    /// Workers to which a connection was begun while none stood, since this was last taken: nothing would have told of a
-    /// restart until then.
+    /// Workers to which a connection was opened while there was none, since this was last taken. Without a
+    /// connection a restart of the worker goes unnoticed.
     pub first_connected: Vec<WorkerId>,
 }
 
-/// An attempt or an order whose bytes were given to a connection.
+/// An attempt or an order that was written to a connection's output.
 pub struct SentItem {
     pub conn: ConnId,
     pub worker: WorkerId,
@@ -149,7 +151,7 @@
 }
 
 impl Links {
-    /// Links without connections.
+    /// Creates the links without any connection.
     pub fn new(config: &crate::NodeConfig) -> Self {
         let settings = &config.settings;
         Self {
@@ -173,14 +175,15 @@
         self.due.next()
     }
 
-    /// Whether this connection is one to a worker.
+    /// Whether this connection leads to a worker.
     pub fn owns(&self, conn: ConnId) -> bool {
         self.conns.contains_key(&conn)
     }
 
     // ---- workers -----------------------------------------------------------------------------------------
 
-    /// Takes a list of workers. What has not begun to leave for one that is draining or gone is withdrawn.
+    /// Applies a list of workers, or changes to it. Jobs for a worker that is draining or gone are withdrawn if the
+    /// socket has no byte of them.
     pub fn update_members(
         &mut self,
         io: &mut Io,
@@ -227,13 +230,13 @@
         }
     }
 
-    /// Jobs that these workers have of ours.
+    /// Number of jobs of this scheduler at these workers.
     pub fn count_jobs(&self, workers: &[&str]) -> usize {
         let there = self.conns.values().filter(|link| workers.contains(&&*link.worker.to_string()));
         there.map(Link::load).sum()
     }
 
-    /// A connection takes no more jobs; it ends at once where none is on it.
+    /// Lets a connection take no more jobs, and closes it at once if none is on it.
     fn retire(&mut self, io: &mut Io, conn: ConnId) {
         let Some(link) = self.conns.get_mut(&conn) else { return };
         link.is_retired = true;
@@ -244,7 +247,7 @@
 
     // ---- jobs --------------------------------------------------------------------------------------------
 
-    /// Begins a job. Gives its end at once where no byte can leave.
+    /// Starts a job. Returns its end at once if no byte of it can be sent.
     pub fn start(&mut self, io: &mut Io, now: Micros, worker: &WorkerId, job: Job) -> Option<JobEnd> {
         if !self.workers.get(worker).is_some_and(|w| w.state == State::Active) {
             return end_without_reply(&job, Code::Moot);
@@ -254,12 +257,13 @@
         let conn = loop {
             let (chosen, room) = self.choose(worker, &job, may_connect);
             match chosen {
-                // The worker's close may have come with what this turn has not read: what is written behind it never
-                // runs, and nobody could tell.
+                // The worker may have closed the connection in input that this turn has not read yet. A request
+                // written after that never runs, but that could not be proven.
                 Some(conn) if self.is_open(conn) && io.has_ended(conn) => self.retire(io, conn),
                 Some(conn) => break conn,
                 None if !room => return end_without_reply(&job, Code::Full),
-                // A lack of descriptors says nothing of the worker: the request shares a connection where it can.
+                // Running out of descriptors says nothing about the worker: the request shares a connection if it
+                // can.
                 None => match self.connect(io, now, worker) {
                     Some(conn) => break conn,
                     None => may_connect = false,
@@ -285,8 +289,8 @@
         self.conns.get(&conn).is_some_and(|link| link.is_connected)
     }
 
-    /// The connection for a job, where there is one, and whether there may be one more; `spare` tells whether
-    /// descriptors can be had.
+    /// Returns the connection for a job, if there is one, and whether another one may be opened; `may_connect` is
+    /// false if no descriptors are left.
     fn choose(&self, worker: &WorkerId, job: &Job, may_connect: bool) -> (Option<ConnId>, bool) {
         let held = self.workers.get(worker).map(|known| known.conns.as_slice()).unwrap_or_default();
         let streams = self.settings.streams.max(1);
@@ -295,9 +299,10 @@
         let fresh = |conn: &ConnId| !matches!(job, Job::Attempt { work, .. } if again(work, *conn));
         let link = |conn: &ConnId| self.conns.get(conn).filter(|l| !l.is_retired && l.load() < streams);
         let open = held.iter().filter(|conn| fresh(conn)).filter_map(|c| Some((*c, link(c)?)));
-        // Of those as free as one another the one used last: the others may go.
+        // Among equally loaded connections, prefer the most recently used one, so that the others can idle out.
         let best = open.min_by_key(|(_, l)| (l.load(), !l.is_connected, std::cmp::Reverse(l.last_used)));
-        // A request has a connection to itself where there are enough: what breaks one breaks all on it.
+        // An attempt has a connection to itself while there are enough: a failure of a connection ends every
+        // request on it.
         let alone = matches!(job, Job::Attempt { .. });
         let each = self.budget.links_per_worker(self.workers.len());
         let room = may_connect && held.len() < each && self.conns.len() < self.budget.links;
@@ -335,7 +340,7 @@
         Some(conn)
     }
 
-    /// Gives what waits to a connection that stands, as long as its socket takes it.
+    /// Writes queued jobs to an established connection as long as its output has capacity.
     fn write(&mut self, io: &mut Io, now: Micros, conn: ConnId) {
         let Some(link) = self.conns.get_mut(&conn).filter(|l| l.is_connected) else { return };
         while io.unsent(conn) < MAX_UNSENT_BYTES
@@ -372,9 +377,10 @@
         }
     }
 
-    /// Takes back the new work of which the socket has nothing and that may begin no more: `until` tells for each worker
-    /// until when it may. Called just before output is written, with the time of that moment: what was decided may have
-    /// waited for a connection, in an output that is not read, or while the process stood still.
+    /// Withdraws new work of which the socket has no byte and that may no longer begin; `until` returns for each
+    /// worker the time until which new work may begin there. Call this just before output is flushed, with the time
+    /// of that moment: the decision may have waited for a connection, in an output that the worker does not read,
+    /// or while the process was stalled.
     pub fn withdraw_late(
         &mut self,
         io: &mut Io,
@@ -390,7 +396,7 @@
                 continue;
             }
             for job in link.withdraw_new_work(io, *conn) {
-                debug!(worker = %link.worker, "taken back: new work may no longer begin there");
+                debug!(worker = %link.worker, "withdrawn: new work may no longer begin at this worker");
                 job_key(&job).map(|key| self.jobs.remove(&key));
                 done.extend(end_without_reply(&job, Code::Moot));
             }
@@ -400,12 +406,13 @@
         done
     }
 
-    /// Calls an attempt off: one of which the socket has nothing is withdrawn and never ran, else the worker is told.
+    /// Cancels an attempt. If the socket has no byte of it, it is withdrawn and never ran; otherwise the worker is
+    /// notified.
     pub fn abort_attempt(&mut self, io: &mut Io, now: Micros, id: AttemptId) -> Option<JobEnd> {
         self.abort(io, now, JobKey::Attempt(id), Code::Cancelled)
     }
 
-    /// Waits no longer for an order or a probe.
+    /// Stops waiting for an order or a probe.
     pub fn abort_order(&mut self, io: &mut Io, now: Micros, id: OrderId) {
         self.abort(io, now, JobKey::Order(id), Code::Cancelled);
     }
@@ -418,8 +425,8 @@
             code = Code::Moot;
             link.queue.remove(at)?
         } else {
-            // Nothing has come on it since the request went out, for as long as it may take to connect anew: the
-            // machine behind it may be gone, and new requests would only vanish there too.
+            // Nothing has arrived since the request was sent, for as long as connecting may take. The machine
+            // behind the connection may be gone, and new requests on it would be lost too.
             let since = link.open.get(&id)?.since;
             silent = link.last_input < since && now >= since + self.settings.connect_timeout;
             if let Some(open) = link.withdraw(io, conn, &id) {
@@ -430,7 +437,8 @@
                 if let Job::Attempt { work, .. } = &job {
                     self.recent_ids.insert(now, conn, work.number);
                     link.maybe_unread |= link.last_input < since;
-                    // A socket that takes nothing more tells at once that its worker does not read, else its silence does.
+                    // A socket that takes no more bytes shows at once that its worker does not read; otherwise only
+                    // the worker's silence shows it.
                     let stuck = io.is_stuck(conn);
                     if stuck || link.maybe_unread {
                         let at = if stuck { now } else { since + self.settings.connect_timeout };
@@ -450,21 +458,21 @@
         end_without_reply(&job, code)
     }
 
-    /// A connection on which a job has ended goes, or is kept for the next.
+    /// Closes a retired connection whose last job has ended; keeps any other for the next job until it idles out.
     fn close_or_keep(&mut self, io: &mut Io, now: Micros, conn: ConnId) {
         let idle = self.settings.idle_close / 2;
         let Some(link) = self.conns.get_mut(&conn).filter(|l| l.load() == 0) else { return };
         if link.is_retired {
             self.close(io, conn);
         } else if idle > 0 && !std::mem::replace(&mut link.has_timer, true) {
-            // Before the worker does: a request that crosses its close may have run.
+            // Close before the worker does: a request that crosses the worker's close may have run.
             self.due.set(now + idle, Due::Connection(conn));
         }
     }
 
-    /// Ends a connection on which nothing is waited for. Its descriptor goes at once: beside those of the connections
-    /// that may stand there is no room for others that wait for their workers. What the system may still hold of a
-    /// request that was given up goes with it, or it would begin whenever the worker is back.
+    /// Closes a connection with no outstanding jobs. Its descriptor is released at once, because the budget has
+    /// none to spare beyond those of open connections. If the system may still hold a request that was given up,
+    /// the connection is reset: that request would otherwise begin whenever the worker is back.
     fn close(&mut self, io: &mut Io, conn: ConnId) {
         match self.conns.get(&conn).is_some_and(|link| link.maybe_unread) {
             true => io.leave_by_reset(conn),
@@ -473,20 +481,21 @@
         self.remove_link(conn);
     }
 
-    /// A request was given up a moment ago that its worker may not have read. Where the socket still has not taken the
-    /// rest of it, or the worker is as silent as before and takes nothing more or has nothing else of ours, the connection
-    /// is reset, and with it what else is on it: that request would begin with nobody waiting for it.
+    /// Checks a connection on which a request was given up that its worker may not have read. The connection is
+    /// reset, with everything else on it, if the socket has not taken the rest of that request, or if the worker is
+    /// still silent and either takes no more bytes or has no other job on it. Otherwise the request would begin
+    /// with no client waiting for it.
     fn reset_unless_read(&mut self, io: &mut Io, conn: ConnId, of: Span, done: &mut Vec<JobEnd>) {
         let Some(link) = self.conns.get(&conn) else { return };
         let has_left = link.sent_bytes.progress(io, conn, of) == SendProgress::Complete;
         let is_unread = link.maybe_unread && (io.is_stuck(conn) || link.load() == 0);
         if !has_left || is_unread {
-            debug!(worker = %link.worker, "reset: a request that was given up has not been read");
+            debug!(worker = %link.worker, "connection reset: the worker has not read a request that was given up");
             self.close_with(io, conn, Code::Reset, Io::reset, done);
         }
     }
 
-    /// Drops all that is known of a connection; gives it.
+    /// Removes a connection and returns it.
     fn remove_link(&mut self, conn: ConnId) -> Option<Link> {
         let link = self.conns.remove(&conn)?;
         if let Some(known) = self.workers.get_mut(&link.worker) {
@@ -498,7 +507,7 @@
 
     // ---- what happens on connections ---------------------------------------------------------------------
 
-    /// A connection stands.
+    /// Handles an established connection.
     pub fn connected(&mut self, io: &mut Io, now: Micros, conn: ConnId) {
         if let Some(link) = self.conns.get_mut(&conn) {
             (link.is_connected, link.last_input) = (true, now);
@@ -506,12 +515,12 @@
         self.write(io, now, conn);
     }
 
-    /// Output that had waited is written.
+    /// Resumes writing once buffered output has been written.
     pub fn drained(&mut self, io: &mut Io, now: Micros, conn: ConnId) {
         self.write(io, now, conn);
     }
 
-    /// Bytes have come.
+    /// Reads answers from the connection's input.
     pub fn receive(&mut self, io: &mut Io, now: Micros, conn: ConnId, done: &mut Vec<JobEnd>) {
         loop {
             let Some(link) = self.conns.get_mut(&conn) else { return };
@@ -519,8 +528,8 @@
             (link.last_input, link.maybe_unread) = (now, false);
             match link.decoder.next(input) {
                 Ok(Some(reply)) => {
-                    // Under an id that nobody waits for, or no longer: a second copy, or an answer to what was
-                    // given up. It is whole, so what follows can be read.
+                    // No job waits under this id: a duplicate answer, or the answer to a request that was given up.
+                    // The answer is complete, so the input that follows can be read.
                     let Some(open) = link.open.remove(&reply.id) else { continue };
                     if let Job::Attempt { work, .. } = &open.job {
                         self.recent_ids.insert(now, conn, work.number);
@@ -549,7 +558,7 @@
         }
     }
 
-    /// A connection has ended, by the worker or on the way.
+    /// Handles a connection that failed or was closed by the worker.
     pub fn ended(&mut self, io: &mut Io, conn: ConnId, how: End, done: &mut Vec<JobEnd>) {
         let code = if how == End::ConnectFailed { Code::ConnectFailed } else { Code::Reset };
         let worker = self.conns.get(&conn).map(|link| link.worker.clone());
@@ -557,18 +566,18 @@
         self.disconnected.extend(worker.filter(|worker| !self.has_open_connection(worker)));
     }
 
-    /// Whether a connection to a worker stands.
+    /// Whether a connection to the worker is established.
     fn has_open_connection(&self, worker: &WorkerId) -> bool {
         let held = self.workers.get(worker).map(|known| known.conns.as_slice()).unwrap_or_default();
         held.iter().any(|conn| self.is_open(*conn))
     }
 
-    /// Ends a connection and all that is on it: what was not written whole never ran.
+    /// Aborts a connection and ends every job on it. Requests that the socket did not take completely never ran.
     fn abort_link(&mut self, io: &mut Io, conn: ConnId, code: Code, done: &mut Vec<JobEnd>) {
         self.close_with(io, conn, code, Io::abort, done);
     }
 
-    /// As [`Links::break_off`]; how the socket is closed is told.
+    /// As [`Links::abort_link`], with `close` closing the socket.
     fn close_with(
         &mut self,
         io: &mut Io,
@@ -591,8 +600,9 @@
         }
     }
 
-    /// Does what is due: connections that do not stand, idle ones, attempts out of time. No more than a small
-    /// number, so that answers that become due meanwhile go in between; [`Links::next_due`] tells of the rest.
+    /// Handles due timers: connections that are not established in time, idle connections and attempts past their
+    /// deadline. Handles a bounded number per call, so that due answers go out in between; [`Links::next_due`]
+    /// reports the rest.
     pub fn wake(&mut self, io: &mut Io, now: Micros, done: &mut Vec<JobEnd>) {
         for _ in 0..MAX_DUE_PER_WAKE {
             let Some((_, due)) = self.due.due(now) else { return };
@@ -606,7 +616,7 @@
                     if !link.is_connected {
                         self.abort_link(io, conn, Code::ConnectFailed, done);
                     } else if link.load() > 0 || idle == 0 {
-                        // Set again once it is idle.
+                        // The timer is set again when the connection becomes idle.
                     } else if link.last_used + idle <= now {
                         self.close(io, conn);
                     } else {
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -1,4 +1,4 @@
-//! The bulletin's entries as the module's members.
+//! Converts the bulletin's entries to the module's members.
 
 use crate::config::NodeConfig;
 use crate::start_times::StartTimes;
@@ -8,12 +8,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
 
-/// Turns names into the module's positions and wall times into the loop's.
+/// Maps names to the module's indexes, and wall times to the loop's clock.
 pub struct MemberMapper {
     kinds: Vec<String>,
     zones: Vec<String>,
     starts: StartTimes,
-    /// By how many microseconds the machine's wall clock counts as stepped: for tests.
+    /// Offset in microseconds that is added to the machine's wall clock, for tests.
     wall_step: Arc<AtomicI64>,
 }
 
@@ -23,7 +23,8 @@
         Self { kinds: config.settings.kinds.clone(), zones: config.settings.zones.clone(), starts, wall_step }
     }
 
-    /// A name that the settings don't hold has the place after the last: the module takes it for an average.
+    /// A name that the settings don't contain maps to the index after the last; the module assumes average values
+    /// for it.
     fn member(&self, target: &Target, started: Micros) -> Member {
         let position =
             |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len());
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The list has said all that it has to say by now.
+    /// The list is complete as of now.
     pub fn list_confirmed(&mut self, now: Micros) {
         self.starts.list_confirmed(now);
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The loop: clients, engine, workers and bulletin joined. It carries bytes and messages between them.
+//! The event loop: carries bytes and messages between clients, engine, workers and bulletin.
 
 use crate::Budget;
 use crate::config::{ConfigError, NodeConfig, load_with_view};
@@ -31,21 +31,24 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-/// What comes later than this after SIGTERM is turned away, and connections are closed as they have nothing open.
+/// Latest time after SIGTERM from which requests are rejected and connections are closed as soon as they have
+/// nothing open.
 const LATEST_REJECT_US: Micros = 900_000;
-/// But not before this: clients come for up to 0.6 s, and the page allows 50 ms more.
+/// Earliest time for that: clients may send requests for up to 0.6 s, and the platform allows another 50 ms.
 const EARLIEST_REJECT_US: Micros = 650_000;
-/// Closing the connections, with what crosses that, takes so long before SIGKILL.
+/// Time reserved before SIGKILL for closing connections and for requests that cross the close.
 const CLOSE_CONNECTIONS_US: Micros = 200_000;
-/// What comes later than this after SIGTERM is lost if SIGKILL finds it open.
+/// Requests that arrive later than this after SIGTERM may be lost if they are open at SIGKILL.
 const EXCUSED_AFTER_TERM_US: Micros = 700_000;
-/// SIGKILL may come the longest deadline, but no more than this, and [`EXCUSED_US`] after SIGTERM.
+/// Upper bound on the deadline that counts for SIGKILL. It may come the longest deadline or this, whichever is
+/// shorter, plus [`EXCUSED_AFTER_TERM_US`] after SIGTERM.
 const MAX_KILL_DELAY_US: Micros = 3_000_000;
-/// What our clock and the platform's may lie apart at SIGTERM, and an answer may take to its client.
+/// Allowance for the offset between this clock and the platform's at SIGTERM, and for an answer to reach its
+/// client.
 const CLOCK_SKEW_US: Micros = 100_000;
-/// The page's slack of each time limit: what a request takes to its worker once it is written.
+/// Slack that the platform grants on each time limit: the time that a written request takes to its worker.
 const SEND_SLACK_US: Micros = 50_000;
-/// How long the last answers may take to be read, and those who still wait to be accepted.
+/// Time for clients to read the last answers, and for clients still waiting to be accepted.
 const LAST_ANSWERS_US: Micros = 1_500_000;
 /// Interval at which an unusable configuration is read again after SIGHUP.
 const RELOAD_RETRY_US: Micros = 100_000;
@@ -58,13 +61,13 @@
     /// The configuration can't be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The system refused something.
+    /// The operating system refused a request.
     #[error(transparent)]
     Net(#[from] NetError),
-    /// It can't have its peers.
+    /// The connection to its peers can't be set up.
     #[error(transparent)]
     Peers(#[from] PeerError),
-    /// The module can't decide by the settings.
+    /// The module rejects the settings.
     #[error("configuration, at settings: {0}")]
     Settings(#[from] SettingsError),
 }
@@ -73,10 +76,10 @@
 pub struct Node {
     name: String,
     path: PathBuf,
-    /// The configuration of the start, without the events that it held.
+    /// The configuration read at the start, without its list of workers.
     config: NodeConfig,
     address: SocketAddr,
-    /// When the configuration of the start was about to be read.
+    /// When the process began to read its first configuration.
     started_at: Micros,
     io: Io,
     engine: Engine<CallPayload, ReplyBody>,
@@ -85,30 +88,30 @@
     follower: Follower,
     feeds: HashMap<ConnId, FeedId>,
     members: MemberMapper,
-    /// The fleet's view, where the configuration asks for it.
+    /// The fleet's view, if the configuration enables it.
     fleet: Option<Fleet>,
-    /// What peers tell of copies, where the settings allow it.
+    /// Gossip with peers about copies, if the settings allow it.
     gossip: Option<Gossip>,
     pace: Pace,
-    /// When SIGTERM came.
+    /// When SIGTERM arrived.
     term_at: Option<Micros>,
-    /// How long after SIGTERM requests are turned away.
+    /// Time after SIGTERM from which requests are rejected.
     rejects_after: Micros,
-    /// How long after SIGTERM the last answer has to be given: SIGKILL may come soon after.
+    /// Time after SIGTERM by which the last answer has to be written: SIGKILL may follow soon after.
     answer_by: Micros,
-    /// When an answer was put out last.
+    /// When the last answer was written to a connection's output.
     last_answer: Micros,
     is_rejecting: bool,
-    /// Someone was accepted in this turn.
+    /// Whether a client was accepted in this turn.
     has_accepted: bool,
-    /// When the configuration is read again, and how often it may still be.
+    /// When the configuration is read again, and how many retries remain.
     reload: Option<(Micros, u32)>,
     outputs: Vec<Output<CallPayload, ReplyBody>>,
-    /// What writing in the middle of a turn has brought, for the next one.
+    /// Events caused by a flush within a turn; handled in the next turn.
     deferred_events: Vec<Happened>,
-    /// Ends of what was taken back in the middle of a turn.
+    /// Ends of jobs that were withdrawn within a turn.
     withdrawn: Vec<JobEnd>,
-    /// How far the list is to be believed, as the module was told it last.
+    /// Trust in the list of workers, as last passed to the module.
     list_trust: Option<ListTrust>,
     discovery_log: DiscoveryLog,
     recorder: TraceRecorder,
@@ -118,7 +121,7 @@
 const STOP: u8 = 1;
 const RELOAD: u8 = 2;
 
-/// Tells a scheduler from another thread what signals tell a process.
+/// Controls a scheduler from another thread, as signals control a process.
 #[derive(Clone)]
 pub struct Control {
     commands: Arc<AtomicU8>,
@@ -131,12 +134,12 @@
         self.waker.wake();
     }
 
-    /// As SIGTERM.
+    /// Has the effect of SIGTERM.
     pub fn stop(&self) {
         self.command(STOP);
     }
 
-    /// As SIGHUP.
+    /// Has the effect of SIGHUP.
     pub fn reload(&self) {
         self.command(RELOAD);
     }
@@ -149,7 +152,7 @@
         module,
         in_hand: config.budget.calls,
         waiters: 1,
-        // A client's retry has a new id here: nothing is kept for one that comes back.
+        // Here a client's retry has a new id, so nothing is retained for repeats.
         linger: 0,
         repeats: RepeatLimits { remember: 0, answers: 0, guards: usize::MAX, bytes: 0 },
         margin: MarginSettings::default(),
@@ -157,16 +160,16 @@
 }
 
 impl Node {
-    /// A scheduler by the configuration in this file, that listens at `listen` where given, and knows the
-    /// events that the file holds.
+    /// Creates a scheduler from the configuration in this file, with the list of workers that the file holds. It
+    /// listens at `listen` if given, else at the configured address.
     ///
     /// # Errors
-    /// Where the configuration can't be used or the system refuses something.
+    /// If the configuration can't be used or the operating system refuses a request.
     pub fn new(path: PathBuf, listen: Option<SocketAddr>, recorder: Recorder) -> Result<Self, NodeError> {
         Self::new_with_view(path, listen, recorder, false)
     }
 
-    /// As [`Node::new`]; with `view` it keeps the fleet's view even where the configuration says nothing of it.
+    /// As [`Node::new`]; `view` enables the fleet's view even if the configuration does not mention it.
     ///
     /// # Errors
     /// As [`Node::new`].
@@ -179,7 +182,8 @@
         Self::new_with_wall_step(path, listen, recorder, view, Arc::default())
     }
 
-    /// As [`Node::new_as`] on a machine whose wall clock counts as stepped by so many microseconds, at any time.
+    /// As [`Node::new_with_view`], with a wall clock that is stepped by the given number of microseconds, which may
+    /// change at any time.
     #[doc(hidden)]
     pub fn new_with_wall_step(
         path: PathBuf,
@@ -235,54 +239,54 @@
             node.apply_roster(now, &item.roster);
         }
         node.update_list_trust(now);
-        // Whoever connects finds a scheduler that knows its workers.
+        // Listen only now, so that the first client finds a scheduler that knows its workers.
         let (_, address) = node.io.listen(bind(listen.unwrap_or(node.address), false)?)?;
         node.address = address;
         node.recorder.up(now, address);
         Ok(node)
     }
 
-    /// Plants a fault in its view, see [`basaltward_membership::Membership::plant`].
+    /// Injects a fault into its view, see [`basaltward_membership::Membership::plant`].
     #[doc(hidden)]
     pub fn inject_view_fault(&mut self, newer: basaltward_membership::Newer) {
         self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant(newer));
     }
 
-    /// Plants a fault in its part in what is agreed, see [`basaltward_permits::PermitNode::plant`].
+    /// Injects a fault into its permit node, see [`basaltward_permits::PermitNode::plant`].
     #[doc(hidden)]
     pub fn inject_permit_fault(&mut self, fault: basaltward_permits::Fault) {
         self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant_agreed(fault, monotonic()));
     }
 
-    /// Has the next system calls of this kind fail so, as many of them.
+    /// Makes the next `times` system calls of this kind fail with this error.
     #[doc(hidden)]
     pub fn inject_system_call_failures(&mut self, call: SystemCall, error: Errno, times: usize) {
         self.io.plant_failures(call, error, times);
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Tells it from another thread what signals tell a process.
+    /// Returns a handle that controls this scheduler from another thread.
     pub fn control(&self) -> Control {
         Control { commands: self.commands.clone(), waker: self.io.waker() }
     }
 
-    /// Has the process's SIGTERM, SIGINT and SIGHUP come to this scheduler.
+    /// Routes the process's SIGTERM, SIGINT and SIGHUP to this scheduler.
     ///
     /// # Errors
-    /// Where the system refuses them.
+    /// If the operating system refuses to.
     pub fn handle_signals(&mut self) -> Result<(), NodeError> {
         let signals = [SIGTERM, SIGINT, SIGHUP];
         Ok(self.io.watch_signals(Signals::take(&signals)?)?)
     }
 
-    /// Runs until it is told to stop and owes nothing.
+    /// Runs until it is asked to stop and has no outstanding work.
     ///
     /// # Errors
-    /// Where the system fails the loop itself.
+    /// If a system call of the loop itself fails.
     pub fn run(mut self) -> Result<(), NodeError> {
         info!(name = self.name, address = %self.address, "serving");
         let mut happened = Vec::new();
@@ -318,33 +322,35 @@
         if self.oldest_request().is_some() { 0 } else { due.saturating_sub(now) }
     }
 
-    /// When the oldest request came that was not read, or not begun.
+    /// When the oldest request arrived that has not been read or not been started.
     fn oldest_request(&self) -> Option<Micros> {
         self.front.oldest_input().into_iter().chain(self.engine.oldest_arrival()).min()
     }
 
-    /// Whether SIGTERM came, all who may still come have been taken, and nothing is owed. As long as a client has its
-    /// connection, or lost it a moment ago, a request may be on its way.
+    /// Whether SIGTERM has arrived, all clients that may still connect have been accepted, and nothing is
+    /// outstanding. While a client has a connection, or has just lost it, a request may be in transit.
     fn is_finished(&self, now: Micros) -> bool {
         let Some(term) = self.term_at.filter(|_| self.is_rejecting) else { return false };
         let none_waits = !self.has_accepted && self.io.accepts_all() && self.oldest_request().is_none();
         let settled =
             none_waits && self.front.all_clients_left(now, term + self.rejects_after) && self.io.is_settled();
-        // What was answered as late as SIGKILL allows has half of the time that is left to be read.
+        // An answer written as late as SIGKILL allows has half of the remaining time to be read.
         let unread_until =
             (term + LATEST_REJECT_US + LAST_ANSWERS_US).max(self.last_answer + CLOCK_SKEW_US / 2);
         self.engine.in_hand() == 0 && (settled || unread_until <= now)
     }
 
-    /// One turn: clients first, who may withdraw what else would be sent, then what else has come and what is
-    /// due, then what the clients' requests lead to, each as far as its time goes. What has come is read before
-    /// any of it is begun: its time runs, and a loop that has fallen behind has to know of it to answer in time.
+    /// Runs one turn. Clients' input is read first, as it may withdraw work that would otherwise be sent; then
+    /// other events and timers are handled; then requests are started. Each phase has a time budget. Input is read
+    /// before any request in it is started, because the request's time is running: a loop that has fallen behind
+    /// must know of it to answer in time.
     fn turn(&mut self, (since, due): (Micros, Micros), happened: &mut Vec<Happened>) {
         let mut now = monotonic();
         let began = now;
         self.pace.begin(since, due, now);
         self.has_accepted = false;
-        // Those who come in last: whoever makes room for them must have brought nothing.
+        // Accept new clients last: a connection that is closed to free capacity for them must not have unread
+        // input.
         let (front, from) = (&self.front, |event: &Happened| matches!(event, Happened::Accepted { .. }));
         happened.sort_by_key(|event| if front.owns(event) { 0 } else { 1 + u8::from(!from(event)) });
         let others = happened.partition_point(|event| front.owns(event) || from(event));
@@ -374,7 +380,8 @@
             if !self.pace.may_begin(now, came) {
                 break;
             }
-            // Its client may have withdrawn it in what it sent behind, and so may the next one's.
+            // The client may have withdrawn the request in input that follows it, and so may the client of the next
+            // one.
             let mut looked = None;
             while let Some(waiter) = self.engine.next_waiter().filter(|w| Some(*w) != looked)
                 && let Some(behind) = self.front.read_ahead(&mut self.io, now, waiter)
@@ -388,7 +395,8 @@
         }
         self.flush();
         if let Some(term) = self.term_at.filter(|_| self.is_rejecting) {
-            // Once its answer is with the system, and before a client that never pauses has sent the next request.
+            // After the last answer is with the system, and before a client that sends without pause has sent its
+            // next request.
             self.front.close_idle(&mut self.io, monotonic(), term + self.rejects_after);
         }
         std::mem::swap(happened, &mut self.deferred_events);
@@ -405,7 +413,7 @@
         }
     }
 
-    /// Tells the engine what clients' frames lead to.
+    /// Passes the results of reading clients' frames to the engine.
     fn handle_steps(&mut self, now: Micros, steps: Vec<Step>) {
         for step in steps {
             match step {
@@ -421,8 +429,8 @@
         }
     }
 
-    /// Writes what there is to write. An answer counts as given once its bytes are with the system. New work that may
-    /// begin at its worker no more is taken back before, and goes elsewhere.
+    /// Flushes output. An answer counts as sent once its bytes are with the system. New work that may no longer
+    /// begin at its worker is withdrawn first and goes elsewhere.
     fn flush(&mut self) {
         loop {
             let late = self.withdraw_late();
@@ -470,7 +478,7 @@
             Happened::Drained(_) => {}
             Happened::Ended(conn, how) if self.links.owns(conn) => {
                 self.links.ended(&mut self.io, conn, how, &mut done);
-                // Before the ends of what was on it, which go elsewhere.
+                // Before the ends of the jobs on the connection, which are retried elsewhere.
                 for worker in self.disconnected(now) {
                     self.notify_engine(now, Input::Disconnected(worker));
                 }
@@ -515,7 +523,7 @@
         }
     }
 
-    /// Does what is due: answers first, the rest as far as its time in a turn goes.
+    /// Handles due timers: answers first, the rest within its time budget of a turn.
     fn wake(&mut self, mut now: Micros) {
         let since = now;
         if let Some(fleet) = &mut self.fleet {
@@ -543,7 +551,8 @@
                 self.reload(now);
             }
             if !self.is_rejecting && self.term_at.is_some_and(|at| at + self.rejects_after <= now) {
-                // The listener stays: whoever waits in the system's queue has been taken, and is owed an answer.
+                // The listener stays open: a client in the system's accept queue counts as accepted and must be
+                // answered.
                 self.is_rejecting = true;
                 self.notify_engine(now, Input::Stop);
             }
@@ -573,7 +582,7 @@
         }
     }
 
-    /// How a job ended, as the engine is told it.
+    /// Converts the end of a job to the engine's input.
     fn job_end_input(&mut self, now: Micros, done: JobEnd) -> Input<CallPayload, ReplyBody> {
         self.gossip.iter_mut().for_each(|gossip| gossip.job_ended(now, &done));
         match done {
@@ -598,13 +607,13 @@
         }
     }
 
-    /// Carries out what the engine wants, and what follows from that, until there is no more.
+    /// Carries out the engine's outputs, and those that follow from them, until none is left.
     fn carry_out(&mut self, now: Micros, mut outputs: Vec<Output<CallPayload, ReplyBody>>) {
         let mut queue: VecDeque<_> = outputs.drain(..).collect();
         self.outputs = outputs;
         while let Some(output) = queue.pop_front() {
             let done = self.output(now, output);
-            // Before the engine is told anything else: what was written may run.
+            // Before any other input to the engine: a job that was written may run.
             self.note_sent_jobs(now);
             let news = self.gossip.as_mut().map(Gossip::take_reports).unwrap_or_default();
             for (worker, function, copies) in news {
@@ -664,7 +673,7 @@
             }
             Output::Abort(attempt) => {
                 let done = links.abort_attempt(io, now, attempt);
-                // The word that gives it up goes before anything that follows from it.
+                // The cancellation is flushed before anything that follows from it.
                 withdrawn
                     .extend(links.withdraw_late(io, monotonic(), |worker| engine.new_work_until(worker)));
                 io.flush(deferred_events);
@@ -693,7 +702,7 @@
                 let shared = gossip.as_ref().is_some_and(|gossip| gossip.is_shared(now, &worker, &function));
                 if shared { None } else { links.start(io, now, &worker, Job::Release(function)) }
             }
-            // The bulletin tells every change by itself.
+            // The bulletin reports every change without being queried.
             Output::Watch => None,
         }
     }
@@ -726,20 +735,20 @@
                     }
                 }
                 Feed::Roster(roster) => self.apply_roster(now, &roster),
-                Feed::Left(_, Some(why)) => warn!(name = self.name, %why, "bulletin is asked again"),
+                Feed::Left(_, Some(why)) => warn!(name = self.name, %why, "connecting to the bulletin again"),
                 Feed::Left(_, None) => {}
             }
         }
     }
 
-    /// Workers that may have started anew without a word: those whose last connection has ended, and, while the list is
-    /// not followed, those to which none stood until now.
+    /// Workers that may have restarted unnoticed: those whose last connection has ended, and, while the list is not
+    /// followed, those that had no connection until now.
     fn disconnected(&mut self, now: Micros) -> Vec<WorkerId> {
         let mut workers = std::mem::take(&mut self.links.disconnected);
         let mut first = std::mem::take(&mut self.links.first_connected);
         let is_out_of_reach = match self.list_trust {
             Some(ListTrust::Interrupted { .. }) => true,
-            // At a usual start the bulletin's first number comes within this.
+            // At a normal start the bulletin's first event number arrives within this time.
             Some(ListTrust::Unconfirmed { since }) => now > since + OWED_WITHIN_US,
             Some(ListTrust::Current { .. }) | None => false,
         };
@@ -749,7 +758,7 @@
         workers
     }
 
-    /// Tells the module how far the list is to be believed, where that has changed.
+    /// Passes the trust in the list of workers to the module if it has changed.
     fn update_list_trust(&mut self, now: Micros) {
         let freshness = self.follower.freshness(now);
         let trust = match freshness {
@@ -788,7 +797,7 @@
         }
     }
 
-    /// Workers whose drain began or ended, by what the fleet agrees on.
+    /// Applies the starts and ends of drains that the fleet has agreed on.
     fn apply_drain_changes(&mut self, now: Micros) {
         let news = self.fleet.as_mut().map(Fleet::take_drain_changes).unwrap_or_default();
         news.iter().for_each(|roster| self.apply_members(now, roster));
@@ -814,15 +823,15 @@
         self.recorder.members_changed(now, kind, &members);
         self.gossip.iter_mut().for_each(|gossip| gossip.update_members(kind, &members));
         let mut done = Vec::new();
-        // The links first, which must know whom the module sends to; what they withdraw is told after it, or
-        // it would be sent there again.
+        // The links are updated first, since the module sends to the new members. The jobs that the links withdraw
+        // are reported to the module after the members, or it would send them there again.
         self.links.update_members(&mut self.io, kind, &addressed, &mut done);
         self.notify_engine(now, Input::Members(kind, members));
         self.jobs_ended(now, done);
     }
 
-    /// SIGHUP has come: the configuration is read anew, whole or not at all. What it tells that can change in
-    /// a running scheduler is where the bulletin is, and who is in the fleet.
+    /// Reads the configuration again after SIGHUP; it applies as a whole or not at all. Only the bulletin's address
+    /// and the members of the fleet can change in a running scheduler.
     fn reload(&mut self, now: Micros) {
         let Some((_, left)) = self.reload.take() else { return };
         match load_with_view(&self.path, self.config.fleet.is_some()) {
@@ -831,7 +840,10 @@
                 let kept = self.config.fields_needing_restart(&config);
                 if !kept.is_empty() {
                     let kept = kept.join(", ");
-                    warn!(name = self.name, kept, "fields that differ and take a restart stay as they were");
+                    warn!(
+                        name = self.name,
+                        kept, "changed fields that take effect only after a restart were ignored"
+                    );
                 }
                 self.fleet.iter_mut().for_each(|fleet| fleet.reread(&config));
                 self.drive_follower(now, |follower, out| {
@@ -840,9 +852,9 @@
                 });
             }
             Err(why) => {
-                // One line for a signal, however often it is read.
+                // One line per signal, however often the file is read.
                 if left == MAX_RELOAD_RETRIES {
-                    warn!(name = self.name, %why, "configuration not taken, the one before stands");
+                    warn!(name = self.name, %why, "configuration rejected, keeping the previous one");
                 }
                 self.reload = (left > 0).then_some((now + RELOAD_RETRY_US, left - 1));
             }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,5 +1,5 @@
-//! The scheduler's peers: what the bulletin tells goes to them in their terms, and what they say comes back in the
-//! bulletin's.
+//! The scheduler's peers: translates the bulletin's rosters for the peer transport, and its events back into
+//! rosters.
 
 use crate::config::{FleetConfig, NodeConfig};
 use crate::recorder::TraceRecorder;
@@ -9,14 +9,14 @@
 use basaltward_peers::{Event, PeerConfig, PeerError, PeerTransport, Stands, Worker};
 use std::collections::HashMap;
 
-/// Peers of a scheduler.
+/// The peers of a scheduler.
 pub struct Fleet {
-    /// The view, and what is agreed.
+    /// The fleet's view and permits.
     pub transport: PeerTransport,
     zones: Vec<String>,
-    /// Workers as they were last told, where the fleet agrees on which are drained.
+    /// The last known entry of each worker, if the fleet grants permits for drains.
     targets: HashMap<String, Target>,
-    /// News of workers whose drain began or ended, until the loop takes it.
+    /// Workers whose drain began or ended, until the loop takes them.
     drain_changes: Vec<Roster>,
     events: Vec<Event>,
 }
@@ -39,7 +39,7 @@
 }
 
 impl Fleet {
-    /// The peers that a configuration asks for, if it does.
+    /// Opens the transport to the configured peers, if there are any.
     ///
     /// # Errors
     /// As [`PeerTransport::open`].
@@ -50,14 +50,14 @@
         Ok(Some(Self { transport, zones, targets, drain_changes: Vec::new(), events: Vec::new() }))
     }
 
-    /// A new configuration: its list of members and its operators hold from now on.
+    /// Applies the list of members and the operators of a new configuration.
     pub fn reread(&mut self, config: &NodeConfig) {
         if let Some(fleet) = &config.fleet {
             self.transport.reread(&peer_config(config, fleet));
         }
     }
 
-    /// Has the peers do something, and records what they say.
+    /// Calls the transport, then handles and records its events.
     pub fn act(
         &mut self,
         now: Micros,
@@ -76,13 +76,13 @@
                     let targets = targets.map(|target| self.with_drain(target)).collect();
                     self.drain_changes.push(Roster { all: false, targets });
                 }
-                // Logged where it was found; a scheduler wishes nothing by itself.
+                // Logged where it was detected; a scheduler requests nothing by itself.
                 Event::Superseded | Event::Answered { .. } => {}
             }
         }
     }
 
-    /// What the bulletin tells, as the module is to hear it: whoever is drained leaves.
+    /// Applies the bulletin's roster and returns it for the module, with drained workers marked as leaving.
     pub fn apply_roster(&mut self, now: Micros, roster: &Roster) -> Roster {
         if !self.transport.agrees() {
             return roster.clone();
@@ -97,7 +97,7 @@
         Roster { all: roster.all, targets: roster.targets.iter().map(|t| self.with_drain(t)).collect() }
     }
 
-    /// News of workers whose drain began or ended.
+    /// Takes the workers whose drain began or ended.
     pub fn take_drain_changes(&mut self) -> Vec<Roster> {
         std::mem::take(&mut self.drain_changes)
     }
--- a/crates/node/src/recent_ids.rs
+++ b/crates/node/src/recent_ids.rs
@@ -1,14 +1,15 @@
-//! Which requests have ended on which connection a little while ago.
+//! Requests that have recently ended, by connection.
 
 use basaltward::Micros;
 use basaltward_net::ConnId;
 use std::collections::{HashSet, VecDeque};
 
-/// A second answer comes some milliseconds after the first; one that comes later than this is not reckoned with.
+/// How long an id is retained. A duplicate answer arrives some milliseconds after the first; later ones are not
+/// expected.
 const RETENTION_US: Micros = 1_000_000;
 
-/// Ids that a connection must not carry again yet: a second answer to the request that had the id before could be
-/// taken for one to the next. Nobody keeps clients from using an id again.
+/// Ids that a connection must not carry again yet: a duplicate answer to the earlier request with the same id could
+/// be taken for the answer to the next. Nothing prevents clients from reusing an id.
 pub struct RecentIds {
     ids: HashSet<(ConnId, u64)>,
     order: VecDeque<(Micros, ConnId, u64)>,
@@ -16,12 +17,12 @@
 }
 
 impl RecentIds {
-    /// It keeps no more than so many, those that ended last.
+    /// Creates a set that retains at most `capacity` ids, the most recent ones.
     pub fn new(capacity: usize) -> Self {
         Self { ids: HashSet::new(), order: VecDeque::new(), capacity }
     }
 
-    /// A request has ended on a connection.
+    /// Adds a request that has ended on a connection.
     pub fn insert(&mut self, now: Micros, conn: ConnId, request: u64) {
         self.forget(now);
         if self.order.len() >= self.capacity {
@@ -32,14 +33,14 @@
         }
     }
 
-    /// Drops what is long ago.
+    /// Drops expired ids.
     pub fn forget(&mut self, now: Micros) {
         while self.order.front().is_some_and(|(at, ..)| at + RETENTION_US <= now) {
             self.drop_oldest();
         }
     }
 
-    /// Whether a request under this id has ended there lately.
+    /// Whether a request with this id has recently ended on the connection.
     pub fn contains(&self, conn: ConnId, request: u64) -> bool {
         self.ids.contains(&(conn, request))
     }
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Records of what crosses the sockets, for the checker of the rules. Off in service.
+//! Records the traffic on the sockets for the rule checker. Disabled in production.
 
 use crate::front::OpenRequest;
 use crate::links::{SentItem, SentJob};
@@ -14,13 +14,13 @@
 use std::net::SocketAddr;
 use tracing::debug;
 
-/// What one scheduler records.
+/// The records of one scheduler.
 pub struct TraceRecorder {
     name: String,
     recorder: Recorder,
-    /// Names of attempts that are out.
+    /// Names of attempts in flight.
     attempt_names: HashMap<AttemptId, String>,
-    /// Answers put out and not yet written.
+    /// Answers written to an output buffer and not yet flushed.
     unflushed_answers: Vec<(String, u16)>,
     known: BTreeSet<WorkerId>,
 }
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Something later is agreed in the fleet.
+    /// The fleet has agreed on a later state of the permits.
     pub fn permits_changed(&self, now: Micros, known: &Stored<PermitState>) {
         if self.recorder.is_on() {
             let permit = |permit: &Permit| match permit.subject {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// An id goes on a connection once, so the two name an attempt; the worker sees the same from its end.
+    /// An id is used on a connection only once, so id and port identify an attempt; the worker sees the same pair.
     pub fn job_sent(&mut self, now: Micros, io: &mut Io, written: &SentItem) {
         if !self.recorder.is_on() {
             return;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// An attempt is begun: one log line, at debug, beside that of its end.
+    /// Logs the start of an attempt at debug level; its end is logged too.
     pub fn started(id: AttemptId, worker: &WorkerId, function: &FunctionId) {
         debug!(
             target: "basaltward::attempt",
@@ -129,7 +129,7 @@
         }
     }
 
-    /// A call has its final answer: one log line, at debug, and its record.
+    /// Logs the final answer of a call at debug level, and records it.
     pub fn answered(
         &mut self,
         now: Micros,
@@ -159,7 +159,7 @@
         }
     }
 
-    /// What was put out is with the system now.
+    /// The answers in the output buffers are now with the system.
     pub fn answers_flushed(&mut self) {
         if self.unflushed_answers.is_empty() {
             return;
--- a/crates/node/src/send_progress.rs
+++ b/crates/node/src/send_progress.rs
@@ -1,35 +1,35 @@
-//! Which bytes of a connection's requests its socket has: what proves that a request never began, or never went
-//! whole.
+//! Tracks how much of each request a connection's socket has taken. This proves that a request never began, or was
+//! never sent completely.
 
 use basaltward_net::{ConnId, Io};
 use bytes::BytesMut;
 
-/// Where a request's bytes are among all that were given to its connection.
+/// A request's byte range in all that was written to its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span {
     begin: u64,
     end: u64,
 }
 
-/// How much of a request its socket has.
+/// How much of a request the socket has taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendProgress {
-    /// No byte: it can be taken back.
+    /// No byte: the request can be withdrawn.
     Unsent,
-    /// Some: the rest has to follow, or the lines are out of step.
+    /// A part: the rest has to follow, or the worker would misread the next line.
     Partial,
-    /// All of it: it may run.
+    /// All of it: the request may run.
     Complete,
 }
 
-/// Counts the bytes given to one connection and not taken back.
+/// Counts the bytes written to one connection and not withdrawn.
 #[derive(Default)]
 pub struct SentBytes {
     bytes: u64,
 }
 
 impl SentBytes {
-    /// Has something written to the connection's output; `None` for one that takes no more.
+    /// Writes to the connection's output; `None` if the connection accepts no more.
     pub fn write(&mut self, io: &mut Io, conn: ConnId, write: impl FnOnce(&mut BytesMut)) -> Option<Span> {
         let out = io.output(conn)?;
         let (before, begin) = (out.len(), self.bytes);
@@ -38,7 +38,7 @@
         Some(Span { begin, end: self.bytes })
     }
 
-    /// How much of a request the socket has.
+    /// How much of a request the socket has taken.
     pub fn progress(&self, io: &mut Io, conn: ConnId, of: Span) -> SendProgress {
         let taken = self.bytes - io.unsent(conn) as u64;
         match of {
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Takes a request out of the output again; `others` are the spans of the rest, which close up. False where its
-    /// socket has some of it.
+    /// Withdraws a request from the output; `others` are the spans of the connection's other requests, which shift
+    /// accordingly. False if the socket has some of it.
     pub fn withdraw<'a>(
         &mut self,
         io: &mut Io,
@@ -60,7 +60,7 @@
         if self.progress(io, conn, of) != SendProgress::Unsent {
             return false;
         }
-        // Of a connection that has ended nothing more goes out, and what it has stays as it is.
+        // A connection that has ended sends no more, and the bytes that its socket took remain as they are.
         let Some(out) = io.output(conn) else { return true };
         let taken = self.bytes - out.len() as u64;
         let length = of.end - of.begin;
--- a/crates/node/src/start_times.rs
+++ b/crates/node/src/start_times.rs
@@ -1,50 +1,51 @@
-//! When workers started, on the loop's monotonic clock, though they are told by wall clocks that may be stepped.
+//! Start times of workers on the loop's monotonic clock. They are reported by wall clocks, which may be stepped.
 
 use basaltward::Micros;
 use basaltward_bulletin::{Standing, Target};
 use basaltward_net::Clock;
 use std::collections::{HashMap, HashSet};
 
-/// Wall clocks that differ by less are the same: adjusted, not stepped.
+/// Wall clocks that differ by less than this are taken as adjusted, not stepped.
 const ADJUSTED_US: u64 = 500_000;
-/// Readings of the clocks kept, one for each step: a start may be told by any of them.
+/// Clock readings retained, one per step: a start may be reported by any of them.
 const MAX_READINGS: usize = 4;
-/// A list lags behind by seconds, and on bad days by some ten more. Who was not told of by this long after it started
-/// can't have started then.
+/// A list lags by seconds, and in bad cases by some ten seconds more. A worker that was not listed this long after
+/// the reported time can't have started then.
 const LIST_LAG_US: Micros = 20_000_000;
-/// What is known of a worker that has gone is kept for so long, should it come back.
+/// How long the start of a worker that has gone is remembered, in case it comes back.
 const GONE_RETENTION_US: Micros = 600_000_000;
 
-/// A worker whose start was told.
+/// A worker with a reported start.
 struct WorkerStart {
     boot_ms: u64,
     started: Micros,
     gone: Option<Micros>,
 }
 
-/// Places the starts that a list tells on the monotonic clock.
+/// Maps the reported start times to the monotonic clock.
 ///
-/// A start is a span of real time ago, but it is told as the time of a wall clock: that of the worker, of the list, or
-/// of this machine, each of which may be stepped or wrong. What no clock can say is not believed: a worker can't have
-/// started after it was told of, nor long before a list that did not hold it. In doubt the later time is taken: a worker
-/// that is taken for colder than it is gets less for a while, one taken for warm is pushed over.
+/// The age of a worker is a span of real time, but it is reported as a wall clock time: that of the worker, of the
+/// list or of this machine, and each may be stepped or wrong. An impossible time is not trusted: a worker can't
+/// have started after it was listed, nor long before a list that did not contain it. In doubt the later time is
+/// used: a worker taken for colder than it is gets less load for a while, but one wrongly taken for warm is
+/// overloaded.
 pub struct StartTimes {
-    /// The clocks before and after each step seen, the present ones last.
+    /// The clocks before and after each observed step, the current ones last.
     readings: Vec<Clock>,
     workers: HashMap<String, WorkerStart>,
-    /// When the list came that is being read.
+    /// When the list being read arrived.
     now: Micros,
-    /// When the list last said something, if only that nothing has changed.
+    /// When the list was last confirmed, even if only as unchanged.
     confirmed_at: Option<Micros>,
 }
 
 impl StartTimes {
-    /// Knows no worker; the machine's clocks read so.
+    /// Creates the map without workers, from a first reading of the clocks.
     pub fn new(clock: Clock) -> Self {
         Self { readings: vec![clock], workers: HashMap::new(), now: clock.monotonic(), confirmed_at: None }
     }
 
-    /// A list, or a change of it, has come at this reading of the clocks.
+    /// Notes that a list, or a change to it, arrived at this reading of the clocks.
     pub fn list_received(&mut self, clock: Clock) {
         self.now = clock.monotonic();
         let last = self.readings.last_mut().filter(|last| last.apart(&clock) < ADJUSTED_US);
@@ -59,12 +60,12 @@
         self.workers.retain(|_, known| known.gone.is_none_or(|at| at + GONE_RETENTION_US > now));
     }
 
-    /// The list has said all that it has to say by now.
+    /// The list is complete as of now.
     pub fn list_confirmed(&mut self, now: Micros) {
         self.confirmed_at = Some(now);
     }
 
-    /// The list holds these workers and no others.
+    /// Marks the workers as gone that are not in this complete list.
     pub fn mark_unlisted_gone(&mut self, targets: &[Target]) {
         let listed: HashSet<_> = targets.iter().map(|target| target.uid.as_str()).collect();
         for (uid, known) in &mut self.workers {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// When a worker started, on the monotonic clock; 0 for one that has been there for long.
+    /// When a worker started, on the monotonic clock; 0 for one that started long ago.
     pub fn started(&mut self, target: &Target) -> Micros {
         let gone = (target.state == Standing::Gone).then_some(self.now);
         if target.boot_ms == 0 {
@@ -91,11 +92,11 @@
         started
     }
 
-    /// The latest time by any of the clocks that is not in the future; now where it can't be one of them.
+    /// The latest time by any of the clocks that is not in the future, or now if none is plausible.
     fn to_monotonic(&self, boot_ms: u64) -> Micros {
         let wall = boot_ms.saturating_mul(1_000);
         let places = self.readings.iter().map(|clock| clock.place(wall));
-        // Clocks that were not stepped lie a little apart too.
+        // Clocks that were not stepped differ a little too.
         let past = places.filter(|at| *at <= self.now + ADJUSTED_US).max();
         let earliest = self.confirmed_at.map_or(0, |confirmed_at| confirmed_at.saturating_sub(LIST_LAG_US));
         past.filter(|at| *at >= earliest).unwrap_or(self.now).clamp(1, self.now.max(1))
--- a/crates/node/src/work.rs
+++ b/crates/node/src/work.rs
@@ -1,4 +1,4 @@
-//! What the engine carries for this front: a call's payload and its reply.
+//! What the engine carries for the Thrift front end: a call's payload and its reply.
 
 use basaltward_engine::Reply;
 use basaltward_net::ConnId;
@@ -8,18 +8,18 @@
 /// A call as its client sent it.
 #[derive(Debug)]
 pub struct CallPayload {
-    /// Its id, passed on as it came.
+    /// Its id, passed on unchanged.
     pub id: String,
     /// Its id as a number.
     pub number: u64,
-    /// Its class, a position in the settings.
+    /// Its class, as an index into the settings.
     pub class: usize,
-    /// The key of its effect, passed on as it came.
+    /// Its idempotency key, passed on unchanged.
     pub key: Option<String>,
-    /// Its body, passed on as it came.
+    /// Its body, passed on unchanged.
     pub body: Bytes,
-    /// Connections that have carried an attempt of it. Another attempt goes on none of them: a late answer to
-    /// the first would come under the same id.
+    /// Connections that have carried an attempt of it. No other attempt uses them, since a late answer to the
+    /// earlier one would have the same id.
     pub connections: Mutex<Vec<ConnId>>,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// The body that a worker gave.
+/// The body of a worker's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplyBody(pub Bytes);
 
