--- a/crates/node/src/instance_directory.rs
+++ b/crates/node/src/instance_directory.rs
@@ -100,22 +100,22 @@
     /// Applies the list of workers. Observations of a worker that has left, or of a previous incarnation, are
     /// discarded.
     pub fn update_members(&mut self, kind: MembersKind, members: &[Member]) {
-        let mut void = Vec::new();
+        let mut discarded = Vec::new();
         if kind == MembersKind::Whole {
             let listed: BTreeSet<u32> = members.iter().map(|m| name_hash(m.worker.as_str())).collect();
-            void.extend(self.workers.keys().filter(|w| !listed.contains(w)));
+            discarded.extend(self.workers.keys().filter(|w| !listed.contains(w)));
         }
         for member in members {
-            let at = name_hash(member.worker.as_str());
-            let known = self.workers.get(&at);
+            let worker_hash = name_hash(member.worker.as_str());
+            let known = self.workers.get(&worker_hash);
             if member.state != State::Active || known.is_some_and(|w| w.started < member.started) {
-                void.push(at);
+                discarded.push(worker_hash);
             }
         }
-        for at in void {
-            self.workers.remove(&at);
+        for worker_hash in discarded {
+            self.workers.remove(&worker_hash);
             for observations in self.observations.values_mut() {
-                self.count -= usize::from(observations.remove(&at).is_some());
+                self.count -= usize::from(observations.remove(&worker_hash).is_some());
             }
         }
         for member in members.iter().filter(|m| m.state == State::Active) {
@@ -126,36 +126,40 @@
 
     /// Notes a local call of this function, which makes peers' reports about it relevant.
     pub fn note_call(&mut self, now: Micros, function: &FunctionId) {
-        let of = name_hash(function.as_str());
-        if let Some(called) = self.functions.get_mut(&of) {
+        let function_hash = name_hash(function.as_str());
+        if let Some(called) = self.functions.get_mut(&function_hash) {
             called.used = now;
         } else if self.functions.len() < MAX_FUNCTIONS {
-            self.functions.insert(of, CalledFunction { function: function.clone(), used: now });
+            self.functions.insert(function_hash, CalledFunction { function: function.clone(), used: now });
         }
     }
 
     /// Records that this scheduler observed this number of loaded copies, possibly none.
     pub fn observe(&mut self, now: Micros, worker: &WorkerId, function: &FunctionId, copies: u32) {
-        let (of, at) = (name_hash(function.as_str()), name_hash(worker.as_str()));
-        let announce_interval = self.announce_interval(of, at);
+        let (function_hash, worker_hash) = (name_hash(function.as_str()), name_hash(worker.as_str()));
+        let announce_interval = self.announce_interval(function_hash, worker_hash);
         let before = self
             .observations
-            .get(&of)
-            .and_then(|observations| observations.get(&at))
+            .get(&function_hash)
+            .and_then(|observations| observations.get(&worker_hash))
             .map_or(0, |observation| observation.copies);
         // That no copy is loaded matters only if one was believed to be.
         if before == 0 && copies == 0 {
             return;
         }
-        let Some(observation) = self.entry(of, at, now) else { return };
+        let Some(observation) = self.entry(function_hash, worker_hash, now) else { return };
         let changed = (before == 0) != (copies == 0);
         (observation.copies, observation.seen, observation.known_to_module) =
             (copies, now, (copies > 0).then_some(now));
         if changed || now >= observation.announced + announce_interval {
-            self.pending.insert((of, at));
+            self.pending.insert((function_hash, worker_hash));
             // Peers that know another copy don't send a query.
-            let others =
-                self.observations.get(&of).into_iter().flatten().any(|(w, f)| *w != at && f.copies > 0);
+            let others = self
+                .observations
+                .get(&function_hash)
+                .into_iter()
+                .flatten()
+                .any(|(w, f)| *w != worker_hash && f.copies > 0);
             let by = now + if changed && !others { FIRST_COPY_DELAY_US } else { UPDATE_DELAY_US };
             self.announce_at = Some(self.announce_at.map_or(by, |at| at.min(by)));
         }
@@ -163,16 +167,19 @@
 
     /// Time for which an announced observation is not announced again. It differs between schedulers, or all would
     /// find it due at once.
-    fn announce_interval(&self, of: u32, at: u32) -> Micros {
-        let spread = crc32fast::hash(&[self.own, of, at].map(u32::to_le_bytes).concat());
+    fn announce_interval(&self, function_hash: u32, worker_hash: u32) -> Micros {
+        let spread = crc32fast::hash(&[self.own, function_hash, worker_hash].map(u32::to_le_bytes).concat());
         self.keep / 4 + self.keep / 4 * Micros::from(spread >> 16) / 65_536
     }
 
-    fn entry(&mut self, of: u32, at: u32, now: Micros) -> Option<&mut Observation> {
-        if !self.workers.contains_key(&at) {
+    fn entry(&mut self, function_hash: u32, worker_hash: u32, now: Micros) -> Option<&mut Observation> {
+        if !self.workers.contains_key(&worker_hash) {
             return None;
         }
-        let known = self.observations.get(&of).is_some_and(|observations| observations.contains_key(&at));
+        let known = self
+            .observations
+            .get(&function_hash)
+            .is_some_and(|observations| observations.contains_key(&worker_hash));
         if !known {
             if self.count >= MAX_OBSERVATIONS && now >= self.next_sweep {
                 self.sweep(now);
@@ -182,8 +189,9 @@
             }
             self.count += 1;
         }
-        let blank = Observation { copies: 0, seen: 0, announced: 0, known_to_module: None, from_peer: false };
-        Some(self.observations.entry(of).or_default().entry(at).or_insert(blank))
+        let unseen =
+            Observation { copies: 0, seen: 0, announced: 0, known_to_module: None, from_peer: false };
+        Some(self.observations.entry(function_hash).or_default().entry(worker_hash).or_insert(unseen))
     }
 
     /// Handles a datagram from the peer with this number.
@@ -191,29 +199,31 @@
         let Ok(updates) = decode(bytes) else { return };
         self.last_received.insert(from, now);
         for update in updates {
-            let (of, at) = (update.function(), update.worker());
+            let (function_hash, worker_hash) = (update.function(), update.worker());
             let seen = now.saturating_sub(update.age());
-            if self.workers.get(&at).is_none_or(|w| seen < w.started) || update.age() >= self.keep {
+            if self.workers.get(&worker_hash).is_none_or(|w| seen < w.started) || update.age() >= self.keep {
                 continue;
             }
-            let Some(observation) = self.entry(of, at, now) else { continue };
+            let Some(observation) = self.entry(function_hash, worker_hash, now) else { continue };
             observation.from_peer = true;
             if seen <= observation.seen {
                 continue;
             }
             (observation.copies, observation.seen, observation.announced) = (update.copies(), seen, now);
             // A peer has announced it in the meantime, so it is not announced again.
-            self.pending.remove(&(of, at));
-            self.report_to_module(now, of, at);
+            self.pending.remove(&(function_hash, worker_hash));
+            self.report_to_module(now, function_hash, worker_hash);
         }
     }
 
     /// Reports a copy to the module if the module has calls for it and its own knowledge is old.
-    fn report_to_module(&mut self, now: Micros, of: u32, at: u32) {
-        let recent = self.functions.get(&of).filter(|called| called.used + self.keep >= now);
-        let (Some(called), Some(worker)) = (recent, self.workers.get(&at)) else { return };
-        let Some(observation) =
-            self.observations.get_mut(&of).and_then(|observations| observations.get_mut(&at))
+    fn report_to_module(&mut self, now: Micros, function_hash: u32, worker_hash: u32) {
+        let recent = self.functions.get(&function_hash).filter(|called| called.used + self.keep >= now);
+        let (Some(called), Some(worker)) = (recent, self.workers.get(&worker_hash)) else { return };
+        let Some(observation) = self
+            .observations
+            .get_mut(&function_hash)
+            .and_then(|observations| observations.get_mut(&worker_hash))
         else {
             return;
         };
@@ -237,26 +247,30 @@
     /// answer. If there is none although enough peers are heard, no copy is in use.
     pub fn query(&mut self, now: Micros, worker: &WorkerId, function: &FunctionId) -> Option<u32> {
         self.note_call(now, function);
-        let (of, keep) = (name_hash(function.as_str()), self.keep);
+        let (function_hash, keep) = (name_hash(function.as_str()), self.keep);
         let is_loaded = |observation: &Observation| observation.copies > 0 && now < observation.seen + keep;
-        let observations = self.observations.get(&of).into_iter().flatten();
+        let observations = self.observations.get(&function_hash).into_iter().flatten();
         let loaded: Vec<u32> =
             observations.filter(|(_, observation)| is_loaded(observation)).map(|(at, _)| *at).collect();
         if loaded.is_empty() {
             return self.silence_is_conclusive(now).then_some(0);
         }
-        for at in &loaded {
-            let observation =
-                self.observations.get_mut(&of).and_then(|observations| observations.get_mut(at));
+        for worker_hash in &loaded {
+            let observation = self
+                .observations
+                .get_mut(&function_hash)
+                .and_then(|observations| observations.get_mut(worker_hash));
             // The module would not query if it knew. Of several queries at the same time, the first reports all
             // copies.
             if let Some(observation) = observation {
                 observation.known_to_module = observation.known_to_module.filter(|known| *known == now);
             }
-            self.report_to_module(now, of, *at);
+            self.report_to_module(now, function_hash, *worker_hash);
         }
-        let here =
-            self.observations.get(&of).and_then(|observations| observations.get(&name_hash(worker.as_str())));
+        let here = self
+            .observations
+            .get(&function_hash)
+            .and_then(|observations| observations.get(&name_hash(worker.as_str())));
         Some(here.filter(|observation| is_loaded(observation)).map_or(0, |observation| observation.copies))
     }
 
@@ -294,16 +308,18 @@
         }
         let mut updates = Vec::new();
         while updates.len() < InstanceUpdate::MAX_PER_DATAGRAM
-            && let Some((of, at)) = self.pending.pop_first()
+            && let Some((function_hash, worker_hash)) = self.pending.pop_first()
         {
-            let Some(observation) =
-                self.observations.get_mut(&of).and_then(|observations| observations.get_mut(&at))
+            let Some(observation) = self
+                .observations
+                .get_mut(&function_hash)
+                .and_then(|observations| observations.get_mut(&worker_hash))
             else {
                 continue;
             };
             observation.announced = now;
             updates.push(InstanceUpdate::new(
-                (of, at),
+                (function_hash, worker_hash),
                 now.saturating_sub(observation.seen),
                 observation.copies,
             ));
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -8,7 +8,7 @@
 pub use crate::job::{Job, JobEnd};
 use crate::job::{JobKey, end_with_reply, end_without_reply, job_key, wire_id};
 use crate::recent_ids::RecentIds;
-use crate::send_progress::{SendProgress, SentBytes, Span};
+use crate::send_progress::{OutputBytes, SendProgress, Span};
 use crate::work::CallPayload;
 use basaltward::{Code, FunctionId, Member, MembersKind, Micros, State, WorkerId};
 use basaltward_engine::{AttemptId, OrderId};
@@ -62,7 +62,7 @@
     queue: VecDeque<Job>,
     /// Jobs awaiting an answer, by their id on the wire.
     open: HashMap<String, OpenJob>,
-    sent_bytes: SentBytes,
+    output_bytes: OutputBytes,
     last_input: Micros,
     last_used: Micros,
     /// Whether its timer is set. There is one timer per connection; it is set again if it fires too early.
@@ -81,7 +81,7 @@
     fn withdraw(&mut self, io: &mut Io, conn: ConnId, id: &str) -> Option<OpenJob> {
         let open = self.open.remove(id)?;
         let others = self.open.values_mut().map(|other| &mut other.span);
-        if self.sent_bytes.withdraw(io, conn, open.span, others) {
+        if self.output_bytes.withdraw(io, conn, open.span, others) {
             return Some(open);
         }
         self.open.insert(id.to_owned(), open);
@@ -90,12 +90,13 @@
 
     /// Withdraws the calls and load orders of which the socket has no byte.
     fn withdraw_new_work(&mut self, io: &mut Io, conn: ConnId) -> Vec<Job> {
-        let new = |open: &OpenJob| match open.job {
+        let is_new_work = |open: &OpenJob| match open.job {
             Job::Attempt { .. } => true,
             Job::Order { count, .. } => count > 0,
             Job::Probe(_) | Job::Release(_) => false,
         };
-        let ids: Vec<_> = self.open.iter().filter(|(_, open)| new(open)).map(|(id, _)| id.clone()).collect();
+        let ids: Vec<_> =
+            self.open.iter().filter(|(_, open)| is_new_work(open)).map(|(id, _)| id.clone()).collect();
         ids.iter().filter_map(|id| self.withdraw(io, conn, id)).map(|open| open.job).collect()
     }
 
@@ -127,7 +128,7 @@
     due: Timers<Due>,
     recent_ids: RecentIds,
     /// Attempts and orders written since this was last drained.
-    pub sent_items: Vec<SentItem>,
+    pub written: Vec<Written>,
     /// Connections whose output may not have reached their socket.
     unsent: Vec<ConnId>,
     /// Workers whose last open connection was closed by the other side or failed, or whose only connection was
@@ -139,13 +140,13 @@
 }
 
 /// An attempt or an order that was written to a connection's output.
-pub struct SentItem {
+pub struct Written {
     pub conn: ConnId,
     pub worker: WorkerId,
-    pub job: SentJob,
+    pub job: WrittenJob,
 }
 
-pub enum SentJob {
+pub enum WrittenJob {
     Attempt(AttemptId, Arc<CallPayload>),
     Order(FunctionId, u32),
 }
@@ -164,7 +165,7 @@
             jobs: HashMap::new(),
             due: Timers::default(),
             recent_ids: RecentIds::new(config.budget.calls * RECENT_IDS_PER_CALL),
-            sent_items: Vec::new(),
+            written: Vec::new(),
             unsent: Vec::new(),
             disconnected: Vec::new(),
             first_connected: Vec::new(),
@@ -192,8 +193,8 @@
         done: &mut Vec<JobEnd>,
     ) {
         if kind == MembersKind::Whole {
-            let listed = |w: &WorkerId| members.iter().any(|(m, _)| m.worker == *w);
-            let absent: Vec<_> = self.workers.keys().filter(|w| !listed(w)).cloned().collect();
+            let is_listed = |w: &WorkerId| members.iter().any(|(m, _)| m.worker == *w);
+            let absent: Vec<_> = self.workers.keys().filter(|w| !is_listed(w)).cloned().collect();
             absent.iter().for_each(|w| self.set_state(io, w, State::Gone, done));
         }
         for (member, address) in members {
@@ -232,8 +233,8 @@
 
     /// Number of jobs of this scheduler at these workers.
     pub fn count_jobs(&self, workers: &[&str]) -> usize {
-        let there = self.conns.values().filter(|link| workers.contains(&&*link.worker.to_string()));
-        there.map(Link::load).sum()
+        let links = self.conns.values().filter(|link| workers.contains(&&*link.worker.to_string()));
+        links.map(Link::load).sum()
     }
 
     /// Lets a connection take no more jobs, and closes it at once if none is on it.
@@ -255,13 +256,13 @@
         self.recent_ids.forget(now);
         let mut may_connect = true;
         let conn = loop {
-            let (chosen, room) = self.choose(worker, &job, may_connect);
+            let (chosen, has_capacity) = self.choose(worker, &job, may_connect);
             match chosen {
                 // The worker may have closed the connection in input that this turn has not read yet. A request
                 // written after that never runs, but that could not be proven.
                 Some(conn) if self.is_open(conn) && io.has_ended(conn) => self.retire(io, conn),
                 Some(conn) => break conn,
-                None if !room => return end_without_reply(&job, Code::Full),
+                None if !has_capacity => return end_without_reply(&job, Code::Full),
                 // Running out of descriptors says nothing about the worker: the request shares a connection if it
                 // can.
                 None => match self.connect(io, now, worker) {
@@ -294,20 +295,22 @@
     fn choose(&self, worker: &WorkerId, job: &Job, may_connect: bool) -> (Option<ConnId>, bool) {
         let held = self.workers.get(worker).map(|known| known.conns.as_slice()).unwrap_or_default();
         let streams = self.settings.streams.max(1);
-        let again =
+        let has_carried =
             |work: &CallPayload, conn| work.has_used(conn) || self.recent_ids.contains(conn, work.number);
-        let fresh = |conn: &ConnId| !matches!(job, Job::Attempt { work, .. } if again(work, *conn));
-        let link = |conn: &ConnId| self.conns.get(conn).filter(|l| !l.is_retired && l.load() < streams);
-        let open = held.iter().filter(|conn| fresh(conn)).filter_map(|c| Some((*c, link(c)?)));
+        let is_unused = |conn: &ConnId| !matches!(job, Job::Attempt { work, .. } if has_carried(work, *conn));
+        let available = |conn: &ConnId| self.conns.get(conn).filter(|l| !l.is_retired && l.load() < streams);
+        let candidates = held.iter().filter(|conn| is_unused(conn)).filter_map(|c| Some((*c, available(c)?)));
         // Among equally loaded connections, prefer the most recently used one, so that the others can idle out.
-        let best = open.min_by_key(|(_, l)| (l.load(), !l.is_connected, std::cmp::Reverse(l.last_used)));
+        let best =
+            candidates.min_by_key(|(_, l)| (l.load(), !l.is_connected, std::cmp::Reverse(l.last_used)));
         // An attempt has a connection to itself while there are enough: a failure of a connection ends every
         // request on it.
-        let alone = matches!(job, Job::Attempt { .. });
-        let each = self.budget.links_per_worker(self.workers.len());
-        let room = may_connect && held.len() < each && self.conns.len() < self.budget.links;
-        let chosen = best.filter(|(_, l)| l.load() == 0 || !alone || !room).map(|(conn, _)| conn);
-        (chosen, room)
+        let is_attempt = matches!(job, Job::Attempt { .. });
+        let max_links = self.budget.links_per_worker(self.workers.len());
+        let has_capacity = may_connect && held.len() < max_links && self.conns.len() < self.budget.links;
+        let chosen =
+            best.filter(|(_, l)| l.load() == 0 || !is_attempt || !has_capacity).map(|(conn, _)| conn);
+        (chosen, has_capacity)
     }
 
     fn connect(&mut self, io: &mut Io, now: Micros, worker: &WorkerId) -> Option<ConnId> {
@@ -319,8 +322,8 @@
         self.first_connected.extend(is_first.then(|| worker.clone()));
         let (worker, decoder) = (worker.clone(), AnswerDecoder::new(ANSWER_LIMITS));
         let (is_connected, is_retired, queue, open) = (false, false, VecDeque::new(), HashMap::new());
-        let (sent_bytes, last_input, last_used, has_timer, maybe_unread) =
-            (SentBytes::default(), now, now, true, false);
+        let (output_bytes, last_input, last_used, has_timer, maybe_unread) =
+            (OutputBytes::default(), now, now, true, false);
         let link = Link {
             worker,
             decoder,
@@ -328,7 +331,7 @@
             is_retired,
             queue,
             open,
-            sent_bytes,
+            output_bytes,
             last_input,
             last_used,
             has_timer,
@@ -347,7 +350,7 @@
             && let Some(job) = link.queue.pop_front()
         {
             let id = wire_id(&job);
-            let span = link.sent_bytes.write(io, conn, |out| match &job {
+            let span = link.output_bytes.write(io, conn, |out| match &job {
                 Job::Attempt { work, function, until, .. } => {
                     let queue = self.classes.get(work.class).map_or("", String::as_str);
                     let budget = (until.saturating_sub(now) / 1_000).max(1);
@@ -359,12 +362,12 @@
                 Job::Release(function) => lines::release(out, function.as_str()),
             });
             let Some(span) = span else { return link.queue.push_front(job) };
-            let sent = match &job {
-                Job::Attempt { id, work, .. } => Some(SentJob::Attempt(*id, work.clone())),
-                Job::Order { function, count, .. } => Some(SentJob::Order(function.clone(), *count)),
+            let written = match &job {
+                Job::Attempt { id, work, .. } => Some(WrittenJob::Attempt(*id, work.clone())),
+                Job::Order { function, count, .. } => Some(WrittenJob::Order(function.clone(), *count)),
                 Job::Probe(_) | Job::Release(_) => None,
             };
-            self.sent_items.extend(sent.map(|job| SentItem { conn, worker: link.worker.clone(), job }));
+            self.written.extend(written.map(|job| Written { conn, worker: link.worker.clone(), job }));
             if !matches!(job, Job::Release(_)) {
                 link.open.insert(id, OpenJob { job, span, since: now });
             }
@@ -444,7 +447,7 @@
                         let at = if stuck { now } else { since + self.settings.connect_timeout };
                         self.due.set(at.max(now) + READ_GRACE_US, Due::UnreadCheck(conn, span));
                     }
-                    link.sent_bytes.write(io, conn, |out| lines::drop_request(out, &id));
+                    link.output_bytes.write(io, conn, |out| lines::drop_request(out, &id));
                 }
                 job
             }
@@ -487,9 +490,9 @@
     /// with no client waiting for it.
     fn reset_unless_read(&mut self, io: &mut Io, conn: ConnId, of: Span, done: &mut Vec<JobEnd>) {
         let Some(link) = self.conns.get(&conn) else { return };
-        let has_left = link.sent_bytes.progress(io, conn, of) == SendProgress::Complete;
+        let is_sent = link.output_bytes.progress(io, conn, of) == SendProgress::Complete;
         let is_unread = link.maybe_unread && (io.is_stuck(conn) || link.load() == 0);
-        if !has_left || is_unread {
+        if !is_sent || is_unread {
             debug!(worker = %link.worker, "connection reset: the worker has not read a request that was given up");
             self.close_with(io, conn, Code::Reset, Io::reset, done);
         }
@@ -587,14 +590,19 @@
         done: &mut Vec<JobEnd>,
     ) {
         let Some(link) = self.remove_link(conn) else { return };
-        let never = if code == Code::ConnectFailed { code } else { Code::Moot };
+        let unsent_code = if code == Code::ConnectFailed { code } else { Code::Moot };
         let mut open: Vec<_> = link.open.into_values().collect();
         open.sort_by_key(|open| open.span);
-        let mut how =
-            |of| if link.sent_bytes.progress(io, conn, of) == SendProgress::Complete { code } else { never };
+        let mut how = |of| {
+            if link.output_bytes.progress(io, conn, of) == SendProgress::Complete {
+                code
+            } else {
+                unsent_code
+            }
+        };
         let ends: Vec<_> = open.into_iter().map(|open| (how(open.span), open.job)).collect();
         close(io, conn);
-        for (code, job) in ends.into_iter().chain(link.queue.into_iter().map(|job| (never, job))) {
+        for (code, job) in ends.into_iter().chain(link.queue.into_iter().map(|job| (unsent_code, job))) {
             job_key(&job).map(|key| self.jobs.remove(&key));
             done.extend(end_without_reply(&job, code));
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -5,7 +5,7 @@
 use crate::discovery_log::DiscoveryLog;
 use crate::front::{Front, Step};
 use crate::gossip::Gossip;
-use crate::links::{Job, JobEnd, Links, SentJob};
+use crate::links::{Job, JobEnd, Links, WrittenJob};
 use crate::members::MemberMapper;
 use crate::peers::Fleet;
 use crate::recorder::TraceRecorder;
@@ -129,8 +129,8 @@
 }
 
 impl Control {
-    fn command(&self, what: u8) {
-        self.commands.fetch_or(what, Ordering::AcqRel);
+    fn command(&self, command: u8) {
+        self.commands.fetch_or(command, Ordering::AcqRel);
         self.waker.wake();
     }
 
@@ -292,8 +292,8 @@
         let mut happened = Vec::new();
         loop {
             let now = monotonic();
-            let held = self.oldest_request().map_or(0, |came| now.saturating_sub(came));
-            self.io.hold_accepting(!self.pace.accepts(held));
+            let oldest_age = self.oldest_request().map_or(0, |came| now.saturating_sub(came));
+            self.io.hold_accepting(!self.pace.accepts(oldest_age));
             let wait = self.poll_timeout(now);
             self.io.turn(Some(wait), &mut happened)?;
             self.follower.nothing_waited(now);
@@ -313,11 +313,11 @@
         let term =
             self.term_at.map(|at| at + self.rejects_after).filter(|at| *at > now || !self.is_rejecting);
         let last = self.is_rejecting.then_some(now + 5_000);
-        let reread = self.reload.map(|(at, _)| at);
+        let reload = self.reload.map(|(at, _)| at);
         let fleet = self.fleet.as_ref().map(|fleet| fleet.transport.next_due());
         let due = [self.engine.next_due(now), self.front.next_due(), self.links.next_due()];
-        let told = self.gossip.as_ref().and_then(Gossip::next_due);
-        let due = due.into_iter().chain([self.follower.next_due(), term, last, reread, fleet, told]);
+        let gossip = self.gossip.as_ref().and_then(Gossip::next_due);
+        let due = due.into_iter().chain([self.follower.next_due(), term, last, reload, fleet, gossip]);
         let due = due.flatten().min().unwrap_or(now + 1_000_000);
         if self.oldest_request().is_some() { 0 } else { due.saturating_sub(now) }
     }
@@ -331,9 +331,10 @@
     /// outstanding. While a client has a connection, or has just lost it, a request may be in transit.
     fn is_finished(&self, now: Micros) -> bool {
         let Some(term) = self.term_at.filter(|_| self.is_rejecting) else { return false };
-        let none_waits = !self.has_accepted && self.io.accepts_all() && self.oldest_request().is_none();
-        let settled =
-            none_waits && self.front.all_clients_left(now, term + self.rejects_after) && self.io.is_settled();
+        let all_accepted = !self.has_accepted && self.io.accepts_all() && self.oldest_request().is_none();
+        let settled = all_accepted
+            && self.front.all_clients_left(now, term + self.rejects_after)
+            && self.io.is_settled();
         // An answer written as late as SIGKILL allows has half of the remaining time to be read.
         let unread_until =
             (term + LATEST_REJECT_US + LAST_ANSWERS_US).max(self.last_answer + CLOCK_SKEW_US / 2);
@@ -362,8 +363,8 @@
             if !self.pace.may_read(now, came) {
                 break;
             }
-            let looked = self.front.read_next(&mut self.io, now);
-            self.handle_steps(now, looked);
+            let steps = self.front.read_next(&mut self.io, now);
+            self.handle_steps(now, steps);
         }
         for happened in happened.drain(..) {
             self.handle_event(began, now, happened);
@@ -382,12 +383,12 @@
             }
             // The client may have withdrawn the request in input that follows it, and so may the client of the next
             // one.
-            let mut looked = None;
-            while let Some(waiter) = self.engine.next_waiter().filter(|w| Some(*w) != looked)
-                && let Some(behind) = self.front.read_ahead(&mut self.io, now, waiter)
+            let mut read_ahead_of = None;
+            while let Some(waiter) = self.engine.next_waiter().filter(|w| Some(*w) != read_ahead_of)
+                && let Some(steps) = self.front.read_ahead(&mut self.io, now, waiter)
             {
-                looked = Some(waiter);
-                self.handle_steps(now, behind);
+                read_ahead_of = Some(waiter);
+                self.handle_steps(now, steps);
             }
             let mut outputs = std::mem::take(&mut self.outputs);
             self.engine.begin_next(now, &mut outputs);
@@ -459,7 +460,7 @@
             }
             Happened::Connected(conn) if self.links.owns(conn) => {
                 self.links.connected(&mut self.io, now, conn);
-                self.note_sent_jobs(now);
+                self.note_written(now);
             }
             Happened::Connected(conn) => {
                 if let Some(feed) = self.feeds.get(&conn).copied() {
@@ -468,7 +469,7 @@
             }
             Happened::Drained(conn) if self.links.owns(conn) => {
                 self.links.drained(&mut self.io, now, conn);
-                self.note_sent_jobs(now);
+                self.note_written(now);
             }
             Happened::Data(conn) if self.links.owns(conn) => {
                 self.links.receive(&mut self.io, now, conn, &mut done);
@@ -494,8 +495,8 @@
             Happened::Signal(_) => self.command(now, STOP),
             Happened::Datagrams(_) => {
                 self.gossip.iter_mut().for_each(|gossip| gossip.receive(&mut self.io, now));
-                let news = self.gossip.as_mut().map(Gossip::take_reports).unwrap_or_default();
-                for (worker, function, copies) in news {
+                let reports = self.gossip.as_mut().map(Gossip::take_reports).unwrap_or_default();
+                for (worker, function, copies) in reports {
                     self.notify_engine(now, Input::Stands(worker, function, copies));
                 }
                 self.with_peers(now, |transport, io, events| transport.data(io, now, events));
@@ -509,11 +510,11 @@
         self.jobs_ended(now, done);
     }
 
-    fn command(&mut self, now: Micros, what: u8) {
-        if what & RELOAD > 0 {
+    fn command(&mut self, now: Micros, command: u8) {
+        if command & RELOAD > 0 {
             self.reload = Some((now, MAX_RELOAD_RETRIES));
         }
-        if what & STOP > 0 && self.term_at.is_none() {
+        if command & STOP > 0 && self.term_at.is_none() {
             info!(name = self.name, in_hand = self.engine.in_hand(), "stopping");
             self.term_at = Some(now);
             self.front.start_stopping();
@@ -598,12 +599,12 @@
         }
     }
 
-    fn note_sent_jobs(&mut self, now: Micros) {
-        for sent in self.links.sent_items.drain(..) {
-            if let SentJob::Attempt(id, _) = sent.job {
+    fn note_written(&mut self, now: Micros) {
+        for written in self.links.written.drain(..) {
+            if let WrittenJob::Attempt(id, _) = written.job {
                 self.engine.written(id);
             }
-            self.recorder.job_sent(now, &mut self.io, &sent);
+            self.recorder.job_written(now, &mut self.io, &written);
         }
     }
 
@@ -614,9 +615,9 @@
         while let Some(output) = queue.pop_front() {
             let done = self.output(now, output);
             // Before any other input to the engine: a job that was written may run.
-            self.note_sent_jobs(now);
-            let news = self.gossip.as_mut().map(Gossip::take_reports).unwrap_or_default();
-            for (worker, function, copies) in news {
+            self.note_written(now);
+            let reports = self.gossip.as_mut().map(Gossip::take_reports).unwrap_or_default();
+            for (worker, function, copies) in reports {
                 let mut more = std::mem::take(&mut self.outputs);
                 self.engine.handle(now, Input::Stands(worker, function, copies), &mut more);
                 queue.extend(more.drain(..));
@@ -654,7 +655,7 @@
         } = self;
         match output {
             Output::Answer { waiter, answer, attempts, worker, .. } => {
-                let asked = front.answer(io, now, waiter, &answer)?;
+                let request = front.answer(io, now, waiter, &answer)?;
                 *last_answer = now;
                 let outcome = match answer {
                     Answer::Served(_) => 0,
@@ -662,7 +663,7 @@
                     Answer::Failed(_) => 2,
                 };
                 fleet.iter_mut().for_each(|fleet| fleet.transport.answered(outcome));
-                recorder.answered(now, &asked, &answer, (attempts, worker.as_ref()));
+                recorder.answered(now, &request, &answer, (attempts, worker.as_ref()));
                 None
             }
             Output::Start { attempt, worker, function, payload, until, .. } => {
@@ -680,11 +681,11 @@
                 done
             }
             Output::Order { order, worker, function, count } => {
-                let told = gossip
+                let known = gossip
                     .as_mut()
                     .and_then(|gossip| gossip.answer_order(now, order, (&worker, &function), count));
-                if told.is_some() {
-                    return told;
+                if known.is_some() {
+                    return known;
                 }
                 links.start(io, now, &worker, Job::Order { id: order, function, count })
             }
@@ -799,15 +800,15 @@
 
     /// Applies the starts and ends of drains that the fleet has agreed on.
     fn apply_drain_changes(&mut self, now: Micros) {
-        let news = self.fleet.as_mut().map(Fleet::take_drain_changes).unwrap_or_default();
-        news.iter().for_each(|roster| self.apply_members(now, roster));
+        let rosters = self.fleet.as_mut().map(Fleet::take_drain_changes).unwrap_or_default();
+        rosters.iter().for_each(|roster| self.apply_members(now, roster));
     }
 
     fn apply_roster(&mut self, now: Micros, roster: &Roster) {
         match &mut self.fleet {
             Some(fleet) => {
-                let told = fleet.apply_roster(now, roster);
-                self.apply_members(now, &told);
+                let roster = fleet.apply_roster(now, roster);
+                self.apply_members(now, &roster);
             }
             None => self.apply_members(now, roster),
         }
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -1,7 +1,7 @@
 //! Records the traffic on the sockets for the rule checker. Disabled in production.
 
 use crate::front::OpenRequest;
-use crate::links::{SentItem, SentJob};
+use crate::links::{Written, WrittenJob};
 use crate::work::ReplyBody;
 use basaltward::{FunctionId, Member, MembersKind, Micros, State, WorkerId};
 use basaltward_engine::{Answer, AttemptEnd, AttemptId};
@@ -83,19 +83,19 @@
     }
 
     /// An id is used on a connection only once, so id and port identify an attempt; the worker sees the same pair.
-    pub fn job_sent(&mut self, now: Micros, io: &mut Io, written: &SentItem) {
+    pub fn job_written(&mut self, now: Micros, io: &mut Io, written: &Written) {
         if !self.recorder.is_on() {
             return;
         }
         let worker = written.worker.to_string();
         match &written.job {
-            SentJob::Attempt(id, work) => {
+            WrittenJob::Attempt(id, work) => {
                 let port = io.local_address(written.conn).map_or(0, |a| a.port());
                 let attempt = format!("{}:{}@{port}", self.name, work.id);
                 self.attempt_names.insert(*id, attempt.clone());
                 self.put(now, What::Sent { event: work.id.clone(), attempt, worker });
             }
-            SentJob::Order(function, count) => {
+            WrittenJob::Order(function, count) => {
                 self.put(now, What::Ordered { worker, function: function.to_string(), count: *count });
             }
         }
--- a/crates/node/src/send_progress.rs
+++ b/crates/node/src/send_progress.rs
@@ -24,11 +24,11 @@
 
 /// Counts the bytes written to one connection and not withdrawn.
 #[derive(Default)]
-pub struct SentBytes {
+pub struct OutputBytes {
     bytes: u64,
 }
 
-impl SentBytes {
+impl OutputBytes {
     /// Writes to the connection's output; `None` if the connection accepts no more.
     pub fn write(&mut self, io: &mut Io, conn: ConnId, write: impl FnOnce(&mut BytesMut)) -> Option<Span> {
         let out = io.output(conn)?;
