--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -1,7 +1,7 @@
 //! The Thrift front end: accepts clients' connections, turns their requests into calls and writes the answers.
 
 use crate::config::NodeConfig;
-use crate::work::{CallPayload, ReplyBody};
+use crate::payload::{CallPayload, ReplyBody};
 use basaltward::{Class, FunctionId, Micros, Repeat};
 use basaltward_engine::{Answer, Function, Identity, NewCall, WaiterId};
 use basaltward_net::{ConnId, Happened, Io};
--- a/crates/node/src/job.rs
+++ b/crates/node/src/job.rs
@@ -1,6 +1,6 @@
 //! Jobs sent over connections to workers, and how they end.
 
-use crate::work::{CallPayload, ReplyBody};
+use crate::payload::{CallPayload, ReplyBody};
 use basaltward::{Code, CopyNote, FunctionId, Micros};
 use basaltward_engine::{AttemptEnd, AttemptId, OrderId};
 use basaltward_worker_lines::{Note, Reply, Word};
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -14,12 +14,12 @@
 mod links;
 mod members;
 mod node;
+mod payload;
 mod peers;
 mod recent_ids;
 mod recorder;
 mod send_progress;
 mod start_times;
-mod work;
 
 pub use budget::Budget;
 pub use config::{ConfigError, FleetConfig, NodeConfig, load};
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -7,9 +7,9 @@
 use crate::Budget;
 pub use crate::job::{Job, JobEnd};
 use crate::job::{JobKey, end_with_reply, end_without_reply, job_key, wire_id};
+use crate::payload::CallPayload;
 use crate::recent_ids::RecentIds;
 use crate::send_progress::{OutputBytes, SendProgress, Span};
-use crate::work::CallPayload;
 use basaltward::{Code, FunctionId, Member, MembersKind, Micros, State, WorkerId};
 use basaltward_engine::{AttemptId, OrderId};
 use basaltward_net::{ConnId, End, Io};
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -7,9 +7,9 @@
 use crate::gossip::Gossip;
 use crate::links::{Job, JobEnd, Links, WrittenJob};
 use crate::members::MemberMapper;
+use crate::payload::{CallPayload, ReplyBody};
 use crate::peers::Fleet;
 use crate::recorder::TraceRecorder;
-use crate::work::{CallPayload, ReplyBody};
 use basaltward::{Code, ListTrust, Micros, SettingsError, State, WorkerId};
 use basaltward_bulletin::{
     FeedId, Follower, FollowerLimits, Freshness, OWED_WITHIN_US, Roster, Step as Feed,
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -2,7 +2,7 @@
 
 use crate::front::OpenRequest;
 use crate::links::{Written, WrittenJob};
-use crate::work::ReplyBody;
+use crate::payload::ReplyBody;
 use basaltward::{FunctionId, Member, MembersKind, Micros, State, WorkerId};
 use basaltward_engine::{Answer, AttemptEnd, AttemptId};
 use basaltward_membership::{Incarnation, MemberId};
