--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -293,12 +293,12 @@
 
     /// When the oldest unread input arrived.
     pub fn oldest_input(&self) -> Option<Micros> {
-        self.input_pending.front().map(|(came, _)| *came)
+        self.input_pending.front().map(|(arrived, _)| *arrived)
     }
 
     /// Whether this event concerns a client's connection.
-    pub fn owns(&self, happened: &Happened) -> bool {
-        match happened {
+    pub fn owns(&self, event: &Happened) -> bool {
+        match event {
             Happened::Data(conn) | Happened::Drained(conn) | Happened::Ended(conn, _) => {
                 self.clients.contains_key(conn)
             }
@@ -306,10 +306,10 @@
         }
     }
 
-    /// Reads frames from the connection that has waited longest.
+    /// Reads frames from the connection that has waited longest, and returns the results.
     pub fn read_next(&mut self, io: &mut Io, now: Micros) -> Vec<Step> {
-        let Some((came, conn)) = self.input_pending.pop_front() else { return Vec::new() };
-        self.read_from(io, now, (came, conn), FRAMES_PER_TURN)
+        let Some((arrived, conn)) = self.input_pending.pop_front() else { return Vec::new() };
+        self.read_from(io, now, (arrived, conn), FRAMES_PER_TURN)
     }
 
     /// Reads ahead on the connection of this waiter, if it has unread input.
@@ -317,15 +317,15 @@
         let conn = self.requests.get(slot(waiter)).filter(|w| w.id == waiter)?.conn;
         self.clients.get(&conn).filter(|c| c.input_pending)?;
         let at = self.input_pending.iter().position(|(_, ready)| *ready == conn)?;
-        let (came, _) = self.input_pending.remove(at)?;
-        Some(self.read_from(io, now, (came, conn), MAX_READ_AHEAD))
+        let (arrived, _) = self.input_pending.remove(at)?;
+        Some(self.read_from(io, now, (arrived, conn), MAX_READ_AHEAD))
     }
 
     fn read_from(
         &mut self,
         io: &mut Io,
         now: Micros,
-        (came, conn): (Micros, ConnId),
+        (arrived, conn): (Micros, ConnId),
         max_frames: usize,
     ) -> Vec<Step> {
         let mut steps = Vec::new();
@@ -339,7 +339,7 @@
                     if let Some(client) = self.clients.get_mut(&conn) {
                         client.request_began = None;
                     }
-                    self.handle_frame(io, now, (came, conn), &frame)
+                    self.handle_frame(io, now, (arrived, conn), &frame)
                 }
                 Ok(None) => {
                     let is_partial = !input.is_empty();
@@ -365,7 +365,7 @@
             }
         }
         // More input may follow: the connection goes to the end of the queue with its original arrival time.
-        self.input_arrived(came, conn);
+        self.input_arrived(arrived, conn);
         steps
     }
 
@@ -381,19 +381,19 @@
         &mut self,
         io: &mut Io,
         now: Micros,
-        (came, conn): (Micros, ConnId),
+        (arrived, conn): (Micros, ConnId),
         frame: &[u8],
     ) -> Option<Step> {
-        let (head, asked) = read_request(frame).ok()?;
+        let (head, request) = read_request(frame).ok()?;
         let (name, seqid) = (head.name, head.seqid);
         let oneway = head.kind == Kind::Oneway;
-        let told = match asked {
-            Asked::Submit(submit) if !oneway => match self.submit(io, (came, conn), seqid, &submit)? {
+        let reply = match request {
+            Asked::Submit(submit) if !oneway => match self.submit(io, (arrived, conn), seqid, &submit)? {
                 Ok(call) => {
                     self.touch(now, conn);
                     return Some(Step::Call(call));
                 }
-                Err(told) => told,
+                Err(reply) => reply,
             },
             Asked::Revoke(of) => {
                 let client = self.clients.get_mut(&conn)?;
@@ -416,7 +416,7 @@
             // A method that must be answered, sent as a one-way call, or an unknown one-way method.
             _ => return None,
         };
-        write::reply(io.output(conn)?, name, seqid, &told);
+        write::reply(io.output(conn)?, name, seqid, &reply);
         self.touch(now, conn);
         Some(Step::Nothing)
     }
@@ -455,7 +455,7 @@
     fn submit(
         &mut self,
         io: &mut Io,
-        (came, conn): (Micros, ConnId),
+        (arrived, conn): (Micros, ConnId),
         seqid: i32,
         submit: &Submit,
     ) -> Option<Result<NewCall<CallPayload>, Told<'static>>> {
@@ -482,7 +482,7 @@
         let entry = self.requests.vacant_entry();
         let waiter = WaiterId(self.last_waiter << 20 | entry.key() as u64 & 0xf_ffff);
         let (request, function, class) = (parsed.request, parsed.function.name.clone(), parsed.class);
-        entry.insert(OpenRequest { id: waiter, conn, seqid, request, function, class, arrived: came });
+        entry.insert(OpenRequest { id: waiter, conn, seqid, request, function, class, arrived });
         self.clients.get_mut(&conn)?.open.push((seqid, waiter));
         let id = format!("{:016x}", parsed.request);
         let function = Arc::new(parsed.function);
@@ -491,7 +491,7 @@
         let connections = Mutex::default();
         let (number, class, key, body) = (parsed.request, parsed.class, parsed.key, submit.owned_body());
         let payload = Arc::new(CallPayload { id, number, class, key, body, connections });
-        Some(Ok(NewCall { waiter, identity, function, deadline: came + parsed.timeout, payload }))
+        Some(Ok(NewCall { waiter, identity, function, deadline: arrived + parsed.timeout, payload }))
     }
 
     /// Parses the fields of a request; `None` if any of them is invalid.
@@ -553,12 +553,12 @@
             client.open.retain(|(_, w)| *w != waiter);
         }
         if let Some(out) = io.output(conn) {
-            let told = match answer {
+            let reply = match answer {
                 Answer::Served(ReplyBody(body)) => Told::Answer(body, true),
                 Answer::Refused(_, wait) => Told::Rejected(wait.map(|us| us.div_ceil(1_000))),
                 Answer::Failed(_) => Told::Crashed,
             };
-            write::reply(out, "submit", request.seqid, &told);
+            write::reply(out, "submit", request.seqid, &reply);
         }
         self.touch(now, conn);
         Some(request)
--- a/crates/node/src/job.rs
+++ b/crates/node/src/job.rs
@@ -10,7 +10,7 @@
 #[derive(Clone)]
 pub enum Job {
     /// An attempt of a call.
-    Attempt { id: AttemptId, work: Arc<CallPayload>, function: FunctionId, until: Micros },
+    Attempt { id: AttemptId, payload: Arc<CallPayload>, function: FunctionId, until: Micros },
     /// An order to load copies, or a query for loaded copies if `count` is 0.
     Order { id: OrderId, function: FunctionId, count: u32 },
     /// A probe.
@@ -48,7 +48,7 @@
 /// and probes.
 pub fn wire_id(job: &Job) -> String {
     match job {
-        Job::Attempt { work, .. } => work.id.clone(),
+        Job::Attempt { payload, .. } => payload.id.clone(),
         Job::Order { id, .. } => format!("order-{}", id.0),
         Job::Probe(id) => format!("probe-{}", id.0),
         Job::Release(_) => String::new(),
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -271,8 +271,8 @@
                 },
             }
         };
-        if let Job::Attempt { id, work, until, .. } = &job {
-            work.note_connection(conn);
+        if let Job::Attempt { id, payload, until, .. } = &job {
+            payload.note_connection(conn);
             self.due.set((*until).max(now), Due::Attempt(*id));
         }
         if let Some(key) = job_key(&job) {
@@ -295,9 +295,11 @@
     fn choose(&self, worker: &WorkerId, job: &Job, may_connect: bool) -> (Option<ConnId>, bool) {
         let held = self.workers.get(worker).map(|known| known.conns.as_slice()).unwrap_or_default();
         let streams = self.settings.streams.max(1);
-        let has_carried =
-            |work: &CallPayload, conn| work.has_used(conn) || self.recent_ids.contains(conn, work.number);
-        let is_unused = |conn: &ConnId| !matches!(job, Job::Attempt { work, .. } if has_carried(work, *conn));
+        let has_carried = |payload: &CallPayload, conn| {
+            payload.has_used(conn) || self.recent_ids.contains(conn, payload.number)
+        };
+        let is_unused =
+            |conn: &ConnId| !matches!(job, Job::Attempt { payload, .. } if has_carried(payload, *conn));
         let available = |conn: &ConnId| self.conns.get(conn).filter(|l| !l.is_retired && l.load() < streams);
         let candidates = held.iter().filter(|conn| is_unused(conn)).filter_map(|c| Some((*c, available(c)?)));
         // Among equally loaded connections, prefer the most recently used one, so that the others can idle out.
@@ -351,11 +353,11 @@
         {
             let id = wire_id(&job);
             let span = link.output_bytes.write(io, conn, |out| match &job {
-                Job::Attempt { work, function, until, .. } => {
-                    let queue = self.classes.get(work.class).map_or("", String::as_str);
+                Job::Attempt { payload, function, until, .. } => {
+                    let queue = self.classes.get(payload.class).map_or("", String::as_str);
                     let budget = (until.saturating_sub(now) / 1_000).max(1);
-                    let (path, key) = (function.as_str(), work.key.as_deref());
-                    lines::exec(out, &id, ExecFields { queue, path, budget_ms: budget, key }, &work.body);
+                    let (path, key) = (function.as_str(), payload.key.as_deref());
+                    lines::exec(out, &id, ExecFields { queue, path, budget_ms: budget, key }, &payload.body);
                 }
                 Job::Order { function, count, .. } => lines::ensure(out, &id, function.as_str(), *count),
                 Job::Probe(_) => lines::load(out, &id),
@@ -363,7 +365,7 @@
             });
             let Some(span) = span else { return link.queue.push_front(job) };
             let written = match &job {
-                Job::Attempt { id, work, .. } => Some(WrittenJob::Attempt(*id, work.clone())),
+                Job::Attempt { id, payload, .. } => Some(WrittenJob::Attempt(*id, payload.clone())),
                 Job::Order { function, count, .. } => Some(WrittenJob::Order(function.clone(), *count)),
                 Job::Probe(_) | Job::Release(_) => None,
             };
@@ -437,8 +439,8 @@
                 open.job
             } else {
                 let OpenJob { job, span, .. } = link.open.remove(&id)?;
-                if let Job::Attempt { work, .. } = &job {
-                    self.recent_ids.insert(now, conn, work.number);
+                if let Job::Attempt { payload, .. } = &job {
+                    self.recent_ids.insert(now, conn, payload.number);
                     link.maybe_unread |= link.last_input < since;
                     // A socket that takes no more bytes shows at once that its worker does not read; otherwise only
                     // the worker's silence shows it.
@@ -508,7 +510,7 @@
         Some(link)
     }
 
-    // ---- what happens on connections ---------------------------------------------------------------------
+    // ---- connection events -------------------------------------------------------------------------------
 
     /// Handles an established connection.
     pub fn connected(&mut self, io: &mut Io, now: Micros, conn: ConnId) {
@@ -534,8 +536,8 @@
                     // No job waits under this id: a duplicate answer, or the answer to a request that was given up.
                     // The answer is complete, so the input that follows can be read.
                     let Some(open) = link.open.remove(&reply.id) else { continue };
-                    if let Job::Attempt { work, .. } = &open.job {
-                        self.recent_ids.insert(now, conn, work.number);
+                    if let Job::Attempt { payload, .. } = &open.job {
+                        self.recent_ids.insert(now, conn, payload.number);
                     }
                     link.last_used = now;
                     let worker = link.worker.clone();
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The list is complete as of now.
+    /// The list is up to date as of now.
     pub fn list_confirmed(&mut self, now: Micros) {
         self.starts.list_confirmed(now);
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -64,7 +64,7 @@
     /// The operating system refused a request.
     #[error(transparent)]
     Net(#[from] NetError),
-    /// The connection to its peers can't be set up.
+    /// Communication with its peers can't be set up.
     #[error(transparent)]
     Peers(#[from] PeerError),
     /// The module rejects the settings.
@@ -200,9 +200,9 @@
         let fleet = Fleet::open(&config, &mut io, monotonic())?;
         let gossip = Gossip::open(&config, &mut io, monotonic())?;
         let known = std::mem::take(&mut config.known);
-        let following = FollowerLimits::where_connecting_takes(config.settings.links.connect_timeout);
-        let longest = config.settings.module.classes.iter().map(|class| class.deadline).max();
-        let kill = longest.unwrap_or(0).min(MAX_KILL_DELAY_US) + EXCUSED_AFTER_TERM_US;
+        let follower_limits = FollowerLimits::where_connecting_takes(config.settings.links.connect_timeout);
+        let max_deadline = config.settings.module.classes.iter().map(|class| class.deadline).max();
+        let kill_after = max_deadline.unwrap_or(0).min(MAX_KILL_DELAY_US) + EXCUSED_AFTER_TERM_US;
         let mut node = Self {
             name: config.name.clone(),
             path,
@@ -211,15 +211,15 @@
             engine: Engine::new(engine_settings(&config), config.seed)?,
             front: Front::new(&config),
             links: Links::new(&config),
-            follower: Follower::new(following, config.bulletin, known.no),
+            follower: Follower::new(follower_limits, config.bulletin, known.no),
             feeds: HashMap::new(),
             members: MemberMapper::new(&config, wall_step),
             fleet,
             gossip,
             pace: Pace::default(),
             term_at: None,
-            rejects_after: (kill - CLOSE_CONNECTIONS_US).clamp(EARLIEST_REJECT_US, LATEST_REJECT_US),
-            answer_by: kill - CLOCK_SKEW_US,
+            rejects_after: (kill_after - CLOSE_CONNECTIONS_US).clamp(EARLIEST_REJECT_US, LATEST_REJECT_US),
+            answer_by: kill_after - CLOCK_SKEW_US,
             last_answer: 0,
             is_rejecting: false,
             has_accepted: false,
@@ -289,15 +289,15 @@
     /// If a system call of the loop itself fails.
     pub fn run(mut self) -> Result<(), NodeError> {
         info!(name = self.name, address = %self.address, "serving");
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         loop {
             let now = monotonic();
-            let oldest_age = self.oldest_request().map_or(0, |came| now.saturating_sub(came));
+            let oldest_age = self.oldest_request().map_or(0, |arrived| now.saturating_sub(arrived));
             self.io.hold_accepting(!self.pace.accepts(oldest_age));
             let wait = self.poll_timeout(now);
-            self.io.turn(Some(wait), &mut happened)?;
+            self.io.turn(Some(wait), &mut events)?;
             self.follower.nothing_waited(now);
-            self.turn((now, now + wait), &mut happened);
+            self.turn((now, now + wait), &mut events);
             self.io.forget_ended();
             if self.is_finished(monotonic()) {
                 let now = monotonic();
@@ -345,7 +345,7 @@
     /// other events and timers are handled; then requests are started. Each phase has a time budget. Input is read
     /// before any request in it is started, because the request's time is running: a loop that has fallen behind
     /// must know of it to answer in time.
-    fn turn(&mut self, (since, due): (Micros, Micros), happened: &mut Vec<Happened>) {
+    fn turn(&mut self, (since, due): (Micros, Micros), events: &mut Vec<Happened>) {
         let mut now = monotonic();
         let began = now;
         self.pace.begin(since, due, now);
@@ -353,21 +353,21 @@
         // Accept new clients last: a connection that is closed to free capacity for them must not have unread
         // input.
         let (front, from) = (&self.front, |event: &Happened| matches!(event, Happened::Accepted { .. }));
-        happened.sort_by_key(|event| if front.owns(event) { 0 } else { 1 + u8::from(!from(event)) });
-        let others = happened.partition_point(|event| front.owns(event) || from(event));
-        for happened in happened.drain(..others) {
-            self.handle_event(began, now, happened);
+        events.sort_by_key(|event| if front.owns(event) { 0 } else { 1 + u8::from(!from(event)) });
+        let others = events.partition_point(|event| front.owns(event) || from(event));
+        for event in events.drain(..others) {
+            self.handle_event(began, now, event);
         }
-        while let Some(came) = self.front.oldest_input() {
+        while let Some(arrived) = self.front.oldest_input() {
             now = monotonic();
-            if !self.pace.may_read(now, came) {
+            if !self.pace.may_read(now, arrived) {
                 break;
             }
             let steps = self.front.read_next(&mut self.io, now);
             self.handle_steps(now, steps);
         }
-        for happened in happened.drain(..) {
-            self.handle_event(began, now, happened);
+        for event in events.drain(..) {
+            self.handle_event(began, now, event);
             now = monotonic();
             if self.pace.looks(now) {
                 self.wake(now);
@@ -376,9 +376,9 @@
         }
         self.wake(now);
         self.flush();
-        while let Some(came) = self.engine.oldest_arrival() {
+        while let Some(arrived) = self.engine.oldest_arrival() {
             now = monotonic();
-            if !self.pace.may_begin(now, came) {
+            if !self.pace.may_begin(now, arrived) {
                 break;
             }
             // The client may have withdrawn the request in input that follows it, and so may the client of the next
@@ -400,7 +400,7 @@
             // next request.
             self.front.close_idle(&mut self.io, monotonic(), term + self.rejects_after);
         }
-        std::mem::swap(happened, &mut self.deferred_events);
+        std::mem::swap(events, &mut self.deferred_events);
         let Turn { began, lag, .. } = self.pace.end(monotonic(), thread_time());
         self.engine.note_late(monotonic(), began);
         if let Some(lag) = lag {
@@ -451,9 +451,9 @@
         late
     }
 
-    fn handle_event(&mut self, began: Micros, now: Micros, happened: Happened) {
+    fn handle_event(&mut self, began: Micros, now: Micros, event: Happened) {
         let mut done = Vec::new();
-        match happened {
+        match event {
             Happened::Accepted { conn, .. } => {
                 self.has_accepted = true;
                 self.front.accepted(&mut self.io, now, conn);
@@ -670,7 +670,7 @@
                 let function = function.name.clone();
                 TraceRecorder::started(attempt, &worker, &function);
                 gossip.iter_mut().for_each(|gossip| gossip.attempt_started(now, attempt, &worker, &function));
-                links.start(io, now, &worker, Job::Attempt { id: attempt, work: payload, function, until })
+                links.start(io, now, &worker, Job::Attempt { id: attempt, payload, function, until })
             }
             Output::Abort(attempt) => {
                 let done = links.abort_attempt(io, now, attempt);
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -89,11 +89,11 @@
         }
         let worker = written.worker.to_string();
         match &written.job {
-            WrittenJob::Attempt(id, work) => {
+            WrittenJob::Attempt(id, payload) => {
                 let port = io.local_address(written.conn).map_or(0, |a| a.port());
-                let attempt = format!("{}:{}@{port}", self.name, work.id);
+                let attempt = format!("{}:{}@{port}", self.name, payload.id);
                 self.attempt_names.insert(*id, attempt.clone());
-                self.put(now, What::Sent { event: work.id.clone(), attempt, worker });
+                self.put(now, What::Sent { event: payload.id.clone(), attempt, worker });
             }
             WrittenJob::Order(function, count) => {
                 self.put(now, What::Ordered { worker, function: function.to_string(), count: *count });
--- a/crates/node/src/start_times.rs
+++ b/crates/node/src/start_times.rs
@@ -60,7 +60,7 @@
         self.workers.retain(|_, known| known.gone.is_none_or(|at| at + GONE_RETENTION_US > now));
     }
 
-    /// The list is complete as of now.
+    /// The list is up to date as of now.
     pub fn list_confirmed(&mut self, now: Micros) {
         self.confirmed_at = Some(now);
     }
