--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -577,11 +577,11 @@
 
     /// Closes the connections that have no open request, no unread input and no unsent answer, to free capacity for
     /// clients still waiting to be accepted. A client has less time to read the rest once its connection is closed.
-    pub fn close_idle(&mut self, io: &mut Io, now: Micros, stopped: Micros) {
+    pub fn close_idle(&mut self, io: &mut Io, now: Micros, rejecting_since: Micros) {
         let idle: Vec<_> = self.idle.iter().map(|(_, conn)| *conn).collect();
         for conn in idle {
             if self.may_close(io, now, conn) {
-                if self.clients.get(&conn).is_some_and(|client| client.accepted_at <= stopped) {
+                if self.clients.get(&conn).is_some_and(|client| client.accepted_at <= rejecting_since) {
                     self.last_closed_at = now;
                 }
                 self.forget(conn);
@@ -607,9 +607,10 @@
     /// ago for a request that crossed the close to have arrived again. Of connections accepted later, only those
     /// that may still carry such a repeated request are waited for: waiting for clients that keep connecting would
     /// never end.
-    pub fn all_clients_left(&self, now: Micros, stopped: Micros) -> bool {
-        let may_send =
-            |c: &Client| c.accepted_at <= stopped || !c.has_requested && now < c.accepted_at + IN_TRANSIT_US;
+    pub fn all_clients_left(&self, now: Micros, rejecting_since: Micros) -> bool {
+        let may_send = |c: &Client| {
+            c.accepted_at <= rejecting_since || !c.has_requested && now < c.accepted_at + IN_TRANSIT_US
+        };
         !self.clients.values().any(may_send) && self.last_closed_at + IN_TRANSIT_US <= now
     }
 
--- a/crates/node/src/instance_directory.rs
+++ b/crates/node/src/instance_directory.rs
@@ -11,10 +11,10 @@
 const MAX_OBSERVATIONS: usize = 16_384;
 /// Maximum number of locally called functions remembered by name.
 const MAX_FUNCTIONS: usize = 8_192;
-/// Delay until the first known copy of a function is announced. A datagram reaches every peer and costs each of them a
-/// turn of its loop, so updates are batched.
+/// Delay until the first known copy of a function is announced.
 const FIRST_COPY_DELAY_US: Micros = 40_000;
-/// Delay until any other update is announced.
+/// Delay until any other update is announced. A datagram reaches every peer and costs each of them a turn of its
+/// loop, so updates are batched.
 const UPDATE_DELAY_US: Micros = 1_500_000;
 /// Interval at which expired observations are removed.
 const SWEEP_US: Micros = 1_000_000;
@@ -141,7 +141,7 @@
         let before = self
             .observations
             .get(&function_hash)
-            .and_then(|observations| observations.get(&worker_hash))
+            .and_then(|by_worker| by_worker.get(&worker_hash))
             .map_or(0, |observation| observation.copies);
         // That no copy is loaded matters only if one was believed to be.
         if before == 0 && copies == 0 {
@@ -154,13 +154,13 @@
         if changed || now >= observation.announced + announce_interval {
             self.pending.insert((function_hash, worker_hash));
             // Peers that know another copy don't send a query.
-            let others = self
+            let is_known_elsewhere = self
                 .observations
                 .get(&function_hash)
                 .into_iter()
                 .flatten()
-                .any(|(w, f)| *w != worker_hash && f.copies > 0);
-            let by = now + if changed && !others { FIRST_COPY_DELAY_US } else { UPDATE_DELAY_US };
+                .any(|(worker, seen)| *worker != worker_hash && seen.copies > 0);
+            let by = now + if changed && !is_known_elsewhere { FIRST_COPY_DELAY_US } else { UPDATE_DELAY_US };
             self.announce_at = Some(self.announce_at.map_or(by, |at| at.min(by)));
         }
     }
@@ -179,7 +179,7 @@
         let known = self
             .observations
             .get(&function_hash)
-            .is_some_and(|observations| observations.contains_key(&worker_hash));
+            .is_some_and(|by_worker| by_worker.contains_key(&worker_hash));
         if !known {
             if self.count >= MAX_OBSERVATIONS && now >= self.next_sweep {
                 self.sweep(now);
@@ -189,9 +189,8 @@
             }
             self.count += 1;
         }
-        let unseen =
-            Observation { copies: 0, seen: 0, announced: 0, known_to_module: None, from_peer: false };
-        Some(self.observations.entry(function_hash).or_default().entry(worker_hash).or_insert(unseen))
+        let empty = Observation { copies: 0, seen: 0, announced: 0, known_to_module: None, from_peer: false };
+        Some(self.observations.entry(function_hash).or_default().entry(worker_hash).or_insert(empty))
     }
 
     /// Handles a datagram from the peer with this number.
@@ -220,10 +219,8 @@
     fn report_to_module(&mut self, now: Micros, function_hash: u32, worker_hash: u32) {
         let recent = self.functions.get(&function_hash).filter(|called| called.used + self.keep >= now);
         let (Some(called), Some(worker)) = (recent, self.workers.get(&worker_hash)) else { return };
-        let Some(observation) = self
-            .observations
-            .get_mut(&function_hash)
-            .and_then(|observations| observations.get_mut(&worker_hash))
+        let Some(observation) =
+            self.observations.get_mut(&function_hash).and_then(|by_worker| by_worker.get_mut(&worker_hash))
         else {
             return;
         };
@@ -250,8 +247,10 @@
         let (function_hash, keep) = (name_hash(function.as_str()), self.keep);
         let is_loaded = |observation: &Observation| observation.copies > 0 && now < observation.seen + keep;
         let observations = self.observations.get(&function_hash).into_iter().flatten();
-        let loaded: Vec<u32> =
-            observations.filter(|(_, observation)| is_loaded(observation)).map(|(at, _)| *at).collect();
+        let loaded: Vec<u32> = observations
+            .filter(|(_, observation)| is_loaded(observation))
+            .map(|(worker, _)| *worker)
+            .collect();
         if loaded.is_empty() {
             return self.silence_is_conclusive(now).then_some(0);
         }
@@ -259,7 +258,7 @@
             let observation = self
                 .observations
                 .get_mut(&function_hash)
-                .and_then(|observations| observations.get_mut(worker_hash));
+                .and_then(|by_worker| by_worker.get_mut(worker_hash));
             // The module would not query if it knew. Of several queries at the same time, the first reports all
             // copies.
             if let Some(observation) = observation {
@@ -270,7 +269,7 @@
         let here = self
             .observations
             .get(&function_hash)
-            .and_then(|observations| observations.get(&name_hash(worker.as_str())));
+            .and_then(|by_worker| by_worker.get(&name_hash(worker.as_str())));
         Some(here.filter(|observation| is_loaded(observation)).map_or(0, |observation| observation.copies))
     }
 
@@ -291,8 +290,8 @@
     /// Whether a peer has announced copies there, so that this scheduler must not release them.
     pub fn is_shared(&self, now: Micros, worker: &WorkerId, function: &FunctionId) -> bool {
         let observations = self.observations.get(&name_hash(function.as_str()));
-        let observation = observations.and_then(|observations| observations.get(&name_hash(worker.as_str())));
-        observation.is_some_and(|f| f.from_peer && f.copies > 0 && now < f.seen + self.keep)
+        let observation = observations.and_then(|by_worker| by_worker.get(&name_hash(worker.as_str())));
+        observation.is_some_and(|o| o.from_peer && o.copies > 0 && now < o.seen + self.keep)
     }
 
     /// Takes the reports for the module since the last call.
@@ -313,7 +312,7 @@
             let Some(observation) = self
                 .observations
                 .get_mut(&function_hash)
-                .and_then(|observations| observations.get_mut(&worker_hash))
+                .and_then(|by_worker| by_worker.get_mut(&worker_hash))
             else {
                 continue;
             };
@@ -333,7 +332,7 @@
         self.next_sweep = now + SWEEP_US;
         self.observations
             .values_mut()
-            .for_each(|observations| observations.retain(|_, observation| now < observation.seen + keep));
+            .for_each(|by_worker| by_worker.retain(|_, observation| now < observation.seen + keep));
         self.observations.retain(|_, observations| !observations.is_empty());
         self.count = self.observations.values().map(BTreeMap::len).sum();
         self.functions.retain(|_, called| now < called.used + keep * 4);
@@ -375,10 +374,10 @@
         assert_eq!(other.query(S, &b, &f), None, "no peer reported a copy: the worker is queried");
         one.observe(S, &a, &f, 2);
         assert_eq!(one.next_datagram(S), None, "an update waits to be batched");
-        let told = one.next_datagram(S + FIRST_COPY_DELAY_US).expect("a datagram");
-        other.receive(S + FIRST_COPY_DELAY_US, 1, &told);
+        let datagram = one.next_datagram(S + FIRST_COPY_DELAY_US).expect("a datagram");
+        other.receive(S + FIRST_COPY_DELAY_US, 1, &datagram);
         assert_eq!(other.take_reports(), [report("a", 2)], "it has calls for the function");
-        other.receive(2 * S, 1, &told);
+        other.receive(2 * S, 1, &datagram);
         assert_eq!(other.take_reports(), [], "the module knows already");
         assert_eq!(other.query(3 * S, &b, &f), Some(0), "no copy is known there, but one elsewhere");
         assert_eq!(other.query(3 * S, &a, &f), Some(2));
@@ -405,9 +404,9 @@
         let mut fleet = fleet(0..40);
         let (a, f) = ("a".into(), "f".into());
         fleet[0].observe(S, &a, &f, 1);
-        let told = fleet[0].next_datagram(2 * S).expect("a datagram");
+        let datagram = fleet[0].next_datagram(2 * S).expect("a datagram");
         for directory in &mut fleet[1..] {
-            directory.receive(2 * S, 1, &told);
+            directory.receive(2 * S, 1, &datagram);
             directory.observe(3 * S, &a, &f, 1);
             assert_eq!(directory.next_datagram(4 * S), None);
         }
@@ -426,9 +425,9 @@
         let (a, b, f) = ("a".into(), "b".into(), "f".into());
         one.observe(S, &a, &f, 1);
         one.observe(S, &b, &f, 1);
-        let told = one.next_datagram(2 * S).expect("a datagram");
+        let datagram = one.next_datagram(2 * S).expect("a datagram");
         for directory in [&mut other, &mut third] {
-            directory.receive(2 * S, 1, &told);
+            directory.receive(2 * S, 1, &datagram);
         }
         // A call was served there in the meantime and the copy is gone: every peer receives that.
         other.observe(3 * S, &a, &f, 0);
@@ -454,12 +453,13 @@
     fn no_report_means_no_copy_in_use_only_if_enough_peers_are_heard() {
         let [mut many, mut few] = fleet(0..2).try_into().ok().expect("two");
         let (a, f, g) = ("a".into(), "f".into(), "g".into());
-        let told = encode(&[InstanceUpdate::new((name_hash("f"), name_hash("a")), 0, 1)]).expect("it fits");
+        let datagram =
+            encode(&[InstanceUpdate::new((name_hash("f"), name_hash("a")), 0, 1)]).expect("it fits");
         for second in 1..12 {
             let now = second * S;
-            many.receive(now, 1, &told);
-            many.receive(now, 2 + second as u32 % 2, &told);
-            few.receive(now, 1, &told);
+            many.receive(now, 1, &datagram);
+            many.receive(now, 2 + second as u32 % 2, &datagram);
+            few.receive(now, 1, &datagram);
             // As long as a copy could be loaded since before this scheduler listened, the worker is queried.
             assert_eq!(many.query(now, &a, &g), (now >= KEEP).then_some(0), "{second}");
             assert_eq!((few.query(now, &a, &g), few.query(now, &a, &f)), (None, Some(1)));
@@ -473,8 +473,8 @@
         let (a, f) = ("a".into(), "f".into());
         one.observe(S, &a, &f, 1);
         assert!(!one.is_shared(S, &a, &f), "not announced by a peer");
-        let told = one.next_datagram(2 * S).expect("a datagram");
-        other.receive(2 * S, 1, &told);
+        let datagram = one.next_datagram(2 * S).expect("a datagram");
+        other.receive(2 * S, 1, &datagram);
         assert!(other.is_shared(2 * S, &a, &f) && !other.is_shared(2 * S + KEEP, &a, &f));
     }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -40,8 +40,8 @@
 const CLOSE_CONNECTIONS_US: Micros = 200_000;
 /// Requests that arrive later than this after SIGTERM may be lost if they are open at SIGKILL.
 const EXCUSED_AFTER_TERM_US: Micros = 700_000;
-/// Upper bound on the deadline that counts for SIGKILL. It may come the longest deadline or this, whichever is
-/// shorter, plus [`EXCUSED_AFTER_TERM_US`] after SIGTERM.
+/// SIGKILL may come after the longest deadline of a class, but at most this, plus [`EXCUSED_AFTER_TERM_US`] after
+/// SIGTERM.
 const MAX_KILL_DELAY_US: Micros = 3_000_000;
 /// Allowance for the offset between this clock and the platform's at SIGTERM, and for an answer to reach its
 /// client.
@@ -352,9 +352,9 @@
         self.has_accepted = false;
         // Accept new clients last: a connection that is closed to free capacity for them must not have unread
         // input.
-        let (front, from) = (&self.front, |event: &Happened| matches!(event, Happened::Accepted { .. }));
-        events.sort_by_key(|event| if front.owns(event) { 0 } else { 1 + u8::from(!from(event)) });
-        let others = events.partition_point(|event| front.owns(event) || from(event));
+        let (front, is_accept) = (&self.front, |event: &Happened| matches!(event, Happened::Accepted { .. }));
+        events.sort_by_key(|event| if front.owns(event) { 0 } else { 1 + u8::from(!is_accept(event)) });
+        let others = events.partition_point(|event| front.owns(event) || is_accept(event));
         for event in events.drain(..others) {
             self.handle_event(began, now, event);
         }
