--- a/crates/node/src/discovery_log.rs
+++ b/crates/node/src/discovery_log.rs
@@ -1,5 +1,5 @@
-//! What the log says of an outage of discovery: when it began and why, when its clock ran out, which workers drain by
-//! their own word, and what it came to.
+//! Logs an outage of discovery: when it began and why, when the list expired, which workers report that they drain,
+//! and a summary at its end.
 
 use basaltward::{Code, Micros, WorkerId};
 use basaltward_bulletin::Freshness;
@@ -7,100 +7,100 @@
 use std::collections::{HashMap, HashSet};
 use tracing::{debug, warn};
 
-/// Questions that are out, at most: each worker has one, and one more where that is taken as lost.
-const OUT: usize = 8_192;
+/// Maximum number of outstanding probes: each worker has one, and one more where the first is presumed lost.
+const MAX_OUTSTANDING: usize = 8_192;
 
-/// Questions to workers since the outage began.
+/// Probes sent to workers since the outage began.
 #[derive(Default)]
-struct Questions {
+struct ProbeCounts {
     sent: u64,
     up: u64,
     down: u64,
     unanswered: u64,
 }
 
-/// Tells an outage of discovery in a few lines, however long it lasts.
+/// Logs an outage of discovery in a few lines, however long it lasts.
 pub struct DiscoveryLog {
     name: String,
-    /// When the list was last followed, and since when it is not.
-    interrupted: Option<Micros>,
+    /// When the outage began, if there is one.
+    interrupted_since: Option<Micros>,
     has_expired: bool,
-    questions: Questions,
-    out: HashMap<OrderId, WorkerId>,
-    /// Workers that said that they drain.
-    drains: HashSet<WorkerId>,
+    probes: ProbeCounts,
+    outstanding: HashMap<OrderId, WorkerId>,
+    /// Workers that reported that they drain.
+    draining: HashSet<WorkerId>,
 }
 
 impl DiscoveryLog {
     pub fn new(name: &str) -> Self {
         Self {
             name: name.into(),
-            interrupted: None,
+            interrupted_since: None,
             has_expired: false,
-            questions: Questions::default(),
-            out: HashMap::new(),
-            drains: HashSet::new(),
+            probes: ProbeCounts::default(),
+            outstanding: HashMap::new(),
+            draining: HashSet::new(),
         }
     }
 
-    /// The list is as fresh as this; `last` is the number of the last event held.
-    pub fn read(&mut self, now: Micros, freshness: Freshness, last: u64) {
+    /// Updates the freshness of the list; `last` is the number of the last event held.
+    pub fn update(&mut self, now: Micros, freshness: Freshness, last: u64) {
         match freshness {
-            // It has a second to speak after a start.
+            // After a start, the bulletin has a second to respond.
             Freshness::Unconfirmed => {}
-            Freshness::Current { .. } => self.followed(now, last),
+            Freshness::Current { .. } => self.recovered(now, last),
             Freshness::Interrupted { told_at, why } => {
-                if self.interrupted.is_none() {
-                    self.interrupted = Some(now);
+                if self.interrupted_since.is_none() {
+                    self.interrupted_since = Some(now);
                     let told_in_ms = told_at.saturating_sub(now) / 1_000;
                     warn!(name = self.name, ?why, last, told_in_ms, "discovery is out of reach");
                 }
                 if now >= told_at && !std::mem::replace(&mut self.has_expired, true) {
-                    warn!(name = self.name, last, "the list has expired, workers are asked before new work");
+                    warn!(name = self.name, last, "the list has expired, workers are probed before new work");
                 }
             }
         }
     }
 
-    fn followed(&mut self, now: Micros, last: u64) {
+    fn recovered(&mut self, now: Micros, last: u64) {
         self.has_expired = false;
-        let Some(since) = self.interrupted.take() else { return };
-        let Questions { sent, up, down, unanswered } = std::mem::take(&mut self.questions);
+        let Some(since) = self.interrupted_since.take() else { return };
+        let ProbeCounts { sent, up, down, unanswered } = std::mem::take(&mut self.probes);
         let after_ms = now.saturating_sub(since) / 1_000;
-        let drained = self.drains.len();
-        self.drains.clear();
+        let drained = self.draining.len();
+        self.draining.clear();
         warn!(
             name = self.name,
             last, after_ms, sent, up, down, unanswered, drained, "discovery is followed again"
         );
     }
 
-    /// A worker is asked.
-    pub fn asked(&mut self, question: OrderId, worker: &WorkerId) {
-        self.questions.sent += 1;
-        if self.out.len() < OUT {
-            self.out.insert(question, worker.clone());
+    /// A probe was sent to a worker.
+    pub fn probe_sent(&mut self, probe: OrderId, worker: &WorkerId) {
+        self.probes.sent += 1;
+        if self.outstanding.len() < MAX_OUTSTANDING {
+            self.outstanding.insert(probe, worker.clone());
         }
     }
 
-    /// A question has come to its end.
-    pub fn answered(&mut self, question: OrderId, code: Code) {
-        let Some(worker) = self.out.remove(&question) else { return };
-        debug!(target: "basaltward::question", name = self.name, %worker, ?code, "asked");
+    /// A probe was answered or has failed.
+    pub fn probe_ended(&mut self, probe: OrderId, code: Code) {
+        let Some(worker) = self.outstanding.remove(&probe) else { return };
+        debug!(target: "basaltward::question", name = self.name, %worker, ?code, "probe ended");
         match code {
             Code::Ok => {
-                self.questions.up += 1;
-                if self.drains.remove(&worker) {
-                    warn!(name = self.name, %worker, "takes work again by its own word");
+                self.probes.up += 1;
+                if self.draining.remove(&worker) {
+                    warn!(name = self.name, %worker, "worker reports that it takes work again");
                 }
             }
             Code::Error => {
-                self.questions.down += 1;
-                if self.drains.insert(worker.clone()) {
-                    warn!(name = self.name, %worker, "drains by its own word");
+                self.probes.down += 1;
+                if self.draining.insert(worker.clone()) {
+                    warn!(name = self.name, %worker, "worker reports that it drains");
                 }
             }
-            _ => self.questions.unanswered += 1,
+            _ => self.probes.unanswered += 1,
         }
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,15 +1,15 @@
-//! The loop: clients, engine, workers and bulletin joined. It carries bytes and messages between them.
+//! The event loop: carries bytes and messages between clients, engine, workers and bulletin.
 
 use crate::Budget;
-use crate::config::{ConfigError, NodeConfig, load_as};
+use crate::config::{ConfigError, NodeConfig, load_with_view};
 use crate::discovery_log::DiscoveryLog;
 use crate::front::{Front, Step};
 use crate::gossip::Gossip;
-use crate::links::{Done, Job, Links, WrittenJob};
-use crate::members::Names;
+use crate::links::{Job, JobEnd, Links, WrittenJob};
+use crate::members::MemberMapper;
+use crate::payload::{CallPayload, ReplyBody};
 use crate::peers::Fleet;
 use crate::recorder::TraceRecorder;
-use crate::work::{Served, Work};
 use basaltward::{Code, ListTrust, Micros, SettingsError, State, WorkerId};
 use basaltward_bulletin::{
     FeedId, Follower, FollowerLimits, Freshness, OWED_WITHIN_US, Roster, Step as Feed,
@@ -31,24 +31,29 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-/// What comes later than this after SIGTERM is turned away, and connections are closed as they have nothing open.
-const TERM_US: Micros = 900_000;
-/// But not before this: clients come for up to 0.6 s, and the page allows 50 ms more.
-const LEAST_TERM_US: Micros = 650_000;
-/// Closing the connections, with what crosses that, takes so long before SIGKILL.
-const CLOSING_US: Micros = 200_000;
-/// What comes later than this after SIGTERM is lost if SIGKILL finds it open.
-const EXCUSED_US: Micros = 700_000;
-/// SIGKILL may come the longest deadline, but no more than this, and [`EXCUSED_US`] after SIGTERM.
-const LONGEST_US: Micros = 3_000_000;
-/// What our clock and the platform's may lie apart at SIGTERM, and an answer may take to its client.
-const APART_US: Micros = 100_000;
-/// The page's slack of each time limit: what a request takes to its worker once it is written.
-const SLACK_US: Micros = 50_000;
-/// How long the last answers may take to be read, and those who still wait to be accepted.
-const LAST_US: Micros = 1_500_000;
-/// A configuration that can't be used at a signal is read again after this, so many times.
-const REREAD: (Micros, u32) = (100_000, 50);
+/// Latest time after SIGTERM from which requests are rejected and connections are closed as soon as they have
+/// nothing open.
+const LATEST_REJECT_US: Micros = 900_000;
+/// Earliest time for that: clients may send requests for up to 0.6 s, and the platform allows another 50 ms.
+const EARLIEST_REJECT_US: Micros = 650_000;
+/// Time reserved before SIGKILL for closing connections and for requests that cross the close.
+const CLOSE_CONNECTIONS_US: Micros = 200_000;
+/// Requests that arrive later than this after SIGTERM may be lost if they are open at SIGKILL.
+const EXCUSED_AFTER_TERM_US: Micros = 700_000;
+/// SIGKILL may come after the longest deadline of a class, but at most this, plus [`EXCUSED_AFTER_TERM_US`] after
+/// SIGTERM.
+const MAX_KILL_DELAY_US: Micros = 3_000_000;
+/// Allowance for the offset between this clock and the platform's at SIGTERM, and for an answer to reach its
+/// client.
+const CLOCK_SKEW_US: Micros = 100_000;
+/// Slack that the platform grants on each time limit: the time that a written request takes to its worker.
+const SEND_SLACK_US: Micros = 50_000;
+/// Time for clients to read the last answers, and for clients still waiting to be accepted.
+const LAST_ANSWERS_US: Micros = 1_500_000;
+/// Interval at which an unusable configuration is read again after SIGHUP.
+const RELOAD_RETRY_US: Micros = 100_000;
+/// Number of those retries per SIGHUP.
+const MAX_RELOAD_RETRIES: u32 = 50;
 
 /// Why a scheduler can't start or had to end.
 #[derive(Debug, Error)]
@@ -56,13 +61,13 @@
     /// The configuration can't be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The system refused something.
+    /// The operating system refused a request.
     #[error(transparent)]
     Net(#[from] NetError),
-    /// It can't have its peers.
+    /// Communication with its peers can't be set up.
     #[error(transparent)]
     Peers(#[from] PeerError),
-    /// The module can't decide by the settings.
+    /// The module rejects the settings.
     #[error("configuration, at settings: {0}")]
     Settings(#[from] SettingsError),
 }
@@ -71,83 +76,83 @@
 pub struct Node {
     name: String,
     path: PathBuf,
-    /// The configuration of the start, without the events that it held.
+    /// The configuration read at the start, without its list of workers.
     config: NodeConfig,
     address: SocketAddr,
-    /// When the configuration of the start was about to be read.
-    started: Micros,
+    /// When the process began to read its first configuration.
+    started_at: Micros,
     io: Io,
-    engine: Engine<Work, Served>,
+    engine: Engine<CallPayload, ReplyBody>,
     front: Front,
     links: Links,
     follower: Follower,
     feeds: HashMap<ConnId, FeedId>,
-    names: Names,
-    /// The fleet's view, where the configuration asks for it.
+    members: MemberMapper,
+    /// The fleet's view, if the configuration enables it.
     fleet: Option<Fleet>,
-    /// What peers tell of copies, where the settings allow it.
+    /// Gossip with peers about copies, if the settings allow it.
     gossip: Option<Gossip>,
     pace: Pace,
-    /// When SIGTERM came.
-    term: Option<Micros>,
-    /// How long after SIGTERM requests are turned away.
-    turns_away: Micros,
-    /// How long after SIGTERM the last answer has to be given: SIGKILL may come soon after.
-    closing: Micros,
-    /// When an answer was put out last.
+    /// When SIGTERM arrived.
+    term_at: Option<Micros>,
+    /// Time after SIGTERM from which requests are rejected.
+    rejects_after: Micros,
+    /// Time after SIGTERM by which the last answer has to be written: SIGKILL may follow soon after.
+    answer_by: Micros,
+    /// When the last answer was written to a connection's output.
     last_answer: Micros,
-    stopped: bool,
-    /// Someone was accepted in this turn.
-    accepted: bool,
-    /// When the configuration is read again, and how often it may still be.
-    reread: Option<(Micros, u32)>,
-    outputs: Vec<Output<Work, Served>>,
-    /// What writing in the middle of a turn has brought, for the next one.
-    later: Vec<Happened>,
-    /// Ends of what was taken back in the middle of a turn.
-    taken_back: Vec<Done>,
-    /// How far the list is to be believed, as the module was told it last.
+    is_rejecting: bool,
+    /// Whether a client was accepted in this turn.
+    has_accepted: bool,
+    /// When the configuration is read again, and how many retries remain.
+    reload: Option<(Micros, u32)>,
+    outputs: Vec<Output<CallPayload, ReplyBody>>,
+    /// Events caused by a flush within a turn; handled in the next turn.
+    deferred_events: Vec<Happened>,
+    /// Ends of jobs that were withdrawn within a turn.
+    withdrawn: Vec<JobEnd>,
+    /// Trust in the list of workers, as last passed to the module.
     list_trust: Option<ListTrust>,
     discovery_log: DiscoveryLog,
     recorder: TraceRecorder,
-    wanted: Arc<AtomicU8>,
+    commands: Arc<AtomicU8>,
 }
 
 const STOP: u8 = 1;
-const REREAD_NOW: u8 = 2;
+const RELOAD: u8 = 2;
 
-/// Tells a scheduler from another thread what signals tell a process.
+/// Controls a scheduler from another thread, as signals control a process.
 #[derive(Clone)]
 pub struct Control {
-    wanted: Arc<AtomicU8>,
+    commands: Arc<AtomicU8>,
     waker: Waker,
 }
 
 impl Control {
-    fn want(&self, what: u8) {
-        self.wanted.fetch_or(what, Ordering::AcqRel);
+    fn command(&self, command: u8) {
+        self.commands.fetch_or(command, Ordering::AcqRel);
         self.waker.wake();
     }
 
-    /// As SIGTERM.
+    /// Has the effect of SIGTERM.
     pub fn stop(&self) {
-        self.want(STOP);
+        self.command(STOP);
     }
 
-    /// As SIGHUP.
-    pub fn reread(&self) {
-        self.want(REREAD_NOW);
+    /// Has the effect of SIGHUP.
+    pub fn reload(&self) {
+        self.command(RELOAD);
     }
 }
 
 fn engine_settings(config: &NodeConfig) -> EngineSettings {
-    let mut module = config.told.module.clone();
-    module.rules.send_delay = config.told.links.connect_timeout + SLACK_US;
+    let mut module = config.settings.module.clone();
+    module.rules.send_delay = config.settings.links.connect_timeout + SEND_SLACK_US;
     EngineSettings {
         module,
         in_hand: config.budget.calls,
         waiters: 1,
-        // A client's retry has a new id here: nothing is kept for one that comes back.
+        // Here a client's retry has a new id, so nothing is retained for repeats.
         linger: 0,
         repeats: RepeatLimits { remember: 0, answers: 0, guards: usize::MAX, bytes: 0 },
         margin: MarginSettings::default(),
@@ -155,145 +160,146 @@
 }
 
 impl Node {
-    /// A scheduler by the configuration in this file, that listens at `listen` where given, and knows the
-    /// events that the file holds.
+    /// Creates a scheduler from the configuration in this file, with the list of workers that the file holds. It
+    /// listens at `listen` if given, else at the configured address.
     ///
     /// # Errors
-    /// Where the configuration can't be used or the system refuses something.
+    /// If the configuration can't be used or the operating system refuses a request.
     pub fn new(path: PathBuf, listen: Option<SocketAddr>, recorder: Recorder) -> Result<Self, NodeError> {
-        Self::new_as(path, listen, recorder, false)
+        Self::new_with_view(path, listen, recorder, false)
     }
 
-    /// As [`Node::new`]; with `view` it keeps the fleet's view even where the configuration says nothing of it.
+    /// As [`Node::new`]; `view` enables the fleet's view even if the configuration does not mention it.
     ///
     /// # Errors
     /// As [`Node::new`].
-    pub fn new_as(
+    pub fn new_with_view(
         path: PathBuf,
         listen: Option<SocketAddr>,
         recorder: Recorder,
         view: bool,
     ) -> Result<Self, NodeError> {
-        Self::new_stepped(path, listen, recorder, view, Arc::default())
+        Self::new_with_wall_step(path, listen, recorder, view, Arc::default())
     }
 
-    /// As [`Node::new_as`] on a machine whose wall clock counts as stepped by so many microseconds, at any time.
+    /// As [`Node::new_with_view`], with a wall clock that is stepped by the given number of microseconds, which may
+    /// change at any time.
     #[doc(hidden)]
-    pub fn new_stepped(
+    pub fn new_with_wall_step(
         path: PathBuf,
         listen: Option<SocketAddr>,
         recorder: Recorder,
         view: bool,
         wall_step: Arc<AtomicI64>,
     ) -> Result<Self, NodeError> {
-        let started = monotonic();
-        let mut config = load_as(&path, view)?;
+        let started_at = monotonic();
+        let mut config = load_with_view(&path, view)?;
         let Budget { clients: connections, input, .. } = config.budget;
         let limits = IoLimits { connections, input, linger: 300_000, ends_at_once: true };
         let mut io = Io::new(limits)?;
         let fleet = Fleet::open(&config, &mut io, monotonic())?;
         let gossip = Gossip::open(&config, &mut io, monotonic())?;
         let known = std::mem::take(&mut config.known);
-        let following = FollowerLimits::where_connecting_takes(config.told.links.connect_timeout);
-        let longest = config.told.module.classes.iter().map(|class| class.deadline).max();
-        let kill = longest.unwrap_or(0).min(LONGEST_US) + EXCUSED_US;
+        let follower_limits = FollowerLimits::where_connecting_takes(config.settings.links.connect_timeout);
+        let max_deadline = config.settings.module.classes.iter().map(|class| class.deadline).max();
+        let kill_after = max_deadline.unwrap_or(0).min(MAX_KILL_DELAY_US) + EXCUSED_AFTER_TERM_US;
         let mut node = Self {
             name: config.name.clone(),
             path,
             address: config.listen,
-            started,
+            started_at,
             engine: Engine::new(engine_settings(&config), config.seed)?,
             front: Front::new(&config),
             links: Links::new(&config),
-            follower: Follower::new(following, config.bulletin, known.no),
+            follower: Follower::new(follower_limits, config.bulletin, known.no),
             feeds: HashMap::new(),
-            names: Names::new(&config, wall_step),
+            members: MemberMapper::new(&config, wall_step),
             fleet,
             gossip,
             pace: Pace::default(),
-            term: None,
-            turns_away: (kill - CLOSING_US).clamp(LEAST_TERM_US, TERM_US),
-            closing: kill - APART_US,
+            term_at: None,
+            rejects_after: (kill_after - CLOSE_CONNECTIONS_US).clamp(EARLIEST_REJECT_US, LATEST_REJECT_US),
+            answer_by: kill_after - CLOCK_SKEW_US,
             last_answer: 0,
-            stopped: false,
-            accepted: false,
-            reread: None,
+            is_rejecting: false,
+            has_accepted: false,
+            reload: None,
             outputs: Vec::new(),
-            later: Vec::new(),
-            taken_back: Vec::new(),
+            deferred_events: Vec::new(),
+            withdrawn: Vec::new(),
             list_trust: None,
             discovery_log: DiscoveryLog::new(&config.name),
             recorder: TraceRecorder::new(&config.name, recorder),
-            wanted: Arc::default(),
+            commands: Arc::default(),
             io,
             config,
         };
         let now = monotonic();
         for item in &known.items {
-            node.roster(now, &item.roster);
+            node.apply_roster(now, &item.roster);
         }
-        node.pass_list_trust(now);
-        // Whoever connects finds a scheduler that knows its workers.
+        node.update_list_trust(now);
+        // Listen only now, so that the first client finds a scheduler that knows its workers.
         let (_, address) = node.io.listen(bind(listen.unwrap_or(node.address), false)?)?;
         node.address = address;
         node.recorder.up(now, address);
         Ok(node)
     }
 
-    /// Plants a fault in its view, see [`basaltward_membership::Membership::inject_fault`].
+    /// Injects a fault into its view, see [`basaltward_membership::Membership::inject_fault`].
     #[doc(hidden)]
-    pub fn plant(&mut self, newer: basaltward_membership::OverrideRule) {
+    pub fn inject_view_fault(&mut self, newer: basaltward_membership::OverrideRule) {
         self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant(newer));
     }
 
-    /// Plants a fault in its part in what is agreed, see [`basaltward_permits::PermitNode::plant`].
+    /// Injects a fault into its permit node, see [`basaltward_permits::PermitNode::plant`].
     #[doc(hidden)]
-    pub fn plant_agreed(&mut self, fault: basaltward_permits::Fault) {
+    pub fn inject_permit_fault(&mut self, fault: basaltward_permits::Fault) {
         self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant_agreed(fault, monotonic()));
     }
 
-    /// Has the next system calls of this kind fail so, as many of them.
+    /// Makes the next `times` system calls of this kind fail with this error.
     #[doc(hidden)]
-    pub fn plant_failures(&mut self, call: SystemCall, error: Errno, times: usize) {
+    pub fn inject_system_call_failures(&mut self, call: SystemCall, error: Errno, times: usize) {
         self.io.plant_failures(call, error, times);
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Tells it from another thread what signals tell a process.
+    /// Returns a handle that controls this scheduler from another thread.
     pub fn control(&self) -> Control {
-        Control { wanted: self.wanted.clone(), waker: self.io.waker() }
+        Control { commands: self.commands.clone(), waker: self.io.waker() }
     }
 
-    /// Has the process's SIGTERM, SIGINT and SIGHUP come to this scheduler.
+    /// Routes the process's SIGTERM, SIGINT and SIGHUP to this scheduler.
     ///
     /// # Errors
-    /// Where the system refuses them.
-    pub fn take_signals(&mut self) -> Result<(), NodeError> {
+    /// If the operating system refuses to.
+    pub fn handle_signals(&mut self) -> Result<(), NodeError> {
         let signals = [SIGTERM, SIGINT, SIGHUP];
         Ok(self.io.watch_signals(Signals::take(&signals)?)?)
     }
 
-    /// Runs until it is told to stop and owes nothing.
+    /// Runs until it is asked to stop and has no outstanding work.
     ///
     /// # Errors
-    /// Where the system fails the loop itself.
+    /// If a system call of the loop itself fails.
     pub fn run(mut self) -> Result<(), NodeError> {
         info!(name = self.name, address = %self.address, "serving");
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         loop {
             let now = monotonic();
-            let held = self.oldest().map_or(0, |came| now.saturating_sub(came));
-            self.io.hold_accepting(!self.pace.accepts(held));
-            let wait = self.wait(now);
-            self.io.turn(Some(wait), &mut happened)?;
+            let oldest_age = self.oldest_request().map_or(0, |arrived| now.saturating_sub(arrived));
+            self.io.hold_accepting(!self.pace.accepts(oldest_age));
+            let wait = self.poll_timeout(now);
+            self.io.turn(Some(wait), &mut events)?;
             self.follower.nothing_waited(now);
-            self.turn((now, now + wait), &mut happened);
+            self.turn((now, now + wait), &mut events);
             self.io.forget_ended();
-            if self.is_over(monotonic()) {
+            if self.is_finished(monotonic()) {
                 let now = monotonic();
                 self.with_peers(now, |transport, io, events| transport.stop(io, now, events));
                 self.recorder.down(monotonic());
@@ -303,60 +309,65 @@
         }
     }
 
-    fn wait(&self, now: Micros) -> Micros {
-        let term = self.term.map(|at| at + self.turns_away).filter(|at| *at > now || !self.stopped);
-        let last = self.stopped.then_some(now + 5_000);
-        let reread = self.reread.map(|(at, _)| at);
+    fn poll_timeout(&self, now: Micros) -> Micros {
+        let term =
+            self.term_at.map(|at| at + self.rejects_after).filter(|at| *at > now || !self.is_rejecting);
+        let last = self.is_rejecting.then_some(now + 5_000);
+        let reload = self.reload.map(|(at, _)| at);
         let fleet = self.fleet.as_ref().map(|fleet| fleet.transport.next_due());
         let due = [self.engine.next_due(now), self.front.next_due(), self.links.next_due()];
-        let told = self.gossip.as_ref().and_then(Gossip::next_due);
-        let due = due.into_iter().chain([self.follower.next_due(), term, last, reread, fleet, told]);
+        let gossip = self.gossip.as_ref().and_then(Gossip::next_due);
+        let due = due.into_iter().chain([self.follower.next_due(), term, last, reload, fleet, gossip]);
         let due = due.flatten().min().unwrap_or(now + 1_000_000);
-        if self.oldest().is_some() { 0 } else { due.saturating_sub(now) }
+        if self.oldest_request().is_some() { 0 } else { due.saturating_sub(now) }
     }
 
-    /// When the oldest request came that was not read, or not begun.
-    fn oldest(&self) -> Option<Micros> {
-        self.front.oldest().into_iter().chain(self.engine.oldest_arrival()).min()
+    /// When the oldest request arrived that has not been read or not been started.
+    fn oldest_request(&self) -> Option<Micros> {
+        self.front.oldest_input().into_iter().chain(self.engine.oldest_arrival()).min()
     }
 
-    /// Whether SIGTERM came, all who may still come have been taken, and nothing is owed. As long as a client has its
-    /// connection, or lost it a moment ago, a request may be on its way.
-    fn is_over(&self, now: Micros) -> bool {
-        let Some(term) = self.term.filter(|_| self.stopped) else { return false };
-        let none_waits = !self.accepted && self.io.accepts_all() && self.oldest().is_none();
-        let settled =
-            none_waits && self.front.has_been_left(now, term + self.turns_away) && self.io.is_settled();
-        // What was answered as late as SIGKILL allows has half of the time that is left to be read.
-        let unread_until = (term + TERM_US + LAST_US).max(self.last_answer + APART_US / 2);
+    /// Whether SIGTERM has arrived, all clients that may still connect have been accepted, and nothing is
+    /// outstanding. While a client has a connection, or has just lost it, a request may be in transit.
+    fn is_finished(&self, now: Micros) -> bool {
+        let Some(term) = self.term_at.filter(|_| self.is_rejecting) else { return false };
+        let all_accepted = !self.has_accepted && self.io.accepts_all() && self.oldest_request().is_none();
+        let settled = all_accepted
+            && self.front.all_clients_left(now, term + self.rejects_after)
+            && self.io.is_settled();
+        // An answer written as late as SIGKILL allows has half of the remaining time to be read.
+        let unread_until =
+            (term + LATEST_REJECT_US + LAST_ANSWERS_US).max(self.last_answer + CLOCK_SKEW_US / 2);
         self.engine.in_hand() == 0 && (settled || unread_until <= now)
     }
 
-    /// One turn: clients first, who may withdraw what else would be sent, then what else has come and what is
-    /// due, then what the clients' requests lead to, each as far as its time goes. What has come is read before
-    /// any of it is begun: its time runs, and a loop that has fallen behind has to know of it to answer in time.
-    fn turn(&mut self, (since, due): (Micros, Micros), happened: &mut Vec<Happened>) {
+    /// Runs one turn. Clients' input is read first, as it may withdraw work that would otherwise be sent; then
+    /// other events and timers are handled; then requests are started. Each phase has a time budget. Input is read
+    /// before any request in it is started, because the request's time is running: a loop that has fallen behind
+    /// must know of it to answer in time.
+    fn turn(&mut self, (since, due): (Micros, Micros), events: &mut Vec<Happened>) {
         let mut now = monotonic();
         let began = now;
         self.pace.begin(since, due, now);
-        self.accepted = false;
-        // Those who come in last: whoever makes room for them must have brought nothing.
-        let (front, from) = (&self.front, |h: &Happened| matches!(h, Happened::Accepted { .. }));
-        happened.sort_by_key(|h| if front.concerns(h) { 0 } else { 1 + u8::from(!from(h)) });
-        let others = happened.partition_point(|h| front.concerns(h) || from(h));
-        for happened in happened.drain(..others) {
-            self.take(began, now, happened);
+        self.has_accepted = false;
+        // Accept new clients last: a connection that is closed to free capacity for them must not have unread
+        // input.
+        let (front, is_accept) = (&self.front, |event: &Happened| matches!(event, Happened::Accepted { .. }));
+        events.sort_by_key(|event| if front.owns(event) { 0 } else { 1 + u8::from(!is_accept(event)) });
+        let others = events.partition_point(|event| front.owns(event) || is_accept(event));
+        for event in events.drain(..others) {
+            self.handle_event(began, now, event);
         }
-        while let Some(came) = self.front.oldest() {
+        while let Some(arrived) = self.front.oldest_input() {
             now = monotonic();
-            if !self.pace.may_read(now, came) {
+            if !self.pace.may_read(now, arrived) {
                 break;
             }
-            let looked = self.front.look(&mut self.io, now);
-            self.asked(now, looked);
+            let steps = self.front.read_next(&mut self.io, now);
+            self.handle_steps(now, steps);
         }
-        for happened in happened.drain(..) {
-            self.take(began, now, happened);
+        for event in events.drain(..) {
+            self.handle_event(began, now, event);
             now = monotonic();
             if self.pace.looks(now) {
                 self.wake(now);
@@ -365,29 +376,31 @@
         }
         self.wake(now);
         self.flush();
-        while let Some(came) = self.engine.oldest_arrival() {
+        while let Some(arrived) = self.engine.oldest_arrival() {
             now = monotonic();
-            if !self.pace.may_begin(now, came) {
+            if !self.pace.may_begin(now, arrived) {
                 break;
             }
-            // Its client may have withdrawn it in what it sent behind, and so may the next one's.
-            let mut looked = None;
-            while let Some(waiter) = self.engine.next_waiter().filter(|w| Some(*w) != looked)
-                && let Some(behind) = self.front.look_behind(&mut self.io, now, waiter)
+            // The client may have withdrawn the request in input that follows it, and so may the client of the next
+            // one.
+            let mut read_ahead_of = None;
+            while let Some(waiter) = self.engine.next_waiter().filter(|w| Some(*w) != read_ahead_of)
+                && let Some(steps) = self.front.read_ahead(&mut self.io, now, waiter)
             {
-                looked = Some(waiter);
-                self.asked(now, behind);
+                read_ahead_of = Some(waiter);
+                self.handle_steps(now, steps);
             }
             let mut outputs = std::mem::take(&mut self.outputs);
             self.engine.begin_next(now, &mut outputs);
             self.carry_out(now, outputs);
         }
         self.flush();
-        if let Some(term) = self.term.filter(|_| self.stopped) {
-            // Once its answer is with the system, and before a client that never pauses has sent the next request.
-            self.front.end_idle(&mut self.io, monotonic(), term + self.turns_away);
+        if let Some(term) = self.term_at.filter(|_| self.is_rejecting) {
+            // After the last answer is with the system, and before a client that sends without pause has sent its
+            // next request.
+            self.front.close_idle(&mut self.io, monotonic(), term + self.rejects_after);
         }
-        std::mem::swap(happened, &mut self.later);
+        std::mem::swap(events, &mut self.deferred_events);
         let Turn { began, lag, .. } = self.pace.end(monotonic(), thread_time());
         self.engine.note_late(monotonic(), began);
         if let Some(lag) = lag {
@@ -401,46 +414,48 @@
         }
     }
 
-    /// Tells the engine what clients' frames lead to.
-    fn asked(&mut self, now: Micros, steps: Vec<Step>) {
+    /// Passes the results of reading clients' frames to the engine.
+    fn handle_steps(&mut self, now: Micros, steps: Vec<Step>) {
         for step in steps {
             match step {
                 Step::Call(call) => {
-                    self.recorder.taken(now, &call.payload.id);
-                    self.tell(now, Input::Arrived(call));
+                    self.recorder.request_accepted(now, &call.payload.id);
+                    self.notify_engine(now, Input::Arrived(call));
                 }
-                Step::Left(waiters) => waiters.into_iter().for_each(|w| self.tell(now, Input::Left(w))),
-                Step::Done => {}
+                Step::Left(waiters) => {
+                    waiters.into_iter().for_each(|w| self.notify_engine(now, Input::Left(w)))
+                }
+                Step::Nothing => {}
             }
         }
     }
 
-    /// Writes what there is to write. An answer counts as given once its bytes are with the system. New work that may
-    /// begin at its worker no more is taken back before, and goes elsewhere.
+    /// Flushes output. An answer counts as sent once its bytes are with the system. New work that may no longer
+    /// begin at its worker is withdrawn first and goes elsewhere.
     fn flush(&mut self) {
         loop {
-            let late = self.take_back_late();
+            let late = self.withdraw_late();
             if late.is_empty() {
                 break;
             }
-            self.done(monotonic(), late);
+            self.jobs_ended(monotonic(), late);
         }
-        self.io.flush(&mut self.later);
-        self.recorder.gave();
+        self.io.flush(&mut self.deferred_events);
+        self.recorder.answers_flushed();
     }
 
-    fn take_back_late(&mut self) -> Vec<Done> {
-        let Self { links, io, engine, taken_back, .. } = self;
-        let mut late = links.take_back_late(io, monotonic(), |worker| engine.new_work_until(worker));
-        late.append(taken_back);
+    fn withdraw_late(&mut self) -> Vec<JobEnd> {
+        let Self { links, io, engine, withdrawn, .. } = self;
+        let mut late = links.withdraw_late(io, monotonic(), |worker| engine.new_work_until(worker));
+        late.append(withdrawn);
         late
     }
 
-    fn take(&mut self, began: Micros, now: Micros, happened: Happened) {
+    fn handle_event(&mut self, began: Micros, now: Micros, event: Happened) {
         let mut done = Vec::new();
-        match happened {
+        match event {
             Happened::Accepted { conn, .. } => {
-                self.accepted = true;
+                self.has_accepted = true;
                 self.front.accepted(&mut self.io, now, conn);
             }
             Happened::Connected(conn) if self.links.owns(conn) => {
@@ -449,7 +464,7 @@
             }
             Happened::Connected(conn) => {
                 if let Some(feed) = self.feeds.get(&conn).copied() {
-                    self.follow(now, |follower, out| follower.connected(now, feed, out));
+                    self.drive_follower(now, |follower, out| follower.connected(now, feed, out));
                 }
             }
             Happened::Drained(conn) if self.links.owns(conn) => {
@@ -457,89 +472,90 @@
                 self.note_written(now);
             }
             Happened::Data(conn) if self.links.owns(conn) => {
-                self.links.data(&mut self.io, now, conn, &mut done);
+                self.links.receive(&mut self.io, now, conn, &mut done);
             }
-            Happened::Data(conn) if self.feeds.contains_key(&conn) => self.news(now, conn),
-            Happened::Data(conn) => self.front.came(began, conn),
+            Happened::Data(conn) if self.feeds.contains_key(&conn) => self.receive_feed(now, conn),
+            Happened::Data(conn) => self.front.input_arrived(began, conn),
             Happened::Drained(_) => {}
             Happened::Ended(conn, how) if self.links.owns(conn) => {
                 self.links.ended(&mut self.io, conn, how, &mut done);
-                // Before the ends of what was on it, which go elsewhere.
+                // Before the ends of the jobs on the connection, which are retried elsewhere.
                 for worker in self.disconnected(now) {
-                    self.tell(now, Input::Disconnected(worker));
+                    self.notify_engine(now, Input::Disconnected(worker));
                 }
             }
             Happened::Ended(conn, _) => match self.feeds.remove(&conn) {
-                Some(feed) => self.follow(now, |follower, out| follower.ended(now, feed, out)),
+                Some(feed) => self.drive_follower(now, |follower, out| follower.ended(now, feed, out)),
                 None => {
                     let left = self.front.forget(conn);
-                    left.into_iter().for_each(|w| self.tell(now, Input::Left(w)));
+                    left.into_iter().for_each(|w| self.notify_engine(now, Input::Left(w)));
                 }
             },
-            Happened::Signal(SIGHUP) => self.want(now, REREAD_NOW),
-            Happened::Signal(_) => self.want(now, STOP),
+            Happened::Signal(SIGHUP) => self.command(now, RELOAD),
+            Happened::Signal(_) => self.command(now, STOP),
             Happened::Datagrams(_) => {
-                self.gossip.iter_mut().for_each(|gossip| gossip.data(&mut self.io, now));
-                let news = self.gossip.as_mut().map(Gossip::take_news).unwrap_or_default();
-                for (worker, function, copies) in news {
-                    self.tell(now, Input::Stands(worker, function, copies));
+                self.gossip.iter_mut().for_each(|gossip| gossip.receive(&mut self.io, now));
+                let reports = self.gossip.as_mut().map(Gossip::take_reports).unwrap_or_default();
+                for (worker, function, copies) in reports {
+                    self.notify_engine(now, Input::Stands(worker, function, copies));
                 }
                 self.with_peers(now, |transport, io, events| transport.data(io, now, events));
-                self.drains(now);
+                self.apply_drain_changes(now);
             }
             Happened::Woken => {
-                let wanted = self.wanted.swap(0, Ordering::AcqRel);
-                self.want(now, wanted);
+                let commands = self.commands.swap(0, Ordering::AcqRel);
+                self.command(now, commands);
             }
         }
-        self.done(now, done);
+        self.jobs_ended(now, done);
     }
 
-    fn want(&mut self, now: Micros, what: u8) {
-        if what & REREAD_NOW > 0 {
-            self.reread = Some((now, REREAD.1));
+    fn command(&mut self, now: Micros, command: u8) {
+        if command & RELOAD > 0 {
+            self.reload = Some((now, MAX_RELOAD_RETRIES));
         }
-        if what & STOP > 0 && self.term.is_none() {
+        if command & STOP > 0 && self.term_at.is_none() {
             info!(name = self.name, in_hand = self.engine.in_hand(), "stopping");
-            self.term = Some(now);
-            self.front.leave();
-            self.tell(now, Input::EndBy(now + self.closing));
+            self.term_at = Some(now);
+            self.front.start_stopping();
+            self.notify_engine(now, Input::EndBy(now + self.answer_by));
             self.with_peers(now, |transport, io, events| transport.leave(io, now, events));
             self.recorder.stopping(now);
         }
     }
 
-    /// Does what is due: answers first, the rest as far as its time in a turn goes.
+    /// Handles due timers: answers first, the rest within its time budget of a turn.
     fn wake(&mut self, mut now: Micros) {
         let since = now;
         if let Some(fleet) = &mut self.fleet {
             let (io, links) = (&mut self.io, &self.links);
             fleet.act(now, &self.recorder, |transport, events| {
-                transport.wake(io, now, |workers| links.in_hand(workers), events);
+                transport.wake(io, now, |workers| links.count_jobs(workers), events);
             });
         }
-        self.drains(now);
-        self.pass_list_trust(now);
-        self.gossip.iter_mut().for_each(|gossip| gossip.wake(&mut self.io, now));
+        self.apply_drain_changes(now);
+        self.update_list_trust(now);
+        self.gossip.iter_mut().for_each(|gossip| gossip.send_due(&mut self.io, now));
         loop {
             let mut outputs = std::mem::take(&mut self.outputs);
             self.engine.answer_due(now, &mut outputs);
             self.carry_out(now, outputs);
             let mut done = Vec::new();
             self.links.wake(&mut self.io, now, &mut done);
-            self.done(now, done);
+            self.jobs_ended(now, done);
             let left = self.front.wake(&mut self.io, now);
-            left.into_iter().for_each(|w| self.tell(now, Input::Left(w)));
+            left.into_iter().for_each(|w| self.notify_engine(now, Input::Left(w)));
             if self.follower.next_due().is_some_and(|due| due <= now) {
-                self.follow(now, |follower, out| follower.wake(now, out));
+                self.drive_follower(now, |follower, out| follower.wake(now, out));
             }
-            if self.reread.is_some_and(|(at, _)| at <= now) {
-                self.reread(now);
+            if self.reload.is_some_and(|(at, _)| at <= now) {
+                self.reload(now);
             }
-            if !self.stopped && self.term.is_some_and(|at| at + self.turns_away <= now) {
-                // The listener stays: whoever waits in the system's queue has been taken, and is owed an answer.
-                self.stopped = true;
-                self.tell(now, Input::Stop);
+            if !self.is_rejecting && self.term_at.is_some_and(|at| at + self.rejects_after <= now) {
+                // The listener stays open: a client in the system's accept queue counts as accepted and must be
+                // answered.
+                self.is_rejecting = true;
+                self.notify_engine(now, Input::Stop);
             }
             let mut outputs = std::mem::take(&mut self.outputs);
             self.engine.wake(now, &mut outputs);
@@ -554,30 +570,30 @@
 
     // ---- the engine --------------------------------------------------------------------------------------
 
-    fn tell(&mut self, now: Micros, input: Input<Work, Served>) {
+    fn notify_engine(&mut self, now: Micros, input: Input<CallPayload, ReplyBody>) {
         let mut outputs = std::mem::take(&mut self.outputs);
         self.engine.handle(now, input, &mut outputs);
         self.carry_out(now, outputs);
     }
 
-    fn done(&mut self, now: Micros, done: Vec<Done>) {
+    fn jobs_ended(&mut self, now: Micros, done: Vec<JobEnd>) {
         for done in done {
-            let input = self.ended(now, done);
-            self.tell(now, input);
+            let input = self.job_end_input(now, done);
+            self.notify_engine(now, input);
         }
     }
 
-    /// How a job ended, as the engine is told it.
-    fn ended(&mut self, now: Micros, done: Done) -> Input<Work, Served> {
-        self.gossip.iter_mut().for_each(|gossip| gossip.ended(now, &done));
+    /// Converts the end of a job to the engine's input.
+    fn job_end_input(&mut self, now: Micros, done: JobEnd) -> Input<CallPayload, ReplyBody> {
+        self.gossip.iter_mut().for_each(|gossip| gossip.job_ended(now, &done));
         match done {
-            Done::Attempt(id, end) => {
+            JobEnd::Attempt(id, end) => {
                 self.recorder.ended(now, id, &end);
                 Input::Ended(id, end)
             }
-            Done::Order(id, code, count) => Input::Ordered(id, code, count),
-            Done::Probe(id, code, report) => {
-                self.discovery_log.answered(id, code);
+            JobEnd::Order(id, code, count) => Input::Ordered(id, code, count),
+            JobEnd::Probe(id, code, report) => {
+                self.discovery_log.probe_ended(id, code);
                 Input::Probed(id, code, report)
             }
         }
@@ -585,23 +601,23 @@
 
     fn note_written(&mut self, now: Micros) {
         for written in self.links.written.drain(..) {
-            if let WrittenJob::Attempt(id, _) = written.what {
+            if let WrittenJob::Attempt(id, _) = written.job {
                 self.engine.written(id);
             }
-            self.recorder.written(now, &mut self.io, &written);
+            self.recorder.job_written(now, &mut self.io, &written);
         }
     }
 
-    /// Carries out what the engine wants, and what follows from that, until there is no more.
-    fn carry_out(&mut self, now: Micros, mut outputs: Vec<Output<Work, Served>>) {
+    /// Carries out the engine's outputs, and those that follow from them, until none is left.
+    fn carry_out(&mut self, now: Micros, mut outputs: Vec<Output<CallPayload, ReplyBody>>) {
         let mut queue: VecDeque<_> = outputs.drain(..).collect();
         self.outputs = outputs;
         while let Some(output) = queue.pop_front() {
             let done = self.output(now, output);
-            // Before the engine is told anything else: what was written may run.
+            // Before any other input to the engine: a job that was written may run.
             self.note_written(now);
-            let news = self.gossip.as_mut().map(Gossip::take_news).unwrap_or_default();
-            for (worker, function, copies) in news {
+            let reports = self.gossip.as_mut().map(Gossip::take_reports).unwrap_or_default();
+            for (worker, function, copies) in reports {
                 let mut more = std::mem::take(&mut self.outputs);
                 self.engine.handle(now, Input::Stands(worker, function, copies), &mut more);
                 queue.extend(more.drain(..));
@@ -614,7 +630,7 @@
                 self.outputs = more;
             }
             if let Some(done) = done {
-                let (input, mut more) = (self.ended(now, done), std::mem::take(&mut self.outputs));
+                let (input, mut more) = (self.job_end_input(now, done), std::mem::take(&mut self.outputs));
                 self.engine.handle(now, input, &mut more);
                 queue.extend(more.drain(..));
                 self.outputs = more;
@@ -622,24 +638,24 @@
         }
     }
 
-    fn output(&mut self, now: Micros, output: Output<Work, Served>) -> Option<Done> {
+    fn output(&mut self, now: Micros, output: Output<CallPayload, ReplyBody>) -> Option<JobEnd> {
         let Self {
             io,
             links,
             front,
-            later,
+            deferred_events,
             recorder,
             fleet,
             gossip,
             last_answer,
             engine,
-            taken_back,
+            withdrawn,
             discovery_log,
             ..
         } = self;
         match output {
             Output::Answer { waiter, answer, attempts, worker, .. } => {
-                let asked = front.answer(io, now, waiter, &answer)?;
+                let request = front.answer(io, now, waiter, &answer)?;
                 *last_answer = now;
                 let outcome = match answer {
                     Answer::Served(_) => 0,
@@ -647,52 +663,54 @@
                     Answer::Failed(_) => 2,
                 };
                 fleet.iter_mut().for_each(|fleet| fleet.transport.answered(outcome));
-                recorder.answered(now, &asked, &answer, (attempts, worker.as_ref()));
+                recorder.answered(now, &request, &answer, (attempts, worker.as_ref()));
                 None
             }
             Output::Start { attempt, worker, function, payload, until, .. } => {
                 let function = function.name.clone();
                 TraceRecorder::started(attempt, &worker, &function);
-                gossip.iter_mut().for_each(|h| h.started(now, attempt, &worker, &function));
-                links.start(io, now, &worker, Job::Attempt { id: attempt, work: payload, function, until })
+                gossip.iter_mut().for_each(|gossip| gossip.attempt_started(now, attempt, &worker, &function));
+                links.start(io, now, &worker, Job::Attempt { id: attempt, payload, function, until })
             }
             Output::Abort(attempt) => {
                 let done = links.abort_attempt(io, now, attempt);
-                // The word that gives it up goes before anything that follows from it.
-                taken_back
-                    .extend(links.take_back_late(io, monotonic(), |worker| engine.new_work_until(worker)));
-                io.flush(later);
+                // The cancellation is flushed before anything that follows from it.
+                withdrawn
+                    .extend(links.withdraw_late(io, monotonic(), |worker| engine.new_work_until(worker)));
+                io.flush(deferred_events);
                 done
             }
             Output::Order { order, worker, function, count } => {
-                let told = gossip.as_mut().and_then(|h| h.order(now, order, (&worker, &function), count));
-                if told.is_some() {
-                    return told;
+                let known = gossip
+                    .as_mut()
+                    .and_then(|gossip| gossip.answer_order(now, order, (&worker, &function), count));
+                if known.is_some() {
+                    return known;
                 }
                 links.start(io, now, &worker, Job::Order { id: order, function, count })
             }
             Output::Probe(order, worker) => {
-                discovery_log.asked(order, &worker);
+                discovery_log.probe_sent(order, &worker);
                 links.start(io, now, &worker, Job::Probe(order))
             }
             Output::AbortOrder(order) => {
-                gossip.iter_mut().for_each(|h| h.forget(order));
-                discovery_log.answered(order, Code::Timeout);
+                gossip.iter_mut().for_each(|gossip| gossip.forget_order(order));
+                discovery_log.probe_ended(order, Code::Timeout);
                 links.abort_order(io, now, order);
                 None
             }
             Output::Drop(worker, function) => {
-                let shared = gossip.as_ref().is_some_and(|h| h.is_shared(now, &worker, &function));
+                let shared = gossip.as_ref().is_some_and(|gossip| gossip.is_shared(now, &worker, &function));
                 if shared { None } else { links.start(io, now, &worker, Job::Release(function)) }
             }
-            // The bulletin tells every change by itself.
+            // The bulletin reports every change without being queried.
             Output::Watch => None,
         }
     }
 
     // ---- the bulletin ------------------------------------------------------------------------------------
 
-    fn follow(&mut self, now: Micros, act: impl FnOnce(&mut Follower, &mut Vec<Feed>)) {
+    fn drive_follower(&mut self, now: Micros, act: impl FnOnce(&mut Follower, &mut Vec<Feed>)) {
         let mut steps = Vec::new();
         act(&mut self.follower, &mut steps);
         let mut steps = VecDeque::from(steps);
@@ -717,21 +735,21 @@
                         self.io.abort(conn);
                     }
                 }
-                Feed::Roster(roster) => self.roster(now, &roster),
-                Feed::Left(_, Some(why)) => warn!(name = self.name, %why, "bulletin is asked again"),
+                Feed::Roster(roster) => self.apply_roster(now, &roster),
+                Feed::Left(_, Some(why)) => warn!(name = self.name, %why, "connecting to the bulletin again"),
                 Feed::Left(_, None) => {}
             }
         }
     }
 
-    /// Workers that may have started anew without a word: those whose last connection has ended, and, while the list is
-    /// not followed, those to which none stood until now.
+    /// Workers that may have restarted unnoticed: those whose last connection has ended, and, while the list is not
+    /// followed, those that had no connection until now.
     fn disconnected(&mut self, now: Micros) -> Vec<WorkerId> {
         let mut workers = std::mem::take(&mut self.links.disconnected);
         let mut first = std::mem::take(&mut self.links.first_connected);
         let is_out_of_reach = match self.list_trust {
             Some(ListTrust::Interrupted { .. }) => true,
-            // At a usual start the bulletin's first number comes within this.
+            // At a normal start the bulletin's first event number arrives within this time.
             Some(ListTrust::Unconfirmed { since }) => now > since + OWED_WITHIN_US,
             Some(ListTrust::Current { .. }) | None => false,
         };
@@ -741,17 +759,17 @@
         workers
     }
 
-    /// Tells the module how far the list is to be believed, where that has changed.
-    fn pass_list_trust(&mut self, now: Micros) {
+    /// Passes the trust in the list of workers to the module if it has changed.
+    fn update_list_trust(&mut self, now: Micros) {
         let freshness = self.follower.freshness(now);
         let trust = match freshness {
-            Freshness::Unconfirmed => ListTrust::Unconfirmed { since: self.started },
+            Freshness::Unconfirmed => ListTrust::Unconfirmed { since: self.started_at },
             Freshness::Current { told_at } => ListTrust::Current { told_at },
             Freshness::Interrupted { told_at, .. } => ListTrust::Interrupted { told_at },
         };
-        self.discovery_log.read(now, freshness, self.follower.last());
+        self.discovery_log.update(now, freshness, self.follower.last());
         if self.list_trust.replace(trust) != Some(trust) {
-            self.tell(now, Input::ListTrust(trust));
+            self.notify_engine(now, Input::ListTrust(trust));
         }
     }
 
@@ -759,13 +777,13 @@
         self.feeds.iter().find(|(_, f)| **f == feed).map(|(conn, _)| *conn)
     }
 
-    fn news(&mut self, now: Micros, conn: ConnId) {
+    fn receive_feed(&mut self, now: Micros, conn: ConnId) {
         let Some(feed) = self.feeds.get(&conn).copied() else { return };
         let Some(input) = self.io.input(conn) else { return };
         let mut input = std::mem::take(input);
-        self.follow(now, |follower, out| follower.lines(now, feed, &mut input, out));
-        self.names.list_spoke(now);
-        self.pass_list_trust(now);
+        self.drive_follower(now, |follower, out| follower.lines(now, feed, &mut input, out));
+        self.members.list_confirmed(now);
+        self.update_list_trust(now);
         if let Some(left) = self.io.input(conn) {
             *left = input;
             self.io.release_input(conn);
@@ -780,63 +798,66 @@
         }
     }
 
-    /// Workers whose drain began or ended, by what the fleet agrees on.
-    fn drains(&mut self, now: Micros) {
-        let news = self.fleet.as_mut().map(Fleet::take_drains).unwrap_or_default();
-        news.iter().for_each(|roster| self.heard(now, roster));
+    /// Applies the starts and ends of drains that the fleet has agreed on.
+    fn apply_drain_changes(&mut self, now: Micros) {
+        let rosters = self.fleet.as_mut().map(Fleet::take_drain_changes).unwrap_or_default();
+        rosters.iter().for_each(|roster| self.apply_members(now, roster));
     }
 
-    fn roster(&mut self, now: Micros, roster: &Roster) {
+    fn apply_roster(&mut self, now: Micros, roster: &Roster) {
         match &mut self.fleet {
             Some(fleet) => {
-                let told = fleet.told(now, roster);
-                self.heard(now, &told);
+                let roster = fleet.apply_roster(now, roster);
+                self.apply_members(now, &roster);
             }
-            None => self.heard(now, roster),
+            None => self.apply_members(now, roster),
         }
     }
 
-    fn heard(&mut self, now: Micros, roster: &Roster) {
-        let (kind, members) = self.names.members(roster);
+    fn apply_members(&mut self, now: Micros, roster: &Roster) {
+        let (kind, members) = self.members.members(roster);
         if members.iter().any(|member| member.state == State::Active) {
             self.front.set_ready();
         }
         let addressed: Vec<_> =
             members.iter().cloned().zip(roster.targets.iter().map(|t| t.endpoint)).collect();
-        self.recorder.told(now, kind, &members);
-        self.gossip.iter_mut().for_each(|gossip| gossip.members(kind, &members));
+        self.recorder.members_changed(now, kind, &members);
+        self.gossip.iter_mut().for_each(|gossip| gossip.update_members(kind, &members));
         let mut done = Vec::new();
-        // The links first, which must know whom the module sends to; what they withdraw is told after it, or
-        // it would be sent there again.
-        self.links.members(&mut self.io, kind, &addressed, &mut done);
-        self.tell(now, Input::Members(kind, members));
-        self.done(now, done);
-    }
-
-    /// SIGHUP has come: the configuration is read anew, whole or not at all. What it tells that can change in
-    /// a running scheduler is where the bulletin is, and who is in the fleet.
-    fn reread(&mut self, now: Micros) {
-        let Some((_, left)) = self.reread.take() else { return };
-        match load_as(&self.path, self.config.fleet.is_some()) {
+        // The links are updated first, since the module sends to the new members. The jobs that the links withdraw
+        // are reported to the module after the members, or it would send them there again.
+        self.links.update_members(&mut self.io, kind, &addressed, &mut done);
+        self.notify_engine(now, Input::Members(kind, members));
+        self.jobs_ended(now, done);
+    }
+
+    /// Reads the configuration again after SIGHUP; it applies as a whole or not at all. Only the bulletin's address
+    /// and the members of the fleet can change in a running scheduler.
+    fn reload(&mut self, now: Micros) {
+        let Some((_, left)) = self.reload.take() else { return };
+        match load_with_view(&self.path, self.config.fleet.is_some()) {
             Ok(config) => {
                 info!(name = self.name, bulletin = %config.bulletin, "configuration read");
-                let kept = self.config.kept_against(&config);
+                let kept = self.config.fields_needing_restart(&config);
                 if !kept.is_empty() {
                     let kept = kept.join(", ");
-                    warn!(name = self.name, kept, "fields that differ and take a restart stay as they were");
+                    warn!(
+                        name = self.name,
+                        kept, "changed fields that take effect only after a restart were ignored"
+                    );
                 }
                 self.fleet.iter_mut().for_each(|fleet| fleet.reread(&config));
-                self.follow(now, |follower, out| {
+                self.drive_follower(now, |follower, out| {
                     follower.moved(now, config.bulletin, out);
                     follower.wake(now, out);
                 });
             }
             Err(why) => {
-                // One line for a signal, however often it is read.
-                if left == REREAD.1 {
-                    warn!(name = self.name, %why, "configuration not taken, the one before stands");
+                // One line per signal, however often the file is read.
+                if left == MAX_RELOAD_RETRIES {
+                    warn!(name = self.name, %why, "configuration rejected, keeping the previous one");
                 }
-                self.reread = (left > 0).then_some((now + REREAD.0, left - 1));
+                self.reload = (left > 0).then_some((now + RELOAD_RETRY_US, left - 1));
             }
         }
     }
