--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -5,7 +5,9 @@
 use basaltward::{Class, FunctionId, Micros, Repeat};
 use basaltward_engine::{Answer, Function, Identity, NewCall, WaiterId};
 use basaltward_net::{ConnId, Happened, Io};
-use basaltward_thrift::{Asked, Frames, Kind, Submit, Told, next_frame, read_request, write};
+use basaltward_thrift::{
+    ClientRequest, FrameLimits, MessageKind, ServerReply, Submit, next_frame, read_request, write,
+};
 use basaltward_timers::Timers;
 use slab::Slab;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
@@ -97,7 +99,7 @@
 
 /// The front of the loop.
 pub struct Front {
-    frames: Frames,
+    frames: FrameLimits,
     most: usize,
     classes: Vec<FrontClass>,
     tenants: Vec<String>,
@@ -172,7 +174,7 @@
         let classes = config.told.classes.iter().zip(&config.told.module.classes);
         let memory = config.told.module.family.kind_memory_mb.iter().copied();
         Self {
-            frames: Frames { most: FRAME },
+            frames: FrameLimits { max_bytes: FRAME },
             most: config.budget.clients,
             classes: classes.map(|(name, class)| FrontClass::new(name, class)).collect(),
             tenants: config.told.tenants.clone(),
@@ -365,17 +367,19 @@
         frame: &[u8],
     ) -> Option<Step> {
         let (head, asked) = read_request(frame).ok()?;
-        let (name, seqid) = (head.name, head.seqid);
-        let oneway = head.kind == Kind::Oneway;
+        let (name, seqid) = (head.method, head.seqid);
+        let oneway = head.kind == MessageKind::Oneway;
         let told = match asked {
-            Asked::Submit(submit) if !oneway => match self.submit(io, (came, conn), seqid, &submit)? {
-                Ok(call) => {
-                    self.touch(now, conn);
-                    return Some(Step::Call(call));
+            ClientRequest::Submit(submit) if !oneway => {
+                match self.submit(io, (came, conn), seqid, &submit)? {
+                    Ok(call) => {
+                        self.touch(now, conn);
+                        return Some(Step::Call(call));
+                    }
+                    Err(told) => told,
                 }
-                Err(told) => told,
-            },
-            Asked::Revoke(of) => {
+            }
+            ClientRequest::Revoke(of) => {
                 let client = self.clients.get_mut(&conn)?;
                 let at = client.open.iter().position(|(seqid, _)| *seqid == of);
                 let waiter = at.map(|at| client.open.swap_remove(at).1);
@@ -385,13 +389,13 @@
                 self.touch(now, conn);
                 return Some(Step::Left(waiter.into_iter().collect()));
             }
-            Asked::Heartbeat if !oneway => {
+            ClientRequest::Heartbeat if !oneway => {
                 self.is_read(io, conn)?;
-                Told::Answer(b"", self.knows_worker)
+                ServerReply::Answer(b"", self.knows_worker)
             }
-            Asked::Unknown if !oneway => {
+            ClientRequest::UnknownMethod if !oneway => {
                 self.unusable(conn)?;
-                Told::UnknownMethod
+                ServerReply::UnknownMethod
             }
             // A call that must have an answer, sent as one that wants none, or a method nobody knows.
             _ => return None,
@@ -438,7 +442,7 @@
         (came, conn): (Micros, ConnId),
         seqid: i32,
         submit: &Submit,
-    ) -> Option<Result<NewCall<Work>, Told<'static>>> {
+    ) -> Option<Result<NewCall<Work>, ServerReply<'static>>> {
         let client = self.clients.get_mut(&conn)?;
         // Numbers count up, and no more are open than may be: else an answer could be taken for another's.
         if seqid <= client.last || client.open.len() >= OPEN {
@@ -446,16 +450,16 @@
         }
         client.last = seqid;
         if !self.is_read(io, conn)? {
-            return Some(Err(Told::Rejected(None)));
+            return Some(Err(ServerReply::Rejected(None)));
         }
         let Some(read) = self.read(submit) else {
             self.unusable(conn)?;
-            return Some(Err(Told::Rejected(None)));
+            return Some(Err(ServerReply::Rejected(None)));
         };
         // The request in hand under this id may run: nobody is told that trying again does no harm.
         if !self.ids.insert(read.request) {
             self.unusable(conn)?;
-            return Some(Err(Told::Crashed));
+            return Some(Err(ServerReply::Crashed));
         }
         self.given += 1;
         let entry = self.waiting.vacant_entry();
@@ -533,9 +537,9 @@
         }
         if let Some(out) = io.output(conn) {
             let told = match answer {
-                Answer::Served(Served(body)) => Told::Answer(body, true),
-                Answer::Refused(_, wait) => Told::Rejected(wait.map(|us| us.div_ceil(1_000))),
-                Answer::Failed(_) => Told::Crashed,
+                Answer::Served(Served(body)) => ServerReply::Answer(body, true),
+                Answer::Refused(_, wait) => ServerReply::Rejected(wait.map(|us| us.div_ceil(1_000))),
+                Answer::Failed(_) => ServerReply::Crashed,
             };
             write::reply(out, "submit", waiting.seqid, &told);
         }
--- a/crates/node/src/job.rs
+++ b/crates/node/src/job.rs
@@ -3,7 +3,7 @@
 use crate::work::{Served, Work};
 use basaltward::{Code, CopyNote, FunctionId, Micros};
 use basaltward_engine::{AttemptEnd, AttemptId, OrderId};
-use basaltward_worker_lines::{Note, Reply, Word};
+use basaltward_worker_lines::{CopyDetail, Reply, Status};
 use std::sync::Arc;
 
 /// What a connection is used for.
@@ -66,32 +66,32 @@
 
 /// The end of a job that was answered; `report` names the figures that are wanted.
 pub fn answered(job: &Job, reply: Reply, report: &[String]) -> Option<Done> {
-    let code = match reply.word {
-        Word::Ok | Word::Up => Code::Ok,
-        Word::Miss => Code::Miss,
-        Word::Busy => Code::Full,
-        Word::Err | Word::Down => Code::Error,
-        Word::Void => Code::Moot,
+    let code = match reply.status {
+        Status::Ok | Status::Up => Code::Ok,
+        Status::Miss => Code::Miss,
+        Status::Busy => Code::Full,
+        Status::Err | Status::Down => Code::Error,
+        Status::Void => Code::Moot,
     };
     Some(match job {
         // Not an answer to a call: what became of it is not known.
-        Job::Attempt { id, .. } if matches!(reply.word, Word::Up | Word::Down) => {
+        Job::Attempt { id, .. } if matches!(reply.status, Status::Up | Status::Down) => {
             Done::Attempt(*id, AttemptEnd::bare(Code::Unknown))
         }
         Job::Attempt { id, .. } => {
-            let copy = match (code, reply.note) {
-                (Code::Ok, Some(Note::Up)) => CopyNote::Stood,
-                (Code::Ok, Some(Note::Fresh)) => CopyNote::Began,
-                (Code::Ok, Some(Note::Behind)) => CopyNote::Waited,
-                (Code::Miss | Code::Error, Some(Note::Crashed)) => CopyNote::LoadFailed,
+            let copy = match (code, reply.copy) {
+                (Code::Ok, Some(CopyDetail::Up)) => CopyNote::Stood,
+                (Code::Ok, Some(CopyDetail::Fresh)) => CopyNote::Began,
+                (Code::Ok, Some(CopyDetail::Behind)) => CopyNote::Waited,
+                (Code::Miss | Code::Error, Some(CopyDetail::Crashed)) => CopyNote::LoadFailed,
                 _ => CopyNote::Untold,
             };
-            let crowd = matches!(code, Code::Ok | Code::Full).then_some(reply.company);
+            let crowd = matches!(code, Code::Ok | Code::Full).then_some(reply.crowd);
             let report = reported(&reply, report);
             let body = (code == Code::Ok).then_some(Served(reply.body));
             Done::Attempt(*id, AttemptEnd { code, reply: body, copy, crowd, report })
         }
-        Job::Order { id, .. } => Done::Order(*id, code, reply.slots_up.unwrap_or(0)),
+        Job::Order { id, .. } => Done::Order(*id, code, reply.copies.unwrap_or(0)),
         Job::Probe(id) => Done::Probe(*id, code, reported(&reply, report)),
         Job::Release(_) => return None,
     })
@@ -101,5 +101,5 @@
     if reply.report.is_empty() {
         return Vec::new();
     }
-    report.iter().map(|name| reply.reported(name).unwrap_or(f64::NAN)).collect()
+    report.iter().map(|name| reply.report_value(name).unwrap_or(f64::NAN)).collect()
 }
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -23,7 +23,7 @@
 use tracing::debug;
 
 /// Bounds of a worker's answer.
-const ANSWER: LineLimits = LineLimits { line: 2 << 10, body: 64 << 10 };
+const ANSWER: LineLimits = LineLimits { max_line: 2 << 10, max_body: 64 << 10 };
 /// Bytes given to a connection and not yet with its socket, past which requests wait outside; and so many its socket
 /// holds that its worker has not taken.
 const UNSENT: usize = 64 << 10;
@@ -516,9 +516,9 @@
                     let worker = link.worker.clone();
                     name(&open.job).map(|name| self.jobs.remove(&name));
                     if let Job::Order { function, count, .. } = &open.job {
-                        let (worker, code) = (&worker, reply.word);
+                        let (worker, code) = (&worker, reply.status);
                         let took_us = now.saturating_sub(open.since);
-                        let stand = reply.slots_up;
+                        let stand = reply.copies;
                         debug!(target: "basaltward::load", %worker, %function, count, ?code, stand, took_us, "load");
                     }
                     done.extend(answered(&open.job, reply, &self.report));
--- a/crates/node/tests/sockets/restart.rs
+++ b/crates/node/tests/sockets/restart.rs
@@ -5,7 +5,9 @@
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::What;
 use basaltward_standins::{Act, Exec, FrontClient, FrontReply};
-use basaltward_thrift::{Asked as Question, Frames, Told, next_frame, read_request, write};
+use basaltward_thrift::{
+    ClientRequest as Question, FrameLimits, ServerReply, next_frame, read_request, write,
+};
 use bytes::BytesMut;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -255,7 +257,7 @@
     fn serve(mut stream: TcpStream, counts: &Counts, answers: impl Fn(u64) -> bool) -> Option<()> {
         let (mut input, mut bytes) = (BytesMut::new(), [0; 4_096]);
         loop {
-            while let Some(frame) = next_frame(Frames { most: 1 << 20 }, &mut input).ok()? {
+            while let Some(frame) = next_frame(FrameLimits { max_bytes: 1 << 20 }, &mut input).ok()? {
                 let (head, asked) = read_request(&frame).ok()?;
                 if monotonic() >= counts.until.load(Ordering::SeqCst) {
                     return stream.shutdown(Shutdown::Both).ok();
@@ -263,7 +265,7 @@
                 let submit = matches!(asked, Question::Submit(_));
                 if !submit || answers(counts.came.fetch_add(1, Ordering::SeqCst)) {
                     let mut out = BytesMut::new();
-                    write::reply(&mut out, head.name, head.seqid, &Told::Answer(b"", true));
+                    write::reply(&mut out, head.method, head.seqid, &ServerReply::Answer(b"", true));
                     stream.write_all(&out).ok()?;
                 }
                 *counts.seen.lock().expect("sound") += usize::from(submit);
--- a/crates/standins/src/front_client.rs
+++ b/crates/standins/src/front_client.rs
@@ -1,6 +1,6 @@
 //! A client of the live scheduler's Thrift front.
 
-use basaltward_thrift::{Frames, Told, next_frame, read_reply, write};
+use basaltward_thrift::{FrameLimits, ServerReply, next_frame, read_reply, write};
 use bytes::BytesMut;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -108,7 +108,7 @@
     /// As [`Self::read`].
     pub fn is_ready(&mut self) -> io::Result<Option<bool>> {
         self.heartbeat()?;
-        self.read_as(|_, told| matches!(told, Told::Answer(_, true)))
+        self.read_as(|_, told| matches!(told, ServerReply::Answer(_, true)))
     }
 
     /// Reads the next reply, with its number; `None` where the connection has ended.
@@ -118,19 +118,21 @@
     pub fn read(&mut self) -> io::Result<Option<(i32, FrontReply)>> {
         self.read_as(|seqid, told| {
             let reply = match told {
-                Told::Answer(body, _) => FrontReply::Served(body.to_vec()),
-                Told::Rejected(wait) => FrontReply::Rejected(wait),
-                Told::Crashed => FrontReply::Crashed,
-                Told::UnknownMethod | Told::ProtocolError => FrontReply::Exception,
+                ServerReply::Answer(body, _) => FrontReply::Served(body.to_vec()),
+                ServerReply::Rejected(wait) => FrontReply::Rejected(wait),
+                ServerReply::Crashed => FrontReply::Crashed,
+                ServerReply::UnknownMethod | ServerReply::ProtocolError => FrontReply::Exception,
             };
             (seqid, reply)
         })
     }
 
-    fn read_as<T>(&mut self, told_as: impl FnOnce(i32, Told) -> T) -> io::Result<Option<T>> {
+    fn read_as<T>(&mut self, told_as: impl FnOnce(i32, ServerReply) -> T) -> io::Result<Option<T>> {
         let wrong = |error| io::Error::new(io::ErrorKind::InvalidData, error);
         loop {
-            if let Some(frame) = next_frame(Frames { most: 1 << 20 }, &mut self.input).map_err(wrong)? {
+            if let Some(frame) =
+                next_frame(FrameLimits { max_bytes: 1 << 20 }, &mut self.input).map_err(wrong)?
+            {
                 let (seqid, told) = read_reply(&frame).map_err(wrong)?;
                 return Ok(Some(told_as(seqid, told)));
             }
--- a/crates/thrift/src/binary.rs
+++ b/crates/thrift/src/binary.rs
@@ -31,18 +31,18 @@
     }
 
     /// Bytes not read yet.
-    pub fn left(&self) -> usize {
+    pub fn remaining(&self) -> usize {
         self.bytes.len()
     }
 
     fn take(&mut self, count: usize) -> Result<&'a [u8], ThriftError> {
-        let (taken, rest) = self.bytes.split_at_checked(count).ok_or(ThriftError::Short)?;
+        let (taken, rest) = self.bytes.split_at_checked(count).ok_or(ThriftError::Truncated)?;
         self.bytes = rest;
         Ok(taken)
     }
 
     fn chunk<const N: usize>(&mut self) -> Result<[u8; N], ThriftError> {
-        let (taken, rest) = self.bytes.split_first_chunk::<N>().ok_or(ThriftError::Short)?;
+        let (taken, rest) = self.bytes.split_first_chunk::<N>().ok_or(ThriftError::Truncated)?;
         self.bytes = rest;
         Ok(*taken)
     }
@@ -70,7 +70,7 @@
     }
 
     pub fn text(&mut self) -> Result<&'a str, ThriftError> {
-        std::str::from_utf8(self.binary()?).map_err(|_| ThriftError::Text)
+        std::str::from_utf8(self.binary()?).map_err(|_| ThriftError::InvalidUtf8)
     }
 
     /// The next field of a struct: its type and id; `None` at the end.
@@ -122,7 +122,8 @@
 
     /// Each entry holds a byte at least, so a count past the bytes left is a lie and no work is done for it.
     fn skip_all(&mut self, count: i32, kinds: &[u8], depth: u32) -> Result<(), ThriftError> {
-        let entries = usize::try_from(count).ok().filter(|c| c.saturating_mul(kinds.len()) <= self.left());
+        let entries =
+            usize::try_from(count).ok().filter(|c| c.saturating_mul(kinds.len()) <= self.remaining());
         for _ in 0..entries.ok_or(ThriftError::Length(count))? {
             for kind in kinds {
                 self.skip_at(*kind, depth + 1)?;
--- a/crates/thrift/src/error.rs
+++ b/crates/thrift/src/error.rs
@@ -8,7 +8,7 @@
     FrameLength(i32),
     /// A message or a value ends before its length says.
     #[error("cut short")]
-    Short,
+    Truncated,
     /// A length within a message is negative or past what is there.
     #[error("length {0} within a message")]
     Length(i32),
@@ -20,14 +20,14 @@
     Type(u8),
     /// A text is not UTF-8.
     #[error("text is not UTF-8")]
-    Text,
+    InvalidUtf8,
     /// Structs within structs past the bound.
     #[error("nested too deep")]
     Depth,
     /// Bytes are left after the message.
     #[error("{0} bytes after the message")]
-    Trailing(usize),
+    TrailingBytes(usize),
     /// More fields in a map than are taken.
     #[error("map of {0} entries")]
-    Entries(i32),
+    MapEntries(i32),
 }
--- a/crates/thrift/src/frame.rs
+++ b/crates/thrift/src/frame.rs
@@ -6,9 +6,9 @@
 
 /// Bounds of frames.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Frames {
+pub struct FrameLimits {
     /// Most bytes of one frame.
-    pub most: usize,
+    pub max_bytes: usize,
 }
 
 /// Takes the next whole frame out of the input, without its length. A length out of bounds is told as soon as
@@ -16,10 +16,10 @@
 ///
 /// # Errors
 /// Where the length is out of bounds. The input can't be read on then.
-pub fn next_frame(frames: Frames, input: &mut BytesMut) -> Result<Option<Bytes>, ThriftError> {
+pub fn next_frame(frames: FrameLimits, input: &mut BytesMut) -> Result<Option<Bytes>, ThriftError> {
     let Some(head) = input.first_chunk::<LENGTH>() else { return Ok(None) };
     let told = i32::from_be_bytes(*head);
-    let length = usize::try_from(told).ok().filter(|l| (1..=frames.most).contains(l));
+    let length = usize::try_from(told).ok().filter(|l| (1..=frames.max_bytes).contains(l));
     let length = length.ok_or(ThriftError::FrameLength(told))?;
     if input.len() < LENGTH + length {
         return Ok(None);
--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -8,5 +8,7 @@
 mod message;
 
 pub use error::ThriftError;
-pub use frame::{Frames, next_frame};
-pub use message::{Asked, Fields, Head, Kind, Submit, Told, read_reply, read_request, write};
+pub use frame::{FrameLimits, next_frame};
+pub use message::{
+    ClientRequest, Fields, MessageHeader, MessageKind, ServerReply, Submit, read_reply, read_request, write,
+};
--- a/crates/thrift/src/message.rs
+++ b/crates/thrift/src/message.rs
@@ -17,7 +17,7 @@
 
 /// Type of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     /// Wants a reply.
     Call,
     /// Is one.
@@ -30,11 +30,11 @@
 
 /// What stands before each message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head<'a> {
+pub struct MessageHeader<'a> {
     /// Its type.
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// The method.
-    pub name: &'a str,
+    pub method: &'a str,
     /// Its number on this connection.
     pub seqid: i32,
 }
@@ -53,7 +53,7 @@
 
 /// What a client asks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked<'a> {
+pub enum ClientRequest<'a> {
     /// Run a function.
     Submit(Submit<'a>),
     /// Wait no longer for the call of this number.
@@ -61,12 +61,12 @@
     /// Say whether calls are taken.
     Heartbeat,
     /// A method that does not exist here; a reply is owed only where it is not one-way.
-    Unknown,
+    UnknownMethod,
 }
 
 /// What a client is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told<'a> {
+pub enum ServerReply<'a> {
     /// `Answer`: the body, and whether all is good.
     Answer(&'a [u8], bool),
     /// `Rejected`, with the milliseconds to stay away.
@@ -79,25 +79,25 @@
     ProtocolError,
 }
 
-fn head<'a>(reader: &mut Reader<'a>) -> Result<Head<'a>, ThriftError> {
+fn head<'a>(reader: &mut Reader<'a>) -> Result<MessageHeader<'a>, ThriftError> {
     let word = reader.i32()? as u32;
     if word & 0xffff_0000 != VERSION {
         return Err(ThriftError::Version(word));
     }
     let kind = match word as u8 {
-        1 => Kind::Call,
-        2 => Kind::Reply,
-        3 => Kind::Exception,
-        4 => Kind::Oneway,
+        1 => MessageKind::Call,
+        2 => MessageKind::Reply,
+        3 => MessageKind::Exception,
+        4 => MessageKind::Oneway,
         other => return Err(ThriftError::Type(other)),
     };
-    Ok(Head { kind, name: reader.text()?, seqid: reader.i32()? })
+    Ok(MessageHeader { kind, method: reader.text()?, seqid: reader.i32()? })
 }
 
 fn fields<'a>(reader: &mut Reader<'a>) -> Result<Fields<'a>, ThriftError> {
     let (key, value, count) = reader.map()?;
     if !(0..=ENTRIES).contains(&count) {
-        return Err(ThriftError::Entries(count));
+        return Err(ThriftError::MapEntries(count));
     }
     if count > 0 && (key, value) != (STRING, STRING) {
         return Err(ThriftError::Type(if key == STRING { value } else { key }));
@@ -109,30 +109,30 @@
 ///
 /// # Errors
 /// Where it is not a message of the strict binary protocol, whole and with nothing after it.
-pub fn read_request(frame: &[u8]) -> Result<(Head<'_>, Asked<'_>), ThriftError> {
+pub fn read_request(frame: &[u8]) -> Result<(MessageHeader<'_>, ClientRequest<'_>), ThriftError> {
     let mut reader = Reader::new(frame);
     let head = head(&mut reader)?;
-    if matches!(head.kind, Kind::Reply | Kind::Exception) {
+    if matches!(head.kind, MessageKind::Reply | MessageKind::Exception) {
         return Err(ThriftError::Type(head.kind as u8 + 1));
     }
     let mut submit = Submit { fields: Vec::new(), body: &[] };
     let mut seqid = 0;
     while let Some(field) = reader.field()? {
-        match (head.name, field) {
+        match (head.method, field) {
             (SUBMIT, (MAP, 1)) => submit.fields = fields(&mut reader)?,
             (SUBMIT, (STRING, 2)) => submit.body = reader.binary()?,
             (REVOKE, (I32, 1)) => seqid = reader.i32()?,
             (_, (kind, _)) => reader.skip(kind)?,
         }
     }
-    if reader.left() > 0 {
-        return Err(ThriftError::Trailing(reader.left()));
+    if reader.remaining() > 0 {
+        return Err(ThriftError::TrailingBytes(reader.remaining()));
     }
-    let asked = match head.name {
-        SUBMIT => Asked::Submit(submit),
-        REVOKE => Asked::Revoke(seqid),
-        HEARTBEAT => Asked::Heartbeat,
-        _ => Asked::Unknown,
+    let asked = match head.method {
+        SUBMIT => ClientRequest::Submit(submit),
+        REVOKE => ClientRequest::Revoke(seqid),
+        HEARTBEAT => ClientRequest::Heartbeat,
+        _ => ClientRequest::UnknownMethod,
     };
     Ok((head, asked))
 }
@@ -141,17 +141,17 @@
 ///
 /// # Errors
 /// Where it is not a reply of the strict binary protocol.
-pub fn read_reply(frame: &[u8]) -> Result<(i32, Told<'_>), ThriftError> {
+pub fn read_reply(frame: &[u8]) -> Result<(i32, ServerReply<'_>), ThriftError> {
     let mut reader = Reader::new(frame);
     let head = head(&mut reader)?;
     let mut told = None;
     while let Some((kind, id)) = reader.field()? {
         match (head.kind, kind, id) {
-            (Kind::Exception, I32, 2) => {
+            (MessageKind::Exception, I32, 2) => {
                 let unknown = reader.i32()? == UNKNOWN_METHOD;
-                told = Some(if unknown { Told::UnknownMethod } else { Told::ProtocolError });
+                told = Some(if unknown { ServerReply::UnknownMethod } else { ServerReply::ProtocolError });
             }
-            (Kind::Reply, STRUCT, 0) => {
+            (MessageKind::Reply, STRUCT, 0) => {
                 let (mut body, mut good): (&[u8], bool) = (&[], false);
                 while let Some(field) = reader.field()? {
                     match field {
@@ -160,9 +160,9 @@
                         (kind, _) => reader.skip(kind)?,
                     }
                 }
-                told = Some(Told::Answer(body, good));
+                told = Some(ServerReply::Answer(body, good));
             }
-            (Kind::Reply, STRUCT, 1 | 2) => {
+            (MessageKind::Reply, STRUCT, 1 | 2) => {
                 let mut wait = None;
                 while let Some(field) = reader.field()? {
                     match field {
@@ -174,19 +174,19 @@
                         (kind, _) => reader.skip(kind)?,
                     }
                 }
-                told = Some(if id == 1 { Told::Rejected(wait) } else { Told::Crashed });
+                told = Some(if id == 1 { ServerReply::Rejected(wait) } else { ServerReply::Crashed });
             }
             _ => reader.skip(kind)?,
         }
     }
-    let told = told.ok_or(ThriftError::Short)?;
-    if reader.left() > 0 {
-        return Err(ThriftError::Trailing(reader.left()));
+    let told = told.ok_or(ThriftError::Truncated)?;
+    if reader.remaining() > 0 {
+        return Err(ThriftError::TrailingBytes(reader.remaining()));
     }
     Ok((head.seqid, told))
 }
 
-fn begin(out: &mut BytesMut, kind: Kind, name: &str, seqid: i32) -> usize {
+fn begin(out: &mut BytesMut, kind: MessageKind, name: &str, seqid: i32) -> usize {
     let at = out.len();
     out.put_i32(0);
     out.put_u32(VERSION | (kind as u32 + 1));
@@ -206,11 +206,11 @@
     use super::*;
 
     /// A reply to a call of this name and number.
-    pub fn reply(out: &mut BytesMut, name: &str, seqid: i32, told: &Told) {
-        let failed = matches!(told, Told::UnknownMethod | Told::ProtocolError);
-        let at = begin(out, if failed { Kind::Exception } else { Kind::Reply }, name, seqid);
+    pub fn reply(out: &mut BytesMut, name: &str, seqid: i32, told: &ServerReply) {
+        let failed = matches!(told, ServerReply::UnknownMethod | ServerReply::ProtocolError);
+        let at = begin(out, if failed { MessageKind::Exception } else { MessageKind::Reply }, name, seqid);
         match told {
-            Told::Answer(body, good) => {
+            ServerReply::Answer(body, good) => {
                 put_field(out, STRUCT, 0);
                 put_field(out, STRING, 1);
                 put_binary(out, body);
@@ -220,7 +220,7 @@
                 out.put_u8(u8::from(*good));
                 out.put_u8(STOP);
             }
-            Told::Rejected(wait) => {
+            ServerReply::Rejected(wait) => {
                 let wait = wait.map(|ms| ms.to_string());
                 let entries: Vec<_> = wait.iter().map(|ms| ("holdoff", ms.as_str())).collect();
                 put_field(out, STRUCT, 1);
@@ -228,14 +228,14 @@
                 put_map(out, &entries);
                 out.put_u8(STOP);
             }
-            Told::Crashed => {
+            ServerReply::Crashed => {
                 put_field(out, STRUCT, 2);
                 put_field(out, MAP, 1);
                 put_map(out, &[]);
                 out.put_u8(STOP);
             }
-            Told::UnknownMethod | Told::ProtocolError => {
-                let unknown = *told == Told::UnknownMethod;
+            ServerReply::UnknownMethod | ServerReply::ProtocolError => {
+                let unknown = *told == ServerReply::UnknownMethod;
                 let (text, code) = if unknown {
                     ("no such method", UNKNOWN_METHOD)
                 } else {
@@ -252,7 +252,7 @@
 
     /// A call of `submit`.
     pub fn submit(out: &mut BytesMut, seqid: i32, fields: &[(&str, &str)], body: &[u8]) {
-        let at = begin(out, Kind::Call, SUBMIT, seqid);
+        let at = begin(out, MessageKind::Call, SUBMIT, seqid);
         put_field(out, MAP, 1);
         put_map(out, fields);
         put_field(out, STRING, 2);
@@ -262,7 +262,7 @@
 
     /// `revoke` of the call of this number.
     pub fn revoke(out: &mut BytesMut, seqid: i32, of: i32) {
-        let at = begin(out, Kind::Oneway, REVOKE, seqid);
+        let at = begin(out, MessageKind::Oneway, REVOKE, seqid);
         put_field(out, I32, 1);
         out.put_i32(of);
         finish(out, at);
@@ -270,7 +270,7 @@
 
     /// A call of `heartbeat`.
     pub fn heartbeat(out: &mut BytesMut, seqid: i32) {
-        let at = begin(out, Kind::Call, HEARTBEAT, seqid);
+        let at = begin(out, MessageKind::Call, HEARTBEAT, seqid);
         put_field(out, BOOL, 1);
         out.put_u8(1);
         finish(out, at);
--- a/crates/thrift/tests/messages.rs
+++ b/crates/thrift/tests/messages.rs
@@ -2,7 +2,7 @@
 use basaltward_thrift::*;
 use bytes::{BufMut, BytesMut};
 
-const FRAMES: Frames = Frames { most: 32 << 10 };
+const FRAMES: FrameLimits = FrameLimits { max_bytes: 32 << 10 };
 
 /// A multiplicative congruence in place of a random source.
 struct Draw(u64);
@@ -24,20 +24,20 @@
     let mut next = || next_frame(FRAMES, &mut wire).unwrap().unwrap();
     let frame = next();
     let (head, asked) = read_request(&frame).unwrap();
-    assert_eq!((head.kind, head.name, head.seqid), (Kind::Call, "submit", 1));
-    assert_eq!(asked, Asked::Submit(Submit { fields: fields.to_vec(), body: b"any \0 bytes" }));
+    assert_eq!((head.kind, head.method, head.seqid), (MessageKind::Call, "submit", 1));
+    assert_eq!(asked, ClientRequest::Submit(Submit { fields: fields.to_vec(), body: b"any \0 bytes" }));
     let frame = next();
     let (head, asked) = read_request(&frame).unwrap();
-    assert_eq!((head.kind, asked), (Kind::Oneway, Asked::Revoke(1)));
-    assert_eq!(read_request(&next()).unwrap().1, Asked::Heartbeat);
+    assert_eq!((head.kind, asked), (MessageKind::Oneway, ClientRequest::Revoke(1)));
+    assert_eq!(read_request(&next()).unwrap().1, ClientRequest::Heartbeat);
     assert!(wire.is_empty());
     let told = [
-        Told::Answer(b"body", true),
-        Told::Rejected(Some(250)),
-        Told::Rejected(None),
-        Told::Crashed,
-        Told::UnknownMethod,
-        Told::ProtocolError,
+        ServerReply::Answer(b"body", true),
+        ServerReply::Rejected(Some(250)),
+        ServerReply::Rejected(None),
+        ServerReply::Crashed,
+        ServerReply::UnknownMethod,
+        ServerReply::ProtocolError,
     ];
     for (seqid, told) in told.iter().enumerate() {
         write::reply(&mut wire, "submit", seqid as i32, told);
@@ -49,7 +49,7 @@
 #[test]
 fn a_strict_message_has_the_published_bytes() {
     let mut wire = BytesMut::new();
-    write::reply(&mut wire, "heartbeat", 7, &Told::Answer(b"", true));
+    write::reply(&mut wire, "heartbeat", 7, &ServerReply::Answer(b"", true));
     let expected = b"\0\0\0\x2e\x80\x01\0\x02\0\0\0\x09heartbeat\0\0\0\x07\x0c\0\0\x0b\0\x01\0\0\0\0\
         \x0d\0\x02\x0b\x0b\0\0\0\0\x02\0\x03\x01\0\0";
     assert_eq!(&wire[..], expected);
@@ -71,7 +71,7 @@
         let mut frame = BytesMut::new();
         frame.put_slice(b"\x80\x01\0\x01\0\0\0\x09heartbeat\0\0\0\x01");
         frame.put_slice(fields);
-        read_request(&frame).map(|(_, asked)| asked == Asked::Heartbeat)
+        read_request(&frame).map(|(_, asked)| asked == ClientRequest::Heartbeat)
     };
     // A list of two structs, a map of i32 to text, a double.
     let good = b"\x0f\0\x09\x0c\0\0\0\x02\x02\0\x01\x01\0\0\x0d\0\x0a\x08\x0b\0\0\0\x01\0\0\0\x05\0\0\0\x01x\
@@ -82,8 +82,8 @@
     assert_eq!(whole(b"\x0f\0\x01\x02\x7f\xff\xff\xff\0"), Err(ThriftError::Length(i32::MAX)));
     assert_eq!(whole(b"\x0b\0\x01\xff\xff\xff\xff\0"), Err(ThriftError::Length(-1)));
     assert_eq!(whole(b"\x07\0\x01\0"), Err(ThriftError::Type(7)));
-    assert_eq!(whole(b""), Err(ThriftError::Short));
-    assert_eq!(whole(b"\0\0"), Err(ThriftError::Trailing(1)));
+    assert_eq!(whole(b""), Err(ThriftError::Truncated));
+    assert_eq!(whole(b"\0\0"), Err(ThriftError::TrailingBytes(1)));
 }
 
 #[test]
@@ -122,7 +122,7 @@
         let (a, b) = (a.min(b), a.max(b));
         let split = read(&[&bytes[..a], &bytes[a..b], &bytes[b..]]);
         assert_eq!((&whole.0, &whole.1), (&split.0, &split.1));
-        assert!(split.2 <= FRAMES.most + 4);
+        assert!(split.2 <= FRAMES.max_bytes + 4);
         let _ = bytes.get(4..).map(read_reply);
     }
 }
--- a/crates/worker-lines/src/decode.rs
+++ b/crates/worker-lines/src/decode.rs
@@ -6,36 +6,36 @@
 pub enum LinesError {
     /// No end of line within the bound.
     #[error("a line without end")]
-    Line,
+    LineTooLong,
     /// A line is not UTF-8, or not an id, a word, fields and a length.
     #[error("not an answer line")]
-    Words,
+    MalformedLine,
     /// A word that is no answer.
     #[error("unknown answer")]
-    Word,
+    UnknownStatus,
     /// The fields are not a list of names and values.
     #[error("unreadable fields")]
-    Fields,
+    MalformedFields,
     /// The length of a body is not a number or past the bound.
     #[error("unusable length")]
-    Length,
+    InvalidLength,
     /// A body is not followed by the end of its line.
     #[error("a body that does not end where it should")]
-    BodyEnd,
+    MissingBodyEnd,
 }
 
 /// Bounds of one answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineLimits {
     /// Most bytes of a line.
-    pub line: usize,
+    pub max_line: usize,
     /// Most bytes of a body.
-    pub body: usize,
+    pub max_body: usize,
 }
 
 /// What an answer says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum Status {
     /// Served, or the copies stand.
     Ok,
     /// No copy there; never ran.
@@ -54,7 +54,7 @@
 
 /// What an answer tells of the copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum CopyDetail {
     /// A copy stood loaded.
     Up,
     /// This request began a load.
@@ -71,13 +71,13 @@
     /// The id or tag under which it comes.
     pub id: String,
     /// What it says.
-    pub word: Word,
+    pub status: Status,
     /// Of the copy.
-    pub note: Option<Note>,
+    pub copy: Option<CopyDetail>,
     /// Requests for the same function that the worker held.
-    pub company: u32,
+    pub crowd: u32,
     /// Copies held.
-    pub slots_up: Option<u32>,
+    pub copies: Option<u32>,
     /// The load report, as told: `name:value` separated by `;`.
     pub report: String,
     /// The body.
@@ -86,7 +86,7 @@
 
 impl Reply {
     /// The value of this name in the load report.
-    pub fn reported(&self, name: &str) -> Option<f64> {
+    pub fn report_value(&self, name: &str) -> Option<f64> {
         let pairs = self.report.split(';').filter_map(|pair| pair.split_once(':'));
         pairs.into_iter().find(|(n, _)| *n == name).and_then(|(_, value)| value.parse().ok())
     }
@@ -103,51 +103,51 @@
 }
 
 fn reply(line: &[u8]) -> Result<(Reply, usize), LinesError> {
-    let line = std::str::from_utf8(line).map_err(|_| LinesError::Words)?;
+    let line = std::str::from_utf8(line).map_err(|_| LinesError::MalformedLine)?;
     let mut words = line.split(' ');
     let (Some(id), Some(word), Some(fields), Some(length), None) =
         (words.next(), words.next(), words.next(), words.next(), words.next())
     else {
-        return Err(LinesError::Words);
+        return Err(LinesError::MalformedLine);
     };
     let word = match word {
-        "OK" => Word::Ok,
-        "MISS" => Word::Miss,
-        "BUSY" => Word::Busy,
-        "ERR" => Word::Err,
-        "VOID" => Word::Void,
-        "UP" => Word::Up,
-        "DOWN" => Word::Down,
-        _ => return Err(LinesError::Word),
+        "OK" => Status::Ok,
+        "MISS" => Status::Miss,
+        "BUSY" => Status::Busy,
+        "ERR" => Status::Err,
+        "VOID" => Status::Void,
+        "UP" => Status::Up,
+        "DOWN" => Status::Down,
+        _ => return Err(LinesError::UnknownStatus),
     };
     if id.is_empty() || length.is_empty() || !length.bytes().all(|b| b.is_ascii_digit()) {
-        return Err(if id.is_empty() { LinesError::Words } else { LinesError::Length });
+        return Err(if id.is_empty() { LinesError::MalformedLine } else { LinesError::InvalidLength });
     }
-    let length = length.parse().map_err(|_| LinesError::Length)?;
+    let length = length.parse().map_err(|_| LinesError::InvalidLength)?;
     let mut reply = Reply {
         id: id.into(),
-        word,
-        note: None,
-        company: 0,
-        slots_up: None,
+        status: word,
+        copy: None,
+        crowd: 0,
+        copies: None,
         report: String::new(),
         body: Bytes::new(),
     };
     for field in fields.split(',').filter(|_| fields != "-") {
-        let (name, value) = field.split_once('=').ok_or(LinesError::Fields)?;
-        let number = || value.parse::<u32>().map_err(|_| LinesError::Fields);
+        let (name, value) = field.split_once('=').ok_or(LinesError::MalformedFields)?;
+        let number = || value.parse::<u32>().map_err(|_| LinesError::MalformedFields);
         match name {
             "detail" => {
-                reply.note = match value {
-                    "up" => Some(Note::Up),
-                    "fresh" => Some(Note::Fresh),
-                    "behind" => Some(Note::Behind),
-                    "crashed" => Some(Note::Crashed),
+                reply.copy = match value {
+                    "up" => Some(CopyDetail::Up),
+                    "fresh" => Some(CopyDetail::Fresh),
+                    "behind" => Some(CopyDetail::Behind),
+                    "crashed" => Some(CopyDetail::Crashed),
                     _ => None,
                 }
             }
-            "company" => reply.company = number()?,
-            "slots_up" => reply.slots_up = Some(number()?),
+            "company" => reply.crowd = number()?,
+            "slots_up" => reply.copies = Some(number()?),
             "use" => reply.report = value.into(),
             _ => {}
         }
@@ -170,16 +170,20 @@
             let end = memchr::memchr(b'\n', &input[self.searched.min(input.len())..]);
             let Some(end) = end.map(|at| at + self.searched) else {
                 self.searched = input.len();
-                return if input.len() > self.limits.line { Err(LinesError::Line) } else { Ok(None) };
+                return if input.len() > self.limits.max_line {
+                    Err(LinesError::LineTooLong)
+                } else {
+                    Ok(None)
+                };
             };
             self.searched = 0;
-            if end > self.limits.line {
-                return Err(LinesError::Line);
+            if end > self.limits.max_line {
+                return Err(LinesError::LineTooLong);
             }
-            let line = input[..end].strip_suffix(b"\r").ok_or(LinesError::Words)?;
+            let line = input[..end].strip_suffix(b"\r").ok_or(LinesError::MalformedLine)?;
             let (reply, length) = reply(line)?;
-            if length > self.limits.body {
-                return Err(LinesError::Length);
+            if length > self.limits.max_body {
+                return Err(LinesError::InvalidLength);
             }
             input.advance(end + 1);
             self.begun = Some((reply, length));
@@ -188,7 +192,7 @@
         // Told as soon as it can be: an end that is not there is not waited for.
         let wrong = |at: usize, byte| input.get(length + at).is_some_and(|b| *b != byte);
         if wrong(0, b'\r') || wrong(1, b'\n') {
-            return Err(LinesError::BodyEnd);
+            return Err(LinesError::MissingBodyEnd);
         }
         if input.len() < length + 2 {
             self.begun = Some((reply, length));
--- a/crates/worker-lines/src/lib.rs
+++ b/crates/worker-lines/src/lib.rs
@@ -6,5 +6,5 @@
 mod decode;
 mod write;
 
-pub use decode::{AnswerDecoder, LineLimits, LinesError, Note, Reply, Word};
+pub use decode::{AnswerDecoder, CopyDetail, LineLimits, LinesError, Reply, Status};
 pub use write::{ExecFields, drop_request, ensure, exec, health, load, release};
--- a/crates/worker-lines/tests/answers.rs
+++ b/crates/worker-lines/tests/answers.rs
@@ -2,7 +2,7 @@
 use basaltward_worker_lines::*;
 use bytes::BytesMut;
 
-const LIMITS: LineLimits = LineLimits { line: 256, body: 1_024 };
+const LIMITS: LineLimits = LineLimits { max_line: 256, max_body: 1_024 };
 
 fn read(pieces: &[&[u8]]) -> (Vec<Reply>, Option<LinesError>) {
     let (mut decoder, mut input, mut replies) = (AnswerDecoder::new(LIMITS), BytesMut::new(), Vec::new());
@@ -15,7 +15,7 @@
                 Err(error) => return (replies, Some(error)),
             }
         }
-        assert!(input.len() <= LIMITS.line.max(LIMITS.body + 2) + piece.len());
+        assert!(input.len() <= LIMITS.max_line.max(LIMITS.max_body + 2) + piece.len());
     }
     (replies, None)
 }
@@ -45,28 +45,31 @@
     let (replies, error) = read(&[wire]);
     assert_eq!(error, None);
     let [a, b, t, o, c] = &replies[..] else { panic!("five answers") };
-    assert_eq!((a.word, a.note, a.company, &a.body[..]), (Word::Ok, Some(Note::Up), 3, &b"ab\r\nc"[..]));
-    assert_eq!((b.word, b.note, b.company), (Word::Busy, None, 0));
     assert_eq!(
-        (t.word, t.reported("util"), t.reported("inflight"), t.reported("x")),
-        (Word::Up, Some(0.61), Some(7.0), None)
+        (a.status, a.copy, a.crowd, &a.body[..]),
+        (Status::Ok, Some(CopyDetail::Up), 3, &b"ab\r\nc"[..])
     );
-    assert_eq!((o.slots_up, c.word, c.note), (Some(2), Word::Miss, Some(Note::Crashed)));
+    assert_eq!((b.status, b.copy, b.crowd), (Status::Busy, None, 0));
+    assert_eq!(
+        (t.status, t.report_value("util"), t.report_value("inflight"), t.report_value("x")),
+        (Status::Up, Some(0.61), Some(7.0), None)
+    );
+    assert_eq!((o.copies, c.status, c.copy), (Some(2), Status::Miss, Some(CopyDetail::Crashed)));
 }
 
 #[test]
 fn spoilt_answers_are_told_as_soon_as_they_show() {
     let cases: [(&[u8], LinesError); 10] = [
-        (&[b'x'; 300], LinesError::Line),
-        (b"a1 OK - 3000000000\r\n", LinesError::Length),
-        (b"a1 OK - -1\r\n", LinesError::Length),
-        (b"a1 OK - 1025\r\n", LinesError::Length),
-        (b"a1 OK - 2\r\nabc", LinesError::BodyEnd),
-        (b"a1 OK - 2\r\nab\rx", LinesError::BodyEnd),
-        (b"a1 WELL - 0\r\n", LinesError::Word),
-        (b"a1 OK 0\r\n", LinesError::Words),
-        (b"a1 OK - 0\n", LinesError::Words),
-        (b"a1 OK company=many 0\r\n", LinesError::Fields),
+        (&[b'x'; 300], LinesError::LineTooLong),
+        (b"a1 OK - 3000000000\r\n", LinesError::InvalidLength),
+        (b"a1 OK - -1\r\n", LinesError::InvalidLength),
+        (b"a1 OK - 1025\r\n", LinesError::InvalidLength),
+        (b"a1 OK - 2\r\nabc", LinesError::MissingBodyEnd),
+        (b"a1 OK - 2\r\nab\rx", LinesError::MissingBodyEnd),
+        (b"a1 WELL - 0\r\n", LinesError::UnknownStatus),
+        (b"a1 OK 0\r\n", LinesError::MalformedLine),
+        (b"a1 OK - 0\n", LinesError::MalformedLine),
+        (b"a1 OK company=many 0\r\n", LinesError::MalformedFields),
     ];
     for (wire, expected) in cases {
         assert_eq!(read(&[wire]), (vec![], Some(expected)), "{}", String::from_utf8_lossy(wire));
