--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,9 +1,9 @@
 use crate::arrivals::{Arrival, Arrivals};
 use crate::hand::{Call, Order, Sent, Try, Waiter};
-use crate::repeats::{Ended, Repeats, Verdict};
+use crate::repeats::{CallEnd, Repeats, Verdict};
 use crate::{
-    Answer, AttemptEnd, AttemptId, CallId, EngineSettings, Failure, Function, Input, Margin, NewCall,
-    OrderId, Output, Path, Refusal, Reply, WaiterId,
+    Answer, AnswerOrigin, AttemptEnd, AttemptId, CallId, EngineSettings, Failure, Function, Input, Margin,
+    NewCall, OrderId, Output, Refusal, Reply, WaiterId,
 };
 use basaltward::{
     Action, Code, Controller, CopyNote, Event, Micros, Outcome, Repeat, Request, RequestId, SettingsError,
@@ -59,7 +59,7 @@
     /// Where the controller can't decide by its settings.
     pub fn new(settings: EngineSettings, seed: u64) -> Result<Self, SettingsError> {
         Ok(Self {
-            controller: Controller::new(settings.module.clone(), seed)?,
+            controller: Controller::new(settings.controller.clone(), seed)?,
             repeats: Repeats::new(settings.repeats),
             margin: Margin::new(settings.margin),
             settings,
@@ -79,18 +79,18 @@
     }
 
     /// Calls in hand.
-    pub fn in_hand(&self) -> usize {
+    pub fn calls_in_flight(&self) -> usize {
         self.calls.len()
     }
 
     /// When [`Engine::wake`] is due next.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
-        let answer = self.answers.next().map(|at| at.saturating_sub(self.margin.lateness(now)));
-        answer.into_iter().chain(self.due.next()).min()
+        let answer = self.answers.next_due().map(|at| at.saturating_sub(self.margin.lateness(now)));
+        answer.into_iter().chain(self.due.next_due()).min()
     }
 
     /// How often the controller weighed a worker so far, see [`Controller::looks`].
-    pub fn looks(&self) -> u64 {
+    pub fn workers_weighed(&self) -> u64 {
         self.controller.looks()
     }
 
@@ -105,8 +105,8 @@
     }
 
     /// Takes note that the loop has done at `now` what it should have done at `due`.
-    pub fn note_late(&mut self, now: Micros, due: Micros) {
-        self.margin.woke(now, due);
+    pub fn record_lateness(&mut self, now: Micros, due: Micros) {
+        self.margin.record(now, due);
     }
 
     /// Takes one input at time `now` and appends what is to be done.
@@ -116,12 +116,12 @@
                 self.call(now, call, out);
                 while self.begin_next(now, out) {}
             }
-            Input::Arrived(call) => self.call(now, call, out),
-            Input::Left(waiter) => self.left(now, waiter, out),
-            Input::Ended(attempt, end) => self.ended(now, attempt, end, out),
-            Input::Ordered(order, code, count) => self.ordered(now, order, code, count),
-            Input::Probed(order, code, report) => self.probed(now, order, code, report),
-            Input::Stands(worker, function, count) => {
+            Input::QueuedCall(call) => self.call(now, call, out),
+            Input::ClientLeft(waiter) => self.left(now, waiter, out),
+            Input::AttemptEnded(attempt, end) => self.ended(now, attempt, end, out),
+            Input::OrderAnswered(order, code, count) => self.ordered(now, order, code, count),
+            Input::ProbeAnswered(order, code, report) => self.probed(now, order, code, report),
+            Input::CopiesReported(worker, function, count) => {
                 let (code, latency) = (Code::Ok, 0);
                 self.events.push_back(Event::Loaded { worker, function, count, code, latency });
             }
@@ -129,7 +129,7 @@
             Input::ListTrust(trust) => self.events.push_back(Event::ListTrust(trust)),
             Input::Disconnected(worker) => self.events.push_back(Event::Disconnected { worker }),
             Input::Stop => self.stopping = true,
-            Input::EndBy(end) => self.end_by(now, end),
+            Input::ExitAt(end) => self.end_by(now, end),
         }
         self.settle(now, out);
     }
@@ -174,13 +174,13 @@
 
     /// The answer to a call that would be begun too late.
     fn behind(&self, wait: Micros) -> Answer<R> {
-        let limits = &self.settings.module.limits;
+        let limits = &self.settings.controller.limits;
         let wait = Some(wait.min(limits.max_retry_after)).filter(|_| limits.retry_after);
-        Answer::Refused(Refusal::Behind, wait)
+        Answer::Refused(Refusal::Backlogged, wait)
     }
 
     /// Bytes of an attempt are about to be given to a connection: from here on it may run.
-    pub fn written(&mut self, id: AttemptId) {
+    pub fn mark_written(&mut self, id: AttemptId) {
         let sent = self.tries.get_mut(&id.request).and_then(|t| t.sent.get_mut(id.number));
         sent.into_iter().for_each(|sent| sent.written = true);
     }
@@ -195,10 +195,10 @@
 
     /// Answers the clients whose time is up by `now`. True where it ended before the last, with an attempt to
     /// start, as [`Engine::wake`] does.
-    pub fn answer_due(&mut self, now: Micros, out: &mut Out<P, R>) -> bool {
+    pub fn answer_expired(&mut self, now: Micros, out: &mut Out<P, R>) -> bool {
         let early = self.margin.lateness(now);
-        while let Some((at, id)) = self.answers.due(now + early) {
-            self.margin.woke(now, at);
+        while let Some((at, id)) = self.answers.pop_due(now + early) {
+            self.margin.record(now, at);
             self.out_of_time(now, id, out);
             self.settle(now, out);
             if starts(out) {
@@ -214,12 +214,12 @@
     /// With an attempt to start it ends: whether bytes of it leave is known only once the caller has carried
     /// that out, and a call whose time runs out in the same breath would be told that it never ran.
     pub fn wake(&mut self, now: Micros, out: &mut Out<P, R>) {
-        if self.answer_due(now, out) {
+        if self.answer_expired(now, out) {
             return;
         }
         for _ in 0..BATCH {
-            let Some((at, due)) = self.due.due(now) else { return };
-            self.margin.woke(now, at);
+            let Some((at, due)) = self.due.pop_due(now) else { return };
+            self.margin.record(now, at);
             match due {
                 Due::Module(token) => self.events.push_back(Event::Timer { token }),
                 Due::Linger(call) => self.abandon(now, call, out),
@@ -235,76 +235,79 @@
     /// What the class of a function allows. A class that does not exist, which no front lets through, is
     /// taken for the strictest; the controller refuses its calls.
     fn repeat_of(&self, function: &Function) -> Repeat {
-        self.settings.module.classes.get(function.class).map_or(Repeat::Unsafe, |c| c.repeat)
+        self.settings.controller.classes.get(function.class).map_or(Repeat::Unsafe, |c| c.repeat)
     }
 
     // ---- clients -----------------------------------------------------------------------------------------
 
     fn call(&mut self, now: Micros, told: NewCall<P>, out: &mut Out<P, R>) {
         let deadline = told.deadline.min(self.end);
-        let by = deadline.saturating_sub(self.margin.way(deadline.saturating_sub(now)));
+        let by = deadline.saturating_sub(self.margin.answer_allowance(deadline.saturating_sub(now)));
         let answer_by = by.saturating_sub(self.margin.lateness(now));
         let repeat = self.repeat_of(&told.function);
-        let class = self.settings.module.classes.get(told.function.class);
+        let class = self.settings.controller.classes.get(told.function.class);
         let aim = class.map_or(by, |c| by.min(now + c.aim));
         let direct = |answer| Output::Answer {
             waiter: told.waiter,
             answer,
             attempts: 0,
             worker: None,
-            path: Path::Direct,
+            origin: AnswerOrigin::Direct,
         };
         // A recorded answer or a call in hand may serve even who has little time or comes while we stop.
         let refused = |why| Answer::Refused(why, None);
-        let verdict = self.repeats.judge(now, &told.identity, repeat);
-        let fresh = matches!(verdict, Verdict::Fresh | Verdict::FreshUntil(_));
+        let verdict = self.repeats.check(now, &told.identity, repeat);
+        let fresh = matches!(verdict, Verdict::Run | Verdict::RunUntil(_));
         let until = match verdict {
             Verdict::Recorded(reply) => return out.push(direct(Answer::Served(reply))),
             Verdict::Blocked => return out.push(direct(Answer::Failed(Failure::MayHaveRun))),
-            Verdict::NoRoom => return out.push(direct(refused(Refusal::Guards))),
+            Verdict::GuardLimit => return out.push(direct(refused(Refusal::GuardLimit))),
             // Not refused: the call in hand may run, and only of a safe one is trying again harmless.
             Verdict::Join(_) if answer_by <= now => {
                 return out.push(direct(Answer::Failed(Failure::Deadline)));
             }
-            _ if answer_by <= now => return out.push(direct(refused(Refusal::TooLate))),
+            _ if answer_by <= now => return out.push(direct(refused(Refusal::TooLittleTime))),
             Verdict::Join(id) => {
                 let Some(call) = self.calls.get_mut(&id) else { return };
-                if call.waiters.len() >= self.settings.waiters {
+                if call.waiters.len() >= self.settings.max_waiters {
                     // The call in hand may run: of a safe one alone is it no lie that trying again is harmless.
                     let safe = repeat == Repeat::Safe;
-                    let full =
-                        if safe { refused(Refusal::InHand) } else { Answer::Failed(Failure::MayHaveRun) };
+                    let full = if safe {
+                        refused(Refusal::TooManyInFlight)
+                    } else {
+                        Answer::Failed(Failure::MayHaveRun)
+                    };
                     return out.push(direct(full));
                 }
                 call.waiters.push(told.waiter);
-                return self.wait(told.waiter, id, by, Path::Joined);
+                return self.wait(told.waiter, id, by, AnswerOrigin::Joined);
             }
             _ if fresh && self.stopping => return out.push(direct(refused(Refusal::Stopping))),
-            _ if self.calls.len() >= self.settings.in_hand => {
-                return out.push(direct(refused(Refusal::InHand)));
+            _ if self.calls.len() >= self.settings.max_in_flight => {
+                return out.push(direct(refused(Refusal::TooManyInFlight)));
             }
             _ if now + self.arrivals.wait() > aim => {
                 return out.push(direct(self.behind(self.arrivals.wait())));
             }
-            Verdict::FreshUntil(until) => until,
-            Verdict::Fresh => Micros::MAX,
+            Verdict::RunUntil(until) => until,
+            Verdict::Run => Micros::MAX,
         };
         let earlier = until < Micros::MAX;
         let id = CallId(self.sequence);
         self.sequence += 1;
         let identity = Arc::new(told.identity);
-        self.repeats.open(&identity, repeat, id);
+        self.repeats.start(&identity, repeat, id);
         let (waiters, current) = (vec![told.waiter], None);
         let (function, payload) = (told.function, told.payload);
         let call = Call { identity, function, payload, waiters, current, attempts: 0, worker: None, earlier };
         self.calls.insert(id, call);
         self.arrivals.push(Arrival { call: id, came: now, aim, by, until });
-        self.wait(told.waiter, id, by, Path::First);
+        self.wait(told.waiter, id, by, AnswerOrigin::First);
     }
 
     /// The latest time for an answer that would be due at `by`, as the process may be killed before.
     fn answer_by(&self, now: Micros, by: Micros) -> Micros {
-        by.min(self.end.saturating_sub(self.margin.way(self.end.saturating_sub(now))))
+        by.min(self.end.saturating_sub(self.margin.answer_allowance(self.end.saturating_sub(now))))
     }
 
     /// The process is killed at `end`: who would wait longer waits until then, and what is sent from now on is told so.
@@ -320,7 +323,7 @@
         }
     }
 
-    fn wait(&mut self, waiter: WaiterId, call: CallId, by: Micros, path: Path) {
+    fn wait(&mut self, waiter: WaiterId, call: CallId, by: Micros, path: AnswerOrigin) {
         self.waiters.insert(waiter, Waiter { call, by, path });
         self.answers.set(by, waiter);
     }
@@ -341,7 +344,7 @@
             patience: deadline.saturating_sub(now),
             memory_mb: function.memory_mb,
             lanes: function.lanes,
-            load: function.load,
+            load: function.load_time,
         }));
         let open = Try { call: id, identity, function, deadline, sent: Vec::new(), done: false };
         self.tries.insert(request, open);
@@ -363,10 +366,10 @@
         let Some(call) = self.calls.get(&waiter.call) else { return };
         let over = call.waiters.is_empty() && !may_have_run;
         let answer = match over {
-            true => Answer::Refused(Refusal::NotBegun, None),
+            true => Answer::Refused(Refusal::NotStarted, None),
             false => Answer::Failed(Failure::Deadline),
         };
-        out.push(Output::Answer { waiter: id, answer, attempts, worker, path: waiter.path });
+        out.push(Output::Answer { waiter: id, answer, attempts, worker, origin: waiter.path });
         match over {
             true => self.abandon(now, waiter.call, out),
             false => self.linger(now, waiter.call, out),
@@ -417,7 +420,7 @@
     fn withdraw(&mut self, now: Micros, id: CallId) -> Option<Call<P>> {
         let call = self.calls.remove(&id)?;
         let repeat = self.repeat_of(&call.function);
-        self.repeats.close(now, &call.identity, repeat, Ended::NeverRan);
+        self.repeats.finish(now, &call.identity, repeat, CallEnd::NeverRan);
         Some(call)
     }
 
@@ -427,11 +430,11 @@
     fn conclude(&mut self, now: Micros, request: RequestId, answer: Answer<R>, out: &mut Out<P, R>) {
         let Some(open) = self.tries.get(&request).filter(|t| !t.done) else { return };
         let (id, deadline) = (open.call, open.deadline);
-        let late = matches!(answer, Answer::Failed(_)) && now + self.settings.module.tick >= deadline;
+        let late = matches!(answer, Answer::Failed(_)) && now + self.settings.controller.tick >= deadline;
         let answer = match answer {
             Answer::Failed(_) if !self.may_have_run(request) => {
                 self.call_off_unwritten(request, out);
-                Answer::Refused(Refusal::NotBegun, None)
+                Answer::Refused(Refusal::NotStarted, None)
             }
             Answer::Failed(_) if late => Answer::Failed(Failure::Deadline),
             answer => answer,
@@ -441,10 +444,10 @@
         let lateness = self.margin.lateness(now);
         // Not who began the call: its own time can only seem longer now by lateness that has faded since, and
         // a call that was given up is answered at once.
-        let joined = |w: &WaiterId| self.waiters.get(w).filter(|w| w.path == Path::Joined);
+        let joined = |w: &WaiterId| self.waiters.get(w).filter(|w| w.path == AnswerOrigin::Joined);
         let ends = |w: &WaiterId| joined(w).map(|w| w.by.saturating_sub(lateness));
         let longest = call.waiters.iter().filter_map(ends).max();
-        if late && longest.is_some_and(|by| by > now + self.settings.margin.least) {
+        if late && longest.is_some_and(|by| by > now + self.settings.margin.min) {
             // The one whose event began the call had less patience than others who joined: for them it is
             // as if they repeated the event now.
             let waiting = std::mem::take(&mut call.waiters);
@@ -453,9 +456,9 @@
             let (attempts, worker) = (call.attempts, call.worker.clone());
             self.answer_all(go, &answer, (attempts, worker.clone()), out);
             let repeat = self.repeat_of(&call.function);
-            let until = match self.repeats.judge(now, &call.identity, repeat) {
-                Verdict::Fresh => Micros::MAX,
-                Verdict::FreshUntil(until) => until,
+            let until = match self.repeats.check(now, &call.identity, repeat) {
+                Verdict::Run => Micros::MAX,
+                Verdict::RunUntil(until) => until,
                 _ => {
                     return self.answer_all(
                         stay,
@@ -467,7 +470,7 @@
             };
             call.earlier |= until < Micros::MAX;
             call.waiters = stay;
-            self.repeats.open(&call.identity, repeat, id);
+            self.repeats.start(&call.identity, repeat, id);
             self.calls.insert(id, call);
             return self.begin(now, id, longest.unwrap_or(now).min(until));
         }
@@ -485,7 +488,7 @@
         for waiter in waiters {
             let Some(known) = self.waiters.remove(&waiter) else { continue };
             let (answer, attempts, worker, path) = (answer.clone(), of.0, of.1.clone(), known.path);
-            out.push(Output::Answer { waiter, answer, attempts, worker, path });
+            out.push(Output::Answer { waiter, answer, attempts, worker, origin: path });
         }
     }
 
@@ -495,15 +498,15 @@
         open.done = true;
         let call = self.calls.remove(&open.call)?;
         let ended = match (reply, open.may_have_run()) {
-            (Some(reply), _) => Ended::Served(reply.clone(), reply.bytes()),
-            (None, Some(sent)) => Ended::MayHaveRun(sent),
-            (None, None) => Ended::NeverRan,
+            (Some(reply), _) => CallEnd::Served(reply.clone(), reply.bytes()),
+            (None, Some(sent)) => CallEnd::MayHaveRun(sent),
+            (None, None) => CallEnd::NeverRan,
         };
         if open.over() {
             self.tries.remove(&request);
         }
         let repeat = self.repeat_of(&call.function);
-        self.repeats.close(now, &call.identity, repeat, ended);
+        self.repeats.finish(now, &call.identity, repeat, ended);
         Some(call)
     }
 
@@ -522,8 +525,8 @@
                 // Too late for its client, but a repeat may still come for it.
                 Some(reply) => {
                     let (repeat, bytes) = (self.repeat_of(&function), reply.bytes());
-                    if !matches!(self.repeats.judge(now, &identity, repeat), Verdict::Join(_)) {
-                        self.repeats.close(now, &identity, repeat, Ended::Served(reply, bytes));
+                    if !matches!(self.repeats.check(now, &identity, repeat), Verdict::Join(_)) {
+                        self.repeats.finish(now, &identity, repeat, CallEnd::Served(reply, bytes));
                     }
                 }
                 None => {}
@@ -596,7 +599,7 @@
             Action::Refuse { id, wait } => {
                 self.conclude(now, id, Answer::Refused(Refusal::Overload, wait), out);
             }
-            Action::Fail { id } => self.conclude(now, id, Answer::Failed(Failure::Attempts), out),
+            Action::Fail { id } => self.conclude(now, id, Answer::Failed(Failure::AttemptsExhausted), out),
             Action::Timer { after, token } => self.due.set(now + after, Due::Module(token)),
             Action::Probe { worker } => {
                 let order = self.order(now, Order::Probe { worker: worker.clone(), sent: now });
@@ -607,8 +610,8 @@
                 let order = self.order(now, load);
                 out.push(Output::Order { order, worker, function, count });
             }
-            Action::Drop { worker, function } => out.push(Output::Drop(worker, function)),
-            Action::Watch => out.push(Output::Watch),
+            Action::Drop { worker, function } => out.push(Output::Release(worker, function)),
+            Action::Watch => out.push(Output::RequestWorkerList),
         }
     }
 
@@ -616,7 +619,7 @@
         let id = OrderId(self.sequence);
         self.sequence += 1;
         self.orders.insert(id, order);
-        self.due.set(now + self.settings.module.family.order_timeout, Due::Order(id));
+        self.due.set(now + self.settings.controller.family.order_timeout, Due::Order(id));
         id
     }
 
--- a/crates/engine/src/hand.rs
+++ b/crates/engine/src/hand.rs
@@ -1,6 +1,6 @@
 //! The records of what is in hand: plain data, and what follows from it alone.
 
-use crate::{CallId, Function, Identity, Path, WaiterId};
+use crate::{AnswerOrigin, CallId, Function, Identity, WaiterId};
 use basaltward::{Code, FunctionId, Micros, RequestId, WorkerId};
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
     pub call: CallId,
     /// Its deadline less the answer's way; the loop's lateness of the moment comes off it too.
     pub by: Micros,
-    pub path: Path,
+    pub path: AnswerOrigin,
 }
 
 pub struct Call<P> {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -20,8 +20,8 @@
 pub use engine::Engine;
 pub use margin::{Margin, MarginSettings};
 
-pub use owner::{Claim, HandedOver, Seen, Unheard};
-pub use pace::{Lag, Pace, Turn};
-pub use repeats::{Ended, Identity, RepeatLimits, Repeats, Verdict};
+pub use owner::{Claim, Handoffs, SeenEvents, UntakenAnswer};
+pub use pace::{Lag, LoopPacer, TurnReport};
+pub use repeats::{CallEnd, Identity, RepeatLimits, Repeats, Verdict};
 pub use settings::{EngineSettings, Function};
 pub use types::*;
--- a/crates/engine/src/margin.rs
+++ b/crates/engine/src/margin.rs
@@ -15,14 +15,14 @@
     /// Part of the patience kept back.
     pub share: f64,
     /// But at least this.
-    pub least: Micros,
+    pub min: Micros,
     /// And, before the loop's own lateness is added, at most this.
-    pub most: Micros,
+    pub max: Micros,
 }
 
 impl Default for MarginSettings {
     fn default() -> Self {
-        Self { share: 0.02, least: 2_000, most: 25_000 }
+        Self { share: 0.02, min: 2_000, max: 25_000 }
     }
 }
 
@@ -54,7 +54,7 @@
     }
 
     /// Takes note that what was due or had come at `due` was handled at `now`.
-    pub fn woke(&mut self, now: Micros, due: Micros) {
+    pub fn record(&mut self, now: Micros, due: Micros) {
         let late = now.saturating_sub(due);
         if late > self.lateness(now) {
             (self.late, self.at) = (late as f64, now);
@@ -62,9 +62,9 @@
     }
 
     /// What is to be kept back of this patience for the answer's way.
-    pub fn way(&self, patience: Micros) -> Micros {
+    pub fn answer_allowance(&self, patience: Micros) -> Micros {
         let share = (patience as f64 * self.settings.share) as Micros;
-        share.clamp(self.settings.least, self.settings.most.max(self.settings.least))
+        share.clamp(self.settings.min, self.settings.max.max(self.settings.min))
     }
 }
 
@@ -74,15 +74,15 @@
 
     #[test]
     fn a_loop_that_woke_late_keeps_more_back_until_it_is_forgotten() {
-        let mut margin = Margin::new(MarginSettings { share: 0.02, least: 2_000, most: 25_000 });
+        let mut margin = Margin::new(MarginSettings { share: 0.02, min: 2_000, max: 25_000 });
         let table = [(3_000, 2_000), (500_000, 10_000), (60_000_000, 25_000)];
-        assert!(table.iter().all(|(patience, kept)| margin.way(*patience) == *kept));
+        assert!(table.iter().all(|(patience, kept)| margin.answer_allowance(*patience) == *kept));
         assert_eq!(margin.lateness(0), 0);
-        margin.woke(1_000_000, 960_000);
-        margin.woke(1_000_100, 1_000_050);
+        margin.record(1_000_000, 960_000);
+        margin.record(1_000_100, 1_000_050);
         assert_eq!(margin.lateness(1_000_000), 40_000);
         assert!((14_000..15_000).contains(&margin.lateness(31_000_000)));
-        margin.woke(40_000_000, 38_800_000);
+        margin.record(40_000_000, 38_800_000);
         assert_eq!(margin.lateness(40_000_000), 1_200_000);
         assert!((45_000..55_000).contains(&margin.lateness(43_000_000)));
     }
--- a/crates/engine/src/owner.rs
+++ b/crates/engine/src/owner.rs
@@ -37,14 +37,14 @@
 /// in three spans of time of which the oldest is cleared in turn. It errs on one side: a new event may be
 /// taken for a known one, never a known one for new, even where the loop that clears is a span late.
 #[derive(Debug)]
-pub struct Seen {
+pub struct SeenEvents {
     span: Micros,
     epoch: AtomicU64,
     turning: Mutex<()>,
     bits: [Box<[AtomicU64]>; 3],
 }
 
-impl Seen {
+impl SeenEvents {
     /// Nothing heard yet; each event is known for at least `span`.
     pub fn new(span: Micros) -> Self {
         let bits = || (0..BITS / 64).map(|_| AtomicU64::new(0)).collect();
@@ -53,7 +53,7 @@
     }
 
     /// Whether an event may have been heard of, by its hash.
-    pub fn knows(&self, hash: u64) -> bool {
+    pub fn may_contain(&self, hash: u64) -> bool {
         let known = self.epoch.load(Ordering::Acquire);
         let (word, bit) = ((hash % BITS / 64) as usize, 1 << (hash % 64));
         (0..3).any(|before| self.at(known + before)[word].load(Ordering::Acquire) & bit != 0)
@@ -88,42 +88,42 @@
     to: usize,
     by: Micros,
     claim: Claim,
-    unheard: Unheard,
+    unheard: UntakenAnswer,
 }
 
 /// What a client is told of a call that its owner never took: a refusal says that trying again is harmless,
 /// which is true of an event that nobody can have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unheard {
+pub enum UntakenAnswer {
     /// It never ran: refused.
     Refuse,
     /// It may be a repeat of one that ran, which only its owner could tell: failed.
     Fail,
 }
 
-impl Unheard {
+impl UntakenAnswer {
     /// By what the class allows, and whether an event of this name may have been heard of before.
-    pub fn of(repeat: Repeat, known: bool) -> Self {
+    pub fn for_event(repeat: Repeat, known: bool) -> Self {
         if known && repeat != Repeat::Safe { Self::Fail } else { Self::Refuse }
     }
 
     /// The answer.
     pub fn answer<R>(self) -> Answer<R> {
         match self {
-            Self::Refuse => Answer::Refused(Refusal::InHand, None),
+            Self::Refuse => Answer::Refused(Refusal::TooManyInFlight, None),
             Self::Fail => Answer::Failed(Failure::MayHaveRun),
         }
     }
 }
 
 /// The calls that this loop handed over and whose answers it awaits.
-pub struct HandedOver {
+pub struct Handoffs {
     most: usize,
     calls: HashMap<WaiterId, Handed>,
     due: Timers<WaiterId>,
 }
 
-impl HandedOver {
+impl Handoffs {
     /// None yet, and never more than `most`.
     pub fn new(most: usize) -> Self {
         Self { most, calls: HashMap::new(), due: Timers::default() }
@@ -141,19 +141,19 @@
 
     /// When [`HandedOver::wake`] is due next, for a loop that lately was late by `lateness`.
     pub fn next_due(&self, lateness: Micros) -> Option<Micros> {
-        self.due.next().map(|at| at.saturating_sub(lateness))
+        self.due.next_due().map(|at| at.saturating_sub(lateness))
     }
 
     /// A call goes to its owner: gives the claim that goes with it and the deadline that the owner is told;
     /// nothing where as many as may be are out, or where a loop that lately was late by `lateness` would have
     /// to answer by itself at once.
-    pub fn hand(
+    pub fn hand_over(
         &mut self,
         (now, lateness): (Micros, Micros),
         waiter: WaiterId,
         to: usize,
         deadline: Micros,
-        unheard: Unheard,
+        unheard: UntakenAnswer,
     ) -> Option<(Claim, Micros)> {
         let by = deadline.saturating_sub(WAY_US);
         if self.calls.len() >= self.most || by <= now + lateness {
@@ -171,7 +171,7 @@
     }
 
     /// The client has left: gives the owner, which is to be told, where the call was handed over at all.
-    pub fn left(&mut self, waiter: WaiterId) -> Option<usize> {
+    pub fn client_left(&mut self, waiter: WaiterId) -> Option<usize> {
         let call = self.calls.remove(&waiter)?;
         call.claim.settle(WITHDRAWN);
         Some(call.to)
@@ -179,8 +179,8 @@
 
     /// A client whose time is up without an answer: who, what it is told, and the owner, which learns that
     /// the client has left.
-    pub fn wake<R>(&mut self, now: Micros, lateness: Micros) -> Option<(WaiterId, Answer<R>, usize)> {
-        while let Some((_, waiter)) = self.due.due(now + lateness) {
+    pub fn expire<R>(&mut self, now: Micros, lateness: Micros) -> Option<(WaiterId, Answer<R>, usize)> {
+        while let Some((_, waiter)) = self.due.pop_due(now + lateness) {
             let Some(call) = self.calls.get(&waiter).filter(|call| call.by <= now + lateness) else {
                 continue;
             };
@@ -205,40 +205,40 @@
 
     #[test]
     fn a_call_is_taken_or_withdrawn_never_both() {
-        let mut handed = HandedOver::new(2);
+        let mut handed = Handoffs::new(2);
         let (late, taken) = (WaiterId(1), WaiterId(2));
-        let (first, by) = handed.hand((0, 3_000), late, 1, 10 * S, Unheard::Refuse).expect("room");
+        let (first, by) = handed.hand_over((0, 3_000), late, 1, 10 * S, UntakenAnswer::Refuse).expect("room");
         assert_eq!(by, 10 * S - 4_000);
-        let (second, _) = handed.hand((0, 0), taken, 2, 10 * S, Unheard::Refuse).expect("room");
-        assert!(handed.hand((0, 0), WaiterId(3), 1, 10 * S, Unheard::Refuse).is_none());
+        let (second, _) = handed.hand_over((0, 0), taken, 2, 10 * S, UntakenAnswer::Refuse).expect("room");
+        assert!(handed.hand_over((0, 0), WaiterId(3), 1, 10 * S, UntakenAnswer::Refuse).is_none());
         assert!(second.take() && !second.take());
-        assert!(handed.wake::<()>(9 * S, 0).is_none());
+        assert!(handed.expire::<()>(9 * S, 0).is_none());
         // A loop that is late by a second sees to its clients a second early.
-        let told: Vec<_> = std::iter::from_fn(|| handed.wake::<()>(9 * S, S)).collect();
-        let refused = (late, Answer::Refused(Refusal::InHand, None), 1);
+        let told: Vec<_> = std::iter::from_fn(|| handed.expire::<()>(9 * S, S)).collect();
+        let refused = (late, Answer::Refused(Refusal::TooManyInFlight, None), 1);
         assert_eq!(told, [refused, (taken, Answer::Failed(Failure::Deadline), 2)]);
         assert!(!first.take(), "withdrawn");
         assert!(!handed.answered(late) && handed.is_empty());
         // A loop that was late by more than the client waits hands nothing over: it could not keep its word.
-        assert!(handed.hand((9 * S, S), late, 1, 10 * S, Unheard::Refuse).is_none());
+        assert!(handed.hand_over((9 * S, S), late, 1, 10 * S, UntakenAnswer::Refuse).is_none());
     }
 
     #[test]
     fn what_was_never_heard_of_is_refused_and_a_possible_repeat_failed() {
         let keyed = Repeat::Keyed { group: basaltward::Group::All, window: 1 };
         let table = [
-            (Repeat::Safe, true, Unheard::Refuse),
-            (keyed, true, Unheard::Fail),
-            (Repeat::Unsafe, true, Unheard::Fail),
-            (Repeat::Unsafe, false, Unheard::Refuse),
+            (Repeat::Safe, true, UntakenAnswer::Refuse),
+            (keyed, true, UntakenAnswer::Fail),
+            (Repeat::Unsafe, true, UntakenAnswer::Fail),
+            (Repeat::Unsafe, false, UntakenAnswer::Refuse),
         ];
-        assert!(table.iter().all(|(repeat, known, told)| Unheard::of(*repeat, *known) == *told));
+        assert!(table.iter().all(|(repeat, known, told)| UntakenAnswer::for_event(*repeat, *known) == *told));
     }
 
     #[test]
     fn an_event_is_known_for_its_span_at_least_and_then_forgotten() {
-        let seen = Seen::new(10 * S);
-        assert!(!seen.knows(77) && !seen.mark(0, 77) && seen.knows(77));
+        let seen = SeenEvents::new(10 * S);
+        assert!(!seen.may_contain(77) && !seen.mark(0, 77) && seen.may_contain(77));
         assert!(seen.mark(9 * S, 77) && seen.mark(10 * S, 77));
         assert!(!seen.mark(19 * S, 78));
         assert!(seen.mark(29 * S, 78), "ten seconds old, one span on");
@@ -247,7 +247,7 @@
 
     #[test]
     fn an_event_marked_while_another_loop_turns_the_spans_is_known_as_long() {
-        let seen = Seen::new(10 * S);
+        let seen = SeenEvents::new(10 * S);
         assert!(!seen.mark(S, 1));
         let turning = seen.turning.lock().expect("free");
         // Not waited for: the spans stay as they are.
--- a/crates/engine/src/repeats.rs
+++ b/crates/engine/src/repeats.rs
@@ -34,18 +34,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RepeatLimits {
     /// How long an ended event is remembered; a keyed one at least for its window.
-    pub remember: Micros,
+    pub retention: Micros,
     /// Most ended safe events of one tenant.
-    pub answers: usize,
+    pub max_answers: usize,
     /// Most keyed and unsafe events of one tenant, in hand or ended.
-    pub guards: usize,
+    pub max_guards: usize,
     /// Most bytes of recorded answers of one tenant.
-    pub bytes: usize,
+    pub max_bytes: usize,
 }
 
 impl Default for RepeatLimits {
     fn default() -> Self {
-        Self { remember: 10_000_000, answers: 4_096, guards: 16_384, bytes: 16 << 20 }
+        Self { retention: 10_000_000, max_answers: 4_096, max_guards: 16_384, max_bytes: 16 << 20 }
     }
 }
 
@@ -53,9 +53,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict<C, R> {
     /// Nothing stands against a first or a new try.
-    Fresh,
+    Run,
     /// A new try whose sends all come before this time, while the workers still drop repeats.
-    FreshUntil(Micros),
+    RunUntil(Micros),
     /// It is in hand: wait for its answer.
     Join(C),
     /// It was served: this is the answer.
@@ -63,12 +63,12 @@
     /// It may have run, or was served and the answer is gone: only a failure may be told.
     Blocked,
     /// No room to guard another one of this tenant: refuse.
-    NoRoom,
+    GuardLimit,
 }
 
 /// How an event's try ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended<R> {
+pub enum CallEnd<R> {
     /// Served with this answer, of so many bytes.
     Served(R, usize),
     /// Not served, and an attempt first sent at this time may have run.
@@ -126,7 +126,7 @@
     }
 
     /// What is to be done with an event of a class with this `repeat`.
-    pub fn judge(&mut self, now: Micros, event: &Identity, repeat: Repeat) -> Verdict<C, R> {
+    pub fn check(&mut self, now: Micros, event: &Identity, repeat: Repeat) -> Verdict<C, R> {
         self.expire(now, event.tenant);
         let tenant = self.tenants.entry(event.tenant).or_default();
         match tenant.entries.get(event).map(|e| &e.known) {
@@ -134,19 +134,19 @@
             Some(Known::Served(Some((answer, _)))) => Verdict::Recorded(answer.clone()),
             Some(Known::Served(None)) => Verdict::Blocked,
             Some(Known::MayHaveRun(sent)) => match repeat {
-                Repeat::Safe => Verdict::Fresh,
+                Repeat::Safe => Verdict::Run,
                 Repeat::Keyed { group: Group::All, window } if now < sent + window => {
-                    Verdict::FreshUntil(sent + window)
+                    Verdict::RunUntil(sent + window)
                 }
                 _ => Verdict::Blocked,
             },
-            None if repeat != Repeat::Safe && tenant.guards >= self.limits.guards => Verdict::NoRoom,
-            None => Verdict::Fresh,
+            None if repeat != Repeat::Safe && tenant.guards >= self.limits.max_guards => Verdict::GuardLimit,
+            None => Verdict::Run,
         }
     }
 
     /// A try of this event begins; [`Repeats::judge`] has allowed it.
-    pub fn open(&mut self, event: &Arc<Identity>, repeat: Repeat, call: C) {
+    pub fn start(&mut self, event: &Arc<Identity>, repeat: Repeat, call: C) {
         let tenant = self.tenants.entry(event.tenant).or_default();
         let before = tenant.entries.remove(event);
         if let Some(place) = before.as_ref().and_then(|e| e.ended) {
@@ -164,7 +164,7 @@
     }
 
     /// The event's try has ended.
-    pub fn close(&mut self, now: Micros, event: &Arc<Identity>, repeat: Repeat, how: Ended<R>) {
+    pub fn finish(&mut self, now: Micros, event: &Arc<Identity>, repeat: Repeat, how: CallEnd<R>) {
         let Some(tenant) = self.tenants.get_mut(&event.tenant) else { return };
         let Some(entry) = tenant.entries.get_mut(event) else { return };
         // An earlier try that may have run is not undone by a later one that did not.
@@ -178,14 +178,14 @@
             tenant.ended.remove(&place);
         }
         entry.known = match (how, earlier) {
-            (Ended::Served(answer, bytes), _) if bytes <= self.limits.bytes => {
+            (CallEnd::Served(answer, bytes), _) if bytes <= self.limits.max_bytes => {
                 Known::Served(Some((answer, bytes)))
             }
-            (Ended::Served(..), _) => Known::Served(None),
-            (Ended::MayHaveRun(sent), earlier) if entry.guarded => {
+            (CallEnd::Served(..), _) => Known::Served(None),
+            (CallEnd::MayHaveRun(sent), earlier) if entry.guarded => {
                 Known::MayHaveRun(earlier.map_or(sent, |e| e.min(sent)))
             }
-            (Ended::NeverRan, Some(sent)) if entry.guarded => Known::MayHaveRun(sent),
+            (CallEnd::NeverRan, Some(sent)) if entry.guarded => Known::MayHaveRun(sent),
             _ => {
                 tenant.guards -= usize::from(entry.guarded);
                 tenant.entries.remove(event);
@@ -193,7 +193,7 @@
             }
         };
         self.sequence += 1;
-        let place = (now + self.limits.remember.max(window), self.sequence);
+        let place = (now + self.limits.retention.max(window), self.sequence);
         entry.ended = Some(place);
         tenant.ended.insert(place, event.clone());
         if let Known::Served(Some((_, bytes))) = &entry.known {
@@ -237,7 +237,7 @@
     /// Lets recorded answers go, oldest first, until the tenant keeps its bounds. Of a guarded event only
     /// the answer goes, the record that it was served stays.
     fn shrink(&mut self, limits: &RepeatLimits) {
-        while self.bytes > limits.bytes || self.answers.len() > limits.answers {
+        while self.bytes > limits.max_bytes || self.answers.len() > limits.max_answers {
             let Some((_, event)) = self.answers.pop_first() else { return };
             let Some(entry) = self.entries.get_mut(&event) else { continue };
             match &mut entry.known {
@@ -263,53 +263,53 @@
     }
 
     fn small() -> Repeats<u32, &'static str> {
-        Repeats::new(RepeatLimits { remember: 10 * S, answers: 2, guards: 2, bytes: 10 })
+        Repeats::new(RepeatLimits { retention: 10 * S, max_answers: 2, max_guards: 2, max_bytes: 10 })
     }
 
     #[test]
     fn what_a_repeat_gets_follows_from_class_and_end() {
         use Verdict::*;
-        let may = Ended::MayHaveRun(S);
-        let served = Ended::Served("yes", 3);
+        let may = CallEnd::MayHaveRun(S);
+        let served = CallEnd::Served("yes", 3);
         let cases = [
             (Repeat::Safe, served.clone(), 2 * S, Recorded("yes")),
-            (Repeat::Safe, served.clone(), 12 * S, Fresh),
-            (Repeat::Safe, may.clone(), 2 * S, Fresh),
-            (Repeat::Safe, Ended::NeverRan, 2 * S, Fresh),
+            (Repeat::Safe, served.clone(), 12 * S, Run),
+            (Repeat::Safe, may.clone(), 2 * S, Run),
+            (Repeat::Safe, CallEnd::NeverRan, 2 * S, Run),
             (KEYED, served.clone(), 2 * S, Recorded("yes")),
-            (KEYED, may.clone(), 2 * S, FreshUntil(4 * S)),
+            (KEYED, may.clone(), 2 * S, RunUntil(4 * S)),
             (KEYED, may.clone(), 4 * S, Blocked),
-            (KEYED, Ended::NeverRan, 2 * S, Fresh),
+            (KEYED, CallEnd::NeverRan, 2 * S, Run),
             (ZONE, may.clone(), 2 * S, Blocked),
             (Repeat::Unsafe, served, 2 * S, Recorded("yes")),
             (Repeat::Unsafe, may.clone(), 2 * S, Blocked),
-            (Repeat::Unsafe, may, 12 * S, Fresh),
-            (Repeat::Unsafe, Ended::NeverRan, 2 * S, Fresh),
+            (Repeat::Unsafe, may, 12 * S, Run),
+            (Repeat::Unsafe, CallEnd::NeverRan, 2 * S, Run),
         ];
         for (repeat, how, later, expected) in cases {
             let (mut repeats, event) = (small(), event(0, "a"));
-            assert_eq!(repeats.judge(0, &event, repeat), Fresh);
-            repeats.open(&event, repeat, 7);
-            assert_eq!(repeats.judge(S, &event, repeat), Join(7));
-            repeats.close(S, &event, repeat, how.clone());
-            assert_eq!(repeats.judge(later, &event, repeat), expected, "{repeat:?} {how:?}");
+            assert_eq!(repeats.check(0, &event, repeat), Run);
+            repeats.start(&event, repeat, 7);
+            assert_eq!(repeats.check(S, &event, repeat), Join(7));
+            repeats.finish(S, &event, repeat, how.clone());
+            assert_eq!(repeats.check(later, &event, repeat), expected, "{repeat:?} {how:?}");
         }
     }
 
     #[test]
     fn a_second_try_that_never_ran_does_not_clear_the_first() {
         let (mut repeats, event) = (small(), event(0, "a"));
-        repeats.open(&event, KEYED, 1);
-        repeats.close(S, &event, KEYED, Ended::MayHaveRun(S / 2));
-        repeats.open(&event, KEYED, 2);
-        repeats.close(2 * S, &event, KEYED, Ended::NeverRan);
-        assert_eq!(repeats.judge(2 * S, &event, KEYED), Verdict::FreshUntil(3 * S + S / 2));
-        repeats.open(&event, KEYED, 3);
-        repeats.close(3 * S, &event, KEYED, Ended::MayHaveRun(3 * S));
-        assert_eq!(repeats.judge(4 * S, &event, KEYED), Verdict::Blocked);
+        repeats.start(&event, KEYED, 1);
+        repeats.finish(S, &event, KEYED, CallEnd::MayHaveRun(S / 2));
+        repeats.start(&event, KEYED, 2);
+        repeats.finish(2 * S, &event, KEYED, CallEnd::NeverRan);
+        assert_eq!(repeats.check(2 * S, &event, KEYED), Verdict::RunUntil(3 * S + S / 2));
+        repeats.start(&event, KEYED, 3);
+        repeats.finish(3 * S, &event, KEYED, CallEnd::MayHaveRun(3 * S));
+        assert_eq!(repeats.check(4 * S, &event, KEYED), Verdict::Blocked);
         // The first record's time has come, the last one's has not.
-        assert_eq!(repeats.judge(11 * S + S / 2, &event, KEYED), Verdict::Blocked);
-        assert_eq!(repeats.judge(13 * S, &event, KEYED), Verdict::Fresh);
+        assert_eq!(repeats.check(11 * S + S / 2, &event, KEYED), Verdict::Blocked);
+        assert_eq!(repeats.check(13 * S, &event, KEYED), Verdict::Run);
         assert_eq!(repeats.size(), (0, 0));
     }
 
@@ -317,26 +317,26 @@
     fn one_tenants_repeats_push_out_its_own_answers_only_and_no_guard() {
         let mut repeats = small();
         let other = event(1, "kept");
-        repeats.open(&other, Repeat::Safe, 0);
-        repeats.close(0, &other, Repeat::Safe, Ended::Served("kept", 4));
+        repeats.start(&other, Repeat::Safe, 0);
+        repeats.finish(0, &other, Repeat::Safe, CallEnd::Served("kept", 4));
         for id in ["a", "b", "c"] {
             let event = event(0, id);
-            repeats.open(&event, Repeat::Safe, 0);
-            repeats.close(0, &event, Repeat::Safe, Ended::Served("x", 4));
+            repeats.start(&event, Repeat::Safe, 0);
+            repeats.finish(0, &event, Repeat::Safe, CallEnd::Served("x", 4));
         }
-        assert_eq!(repeats.judge(1, &event(0, "a"), Repeat::Safe), Verdict::Fresh);
-        assert_eq!(repeats.judge(1, &event(0, "c"), Repeat::Safe), Verdict::Recorded("x"));
-        assert_eq!(repeats.judge(1, &other, Repeat::Safe), Verdict::Recorded("kept"));
+        assert_eq!(repeats.check(1, &event(0, "a"), Repeat::Safe), Verdict::Run);
+        assert_eq!(repeats.check(1, &event(0, "c"), Repeat::Safe), Verdict::Recorded("x"));
+        assert_eq!(repeats.check(1, &other, Repeat::Safe), Verdict::Recorded("kept"));
         for id in ["u", "v"] {
             let event = event(0, id);
-            repeats.open(&event, Repeat::Unsafe, 0);
-            repeats.close(1, &event, Repeat::Unsafe, Ended::Served("y", 8));
+            repeats.start(&event, Repeat::Unsafe, 0);
+            repeats.finish(1, &event, Repeat::Unsafe, CallEnd::Served("y", 8));
         }
         // The older answer had to go, the record that it ran had not.
-        assert_eq!(repeats.judge(2, &event(0, "u"), Repeat::Unsafe), Verdict::Blocked);
-        assert_eq!(repeats.judge(2, &event(0, "v"), Repeat::Unsafe), Verdict::Recorded("y"));
-        assert_eq!(repeats.judge(2, &event(0, "w"), Repeat::Unsafe), Verdict::NoRoom);
-        assert_eq!(repeats.judge(2, &event(1, "w"), Repeat::Unsafe), Verdict::Fresh);
+        assert_eq!(repeats.check(2, &event(0, "u"), Repeat::Unsafe), Verdict::Blocked);
+        assert_eq!(repeats.check(2, &event(0, "v"), Repeat::Unsafe), Verdict::Recorded("y"));
+        assert_eq!(repeats.check(2, &event(0, "w"), Repeat::Unsafe), Verdict::GuardLimit);
+        assert_eq!(repeats.check(2, &event(1, "w"), Repeat::Unsafe), Verdict::Run);
         assert!(repeats.size().1 <= 14);
     }
 
@@ -346,9 +346,9 @@
         for id in 0..1_000 {
             let event = event(0, &id.to_string());
             let repeat = if id % 2 == 0 { Repeat::Safe } else { Repeat::Unsafe };
-            if repeats.judge(0, &event, repeat) == Verdict::Fresh {
-                repeats.open(&event, repeat, 0);
-                repeats.close(0, &event, repeat, Ended::Served("x", 1));
+            if repeats.check(0, &event, repeat) == Verdict::Run {
+                repeats.start(&event, repeat, 0);
+                repeats.finish(0, &event, repeat, CallEnd::Served("x", 1));
             }
         }
         // Two guards and two answers: an index that outgrew them once stalled the loop as it emptied.
--- a/crates/engine/src/settings.rs
+++ b/crates/engine/src/settings.rs
@@ -13,18 +13,18 @@
     /// Calls that one copy runs at once.
     pub lanes: u32,
     /// How long a load usually takes, where known.
-    pub load: Option<Micros>,
+    pub load_time: Option<Micros>,
 }
 
 /// What an engine is told at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSettings {
     /// For the controller.
-    pub module: Settings,
+    pub controller: Settings,
     /// Most calls in hand; further ones are refused.
-    pub in_hand: usize,
+    pub max_in_flight: usize,
     /// Most connections that wait for one call; further repeats are refused.
-    pub waiters: usize,
+    pub max_waiters: usize,
     /// How long a call goes on after its last client left, so that a repeat finds it; 0 where clients repeat
     /// under new names.
     pub linger: Micros,
--- a/crates/engine/src/types.rs
+++ b/crates/engine/src/types.rs
@@ -61,7 +61,7 @@
 
 impl<R> AttemptEnd<R> {
     /// An end that tells nothing but its code.
-    pub fn bare(code: Code) -> Self {
+    pub fn from_code(code: Code) -> Self {
         Self { code, reply: None, copy: CopyNote::Untold, crowd: None, report: Vec::new() }
     }
 }
@@ -72,17 +72,17 @@
     /// A call has come, and is begun at once.
     Call(NewCall<P>),
     /// A call has come; [`Engine::begin_next`](crate::Engine::begin_next) begins it as the loop finds time.
-    Arrived(NewCall<P>),
+    QueuedCall(NewCall<P>),
     /// A client that waited has left.
-    Left(WaiterId),
+    ClientLeft(WaiterId),
     /// An attempt has ended. Each [`Output::Start`] gets one.
-    Ended(AttemptId, AttemptEnd<R>),
+    AttemptEnded(AttemptId, AttemptEnd<R>),
     /// An order or a question was answered.
-    Ordered(OrderId, Code, u32),
+    OrderAnswered(OrderId, Code, u32),
     /// A probe was answered.
-    Probed(OrderId, Code, Vec<f64>),
+    ProbeAnswered(OrderId, Code, Vec<f64>),
     /// So many copies of a function stand at a worker, as was heard without asking it.
-    Stands(WorkerId, FunctionId, u32),
+    CopiesReported(WorkerId, FunctionId, u32),
     /// News of the list of workers.
     Members(MembersKind, Vec<Member>),
     /// How far the list of workers is to be believed from now on.
@@ -93,7 +93,7 @@
     Stop,
     /// The process is killed at this time: clients of all calls in hand, and of those to come, are answered before
     /// it, however long they would wait. A later time than one told before changes nothing.
-    EndBy(Micros),
+    ExitAt(Micros),
 }
 
 /// Why a call was turned away. Trying again is harmless.
@@ -102,17 +102,17 @@
     /// The controller turned it away.
     Overload,
     /// As many calls are in hand, or wait for this one, as may.
-    InHand,
+    TooManyInFlight,
     /// Too little of the client's patience was left.
-    TooLate,
+    TooLittleTime,
     /// So many calls wait to be begun here that it would be begun past its aim.
-    Behind,
+    Backlogged,
     /// Its time ran out, or its attempts did, before a worker took it.
-    NotBegun,
+    NotStarted,
     /// The tenant has no room left to guard against a second run.
-    Guards,
+    GuardLimit,
     /// Its class keeps events, and no other gateway can hold this one.
-    Unkept,
+    NotReplicated,
     /// This gateway stops.
     Stopping,
 }
@@ -123,11 +123,11 @@
     /// Its time ran out.
     Deadline,
     /// The attempts that its class allows are used up.
-    Attempts,
+    AttemptsExhausted,
     /// It is a repeat of a call that may have run and must not run again.
     MayHaveRun,
     /// Another gateway sees to its event, and can't be reached or takes none yet. A repeat is told apart there.
-    Unreached,
+    OwnerUnreachable,
 }
 
 /// The one final answer.
@@ -143,7 +143,7 @@
 
 /// How an answer came about, for its log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Path {
+pub enum AnswerOrigin {
     /// The client's event began the call.
     First,
     /// It joined a call in hand.
@@ -166,7 +166,7 @@
         /// The worker last tried.
         worker: Option<WorkerId>,
         /// How it came about.
-        path: Path,
+        origin: AnswerOrigin,
     },
     /// Send a call to a worker.
     Start {
@@ -201,7 +201,7 @@
     /// Wait no longer for an order or a probe.
     AbortOrder(OrderId),
     /// Have idle copies unloaded.
-    Drop(WorkerId, FunctionId),
+    Release(WorkerId, FunctionId),
     /// Ask for the list of workers.
-    Watch,
+    RequestWorkerList,
 }
--- a/crates/engine/tests/behind.rs
+++ b/crates/engine/tests/behind.rs
@@ -45,7 +45,7 @@
 
 struct Loop {
     engine: Engine<(), Body>,
-    pace: Pace,
+    pace: LoopPacer,
     cost: Cost,
     now: Micros,
     looked: u64,
@@ -76,16 +76,16 @@
         module.limits.second_copies = false;
         module.family.order_timeout = 4 * S;
         let settings = EngineSettings {
-            module,
-            in_hand: 4_000,
-            waiters: 1,
+            controller: module,
+            max_in_flight: 4_000,
+            max_waiters: 1,
             linger: 0,
-            repeats: RepeatLimits { remember: 0, answers: 0, guards: usize::MAX, bytes: 0 },
+            repeats: RepeatLimits { retention: 0, max_answers: 0, max_guards: usize::MAX, max_bytes: 0 },
             margin: MarginSettings::default(),
         };
         let mut all = Self {
             engine: Engine::new(settings, 1).expect("good settings"),
-            pace: Pace::default(),
+            pace: LoopPacer::default(),
             cost,
             now: 0,
             looked: 0,
@@ -115,7 +115,7 @@
 
     /// The clock runs on by what was done.
     fn spend(&mut self, own: Micros) {
-        let looks = self.engine.looks() - self.looked;
+        let looks = self.engine.workers_weighed() - self.looked;
         self.looked += looks;
         self.now += own + looks * self.cost.looks / 100;
     }
@@ -132,36 +132,36 @@
                     }
                 }
                 Output::Start { attempt, worker, function, .. } => {
-                    self.engine.written(attempt);
+                    self.engine.mark_written(attempt);
                     let copies = self.copies.get(&(worker.clone(), function.name.clone()));
                     let end = match copies {
                         _ if silent(self.now, &worker) => {
-                            let end = AttemptEnd::bare(Code::ConnectFailed);
-                            self.bring(250 * MS, Input::Ended(attempt, end));
+                            let end = AttemptEnd::from_code(Code::ConnectFailed);
+                            self.bring(250 * MS, Input::AttemptEnded(attempt, end));
                             continue;
                         }
-                        None => AttemptEnd::bare(Code::Miss),
+                        None => AttemptEnd::from_code(Code::Miss),
                         Some(_) => {
                             let (reply, copy) = (Some(Body), CopyNote::Stood);
                             AttemptEnd { code: Code::Ok, reply, copy, crowd: Some(1), report: Vec::new() }
                         }
                     };
                     let work = self.rng.random_range(20 * MS..120 * MS);
-                    self.bring(work, Input::Ended(attempt, end));
+                    self.bring(work, Input::AttemptEnded(attempt, end));
                 }
                 Output::Order { order, worker, function, count } => {
                     if silent(self.now, &worker) {
-                        self.bring(250 * MS, Input::Ordered(order, Code::ConnectFailed, 0));
+                        self.bring(250 * MS, Input::OrderAnswered(order, Code::ConnectFailed, 0));
                         continue;
                     }
                     let stand = self.copies.entry((worker, function)).or_insert(0);
                     *stand = (*stand).max(count);
                     let (stand, after) = (*stand, if count > 0 { S } else { 2 * MS });
-                    self.bring(after, Input::Ordered(order, Code::Ok, stand));
+                    self.bring(after, Input::OrderAnswered(order, Code::Ok, stand));
                 }
                 Output::Abort(attempt) => {
-                    let end = AttemptEnd::bare(Code::Cancelled);
-                    self.bring(0, Input::Ended(attempt, end));
+                    let end = AttemptEnd::from_code(Code::Cancelled);
+                    self.bring(0, Input::AttemptEnded(attempt, end));
                 }
                 _ => {}
             }
@@ -180,7 +180,7 @@
             self.engine.wake(self.now, &mut self.out);
             self.spend(self.cost.each);
             self.carry_out();
-            if !self.pace.goes_on(since, self.now) {
+            if !self.pace.may_continue_due(since, self.now) {
                 return;
             }
         }
@@ -188,13 +188,13 @@
 
     fn turn(&mut self) {
         let began = self.now;
-        self.pace.begin(began, began, began);
+        self.pace.begin_turn(began, began, began);
         while let Some(entry) = self.coming.first_entry().filter(|e| e.key().0 <= began) {
             match entry.remove() {
-                call @ Input::Arrived(_) => self.unread.push_back((began, call)),
+                call @ Input::QueuedCall(_) => self.unread.push_back((began, call)),
                 told => self.tell(told),
             }
-            if self.pace.looks(self.now) {
+            if self.pace.should_check_due(self.now) {
                 self.wake();
             }
         }
@@ -215,7 +215,7 @@
             self.carry_out();
         }
         self.longest = self.longest.max(self.now - began);
-        self.engine.note_late(self.now, began);
+        self.engine.record_lateness(self.now, began);
     }
 
     /// Calls of a steady rate for so long, by popularity that falls, and then until none is open.
@@ -225,7 +225,8 @@
             let rank = (self.rng.random_range(0.0..1.0f64).powi(3) * 400.0) as usize;
             let name: FunctionId = format!("f{rank}").as_str().into();
             let load = Some(S);
-            let function = Function { name: name.clone(), class: 0, memory_mb: 400.0, lanes: 4, load };
+            let function =
+                Function { name: name.clone(), class: 0, memory_mb: 400.0, lanes: 4, load_time: load };
             let id = number.to_string();
             let identity = Identity { tenant: 0, function: name, source: "s".into(), id: id.as_str().into() };
             let deadline = at + PATIENCE;
@@ -233,7 +234,7 @@
             let (waiter, function, payload) = (WaiterId(number), Arc::new(function), Arc::new(()));
             let call = NewCall { waiter, identity, function, deadline, payload };
             self.sequence += 1;
-            self.coming.insert((at, self.sequence), Input::Arrived(call));
+            self.coming.insert((at, self.sequence), Input::QueuedCall(call));
         }
         while !self.open.is_empty() && self.now < span + 2 * PATIENCE {
             self.turn();
--- a/crates/engine/tests/calls.rs
+++ b/crates/engine/tests/calls.rs
@@ -28,9 +28,9 @@
         let mut module = Settings::new(vec![Class::new(500 * MS, 2 * S, repeat)], vec![4_000.0]);
         (module.family.load_on_miss, module.family.orders) = (true, false);
         let mut settings = EngineSettings {
-            module,
-            in_hand: 10,
-            waiters: 3,
+            controller: module,
+            max_in_flight: 10,
+            max_waiters: 3,
             linger: 300 * MS,
             repeats: RepeatLimits::default(),
             margin: MarginSettings::default(),
@@ -69,7 +69,7 @@
         };
         let all: Vec<_> = self.out.iter().filter_map(pick).collect();
         self.out.retain(|o| pick(o).is_none());
-        all.iter().for_each(|id| self.engine.written(*id));
+        all.iter().for_each(|id| self.engine.mark_written(*id));
         all
     }
 
@@ -85,12 +85,12 @@
 
     fn ended(&mut self, attempt: AttemptId, code: Code, reply: Option<Text>) {
         let copy = if code == Code::Ok { CopyNote::Stood } else { CopyNote::Untold };
-        self.tell(Input::Ended(attempt, AttemptEnd { copy, reply, ..AttemptEnd::bare(code) }));
+        self.tell(Input::AttemptEnded(attempt, AttemptEnd { copy, reply, ..AttemptEnd::from_code(code) }));
     }
 }
 
 fn function() -> Function {
-    Function { name: "f".into(), class: 0, memory_mb: 100.0, lanes: 8, load: None }
+    Function { name: "f".into(), class: 0, memory_mb: 100.0, lanes: 8, load_time: None }
 }
 
 fn new_call(now: Micros, waiter: u64, id: &str, function: Arc<Function>, patience: Micros) -> NewCall<()> {
@@ -119,7 +119,7 @@
     assert_eq!(bed.answers(), [(1, served("yes")), (2, served("yes"))]);
     bed.call(3, "e", 2 * S);
     assert_eq!((bed.answers(), bed.started().len()), (vec![(3, served("yes"))], 0));
-    assert_eq!(bed.engine.in_hand(), 0);
+    assert_eq!(bed.engine.calls_in_flight(), 0);
 }
 
 #[test]
@@ -161,14 +161,14 @@
 fn a_call_lingers_for_a_repeat_and_is_called_off_without_one() {
     let mut bed = Bed::new(Repeat::Safe, 1, |_| {});
     bed.call(1, "e", 2 * S);
-    bed.tell(Input::Left(WaiterId(1)));
+    bed.tell(Input::ClientLeft(WaiterId(1)));
     bed.advance(200 * MS);
     bed.call(2, "e", 2 * S);
     bed.advance(200 * MS);
-    assert_eq!(bed.engine.in_hand(), 1);
-    bed.tell(Input::Left(WaiterId(2)));
+    assert_eq!(bed.engine.calls_in_flight(), 1);
+    bed.tell(Input::ClientLeft(WaiterId(2)));
     bed.advance(400 * MS);
-    assert_eq!((bed.engine.in_hand(), bed.answers().len()), (0, 0));
+    assert_eq!((bed.engine.calls_in_flight(), bed.answers().len()), (0, 0));
     assert!(bed.out.iter().any(|o| matches!(o, Output::Abort(_))));
 }
 
@@ -176,7 +176,7 @@
 fn a_client_that_left_has_nothing_begun_whether_settings_let_attempts_be_called_off_or_not() {
     for cancel in [true, false] {
         let mut bed = Bed::new(Repeat::Safe, 1, |s| {
-            (s.linger, s.module.limits.cancel) = (0, cancel);
+            (s.linger, s.controller.limits.cancel) = (0, cancel);
         });
         // Its attempt waits for a connection: told to the links, and no byte of it given to a socket.
         bed.call(1, "waits", 2 * S);
@@ -185,48 +185,48 @@
             _ => None,
         });
         bed.out.clear();
-        bed.tell(Input::Left(WaiterId(1)));
+        bed.tell(Input::ClientLeft(WaiterId(1)));
         let off = |o: &Output<(), Text>| matches!(o, Output::Abort(id) if Some(*id) == waits);
         assert!(bed.out.iter().any(off), "cancel {cancel}: {:?}", bed.out);
         bed.out.clear();
         bed.ended(waits.expect("one attempt"), Code::Moot, None);
-        assert!(bed.started().is_empty() && bed.engine.in_hand() == 0);
+        assert!(bed.started().is_empty() && bed.engine.calls_in_flight() == 0);
         // One that never ran is sent again, and its client leaves meanwhile.
         bed.call(2, "again", 2 * S);
         let again = bed.started()[0];
-        bed.tell(Input::Left(WaiterId(2)));
+        bed.tell(Input::ClientLeft(WaiterId(2)));
         bed.ended(again, Code::Miss, None);
         bed.advance(3 * S);
         assert_eq!((bed.started(), bed.answers()), (vec![], vec![]), "cancel {cancel}");
         // One that has come, and whose client leaves before it is begun.
         let (now, function) = (bed.now, Arc::new(function()));
-        bed.tell(Input::Arrived(new_call(now, 3, "unbegun", function, 2 * S)));
-        bed.tell(Input::Left(WaiterId(3)));
+        bed.tell(Input::QueuedCall(new_call(now, 3, "unbegun", function, 2 * S)));
+        bed.tell(Input::ClientLeft(WaiterId(3)));
         // Who is next is past those who have left.
         let function = Arc::new(crate::function());
-        bed.tell(Input::Arrived(new_call(now, 4, "next", function, 2 * S)));
+        bed.tell(Input::QueuedCall(new_call(now, 4, "next", function, 2 * S)));
         assert_eq!(bed.engine.next_waiter(), Some(WaiterId(4)));
-        bed.tell(Input::Left(WaiterId(4)));
+        bed.tell(Input::ClientLeft(WaiterId(4)));
         assert_eq!(bed.engine.next_waiter(), None);
         assert!(!bed.engine.begin_next(bed.now, &mut bed.out));
-        assert_eq!((bed.started(), bed.answers(), bed.engine.in_hand()), (vec![], vec![], 0));
+        assert_eq!((bed.started(), bed.answers(), bed.engine.calls_in_flight()), (vec![], vec![], 0));
     }
 }
 
 #[test]
 fn every_bound_refuses_and_only_what_never_ran() {
-    let mut bed = Bed::new(Repeat::Unsafe, 1, |s| s.repeats.guards = 12);
+    let mut bed = Bed::new(Repeat::Unsafe, 1, |s| s.repeats.max_guards = 12);
     for waiter in 0..11 {
         bed.call(waiter, &format!("e{waiter}"), 2 * S);
     }
-    assert_eq!(bed.answers(), [(10, Answer::Refused(Refusal::InHand, None))]);
+    assert_eq!(bed.answers(), [(10, Answer::Refused(Refusal::TooManyInFlight, None))]);
     for waiter in 20..23 {
         bed.call(waiter, "e0", 2 * S);
     }
     // A full call in hand may run: one more client of it is failed, not refused.
     assert_eq!(bed.answers(), [(22, Answer::Failed(Failure::MayHaveRun))]);
     bed.call(30, "late", MS);
-    assert_eq!(bed.answers(), [(30, Answer::Refused(Refusal::TooLate, None))]);
+    assert_eq!(bed.answers(), [(30, Answer::Refused(Refusal::TooLittleTime, None))]);
     bed.tell(Input::Stop);
     for attempt in bed.started() {
         bed.ended(attempt, Code::Ok, Some(Text("yes")));
@@ -241,7 +241,7 @@
 #[test]
 fn who_would_wait_longer_than_the_process_lives_is_answered_before_its_end() {
     // With a worker that hangs the call may have run; without one it never did, and trying again is harmless.
-    let cases = [(1, Answer::Failed(Failure::Deadline)), (0, Answer::Refused(Refusal::NotBegun, None))];
+    let cases = [(1, Answer::Failed(Failure::Deadline)), (0, Answer::Refused(Refusal::NotStarted, None))];
     for ((workers, answer), told_first) in
         cases.into_iter().flat_map(|case| [(case.clone(), true), (case, false)])
     {
@@ -250,8 +250,8 @@
         if !told_first {
             bed.call(1, "e", 10 * S);
         }
-        bed.tell(Input::EndBy(end));
-        bed.tell(Input::EndBy(end + 5 * S));
+        bed.tell(Input::ExitAt(end));
+        bed.tell(Input::ExitAt(end + 5 * S));
         if told_first {
             bed.call(1, "e", 10 * S);
         }
@@ -266,7 +266,7 @@
         assert_eq!(bed.answers(), vec![], "answered before it has to be");
         bed.advance(100 * MS);
         assert_eq!(bed.answers(), [(1, answer.clone())]);
-        assert_eq!(bed.engine.in_hand(), 0);
+        assert_eq!(bed.engine.calls_in_flight(), 0);
     }
 }
 
@@ -276,13 +276,16 @@
     bed.call(1, "e", 2 * S);
     let attempt = bed.started()[0];
     bed.ended(attempt, Code::Ok, None);
-    assert_eq!((bed.answers(), bed.started()), (vec![(1, Answer::Failed(Failure::Attempts))], vec![]));
+    assert_eq!(
+        (bed.answers(), bed.started()),
+        (vec![(1, Answer::Failed(Failure::AttemptsExhausted))], vec![])
+    );
 }
 
 #[test]
 fn the_same_inputs_give_the_same_outputs() {
     let run = || {
-        let mut bed = Bed::new(Repeat::Safe, 5, |s| s.in_hand = 100);
+        let mut bed = Bed::new(Repeat::Safe, 5, |s| s.max_in_flight = 100);
         let mut seen = String::new();
         for step in 0..300u64 {
             bed.call(step, &format!("e{}", step % 170), 400 * MS + step * 100);
@@ -306,9 +309,9 @@
         let mut bed = Bed::new(repeat, 0, |_| {});
         bed.call(1, "e", 300 * MS);
         bed.advance(300 * MS);
-        assert_eq!(bed.answers(), [(1, Answer::Refused(Refusal::NotBegun, None))]);
+        assert_eq!(bed.answers(), [(1, Answer::Refused(Refusal::NotStarted, None))]);
         // It does not linger: told that it took no effect, it must not begin after all.
-        assert_eq!((bed.engine.in_hand(), bed.started().len()), (0, 0));
+        assert_eq!((bed.engine.calls_in_flight(), bed.started().len()), (0, 0));
         // Every attempt came back unseen.
         let mut bed = Bed::new(repeat, 3, |_| {});
         bed.call(1, "e", 2 * S);
@@ -333,7 +336,7 @@
     bed.advance(400 * MS);
     assert_eq!(bed.answers(), []);
     // The margin was 10 ms; the loop now shows that it may be 80 ms late.
-    bed.engine.note_late(bed.now, bed.now - 80 * MS);
+    bed.engine.record_lateness(bed.now, bed.now - 80 * MS);
     assert!(bed.engine.next_due(bed.now).is_some_and(|due| due <= bed.now + 11 * MS));
     bed.advance(15 * MS);
     assert_eq!(bed.answers(), [(1, Answer::Failed(Failure::Deadline))]);
@@ -341,23 +344,23 @@
 
 #[test]
 fn an_attempt_that_still_waits_for_its_connection_has_not_run_and_never_will() {
-    let mut bed = Bed::new(Repeat::Unsafe, 1, |s| s.module.limits.cancel = false);
+    let mut bed = Bed::new(Repeat::Unsafe, 1, |s| s.controller.limits.cancel = false);
     bed.call(1, "e", 300 * MS);
     assert!(bed.out.iter().any(|o| matches!(o, Output::Start { .. })));
     bed.advance(300 * MS);
-    assert_eq!(bed.answers(), [(1, Answer::Refused(Refusal::NotBegun, None))]);
+    assert_eq!(bed.answers(), [(1, Answer::Refused(Refusal::NotStarted, None))]);
     assert!(bed.out.iter().any(|o| matches!(o, Output::Abort(_))), "it must not be written any more");
     // The event is free for another try.
     bed.call(2, "e", 2 * S);
     assert_eq!(bed.answers(), []);
-    assert_eq!(bed.engine.in_hand(), 1);
+    assert_eq!(bed.engine.calls_in_flight(), 1);
 }
 
 #[test]
 fn a_call_sent_and_out_of_time_in_one_wake_is_not_told_that_it_never_ran() {
     let mut bed = Bed::new(Repeat::Unsafe, 0, |_| {});
     // Lateness that has faded by the call's end: the module's deadline is then before the client's answer.
-    bed.engine.note_late(START, START - 200 * MS);
+    bed.engine.record_lateness(START, START - 200 * MS);
     bed.call(1, "e", 2 * S);
     bed.advance(1_700 * MS);
     bed.tell(Input::Members(MembersKind::Whole, vec![member(0)]));
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -131,7 +131,7 @@
             class: f.class,
             memory_mb: f.memory_mb,
             lanes: f.lanes,
-            load: f.load,
+            load_time: f.load,
         };
         let deadline = |c: usize| config.module.classes[c].deadline;
         let functions = config.functions.iter();
@@ -161,7 +161,7 @@
 
     /// When [`Front::wake`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.next()
+        self.due.next_due()
     }
 
     /// Clients connected.
@@ -468,7 +468,7 @@
 
     /// Ends connections whose patience is over: idle ones silently, slow senders with 408.
     pub fn wake(&mut self, io: &mut Io, now: Micros) {
-        while let Some((at, conn)) = self.due.due(now) {
+        while let Some((at, conn)) = self.due.pop_due(now) {
             let Some(client) = self.clients.get_mut(&conn).filter(|c| c.armed == at) else { continue };
             client.armed = Micros::MAX;
             if client.busy.is_some() || client.until > now {
--- a/crates/gateway/src/hand_wire.rs
+++ b/crates/gateway/src/hand_wire.rs
@@ -30,12 +30,12 @@
 /// What a whole response says. By a front's own page 503 is a refusal: nothing of the call has run.
 pub fn end(response: &Response, event: &Event) -> AttemptEnd<Reply> {
     match response.status {
-        200 => AttemptEnd { reply: Some(reply(response, event)), ..AttemptEnd::bare(Code::Ok) },
-        503 => AttemptEnd::bare(Code::Full),
+        200 => AttemptEnd { reply: Some(reply(response, event)), ..AttemptEnd::from_code(Code::Ok) },
+        503 => AttemptEnd::from_code(Code::Full),
         // Not known there: its list of functions is another one. Nothing has run.
-        400..=499 => AttemptEnd::bare(Code::Miss),
+        400..=499 => AttemptEnd::from_code(Code::Miss),
         // A whole answer that says that it failed, which none that breaks off says.
-        _ => AttemptEnd::bare(Code::Unknown),
+        _ => AttemptEnd::from_code(Code::Unknown),
     }
 }
 
@@ -49,7 +49,8 @@
             .with(extensions::HOPS, Attribute::Integer(0))
             .with(extensions::TIMEOUT, Attribute::Text("9000".into()))
             .with("tenant", Attribute::Text("cusco".into()));
-        let function = Function { name: "parcels".into(), class: 0, memory_mb: 1.0, lanes: 1, load: None };
+        let function =
+            Function { name: "parcels".into(), class: 0, memory_mb: 1.0, lanes: 1, load_time: None };
         let mut out = BytesMut::new();
         call(&mut out, "127.0.0.1:1", &event, &function, 205_000, "c0");
         let text = String::from_utf8_lossy(&out).to_ascii_lowercase();
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -146,11 +146,11 @@
 
     /// When [`KeptEvents::wake`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.next().into_iter().chain(self.stale.next()).min()
+        self.due.next_due().into_iter().chain(self.stale.next_due()).min()
     }
 
     fn refusal(class: &KeptConfig) -> Option<Answer<Reply>> {
-        (class.unheld == Unheld::Refuse).then_some(Answer::Refused(Refusal::Unkept, None))
+        (class.unheld == Unheld::Refuse).then_some(Answer::Refused(Refusal::NotReplicated, None))
     }
 
     /// A call that this loop owns. `wall` is the wall clock in milliseconds.
@@ -167,7 +167,7 @@
                 State::Ended(Some((outcome, reply))) => {
                     let answer = match (outcome, reply) {
                         (Outcome::Served, Some(reply)) => Answer::Served(reply.clone()),
-                        (Outcome::Refused, _) => Answer::Refused(Refusal::NotBegun, None),
+                        (Outcome::Refused, _) => Answer::Refused(Refusal::NotStarted, None),
                         _ => Answer::Failed(Failure::MayHaveRun),
                     };
                     return Accept::Answer(call.waiter, answer);
@@ -279,7 +279,7 @@
             return Vec::new();
         };
         let refused = |call: NewCall<Event>| {
-            Then::Answer(call.waiter, Answer::Refused(Refusal::InHand, Some(ELSEWHERE_US)))
+            Then::Answer(call.waiter, Answer::Refused(Refusal::TooManyInFlight, Some(ELSEWHERE_US)))
         };
         calls.into_iter().map(refused).collect()
     }
@@ -407,10 +407,10 @@
     /// Entries that were not held in time, and events that nothing else closed.
     pub fn wake(&mut self, now: Micros) -> Vec<Then> {
         let mut then = Vec::new();
-        while let Some((_, attempt)) = self.stale.due(now) {
+        while let Some((_, attempt)) = self.stale.pop_due(now) {
             then.extend(self.abort(attempt).then_some(Then::Stay(attempt)));
         }
-        while let Some((_, key)) = self.due.due(now) {
+        while let Some((_, key)) = self.due.pop_due(now) {
             let Some(event) = self.events.get(&key) else { continue };
             match event.state {
                 // A timer of an earlier call of this name may come first.
@@ -447,7 +447,7 @@
     }
 
     fn call(waiter: u64, id: &str, class: usize) -> NewCall<Event> {
-        let function = Function { name: "stamp".into(), class, memory_mb: 1.0, lanes: 1, load: None };
+        let function = Function { name: "stamp".into(), class, memory_mb: 1.0, lanes: 1, load_time: None };
         let identity = Identity { tenant: 0, function: "stamp".into(), source: "/s".into(), id: id.into() };
         let payload = Arc::new(Event::new(id, "/s", "t"));
         NewCall { waiter: WaiterId(waiter), identity, function: Arc::new(function), deadline: 8 * S, payload }
@@ -466,7 +466,10 @@
     }
 
     fn served() -> AttemptEnd<Reply> {
-        AttemptEnd { reply: Some(Reply(Arc::new(Event::new("r", "/w", "t")))), ..AttemptEnd::bare(Code::Ok) }
+        AttemptEnd {
+            reply: Some(Reply(Arc::new(Event::new("r", "/w", "t")))),
+            ..AttemptEnd::from_code(Code::Ok)
+        }
     }
 
     #[test]
@@ -495,7 +498,7 @@
         kept.accept((0, 0), call(1, "a", 0));
         assert!(kept.wake(2 * S - 1).is_empty());
         let then = kept.wake(2 * S);
-        let unkept = Answer::Refused(Refusal::Unkept, None);
+        let unkept = Answer::Refused(Refusal::NotReplicated, None);
         assert!(matches!(&then[..], [Then::Answer(WaiterId(1), answer)] if *answer == unkept));
         assert!(matches!(kept.steps.back(), Some(Step::Ended { outcome: Outcome::Refused, .. })));
 
@@ -526,14 +529,14 @@
         );
         kept.start((0, 3 * S), attempt(2), &identity, "w");
         assert!(kept.abort(attempt(2)) && kept.may(key("a"), 2, Some(S)).is_none(), "called off");
-        kept.answered(WaiterId(1), Answer::Refused(Refusal::NotBegun, None));
+        kept.answered(WaiterId(1), Answer::Refused(Refusal::NotStarted, None));
         assert!(matches!(kept.steps.back(), Some(Step::Ended { outcome: Outcome::Refused, .. })));
         // Where one may have run, a refusal by the engine is not told to heirs as one.
         kept.accept((0, 0), call(2, "b", 0));
         kept.held(key("b"), true);
         kept.start((0, 3 * S), attempt(3), &call(2, "b", 0).identity, "w");
         kept.may(key("b"), 0, Some(S));
-        kept.attempt_ended(attempt(3), &AttemptEnd::bare(Code::Reset));
+        kept.attempt_ended(attempt(3), &AttemptEnd::from_code(Code::Reset));
         kept.answered(WaiterId(2), Answer::Failed(Failure::MayHaveRun));
         assert!(matches!(kept.steps.back(), Some(Step::Ended { outcome: Outcome::Failed, .. })));
     }
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -124,10 +124,10 @@
 /// The end of a job that got no whole response.
 fn cut(job: Job, code: Code) -> Done {
     match job {
-        Job::Attempt { id, .. } => Done::Attempt(id, AttemptEnd::bare(code)),
+        Job::Attempt { id, .. } => Done::Attempt(id, AttemptEnd::from_code(code)),
         Job::Order { id, .. } => Done::Order(id, code, 0),
         Job::Probe(id) => Done::Probe(id, code, Vec::new()),
-        Job::Hand { waiter, .. } => Done::Handed(waiter, AttemptEnd::bare(code)),
+        Job::Hand { waiter, .. } => Done::Handed(waiter, AttemptEnd::from_code(code)),
         Job::Drop(_) => Done::Nothing,
     }
 }
@@ -142,7 +142,7 @@
 
     /// When [`Links::wake`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.next()
+        self.due.next_due()
     }
 
     /// Whether this connection is one to a worker.
@@ -368,7 +368,7 @@
 
     /// Takes what is due by `now`: connections that do not stand, attempts out of time, idle ones.
     pub fn wake(&mut self, io: &mut Io, now: Micros, done: &mut Vec<Done>) {
-        while let Some((at, conn)) = self.due.due(now) {
+        while let Some((at, conn)) = self.due.pop_due(now) {
             let Some(known) = self.conns.get_mut(&conn).filter(|c| c.armed == at) else { continue };
             known.armed = Micros::MAX;
             let until = known.until;
--- a/crates/gateway/src/mail.rs
+++ b/crates/gateway/src/mail.rs
@@ -3,7 +3,7 @@
 use crate::worker_wire::Reply;
 use basaltward::{Micros, WorkerId};
 use basaltward_cloudevents::Event;
-use basaltward_engine::{Answer, Claim, Function, Identity, Path, Seen, WaiterId};
+use basaltward_engine::{Answer, AnswerOrigin, Claim, Function, Identity, SeenEvents, WaiterId};
 use basaltward_net::Waker;
 use rtrb::{Consumer, Producer, RingBuffer};
 use std::collections::VecDeque;
@@ -28,7 +28,13 @@
     /// A client of the sender has left.
     Left(WaiterId),
     /// The final answer for a client of the reader.
-    Answer { waiter: WaiterId, answer: Answer<Reply>, attempts: u32, worker: Option<WorkerId>, path: Path },
+    Answer {
+        waiter: WaiterId,
+        answer: Answer<Reply>,
+        attempts: u32,
+        worker: Option<WorkerId>,
+        path: AnswerOrigin,
+    },
 }
 
 struct Peer {
@@ -51,7 +57,7 @@
     busy: Arc<AtomicUsize>,
     rested: bool,
     owners: RandomState,
-    seen: Arc<Seen>,
+    seen: Arc<SeenEvents>,
 }
 
 impl Mail {
@@ -59,7 +65,7 @@
     /// least `span`.
     pub fn join(wakers: &[Waker], span: Micros) -> Vec<Self> {
         let count = wakers.len();
-        let (owners, seen) = (RandomState::new(), Arc::new(Seen::new(span)));
+        let (owners, seen) = (RandomState::new(), Arc::new(SeenEvents::new(span)));
         let busy = Arc::new(AtomicUsize::new(count));
         let woken: Vec<Arc<AtomicBool>> = wakers.iter().map(|_| Arc::default()).collect();
         // By reader, then writer.
--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -31,12 +31,12 @@
             Refusal::Overload => {
                 "the workers have more than they can do in time; the call did not take effect"
             }
-            Refusal::InHand => "too many calls are in hand here; the call was not begun",
-            Refusal::Behind => "this gateway has fallen behind; the call was not begun",
-            Refusal::TooLate => "too little of the call's time is left to begin it",
-            Refusal::NotBegun => "no worker could begin the call in its time; it did not take effect",
-            Refusal::Guards => "this tenant has too many recent calls that must not run twice; not begun",
-            Refusal::Unkept => {
+            Refusal::TooManyInFlight => "too many calls are in hand here; the call was not begun",
+            Refusal::Backlogged => "this gateway has fallen behind; the call was not begun",
+            Refusal::TooLittleTime => "too little of the call's time is left to begin it",
+            Refusal::NotStarted => "no worker could begin the call in its time; it did not take effect",
+            Refusal::GuardLimit => "this tenant has too many recent calls that must not run twice; not begun",
+            Refusal::NotReplicated => {
                 "no gateway of another site can hold the event, as its class asks; it was not begun"
             }
             Refusal::Stopping => "this gateway is stopping; send the event to another one",
@@ -49,15 +49,15 @@
     pub fn failed(why: Failure, repeat: Repeat) -> Self {
         let (status, detail) = match why {
             Failure::Deadline => (504, "no answer came before the call's deadline; it may have run"),
-            Failure::Attempts => (500, "no worker answered the call; it may have run"),
-            Failure::Unreached => (
+            Failure::AttemptsExhausted => (500, "no worker answered the call; it may have run"),
+            Failure::OwnerUnreachable => (
                 502,
                 "the gateway that sees to this event can't be reached; it may have run there, send it again",
             ),
             Failure::MayHaveRun => (500, "this event was sent before and may have run; it is not run again"),
         };
         // Whoever sees to an event tells its repeats apart.
-        let retryable = repeat == Repeat::Safe || why == Failure::Unreached;
+        let retryable = repeat == Repeat::Safe || why == Failure::OwnerUnreachable;
         Self { status, outcome: "failed", retryable, retry_after: None, detail: detail.into() }
     }
 
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -13,8 +13,8 @@
 use basaltward_cloudevents::Event;
 use basaltward_config::Config;
 use basaltward_engine::{
-    Answer, AttemptEnd, Engine, EngineSettings, Failure, HandedOver, Input, Lag, MarginSettings, Output,
-    Pace, Path, RepeatLimits, Turn, WaiterId,
+    Answer, AnswerOrigin, AttemptEnd, Engine, EngineSettings, Failure, Handoffs, Input, Lag, LoopPacer,
+    MarginSettings, Output, RepeatLimits, TurnReport, WaiterId,
 };
 use basaltward_net::{Clock, ConnId, Happened, Io, NetError, monotonic, thread_time};
 use basaltward_roster::{Names, RosterFile, Source};
@@ -51,11 +51,11 @@
     links: Links,
     /// What the loops say to each other, and the calls of this one's clients that others own.
     mail: Mail,
-    handed: HandedOver,
+    handed: Handoffs,
     /// This loop's part in the sites, where there are some.
     sites: Option<Sites>,
     letters: Vec<Message>,
-    pace: Pace,
+    pace: LoopPacer,
     roster: RosterFile,
     clock: Clock,
     states: BTreeMap<WorkerId, basaltward::State>,
@@ -70,18 +70,18 @@
 fn engine_settings(config: &Config, thread: u32) -> EngineSettings {
     let (repeats, margin, loops) = (&config.repeats, &config.margin, config.threads as usize);
     EngineSettings {
-        module: config.module_of(thread),
-        in_hand: config.front.calls,
-        waiters: config.front.waiters,
+        controller: config.module_of(thread),
+        max_in_flight: config.front.calls,
+        max_waiters: config.front.waiters,
         linger: repeats.linger,
         // Each loop owns its part of a tenant's events.
         repeats: RepeatLimits {
-            remember: repeats.remember,
-            answers: repeats.answers.div_ceil(loops),
-            guards: repeats.guards.div_ceil(loops),
-            bytes: repeats.bytes.div_ceil(loops),
+            retention: repeats.remember,
+            max_answers: repeats.answers.div_ceil(loops),
+            max_guards: repeats.guards.div_ceil(loops),
+            max_bytes: repeats.bytes.div_ceil(loops),
         },
-        margin: MarginSettings { share: margin.share, least: margin.least, most: margin.most },
+        margin: MarginSettings { share: margin.share, min: margin.least, max: margin.most },
     }
 }
 
@@ -98,10 +98,11 @@
         let settings = engine_settings(config, thread);
         let name = format!("{}/{thread}", config.name);
         let prefix = format!("{name}:{:x}", monotonic());
-        let links = Links::new(prefix.clone(), config.links.clone(), settings.module.report_names.clone());
+        let links =
+            Links::new(prefix.clone(), config.links.clone(), settings.controller.report_names.clone());
         let (_, address) = io.listen(listener)?;
         let names = Names { kinds: config.kinds.clone(), zones: config.zones.clone() };
-        let seed = u64::from(settings.module.self_index);
+        let seed = u64::from(settings.controller.self_index);
         Ok(Self {
             name,
             prefix,
@@ -111,10 +112,10 @@
             front: Front::new(config, mail.me()),
             links,
             mail,
-            handed: HandedOver::new(config.front.calls),
+            handed: Handoffs::new(config.front.calls),
             sites,
             letters: Vec::new(),
-            pace: Pace::default(),
+            pace: LoopPacer::default(),
             roster: RosterFile::new(config.roster.clone(), names, config.roster_check),
             clock: Clock::read(),
             states: BTreeMap::new(),
@@ -137,7 +138,8 @@
         loop {
             let now = monotonic();
             self.poll_roster(now);
-            self.io.hold_accepting(!self.pace.accepts(self.front.oldest().map_or(0, |came| now - came)));
+            self.io
+                .hold_accepting(!self.pace.should_accept(self.front.oldest().map_or(0, |came| now - came)));
             let wait = self.wait(now);
             self.io.turn(Some(wait), &mut happened)?;
             self.turn((now, now + wait), &mut happened);
@@ -156,7 +158,7 @@
                 _ => {}
             }
             if self.stopping
-                && self.engine.in_hand() == 0
+                && self.engine.calls_in_flight() == 0
                 && self.front.clients() == 0
                 && self.handed.is_empty()
                 && self.sites.as_ref().is_none_or(Sites::is_empty)
@@ -185,7 +187,7 @@
     fn turn(&mut self, (since, due): (Micros, Micros), happened: &mut Vec<Happened>) {
         let mut now = monotonic();
         let began = now;
-        self.pace.begin(since, due, now);
+        self.pace.begin_turn(since, due, now);
         // What is written in between may bring further ends.
         let mut later = Vec::new();
         for happened in happened.drain(..) {
@@ -198,7 +200,7 @@
             }
             self.take(now, happened);
             now = monotonic();
-            if self.pace.looks(now) {
+            if self.pace.should_check_due(now) {
                 self.wake(now);
             }
             // At once: a call that waits to be written may meet the end of the kept connection that was found
@@ -221,12 +223,12 @@
         }
         *happened = later;
         let now = monotonic();
-        let Turn { began, stalled, lag } = self.pace.end(now, thread_time());
-        self.engine.note_late(now, began);
+        let TurnReport { began, stalled, lag } = self.pace.end_turn(now, thread_time());
+        self.engine.record_lateness(now, began);
         if let Some(us) = stalled {
             self.recorder.put(now, &self.name, What::Stalled { us });
         }
-        if let Some(Lag { turn, waited, stalled }) = lag {
+        if let Some(Lag { longest_turn: turn, longest_wait: waited, stalled }) = lag {
             warn!(scheduler = self.name, turn_us = turn, waited_us = waited, stalled_us = stalled, "late");
             self.recorder.put(now, &self.name, What::Lagged { turn, waited, stalled });
         }
@@ -245,7 +247,7 @@
     }
 
     fn stop(&mut self, now: Micros) {
-        info!(scheduler = self.name, in_hand = self.engine.in_hand(), "stopping");
+        info!(scheduler = self.name, in_hand = self.engine.calls_in_flight(), "stopping");
         self.stopping = true;
         self.recorder.put(now, &self.name, What::Stopping);
         self.io.stop_all_listening();
@@ -287,7 +289,7 @@
                     if self.sites.as_mut().is_some_and(|sites| sites.left(&mut self.io, now, waiter)) {
                         continue;
                     }
-                    match self.handed.left(waiter) {
+                    match self.handed.client_left(waiter) {
                         Some(owner) => drop(self.mail.send(owner, Message::Left(waiter))),
                         None => self.left(now, waiter),
                     }
@@ -311,9 +313,9 @@
             let back = self.sites.as_mut().map(|sites| sites.wake(&mut self.io, now));
             back.into_iter().flatten().for_each(|done| self.came_back(now, Some(done)));
             self.front.wake(&mut self.io, now);
-            while let Some((waiter, answer, owner)) = self.handed.wake(now, self.engine.lateness(now)) {
+            while let Some((waiter, answer, owner)) = self.handed.expire(now, self.engine.lateness(now)) {
                 self.mail.send(owner, Message::Left(waiter));
-                self.give(now, (waiter, answer), (0, None, Path::Direct));
+                self.give(now, (waiter, answer), (0, None, AnswerOrigin::Direct));
             }
             let mut outputs = std::mem::take(&mut self.outputs);
             self.engine.wake(now, &mut outputs);
@@ -360,10 +362,10 @@
                     let (attempt, code) = (attempt_name(&self.prefix, id), format!("{:?}", end.code));
                     self.recorder.put(now, &self.name, What::Ended { attempt, code });
                 }
-                Input::Ended(id, end)
+                Input::AttemptEnded(id, end)
             }
-            Done::Order(id, code, count) => Input::Ordered(id, code, count),
-            Done::Probe(id, code, report) => Input::Probed(id, code, report),
+            Done::Order(id, code, count) => Input::OrderAnswered(id, code, count),
+            Done::Probe(id, code, report) => Input::ProbeAnswered(id, code, report),
             // Links to workers carry none.
             Done::Handed(..) => return None,
         })
@@ -389,7 +391,7 @@
     fn output(&mut self, now: Micros, output: Output<Event, Reply>) -> Option<Done> {
         let Self { io, links, front, .. } = self;
         match output {
-            Output::Answer { waiter, answer, attempts, worker, path } => {
+            Output::Answer { waiter, answer, attempts, worker, origin: path } => {
                 let kept = self.sites.as_mut().and_then(|sites| sites.kept.as_mut());
                 let answer = match kept {
                     Some(kept) => kept.answered(waiter, answer),
@@ -413,7 +415,7 @@
                         sites.park(attempt, worker, job);
                         None
                     }
-                    (Start::Stays, _) => Some(Done::Attempt(attempt, AttemptEnd::bare(Code::Moot))),
+                    (Start::Stays, _) => Some(Done::Attempt(attempt, AttemptEnd::from_code(Code::Moot))),
                     _ => links.start(io, now, &worker, job),
                 }
             }
@@ -423,7 +425,7 @@
                     sites.unpark(attempt).is_some() && sites.kept.as_mut().is_some_and(|k| k.abort(attempt))
                 });
                 match parked {
-                    true => Some(Done::Attempt(attempt, AttemptEnd::bare(Code::Moot))),
+                    true => Some(Done::Attempt(attempt, AttemptEnd::from_code(Code::Moot))),
                     false => links.abort_attempt(io, attempt),
                 }
             }
@@ -436,12 +438,12 @@
                 links.abort_order(io, order);
                 None
             }
-            Output::Drop(worker, function) => {
+            Output::Release(worker, function) => {
                 links.start(io, now, &worker, Job::Drop(function.to_string()));
                 None
             }
             // The file tells every change by itself.
-            Output::Watch => None,
+            Output::RequestWorkerList => None,
         }
     }
 
@@ -451,7 +453,7 @@
         now: Micros,
         waiter: WaiterId,
         answer: Answer<Reply>,
-        (attempts, worker, path): (u32, Option<WorkerId>, Path),
+        (attempts, worker, path): (u32, Option<WorkerId>, AnswerOrigin),
     ) {
         match thread_of(waiter) {
             here if here == self.mail.me() => self.give(now, (waiter, answer), (attempts, worker, path)),
@@ -466,7 +468,7 @@
         &mut self,
         now: Micros,
         (waiter, answer): (WaiterId, Answer<Reply>),
-        (attempts, worker, path): (u32, Option<WorkerId>, Path),
+        (attempts, worker, path): (u32, Option<WorkerId>, AnswerOrigin),
     ) {
         let outcome = match &answer {
             Answer::Served(_) => "served",
@@ -477,7 +479,7 @@
             Some(sites) => sites.gave(now, waiter, answer),
             None => answer,
         };
-        let unowned = matches!(answer, Answer::Failed(Failure::Unreached));
+        let unowned = matches!(answer, Answer::Failed(Failure::OwnerUnreachable));
         let Some((waiting, status, free)) = self.front.answer(&mut self.io, now, waiter, answer) else {
             return;
         };
@@ -493,9 +495,9 @@
             self.given.push((event_name(&waiting.event), status));
         }
         let how = match path {
-            Path::First => "first",
-            Path::Joined => "joined",
-            Path::Direct => "direct",
+            AnswerOrigin::First => "first",
+            AnswerOrigin::Joined => "joined",
+            AnswerOrigin::Direct => "direct",
         };
         info!(
             target: "basaltward::call",
--- a/crates/gateway/src/scheduler/calls.rs
+++ b/crates/gateway/src/scheduler/calls.rs
@@ -9,7 +9,7 @@
 use crate::tables::Word;
 use basaltward::{Code, Micros, Repeat};
 use basaltward_cloudevents::Event;
-use basaltward_engine::{AttemptEnd, Input, NewCall, Path, Unheard, WaiterId};
+use basaltward_engine::{AnswerOrigin, AttemptEnd, Input, NewCall, UntakenAnswer, WaiterId};
 use basaltward_net::ConnId;
 use basaltward_rules::What;
 use tracing::warn;
@@ -25,7 +25,7 @@
                 let (event, to) = (event_name(&event), sites.name(to).to_owned());
                 self.recorder.put(now, &self.name, What::HandedOver { event, to });
             }
-            Arrival::Answered(answer) => self.give(now, (waiter, answer), (0, None, Path::Direct)),
+            Arrival::Answered(answer) => self.give(now, (waiter, answer), (0, None, AnswerOrigin::Direct)),
         }
     }
 
@@ -33,7 +33,9 @@
     pub(super) fn came_back(&mut self, now: Micros, done: Option<Done>) {
         let back = done.and_then(|done| self.sites.as_mut()?.done(now, done));
         match back {
-            Some(Back::Answer(waiter, answer)) => self.give(now, (waiter, answer), (1, None, Path::First)),
+            Some(Back::Answer(waiter, answer)) => {
+                self.give(now, (waiter, answer), (1, None, AnswerOrigin::First))
+            }
             Some(Back::Home(call)) => self.home_call(now, call),
             None => {}
         }
@@ -52,15 +54,15 @@
             return self.own_call(now, call);
         }
         let NewCall { waiter, identity, function, deadline, payload } = call;
-        let unheard = Unheard::of(repeat, known);
+        let unheard = UntakenAnswer::for_event(repeat, known);
         let lateness = self.engine.lateness(now);
-        let handed = self.handed.hand((now, lateness), waiter, owner, deadline, unheard);
+        let handed = self.handed.hand_over((now, lateness), waiter, owner, deadline, unheard);
         let sent = handed.is_some_and(|(claim, by)| {
             self.mail.send(owner, Message::Call { waiter, identity, function, by, payload, claim })
         });
         if !sent {
             self.handed.answered(waiter);
-            self.give(now, (waiter, unheard.answer()), (0, None, Path::Direct));
+            self.give(now, (waiter, unheard.answer()), (0, None, AnswerOrigin::Direct));
         }
     }
 
@@ -72,7 +74,9 @@
         match kept.accept((now, wall_ms()), call) {
             Accept::Go(call) => self.begin(now, call),
             Accept::Waits => {}
-            Accept::Answer(waiter, answer) => self.deliver(now, waiter, answer, (0, None, Path::Direct)),
+            Accept::Answer(waiter, answer) => {
+                self.deliver(now, waiter, answer, (0, None, AnswerOrigin::Direct))
+            }
         }
     }
 
@@ -111,7 +115,7 @@
         if let Some(kept) = self.sites.as_mut().and_then(|sites| sites.kept.as_mut()) {
             kept.left(waiter);
         }
-        self.tell(now, Input::Left(waiter));
+        self.tell(now, Input::ClientLeft(waiter));
     }
 
     /// What the control thread says of kept events, once it has our steps.
@@ -154,10 +158,12 @@
         for then in then {
             match then {
                 Then::Go(call) => self.begin(now, call),
-                Then::Answer(waiter, answer) => self.deliver(now, waiter, answer, (0, None, Path::Direct)),
+                Then::Answer(waiter, answer) => {
+                    self.deliver(now, waiter, answer, (0, None, AnswerOrigin::Direct))
+                }
                 Then::Stay(attempt) => {
                     self.sites.iter_mut().for_each(|sites| drop(sites.unpark(attempt)));
-                    self.done(now, Some(Done::Attempt(attempt, AttemptEnd::bare(Code::Moot))));
+                    self.done(now, Some(Done::Attempt(attempt, AttemptEnd::from_code(Code::Moot))));
                 }
                 Then::Leave(attempt, until) => {
                     let parked = self.sites.as_mut().and_then(|sites| sites.unpark(attempt));
--- a/crates/gateway/src/scheduler/notes.rs
+++ b/crates/gateway/src/scheduler/notes.rs
@@ -13,7 +13,7 @@
     pub(super) fn note_sent(&mut self, now: Micros) {
         for sent in self.links.sent.drain(..) {
             if let Some((id, _)) = &sent.attempt {
-                self.engine.written(*id);
+                self.engine.mark_written(*id);
             }
             if !self.recorder.is_on() {
                 continue;
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -196,8 +196,10 @@
             self.counted(function).calls += 1;
         }
         match self.owned(now, &call) {
-            Some(Owned::Nobody) => return Arrival::Answered(Answer::Failed(Failure::Unreached)),
-            Some(Owned::By(_)) if handed => return Arrival::Answered(Answer::Failed(Failure::Unreached)),
+            Some(Owned::Nobody) => return Arrival::Answered(Answer::Failed(Failure::OwnerUnreachable)),
+            Some(Owned::By(_)) if handed => {
+                return Arrival::Answered(Answer::Failed(Failure::OwnerUnreachable));
+            }
             // Its owner has the door: nobody else knows whether it is in hand.
             Some(Owned::By(owner)) => {
                 let until = call.deadline.saturating_sub(WAY_US + self.lateness);
@@ -247,7 +249,7 @@
         let (class, tenant) = (call.function.class, call.identity.tenant);
         let (hash, guarded) = (digest(&call.identity) as u64, self.repeats[class] != Repeat::Safe);
         let asked = match handed {
-            _ if guarded && self.tables.begun.knows(hash) => Asked::Owed,
+            _ if guarded && self.tables.begun.may_contain(hash) => Asked::Owed,
             true => Asked::HandedOver,
             false => Asked::First,
         };
@@ -324,10 +326,10 @@
                     Some(reply) => Answer::Served(reply),
                     // The owner's own word; of one that was not reached nothing is known, as this may be a repeat.
                     None if matches!(code, Code::Full | Code::Miss) => {
-                        Answer::Refused(Refusal::Unkept, Some(NOT_YET_US))
+                        Answer::Refused(Refusal::NotReplicated, Some(NOT_YET_US))
                     }
                     None if code == Code::Unknown => Answer::Failed(Failure::MayHaveRun),
-                    None => Answer::Failed(Failure::Unreached),
+                    None => Answer::Failed(Failure::OwnerUnreachable),
                 },
             ));
         }
--- a/crates/gateway/src/tables.rs
+++ b/crates/gateway/src/tables.rs
@@ -3,7 +3,7 @@
 
 use arc_swap::ArcSwapOption;
 use basaltward::Micros;
-use basaltward_engine::Seen;
+use basaltward_engine::SeenEvents;
 use basaltward_net::Waker;
 use basaltward_pending::{Accepted, Key, Outcome, Step};
 use rtrb::{Consumer, Producer, PushError, RingBuffer};
@@ -21,14 +21,14 @@
     /// Whose kept events are.
     pub owners: ArcSwapOption<Owners>,
     /// Events that were taken lately and may not run twice, by any loop.
-    pub begun: Seen,
+    pub begun: SeenEvents,
 }
 
 impl Tables {
     /// None yet; what was taken is known for at least `span`.
     pub fn new(span: Micros) -> Self {
         let (route, shed, owners) = (ArcSwapOption::empty(), ArcSwapOption::empty(), ArcSwapOption::empty());
-        Self { route, shed, owners, begun: Seen::new(span) }
+        Self { route, shed, owners, begun: SeenEvents::new(span) }
     }
 }
 
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -195,7 +195,7 @@
     }
 
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.next().into_iter().chain(self.room).min()
+        self.due.next_due().into_iter().chain(self.room).min()
     }
 
     /// Where connections run short those that have been idle longest make room. Whether someone waits to be
@@ -502,12 +502,12 @@
         let most = self.classes[class].deadline.saturating_mul(10);
         // None left is no nonsense: a client's last try may have less than a millisecond.
         let timeout = timeout.checked_mul(1_000).filter(|t| *t <= most)?;
-        let mut function = Function { name, class, memory_mb: 0.0, lanes: 0, load: None };
+        let mut function = Function { name, class, memory_mb: 0.0, lanes: 0, load_time: None };
         for (name, value) in field("props")?.split(';').filter_map(|prop| prop.split_once(':')) {
             match name {
                 "memory_mb" => function.memory_mb = within(value, self.memory_mb)?,
                 "lanes" => function.lanes = within(value, LANES)? as u32,
-                "load_ms" => function.load = Some((within(value, SPAN_MS)? * 1_000.0) as Micros),
+                "load_ms" => function.load_time = Some((within(value, SPAN_MS)? * 1_000.0) as Micros),
                 _ => {}
             }
         }
@@ -599,7 +599,7 @@
         if self.room.is_some_and(|at| at <= now) {
             self.make_room(io, now);
         }
-        while let Some((at, conn)) = self.due.due(now) {
+        while let Some((at, conn)) = self.due.pop_due(now) {
             let Some(client) = self.clients.get_mut(&conn).filter(|c| c.armed == at) else { continue };
             client.armed = Micros::MAX;
             let until = client.until;
--- a/crates/node/src/job.rs
+++ b/crates/node/src/job.rs
@@ -57,7 +57,7 @@
 /// The end of a job that got no whole answer.
 pub fn cut(job: &Job, code: Code) -> Option<Done> {
     match job {
-        Job::Attempt { id, .. } => Some(Done::Attempt(*id, AttemptEnd::bare(code))),
+        Job::Attempt { id, .. } => Some(Done::Attempt(*id, AttemptEnd::from_code(code))),
         Job::Order { id, .. } => Some(Done::Order(*id, code, 0)),
         Job::Probe(id) => Some(Done::Probe(*id, code, Vec::new())),
         Job::Release(_) => None,
@@ -76,7 +76,7 @@
     Some(match job {
         // Not an answer to a call: what became of it is not known.
         Job::Attempt { id, .. } if matches!(reply.status, Status::Up | Status::Down) => {
-            Done::Attempt(*id, AttemptEnd::bare(Code::Unknown))
+            Done::Attempt(*id, AttemptEnd::from_code(Code::Unknown))
         }
         Job::Attempt { id, .. } => {
             let copy = match (code, reply.copy) {
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -170,7 +170,7 @@
     }
 
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.next()
+        self.due.next_due()
     }
 
     /// Whether this connection is one to a worker.
@@ -581,7 +581,7 @@
     /// number, so that answers that become due meanwhile go in between; [`Links::next_due`] tells of the rest.
     pub fn wake(&mut self, io: &mut Io, now: Micros, done: &mut Vec<Done>) {
         for _ in 0..BATCH {
-            let Some((_, due)) = self.due.due(now) else { return };
+            let Some((_, due)) = self.due.pop_due(now) else { return };
             match due {
                 Due::Attempt(id) => done.extend(self.give_up(io, now, Name::Attempt(id), Code::Timeout)),
                 Due::Rest(conn, of) => self.end_unless_read(io, conn, of, done),
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -15,7 +15,7 @@
     FeedId, Follower, FollowerLimits, Freshness, OWED_WITHIN_US, Roster, Step as Feed,
 };
 use basaltward_engine::{
-    Answer, Engine, EngineSettings, Input, MarginSettings, Output, Pace, RepeatLimits, Turn,
+    Answer, Engine, EngineSettings, Input, LoopPacer, MarginSettings, Output, RepeatLimits, TurnReport,
 };
 use basaltward_net::{
     ConnId, Errno, Happened, Io, IoLimits, NetError, Signals, SystemCall, Waker, bind, monotonic, thread_time,
@@ -87,7 +87,7 @@
     fleet: Option<Fleet>,
     /// What peers tell of copies, where the settings allow it.
     gossip: Option<Gossip>,
-    pace: Pace,
+    pace: LoopPacer,
     /// When SIGTERM came.
     term: Option<Micros>,
     /// How long after SIGTERM requests are turned away.
@@ -144,12 +144,12 @@
     let mut module = config.told.module.clone();
     module.rules.send_delay = config.told.links.connect_timeout + SLACK_US;
     EngineSettings {
-        module,
-        in_hand: config.budget.calls,
-        waiters: 1,
+        controller: module,
+        max_in_flight: config.budget.calls,
+        max_waiters: 1,
         // A client's retry has a new id here: nothing is kept for one that comes back.
         linger: 0,
-        repeats: RepeatLimits { remember: 0, answers: 0, guards: usize::MAX, bytes: 0 },
+        repeats: RepeatLimits { retention: 0, max_answers: 0, max_guards: usize::MAX, max_bytes: 0 },
         margin: MarginSettings::default(),
     }
 }
@@ -210,7 +210,7 @@
             names: Names::new(&config, wall_step),
             fleet,
             gossip,
-            pace: Pace::default(),
+            pace: LoopPacer::default(),
             term: None,
             turns_away: (kill - CLOSING_US).clamp(LEAST_TERM_US, TERM_US),
             closing: kill - APART_US,
@@ -287,7 +287,7 @@
         loop {
             let now = monotonic();
             let held = self.oldest().map_or(0, |came| now.saturating_sub(came));
-            self.io.hold_accepting(!self.pace.accepts(held));
+            self.io.hold_accepting(!self.pace.should_accept(held));
             let wait = self.wait(now);
             self.io.turn(Some(wait), &mut happened)?;
             self.follower.nothing_waited(now);
@@ -329,7 +329,7 @@
             none_waits && self.front.has_been_left(now, term + self.turns_away) && self.io.is_settled();
         // What was answered as late as SIGKILL allows has half of the time that is left to be read.
         let unread_until = (term + TERM_US + LAST_US).max(self.last_answer + APART_US / 2);
-        self.engine.in_hand() == 0 && (settled || unread_until <= now)
+        self.engine.calls_in_flight() == 0 && (settled || unread_until <= now)
     }
 
     /// One turn: clients first, who may withdraw what else would be sent, then what else has come and what is
@@ -338,7 +338,7 @@
     fn turn(&mut self, (since, due): (Micros, Micros), happened: &mut Vec<Happened>) {
         let mut now = monotonic();
         let began = now;
-        self.pace.begin(since, due, now);
+        self.pace.begin_turn(since, due, now);
         self.accepted = false;
         // Those who come in last: whoever makes room for them must have brought nothing.
         let (front, from) = (&self.front, |h: &Happened| matches!(h, Happened::Accepted { .. }));
@@ -358,7 +358,7 @@
         for happened in happened.drain(..) {
             self.take(began, now, happened);
             now = monotonic();
-            if self.pace.looks(now) {
+            if self.pace.should_check_due(now) {
                 self.wake(now);
                 self.flush();
             }
@@ -388,13 +388,13 @@
             self.front.end_idle(&mut self.io, monotonic(), term + self.turns_away);
         }
         std::mem::swap(happened, &mut self.later);
-        let Turn { began, lag, .. } = self.pace.end(monotonic(), thread_time());
-        self.engine.note_late(monotonic(), began);
+        let TurnReport { began, lag, .. } = self.pace.end_turn(monotonic(), thread_time());
+        self.engine.record_lateness(monotonic(), began);
         if let Some(lag) = lag {
             info!(
                 name = self.name,
-                turn_us = lag.turn,
-                waited_us = lag.waited,
+                turn_us = lag.longest_turn,
+                waited_us = lag.longest_wait,
                 stalled_us = lag.stalled,
                 "late"
             );
@@ -407,9 +407,9 @@
             match step {
                 Step::Call(call) => {
                     self.recorder.taken(now, &call.payload.id);
-                    self.tell(now, Input::Arrived(call));
+                    self.tell(now, Input::QueuedCall(call));
                 }
-                Step::Left(waiters) => waiters.into_iter().for_each(|w| self.tell(now, Input::Left(w))),
+                Step::Left(waiters) => waiters.into_iter().for_each(|w| self.tell(now, Input::ClientLeft(w))),
                 Step::Done => {}
             }
         }
@@ -473,7 +473,7 @@
                 Some(feed) => self.follow(now, |follower, out| follower.ended(now, feed, out)),
                 None => {
                     let left = self.front.forget(conn);
-                    left.into_iter().for_each(|w| self.tell(now, Input::Left(w)));
+                    left.into_iter().for_each(|w| self.tell(now, Input::ClientLeft(w)));
                 }
             },
             Happened::Signal(SIGHUP) => self.want(now, REREAD_NOW),
@@ -482,7 +482,7 @@
                 self.gossip.iter_mut().for_each(|gossip| gossip.data(&mut self.io, now));
                 let news = self.gossip.as_mut().map(Gossip::take_news).unwrap_or_default();
                 for (worker, function, copies) in news {
-                    self.tell(now, Input::Stands(worker, function, copies));
+                    self.tell(now, Input::CopiesReported(worker, function, copies));
                 }
                 self.with_peers(now, |transport, io, events| transport.data(io, now, events));
                 self.drains(now);
@@ -500,10 +500,10 @@
             self.reread = Some((now, REREAD.1));
         }
         if what & STOP > 0 && self.term.is_none() {
-            info!(name = self.name, in_hand = self.engine.in_hand(), "stopping");
+            info!(name = self.name, in_hand = self.engine.calls_in_flight(), "stopping");
             self.term = Some(now);
             self.front.leave();
-            self.tell(now, Input::EndBy(now + self.closing));
+            self.tell(now, Input::ExitAt(now + self.closing));
             self.with_peers(now, |transport, io, events| transport.leave(io, now, events));
             self.recorder.stopping(now);
         }
@@ -523,13 +523,13 @@
         self.gossip.iter_mut().for_each(|gossip| gossip.wake(&mut self.io, now));
         loop {
             let mut outputs = std::mem::take(&mut self.outputs);
-            self.engine.answer_due(now, &mut outputs);
+            self.engine.answer_expired(now, &mut outputs);
             self.carry_out(now, outputs);
             let mut done = Vec::new();
             self.links.wake(&mut self.io, now, &mut done);
             self.done(now, done);
             let left = self.front.wake(&mut self.io, now);
-            left.into_iter().for_each(|w| self.tell(now, Input::Left(w)));
+            left.into_iter().for_each(|w| self.tell(now, Input::ClientLeft(w)));
             if self.follower.next_due().is_some_and(|due| due <= now) {
                 self.follow(now, |follower, out| follower.wake(now, out));
             }
@@ -546,7 +546,7 @@
             self.carry_out(now, outputs);
             now = monotonic();
             let next = self.engine.next_due(now).into_iter().chain(self.links.next_due()).min();
-            if next.is_none_or(|due| due > now) || !self.pace.goes_on(since, now) {
+            if next.is_none_or(|due| due > now) || !self.pace.may_continue_due(since, now) {
                 return;
             }
         }
@@ -573,12 +573,12 @@
         match done {
             Done::Attempt(id, end) => {
                 self.recorder.ended(now, id, &end);
-                Input::Ended(id, end)
+                Input::AttemptEnded(id, end)
             }
-            Done::Order(id, code, count) => Input::Ordered(id, code, count),
+            Done::Order(id, code, count) => Input::OrderAnswered(id, code, count),
             Done::Probe(id, code, report) => {
                 self.discovery_log.answered(id, code);
-                Input::Probed(id, code, report)
+                Input::ProbeAnswered(id, code, report)
             }
         }
     }
@@ -586,7 +586,7 @@
     fn note_written(&mut self, now: Micros) {
         for written in self.links.written.drain(..) {
             if let WrittenJob::Attempt(id, _) = written.what {
-                self.engine.written(id);
+                self.engine.mark_written(id);
             }
             self.recorder.written(now, &mut self.io, &written);
         }
@@ -603,7 +603,7 @@
             let news = self.gossip.as_mut().map(Gossip::take_news).unwrap_or_default();
             for (worker, function, copies) in news {
                 let mut more = std::mem::take(&mut self.outputs);
-                self.engine.handle(now, Input::Stands(worker, function, copies), &mut more);
+                self.engine.handle(now, Input::CopiesReported(worker, function, copies), &mut more);
                 queue.extend(more.drain(..));
                 self.outputs = more;
             }
@@ -681,12 +681,12 @@
                 links.abort_order(io, now, order);
                 None
             }
-            Output::Drop(worker, function) => {
+            Output::Release(worker, function) => {
                 let shared = gossip.as_ref().is_some_and(|h| h.is_shared(now, &worker, &function));
                 if shared { None } else { links.start(io, now, &worker, Job::Release(function)) }
             }
             // The bulletin tells every change by itself.
-            Output::Watch => None,
+            Output::RequestWorkerList => None,
         }
     }
 
--- a/crates/play/src/day.rs
+++ b/crates/play/src/day.rs
@@ -111,12 +111,12 @@
         let mut running = true;
         loop {
             let now = monotonic() - start;
-            while let Some((_, later)) = self.later.due(now) {
+            while let Some((_, later)) = self.later.pop_due(now) {
                 if let Err(error) = self.act(now, later) {
                     self.failed.get_or_insert(error);
                 }
             }
-            let wait = self.later.next().map(|at| Duration::from_micros(at.saturating_sub(now)));
+            let wait = self.later.next_due().map(|at| Duration::from_micros(at.saturating_sub(now)));
             match (running, wait) {
                 (true, Some(wait)) => running = clients.recv_timeout(wait) == Err(RecvTimeoutError::Timeout),
                 (true, None) => {
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -169,7 +169,7 @@
         self.plans = plans;
         let mut happened = Vec::new();
         while self.open > 0 {
-            self.io.turn(self.due.next().map(|d| d.saturating_sub(monotonic())), &mut happened)?;
+            self.io.turn(self.due.next_due().map(|d| d.saturating_sub(monotonic())), &mut happened)?;
             let now = monotonic();
             for happened in happened.drain(..) {
                 match happened {
@@ -179,7 +179,7 @@
                     _ => {}
                 }
             }
-            while let Some((_, due)) = self.due.due(now) {
+            while let Some((_, due)) = self.due.pop_due(now) {
                 match due {
                     Due::Try(plan) => self.try_once(now, plan)?,
                     Due::Leave(trial) => self.leave(now, trial),
--- a/crates/standins/src/model.rs
+++ b/crates/standins/src/model.rs
@@ -190,7 +190,7 @@
     }
 
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.next()
+        self.due.next_due()
     }
 
     /// Work done in a microsecond when warm.
@@ -424,7 +424,7 @@
 
     /// Does what is due by `now`.
     pub fn wake(&mut self, now: Micros, (store, keys): (&mut Store, &mut Keys), out: &mut Vec<Reply>) {
-        while let Some((_, due)) = self.due.due(now) {
+        while let Some((_, due)) = self.due.pop_due(now) {
             match due {
                 Due::Call(token) => self.finish(now, keys, token, out),
                 Due::Fetched(number) => {
--- a/crates/timers/src/lib.rs
+++ b/crates/timers/src/lib.rs
@@ -95,7 +95,7 @@
 
     /// When to look again: the earliest time set, or the beginning of its slot, which is at most a
     /// millisecond before.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_due(&self) -> Option<Micros> {
         match self.near.peek() {
             Some(Reverse((at, ..))) => Some(*at),
             None => self.first_slot().map(|slot| slot << WIDTH),
@@ -103,7 +103,7 @@
     }
 
     /// Takes the earliest that is due by `now`, with the time for which it was set.
-    pub fn due(&mut self, now: Micros) -> Option<(Micros, T)> {
+    pub fn pop_due(&mut self, now: Micros) -> Option<(Micros, T)> {
         self.advance(now);
         if self.near.peek().is_none_or(|Reverse((at, ..))| *at > now) {
             return None;
@@ -170,11 +170,14 @@
                 list.sort_unstable();
                 let due = list.iter().take_while(|(at, _)| *at <= now).count();
                 let expected: Vec<_> = list.drain(..due).collect();
-                let given: Vec<_> = std::iter::from_fn(|| timers.due(now)).collect();
+                let given: Vec<_> = std::iter::from_fn(|| timers.pop_due(now)).collect();
                 assert_eq!(given, expected, "step {step}");
                 let next = list.first().map(|(at, _)| *at);
-                assert!(timers.next() <= next && timers.next().is_some() == next.is_some(), "step {step}");
-                assert!(timers.next().zip(next).is_none_or(|(told, next)| next - told < 1 << WIDTH));
+                assert!(
+                    timers.next_due() <= next && timers.next_due().is_some() == next.is_some(),
+                    "step {step}"
+                );
+                assert!(timers.next_due().zip(next).is_none_or(|(told, next)| next - told < 1 << WIDTH));
             }
             assert_eq!(timers.len(), list.len());
         }
@@ -186,7 +189,7 @@
         for turn in 1..=3u64 {
             let begin = turn << (WIDTH + 12);
             (0..SLOTS * 16).for_each(|nth| timers.set(begin + ((nth / 16) << WIDTH), nth));
-            while timers.due(begin + (SLOTS << WIDTH)).is_some() {}
+            while timers.pop_due(begin + (SLOTS << WIDTH)).is_some() {}
         }
         assert!(timers.is_empty());
         let room: usize = timers.slots.iter().map(Vec::capacity).sum();
--- a/crates/trial/src/relaying.rs
+++ b/crates/trial/src/relaying.rs
@@ -70,14 +70,14 @@
         let mut happened = Vec::new();
         loop {
             let now = monotonic();
-            let wait = self.due.next().map_or(1_000_000, |at| at.saturating_sub(now));
+            let wait = self.due.next_due().map_or(1_000_000, |at| at.saturating_sub(now));
             self.io.turn(Some(wait), &mut happened)?;
             for happened in happened.drain(..) {
                 self.take(happened);
             }
             self.io.forget_ended();
             let now = monotonic();
-            while let Some((_, due)) = self.due.due(now) {
+            while let Some((_, due)) = self.due.pop_due(now) {
                 match due {
                     Due::Datagram(id) => self.deliver_datagram(id),
                     Due::Lane(conn) => {
