--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,5 +1,5 @@
 use crate::arrivals::{Arrival, Arrivals};
-use crate::hand::{Call, Order, Sent, Try, Waiter};
+use crate::in_flight::{Call, Order, Sent, Try, Waiter};
 use crate::repeats::{CallEnd, Repeats, Verdict};
 use crate::{
     Answer, AnswerOrigin, AttemptEnd, AttemptId, CallId, EngineSettings, Failure, Function, Input, Margin,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -8,9 +8,9 @@
 
 mod arrivals;
 mod engine;
-mod hand;
+mod handoff;
+mod in_flight;
 mod margin;
-mod owner;
 
 mod pace;
 mod repeats;
@@ -20,7 +20,7 @@
 pub use engine::Engine;
 pub use margin::{Margin, MarginSettings};
 
-pub use owner::{Claim, Handoffs, SeenEvents, UntakenAnswer};
+pub use handoff::{Claim, Handoffs, SeenEvents, UntakenAnswer};
 pub use pace::{Lag, LoopPacer, TurnReport};
 pub use repeats::{CallEnd, Identity, RepeatLimits, Repeats, Verdict};
 pub use settings::{EngineSettings, Function};
