--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -1,35 +1,38 @@
-//! Calls that have come and of which the controller has not been told yet. Taking a call costs the same
-//! whatever the fleet does, telling the controller of it may not: a loop that falls behind keeps taking calls,
-//! so that each one's time is watched, and tells at once those that it would come to too late.
+//! Queue of calls that have arrived and have not been passed to the controller yet.
+//!
+//! Accepting a call has a constant cost, but passing it to the controller may cost more, depending on the
+//! state of the fleet. A loop that falls behind therefore keeps accepting calls, so that the deadline of each
+//! one is watched, and refuses at once those that it would begin too late.
 
 use crate::CallId;
 use basaltward::Micros;
 use std::collections::VecDeque;
 
-/// A call that waits to be begun.
+/// A call that waits to be passed to the controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
     pub call: CallId,
-    /// When it came.
-    pub came: Micros,
-    /// Begun later, it would be served past its aim at best.
+    /// When the call arrived.
+    pub arrived_at: Micros,
+    /// Latest useful start: a call that begins later can't be served within its aim.
     pub aim: Micros,
-    /// What the engine has of its client's time.
-    pub by: Micros,
-    /// An earlier run of the event may be repeated until then.
+    /// Latest time for the answer: the client's deadline less the time that the answer needs to reach it.
+    pub answer_by: Micros,
+    /// End of the window in which an earlier run of the event may be repeated; [`Micros::MAX`] if there was
+    /// no earlier run.
     pub until: Micros,
 }
 
-/// Each new begin moves the usual gap between two by this share.
-const EASE: f64 = 0.1;
+/// Weight of the newest sample in the moving average of the time between two calls begun.
+const GAP_SMOOTHING: f64 = 0.1;
 
-/// The queue, and how fast it goes.
+/// The queue and the rate at which it is processed.
 #[derive(Debug, Default)]
 pub struct Arrivals {
     queue: VecDeque<Arrival>,
-    /// Usual time between two begins while calls wait.
-    gap: f64,
-    begun: Micros,
+    /// Moving average of the time between two calls begun while calls wait, in microseconds.
+    mean_gap: f64,
+    last_begin: Micros,
 }
 
 impl Arrivals {
@@ -37,29 +40,29 @@
         self.queue.push_back(arrival);
     }
 
-    /// When the call that has waited longest came.
-    pub fn oldest(&self) -> Option<Micros> {
-        self.queue.front().map(|a| a.came)
+    /// Arrival time of the call that has waited longest.
+    pub fn oldest_arrival(&self) -> Option<Micros> {
+        self.queue.front().map(|a| a.arrived_at)
     }
 
-    /// The calls that wait, those that have waited longest first.
+    /// The waiting calls, oldest first.
     pub fn calls(&self) -> impl Iterator<Item = CallId> {
         self.queue.iter().map(|a| a.call)
     }
 
-    /// Takes the call that has waited longest, to be begun now.
+    /// Removes the call that has waited longest. The caller begins it at `now`.
     pub fn pop(&mut self, now: Micros) -> Option<Arrival> {
         let arrival = self.queue.pop_front()?;
-        // The loop was free of calls until this one came, or has worked on others since.
-        let gap = now.saturating_sub(self.begun.max(arrival.came)) as f64;
-        self.gap += EASE * (gap - self.gap);
-        self.begun = now;
+        // Counts from this call's arrival if the queue was empty until then.
+        let gap = now.saturating_sub(self.last_begin.max(arrival.arrived_at)) as f64;
+        self.mean_gap += GAP_SMOOTHING * (gap - self.mean_gap);
+        self.last_begin = now;
         Some(arrival)
     }
 
-    /// How long a call that comes now is likely to wait.
-    pub fn wait(&self) -> Micros {
-        (self.gap * self.queue.len() as f64) as Micros
+    /// How long a call that arrives now is expected to wait, in microseconds.
+    pub fn expected_wait(&self) -> Micros {
+        (self.mean_gap * self.queue.len() as f64) as Micros
     }
 }
 
@@ -68,18 +71,18 @@
     use super::*;
 
     #[test]
-    fn the_wait_follows_the_pace_at_which_calls_are_begun() {
+    fn the_expected_wait_follows_the_rate_at_which_calls_begin() {
         let mut arrivals = Arrivals::default();
-        let arrival = |n| Arrival { call: CallId(n), came: 1_000, aim: 0, by: 0, until: 0 };
+        let arrival = |n| Arrival { call: CallId(n), arrived_at: 1_000, aim: 0, answer_by: 0, until: 0 };
         (0..200).for_each(|n| arrivals.push(arrival(n)));
-        assert_eq!((arrivals.wait(), arrivals.oldest()), (0, Some(1_000)));
+        assert_eq!((arrivals.expected_wait(), arrivals.oldest_arrival()), (0, Some(1_000)));
         assert!((1..=100).all(|n| arrivals.pop(1_000 + n * 2_000).is_some()));
-        assert!((199_000..=200_000).contains(&arrivals.wait()), "{}", arrivals.wait());
-        // Quiet in between says nothing of the pace.
+        assert!((199_000..=200_000).contains(&arrivals.expected_wait()), "{}", arrivals.expected_wait());
+        // An idle period in between doesn't count.
         while arrivals.pop(201_000).is_some() {}
-        arrivals.push(Arrival { came: 9_000_000, ..arrival(1) });
+        arrivals.push(Arrival { arrived_at: 9_000_000, ..arrival(1) });
         arrivals.pop(9_000_100);
         (0..10).for_each(|n| arrivals.push(arrival(n)));
-        assert!(arrivals.wait() < 2_000, "{}", arrivals.wait());
+        assert!(arrivals.expected_wait() < 2_000, "{}", arrivals.expected_wait());
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -136,7 +136,7 @@
 
     /// When the call came that has waited longest to be begun, see [`Engine::begin_next`].
     pub fn oldest_arrival(&self) -> Option<Micros> {
-        self.arrivals.oldest()
+        self.arrivals.oldest_arrival()
     }
 
     /// Who waits for the call that [`Engine::begin_next`] would begin, past those whose clients have left.
@@ -152,10 +152,10 @@
             if !self.calls.contains_key(&arrival.call) {
                 continue;
             }
-            let by = self.answer_by(now, arrival.by);
+            let by = self.answer_by(now, arrival.answer_by);
             let by = by.saturating_sub(self.margin.lateness(now)).min(arrival.until);
             if now >= arrival.aim.min(by) {
-                let wait = self.arrivals.wait();
+                let wait = self.arrivals.expected_wait();
                 if let Some(call) = self.withdraw(now, arrival.call) {
                     let answer = match call.earlier {
                         true => Answer::Failed(Failure::MayHaveRun),
@@ -286,8 +286,8 @@
             _ if self.calls.len() >= self.settings.max_in_flight => {
                 return out.push(direct(refused(Refusal::TooManyInFlight)));
             }
-            _ if now + self.arrivals.wait() > aim => {
-                return out.push(direct(self.behind(self.arrivals.wait())));
+            _ if now + self.arrivals.expected_wait() > aim => {
+                return out.push(direct(self.behind(self.arrivals.expected_wait())));
             }
             Verdict::RunUntil(until) => until,
             Verdict::Run => Micros::MAX,
@@ -301,7 +301,7 @@
         let (function, payload) = (told.function, told.payload);
         let call = Call { identity, function, payload, waiters, current, attempts: 0, worker: None, earlier };
         self.calls.insert(id, call);
-        self.arrivals.push(Arrival { call: id, came: now, aim, by, until });
+        self.arrivals.push(Arrival { call: id, arrived_at: now, aim, answer_by: by, until });
         self.wait(told.waiter, id, by, AnswerOrigin::First);
     }
 
--- a/crates/engine/src/margin.rs
+++ b/crates/engine/src/margin.rs
@@ -1,22 +1,24 @@
-//! How much of a client's patience is kept back for the way of the answer.
+//! Margin between the time at which a call is answered at the latest and its client's deadline.
 
 use basaltward::Micros;
 
-/// Evidence of a late loop fades to 1/e in this time: machines that stop a process for some ten milliseconds
-/// do so again within a minute, and a margin kept too long costs little.
-const FORGET_US: f64 = 30_000_000.0;
-/// But what goes beyond this is one mishap, which fades to 1/e in the second: kept as long, a loop that once
-/// stood still for a second would for half a minute turn away all who wait no longer.
-const MISHAP_US: (f64, f64) = (50_000.0, 500_000.0);
+/// Observed lateness decays to 1/e in this time: machines that suspend a process for some ten milliseconds do
+/// so again within a minute, and keeping a margin too long costs little.
+const LATENESS_DECAY_US: f64 = 30_000_000.0;
+/// The part of an observed lateness beyond this is treated as a single spike, which decays faster.
+const SPIKE_THRESHOLD_US: f64 = 50_000.0;
+/// A spike decays to 1/e in this time. With the slow decay, a loop that was once suspended for a second would
+/// for half a minute refuse all calls with less than a second of patience.
+const SPIKE_DECAY_US: f64 = 500_000.0;
 
-/// Bounds on the margin.
+/// Bounds of the allowance for the path of an answer, see [`Margin::answer_allowance`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MarginSettings {
-    /// Part of the patience kept back.
+    /// Share of the client's patience to reserve, from 0 to 1.
     pub share: f64,
-    /// But at least this.
+    /// Least allowance.
     pub min: Micros,
-    /// And, before the loop's own lateness is added, at most this.
+    /// Largest allowance, before the loop's own lateness is added.
     pub max: Micros,
 }
 
@@ -28,40 +30,42 @@
 
 /// The margin between the time at which a call is answered at the latest and the client's deadline.
 ///
-/// A client counts from before it sent until it has read the answer, so what stands between must be kept
-/// back: a share of the patience for the way there and back (who allows little stands near), and the worst
-/// lateness with which this loop lately woke for its timers, for the answer at the deadline is such a timer.
-/// A margin too large turns calls away that could be served; one too small breaks the promise of an answer.
+/// A client measures from before it sends the request until it has read the answer, so time has to be
+/// reserved for what lies between: a share of the patience for the network path both ways (clients with
+/// little patience are usually near), and the worst recent lateness of this loop's timers, because the answer
+/// at the deadline is sent by such a timer. A margin that is too large refuses calls that could be served; one
+/// that is too small lets a client's deadline pass without an answer.
 #[derive(Clone, Debug)]
 pub struct Margin {
     settings: MarginSettings,
-    late: f64,
-    at: Micros,
+    /// Largest lateness that still counts, and when it was observed.
+    peak: f64,
+    peak_at: Micros,
 }
 
 impl Margin {
-    /// A margin that has seen no lateness.
+    /// Creates a margin without any observed lateness.
     pub fn new(settings: MarginSettings) -> Self {
-        Self { settings, late: 0.0, at: 0 }
+        Self { settings, peak: 0.0, peak_at: 0 }
     }
 
-    /// What the loop's own lateness asks for now, on top of [`Margin::way`]: also of calls that came while
-    /// it was less.
+    /// Time to reserve at `now` for the loop's own lateness, in addition to [`Margin::answer_allowance`]. It
+    /// also applies to calls that arrived while the lateness was smaller.
     pub fn lateness(&self, now: Micros) -> Micros {
-        let (age, usual) = (now.saturating_sub(self.at) as f64, self.late.min(MISHAP_US.0));
-        let beyond = (self.late - usual) * (-age / MISHAP_US.1).exp();
-        (usual * (-age / FORGET_US).exp() + beyond) as Micros
+        let (age, base) = (now.saturating_sub(self.peak_at) as f64, self.peak.min(SPIKE_THRESHOLD_US));
+        let spike = (self.peak - base) * (-age / SPIKE_DECAY_US).exp();
+        (base * (-age / LATENESS_DECAY_US).exp() + spike) as Micros
     }
 
-    /// Takes note that what was due or had come at `due` was handled at `now`.
+    /// Records that something that was due or had arrived at `due` was handled at `now`.
     pub fn record(&mut self, now: Micros, due: Micros) {
         let late = now.saturating_sub(due);
         if late > self.lateness(now) {
-            (self.late, self.at) = (late as f64, now);
+            (self.peak, self.peak_at) = (late as f64, now);
         }
     }
 
-    /// What is to be kept back of this patience for the answer's way.
+    /// Time to reserve for the network path of the answer, for a client with this patience.
     pub fn answer_allowance(&self, patience: Micros) -> Micros {
         let share = (patience as f64 * self.settings.share) as Micros;
         share.clamp(self.settings.min, self.settings.max.max(self.settings.min))
@@ -73,10 +77,10 @@
     use super::*;
 
     #[test]
-    fn a_loop_that_woke_late_keeps_more_back_until_it_is_forgotten() {
+    fn observed_lateness_widens_the_margin_and_decays() {
         let mut margin = Margin::new(MarginSettings { share: 0.02, min: 2_000, max: 25_000 });
         let table = [(3_000, 2_000), (500_000, 10_000), (60_000_000, 25_000)];
-        assert!(table.iter().all(|(patience, kept)| margin.answer_allowance(*patience) == *kept));
+        assert!(table.iter().all(|(patience, reserved)| margin.answer_allowance(*patience) == *reserved));
         assert_eq!(margin.lateness(0), 0);
         margin.record(1_000_000, 960_000);
         margin.record(1_000_100, 1_000_050);
--- a/crates/engine/src/pace.rs
+++ b/crates/engine/src/pace.rs
@@ -1,114 +1,120 @@
-//! How a loop divides a turn: what is due and what has ended before what is new, and new work for a bounded
-//! time only, so that an answer never waits for a crowd of new calls.
+//! How a loop divides its time within a turn: due timers and ended attempts come before new work, and new work
+//! gets a bounded time only, so that an answer never waits behind a burst of new calls.
 
 use basaltward::Micros;
 
-/// New work of one turn ends after this; at least one call is begun. So does taking what has come, which is
-/// to be done even by a loop that has fallen behind with what it leads to.
-const NEW_US: Micros = 1_000;
-/// What is due ends after this in one turn, but for answers: what comes meanwhile is to be seen.
+/// Time per turn for beginning calls; at least one call begins. The same limit applies to reading requests,
+/// which even a loop that is behind with beginning calls has to go on with.
+const NEW_WORK_US: Micros = 1_000;
+/// Time per turn for due timers, except answers, so that input that arrives meanwhile is handled in time.
 const DUE_US: Micros = 2_000;
-/// Between two looks at what is due.
-const LOOK_US: Micros = 500;
-/// New connections wait while the oldest request read has waited this long, until it is under the second.
-const ACCEPT_US: (Micros, Micros) = (50_000, 10_000);
-/// How often the worst lag is told.
-const TELL_US: Micros = 1_000_000;
-/// A lag below this is not worth telling.
-const LAG_US: Micros = 5_000;
-/// Time off the processor in one turn below this is the usual sharing of a machine.
-const STALL_US: Micros = 3_000;
-
-/// The worst that a loop saw in about a second.
+/// Time between two checks for due timers within a turn.
+const DUE_CHECK_US: Micros = 500;
+/// Accepting new connections stops once the oldest request that was read has waited this long.
+const ACCEPT_STOP_US: Micros = 50_000;
+/// Accepting resumes once the oldest request has waited less than this.
+const ACCEPT_RESUME_US: Micros = 10_000;
+/// Time between two reports of the worst lag.
+const REPORT_INTERVAL_US: Micros = 1_000_000;
+/// A lag below this is not reported.
+const MIN_LAG_US: Micros = 5_000;
+/// Less time off the processor than this within one turn is normal on a shared machine and is not counted.
+const MIN_STALL_US: Micros = 3_000;
+
+/// The worst delays of a loop within about a second, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lag {
-    /// Longest turn: what came just after its beginning waited so long.
+    /// Longest turn, which is how long input that arrived just after its beginning has waited.
     pub longest_turn: Micros,
-    /// Longest that a request that was read waited to be looked at.
+    /// Longest time that a request waited until it was read or begun.
     pub longest_wait: Micros,
-    /// Time in which the loop had work but no processor, turns of 3 ms and more of it counted: the machine,
-    /// or others on it, had stopped it.
+    /// Total time in which the loop had work but no processor, because of the machine or of other processes
+    /// on it. Only turns with 3 ms or more of it count.
     pub stalled: Micros,
 }
 
-/// What a turn came to.
+/// Measurements of one turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TurnReport {
-    /// When it began, or was to begin.
+    /// When the turn began, or should have begun if the loop was woken late.
     pub began: Micros,
-    /// The machine had stopped the loop for so long within it.
+    /// Time off the processor within the turn, if it was 3 ms or more.
     pub stalled: Option<Micros>,
-    /// What is worth telling of the last second, once a second.
+    /// The worst delays since the last report; set once a second at most, and only for a lag of 5 ms or more.
     pub lag: Option<Lag>,
 }
 
-/// The pace of one loop. Times are the caller's clock.
+/// Decides what one loop may still do within a turn, and measures its delays. All times are on the caller's
+/// clock, in microseconds.
 #[derive(Clone, Debug, Default)]
 pub struct LoopPacer {
     began: Micros,
-    looked: Micros,
-    new: Option<Micros>,
-    read: Option<Micros>,
-    held: bool,
+    last_due_check: Micros,
+    /// When the first call of this turn began.
+    first_begin: Option<Micros>,
+    /// When the first request of this turn was read.
+    first_read: Option<Micros>,
+    accept_paused: bool,
     worst: Lag,
-    told: Micros,
-    /// Processor time at the last turn's end.
-    spent: Option<Micros>,
+    last_report: Micros,
+    /// Processor time at the end of the last turn.
+    cpu_time: Option<Micros>,
 }
 
 impl LoopPacer {
-    /// A turn begins at `now`: the loop was waiting since `since`, and wanted to wait until `due` at most. It
-    /// counts as begun when it was due, for it may have been woken late.
+    /// Begins a turn at `now`. The loop has been waiting since `since` and was to wait until `due` at most; a
+    /// later wake-up counts as part of the turn.
     pub fn begin_turn(&mut self, since: Micros, due: Micros, now: Micros) {
         let began = now.min(due.max(since));
-        (self.began, self.looked, self.new, self.read) = (began, now, None, None);
+        (self.began, self.last_due_check, self.first_begin, self.first_read) = (began, now, None, None);
     }
 
-    /// Whether more of what is due may be done, which was begun at `since`.
+    /// Whether more due timers may be handled, if handling them began at `since`.
     pub fn may_continue_due(&self, since: Micros, now: Micros) -> bool {
         now < since + DUE_US
     }
 
-    /// Whether one more request may be read in this turn; its bytes have waited since they `came`.
-    pub fn may_read(&mut self, now: Micros, came: Micros) -> bool {
-        self.worst.longest_wait = self.worst.longest_wait.max(now.saturating_sub(came));
-        let first = *self.read.get_or_insert(now);
-        first == now || now < first + NEW_US
+    /// Whether one more request may be read in this turn. Its bytes have waited since `arrived_at`.
+    pub fn may_read(&mut self, now: Micros, arrived_at: Micros) -> bool {
+        self.worst.longest_wait = self.worst.longest_wait.max(now.saturating_sub(arrived_at));
+        let first = *self.first_read.get_or_insert(now);
+        first == now || now < first + NEW_WORK_US
     }
 
-    /// Whether it is time to look at what is due, in the middle of a turn.
+    /// Whether to check for due timers now, in the middle of a turn. Resets the interval if so.
     pub fn should_check_due(&mut self, now: Micros) -> bool {
-        let looks = now >= self.looked + LOOK_US;
-        self.looked = if looks { now } else { self.looked };
-        looks
+        let check = now >= self.last_due_check + DUE_CHECK_US;
+        self.last_due_check = if check { now } else { self.last_due_check };
+        check
     }
 
-    /// Whether one more request may be taken in this turn; it has waited since it `came`.
-    pub fn may_begin(&mut self, now: Micros, came: Micros) -> bool {
-        self.worst.longest_wait = self.worst.longest_wait.max(now.saturating_sub(came));
-        let first = *self.new.get_or_insert(now);
-        first == now || now < first + NEW_US
+    /// Whether one more call may begin in this turn. It has waited since `arrived_at`.
+    pub fn may_begin(&mut self, now: Micros, arrived_at: Micros) -> bool {
+        self.worst.longest_wait = self.worst.longest_wait.max(now.saturating_sub(arrived_at));
+        let first = *self.first_begin.get_or_insert(now);
+        first == now || now < first + NEW_WORK_US
     }
 
-    /// Whether new connections are to be accepted, the oldest request read having waited for so long.
+    /// Whether to accept new connections, where the oldest request that was read has waited for `waited`.
+    /// Stops at 50 ms and resumes below 10 ms.
     pub fn should_accept(&mut self, waited: Micros) -> bool {
-        self.held = waited >= if self.held { ACCEPT_US.1 } else { ACCEPT_US.0 };
-        !self.held
+        self.accept_paused = waited >= if self.accept_paused { ACCEPT_RESUME_US } else { ACCEPT_STOP_US };
+        !self.accept_paused
     }
 
-    /// A turn ends; `spent` is the processor time of this loop so far.
-    pub fn end_turn(&mut self, now: Micros, spent: Micros) -> TurnReport {
+    /// Ends a turn. `cpu_time` is the processor time that this loop has used since its start.
+    pub fn end_turn(&mut self, now: Micros, cpu_time: Micros) -> TurnReport {
         let (began, took) = (self.began, now.saturating_sub(self.began));
-        let worked = self.spent.replace(spent).map_or(took, |before| spent.saturating_sub(before));
-        let stalled = Some(took.saturating_sub(worked)).filter(|off| *off >= STALL_US);
+        let worked = self.cpu_time.replace(cpu_time).map_or(took, |before| cpu_time.saturating_sub(before));
+        let stalled = Some(took.saturating_sub(worked)).filter(|off| *off >= MIN_STALL_US);
         self.worst.stalled += stalled.unwrap_or(0);
         self.worst.longest_turn = self.worst.longest_turn.max(took);
-        if now < self.told + TELL_US {
+        if now < self.last_report + REPORT_INTERVAL_US {
             return TurnReport { began, stalled, lag: None };
         }
-        self.told = now;
-        let lag =
-            Some(std::mem::take(&mut self.worst)).filter(|w| w.longest_turn.max(w.longest_wait) >= LAG_US);
+        self.last_report = now;
+        let lag = Some(std::mem::take(&mut self.worst))
+            .filter(|w| w.longest_turn.max(w.longest_wait) >= MIN_LAG_US);
         TurnReport { began, stalled, lag }
     }
 }
@@ -118,48 +124,50 @@
     use super::*;
 
     #[test]
-    fn new_work_ends_after_its_part_of_a_turn_but_one_call_always_begins() {
-        let mut pace = LoopPacer::default();
-        pace.begin_turn(0, 10_000, 10_000);
-        assert!(pace.may_begin(14_000, 0) && pace.may_begin(14_999, 0) && !pace.may_begin(15_000, 0));
-        pace.begin_turn(20_000, 20_000, 20_000);
-        assert!(pace.may_begin(29_000, 0));
-        assert!(pace.may_read(30_500, 0) && pace.may_read(31_499, 0) && !pace.may_read(31_500, 0));
-        assert!(pace.may_continue_due(31_500, 33_499) && !pace.may_continue_due(31_500, 33_500));
+    fn new_work_is_bounded_per_turn_but_one_call_always_begins() {
+        let mut pacer = LoopPacer::default();
+        pacer.begin_turn(0, 10_000, 10_000);
+        assert!(pacer.may_begin(14_000, 0) && pacer.may_begin(14_999, 0) && !pacer.may_begin(15_000, 0));
+        pacer.begin_turn(20_000, 20_000, 20_000);
+        assert!(pacer.may_begin(29_000, 0));
+        assert!(pacer.may_read(30_500, 0) && pacer.may_read(31_499, 0) && !pacer.may_read(31_500, 0));
+        assert!(pacer.may_continue_due(31_500, 33_499) && !pacer.may_continue_due(31_500, 33_500));
         assert!(
-            !pace.should_check_due(20_499) && pace.should_check_due(20_500) && !pace.should_check_due(20_501)
+            !pacer.should_check_due(20_499)
+                && pacer.should_check_due(20_500)
+                && !pacer.should_check_due(20_501)
         );
     }
 
     #[test]
-    fn accepting_stops_at_one_wait_and_goes_on_at_a_smaller_one() {
-        let mut pace = LoopPacer::default();
-        let told: Vec<_> = [49_999, 50_000, 20_000, 9_999, 20_000].map(|w| pace.should_accept(w)).into();
-        assert_eq!(told, [true, false, false, true, true]);
+    fn accepting_stops_at_a_long_wait_and_resumes_at_a_short_one() {
+        let mut pacer = LoopPacer::default();
+        let accepted: Vec<_> = [49_999, 50_000, 20_000, 9_999, 20_000].map(|w| pacer.should_accept(w)).into();
+        assert_eq!(accepted, [true, false, false, true, true]);
     }
 
     #[test]
-    fn the_worst_of_a_second_is_told_once_with_the_time_off_the_processor() {
-        let mut pace = LoopPacer::default();
+    fn the_worst_lag_of_a_second_is_reported_once_with_the_time_off_the_processor() {
+        let mut pacer = LoopPacer::default();
         let quiet = |began| TurnReport { began, stalled: None, lag: None };
-        pace.begin_turn(0, 1_000_000, 1_000_000);
-        assert_eq!(pace.end_turn(1_000_000, 700), quiet(1_000_000));
-        // Thirty milliseconds, of which it worked for ten.
-        pace.begin_turn(1_000_000, 1_400_000, 1_400_000);
-        assert!(pace.may_begin(1_400_000, 1_390_000));
+        pacer.begin_turn(0, 1_000_000, 1_000_000);
+        assert_eq!(pacer.end_turn(1_000_000, 700), quiet(1_000_000));
+        // A turn of 30 ms with 10 ms of processor time.
+        pacer.begin_turn(1_000_000, 1_400_000, 1_400_000);
+        assert!(pacer.may_begin(1_400_000, 1_390_000));
         assert_eq!(
-            pace.end_turn(1_430_000, 10_700),
+            pacer.end_turn(1_430_000, 10_700),
             TurnReport { stalled: Some(20_000), ..quiet(1_400_000) }
         );
-        pace.begin_turn(1_430_000, 3_000_000, 2_000_000);
+        pacer.begin_turn(1_430_000, 3_000_000, 2_000_000);
         let lag = Lag { longest_turn: 30_000, longest_wait: 10_000, stalled: 20_000 };
-        assert_eq!(pace.end_turn(2_000_000, 10_700), TurnReport { lag: Some(lag), ..quiet(2_000_000) });
-        pace.begin_turn(2_000_000, 3_000_000, 3_000_000);
-        assert_eq!(pace.end_turn(3_000_001, 10_700), quiet(3_000_000));
-        // Woken 40 ms after the time it asked for.
-        pace.begin_turn(3_000_001, 3_960_000, 4_000_000);
+        assert_eq!(pacer.end_turn(2_000_000, 10_700), TurnReport { lag: Some(lag), ..quiet(2_000_000) });
+        pacer.begin_turn(2_000_000, 3_000_000, 3_000_000);
+        assert_eq!(pacer.end_turn(3_000_001, 10_700), quiet(3_000_000));
+        // Woken 40 ms after the requested time.
+        pacer.begin_turn(3_000_001, 3_960_000, 4_000_000);
         let lag = Lag { longest_turn: 41_000, longest_wait: 0, stalled: 40_500 };
-        let told = TurnReport { began: 3_960_000, stalled: Some(40_500), lag: Some(lag) };
-        assert_eq!(pace.end_turn(4_001_000, 11_200), told);
+        let expected = TurnReport { began: 3_960_000, stalled: Some(40_500), lag: Some(lag) };
+        assert_eq!(pacer.end_turn(4_001_000, 11_200), expected);
     }
 }
