--- a/crates/engine/src/repeats.rs
+++ b/crates/engine/src/repeats.rs
@@ -1,28 +1,29 @@
-//! What a repeated event gets: the call in hand, the recorded answer, a new try, or neither.
+//! Detection of repeated events: a repeat joins the call in flight, gets the recorded answer, starts a new
+//! run, or is refused or failed.
 //!
-//! An event is named by tenant, function, `source` and `id`. What is remembered of one that has ended depends
-//! on its class:
+//! An event is identified by tenant, function, `source` and `id`. What is recorded of an event that has ended
+//! depends on its class:
 //!
-//! | ended | safe | keyed | unsafe |
+//! | end of the call | safe | keyed | unsafe |
 //! | --- | --- | --- | --- |
-//! | served | its answer | its answer, guarded | its answer, guarded |
-//! | may have run | nothing | a new try within group `all` and the window, else failed | failed |
+//! | served | the answer | the answer, guarded | the answer, guarded |
+//! | may have run | nothing | guarded; a repeat runs with group `all` within the window, else fails | guarded; a repeat fails |
 //! | never ran | nothing | nothing | nothing |
 //!
-//! A guarded record is never pushed out by others: forgetting it could run an effect twice. Each tenant has a
-//! number of its own, and past it new keyed and unsafe calls of this tenant alone are refused, which is
-//! harmless as they never ran. Answers to safe calls go, oldest first, when the tenant's own room is short.
+//! A guarded record is never evicted, because without it an effect could run twice. Each tenant has its own
+//! limit of guarded records; beyond it, new keyed and unsafe calls of that tenant alone are refused, which is
+//! harmless as they never ran. Recorded answers are evicted, oldest first, when the tenant exceeds its limits.
 
 use basaltward::{FunctionId, Group, Micros, Repeat};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Names an event.
+/// Identity of an event.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Identity {
-    /// Position of the tenant.
+    /// Index of the tenant in the settings.
     pub tenant: usize,
-    /// The function.
+    /// The function that the event calls.
     pub function: FunctionId,
     /// The event's `source`.
     pub source: Arc<str>,
@@ -30,16 +31,16 @@
     pub id: Arc<str>,
 }
 
-/// Bounds on what is remembered.
+/// Limits of the records of ended events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RepeatLimits {
-    /// How long an ended event is remembered; a keyed one at least for its window.
+    /// How long an ended event is recorded, in microseconds; a keyed one at least for its window.
     pub retention: Micros,
-    /// Most ended safe events of one tenant.
+    /// Maximum number of recorded answers of one tenant.
     pub max_answers: usize,
-    /// Most keyed and unsafe events of one tenant, in hand or ended.
+    /// Maximum number of keyed and unsafe events of one tenant, in flight or ended.
     pub max_guards: usize,
-    /// Most bytes of recorded answers of one tenant.
+    /// Maximum total size of the recorded answers of one tenant, in bytes.
     pub max_bytes: usize,
 }
 
@@ -49,52 +50,52 @@
     }
 }
 
-/// What is to be done with an event that arrives.
+/// How to handle an event that arrives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict<C, R> {
-    /// Nothing stands against a first or a new try.
+    /// Run it: it is new, or may run again.
     Run,
-    /// A new try whose sends all come before this time, while the workers still drop repeats.
+    /// Run it again, but send no attempt at or after this time: until then the workers discard repeats.
     RunUntil(Micros),
-    /// It is in hand: wait for its answer.
+    /// It is in flight: wait for the answer of this call.
     Join(C),
-    /// It was served: this is the answer.
+    /// It was served with this answer.
     Recorded(R),
-    /// It may have run, or was served and the answer is gone: only a failure may be told.
+    /// It may have run, or was served and its answer has been evicted: fail it.
     Blocked,
-    /// No room to guard another one of this tenant: refuse.
+    /// The tenant has reached its limit of guarded events: refuse it.
     GuardLimit,
 }
 
-/// How an event's try ended.
+/// How a run of an event ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallEnd<R> {
-    /// Served with this answer, of so many bytes.
+    /// Served with this answer, of this size in bytes.
     Served(R, usize),
-    /// Not served, and an attempt first sent at this time may have run.
+    /// Not served, but an attempt may have run; the first such attempt was sent at this time.
     MayHaveRun(Micros),
-    /// Not served, and every attempt is known not to have run.
+    /// Not served, and no attempt can have run.
     NeverRan,
 }
 
-enum Known<C, R> {
-    Open { call: C, earlier: Option<Micros> },
+enum RecordState<C, R> {
+    Open { call: C, earlier_run: Option<Micros> },
     Served(Option<(R, usize)>),
     MayHaveRun(Micros),
 }
 
-struct Entry<C, R> {
-    known: Known<C, R>,
+struct Record<C, R> {
+    state: RecordState<C, R>,
     guarded: bool,
-    /// Its place among the ended ones, once it has ended.
+    /// Key in [`Tenant::ended`], once the event has ended.
     ended: Option<(Micros, u64)>,
 }
 
 struct Tenant<C, R> {
-    entries: HashMap<Arc<Identity>, Entry<C, R>>,
-    /// Ended events by the time at which they are forgotten.
+    records: HashMap<Arc<Identity>, Record<C, R>>,
+    /// Ended events by the time at which their record expires.
     ended: BTreeMap<(Micros, u64), Arc<Identity>>,
-    /// Those with a recorded answer, oldest first.
+    /// Events with a recorded answer, oldest first.
     answers: BTreeMap<u64, Arc<Identity>>,
     guards: usize,
     bytes: usize,
@@ -103,7 +104,7 @@
 impl<C, R> Default for Tenant<C, R> {
     fn default() -> Self {
         Self {
-            entries: HashMap::new(),
+            records: HashMap::new(),
             ended: BTreeMap::new(),
             answers: BTreeMap::new(),
             guards: 0,
@@ -112,7 +113,7 @@
     }
 }
 
-/// The events in hand and those remembered.
+/// The events in flight and the records of those that have ended.
 pub struct Repeats<C, R> {
     limits: RepeatLimits,
     tenants: BTreeMap<usize, Tenant<C, R>>,
@@ -120,20 +121,20 @@
 }
 
 impl<C: Copy, R: Clone> Repeats<C, R> {
-    /// Nothing known yet.
+    /// Creates an empty table.
     pub fn new(limits: RepeatLimits) -> Self {
         Self { limits, tenants: BTreeMap::new(), sequence: 0 }
     }
 
-    /// What is to be done with an event of a class with this `repeat`.
+    /// Decides how to handle an event whose class has this `repeat` rule.
     pub fn check(&mut self, now: Micros, event: &Identity, repeat: Repeat) -> Verdict<C, R> {
         self.expire(now, event.tenant);
         let tenant = self.tenants.entry(event.tenant).or_default();
-        match tenant.entries.get(event).map(|e| &e.known) {
-            Some(Known::Open { call, .. }) => Verdict::Join(*call),
-            Some(Known::Served(Some((answer, _)))) => Verdict::Recorded(answer.clone()),
-            Some(Known::Served(None)) => Verdict::Blocked,
-            Some(Known::MayHaveRun(sent)) => match repeat {
+        match tenant.records.get(event).map(|e| &e.state) {
+            Some(RecordState::Open { call, .. }) => Verdict::Join(*call),
+            Some(RecordState::Served(Some((answer, _)))) => Verdict::Recorded(answer.clone()),
+            Some(RecordState::Served(None)) => Verdict::Blocked,
+            Some(RecordState::MayHaveRun(sent)) => match repeat {
                 Repeat::Safe => Verdict::Run,
                 Repeat::Keyed { group: Group::All, window } if now < sent + window => {
                     Verdict::RunUntil(sent + window)
@@ -145,106 +146,108 @@
         }
     }
 
-    /// A try of this event begins; [`Repeats::judge`] has allowed it.
+    /// Records that a run of this event begins, as [`Repeats::check`] has allowed.
     pub fn start(&mut self, event: &Arc<Identity>, repeat: Repeat, call: C) {
         let tenant = self.tenants.entry(event.tenant).or_default();
-        let before = tenant.entries.remove(event);
-        if let Some(place) = before.as_ref().and_then(|e| e.ended) {
-            tenant.ended.remove(&place);
+        let previous = tenant.records.remove(event);
+        if let Some(key) = previous.as_ref().and_then(|e| e.ended) {
+            tenant.ended.remove(&key);
         }
-        let earlier = match before.as_ref().map(|e| &e.known) {
-            Some(Known::MayHaveRun(sent)) => Some(*sent),
+        let earlier_run = match previous.as_ref().map(|e| &e.state) {
+            Some(RecordState::MayHaveRun(sent)) => Some(*sent),
             _ => None,
         };
         let guarded = repeat != Repeat::Safe;
-        tenant.guards += usize::from(guarded && before.is_none());
-        tenant
-            .entries
-            .insert(event.clone(), Entry { known: Known::Open { call, earlier }, guarded, ended: None });
+        tenant.guards += usize::from(guarded && previous.is_none());
+        tenant.records.insert(
+            event.clone(),
+            Record { state: RecordState::Open { call, earlier_run }, guarded, ended: None },
+        );
     }
 
-    /// The event's try has ended.
-    pub fn finish(&mut self, now: Micros, event: &Arc<Identity>, repeat: Repeat, how: CallEnd<R>) {
+    /// Records that the run of the event has ended.
+    pub fn finish(&mut self, now: Micros, event: &Arc<Identity>, repeat: Repeat, end: CallEnd<R>) {
         let Some(tenant) = self.tenants.get_mut(&event.tenant) else { return };
-        let Some(entry) = tenant.entries.get_mut(event) else { return };
-        // An earlier try that may have run is not undone by a later one that did not.
-        let earlier = match entry.known {
-            Known::Open { earlier, .. } => earlier,
-            Known::MayHaveRun(sent) => Some(sent),
-            Known::Served(_) => return,
+        let Some(record) = tenant.records.get_mut(event) else { return };
+        // A later run that never ran doesn't clear an earlier one that may have run.
+        let earlier_run = match record.state {
+            RecordState::Open { earlier_run, .. } => earlier_run,
+            RecordState::MayHaveRun(sent) => Some(sent),
+            RecordState::Served(_) => return,
         };
         let window = if let Repeat::Keyed { window, .. } = repeat { window } else { 0 };
-        if let Some(place) = entry.ended.take() {
-            tenant.ended.remove(&place);
+        if let Some(key) = record.ended.take() {
+            tenant.ended.remove(&key);
         }
-        entry.known = match (how, earlier) {
+        record.state = match (end, earlier_run) {
             (CallEnd::Served(answer, bytes), _) if bytes <= self.limits.max_bytes => {
-                Known::Served(Some((answer, bytes)))
+                RecordState::Served(Some((answer, bytes)))
             }
-            (CallEnd::Served(..), _) => Known::Served(None),
-            (CallEnd::MayHaveRun(sent), earlier) if entry.guarded => {
-                Known::MayHaveRun(earlier.map_or(sent, |e| e.min(sent)))
+            (CallEnd::Served(..), _) => RecordState::Served(None),
+            (CallEnd::MayHaveRun(sent), earlier_run) if record.guarded => {
+                RecordState::MayHaveRun(earlier_run.map_or(sent, |e| e.min(sent)))
             }
-            (CallEnd::NeverRan, Some(sent)) if entry.guarded => Known::MayHaveRun(sent),
+            (CallEnd::NeverRan, Some(sent)) if record.guarded => RecordState::MayHaveRun(sent),
             _ => {
-                tenant.guards -= usize::from(entry.guarded);
-                tenant.entries.remove(event);
+                tenant.guards -= usize::from(record.guarded);
+                tenant.records.remove(event);
                 return;
             }
         };
         self.sequence += 1;
-        let place = (now + self.limits.retention.max(window), self.sequence);
-        entry.ended = Some(place);
-        tenant.ended.insert(place, event.clone());
-        if let Known::Served(Some((_, bytes))) = &entry.known {
+        let key = (now + self.limits.retention.max(window), self.sequence);
+        record.ended = Some(key);
+        tenant.ended.insert(key, event.clone());
+        if let RecordState::Served(Some((_, bytes))) = &record.state {
             tenant.bytes += bytes;
             tenant.answers.insert(self.sequence, event.clone());
         }
         tenant.shrink(&self.limits);
     }
 
-    /// Forgets what is past its time.
+    /// Removes the records of a tenant that have expired.
     fn expire(&mut self, now: Micros, tenant: usize) {
         let Some(tenant) = self.tenants.get_mut(&tenant) else { return };
         while let Some(oldest) = tenant.ended.first_entry().filter(|e| e.key().0 <= now) {
             let event = oldest.get().clone();
-            tenant.drop_entry(&event);
+            tenant.remove(&event);
         }
     }
 
-    /// Events in hand or remembered, with all that is kept to find them, and bytes of recorded answers.
+    /// Number of events in flight or recorded (the size of the largest index per tenant) and total bytes of
+    /// the recorded answers.
     pub fn size(&self) -> (usize, usize) {
         let sum = |(n, b): (usize, usize), t: &Tenant<C, R>| {
-            (n + t.entries.len().max(t.ended.len()).max(t.answers.len()), b + t.bytes)
+            (n + t.records.len().max(t.ended.len()).max(t.answers.len()), b + t.bytes)
         };
         self.tenants.values().fold((0, 0), sum)
     }
 }
 
 impl<C, R> Tenant<C, R> {
-    fn drop_entry(&mut self, event: &Identity) {
-        let Some(entry) = self.entries.remove(event) else { return };
-        self.guards -= usize::from(entry.guarded);
-        if let Some(place) = entry.ended {
-            self.ended.remove(&place);
-            self.answers.remove(&place.1);
+    fn remove(&mut self, event: &Identity) {
+        let Some(record) = self.records.remove(event) else { return };
+        self.guards -= usize::from(record.guarded);
+        if let Some(key) = record.ended {
+            self.ended.remove(&key);
+            self.answers.remove(&key.1);
         }
-        if let Known::Served(Some((_, bytes))) = entry.known {
+        if let RecordState::Served(Some((_, bytes))) = record.state {
             self.bytes -= bytes;
         }
     }
 
-    /// Lets recorded answers go, oldest first, until the tenant keeps its bounds. Of a guarded event only
-    /// the answer goes, the record that it was served stays.
+    /// Evicts recorded answers, oldest first, until the tenant is within its limits. For a guarded event only
+    /// the answer is dropped; the record that it was served stays.
     fn shrink(&mut self, limits: &RepeatLimits) {
         while self.bytes > limits.max_bytes || self.answers.len() > limits.max_answers {
             let Some((_, event)) = self.answers.pop_first() else { return };
-            let Some(entry) = self.entries.get_mut(&event) else { continue };
-            match &mut entry.known {
-                Known::Served(answer) if entry.guarded => {
+            let Some(record) = self.records.get_mut(&event) else { continue };
+            match &mut record.state {
+                RecordState::Served(answer) if record.guarded => {
                     self.bytes -= answer.take().map_or(0, |(_, bytes)| bytes);
                 }
-                _ => self.drop_entry(&event),
+                _ => self.remove(&event),
             }
         }
     }
@@ -262,43 +265,43 @@
         Arc::new(Identity { tenant, function: "f".into(), source: "s".into(), id: id.into() })
     }
 
-    fn small() -> Repeats<u32, &'static str> {
+    fn small_table() -> Repeats<u32, &'static str> {
         Repeats::new(RepeatLimits { retention: 10 * S, max_answers: 2, max_guards: 2, max_bytes: 10 })
     }
 
     #[test]
-    fn what_a_repeat_gets_follows_from_class_and_end() {
+    fn a_repeat_is_handled_by_its_class_and_by_how_the_call_ended() {
         use Verdict::*;
-        let may = CallEnd::MayHaveRun(S);
+        let may_have_run = CallEnd::MayHaveRun(S);
         let served = CallEnd::Served("yes", 3);
         let cases = [
             (Repeat::Safe, served.clone(), 2 * S, Recorded("yes")),
             (Repeat::Safe, served.clone(), 12 * S, Run),
-            (Repeat::Safe, may.clone(), 2 * S, Run),
+            (Repeat::Safe, may_have_run.clone(), 2 * S, Run),
             (Repeat::Safe, CallEnd::NeverRan, 2 * S, Run),
             (KEYED, served.clone(), 2 * S, Recorded("yes")),
-            (KEYED, may.clone(), 2 * S, RunUntil(4 * S)),
-            (KEYED, may.clone(), 4 * S, Blocked),
+            (KEYED, may_have_run.clone(), 2 * S, RunUntil(4 * S)),
+            (KEYED, may_have_run.clone(), 4 * S, Blocked),
             (KEYED, CallEnd::NeverRan, 2 * S, Run),
-            (ZONE, may.clone(), 2 * S, Blocked),
+            (ZONE, may_have_run.clone(), 2 * S, Blocked),
             (Repeat::Unsafe, served, 2 * S, Recorded("yes")),
-            (Repeat::Unsafe, may.clone(), 2 * S, Blocked),
-            (Repeat::Unsafe, may, 12 * S, Run),
+            (Repeat::Unsafe, may_have_run.clone(), 2 * S, Blocked),
+            (Repeat::Unsafe, may_have_run, 12 * S, Run),
             (Repeat::Unsafe, CallEnd::NeverRan, 2 * S, Run),
         ];
-        for (repeat, how, later, expected) in cases {
-            let (mut repeats, event) = (small(), event(0, "a"));
+        for (repeat, end, later, expected) in cases {
+            let (mut repeats, event) = (small_table(), event(0, "a"));
             assert_eq!(repeats.check(0, &event, repeat), Run);
             repeats.start(&event, repeat, 7);
             assert_eq!(repeats.check(S, &event, repeat), Join(7));
-            repeats.finish(S, &event, repeat, how.clone());
-            assert_eq!(repeats.check(later, &event, repeat), expected, "{repeat:?} {how:?}");
+            repeats.finish(S, &event, repeat, end.clone());
+            assert_eq!(repeats.check(later, &event, repeat), expected, "{repeat:?} {end:?}");
         }
     }
 
     #[test]
-    fn a_second_try_that_never_ran_does_not_clear_the_first() {
-        let (mut repeats, event) = (small(), event(0, "a"));
+    fn a_second_run_that_never_ran_does_not_clear_the_first() {
+        let (mut repeats, event) = (small_table(), event(0, "a"));
         repeats.start(&event, KEYED, 1);
         repeats.finish(S, &event, KEYED, CallEnd::MayHaveRun(S / 2));
         repeats.start(&event, KEYED, 2);
@@ -307,15 +310,15 @@
         repeats.start(&event, KEYED, 3);
         repeats.finish(3 * S, &event, KEYED, CallEnd::MayHaveRun(3 * S));
         assert_eq!(repeats.check(4 * S, &event, KEYED), Verdict::Blocked);
-        // The first record's time has come, the last one's has not.
+        // The first record would have expired, the last one has not.
         assert_eq!(repeats.check(11 * S + S / 2, &event, KEYED), Verdict::Blocked);
         assert_eq!(repeats.check(13 * S, &event, KEYED), Verdict::Run);
         assert_eq!(repeats.size(), (0, 0));
     }
 
     #[test]
-    fn one_tenants_repeats_push_out_its_own_answers_only_and_no_guard() {
-        let mut repeats = small();
+    fn a_tenant_evicts_only_its_own_answers_and_no_guarded_record() {
+        let mut repeats = small_table();
         let other = event(1, "kept");
         repeats.start(&other, Repeat::Safe, 0);
         repeats.finish(0, &other, Repeat::Safe, CallEnd::Served("kept", 4));
@@ -332,7 +335,7 @@
             repeats.start(&event, Repeat::Unsafe, 0);
             repeats.finish(1, &event, Repeat::Unsafe, CallEnd::Served("y", 8));
         }
-        // The older answer had to go, the record that it ran had not.
+        // The older answer is evicted, the record that it ran is not.
         assert_eq!(repeats.check(2, &event(0, "u"), Repeat::Unsafe), Verdict::Blocked);
         assert_eq!(repeats.check(2, &event(0, "v"), Repeat::Unsafe), Verdict::Recorded("y"));
         assert_eq!(repeats.check(2, &event(0, "w"), Repeat::Unsafe), Verdict::GuardLimit);
@@ -341,8 +344,8 @@
     }
 
     #[test]
-    fn a_flood_of_events_leaves_no_more_behind_than_the_bounds() {
-        let mut repeats = small();
+    fn a_flood_of_events_leaves_no_more_records_than_the_limits() {
+        let mut repeats = small_table();
         for id in 0..1_000 {
             let event = event(0, &id.to_string());
             let repeat = if id % 2 == 0 { Repeat::Safe } else { Repeat::Unsafe };
@@ -351,7 +354,8 @@
                 repeats.finish(0, &event, repeat, CallEnd::Served("x", 1));
             }
         }
-        // Two guards and two answers: an index that outgrew them once stalled the loop as it emptied.
+        // Two guarded records and two answers. An index that outgrew the limits once stalled the loop when it
+        // was cleared.
         assert!(repeats.size().0 <= 4, "{:?}", repeats.size());
     }
 }
--- a/crates/engine/src/types.rs
+++ b/crates/engine/src/types.rs
@@ -2,206 +2,208 @@
 use basaltward::{Code, CopyNote, FunctionId, ListTrust, Member, MembersKind, Micros, RequestId, WorkerId};
 use std::sync::Arc;
 
-/// Names one waiting client; the front gives it and may use it again once it was answered or has left.
+/// Identifies a waiting client. The front end assigns it, and may reuse it once the client has been answered
+/// or has left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaiterId(pub u64);
 
-/// Names one event in hand, over all of its tries.
+/// Identifies a call in flight, across all of its requests to the controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Names one attempt: a send of a try to a worker.
+/// Identifies one attempt: a request sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The try, as the controller knows it.
+    /// The controller's request.
     pub request: RequestId,
-    /// Its number, from 0.
+    /// Index of the attempt within the request, from 0.
     pub number: usize,
 }
 
-/// Names an order, a question or a probe that is out.
+/// Identifies a pending order, query of copies or probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderId(pub u64);
 
-/// A reply that may be recorded.
+/// A worker's reply, which may be recorded for repeats.
 pub trait Reply: Clone {
-    /// Bytes that it holds.
+    /// Size in bytes, which counts against [`RepeatLimits::max_bytes`](crate::RepeatLimits::max_bytes).
     fn bytes(&self) -> usize;
 }
 
-/// An event that has arrived and is understood.
+/// A call that has been received and parsed.
 #[derive(Clone, Debug)]
 pub struct NewCall<P> {
-    /// Who waits for the answer.
+    /// The client that waits for the answer.
     pub waiter: WaiterId,
-    /// The event's name.
+    /// Identity of the event.
     pub identity: Identity,
     /// The function called.
     pub function: Arc<Function>,
-    /// When its client gives up, on the engine's clock.
+    /// When its client gives up, on the engine's clock in microseconds.
     pub deadline: Micros,
-    /// What a worker needs to run it.
+    /// The data to send to a worker.
     pub payload: Arc<P>,
 }
 
-/// How an attempt ended, as far as its connection tells.
+/// How an attempt ended, as far as can be told from its connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd<R> {
-    /// The outcome; says what is proven.
+    /// The outcome, which also states whether the attempt can have run.
     pub code: Code,
-    /// The reply of a call that was served.
+    /// The reply, if the call was served.
     pub reply: Option<R>,
-    /// What became of the copy.
+    /// State of the copy, as the worker reported it.
     pub copy: CopyNote,
-    /// Calls of the function that the worker held on arrival, where told.
+    /// Number of requests for the function that the worker held on arrival, if reported.
     pub crowd: Option<u32>,
-    /// The load report, in the order of the module's settings.
+    /// The load report, in the order of the controller's settings.
     pub report: Vec<f64>,
 }
 
 impl<R> AttemptEnd<R> {
-    /// An end that tells nothing but its code.
+    /// An end without any information besides its code.
     pub fn from_code(code: Code) -> Self {
         Self { code, reply: None, copy: CopyNote::Untold, crowd: None, report: Vec::new() }
     }
 }
 
-/// What an engine is told.
+/// An event that the caller passes to the engine.
 #[derive(Clone, Debug)]
 pub enum Input<P, R> {
-    /// A call has come, and is begun at once.
+    /// A call has arrived and begins at once.
     Call(NewCall<P>),
-    /// A call has come; [`Engine::begin_next`](crate::Engine::begin_next) begins it as the loop finds time.
+    /// A call has arrived and is queued until [`Engine::begin_next`](crate::Engine::begin_next) begins it.
     QueuedCall(NewCall<P>),
-    /// A client that waited has left.
+    /// A waiting client has left.
     ClientLeft(WaiterId),
-    /// An attempt has ended. Each [`Output::Start`] gets one.
+    /// An attempt has ended. Required once for each [`Output::Start`].
     AttemptEnded(AttemptId, AttemptEnd<R>),
-    /// An order or a question was answered.
+    /// An order or a query of copies was answered, with the number of loaded copies.
     OrderAnswered(OrderId, Code, u32),
-    /// A probe was answered.
+    /// A probe was answered, with the load report.
     ProbeAnswered(OrderId, Code, Vec<f64>),
-    /// So many copies of a function stand at a worker, as was heard without asking it.
+    /// The number of loaded copies of a function at a worker, reported without an order or a query.
     CopiesReported(WorkerId, FunctionId, u32),
-    /// News of the list of workers.
+    /// An update of the list of workers.
     Members(MembersKind, Vec<Member>),
-    /// How far the list of workers is to be believed from now on.
+    /// How far to trust the list of workers from now on.
     ListTrust(ListTrust),
-    /// The last connection to a worker has ended by itself, or none could be had.
+    /// The last connection to a worker was closed by the worker or the network, or none could be established.
     Disconnected(WorkerId),
-    /// Take no new calls; those in hand go on.
+    /// Refuse new calls; those in flight go on.
     Stop,
-    /// The process is killed at this time: clients of all calls in hand, and of those to come, are answered before
-    /// it, however long they would wait. A later time than one told before changes nothing.
+    /// The process will be killed at this time: the clients of all current and future calls are answered before
+    /// it, however long they would wait. Ignored if an earlier time was given before.
     ExitAt(Micros),
 }
 
-/// Why a call was turned away. Trying again is harmless.
+/// Why a call was refused. Trying again is harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The controller turned it away.
+    /// The controller refused it.
     Overload,
-    /// As many calls are in hand, or wait for this one, as may.
+    /// The maximum number of calls is in flight, or of clients waits for this call.
     TooManyInFlight,
-    /// Too little of the client's patience was left.
+    /// Too little of the client's time was left on arrival.
     TooLittleTime,
-    /// So many calls wait to be begun here that it would be begun past its aim.
+    /// This loop is behind: so many calls wait to begin that this one would begin past its aim.
     Backlogged,
-    /// Its time ran out, or its attempts did, before a worker took it.
+    /// Its time or its attempts ran out before any worker accepted it.
     NotStarted,
-    /// The tenant has no room left to guard against a second run.
+    /// The tenant has reached its limit of records that guard against a second run.
     GuardLimit,
-    /// Its class keeps events, and no other gateway can hold this one.
+    /// Its class requires that events are persisted, and no other gateway can hold this one.
     NotReplicated,
-    /// This gateway stops.
+    /// This gateway is stopping.
     Stopping,
 }
 
-/// Why a call failed. Whether it ran is not known, unless it says so.
+/// Why a call failed. The call may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Its time ran out.
+    /// The client's deadline passed.
     Deadline,
     /// The attempts that its class allows are used up.
     AttemptsExhausted,
     /// It is a repeat of a call that may have run and must not run again.
     MayHaveRun,
-    /// Another gateway sees to its event, and can't be reached or takes none yet. A repeat is told apart there.
+    /// Another gateway owns its event and can't be reached or doesn't accept calls yet. That gateway detects
+    /// repeats.
     OwnerUnreachable,
 }
 
-/// The one final answer.
+/// The final answer to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer<R> {
-    /// Served.
+    /// Served, with the worker's reply.
     Served(R),
-    /// Turned away.
+    /// Refused without effect; the client may retry after this time, if given.
     Refused(Refusal, Option<Micros>),
-    /// Failed.
+    /// Failed; the call may have run.
     Failed(Failure),
 }
 
-/// How an answer came about, for its log line.
+/// Where an answer comes from, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerOrigin {
-    /// The client's event began the call.
+    /// From a call that this client's event began.
     First,
-    /// It joined a call in hand.
+    /// From a call in flight that this client's event joined.
     Joined,
-    /// It was answered from the record, or without being worked on.
+    /// From the record of an earlier call, or given without running the call.
     Direct,
 }
 
-/// What an engine wants done.
+/// A request of the engine to its caller.
 #[derive(Clone, Debug)]
 pub enum Output<P, R> {
     /// Give a client its final answer.
     Answer {
-        /// Who.
+        /// The client.
         waiter: WaiterId,
-        /// What.
+        /// The answer.
         answer: Answer<R>,
         /// Attempts made for the call so far.
         attempts: u32,
         /// The worker last tried.
         worker: Option<WorkerId>,
-        /// How it came about.
+        /// Where the answer comes from.
         origin: AnswerOrigin,
     },
     /// Send a call to a worker.
     Start {
-        /// Names the attempt.
+        /// Identifies the attempt.
         attempt: AttemptId,
-        /// Where to.
+        /// The worker to send to.
         worker: WorkerId,
-        /// The event's name.
+        /// Identity of the event.
         identity: Arc<Identity>,
         /// The function called.
         function: Arc<Function>,
-        /// What to send.
+        /// The data to send.
         payload: Arc<P>,
-        /// When the answer is of no more use.
+        /// When the answer becomes useless.
         until: Micros,
     },
-    /// Call an attempt off; its end is still awaited.
+    /// Cancel an attempt. Its [`Input::AttemptEnded`] is still required.
     Abort(AttemptId),
-    /// Have `count` copies held, or only asked for where it is 0.
+    /// Order a worker to have `count` copies loaded; 0 only queries the number of loaded copies.
     Order {
-        /// Names the order.
+        /// Identifies the order.
         order: OrderId,
-        /// Where.
+        /// The worker to load at.
         worker: WorkerId,
-        /// Of which function.
+        /// The function to load.
         function: FunctionId,
-        /// How many.
+        /// Number of copies to have loaded.
         count: u32,
     },
     /// Probe a worker.
     Probe(OrderId, WorkerId),
-    /// Wait no longer for an order or a probe.
+    /// Stop waiting for the answer to an order or a probe.
     AbortOrder(OrderId),
-    /// Have idle copies unloaded.
+    /// Have a worker unload its idle copies of a function.
     Release(WorkerId, FunctionId),
-    /// Ask for the list of workers.
+    /// Request the list of workers.
     RequestWorkerList,
 }
