--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,5 +1,5 @@
 use crate::arrivals::{Arrival, Arrivals};
-use crate::in_flight::{Call, Order, Sent, Try, Waiter};
+use crate::in_flight::{Attempt, Call, PendingOrder, RequestState, Waiter};
 use crate::repeats::{CallEnd, Repeats, Verdict};
 use crate::{
     Answer, AnswerOrigin, AttemptEnd, AttemptId, CallId, EngineSettings, Failure, Function, Input, Margin,
@@ -14,49 +14,50 @@
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Module(u64),
+enum Timer {
+    /// A timer of the controller, with its token.
+    Controller(u64),
     Linger(CallId),
     Order(OrderId),
 }
 
-fn starts<P, R>(out: &[Output<P, R>]) -> bool {
-    out.iter().any(|output| matches!(output, Output::Start { .. }))
+fn has_start<P, R>(outputs: &[Output<P, R>]) -> bool {
+    outputs.iter().any(|output| matches!(output, Output::Start { .. }))
 }
 
-/// Things due that are done before the caller reads its clock again.
-const BATCH: usize = 32;
+/// Timers handled per [`Engine::wake`], before the caller reads its clock again.
+const TIMER_BATCH: usize = 32;
 
-/// The calls of one loop, around one controller.
+/// The calls in flight of one loop, around one controller. See the [crate documentation](crate).
 pub struct Engine<P, R> {
     settings: EngineSettings,
     controller: Controller,
     repeats: Repeats<CallId, R>,
     margin: Margin,
     calls: HashMap<CallId, Call<P>>,
-    tries: HashMap<RequestId, Try>,
+    requests: HashMap<RequestId, RequestState>,
     waiters: HashMap<WaiterId, Waiter>,
     arrivals: Arrivals,
-    orders: HashMap<OrderId, Order>,
-    due: Timers<Due>,
-    /// Answers due to clients whose time is up: they go before all else.
-    answers: Timers<WaiterId>,
+    orders: HashMap<OrderId, PendingOrder>,
+    timers: Timers<Timer>,
+    /// Deadlines of the waiting clients. They are handled before all other timers.
+    answer_timers: Timers<WaiterId>,
     sequence: u64,
     stopping: bool,
-    /// When the process is killed, once that is known: no answer can be given later.
-    end: Micros,
+    /// When the process will be killed, if known: no answer can be given later. Otherwise [`Micros::MAX`].
+    exit_at: Micros,
     actions: Vec<Action>,
-    /// Events that carrying out actions gave rise to.
+    /// Events to pass to the controller, including those caused by its own actions.
     events: VecDeque<Event>,
 }
 
-type Out<P, R> = Vec<Output<P, R>>;
+type Outputs<P, R> = Vec<Output<P, R>>;
 
 impl<P, R: Reply> Engine<P, R> {
-    /// An engine that knows no workers yet.
+    /// Creates an engine without any workers. `seed` seeds the controller's random choices.
     ///
     /// # Errors
-    /// Where the controller can't decide by its settings.
+    /// If the controller rejects its settings.
     pub fn new(settings: EngineSettings, seed: u64) -> Result<Self, SettingsError> {
         Ok(Self {
             controller: Controller::new(settings.controller.clone(), seed)?,
@@ -64,32 +65,32 @@
             margin: Margin::new(settings.margin),
             settings,
             calls: HashMap::new(),
-            tries: HashMap::new(),
+            requests: HashMap::new(),
             waiters: HashMap::new(),
             arrivals: Arrivals::default(),
             orders: HashMap::new(),
-            due: Timers::default(),
-            answers: Timers::default(),
+            timers: Timers::default(),
+            answer_timers: Timers::default(),
             sequence: 0,
             stopping: false,
-            end: Micros::MAX,
+            exit_at: Micros::MAX,
             actions: Vec::new(),
             events: VecDeque::new(),
         })
     }
 
-    /// Calls in hand.
+    /// Number of calls in flight.
     pub fn calls_in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// When [`Engine::wake`] is due next.
+    /// When to call [`Engine::wake`] next. `None` if no timer is set.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
-        let answer = self.answers.next_due().map(|at| at.saturating_sub(self.margin.lateness(now)));
-        answer.into_iter().chain(self.due.next_due()).min()
+        let answer = self.answer_timers.next_due().map(|at| at.saturating_sub(self.margin.lateness(now)));
+        answer.into_iter().chain(self.timers.next_due()).min()
     }
 
-    /// How often the controller weighed a worker so far, see [`Controller::looks`].
+    /// How often the controller has weighed a worker so far, see [`Controller::looks`].
     pub fn workers_weighed(&self) -> u64 {
         self.controller.looks()
     }
@@ -99,28 +100,28 @@
         self.controller.new_work_until(worker)
     }
 
-    /// How late this loop lately was, which comes off each client's time.
+    /// Recent lateness of this loop, which is subtracted from each client's time. See [`Margin::lateness`].
     pub fn lateness(&self, now: Micros) -> Micros {
         self.margin.lateness(now)
     }
 
-    /// Takes note that the loop has done at `now` what it should have done at `due`.
+    /// Records that the loop handled at `now` what was due at `due`.
     pub fn record_lateness(&mut self, now: Micros, due: Micros) {
         self.margin.record(now, due);
     }
 
-    /// Takes one input at time `now` and appends what is to be done.
-    pub fn handle(&mut self, now: Micros, input: Input<P, R>, out: &mut Out<P, R>) {
+    /// Handles one input at time `now` and appends what the caller has to do to `outputs`.
+    pub fn handle(&mut self, now: Micros, input: Input<P, R>, outputs: &mut Outputs<P, R>) {
         match input {
             Input::Call(call) => {
-                self.call(now, call, out);
-                while self.begin_next(now, out) {}
+                self.receive_call(now, call, outputs);
+                while self.begin_next(now, outputs) {}
             }
-            Input::QueuedCall(call) => self.call(now, call, out),
-            Input::ClientLeft(waiter) => self.left(now, waiter, out),
-            Input::AttemptEnded(attempt, end) => self.ended(now, attempt, end, out),
-            Input::OrderAnswered(order, code, count) => self.ordered(now, order, code, count),
-            Input::ProbeAnswered(order, code, report) => self.probed(now, order, code, report),
+            Input::QueuedCall(call) => self.receive_call(now, call, outputs),
+            Input::ClientLeft(waiter) => self.client_left(now, waiter, outputs),
+            Input::AttemptEnded(attempt, end) => self.attempt_ended(now, attempt, end, outputs),
+            Input::OrderAnswered(order, code, count) => self.order_answered(now, order, code, count),
+            Input::ProbeAnswered(order, code, report) => self.probe_answered(now, order, code, report),
             Input::CopiesReported(worker, function, count) => {
                 let (code, latency) = (Code::Ok, 0);
                 self.events.push_back(Event::Loaded { worker, function, count, code, latency });
@@ -129,212 +130,227 @@
             Input::ListTrust(trust) => self.events.push_back(Event::ListTrust(trust)),
             Input::Disconnected(worker) => self.events.push_back(Event::Disconnected { worker }),
             Input::Stop => self.stopping = true,
-            Input::ExitAt(end) => self.end_by(now, end),
+            Input::ExitAt(end) => self.set_exit_time(now, end),
         }
-        self.settle(now, out);
+        self.run_controller(now, outputs);
     }
 
-    /// When the call came that has waited longest to be begun, see [`Engine::begin_next`].
+    /// Arrival time of the call that has been queued longest, see [`Engine::begin_next`].
     pub fn oldest_arrival(&self) -> Option<Micros> {
         self.arrivals.oldest_arrival()
     }
 
-    /// Who waits for the call that [`Engine::begin_next`] would begin, past those whose clients have left.
+    /// First client of the call that [`Engine::begin_next`] would begin. Skips calls whose clients have left.
     pub fn next_waiter(&self) -> Option<WaiterId> {
         self.arrivals.calls().find_map(|id| self.calls.get(&id))?.waiters.first().copied()
     }
 
-    /// Begins the call that has waited longest since [`Input::Arrived`]: the controller is told of it, or it
-    /// is turned away if its aim is past. False where none waits.
-    pub fn begin_next(&mut self, now: Micros, out: &mut Out<P, R>) -> bool {
+    /// Begins the call that has been queued longest since [`Input::QueuedCall`]: passes it to the controller,
+    /// or refuses it if it is past its aim. False if no call is queued.
+    pub fn begin_next(&mut self, now: Micros, outputs: &mut Outputs<P, R>) -> bool {
         while let Some(arrival) = self.arrivals.pop(now) {
-            // Its clients may have left, or have been answered as their time ran out.
+            // Its clients may have left, or have been answered when their time ran out.
             if !self.calls.contains_key(&arrival.call) {
                 continue;
             }
-            let by = self.answer_by(now, arrival.answer_by);
-            let by = by.saturating_sub(self.margin.lateness(now)).min(arrival.until);
-            if now >= arrival.aim.min(by) {
+            let answer_by = self.limit_to_exit(now, arrival.answer_by);
+            let answer_by = answer_by.saturating_sub(self.margin.lateness(now)).min(arrival.until);
+            if now >= arrival.aim.min(answer_by) {
                 let wait = self.arrivals.expected_wait();
-                if let Some(call) = self.withdraw(now, arrival.call) {
-                    let answer = match call.earlier {
+                if let Some(call) = self.remove_unstarted(now, arrival.call) {
+                    let answer = match call.may_have_run_before {
                         true => Answer::Failed(Failure::MayHaveRun),
-                        false => self.behind(wait),
+                        false => self.backlogged(wait),
                     };
-                    self.answer_all(call.waiters, &answer, (0, None), out);
+                    self.answer_all(call.waiters, &answer, (0, None), outputs);
                 }
             } else {
-                self.begin(now, arrival.call, by);
-                self.settle(now, out);
+                self.begin_request(now, arrival.call, answer_by);
+                self.run_controller(now, outputs);
             }
             return true;
         }
         false
     }
 
-    /// The answer to a call that would be begun too late.
-    fn behind(&self, wait: Micros) -> Answer<R> {
+    /// The answer to a call that would begin too late, with the expected wait as the time to retry after.
+    fn backlogged(&self, wait: Micros) -> Answer<R> {
         let limits = &self.settings.controller.limits;
         let wait = Some(wait.min(limits.max_retry_after)).filter(|_| limits.retry_after);
         Answer::Refused(Refusal::Backlogged, wait)
     }
 
-    /// Bytes of an attempt are about to be given to a connection: from here on it may run.
+    /// Records that the first bytes of an attempt are about to be written to a connection: from now on it may
+    /// run.
     pub fn mark_written(&mut self, id: AttemptId) {
-        let sent = self.tries.get_mut(&id.request).and_then(|t| t.sent.get_mut(id.number));
-        sent.into_iter().for_each(|sent| sent.written = true);
+        let attempt = self.requests.get_mut(&id.request).and_then(|t| t.attempts.get_mut(id.number));
+        attempt.into_iter().for_each(|attempt| attempt.written = true);
     }
 
-    /// Calls off the attempts of a call that is over and that wait for a connection still: told that it never
-    /// ran, its client must stay right.
-    fn call_off_unwritten(&self, request: RequestId, out: &mut Out<P, R>) {
-        let sent = self.tries.get(&request).map(|t| t.sent.as_slice()).unwrap_or_default();
-        let waits = sent.iter().enumerate().filter(|(_, s)| !s.written && s.ended.is_none());
-        out.extend(waits.map(|(number, _)| Output::Abort(AttemptId { request, number })));
+    /// Cancels the attempts of an ended call that still wait for a connection. Its client is told that the call
+    /// never ran, which must remain true.
+    fn abort_unwritten(&self, request: RequestId, outputs: &mut Outputs<P, R>) {
+        let attempts = self.requests.get(&request).map(|t| t.attempts.as_slice()).unwrap_or_default();
+        let unwritten = attempts.iter().enumerate().filter(|(_, s)| !s.written && s.end_code.is_none());
+        outputs.extend(unwritten.map(|(number, _)| Output::Abort(AttemptId { request, number })));
     }
 
-    /// Answers the clients whose time is up by `now`. True where it ended before the last, with an attempt to
-    /// start, as [`Engine::wake`] does.
-    pub fn answer_expired(&mut self, now: Micros, out: &mut Out<P, R>) -> bool {
+    /// Answers the clients whose time has run out by `now`. True if it stopped early because there is an
+    /// attempt to start, for the reason given at [`Engine::wake`].
+    pub fn answer_expired(&mut self, now: Micros, outputs: &mut Outputs<P, R>) -> bool {
         let early = self.margin.lateness(now);
-        while let Some((at, id)) = self.answers.pop_due(now + early) {
+        while let Some((at, id)) = self.answer_timers.pop_due(now + early) {
             self.margin.record(now, at);
-            self.out_of_time(now, id, out);
-            self.settle(now, out);
-            if starts(out) {
+            self.expire_waiter(now, id, outputs);
+            self.run_controller(now, outputs);
+            if has_start(outputs) {
                 return true;
             }
         }
         false
     }
 
-    /// Does what is due by `now`, answers first; no more than a small number of things, so that the caller
-    /// writes them and reads its clock in between. Where more is due, [`Engine::next_due`] says so.
+    /// Handles the timers that are due by `now`, answers to clients first. Handles a small number of other
+    /// timers at most, so that the caller writes the outputs and reads its clock in between; if more are due,
+    /// [`Engine::next_due`] returns a time that has passed.
     ///
-    /// With an attempt to start it ends: whether bytes of it leave is known only once the caller has carried
-    /// that out, and a call whose time runs out in the same breath would be told that it never ran.
-    pub fn wake(&mut self, now: Micros, out: &mut Out<P, R>) {
-        if self.answer_expired(now, out) {
+    /// Returns as soon as there is an attempt to start. Whether its bytes are written is known only after the
+    /// caller has handled that output; if the call's time ran out within the same wake-up, its client would
+    /// wrongly be told that the call never ran.
+    pub fn wake(&mut self, now: Micros, outputs: &mut Outputs<P, R>) {
+        if self.answer_expired(now, outputs) {
             return;
         }
-        for _ in 0..BATCH {
-            let Some((at, due)) = self.due.pop_due(now) else { return };
+        for _ in 0..TIMER_BATCH {
+            let Some((at, timer)) = self.timers.pop_due(now) else { return };
             self.margin.record(now, at);
-            match due {
-                Due::Module(token) => self.events.push_back(Event::Timer { token }),
-                Due::Linger(call) => self.abandon(now, call, out),
-                Due::Order(order) => self.overdue(now, order, out),
+            match timer {
+                Timer::Controller(token) => self.events.push_back(Event::Timer { token }),
+                Timer::Linger(call) => self.abandon(now, call, outputs),
+                Timer::Order(order) => self.order_timed_out(now, order, outputs),
             }
-            self.settle(now, out);
-            if starts(out) {
+            self.run_controller(now, outputs);
+            if has_start(outputs) {
                 return;
             }
         }
     }
 
-    /// What the class of a function allows. A class that does not exist, which no front lets through, is
-    /// taken for the strictest; the controller refuses its calls.
+    /// Repeat rule of a function's class. A class that does not exist, which no front end lets through, is
+    /// treated as the strictest; the controller refuses its calls.
     fn repeat_of(&self, function: &Function) -> Repeat {
         self.settings.controller.classes.get(function.class).map_or(Repeat::Unsafe, |c| c.repeat)
     }
 
     // ---- clients -----------------------------------------------------------------------------------------
 
-    fn call(&mut self, now: Micros, told: NewCall<P>, out: &mut Out<P, R>) {
-        let deadline = told.deadline.min(self.end);
-        let by = deadline.saturating_sub(self.margin.answer_allowance(deadline.saturating_sub(now)));
-        let answer_by = by.saturating_sub(self.margin.lateness(now));
-        let repeat = self.repeat_of(&told.function);
-        let class = self.settings.controller.classes.get(told.function.class);
-        let aim = class.map_or(by, |c| by.min(now + c.aim));
+    fn receive_call(&mut self, now: Micros, new_call: NewCall<P>, outputs: &mut Outputs<P, R>) {
+        let deadline = new_call.deadline.min(self.exit_at);
+        let answer_by = deadline.saturating_sub(self.margin.answer_allowance(deadline.saturating_sub(now)));
+        let effective_deadline = answer_by.saturating_sub(self.margin.lateness(now));
+        let repeat = self.repeat_of(&new_call.function);
+        let class = self.settings.controller.classes.get(new_call.function.class);
+        let aim = class.map_or(answer_by, |c| answer_by.min(now + c.aim));
         let direct = |answer| Output::Answer {
-            waiter: told.waiter,
+            waiter: new_call.waiter,
             answer,
             attempts: 0,
             worker: None,
             origin: AnswerOrigin::Direct,
         };
-        // A recorded answer or a call in hand may serve even who has little time or comes while we stop.
+        // Recorded answers and calls in flight serve clients with little time too, and those that arrive while
+        // this process is stopping.
         let refused = |why| Answer::Refused(why, None);
-        let verdict = self.repeats.check(now, &told.identity, repeat);
+        let verdict = self.repeats.check(now, &new_call.identity, repeat);
         let fresh = matches!(verdict, Verdict::Run | Verdict::RunUntil(_));
         let until = match verdict {
-            Verdict::Recorded(reply) => return out.push(direct(Answer::Served(reply))),
-            Verdict::Blocked => return out.push(direct(Answer::Failed(Failure::MayHaveRun))),
-            Verdict::GuardLimit => return out.push(direct(refused(Refusal::GuardLimit))),
-            // Not refused: the call in hand may run, and only of a safe one is trying again harmless.
-            Verdict::Join(_) if answer_by <= now => {
-                return out.push(direct(Answer::Failed(Failure::Deadline)));
+            Verdict::Recorded(reply) => return outputs.push(direct(Answer::Served(reply))),
+            Verdict::Blocked => return outputs.push(direct(Answer::Failed(Failure::MayHaveRun))),
+            Verdict::GuardLimit => return outputs.push(direct(refused(Refusal::GuardLimit))),
+            // Failed, not refused: the call in flight may run, and only for a safe call is trying again harmless.
+            Verdict::Join(_) if effective_deadline <= now => {
+                return outputs.push(direct(Answer::Failed(Failure::Deadline)));
             }
-            _ if answer_by <= now => return out.push(direct(refused(Refusal::TooLittleTime))),
+            _ if effective_deadline <= now => return outputs.push(direct(refused(Refusal::TooLittleTime))),
             Verdict::Join(id) => {
                 let Some(call) = self.calls.get_mut(&id) else { return };
                 if call.waiters.len() >= self.settings.max_waiters {
-                    // The call in hand may run: of a safe one alone is it no lie that trying again is harmless.
+                    // The call in flight may run. Only for a safe call is it true that trying again is harmless.
                     let safe = repeat == Repeat::Safe;
                     let full = if safe {
                         refused(Refusal::TooManyInFlight)
                     } else {
                         Answer::Failed(Failure::MayHaveRun)
                     };
-                    return out.push(direct(full));
+                    return outputs.push(direct(full));
                 }
-                call.waiters.push(told.waiter);
-                return self.wait(told.waiter, id, by, AnswerOrigin::Joined);
+                call.waiters.push(new_call.waiter);
+                return self.add_waiter(new_call.waiter, id, answer_by, AnswerOrigin::Joined);
             }
-            _ if fresh && self.stopping => return out.push(direct(refused(Refusal::Stopping))),
+            _ if fresh && self.stopping => return outputs.push(direct(refused(Refusal::Stopping))),
             _ if self.calls.len() >= self.settings.max_in_flight => {
-                return out.push(direct(refused(Refusal::TooManyInFlight)));
+                return outputs.push(direct(refused(Refusal::TooManyInFlight)));
             }
             _ if now + self.arrivals.expected_wait() > aim => {
-                return out.push(direct(self.behind(self.arrivals.expected_wait())));
+                return outputs.push(direct(self.backlogged(self.arrivals.expected_wait())));
             }
             Verdict::RunUntil(until) => until,
             Verdict::Run => Micros::MAX,
         };
-        let earlier = until < Micros::MAX;
+        let may_have_run_before = until < Micros::MAX;
         let id = CallId(self.sequence);
         self.sequence += 1;
-        let identity = Arc::new(told.identity);
+        let identity = Arc::new(new_call.identity);
         self.repeats.start(&identity, repeat, id);
-        let (waiters, current) = (vec![told.waiter], None);
-        let (function, payload) = (told.function, told.payload);
-        let call = Call { identity, function, payload, waiters, current, attempts: 0, worker: None, earlier };
+        let (waiters, request) = (vec![new_call.waiter], None);
+        let (function, payload) = (new_call.function, new_call.payload);
+        let call = Call {
+            identity,
+            function,
+            payload,
+            waiters,
+            request,
+            attempts: 0,
+            worker: None,
+            may_have_run_before,
+        };
         self.calls.insert(id, call);
-        self.arrivals.push(Arrival { call: id, arrived_at: now, aim, answer_by: by, until });
-        self.wait(told.waiter, id, by, AnswerOrigin::First);
+        self.arrivals.push(Arrival { call: id, arrived_at: now, aim, answer_by, until });
+        self.add_waiter(new_call.waiter, id, answer_by, AnswerOrigin::First);
     }
 
-    /// The latest time for an answer that would be due at `by`, as the process may be killed before.
-    fn answer_by(&self, now: Micros, by: Micros) -> Micros {
-        by.min(self.end.saturating_sub(self.margin.answer_allowance(self.end.saturating_sub(now))))
+    /// Brings the time for an answer forward if the process will be killed before `answer_by`.
+    fn limit_to_exit(&self, now: Micros, answer_by: Micros) -> Micros {
+        answer_by
+            .min(self.exit_at.saturating_sub(self.margin.answer_allowance(self.exit_at.saturating_sub(now))))
     }
 
-    /// The process is killed at `end`: who would wait longer waits until then, and what is sent from now on is told so.
-    fn end_by(&mut self, now: Micros, end: Micros) {
-        self.end = self.end.min(end);
-        let by = self.answer_by(now, Micros::MAX);
-        for (id, waiter) in self.waiters.iter_mut().filter(|(_, waiter)| waiter.by > by) {
-            waiter.by = by;
-            self.answers.set(by, *id);
+    /// The process will be killed at `end`: clients that would wait longer are answered before it, and attempts
+    /// sent from now on carry the earlier deadline.
+    fn set_exit_time(&mut self, now: Micros, end: Micros) {
+        self.exit_at = self.exit_at.min(end);
+        let answer_by = self.limit_to_exit(now, Micros::MAX);
+        for (id, waiter) in self.waiters.iter_mut().filter(|(_, waiter)| waiter.answer_by > answer_by) {
+            waiter.answer_by = answer_by;
+            self.answer_timers.set(answer_by, *id);
         }
-        for open in self.tries.values_mut() {
-            open.deadline = open.deadline.min(by);
+        for state in self.requests.values_mut() {
+            state.deadline = state.deadline.min(answer_by);
         }
     }
 
-    fn wait(&mut self, waiter: WaiterId, call: CallId, by: Micros, path: AnswerOrigin) {
-        self.waiters.insert(waiter, Waiter { call, by, path });
-        self.answers.set(by, waiter);
+    fn add_waiter(&mut self, waiter: WaiterId, call: CallId, answer_by: Micros, origin: AnswerOrigin) {
+        self.waiters.insert(waiter, Waiter { call, answer_by, origin });
+        self.answer_timers.set(answer_by, waiter);
     }
 
-    /// Tells the controller of a request for the call that ends by `deadline`.
-    fn begin(&mut self, now: Micros, id: CallId, deadline: Micros) {
+    /// Passes a request for the call to the controller, which has to end by `deadline`.
+    fn begin_request(&mut self, now: Micros, id: CallId, deadline: Micros) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let function = call.function.clone();
         let request = RequestId(self.sequence);
         self.sequence += 1;
-        call.current = Some(request);
+        call.request = Some(request);
         let identity = call.identity.clone();
         self.events.push_back(Event::Request(Request {
             id: request,
@@ -346,115 +362,117 @@
             lanes: function.lanes,
             load: function.load_time,
         }));
-        let open = Try { call: id, identity, function, deadline, sent: Vec::new(), done: false };
-        self.tries.insert(request, open);
+        let state =
+            RequestState { call: id, identity, function, deadline, attempts: Vec::new(), concluded: false };
+        self.requests.insert(request, state);
     }
 
-    /// A client's own time is up. The call goes on for those who wait longer, or lingers for a repeat. One
-    /// that never ran and that nobody else waits for ends with it: its client is told that it took no effect,
-    /// and that must stay true.
-    fn out_of_time(&mut self, now: Micros, id: WaiterId, out: &mut Out<P, R>) {
+    /// Answers a client whose time has run out. The call goes on for the clients that wait longer, or lingers
+    /// for a repeat. If it never ran and has no other client, it ends: its client is told that it took no
+    /// effect, which must remain true.
+    fn expire_waiter(&mut self, now: Micros, id: WaiterId, outputs: &mut Outputs<P, R>) {
         let late = self.margin.lateness(now);
-        if self.waiters.get(&id).is_none_or(|w| w.by > now + late) {
+        if self.waiters.get(&id).is_none_or(|w| w.answer_by > now + late) {
             return;
         }
         let Some(waiter) = self.waiters.remove(&id) else { return };
         let Some(call) = self.calls.get_mut(&waiter.call) else { return };
         call.waiters.retain(|w| *w != id);
-        let (attempts, worker, request) = (call.attempts, call.worker.clone(), call.current);
-        let may_have_run = request.map_or(call.earlier, |request| self.may_have_run(request));
+        let (attempts, worker, request) = (call.attempts, call.worker.clone(), call.request);
+        let may_have_run = request.map_or(call.may_have_run_before, |request| self.may_have_run(request));
         let Some(call) = self.calls.get(&waiter.call) else { return };
         let over = call.waiters.is_empty() && !may_have_run;
         let answer = match over {
             true => Answer::Refused(Refusal::NotStarted, None),
             false => Answer::Failed(Failure::Deadline),
         };
-        out.push(Output::Answer { waiter: id, answer, attempts, worker, origin: waiter.path });
+        outputs.push(Output::Answer { waiter: id, answer, attempts, worker, origin: waiter.origin });
         match over {
-            true => self.abandon(now, waiter.call, out),
-            false => self.linger(now, waiter.call, out),
+            true => self.abandon(now, waiter.call, outputs),
+            false => self.linger(now, waiter.call, outputs),
         }
     }
 
-    /// Whether this try of an event, or one before it, may have run: the one place that says if a call that
-    /// is not served has failed or was turned away.
+    /// Whether this request for an event, or an earlier one, may have run. This alone decides whether a call
+    /// that is not served has failed or was refused.
     fn may_have_run(&self, request: RequestId) -> bool {
-        let Some(open) = self.tries.get(&request) else { return true };
-        self.calls.get(&open.call).is_none_or(|c| c.earlier) || open.may_have_run().is_some()
+        let Some(state) = self.requests.get(&request) else { return true };
+        self.calls.get(&state.call).is_none_or(|c| c.may_have_run_before)
+            || state.first_possible_run().is_some()
     }
 
-    fn left(&mut self, now: Micros, id: WaiterId, out: &mut Out<P, R>) {
+    fn client_left(&mut self, now: Micros, id: WaiterId, outputs: &mut Outputs<P, R>) {
         let Some(waiter) = self.waiters.remove(&id) else { return };
         if let Some(call) = self.calls.get_mut(&waiter.call) {
             call.waiters.retain(|w| *w != id);
-            self.linger(now, waiter.call, out);
+            self.linger(now, waiter.call, outputs);
         }
     }
 
-    /// Nobody waits any more: the call goes on for a while, as clients that leave early repeat. Wasted where
-    /// the client is gone for good; without it a crowd of early leavers would have each try begun and none
-    /// finished.
-    fn linger(&mut self, now: Micros, id: CallId, out: &mut Out<P, R>) {
+    /// Keeps a call without clients going for a while, because clients that leave early usually repeat their
+    /// event. The work is wasted if the client has gone for good; but without it, many clients that leave early
+    /// would have each run begun and none finished.
+    fn linger(&mut self, now: Micros, id: CallId, outputs: &mut Outputs<P, R>) {
         if !self.calls.get(&id).is_some_and(|c| c.waiters.is_empty()) {
             return;
         }
-        // Where clients repeat under new names nobody can come back for it.
+        // If clients repeat with new event ids, no repeat can join this call.
         if self.settings.linger == 0 {
-            self.abandon(now, id, out);
+            self.abandon(now, id, outputs);
         } else {
-            self.due.set(now + self.settings.linger, Due::Linger(id));
+            self.timers.set(now + self.settings.linger, Timer::Linger(id));
         }
     }
 
-    /// Nobody waits for the call or came back for it. Whatever the settings say of calling off what runs, what
-    /// waits for a connection still must not begin.
-    fn abandon(&mut self, now: Micros, id: CallId, out: &mut Out<P, R>) {
+    /// Ends a call without clients. Attempts that still wait for a connection are cancelled even if the
+    /// settings forbid to cancel running ones, because they must not begin.
+    fn abandon(&mut self, now: Micros, id: CallId, outputs: &mut Outputs<P, R>) {
         let Some(call) = self.calls.get(&id).filter(|c| c.waiters.is_empty()) else { return };
-        let Some(request) = call.current else { return drop(self.withdraw(now, id)) };
-        self.call_off_unwritten(request, out);
+        let Some(request) = call.request else { return drop(self.remove_unstarted(now, id)) };
+        self.abort_unwritten(request, outputs);
         self.events.push_back(Event::Gone { id: request });
-        self.close(now, request, None);
+        self.close_call(now, request, None);
     }
 
-    /// Takes a call that was never begun out of hand.
-    fn withdraw(&mut self, now: Micros, id: CallId) -> Option<Call<P>> {
+    /// Removes a call that was never passed to the controller.
+    fn remove_unstarted(&mut self, now: Micros, id: CallId) -> Option<Call<P>> {
         let call = self.calls.remove(&id)?;
         let repeat = self.repeat_of(&call.function);
         self.repeats.finish(now, &call.identity, repeat, CallEnd::NeverRan);
         Some(call)
     }
 
-    // ---- ends --------------------------------------------------------------------------------------------
+    // ---- ends of calls and attempts ----------------------------------------------------------------------
 
-    /// Ends the call of a try: every client that still waits is answered, the record kept.
-    fn conclude(&mut self, now: Micros, request: RequestId, answer: Answer<R>, out: &mut Out<P, R>) {
-        let Some(open) = self.tries.get(&request).filter(|t| !t.done) else { return };
-        let (id, deadline) = (open.call, open.deadline);
+    /// Ends the call of a request: records the end and answers every client that still waits.
+    fn conclude(&mut self, now: Micros, request: RequestId, answer: Answer<R>, outputs: &mut Outputs<P, R>) {
+        let Some(state) = self.requests.get(&request).filter(|t| !t.concluded) else { return };
+        let (id, deadline) = (state.call, state.deadline);
         let late = matches!(answer, Answer::Failed(_)) && now + self.settings.controller.tick >= deadline;
         let answer = match answer {
             Answer::Failed(_) if !self.may_have_run(request) => {
-                self.call_off_unwritten(request, out);
+                self.abort_unwritten(request, outputs);
                 Answer::Refused(Refusal::NotStarted, None)
             }
             Answer::Failed(_) if late => Answer::Failed(Failure::Deadline),
             answer => answer,
         };
         let reply = if let Answer::Served(reply) = &answer { Some(reply.clone()) } else { None };
-        let Some(mut call) = self.close(now, request, reply) else { return };
+        let Some(mut call) = self.close_call(now, request, reply) else { return };
         let lateness = self.margin.lateness(now);
-        // Not who began the call: its own time can only seem longer now by lateness that has faded since, and
-        // a call that was given up is answered at once.
-        let joined = |w: &WaiterId| self.waiters.get(w).filter(|w| w.path == AnswerOrigin::Joined);
-        let ends = |w: &WaiterId| joined(w).map(|w| w.by.saturating_sub(lateness));
+        // Excludes the client that began the call: its time can only seem longer now because the lateness has
+        // decayed since, and its call has already been given up, so it is answered at once.
+        let joined_waiter = |w: &WaiterId| self.waiters.get(w).filter(|w| w.origin == AnswerOrigin::Joined);
+        let ends = |w: &WaiterId| joined_waiter(w).map(|w| w.answer_by.saturating_sub(lateness));
         let longest = call.waiters.iter().filter_map(ends).max();
-        if late && longest.is_some_and(|by| by > now + self.settings.margin.min) {
-            // The one whose event began the call had less patience than others who joined: for them it is
-            // as if they repeated the event now.
+        if late && longest.is_some_and(|answer_by| answer_by > now + self.settings.margin.min) {
+            // The client that began the call had less patience than others that joined. They are treated as if
+            // they repeated the event now.
             let waiting = std::mem::take(&mut call.waiters);
-            let stay = |w: &WaiterId| ends(w).is_some_and(|by| by > now);
+            let stay = |w: &WaiterId| ends(w).is_some_and(|answer_by| answer_by > now);
             let (stay, go): (Vec<_>, Vec<_>) = waiting.into_iter().partition(stay);
             let (attempts, worker) = (call.attempts, call.worker.clone());
-            self.answer_all(go, &answer, (attempts, worker.clone()), out);
+            self.answer_all(go, &answer, (attempts, worker.clone()), outputs);
             let repeat = self.repeat_of(&call.function);
             let until = match self.repeats.check(now, &call.identity, repeat) {
                 Verdict::Run => Micros::MAX,
@@ -464,18 +482,18 @@
                         stay,
                         &Answer::Failed(Failure::MayHaveRun),
                         (attempts, worker),
-                        out,
+                        outputs,
                     );
                 }
             };
-            call.earlier |= until < Micros::MAX;
+            call.may_have_run_before |= until < Micros::MAX;
             call.waiters = stay;
             self.repeats.start(&call.identity, repeat, id);
             self.calls.insert(id, call);
-            return self.begin(now, id, longest.unwrap_or(now).min(until));
+            return self.begin_request(now, id, longest.unwrap_or(now).min(until));
         }
         let waiters = std::mem::take(&mut call.waiters);
-        self.answer_all(waiters, &answer, (call.attempts, call.worker), out);
+        self.answer_all(waiters, &answer, (call.attempts, call.worker), outputs);
     }
 
     fn answer_all(
@@ -483,46 +501,52 @@
         waiters: Vec<WaiterId>,
         answer: &Answer<R>,
         of: (u32, Option<WorkerId>),
-        out: &mut Out<P, R>,
+        outputs: &mut Outputs<P, R>,
     ) {
         for waiter in waiters {
-            let Some(known) = self.waiters.remove(&waiter) else { continue };
-            let (answer, attempts, worker, path) = (answer.clone(), of.0, of.1.clone(), known.path);
-            out.push(Output::Answer { waiter, answer, attempts, worker, origin: path });
+            let Some(waiting) = self.waiters.remove(&waiter) else { continue };
+            let (answer, attempts, worker, origin) = (answer.clone(), of.0, of.1.clone(), waiting.origin);
+            outputs.push(Output::Answer { waiter, answer, attempts, worker, origin });
         }
     }
 
-    /// Marks a try done and takes its call out of hand, with a record of how it ended.
-    fn close(&mut self, now: Micros, request: RequestId, reply: Option<R>) -> Option<Call<P>> {
-        let open = self.tries.get_mut(&request).filter(|t| !t.done)?;
-        open.done = true;
-        let call = self.calls.remove(&open.call)?;
-        let ended = match (reply, open.may_have_run()) {
+    /// Marks a request as concluded, removes its call and records how it ended.
+    fn close_call(&mut self, now: Micros, request: RequestId, reply: Option<R>) -> Option<Call<P>> {
+        let state = self.requests.get_mut(&request).filter(|t| !t.concluded)?;
+        state.concluded = true;
+        let call = self.calls.remove(&state.call)?;
+        let ended = match (reply, state.first_possible_run()) {
             (Some(reply), _) => CallEnd::Served(reply.clone(), reply.bytes()),
-            (None, Some(sent)) => CallEnd::MayHaveRun(sent),
+            (None, Some(sent_at)) => CallEnd::MayHaveRun(sent_at),
             (None, None) => CallEnd::NeverRan,
         };
-        if open.over() {
-            self.tries.remove(&request);
+        if state.is_finished() {
+            self.requests.remove(&request);
         }
         let repeat = self.repeat_of(&call.function);
         self.repeats.finish(now, &call.identity, repeat, ended);
         Some(call)
     }
 
-    fn ended(&mut self, now: Micros, id: AttemptId, end: AttemptEnd<R>, out: &mut Out<P, R>) {
-        let Some(open) = self.tries.get_mut(&id.request) else { return };
-        let Some(sent) = open.sent.get_mut(id.number).filter(|s| s.ended.is_none()) else { return };
-        // Served without a reply can't be passed on.
+    fn attempt_ended(&mut self, now: Micros, id: AttemptId, end: AttemptEnd<R>, outputs: &mut Outputs<P, R>) {
+        let Some(state) = self.requests.get_mut(&id.request) else { return };
+        let Some(attempt) = state.attempts.get_mut(id.number).filter(|s| s.end_code.is_none()) else {
+            return;
+        };
+        // A success without a reply can't be passed on to the client.
         let code = if end.code == Code::Ok && end.reply.is_none() { Code::Unknown } else { end.code };
-        sent.ended = Some(code);
-        let (worker, latency, done, over) =
-            (sent.worker.clone(), now.saturating_sub(sent.at), open.done, open.over());
-        let (identity, function) = (open.identity.clone(), open.function.clone());
+        attempt.end_code = Some(code);
+        let (worker, latency, concluded, over) = (
+            attempt.worker.clone(),
+            now.saturating_sub(attempt.sent_at),
+            state.concluded,
+            state.is_finished(),
+        );
+        let (identity, function) = (state.identity.clone(), state.function.clone());
         if code == Code::Ok {
             match end.reply {
-                Some(reply) if !done => self.conclude(now, id.request, Answer::Served(reply), out),
-                // Too late for its client, but a repeat may still come for it.
+                Some(reply) if !concluded => self.conclude(now, id.request, Answer::Served(reply), outputs),
+                // Too late for its client, but recorded for a repeat.
                 Some(reply) => {
                     let (repeat, bytes) = (self.repeat_of(&function), reply.bytes());
                     if !matches!(self.repeats.check(now, &identity, repeat), Verdict::Join(_)) {
@@ -533,7 +557,7 @@
             }
         }
         if over {
-            self.tries.remove(&id.request);
+            self.requests.remove(&id.request);
         }
         self.events.push_back(Event::Outcome(Outcome {
             id: id.request,
@@ -541,7 +565,7 @@
             worker,
             code,
             latency,
-            last: done || code == Code::Ok,
+            last: concluded || code == Code::Ok,
             copy: end.copy,
             crowd: end.crowd,
             report: end.report,
@@ -550,95 +574,99 @@
 
     // ---- orders ------------------------------------------------------------------------------------------
 
-    fn ordered(&mut self, now: Micros, id: OrderId, code: Code, count: u32) {
-        if let Some(Order::Load { worker, function, sent }) = self.orders.remove(&id) {
-            let latency = now.saturating_sub(sent);
+    fn order_answered(&mut self, now: Micros, id: OrderId, code: Code, count: u32) {
+        if let Some(PendingOrder::Load { worker, function, sent_at }) = self.orders.remove(&id) {
+            let latency = now.saturating_sub(sent_at);
             self.events.push_back(Event::Loaded { worker, function, count, code, latency });
         }
     }
 
-    fn probed(&mut self, now: Micros, id: OrderId, code: Code, report: Vec<f64>) {
-        if let Some(Order::Probe { worker, sent }) = self.orders.remove(&id) {
-            let latency = now.saturating_sub(sent);
+    fn probe_answered(&mut self, now: Micros, id: OrderId, code: Code, report: Vec<f64>) {
+        if let Some(PendingOrder::Probe { worker, sent_at }) = self.orders.remove(&id) {
+            let latency = now.saturating_sub(sent_at);
             self.events.push_back(Event::Probed { worker, code, latency, report });
         }
     }
 
-    fn overdue(&mut self, now: Micros, id: OrderId, out: &mut Out<P, R>) {
+    fn order_timed_out(&mut self, now: Micros, id: OrderId, outputs: &mut Outputs<P, R>) {
         match self.orders.get(&id) {
-            Some(Order::Load { .. }) => self.ordered(now, id, Code::Timeout, 0),
-            Some(Order::Probe { .. }) => self.probed(now, id, Code::Timeout, Vec::new()),
+            Some(PendingOrder::Load { .. }) => self.order_answered(now, id, Code::Timeout, 0),
+            Some(PendingOrder::Probe { .. }) => self.probe_answered(now, id, Code::Timeout, Vec::new()),
             None => return,
         }
-        out.push(Output::AbortOrder(id));
+        outputs.push(Output::AbortOrder(id));
     }
 
     // ---- the controller ----------------------------------------------------------------------------------
 
-    /// Hands the controller what has happened, and carries out its actions, until there is no more.
-    fn settle(&mut self, now: Micros, out: &mut Out<P, R>) {
+    /// Passes all pending events to the controller and carries out its actions, until no event is left.
+    fn run_controller(&mut self, now: Micros, outputs: &mut Outputs<P, R>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.controller.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action, out);
+                self.perform(now, action, outputs);
             }
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, now: Micros, action: Action, out: &mut Out<P, R>) {
+    fn perform(&mut self, now: Micros, action: Action, outputs: &mut Outputs<P, R>) {
         match action {
-            Action::Send { id, worker, until } => self.send(now, id, worker, until, out),
+            Action::Send { id, worker, until } => self.start_attempt(now, id, worker, until, outputs),
             Action::Cancel { id, attempt } => {
-                let open = |t: &Try| t.sent.get(attempt).is_some_and(|s| s.ended.is_none());
-                if self.tries.get(&id).is_some_and(open) {
-                    out.push(Output::Abort(AttemptId { request: id, number: attempt }));
+                let pending =
+                    |t: &RequestState| t.attempts.get(attempt).is_some_and(|s| s.end_code.is_none());
+                if self.requests.get(&id).is_some_and(pending) {
+                    outputs.push(Output::Abort(AttemptId { request: id, number: attempt }));
                 }
             }
             Action::Refuse { id, wait } => {
-                self.conclude(now, id, Answer::Refused(Refusal::Overload, wait), out);
+                self.conclude(now, id, Answer::Refused(Refusal::Overload, wait), outputs);
+            }
+            Action::Fail { id } => {
+                self.conclude(now, id, Answer::Failed(Failure::AttemptsExhausted), outputs)
             }
-            Action::Fail { id } => self.conclude(now, id, Answer::Failed(Failure::AttemptsExhausted), out),
-            Action::Timer { after, token } => self.due.set(now + after, Due::Module(token)),
+            Action::Timer { after, token } => self.timers.set(now + after, Timer::Controller(token)),
             Action::Probe { worker } => {
-                let order = self.order(now, Order::Probe { worker: worker.clone(), sent: now });
-                out.push(Output::Probe(order, worker));
+                let order = self.add_order(now, PendingOrder::Probe { worker: worker.clone(), sent_at: now });
+                outputs.push(Output::Probe(order, worker));
             }
             Action::Load { worker, function, count } => {
-                let load = Order::Load { worker: worker.clone(), function: function.clone(), sent: now };
-                let order = self.order(now, load);
-                out.push(Output::Order { order, worker, function, count });
+                let load =
+                    PendingOrder::Load { worker: worker.clone(), function: function.clone(), sent_at: now };
+                let order = self.add_order(now, load);
+                outputs.push(Output::Order { order, worker, function, count });
             }
-            Action::Drop { worker, function } => out.push(Output::Release(worker, function)),
-            Action::Watch => out.push(Output::RequestWorkerList),
+            Action::Drop { worker, function } => outputs.push(Output::Release(worker, function)),
+            Action::Watch => outputs.push(Output::RequestWorkerList),
         }
     }
 
-    fn order(&mut self, now: Micros, order: Order) -> OrderId {
+    fn add_order(&mut self, now: Micros, order: PendingOrder) -> OrderId {
         let id = OrderId(self.sequence);
         self.sequence += 1;
         self.orders.insert(id, order);
-        self.due.set(now + self.settings.controller.family.order_timeout, Due::Order(id));
+        self.timers.set(now + self.settings.controller.family.order_timeout, Timer::Order(id));
         id
     }
 
-    fn send(
+    fn start_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
         worker: WorkerId,
         until: Option<Micros>,
-        out: &mut Out<P, R>,
+        outputs: &mut Outputs<P, R>,
     ) {
-        let Some(open) = self.tries.get_mut(&id) else { return };
-        let number = open.sent.len();
-        open.sent.push(Sent { worker: worker.clone(), at: now, written: false, ended: None });
-        let call = self.calls.get_mut(&open.call).filter(|_| !open.done);
+        let Some(state) = self.requests.get_mut(&id) else { return };
+        let number = state.attempts.len();
+        state.attempts.push(Attempt { worker: worker.clone(), sent_at: now, written: false, end_code: None });
+        let call = self.calls.get_mut(&state.call).filter(|_| !state.concluded);
         let Some(call) = call else {
-            // The controller knows better than to send for what is done; if ever, nothing leaves.
-            if let Some(sent) = open.sent.last_mut() {
-                sent.ended = Some(Code::Moot);
+            // The controller should not send for a concluded request; if it does, nothing is sent.
+            if let Some(attempt) = state.attempts.last_mut() {
+                attempt.end_code = Some(Code::Moot);
             }
             let (code, copy) = (Code::Moot, CopyNote::Untold);
             let (latency, last, crowd, report) = (0, true, None, Vec::new());
@@ -647,13 +675,13 @@
         };
         call.attempts += 1;
         call.worker = Some(worker.clone());
-        out.push(Output::Start {
+        outputs.push(Output::Start {
             attempt: AttemptId { request: id, number },
             worker,
             identity: call.identity.clone(),
             function: call.function.clone(),
             payload: call.payload.clone(),
-            until: until.unwrap_or(open.deadline).min(open.deadline),
+            until: until.unwrap_or(state.deadline).min(state.deadline),
         });
     }
 }
--- a/crates/engine/src/in_flight.rs
+++ b/crates/engine/src/in_flight.rs
@@ -1,61 +1,67 @@
-//! The records of what is in hand: plain data, and what follows from it alone.
+//! State of the calls in flight: clients, calls, requests, attempts and orders. Plain data without decisions.
 
 use crate::{AnswerOrigin, CallId, Function, Identity, WaiterId};
 use basaltward::{Code, FunctionId, Micros, RequestId, WorkerId};
 use std::sync::Arc;
 
+/// A client that waits for an answer.
 pub struct Waiter {
     pub call: CallId,
-    /// Its deadline less the answer's way; the loop's lateness of the moment comes off it too.
-    pub by: Micros,
-    pub path: AnswerOrigin,
+    /// Its deadline less the allowance for the path of the answer. The loop's current lateness is subtracted
+    /// when the timers are checked.
+    pub answer_by: Micros,
+    pub origin: AnswerOrigin,
 }
 
+/// An event in flight, with all clients that wait for it.
 pub struct Call<P> {
     pub identity: Arc<Identity>,
     pub function: Arc<Function>,
     pub payload: Arc<P>,
     pub waiters: Vec<WaiterId>,
-    /// What the controller knows it as; none until it is begun.
-    pub current: Option<RequestId>,
+    /// The controller's current request for the call; `None` until the call begins.
+    pub request: Option<RequestId>,
     pub attempts: u32,
     pub worker: Option<WorkerId>,
-    /// An earlier try of the event may have run.
-    pub earlier: bool,
+    /// Whether an earlier run of the event may have taken effect.
+    pub may_have_run_before: bool,
 }
 
-pub struct Sent {
+/// A request sent to a worker.
+pub struct Attempt {
     pub worker: WorkerId,
-    pub at: Micros,
-    /// Bytes of it have been given to a connection. Until then it waits for one, and has not run.
+    pub sent_at: Micros,
+    /// Whether bytes of it have been written to a connection. Until then it waits for one, and has not run.
     pub written: bool,
-    pub ended: Option<Code>,
+    pub end_code: Option<Code>,
 }
 
-/// One request as the controller knows it. A call has a new one only when its client is more patient than
-/// the one whose event began it.
-pub struct Try {
+/// One request to the controller. A call gets a second one only if a client that joined has more patience than
+/// the one whose event began the call.
+pub struct RequestState {
     pub call: CallId,
     pub identity: Arc<Identity>,
     pub function: Arc<Function>,
     pub deadline: Micros,
-    pub sent: Vec<Sent>,
-    pub done: bool,
+    pub attempts: Vec<Attempt>,
+    pub concluded: bool,
 }
 
-impl Try {
-    /// When the first attempt was sent that is not known never to have run.
-    pub fn may_have_run(&self) -> Option<Micros> {
-        let maybe = |s: &&Sent| s.written && !s.ended.is_some_and(Code::never_ran);
-        self.sent.iter().filter(maybe).map(|s| s.at).min()
+impl RequestState {
+    /// When the first attempt was sent that may have run.
+    pub fn first_possible_run(&self) -> Option<Micros> {
+        let possible = |s: &&Attempt| s.written && !s.end_code.is_some_and(Code::never_ran);
+        self.attempts.iter().filter(possible).map(|s| s.sent_at).min()
     }
 
-    pub fn over(&self) -> bool {
-        self.done && self.sent.iter().all(|s| s.ended.is_some())
+    /// Whether the request is concluded and all of its attempts have ended.
+    pub fn is_finished(&self) -> bool {
+        self.concluded && self.attempts.iter().all(|s| s.end_code.is_some())
     }
 }
 
-pub enum Order {
-    Load { worker: WorkerId, function: FunctionId, sent: Micros },
-    Probe { worker: WorkerId, sent: Micros },
+/// An order, a query or a probe that waits for its answer.
+pub enum PendingOrder {
+    Load { worker: WorkerId, function: FunctionId, sent_at: Micros },
+    Probe { worker: WorkerId, sent_at: Micros },
 }
