--- a/crates/worker-lines/src/decode.rs
+++ b/crates/worker-lines/src/decode.rs
@@ -1,116 +1,116 @@
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Why bytes of a worker can't be read. What follows on the connection can't be either.
+/// Errors in the input from a worker. The connection can't be read any further after one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LinesError {
-    /// No end of line within the bound.
-    #[error("a line without end")]
+    /// A line exceeds [`LineLimits::max_line`].
+    #[error("answer line exceeds the maximum length")]
     LineTooLong,
-    /// A line is not UTF-8, or not an id, a word, fields and a length.
-    #[error("not an answer line")]
+    /// A line is not valid UTF-8, does not end in CR LF, or does not consist of id, status, fields and length.
+    #[error("malformed answer line")]
     MalformedLine,
-    /// A word that is no answer.
-    #[error("unknown answer")]
+    /// The status is none of [`Status`].
+    #[error("unknown status in answer line")]
     UnknownStatus,
-    /// The fields are not a list of names and values.
-    #[error("unreadable fields")]
+    /// The fields are not a list of `name=value`, or a number among them can't be parsed.
+    #[error("malformed fields in answer line")]
     MalformedFields,
-    /// The length of a body is not a number or past the bound.
-    #[error("unusable length")]
+    /// The length of a body is not a number or exceeds [`LineLimits::max_body`].
+    #[error("invalid or excessive body length in answer line")]
     InvalidLength,
-    /// A body is not followed by the end of its line.
-    #[error("a body that does not end where it should")]
+    /// A body is not followed by CR LF.
+    #[error("answer body is not terminated by CR LF")]
     MissingBodyEnd,
 }
 
-/// Bounds of one answer.
+/// Size limits of one answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineLimits {
-    /// Most bytes of a line.
+    /// Maximum length of a line, in bytes, without its LF.
     pub max_line: usize,
-    /// Most bytes of a body.
+    /// Maximum length of a body, in bytes.
     pub max_body: usize,
 }
 
-/// What an answer says.
+/// Status of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Served, or the copies stand.
+    /// `OK`: the request was served, or the copies are loaded.
     Ok,
-    /// No copy there; never ran.
+    /// `MISS`: no copy is loaded; the request never ran.
     Miss,
-    /// Turned away; never ran.
+    /// `BUSY`: the worker refused the request; it never ran.
     Busy,
-    /// An error; may have run.
+    /// `ERR`: an error; the request may have run.
     Err,
-    /// It was over already; never ran.
+    /// `VOID`: the request had ended already; it never ran.
     Void,
-    /// The worker is well.
+    /// `UP`: the worker is healthy.
     Up,
-    /// It is not.
+    /// `DOWN`: the worker is not healthy.
     Down,
 }
 
-/// What an answer tells of the copy.
+/// State of the copy that an answer reports in its `detail` field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyDetail {
-    /// A copy stood loaded.
+    /// `up`: a copy was loaded already.
     Up,
-    /// This request began a load.
+    /// `fresh`: this request started a load.
     Fresh,
-    /// It waited for one begun before.
+    /// `behind`: this request waited for a load that was started before.
     Behind,
-    /// The load failed.
+    /// `crashed`: the load failed.
     Crashed,
 }
 
 /// One answer of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The id or tag under which it comes.
+    /// Id of the request or tag of the command that it answers.
     pub id: String,
-    /// What it says.
+    /// The status.
     pub status: Status,
-    /// Of the copy.
+    /// State of the copy, if reported.
     pub copy: Option<CopyDetail>,
-    /// Requests for the same function that the worker held.
+    /// Number of requests for the same function that the worker held; 0 if not reported.
     pub crowd: u32,
-    /// Copies held.
+    /// Number of loaded copies, if reported.
     pub copies: Option<u32>,
-    /// The load report, as told: `name:value` separated by `;`.
+    /// The load report as received: `name:value` pairs separated by `;`. Empty if there is none.
     pub report: String,
     /// The body.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// The value of this name in the load report.
+    /// The value of `name` in the load report. `None` if it is missing or not a number.
     pub fn report_value(&self, name: &str) -> Option<f64> {
         let pairs = self.report.split(';').filter_map(|pair| pair.split_once(':'));
         pairs.into_iter().find(|(n, _)| *n == name).and_then(|(_, value)| value.parse().ok())
     }
 }
 
-/// Takes answers out of a connection's input.
+/// Incremental decoder of the answers on one connection.
 #[derive(Debug)]
 pub struct AnswerDecoder {
     limits: LineLimits,
-    /// The line of the answer whose body is awaited, with that body's length.
-    begun: Option<(Reply, usize)>,
-    /// Input already searched for the end of a line.
-    searched: usize,
+    /// The answer whose line has been read but whose body is incomplete, with the length of the body.
+    pending: Option<(Reply, usize)>,
+    /// Bytes of the input that have already been searched for the end of a line.
+    scanned: usize,
 }
 
-fn reply(line: &[u8]) -> Result<(Reply, usize), LinesError> {
+fn parse_line(line: &[u8]) -> Result<(Reply, usize), LinesError> {
     let line = std::str::from_utf8(line).map_err(|_| LinesError::MalformedLine)?;
-    let mut words = line.split(' ');
-    let (Some(id), Some(word), Some(fields), Some(length), None) =
-        (words.next(), words.next(), words.next(), words.next(), words.next())
+    let mut parts = line.split(' ');
+    let (Some(id), Some(status), Some(fields), Some(length), None) =
+        (parts.next(), parts.next(), parts.next(), parts.next(), parts.next())
     else {
         return Err(LinesError::MalformedLine);
     };
-    let word = match word {
+    let status = match status {
         "OK" => Status::Ok,
         "MISS" => Status::Miss,
         "BUSY" => Status::Busy,
@@ -126,7 +126,7 @@
     let length = length.parse().map_err(|_| LinesError::InvalidLength)?;
     let mut reply = Reply {
         id: id.into(),
-        status: word,
+        status,
         copy: None,
         crowd: 0,
         copies: None,
@@ -156,49 +156,49 @@
 }
 
 impl AnswerDecoder {
-    /// A decoder at the beginning of a connection.
+    /// Creates a decoder for a new connection.
     pub fn new(limits: LineLimits) -> Self {
-        Self { limits, begun: None, searched: 0 }
+        Self { limits, pending: None, scanned: 0 }
     }
 
-    /// Takes the next whole answer.
+    /// Removes the next complete answer from `input`. `None` if more input is needed.
     ///
     /// # Errors
-    /// Where the input is not an answer within the bounds; the connection is of no more use.
+    /// If the input is not a valid answer within the limits. The connection can't be read any further then.
     pub fn next(&mut self, input: &mut BytesMut) -> Result<Option<Reply>, LinesError> {
-        if self.begun.is_none() {
-            let end = memchr::memchr(b'\n', &input[self.searched.min(input.len())..]);
-            let Some(end) = end.map(|at| at + self.searched) else {
-                self.searched = input.len();
+        if self.pending.is_none() {
+            let end = memchr::memchr(b'\n', &input[self.scanned.min(input.len())..]);
+            let Some(end) = end.map(|at| at + self.scanned) else {
+                self.scanned = input.len();
                 return if input.len() > self.limits.max_line {
                     Err(LinesError::LineTooLong)
                 } else {
                     Ok(None)
                 };
             };
-            self.searched = 0;
+            self.scanned = 0;
             if end > self.limits.max_line {
                 return Err(LinesError::LineTooLong);
             }
             let line = input[..end].strip_suffix(b"\r").ok_or(LinesError::MalformedLine)?;
-            let (reply, length) = reply(line)?;
+            let (reply, length) = parse_line(line)?;
             if length > self.limits.max_body {
                 return Err(LinesError::InvalidLength);
             }
             input.advance(end + 1);
-            self.begun = Some((reply, length));
+            self.pending = Some((reply, length));
         }
-        let Some((reply, length)) = self.begun.take() else { return Ok(None) };
-        // Told as soon as it can be: an end that is not there is not waited for.
-        let wrong = |at: usize, byte| input.get(length + at).is_some_and(|b| *b != byte);
-        if wrong(0, b'\r') || wrong(1, b'\n') {
+        let Some((reply, length)) = self.pending.take() else { return Ok(None) };
+        // Reports a missing CR LF as soon as one of its bytes differs, without waiting for both.
+        let differs = |at: usize, byte| input.get(length + at).is_some_and(|b| *b != byte);
+        if differs(0, b'\r') || differs(1, b'\n') {
             return Err(LinesError::MissingBodyEnd);
         }
         if input.len() < length + 2 {
-            self.begun = Some((reply, length));
+            self.pending = Some((reply, length));
             return Ok(None);
         }
-        // In memory of its own: a slice would keep all that was read with it.
+        // Copies the body, because a slice would keep the whole input buffer allocated.
         let body = Bytes::copy_from_slice(&input[..length]);
         input.advance(length + 2);
         Ok(Some(Reply { body, ..reply }))
--- a/crates/worker-lines/src/lib.rs
+++ b/crates/worker-lines/src/lib.rs
@@ -1,6 +1,7 @@
-//! The line protocol to the platform's workers: lines of words that end in CR LF; where the last word is a
-//! length, so many bytes follow, then CR LF. Bytes in and out, no I/O; bounds are checked before a byte is
-//! kept.
+//! Codec of the line protocol of the platform's workers: lines of space-separated words that end in CR LF. If
+//! the last word is a length, a body of that many bytes and another CR LF follow.
+//!
+//! Free of I/O: works on byte buffers. Lengths are checked against their limits before a body is buffered.
 #![warn(missing_docs)]
 
 mod decode;
--- a/crates/worker-lines/src/write.rs
+++ b/crates/worker-lines/src/write.rs
@@ -1,58 +1,58 @@
 use bytes::{BufMut, BytesMut};
 use std::fmt::{Arguments, Write};
 
-fn put(out: &mut BytesMut, text: Arguments) {
-    // A buffer in memory takes all.
+fn write_text(out: &mut BytesMut, text: Arguments) {
+    // Writing to a buffer in memory doesn't fail.
     let _ = out.write_fmt(text);
 }
 
-/// What a request tells a worker beside its id and body.
+/// Fields of an `exec` request besides its id and body.
 #[derive(Clone, Copy, Debug)]
 pub struct ExecFields<'a> {
-    /// The class.
+    /// Name of the class.
     pub queue: &'a str,
-    /// The function.
+    /// Name of the function.
     pub path: &'a str,
-    /// How long the request is waited for, in milliseconds.
+    /// How long the scheduler waits for the answer, in milliseconds.
     pub budget_ms: u64,
-    /// The effect's key, of a class whose workers discard repeats by it.
+    /// Key of the effect, for classes whose workers discard repeats by key.
     pub key: Option<&'a str>,
 }
 
-/// A request.
+/// Writes an `exec` request, which runs a function.
 pub fn exec(out: &mut BytesMut, id: &str, fields: ExecFields, body: &[u8]) {
     let ExecFields { queue, path, budget_ms, key } = fields;
     out.reserve(body.len() + 192);
-    put(out, format_args!("exec {id} queue={queue},path={path},budget={budget_ms}"));
+    write_text(out, format_args!("exec {id} queue={queue},path={path},budget={budget_ms}"));
     if let Some(key) = key {
-        put(out, format_args!(",uniq={key}"));
+        write_text(out, format_args!(",uniq={key}"));
     }
-    put(out, format_args!(" {}\r\n", body.len()));
+    write_text(out, format_args!(" {}\r\n", body.len()));
     out.put_slice(body);
     out.put_slice(b"\r\n");
 }
 
-/// Gives a request up; it is not answered.
+/// Writes a `drop` command, which withdraws the request with this id. It has no answer.
 pub fn drop_request(out: &mut BytesMut, id: &str) {
-    put(out, format_args!("drop {id}\r\n"));
+    write_text(out, format_args!("drop {id}\r\n"));
 }
 
-/// Asks whether the worker is well.
+/// Writes a `health` command, which asks whether the worker is healthy.
 pub fn health(out: &mut BytesMut, tag: &str) {
-    put(out, format_args!("health {tag}\r\n"));
+    write_text(out, format_args!("health {tag}\r\n"));
 }
 
-/// The same, with the load report.
+/// Writes a `load` command, which asks whether the worker is healthy and for its load report.
 pub fn load(out: &mut BytesMut, tag: &str) {
-    put(out, format_args!("load {tag}\r\n"));
+    write_text(out, format_args!("load {tag}\r\n"));
 }
 
-/// Has at least `count` copies held; 0 only asks.
+/// Writes an `ensure` command, which has at least `count` copies loaded; 0 only queries their number.
 pub fn ensure(out: &mut BytesMut, tag: &str, path: &str, count: u32) {
-    put(out, format_args!("ensure {tag} path={path},slots_up={count}\r\n"));
+    write_text(out, format_args!("ensure {tag} path={path},slots_up={count}\r\n"));
 }
 
-/// Has idle copies unloaded.
+/// Writes a `release` command, which unloads the idle copies of a function.
 pub fn release(out: &mut BytesMut, path: &str) {
-    put(out, format_args!("release {path}\r\n"));
+    write_text(out, format_args!("release {path}\r\n"));
 }
--- a/crates/worker-lines/tests/answers.rs
+++ b/crates/worker-lines/tests/answers.rs
@@ -1,10 +1,10 @@
-//! Commands as they are written, answers as they are read, and what spoilt ones get.
+//! Tests of written commands, of decoded answers and of the errors for malformed ones.
 use basaltward_worker_lines::*;
 use bytes::BytesMut;
 
 const LIMITS: LineLimits = LineLimits { max_line: 256, max_body: 1_024 };
 
-fn read(pieces: &[&[u8]]) -> (Vec<Reply>, Option<LinesError>) {
+fn decode_all(pieces: &[&[u8]]) -> (Vec<Reply>, Option<LinesError>) {
     let (mut decoder, mut input, mut replies) = (AnswerDecoder::new(LIMITS), BytesMut::new(), Vec::new());
     for piece in pieces {
         input.extend_from_slice(piece);
@@ -39,10 +39,10 @@
 }
 
 #[test]
-fn answers_bear_notes_company_and_reports() {
+fn answers_carry_copy_state_crowd_and_load_report() {
     let wire = b"a1 OK detail=up,company=3 5\r\nab\r\nc\r\nb2 BUSY - 0\r\n\r\nt1 UP use=inflight:7;util:0.61 0\r\n\r\n\
         o1 OK slots_up=2 0\r\n\r\nc3 MISS detail=crashed 0\r\n\r\n";
-    let (replies, error) = read(&[wire]);
+    let (replies, error) = decode_all(&[wire]);
     assert_eq!(error, None);
     let [a, b, t, o, c] = &replies[..] else { panic!("five answers") };
     assert_eq!(
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn spoilt_answers_are_told_as_soon_as_they_show() {
+fn malformed_answers_are_reported_as_early_as_possible() {
     let cases: [(&[u8], LinesError); 10] = [
         (&[b'x'; 300], LinesError::LineTooLong),
         (b"a1 OK - 3000000000\r\n", LinesError::InvalidLength),
@@ -72,15 +72,15 @@
         (b"a1 OK company=many 0\r\n", LinesError::MalformedFields),
     ];
     for (wire, expected) in cases {
-        assert_eq!(read(&[wire]), (vec![], Some(expected)), "{}", String::from_utf8_lossy(wire));
+        assert_eq!(decode_all(&[wire]), (vec![], Some(expected)), "{}", String::from_utf8_lossy(wire));
     }
-    // What came whole before the spoilt one counts.
-    assert_eq!(read(&[b"a1 OK - 1\r\nx\r\n\xff\xfe\r\n"]).0.len(), 1);
+    // Complete answers before the malformed one are returned.
+    assert_eq!(decode_all(&[b"a1 OK - 1\r\nx\r\n\xff\xfe\r\n"]).0.len(), 1);
 }
 
 #[test]
-fn mutated_answers_are_read_alike_however_they_are_split() {
-    let good =
+fn mutated_answers_decode_alike_however_the_input_is_split() {
+    let valid =
         b"9b1f03aa5c7e2d41 OK detail=up,company=3 5\r\nhello\r\nt9 UP use=backlog:7 0\r\n\r\n".repeat(4);
     let mut state = 5u64;
     let mut draw = |below: usize| {
@@ -88,13 +88,13 @@
         (state >> 33) as usize % below.max(1)
     };
     for _ in 0..4_000 {
-        let mut bytes = good.clone();
+        let mut bytes = valid.clone();
         for _ in 0..draw(4) {
             let at = draw(bytes.len());
             bytes[at] = draw(256) as u8;
         }
         let (a, b) = (draw(bytes.len()), draw(bytes.len()));
         let (a, b) = (a.min(b), a.max(b));
-        assert_eq!(read(&[&bytes]), read(&[&bytes[..a], &bytes[a..b], &bytes[b..]]));
+        assert_eq!(decode_all(&[&bytes]), decode_all(&[&bytes[..a], &bytes[a..b], &bytes[b..]]));
     }
 }
