--- a/crates/thrift/src/binary.rs
+++ b/crates/thrift/src/binary.rs
@@ -1,9 +1,9 @@
-//! Values of the strict binary protocol.
+//! Reading and writing values of the strict binary protocol.
 
 use crate::ThriftError;
 use bytes::{BufMut, BytesMut};
 
-/// Types of values.
+// Type codes of values on the wire.
 pub const STOP: u8 = 0;
 pub const BOOL: u8 = 2;
 pub const BYTE: u8 = 3;
@@ -17,10 +17,11 @@
 pub const SET: u8 = 14;
 pub const LIST: u8 = 15;
 
-/// Structs, maps and lists within one another that are skipped; deeper ones are an error.
-const DEPTH: u32 = 16;
+/// Maximum nesting of structs, maps and lists in a skipped value; deeper nesting is an error.
+const MAX_DEPTH: u32 = 16;
 
-/// Reads values from the bytes of one message.
+/// Reads values from the bytes of one message. Unless stated otherwise, methods fail with
+/// [`ThriftError::Truncated`] if too few bytes remain.
 pub struct Reader<'a> {
     bytes: &'a [u8],
 }
@@ -30,7 +31,7 @@
         Self { bytes }
     }
 
-    /// Bytes not read yet.
+    /// Number of bytes that have not been read yet.
     pub fn remaining(&self) -> usize {
         self.bytes.len()
     }
@@ -59,12 +60,13 @@
         self.chunk().map(i32::from_be_bytes)
     }
 
-    /// A length and so many bytes.
+    /// Reads a length and as many bytes. Fails with [`ThriftError::Length`] if the
+    /// length is negative or exceeds the remaining bytes.
     pub fn binary(&mut self) -> Result<&'a [u8], ThriftError> {
-        let told = self.i32()?;
-        let length = usize::try_from(told).map_err(|_| ThriftError::Length(told))?;
+        let declared = self.i32()?;
+        let length = usize::try_from(declared).map_err(|_| ThriftError::Length(declared))?;
         if length > self.bytes.len() {
-            return Err(ThriftError::Length(told));
+            return Err(ThriftError::Length(declared));
         }
         self.take(length)
     }
@@ -73,60 +75,61 @@
         std::str::from_utf8(self.binary()?).map_err(|_| ThriftError::InvalidUtf8)
     }
 
-    /// The next field of a struct: its type and id; `None` at the end.
+    /// Reads the header of the next field of a struct: its type and id. `None` at the end of the struct.
     pub fn field(&mut self) -> Result<Option<(u8, i16)>, ThriftError> {
         match self.byte()? {
             STOP => Ok(None),
-            kind => Ok(Some((kind, self.i16()?))),
+            type_code => Ok(Some((type_code, self.i16()?))),
         }
     }
 
-    /// The head of a map: types of key and value, and how many there are.
+    /// Reads the header of a map: the types of key and value, and the number of entries.
     pub fn map(&mut self) -> Result<(u8, u8, i32), ThriftError> {
         Ok((self.byte()?, self.byte()?, self.i32()?))
     }
 
-    /// Reads over a value.
-    pub fn skip(&mut self, kind: u8) -> Result<(), ThriftError> {
-        self.skip_at(kind, 0)
+    /// Skips a value of the type `type_code`.
+    pub fn skip(&mut self, type_code: u8) -> Result<(), ThriftError> {
+        self.skip_at(type_code, 0)
     }
 
-    fn skip_at(&mut self, kind: u8, depth: u32) -> Result<(), ThriftError> {
-        if depth > DEPTH {
+    fn skip_at(&mut self, type_code: u8, depth: u32) -> Result<(), ThriftError> {
+        if depth > MAX_DEPTH {
             return Err(ThriftError::Depth);
         }
-        match kind {
+        match type_code {
             BOOL | BYTE => self.take(1).map(drop),
             I16 => self.take(2).map(drop),
             I32 => self.take(4).map(drop),
             DOUBLE | I64 => self.take(8).map(drop),
             STRING => self.binary().map(drop),
             STRUCT => {
-                while let Some((kind, _)) = self.field()? {
-                    self.skip_at(kind, depth + 1)?;
+                while let Some((type_code, _)) = self.field()? {
+                    self.skip_at(type_code, depth + 1)?;
                 }
                 Ok(())
             }
             MAP => {
                 let (key, value, count) = self.map()?;
-                self.skip_all(count, &[key, value], depth)
+                self.skip_elements(count, &[key, value], depth)
             }
             SET | LIST => {
-                let kind = self.byte()?;
+                let type_code = self.byte()?;
                 let count = self.i32()?;
-                self.skip_all(count, &[kind], depth)
+                self.skip_elements(count, &[type_code], depth)
             }
             other => Err(ThriftError::Type(other)),
         }
     }
 
-    /// Each entry holds a byte at least, so a count past the bytes left is a lie and no work is done for it.
-    fn skip_all(&mut self, count: i32, kinds: &[u8], depth: u32) -> Result<(), ThriftError> {
+    /// Skips `count` entries with values of the types `type_codes`. Each value takes at least one byte, so a count
+    /// beyond the remaining bytes is invalid and is rejected before any work is done.
+    fn skip_elements(&mut self, count: i32, type_codes: &[u8], depth: u32) -> Result<(), ThriftError> {
         let entries =
-            usize::try_from(count).ok().filter(|c| c.saturating_mul(kinds.len()) <= self.remaining());
+            usize::try_from(count).ok().filter(|c| c.saturating_mul(type_codes.len()) <= self.remaining());
         for _ in 0..entries.ok_or(ThriftError::Length(count))? {
-            for kind in kinds {
-                self.skip_at(*kind, depth + 1)?;
+            for type_code in type_codes {
+                self.skip_at(*type_code, depth + 1)?;
             }
         }
         Ok(())
@@ -138,12 +141,12 @@
     out.put_slice(bytes);
 }
 
-pub fn put_field(out: &mut BytesMut, kind: u8, id: i16) {
-    out.put_u8(kind);
+pub fn put_field(out: &mut BytesMut, type_code: u8, id: i16) {
+    out.put_u8(type_code);
     out.put_i16(id);
 }
 
-/// A map of texts.
+/// Writes a map of strings.
 pub fn put_map<'a>(out: &mut BytesMut, entries: &[(&'a str, &'a str)]) {
     out.put_u8(STRING);
     out.put_u8(STRING);
--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -1,5 +1,7 @@
-//! Thrift as the platform's clients speak it: framed transport, strict binary protocol, the messages of the
-//! service `Front`. Bytes in and out, no I/O; every length is checked against its bound before a byte is kept.
+//! Codec of the Thrift protocol of the platform's clients: framed transport, strict binary protocol and the
+//! messages of the service `Front`.
+//!
+//! Free of I/O: works on byte buffers. Each length is checked against its limit before any data is buffered.
 #![warn(missing_docs)]
 
 mod binary;
--- a/crates/thrift/src/message.rs
+++ b/crates/thrift/src/message.rs
@@ -1,85 +1,86 @@
-//! The messages of `Front`.
+//! The messages of the service `Front`.
 
 use crate::ThriftError;
 use crate::binary::{BOOL, I32, MAP, Reader, STOP, STRING, STRUCT, put_binary, put_field, put_map};
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// First word of a message in the strict protocol, without its type.
+/// Version in the first four bytes of a message of the strict protocol; the low byte holds the message type.
 const VERSION: u32 = 0x8001_0000;
-/// Most entries of a map of fields.
-const ENTRIES: i32 = 64;
-/// Method names, and codes of application exceptions.
+/// Maximum number of entries in a map of fields.
+const MAX_ENTRIES: i32 = 64;
+// Method names.
 const SUBMIT: &str = "submit";
 const REVOKE: &str = "revoke";
 const HEARTBEAT: &str = "heartbeat";
+// Codes of application exceptions.
 const UNKNOWN_METHOD: i32 = 1;
 const PROTOCOL_ERROR: i32 = 7;
 
 /// Type of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// Wants a reply.
+    /// A call that expects a reply.
     Call,
-    /// Is one.
+    /// A reply.
     Reply,
-    /// Is one that says that the call could not be taken.
+    /// A reply that reports that the call could not be handled.
     Exception,
-    /// Wants none.
+    /// A call without a reply.
     Oneway,
 }
 
-/// What stands before each message.
+/// Header of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageHeader<'a> {
-    /// Its type.
+    /// Type of the message.
     pub kind: MessageKind,
-    /// The method.
+    /// Name of the method.
     pub method: &'a str,
-    /// Its number on this connection.
+    /// Sequence number of the call on this connection.
     pub seqid: i32,
 }
 
-/// Fields by name, in the order told.
+/// Names and values of fields, in the order received.
 pub type Fields<'a> = Vec<(&'a str, &'a str)>;
 
 /// A call of `submit`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submit<'a> {
-    /// Its fields.
+    /// Fields of the call.
     pub fields: Fields<'a>,
-    /// Its body.
+    /// Body of the call.
     pub body: &'a [u8],
 }
 
-/// What a client asks.
+/// A request from a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientRequest<'a> {
-    /// Run a function.
+    /// `submit`: run a function.
     Submit(Submit<'a>),
-    /// Wait no longer for the call of this number.
+    /// `revoke`: withdraw the call with this sequence number.
     Revoke(i32),
-    /// Say whether calls are taken.
+    /// `heartbeat`: report whether calls are accepted.
     Heartbeat,
-    /// A method that does not exist here; a reply is owed only where it is not one-way.
+    /// Any other method. It gets a reply unless the message is [`MessageKind::Oneway`].
     UnknownMethod,
 }
 
-/// What a client is told.
+/// A reply to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerReply<'a> {
-    /// `Answer`: the body, and whether all is good.
+    /// The result `Answer`: the body, and whether the call succeeded.
     Answer(&'a [u8], bool),
-    /// `Rejected`, with the milliseconds to stay away.
+    /// The exception `Rejected`, with the time in milliseconds after which to retry, if given.
     Rejected(Option<u64>),
-    /// `Crashed`.
+    /// The exception `Crashed`.
     Crashed,
-    /// The method does not exist.
+    /// Application exception: the method does not exist.
     UnknownMethod,
-    /// What was sent is not by the protocol.
+    /// Application exception: the message violates the protocol.
     ProtocolError,
 }
 
-fn head<'a>(reader: &mut Reader<'a>) -> Result<MessageHeader<'a>, ThriftError> {
+fn read_header<'a>(reader: &mut Reader<'a>) -> Result<MessageHeader<'a>, ThriftError> {
     let word = reader.i32()? as u32;
     if word & 0xffff_0000 != VERSION {
         return Err(ThriftError::Version(word));
@@ -94,9 +95,9 @@
     Ok(MessageHeader { kind, method: reader.text()?, seqid: reader.i32()? })
 }
 
-fn fields<'a>(reader: &mut Reader<'a>) -> Result<Fields<'a>, ThriftError> {
+fn read_fields<'a>(reader: &mut Reader<'a>) -> Result<Fields<'a>, ThriftError> {
     let (key, value, count) = reader.map()?;
-    if !(0..=ENTRIES).contains(&count) {
+    if !(0..=MAX_ENTRIES).contains(&count) {
         return Err(ThriftError::MapEntries(count));
     }
     if count > 0 && (key, value) != (STRING, STRING) {
@@ -105,21 +106,21 @@
     (0..count).map(|_| Ok((reader.text()?, reader.text()?))).collect()
 }
 
-/// Reads what a client sent in one frame.
+/// Reads a client's request from one frame.
 ///
 /// # Errors
-/// Where it is not a message of the strict binary protocol, whole and with nothing after it.
+/// If the frame is not exactly one complete call of the strict binary protocol.
 pub fn read_request(frame: &[u8]) -> Result<(MessageHeader<'_>, ClientRequest<'_>), ThriftError> {
     let mut reader = Reader::new(frame);
-    let head = head(&mut reader)?;
-    if matches!(head.kind, MessageKind::Reply | MessageKind::Exception) {
-        return Err(ThriftError::Type(head.kind as u8 + 1));
+    let header = read_header(&mut reader)?;
+    if matches!(header.kind, MessageKind::Reply | MessageKind::Exception) {
+        return Err(ThriftError::Type(header.kind as u8 + 1));
     }
     let mut submit = Submit { fields: Vec::new(), body: &[] };
     let mut seqid = 0;
     while let Some(field) = reader.field()? {
-        match (head.method, field) {
-            (SUBMIT, (MAP, 1)) => submit.fields = fields(&mut reader)?,
+        match (header.method, field) {
+            (SUBMIT, (MAP, 1)) => submit.fields = read_fields(&mut reader)?,
             (SUBMIT, (STRING, 2)) => submit.body = reader.binary()?,
             (REVOKE, (I32, 1)) => seqid = reader.i32()?,
             (_, (kind, _)) => reader.skip(kind)?,
@@ -128,96 +129,101 @@
     if reader.remaining() > 0 {
         return Err(ThriftError::TrailingBytes(reader.remaining()));
     }
-    let asked = match head.method {
+    let request = match header.method {
         SUBMIT => ClientRequest::Submit(submit),
         REVOKE => ClientRequest::Revoke(seqid),
         HEARTBEAT => ClientRequest::Heartbeat,
         _ => ClientRequest::UnknownMethod,
     };
-    Ok((head, asked))
+    Ok((header, request))
 }
 
-/// Reads a reply, as a client does: what it tells, with its number.
+/// Reads a reply from one frame, for clients. Returns the sequence number of the call and the reply.
 ///
 /// # Errors
-/// Where it is not a reply of the strict binary protocol.
+/// If the frame is not exactly one complete reply of the strict binary protocol.
 pub fn read_reply(frame: &[u8]) -> Result<(i32, ServerReply<'_>), ThriftError> {
     let mut reader = Reader::new(frame);
-    let head = head(&mut reader)?;
-    let mut told = None;
+    let header = read_header(&mut reader)?;
+    let mut reply = None;
     while let Some((kind, id)) = reader.field()? {
-        match (head.kind, kind, id) {
+        match (header.kind, kind, id) {
             (MessageKind::Exception, I32, 2) => {
                 let unknown = reader.i32()? == UNKNOWN_METHOD;
-                told = Some(if unknown { ServerReply::UnknownMethod } else { ServerReply::ProtocolError });
+                reply = Some(if unknown { ServerReply::UnknownMethod } else { ServerReply::ProtocolError });
             }
             (MessageKind::Reply, STRUCT, 0) => {
-                let (mut body, mut good): (&[u8], bool) = (&[], false);
+                let (mut body, mut ok): (&[u8], bool) = (&[], false);
                 while let Some(field) = reader.field()? {
                     match field {
                         (STRING, 1) => body = reader.binary()?,
-                        (BOOL, 3) => good = reader.byte()? != 0,
+                        (BOOL, 3) => ok = reader.byte()? != 0,
                         (kind, _) => reader.skip(kind)?,
                     }
                 }
-                told = Some(ServerReply::Answer(body, good));
+                reply = Some(ServerReply::Answer(body, ok));
             }
             (MessageKind::Reply, STRUCT, 1 | 2) => {
                 let mut wait = None;
                 while let Some(field) = reader.field()? {
                     match field {
                         (MAP, 1) => {
-                            let told = fields(&mut reader)?;
-                            let holdoff = told.iter().find(|(name, _)| *name == "holdoff");
+                            let details = read_fields(&mut reader)?;
+                            let holdoff = details.iter().find(|(name, _)| *name == "holdoff");
                             wait = holdoff.and_then(|(_, value)| value.parse().ok());
                         }
                         (kind, _) => reader.skip(kind)?,
                     }
                 }
-                told = Some(if id == 1 { ServerReply::Rejected(wait) } else { ServerReply::Crashed });
+                reply = Some(if id == 1 { ServerReply::Rejected(wait) } else { ServerReply::Crashed });
             }
             _ => reader.skip(kind)?,
         }
     }
-    let told = told.ok_or(ThriftError::Truncated)?;
+    let reply = reply.ok_or(ThriftError::Truncated)?;
     if reader.remaining() > 0 {
         return Err(ThriftError::TrailingBytes(reader.remaining()));
     }
-    Ok((head.seqid, told))
+    Ok((header.seqid, reply))
 }
 
-fn begin(out: &mut BytesMut, kind: MessageKind, name: &str, seqid: i32) -> usize {
+fn begin_message(out: &mut BytesMut, kind: MessageKind, method: &str, seqid: i32) -> usize {
     let at = out.len();
     out.put_i32(0);
     out.put_u32(VERSION | (kind as u32 + 1));
-    put_binary(out, name.as_bytes());
+    put_binary(out, method.as_bytes());
     out.put_i32(seqid);
     at
 }
 
-fn finish(out: &mut BytesMut, at: usize) {
+fn finish_message(out: &mut BytesMut, at: usize) {
     out.put_u8(STOP);
     let length = (out.len() - at - 4) as u32;
     out[at..at + 4].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Writes messages as frames.
+/// Writing of messages, each as one frame.
 pub mod write {
     use super::*;
 
-    /// A reply to a call of this name and number.
-    pub fn reply(out: &mut BytesMut, name: &str, seqid: i32, told: &ServerReply) {
-        let failed = matches!(told, ServerReply::UnknownMethod | ServerReply::ProtocolError);
-        let at = begin(out, if failed { MessageKind::Exception } else { MessageKind::Reply }, name, seqid);
-        match told {
-            ServerReply::Answer(body, good) => {
+    /// Writes a reply to the call of this method and sequence number.
+    pub fn reply(out: &mut BytesMut, method: &str, seqid: i32, reply: &ServerReply) {
+        let failed = matches!(reply, ServerReply::UnknownMethod | ServerReply::ProtocolError);
+        let at = begin_message(
+            out,
+            if failed { MessageKind::Exception } else { MessageKind::Reply },
+            method,
+            seqid,
+        );
+        match reply {
+            ServerReply::Answer(body, ok) => {
                 put_field(out, STRUCT, 0);
                 put_field(out, STRING, 1);
                 put_binary(out, body);
                 put_field(out, MAP, 2);
                 put_map(out, &[]);
                 put_field(out, BOOL, 3);
-                out.put_u8(u8::from(*good));
+                out.put_u8(u8::from(*ok));
                 out.put_u8(STOP);
             }
             ServerReply::Rejected(wait) => {
@@ -235,7 +241,7 @@
                 out.put_u8(STOP);
             }
             ServerReply::UnknownMethod | ServerReply::ProtocolError => {
-                let unknown = *told == ServerReply::UnknownMethod;
+                let unknown = *reply == ServerReply::UnknownMethod;
                 let (text, code) = if unknown {
                     ("no such method", UNKNOWN_METHOD)
                 } else {
@@ -247,39 +253,39 @@
                 out.put_i32(code);
             }
         }
-        finish(out, at);
+        finish_message(out, at);
     }
 
-    /// A call of `submit`.
+    /// Writes a call of `submit`.
     pub fn submit(out: &mut BytesMut, seqid: i32, fields: &[(&str, &str)], body: &[u8]) {
-        let at = begin(out, MessageKind::Call, SUBMIT, seqid);
+        let at = begin_message(out, MessageKind::Call, SUBMIT, seqid);
         put_field(out, MAP, 1);
         put_map(out, fields);
         put_field(out, STRING, 2);
         put_binary(out, body);
-        finish(out, at);
+        finish_message(out, at);
     }
 
-    /// `revoke` of the call of this number.
-    pub fn revoke(out: &mut BytesMut, seqid: i32, of: i32) {
-        let at = begin(out, MessageKind::Oneway, REVOKE, seqid);
+    /// Writes a one-way `revoke` of the call with the sequence number `target`.
+    pub fn revoke(out: &mut BytesMut, seqid: i32, target: i32) {
+        let at = begin_message(out, MessageKind::Oneway, REVOKE, seqid);
         put_field(out, I32, 1);
-        out.put_i32(of);
-        finish(out, at);
+        out.put_i32(target);
+        finish_message(out, at);
     }
 
-    /// A call of `heartbeat`.
+    /// Writes a call of `heartbeat`.
     pub fn heartbeat(out: &mut BytesMut, seqid: i32) {
-        let at = begin(out, MessageKind::Call, HEARTBEAT, seqid);
+        let at = begin_message(out, MessageKind::Call, HEARTBEAT, seqid);
         put_field(out, BOOL, 1);
         out.put_u8(1);
-        finish(out, at);
+        finish_message(out, at);
     }
 }
 
-/// A body that outlives its frame, in memory of its own: a slice would keep all that was read with it.
 impl Submit<'_> {
-    /// The body, copied.
+    /// Copies the body, so that it can outlive its frame. A slice would keep all input that was read with it
+    /// allocated.
     pub fn owned_body(&self) -> Bytes {
         Bytes::copy_from_slice(self.body)
     }
