--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -17,7 +17,9 @@
 enum Timer {
     /// A timer of the controller, with its token.
     Controller(u64),
+    /// End of the time for which a call without clients lingers.
     Linger(CallId),
+    /// Timeout of an order or a probe.
     Order(OrderId),
 }
 
@@ -42,6 +44,7 @@
     timers: Timers<Timer>,
     /// Deadlines of the waiting clients. They are handled before all other timers.
     answer_timers: Timers<WaiterId>,
+    /// Source of the ids of calls, requests and orders.
     sequence: u64,
     stopping: bool,
     /// When the process will be killed, if known: no answer can be given later. Otherwise [`Micros::MAX`].
--- a/crates/engine/src/handoff.rs
+++ b/crates/engine/src/handoff.rs
@@ -69,7 +69,7 @@
     }
 
     /// Records an event by its hash. True if it may have been received before.
-    pub fn mark(&self, now: Micros, hash: u64) -> bool {
+    pub fn record(&self, now: Micros, hash: u64) -> bool {
         let epoch = now / self.span;
         let mut current = self.epoch.load(Ordering::Acquire);
         // If another loop is clearing bitmaps, this one goes on with the current span.
@@ -256,22 +256,22 @@
     #[test]
     fn an_event_is_remembered_for_a_span_at_least_and_then_forgotten() {
         let seen = SeenEvents::new(10 * S);
-        assert!(!seen.may_contain(77) && !seen.mark(0, 77) && seen.may_contain(77));
-        assert!(seen.mark(9 * S, 77) && seen.mark(10 * S, 77));
-        assert!(!seen.mark(19 * S, 78));
-        assert!(seen.mark(29 * S, 78), "recorded ten seconds ago, in the span before");
-        assert!(!seen.mark(70 * S, 78), "recorded several spans ago");
+        assert!(!seen.may_contain(77) && !seen.record(0, 77) && seen.may_contain(77));
+        assert!(seen.record(9 * S, 77) && seen.record(10 * S, 77));
+        assert!(!seen.record(19 * S, 78));
+        assert!(seen.record(29 * S, 78), "recorded ten seconds ago, in the span before");
+        assert!(!seen.record(70 * S, 78), "recorded several spans ago");
     }
 
     #[test]
     fn an_event_recorded_while_another_loop_clears_bitmaps_is_remembered_as_long() {
         let seen = SeenEvents::new(10 * S);
-        assert!(!seen.mark(S, 1));
+        assert!(!seen.record(S, 1));
         let rotation = seen.rotation.lock().expect("not poisoned");
         // Doesn't wait for the lock: the current span stays.
-        assert!(!seen.mark(19 * S, 79));
+        assert!(!seen.record(19 * S, 79));
         drop(rotation);
-        assert!(!seen.mark(20 * S, 80));
-        assert!(seen.mark(29 * S, 79));
+        assert!(!seen.record(20 * S, 80));
+        assert!(seen.record(29 * S, 79));
     }
 }
--- a/crates/engine/src/in_flight.rs
+++ b/crates/engine/src/in_flight.rs
@@ -21,7 +21,9 @@
     pub waiters: Vec<WaiterId>,
     /// The controller's current request for the call; `None` until the call begins.
     pub request: Option<RequestId>,
+    /// Number of attempts, over all requests.
     pub attempts: u32,
+    /// The worker tried last.
     pub worker: Option<WorkerId>,
     /// Whether an earlier run of the event may have taken effect.
     pub may_have_run_before: bool,
@@ -44,6 +46,7 @@
     pub function: Arc<Function>,
     pub deadline: Micros,
     pub attempts: Vec<Attempt>,
+    /// Whether its call has been answered or abandoned; attempts may still be running.
     pub concluded: bool,
 }
 
--- a/crates/engine/src/margin.rs
+++ b/crates/engine/src/margin.rs
@@ -38,8 +38,9 @@
 #[derive(Clone, Debug)]
 pub struct Margin {
     settings: MarginSettings,
-    /// Largest lateness that still counts, and when it was observed.
+    /// The observed lateness that is currently decisive, in microseconds.
     peak: f64,
+    /// When it was observed.
     peak_at: Micros,
 }
 
--- a/crates/engine/src/pace.rs
+++ b/crates/engine/src/pace.rs
@@ -7,9 +7,9 @@
 /// which even a loop that is behind with beginning calls has to go on with.
 const NEW_WORK_US: Micros = 1_000;
 /// Time per turn for due timers, except answers, so that input that arrives meanwhile is handled in time.
-const DUE_US: Micros = 2_000;
+const TIMERS_US: Micros = 2_000;
 /// Time between two checks for due timers within a turn.
-const DUE_CHECK_US: Micros = 500;
+const TIMER_CHECK_US: Micros = 500;
 /// Accepting new connections stops once the oldest request that was read has waited this long.
 const ACCEPT_STOP_US: Micros = 50_000;
 /// Accepting resumes once the oldest request has waited less than this.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct LoopPacer {
     began: Micros,
-    last_due_check: Micros,
+    last_timer_check: Micros,
     /// When the first call of this turn began.
     first_begin: Option<Micros>,
     /// When the first request of this turn was read.
@@ -66,12 +66,12 @@
     /// later wake-up counts as part of the turn.
     pub fn begin_turn(&mut self, since: Micros, due: Micros, now: Micros) {
         let began = now.min(due.max(since));
-        (self.began, self.last_due_check, self.first_begin, self.first_read) = (began, now, None, None);
+        (self.began, self.last_timer_check, self.first_begin, self.first_read) = (began, now, None, None);
     }
 
     /// Whether more due timers may be handled, if handling them began at `since`.
-    pub fn may_continue_due(&self, since: Micros, now: Micros) -> bool {
-        now < since + DUE_US
+    pub fn may_handle_timers(&self, since: Micros, now: Micros) -> bool {
+        now < since + TIMERS_US
     }
 
     /// Whether one more request may be read in this turn. Its bytes have waited since `arrived_at`.
@@ -82,10 +82,10 @@
     }
 
     /// Whether to check for due timers now, in the middle of a turn. Resets the interval if so.
-    pub fn should_check_due(&mut self, now: Micros) -> bool {
-        let check = now >= self.last_due_check + DUE_CHECK_US;
-        self.last_due_check = if check { now } else { self.last_due_check };
-        check
+    pub fn should_check_timers(&mut self, now: Micros) -> bool {
+        let due = now >= self.last_timer_check + TIMER_CHECK_US;
+        self.last_timer_check = if due { now } else { self.last_timer_check };
+        due
     }
 
     /// Whether one more call may begin in this turn. It has waited since `arrived_at`.
@@ -131,11 +131,11 @@
         pacer.begin_turn(20_000, 20_000, 20_000);
         assert!(pacer.may_begin(29_000, 0));
         assert!(pacer.may_read(30_500, 0) && pacer.may_read(31_499, 0) && !pacer.may_read(31_500, 0));
-        assert!(pacer.may_continue_due(31_500, 33_499) && !pacer.may_continue_due(31_500, 33_500));
+        assert!(pacer.may_handle_timers(31_500, 33_499) && !pacer.may_handle_timers(31_500, 33_500));
         assert!(
-            !pacer.should_check_due(20_499)
-                && pacer.should_check_due(20_500)
-                && !pacer.should_check_due(20_501)
+            !pacer.should_check_timers(20_499)
+                && pacer.should_check_timers(20_500)
+                && !pacer.should_check_timers(20_501)
         );
     }
 
--- a/crates/engine/src/repeats.rs
+++ b/crates/engine/src/repeats.rs
@@ -7,9 +7,12 @@
 //! | end of the call | safe | keyed | unsafe |
 //! | --- | --- | --- | --- |
 //! | served | the answer | the answer, guarded | the answer, guarded |
-//! | may have run | nothing | guarded; a repeat runs with group `all` within the window, else fails | guarded; a repeat fails |
+//! | may have run | nothing | the fact, guarded | the fact, guarded |
 //! | never ran | nothing | nothing | nothing |
 //!
+//! An event that may have run must not run again, so that its repeats fail. The exception is a keyed event with
+//! group `all` within its window: there the workers discard repeats, so it may be sent again.
+//!
 //! A guarded record is never evicted, because without it an effect could run twice. Each tenant has its own
 //! limit of guarded records; beyond it, new keyed and unsafe calls of that tenant alone are refused, which is
 //! harmless as they never ran. Recorded answers are evicted, oldest first, when the tenant exceeds its limits.
@@ -79,13 +82,17 @@
 }
 
 enum RecordState<C, R> {
+    /// In flight. An earlier run that may have taken effect was first sent at `earlier_run`.
     Open { call: C, earlier_run: Option<Micros> },
+    /// Served; the answer with its size in bytes, unless it has been evicted or was too large.
     Served(Option<(R, usize)>),
+    /// Not served, but may have run; first sent at this time.
     MayHaveRun(Micros),
 }
 
 struct Record<C, R> {
     state: RecordState<C, R>,
+    /// Whether the record must not be evicted: the event's class is keyed or unsafe.
     guarded: bool,
     /// Key in [`Tenant::ended`], once the event has ended.
     ended: Option<(Micros, u64)>,
@@ -97,7 +104,9 @@
     ended: BTreeMap<(Micros, u64), Arc<Identity>>,
     /// Events with a recorded answer, oldest first.
     answers: BTreeMap<u64, Arc<Identity>>,
+    /// Number of guarded records.
     guards: usize,
+    /// Total size of the recorded answers.
     bytes: usize,
 }
 
@@ -216,7 +225,7 @@
 
     /// Number of events in flight or recorded (the size of the largest index per tenant) and total bytes of
     /// the recorded answers.
-    pub fn size(&self) -> (usize, usize) {
+    pub fn usage(&self) -> (usize, usize) {
         let sum = |(n, b): (usize, usize), t: &Tenant<C, R>| {
             (n + t.records.len().max(t.ended.len()).max(t.answers.len()), b + t.bytes)
         };
@@ -313,7 +322,7 @@
         // The first record would have expired, the last one has not.
         assert_eq!(repeats.check(11 * S + S / 2, &event, KEYED), Verdict::Blocked);
         assert_eq!(repeats.check(13 * S, &event, KEYED), Verdict::Run);
-        assert_eq!(repeats.size(), (0, 0));
+        assert_eq!(repeats.usage(), (0, 0));
     }
 
     #[test]
@@ -340,7 +349,7 @@
         assert_eq!(repeats.check(2, &event(0, "v"), Repeat::Unsafe), Verdict::Recorded("y"));
         assert_eq!(repeats.check(2, &event(0, "w"), Repeat::Unsafe), Verdict::GuardLimit);
         assert_eq!(repeats.check(2, &event(1, "w"), Repeat::Unsafe), Verdict::Run);
-        assert!(repeats.size().1 <= 14);
+        assert!(repeats.usage().1 <= 14);
     }
 
     #[test]
@@ -356,6 +365,6 @@
         }
         // Two guarded records and two answers. An index that outgrew the limits once stalled the loop when it
         // was cleared.
-        assert!(repeats.size().0 <= 4, "{:?}", repeats.size());
+        assert!(repeats.usage().0 <= 4, "{:?}", repeats.usage());
     }
 }
--- a/crates/engine/tests/late_loop.rs
+++ b/crates/engine/tests/late_loop.rs
@@ -13,7 +13,7 @@
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
 const WORKERS: usize = 120;
-/// During this time the last 40 workers do not respond.
+/// Begin and end of the time in which the last 40 workers do not respond.
 const OUTAGE: (Micros, Micros) = (6 * S, 12 * S);
 const FIRST_SILENT: usize = WORKERS - 40;
 const CALLS_PER_S: u64 = 90;
@@ -49,6 +49,7 @@
     pacer: LoopPacer,
     cost: WorkCost,
     now: Micros,
+    /// Workers weighed until now, see [`Engine::workers_weighed`].
     weighed: u64,
     /// Inputs that will reach the loop, by time and sequence number.
     pending: BTreeMap<(Micros, u64), LoopInput>,
@@ -75,12 +76,12 @@
 impl VirtualLoop {
     fn new(cost: WorkCost) -> Self {
         let class = Class::new(S, PATIENCE, Repeat::Safe);
-        let mut module = Settings::new(vec![class], vec![20_000.0]);
-        module.schedulers = 300;
-        module.limits.second_copies = false;
-        module.family.order_timeout = 4 * S;
+        let mut controller = Settings::new(vec![class], vec![20_000.0]);
+        controller.schedulers = 300;
+        controller.limits.second_copies = false;
+        controller.family.order_timeout = 4 * S;
         let settings = EngineSettings {
-            controller: module,
+            controller,
             max_in_flight: 4_000,
             max_waiters: 1,
             linger: 0,
@@ -112,6 +113,7 @@
         sim
     }
 
+    /// Schedules an input to reach the loop after this time.
     fn schedule(&mut self, after: Micros, input: LoopInput) {
         self.sequence += 1;
         self.pending.insert((self.now + after, self.sequence), input);
@@ -124,12 +126,13 @@
         self.now += own + newly_weighed * self.cost.per_100_weighed / 100;
     }
 
+    /// Handles the engine's outputs as the workers and clients would, and schedules the resulting inputs.
     fn carry_out(&mut self) {
         for output in std::mem::take(&mut self.outputs) {
             match output {
                 Output::Answer { waiter, answer, .. } => {
-                    let by = self.open.remove(&waiter.0).expect("one answer");
-                    self.late.extend((self.now > by).then_some(waiter.0));
+                    let deadline = self.open.remove(&waiter.0).expect("one answer");
+                    self.late.extend((self.now > deadline).then_some(waiter.0));
                     match answer {
                         Answer::Served(_) => self.served += 1,
                         _ => self.not_served += 1,
@@ -184,7 +187,7 @@
             self.engine.wake(self.now, &mut self.outputs);
             self.spend(self.cost.per_item);
             self.carry_out();
-            if !self.pacer.may_continue_due(since, self.now) {
+            if !self.pacer.may_handle_timers(since, self.now) {
                 return;
             }
         }
@@ -198,7 +201,7 @@
                 call @ Input::QueuedCall(_) => self.unread_calls.push_back((began, call)),
                 input => self.input(input),
             }
-            if self.pacer.should_check_due(self.now) {
+            if self.pacer.should_check_timers(self.now) {
                 self.wake();
             }
         }
--- a/crates/gateway/src/mail.rs
+++ b/crates/gateway/src/mail.rs
@@ -115,7 +115,7 @@
 
     /// Takes note of a keyed or unsafe event, by its hash; true where some loop may have heard of it before.
     pub fn mark(&self, now: Micros, hash: u64) -> bool {
-        self.seen.mark(now, hash)
+        self.seen.record(now, hash)
     }
 
     /// Gives a loop a message; false where that loop has ended.
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -200,7 +200,7 @@
             }
             self.take(now, happened);
             now = monotonic();
-            if self.pace.should_check_due(now) {
+            if self.pace.should_check_timers(now) {
                 self.wake(now);
             }
             // At once: a call that waits to be written may meet the end of the kept connection that was found
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -258,7 +258,7 @@
             Verdict::Shed(wait) => Some(wait),
             Verdict::Take => {
                 if guarded {
-                    self.tables.begun.mark(now, hash);
+                    self.tables.begun.record(now, hash);
                 }
                 None
             }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -358,7 +358,7 @@
         for happened in happened.drain(..) {
             self.take(began, now, happened);
             now = monotonic();
-            if self.pace.should_check_due(now) {
+            if self.pace.should_check_timers(now) {
                 self.wake(now);
                 self.flush();
             }
@@ -546,7 +546,7 @@
             self.carry_out(now, outputs);
             now = monotonic();
             let next = self.engine.next_due(now).into_iter().chain(self.links.next_due()).min();
-            if next.is_none_or(|due| due > now) || !self.pace.may_continue_due(since, now) {
+            if next.is_none_or(|due| due > now) || !self.pace.may_handle_timers(since, now) {
                 return;
             }
         }
--- a/crates/timers/src/lib.rs
+++ b/crates/timers/src/lib.rs
@@ -79,7 +79,7 @@
     fn first_slot(&self) -> Option<u64> {
         let words = SLOT_COUNT / 64;
         let (start, bit) = ((self.next_slot % SLOT_COUNT) / 64, self.next_slot % 64);
-        // The bitmap word that contains `next_slot` is scanned twice: first its bits from there on, last those before it.
+        // The bitmap word of `next_slot` is scanned twice: first its bits from there on, last those before it.
         let calendar = (0..=words).find_map(|step| {
             let word = (start + step) % words;
             let mask = match step {
@@ -125,9 +125,9 @@
             };
             self.next_slot = slot + 1;
             let index = (slot % SLOT_COUNT) as usize;
-            let begins =
-                |entries: &&mut Vec<Entry<T>>| entries.first().is_some_and(|i| i.0 >> SLOT_BITS == slot);
-            if let Some(entries) = self.slots.get_mut(index).filter(begins) {
+            let begins_here =
+                |entries: &&mut Vec<Entry<T>>| entries.first().is_some_and(|e| e.0 >> SLOT_BITS == slot);
+            if let Some(entries) = self.slots.get_mut(index).filter(begins_here) {
                 // Frees the slot's memory. Otherwise each slot would retain the capacity of its fullest state,
                 // which adds up over many revolutions of the calendar.
                 self.sorted.extend(std::mem::take(entries).into_iter().map(Reverse));
