--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -5,7 +5,9 @@
 use basaltward::{Class, FunctionId, Micros, Repeat};
 use basaltward_engine::{Answer, Function, Identity, NewCall, WaiterId};
 use basaltward_net::{ConnId, Happened, Io};
-use basaltward_thrift::{Asked, Frames, Kind, Submit, Told, next_frame, read_request, write};
+use basaltward_thrift::{
+    ClientRequest, FrameLimits, MessageKind, ServerReply, Submit, next_frame, read_request, write,
+};
 use basaltward_timers::Timers;
 use slab::Slab;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
@@ -101,7 +103,7 @@
 
 /// The client side of the loop.
 pub struct Front {
-    frames: Frames,
+    frames: FrameLimits,
     max_clients: usize,
     classes: Vec<FrontClass>,
     tenants: Vec<String>,
@@ -178,7 +180,7 @@
         let classes = config.settings.classes.iter().zip(&config.settings.module.classes);
         let memory = config.settings.module.family.kind_memory_mb.iter().copied();
         Self {
-            frames: Frames { most: MAX_FRAME_BYTES },
+            frames: FrameLimits { max_bytes: MAX_FRAME_BYTES },
             max_clients: config.budget.clients,
             classes: classes.map(|(name, class)| FrontClass::new(name, class)).collect(),
             tenants: config.settings.tenants.clone(),
@@ -199,7 +201,7 @@
     }
 
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.next().into_iter().chain(self.reclaim_at).min()
+        self.due.next_due().into_iter().chain(self.reclaim_at).min()
     }
 
     /// Closes the connections that have been idle longest while connections are scarce. Once no connection is free,
@@ -385,17 +387,19 @@
         frame: &[u8],
     ) -> Option<Step> {
         let (head, request) = read_request(frame).ok()?;
-        let (name, seqid) = (head.name, head.seqid);
-        let oneway = head.kind == Kind::Oneway;
+        let (name, seqid) = (head.method, head.seqid);
+        let oneway = head.kind == MessageKind::Oneway;
         let reply = match request {
-            Asked::Submit(submit) if !oneway => match self.submit(io, (arrived, conn), seqid, &submit)? {
-                Ok(call) => {
-                    self.touch(now, conn);
-                    return Some(Step::Call(call));
+            ClientRequest::Submit(submit) if !oneway => {
+                match self.submit(io, (arrived, conn), seqid, &submit)? {
+                    Ok(call) => {
+                        self.touch(now, conn);
+                        return Some(Step::Call(call));
+                    }
+                    Err(reply) => reply,
                 }
-                Err(reply) => reply,
-            },
-            Asked::Revoke(of) => {
+            }
+            ClientRequest::Revoke(of) => {
                 let client = self.clients.get_mut(&conn)?;
                 let at = client.open.iter().position(|(seqid, _)| *seqid == of);
                 let waiter = at.map(|at| client.open.swap_remove(at).1);
@@ -405,13 +409,13 @@
                 self.touch(now, conn);
                 return Some(Step::Left(waiter.into_iter().collect()));
             }
-            Asked::Heartbeat if !oneway => {
+            ClientRequest::Heartbeat if !oneway => {
                 self.check_answers_read(io, conn)?;
-                Told::Answer(b"", self.knows_worker)
+                ServerReply::Answer(b"", self.knows_worker)
             }
-            Asked::Unknown if !oneway => {
+            ClientRequest::UnknownMethod if !oneway => {
                 self.count_invalid(conn)?;
-                Told::UnknownMethod
+                ServerReply::UnknownMethod
             }
             // A method that must be answered, sent as a one-way call, or an unknown one-way method.
             _ => return None,
@@ -458,7 +462,7 @@
         (arrived, conn): (Micros, ConnId),
         seqid: i32,
         submit: &Submit,
-    ) -> Option<Result<NewCall<CallPayload>, Told<'static>>> {
+    ) -> Option<Result<NewCall<CallPayload>, ServerReply<'static>>> {
         let client = self.clients.get_mut(&conn)?;
         // Sequence numbers must increase, and the number of open requests is limited: otherwise an answer could be
         // mistaken for that of another request.
@@ -467,16 +471,16 @@
         }
         client.last_seqid = seqid;
         if !self.check_answers_read(io, conn)? {
-            return Some(Err(Told::Rejected(None)));
+            return Some(Err(ServerReply::Rejected(None)));
         }
         let Some(parsed) = self.parse_submit(submit) else {
             self.count_invalid(conn)?;
-            return Some(Err(Told::Rejected(None)));
+            return Some(Err(ServerReply::Rejected(None)));
         };
         // The open request with this id may run, so the client must not be told that a retry is safe.
         if !self.ids.insert(parsed.request) {
             self.count_invalid(conn)?;
-            return Some(Err(Told::Crashed));
+            return Some(Err(ServerReply::Crashed));
         }
         self.last_waiter += 1;
         let entry = self.requests.vacant_entry();
@@ -519,12 +523,14 @@
         let max_timeout = self.classes[class].deadline.saturating_mul(10);
         // A timeout of 0 is valid: a client's last retry may have less than a millisecond left.
         let timeout = timeout.checked_mul(1_000).filter(|t| *t <= max_timeout)?;
-        let mut function = Function { name, class, memory_mb: 0.0, lanes: 0, load: None };
+        let mut function = Function { name, class, memory_mb: 0.0, lanes: 0, load_time: None };
         for (name, value) in field("props")?.split(';').filter_map(|prop| prop.split_once(':')) {
             match name {
                 "memory_mb" => function.memory_mb = parse_positive(value, self.memory_mb)?,
                 "lanes" => function.lanes = parse_positive(value, MAX_LANES)? as u32,
-                "load_ms" => function.load = Some((parse_positive(value, MAX_LOAD_MS)? * 1_000.0) as Micros),
+                "load_ms" => {
+                    function.load_time = Some((parse_positive(value, MAX_LOAD_MS)? * 1_000.0) as Micros)
+                }
                 _ => {}
             }
         }
@@ -554,9 +560,9 @@
         }
         if let Some(out) = io.output(conn) {
             let reply = match answer {
-                Answer::Served(ReplyBody(body)) => Told::Answer(body, true),
-                Answer::Refused(_, wait) => Told::Rejected(wait.map(|us| us.div_ceil(1_000))),
-                Answer::Failed(_) => Told::Crashed,
+                Answer::Served(ReplyBody(body)) => ServerReply::Answer(body, true),
+                Answer::Refused(_, wait) => ServerReply::Rejected(wait.map(|us| us.div_ceil(1_000))),
+                Answer::Failed(_) => ServerReply::Crashed,
             };
             write::reply(out, "submit", request.seqid, &reply);
         }
@@ -620,7 +626,7 @@
         if self.reclaim_at.is_some_and(|at| at <= now) {
             self.reclaim_idle(io, now);
         }
-        while let Some((at, conn)) = self.due.due(now) {
+        while let Some((at, conn)) = self.due.pop_due(now) {
             let Some(client) = self.clients.get_mut(&conn).filter(|c| c.timer_at == at) else { continue };
             client.timer_at = Micros::MAX;
             let close_at = client.close_at;
--- a/crates/node/src/job.rs
+++ b/crates/node/src/job.rs
@@ -3,7 +3,7 @@
 use crate::payload::{CallPayload, ReplyBody};
 use basaltward::{Code, CopyNote, FunctionId, Micros};
 use basaltward_engine::{AttemptEnd, AttemptId, OrderId};
-use basaltward_worker_lines::{Note, Reply, Word};
+use basaltward_worker_lines::{CopyDetail, Reply, Status};
 use std::sync::Arc;
 
 /// A request to a worker.
@@ -58,7 +58,7 @@
 /// The end of a job without a complete answer.
 pub fn end_without_reply(job: &Job, code: Code) -> Option<JobEnd> {
     match job {
-        Job::Attempt { id, .. } => Some(JobEnd::Attempt(*id, AttemptEnd::bare(code))),
+        Job::Attempt { id, .. } => Some(JobEnd::Attempt(*id, AttemptEnd::from_code(code))),
         Job::Order { id, .. } => Some(JobEnd::Order(*id, code, 0)),
         Job::Probe(id) => Some(JobEnd::Probe(*id, code, Vec::new())),
         Job::Release(_) => None,
@@ -67,32 +67,32 @@
 
 /// The end of an answered job; `report` names the values to take from the load report.
 pub fn end_with_reply(job: &Job, reply: Reply, report: &[String]) -> Option<JobEnd> {
-    let code = match reply.word {
-        Word::Ok | Word::Up => Code::Ok,
-        Word::Miss => Code::Miss,
-        Word::Busy => Code::Full,
-        Word::Err | Word::Down => Code::Error,
-        Word::Void => Code::Moot,
+    let code = match reply.status {
+        Status::Ok | Status::Up => Code::Ok,
+        Status::Miss => Code::Miss,
+        Status::Busy => Code::Full,
+        Status::Err | Status::Down => Code::Error,
+        Status::Void => Code::Moot,
     };
     Some(match job {
         // Not a valid answer to a call: its outcome is unknown.
-        Job::Attempt { id, .. } if matches!(reply.word, Word::Up | Word::Down) => {
-            JobEnd::Attempt(*id, AttemptEnd::bare(Code::Unknown))
+        Job::Attempt { id, .. } if matches!(reply.status, Status::Up | Status::Down) => {
+            JobEnd::Attempt(*id, AttemptEnd::from_code(Code::Unknown))
         }
         Job::Attempt { id, .. } => {
-            let copy = match (code, reply.note) {
-                (Code::Ok, Some(Note::Up)) => CopyNote::Stood,
-                (Code::Ok, Some(Note::Fresh)) => CopyNote::Began,
-                (Code::Ok, Some(Note::Behind)) => CopyNote::Waited,
-                (Code::Miss | Code::Error, Some(Note::Crashed)) => CopyNote::LoadFailed,
+            let copy = match (code, reply.copy) {
+                (Code::Ok, Some(CopyDetail::Up)) => CopyNote::Stood,
+                (Code::Ok, Some(CopyDetail::Fresh)) => CopyNote::Began,
+                (Code::Ok, Some(CopyDetail::Behind)) => CopyNote::Waited,
+                (Code::Miss | Code::Error, Some(CopyDetail::Crashed)) => CopyNote::LoadFailed,
                 _ => CopyNote::Untold,
             };
-            let crowd = matches!(code, Code::Ok | Code::Full).then_some(reply.company);
+            let crowd = matches!(code, Code::Ok | Code::Full).then_some(reply.crowd);
             let report = report_values(&reply, report);
             let body = (code == Code::Ok).then_some(ReplyBody(reply.body));
             JobEnd::Attempt(*id, AttemptEnd { code, reply: body, copy, crowd, report })
         }
-        Job::Order { id, .. } => JobEnd::Order(*id, code, reply.slots_up.unwrap_or(0)),
+        Job::Order { id, .. } => JobEnd::Order(*id, code, reply.copies.unwrap_or(0)),
         Job::Probe(id) => JobEnd::Probe(*id, code, report_values(&reply, report)),
         Job::Release(_) => return None,
     })
@@ -102,5 +102,5 @@
     if reply.report.is_empty() {
         return Vec::new();
     }
-    report.iter().map(|name| reply.reported(name).unwrap_or(f64::NAN)).collect()
+    report.iter().map(|name| reply.report_value(name).unwrap_or(f64::NAN)).collect()
 }
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -23,7 +23,7 @@
 use tracing::debug;
 
 /// Size limits of a worker's answer.
-const ANSWER_LIMITS: LineLimits = LineLimits { line: 2 << 10, body: 64 << 10 };
+const ANSWER_LIMITS: LineLimits = LineLimits { max_line: 2 << 10, max_body: 64 << 10 };
 /// Bytes in a connection's output buffer past which further requests wait in its queue. The same bound applies to
 /// the bytes that the system's send buffer holds and the worker has not taken.
 const MAX_UNSENT_BYTES: usize = 64 << 10;
@@ -173,7 +173,7 @@
     }
 
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.next()
+        self.due.next_due()
     }
 
     /// Whether this connection leads to a worker.
@@ -543,9 +543,9 @@
                     let worker = link.worker.clone();
                     job_key(&open.job).map(|key| self.jobs.remove(&key));
                     if let Job::Order { function, count, .. } = &open.job {
-                        let (worker, code) = (&worker, reply.word);
+                        let (worker, code) = (&worker, reply.status);
                         let took_us = now.saturating_sub(open.since);
-                        let stand = reply.slots_up;
+                        let stand = reply.copies;
                         debug!(target: "basaltward::load", %worker, %function, count, ?code, stand, took_us, "load");
                     }
                     done.extend(end_with_reply(&open.job, reply, &self.report));
@@ -615,7 +615,7 @@
     /// reports the rest.
     pub fn wake(&mut self, io: &mut Io, now: Micros, done: &mut Vec<JobEnd>) {
         for _ in 0..MAX_DUE_PER_WAKE {
-            let Some((_, due)) = self.due.due(now) else { return };
+            let Some((_, due)) = self.due.pop_due(now) else { return };
             match due {
                 Due::Attempt(id) => done.extend(self.abort(io, now, JobKey::Attempt(id), Code::Timeout)),
                 Due::UnreadCheck(conn, of) => self.reset_unless_read(io, conn, of, done),
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -15,7 +15,7 @@
     FeedId, Follower, FollowerLimits, Freshness, OWED_WITHIN_US, Roster, Step as Feed,
 };
 use basaltward_engine::{
-    Answer, Engine, EngineSettings, Input, MarginSettings, Output, Pace, RepeatLimits, Turn,
+    Answer, Engine, EngineSettings, Input, LoopPacer, MarginSettings, Output, RepeatLimits, TurnReport,
 };
 use basaltward_net::{
     ConnId, Errno, Happened, Io, IoLimits, NetError, Signals, SystemCall, Waker, bind, monotonic, thread_time,
@@ -92,7 +92,7 @@
     fleet: Option<Fleet>,
     /// Gossip with peers about copies, if the settings allow it.
     gossip: Option<Gossip>,
-    pace: Pace,
+    pace: LoopPacer,
     /// When SIGTERM arrived.
     term_at: Option<Micros>,
     /// Time after SIGTERM from which requests are rejected.
@@ -149,12 +149,12 @@
     let mut module = config.settings.module.clone();
     module.rules.send_delay = config.settings.links.connect_timeout + SEND_SLACK_US;
     EngineSettings {
-        module,
-        in_hand: config.budget.calls,
-        waiters: 1,
+        controller: module,
+        max_in_flight: config.budget.calls,
+        max_waiters: 1,
         // Here a client's retry has a new id, so nothing is retained for repeats.
         linger: 0,
-        repeats: RepeatLimits { remember: 0, answers: 0, guards: usize::MAX, bytes: 0 },
+        repeats: RepeatLimits { retention: 0, max_answers: 0, max_guards: usize::MAX, max_bytes: 0 },
         margin: MarginSettings::default(),
     }
 }
@@ -216,7 +216,7 @@
             members: MemberMapper::new(&config, wall_step),
             fleet,
             gossip,
-            pace: Pace::default(),
+            pace: LoopPacer::default(),
             term_at: None,
             rejects_after: (kill_after - CLOSE_CONNECTIONS_US).clamp(EARLIEST_REJECT_US, LATEST_REJECT_US),
             answer_by: kill_after - CLOCK_SKEW_US,
@@ -293,7 +293,7 @@
         loop {
             let now = monotonic();
             let oldest_age = self.oldest_request().map_or(0, |arrived| now.saturating_sub(arrived));
-            self.io.hold_accepting(!self.pace.accepts(oldest_age));
+            self.io.hold_accepting(!self.pace.should_accept(oldest_age));
             let wait = self.poll_timeout(now);
             self.io.turn(Some(wait), &mut events)?;
             self.follower.nothing_waited(now);
@@ -338,7 +338,7 @@
         // An answer written as late as SIGKILL allows has half of the remaining time to be read.
         let unread_until =
             (term + LATEST_REJECT_US + LAST_ANSWERS_US).max(self.last_answer + CLOCK_SKEW_US / 2);
-        self.engine.in_hand() == 0 && (settled || unread_until <= now)
+        self.engine.calls_in_flight() == 0 && (settled || unread_until <= now)
     }
 
     /// Runs one turn. Clients' input is read first, as it may withdraw work that would otherwise be sent; then
@@ -348,7 +348,7 @@
     fn turn(&mut self, (since, due): (Micros, Micros), events: &mut Vec<Happened>) {
         let mut now = monotonic();
         let began = now;
-        self.pace.begin(since, due, now);
+        self.pace.begin_turn(since, due, now);
         self.has_accepted = false;
         // Accept new clients last: a connection that is closed to free capacity for them must not have unread
         // input.
@@ -369,7 +369,7 @@
         for event in events.drain(..) {
             self.handle_event(began, now, event);
             now = monotonic();
-            if self.pace.looks(now) {
+            if self.pace.should_check_timers(now) {
                 self.wake(now);
                 self.flush();
             }
@@ -401,13 +401,13 @@
             self.front.close_idle(&mut self.io, monotonic(), term + self.rejects_after);
         }
         std::mem::swap(events, &mut self.deferred_events);
-        let Turn { began, lag, .. } = self.pace.end(monotonic(), thread_time());
-        self.engine.note_late(monotonic(), began);
+        let TurnReport { began, lag, .. } = self.pace.end_turn(monotonic(), thread_time());
+        self.engine.record_lateness(monotonic(), began);
         if let Some(lag) = lag {
             info!(
                 name = self.name,
-                turn_us = lag.turn,
-                waited_us = lag.waited,
+                turn_us = lag.longest_turn,
+                waited_us = lag.longest_wait,
                 stalled_us = lag.stalled,
                 "late"
             );
@@ -420,10 +420,10 @@
             match step {
                 Step::Call(call) => {
                     self.recorder.request_accepted(now, &call.payload.id);
-                    self.notify_engine(now, Input::Arrived(call));
+                    self.notify_engine(now, Input::QueuedCall(call));
                 }
                 Step::Left(waiters) => {
-                    waiters.into_iter().for_each(|w| self.notify_engine(now, Input::Left(w)))
+                    waiters.into_iter().for_each(|w| self.notify_engine(now, Input::ClientLeft(w)))
                 }
                 Step::Nothing => {}
             }
@@ -488,7 +488,7 @@
                 Some(feed) => self.drive_follower(now, |follower, out| follower.ended(now, feed, out)),
                 None => {
                     let left = self.front.forget(conn);
-                    left.into_iter().for_each(|w| self.notify_engine(now, Input::Left(w)));
+                    left.into_iter().for_each(|w| self.notify_engine(now, Input::ClientLeft(w)));
                 }
             },
             Happened::Signal(SIGHUP) => self.command(now, RELOAD),
@@ -497,7 +497,7 @@
                 self.gossip.iter_mut().for_each(|gossip| gossip.receive(&mut self.io, now));
                 let reports = self.gossip.as_mut().map(Gossip::take_reports).unwrap_or_default();
                 for (worker, function, copies) in reports {
-                    self.notify_engine(now, Input::Stands(worker, function, copies));
+                    self.notify_engine(now, Input::CopiesReported(worker, function, copies));
                 }
                 self.with_peers(now, |transport, io, events| transport.data(io, now, events));
                 self.apply_drain_changes(now);
@@ -515,10 +515,10 @@
             self.reload = Some((now, MAX_RELOAD_RETRIES));
         }
         if command & STOP > 0 && self.term_at.is_none() {
-            info!(name = self.name, in_hand = self.engine.in_hand(), "stopping");
+            info!(name = self.name, in_hand = self.engine.calls_in_flight(), "stopping");
             self.term_at = Some(now);
             self.front.start_stopping();
-            self.notify_engine(now, Input::EndBy(now + self.answer_by));
+            self.notify_engine(now, Input::ExitAt(now + self.answer_by));
             self.with_peers(now, |transport, io, events| transport.leave(io, now, events));
             self.recorder.stopping(now);
         }
@@ -538,13 +538,13 @@
         self.gossip.iter_mut().for_each(|gossip| gossip.send_due(&mut self.io, now));
         loop {
             let mut outputs = std::mem::take(&mut self.outputs);
-            self.engine.answer_due(now, &mut outputs);
+            self.engine.answer_expired(now, &mut outputs);
             self.carry_out(now, outputs);
             let mut done = Vec::new();
             self.links.wake(&mut self.io, now, &mut done);
             self.jobs_ended(now, done);
             let left = self.front.wake(&mut self.io, now);
-            left.into_iter().for_each(|w| self.notify_engine(now, Input::Left(w)));
+            left.into_iter().for_each(|w| self.notify_engine(now, Input::ClientLeft(w)));
             if self.follower.next_due().is_some_and(|due| due <= now) {
                 self.drive_follower(now, |follower, out| follower.wake(now, out));
             }
@@ -562,7 +562,7 @@
             self.carry_out(now, outputs);
             now = monotonic();
             let next = self.engine.next_due(now).into_iter().chain(self.links.next_due()).min();
-            if next.is_none_or(|due| due > now) || !self.pace.goes_on(since, now) {
+            if next.is_none_or(|due| due > now) || !self.pace.may_handle_timers(since, now) {
                 return;
             }
         }
@@ -589,12 +589,12 @@
         match done {
             JobEnd::Attempt(id, end) => {
                 self.recorder.ended(now, id, &end);
-                Input::Ended(id, end)
+                Input::AttemptEnded(id, end)
             }
-            JobEnd::Order(id, code, count) => Input::Ordered(id, code, count),
+            JobEnd::Order(id, code, count) => Input::OrderAnswered(id, code, count),
             JobEnd::Probe(id, code, report) => {
                 self.discovery_log.probe_ended(id, code);
-                Input::Probed(id, code, report)
+                Input::ProbeAnswered(id, code, report)
             }
         }
     }
@@ -602,7 +602,7 @@
     fn note_written(&mut self, now: Micros) {
         for written in self.links.written.drain(..) {
             if let WrittenJob::Attempt(id, _) = written.job {
-                self.engine.written(id);
+                self.engine.mark_written(id);
             }
             self.recorder.job_written(now, &mut self.io, &written);
         }
@@ -619,7 +619,7 @@
             let reports = self.gossip.as_mut().map(Gossip::take_reports).unwrap_or_default();
             for (worker, function, copies) in reports {
                 let mut more = std::mem::take(&mut self.outputs);
-                self.engine.handle(now, Input::Stands(worker, function, copies), &mut more);
+                self.engine.handle(now, Input::CopiesReported(worker, function, copies), &mut more);
                 queue.extend(more.drain(..));
                 self.outputs = more;
             }
@@ -699,12 +699,12 @@
                 links.abort_order(io, now, order);
                 None
             }
-            Output::Drop(worker, function) => {
+            Output::Release(worker, function) => {
                 let shared = gossip.as_ref().is_some_and(|gossip| gossip.is_shared(now, &worker, &function));
                 if shared { None } else { links.start(io, now, &worker, Job::Release(function)) }
             }
             // The bulletin reports every change without being queried.
-            Output::Watch => None,
+            Output::RequestWorkerList => None,
         }
     }
 
--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -1,5 +1,7 @@
-//! Thrift as the platform's clients speak it: framed transport, strict binary protocol, the messages of the
-//! service `Front`. Bytes in and out, no I/O; every length is checked against its bound before a byte is kept.
+//! Codec of the Thrift protocol of the platform's clients: framed transport, strict binary protocol and the
+//! messages of the service `Front`.
+//!
+//! Free of I/O: works on byte buffers. Each length is checked against its limit before any data is buffered.
 #![warn(missing_docs)]
 
 mod binary;
@@ -8,5 +10,7 @@
 mod message;
 
 pub use error::ThriftError;
-pub use frame::{Frames, next_frame};
-pub use message::{Asked, Fields, Head, Kind, Submit, Told, read_reply, read_request, write};
+pub use frame::{FrameLimits, next_frame};
+pub use message::{
+    ClientRequest, Fields, MessageHeader, MessageKind, ServerReply, Submit, read_reply, read_request, write,
+};
