--- a/benchlink/src/lib.rs
+++ b/benchlink/src/lib.rs
@@ -2,7 +2,7 @@
 //! controller for each instance, writes their actions. It decides nothing.
 
 use basaltward::{
-    Action, Code, Controller, CopyNote, Event, Member, MembersKind, Outcome, Request, RequestId, State,
+    Action, Code, Controller, CopyStatus, Event, Member, MembersKind, Outcome, Request, RequestId, State,
 };
 use std::collections::HashMap;
 use std::fmt;
@@ -140,14 +140,14 @@
         fields.optional().map(str::parse).transpose().map_err(|_| "a number for detail")?;
     let attempt = fields.number_or("sendNo", 0)?;
     let copy = match (code, detail.unwrap_or(0) % 8) {
-        (Code::Ok, 1) => CopyNote::Stood,
-        (Code::Ok, 2) => CopyNote::Began,
-        (Code::Ok, 3) => CopyNote::Waited,
-        (Code::Miss | Code::Error, 4) => CopyNote::LoadFailed,
-        _ => CopyNote::Untold,
+        (Code::Ok, 1) => CopyStatus::Loaded,
+        (Code::Ok, 2) => CopyStatus::LoadStarted,
+        (Code::Ok, 3) => CopyStatus::WaitedForLoad,
+        (Code::Miss | Code::Error, 4) => CopyStatus::LoadFailed,
+        _ => CopyStatus::Unknown,
     };
     let crowd = detail.filter(|_| matches!(code, Code::Ok | Code::Full)).map(|d| d / 8);
-    Ok(Outcome { id, attempt, worker, code, latency, last, copy, crowd, report: fields.report()? })
+    Ok(Outcome { id, attempt, worker, code, latency, is_final: last, copy, crowd, report: fields.report()? })
 }
 
 fn request(fields: &mut Fields) -> Result<Request, String> {
@@ -160,8 +160,8 @@
         id,
         tenant,
         class,
-        load: (load > 0.0).then_some((load * 1000.0) as u64),
-        patience: fields.number("patienceLeftUs")?,
+        load_time: (load > 0.0).then_some((load * 1000.0) as u64),
+        client_timeout: fields.number("patienceLeftUs")?,
         memory_mb: fields.finite("residentMb")?,
         lanes: fields.number_or("perCopy", 1)?,
         function: fields.text("app")?.into(),
@@ -198,10 +198,10 @@
         "request" => Event::Request(request(fields)?),
         "ack_first" => {
             let id = fields.id()?;
-            Event::First { id, attempt: fields.number("sendNo")? }
+            Event::AnswerStarted { id, attempt: fields.number("sendNo")? }
         }
         "verdict" => Event::Outcome(outcome(fields)?),
-        "timed_out_client" => Event::Gone { id: fields.id()? },
+        "timed_out_client" => Event::ClientGone { id: fields.id()? },
         "wake" => match fields.text("token")?.parse() {
             Ok(token) => Event::Timer { token },
             Err(_) => return Ok(None),
--- a/crates/bench/src/jam.rs
+++ b/crates/bench/src/jam.rs
@@ -7,7 +7,7 @@
 
 use crate::spread;
 use basaltward::{
-    Action, Class, Code, Controller, CopyNote, Event, Group, Member, MembersKind, Micros, Outcome, Repeat,
+    Action, Class, Code, Controller, CopyStatus, Event, Group, Member, MembersKind, Micros, Outcome, Repeat,
     Request, RequestId, Settings, WorkerId,
 };
 use rand::rngs::StdRng;
@@ -183,9 +183,9 @@
         took: Micros,
     ) {
         let held = self.workers.get(&worker).map_or(0, |m| m.queue.len() + m.running);
-        let copy = if code == Code::Ok { CopyNote::Stood } else { CopyNote::Untold };
+        let copy = if code == Code::Ok { CopyStatus::Loaded } else { CopyStatus::Unknown };
         let (last, crowd, report) = (code == Code::Ok, Some((held / 4) as u32), vec![held as f64]);
-        let told = Outcome { id, attempt, worker, code, latency: took, last, copy, crowd, report };
+        let told = Outcome { id, attempt, worker, code, latency: took, is_final: last, copy, crowd, report };
         self.tell(now, Event::Outcome(told));
     }
 
@@ -259,9 +259,9 @@
     settings.schedulers = shape.schedulers;
     settings.tenant_quotas = vec![2_000.0, 1_500.0, 200.0];
     settings.report_names = vec!["inflight".into()];
-    settings.family.load_window = 5_000_000;
-    settings.family.load_free = 50.0;
-    settings.family.load_share = 0.3;
+    settings.copies.load_window = 5_000_000;
+    settings.copies.load_free = 50.0;
+    settings.copies.load_share = 0.3;
     Ok(settings)
 }
 
--- a/crates/bench/src/module.rs
+++ b/crates/bench/src/module.rs
@@ -2,8 +2,8 @@
 
 use crate::spread;
 use basaltward::{
-    Action, Class, Code, Controller, CopyNote, Event, Member, MembersKind, Micros, Outcome, Repeat, Request,
-    RequestId, Settings, SettingsError, WorkerId,
+    Action, Class, Code, Controller, CopyStatus, Event, Member, MembersKind, Micros, Outcome, Repeat,
+    Request, RequestId, Settings, SettingsError, WorkerId,
 };
 use basaltward_net::{monotonic, thread_time};
 use std::collections::BTreeMap;
@@ -127,7 +127,7 @@
         let classes = vec![Class::new(500_000, 2_000_000, Repeat::Safe)];
         let mut settings = Settings::new(classes, vec![load.memory_mb.0]);
         settings.schedulers = load.schedulers;
-        settings.family.keep = load.keep_us.unwrap_or(settings.family.keep);
+        settings.copies.keep_alive = load.keep_us.unwrap_or(settings.copies.keep_alive);
         let mut driver = Self {
             controller: Controller::new(settings, 1)?,
             due: BTreeMap::new(),
@@ -206,8 +206,8 @@
                         worker,
                         code: Code::Ok,
                         latency: self.load.answer_us,
-                        last: true,
-                        copy: CopyNote::Stood,
+                        is_final: true,
+                        copy: CopyStatus::Loaded,
                         crowd: Some(crowd),
                         report: Vec::new(),
                     })
@@ -236,7 +236,7 @@
         let mut state = 0x2545_f491_4f6c_dd1d_u64;
         self.calls_of(self.load.warm_up, &mut state);
         (self.spent, self.swept, self.worst) = Default::default();
-        let looks = self.controller.looks();
+        let looks = self.controller.placements_evaluated();
         let (wall, used) = (monotonic(), thread_time());
         self.calls_of(self.load.calls, &mut state);
         // On a busy machine others run in between: that part of the wall time is not ours.
@@ -247,7 +247,7 @@
             call_us: us(self.spent) / calls,
             sweep_us_per_s: us(self.swept) / (calls / self.load.calls_per_s),
             worst_us: self.worst.as_secs_f64() * 1e6,
-            looks_per_call: (self.controller.looks() - looks) as f64 / calls,
+            looks_per_call: (self.controller.placements_evaluated() - looks) as f64 / calls,
         }
     }
 
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -94,8 +94,8 @@
     };
     let optional = Part(Some(*node));
     Class {
-        worth: optional.number("worth", 1.0, faults),
-        late_worth: optional.number("late-worth", 0.0, faults),
+        value: optional.number("worth", 1.0, faults),
+        late_value: optional.number("late-worth", 0.0, faults),
         ..Class::new(aim, deadline, repeat)
     }
 }
@@ -136,17 +136,17 @@
     let mut module = Settings::new(told, memory);
     module.tenant_quotas =
         list("tenants", "tenant").iter().map(|t| t.value("quota-per-s", faults).unwrap_or(0.0)).collect();
-    module.over_share_worth = part("tenants").number("over-share-worth", 1.0, faults);
+    module.over_share_value = part("tenants").number("over-share-worth", 1.0, faults);
     module.report_names = REPORT.map(str::to_owned).to_vec();
     module.zone = match gateway.0.filter(|g| g.text("zone").is_some()) {
         Some(node) => position(&node, "zone", &zones, faults),
         None => 0,
     };
-    let family = &mut module.family;
+    let family = &mut module.copies;
     family.load_on_miss = workers.flag("load-on-miss", false);
     family.orders = workers.flag("orders", true);
     family.order_timeout = workers.millis("order-timeout-ms", 10_000.0, faults);
-    family.keep = workers.millis("keep-ms", 10_000.0, faults);
+    family.keep_alive = workers.millis("keep-ms", 10_000.0, faults);
     family.load_window = workers.millis("load-window-ms", 0.0, faults);
     family.load_free = workers.number("load-free", 0.0, faults);
     family.load_share = workers.number("load-share", 0.0, faults);
@@ -160,15 +160,15 @@
     }
     let limits = &mut module.limits;
     limits.attempts = workers.number("attempts", 3, faults);
-    limits.second_copies = workers.flag("second-copies", true);
+    limits.concurrent_attempts = workers.flag("second-copies", true);
     limits.cancel = workers.flag("cancel", true);
     (limits.retry_after, limits.max_retry_after) = (true, MOST_RETRY_AFTER_US);
     let rules = part("rules");
     module.rules.answer_slack = rules.millis("answer-slack-ms", 0.0, faults);
     module.rules.cold_from = rules.number("cold-from", 0.2, faults);
     module.rules.warm_within = rules.millis("warm-within-ms", 15_000.0, faults);
-    module.rules.tip_multiple = rules.number("tip-multiple", 3.0, faults);
-    module.rules.fall = rules.millis("fall-ms", 2_000.0, faults);
+    module.rules.overload_multiple = rules.number("tip-multiple", 3.0, faults);
+    module.rules.overload_span = rules.millis("fall-ms", 2_000.0, faults);
     if let (true, Err(error)) = (faults.is_empty(), module.check()) {
         faults.push(root.fault(error.to_string()));
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -6,7 +6,7 @@
     OrderId, Output, Path, Refusal, Reply, WaiterId,
 };
 use basaltward::{
-    Action, Code, Controller, CopyNote, Event, Micros, Outcome, Repeat, Request, RequestId, SettingsError,
+    Action, Code, Controller, CopyStatus, Event, Micros, Outcome, Repeat, Request, RequestId, SettingsError,
     WorkerId,
 };
 use basaltward_timers::Timers;
@@ -89,9 +89,9 @@
         answer.into_iter().chain(self.due.next()).min()
     }
 
-    /// How often the controller weighed a worker so far, see [`Controller::looks`].
+    /// How often the controller weighed a worker so far, see [`Controller::placements_evaluated`].
     pub fn looks(&self) -> u64 {
-        self.controller.looks()
+        self.controller.placements_evaluated()
     }
 
     /// Until when new work may begin at a worker, see [`Controller::new_work_until`].
@@ -126,7 +126,7 @@
                 self.events.push_back(Event::Loaded { worker, function, count, code, latency });
             }
             Input::Members(kind, members) => self.events.push_back(Event::Members { kind, members }),
-            Input::ListTrust(trust) => self.events.push_back(Event::ListTrust(trust)),
+            Input::ListTrust(trust) => self.events.push_back(Event::ListFreshness(trust)),
             Input::Disconnected(worker) => self.events.push_back(Event::Disconnected { worker }),
             Input::Stop => self.stopping = true,
             Input::EndBy(end) => self.end_by(now, end),
@@ -338,10 +338,10 @@
             tenant: identity.tenant,
             class: function.class,
             function: function.name.clone(),
-            patience: deadline.saturating_sub(now),
+            client_timeout: deadline.saturating_sub(now),
             memory_mb: function.memory_mb,
             lanes: function.lanes,
-            load: function.load,
+            load_time: function.load,
         }));
         let open = Try { call: id, identity, function, deadline, sent: Vec::new(), done: false };
         self.tries.insert(request, open);
@@ -409,7 +409,7 @@
         let Some(call) = self.calls.get(&id).filter(|c| c.waiters.is_empty()) else { return };
         let Some(request) = call.current else { return drop(self.withdraw(now, id)) };
         self.call_off_unwritten(request, out);
-        self.events.push_back(Event::Gone { id: request });
+        self.events.push_back(Event::ClientGone { id: request });
         self.close(now, request, None);
     }
 
@@ -538,7 +538,7 @@
             worker,
             code,
             latency,
-            last: done || code == Code::Ok,
+            is_final: done || code == Code::Ok,
             copy: end.copy,
             crowd: end.crowd,
             report: end.report,
@@ -616,7 +616,7 @@
         let id = OrderId(self.sequence);
         self.sequence += 1;
         self.orders.insert(id, order);
-        self.due.set(now + self.settings.module.family.order_timeout, Due::Order(id));
+        self.due.set(now + self.settings.module.copies.order_timeout, Due::Order(id));
         id
     }
 
@@ -637,9 +637,10 @@
             if let Some(sent) = open.sent.last_mut() {
                 sent.ended = Some(Code::Moot);
             }
-            let (code, copy) = (Code::Moot, CopyNote::Untold);
+            let (code, copy) = (Code::Moot, CopyStatus::Unknown);
             let (latency, last, crowd, report) = (0, true, None, Vec::new());
-            let moot = Outcome { id, attempt: number, worker, code, latency, last, copy, crowd, report };
+            let moot =
+                Outcome { id, attempt: number, worker, code, latency, is_final: last, copy, crowd, report };
             return self.events.push_back(Event::Outcome(moot));
         };
         call.attempts += 1;
--- a/crates/engine/src/types.rs
+++ b/crates/engine/src/types.rs
@@ -1,5 +1,7 @@
 use crate::{Function, Identity};
-use basaltward::{Code, CopyNote, FunctionId, ListTrust, Member, MembersKind, Micros, RequestId, WorkerId};
+use basaltward::{
+    Code, CopyStatus, FunctionId, ListFreshness, Member, MembersKind, Micros, RequestId, WorkerId,
+};
 use std::sync::Arc;
 
 /// Names one waiting client; the front gives it and may use it again once it was answered or has left.
@@ -52,7 +54,7 @@
     /// The reply of a call that was served.
     pub reply: Option<R>,
     /// What became of the copy.
-    pub copy: CopyNote,
+    pub copy: CopyStatus,
     /// Calls of the function that the worker held on arrival, where told.
     pub crowd: Option<u32>,
     /// The load report, in the order of the module's settings.
@@ -62,7 +64,7 @@
 impl<R> AttemptEnd<R> {
     /// An end that tells nothing but its code.
     pub fn bare(code: Code) -> Self {
-        Self { code, reply: None, copy: CopyNote::Untold, crowd: None, report: Vec::new() }
+        Self { code, reply: None, copy: CopyStatus::Unknown, crowd: None, report: Vec::new() }
     }
 }
 
@@ -86,7 +88,7 @@
     /// News of the list of workers.
     Members(MembersKind, Vec<Member>),
     /// How far the list of workers is to be believed from now on.
-    ListTrust(ListTrust),
+    ListTrust(ListFreshness),
     /// The last connection to a worker has ended by itself, or none could be had.
     Disconnected(WorkerId),
     /// Take no new calls; those in hand go on.
--- a/crates/engine/tests/behind.rs
+++ b/crates/engine/tests/behind.rs
@@ -1,7 +1,7 @@
 //! A loop with a fifth of a core, whose clock runs on by what its work costs: whatever the fleet does, each
 //! call has its answer in time. No socket; the order of a turn is that of the live scheduler's loop.
 use basaltward::{
-    Class, Code, CopyNote, FunctionId, Member, MembersKind, Micros, Repeat, Settings, WorkerId,
+    Class, Code, CopyStatus, FunctionId, Member, MembersKind, Micros, Repeat, Settings, WorkerId,
 };
 use basaltward_engine::*;
 use rand::rngs::StdRng;
@@ -73,8 +73,8 @@
         let class = Class::new(S, PATIENCE, Repeat::Safe);
         let mut module = Settings::new(vec![class], vec![20_000.0]);
         module.schedulers = 300;
-        module.limits.second_copies = false;
-        module.family.order_timeout = 4 * S;
+        module.limits.concurrent_attempts = false;
+        module.copies.order_timeout = 4 * S;
         let settings = EngineSettings {
             module,
             in_hand: 4_000,
@@ -142,7 +142,7 @@
                         }
                         None => AttemptEnd::bare(Code::Miss),
                         Some(_) => {
-                            let (reply, copy) = (Some(Body), CopyNote::Stood);
+                            let (reply, copy) = (Some(Body), CopyStatus::Loaded);
                             AttemptEnd { code: Code::Ok, reply, copy, crowd: Some(1), report: Vec::new() }
                         }
                     };
--- a/crates/engine/tests/calls.rs
+++ b/crates/engine/tests/calls.rs
@@ -1,5 +1,5 @@
 //! Calls through the engine: inputs and times in, outputs out, no socket and no clock.
-use basaltward::{Class, Code, CopyNote, Member, MembersKind, Micros, Repeat, Settings};
+use basaltward::{Class, Code, CopyStatus, Member, MembersKind, Micros, Repeat, Settings};
 use basaltward_engine::*;
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
     /// Workers w0, w1, ... that load on a call, so no order stands between a call and its worker.
     fn new(repeat: Repeat, workers: usize, change: impl FnOnce(&mut EngineSettings)) -> Self {
         let mut module = Settings::new(vec![Class::new(500 * MS, 2 * S, repeat)], vec![4_000.0]);
-        (module.family.load_on_miss, module.family.orders) = (true, false);
+        (module.copies.load_on_miss, module.copies.orders) = (true, false);
         let mut settings = EngineSettings {
             module,
             in_hand: 10,
@@ -84,7 +84,7 @@
     }
 
     fn ended(&mut self, attempt: AttemptId, code: Code, reply: Option<Text>) {
-        let copy = if code == Code::Ok { CopyNote::Stood } else { CopyNote::Untold };
+        let copy = if code == Code::Ok { CopyStatus::Loaded } else { CopyStatus::Unknown };
         self.tell(Input::Ended(attempt, AttemptEnd { copy, reply, ..AttemptEnd::bare(code) }));
     }
 }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -82,11 +82,11 @@
 /// Figures of the door, the same at all gateways.
 pub fn shed_settings(config: &Config, sites: &SitesConfig) -> Option<ShedSettings> {
     let class =
-        |class: &basaltward::Class| ClassOf { worth: class.worth, aim: class.aim, deadline: class.deadline };
+        |class: &basaltward::Class| ClassOf { worth: class.value, aim: class.aim, deadline: class.deadline };
     let classes = config.module.classes.iter().map(class).collect();
     let usual = ShedSettings::new(classes, config.module.tenant_quotas.clone(), places(sites)?);
     Some(ShedSettings {
-        over_share_worth: config.module.over_share_worth,
+        over_share_worth: config.module.over_share_value,
         loops: config.threads as usize,
         ..usual
     })
@@ -101,11 +101,11 @@
         aim: classes[f.class].aim,
         deadline: classes[f.class].deadline,
     };
-    let kinds = &config.module.family.kind_memory_mb;
+    let kinds = &config.module.copies.kind_memory_mb;
     let worker_mb = kinds.iter().sum::<f64>() / kinds.len().max(1) as f64;
     let functions = config.functions.iter().map(function).collect();
     let usual = RouteSettings::new(places(sites)?, functions, worker_mb as u32, u64::from(sites.own));
-    Some(RouteSettings { keep: config.module.family.keep, loops: config.threads as u16, ..usual })
+    Some(RouteSettings { keep: config.module.copies.keep_alive, loops: config.threads as u16, ..usual })
 }
 
 fn endpoint_config(config: &Config, sites: &SitesConfig) -> EndpointConfig {
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -467,7 +467,7 @@
     /// An attempt has ended.
     pub fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: &AttemptEnd<Reply>) {
         let Some((function, began)) = self.out.remove(&attempt) else { return };
-        if end.code == Code::Ok && end.copy == basaltward::CopyNote::Stood {
+        if end.code == Code::Ok && end.copy == basaltward::CopyStatus::Loaded {
             self.counted(function).warm += 1;
             let (took, run) = (now.saturating_sub(began), self.runs.entry(function).or_insert(Micros::MAX));
             // A hundredth up with each: what takes longer from now on is believed in time.
--- a/crates/gateway/src/worker_wire.rs
+++ b/crates/gateway/src/worker_wire.rs
@@ -1,6 +1,6 @@
 //! The worker protocol's messages (`docs/worker-protocol.md`): requests written, responses read.
 
-use basaltward::{Code, CopyNote, Repeat};
+use basaltward::{Code, CopyStatus, Repeat};
 use basaltward_cloudevents::{Attribute, Event, write_binary_fields};
 use basaltward_engine::{AttemptEnd, Function};
 use basaltward_http::{Body, HeadWriter, Response};
@@ -122,11 +122,11 @@
 pub fn attempt_end(response: Response, event: &Event, names: &[String]) -> AttemptEnd<Reply> {
     let code = code(&response);
     let copy = match (code, response.headers.get(fields::COPY)) {
-        (Code::Ok, Some("stood")) => CopyNote::Stood,
-        (Code::Ok, Some("began")) => CopyNote::Began,
-        (Code::Ok, Some("waited")) => CopyNote::Waited,
-        (Code::Miss | Code::Error, Some("failed")) => CopyNote::LoadFailed,
-        _ => CopyNote::Untold,
+        (Code::Ok, Some("stood")) => CopyStatus::Loaded,
+        (Code::Ok, Some("began")) => CopyStatus::LoadStarted,
+        (Code::Ok, Some("waited")) => CopyStatus::WaitedForLoad,
+        (Code::Miss | Code::Error, Some("failed")) => CopyStatus::LoadFailed,
+        _ => CopyStatus::Unknown,
     };
     AttemptEnd {
         code,
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -170,7 +170,7 @@
     /// A front without clients.
     pub fn new(config: &NodeConfig) -> Self {
         let classes = config.told.classes.iter().zip(&config.told.module.classes);
-        let memory = config.told.module.family.kind_memory_mb.iter().copied();
+        let memory = config.told.module.copies.kind_memory_mb.iter().copied();
         Self {
             frames: Frames { most: FRAME },
             most: config.budget.clients,
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -4,7 +4,7 @@
 use crate::config::NodeConfig;
 use crate::instance_directory::{InstanceDirectory, News};
 use crate::links::Done;
-use basaltward::{Code, CopyNote, FunctionId, Member, MembersKind, Micros, WorkerId};
+use basaltward::{Code, CopyStatus, FunctionId, Member, MembersKind, Micros, WorkerId};
 use basaltward_engine::{AttemptId, OrderId};
 use basaltward_membership::MAX_DATAGRAM_BYTES;
 use basaltward_net::{Io, NetError};
@@ -40,7 +40,8 @@
         let (attempts, orders) = (HashMap::new(), HashMap::new());
         let others = addresses.each.iter().enumerate().filter(|(n, _)| *n != module.self_index as usize);
         let peers: HashMap<_, _> = others.map(|(number, at)| (*at, number as u32)).collect();
-        let directory = InstanceDirectory::new(now, (module.self_index, peers.len()), module.family.keep);
+        let directory =
+            InstanceDirectory::new(now, (module.self_index, peers.len()), module.copies.keep_alive);
         Ok(Some(Self { directory, socket, all: addresses.all, peers, attempts, orders }))
     }
 
@@ -115,8 +116,8 @@
     pub fn ended(&mut self, now: Micros, done: &Done) {
         let (at, copies) = match done {
             Done::Attempt(id, end) => {
-                let stands = end.code == Code::Ok && end.copy != CopyNote::Untold;
-                let none = end.code == Code::Miss || end.copy == CopyNote::LoadFailed;
+                let stands = end.code == Code::Ok && end.copy != CopyStatus::Unknown;
+                let none = end.code == Code::Miss || end.copy == CopyStatus::LoadFailed;
                 (self.attempts.remove(id), if stands { Some(1) } else { none.then_some(0) })
             }
             // An order that was turned away says nothing of copies that stood before.
--- a/crates/node/src/job.rs
+++ b/crates/node/src/job.rs
@@ -1,7 +1,7 @@
 //! What connections to workers are used for, and how that ends.
 
 use crate::work::{Served, Work};
-use basaltward::{Code, CopyNote, FunctionId, Micros};
+use basaltward::{Code, CopyStatus, FunctionId, Micros};
 use basaltward_engine::{AttemptEnd, AttemptId, OrderId};
 use basaltward_worker_lines::{Note, Reply, Word};
 use std::sync::Arc;
@@ -80,11 +80,11 @@
         }
         Job::Attempt { id, .. } => {
             let copy = match (code, reply.note) {
-                (Code::Ok, Some(Note::Up)) => CopyNote::Stood,
-                (Code::Ok, Some(Note::Fresh)) => CopyNote::Began,
-                (Code::Ok, Some(Note::Behind)) => CopyNote::Waited,
-                (Code::Miss | Code::Error, Some(Note::Crashed)) => CopyNote::LoadFailed,
-                _ => CopyNote::Untold,
+                (Code::Ok, Some(Note::Up)) => CopyStatus::Loaded,
+                (Code::Ok, Some(Note::Fresh)) => CopyStatus::LoadStarted,
+                (Code::Ok, Some(Note::Behind)) => CopyStatus::WaitedForLoad,
+                (Code::Miss | Code::Error, Some(Note::Crashed)) => CopyStatus::LoadFailed,
+                _ => CopyStatus::Unknown,
             };
             let crowd = matches!(code, Code::Ok | Code::Full).then_some(reply.company);
             let report = reported(&reply, report);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -10,7 +10,7 @@
 use crate::peers::Fleet;
 use crate::recorder::TraceRecorder;
 use crate::work::{Served, Work};
-use basaltward::{Code, ListTrust, Micros, SettingsError, State, WorkerId};
+use basaltward::{Code, ListFreshness, Micros, SettingsError, State, WorkerId};
 use basaltward_bulletin::{
     FeedId, Follower, FollowerLimits, Freshness, OWED_WITHIN_US, Roster, Step as Feed,
 };
@@ -107,7 +107,7 @@
     /// Ends of what was taken back in the middle of a turn.
     taken_back: Vec<Done>,
     /// How far the list is to be believed, as the module was told it last.
-    list_trust: Option<ListTrust>,
+    list_trust: Option<ListFreshness>,
     discovery_log: DiscoveryLog,
     recorder: TraceRecorder,
     wanted: Arc<AtomicU8>,
@@ -730,10 +730,10 @@
         let mut workers = std::mem::take(&mut self.links.disconnected);
         let mut first = std::mem::take(&mut self.links.first_connected);
         let is_out_of_reach = match self.list_trust {
-            Some(ListTrust::Interrupted { .. }) => true,
+            Some(ListFreshness::Interrupted { .. }) => true,
             // At a usual start the bulletin's first number comes within this.
-            Some(ListTrust::Unconfirmed { since }) => now > since + OWED_WITHIN_US,
-            Some(ListTrust::Current { .. }) | None => false,
+            Some(ListFreshness::Unconfirmed { since }) => now > since + OWED_WITHIN_US,
+            Some(ListFreshness::Current { .. }) | None => false,
         };
         if is_out_of_reach {
             workers.append(&mut first);
@@ -745,9 +745,9 @@
     fn pass_list_trust(&mut self, now: Micros) {
         let freshness = self.follower.freshness(now);
         let trust = match freshness {
-            Freshness::Unconfirmed => ListTrust::Unconfirmed { since: self.started },
-            Freshness::Current { told_at } => ListTrust::Current { told_at },
-            Freshness::Interrupted { told_at, .. } => ListTrust::Interrupted { told_at },
+            Freshness::Unconfirmed => ListFreshness::Unconfirmed { since: self.started },
+            Freshness::Current { told_at } => ListFreshness::Current { told_at },
+            Freshness::Interrupted { told_at, .. } => ListFreshness::Interrupted { told_at },
         };
         self.discovery_log.read(now, freshness, self.follower.last());
         if self.list_trust.replace(trust) != Some(trust) {
--- a/crates/play/src/bed.rs
+++ b/crates/play/src/bed.rs
@@ -239,12 +239,12 @@
             Repeat::Unsafe => RepeatRule::Unsafe,
             Repeat::Keyed { group, window } => RepeatRule::Keyed { window, all: group == Group::All },
         };
-        let rule = ClassRule { repeat, aim: class.aim, worth: class.worth, late_worth: class.late_worth };
+        let rule = ClassRule { repeat, aim: class.aim, worth: class.value, late_worth: class.late_value };
         (name.clone(), rule)
     };
     let cells =
         config.module.classes.iter().any(|c| matches!(c.repeat, Repeat::Keyed { group: Group::Cell, .. }));
-    let (family, rules) = (&config.module.family, &config.module.rules);
+    let (family, rules) = (&config.module.copies, &config.module.rules);
     RuleSettings {
         classes: config.classes.iter().zip(&config.module.classes).map(class).collect(),
         groups: roster
@@ -257,7 +257,7 @@
         load_share: family.load_share,
         cold_from: rules.cold_from,
         warm_within: rules.warm_within,
-        tip_multiple: rules.tip_multiple,
-        fall: rules.fall,
+        tip_multiple: rules.overload_multiple,
+        fall: rules.overload_span,
     }
 }
--- a/crates/play/src/script.rs
+++ b/crates/play/src/script.rs
@@ -107,7 +107,7 @@
     let rules = &config.module.rules;
     let spec = WorkerSpec {
         cores: number(&workers, "cores", 4.0, faults) as u32,
-        memory_mb: config.module.family.kind_memory_mb.first().copied().unwrap_or(usual.memory_mb),
+        memory_mb: config.module.copies.kind_memory_mb.first().copied().unwrap_or(usual.memory_mb),
         work,
         load: (
             micros(number(&workers, "fetch-ms", 300.0, faults)),
@@ -116,11 +116,11 @@
         keep: micros(number(&workers, "keep-ms", 10_000.0, faults)),
         queue: number(&workers, "queue", 32.0, faults) as usize,
         forgets: workers.value("forgets-keys", faults).unwrap_or(false),
-        load_on_miss: config.module.family.load_on_miss,
+        load_on_miss: config.module.copies.load_on_miss,
         cold_from: rules.cold_from,
         warm_within: rules.warm_within,
-        tip_multiple: rules.tip_multiple,
-        fall: rules.fall,
+        tip_multiple: rules.overload_multiple,
+        fall: rules.overload_span,
         ..usual
     };
     let slow = (number(&workers, "slow-share", 0.0, faults) * count as f64).round() as usize;
--- a/crates/told/src/lib.rs
+++ b/crates/told/src/lib.rs
@@ -3,7 +3,7 @@
 //! live scheduler read it with this one reader.
 #![warn(missing_docs)]
 
-use basaltward::{Class, Family, Group, Limits, Micros, Repeat, Rules, Settings, SettingsError};
+use basaltward::{Class, CopySettings, Group, Limits, Micros, Repeat, Rules, Settings, SettingsError};
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -204,8 +204,8 @@
         aim: wire.on_time_us as u64,
         deadline: wire.deadline_us as u64,
         repeat,
-        worth: wire.credit,
-        late_worth: wire.late_value,
+        value: wire.credit,
+        late_value: wire.late_value,
     })
 }
 
@@ -227,20 +227,20 @@
     let module = Settings {
         classes: options.request_classes.iter().map(class).collect::<Result<_, _>>()?,
         tenant_quotas: options.projects.iter().map(|p| p.quota_per_s).collect(),
-        over_share_worth: options.over_share_worth,
-        family: Family {
+        over_share_value: options.over_share_worth,
+        copies: CopySettings {
             kind_memory_mb: family.machine_mb,
             load_on_miss: family.miss_mode != "miss",
             orders: family.load_control,
             order_timeout: family.order_limit_us as u64,
-            keep: family.stays_loaded_us as u64,
+            keep_alive: family.stays_loaded_us as u64,
             load_window: family.load_period_us as u64,
             load_free: family.loads_anyway,
             load_share: family.load_share,
         },
         limits: Limits {
             attempts: limits.send_cap,
-            second_copies: limits.second_copies,
+            concurrent_attempts: limits.second_copies,
             cancel: limits.cancel,
             probes: limits.probes,
             retry_after: limits.retry_after,
@@ -250,8 +250,8 @@
             answer_slack: rules.answer_slack_us as u64,
             cold_from: rules.cold_from,
             warm_within: rules.warm_within_us as u64,
-            tip_multiple: rules.tip_multiple,
-            fall: rules.fall_us as u64,
+            overload_multiple: rules.tip_multiple,
+            overload_span: rules.fall_us as u64,
             drain_grace: rules.drain_grace_us.map(|grace| grace as u64),
             // Who moves the bytes says how long that may take.
             send_delay: 0,
@@ -262,7 +262,7 @@
         zone: options.zone,
         cross_zone: options.fees.cross_zone,
         tick: options.round_us as u64,
-        must_ask: options.discovery == "ask",
+        needs_watch: options.discovery == "ask",
     };
     module.check()?;
     Ok(Told { module, classes, tenants, kinds: options.models, zones: options.dcs, links, peers })
--- a/examples/first.rs
+++ b/examples/first.rs
@@ -3,8 +3,8 @@
 
 fn main() -> Result<(), basaltward::SettingsError> {
     let mut settings = Settings::new(vec![Class::new(500_000, 2_000_000, Repeat::Safe)], vec![16_384.0]);
-    settings.family.load_on_miss = true;
-    settings.family.orders = false;
+    settings.copies.load_on_miss = true;
+    settings.copies.orders = false;
     let mut controller = Controller::new(settings, 7)?;
     let mut actions = Vec::new();
     let worker = Member::active("10.0.0.1:7000");
--- a/src/control.rs
+++ b/src/control.rs
@@ -78,8 +78,8 @@
             Event::Loaded { worker, function, count, code, latency } => {
                 self.loaded(now, (&worker, &function), (count, code, latency), out)
             }
-            Event::Gone { id } => self.finish(id, None, out),
-            Event::First { id, attempt } => self.first(id, attempt, out),
+            Event::ClientGone { id } => self.finish(id, None, out),
+            Event::AnswerStarted { id, attempt } => self.first(id, attempt, out),
             Event::Timer { token: 0 } => self.sweep(now, out),
             Event::Timer { token } => match self.wakes.remove(&token) {
                 Some(Wake::Deadline(id)) if self.requests.get(&id).is_none_or(|h| h.streaming) => {}
@@ -102,7 +102,7 @@
                 Some(Wake::Overdue(id, attempt)) => self.overdue(now, id, attempt, out),
                 None => {}
             },
-            Event::ListTrust(trust) => self.list_trust(now, trust),
+            Event::ListFreshness(trust) => self.list_trust(now, trust),
             Event::Disconnected { worker } => self.disconnected(now, &worker),
             Event::Probed { worker, code, latency, .. } => self.probed(now, &worker, (code, latency), out),
             Event::Peer { .. } => {}
@@ -133,7 +133,7 @@
     /// memory is drawn toward the fleet's mean where we have few calls: a scheduler of many would else see
     /// noise, and each would place a function somewhere else.
     fn ratio(&self, now: Micros, worker: &Worker, added: f64, mb: f64, class: usize) -> f64 {
-        let (fleet, kinds) = (&self.fleet, &self.settings.family.kind_memory_mb);
+        let (fleet, kinds) = (&self.fleet, &self.settings.copies.kind_memory_mb);
         let told = kinds.get(worker.member.kind).copied().unwrap_or(fleet.memory_mb);
         let left = (told - fleet.trust * worker.placed_mb).max(mb).max(told * 0.1) / fleet.memory_mb.max(1.0);
         let own = if worker.placed_mb > 0.0 { worker.demand.get(now, WINDOW_US) } else { fleet.demand };
@@ -214,7 +214,7 @@
             || held.done
             || held.streaming
             || held.attempts.len() >= self.settings.limits.attempts as usize
-            || !self.settings.limits.second_copies && held.attempts.iter().any(|a| a.ended.is_none())
+            || !self.settings.limits.concurrent_attempts && held.attempts.iter().any(|a| a.ended.is_none())
             || self.cold_credit(now, worker) < 1.0
             || self.access(now, worker) == Access::Closed
         {
@@ -325,7 +325,7 @@
         self.hold(id, false);
         let has_ration = self.ration(now);
         let (Some(function), Some(held)) = (self.functions.get(name), self.requests.get(&id)) else { return };
-        let (last, family) = (function.ask_until, &self.settings.family);
+        let (last, family) = (function.ask_until, &self.settings.copies);
         if family.orders && (last == 0 || now >= last + function.load) {
             return self.ask(now, name, out);
         }
@@ -356,7 +356,7 @@
         let direct = ranked.iter().find(trusted).or(ranked.iter().find(allowed)).map(|c| c.id.clone());
         let ordered = self.grow(now, name, &target, 1, out);
         // No order is to be had: the request itself brings the copy.
-        if let Some(worker) = direct.filter(|_| !ordered && self.settings.family.load_on_miss) {
+        if let Some(worker) = direct.filter(|_| !ordered && self.settings.copies.load_on_miss) {
             self.send(now, id, &worker, out);
         }
     }
@@ -519,7 +519,7 @@
 
     /// Whether the ration of load orders has one more, however late this one or those before it come whole.
     fn ration(&mut self, now: Micros) -> bool {
-        let (family, delay) = (&self.settings.family, self.settings.rules.send_delay);
+        let (family, delay) = (&self.settings.copies, self.settings.rules.send_delay);
         while self.orders.pop_front_if(|t| *t + family.load_window + delay < now).is_some() {}
         while self.taken.pop_front_if(|t| *t + family.load_window <= now + delay).is_some() {}
         let most = family.load_free + family.load_share * self.taken.len() as f64;
@@ -529,7 +529,7 @@
     fn order(&mut self, now: Micros, at: At, count: u32, out: &mut Out) -> bool {
         let (worker, name) = at;
         let usable = self.workers.get(worker).is_some_and(|w| w.usable);
-        if !usable || !self.settings.family.orders || !self.ration(now) || !self.may_begin(now, worker, out) {
+        if !usable || !self.settings.copies.orders || !self.ration(now) || !self.may_begin(now, worker, out) {
             return false;
         }
         self.make_room(now, worker, name, out);
@@ -550,13 +550,13 @@
         let (Some(known), Some(function)) = (self.workers.get(worker), self.functions.get(name)) else {
             return;
         };
-        let told = self.settings.family.kind_memory_mb.get(known.member.kind);
+        let told = self.settings.copies.kind_memory_mb.get(known.member.kind);
         if told.is_none_or(|told| told - known.placed_mb >= function.mb) {
             return;
         }
         let idle = self.functions.iter().filter(|(n, _)| *n != name).filter_map(|(n, f)| {
             let place = f.places.get(worker).filter(|p| p.standing && p.out == 0)?;
-            let unused = place.last + self.settings.family.keep / 4 < now;
+            let unused = place.last + self.settings.copies.keep_alive / 4 < now;
             let once = f.rate.get(now, WINDOW_US) <= 1.0;
             (unused && once).then_some((place.loaded_at, n))
         });
@@ -675,10 +675,10 @@
             self.next_replace = now + REPLACE_US;
             self.own_hash = rendezvous(u64::from(self.settings.self_index) + 1, 1);
             out.push(Action::Timer { after: SWEEP_US, token: 0 });
-            out.extend(self.settings.must_ask.then_some(Action::Watch));
+            out.extend(self.settings.needs_watch.then_some(Action::Watch));
         }
         if kind == MembersKind::Failed {
-            self.ask_list = self.settings.must_ask;
+            self.ask_list = self.settings.needs_watch;
             return;
         }
         if matches!(kind, MembersKind::Whole | MembersKind::Stale) {
@@ -735,7 +735,7 @@
         let function = self.functions.entry(name.clone()).or_insert_with(|| Function {
             mb: told.memory_mb,
             lanes: told.lanes,
-            load: told.load.unwrap_or(class.aim),
+            load: told.load_time.unwrap_or(class.aim),
             usual: self.class_usual[told.class],
             weight: strictest / class.aim as f64,
             class: told.class,
@@ -747,13 +747,13 @@
         function.rate.add(now, 1.0, WINDOW_US);
         function.last = now;
         function.holders = holders as f64;
-        let deadline = now + told.patience;
+        let deadline = now + told.client_timeout;
         // Told less patience than the aim, what is left of it is the aim.
-        let within = class.aim.min(told.patience);
+        let within = class.aim.min(told.client_timeout);
         let (aim, shed) = (now + within, within.saturating_sub(function.usual as Micros));
         let excess = self.past_share(now, told.tenant);
         self.wake(shed, Wake::Shed(id), out);
-        self.wake(told.patience, Wake::Deadline(id), out);
+        self.wake(told.client_timeout, Wake::Deadline(id), out);
         self.requests.insert(id, Held::new(told, deadline, aim, excess));
         if self.is_nobody_left(now) {
             return self.give_up(id, Some(self.until_asked_again()), out);
@@ -773,7 +773,7 @@
         attempt.ended = Some(told.code);
         let (sent, due, class, missed) = (attempt.sent, attempt.due, held.told.class, attempt.missed);
         let name = held.told.function.clone();
-        held.done |= told.last;
+        held.done |= told.is_final;
         let (done, quiet) = (held.done, held.attempts.iter().all(|a| a.ended.is_some()));
         if told.code == Code::Ok {
             self.proven(now, &told.worker, sent);
@@ -807,7 +807,7 @@
         if let Some(crowd) = told.crowd {
             let others = (f64::from(crowd) - f64::from(place.out)).max(0.0);
             place.crowd.ease(now, others, 0.5, CROWD_US);
-            if !matches!(told.copy, CopyNote::Began | CopyNote::Waited) {
+            if !matches!(told.copy, CopyStatus::LoadStarted | CopyStatus::WaitedForLoad) {
                 function.notes.add(now, 1.0, WINDOW_US);
                 function.crowds.add(now, f64::from(crowd), WINDOW_US);
             }
@@ -818,7 +818,7 @@
             let others = (held.clamp(0.0, 1_000.0) - known.due.len() as f64).max(0.0);
             known.others.ease(now, others, 0.3, CROWD_US);
         }
-        let stood = told.code == Code::Ok && matches!(told.copy, CopyNote::Stood | CopyNote::Untold);
+        let stood = told.code == Code::Ok && matches!(told.copy, CopyStatus::Loaded | CopyStatus::Unknown);
         let share = told.latency as f64 / self.settings.classes[class].aim as f64;
         // A time-out of a worker that answers others of the class meanwhile is jam, else silence.
         let working = known.heard[class] + told.latency > now;
@@ -845,7 +845,7 @@
                     let usual = &mut self.class_usual[class];
                     *usual += 0.02 * (latency.min(*usual * 10.0) - *usual);
                 }
-                let began = told.copy == CopyNote::Began && place.standing;
+                let began = told.copy == CopyStatus::LoadStarted && place.standing;
                 let copies = (place.copies + u32::from(began)).max(1);
                 if known.usable {
                     self.stand(worker, name, true, copies, now);
@@ -853,7 +853,7 @@
             }
             Code::Miss => self.stand(worker, name, false, 0, now),
             // No copy stands there whatever we believed: what is sent on would only load again and fail.
-            Code::Error if told.copy == CopyNote::LoadFailed => {
+            Code::Error if told.copy == CopyStatus::LoadFailed => {
                 function.order_after = now + function.load / 2;
                 known.strain.add(now, 0.5, FORGET_US);
                 self.stand(worker, name, false, 0, now);
@@ -889,7 +889,7 @@
         let (sent, worker) = (attempt.sent, &self.workers[&attempt.worker]);
         let suspect = self.evidence(now, worker, class) >= self.suspect(class);
         // Called off, its work is lost and done again: there only suspicion will do.
-        let busy = worker.heard.iter().any(|h| *h > sent) || !self.settings.limits.second_copies;
+        let busy = worker.heard.iter().any(|h| *h > sent) || !self.settings.limits.concurrent_attempts;
         if busy && !suspect {
             let again = (now - sent).max(1);
             if now + again < deadline {
@@ -905,7 +905,7 @@
             return;
         }
         self.hedges.add(now, 1.0, WINDOW_US);
-        if self.settings.limits.second_copies {
+        if self.settings.limits.concurrent_attempts {
             self.route(now, id, out);
         } else if self.settings.limits.cancel && more {
             out.push(Action::Cancel { id, attempt: number });
@@ -972,7 +972,7 @@
     fn walk(&mut self, now: Micros) {
         // Loads that fail by themselves now and then are no jam.
         self.load_gap = if now >= self.gap_grew + JAMMED_US { 0 } else { self.load_gap };
-        let keep = self.settings.family.keep;
+        let keep = self.settings.copies.keep_alive;
         let names: Vec<_> = self.functions.keys().cloned().collect();
         for name in names {
             let Some(function) = self.functions.get_mut(&name) else { continue };
@@ -1007,7 +1007,7 @@
             all.sort_by(f64::total_cmp);
             all.get(all.len() / 4).copied().unwrap_or(1.0)
         };
-        let kinds = &self.settings.family.kind_memory_mb;
+        let kinds = &self.settings.copies.kind_memory_mb;
         let told: f64 = usable.iter().filter_map(|w| kinds.get(w.member.kind)).sum();
         self.fleet = Fleet {
             room: ((told * USABLE - least) / (most - least).max(1.0)).clamp(0.0, 1.0),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -81,21 +81,21 @@
     /// What may be done once an attempt may have run.
     pub repeat: Repeat,
     /// Worth of one answer in time.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_value: f64,
 }
 
 impl Class {
     /// A class of worth 1 whose late answers earn nothing.
     pub fn new(aim: Micros, deadline: Micros, repeat: Repeat) -> Self {
-        Self { aim, deadline, repeat, worth: 1.0, late_worth: 0.0 }
+        Self { aim, deadline, repeat, value: 1.0, late_value: 0.0 }
     }
 }
 
 /// Facts about copies and loads.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Family {
+pub struct CopySettings {
     /// Memory of each kind of worker, MB.
     pub kind_memory_mb: Vec<f64>,
     /// A worker lacking the function loads it while the request waits; else it answers `Miss`.
@@ -105,7 +105,7 @@
     /// A `Load` unanswered by then ends as `Timeout`.
     pub order_timeout: Micros,
     /// An idle copy stays at least this long.
-    pub keep: Micros,
+    pub keep_alive: Micros,
     /// Window of the ration of load orders; 0 when there is none.
     pub load_window: Micros,
     /// Orders free in each window.
@@ -120,7 +120,7 @@
     /// Most attempts of one request.
     pub attempts: u32,
     /// Two attempts of a request may be out together.
-    pub second_copies: bool,
+    pub concurrent_attempts: bool,
     /// `Cancel` is allowed.
     pub cancel: bool,
     /// `Probe` is allowed.
@@ -141,9 +141,9 @@
     /// And all of it after this span.
     pub warm_within: Micros,
     /// Sent more than this multiple of its present capacity ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this span, a cold worker falls over.
-    pub fall: Micros,
+    pub overload_span: Micros,
     /// Nothing new may begin at a worker later than this after it was told, or counts as told, that the worker drains
     /// or is gone; `None` where the settings state no such rule.
     pub drain_grace: Option<Micros>,
@@ -160,9 +160,9 @@
     /// Requests a second within each tenant's share, over all schedulers; empty without tenants.
     pub tenant_quotas: Vec<f64>,
     /// Worth of a request past its tenant's share, as a share of its class's.
-    pub over_share_worth: f64,
+    pub over_share_value: f64,
     /// Copies and loads.
-    pub family: Family,
+    pub copies: CopySettings,
     /// Permissions.
     pub limits: Limits,
     /// Figures of the rules.
@@ -180,7 +180,7 @@
     /// Shortest gap between two batches of events.
     pub tick: Micros,
     /// The list of workers comes only when asked for.
-    pub must_ask: bool,
+    pub needs_watch: bool,
 }
 
 impl Settings {
@@ -189,20 +189,20 @@
         Self {
             classes,
             tenant_quotas: Vec::new(),
-            over_share_worth: 1.0,
-            family: Family {
+            over_share_value: 1.0,
+            copies: CopySettings {
                 kind_memory_mb,
                 load_on_miss: false,
                 orders: true,
                 order_timeout: 10_000_000,
-                keep: 10_000_000,
+                keep_alive: 10_000_000,
                 load_window: 0,
                 load_free: 0.0,
                 load_share: 0.0,
             },
             limits: Limits {
                 attempts: 3,
-                second_copies: true,
+                concurrent_attempts: true,
                 cancel: true,
                 probes: true,
                 retry_after: false,
@@ -212,8 +212,8 @@
                 answer_slack: 8_000,
                 cold_from: 0.2,
                 warm_within: 15_000_000,
-                tip_multiple: 3.0,
-                fall: 2_000_000,
+                overload_multiple: 3.0,
+                overload_span: 2_000_000,
                 drain_grace: None,
                 send_delay: 0,
             },
@@ -223,7 +223,7 @@
             zone: 0,
             cross_zone: 0.0,
             tick: 1_000,
-            must_ask: false,
+            needs_watch: false,
         }
     }
 
@@ -237,26 +237,26 @@
             if class.aim == 0 || class.deadline == 0 {
                 return Err(SettingsError::ClassTimes(index));
             }
-            if !(class.worth.is_finite() && class.worth >= 0.0 && class.late_worth.is_finite()) {
+            if !(class.value.is_finite() && class.value >= 0.0 && class.late_value.is_finite()) {
                 return Err(SettingsError::ClassWorth(index));
             }
         }
-        if self.family.kind_memory_mb.is_empty() {
+        if self.copies.kind_memory_mb.is_empty() {
             return Err(SettingsError::NoKind);
         }
-        if let Some(kind) = self.family.kind_memory_mb.iter().position(|&mb| !positive(mb)) {
+        if let Some(kind) = self.copies.kind_memory_mb.iter().position(|&mb| !positive(mb)) {
             return Err(SettingsError::KindMemory(kind));
         }
         let figures = [
             ("attempts", self.limits.attempts > 0),
             ("schedulers", self.schedulers > 0),
-            ("keep", self.family.keep > 0),
+            ("keep", self.copies.keep_alive > 0),
             ("cold_from", positive(self.rules.cold_from)),
-            ("tip_multiple", positive(self.rules.tip_multiple)),
-            ("fall", self.rules.fall > 0),
-            ("load_free", self.family.load_free.is_finite() && self.family.load_free >= 0.0),
+            ("tip_multiple", positive(self.rules.overload_multiple)),
+            ("fall", self.rules.overload_span > 0),
+            ("load_free", self.copies.load_free.is_finite() && self.copies.load_free >= 0.0),
             ("cross_zone", self.cross_zone.is_finite() && self.cross_zone >= 0.0),
-            ("load_share", self.family.load_share.is_finite() && self.family.load_share >= 0.0),
+            ("load_share", self.copies.load_share.is_finite() && self.copies.load_share >= 0.0),
             ("tenant_quotas", self.tenant_quotas.iter().all(|q| q.is_finite() && *q >= 0.0)),
         ];
         match figures.iter().find(|(_, usable)| !usable) {
@@ -351,7 +351,7 @@
 
 /// How far the list of workers is to be believed; times are the caller's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListTrust {
+pub enum ListFreshness {
     /// Since the start nothing has shown that the list is complete.
     Unconfirmed {
         /// When the list of the start was taken.
@@ -381,20 +381,29 @@
     /// The function called.
     pub function: FunctionId,
     /// How long until the client gives up on this try.
-    pub patience: Micros,
+    pub client_timeout: Micros,
     /// Memory of one copy, MB.
     pub memory_mb: f64,
     /// Requests that one copy runs at once.
     pub lanes: u32,
     /// How long a load usually takes, where told.
-    pub load: Option<Micros>,
+    pub load_time: Option<Micros>,
 }
 
 impl Request {
     /// A request of the first class and tenant.
     pub fn new(id: u64, function: &str, memory_mb: f64, lanes: u32, patience: Micros) -> Self {
         let function = function.into();
-        Self { id: RequestId(id), tenant: 0, class: 0, function, patience, memory_mb, lanes, load: None }
+        Self {
+            id: RequestId(id),
+            tenant: 0,
+            class: 0,
+            function,
+            client_timeout: patience,
+            memory_mb,
+            lanes,
+            load_time: None,
+        }
     }
 }
 
@@ -432,15 +441,15 @@
 
 /// What an outcome tells of the copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CopyNote {
+pub enum CopyStatus {
     /// Nothing was told.
-    Untold,
+    Unknown,
     /// A copy stood loaded.
-    Stood,
+    Loaded,
     /// This request began a load.
-    Began,
+    LoadStarted,
     /// It waited for a load begun before.
-    Waited,
+    WaitedForLoad,
     /// The load failed.
     LoadFailed,
 }
@@ -459,9 +468,9 @@
     /// Time since the send.
     pub latency: Micros,
     /// The request is finished.
-    pub last: bool,
+    pub is_final: bool,
     /// What became of the copy.
-    pub copy: CopyNote,
+    pub copy: CopyStatus,
     /// Requests for the same function that the worker held on arrival, where told.
     pub crowd: Option<u32>,
     /// Load report, in the order of [`Settings::report_names`].
@@ -479,7 +488,7 @@
         members: Vec<Member>,
     },
     /// How far the list is to be believed from now on. Where it is never told, the list is believed for ever.
-    ListTrust(ListTrust),
+    ListFreshness(ListFreshness),
     /// The last connection to a worker has ended by itself, or none could be had: its process may be another one when
     /// it answers next.
     Disconnected {
@@ -489,7 +498,7 @@
     /// A request has landed; one final answer is owed.
     Request(Request),
     /// An attempt's answer has begun to stream.
-    First {
+    AnswerStarted {
         /// The request.
         id: RequestId,
         /// The attempt.
@@ -498,7 +507,7 @@
     /// An attempt has ended.
     Outcome(Outcome),
     /// The client has left; nothing is owed any more.
-    Gone {
+    ClientGone {
         /// The request.
         id: RequestId,
     },
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -39,11 +39,11 @@
             return f64::INFINITY;
         }
         let each = self.served.get(now, WINDOW_US) / WINDOW_US;
-        let rate = COLD_SHARE * rules.tip_multiple * each;
+        let rate = COLD_SHARE * rules.overload_multiple * each;
         // One send a window by all schedulers together is less than any worker's room for chance, however cold it is:
         // without it a fleet that is cold as a whole, of which little was served lately, would get next to nothing.
-        let least = 1.0 / (f64::from(self.settings.schedulers) * rules.fall as f64);
-        let budget = (rate * warmth).max(least) * rules.fall as f64;
+        let least = 1.0 / (f64::from(self.settings.schedulers) * rules.overload_span as f64);
+        let budget = (rate * warmth).max(least) * rules.overload_span as f64;
         // It warmed evenly since then, and was in the middle what it was on the whole.
         let since = now.saturating_sub(worker.cold_at);
         let accrues = (rate * self.warmth(now - since / 2, worker)).max(least);
--- a/src/standing.rs
+++ b/src/standing.rs
@@ -100,7 +100,7 @@
 
     /// Whether the list is followed, or nobody says how old it is.
     fn is_list_current(&self) -> bool {
-        matches!(self.list_trust, None | Some(ListTrust::Current { .. }))
+        matches!(self.list_trust, None | Some(ListFreshness::Current { .. }))
             || self.settings.rules.drain_grace.is_none()
     }
 
@@ -113,10 +113,10 @@
     fn listed_until(&self) -> Option<Micros> {
         let grace = self.grace()?;
         Some(match self.list_trust? {
-            ListTrust::Current { told_at } | ListTrust::Interrupted { told_at } => told_at + grace,
+            ListFreshness::Current { told_at } | ListFreshness::Interrupted { told_at } => told_at + grace,
             // Without questions nothing else could ever show more: the list of the start counts as true then.
-            ListTrust::Unconfirmed { since } if !self.settings.limits.probes => since + grace,
-            ListTrust::Unconfirmed { .. } => 0,
+            ListFreshness::Unconfirmed { since } if !self.settings.limits.probes => since + grace,
+            ListFreshness::Unconfirmed { .. } => 0,
         })
     }
 
@@ -200,7 +200,7 @@
 
     /// Takes how far the list is to be believed. Once it is followed again it tells of every worker, and what workers
     /// have shown meanwhile is forgotten.
-    pub(crate) fn list_trust(&mut self, now: Micros, trust: ListTrust) {
+    pub(crate) fn list_trust(&mut self, now: Micros, trust: ListFreshness) {
         let was_current = self.is_list_current();
         self.list_trust = Some(trust);
         match (was_current, self.is_list_current()) {
--- a/src/state.rs
+++ b/src/state.rs
@@ -304,7 +304,7 @@
     /// The subscription to the list failed and is to be asked for again.
     pub(crate) ask_list: bool,
     /// How far the list is to be believed; `None` where nobody says.
-    pub(crate) list_trust: Option<ListTrust>,
+    pub(crate) list_trust: Option<ListFreshness>,
     /// Usual latency of each class, for functions not yet measured.
     pub(crate) class_usual: Vec<f64>,
     pub(crate) sends: Fading,
@@ -370,7 +370,7 @@
 
     /// How often a worker was weighed as a place for a function so far: the greater part of what decisions
     /// cost, as a figure that repeats.
-    pub fn looks(&self) -> u64 {
+    pub fn placements_evaluated(&self) -> u64 {
         self.looks.get()
     }
 
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -98,12 +98,12 @@
 
 fn settings(schedulers: usize, index: usize) -> Settings {
     let mut settings = Settings::new(vec![Class::new(500 * MS, 2 * S, Repeat::Safe)], vec![8_000.0]);
-    settings.family.load_on_miss = true;
-    settings.family.orders = false;
+    settings.copies.load_on_miss = true;
+    settings.copies.orders = false;
     settings.limits.attempts = 3 * WARM as u32;
     settings.rules.warm_within = 16 * S;
-    settings.rules.tip_multiple = 4.0;
-    settings.rules.fall = 1_500 * MS;
+    settings.rules.overload_multiple = 4.0;
+    settings.rules.overload_span = 1_500 * MS;
     settings.schedulers = schedulers as u32;
     settings.self_index = index as u32;
     settings
@@ -237,8 +237,8 @@
             worker: format!("w{worker}").as_str().into(),
             code: if served { Code::Ok } else { Code::ConnectFailed },
             latency: if served { SERVES } else { REFUSES },
-            last: served,
-            copy: if served { CopyNote::Stood } else { CopyNote::Untold },
+            is_final: served,
+            copy: if served { CopyStatus::Loaded } else { CopyStatus::Unknown },
             crowd: None,
             report: Vec::new(),
         };
@@ -297,8 +297,8 @@
             for (last, at) in sent.iter().enumerate() {
                 let age = (at - STARTS) as f64 / rules.warm_within as f64;
                 let can = rules.cold_from + (1.0 - rules.cold_from) * age;
-                let n = rules.tip_multiple * can * self.day.capacity * rules.fall as f64 / 1e6;
-                let count = last + 1 - sent.partition_point(|t| t + rules.fall <= *at);
+                let n = rules.overload_multiple * can * self.day.capacity * rules.overload_span as f64 / 1e6;
+                let count = last + 1 - sent.partition_point(|t| t + rules.overload_span <= *at);
                 let share = count as f64 / (n + 2.0 * n.sqrt() + 2.0);
                 if share > worst.share {
                     worst = Worst { share, sent: count, n, ..worst };
@@ -433,7 +433,7 @@
     fn spends(self, number: usize, times: &[Micros]) -> Vec<Vec<usize>> {
         let mut settings = common::settings(Repeat::Safe);
         (settings.schedulers, settings.self_index) = (self.count as u32, number as u32);
-        (settings.family.load_on_miss, settings.family.orders) = (true, false);
+        (settings.copies.load_on_miss, settings.copies.orders) = (true, false);
         let mut bed = Bed::new(settings, 1);
         for id in 0..10 * S / self.gap {
             bed.request(id, "old", S);
@@ -516,7 +516,7 @@
 #[test]
 fn a_fleet_told_ten_times_what_the_worker_bears_is_found() {
     let settings = |mut settings: Settings| {
-        settings.rules.tip_multiple *= 10.0;
+        settings.rules.overload_multiple *= 10.0;
         settings
     };
     for schedulers in FLEETS {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -65,14 +65,14 @@
         code: Code,
         after: Micros,
     ) -> Vec<Action> {
-        let copy = if code == Code::Ok { CopyNote::Stood } else { CopyNote::Untold };
+        let copy = if code == Code::Ok { CopyStatus::Loaded } else { CopyStatus::Unknown };
         self.event(Event::Outcome(Outcome {
             id: RequestId(id),
             attempt,
             worker: worker.into(),
             code,
             latency: after,
-            last: code == Code::Ok,
+            is_final: code == Code::Ok,
             copy,
             crowd: None,
             report: Vec::new(),
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -15,7 +15,7 @@
     let mut bed = Bed::new(settings, WORKERS);
     for id in 0..functions {
         let name = format!("stuck{id}");
-        let request = Request { load: Some(20 * S), ..Request::new(id, &name, 400.0, 2, 60 * S) };
+        let request = Request { load_time: Some(20 * S), ..Request::new(id, &name, 400.0, 2, 60 * S) };
         let asked = bed.event(Event::Request(request));
         let ordered = bed.answer_asks(&asked, "nobody", 0);
         assert_eq!(loads(&ordered).len(), 1, "the call waits for a load");
@@ -35,7 +35,7 @@
     let sent = bed.answer_asks(&asked, &holder, 1);
     assert_eq!(sends(&sent), [(1_000, holder.clone())]);
     bed.outcome(1_000, 0, &holder, Code::Ok, 5 * MS);
-    let before = bed.controller.looks();
+    let before = bed.controller.placements_evaluated();
     for id in 1_001..1_041 {
         bed.request(id, "hot", 60 * S);
         bed.advance(5 * MS);
@@ -43,7 +43,7 @@
         bed.loaded(&"w1".into(), "cool", 0, Code::Ok);
         bed.advance(45 * MS);
     }
-    bed.controller.looks() - before
+    bed.controller.placements_evaluated() - before
 }
 
 /// Of 300 schedulers the few with most calls fell behind for seconds while a zone was cut off: each answer to
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -23,7 +23,7 @@
         for found in [0, 1] {
             let mut bed = Bed::new(limits.clone(), 3);
             let asks = bed.request(1, "f", S);
-            bed.event(Event::Gone { id: RequestId(1) });
+            bed.event(Event::ClientGone { id: RequestId(1) });
             let mut later = bed.answer_asks(&asks, "w0", found);
             later.extend(bed.advance(2 * S));
             assert_eq!(acts(&later), [], "cancel {cancel}, {found} found");
@@ -33,7 +33,7 @@
             let mut bed = Bed::new(limits.clone(), 3);
             let asks = bed.request(1, "f", S);
             let placed = loads(&bed.answer_asks(&asks, "none", 0));
-            bed.event(Event::Gone { id: RequestId(1) });
+            bed.event(Event::ClientGone { id: RequestId(1) });
             let mut later = bed.loaded(&placed[0].as_str().into(), "f", count, code);
             later.extend(bed.advance(2 * S));
             assert_eq!(acts(&later), [], "cancel {cancel}, order {code:?}");
@@ -44,7 +44,7 @@
             let asks = bed.request(1, "f", S);
             bed.answer_asks(&asks, "w0", 1);
             bed.loaded(&"w1".into(), "f", 1, Code::Ok);
-            let gone = bed.event(Event::Gone { id: RequestId(1) });
+            let gone = bed.event(Event::ClientGone { id: RequestId(1) });
             let drop = Action::Cancel { id: RequestId(1), attempt: 0 };
             assert_eq!(gone, if cancel { vec![drop] } else { vec![] });
             let mut later = bed.advance(600 * MS);
@@ -59,7 +59,7 @@
         let asks = bed.request(1, "f", S);
         bed.answer_asks(&asks, "w0", 1);
         (2..=4).for_each(|id| drop(bed.request(id, "f", S)));
-        bed.event(Event::Gone { id: RequestId(3) });
+        bed.event(Event::ClientGone { id: RequestId(3) });
         assert_eq!(sends(&bed.outcome(1, 0, "w0", Code::Ok, 20 * MS)), [(4, "w0".to_owned())]);
     }
 }
@@ -191,7 +191,7 @@
 fn of_two_orders_the_ration_has_one_for_the_second_waits_and_is_not_lost() {
     // One order free in a window, none for requests.
     let mut rationed = settings(Repeat::Safe);
-    (rationed.family.load_window, rationed.family.load_free) = (2 * S, 1.0);
+    (rationed.copies.load_window, rationed.copies.load_free) = (2 * S, 1.0);
     for code in [Code::Ok, Code::Full] {
         let mut bed = Bed::new(rationed.clone(), 4);
         let (one, two) = (bed.request(1, "f", 10 * S), bed.request(2, "g", 10 * S));
@@ -225,9 +225,9 @@
 fn four_in_ten_functions_new_at_once_are_loaded_within_the_ration_and_leave_the_others_alone() {
     // Twelve schedulers see the same twenty functions; in the middle eight of them come in a new version.
     let mut rationed = settings(Repeat::Safe);
-    (rationed.family.load_window, rationed.family.load_free, rationed.family.load_share) = (5 * S, 1.0, 0.02);
+    (rationed.copies.load_window, rationed.copies.load_free, rationed.copies.load_share) = (5 * S, 1.0, 0.02);
     rationed.schedulers = 12;
-    let (window, renewed) = (rationed.family.load_window, 140 * S);
+    let (window, renewed) = (rationed.copies.load_window, 140 * S);
     // What stands: worker by function, for all.
     let mut copies: std::collections::BTreeMap<String, std::collections::BTreeSet<WorkerId>> =
         Default::default();
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -8,7 +8,7 @@
     let none = Settings::new(vec![], vec![1.0]);
     assert_eq!(Controller::new(none, 0).err(), Some(SettingsError::NoClass));
     let mut zero = settings(Repeat::Safe);
-    zero.family.kind_memory_mb = vec![0.0];
+    zero.copies.kind_memory_mb = vec![0.0];
     assert_eq!(Controller::new(zero, 0).err(), Some(SettingsError::KindMemory(0)));
     let mut cold = settings(Repeat::Safe);
     cold.rules.cold_from = f64::NAN;
@@ -49,7 +49,7 @@
     // Two workers; one holds 3,000 of 4,000 MB and all the demand so far: the other is lower.
     let mut bed = Bed::new(settings(Repeat::Safe), 2);
     let mut big = Request::new(1, "big", 3_000.0, 2, S);
-    big.load = Some(300 * MS);
+    big.load_time = Some(300 * MS);
     let asks = bed.event(Event::Request(big));
     bed.answer_asks(&asks, "w0", 1);
     bed.outcome(1, 0, "w0", Code::Ok, 50 * MS);
@@ -120,8 +120,8 @@
 #[test]
 fn a_cold_worker_gets_no_more_than_its_budget() {
     let mut settings = settings(Repeat::Safe);
-    settings.family.load_on_miss = true;
-    settings.family.orders = false;
+    settings.copies.load_on_miss = true;
+    settings.copies.orders = false;
     let mut bed = Bed::new(settings, 2);
     let members = vec![member("w0", State::Active, bed.now)];
     bed.event(Event::Members { kind: MembersKind::Changes, members });
@@ -159,8 +159,8 @@
         [(Code::Miss, true), (Code::Unknown, false), (Code::Error, false), (Code::Full, true)]
     {
         let mut settings = settings(Repeat::Unsafe);
-        settings.family.orders = false;
-        settings.family.load_on_miss = true;
+        settings.copies.orders = false;
+        settings.copies.load_on_miss = true;
         let mut bed = Bed::new(settings, 3);
         let first = sends(&bed.request(1, "f", S));
         let mut next = bed.outcome(1, 0, &first[0].1, code, 5 * MS);
@@ -253,8 +253,8 @@
         worker: "w0".into(),
         code: Code::Error,
         latency: 40 * MS,
-        last: false,
-        copy: CopyNote::LoadFailed,
+        is_final: false,
+        copy: CopyStatus::LoadFailed,
         crowd: None,
         report: Vec::new(),
     }));
@@ -334,9 +334,9 @@
 fn orders_within_the_ration(delay: Micros) {
     let mut settings = settings(Repeat::Safe);
     settings.rules.send_delay = delay;
-    settings.family.load_window = 5 * S;
-    settings.family.load_free = 2.0;
-    settings.family.load_share = 0.3;
+    settings.copies.load_window = 5 * S;
+    settings.copies.load_free = 2.0;
+    settings.copies.load_share = 0.3;
     let mut bed = Bed::new(settings, 4);
     let (mut orders, mut taken): (Vec<Micros>, Vec<Micros>) = (Vec::new(), Vec::new());
     for id in 0..200u64 {
@@ -364,7 +364,7 @@
 fn news_of_unknown_things_changes_nothing() {
     let mut bed = Bed::new(settings(Repeat::Safe), 2);
     assert!(bed.outcome(9, 3, "who", Code::Ok, 1).is_empty());
-    assert!(bed.event(Event::Gone { id: RequestId(9) }).is_empty());
+    assert!(bed.event(Event::ClientGone { id: RequestId(9) }).is_empty());
     assert!(bed.event(Event::Timer { token: 77 }).is_empty());
     assert!(bed.loaded(&"who".into(), "what", 3, Code::Ok).is_empty());
     let mut odd = Request::new(5, "f", 400.0, 2, S);
@@ -451,9 +451,9 @@
             2 * S,
             Repeat::Keyed { group: Group::Zone, window: 300 * MS },
         ));
-        setup.family.load_on_miss = seed % 2 == 0;
-        setup.limits.second_copies = seed % 3 != 0;
-        let second_copies = setup.limits.second_copies;
+        setup.copies.load_on_miss = seed % 2 == 0;
+        setup.limits.concurrent_attempts = seed % 3 != 0;
+        let second_copies = setup.limits.concurrent_attempts;
         let mut bed = Bed::new(setup, 5);
         let mut active = [true; 5];
         let mut born: Vec<(u64, Micros, usize)> = Vec::new(); // id, deadline, class
@@ -497,8 +497,8 @@
                             worker: worker.as_str().into(),
                             code,
                             latency: bed.now - sent,
-                            last,
-                            copy: CopyNote::Untold,
+                            is_final: last,
+                            copy: CopyStatus::Unknown,
                             crowd: None,
                             report: vec![f64::NAN],
                         }));
@@ -572,7 +572,7 @@
     let mut bed = Bed::new(settings(Repeat::Safe), 1);
     let asks = bed.request(1, "f", 300 * MS);
     bed.answer_asks(&asks, "w0", 1);
-    bed.event(Event::First { id: RequestId(1), attempt: 0 });
+    bed.event(Event::AnswerStarted { id: RequestId(1), attempt: 0 });
     assert!(bed.advance(2 * S).is_empty());
     let broken = bed.outcome(1, 0, "w0", Code::Reset, 2 * S);
     assert_eq!(broken, [Action::Fail { id: RequestId(1) }]);
@@ -661,8 +661,8 @@
                     worker: worker.as_str().into(),
                     code: Code::Ok,
                     latency: 60 * MS,
-                    last: true,
-                    copy: CopyNote::Stood,
+                    is_final: true,
+                    copy: CopyStatus::Loaded,
                     crowd: Some(8),
                     report: Vec::new(),
                 }));
@@ -695,8 +695,8 @@
                     worker: at.as_str().into(),
                     code: Code::Ok,
                     latency: 60 * MS,
-                    last: true,
-                    copy: CopyNote::Stood,
+                    is_final: true,
+                    copy: CopyStatus::Loaded,
                     crowd: Some(crowd),
                     report: Vec::new(),
                 }));
@@ -790,7 +790,7 @@
     for number in 0..200 {
         let mut one = settings(Repeat::Safe);
         (one.schedulers, one.self_index) = (200, number);
-        (one.family.load_on_miss, one.family.orders) = (true, false);
+        (one.copies.load_on_miss, one.copies.orders) = (true, false);
         let mut bed = Bed::new(one, 2);
         for id in 0..20 {
             for (sent, at) in sends(&bed.request(id, &format!("f{id}"), S)) {
@@ -936,8 +936,8 @@
 fn a_cold_worker_is_not_taken_for_larger_since_most_others_have_left() {
     // 200 calls a second, 25 for each of eight workers; seven leave at once and a new one starts.
     let mut settings = settings(Repeat::Safe);
-    settings.family.load_on_miss = true;
-    settings.family.orders = false;
+    settings.copies.load_on_miss = true;
+    settings.copies.orders = false;
     let mut bed = Bed::new(settings, 8);
     let cold = |bed: &mut Bed, ids: std::ops::Range<u64>| {
         let mut cold = 0;
--- a/tests/quiet.rs
+++ b/tests/quiet.rs
@@ -7,7 +7,7 @@
 
 /// A call was served, then nothing came for an hour.
 fn after_an_hour(mut told: Settings, orders: bool) -> Bed {
-    (told.family.load_on_miss, told.family.orders) = (!orders, orders);
+    (told.copies.load_on_miss, told.copies.orders) = (!orders, orders);
     let mut bed = Bed::new(told, 2);
     let mut sent = bed.request(1, "f", S);
     if orders {
@@ -63,7 +63,7 @@
 fn keys_and_rations_know_nothing_of_an_hour_ago() {
     let window = 5 * S;
     let mut told = settings(Repeat::Keyed { group: Group::All, window });
-    (told.family.load_window, told.family.load_free, told.family.load_share) = (window, 2.0, 0.0);
+    (told.copies.load_window, told.copies.load_free, told.copies.load_share) = (window, 2.0, 0.0);
     let mut bed = after_an_hour(told, true);
     let before = bed.log.len();
     for id in 10..20 {
