--- a/benchlink/src/lib.rs
+++ b/benchlink/src/lib.rs
@@ -2,7 +2,8 @@
 //! controller for each instance, writes their actions. It decides nothing.
 
 use basaltward::{
-    Action, Code, Controller, CopyStatus, Event, Member, MembersKind, Outcome, Request, RequestId, State,
+    Action, Code, Controller, CopyStatus, Event, Member, MembersKind, Outcome, Request, RequestId,
+    WorkerState,
 };
 use std::collections::HashMap;
 use std::fmt;
@@ -113,9 +114,9 @@
     let worker = fields.text("worker")?.into();
     let started = fields.number_or("sinceUs", 0)?;
     let state = match fields.text("readiness")? {
-        "active" => State::Active,
-        "leaving" => State::Leaving,
-        "left" => State::Gone,
+        "active" => WorkerState::Active,
+        "leaving" => WorkerState::Leaving,
+        "left" => WorkerState::Gone,
         other => return Err(format!("readiness active, leaving or left, not {other:?}")),
     };
     let hint = fields.number_or("capacityHint", 1.0)?;
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -58,7 +58,7 @@
     pace: Pace,
     roster: RosterFile,
     clock: Clock,
-    states: BTreeMap<WorkerId, basaltward::State>,
+    states: BTreeMap<WorkerId, basaltward::WorkerState>,
     recorder: Recorder,
     orders: Orders,
     stopping: bool,
--- a/crates/gateway/src/scheduler/notes.rs
+++ b/crates/gateway/src/scheduler/notes.rs
@@ -47,11 +47,11 @@
 
     /// Logs and records the changes that a list brings; decides nothing.
     pub(super) fn note_states(&mut self, now: Micros, kind: MembersKind, members: &[basaltward::Member]) {
-        use basaltward::State;
-        let mut changes: Vec<(WorkerId, State)> = Vec::new();
+        use basaltward::WorkerState;
+        let mut changes: Vec<(WorkerId, WorkerState)> = Vec::new();
         if kind == MembersKind::Whole {
             let listed = |w: &WorkerId| members.iter().any(|m| m.worker == *w);
-            changes.extend(self.states.keys().filter(|w| !listed(w)).map(|w| (w.clone(), State::Gone)));
+            changes.extend(self.states.keys().filter(|w| !listed(w)).map(|w| (w.clone(), WorkerState::Gone)));
         }
         changes.extend(members.iter().map(|m| (m.worker.clone(), m.state)));
         for (worker, state) in changes {
@@ -63,13 +63,13 @@
                 let state = format!("{state:?}").to_lowercase();
                 self.recorder.put(now, &self.name, What::Told { worker: worker.to_string(), state });
             }
-            if state == State::Gone {
+            if state == WorkerState::Gone {
                 self.states.remove(&worker);
             } else {
                 self.states.insert(worker, state);
             }
         }
-        let used = self.states.values().filter(|state| **state == State::Active).count();
+        let used = self.states.values().filter(|state| **state == WorkerState::Active).count();
         self.sites.iter_mut().for_each(|sites| sites.workers(used));
     }
 }
--- a/crates/node/src/instance_directory.rs
+++ b/crates/node/src/instance_directory.rs
@@ -3,7 +3,7 @@
 //! terms, and an update is never more than what somebody saw.
 
 use crate::gossip_wire::{InstanceUpdate, mark, read, write};
-use basaltward::{FunctionId, Member, MembersKind, Micros, State, WorkerId};
+use basaltward::{FunctionId, Member, MembersKind, Micros, WorkerId, WorkerState};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Facts held at most; what comes beyond is not taken until others have aged.
@@ -101,7 +101,7 @@
         for member in members {
             let at = mark(member.worker.as_str());
             let known = self.workers.get(&at);
-            if member.state != State::Active || known.is_some_and(|w| w.started < member.started) {
+            if member.state != WorkerState::Active || known.is_some_and(|w| w.started < member.started) {
                 void.push(at);
             }
         }
@@ -111,7 +111,7 @@
                 self.count -= usize::from(facts.remove(&at).is_some());
             }
         }
-        for member in members.iter().filter(|m| m.state == State::Active) {
+        for member in members.iter().filter(|m| m.state == WorkerState::Active) {
             let worker = Worker { id: member.worker.clone(), started: member.started };
             self.workers.insert(mark(member.worker.as_str()), worker);
         }
@@ -291,7 +291,7 @@
     const S: Micros = 1_000_000;
     const KEEP: Micros = 8 * S;
 
-    fn member(name: &str, state: State, started: Micros) -> Member {
+    fn member(name: &str, state: WorkerState, started: Micros) -> Member {
         Member { state, started, ..Member::active(name) }
     }
 
@@ -299,7 +299,7 @@
     fn fleet(numbers: std::ops::Range<u32>) -> Vec<InstanceDirectory> {
         let each = numbers.map(|own| {
             let mut directory = InstanceDirectory::new(0, (own, 4), KEEP);
-            let members = ["a", "b"].map(|name| member(name, State::Active, 0));
+            let members = ["a", "b"].map(|name| member(name, WorkerState::Active, 0));
             directory.members(MembersKind::Whole, &members);
             directory
         });
@@ -366,14 +366,14 @@
         let gone = other.take(5 * S).expect("a datagram");
         third.heard(5 * S, 1, &gone);
         assert_eq!(third.asked(5 * S, &a, &f), Some(0));
-        third.members(MembersKind::Changes, &[member("b", State::Active, 5 * S)]);
+        third.members(MembersKind::Changes, &[member("b", WorkerState::Active, 5 * S)]);
         assert_eq!(third.asked(5 * S, &b, &f), None);
         let of_b = |age| write(&[InstanceUpdate::new((mark("f"), mark("b")), age, 1)]).expect("it fits");
         third.heard(5 * S, 1, &of_b(S));
         assert_eq!(third.asked(5 * S, &b, &f), None, "seen before it started");
         third.heard(6 * S, 1, &of_b(0));
         assert_eq!(third.asked(6 * S, &b, &f), Some(1));
-        third.members(MembersKind::Changes, &[member("b", State::Leaving, 5 * S)]);
+        third.members(MembersKind::Changes, &[member("b", WorkerState::Leaving, 5 * S)]);
         third.heard(6 * S, 1, &of_b(0));
         assert_eq!(third.asked(6 * S, &b, &f), None);
         third.members(MembersKind::Whole, &[]);
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -10,7 +10,7 @@
 use crate::job::{Name, answered, cut, name, wire_id};
 use crate::recent_ids::RecentIds;
 use crate::work::Work;
-use basaltward::{Code, FunctionId, Member, MembersKind, Micros, State, WorkerId};
+use basaltward::{Code, FunctionId, Member, MembersKind, Micros, WorkerId, WorkerState};
 use basaltward_engine::{AttemptId, OrderId};
 use basaltward_net::{ConnId, End, Io};
 use basaltward_timers::Timers;
@@ -109,7 +109,7 @@
 
 struct Worker {
     address: SocketAddr,
-    state: State,
+    state: WorkerState,
     conns: Vec<ConnId>,
 }
 
@@ -191,7 +191,7 @@
         if kind == MembersKind::Whole {
             let listed = |w: &WorkerId| members.iter().any(|(m, _)| m.worker == *w);
             let absent: Vec<_> = self.workers.keys().filter(|w| !listed(w)).cloned().collect();
-            absent.iter().for_each(|w| self.set_state(io, w, State::Gone, done));
+            absent.iter().for_each(|w| self.set_state(io, w, WorkerState::Gone, done));
         }
         for (member, address) in members {
             let (address, state, conns) = (*address, member.state, Vec::new());
@@ -204,10 +204,10 @@
         }
     }
 
-    fn set_state(&mut self, io: &mut Io, worker: &WorkerId, state: State, done: &mut Vec<Done>) {
+    fn set_state(&mut self, io: &mut Io, worker: &WorkerId, state: WorkerState, done: &mut Vec<Done>) {
         let Some(known) = self.workers.get_mut(worker) else { return };
         known.state = state;
-        if state == State::Active {
+        if state == WorkerState::Active {
             return;
         }
         for conn in known.conns.clone() {
@@ -222,7 +222,7 @@
     }
 
     fn tidy(&mut self, worker: &WorkerId) {
-        if self.workers.get(worker).is_some_and(|w| w.state == State::Gone && w.conns.is_empty()) {
+        if self.workers.get(worker).is_some_and(|w| w.state == WorkerState::Gone && w.conns.is_empty()) {
             self.workers.remove(worker);
         }
     }
@@ -246,7 +246,7 @@
 
     /// Begins a job. Gives its end at once where no byte can leave.
     pub fn start(&mut self, io: &mut Io, now: Micros, worker: &WorkerId, job: Job) -> Option<Done> {
-        if !self.workers.get(worker).is_some_and(|w| w.state == State::Active) {
+        if !self.workers.get(worker).is_some_and(|w| w.state == WorkerState::Active) {
             return cut(&job, Code::Moot);
         }
         self.recent_ids.forget(now);
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -2,7 +2,7 @@
 
 use crate::config::NodeConfig;
 use crate::start_times::StartTimes;
-use basaltward::{Member, MembersKind, Micros, State};
+use basaltward::{Member, MembersKind, Micros, WorkerState};
 use basaltward_bulletin::{Roster, Standing, Target};
 use basaltward_net::Clock;
 use std::sync::Arc;
@@ -30,9 +30,9 @@
         Member {
             worker: target.uid.as_str().into(),
             state: match target.state {
-                Standing::Ready => State::Active,
-                Standing::Terminating => State::Leaving,
-                Standing::Gone => State::Gone,
+                Standing::Ready => WorkerState::Active,
+                Standing::Terminating => WorkerState::Leaving,
+                Standing::Gone => WorkerState::Gone,
             },
             started,
             hint: target.capacity_hint,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -10,7 +10,7 @@
 use crate::peers::Fleet;
 use crate::recorder::TraceRecorder;
 use crate::work::{Served, Work};
-use basaltward::{Code, ListFreshness, Micros, SettingsError, State, WorkerId};
+use basaltward::{Code, ListFreshness, Micros, SettingsError, WorkerId, WorkerState};
 use basaltward_bulletin::{
     FeedId, Follower, FollowerLimits, Freshness, OWED_WITHIN_US, Roster, Step as Feed,
 };
@@ -746,8 +746,8 @@
         let freshness = self.follower.freshness(now);
         let trust = match freshness {
             Freshness::Unconfirmed => ListFreshness::Unconfirmed { since: self.started },
-            Freshness::Current { told_at } => ListFreshness::Current { told_at },
-            Freshness::Interrupted { told_at, .. } => ListFreshness::Interrupted { told_at },
+            Freshness::Current { told_at } => ListFreshness::Current { announced_at: told_at },
+            Freshness::Interrupted { told_at, .. } => ListFreshness::Interrupted { announced_at: told_at },
         };
         self.discovery_log.read(now, freshness, self.follower.last());
         if self.list_trust.replace(trust) != Some(trust) {
@@ -798,7 +798,7 @@
 
     fn heard(&mut self, now: Micros, roster: &Roster) {
         let (kind, members) = self.names.members(roster);
-        if members.iter().any(|member| member.state == State::Active) {
+        if members.iter().any(|member| member.state == WorkerState::Active) {
             self.front.set_ready();
         }
         let addressed: Vec<_> =
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -3,7 +3,7 @@
 use crate::front::Waiting;
 use crate::links::{Written, WrittenJob};
 use crate::work::Served;
-use basaltward::{FunctionId, Member, MembersKind, Micros, State, WorkerId};
+use basaltward::{FunctionId, Member, MembersKind, Micros, WorkerId, WorkerState};
 use basaltward_engine::{Answer, AttemptEnd, AttemptId};
 use basaltward_membership::{Incarnation, MemberId};
 use basaltward_net::{Io, monotonic};
@@ -183,9 +183,9 @@
         }
         for member in members {
             let state = match member.state {
-                State::Active => "active",
-                State::Leaving => "leaving",
-                State::Gone => "gone",
+                WorkerState::Active => "active",
+                WorkerState::Leaving => "leaving",
+                WorkerState::Gone => "gone",
             };
             self.known.insert(member.worker.clone());
             self.put(now, What::Told { worker: member.worker.to_string(), state: state.into() });
--- a/crates/play/src/bed.rs
+++ b/crates/play/src/bed.rs
@@ -1,6 +1,6 @@
 //! Gateways and a fleet in this process, with their files in a folder of their own.
 
-use basaltward::{Group, Repeat, State};
+use basaltward::{Group, Repeat, WorkerState};
 use basaltward_config::Config;
 use basaltward_gateway::{Gateway, GatewayError, Loops};
 use basaltward_net::Clock;
@@ -67,7 +67,7 @@
     fn new(path: PathBuf, names: Names, workers: &[SocketAddr]) -> std::io::Result<Self> {
         let entry = |address: &SocketAddr| Entry {
             address: address.to_string(),
-            state: State::Active,
+            state: WorkerState::Active,
             started: None,
             kind: 0,
             zone: 0,
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// As [`Roster::save`].
-    pub fn set(&mut self, worker: usize, state: State) -> std::io::Result<()> {
+    pub fn set(&mut self, worker: usize, state: WorkerState) -> std::io::Result<()> {
         self.entries[worker].state = state;
         self.save()
     }
@@ -110,7 +110,7 @@
     /// As [`Roster::save`].
     pub fn restarted(&mut self, worker: usize, wall: u64) -> std::io::Result<()> {
         let entry = &mut self.entries[worker];
-        (entry.state, entry.started) = (State::Active, Some(wall));
+        (entry.state, entry.started) = (WorkerState::Active, Some(wall));
         self.save()
     }
 }
--- a/crates/play/src/day.rs
+++ b/crates/play/src/day.rs
@@ -3,7 +3,7 @@
 use crate::bed::{Bed, BedError, rule_settings, wall};
 use crate::calls;
 use crate::script::{Act, Script};
-use basaltward::State;
+use basaltward::WorkerState;
 use basaltward_gateway::Gateway;
 use basaltward_net::{Micros, NetError, monotonic};
 use basaltward_rules::{Breach, Record, Recorder, Service, check, service};
@@ -179,8 +179,8 @@
                 self.bed.fleet.fault(worker, Fault::Restart);
                 self.later.set(now + lag, Later::Listed(worker, Listed::Started(wall())));
             }
-            Later::Listed(worker, Listed::Leaving) => self.bed.roster.set(worker, State::Leaving)?,
-            Later::Listed(worker, Listed::Gone) => self.bed.roster.set(worker, State::Gone)?,
+            Later::Listed(worker, Listed::Leaving) => self.bed.roster.set(worker, WorkerState::Leaving)?,
+            Later::Listed(worker, Listed::Gone) => self.bed.roster.set(worker, WorkerState::Gone)?,
             Later::Listed(worker, Listed::Started(at)) => self.bed.roster.restarted(worker, at)?,
             Later::FillRoster => self.bed.roster.save()?,
             Later::GatewayUp(index) => self.gateway_up(now, index)?,
--- a/crates/play/tests/hard_cases.rs
+++ b/crates/play/tests/hard_cases.rs
@@ -1,7 +1,7 @@
 //! Hard cases over loopback sockets: each brings about the trouble it is named after.
 mod common;
 
-use basaltward::State;
+use basaltward::WorkerState;
 use basaltward_play::{Bed, rule_settings};
 use basaltward_rules::{Recorder, What};
 use basaltward_standins::{Clients, Fault, Plan, Retries, WorkerSpec};
@@ -55,7 +55,7 @@
     client.send(&event("stamp", "long", "ce-workus: 300000\r\n", "x"));
     let worker = wait_running(&bed, "long");
     bed.fleet.fault(worker, Fault::Drain(true));
-    bed.roster.set(worker, State::Leaving).expect("listed");
+    bed.roster.set(worker, WorkerState::Leaving).expect("listed");
     wait_told(&bed, worker, "leaving");
     for id in 0..20 {
         assert_eq!(status(to, "stamp", &id.to_string()), 200);
--- a/crates/roster/src/entry.rs
+++ b/crates/roster/src/entry.rs
@@ -1,4 +1,4 @@
-use basaltward::{Member, Micros, State};
+use basaltward::{Member, Micros, WorkerState};
 
 /// One worker as a source lists it.
 #[derive(Clone, Debug, PartialEq)]
@@ -6,7 +6,7 @@
     /// Its address, which also names it.
     pub address: String,
     /// Its state.
-    pub state: State,
+    pub state: WorkerState,
     /// When it last started, microseconds since 1970; `None` for long ago.
     pub started: Option<Micros>,
     /// Position of its kind.
--- a/crates/roster/src/file.rs
+++ b/crates/roster/src/file.rs
@@ -1,5 +1,5 @@
 use crate::{Entry, Names, News, Source};
-use basaltward::{Micros, State};
+use basaltward::{Micros, WorkerState};
 use basaltward_config::xml::{Node, checked};
 use basaltward_config::{ConfigError, Fault};
 use std::collections::BTreeSet;
@@ -101,9 +101,9 @@
     Entry {
         address: node.text("address").unwrap_or_default().to_owned(),
         state: match node.text("state") {
-            Some("leaving") => State::Leaving,
-            Some("gone") => State::Gone,
-            _ => State::Active,
+            Some("leaving") => WorkerState::Leaving,
+            Some("gone") => WorkerState::Gone,
+            _ => WorkerState::Active,
         },
         started: node.value::<u64>("started-ms", faults).map(|ms| ms.saturating_mul(1_000)),
         kind,
@@ -121,9 +121,9 @@
     let mut text = String::from("<roster xmlns=\"urn:basaltward:roster:1\">\n");
     for entry in entries {
         let state = match entry.state {
-            State::Active => "active",
-            State::Leaving => "leaving",
-            State::Gone => "gone",
+            WorkerState::Active => "active",
+            WorkerState::Leaving => "leaving",
+            WorkerState::Gone => "gone",
         };
         let _ = write!(text, "  <worker address=\"{}\" state=\"{state}\"", entry.address);
         if let Some(started) = entry.started {
@@ -162,7 +162,8 @@
             cell: 3,
             size: 1.5,
         };
-        let first = vec![entry("127.0.0.1:7001", State::Active), entry("[::1]:7002", State::Leaving)];
+        let first =
+            vec![entry("127.0.0.1:7001", WorkerState::Active), entry("[::1]:7002", WorkerState::Leaving)];
         write(&path, &names, &first).expect("written");
         let mut roster = RosterFile::new(path.clone(), names.clone(), 10);
         assert_eq!(roster.poll(0), Some(News::Whole(first.clone())));
--- a/crates/trial/src/site_files.rs
+++ b/crates/trial/src/site_files.rs
@@ -2,7 +2,7 @@
 
 use crate::site_spec::{CLASSES, COPY_MB, LANES, SitesSpec};
 use crate::workspace::Workspace;
-use basaltward::State;
+use basaltward::WorkerState;
 use basaltward_roster::{Entry, Names, write};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 ) -> std::io::Result<PathBuf> {
     let entry = |(number, address): &Worker| Entry {
         address: address.to_string(),
-        state: State::Active,
+        state: WorkerState::Active,
         started: None,
         kind: 0,
         zone: 0,
--- a/src/control.rs
+++ b/src/control.rs
@@ -695,7 +695,7 @@
                 self.admit(now, member.clone(), started);
             }
             if let Some(known) = self.workers.get_mut(&id) {
-                (known.usable, known.member) = (member.state == State::Active, member);
+                (known.usable, known.member) = (member.state == WorkerState::Active, member);
             }
         }
         let lost: Vec<_> = self.workers.iter().filter(|(_, w)| !w.usable).map(|(id, _)| id.clone()).collect();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -300,7 +300,7 @@
 
 /// A worker's state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum WorkerState {
     /// Takes work.
     Active,
     /// Finishes its work and takes nothing new.
@@ -315,7 +315,7 @@
     /// The worker.
     pub worker: WorkerId,
     /// Its state.
-    pub state: State,
+    pub state: WorkerState,
     /// When it last started; 0 for long ago.
     pub started: Micros,
     /// Told size, comparable between workers.
@@ -331,7 +331,7 @@
 impl Member {
     /// A worker in use, long started, of the first kind, zone and cell, of a size like the others'.
     pub fn active(name: &str) -> Self {
-        let (worker, state) = (name.into(), State::Active);
+        let (worker, state) = (name.into(), WorkerState::Active);
         Self { worker, state, started: 0, hint: 1.0, kind: 0, zone: 0, cell: 0 }
     }
 }
@@ -360,12 +360,12 @@
     /// The list is followed.
     Current {
         /// When all that it is missing counts as told, should nothing more be heard.
-        told_at: Micros,
+        announced_at: Micros,
     },
     /// The source of the list is out of reach.
     Interrupted {
         /// When all that it is missing counts as told.
-        told_at: Micros,
+        announced_at: Micros,
     },
 }
 
--- a/src/standing.rs
+++ b/src/standing.rs
@@ -113,7 +113,8 @@
     fn listed_until(&self) -> Option<Micros> {
         let grace = self.grace()?;
         Some(match self.list_trust? {
-            ListFreshness::Current { told_at } | ListFreshness::Interrupted { told_at } => told_at + grace,
+            ListFreshness::Current { announced_at: told_at }
+            | ListFreshness::Interrupted { announced_at: told_at } => told_at + grace,
             // Without questions nothing else could ever show more: the list of the start counts as true then.
             ListFreshness::Unconfirmed { since } if !self.settings.limits.probes => since + grace,
             ListFreshness::Unconfirmed { .. } => 0,
--- a/src/state.rs
+++ b/src/state.rs
@@ -254,7 +254,7 @@
     pub fn new(member: Member, now: Micros, classes: usize, due: Due) -> Self {
         Self {
             hash: text_hash(member.worker.as_str()),
-            usable: member.state == State::Active,
+            usable: member.state == WorkerState::Active,
             member,
             demand: Fading::default(),
             cold_credit: 0.0,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -162,7 +162,7 @@
     fn change(&self, at: usize) -> Vec<Member> {
         let started = STARTS + (self.day.apart)(at);
         let fresh = |n| Member { started, ..Member::active(&format!("w{}", WARM + n)) };
-        let old = |n| Member { state: State::Leaving, ..Member::active(&format!("w{n}")) };
+        let old = |n| Member { state: WorkerState::Leaving, ..Member::active(&format!("w{n}")) };
         (0..self.day.fresh).map(fresh).chain((0..self.day.leave).map(old)).collect()
     }
 
@@ -440,8 +440,8 @@
             bed.outcome(id, 0, "w0", Code::Ok, 5 * MS);
             bed.advance(self.gap);
         }
-        let fresh = |n| member(&format!("new{n}"), State::Active, bed.now - self.late);
-        let members = (0..DRAWS).map(fresh).chain([member("w0", State::Gone, 0)]).collect();
+        let fresh = |n| member(&format!("new{n}"), WorkerState::Active, bed.now - self.late);
+        let members = (0..DRAWS).map(fresh).chain([member("w0", WorkerState::Gone, 0)]).collect();
         bed.event(Event::Members { kind: MembersKind::Changes, members });
         let (told, mut sent) = (bed.now, vec![0; DRAWS]);
         let mut spent = Vec::new();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,7 +5,7 @@
 pub const S: Micros = 1_000_000;
 
 /// A fleet of equal workers named w0, w1, ... of kind 0.
-pub fn member(name: &str, state: State, started: Micros) -> Member {
+pub fn member(name: &str, state: WorkerState, started: Micros) -> Member {
     Member { worker: name.into(), state, started, hint: 1.0, kind: 0, zone: 0, cell: 0 }
 }
 
@@ -21,7 +21,7 @@
     pub fn new(settings: Settings, workers: usize) -> Self {
         let controller = Controller::new(settings, 1).expect("usable settings");
         let mut bed = Self { controller, now: 100 * S, timers: Vec::new(), log: Vec::new() };
-        let members = (0..workers).map(|i| member(&format!("w{i}"), State::Active, 0)).collect();
+        let members = (0..workers).map(|i| member(&format!("w{i}"), WorkerState::Active, 0)).collect();
         bed.event(Event::Members { kind: MembersKind::Stale, members });
         bed
     }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -9,7 +9,7 @@
     actions.iter().filter(act).cloned().collect()
 }
 
-fn workers_change(bed: &mut Bed, worker: &str, state: State) -> Vec<Action> {
+fn workers_change(bed: &mut Bed, worker: &str, state: WorkerState) -> Vec<Action> {
     let members = vec![member(worker, state, 0)];
     bed.event(Event::Members { kind: MembersKind::Changes, members })
 }
@@ -120,7 +120,7 @@
             let asks = bed.request(400, "x", 10 * S);
             bed.answer_asks(&asks, "w1", 1);
         }
-        workers_change(&mut bed, "w1", State::Leaving);
+        workers_change(&mut bed, "w1", WorkerState::Leaving);
         let drained = bed.log.len();
         served_at(&mut bed, &name, "w0");
         // The answer crosses the news of the drain: no copy is believed in there.
@@ -128,7 +128,7 @@
         bed.loaded(&"w1".into(), &name, count, code);
         served_at(&mut bed, &name, "w0");
         // A third worker comes and may have it before the lost order would have been given up.
-        workers_change(&mut bed, "w2", State::Active);
+        workers_change(&mut bed, "w2", WorkerState::Active);
         let mut later = Vec::new();
         for id in 20_000..20_027 {
             bed.request(id, &name, S);
@@ -148,7 +148,7 @@
 #[test]
 fn a_home_that_drains_before_the_hand_over_is_answered_is_followed_by_no_second_order() {
     let (mut bed, name) = handing_over(settings(Repeat::Safe));
-    workers_change(&mut bed, "w0", State::Leaving);
+    workers_change(&mut bed, "w0", WorkerState::Leaving);
     assert_eq!(acts(&bed.request(500, &name, S)), [], "it waits for the order that is out");
     assert_eq!(loads_of(&bed.advance(300 * MS)), Vec::<String>::new());
     let stands = bed.loaded(&"w1".into(), &name, 1, Code::Ok);
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -94,8 +94,8 @@
         bed.answer_asks(&asks, "w0", 1);
         bed.outcome(1, 0, "w0", Code::Ok, 50 * MS);
         let (kind, members) = match whole {
-            true => (MembersKind::Whole, vec![member("w1", State::Active, 0)]),
-            false => (MembersKind::Changes, vec![member("w0", State::Leaving, 0)]),
+            true => (MembersKind::Whole, vec![member("w1", WorkerState::Active, 0)]),
+            false => (MembersKind::Changes, vec![member("w0", WorkerState::Leaving, 0)]),
         };
         bed.event(Event::Members { kind, members });
         let mut all = bed.request(2, "f", S);
@@ -111,7 +111,7 @@
     let asks = bed.request(1, "f", S);
     bed.answer_asks(&asks, "w0", 1);
     bed.outcome(1, 0, "w0", Code::Ok, 50 * MS);
-    let members = vec![member("w0", State::Active, bed.now)];
+    let members = vec![member("w0", WorkerState::Active, bed.now)];
     bed.event(Event::Members { kind: MembersKind::Changes, members });
     let next = bed.request(2, "f", S);
     assert!(sends(&next).is_empty(), "no copy is believed in any more: {next:?}");
@@ -123,7 +123,7 @@
     settings.copies.load_on_miss = true;
     settings.copies.orders = false;
     let mut bed = Bed::new(settings, 2);
-    let members = vec![member("w0", State::Active, bed.now)];
+    let members = vec![member("w0", WorkerState::Active, bed.now)];
     bed.event(Event::Members { kind: MembersKind::Changes, members });
     let cold = bed.served_by("w0", 0..400);
     // Two seconds of 200 a second: half of 3 x (0.2 rising to 0.31) x the warm one's share is 120 at the most.
@@ -192,8 +192,8 @@
         let mut told = settings(Repeat::Safe);
         (told.zone, told.cross_zone) = (1, price);
         let mut bed = Bed::new(told, 0);
-        let away = member("w0", State::Active, 0);
-        let near = Member { zone: 1, ..member("w1", State::Active, 0) };
+        let away = member("w0", WorkerState::Active, 0);
+        let near = Member { zone: 1, ..member("w1", WorkerState::Active, 0) };
         bed.event(Event::Members { kind: MembersKind::Whole, members: vec![away, near] });
         let asks = bed.event(Event::Request(Request::new(0, "f", 400.0, 32, 2 * S)));
         bed.answer_asks(&asks, "w0", 1);
@@ -507,7 +507,7 @@
                 8 => {
                     let at = draw(5) as usize;
                     active[at] = draw(3) > 0;
-                    let state = if active[at] { State::Active } else { State::Leaving };
+                    let state = if active[at] { WorkerState::Active } else { WorkerState::Leaving };
                     let mut news = member(&format!("w{at}"), state, 0);
                     news.zone = at % 2;
                     bed.event(Event::Members { kind: MembersKind::Changes, members: vec![news] });
@@ -749,7 +749,7 @@
     for request in 10..60 {
         bed.outcome(request, 0, "w0", Code::Cancelled, 2 * S);
     }
-    let members = vec![member("w1", State::Leaving, 0)];
+    let members = vec![member("w1", WorkerState::Leaving, 0)];
     bed.event(Event::Members { kind: MembersKind::Changes, members });
     let asks = bed.event(request_of(900, "swallowed", 1));
     let mut found = bed.answer_asks(&asks, "w0", 1);
@@ -763,7 +763,7 @@
     let mut one = settings(Repeat::Safe);
     one.schedulers = 200;
     let mut bed = Bed::new(one, 1);
-    let members = vec![member("w0", State::Active, bed.now)];
+    let members = vec![member("w0", WorkerState::Active, bed.now)];
     bed.event(Event::Members { kind: MembersKind::Changes, members });
     let mut orders = 0;
     for id in 0..40 {
@@ -798,7 +798,7 @@
             }
             bed.advance(250 * MS);
         }
-        let members = vec![member("w0", State::Active, bed.now)];
+        let members = vec![member("w0", WorkerState::Active, bed.now)];
         let since = bed.now;
         bed.event(Event::Members { kind: MembersKind::Changes, members });
         for id in 100..148 {
@@ -926,7 +926,7 @@
         placed
     };
     calls(&mut bed, 0..40);
-    let members = vec![member("new", State::Active, bed.now)];
+    let members = vec![member("new", WorkerState::Active, bed.now)];
     bed.event(Event::Members { kind: MembersKind::Changes, members });
     let placed = calls(&mut bed, 40..80);
     assert!(placed.iter().any(|worker| worker == "new"), "{placed:?}");
@@ -951,8 +951,8 @@
         cold
     };
     cold(&mut bed, 0..2_000);
-    let left = (1..8).map(|i| member(&format!("w{i}"), State::Gone, 0));
-    let members = left.chain([member("new", State::Active, bed.now)]).collect();
+    let left = (1..8).map(|i| member(&format!("w{i}"), WorkerState::Gone, 0));
+    let members = left.chain([member("new", WorkerState::Active, bed.now)]).collect();
     bed.event(Event::Members { kind: MembersKind::Changes, members });
     let cold = cold(&mut bed, 2_000..2_400);
     // Half of 3 x (0.2 rising to 0.31) x 25 a second, over two seconds: 19 at the most.
--- a/tests/quiet.rs
+++ b/tests/quiet.rs
@@ -27,7 +27,7 @@
     assert_eq!(sends(&sent), [(2, "w1".to_owned())]);
     bed.outcome(2, 0, "w1", Code::Ok, 20 * MS);
     bed.advance(HOUR);
-    let members = vec![member("w1", State::Leaving, 0)];
+    let members = vec![member("w1", WorkerState::Leaving, 0)];
     bed.event(Event::Members { kind: MembersKind::Changes, members });
     let mut all = bed.request(3, "f", S);
     all.extend(bed.advance(200 * MS));
@@ -52,7 +52,7 @@
     let started = bed.now;
     bed.event(Event::Members {
         kind: MembersKind::Changes,
-        members: vec![member("w0", State::Active, started)],
+        members: vec![member("w0", WorkerState::Active, started)],
     });
     // Nothing was served for an hour: nobody knows what a warm one serves, so that nothing may be taken for granted.
     let cold = bed.served_by("w0", 10..410);
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -31,10 +31,10 @@
     fn new(settings: Settings, workers: usize) -> Self {
         let mut bed = Bed::new(settings, workers);
         let told_at = bed.now + 4 * S;
-        bed.event(Event::ListFreshness(ListFreshness::Current { told_at }));
+        bed.event(Event::ListFreshness(ListFreshness::Current { announced_at: told_at }));
         let mut outage = Self { bed, told_at, next: 1 };
         assert!(outage.call().0.is_empty(), "nobody is asked while the list is followed");
-        outage.bed.event(Event::ListFreshness(ListFreshness::Interrupted { told_at }));
+        outage.bed.event(Event::ListFreshness(ListFreshness::Interrupted { announced_at: told_at }));
         outage
     }
 
@@ -196,13 +196,13 @@
         settings.limits.retry_after = true;
         Controller::new(settings, 1).expect("usable settings")
     };
-    let members = (0..3).map(|i| member(&format!("w{i}"), State::Active, 0)).collect();
+    let members = (0..3).map(|i| member(&format!("w{i}"), WorkerState::Active, 0)).collect();
     outage.bed.event(Event::Members { kind: MembersKind::Whole, members });
     for _ in 0..100 {
         outage.call();
         outage.bed.advance(10 * MS);
     }
-    outage.bed.event(Event::ListFreshness(ListFreshness::Interrupted { told_at: outage.told_at }));
+    outage.bed.event(Event::ListFreshness(ListFreshness::Interrupted { announced_at: outage.told_at }));
     outage.expire();
     for _ in 0..6 {
         outage.call_where(|_| Code::Error);
@@ -254,7 +254,7 @@
     assert_eq!(outage.call(), (vec![], None));
     assert!(outage.bed.log[before..].iter().any(|(_, a)| matches!(a, Action::Refuse { .. })));
     let told_at = outage.bed.now + 4 * S;
-    outage.bed.event(Event::ListFreshness(ListFreshness::Current { told_at }));
+    outage.bed.event(Event::ListFreshness(ListFreshness::Current { announced_at: told_at }));
     assert!(outage.call().1.is_some(), "the list is followed again");
 }
 
@@ -266,7 +266,7 @@
     let first = bed.request(1, "f", 2 * S);
     assert_eq!((probes(&first), sends(&first)), (vec!["w0".to_string()], vec![]));
     let told_at = bed.now + 4 * S;
-    bed.event(Event::ListFreshness(ListFreshness::Current { told_at }));
+    bed.event(Event::ListFreshness(ListFreshness::Current { announced_at: told_at }));
     assert_eq!(sends(&bed.request(2, "f", 2 * S)).len(), 1, "followed");
 }
 
@@ -275,9 +275,9 @@
     for before_the_outage in [false, true] {
         let mut bed = Bed::new(leased(true), 4);
         let told_at = bed.now + 60 * S;
-        bed.event(Event::ListFreshness(ListFreshness::Current { told_at }));
+        bed.event(Event::ListFreshness(ListFreshness::Current { announced_at: told_at }));
         let before = bed.served_by("w0", 1..2_000);
-        let trust = Event::ListFreshness(ListFreshness::Interrupted { told_at });
+        let trust = Event::ListFreshness(ListFreshness::Interrupted { announced_at: told_at });
         let lost = Event::Disconnected { worker: "w0".into() };
         let events = if before_the_outage { [lost, trust] } else { [trust, lost] };
         events.into_iter().for_each(|event| drop(bed.event(event)));
@@ -303,7 +303,7 @@
         let mut bed = Bed::new(settings, 2);
         if told {
             let told_at = bed.now;
-            bed.event(Event::ListFreshness(ListFreshness::Interrupted { told_at }));
+            bed.event(Event::ListFreshness(ListFreshness::Interrupted { announced_at: told_at }));
         }
         bed.advance(60 * S);
         let first = bed.request(1, "f", 2 * S);
@@ -318,7 +318,7 @@
     settings.copies.orders = true;
     let mut bed = Bed::new(settings, 2);
     let told_at = bed.now + 4 * S;
-    bed.event(Event::ListFreshness(ListFreshness::Interrupted { told_at }));
+    bed.event(Event::ListFreshness(ListFreshness::Interrupted { announced_at: told_at }));
     bed.advance(4 * S + GRACE);
     // Nobody holds the function: it is to be ordered.
     let questions = bed.request(1, "new", 2 * S);
