--- a/src/control.rs
+++ b/src/control.rs
@@ -81,25 +81,26 @@
             Event::ClientGone { id } => self.finish(id, None, out),
             Event::AnswerStarted { id, attempt } => self.first(id, attempt, out),
             Event::Timer { token: 0 } => self.sweep(now, out),
-            Event::Timer { token } => match self.wakes.remove(&token) {
-                Some(Wake::Deadline(id)) if self.requests.get(&id).is_none_or(|h| h.streaming) => {}
-                Some(Wake::Deadline(id)) => self.finish(id, Some(Action::Fail { id }), out),
-                Some(Wake::Shed(id)) => {
+            Event::Timer { token } => match self.timers.remove(&token) {
+                Some(TimerPurpose::Deadline(id)) if self.requests.get(&id).is_none_or(|h| h.streaming) => {}
+                Some(TimerPurpose::Deadline(id)) => self.finish(id, Some(Action::Fail { id }), out),
+                Some(TimerPurpose::Shed(id)) => {
                     // All copies are crowded, or loads fail and none is under way; the aim is past. Could
                     // hurt where late answers are worth much.
-                    let loads = |h: &Held| {
-                        let function = self.functions.get(&h.told.function);
-                        function.is_some_and(|f| f.places.values().any(|p| p.loading.is_some()))
+                    let loads = |h: &PendingRequest| {
+                        let function = self.functions.get(&h.request.function);
+                        function.is_some_and(|f| f.places.values().any(|p| p.loading_since.is_some()))
                     };
                     let nobody = self.is_nobody_open(now);
-                    let stuck = |h: &Held| nobody || h.crowded || self.load_gap > 0 && !loads(h);
-                    let sheds = |h: &Held| h.waiting && stuck(h) && self.may_refuse(h);
+                    let stuck =
+                        |h: &PendingRequest| nobody || h.awaits_capacity || self.load_gap > 0 && !loads(h);
+                    let sheds = |h: &PendingRequest| h.is_waiting && stuck(h) && self.may_refuse(h);
                     if self.requests.get(&id).is_some_and(sheds) {
                         let wait = Some(self.load_gap).filter(|gap| *gap > 0);
                         self.give_up(id, wait, out);
                     }
                 }
-                Some(Wake::Overdue(id, attempt)) => self.overdue(now, id, attempt, out),
+                Some(TimerPurpose::Overdue(id, attempt)) => self.overdue(now, id, attempt, out),
                 None => {}
             },
             Event::ListFreshness(trust) => self.list_trust(now, trust),
@@ -118,15 +119,15 @@
         // What has not passed the slack does not by fading.
         let told = worker.slowness.value > SLACK;
         let slow = if told { (worker.slowness.get(now, FORGET_US) - SLACK).max(0.0) } else { 0.0 };
-        let missed = |c: usize| worker.missed.get(c).map_or(0.0, |m| m.get(now, FORGET_US));
-        let silent = missed(class) * 0.7 + (0..worker.missed.len()).map(missed).sum::<f64>() * 0.3;
-        (1.0 + slow + silent + worker.strain.get(now, FORGET_US)) / self.warmth(now, worker)
+        let missed = |c: usize| worker.unanswered.get(c).map_or(0.0, |m| m.get(now, FORGET_US));
+        let silent = missed(class) * 0.7 + (0..worker.unanswered.len()).map(missed).sum::<f64>() * 0.3;
+        (1.0 + slow + silent + worker.failures.get(now, FORGET_US)) / self.warmth(now, worker)
     }
 
     /// Evidence past which a worker is no place for a request of a class: against the better quarter of the
     /// fleet, for where nearly all look bad at once it is the evidence that is to be doubted.
     fn suspect(&self, class: usize) -> f64 {
-        SUSPECT * self.fleet.evidence.get(class).copied().unwrap_or(1.0)
+        SUSPECT * self.fleet.baseline_penalty.get(class).copied().unwrap_or(1.0)
     }
 
     /// A worker's pressure ratio if `added` demand and `mb` memory came to it. Our own account of demand and
@@ -135,23 +136,25 @@
     fn ratio(&self, now: Micros, worker: &Worker, added: f64, mb: f64, class: usize) -> f64 {
         let (fleet, kinds) = (&self.fleet, &self.settings.copies.kind_memory_mb);
         let told = kinds.get(worker.member.kind).copied().unwrap_or(fleet.memory_mb);
-        let left = (told - fleet.trust * worker.placed_mb).max(mb).max(told * 0.1) / fleet.memory_mb.max(1.0);
-        let own = if worker.placed_mb > 0.0 { worker.demand.get(now, WINDOW_US) } else { fleet.demand };
-        let drawn = fleet.demand + fleet.trust * (own - fleet.demand);
+        let left = (told - fleet.local_confidence * worker.placed_mb).max(mb).max(told * 0.1)
+            / fleet.memory_mb.max(1.0);
+        let own =
+            if worker.placed_mb > 0.0 { worker.demand.get(now, DEMAND_WINDOW_US) } else { fleet.demand };
+        let drawn = fleet.demand + fleet.local_confidence * (own - fleet.demand);
         // Nobody can have placed more on it than its life holds of the window.
-        let age = now.saturating_sub(worker.member.started) as f64 / WINDOW_US;
+        let age = now.saturating_sub(worker.member.started) as f64 / DEMAND_WINDOW_US;
         let lived = if worker.member.started == 0 || age > 5.0 { 1.0 } else { 1.0 - (-age).exp() };
-        let placed = drawn * lived / WINDOW_US * f64::from(self.settings.schedulers);
-        (placed + added).max(0.001) * self.evidence(now, worker, class) / (left * fleet.size(worker))
+        let placed = drawn * lived / DEMAND_WINDOW_US * f64::from(self.settings.schedulers);
+        (placed + added).max(0.001) * self.evidence(now, worker, class) / (left * fleet.relative_size(worker))
     }
 
     /// A holder's ratio, spread by our own hash the more the less we know, or all would crowd the same
     /// holder. Where the way to another zone has its price, holders in our own come before.
     fn own_key(&self, function: &Function, c: &Choice) -> f64 {
-        let spread = -unit(rendezvous(function.hash ^ self.own_hash, c.worker.hash)).ln();
+        let spread = -unit(rendezvous(function.hash ^ self.local_hash, c.worker.hash)).ln();
         let away = f64::from(u8::from(c.worker.member.zone != self.settings.zone));
         let way = 1.0 + AWAY * self.settings.cross_zone * away;
-        c.ratio * way * spread.powf((1.0 - self.fleet.trust).powi(2))
+        c.ratio * way * spread.powf((1.0 - self.fleet.local_confidence).powi(2))
     }
 
     /// A worker as a place for a function, its key spread by a hash that all schedulers share, so that those
@@ -159,8 +162,8 @@
     /// is lower past the threshold.
     fn choice<'a>(&self, now: Micros, of: (&Function, f64), at: (&'a WorkerId, &'a Worker)) -> Choice<'a> {
         let ((function, added), (id, worker)) = (of, at);
-        self.looks.set(self.looks.get() + 1);
-        let ratio = self.ratio(now, worker, added, function.mb, function.class);
+        self.evaluations.set(self.evaluations.get() + 1);
+        let ratio = self.ratio(now, worker, added, function.memory_mb, function.class);
         let held = if function.home.as_ref() == Some(id) { ratio / GAIN } else { ratio };
         let key = held.powf(SHARP) * -unit(rendezvous(function.hash, worker.hash)).ln();
         Choice { key, ratio, id, worker }
@@ -168,7 +171,11 @@
 
     /// A function with the demand that it would bring.
     fn demand<'a>(&self, now: Micros, function: &'a Function) -> (&'a Function, f64) {
-        (function, function.rate.get(now, WINDOW_US) * function.usual * function.weight / WINDOW_US)
+        (
+            function,
+            function.rate.get(now, DEMAND_WINDOW_US) * function.typical_latency * function.weight
+                / DEMAND_WINDOW_US,
+        )
     }
 
     /// Every usable worker as a place for a function, best first. It looks at the whole fleet: not for a call
@@ -191,7 +198,7 @@
     /// too.
     fn wanted(&self, now: Micros, function: &Function) -> (usize, usize) {
         let (least, most) = self.copies(now, function);
-        let holders = (least + (most - least) * self.fleet.room) as usize;
+        let holders = (least + (most - least) * self.fleet.memory_headroom) as usize;
         let holders = holders.clamp(1, self.fleet.workers.max(1));
         ((least as usize).max(holders), holders)
     }
@@ -199,8 +206,8 @@
     /// Copies that a function needs at least, and those that it is given where memory is no concern.
     fn copies(&self, now: Micros, function: &Function) -> (f64, f64) {
         let own = busy(now, function) * f64::from(self.settings.schedulers);
-        let notes = function.notes.get(now, WINDOW_US);
-        let crowd = function.crowds.get(now, WINDOW_US) / notes.max(1e-9);
+        let notes = function.crowd_reports.get(now, DEMAND_WINDOW_US);
+        let crowd = function.crowd_sum.get(now, DEMAND_WINDOW_US) / notes.max(1e-9);
         let held = if notes > 0.1 { own.min(crowd * function.holders).max(crowd) } else { own };
         let room = held + 2.0 * held.sqrt();
         ((room / f64::from(function.lanes)).ceil().max(1.0), room.max(1.0))
@@ -209,9 +216,9 @@
     // ---- routing -----------------------------------------------------------------------------------------
 
     /// Whether the rules let this request go to this worker now; a keyed one as late as it may come.
-    fn may_send(&self, now: Micros, held: &Held, worker: &Worker) -> bool {
+    fn may_send(&self, now: Micros, held: &PendingRequest, worker: &Worker) -> bool {
         if !worker.usable
-            || held.done
+            || held.answered
             || held.streaming
             || held.attempts.len() >= self.settings.limits.attempts as usize
             || !self.settings.limits.concurrent_attempts && held.attempts.iter().any(|a| a.ended.is_none())
@@ -222,7 +229,7 @@
         }
         let mut maybe = held.attempts.iter().filter(|a| a.may_have_run());
         let (zone, cell) = (worker.member.zone, worker.member.cell);
-        match self.settings.classes[held.told.class].repeat {
+        match self.settings.classes[held.request.class].repeat {
             Repeat::Safe => true,
             Repeat::Unsafe => maybe.next().is_none(),
             Repeat::Keyed { group, window } => maybe.all(|a| {
@@ -233,8 +240,8 @@
     }
 
     /// Whether a refusal, which tells the client that trying again is harmless, would be true.
-    fn may_refuse(&self, held: &Held) -> bool {
-        match self.settings.classes[held.told.class].repeat {
+    fn may_refuse(&self, held: &PendingRequest) -> bool {
+        match self.settings.classes[held.request.class].repeat {
             Repeat::Safe | Repeat::Keyed { group: Group::All, .. } => true,
             _ => !held.attempts.iter().any(Attempt::may_have_run),
         }
@@ -243,9 +250,9 @@
     /// Sends a request where it should go, has it wait for a load, or ends it. What waits comes here with
     /// each answer and sweep, so that a call that can't go must cost little: the places where copies stand
     /// are looked at first, the whole fleet only where an order may follow.
-    fn route(&mut self, now: Micros, id: RequestId, out: &mut Out) {
-        let Some(held) = self.requests.get(&id).filter(|h| !h.done) else { return };
-        let name = held.told.function.clone();
+    fn route(&mut self, now: Micros, id: RequestId, out: &mut Actions) {
+        let Some(held) = self.requests.get(&id).filter(|h| !h.answered) else { return };
+        let name = held.request.function.clone();
         let Some(function) = self.functions.get(&name) else { return };
         let may = |w: &Worker| self.may_send(now, held, w);
         if !held.attempts.is_empty() && !self.workers.values().any(may) {
@@ -260,7 +267,7 @@
         // Nor does a broken connection tell of the copy behind it: a process that died refuses the next.
         let again = |a: &Attempt| matches!(a.ended, Some(Code::Miss | Code::Reset));
         let tried = |id: &WorkerId| held.attempts.iter().any(|a| a.worker == *id && !again(a));
-        let class = held.told.class;
+        let class = held.request.class;
         let sound = |w: &Worker| self.evidence(now, w, class) < self.suspect(class);
         let stands = function.places.iter().filter(|(id, p)| p.standing && !tried(id));
         let open = stands.filter_map(|(id, p)| Some((id, self.workers.get(id).filter(|w| may(w))?, p)));
@@ -281,15 +288,15 @@
         // Past a copy's lanes a worker starts another by itself: what waits here instead causes no load.
         let lanes = |p: &Place| f64::from(function.lanes * p.copies.max(1));
         let own = |c: &Choice| self.own_key(function, c);
-        let crowd = |p: &Place| f64::from(p.out) + p.crowd.get(now, CROWD_US);
+        let crowd = |p: &Place| f64::from(p.in_flight) + p.crowd.get(now, CROWD_US);
         // A queue that outlasts the aim is no room.
         let left = held.aim.checked_sub(now).unwrap_or(held.deadline.saturating_sub(now)) as f64;
-        let soon = |p: &Place| crowd(p) * function.usual <= left * lanes(p);
-        let free = |(_, p): &&(Choice, &Place)| f64::from(p.out) < lanes(p) && soon(p);
+        let soon = |p: &Place| crowd(p) * function.typical_latency <= left * lanes(p);
+        let free = |(_, p): &&(Choice, &Place)| f64::from(p.in_flight) < lanes(p) && soon(p);
         let cost = |(c, p): &(Choice, &Place)| {
-            let present = c.worker.due.len() as f64 + c.worker.others.get(now, CROWD_US);
+            let present = c.worker.due.len() as f64 + c.worker.others_in_flight.get(now, CROWD_US);
             let question = self.question_cost(now, c.worker);
-            question * own(c) * (1.0 + crowd(p) / lanes(p) + present / self.fleet.present.max(1.0))
+            question * own(c) * (1.0 + crowd(p) / lanes(p) + present / self.fleet.in_flight.max(1.0))
         };
         let best = |range: &[(Choice, &Place)], idle: bool| {
             let usable = range.iter().filter(free).filter(|(_, p)| !idle || crowd(p) < lanes(p));
@@ -302,18 +309,20 @@
         // serve, though each scheduler knows few.
         let lacks = |c: &&Choice| {
             let place = function.places.get(c.id);
-            !place.is_some_and(|p| p.loading.is_some() || p.standing && p.copies as usize * holders >= copies)
+            !place.is_some_and(|p| {
+                p.loading_since.is_some() || p.standing && p.copies as usize * holders >= copies
+            })
         };
         let grows = holders > 1 && self.may_order(now, function);
         let mut ranked = if grows { self.rank(now, function) } else { Vec::new() };
         ranked.truncate(holders);
         let by_own = |a: &&Choice, b: &&Choice| own(a).total_cmp(&own(b));
-        let part = ranked.iter().min_by(by_own).filter(lacks).filter(|_| self.fleet.trust < 0.5);
+        let part = ranked.iter().min_by(by_own).filter(lacks).filter(|_| self.fleet.local_confidence < 0.5);
         let more = || ranked.iter().filter(lacks).min_by(by_own).filter(|_| roomy.is_none());
         let next = part.or_else(more).map(|c| c.id.clone());
         match choice {
             Some(worker) => self.send(now, id, &worker, out),
-            None => self.hold(id, true),
+            None => self.enqueue(id, true),
         }
         if let Some(worker) = next {
             self.grow(now, &name, &worker, copies.div_ceil(holders) as u32, out);
@@ -321,24 +330,24 @@
     }
 
     /// No copy is known: wait for answers or a load under way, else cause a load where the ratio is lowest.
-    fn wait_or_load(&mut self, now: Micros, id: RequestId, name: &FunctionId, out: &mut Out) {
-        self.hold(id, false);
+    fn wait_or_load(&mut self, now: Micros, id: RequestId, name: &FunctionId, out: &mut Actions) {
+        self.enqueue(id, false);
         let has_ration = self.ration(now);
         let (Some(function), Some(held)) = (self.functions.get(name), self.requests.get(&id)) else { return };
-        let (last, family) = (function.ask_until, &self.settings.copies);
-        if family.orders && (last == 0 || now >= last + function.load) {
+        let (last, family) = (function.query_deadline, &self.settings.copies);
+        if family.orders && (last == 0 || now >= last + function.load_time) {
             return self.ask(now, name, out);
         }
-        let asking = function.asks_out > 0 && now < function.ask_until;
+        let asking = function.queries_in_flight > 0 && now < function.query_deadline;
         if asking || !self.may_order(now, function) {
             let until = match (asking, function.order_after) {
-                (true, _) => function.ask_until,
-                (_, after) if after > now => after.min(last + function.load),
-                _ => last + function.load,
+                (true, _) => function.query_deadline,
+                (_, after) if after > now => after.min(last + function.load_time),
+                _ => last + function.load_time,
             };
             let rests = held.attempts.is_empty() && !function.places.values().any(|p| p.standing);
             if let Some(calls) = self.waiting.get_mut(name).filter(|_| rests && family.orders) {
-                calls.rests = until;
+                calls.blocked_until = until;
             }
             return;
         }
@@ -350,7 +359,7 @@
         let lacks = |c: &&Choice| !function.places.get(c.id).is_some_and(|p| p.standing);
         let ranked = self.rank(now, function);
         // One that turned calls away in an outage comes last: a call would spend all its attempts there.
-        let trusted = |c: &&Choice| allowed(c) && !c.worker.standing.is_doubted();
+        let trusted = |c: &&Choice| allowed(c) && !c.worker.drain_evidence.is_doubted();
         let first = ranked.iter().filter(lacks).find(trusted).or(ranked.iter().filter(lacks).find(allowed));
         let Some(target) = first.or(ranked.iter().find(lacks)).map(|c| c.id.clone()) else { return };
         let direct = ranked.iter().find(trusted).or(ranked.iter().find(allowed)).map(|c| c.id.clone());
@@ -362,41 +371,41 @@
     }
 
     /// Sends a request, or has it wait where its worker has to be asked first.
-    fn send(&mut self, now: Micros, id: RequestId, worker: &WorkerId, out: &mut Out) {
+    fn send(&mut self, now: Micros, id: RequestId, worker: &WorkerId, out: &mut Actions) {
         if !self.may_begin(now, worker, out) {
-            return self.hold(id, true);
+            return self.enqueue(id, true);
         }
         let credit = self.workers.get(worker).map_or(0.0, |w| self.cold_credit(now, w));
         let (Some(held), Some(known)) = (self.requests.get_mut(&id), self.workers.get_mut(worker)) else {
             return;
         };
-        let Some(function) = self.functions.get_mut(&held.told.function) else { return };
-        release((&mut self.waiting, &self.most), held);
+        let Some(function) = self.functions.get_mut(&held.request.function) else { return };
+        stop_waiting((&mut self.waiting, &self.longest_queue), held);
         let place = function.places.entry(worker.clone()).or_default();
-        let mut patience = function.usual * 3.0;
+        let mut patience = function.typical_latency * 3.0;
         if !place.standing {
-            patience += function.load as f64 * 2.0;
-            place.loading.get_or_insert(now);
+            patience += function.load_time as f64 * 2.0;
+            place.loading_since.get_or_insert(now);
         }
-        place.out += 1;
+        place.in_flight += 1;
         place.last = now;
         function.home.get_or_insert_with(|| worker.clone());
         let aim = held.aim.saturating_sub(now) as f64;
-        let left = (aim - function.usual * 1.5).max(function.usual * 1.5);
+        let left = (aim - function.typical_latency * 1.5).max(function.typical_latency * 1.5);
         let after = patience.min(left).max(20_000.0) as Micros;
         let (number, due) = (held.attempts.len(), now + after);
         held.attempts.push(Attempt::new(&known.member, now, due));
         known.due.insert((due, id, number));
-        known.demand.add(now, function.usual * function.weight, WINDOW_US);
+        known.demand.add(now, function.typical_latency * function.weight, DEMAND_WINDOW_US);
         (known.cold_credit, known.cold_at) = (credit - 1.0, now);
-        self.sends.add(now, 1.0, WINDOW_US);
+        self.sends.add(now, 1.0, DEMAND_WINDOW_US);
         out.push(Action::Send { id, worker: worker.clone(), until: None });
-        self.wake(after, Wake::Overdue(id, number), out);
+        self.set_timer(after, TimerPurpose::Overdue(id, number), out);
     }
 
     /// Functions worth a look at their home, those with least demand first.
     fn by_demand(&self, now: Micros) -> Vec<FunctionId> {
-        let calls = self.functions.iter().map(|(n, f)| (f.rate.get(now, WINDOW_US), n.clone()));
+        let calls = self.functions.iter().map(|(n, f)| (f.rate.get(now, DEMAND_WINDOW_US), n.clone()));
         let mut order: Vec<_> = calls.filter(|(calls, _)| *calls >= 2.0).collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(&a.1)));
         order.into_iter().map(|(_, name)| name).collect()
@@ -405,10 +414,10 @@
     /// Moves functions, in falling demand, that gain past the threshold: the load is ordered at the target,
     /// the source serves on, and the home switches once the copy stands. A part of them a sweep: weighed all
     /// at once, hundreds of functions at a large fleet would hold up what is due meanwhile.
-    fn replace(&mut self, now: Micros, out: &mut Out) {
+    fn replace(&mut self, now: Micros, out: &mut Actions) {
         let has_ration = self.ration(now);
         for _ in 0..MOVES {
-            let Some(name) = self.to_replace.pop() else { return };
+            let Some(name) = self.rebalance_queue.pop() else { return };
             let Some(function) = self.functions.get(&name) else { continue };
             let Some(home) = function.home.clone() else { continue };
             let at = |id| self.workers.get_key_value(id).filter(|(_, w)| self.takes_work(now, w));
@@ -428,8 +437,8 @@
             let ordered = !stands && orders && self.order(now, (&best, &name), 1, out);
             let Some(function) = self.functions.get_mut(&name) else { continue };
             if ordered {
-                function.moving = Some(best);
-                return self.to_replace.clear();
+                function.moving_to = Some(best);
+                return self.rebalance_queue.clear();
             }
             function.home = if stands { Some(best) } else { Some(home) };
         }
@@ -452,13 +461,13 @@
     /// first, then a part of the rest that grows with the jam, or all would be late. It lets go as answers
     /// come in time, or after seconds without any. Could hurt where one jammed worker has most of our calls.
     fn turned_away(&mut self, now: Micros, excess: bool) -> bool {
-        let over = self.jam.get(now, FORGET_US) - JAM;
+        let over = self.overload.get(now, FORGET_US) - JAM;
         if over <= 0.0 || excess {
             return over > 0.0;
         }
-        self.admitted += 1.0 - (2.0 * over - JAM).clamp(0.0, 0.8);
-        let away = self.admitted < 1.0;
-        self.admitted -= if away { 0.0 } else { 1.0 };
+        self.admission_credit += 1.0 - (2.0 * over - JAM).clamp(0.0, 0.8);
+        let away = self.admission_credit < 1.0;
+        self.admission_credit -= if away { 0.0 } else { 1.0 };
         away
     }
 
@@ -469,21 +478,29 @@
     fn outlasts(&self, now: Micros, id: RequestId) -> Option<Micros> {
         let held = self.requests.get(&id)?;
         let (function, calls) =
-            (self.functions.get(&held.told.function)?, self.waiting.get(&held.told.function)?);
-        let ahead = calls.parts[0].len() + if held.excess { calls.parts[1].len() } else { 0 };
-        let beyond = ahead as f64 * function.gap + function.usual - held.aim.saturating_sub(now) as f64;
-        (function.gaps >= HEARD && beyond > 0.0).then_some(beyond as Micros)
+            (self.functions.get(&held.request.function)?, self.waiting.get(&held.request.function)?);
+        let ahead = calls.queues[0].len() + if held.over_share { calls.queues[1].len() } else { 0 };
+        let beyond = ahead as f64 * function.answer_gap + function.typical_latency
+            - held.aim.saturating_sub(now) as f64;
+        (function.answer_gap_count >= HEARD && beyond > 0.0).then_some(beyond as Micros)
     }
 
     // ---- copies ------------------------------------------------------------------------------------------
 
     /// Whether no order of a function is out, nor on hold after a failure.
     fn may_order(&self, now: Micros, function: &Function) -> bool {
-        now >= function.order_after && !function.places.values().any(|p| p.loading.is_some())
+        now >= function.order_after && !function.places.values().any(|p| p.loading_since.is_some())
     }
 
     /// Orders copies, one order of a function at a time: true while one is out or on hold after a failure.
-    fn grow(&mut self, now: Micros, name: &FunctionId, worker: &WorkerId, count: u32, out: &mut Out) -> bool {
+    fn grow(
+        &mut self,
+        now: Micros,
+        name: &FunctionId,
+        worker: &WorkerId,
+        count: u32,
+        out: &mut Actions,
+    ) -> bool {
         if !self.may_order(now, &self.functions[name]) || self.held_back(now, name) {
             return true;
         }
@@ -495,9 +512,9 @@
 
     /// A load has failed: the gap between orders grows, under calls once for those that fail together.
     fn load_failed(&mut self, now: Micros, ordered: bool) {
-        if ordered || now >= self.gap_grew + self.load_gap {
+        if ordered || now >= self.load_gap_raised_at + self.load_gap {
             self.load_gap = (self.load_gap * 2).clamp(GAP.0, GAP.1);
-            (self.gap_grew, self.next_load) = (now, now + self.load_gap);
+            (self.load_gap_raised_at, self.next_load) = (now, now + self.load_gap);
         }
     }
 
@@ -509,10 +526,12 @@
         if self.load_gap == 0 {
             return false;
         }
-        let count = |calls: &Waiting| calls.parts.iter().map(BTreeSet::len).sum::<usize>();
-        let most = || self.most.get().unwrap_or_else(|| self.waiting.values().map(count).max().unwrap_or(0));
+        let count = |calls: &WaitingCalls| calls.queues.iter().map(BTreeSet::len).sum::<usize>();
+        let most = || {
+            self.longest_queue.get().unwrap_or_else(|| self.waiting.values().map(count).max().unwrap_or(0))
+        };
         now < self.next_load || {
-            self.most.set(Some(most()));
+            self.longest_queue.set(Some(most()));
             self.waiting.get(name).map_or(0, count) * 2 < most()
         }
     }
@@ -520,13 +539,13 @@
     /// Whether the ration of load orders has one more, however late this one or those before it come whole.
     fn ration(&mut self, now: Micros) -> bool {
         let (family, delay) = (&self.settings.copies, self.settings.rules.send_delay);
-        while self.orders.pop_front_if(|t| *t + family.load_window + delay < now).is_some() {}
-        while self.taken.pop_front_if(|t| *t + family.load_window <= now + delay).is_some() {}
-        let most = family.load_free + family.load_share * self.taken.len() as f64;
-        family.load_window == 0 || (self.orders.len() + 1) as f64 <= most
+        while self.recent_orders.pop_front_if(|t| *t + family.load_window + delay < now).is_some() {}
+        while self.recent_requests.pop_front_if(|t| *t + family.load_window <= now + delay).is_some() {}
+        let most = family.load_free + family.load_share * self.recent_requests.len() as f64;
+        family.load_window == 0 || (self.recent_orders.len() + 1) as f64 <= most
     }
 
-    fn order(&mut self, now: Micros, at: At, count: u32, out: &mut Out) -> bool {
+    fn order(&mut self, now: Micros, at: At, count: u32, out: &mut Actions) -> bool {
         let (worker, name) = at;
         let usable = self.workers.get(worker).is_some_and(|w| w.usable);
         if !usable || !self.settings.copies.orders || !self.ration(now) || !self.may_begin(now, worker, out) {
@@ -535,10 +554,10 @@
         self.make_room(now, worker, name, out);
         let Some(function) = self.functions.get_mut(name) else { return false };
         let place = function.places.entry(worker.clone()).or_default();
-        place.loading = Some(now);
+        place.loading_since = Some(now);
         place.last = now;
         self.next_load = now + self.load_gap;
-        self.orders.push_back(now);
+        self.recent_orders.push_back(now);
         out.push(Action::Load { worker: worker.clone(), function: name.clone(), count: count.clamp(1, 16) });
         true
     }
@@ -546,18 +565,18 @@
     /// Just before a load on a worker that our account shows short of memory: unload the youngest idle
     /// instance of a function that we saw once, so that it does not push out an older, hotter copy. Copies of
     /// others stay: what we do not use there another scheduler may.
-    fn make_room(&mut self, now: Micros, worker: &WorkerId, name: &FunctionId, out: &mut Out) {
+    fn make_room(&mut self, now: Micros, worker: &WorkerId, name: &FunctionId, out: &mut Actions) {
         let (Some(known), Some(function)) = (self.workers.get(worker), self.functions.get(name)) else {
             return;
         };
         let told = self.settings.copies.kind_memory_mb.get(known.member.kind);
-        if told.is_none_or(|told| told - known.placed_mb >= function.mb) {
+        if told.is_none_or(|told| told - known.placed_mb >= function.memory_mb) {
             return;
         }
         let idle = self.functions.iter().filter(|(n, _)| *n != name).filter_map(|(n, f)| {
-            let place = f.places.get(worker).filter(|p| p.standing && p.out == 0)?;
+            let place = f.places.get(worker).filter(|p| p.standing && p.in_flight == 0)?;
             let unused = place.last + self.settings.copies.keep_alive / 4 < now;
-            let once = f.rate.get(now, WINDOW_US) <= 1.0;
+            let once = f.rate.get(now, DEMAND_WINDOW_US) <= 1.0;
             (unused && once).then_some((place.loaded_at, n))
         });
         if let Some(victim) = idle.max().map(|(_, n)| n.clone()) {
@@ -575,13 +594,13 @@
         (place.standing, place.copies) = (stands, copies);
         let after = if stands { f64::from(copies.max(1)) } else { 0.0 };
         if let Some(known) = self.workers.get_mut(worker) {
-            known.placed_mb = (known.placed_mb + (after - before) * function.mb).max(0.0);
+            known.placed_mb = (known.placed_mb + (after - before) * function.memory_mb).max(0.0);
         }
         if stands {
-            place.loading = None;
-            if function.home.is_none() || function.moving.as_ref() == Some(worker) {
+            place.loading_since = None;
+            if function.home.is_none() || function.moving_to.as_ref() == Some(worker) {
                 function.home = Some(worker.clone());
-                function.moving = None;
+                function.moving_to = None;
             }
         } else if function.home.as_ref() == Some(worker) {
             function.home = function.places.iter().find(|(_, p)| p.standing).map(|(w, _)| w.clone());
@@ -589,38 +608,38 @@
     }
 
     /// Takes the answer to an order or a question: copies standing, how it ended, after how long.
-    fn loaded(&mut self, now: Micros, at: At, told: (u32, Code, Micros), out: &mut Out) {
+    fn loaded(&mut self, now: Micros, at: At, told: (u32, Code, Micros), out: &mut Actions) {
         let ((worker, name), (count, code, latency)) = (at, told);
         if !self.workers.contains_key(worker) {
             return;
         }
         let Some(function) = self.functions.get_mut(name) else { return };
-        function.asks_out = function.asks_out.saturating_sub(1);
-        self.waiting.get_mut(name).into_iter().for_each(|calls| calls.rests = 0);
-        let early = |since| code == Code::Ok && count == 0 && now < since + function.load;
-        let ends = |p: &&mut Place| p.loading.is_some_and(|since| !early(since));
+        function.queries_in_flight = function.queries_in_flight.saturating_sub(1);
+        self.waiting.get_mut(name).into_iter().for_each(|calls| calls.blocked_until = 0);
+        let early = |since| code == Code::Ok && count == 0 && now < since + function.load_time;
+        let ends = |p: &&mut Place| p.loading_since.is_some_and(|since| !early(since));
         let Some(place) = function.places.get_mut(worker).filter(ends) else {
             // An answer to a question; of no copy also one to a question from before the order.
             if code == Code::Ok && count > 0 {
                 function.places.entry(worker.clone()).or_default().last = now;
                 self.stand(worker, name, true, count, now);
             }
-            if count > 0 || self.functions[name].asks_out == 0 {
+            if count > 0 || self.functions[name].queries_in_flight == 0 {
                 self.pump(now, None, out);
             }
             return;
         };
-        place.loading = None;
-        if function.moving.as_ref() == Some(worker) && code != Code::Ok {
-            function.moving = None;
+        place.loading_since = None;
+        if function.moving_to.as_ref() == Some(worker) && code != Code::Ok {
+            function.moving_to = None;
         }
         if code == Code::Ok && count > 0 {
-            let took = if latency > 20_000 { latency } else { function.load };
-            function.load = (function.load * 7 + took * 3) / 10;
+            let took = if latency > 20_000 { latency } else { function.load_time };
+            function.load_time = (function.load_time * 7 + took * 3) / 10;
             self.stand(worker, name, true, count, now);
         } else if let Some(known) = self.workers.get_mut(worker) {
-            known.strain.add(now, 1.0, FORGET_US);
-            function.order_after = now + function.load / 2;
+            known.failures.add(now, 1.0, FORGET_US);
+            function.order_after = now + function.load_time / 2;
         }
         if code == Code::Error {
             self.load_failed(now, true);
@@ -633,17 +652,17 @@
     /// Routes what waits, within its tenant's share first, then by aim; after an answer only what it may
     /// free. Of a function whose first call finds no place the others find none either: each turn costs the
     /// functions that wait and the calls that go, not all that wait.
-    pub(crate) fn pump(&mut self, now: Micros, freed: Option<&WorkerId>, out: &mut Out) {
-        let lane = |p: &Place, f: &Function| !p.standing || p.out < f.lanes * p.copies.max(1);
+    pub(crate) fn pump(&mut self, now: Micros, freed: Option<&WorkerId>, out: &mut Actions) {
+        let lane = |p: &Place, f: &Function| !p.standing || p.in_flight < f.lanes * p.copies.max(1);
         let usable = |f: &Function, w| f.places.get(w).is_some_and(|p| lane(p, f));
         let may = |name: &FunctionId, w| self.functions.get(name).is_some_and(|f| usable(f, w));
-        let awake = self.waiting.iter().filter(|(_, calls)| calls.rests <= now);
+        let awake = self.waiting.iter().filter(|(_, calls)| calls.blocked_until <= now);
         let names = awake.filter(|(name, _)| freed.is_none_or(|w| may(name, w)));
         let heads = names.filter_map(|(name, calls)| Some((first_waiting(now, calls)?, name.clone())));
         let mut heads: BTreeSet<_> = heads.collect();
         while let Some(((.., id), name)) = heads.pop_first() {
             self.route(now, id, out);
-            if !self.requests.get(&id).is_some_and(|h| h.waiting) {
+            if !self.requests.get(&id).is_some_and(|h| h.is_waiting) {
                 let next = self.waiting.get(&name).and_then(|calls| first_waiting(now, calls));
                 heads.extend(next.map(|next| (next, name)));
             }
@@ -653,7 +672,7 @@
     /// Asks the first few workers whether they hold a function that we know no copy of, again while a load is
     /// late. A scheduler of many hears of most functions more rarely than copies are kept, though others use
     /// them all the time. Useless for functions seen once, where it costs some asks.
-    fn ask(&mut self, now: Micros, name: &FunctionId, out: &mut Out) {
+    fn ask(&mut self, now: Micros, name: &FunctionId, out: &mut Actions) {
         let function = &self.functions[name];
         let mut ranked = self.rank(now, function);
         // Where many should hold it, ours are asked besides the first.
@@ -662,23 +681,23 @@
         ranked.get_mut(1..).unwrap_or_default().sort_by(|a, b| own(a).total_cmp(&own(b)));
         let asked: Vec<_> = ranked.iter().take(ASK.1).map(|c| c.id.clone()).collect();
         let Some(function) = self.functions.get_mut(name) else { return };
-        (function.asks_out, function.ask_until) = (asked.len() as u32, now + ASK.0);
+        (function.queries_in_flight, function.query_deadline) = (asked.len() as u32, now + ASK.0);
         let ask = |worker| Action::Load { worker, function: name.clone(), count: 0 };
         out.extend(asked.into_iter().map(ask));
     }
 
     // ---- health ------------------------------------------------------------------------------------------
 
-    fn members(&mut self, now: Micros, kind: MembersKind, members: Vec<Member>, out: &mut Out) {
+    fn members(&mut self, now: Micros, kind: MembersKind, members: Vec<Member>, out: &mut Actions) {
         if !self.started {
             self.started = true;
-            self.next_replace = now + REPLACE_US;
-            self.own_hash = rendezvous(u64::from(self.settings.self_index) + 1, 1);
+            self.next_rebalance = now + REPLACE_US;
+            self.local_hash = rendezvous(u64::from(self.settings.self_index) + 1, 1);
             out.push(Action::Timer { after: SWEEP_US, token: 0 });
             out.extend(self.settings.needs_watch.then_some(Action::Watch));
         }
         if kind == MembersKind::Failed {
-            self.ask_list = self.settings.needs_watch;
+            self.watch_failed = self.settings.needs_watch;
             return;
         }
         if matches!(kind, MembersKind::Whole | MembersKind::Stale) {
@@ -711,16 +730,16 @@
         for name in names {
             self.stand(worker, &name, false, 0, 0);
             let Some(function) = self.functions.get_mut(&name) else { continue };
-            function.moving.take_if(|w| *w == *worker);
-            self.waiting.get_mut(&name).into_iter().for_each(|calls| calls.rests = 0);
-            function.places.get_mut(worker).into_iter().for_each(|place| place.loading = None);
-            function.places.retain(|w, p| w != worker || p.out > 0);
+            function.moving_to.take_if(|w| *w == *worker);
+            self.waiting.get_mut(&name).into_iter().for_each(|calls| calls.blocked_until = 0);
+            function.places.get_mut(worker).into_iter().for_each(|place| place.loading_since = None);
+            function.places.retain(|w, p| w != worker || p.in_flight > 0);
         }
     }
 
     // ---- request life ------------------------------------------------------------------------------------
 
-    fn request(&mut self, now: Micros, told: Request, out: &mut Out) {
+    fn request(&mut self, now: Micros, told: Request, out: &mut Actions) {
         let (id, name) = (told.id, told.function.clone());
         let usable = told.memory_mb.is_finite() && told.memory_mb > 0.0 && told.lanes > 0;
         if self.requests.contains_key(&id) {
@@ -730,31 +749,31 @@
         }
         let strictest = self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(1) as f64;
         let class = &self.settings.classes[told.class];
-        self.taken.push_back(now);
+        self.recent_requests.push_back(now);
         let holders = self.functions.get(&name).map_or(1, |f| self.wanted(now, f).1);
         let function = self.functions.entry(name.clone()).or_insert_with(|| Function {
-            mb: told.memory_mb,
+            memory_mb: told.memory_mb,
             lanes: told.lanes,
-            load: told.load_time.unwrap_or(class.aim),
-            usual: self.class_usual[told.class],
+            load_time: told.load_time.unwrap_or(class.aim),
+            typical_latency: self.class_typical_latency[told.class],
             weight: strictest / class.aim as f64,
             class: told.class,
             holders: 1.0,
             hash: text_hash(name.as_str()),
-            born: now,
+            created_at: now,
             ..Function::default()
         });
-        function.rate.add(now, 1.0, WINDOW_US);
+        function.rate.add(now, 1.0, DEMAND_WINDOW_US);
         function.last = now;
         function.holders = holders as f64;
         let deadline = now + told.client_timeout;
         // Told less patience than the aim, what is left of it is the aim.
         let within = class.aim.min(told.client_timeout);
-        let (aim, shed) = (now + within, within.saturating_sub(function.usual as Micros));
+        let (aim, shed) = (now + within, within.saturating_sub(function.typical_latency as Micros));
         let excess = self.past_share(now, told.tenant);
-        self.wake(shed, Wake::Shed(id), out);
-        self.wake(told.client_timeout, Wake::Deadline(id), out);
-        self.requests.insert(id, Held::new(told, deadline, aim, excess));
+        self.set_timer(shed, TimerPurpose::Shed(id), out);
+        self.set_timer(told.client_timeout, TimerPurpose::Deadline(id), out);
+        self.requests.insert(id, PendingRequest::new(told, deadline, aim, excess));
         if self.is_nobody_left(now) {
             return self.give_up(id, Some(self.until_asked_again()), out);
         }
@@ -766,15 +785,15 @@
         }
     }
 
-    fn outcome(&mut self, now: Micros, told: Outcome, out: &mut Out) {
+    fn outcome(&mut self, now: Micros, told: Outcome, out: &mut Actions) {
         let Some(held) = self.requests.get_mut(&told.id) else { return };
         let open = |a: &&mut Attempt| a.ended.is_none() && a.worker == told.worker;
         let Some(attempt) = held.attempts.get_mut(told.attempt).filter(open) else { return };
         attempt.ended = Some(told.code);
-        let (sent, due, class, missed) = (attempt.sent, attempt.due, held.told.class, attempt.missed);
-        let name = held.told.function.clone();
-        held.done |= told.is_final;
-        let (done, quiet) = (held.done, held.attempts.iter().all(|a| a.ended.is_some()));
+        let (sent, due, class, missed) = (attempt.sent, attempt.due, held.request.class, attempt.missed);
+        let name = held.request.function.clone();
+        held.answered |= told.is_final;
+        let (done, quiet) = (held.answered, held.attempts.iter().all(|a| a.ended.is_some()));
         if told.code == Code::Ok {
             self.proven(now, &told.worker, sent);
         }
@@ -794,55 +813,61 @@
     fn learn(&mut self, now: Micros, name: &FunctionId, of: (usize, Micros, bool, bool), told: &Outcome) {
         let (class, due, missed, is_load) = of;
         let (worker, key) = (&told.worker, (due, told.id, told.attempt));
-        self.waiting.get_mut(name).into_iter().for_each(|calls| calls.rests = 0);
+        self.waiting.get_mut(name).into_iter().for_each(|calls| calls.blocked_until = 0);
         let Some(function) = self.functions.get_mut(name) else { return };
         let place = function.places.entry(worker.clone()).or_default();
-        place.out = place.out.saturating_sub(1);
+        place.in_flight = place.in_flight.saturating_sub(1);
         let Some(known) = self.workers.get_mut(worker) else { return };
         known.due.remove(&key);
         if !matches!(told.code, Code::Timeout | Code::Cancelled | Code::ConnectFailed | Code::Moot) {
-            known.heard[class] = now;
-            known.missed[class].ease(now, 0.0, 0.7, FORGET_US);
+            known.answered_at[class] = now;
+            known.unanswered[class].blend(now, 0.0, 0.7, FORGET_US);
         }
         if let Some(crowd) = told.crowd {
-            let others = (f64::from(crowd) - f64::from(place.out)).max(0.0);
-            place.crowd.ease(now, others, 0.5, CROWD_US);
+            let others = (f64::from(crowd) - f64::from(place.in_flight)).max(0.0);
+            place.crowd.blend(now, others, 0.5, CROWD_US);
             if !matches!(told.copy, CopyStatus::LoadStarted | CopyStatus::WaitedForLoad) {
-                function.notes.add(now, 1.0, WINDOW_US);
-                function.crowds.add(now, f64::from(crowd), WINDOW_US);
+                function.crowd_reports.add(now, 1.0, DEMAND_WINDOW_US);
+                function.crowd_sum.add(now, f64::from(crowd), DEMAND_WINDOW_US);
             }
         }
         let names = &self.settings.report_names;
         let at = names.iter().position(|n| n == "outstanding" || n == "inflight");
         if let Some(held) = at.and_then(|i| told.report.get(i)).filter(|v| v.is_finite()) {
             let others = (held.clamp(0.0, 1_000.0) - known.due.len() as f64).max(0.0);
-            known.others.ease(now, others, 0.3, CROWD_US);
+            known.others_in_flight.blend(now, others, 0.3, CROWD_US);
         }
         let stood = told.code == Code::Ok && matches!(told.copy, CopyStatus::Loaded | CopyStatus::Unknown);
         let share = told.latency as f64 / self.settings.classes[class].aim as f64;
         // A time-out of a worker that answers others of the class meanwhile is jam, else silence.
-        let working = known.heard[class] + told.latency > now;
+        let working = known.answered_at[class] + told.latency > now;
         if is_load && (matches!(told.code, Code::Full | Code::Ok) || told.code == Code::Timeout && working) {
             let jammed = told.code != Code::Ok || share > 1.0;
-            self.jam.ease(now, f64::from(u8::from(jammed)), 0.1, FORGET_US);
+            self.overload.blend(now, f64::from(u8::from(jammed)), 0.1, FORGET_US);
         }
         match told.code {
             Code::Ok => {
                 // By those that served then, each as far as it was warm: fewer may be left.
-                self.served.add(now, 1.0 / self.fleet.warm.max(1.0), WINDOW_US);
-                if function.queued {
-                    function.gaps = function.gaps.saturating_add(1);
+                self.served_per_warm_worker.add(
+                    now,
+                    1.0 / self.fleet.warm_equivalent.max(1.0),
+                    DEMAND_WINDOW_US,
+                );
+                if function.had_waiting {
+                    function.answer_gap_count = function.answer_gap_count.saturating_add(1);
                     let gap = now.saturating_sub(function.served_at) as f64;
-                    function.gap += (gap - function.gap) * (1.0 / f64::from(function.gaps)).max(0.05);
+                    function.answer_gap +=
+                        (gap - function.answer_gap) * (1.0 / f64::from(function.answer_gap_count)).max(0.05);
                 }
-                (function.queued, function.served_at) = (self.waiting.contains_key(name), now);
+                (function.had_waiting, function.served_at) = (self.waiting.contains_key(name), now);
                 if stood {
                     let latency = told.latency as f64;
-                    let slow = (latency / function.usual.max(1.0)).clamp(0.1, 10.0) - 1.0;
-                    known.slowness.ease(now, slow, 0.15, FORGET_US);
+                    let slow = (latency / function.typical_latency.max(1.0)).clamp(0.1, 10.0) - 1.0;
+                    known.slowness.blend(now, slow, 0.15, FORGET_US);
                     // 1.3 times the median: a crowded spell must not pass for more work.
-                    function.usual *= if latency * 1.3 > function.usual { 1.03 } else { 1.0 / 1.03 };
-                    let usual = &mut self.class_usual[class];
+                    function.typical_latency *=
+                        if latency * 1.3 > function.typical_latency { 1.03 } else { 1.0 / 1.03 };
+                    let usual = &mut self.class_typical_latency[class];
                     *usual += 0.02 * (latency.min(*usual * 10.0) - *usual);
                 }
                 let began = told.copy == CopyStatus::LoadStarted && place.standing;
@@ -854,21 +879,21 @@
             Code::Miss => self.stand(worker, name, false, 0, now),
             // No copy stands there whatever we believed: what is sent on would only load again and fail.
             Code::Error if told.copy == CopyStatus::LoadFailed => {
-                function.order_after = now + function.load / 2;
-                known.strain.add(now, 0.5, FORGET_US);
+                function.order_after = now + function.load_time / 2;
+                known.failures.add(now, 0.5, FORGET_US);
                 self.stand(worker, name, false, 0, now);
                 self.load_failed(now, false);
             }
-            Code::ConnectFailed => known.strain.add(now, 3.0, FORGET_US),
+            Code::ConnectFailed => known.failures.add(now, 3.0, FORGET_US),
             // One may be the way's fault; a process that dies breaks all that are open.
-            Code::Reset => known.strain.add(now, 1.0, FORGET_US),
-            Code::Error | Code::Unknown => known.strain.add(now, 0.5, FORGET_US),
-            Code::Timeout | Code::Cancelled if missed => known.missed[class].add(now, 1.0, FORGET_US),
+            Code::Reset => known.failures.add(now, 1.0, FORGET_US),
+            Code::Error | Code::Unknown => known.failures.add(now, 0.5, FORGET_US),
+            Code::Timeout | Code::Cancelled if missed => known.unanswered[class].add(now, 1.0, FORGET_US),
             Code::Full | Code::Timeout | Code::Cancelled | Code::Moot => {}
         }
         let place = self.functions.get_mut(name).and_then(|f| f.places.get_mut(worker));
         if let Some(place) = place.filter(|p| told.code != Code::Ok && !p.standing) {
-            place.loading = None;
+            place.loading_since = None;
         }
     }
 
@@ -876,35 +901,35 @@
     /// elsewhere where class and settings allow. A worker that answers others is at work, and a second
     /// attempt would only add to a crowd, until it is suspect for this class. Tries are rationed, so a jam
     /// stays one.
-    fn overdue(&mut self, now: Micros, id: RequestId, number: usize, out: &mut Out) {
-        let Some(held) = self.requests.get_mut(&id).filter(|h| !h.done) else { return };
-        let (last, class, deadline) = (held.attempts.len() == number + 1, held.told.class, held.deadline);
+    fn overdue(&mut self, now: Micros, id: RequestId, number: usize, out: &mut Actions) {
+        let Some(held) = self.requests.get_mut(&id).filter(|h| !h.answered) else { return };
+        let (last, class, deadline) = (held.attempts.len() == number + 1, held.request.class, held.deadline);
         let more = held.attempts.len() < self.settings.limits.attempts as usize;
         let Some(attempt) = held.attempts.get_mut(number).filter(|a| a.ended.is_none()) else { return };
         let Some(worker) = self.workers.get_mut(&attempt.worker) else { return };
-        let silent = worker.heard[class] <= attempt.sent;
+        let silent = worker.answered_at[class] <= attempt.sent;
         if silent && !std::mem::replace(&mut attempt.missed, true) {
-            worker.missed[class].add(now, 1.0, FORGET_US);
+            worker.unanswered[class].add(now, 1.0, FORGET_US);
         }
         let (sent, worker) = (attempt.sent, &self.workers[&attempt.worker]);
         let suspect = self.evidence(now, worker, class) >= self.suspect(class);
         // Called off, its work is lost and done again: there only suspicion will do.
-        let busy = worker.heard.iter().any(|h| *h > sent) || !self.settings.limits.concurrent_attempts;
+        let busy = worker.answered_at.iter().any(|h| *h > sent) || !self.settings.limits.concurrent_attempts;
         if busy && !suspect {
             let again = (now - sent).max(1);
             if now + again < deadline {
-                self.wake(again, Wake::Overdue(id, number), out);
+                self.set_timer(again, TimerPurpose::Overdue(id, number), out);
             }
             return;
         }
-        let spent = self.hedges.get(now, WINDOW_US);
+        let spent = self.hedges.get(now, DEMAND_WINDOW_US);
         if !last
             || self.settings.classes[class].repeat == Repeat::Unsafe
-            || spent > HEDGE_SHARE * self.sends.get(now, WINDOW_US) + 1.0
+            || spent > HEDGE_SHARE * self.sends.get(now, DEMAND_WINDOW_US) + 1.0
         {
             return;
         }
-        self.hedges.add(now, 1.0, WINDOW_US);
+        self.hedges.add(now, 1.0, DEMAND_WINDOW_US);
         if self.settings.limits.concurrent_attempts {
             self.route(now, id, out);
         } else if self.settings.limits.cancel && more {
@@ -913,8 +938,8 @@
     }
 
     /// An answer has begun to stream: the other attempts are called off.
-    fn first(&mut self, id: RequestId, attempt: usize, out: &mut Out) {
-        let begun = self.requests.get_mut(&id).filter(|h| !h.done && attempt < h.attempts.len());
+    fn first(&mut self, id: RequestId, attempt: usize, out: &mut Actions) {
+        let begun = self.requests.get_mut(&id).filter(|h| !h.answered && attempt < h.attempts.len());
         let Some(held) = begun else { return };
         held.streaming = true;
         let others = held.attempts.iter().enumerate().filter(|(i, a)| *i != attempt && a.ended.is_none());
@@ -924,7 +949,7 @@
     }
 
     /// No further attempt is allowed.
-    fn give_up(&mut self, id: RequestId, wait: Option<Micros>, out: &mut Out) {
+    fn give_up(&mut self, id: RequestId, wait: Option<Micros>, out: &mut Actions) {
         let limits = &self.settings.limits;
         let wait = wait.filter(|_| limits.retry_after).map(|wait| wait.min(limits.max_retry_after));
         let refuse = self.requests.get(&id).is_some_and(|h| self.may_refuse(h));
@@ -933,13 +958,13 @@
     }
 
     /// Closes a request once, with the final answer if one is still owed, and calls off what is out.
-    fn finish(&mut self, id: RequestId, answer: Option<Action>, out: &mut Out) {
+    fn finish(&mut self, id: RequestId, answer: Option<Action>, out: &mut Actions) {
         let Some(held) = self.requests.get_mut(&id) else { return };
-        if !held.done {
-            held.done = true;
+        if !held.answered {
+            held.answered = true;
             out.extend(answer);
         }
-        release((&mut self.waiting, &self.most), held);
+        stop_waiting((&mut self.waiting, &self.longest_queue), held);
         if self.settings.limits.cancel {
             let open = held.attempts.iter().enumerate().filter(|(_, a)| a.ended.is_none());
             out.extend(open.map(|(attempt, _)| Action::Cancel { id, attempt }));
@@ -949,20 +974,20 @@
         }
     }
 
-    fn sweep(&mut self, now: Micros, out: &mut Out) {
+    fn sweep(&mut self, now: Micros, out: &mut Actions) {
         out.push(Action::Timer { after: SWEEP_US, token: 0 });
-        if now >= self.next_walk {
-            self.next_walk = now + WALK_US;
+        if now >= self.next_maintenance {
+            self.next_maintenance = now + WALK_US;
             self.ration(now);
             self.walk(now);
         }
         self.ask_denied(now, out);
         self.pump(now, None, out);
-        if now >= self.next_replace {
-            self.next_replace = now + REPLACE_US;
-            out.extend(std::mem::take(&mut self.ask_list).then_some(Action::Watch));
-            if self.to_replace.is_empty() {
-                self.to_replace = self.by_demand(now);
+        if now >= self.next_rebalance {
+            self.next_rebalance = now + REPLACE_US;
+            out.extend(std::mem::take(&mut self.watch_failed).then_some(Action::Watch));
+            if self.rebalance_queue.is_empty() {
+                self.rebalance_queue = self.by_demand(now);
             }
         }
         self.replace(now, out);
@@ -971,19 +996,19 @@
     /// Gives up loads that never ended, releases idle copies and placements, and takes the fleet's sums.
     fn walk(&mut self, now: Micros) {
         // Loads that fail by themselves now and then are no jam.
-        self.load_gap = if now >= self.gap_grew + JAMMED_US { 0 } else { self.load_gap };
+        self.load_gap = if now >= self.load_gap_raised_at + JAMMED_US { 0 } else { self.load_gap };
         let keep = self.settings.copies.keep_alive;
         let names: Vec<_> = self.functions.keys().cloned().collect();
         for name in names {
             let Some(function) = self.functions.get_mut(&name) else { continue };
-            let late = function.load * 3 + 1_000_000;
+            let late = function.load_time * 3 + 1_000_000;
             for place in function.places.values_mut() {
-                if place.loading.take_if(|since| *since + late < now).is_some() {
-                    function.moving = None;
-                    self.waiting.get_mut(&name).into_iter().for_each(|calls| calls.rests = 0);
+                if place.loading_since.take_if(|since| *since + late < now).is_some() {
+                    function.moving_to = None;
+                    self.waiting.get_mut(&name).into_iter().for_each(|calls| calls.blocked_until = 0);
                 }
             }
-            let idle = function.places.iter().filter(|(_, p)| p.out == 0 && p.loading.is_none());
+            let idle = function.places.iter().filter(|(_, p)| p.in_flight == 0 && p.loading_since.is_none());
             let idle: Vec<_> = idle.filter(|(_, p)| p.last + keep < now).map(|(w, _)| w.clone()).collect();
             let home = function.home.clone();
             idle.iter().for_each(|worker| self.stand(worker, &name, false, 0, now));
@@ -996,11 +1021,11 @@
         let count = usable.len().max(1) as f64;
         let sum = |(least, most), f: &Function| {
             let copies = self.copies(now, f);
-            (least + copies.0 * f.mb, most + copies.1.max(copies.0) * f.mb)
+            (least + copies.0 * f.memory_mb, most + copies.1.max(copies.0) * f.memory_mb)
         };
         let (least, most) = self.functions.values().fold((0.0, 0.0), sum);
         let mean = |of: &dyn Fn(&Worker) -> f64| usable.iter().map(|w| of(w)).sum::<f64>() / count;
-        let calls = self.sends.get(now, WINDOW_US) / count;
+        let calls = self.sends.get(now, DEMAND_WINDOW_US) / count;
         let others = 1.0 - 1.0 / f64::from(self.settings.schedulers);
         let better = |class: usize| {
             let mut all: Vec<_> = usable.iter().map(|w| self.evidence(now, w, class)).collect();
@@ -1009,16 +1034,16 @@
         };
         let kinds = &self.settings.copies.kind_memory_mb;
         let told: f64 = usable.iter().filter_map(|w| kinds.get(w.member.kind)).sum();
-        self.fleet = Fleet {
-            room: ((told * USABLE - least) / (most - least).max(1.0)).clamp(0.0, 1.0),
+        self.fleet = FleetStats {
+            memory_headroom: ((told * USABLE - least) / (most - least).max(1.0)).clamp(0.0, 1.0),
             workers: usable.len(),
-            warm: usable.iter().map(|w| self.warmth(now, w)).sum(),
+            warm_equivalent: usable.iter().map(|w| self.warmth(now, w)).sum(),
             memory_mb: kinds.iter().sum::<f64>() / kinds.len() as f64,
             hint: mean(&|w| w.hint()),
-            demand: mean(&|w| w.demand.get(now, WINDOW_US)),
-            present: mean(&|w| w.due.len() as f64 + w.others.get(now, CROWD_US)),
-            trust: calls / (calls + TRUST * others).max(1e-9),
-            evidence: (0..self.settings.classes.len()).map(better).collect(),
+            demand: mean(&|w| w.demand.get(now, DEMAND_WINDOW_US)),
+            in_flight: mean(&|w| w.due.len() as f64 + w.others_in_flight.get(now, CROWD_US)),
+            local_confidence: calls / (calls + TRUST * others).max(1e-9),
+            baseline_penalty: (0..self.settings.classes.len()).map(better).collect(),
         };
     }
 }
@@ -1026,9 +1051,9 @@
 /// Lanes that our calls keep busy, the first call left out; a young function's window counts only as far as
 /// it is full.
 fn busy(now: Micros, function: &Function) -> f64 {
-    let age = now.saturating_sub(function.born).max(1_000_000) as f64;
-    let calls = (function.rate.get(now, WINDOW_US) - 1.0).max(0.0);
-    calls * function.usual / WINDOW_US / (1.0 - (-age / WINDOW_US).exp())
+    let age = now.saturating_sub(function.created_at).max(1_000_000) as f64;
+    let calls = (function.rate.get(now, DEMAND_WINDOW_US) - 1.0).max(0.0);
+    calls * function.typical_latency / DEMAND_WINDOW_US / (1.0 - (-age / DEMAND_WINDOW_US).exp())
 }
 
 /// A hash as a number above 0 and at most 1.
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -21,9 +21,9 @@
     pub(crate) fn admit(&mut self, now: Micros, member: Member, key: u64) {
         let id = member.worker.clone();
         let due = self.workers.remove(&id).map_or(BTreeSet::new(), |w| w.due);
-        let mut fresh = Worker::new(member, now, self.class_usual.len(), due);
+        let mut fresh = Worker::new(member, now, self.class_typical_latency.len(), due);
         let (key, fleet) = (rendezvous(key, fresh.hash), self.settings.schedulers);
-        fresh.cold_credit = stratum(self.settings.self_index, fleet, key);
+        fresh.cold_credit = stratified_fraction(self.settings.self_index, fleet, key);
         self.workers.insert(id.clone(), fresh);
         self.empty(&id);
     }
@@ -38,7 +38,7 @@
         if warmth >= 1.0 {
             return f64::INFINITY;
         }
-        let each = self.served.get(now, WINDOW_US) / WINDOW_US;
+        let each = self.served_per_warm_worker.get(now, DEMAND_WINDOW_US) / DEMAND_WINDOW_US;
         let rate = COLD_SHARE * rules.overload_multiple * each;
         // One send a window by all schedulers together is less than any worker's room for chance, however cold it is:
         // without it a fleet that is cold as a whole, of which little was served lately, would get next to nothing.
--- a/src/standing.rs
+++ b/src/standing.rs
@@ -46,7 +46,7 @@
 
 /// What a worker has shown of itself while the list is out of reach.
 #[derive(Clone, Default)]
-pub struct Standing {
+pub struct DrainEvidence {
     /// It did not drain before this time.
     proven: Option<Micros>,
     /// Work sent at this time was turned away: whether it drains or is full is not known.
@@ -64,7 +64,7 @@
     restarts: bool,
 }
 
-impl Standing {
+impl DrainEvidence {
     /// Whether it has turned work away in this outage and served none since.
     pub fn is_doubted(&self) -> bool {
         self.doubted.is_some()
@@ -90,7 +90,7 @@
     pub fn new_work_until(&self, worker: &WorkerId) -> Option<Micros> {
         let listed = self.listed_until()?;
         let Some(known) = self.workers.get(worker) else { return Some(listed) };
-        let is_shut = known.standing.denied.is_some() || known.standing.doubted.is_some();
+        let is_shut = known.drain_evidence.denied.is_some() || known.drain_evidence.doubted.is_some();
         if is_shut && self.settings.limits.probes && !self.is_list_current() {
             Some(0)
         } else {
@@ -100,7 +100,7 @@
 
     /// Whether the list is followed, or nobody says how old it is.
     fn is_list_current(&self) -> bool {
-        matches!(self.list_trust, None | Some(ListFreshness::Current { .. }))
+        matches!(self.list_freshness, None | Some(ListFreshness::Current { .. }))
             || self.settings.rules.drain_grace.is_none()
     }
 
@@ -112,7 +112,7 @@
     /// Until when the list alone allows new work at those that it holds.
     fn listed_until(&self) -> Option<Micros> {
         let grace = self.grace()?;
-        Some(match self.list_trust? {
+        Some(match self.list_freshness? {
             ListFreshness::Current { announced_at: told_at }
             | ListFreshness::Interrupted { announced_at: told_at } => told_at + grace,
             // Without questions nothing else could ever show more: the list of the start counts as true then.
@@ -122,7 +122,7 @@
     }
 
     fn lease_until(&self, worker: &Worker) -> Micros {
-        let proven = worker.standing.proven.zip(self.grace());
+        let proven = worker.drain_evidence.proven.zip(self.grace());
         proven.map_or(0, |(proven, grace)| proven + grace)
     }
 
@@ -132,7 +132,7 @@
         if self.is_list_current() && now < listed {
             return Access::Open;
         }
-        let (standing, probes) = (&worker.standing, self.settings.limits.probes);
+        let (standing, probes) = (&worker.drain_evidence, self.settings.limits.probes);
         // Without questions the next call after the pause is one.
         if standing.denied.is_some_and(|denial| probes || now < denial.noted + denial.pause) {
             return Access::Closed;
@@ -156,13 +156,13 @@
 
     /// How much more a worker weighs among those where copies stand: one that has to be asked first, or turned work away.
     pub(crate) fn question_cost(&self, now: Micros, worker: &Worker) -> f64 {
-        let is_free = self.access(now, worker) == Access::Open && !worker.standing.is_doubted();
+        let is_free = self.access(now, worker) == Access::Open && !worker.drain_evidence.is_doubted();
         if is_free { 1.0 } else { QUESTION_COST }
     }
 
     /// The one place that all new work passes, calls as well as orders to load: whether it may begin at this worker now.
     /// A worker that has to be asked first is asked.
-    pub(crate) fn may_begin(&mut self, now: Micros, worker: &WorkerId, out: &mut Out) -> bool {
+    pub(crate) fn may_begin(&mut self, now: Micros, worker: &WorkerId, out: &mut Actions) -> bool {
         let Some(known) = self.workers.get(worker) else { return false };
         let access = self.access(now, known);
         if access == Access::Unproven {
@@ -171,9 +171,9 @@
         access == Access::Open
     }
 
-    fn question(&mut self, now: Micros, worker: &WorkerId, out: &mut Out) {
+    fn question(&mut self, now: Micros, worker: &WorkerId, out: &mut Actions) {
         if let Some(known) = self.workers.get_mut(worker) {
-            known.standing.asked = Some(now);
+            known.drain_evidence.asked = Some(now);
             out.push(Action::Probe { worker: worker.clone() });
         }
     }
@@ -181,7 +181,7 @@
     /// Whether no worker of the list may get work, and none is being asked.
     pub(crate) fn is_nobody_left(&self, now: Micros) -> bool {
         let shut = |w: &Worker| {
-            let unproven = !self.settings.limits.probes || w.standing.denied.is_some();
+            let unproven = !self.settings.limits.probes || w.drain_evidence.denied.is_some();
             unproven && self.access(now, w) == Access::Closed
         };
         let mut usable = self.workers.values().filter(|w| w.usable).peekable();
@@ -203,15 +203,16 @@
     /// have shown meanwhile is forgotten.
     pub(crate) fn list_trust(&mut self, now: Micros, trust: ListFreshness) {
         let was_current = self.is_list_current();
-        self.list_trust = Some(trust);
+        self.list_freshness = Some(trust);
         match (was_current, self.is_list_current()) {
             (false, true) => {
                 for worker in self.workers.values_mut() {
-                    worker.standing = Standing { lost: worker.standing.lost, ..Standing::default() };
+                    worker.drain_evidence =
+                        DrainEvidence { lost: worker.drain_evidence.lost, ..DrainEvidence::default() };
                 }
             }
             (true, false) => {
-                let lately = |w: &Worker| w.standing.lost.is_some_and(|lost| lost + NEWS_US > now);
+                let lately = |w: &Worker| w.drain_evidence.lost.is_some_and(|lost| lost + NEWS_US > now);
                 let lost = self.workers.iter().filter(|(_, w)| lately(w));
                 let lost: Vec<_> = lost.map(|(id, _)| id.clone()).collect();
                 lost.iter().for_each(|id| self.presume_restart(now, id));
@@ -223,7 +224,7 @@
     /// A worker's last connection has ended. While the list is out of reach nobody tells of a restart but this.
     pub(crate) fn disconnected(&mut self, now: Micros, worker: &WorkerId) {
         let Some(known) = self.workers.get_mut(worker) else { return };
-        known.standing.lost = Some(now);
+        known.drain_evidence.lost = Some(now);
         if !self.is_list_current() {
             self.presume_restart(now, worker);
         }
@@ -233,19 +234,19 @@
     fn presume_restart(&mut self, now: Micros, worker: &WorkerId) {
         self.restart(now, worker);
         if let Some(known) = self.workers.get_mut(worker) {
-            known.standing.restarts = true;
+            known.drain_evidence.restarts = true;
         }
     }
 
     /// A worker counts as started now. What it has shown of its draining stands.
     fn restart(&mut self, now: Micros, worker: &WorkerId) {
         let Some(known) = self.workers.get(worker) else { return };
-        let (mut member, standing) = (known.member.clone(), known.standing.clone());
+        let (mut member, standing) = (known.member.clone(), known.drain_evidence.clone());
         member.started = now;
         // Each scheduler finds it at a time of its own: their parts are spread by what all know alike.
         self.admit(now, member, 0);
         if let Some(known) = self.workers.get_mut(worker) {
-            known.standing = standing;
+            known.drain_evidence = standing;
         }
     }
 
@@ -255,7 +256,7 @@
             return;
         }
         let Some(known) = self.workers.get_mut(worker) else { return };
-        let standing = &mut known.standing;
+        let standing = &mut known.drain_evidence;
         standing.proven = standing.proven.max(Some(sent));
         if standing.doubted.take_if(|doubted| *doubted <= sent).is_some() {
             standing.refusals = 0;
@@ -272,7 +273,7 @@
     pub(crate) fn turned_down(&mut self, now: Micros, worker: &WorkerId, sent: Micros) -> bool {
         let (current, probes) = (self.is_list_current(), self.settings.limits.probes);
         let Some(known) = self.workers.get_mut(worker).filter(|_| !current) else { return true };
-        let standing = &mut known.standing;
+        let standing = &mut known.drain_evidence;
         if probes && standing.cleared.is_some_and(|cleared| cleared + CLEARED_US > now) {
             return true;
         }
@@ -286,26 +287,26 @@
     }
 
     /// A question was answered, or was not.
-    pub(crate) fn probed(&mut self, now: Micros, worker: &WorkerId, of: (Code, Micros), out: &mut Out) {
+    pub(crate) fn probed(&mut self, now: Micros, worker: &WorkerId, of: (Code, Micros), out: &mut Actions) {
         let (code, latency) = of;
         let (sent, current) = (now.saturating_sub(latency), self.is_list_current());
         let Some(known) = self.workers.get_mut(worker).filter(|_| !current) else { return };
-        known.standing.asked = None;
+        known.drain_evidence.asked = None;
         match code {
             Code::Ok => {
-                known.standing.cleared = Some(sent);
+                known.drain_evidence.cleared = Some(sent);
                 self.proven(now, worker, sent);
             }
             code => self.deny(now, worker, sent, code == Code::Error),
         }
-        self.waiting.values_mut().for_each(|calls| calls.rests = 0);
+        self.waiting.values_mut().for_each(|calls| calls.blocked_until = 0);
         self.pump(now, None, out);
     }
 
     /// A worker says that it drains, or has not answered. One that drains comes back as a new process, empty and cold.
     fn deny(&mut self, now: Micros, worker: &WorkerId, sent: Micros, drains: bool) {
         let Some(known) = self.workers.get_mut(worker) else { return };
-        let standing = &mut known.standing;
+        let standing = &mut known.drain_evidence;
         // What was sent later has been answered otherwise.
         if standing.proven.is_some_and(|proven| proven > sent) {
             return;
@@ -318,13 +319,13 @@
     }
 
     /// Asks again those whose pause is over, the one that has waited longest first.
-    pub(crate) fn ask_denied(&mut self, now: Micros, out: &mut Out) {
+    pub(crate) fn ask_denied(&mut self, now: Micros, out: &mut Actions) {
         if self.is_list_current() || !self.settings.limits.probes {
             return;
         }
         let longest = if self.is_nobody_open(now) { PAUSE_ALONE_US } else { PAUSE_US.1 };
-        let free = |w: &Worker| w.usable && w.standing.asked.is_none_or(|asked| now >= asked + LOST_US);
-        let due = |w: &Worker| w.standing.denied.map(|denial| denial.noted + denial.pause.min(longest));
+        let free = |w: &Worker| w.usable && w.drain_evidence.asked.is_none_or(|asked| now >= asked + LOST_US);
+        let due = |w: &Worker| w.drain_evidence.denied.map(|denial| denial.noted + denial.pause.min(longest));
         for _ in 0..QUESTIONS {
             let open = self.workers.iter().filter(|(_, w)| free(w)).filter_map(|(id, w)| Some((due(w)?, id)));
             let Some(worker) = open.min().filter(|(due, _)| *due <= now).map(|(_, id)| id.clone()) else {
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,45 +1,45 @@
 //! The records that the policy keeps: plain data, a fading sum and a hash. Nothing here decides.
 
 use crate::interface::*;
-use crate::standing::Standing;
+use crate::standing::DrainEvidence;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Span of the demand window (the paper has 60 s; keep-alive here is some ten seconds).
-pub const WINDOW_US: f64 = 10_000_000.0;
+pub const DEMAND_WINDOW_US: f64 = 10_000_000.0;
 
 /// Where a decision's actions go.
-pub type Out = Vec<Action>;
+pub type Actions = Vec<Action>;
 
 /// A sum that fades with time.
 #[derive(Clone, Copy, Default)]
-pub struct Fading {
+pub struct DecayingValue {
     pub value: f64,
-    pub at: Micros,
+    pub updated_at: Micros,
 }
 
-impl Fading {
+impl DecayingValue {
     pub fn get(&self, now: Micros, span: f64) -> f64 {
         if self.value == 0.0 {
             return 0.0;
         }
-        self.value * (-(now.saturating_sub(self.at) as f64) / span).exp()
+        self.value * (-(now.saturating_sub(self.updated_at) as f64) / span).exp()
     }
 
     /// Moves the value a share of the way to `toward`.
-    pub fn ease(&mut self, now: Micros, toward: f64, share: f64, span: f64) {
+    pub fn blend(&mut self, now: Micros, toward: f64, share: f64, span: f64) {
         let before = self.get(now, span);
-        *self = Self { value: before + share * (toward - before), at: now };
+        *self = Self { value: before + share * (toward - before), updated_at: now };
     }
 
     pub fn add(&mut self, now: Micros, amount: f64, span: f64) {
         self.value = self.get(now, span) + amount;
-        self.at = now;
+        self.updated_at = now;
     }
 }
 
 /// Attempts out at a worker, by the time at which each becomes overdue.
-pub type Due = BTreeSet<(Micros, RequestId, usize)>;
+pub type DueAttempts = BTreeSet<(Micros, RequestId, usize)>;
 
 /// What this scheduler knows of one worker.
 pub struct Worker {
@@ -47,28 +47,28 @@
     /// In the list and active; all sends and loads stop the moment this turns false.
     pub usable: bool,
     /// Weighted busy time of our sends.
-    pub demand: Fading,
+    pub demand: DecayingValue,
     /// Hash of its id.
     pub hash: u64,
     /// Sends accrued while it is cold, as of `cold_at`.
     pub cold_credit: f64,
     pub cold_at: Micros,
     /// Our attempts out, by the time at which each becomes overdue.
-    pub due: Due,
+    pub due: DueAttempts,
     /// Memory of the instances that we placed there.
     pub placed_mb: f64,
     /// Latency over the function's usual latency, minus 1; fades.
-    pub slowness: Fading,
+    pub slowness: DecayingValue,
     /// Failed connections, resets, failed loads; fades.
-    pub strain: Fading,
+    pub failures: DecayingValue,
     /// When each class was last answered.
-    pub heard: Vec<Micros>,
+    pub answered_at: Vec<Micros>,
     /// Overdue attempts of each class; fades, and falls with each answer.
-    pub missed: Vec<Fading>,
+    pub unanswered: Vec<DecayingValue>,
     /// Requests that others keep there, by its reports.
-    pub others: Fading,
+    pub others_in_flight: DecayingValue,
     /// What it has shown of itself while the list is out of reach.
-    pub standing: Standing,
+    pub drain_evidence: DrainEvidence,
 }
 
 /// One function on one worker.
@@ -76,44 +76,44 @@
 pub struct Place {
     pub standing: bool,
     pub copies: u32,
-    pub out: u32,
-    pub loading: Option<Micros>,
+    pub in_flight: u32,
+    pub loading_since: Option<Micros>,
     pub last: Micros,
     pub loaded_at: Micros,
     /// Requests of other schedulers for this function there, by crowd notes; fades.
-    pub crowd: Fading,
+    pub crowd: DecayingValue,
 }
 
 /// What this scheduler knows of one function.
 #[derive(Default)]
 pub struct Function {
-    pub mb: f64,
+    pub memory_mb: f64,
     pub lanes: u32,
-    pub load: Micros,
+    pub load_time: Micros,
     /// Usual latency at a standing copy.
-    pub usual: f64,
+    pub typical_latency: f64,
     /// Strictness of its class, 1 for the strictest.
     pub weight: f64,
-    pub rate: Fading,
+    pub rate: DecayingValue,
     pub class: usize,
     pub hash: u64,
     /// Notes of crowds, and the calls in hand that each stood for: the crowd times the holders.
-    pub notes: Fading,
-    pub crowds: Fading,
+    pub crowd_reports: DecayingValue,
+    pub crowd_sum: DecayingValue,
     pub holders: f64,
-    pub born: Micros,
+    pub created_at: Micros,
     pub last: Micros,
     pub home: Option<WorkerId>,
-    pub moving: Option<WorkerId>,
+    pub moving_to: Option<WorkerId>,
     pub places: BTreeMap<WorkerId, Place>,
-    pub asks_out: u32,
-    pub ask_until: Micros,
+    pub queries_in_flight: u32,
+    pub query_deadline: Micros,
     /// When it was last served, whether calls waited for it then, and how far such answers come apart, by how
     /// many of them.
     pub served_at: Micros,
-    pub queued: bool,
-    pub gap: f64,
-    pub gaps: u32,
+    pub had_waiting: bool,
+    pub answer_gap: f64,
+    pub answer_gap_count: u32,
     /// No further order before this time, after one failed: answers of full would else echo as orders.
     pub order_after: Micros,
 }
@@ -131,22 +131,22 @@
 }
 
 /// A request, kept until it is answered and all its attempts have ended.
-pub struct Held {
-    pub told: Request,
+pub struct PendingRequest {
+    pub request: Request,
     pub deadline: Micros,
     pub aim: Micros,
     /// Past its tenant's share when it came.
-    pub excess: bool,
+    pub over_share: bool,
     /// It waits although copies stand: their workers have as much as they may.
-    pub crowded: bool,
+    pub awaits_capacity: bool,
     pub attempts: Vec<Attempt>,
-    pub done: bool,
-    pub waiting: bool,
+    pub answered: bool,
+    pub is_waiting: bool,
     /// The answer has begun to stream: no deadline runs and nothing more is sent.
     pub streaming: bool,
 }
 
-pub enum Wake {
+pub enum TimerPurpose {
     Deadline(RequestId),
     Overdue(RequestId, usize),
     Shed(RequestId),
@@ -154,34 +154,37 @@
 
 /// Calls of one function that wait.
 #[derive(Default)]
-pub struct Waiting {
+pub struct WaitingCalls {
     /// By aim and id: those within their tenant's share, then those past it.
-    pub parts: [BTreeSet<(Micros, RequestId)>; 2],
+    pub queues: [BTreeSet<(Micros, RequestId)>; 2],
     /// Until then they can go nowhere: no copy stands, and an answer or a pause is awaited. Whatever may
     /// change that sets it to 0.
-    pub rests: Micros,
+    pub blocked_until: Micros,
 }
 
 /// The call that comes first: within its share before past it, its aim still ahead before behind, then by
 /// aim.
-pub fn first_waiting(now: Micros, calls: &Waiting) -> Option<(bool, bool, Micros, RequestId)> {
+pub fn first_waiting(now: Micros, calls: &WaitingCalls) -> Option<(bool, bool, Micros, RequestId)> {
     [false, true].into_iter().find_map(|excess| {
-        let (calls, at) = (&calls.parts[usize::from(excess)], (now, RequestId(0)));
+        let (calls, at) = (&calls.queues[usize::from(excess)], (now, RequestId(0)));
         let found = calls.range(at..).next().or_else(|| calls.range(..at).next());
         found.map(|(aim, id)| (excess, *aim < now, *aim, *id))
     })
 }
 
 /// Takes a call out of those that wait, if it is among them.
-pub fn release((waiting, most): (&mut BTreeMap<FunctionId, Waiting>, &Cell<Option<usize>>), held: &mut Held) {
-    if !std::mem::take(&mut held.waiting) {
+pub fn stop_waiting(
+    (waiting, most): (&mut BTreeMap<FunctionId, WaitingCalls>, &Cell<Option<usize>>),
+    held: &mut PendingRequest,
+) {
+    if !std::mem::take(&mut held.is_waiting) {
         return;
     }
     most.set(None);
-    if let Some(calls) = waiting.get_mut(&held.told.function) {
-        calls.parts[usize::from(held.excess)].remove(&(held.aim, held.told.id));
-        if calls.parts.iter().all(BTreeSet::is_empty) {
-            waiting.remove(&held.told.function);
+    if let Some(calls) = waiting.get_mut(&held.request.function) {
+        calls.queues[usize::from(held.over_share)].remove(&(held.aim, held.request.id));
+        if calls.queues.iter().all(BTreeSet::is_empty) {
+            waiting.remove(&held.request.function);
         }
     }
 }
@@ -200,7 +203,7 @@
 
 /// The part of 0 to 1 that falls to one of `count`, all of them spread evenly: in the middle of its place
 /// after a shuffle by the key, which is the same for all who know the key.
-pub fn stratum(index: u32, count: u32, key: u64) -> f64 {
+pub fn stratified_fraction(index: u32, count: u32, key: u64) -> f64 {
     let count = u64::from(count.max(1));
     // Each step maps the numbers below a power of two onto themselves, and those past the count go round
     // again until they come back among the others: no two get the same place.
@@ -221,26 +224,26 @@
 
 /// Sums over the fleet, taken now and then.
 #[derive(Default)]
-pub struct Fleet {
+pub struct FleetStats {
     /// Usable workers, and how many warm ones they come to: a cold one counts as far as it is warm.
     pub workers: usize,
-    pub warm: f64,
+    pub warm_equivalent: f64,
     /// How far memory allows more copies than lanes are needed, 0 to 1.
-    pub room: f64,
+    pub memory_headroom: f64,
     /// Means over the usable workers: told memory, told size, our demand, requests held.
     pub memory_mb: f64,
     pub hint: f64,
     pub demand: f64,
-    pub present: f64,
+    pub in_flight: f64,
     /// How far our own account of a worker is to be believed, 0 to 1.
-    pub trust: f64,
+    pub local_confidence: f64,
     /// Evidence that the better quarter of the workers stay under, for each class.
-    pub evidence: Vec<f64>,
+    pub baseline_penalty: Vec<f64>,
 }
 
-impl Fleet {
+impl FleetStats {
     /// A worker's told size against the mean.
-    pub fn size(&self, worker: &Worker) -> f64 {
+    pub fn relative_size(&self, worker: &Worker) -> f64 {
         if self.hint > 0.0 { (worker.hint() / self.hint).clamp(0.25, 4.0) } else { 1.0 }
     }
 }
@@ -251,22 +254,22 @@
         if self.member.hint.is_finite() && self.member.hint > 0.0 { self.member.hint } else { 1.0 }
     }
 
-    pub fn new(member: Member, now: Micros, classes: usize, due: Due) -> Self {
+    pub fn new(member: Member, now: Micros, classes: usize, due: DueAttempts) -> Self {
         Self {
             hash: text_hash(member.worker.as_str()),
             usable: member.state == WorkerState::Active,
             member,
-            demand: Fading::default(),
+            demand: DecayingValue::default(),
             cold_credit: 0.0,
             cold_at: now,
             due,
             placed_mb: 0.0,
-            slowness: Fading::default(),
-            strain: Fading::default(),
-            heard: vec![0; classes],
-            missed: vec![Fading::default(); classes],
-            others: Fading::default(),
-            standing: Standing::default(),
+            slowness: DecayingValue::default(),
+            failures: DecayingValue::default(),
+            answered_at: vec![0; classes],
+            unanswered: vec![DecayingValue::default(); classes],
+            others_in_flight: DecayingValue::default(),
+            drain_evidence: DrainEvidence::default(),
         }
     }
 }
@@ -282,10 +285,20 @@
     }
 }
 
-impl Held {
+impl PendingRequest {
     pub fn new(told: Request, deadline: Micros, aim: Micros, excess: bool) -> Self {
         let (attempts, done, waiting, streaming, crowded) = (Vec::new(), false, false, false, false);
-        Self { told, deadline, aim, excess, crowded, attempts, done, waiting, streaming }
+        Self {
+            request: told,
+            deadline,
+            aim,
+            over_share: excess,
+            awaits_capacity: crowded,
+            attempts,
+            answered: done,
+            is_waiting: waiting,
+            streaming,
+        }
     }
 }
 
@@ -294,100 +307,100 @@
     pub(crate) settings: Settings,
     pub(crate) workers: BTreeMap<WorkerId, Worker>,
     pub(crate) functions: BTreeMap<FunctionId, Function>,
-    pub(crate) requests: BTreeMap<RequestId, Held>,
-    pub(crate) wakes: BTreeMap<u64, Wake>,
+    pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
+    pub(crate) timers: BTreeMap<u64, TimerPurpose>,
     pub(crate) next_token: u64,
     pub(crate) started: bool,
-    pub(crate) next_replace: Micros,
+    pub(crate) next_rebalance: Micros,
     /// Functions still to be looked at for a better home, the next one last.
-    pub(crate) to_replace: Vec<FunctionId>,
+    pub(crate) rebalance_queue: Vec<FunctionId>,
     /// The subscription to the list failed and is to be asked for again.
-    pub(crate) ask_list: bool,
+    pub(crate) watch_failed: bool,
     /// How far the list is to be believed; `None` where nobody says.
-    pub(crate) list_trust: Option<ListFreshness>,
+    pub(crate) list_freshness: Option<ListFreshness>,
     /// Usual latency of each class, for functions not yet measured.
-    pub(crate) class_usual: Vec<f64>,
-    pub(crate) sends: Fading,
+    pub(crate) class_typical_latency: Vec<f64>,
+    pub(crate) sends: DecayingValue,
     /// Requests served lately for each warm worker, a cold one counted as far as it was warm then.
-    pub(crate) served: Fading,
-    pub(crate) hedges: Fading,
+    pub(crate) served_per_warm_worker: DecayingValue,
+    pub(crate) hedges: DecayingValue,
     /// Share of attempts that failed or came late; fades.
-    pub(crate) jam: Fading,
+    pub(crate) overload: DecayingValue,
     /// Requests let in so far as by their part, not yet come.
-    pub(crate) admitted: f64,
-    pub(crate) tenants: Vec<Fading>,
-    pub(crate) waiting: BTreeMap<FunctionId, Waiting>,
-    pub(crate) fleet: Fleet,
-    pub(crate) own_hash: u64,
-    pub(crate) next_walk: Micros,
+    pub(crate) admission_credit: f64,
+    pub(crate) tenants: Vec<DecayingValue>,
+    pub(crate) waiting: BTreeMap<FunctionId, WaitingCalls>,
+    pub(crate) fleet: FleetStats,
+    pub(crate) local_hash: u64,
+    pub(crate) next_maintenance: Micros,
     /// Shortest time between two load orders, 0 while loads do well; when the next may go, and when it last
     /// grew.
     pub(crate) load_gap: Micros,
     pub(crate) next_load: Micros,
-    pub(crate) gap_grew: Micros,
-    pub(crate) taken: VecDeque<Micros>,
-    pub(crate) orders: VecDeque<Micros>,
+    pub(crate) load_gap_raised_at: Micros,
+    pub(crate) recent_requests: VecDeque<Micros>,
+    pub(crate) recent_orders: VecDeque<Micros>,
     /// Most calls that wait for one function, where known.
-    pub(crate) most: Cell<Option<usize>>,
-    pub(crate) looks: Cell<u64>,
+    pub(crate) longest_queue: Cell<Option<usize>>,
+    pub(crate) evaluations: Cell<u64>,
 }
 
 impl Controller {
     pub(crate) fn blank(settings: Settings, class_usual: Vec<f64>) -> Self {
-        let tenants = vec![Fading::default(); settings.tenant_quotas.len()];
+        let tenants = vec![DecayingValue::default(); settings.tenant_quotas.len()];
         Self {
             settings,
             workers: BTreeMap::new(),
             functions: BTreeMap::new(),
             requests: BTreeMap::new(),
-            wakes: BTreeMap::new(),
+            timers: BTreeMap::new(),
             next_token: 1,
             started: false,
-            next_replace: 0,
-            to_replace: Vec::new(),
-            ask_list: false,
-            list_trust: None,
-            class_usual,
-            sends: Fading::default(),
-            served: Fading::default(),
+            next_rebalance: 0,
+            rebalance_queue: Vec::new(),
+            watch_failed: false,
+            list_freshness: None,
+            class_typical_latency: class_usual,
+            sends: DecayingValue::default(),
+            served_per_warm_worker: DecayingValue::default(),
             tenants,
             waiting: BTreeMap::new(),
-            fleet: Fleet::default(),
-            own_hash: 0,
-            next_walk: 0,
-            hedges: Fading::default(),
-            jam: Fading::default(),
-            admitted: 1.0,
+            fleet: FleetStats::default(),
+            local_hash: 0,
+            next_maintenance: 0,
+            hedges: DecayingValue::default(),
+            overload: DecayingValue::default(),
+            admission_credit: 1.0,
             load_gap: 0,
             next_load: 0,
-            gap_grew: 0,
-            taken: VecDeque::new(),
-            orders: VecDeque::new(),
-            most: Cell::new(None),
-            looks: Cell::new(0),
+            load_gap_raised_at: 0,
+            recent_requests: VecDeque::new(),
+            recent_orders: VecDeque::new(),
+            longest_queue: Cell::new(None),
+            evaluations: Cell::new(0),
         }
     }
 
     /// How often a worker was weighed as a place for a function so far: the greater part of what decisions
     /// cost, as a figure that repeats.
     pub fn placements_evaluated(&self) -> u64 {
-        self.looks.get()
+        self.evaluations.get()
     }
 
     /// Keeps a request here until there is a copy or room for it.
-    pub(crate) fn hold(&mut self, id: RequestId, crowded: bool) {
+    pub(crate) fn enqueue(&mut self, id: RequestId, crowded: bool) {
         let Some(held) = self.requests.get_mut(&id) else { return };
-        held.crowded = crowded;
-        if !held.waiting {
-            held.waiting = true;
-            self.most.set(None);
-            let calls = self.waiting.entry(held.told.function.clone()).or_default();
-            calls.parts[usize::from(held.excess)].insert((held.aim, id));
+        held.awaits_capacity = crowded;
+        if !held.is_waiting {
+            held.is_waiting = true;
+            self.longest_queue.set(None);
+            let calls = self.waiting.entry(held.request.function.clone()).or_default();
+            calls.queues[usize::from(held.over_share)].insert((held.aim, id));
         }
     }
 
-    pub(crate) fn wake(&mut self, after: Micros, wake: Wake, out: &mut Out) {
-        self.wakes.insert(self.next_token, wake);
+    pub(crate) fn set_timer(&mut self, after: Micros, wake: TimerPurpose, out: &mut Actions) {
+        self.timers.insert(self.next_token, wake);
         out.push(Action::Timer { after, token: self.next_token });
         self.next_token += 1;
     }
