--- a/src/control.rs
+++ b/src/control.rs
@@ -11,54 +11,54 @@
 
 /// How far a lower ratio outweighs the shared hash: at 1.25 times the ratio a worker comes first 3 times in
 /// 10.
-const SHARP: f64 = 4.0;
+const RATIO_EXPONENT: f64 = 4.0;
 /// A function leaves its home once another ratio is lower by this factor.
-const GAIN: f64 = 1.6;
+const REBALANCE_GAIN: f64 = 1.6;
 /// Calls a worker in the window at which our own account of demand counts as much as the fleet's mean, for
 /// one of many.
-const TRUST: f64 = 20.0;
+const CONFIDENT_CALLS: f64 = 20.0;
 /// Share of all told memory reckoned with for copies; running work and others' placements take the rest.
-const USABLE: f64 = 0.5;
+const COPY_MEMORY_SHARE: f64 = 0.5;
 /// How often what waits is looked over, sums and idle placements are, and functions are re-placed.
 const SWEEP_US: Micros = 50_000;
-const WALK_US: Micros = 500_000;
-const REPLACE_US: Micros = 1_000_000;
+const MAINTENANCE_US: Micros = 500_000;
+const REBALANCE_US: Micros = 1_000_000;
 /// Functions looked at for a re-placement in one sweep: some hundreds within the second.
-const MOVES: usize = 16;
+const REBALANCE_BATCH: usize = 16;
 /// Evidence against a worker fades to 1/e in this time.
-const FORGET_US: f64 = 6_000_000.0;
+const PENALTY_DECAY_US: f64 = 6_000_000.0;
 /// Slowness below this is chance.
-const SLACK: f64 = 0.5;
+const SLOWNESS_TOLERANCE: f64 = 0.5;
 /// Evidence past which a worker is no place for a request.
-const SUSPECT: f64 = 3.0;
+const SUSPECT_FACTOR: f64 = 3.0;
 /// Share of attempts that come back full or late from which on requests are turned away.
-const JAM: f64 = 0.15;
+const OVERLOAD_SHARE: f64 = 0.15;
 /// Span over which a tenant's calls are held against its share.
-const FAIR_US: f64 = 3_000_000.0;
+const SHARE_WINDOW_US: f64 = 3_000_000.0;
 /// Crowd notes and load reports fade to 1/e in this time.
-const CROWD_US: f64 = 2_000_000.0;
+const CROWD_DECAY_US: f64 = 2_000_000.0;
 /// Gaps between answers from which on a queue is judged by them.
-const HEARD: u32 = 10;
+const MIN_ANSWER_GAPS: u32 = 10;
 /// Gap between load orders after one that failed, and the longest.
 const GAP: (Micros, Micros) = (50_000, 400_000);
 /// Without another failure for so long orders go freely again.
-const JAMMED_US: Micros = 1_500_000;
+const LOAD_GAP_RESET_US: Micros = 1_500_000;
 /// Patience with questions on where copies stand, and how many workers are asked.
 const ASK: (Micros, usize) = (15_000, 3);
 /// How much more a worker in another zone weighs among holders, for the price of the way as a share of worth.
-const AWAY: f64 = 40.0;
+const CROSS_ZONE_WEIGHT: f64 = 40.0;
 /// Share of sends that may be second attempts which prove needless.
 const HEDGE_SHARE: f64 = 0.1;
 
 /// A usable worker as a place for a function: lowest key first.
-struct Choice<'a> {
+struct Candidate<'a> {
     key: f64,
     ratio: f64,
     id: &'a WorkerId,
     worker: &'a Worker,
 }
 
-type At<'a> = (&'a WorkerId, &'a FunctionId);
+type WorkerFunction<'a> = (&'a WorkerId, &'a FunctionId);
 
 impl Controller {
     /// A controller that has heard nothing yet. It draws nothing: ties are broken by hash.
@@ -72,15 +72,15 @@
     /// nothing.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Members { kind, members } => self.members(now, kind, members, out),
-            Event::Request(request) => self.request(now, request, out),
-            Event::Outcome(outcome) => self.outcome(now, outcome, out),
+            Event::Members { kind, members } => self.on_members(now, kind, members, out),
+            Event::Request(request) => self.on_request(now, request, out),
+            Event::Outcome(outcome) => self.on_outcome(now, outcome, out),
             Event::Loaded { worker, function, count, code, latency } => {
-                self.loaded(now, (&worker, &function), (count, code, latency), out)
+                self.on_loaded(now, (&worker, &function), (count, code, latency), out)
             }
             Event::ClientGone { id } => self.finish(id, None, out),
-            Event::AnswerStarted { id, attempt } => self.first(id, attempt, out),
-            Event::Timer { token: 0 } => self.sweep(now, out),
+            Event::AnswerStarted { id, attempt } => self.on_answer_started(id, attempt, out),
+            Event::Timer { token: 0 } => self.on_sweep(now, out),
             Event::Timer { token } => match self.timers.remove(&token) {
                 Some(TimerPurpose::Deadline(id)) if self.requests.get(&id).is_none_or(|h| h.streaming) => {}
                 Some(TimerPurpose::Deadline(id)) => self.finish(id, Some(Action::Fail { id }), out),
@@ -91,21 +91,21 @@
                         let function = self.functions.get(&h.request.function);
                         function.is_some_and(|f| f.places.values().any(|p| p.loading_since.is_some()))
                     };
-                    let nobody = self.is_nobody_open(now);
+                    let nobody = self.is_no_worker_open(now);
                     let stuck =
                         |h: &PendingRequest| nobody || h.awaits_capacity || self.load_gap > 0 && !loads(h);
                     let sheds = |h: &PendingRequest| h.is_waiting && stuck(h) && self.may_refuse(h);
                     if self.requests.get(&id).is_some_and(sheds) {
                         let wait = Some(self.load_gap).filter(|gap| *gap > 0);
-                        self.give_up(id, wait, out);
+                        self.refuse_or_fail(id, wait, out);
                     }
                 }
-                Some(TimerPurpose::Overdue(id, attempt)) => self.overdue(now, id, attempt, out),
+                Some(TimerPurpose::Overdue(id, attempt)) => self.on_overdue(now, id, attempt, out),
                 None => {}
             },
-            Event::ListFreshness(trust) => self.list_trust(now, trust),
-            Event::Disconnected { worker } => self.disconnected(now, &worker),
-            Event::Probed { worker, code, latency, .. } => self.probed(now, &worker, (code, latency), out),
+            Event::ListFreshness(trust) => self.on_list_freshness(now, trust),
+            Event::Disconnected { worker } => self.on_disconnected(now, &worker),
+            Event::Probed { worker, code, latency, .. } => self.on_probed(now, &worker, (code, latency), out),
             Event::Peer { .. } => {}
         }
     }
@@ -115,25 +115,29 @@
     /// Evidence that a worker does less for a class than its memory promises, 1 for none: slowness against
     /// usual times, answers of this class that stay away (those of others count a little: a worker may
     /// swallow one class and serve the rest), broken connections, a cold start. It only orders workers.
-    fn evidence(&self, now: Micros, worker: &Worker, class: usize) -> f64 {
+    fn penalty(&self, now: Micros, worker: &Worker, class: usize) -> f64 {
         // What has not passed the slack does not by fading.
-        let told = worker.slowness.value > SLACK;
-        let slow = if told { (worker.slowness.get(now, FORGET_US) - SLACK).max(0.0) } else { 0.0 };
-        let missed = |c: usize| worker.unanswered.get(c).map_or(0.0, |m| m.get(now, FORGET_US));
+        let told = worker.slowness.value > SLOWNESS_TOLERANCE;
+        let slow = if told {
+            (worker.slowness.get(now, PENALTY_DECAY_US) - SLOWNESS_TOLERANCE).max(0.0)
+        } else {
+            0.0
+        };
+        let missed = |c: usize| worker.unanswered.get(c).map_or(0.0, |m| m.get(now, PENALTY_DECAY_US));
         let silent = missed(class) * 0.7 + (0..worker.unanswered.len()).map(missed).sum::<f64>() * 0.3;
-        (1.0 + slow + silent + worker.failures.get(now, FORGET_US)) / self.warmth(now, worker)
+        (1.0 + slow + silent + worker.failures.get(now, PENALTY_DECAY_US)) / self.warmth(now, worker)
     }
 
     /// Evidence past which a worker is no place for a request of a class: against the better quarter of the
     /// fleet, for where nearly all look bad at once it is the evidence that is to be doubted.
-    fn suspect(&self, class: usize) -> f64 {
-        SUSPECT * self.fleet.baseline_penalty.get(class).copied().unwrap_or(1.0)
+    fn suspect_threshold(&self, class: usize) -> f64 {
+        SUSPECT_FACTOR * self.fleet.baseline_penalty.get(class).copied().unwrap_or(1.0)
     }
 
     /// A worker's pressure ratio if `added` demand and `mb` memory came to it. Our own account of demand and
     /// memory is drawn toward the fleet's mean where we have few calls: a scheduler of many would else see
     /// noise, and each would place a function somewhere else.
-    fn ratio(&self, now: Micros, worker: &Worker, added: f64, mb: f64, class: usize) -> f64 {
+    fn pressure_ratio(&self, now: Micros, worker: &Worker, added: f64, mb: f64, class: usize) -> f64 {
         let (fleet, kinds) = (&self.fleet, &self.settings.copies.kind_memory_mb);
         let told = kinds.get(worker.member.kind).copied().unwrap_or(fleet.memory_mb);
         let left = (told - fleet.local_confidence * worker.placed_mb).max(mb).max(told * 0.1)
@@ -145,32 +149,37 @@
         let age = now.saturating_sub(worker.member.started) as f64 / DEMAND_WINDOW_US;
         let lived = if worker.member.started == 0 || age > 5.0 { 1.0 } else { 1.0 - (-age).exp() };
         let placed = drawn * lived / DEMAND_WINDOW_US * f64::from(self.settings.schedulers);
-        (placed + added).max(0.001) * self.evidence(now, worker, class) / (left * fleet.relative_size(worker))
+        (placed + added).max(0.001) * self.penalty(now, worker, class) / (left * fleet.relative_size(worker))
     }
 
     /// A holder's ratio, spread by our own hash the more the less we know, or all would crowd the same
     /// holder. Where the way to another zone has its price, holders in our own come before.
-    fn own_key(&self, function: &Function, c: &Choice) -> f64 {
-        let spread = -unit(rendezvous(function.hash ^ self.local_hash, c.worker.hash)).ln();
+    fn holder_key(&self, function: &Function, c: &Candidate) -> f64 {
+        let spread = -unit_interval(rendezvous(function.hash ^ self.local_hash, c.worker.hash)).ln();
         let away = f64::from(u8::from(c.worker.member.zone != self.settings.zone));
-        let way = 1.0 + AWAY * self.settings.cross_zone * away;
+        let way = 1.0 + CROSS_ZONE_WEIGHT * self.settings.cross_zone * away;
         c.ratio * way * spread.powf((1.0 - self.fleet.local_confidence).powi(2))
     }
 
     /// A worker as a place for a function, its key spread by a hash that all schedulers share, so that those
     /// who see nearly the same ratios choose the same workers. The home keeps its place until another ratio
     /// is lower past the threshold.
-    fn choice<'a>(&self, now: Micros, of: (&Function, f64), at: (&'a WorkerId, &'a Worker)) -> Choice<'a> {
+    fn candidate<'a>(
+        &self,
+        now: Micros,
+        of: (&Function, f64),
+        at: (&'a WorkerId, &'a Worker),
+    ) -> Candidate<'a> {
         let ((function, added), (id, worker)) = (of, at);
         self.evaluations.set(self.evaluations.get() + 1);
-        let ratio = self.ratio(now, worker, added, function.memory_mb, function.class);
-        let held = if function.home.as_ref() == Some(id) { ratio / GAIN } else { ratio };
-        let key = held.powf(SHARP) * -unit(rendezvous(function.hash, worker.hash)).ln();
-        Choice { key, ratio, id, worker }
+        let ratio = self.pressure_ratio(now, worker, added, function.memory_mb, function.class);
+        let held = if function.home.as_ref() == Some(id) { ratio / REBALANCE_GAIN } else { ratio };
+        let key = held.powf(RATIO_EXPONENT) * -unit_interval(rendezvous(function.hash, worker.hash)).ln();
+        Candidate { key, ratio, id, worker }
     }
 
     /// A function with the demand that it would bring.
-    fn demand<'a>(&self, now: Micros, function: &'a Function) -> (&'a Function, f64) {
+    fn with_demand<'a>(&self, now: Micros, function: &'a Function) -> (&'a Function, f64) {
         (
             function,
             function.rate.get(now, DEMAND_WINDOW_US) * function.typical_latency * function.weight
@@ -180,10 +189,10 @@
 
     /// Every usable worker as a place for a function, best first. It looks at the whole fleet: not for a call
     /// that can go nowhere yet, which is looked at again and again.
-    fn rank(&self, now: Micros, function: &Function) -> Vec<Choice<'_>> {
+    fn rank(&self, now: Micros, function: &Function) -> Vec<Candidate<'_>> {
         let usable = self.workers.iter().filter(|(_, w)| self.takes_work(now, w));
-        let of = self.demand(now, function);
-        let mut ranked: Vec<_> = usable.map(|at| self.choice(now, of, at)).collect();
+        let of = self.with_demand(now, function);
+        let mut ranked: Vec<_> = usable.map(|at| self.candidate(now, of, at)).collect();
         ranked.sort_by(|a, b| a.key.total_cmp(&b.key));
         ranked
     }
@@ -196,16 +205,16 @@
     /// above, the mean crowd at one worker is one from below. They need lanes, with room for chance (twice
     /// the root); where memory allows there is a holder for each, as a worker's cores serve other functions
     /// too.
-    fn wanted(&self, now: Micros, function: &Function) -> (usize, usize) {
-        let (least, most) = self.copies(now, function);
+    fn target_copies(&self, now: Micros, function: &Function) -> (usize, usize) {
+        let (least, most) = self.copy_bounds(now, function);
         let holders = (least + (most - least) * self.fleet.memory_headroom) as usize;
         let holders = holders.clamp(1, self.fleet.workers.max(1));
         ((least as usize).max(holders), holders)
     }
 
     /// Copies that a function needs at least, and those that it is given where memory is no concern.
-    fn copies(&self, now: Micros, function: &Function) -> (f64, f64) {
-        let own = busy(now, function) * f64::from(self.settings.schedulers);
+    fn copy_bounds(&self, now: Micros, function: &Function) -> (f64, f64) {
+        let own = busy_lanes(now, function) * f64::from(self.settings.schedulers);
         let notes = function.crowd_reports.get(now, DEMAND_WINDOW_US);
         let crowd = function.crowd_sum.get(now, DEMAND_WINDOW_US) / notes.max(1e-9);
         let held = if notes > 0.1 { own.min(crowd * function.holders).max(crowd) } else { own };
@@ -257,7 +266,7 @@
         let may = |w: &Worker| self.may_send(now, held, w);
         if !held.attempts.is_empty() && !self.workers.values().any(may) {
             if held.attempts.iter().all(|a| a.ended.is_some()) {
-                self.give_up(id, None, out);
+                self.refuse_or_fail(id, None, out);
             }
             return;
         }
@@ -268,8 +277,8 @@
         let again = |a: &Attempt| matches!(a.ended, Some(Code::Miss | Code::Reset));
         let tried = |id: &WorkerId| held.attempts.iter().any(|a| a.worker == *id && !again(a));
         let class = held.request.class;
-        let sound = |w: &Worker| self.evidence(now, w, class) < self.suspect(class);
-        let stands = function.places.iter().filter(|(id, p)| p.standing && !tried(id));
+        let sound = |w: &Worker| self.penalty(now, w, class) < self.suspect_threshold(class);
+        let stands = function.places.iter().filter(|(id, p)| p.loaded && !tried(id));
         let open = stands.filter_map(|(id, p)| Some((id, self.workers.get(id).filter(|w| may(w))?, p)));
         let (mut standing, unsound): (Vec<_>, Vec<_>) = open.partition(|(_, w, _)| sound(w));
         // Where no worker at all is sound, the evidence is doubted as in `suspect`, whose figure is some time
@@ -280,25 +289,25 @@
         if standing.is_empty() {
             return self.wait_or_load(now, id, &name, out);
         }
-        let (copies, holders) = self.wanted(now, function);
-        let of = self.demand(now, function);
-        let choices = standing.into_iter().map(|(id, w, p)| (self.choice(now, of, (id, w)), p));
+        let (copies, holders) = self.target_copies(now, function);
+        let of = self.with_demand(now, function);
+        let choices = standing.into_iter().map(|(id, w, p)| (self.candidate(now, of, (id, w)), p));
         let mut standing: Vec<_> = choices.collect();
         standing.sort_by(|(a, _), (b, _)| a.key.total_cmp(&b.key));
         // Past a copy's lanes a worker starts another by itself: what waits here instead causes no load.
         let lanes = |p: &Place| f64::from(function.lanes * p.copies.max(1));
-        let own = |c: &Choice| self.own_key(function, c);
-        let crowd = |p: &Place| f64::from(p.in_flight) + p.crowd.get(now, CROWD_US);
+        let own = |c: &Candidate| self.holder_key(function, c);
+        let crowd = |p: &Place| f64::from(p.in_flight) + p.crowd.get(now, CROWD_DECAY_US);
         // A queue that outlasts the aim is no room.
         let left = held.aim.checked_sub(now).unwrap_or(held.deadline.saturating_sub(now)) as f64;
         let soon = |p: &Place| crowd(p) * function.typical_latency <= left * lanes(p);
-        let free = |(_, p): &&(Choice, &Place)| f64::from(p.in_flight) < lanes(p) && soon(p);
-        let cost = |(c, p): &(Choice, &Place)| {
-            let present = c.worker.due.len() as f64 + c.worker.others_in_flight.get(now, CROWD_US);
-            let question = self.question_cost(now, c.worker);
+        let free = |(_, p): &&(Candidate, &Place)| f64::from(p.in_flight) < lanes(p) && soon(p);
+        let cost = |(c, p): &(Candidate, &Place)| {
+            let present = c.worker.due.len() as f64 + c.worker.others_in_flight.get(now, CROWD_DECAY_US);
+            let question = self.probe_cost(now, c.worker);
             question * own(c) * (1.0 + crowd(p) / lanes(p) + present / self.fleet.in_flight.max(1.0))
         };
-        let best = |range: &[(Choice, &Place)], idle: bool| {
+        let best = |range: &[(Candidate, &Place)], idle: bool| {
             let usable = range.iter().filter(free).filter(|(_, p)| !idle || crowd(p) < lanes(p));
             usable.min_by(|a, b| cost(a).total_cmp(&cost(b))).map(|(c, _)| c.id.clone())
         };
@@ -307,16 +316,16 @@
         let choice = roomy.clone().or_else(|| best(kept, false)).or_else(|| best(beyond, false));
         // The holder that is ours by our own hash is sought even while others have room: so all holders
         // serve, though each scheduler knows few.
-        let lacks = |c: &&Choice| {
+        let lacks = |c: &&Candidate| {
             let place = function.places.get(c.id);
             !place.is_some_and(|p| {
-                p.loading_since.is_some() || p.standing && p.copies as usize * holders >= copies
+                p.loading_since.is_some() || p.loaded && p.copies as usize * holders >= copies
             })
         };
         let grows = holders > 1 && self.may_order(now, function);
         let mut ranked = if grows { self.rank(now, function) } else { Vec::new() };
         ranked.truncate(holders);
-        let by_own = |a: &&Choice, b: &&Choice| own(a).total_cmp(&own(b));
+        let by_own = |a: &&Candidate, b: &&Candidate| own(a).total_cmp(&own(b));
         let part = ranked.iter().min_by(by_own).filter(lacks).filter(|_| self.fleet.local_confidence < 0.5);
         let more = || ranked.iter().filter(lacks).min_by(by_own).filter(|_| roomy.is_none());
         let next = part.or_else(more).map(|c| c.id.clone());
@@ -325,18 +334,18 @@
             None => self.enqueue(id, true),
         }
         if let Some(worker) = next {
-            self.grow(now, &name, &worker, copies.div_ceil(holders) as u32, out);
+            self.order_copies(now, &name, &worker, copies.div_ceil(holders) as u32, out);
         }
     }
 
     /// No copy is known: wait for answers or a load under way, else cause a load where the ratio is lowest.
     fn wait_or_load(&mut self, now: Micros, id: RequestId, name: &FunctionId, out: &mut Actions) {
         self.enqueue(id, false);
-        let has_ration = self.ration(now);
+        let has_ration = self.has_order_left(now);
         let (Some(function), Some(held)) = (self.functions.get(name), self.requests.get(&id)) else { return };
         let (last, family) = (function.query_deadline, &self.settings.copies);
         if family.orders && (last == 0 || now >= last + function.load_time) {
-            return self.ask(now, name, out);
+            return self.query_holders(now, name, out);
         }
         let asking = function.queries_in_flight > 0 && now < function.query_deadline;
         if asking || !self.may_order(now, function) {
@@ -345,25 +354,25 @@
                 (_, after) if after > now => after.min(last + function.load_time),
                 _ => last + function.load_time,
             };
-            let rests = held.attempts.is_empty() && !function.places.values().any(|p| p.standing);
+            let rests = held.attempts.is_empty() && !function.places.values().any(|p| p.loaded);
             if let Some(calls) = self.waiting.get_mut(name).filter(|_| rests && family.orders) {
                 calls.blocked_until = until;
             }
             return;
         }
-        if self.held_back(now, name) || !(family.orders && has_ration || family.load_on_miss) {
+        if self.is_order_delayed(now, name) || !(family.orders && has_ration || family.load_on_miss) {
             return;
         }
-        let allowed = |c: &&Choice| self.may_send(now, held, c.worker);
+        let allowed = |c: &&Candidate| self.may_send(now, held, c.worker);
         // Copies may stand where nothing may be sent for now: an order there would only be repeated.
-        let lacks = |c: &&Choice| !function.places.get(c.id).is_some_and(|p| p.standing);
+        let lacks = |c: &&Candidate| !function.places.get(c.id).is_some_and(|p| p.loaded);
         let ranked = self.rank(now, function);
         // One that turned calls away in an outage comes last: a call would spend all its attempts there.
-        let trusted = |c: &&Choice| allowed(c) && !c.worker.drain_evidence.is_doubted();
+        let trusted = |c: &&Candidate| allowed(c) && !c.worker.drain_evidence.is_doubted();
         let first = ranked.iter().filter(lacks).find(trusted).or(ranked.iter().filter(lacks).find(allowed));
         let Some(target) = first.or(ranked.iter().find(lacks)).map(|c| c.id.clone()) else { return };
         let direct = ranked.iter().find(trusted).or(ranked.iter().find(allowed)).map(|c| c.id.clone());
-        let ordered = self.grow(now, name, &target, 1, out);
+        let ordered = self.order_copies(now, name, &target, 1, out);
         // No order is to be had: the request itself brings the copy.
         if let Some(worker) = direct.filter(|_| !ordered && self.settings.copies.load_on_miss) {
             self.send(now, id, &worker, out);
@@ -383,7 +392,7 @@
         stop_waiting((&mut self.waiting, &self.longest_queue), held);
         let place = function.places.entry(worker.clone()).or_default();
         let mut patience = function.typical_latency * 3.0;
-        if !place.standing {
+        if !place.loaded {
             patience += function.load_time as f64 * 2.0;
             place.loading_since.get_or_insert(now);
         }
@@ -404,7 +413,7 @@
     }
 
     /// Functions worth a look at their home, those with least demand first.
-    fn by_demand(&self, now: Micros) -> Vec<FunctionId> {
+    fn functions_by_demand(&self, now: Micros) -> Vec<FunctionId> {
         let calls = self.functions.iter().map(|(n, f)| (f.rate.get(now, DEMAND_WINDOW_US), n.clone()));
         let mut order: Vec<_> = calls.filter(|(calls, _)| *calls >= 2.0).collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(&a.1)));
@@ -414,18 +423,18 @@
     /// Moves functions, in falling demand, that gain past the threshold: the load is ordered at the target,
     /// the source serves on, and the home switches once the copy stands. A part of them a sweep: weighed all
     /// at once, hundreds of functions at a large fleet would hold up what is due meanwhile.
-    fn replace(&mut self, now: Micros, out: &mut Actions) {
-        let has_ration = self.ration(now);
-        for _ in 0..MOVES {
+    fn rebalance(&mut self, now: Micros, out: &mut Actions) {
+        let has_ration = self.has_order_left(now);
+        for _ in 0..REBALANCE_BATCH {
             let Some(name) = self.rebalance_queue.pop() else { return };
             let Some(function) = self.functions.get(&name) else { continue };
             let Some(home) = function.home.clone() else { continue };
             let at = |id| self.workers.get_key_value(id).filter(|(_, w)| self.takes_work(now, w));
-            let choice = |at| self.choice(now, self.demand(now, function), at);
+            let choice = |at| self.candidate(now, self.with_demand(now, function), at);
             let here = at(&home).map_or(f64::INFINITY, |at| choice(at).ratio);
-            let gains = |c: &&Choice| *c.id != home && here > c.ratio * GAIN;
+            let gains = |c: &&Candidate| *c.id != home && here > c.ratio * REBALANCE_GAIN;
             // Without an order it can only move to where a copy stands: seldom worth a look at the fleet.
-            let standing = function.places.iter().filter(|(_, p)| p.standing);
+            let standing = function.places.iter().filter(|(_, p)| p.loaded);
             let moves = || standing.filter_map(|(id, _)| at(id)).any(|at| gains(&&choice(at)));
             let orders = has_ration && self.may_order(now, function) && self.load_gap == 0;
             if !orders && !moves() {
@@ -433,8 +442,8 @@
             }
             let ranked = self.rank(now, function);
             let Some(best) = ranked.first().filter(gains) else { continue };
-            let (best, stands) = (best.id.clone(), function.places.get(best.id).is_some_and(|p| p.standing));
-            let ordered = !stands && orders && self.order(now, (&best, &name), 1, out);
+            let (best, stands) = (best.id.clone(), function.places.get(best.id).is_some_and(|p| p.loaded));
+            let ordered = !stands && orders && self.send_order(now, (&best, &name), 1, out);
             let Some(function) = self.functions.get_mut(&name) else { continue };
             if ordered {
                 function.moving_to = Some(best);
@@ -448,11 +457,11 @@
 
     /// Whether a request is past our part of its tenant's share: the share itself is always let in, however
     /// many repeats come on top. Such requests wait behind the others and go first where there is no room.
-    fn past_share(&mut self, now: Micros, tenant: usize) -> bool {
+    fn is_over_share(&mut self, now: Micros, tenant: usize) -> bool {
         let Some(quota) = self.settings.tenant_quotas.get(tenant) else { return false };
-        let share = quota / f64::from(self.settings.schedulers) * FAIR_US / 1e6;
-        let past = self.tenants[tenant].get(now, FAIR_US) > share + share.sqrt();
-        self.tenants[tenant].add(now, if past { 0.0 } else { 1.0 }, FAIR_US);
+        let share = quota / f64::from(self.settings.schedulers) * SHARE_WINDOW_US / 1e6;
+        let past = self.tenants[tenant].get(now, SHARE_WINDOW_US) > share + share.sqrt();
+        self.tenants[tenant].add(now, if past { 0.0 } else { 1.0 }, SHARE_WINDOW_US);
         past
     }
 
@@ -460,12 +469,12 @@
     /// together send more than the fleet can do, though each sends little: what is past a tenant's share goes
     /// first, then a part of the rest that grows with the jam, or all would be late. It lets go as answers
     /// come in time, or after seconds without any. Could hurt where one jammed worker has most of our calls.
-    fn turned_away(&mut self, now: Micros, excess: bool) -> bool {
-        let over = self.overload.get(now, FORGET_US) - JAM;
+    fn rejects_for_overload(&mut self, now: Micros, excess: bool) -> bool {
+        let over = self.overload.get(now, PENALTY_DECAY_US) - OVERLOAD_SHARE;
         if over <= 0.0 || excess {
             return over > 0.0;
         }
-        self.admission_credit += 1.0 - (2.0 * over - JAM).clamp(0.0, 0.8);
+        self.admission_credit += 1.0 - (2.0 * over - OVERLOAD_SHARE).clamp(0.0, 0.8);
         let away = self.admission_credit < 1.0;
         self.admission_credit -= if away { 0.0 } else { 1.0 };
         away
@@ -475,14 +484,14 @@
     /// came while some waited: it would be shed at its aim, and is better told at once. Answers of quiet
     /// times say nothing of what copies can do, so a burst after them is let in. Could hurt where copies
     /// about to stand will serve faster than those before.
-    fn outlasts(&self, now: Micros, id: RequestId) -> Option<Micros> {
+    fn wait_past_aim(&self, now: Micros, id: RequestId) -> Option<Micros> {
         let held = self.requests.get(&id)?;
         let (function, calls) =
             (self.functions.get(&held.request.function)?, self.waiting.get(&held.request.function)?);
         let ahead = calls.queues[0].len() + if held.over_share { calls.queues[1].len() } else { 0 };
         let beyond = ahead as f64 * function.answer_gap + function.typical_latency
             - held.aim.saturating_sub(now) as f64;
-        (function.answer_gap_count >= HEARD && beyond > 0.0).then_some(beyond as Micros)
+        (function.answer_gap_count >= MIN_ANSWER_GAPS && beyond > 0.0).then_some(beyond as Micros)
     }
 
     // ---- copies ------------------------------------------------------------------------------------------
@@ -493,7 +502,7 @@
     }
 
     /// Orders copies, one order of a function at a time: true while one is out or on hold after a failure.
-    fn grow(
+    fn order_copies(
         &mut self,
         now: Micros,
         name: &FunctionId,
@@ -501,17 +510,17 @@
         count: u32,
         out: &mut Actions,
     ) -> bool {
-        if !self.may_order(now, &self.functions[name]) || self.held_back(now, name) {
+        if !self.may_order(now, &self.functions[name]) || self.is_order_delayed(now, name) {
             return true;
         }
         if !self.may_begin(now, worker, out) {
             return true;
         }
-        self.order(now, (worker, name), count, out)
+        self.send_order(now, (worker, name), count, out)
     }
 
     /// A load has failed: the gap between orders grows, under calls once for those that fail together.
-    fn load_failed(&mut self, now: Micros, ordered: bool) {
+    fn on_load_failed(&mut self, now: Micros, ordered: bool) {
         if ordered || now >= self.load_gap_raised_at + self.load_gap {
             self.load_gap = (self.load_gap * 2).clamp(GAP.0, GAP.1);
             (self.load_gap_raised_at, self.next_load) = (now, now + self.load_gap);
@@ -522,7 +531,7 @@
     /// come again at once, each for one call, keep it so. They go one at a time then, at a gap that doubles
     /// with each failure, and those first that most calls wait for. Could hurt where one function alone
     /// can't be loaded.
-    fn held_back(&self, now: Micros, name: &FunctionId) -> bool {
+    fn is_order_delayed(&self, now: Micros, name: &FunctionId) -> bool {
         if self.load_gap == 0 {
             return false;
         }
@@ -537,7 +546,7 @@
     }
 
     /// Whether the ration of load orders has one more, however late this one or those before it come whole.
-    fn ration(&mut self, now: Micros) -> bool {
+    fn has_order_left(&mut self, now: Micros) -> bool {
         let (family, delay) = (&self.settings.copies, self.settings.rules.send_delay);
         while self.recent_orders.pop_front_if(|t| *t + family.load_window + delay < now).is_some() {}
         while self.recent_requests.pop_front_if(|t| *t + family.load_window <= now + delay).is_some() {}
@@ -545,13 +554,17 @@
         family.load_window == 0 || (self.recent_orders.len() + 1) as f64 <= most
     }
 
-    fn order(&mut self, now: Micros, at: At, count: u32, out: &mut Actions) -> bool {
+    fn send_order(&mut self, now: Micros, at: WorkerFunction, count: u32, out: &mut Actions) -> bool {
         let (worker, name) = at;
         let usable = self.workers.get(worker).is_some_and(|w| w.usable);
-        if !usable || !self.settings.copies.orders || !self.ration(now) || !self.may_begin(now, worker, out) {
+        if !usable
+            || !self.settings.copies.orders
+            || !self.has_order_left(now)
+            || !self.may_begin(now, worker, out)
+        {
             return false;
         }
-        self.make_room(now, worker, name, out);
+        self.unload_idle_copy(now, worker, name, out);
         let Some(function) = self.functions.get_mut(name) else { return false };
         let place = function.places.entry(worker.clone()).or_default();
         place.loading_since = Some(now);
@@ -565,7 +578,7 @@
     /// Just before a load on a worker that our account shows short of memory: unload the youngest idle
     /// instance of a function that we saw once, so that it does not push out an older, hotter copy. Copies of
     /// others stay: what we do not use there another scheduler may.
-    fn make_room(&mut self, now: Micros, worker: &WorkerId, name: &FunctionId, out: &mut Actions) {
+    fn unload_idle_copy(&mut self, now: Micros, worker: &WorkerId, name: &FunctionId, out: &mut Actions) {
         let (Some(known), Some(function)) = (self.workers.get(worker), self.functions.get(name)) else {
             return;
         };
@@ -574,24 +587,31 @@
             return;
         }
         let idle = self.functions.iter().filter(|(n, _)| *n != name).filter_map(|(n, f)| {
-            let place = f.places.get(worker).filter(|p| p.standing && p.in_flight == 0)?;
+            let place = f.places.get(worker).filter(|p| p.loaded && p.in_flight == 0)?;
             let unused = place.last + self.settings.copies.keep_alive / 4 < now;
             let once = f.rate.get(now, DEMAND_WINDOW_US) <= 1.0;
             (unused && once).then_some((place.loaded_at, n))
         });
         if let Some(victim) = idle.max().map(|(_, n)| n.clone()) {
-            self.stand(worker, &victim, false, 0, 0);
+            self.record_copies(worker, &victim, false, 0, 0);
             out.push(Action::Drop { worker: worker.clone(), function: victim });
         }
     }
 
     /// Records whether a function stands on a worker, and the memory that it takes in our account.
-    fn stand(&mut self, worker: &WorkerId, name: &FunctionId, stands: bool, copies: u32, now: Micros) {
+    fn record_copies(
+        &mut self,
+        worker: &WorkerId,
+        name: &FunctionId,
+        stands: bool,
+        copies: u32,
+        now: Micros,
+    ) {
         let Some(function) = self.functions.get_mut(name) else { return };
         let place = function.places.entry(worker.clone()).or_default();
-        let before = if place.standing { f64::from(place.copies.max(1)) } else { 0.0 };
-        place.loaded_at = if stands && !place.standing { now } else { place.loaded_at };
-        (place.standing, place.copies) = (stands, copies);
+        let before = if place.loaded { f64::from(place.copies.max(1)) } else { 0.0 };
+        place.loaded_at = if stands && !place.loaded { now } else { place.loaded_at };
+        (place.loaded, place.copies) = (stands, copies);
         let after = if stands { f64::from(copies.max(1)) } else { 0.0 };
         if let Some(known) = self.workers.get_mut(worker) {
             known.placed_mb = (known.placed_mb + (after - before) * function.memory_mb).max(0.0);
@@ -603,12 +623,12 @@
                 function.moving_to = None;
             }
         } else if function.home.as_ref() == Some(worker) {
-            function.home = function.places.iter().find(|(_, p)| p.standing).map(|(w, _)| w.clone());
+            function.home = function.places.iter().find(|(_, p)| p.loaded).map(|(w, _)| w.clone());
         }
     }
 
     /// Takes the answer to an order or a question: copies standing, how it ended, after how long.
-    fn loaded(&mut self, now: Micros, at: At, told: (u32, Code, Micros), out: &mut Actions) {
+    fn on_loaded(&mut self, now: Micros, at: WorkerFunction, told: (u32, Code, Micros), out: &mut Actions) {
         let ((worker, name), (count, code, latency)) = (at, told);
         if !self.workers.contains_key(worker) {
             return;
@@ -622,10 +642,10 @@
             // An answer to a question; of no copy also one to a question from before the order.
             if code == Code::Ok && count > 0 {
                 function.places.entry(worker.clone()).or_default().last = now;
-                self.stand(worker, name, true, count, now);
+                self.record_copies(worker, name, true, count, now);
             }
             if count > 0 || self.functions[name].queries_in_flight == 0 {
-                self.pump(now, None, out);
+                self.route_waiting(now, None, out);
             }
             return;
         };
@@ -636,24 +656,24 @@
         if code == Code::Ok && count > 0 {
             let took = if latency > 20_000 { latency } else { function.load_time };
             function.load_time = (function.load_time * 7 + took * 3) / 10;
-            self.stand(worker, name, true, count, now);
+            self.record_copies(worker, name, true, count, now);
         } else if let Some(known) = self.workers.get_mut(worker) {
-            known.failures.add(now, 1.0, FORGET_US);
+            known.failures.add(now, 1.0, PENALTY_DECAY_US);
             function.order_after = now + function.load_time / 2;
         }
         if code == Code::Error {
-            self.load_failed(now, true);
+            self.on_load_failed(now, true);
         } else if code == Code::Ok && self.load_gap > 0 {
             self.load_gap = Some(self.load_gap / 2).filter(|gap| *gap >= GAP.0).unwrap_or(0);
         }
-        self.pump(now, None, out);
+        self.route_waiting(now, None, out);
     }
 
     /// Routes what waits, within its tenant's share first, then by aim; after an answer only what it may
     /// free. Of a function whose first call finds no place the others find none either: each turn costs the
     /// functions that wait and the calls that go, not all that wait.
-    pub(crate) fn pump(&mut self, now: Micros, freed: Option<&WorkerId>, out: &mut Actions) {
-        let lane = |p: &Place, f: &Function| !p.standing || p.in_flight < f.lanes * p.copies.max(1);
+    pub(crate) fn route_waiting(&mut self, now: Micros, freed: Option<&WorkerId>, out: &mut Actions) {
+        let lane = |p: &Place, f: &Function| !p.loaded || p.in_flight < f.lanes * p.copies.max(1);
         let usable = |f: &Function, w| f.places.get(w).is_some_and(|p| lane(p, f));
         let may = |name: &FunctionId, w| self.functions.get(name).is_some_and(|f| usable(f, w));
         let awake = self.waiting.iter().filter(|(_, calls)| calls.blocked_until <= now);
@@ -672,12 +692,12 @@
     /// Asks the first few workers whether they hold a function that we know no copy of, again while a load is
     /// late. A scheduler of many hears of most functions more rarely than copies are kept, though others use
     /// them all the time. Useless for functions seen once, where it costs some asks.
-    fn ask(&mut self, now: Micros, name: &FunctionId, out: &mut Actions) {
+    fn query_holders(&mut self, now: Micros, name: &FunctionId, out: &mut Actions) {
         let function = &self.functions[name];
         let mut ranked = self.rank(now, function);
         // Where many should hold it, ours are asked besides the first.
-        ranked.truncate(self.wanted(now, function).1.max(ASK.1));
-        let own = |c: &Choice| self.own_key(function, c);
+        ranked.truncate(self.target_copies(now, function).1.max(ASK.1));
+        let own = |c: &Candidate| self.holder_key(function, c);
         ranked.get_mut(1..).unwrap_or_default().sort_by(|a, b| own(a).total_cmp(&own(b)));
         let asked: Vec<_> = ranked.iter().take(ASK.1).map(|c| c.id.clone()).collect();
         let Some(function) = self.functions.get_mut(name) else { return };
@@ -688,10 +708,10 @@
 
     // ---- health ------------------------------------------------------------------------------------------
 
-    fn members(&mut self, now: Micros, kind: MembersKind, members: Vec<Member>, out: &mut Actions) {
+    fn on_members(&mut self, now: Micros, kind: MembersKind, members: Vec<Member>, out: &mut Actions) {
         if !self.started {
             self.started = true;
-            self.next_rebalance = now + REPLACE_US;
+            self.next_rebalance = now + REBALANCE_US;
             self.local_hash = rendezvous(u64::from(self.settings.self_index) + 1, 1);
             out.push(Action::Timer { after: SWEEP_US, token: 0 });
             out.extend(self.settings.needs_watch.then_some(Action::Watch));
@@ -711,24 +731,24 @@
             let started = self.workers.get(&id).map(|w| w.member.started);
             if started.is_none_or(|s| s < member.started) {
                 let started = member.started;
-                self.admit(now, member.clone(), started);
+                self.add_cold_worker(now, member.clone(), started);
             }
             if let Some(known) = self.workers.get_mut(&id) {
                 (known.usable, known.member) = (member.state == WorkerState::Active, member);
             }
         }
         let lost: Vec<_> = self.workers.iter().filter(|(_, w)| !w.usable).map(|(id, _)| id.clone()).collect();
-        lost.iter().for_each(|id| self.empty(id));
+        lost.iter().for_each(|id| self.clear_placements(id));
         self.workers.retain(|_, w| w.usable || !w.due.is_empty());
-        self.walk(now);
+        self.maintain(now);
     }
 
     /// Forgets all that we believed loaded on a worker.
-    pub(crate) fn empty(&mut self, worker: &WorkerId) {
+    pub(crate) fn clear_placements(&mut self, worker: &WorkerId) {
         let held = self.functions.iter().filter(|(_, f)| f.places.contains_key(worker));
         let names: Vec<_> = held.map(|(n, _)| n.clone()).collect();
         for name in names {
-            self.stand(worker, &name, false, 0, 0);
+            self.record_copies(worker, &name, false, 0, 0);
             let Some(function) = self.functions.get_mut(&name) else { continue };
             function.moving_to.take_if(|w| *w == *worker);
             self.waiting.get_mut(&name).into_iter().for_each(|calls| calls.blocked_until = 0);
@@ -739,7 +759,7 @@
 
     // ---- request life ------------------------------------------------------------------------------------
 
-    fn request(&mut self, now: Micros, told: Request, out: &mut Actions) {
+    fn on_request(&mut self, now: Micros, told: Request, out: &mut Actions) {
         let (id, name) = (told.id, told.function.clone());
         let usable = told.memory_mb.is_finite() && told.memory_mb > 0.0 && told.lanes > 0;
         if self.requests.contains_key(&id) {
@@ -750,7 +770,7 @@
         let strictest = self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(1) as f64;
         let class = &self.settings.classes[told.class];
         self.recent_requests.push_back(now);
-        let holders = self.functions.get(&name).map_or(1, |f| self.wanted(now, f).1);
+        let holders = self.functions.get(&name).map_or(1, |f| self.target_copies(now, f).1);
         let function = self.functions.entry(name.clone()).or_insert_with(|| Function {
             memory_mb: told.memory_mb,
             lanes: told.lanes,
@@ -770,35 +790,36 @@
         // Told less patience than the aim, what is left of it is the aim.
         let within = class.aim.min(told.client_timeout);
         let (aim, shed) = (now + within, within.saturating_sub(function.typical_latency as Micros));
-        let excess = self.past_share(now, told.tenant);
+        let excess = self.is_over_share(now, told.tenant);
         self.set_timer(shed, TimerPurpose::Shed(id), out);
         self.set_timer(told.client_timeout, TimerPurpose::Deadline(id), out);
         self.requests.insert(id, PendingRequest::new(told, deadline, aim, excess));
-        if self.is_nobody_left(now) {
-            return self.give_up(id, Some(self.until_asked_again()), out);
+        if self.is_every_worker_closed(now) {
+            return self.refuse_or_fail(id, Some(self.retry_after_closed()), out);
         }
-        let beyond = self.outlasts(now, id);
-        if self.turned_away(now, excess) || beyond.is_some() {
-            self.give_up(id, beyond, out);
+        let beyond = self.wait_past_aim(now, id);
+        if self.rejects_for_overload(now, excess) || beyond.is_some() {
+            self.refuse_or_fail(id, beyond, out);
         } else {
             self.route(now, id, out);
         }
     }
 
-    fn outcome(&mut self, now: Micros, told: Outcome, out: &mut Actions) {
+    fn on_outcome(&mut self, now: Micros, told: Outcome, out: &mut Actions) {
         let Some(held) = self.requests.get_mut(&told.id) else { return };
         let open = |a: &&mut Attempt| a.ended.is_none() && a.worker == told.worker;
         let Some(attempt) = held.attempts.get_mut(told.attempt).filter(open) else { return };
         attempt.ended = Some(told.code);
-        let (sent, due, class, missed) = (attempt.sent, attempt.due, held.request.class, attempt.missed);
+        let (sent, due, class, missed) =
+            (attempt.sent, attempt.due, held.request.class, attempt.counted_overdue);
         let name = held.request.function.clone();
         held.answered |= told.is_final;
         let (done, quiet) = (held.answered, held.attempts.iter().all(|a| a.ended.is_some()));
         if told.code == Code::Ok {
             self.proven(now, &told.worker, sent);
         }
-        let is_load = told.code != Code::Full || self.turned_down(now, &told.worker, sent);
-        self.learn(now, &name, (class, due, missed, is_load), &told);
+        let is_load = told.code != Code::Full || self.on_refusal(now, &told.worker, sent);
+        self.record_outcome(now, &name, (class, due, missed, is_load), &told);
         if done {
             self.finish(told.id, None, out);
         } else if self.requests.get(&told.id).is_some_and(|h| now + self.settings.tick >= h.deadline) {
@@ -806,11 +827,17 @@
         } else if quiet {
             self.route(now, told.id, out);
         }
-        self.pump(now, Some(&told.worker), out);
+        self.route_waiting(now, Some(&told.worker), out);
     }
 
     /// Takes what an outcome tells of the worker, the copy and the function's usual time.
-    fn learn(&mut self, now: Micros, name: &FunctionId, of: (usize, Micros, bool, bool), told: &Outcome) {
+    fn record_outcome(
+        &mut self,
+        now: Micros,
+        name: &FunctionId,
+        of: (usize, Micros, bool, bool),
+        told: &Outcome,
+    ) {
         let (class, due, missed, is_load) = of;
         let (worker, key) = (&told.worker, (due, told.id, told.attempt));
         self.waiting.get_mut(name).into_iter().for_each(|calls| calls.blocked_until = 0);
@@ -821,11 +848,11 @@
         known.due.remove(&key);
         if !matches!(told.code, Code::Timeout | Code::Cancelled | Code::ConnectFailed | Code::Moot) {
             known.answered_at[class] = now;
-            known.unanswered[class].blend(now, 0.0, 0.7, FORGET_US);
+            known.unanswered[class].blend(now, 0.0, 0.7, PENALTY_DECAY_US);
         }
         if let Some(crowd) = told.crowd {
             let others = (f64::from(crowd) - f64::from(place.in_flight)).max(0.0);
-            place.crowd.blend(now, others, 0.5, CROWD_US);
+            place.crowd.blend(now, others, 0.5, CROWD_DECAY_US);
             if !matches!(told.copy, CopyStatus::LoadStarted | CopyStatus::WaitedForLoad) {
                 function.crowd_reports.add(now, 1.0, DEMAND_WINDOW_US);
                 function.crowd_sum.add(now, f64::from(crowd), DEMAND_WINDOW_US);
@@ -835,7 +862,7 @@
         let at = names.iter().position(|n| n == "outstanding" || n == "inflight");
         if let Some(held) = at.and_then(|i| told.report.get(i)).filter(|v| v.is_finite()) {
             let others = (held.clamp(0.0, 1_000.0) - known.due.len() as f64).max(0.0);
-            known.others_in_flight.blend(now, others, 0.3, CROWD_US);
+            known.others_in_flight.blend(now, others, 0.3, CROWD_DECAY_US);
         }
         let stood = told.code == Code::Ok && matches!(told.copy, CopyStatus::Loaded | CopyStatus::Unknown);
         let share = told.latency as f64 / self.settings.classes[class].aim as f64;
@@ -843,7 +870,7 @@
         let working = known.answered_at[class] + told.latency > now;
         if is_load && (matches!(told.code, Code::Full | Code::Ok) || told.code == Code::Timeout && working) {
             let jammed = told.code != Code::Ok || share > 1.0;
-            self.overload.blend(now, f64::from(u8::from(jammed)), 0.1, FORGET_US);
+            self.overload.blend(now, f64::from(u8::from(jammed)), 0.1, PENALTY_DECAY_US);
         }
         match told.code {
             Code::Ok => {
@@ -863,36 +890,38 @@
                 if stood {
                     let latency = told.latency as f64;
                     let slow = (latency / function.typical_latency.max(1.0)).clamp(0.1, 10.0) - 1.0;
-                    known.slowness.blend(now, slow, 0.15, FORGET_US);
+                    known.slowness.blend(now, slow, 0.15, PENALTY_DECAY_US);
                     // 1.3 times the median: a crowded spell must not pass for more work.
                     function.typical_latency *=
                         if latency * 1.3 > function.typical_latency { 1.03 } else { 1.0 / 1.03 };
                     let usual = &mut self.class_typical_latency[class];
                     *usual += 0.02 * (latency.min(*usual * 10.0) - *usual);
                 }
-                let began = told.copy == CopyStatus::LoadStarted && place.standing;
+                let began = told.copy == CopyStatus::LoadStarted && place.loaded;
                 let copies = (place.copies + u32::from(began)).max(1);
                 if known.usable {
-                    self.stand(worker, name, true, copies, now);
+                    self.record_copies(worker, name, true, copies, now);
                 }
             }
-            Code::Miss => self.stand(worker, name, false, 0, now),
+            Code::Miss => self.record_copies(worker, name, false, 0, now),
             // No copy stands there whatever we believed: what is sent on would only load again and fail.
             Code::Error if told.copy == CopyStatus::LoadFailed => {
                 function.order_after = now + function.load_time / 2;
-                known.failures.add(now, 0.5, FORGET_US);
-                self.stand(worker, name, false, 0, now);
-                self.load_failed(now, false);
+                known.failures.add(now, 0.5, PENALTY_DECAY_US);
+                self.record_copies(worker, name, false, 0, now);
+                self.on_load_failed(now, false);
             }
-            Code::ConnectFailed => known.failures.add(now, 3.0, FORGET_US),
+            Code::ConnectFailed => known.failures.add(now, 3.0, PENALTY_DECAY_US),
             // One may be the way's fault; a process that dies breaks all that are open.
-            Code::Reset => known.failures.add(now, 1.0, FORGET_US),
-            Code::Error | Code::Unknown => known.failures.add(now, 0.5, FORGET_US),
-            Code::Timeout | Code::Cancelled if missed => known.unanswered[class].add(now, 1.0, FORGET_US),
+            Code::Reset => known.failures.add(now, 1.0, PENALTY_DECAY_US),
+            Code::Error | Code::Unknown => known.failures.add(now, 0.5, PENALTY_DECAY_US),
+            Code::Timeout | Code::Cancelled if missed => {
+                known.unanswered[class].add(now, 1.0, PENALTY_DECAY_US)
+            }
             Code::Full | Code::Timeout | Code::Cancelled | Code::Moot => {}
         }
         let place = self.functions.get_mut(name).and_then(|f| f.places.get_mut(worker));
-        if let Some(place) = place.filter(|p| told.code != Code::Ok && !p.standing) {
+        if let Some(place) = place.filter(|p| told.code != Code::Ok && !p.loaded) {
             place.loading_since = None;
         }
     }
@@ -901,18 +930,18 @@
     /// elsewhere where class and settings allow. A worker that answers others is at work, and a second
     /// attempt would only add to a crowd, until it is suspect for this class. Tries are rationed, so a jam
     /// stays one.
-    fn overdue(&mut self, now: Micros, id: RequestId, number: usize, out: &mut Actions) {
+    fn on_overdue(&mut self, now: Micros, id: RequestId, number: usize, out: &mut Actions) {
         let Some(held) = self.requests.get_mut(&id).filter(|h| !h.answered) else { return };
         let (last, class, deadline) = (held.attempts.len() == number + 1, held.request.class, held.deadline);
         let more = held.attempts.len() < self.settings.limits.attempts as usize;
         let Some(attempt) = held.attempts.get_mut(number).filter(|a| a.ended.is_none()) else { return };
         let Some(worker) = self.workers.get_mut(&attempt.worker) else { return };
         let silent = worker.answered_at[class] <= attempt.sent;
-        if silent && !std::mem::replace(&mut attempt.missed, true) {
-            worker.unanswered[class].add(now, 1.0, FORGET_US);
+        if silent && !std::mem::replace(&mut attempt.counted_overdue, true) {
+            worker.unanswered[class].add(now, 1.0, PENALTY_DECAY_US);
         }
         let (sent, worker) = (attempt.sent, &self.workers[&attempt.worker]);
-        let suspect = self.evidence(now, worker, class) >= self.suspect(class);
+        let suspect = self.penalty(now, worker, class) >= self.suspect_threshold(class);
         // Called off, its work is lost and done again: there only suspicion will do.
         let busy = worker.answered_at.iter().any(|h| *h > sent) || !self.settings.limits.concurrent_attempts;
         if busy && !suspect {
@@ -938,7 +967,7 @@
     }
 
     /// An answer has begun to stream: the other attempts are called off.
-    fn first(&mut self, id: RequestId, attempt: usize, out: &mut Actions) {
+    fn on_answer_started(&mut self, id: RequestId, attempt: usize, out: &mut Actions) {
         let begun = self.requests.get_mut(&id).filter(|h| !h.answered && attempt < h.attempts.len());
         let Some(held) = begun else { return };
         held.streaming = true;
@@ -949,7 +978,7 @@
     }
 
     /// No further attempt is allowed.
-    fn give_up(&mut self, id: RequestId, wait: Option<Micros>, out: &mut Actions) {
+    fn refuse_or_fail(&mut self, id: RequestId, wait: Option<Micros>, out: &mut Actions) {
         let limits = &self.settings.limits;
         let wait = wait.filter(|_| limits.retry_after).map(|wait| wait.min(limits.max_retry_after));
         let refuse = self.requests.get(&id).is_some_and(|h| self.may_refuse(h));
@@ -974,29 +1003,29 @@
         }
     }
 
-    fn sweep(&mut self, now: Micros, out: &mut Actions) {
+    fn on_sweep(&mut self, now: Micros, out: &mut Actions) {
         out.push(Action::Timer { after: SWEEP_US, token: 0 });
         if now >= self.next_maintenance {
-            self.next_maintenance = now + WALK_US;
-            self.ration(now);
-            self.walk(now);
+            self.next_maintenance = now + MAINTENANCE_US;
+            self.has_order_left(now);
+            self.maintain(now);
         }
-        self.ask_denied(now, out);
-        self.pump(now, None, out);
+        self.probe_denied(now, out);
+        self.route_waiting(now, None, out);
         if now >= self.next_rebalance {
-            self.next_rebalance = now + REPLACE_US;
+            self.next_rebalance = now + REBALANCE_US;
             out.extend(std::mem::take(&mut self.watch_failed).then_some(Action::Watch));
             if self.rebalance_queue.is_empty() {
-                self.rebalance_queue = self.by_demand(now);
+                self.rebalance_queue = self.functions_by_demand(now);
             }
         }
-        self.replace(now, out);
+        self.rebalance(now, out);
     }
 
     /// Gives up loads that never ended, releases idle copies and placements, and takes the fleet's sums.
-    fn walk(&mut self, now: Micros) {
+    fn maintain(&mut self, now: Micros) {
         // Loads that fail by themselves now and then are no jam.
-        self.load_gap = if now >= self.load_gap_raised_at + JAMMED_US { 0 } else { self.load_gap };
+        self.load_gap = if now >= self.load_gap_raised_at + LOAD_GAP_RESET_US { 0 } else { self.load_gap };
         let keep = self.settings.copies.keep_alive;
         let names: Vec<_> = self.functions.keys().cloned().collect();
         for name in names {
@@ -1011,7 +1040,7 @@
             let idle = function.places.iter().filter(|(_, p)| p.in_flight == 0 && p.loading_since.is_none());
             let idle: Vec<_> = idle.filter(|(_, p)| p.last + keep < now).map(|(w, _)| w.clone()).collect();
             let home = function.home.clone();
-            idle.iter().for_each(|worker| self.stand(worker, &name, false, 0, now));
+            idle.iter().for_each(|worker| self.record_copies(worker, &name, false, 0, now));
             let Some(function) = self.functions.get_mut(&name) else { continue };
             function.places.retain(|w, _| !idle.contains(w));
             function.home = function.home.take().or(home);
@@ -1020,7 +1049,7 @@
         let usable: Vec<&Worker> = self.workers.values().filter(|w| self.takes_work(now, w)).collect();
         let count = usable.len().max(1) as f64;
         let sum = |(least, most), f: &Function| {
-            let copies = self.copies(now, f);
+            let copies = self.copy_bounds(now, f);
             (least + copies.0 * f.memory_mb, most + copies.1.max(copies.0) * f.memory_mb)
         };
         let (least, most) = self.functions.values().fold((0.0, 0.0), sum);
@@ -1028,21 +1057,21 @@
         let calls = self.sends.get(now, DEMAND_WINDOW_US) / count;
         let others = 1.0 - 1.0 / f64::from(self.settings.schedulers);
         let better = |class: usize| {
-            let mut all: Vec<_> = usable.iter().map(|w| self.evidence(now, w, class)).collect();
+            let mut all: Vec<_> = usable.iter().map(|w| self.penalty(now, w, class)).collect();
             all.sort_by(f64::total_cmp);
             all.get(all.len() / 4).copied().unwrap_or(1.0)
         };
         let kinds = &self.settings.copies.kind_memory_mb;
         let told: f64 = usable.iter().filter_map(|w| kinds.get(w.member.kind)).sum();
         self.fleet = FleetStats {
-            memory_headroom: ((told * USABLE - least) / (most - least).max(1.0)).clamp(0.0, 1.0),
+            memory_headroom: ((told * COPY_MEMORY_SHARE - least) / (most - least).max(1.0)).clamp(0.0, 1.0),
             workers: usable.len(),
             warm_equivalent: usable.iter().map(|w| self.warmth(now, w)).sum(),
             memory_mb: kinds.iter().sum::<f64>() / kinds.len() as f64,
             hint: mean(&|w| w.hint()),
             demand: mean(&|w| w.demand.get(now, DEMAND_WINDOW_US)),
-            in_flight: mean(&|w| w.due.len() as f64 + w.others_in_flight.get(now, CROWD_US)),
-            local_confidence: calls / (calls + TRUST * others).max(1e-9),
+            in_flight: mean(&|w| w.due.len() as f64 + w.others_in_flight.get(now, CROWD_DECAY_US)),
+            local_confidence: calls / (calls + CONFIDENT_CALLS * others).max(1e-9),
             baseline_penalty: (0..self.settings.classes.len()).map(better).collect(),
         };
     }
@@ -1050,13 +1079,13 @@
 
 /// Lanes that our calls keep busy, the first call left out; a young function's window counts only as far as
 /// it is full.
-fn busy(now: Micros, function: &Function) -> f64 {
+fn busy_lanes(now: Micros, function: &Function) -> f64 {
     let age = now.saturating_sub(function.created_at).max(1_000_000) as f64;
     let calls = (function.rate.get(now, DEMAND_WINDOW_US) - 1.0).max(0.0);
     calls * function.typical_latency / DEMAND_WINDOW_US / (1.0 - (-age / DEMAND_WINDOW_US).exp())
 }
 
 /// A hash as a number above 0 and at most 1.
-fn unit(hash: u64) -> f64 {
+fn unit_interval(hash: u64) -> f64 {
     ((hash >> 11) + 1) as f64 / (1u64 << 53) as f64
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -18,14 +18,14 @@
 
     /// Takes a worker in as one that has just started: nothing is known of it, and nothing stands there. Schedulers that
     /// give the same key have parts of what it may be sent while it is cold that are spread evenly.
-    pub(crate) fn admit(&mut self, now: Micros, member: Member, key: u64) {
+    pub(crate) fn add_cold_worker(&mut self, now: Micros, member: Member, key: u64) {
         let id = member.worker.clone();
         let due = self.workers.remove(&id).map_or(BTreeSet::new(), |w| w.due);
         let mut fresh = Worker::new(member, now, self.class_typical_latency.len(), due);
         let (key, fleet) = (rendezvous(key, fresh.hash), self.settings.schedulers);
         fresh.cold_credit = stratified_fraction(self.settings.self_index, fleet, key);
         self.workers.insert(id.clone(), fresh);
-        self.empty(&id);
+        self.clear_placements(&id);
     }
 
     /// Sends accrued for us at a started worker, endless once it is warm: our part of the told multiple of
--- a/src/standing.rs
+++ b/src/standing.rs
@@ -13,26 +13,26 @@
 
 /// Kept free at the end of a lease, at most half of the grace: what a worker does and what the list says of it, and the
 /// clocks that both are read by, lie apart by some of it.
-const MARGIN_US: Micros = 100_000;
+const LEASE_MARGIN_US: Micros = 100_000;
 /// A worker that has not answered a question by then is no place for the calls that wait for it.
-const ANSWER_US: Micros = 50_000;
+const PROBE_WAIT_US: Micros = 50_000;
 /// A question that has not been answered by then is asked anew: a connection may take so long to come up.
-const LOST_US: Micros = 1_000_000;
+const PROBE_TIMEOUT_US: Micros = 1_000_000;
 /// The first and the longest pause between questions to a worker that drains or does not answer, and the longest one
 /// while no worker at all may get work.
 const PAUSE_US: (Micros, Micros) = (100_000, 3_200_000);
-const PAUSE_ALONE_US: Micros = 800_000;
+const MAX_PAUSE_NONE_OPEN_US: Micros = 800_000;
 /// Questions to such workers in one sweep.
-const QUESTIONS: usize = 2;
+const PROBES_PER_SWEEP: usize = 2;
 /// A worker that turns work away this soon after it has answered a question is merely full.
-const CLEARED_US: Micros = 250_000;
+const FULL_AFTER_PROBE_US: Micros = 250_000;
 /// Without questions, a worker that turned away so many in a row gets nothing for a pause.
-const REFUSALS: u32 = 3;
+const MAX_REFUSALS: u32 = 3;
 /// The list has told of a restart by then, where it is followed.
-const NEWS_US: Micros = 3_000_000;
+const RESTART_NOTICE_US: Micros = 3_000_000;
 /// How much more a worker that has to be asked first weighs among those where copies stand: calls go where calls renew
 /// the lease.
-const QUESTION_COST: f64 = 4.0;
+const PROBE_COST: f64 = 4.0;
 
 /// A worker drains by its own word, or does not answer.
 #[derive(Clone, Copy)]
@@ -40,7 +40,7 @@
     /// When the question was sent that it answers.
     sent: Micros,
     /// When it was noted, and the pause from then on.
-    noted: Micros,
+    noted_at: Micros,
     pause: Micros,
 }
 
@@ -48,26 +48,26 @@
 #[derive(Clone, Default)]
 pub struct DrainEvidence {
     /// It did not drain before this time.
-    proven: Option<Micros>,
+    not_draining_at: Option<Micros>,
     /// Work sent at this time was turned away: whether it drains or is full is not known.
-    doubted: Option<Micros>,
+    refused_at: Option<Micros>,
     /// How often it has turned work away since it last served.
     refusals: u32,
     /// It has answered a question sent at this time.
-    cleared: Option<Micros>,
-    denied: Option<Denial>,
+    probe_passed_at: Option<Micros>,
+    denial: Option<Denial>,
     /// When the question was sent that is not answered.
-    asked: Option<Micros>,
+    probe_sent_at: Option<Micros>,
     /// When its last connection was lost.
-    lost: Option<Micros>,
+    disconnected_at: Option<Micros>,
     /// Its next proof is that of a process that has started since.
-    restarts: bool,
+    restart_expected: bool,
 }
 
 impl DrainEvidence {
     /// Whether it has turned work away in this outage and served none since.
     pub fn is_doubted(&self) -> bool {
-        self.doubted.is_some()
+        self.refused_at.is_some()
     }
 }
 
@@ -77,9 +77,9 @@
     /// It may.
     Open,
     /// The worker is to be asked first.
-    Unproven,
+    NeedsProbe,
     /// It has been asked a moment ago.
-    Asked,
+    Probing,
     /// It may not.
     Closed,
 }
@@ -90,7 +90,7 @@
     pub fn new_work_until(&self, worker: &WorkerId) -> Option<Micros> {
         let listed = self.listed_until()?;
         let Some(known) = self.workers.get(worker) else { return Some(listed) };
-        let is_shut = known.drain_evidence.denied.is_some() || known.drain_evidence.doubted.is_some();
+        let is_shut = known.drain_evidence.denial.is_some() || known.drain_evidence.refused_at.is_some();
         if is_shut && self.settings.limits.probes && !self.is_list_current() {
             Some(0)
         } else {
@@ -106,7 +106,7 @@
 
     /// The grace, without what is kept free of it.
     fn grace(&self) -> Option<Micros> {
-        self.settings.rules.drain_grace.map(|grace| grace - MARGIN_US.min(grace / 2))
+        self.settings.rules.drain_grace.map(|grace| grace - LEASE_MARGIN_US.min(grace / 2))
     }
 
     /// Until when the list alone allows new work at those that it holds.
@@ -122,7 +122,7 @@
     }
 
     fn lease_until(&self, worker: &Worker) -> Micros {
-        let proven = worker.drain_evidence.proven.zip(self.grace());
+        let proven = worker.drain_evidence.not_draining_at.zip(self.grace());
         proven.map_or(0, |(proven, grace)| proven + grace)
     }
 
@@ -134,18 +134,18 @@
         }
         let (standing, probes) = (&worker.drain_evidence, self.settings.limits.probes);
         // Without questions the next call after the pause is one.
-        if standing.denied.is_some_and(|denial| probes || now < denial.noted + denial.pause) {
+        if standing.denial.is_some_and(|denial| probes || now < denial.noted_at + denial.pause) {
             return Access::Closed;
         }
-        let is_doubted = probes && standing.doubted.is_some();
+        let is_doubted = probes && standing.refused_at.is_some();
         if now < listed.max(self.lease_until(worker)) && !is_doubted {
             return Access::Open;
         }
-        match standing.asked {
+        match standing.probe_sent_at {
             _ if !probes => Access::Closed,
-            Some(asked) if now < asked + ANSWER_US => Access::Asked,
-            Some(asked) if now < asked + LOST_US => Access::Closed,
-            _ => Access::Unproven,
+            Some(asked) if now < asked + PROBE_WAIT_US => Access::Probing,
+            Some(asked) if now < asked + PROBE_TIMEOUT_US => Access::Closed,
+            _ => Access::NeedsProbe,
         }
     }
 
@@ -155,9 +155,9 @@
     }
 
     /// How much more a worker weighs among those where copies stand: one that has to be asked first, or turned work away.
-    pub(crate) fn question_cost(&self, now: Micros, worker: &Worker) -> f64 {
+    pub(crate) fn probe_cost(&self, now: Micros, worker: &Worker) -> f64 {
         let is_free = self.access(now, worker) == Access::Open && !worker.drain_evidence.is_doubted();
-        if is_free { 1.0 } else { QUESTION_COST }
+        if is_free { 1.0 } else { PROBE_COST }
     }
 
     /// The one place that all new work passes, calls as well as orders to load: whether it may begin at this worker now.
@@ -165,23 +165,23 @@
     pub(crate) fn may_begin(&mut self, now: Micros, worker: &WorkerId, out: &mut Actions) -> bool {
         let Some(known) = self.workers.get(worker) else { return false };
         let access = self.access(now, known);
-        if access == Access::Unproven {
-            self.question(now, worker, out);
+        if access == Access::NeedsProbe {
+            self.probe(now, worker, out);
         }
         access == Access::Open
     }
 
-    fn question(&mut self, now: Micros, worker: &WorkerId, out: &mut Actions) {
+    fn probe(&mut self, now: Micros, worker: &WorkerId, out: &mut Actions) {
         if let Some(known) = self.workers.get_mut(worker) {
-            known.drain_evidence.asked = Some(now);
+            known.drain_evidence.probe_sent_at = Some(now);
             out.push(Action::Probe { worker: worker.clone() });
         }
     }
 
     /// Whether no worker of the list may get work, and none is being asked.
-    pub(crate) fn is_nobody_left(&self, now: Micros) -> bool {
+    pub(crate) fn is_every_worker_closed(&self, now: Micros) -> bool {
         let shut = |w: &Worker| {
-            let unproven = !self.settings.limits.probes || w.drain_evidence.denied.is_some();
+            let unproven = !self.settings.limits.probes || w.drain_evidence.denial.is_some();
             unproven && self.access(now, w) == Access::Closed
         };
         let mut usable = self.workers.values().filter(|w| w.usable).peekable();
@@ -189,30 +189,34 @@
     }
 
     /// Whether the list is out of reach and no worker of it may get work without a question.
-    pub(crate) fn is_nobody_open(&self, now: Micros) -> bool {
+    pub(crate) fn is_no_worker_open(&self, now: Micros) -> bool {
         !self.is_list_current()
             && !self.workers.values().any(|w| w.usable && self.access(now, w) == Access::Open)
     }
 
     /// How long a client is to stay away while nobody is left.
-    pub(crate) fn until_asked_again(&self) -> Micros {
-        PAUSE_ALONE_US
+    pub(crate) fn retry_after_closed(&self) -> Micros {
+        MAX_PAUSE_NONE_OPEN_US
     }
 
     /// Takes how far the list is to be believed. Once it is followed again it tells of every worker, and what workers
     /// have shown meanwhile is forgotten.
-    pub(crate) fn list_trust(&mut self, now: Micros, trust: ListFreshness) {
+    pub(crate) fn on_list_freshness(&mut self, now: Micros, trust: ListFreshness) {
         let was_current = self.is_list_current();
         self.list_freshness = Some(trust);
         match (was_current, self.is_list_current()) {
             (false, true) => {
                 for worker in self.workers.values_mut() {
-                    worker.drain_evidence =
-                        DrainEvidence { lost: worker.drain_evidence.lost, ..DrainEvidence::default() };
+                    worker.drain_evidence = DrainEvidence {
+                        disconnected_at: worker.drain_evidence.disconnected_at,
+                        ..DrainEvidence::default()
+                    };
                 }
             }
             (true, false) => {
-                let lately = |w: &Worker| w.drain_evidence.lost.is_some_and(|lost| lost + NEWS_US > now);
+                let lately = |w: &Worker| {
+                    w.drain_evidence.disconnected_at.is_some_and(|lost| lost + RESTART_NOTICE_US > now)
+                };
                 let lost = self.workers.iter().filter(|(_, w)| lately(w));
                 let lost: Vec<_> = lost.map(|(id, _)| id.clone()).collect();
                 lost.iter().for_each(|id| self.presume_restart(now, id));
@@ -222,9 +226,9 @@
     }
 
     /// A worker's last connection has ended. While the list is out of reach nobody tells of a restart but this.
-    pub(crate) fn disconnected(&mut self, now: Micros, worker: &WorkerId) {
+    pub(crate) fn on_disconnected(&mut self, now: Micros, worker: &WorkerId) {
         let Some(known) = self.workers.get_mut(worker) else { return };
-        known.drain_evidence.lost = Some(now);
+        known.drain_evidence.disconnected_at = Some(now);
         if !self.is_list_current() {
             self.presume_restart(now, worker);
         }
@@ -232,19 +236,19 @@
 
     /// A worker may have started anew: it counts as cold and empty from now on, and again from its next answer on.
     fn presume_restart(&mut self, now: Micros, worker: &WorkerId) {
-        self.restart(now, worker);
+        self.record_restart(now, worker);
         if let Some(known) = self.workers.get_mut(worker) {
-            known.drain_evidence.restarts = true;
+            known.drain_evidence.restart_expected = true;
         }
     }
 
     /// A worker counts as started now. What it has shown of its draining stands.
-    fn restart(&mut self, now: Micros, worker: &WorkerId) {
+    fn record_restart(&mut self, now: Micros, worker: &WorkerId) {
         let Some(known) = self.workers.get(worker) else { return };
         let (mut member, standing) = (known.member.clone(), known.drain_evidence.clone());
         member.started = now;
         // Each scheduler finds it at a time of its own: their parts are spread by what all know alike.
-        self.admit(now, member, 0);
+        self.add_cold_worker(now, member, 0);
         if let Some(known) = self.workers.get_mut(worker) {
             known.drain_evidence = standing;
         }
@@ -257,50 +261,56 @@
         }
         let Some(known) = self.workers.get_mut(worker) else { return };
         let standing = &mut known.drain_evidence;
-        standing.proven = standing.proven.max(Some(sent));
-        if standing.doubted.take_if(|doubted| *doubted <= sent).is_some() {
+        standing.not_draining_at = standing.not_draining_at.max(Some(sent));
+        if standing.refused_at.take_if(|doubted| *doubted <= sent).is_some() {
             standing.refusals = 0;
         }
-        standing.denied.take_if(|denial| denial.sent < sent);
-        if standing.denied.is_none() && std::mem::take(&mut standing.restarts) {
-            self.restart(now, worker);
+        standing.denial.take_if(|denial| denial.sent < sent);
+        if standing.denial.is_none() && std::mem::take(&mut standing.restart_expected) {
+            self.record_restart(now, worker);
         }
     }
 
     /// Work sent at `sent` was turned away. Gives whether that tells of too much load. A worker that drains turns all away,
     /// one that is full serves in between: it is asked before it gets more, and what it turns away just after its answer is
     /// load. Without questions the first of several in a row counts.
-    pub(crate) fn turned_down(&mut self, now: Micros, worker: &WorkerId, sent: Micros) -> bool {
+    pub(crate) fn on_refusal(&mut self, now: Micros, worker: &WorkerId, sent: Micros) -> bool {
         let (current, probes) = (self.is_list_current(), self.settings.limits.probes);
         let Some(known) = self.workers.get_mut(worker).filter(|_| !current) else { return true };
         let standing = &mut known.drain_evidence;
-        if probes && standing.cleared.is_some_and(|cleared| cleared + CLEARED_US > now) {
+        if probes && standing.probe_passed_at.is_some_and(|cleared| cleared + FULL_AFTER_PROBE_US > now) {
             return true;
         }
-        let is_first = standing.doubted.is_none();
-        standing.doubted = standing.doubted.max(Some(sent));
+        let is_first = standing.refused_at.is_none();
+        standing.refused_at = standing.refused_at.max(Some(sent));
         standing.refusals += 1;
-        if !probes && standing.refusals >= REFUSALS {
+        if !probes && standing.refusals >= MAX_REFUSALS {
             self.deny(now, worker, sent, false);
         }
         is_first && !probes
     }
 
     /// A question was answered, or was not.
-    pub(crate) fn probed(&mut self, now: Micros, worker: &WorkerId, of: (Code, Micros), out: &mut Actions) {
+    pub(crate) fn on_probed(
+        &mut self,
+        now: Micros,
+        worker: &WorkerId,
+        of: (Code, Micros),
+        out: &mut Actions,
+    ) {
         let (code, latency) = of;
         let (sent, current) = (now.saturating_sub(latency), self.is_list_current());
         let Some(known) = self.workers.get_mut(worker).filter(|_| !current) else { return };
-        known.drain_evidence.asked = None;
+        known.drain_evidence.probe_sent_at = None;
         match code {
             Code::Ok => {
-                known.drain_evidence.cleared = Some(sent);
+                known.drain_evidence.probe_passed_at = Some(sent);
                 self.proven(now, worker, sent);
             }
             code => self.deny(now, worker, sent, code == Code::Error),
         }
         self.waiting.values_mut().for_each(|calls| calls.blocked_until = 0);
-        self.pump(now, None, out);
+        self.route_waiting(now, None, out);
     }
 
     /// A worker says that it drains, or has not answered. One that drains comes back as a new process, empty and cold.
@@ -308,30 +318,33 @@
         let Some(known) = self.workers.get_mut(worker) else { return };
         let standing = &mut known.drain_evidence;
         // What was sent later has been answered otherwise.
-        if standing.proven.is_some_and(|proven| proven > sent) {
+        if standing.not_draining_at.is_some_and(|proven| proven > sent) {
             return;
         }
-        let pause = standing.denied.map_or(PAUSE_US.0, |denial| (denial.pause * 2).min(PAUSE_US.1));
-        standing.denied = Some(Denial { sent, noted: now, pause });
-        if drains && !std::mem::replace(&mut standing.restarts, true) {
-            self.empty(worker);
+        let pause = standing.denial.map_or(PAUSE_US.0, |denial| (denial.pause * 2).min(PAUSE_US.1));
+        standing.denial = Some(Denial { sent, noted_at: now, pause });
+        if drains && !std::mem::replace(&mut standing.restart_expected, true) {
+            self.clear_placements(worker);
         }
     }
 
     /// Asks again those whose pause is over, the one that has waited longest first.
-    pub(crate) fn ask_denied(&mut self, now: Micros, out: &mut Actions) {
+    pub(crate) fn probe_denied(&mut self, now: Micros, out: &mut Actions) {
         if self.is_list_current() || !self.settings.limits.probes {
             return;
         }
-        let longest = if self.is_nobody_open(now) { PAUSE_ALONE_US } else { PAUSE_US.1 };
-        let free = |w: &Worker| w.usable && w.drain_evidence.asked.is_none_or(|asked| now >= asked + LOST_US);
-        let due = |w: &Worker| w.drain_evidence.denied.map(|denial| denial.noted + denial.pause.min(longest));
-        for _ in 0..QUESTIONS {
+        let longest = if self.is_no_worker_open(now) { MAX_PAUSE_NONE_OPEN_US } else { PAUSE_US.1 };
+        let free = |w: &Worker| {
+            w.usable && w.drain_evidence.probe_sent_at.is_none_or(|asked| now >= asked + PROBE_TIMEOUT_US)
+        };
+        let due =
+            |w: &Worker| w.drain_evidence.denial.map(|denial| denial.noted_at + denial.pause.min(longest));
+        for _ in 0..PROBES_PER_SWEEP {
             let open = self.workers.iter().filter(|(_, w)| free(w)).filter_map(|(id, w)| Some((due(w)?, id)));
             let Some(worker) = open.min().filter(|(due, _)| *due <= now).map(|(_, id)| id.clone()) else {
                 return;
             };
-            self.question(now, &worker, out);
+            self.probe(now, &worker, out);
         }
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -74,7 +74,7 @@
 /// One function on one worker.
 #[derive(Default)]
 pub struct Place {
-    pub standing: bool,
+    pub loaded: bool,
     pub copies: u32,
     pub in_flight: u32,
     pub loading_since: Option<Micros>,
@@ -126,7 +126,7 @@
     pub sent: Micros,
     pub due: Micros,
     /// It was counted as evidence of silence.
-    pub missed: bool,
+    pub counted_overdue: bool,
     pub ended: Option<Code>,
 }
 
@@ -277,7 +277,7 @@
 impl Attempt {
     pub fn new(member: &Member, sent: Micros, due: Micros) -> Self {
         let worker = member.worker.clone();
-        Self { worker, zone: member.zone, cell: member.cell, sent, due, missed: false, ended: None }
+        Self { worker, zone: member.zone, cell: member.cell, sent, due, counted_overdue: false, ended: None }
     }
 
     pub fn may_have_run(&self) -> bool {
