--- a/src/control.rs
+++ b/src/control.rs
@@ -397,7 +397,7 @@
             place.loading_since.get_or_insert(now);
         }
         place.in_flight += 1;
-        place.last = now;
+        place.last_used = now;
         function.home.get_or_insert_with(|| worker.clone());
         let aim = held.aim.saturating_sub(now) as f64;
         let left = (aim - function.typical_latency * 1.5).max(function.typical_latency * 1.5);
@@ -568,7 +568,7 @@
         let Some(function) = self.functions.get_mut(name) else { return false };
         let place = function.places.entry(worker.clone()).or_default();
         place.loading_since = Some(now);
-        place.last = now;
+        place.last_used = now;
         self.next_load = now + self.load_gap;
         self.recent_orders.push_back(now);
         out.push(Action::Load { worker: worker.clone(), function: name.clone(), count: count.clamp(1, 16) });
@@ -588,7 +588,7 @@
         }
         let idle = self.functions.iter().filter(|(n, _)| *n != name).filter_map(|(n, f)| {
             let place = f.places.get(worker).filter(|p| p.loaded && p.in_flight == 0)?;
-            let unused = place.last + self.settings.copies.keep_alive / 4 < now;
+            let unused = place.last_used + self.settings.copies.keep_alive / 4 < now;
             let once = f.rate.get(now, DEMAND_WINDOW_US) <= 1.0;
             (unused && once).then_some((place.loaded_at, n))
         });
@@ -641,7 +641,7 @@
         let Some(place) = function.places.get_mut(worker).filter(ends) else {
             // An answer to a question; of no copy also one to a question from before the order.
             if code == Code::Ok && count > 0 {
-                function.places.entry(worker.clone()).or_default().last = now;
+                function.places.entry(worker.clone()).or_default().last_used = now;
                 self.record_copies(worker, name, true, count, now);
             }
             if count > 0 || self.functions[name].queries_in_flight == 0 {
@@ -784,7 +784,7 @@
             ..Function::default()
         });
         function.rate.add(now, 1.0, DEMAND_WINDOW_US);
-        function.last = now;
+        function.last_called = now;
         function.holders = holders as f64;
         let deadline = now + told.client_timeout;
         // Told less patience than the aim, what is left of it is the aim.
@@ -816,7 +816,7 @@
         held.answered |= told.is_final;
         let (done, quiet) = (held.answered, held.attempts.iter().all(|a| a.ended.is_some()));
         if told.code == Code::Ok {
-            self.proven(now, &told.worker, sent);
+            self.renew_lease(now, &told.worker, sent);
         }
         let is_load = told.code != Code::Full || self.on_refusal(now, &told.worker, sent);
         self.record_outcome(now, &name, (class, due, missed, is_load), &told);
@@ -1038,14 +1038,15 @@
                 }
             }
             let idle = function.places.iter().filter(|(_, p)| p.in_flight == 0 && p.loading_since.is_none());
-            let idle: Vec<_> = idle.filter(|(_, p)| p.last + keep < now).map(|(w, _)| w.clone()).collect();
+            let idle: Vec<_> =
+                idle.filter(|(_, p)| p.last_used + keep < now).map(|(w, _)| w.clone()).collect();
             let home = function.home.clone();
             idle.iter().for_each(|worker| self.record_copies(worker, &name, false, 0, now));
             let Some(function) = self.functions.get_mut(&name) else { continue };
             function.places.retain(|w, _| !idle.contains(w));
             function.home = function.home.take().or(home);
         }
-        self.functions.retain(|_, f| f.last + keep * 4 >= now || !f.places.is_empty());
+        self.functions.retain(|_, f| f.last_called + keep * 4 >= now || !f.places.is_empty());
         let usable: Vec<&Worker> = self.workers.values().filter(|w| self.takes_work(now, w)).collect();
         let count = usable.len().max(1) as f64;
         let sum = |(least, most), f: &Function| {
--- a/src/standing.rs
+++ b/src/standing.rs
@@ -255,7 +255,7 @@
     }
 
     /// A worker has answered what was sent at `sent` as one that drains would not have.
-    pub(crate) fn proven(&mut self, now: Micros, worker: &WorkerId, sent: Micros) {
+    pub(crate) fn renew_lease(&mut self, now: Micros, worker: &WorkerId, sent: Micros) {
         if self.is_list_current() {
             return;
         }
@@ -305,7 +305,7 @@
         match code {
             Code::Ok => {
                 known.drain_evidence.probe_passed_at = Some(sent);
-                self.proven(now, worker, sent);
+                self.renew_lease(now, worker, sent);
             }
             code => self.deny(now, worker, sent, code == Code::Error),
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -78,7 +78,7 @@
     pub copies: u32,
     pub in_flight: u32,
     pub loading_since: Option<Micros>,
-    pub last: Micros,
+    pub last_used: Micros,
     pub loaded_at: Micros,
     /// Requests of other schedulers for this function there, by crowd notes; fades.
     pub crowd: DecayingValue,
@@ -102,7 +102,7 @@
     pub crowd_sum: DecayingValue,
     pub holders: f64,
     pub created_at: Micros,
-    pub last: Micros,
+    pub last_called: Micros,
     pub home: Option<WorkerId>,
     pub moving_to: Option<WorkerId>,
     pub places: BTreeMap<WorkerId, Place>,
