--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! What passes between a front end and its [`Controller`](crate::Controller): settings, ids, events and
+//! The interface between a front end and its [`Controller`](crate::Controller): settings, ids, events and
 //! actions. Plain data; all times are microseconds on the caller's clock.
 
 use std::fmt;
@@ -13,7 +13,7 @@
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(Arc<str>);
         impl $name {
-            /// The id as it was told.
+            /// The id as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -32,39 +32,39 @@
 }
 
 text_id!(
-    /// Names a worker; stays the same when its process restarts.
+    /// Identifies a worker; stays the same when its process restarts.
     WorkerId
 );
 text_id!(
-    /// Names a function.
+    /// Identifies a function.
     FunctionId
 );
 
-/// Names one try of a client.
+/// Identifies one request of a client. A client that tries again sends a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Which workers drop a keyed request's repeats.
+/// The set of workers that share deduplication of keyed requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// Every worker.
     All,
-    /// Those in the zone of the worker first tried.
+    /// Workers in the zone of the first attempt.
     Zone,
-    /// Those in the cell of the worker first tried.
+    /// Workers in the cell of the first attempt.
     Cell,
 }
 
-/// What a class allows once an attempt may have run.
+/// Whether a request may be repeated once an attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// May be repeated and refused freely.
+    /// May be repeated and refused at any time.
     Safe,
-    /// Repeats are dropped by `group` for `window` after the first send.
+    /// Workers of `group` deduplicate repeats for `window` after the first send.
     Keyed {
-        /// Workers that share the memory of keys.
+        /// Workers that share the record of keys.
         group: Group,
-        /// How long they remember.
+        /// How long keys are remembered.
         window: Micros,
     },
     /// Must never run twice.
@@ -74,117 +74,118 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this span earns the full worth.
+    /// An answer within this time earns the full value.
     pub aim: Micros,
-    /// How long a client waits in all.
+    /// How long a client waits in total.
     pub deadline: Micros,
-    /// What may be done once an attempt may have run.
+    /// Whether a request may be repeated once an attempt may have run.
     pub repeat: Repeat,
-    /// Worth of one answer in time.
+    /// Value of one answer in time.
     pub value: f64,
-    /// Share of the worth that a late answer earns.
+    /// Share of the value that a late answer earns.
     pub late_value: f64,
 }
 
 impl Class {
-    /// A class of worth 1 whose late answers earn nothing.
+    /// A class of value 1 whose late answers earn nothing.
     pub fn new(aim: Micros, deadline: Micros, repeat: Repeat) -> Self {
         Self { aim, deadline, repeat, value: 1.0, late_value: 0.0 }
     }
 }
 
-/// Facts about copies and loads.
+/// Properties of copies and of loading them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CopySettings {
     /// Memory of each kind of worker, MB.
     pub kind_memory_mb: Vec<f64>,
-    /// A worker lacking the function loads it while the request waits; else it answers `Miss`.
+    /// A worker without a copy loads one while the request waits; otherwise it answers `Miss`.
     pub load_on_miss: bool,
     /// `Load` and `Drop` are allowed.
     pub orders: bool,
-    /// A `Load` unanswered by then ends as `Timeout`.
+    /// A `Load` that is not answered within this time ends as `Timeout`.
     pub order_timeout: Micros,
-    /// An idle copy stays at least this long.
+    /// An idle copy stays loaded at least this long.
     pub keep_alive: Micros,
-    /// Window of the ration of load orders; 0 when there is none.
+    /// Window of the rate limit for load orders; 0 for no limit.
     pub load_window: Micros,
-    /// Orders free in each window.
+    /// Orders allowed in each window regardless of requests.
     pub load_free: f64,
-    /// Further orders for each request taken in the window.
+    /// Further orders allowed for each request received in the window.
     pub load_share: f64,
 }
 
-/// What the front end permits.
+/// What the front end supports and allows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub attempts: u32,
-    /// Two attempts of a request may be out together.
+    /// Several attempts of a request may be in flight at the same time.
     pub concurrent_attempts: bool,
     /// `Cancel` is allowed.
     pub cancel: bool,
     /// `Probe` is allowed.
     pub probes: bool,
-    /// Clients are told how long to stay away.
+    /// A refusal carries the time after which the client may retry.
     pub retry_after: bool,
-    /// The longest stay that they honour.
+    /// The longest such time that clients honour.
     pub max_retry_after: Micros,
 }
 
-/// Figures of the rules.
+/// Timing and capacity parameters of the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// A final answer still counts this long after the client's deadline.
     pub answer_slack: Micros,
-    /// A started worker has at least this share of its capacity.
+    /// A worker that has just started has at least this share of its capacity.
     pub cold_from: f64,
-    /// And all of it after this span.
+    /// Time after its start at which a worker has its full capacity.
     pub warm_within: Micros,
-    /// Sent more than this multiple of its present capacity ...
+    /// A cold worker fails if it is sent more than this multiple of its current capacity for `overload_span`.
     pub overload_multiple: f64,
-    /// ... for this span, a cold worker falls over.
+    /// How long a cold worker withstands such an overload.
     pub overload_span: Micros,
-    /// Nothing new may begin at a worker later than this after it was told, or counts as told, that the worker drains
-    /// or is gone; `None` where the settings state no such rule.
+    /// No new work may begin at a worker later than this after the scheduler was notified, or is deemed notified, that
+    /// the worker drains or is gone; `None` if the settings set no such limit.
     pub drain_grace: Option<Micros>,
-    /// What is sent may come whole to its worker so much later, as it waits for a connection; 0 where the rules count
-    /// from sending.
+    /// Upper bound on the time between sending a request and its complete arrival at the worker, as it may wait for a
+    /// connection; 0 if the rules count from sending.
     pub send_delay: Micros,
 }
 
-/// Everything a controller is told at its start.
+/// Settings of a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Classes of requests.
     pub classes: Vec<Class>,
-    /// Requests a second within each tenant's share, over all schedulers; empty without tenants.
+    /// Share of each tenant in requests per second, over all schedulers; empty without tenants.
     pub tenant_quotas: Vec<f64>,
-    /// Worth of a request past its tenant's share, as a share of its class's.
+    /// Value of a request over its tenant's share, as a fraction of the value of its class.
     pub over_share_value: f64,
-    /// Copies and loads.
+    /// Properties of copies and of loading them.
     pub copies: CopySettings,
-    /// Permissions.
+    /// What the front end supports and allows.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Timing and capacity parameters.
     pub rules: Rules,
     /// Names of the values in load reports.
     pub report_names: Vec<String>,
     /// Number of schedulers, this one included.
     pub schedulers: u32,
-    /// This scheduler's number among them, from 0.
+    /// This scheduler's index among them, from 0.
     pub self_index: u32,
-    /// The zone this scheduler stands in.
+    /// The zone in which this scheduler runs.
     pub zone: usize,
-    /// What sending a request to another zone costs, as a share of its worth.
+    /// Cost of sending a request to another zone, as a share of its value.
     pub cross_zone: f64,
-    /// Shortest gap between two batches of events.
+    /// Shortest time between two batches of events.
     pub tick: Micros,
-    /// The list of workers comes only when asked for.
+    /// The list of workers is sent only after [`Action::Watch`].
     pub needs_watch: bool,
 }
 
 impl Settings {
-    /// Settings for one scheduler that may do everything, with mild figures for the rules.
+    /// Settings for a single scheduler with all features allowed and moderate parameters. `kind_memory_mb` is the
+    /// memory of each kind of worker, MB.
     pub fn new(classes: Vec<Class>, kind_memory_mb: Vec<f64>) -> Self {
         Self {
             classes,
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Checks that the settings can be decided by.
+    /// Validates the settings.
     pub fn check(&self) -> Result<(), SettingsError> {
         let positive = |x: f64| x.is_finite() && x > 0.0;
         if self.classes.is_empty() {
@@ -266,30 +267,30 @@
     }
 }
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// There is no class of requests.
+    /// There is no request class.
     NoClass,
     /// This class has an aim or a deadline of zero.
     ClassTimes(usize),
-    /// This class's worth is negative or not a number.
+    /// This class's value is negative, or one of its values is not a finite number.
     ClassWorth(usize),
     /// There is no kind of worker.
     NoKind,
     /// This kind's memory is not above zero.
     KindMemory(usize),
-    /// The named figure is out of range.
+    /// The named setting is out of range.
     Figure(&'static str),
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoClass => write!(f, "settings name no request class"),
+            Self::NoClass => write!(f, "settings define no request class"),
             Self::ClassTimes(i) => write!(f, "class {i}: aim and deadline must be above zero"),
-            Self::ClassWorth(i) => write!(f, "class {i}: worth must be a number, zero or more"),
-            Self::NoKind => write!(f, "settings name no kind of worker"),
+            Self::ClassWorth(i) => write!(f, "class {i}: value must be a number, zero or more"),
+            Self::NoKind => write!(f, "settings define no kind of worker"),
             Self::KindMemory(i) => write!(f, "kind {i}: memory must be above zero"),
             Self::Figure(name) => write!(f, "setting {name} is out of range"),
         }
@@ -301,9 +302,9 @@
 /// A worker's state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerState {
-    /// Takes work.
+    /// Accepts work.
     Active,
-    /// Finishes its work and takes nothing new.
+    /// Finishes its work and accepts nothing new.
     Leaving,
     /// Removed.
     Gone,
@@ -316,11 +317,11 @@
     pub worker: WorkerId,
     /// Its state.
     pub state: WorkerState,
-    /// When it last started; 0 for long ago.
+    /// Time of its last start; 0 if it is long past.
     pub started: Micros,
-    /// Told size, comparable between workers.
+    /// Reported relative capacity, comparable between workers.
     pub hint: f64,
-    /// Its kind, a position in [`Family::kind_memory_mb`].
+    /// Its kind, an index into [`Family::kind_memory_mb`].
     pub kind: usize,
     /// Its zone.
     pub zone: usize,
@@ -329,47 +330,47 @@
 }
 
 impl Member {
-    /// A worker in use, long started, of the first kind, zone and cell, of a size like the others'.
+    /// An active, fully warm worker of the first kind, zone and cell, with a hint of 1.
     pub fn active(name: &str) -> Self {
         let (worker, state) = (name.into(), WorkerState::Active);
         Self { worker, state, started: 0, hint: 1.0, kind: 0, zone: 0, cell: 0 }
     }
 }
 
-/// How a list of workers is to be read.
+/// How the entries of a list update apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembersKind {
     /// Changed entries only.
     Changes,
-    /// The whole list; who is missing is gone.
+    /// The complete list; workers missing from it are gone.
     Whole,
-    /// The whole list as last held, perhaps out of date.
+    /// The complete list as last stored, possibly out of date.
     Stale,
-    /// The list could not be had; the previous one stands.
+    /// The list could not be read; the previous one remains in force.
     Failed,
 }
 
-/// How far the list of workers is to be believed; times are the caller's.
+/// How up to date the list of workers is; times are on the caller's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListFreshness {
-    /// Since the start nothing has shown that the list is complete.
+    /// The list has not been confirmed complete since the start.
     Unconfirmed {
-        /// When the list of the start was taken.
+        /// When the initial list was read.
         since: Micros,
     },
-    /// The list is followed.
+    /// The list is being followed.
     Current {
-        /// When all that it is missing counts as told, should nothing more be heard.
+        /// Time at which changes missing from the list are deemed announced if nothing more is received.
         announced_at: Micros,
     },
-    /// The source of the list is out of reach.
+    /// The source of the list is unreachable.
     Interrupted {
-        /// When all that it is missing counts as told.
+        /// Time at which changes missing from the list are deemed announced.
         announced_at: Micros,
     },
 }
 
-/// A request that has landed.
+/// A received request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Its id.
@@ -380,13 +381,13 @@
     pub class: usize,
     /// The function called.
     pub function: FunctionId,
-    /// How long until the client gives up on this try.
+    /// Time until the client gives up on this request.
     pub client_timeout: Micros,
     /// Memory of one copy, MB.
     pub memory_mb: f64,
-    /// Requests that one copy runs at once.
+    /// Requests that one copy runs concurrently.
     pub lanes: u32,
-    /// How long a load usually takes, where told.
+    /// Typical duration of a load, if known.
     pub load_time: Option<Micros>,
 }
 
@@ -407,54 +408,54 @@
     }
 }
 
-/// How an attempt, a probe or an order ended.
+/// The result of an attempt, a probe or a load order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
-    /// Served; for an order: the copies stand.
+    /// Served; for an order: the copies are loaded.
     Ok,
     /// An error; may have run.
     Error,
-    /// Turned away unseen; never ran.
+    /// Rejected before execution, as the worker is full or drains; never ran.
     Full,
-    /// Nothing heard in time; may have run.
+    /// No answer in time; may have run.
     Timeout,
-    /// No connection; never ran.
+    /// No connection could be established; never ran.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection was lost; may have run.
     Reset,
-    /// Called off; may have run.
+    /// Cancelled; may have run.
     Cancelled,
     /// Never sent.
     Moot,
-    /// No copy there; never ran.
+    /// No copy on the worker; never ran.
     Miss,
-    /// A code this version does not know; may have run.
+    /// A code that this version does not support; may have run.
     Unknown,
 }
 
 impl Code {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Whether this code proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::Moot | Self::Miss)
     }
 }
 
-/// What an outcome tells of the copy.
+/// The state of the copy as reported with an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyStatus {
-    /// Nothing was told.
+    /// Not reported.
     Unknown,
-    /// A copy stood loaded.
+    /// A copy was already loaded.
     Loaded,
-    /// This request began a load.
+    /// This request started a load.
     LoadStarted,
-    /// It waited for a load begun before.
+    /// This request waited for a load that was already under way.
     WaitedForLoad,
     /// The load failed.
     LoadFailed,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
     /// The request.
@@ -467,35 +468,35 @@
     pub code: Code,
     /// Time since the send.
     pub latency: Micros,
-    /// The request is finished.
+    /// The request is finished; no answer is pending any more.
     pub is_final: bool,
-    /// What became of the copy.
+    /// State of the copy.
     pub copy: CopyStatus,
-    /// Requests for the same function that the worker held on arrival, where told.
+    /// Number of requests for the same function at the worker when this one arrived, if reported.
     pub crowd: Option<u32>,
     /// Load report, in the order of [`Settings::report_names`].
     pub report: Vec<f64>,
 }
 
-/// What a controller is told.
+/// Input of a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the list of workers.
+    /// An update of the list of workers.
     Members {
-        /// How to read it.
+        /// How the entries apply.
         kind: MembersKind,
         /// The entries.
         members: Vec<Member>,
     },
-    /// How far the list is to be believed from now on. Where it is never told, the list is believed for ever.
+    /// How up to date the list is from now on. If this event never occurs, the list counts as up to date.
     ListFreshness(ListFreshness),
-    /// The last connection to a worker has ended by itself, or none could be had: its process may be another one when
-    /// it answers next.
+    /// The last connection to a worker was lost, or none could be established: the worker may have restarted by the
+    /// time it answers next.
     Disconnected {
         /// The worker.
         worker: WorkerId,
     },
-    /// A request has landed; one final answer is owed.
+    /// A request was received. It must get exactly one final answer.
     Request(Request),
     /// An attempt's answer has begun to stream.
     AnswerStarted {
@@ -506,7 +507,7 @@
     },
     /// An attempt has ended.
     Outcome(Outcome),
-    /// The client has left; nothing is owed any more.
+    /// The client has disconnected; no answer is expected any more.
     ClientGone {
         /// The request.
         id: RequestId,
@@ -520,7 +521,7 @@
     Probed {
         /// The worker.
         worker: WorkerId,
-        /// How.
+        /// The result.
         code: Code,
         /// Time since the probe.
         latency: Micros,
@@ -533,58 +534,58 @@
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// Copies standing.
+        /// Number of loaded copies.
         count: u32,
-        /// How it ended.
+        /// The result.
         code: Code,
         /// Time since the order.
         latency: Micros,
     },
     /// A message from another scheduler.
     Peer {
-        /// Its number.
+        /// Index of the scheduler.
         from: usize,
-        /// The bytes.
+        /// The message.
         payload: Vec<u8>,
     },
 }
 
-/// What a controller wants done.
+/// Output of a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The target.
         worker: WorkerId,
-        /// When to drop it; `None` for the client's patience.
+        /// When to abandon the attempt; `None` for the client's timeout.
         until: Option<Micros>,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: usize,
     },
-    /// Final answer: turned away, trying again does no harm.
+    /// Final answer: refused, a retry is harmless.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before a retry.
         wait: Option<Micros>,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Final answer: failed; the request may or may not have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Ask for an [`Event::Timer`].
+    /// Set a timer, which ends in an [`Event::Timer`].
     Timer {
-        /// How far from now.
+        /// Time from now.
         after: Micros,
-        /// Comes back with the event.
+        /// Returned with the event.
         token: u64,
     },
     /// Probe a worker.
@@ -592,16 +593,16 @@
         /// The worker.
         worker: WorkerId,
     },
-    /// Have at least `count` copies held; 0 only asks.
+    /// Have at least `count` copies loaded; 0 only queries the number of loaded copies.
     Load {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// How many.
+        /// Number of copies.
         count: u32,
     },
-    /// Have the function's idle copies unloaded.
+    /// Unload the function's idle copies.
     Drop {
         /// The worker.
         worker: WorkerId,
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,17 +1,20 @@
-//! The records that the policy keeps: plain data, a fading sum and a hash. Nothing here decides.
+//! State of the decision module: plain records, an exponentially decaying value and hashes. The policy is in
+//! `control.rs`.
 
 use crate::interface::*;
 use crate::standing::DrainEvidence;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Span of the demand window (the paper has 60 s; keep-alive here is some ten seconds).
+/// Time constant of the demand average. The pressure-ratio paper uses 60 s; idle copies here are kept for only
+/// about ten seconds.
 pub const DEMAND_WINDOW_US: f64 = 10_000_000.0;
 
-/// Where a decision's actions go.
+/// Output buffer for actions.
 pub type Actions = Vec<Action>;
 
-/// A sum that fades with time.
+/// A value that decays exponentially. Each method takes the time constant as `span`, in microseconds: after one
+/// span without an update, 1/e of the value is left.
 #[derive(Clone, Copy, Default)]
 pub struct DecayingValue {
     pub value: f64,
@@ -26,10 +29,10 @@
         self.value * (-(now.saturating_sub(self.updated_at) as f64) / span).exp()
     }
 
-    /// Moves the value a share of the way to `toward`.
-    pub fn blend(&mut self, now: Micros, toward: f64, share: f64, span: f64) {
+    /// Moves the decayed value toward `sample` by the fraction `share`.
+    pub fn blend(&mut self, now: Micros, sample: f64, share: f64, span: f64) {
         let before = self.get(now, span);
-        *self = Self { value: before + share * (toward - before), updated_at: now };
+        *self = Self { value: before + share * (sample - before), updated_at: now };
     }
 
     pub fn add(&mut self, now: Micros, amount: f64, span: f64) {
@@ -38,83 +41,95 @@
     }
 }
 
-/// Attempts out at a worker, by the time at which each becomes overdue.
+/// Attempts in flight at a worker as (time at which it becomes overdue, request, attempt number).
 pub type DueAttempts = BTreeSet<(Micros, RequestId, usize)>;
 
-/// What this scheduler knows of one worker.
+/// State that this scheduler holds for one worker.
 pub struct Worker {
     pub member: Member,
-    /// In the list and active; all sends and loads stop the moment this turns false.
+    /// Listed and active. Once this is false, nothing is sent to the worker and no load is ordered there.
     pub usable: bool,
-    /// Weighted busy time of our sends.
+    /// Busy time of the requests this scheduler sent, weighted by class; decays.
     pub demand: DecayingValue,
     /// Hash of its id.
     pub hash: u64,
-    /// Sends accrued while it is cold, as of `cold_at`.
+    /// Send credit during slow start, as of `cold_at`.
     pub cold_credit: f64,
     pub cold_at: Micros,
-    /// Our attempts out, by the time at which each becomes overdue.
+    /// This scheduler's attempts in flight there.
     pub due: DueAttempts,
-    /// Memory of the instances that we placed there.
+    /// Memory of the copies that this scheduler believes loaded there, MB.
     pub placed_mb: f64,
-    /// Latency over the function's usual latency, minus 1; fades.
+    /// Latency relative to the function's typical latency, minus 1; decays.
     pub slowness: DecayingValue,
-    /// Failed connections, resets, failed loads; fades.
+    /// Weighted count of failed connections, resets, errors and failed loads; decays.
     pub failures: DecayingValue,
-    /// When each class was last answered.
+    /// Time of the last answer to a request of each class.
     pub answered_at: Vec<Micros>,
-    /// Overdue attempts of each class; fades, and falls with each answer.
+    /// Overdue attempts of each class; decays, and drops with each answer.
     pub unanswered: Vec<DecayingValue>,
-    /// Requests that others keep there, by its reports.
+    /// Requests of other schedulers in flight there, from the worker's load reports.
     pub others_in_flight: DecayingValue,
-    /// What it has shown of itself while the list is out of reach.
+    /// Evidence of whether it drains, collected while the list of workers is out of reach.
     pub drain_evidence: DrainEvidence,
 }
 
-/// One function on one worker.
+/// State of one function on one worker, as far as this scheduler knows.
 #[derive(Default)]
 pub struct Place {
+    /// At least one copy is loaded.
     pub loaded: bool,
+    /// Number of loaded copies.
     pub copies: u32,
+    /// This scheduler's attempts in flight for the function there.
     pub in_flight: u32,
+    /// Start of a load under way.
     pub loading_since: Option<Micros>,
     pub last_used: Micros,
     pub loaded_at: Micros,
-    /// Requests of other schedulers for this function there, by crowd notes; fades.
+    /// Requests of other schedulers for the function there, from crowd reports; decays.
     pub crowd: DecayingValue,
 }
 
-/// What this scheduler knows of one function.
+/// State that this scheduler holds for one function.
 #[derive(Default)]
 pub struct Function {
     pub memory_mb: f64,
     pub lanes: u32,
     pub load_time: Micros,
-    /// Usual latency at a standing copy.
+    /// Typical latency at a loaded copy, in microseconds.
     pub typical_latency: f64,
-    /// Strictness of its class, 1 for the strictest.
+    /// The strictest class's aim over that of its own class: 1 for the strictest class, less for others.
     pub weight: f64,
+    /// Requests received; decays over the demand window.
     pub rate: DecayingValue,
     pub class: usize,
     pub hash: u64,
-    /// Notes of crowds, and the calls in hand that each stood for: the crowd times the holders.
+    /// Number and sum of the crowds reported for it; both decay. The mean crowd times the holders estimates the
+    /// requests in flight in the whole fleet.
     pub crowd_reports: DecayingValue,
     pub crowd_sum: DecayingValue,
+    /// Number of workers that should hold copies.
     pub holders: f64,
     pub created_at: Micros,
     pub last_called: Micros,
+    /// Worker on which it is placed.
     pub home: Option<WorkerId>,
+    /// Worker that becomes the home once a copy is loaded there.
     pub moving_to: Option<WorkerId>,
     pub places: BTreeMap<WorkerId, Place>,
+    /// Unanswered queries for loaded copies, and the time until which calls wait for the answers.
     pub queries_in_flight: u32,
     pub query_deadline: Micros,
-    /// When it was last served, whether calls waited for it then, and how far such answers come apart, by how
-    /// many of them.
+    /// Time of the last served call.
     pub served_at: Micros,
+    /// Calls were waiting for the function when it was last served.
     pub had_waiting: bool,
+    /// Mean time between answers while calls waited, in microseconds, and the number of samples in it.
     pub answer_gap: f64,
     pub answer_gap_count: u32,
-    /// No further order before this time, after one failed: answers of full would else echo as orders.
+    /// After a failed order, the earliest time of the next one. Without the pause, each answer that the worker
+    /// is full would cause another order.
     pub order_after: Micros,
 }
 
@@ -125,62 +140,68 @@
     pub cell: u64,
     pub sent: Micros,
     pub due: Micros,
-    /// It was counted as evidence of silence.
+    /// Already counted in [`Worker::unanswered`].
     pub counted_overdue: bool,
     pub ended: Option<Code>,
 }
 
-/// A request, kept until it is answered and all its attempts have ended.
+/// A request that is unanswered or still has attempts in flight.
 pub struct PendingRequest {
     pub request: Request,
     pub deadline: Micros,
     pub aim: Micros,
-    /// Past its tenant's share when it came.
+    /// It exceeded its tenant's share when it arrived.
     pub over_share: bool,
-    /// It waits although copies stand: their workers have as much as they may.
+    /// It waits although copies are loaded, because their workers have no free capacity.
     pub awaits_capacity: bool,
     pub attempts: Vec<Attempt>,
+    /// The final answer was given, or the client has left.
     pub answered: bool,
+    /// It is queued in [`Controller::waiting`].
     pub is_waiting: bool,
-    /// The answer has begun to stream: no deadline runs and nothing more is sent.
+    /// The answer has begun to stream: the deadline no longer applies and no further attempt is sent.
     pub streaming: bool,
 }
 
+/// The purpose of a timer.
 pub enum TimerPurpose {
+    /// The client's deadline.
     Deadline(RequestId),
+    /// The attempt of this number is overdue.
     Overdue(RequestId, usize),
+    /// A request that still waits can no longer meet its aim.
     Shed(RequestId),
 }
 
-/// Calls of one function that wait.
+/// Waiting calls of one function.
 #[derive(Default)]
 pub struct WaitingCalls {
-    /// By aim and id: those within their tenant's share, then those past it.
+    /// Calls within their tenant's share at index 0, calls over it at index 1; sorted by aim and id.
     pub queues: [BTreeSet<(Micros, RequestId)>; 2],
-    /// Until then they can go nowhere: no copy stands, and an answer or a pause is awaited. Whatever may
-    /// change that sets it to 0.
+    /// Routing is skipped until this time: no copy is loaded, and the function waits for an answer or for the
+    /// end of a pause. Every event that may change this resets it to 0.
     pub blocked_until: Micros,
 }
 
-/// The call that comes first: within its share before past it, its aim still ahead before behind, then by
-/// aim.
+/// The call to route next, as (over its share, aim missed, aim, id). Calls within their tenant's share come
+/// first, then calls whose aim has not passed, then those with the earlier aim.
 pub fn first_waiting(now: Micros, calls: &WaitingCalls) -> Option<(bool, bool, Micros, RequestId)> {
-    [false, true].into_iter().find_map(|excess| {
-        let (calls, at) = (&calls.queues[usize::from(excess)], (now, RequestId(0)));
+    [false, true].into_iter().find_map(|over_share| {
+        let (calls, at) = (&calls.queues[usize::from(over_share)], (now, RequestId(0)));
         let found = calls.range(at..).next().or_else(|| calls.range(..at).next());
-        found.map(|(aim, id)| (excess, *aim < now, *aim, *id))
+        found.map(|(aim, id)| (over_share, *aim < now, *aim, *id))
     })
 }
 
-/// Takes a call out of those that wait, if it is among them.
+/// Removes a call from its waiting queue, if it is queued.
 pub fn stop_waiting(
-    (waiting, most): (&mut BTreeMap<FunctionId, WaitingCalls>, &Cell<Option<usize>>),
+    (waiting, longest_queue): (&mut BTreeMap<FunctionId, WaitingCalls>, &Cell<Option<usize>>),
     held: &mut PendingRequest,
 ) {
     if !std::mem::take(&mut held.is_waiting) {
         return;
     }
-    most.set(None);
+    longest_queue.set(None);
     if let Some(calls) = waiting.get_mut(&held.request.function) {
         calls.queues[usize::from(held.over_share)].remove(&(held.aim, held.request.id));
         if calls.queues.iter().all(BTreeSet::is_empty) {
@@ -189,24 +210,24 @@
     }
 }
 
-/// A hash of an id.
+/// FNV-1a hash of an id.
 pub fn text_hash(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
 }
 
-/// A hash of function and worker that every scheduler computes alike.
+/// Rendezvous hash of a function and a worker; all schedulers compute the same value.
 pub fn rendezvous(function: u64, worker: u64) -> u64 {
     let hash = (function ^ worker.rotate_left(23)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     hash ^ (hash >> 33)
 }
 
-/// The part of 0 to 1 that falls to one of `count`, all of them spread evenly: in the middle of its place
-/// after a shuffle by the key, which is the same for all who know the key.
+/// Assigns participant `index` of `count` one of `count` evenly spaced values between 0 and 1: the middle of its
+/// interval after a permutation that depends on the key. Participants with the same key get distinct values.
 pub fn stratified_fraction(index: u32, count: u32, key: u64) -> f64 {
     let count = u64::from(count.max(1));
-    // Each step maps the numbers below a power of two onto themselves, and those past the count go round
-    // again until they come back among the others: no two get the same place.
+    // Each step is a permutation of the numbers below a power of two. Results at or above `count` are permuted
+    // again until they fall below it (cycle walking), so that no two indexes get the same place.
     let mask = count.next_power_of_two() - 1;
     let half = mask.count_ones().div_ceil(2);
     let mut place = u64::from(index) % count;
@@ -222,34 +243,36 @@
     }
 }
 
-/// Sums over the fleet, taken now and then.
+/// Statistics over the fleet, refreshed periodically.
 #[derive(Default)]
 pub struct FleetStats {
-    /// Usable workers, and how many warm ones they come to: a cold one counts as far as it is warm.
+    /// Number of usable workers.
     pub workers: usize,
+    /// The same, with a cold worker counted by the share of its capacity that it has.
     pub warm_equivalent: f64,
-    /// How far memory allows more copies than lanes are needed, 0 to 1.
+    /// How far memory allows more copies than the lanes require, 0 to 1.
     pub memory_headroom: f64,
-    /// Means over the usable workers: told memory, told size, our demand, requests held.
+    /// Mean configured memory over the kinds of worker, MB.
     pub memory_mb: f64,
+    /// Means over the usable workers: reported size, demand from this scheduler, requests in flight.
     pub hint: f64,
     pub demand: f64,
     pub in_flight: f64,
-    /// How far our own account of a worker is to be believed, 0 to 1.
+    /// Weight of this scheduler's own measurements of a worker against the fleet's mean, 0 to 1.
     pub local_confidence: f64,
-    /// Evidence that the better quarter of the workers stay under, for each class.
+    /// 25th percentile of the workers' penalties, for each class.
     pub baseline_penalty: Vec<f64>,
 }
 
 impl FleetStats {
-    /// A worker's told size against the mean.
+    /// A worker's reported size relative to the mean, limited to 0.25 to 4.
     pub fn relative_size(&self, worker: &Worker) -> f64 {
         if self.hint > 0.0 { (worker.hint() / self.hint).clamp(0.25, 4.0) } else { 1.0 }
     }
 }
 
 impl Worker {
-    /// Its told size, 1 where none that makes sense was told.
+    /// Its reported size, or 1 if that is not a positive number.
     pub fn hint(&self) -> f64 {
         if self.member.hint.is_finite() && self.member.hint > 0.0 { self.member.hint } else { 1.0 }
     }
@@ -286,23 +309,24 @@
 }
 
 impl PendingRequest {
-    pub fn new(told: Request, deadline: Micros, aim: Micros, excess: bool) -> Self {
-        let (attempts, done, waiting, streaming, crowded) = (Vec::new(), false, false, false, false);
+    pub fn new(request: Request, deadline: Micros, aim: Micros, over_share: bool) -> Self {
+        let (attempts, answered, is_waiting, streaming, awaits_capacity) =
+            (Vec::new(), false, false, false, false);
         Self {
-            request: told,
+            request,
             deadline,
             aim,
-            over_share: excess,
-            awaits_capacity: crowded,
+            over_share,
+            awaits_capacity,
             attempts,
-            answered: done,
-            is_waiting: waiting,
+            answered,
+            is_waiting,
             streaming,
         }
     }
 }
 
-/// Decides for one scheduler.
+/// The decision module of one scheduler.
 pub struct Controller {
     pub(crate) settings: Settings,
     pub(crate) workers: BTreeMap<WorkerId, Worker>,
@@ -312,36 +336,44 @@
     pub(crate) next_token: u64,
     pub(crate) started: bool,
     pub(crate) next_rebalance: Micros,
-    /// Functions still to be looked at for a better home, the next one last.
+    /// Functions still to be checked for a better home, in reverse order.
     pub(crate) rebalance_queue: Vec<FunctionId>,
-    /// The subscription to the list failed and is to be asked for again.
+    /// The subscription to the list of workers failed and must be renewed.
     pub(crate) watch_failed: bool,
-    /// How far the list is to be believed; `None` where nobody says.
+    /// Freshness of the list of workers; `None` if it was never reported.
     pub(crate) list_freshness: Option<ListFreshness>,
-    /// Usual latency of each class, for functions not yet measured.
+    /// Typical latency of each class in microseconds, the initial estimate for a new function.
     pub(crate) class_typical_latency: Vec<f64>,
+    /// Attempts sent; decays.
     pub(crate) sends: DecayingValue,
-    /// Requests served lately for each warm worker, a cold one counted as far as it was warm then.
+    /// Requests served per warm worker; decays. A cold worker counted by the share of its capacity that it had
+    /// at that time.
     pub(crate) served_per_warm_worker: DecayingValue,
+    /// Second attempts for overdue ones; decays.
     pub(crate) hedges: DecayingValue,
-    /// Share of attempts that failed or came late; fades.
+    /// Share of attempts that were rejected, timed out or were answered late; decays.
     pub(crate) overload: DecayingValue,
-    /// Requests let in so far as by their part, not yet come.
+    /// Admission credit during overload: each new request adds the share that is admitted, and each admitted
+    /// one takes 1.
     pub(crate) admission_credit: f64,
+    /// Requests admitted within the share of each tenant; decays.
     pub(crate) tenants: Vec<DecayingValue>,
     pub(crate) waiting: BTreeMap<FunctionId, WaitingCalls>,
     pub(crate) fleet: FleetStats,
     pub(crate) local_hash: u64,
     pub(crate) next_maintenance: Micros,
-    /// Shortest time between two load orders, 0 while loads do well; when the next may go, and when it last
-    /// grew.
+    /// Shortest time between two load orders; 0 while loads succeed.
     pub(crate) load_gap: Micros,
+    /// Earliest time of the next load order while `load_gap` is not 0.
     pub(crate) next_load: Micros,
+    /// Time of the last increase of `load_gap`.
     pub(crate) load_gap_raised_at: Micros,
+    /// Arrival times of the requests, and send times of the orders, within the window of the order quota.
     pub(crate) recent_requests: VecDeque<Micros>,
     pub(crate) recent_orders: VecDeque<Micros>,
-    /// Most calls that wait for one function, where known.
+    /// Cached largest number of calls waiting for one function.
     pub(crate) longest_queue: Cell<Option<usize>>,
+    /// See [`Controller::placements_evaluated`].
     pub(crate) evaluations: Cell<u64>,
 }
 
@@ -381,16 +413,18 @@
         }
     }
 
-    /// How often a worker was weighed as a place for a function so far: the greater part of what decisions
-    /// cost, as a figure that repeats.
+    /// How often a worker has been evaluated as a place for a function since the start. Evaluations are most of
+    /// the cost of decisions, and unlike time their count is reproducible.
     pub fn placements_evaluated(&self) -> u64 {
         self.evaluations.get()
     }
 
-    /// Keeps a request here until there is a copy or room for it.
-    pub(crate) fn enqueue(&mut self, id: RequestId, crowded: bool) {
+    /// Queues a request until a copy is loaded or capacity becomes free. `awaits_capacity` is true if copies are
+    /// loaded but can't take it.
+    pub(crate) fn enqueue(&mut self, id: RequestId, awaits_capacity: bool) {
         let Some(held) = self.requests.get_mut(&id) else { return };
-        held.awaits_capacity = crowded;
+        held.awaits_capacity = awaits_capacity;
+
         if !held.is_waiting {
             held.is_waiting = true;
             self.longest_queue.set(None);
