--- a/src/interface.rs
+++ b/src/interface.rs
@@ -239,7 +239,7 @@
                 return Err(SettingsError::ClassTimes(index));
             }
             if !(class.value.is_finite() && class.value >= 0.0 && class.late_value.is_finite()) {
-                return Err(SettingsError::ClassWorth(index));
+                return Err(SettingsError::ClassValue(index));
             }
         }
         if self.copies.kind_memory_mb.is_empty() {
@@ -275,7 +275,7 @@
     /// This class has an aim or a deadline of zero.
     ClassTimes(usize),
     /// This class's value is negative, or one of its values is not a finite number.
-    ClassWorth(usize),
+    ClassValue(usize),
     /// There is no kind of worker.
     NoKind,
     /// This kind's memory is not above zero.
@@ -289,7 +289,7 @@
         match self {
             Self::NoClass => write!(f, "settings define no request class"),
             Self::ClassTimes(i) => write!(f, "class {i}: aim and deadline must be above zero"),
-            Self::ClassWorth(i) => write!(f, "class {i}: value must be a number, zero or more"),
+            Self::ClassValue(i) => write!(f, "class {i}: value must be a number, zero or more"),
             Self::NoKind => write!(f, "settings define no kind of worker"),
             Self::KindMemory(i) => write!(f, "kind {i}: memory must be above zero"),
             Self::Figure(name) => write!(f, "setting {name} is out of range"),
