--- a/src/control.rs
+++ b/src/control.rs
@@ -368,7 +368,7 @@
         let lacks = |c: &&Candidate| !function.places.get(c.id).is_some_and(|p| p.loaded);
         let ranked = self.rank(now, function);
         // One that turned calls away in an outage comes last: a call would spend all its attempts there.
-        let trusted = |c: &&Candidate| allowed(c) && !c.worker.drain_evidence.is_doubted();
+        let trusted = |c: &&Candidate| allowed(c) && !c.worker.drain_evidence.has_refused();
         let first = ranked.iter().filter(lacks).find(trusted).or(ranked.iter().filter(lacks).find(allowed));
         let Some(target) = first.or(ranked.iter().find(lacks)).map(|c| c.id.clone()) else { return };
         let direct = ranked.iter().find(trusted).or(ranked.iter().find(allowed)).map(|c| c.id.clone());
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
-//! Decisions of a function platform's invoker front end.
+//! The decision module of a function platform's scheduler.
 //!
-//! A [`Controller`] is told what its front end sees (requests, outcomes, the list of workers) and
-//! answers with what to do (send, load, refuse, ...). It keeps every function on the worker whose
-//! memory pressure ratio is lowest, lets requests follow that placement and overflow onward by the
-//! same rule. It does no I/O, reads no clock and starts no thread; identical events give identical actions.
+//! A [`Controller`] receives what its front end observes as events (requests, outcomes, the list of workers) and
+//! returns what to do as actions (send, load, refuse, ...). It places every function on the worker with the lowest
+//! memory pressure ratio; requests follow that placement and overflow to other workers by the same rule.
+//! It does no I/O, reads no clock and starts no thread; identical events give identical actions.
+
 //!
 //! ```
 //! use basaltward::{Action, Class, Controller, Event, Member, MembersKind, Repeat, Settings, State};
--- a/src/standing.rs
+++ b/src/standing.rs
@@ -1,72 +1,76 @@
 //! Whether new work may begin at a worker while the list of workers is out of reach.
 //!
-//! A drain that the list would have told counts as told at a stated time, also while nobody can hear of it. Past that time
-//! and the grace the list alone allows nothing new. What does then is a lease by the worker's own word: an answer that a
-//! draining worker would not have given, to something sent at `t`, shows that it did not drain before `t`, so that new work
-//! may begin until `t` plus the grace. Calls served renew it; where they are too few, the worker is asked by a probe before
-//! the call. A worker that says that it drains, or does not answer, gets nothing and is asked again at growing intervals.
+//! A drain that the list would have announced is deemed announced at a known time, even if the scheduler could not
+//! receive it. Once the grace after that time is over, the list alone no longer permits new work. From then on the
+//! scheduler relies on leases: an answer that a draining worker would not have given, to something sent at `t`, proves
+//! that the worker was not draining at `t`, so that new work may begin until `t` plus the grace. Served calls renew the
+//! lease; if there are too few of them, the scheduler probes the worker before it sends the call. A worker that reports
+//! that it drains, or does not answer, gets no work and is probed again with exponential backoff.
 //!
-//! While the list is followed none of this is in force.
+//! None of this applies while the list is being followed.
 
 use crate::interface::*;
 use crate::state::*;
 
-/// Kept free at the end of a lease, at most half of the grace: what a worker does and what the list says of it, and the
-/// clocks that both are read by, lie apart by some of it.
+/// Safety margin subtracted from the grace, at most half of it. It covers the delay between a worker's change of state
+/// and its entry in the list, and the difference between the clocks by which the two are read.
 const LEASE_MARGIN_US: Micros = 100_000;
-/// A worker that has not answered a question by then is no place for the calls that wait for it.
+/// Calls stop waiting for a worker that has not answered a probe within this time.
 const PROBE_WAIT_US: Micros = 50_000;
-/// A question that has not been answered by then is asked anew: a connection may take so long to come up.
+/// A probe not answered within this time is sent again; establishing a connection may take this long.
 const PROBE_TIMEOUT_US: Micros = 1_000_000;
-/// The first and the longest pause between questions to a worker that drains or does not answer, and the longest one
-/// while no worker at all may get work.
-const PAUSE_US: (Micros, Micros) = (100_000, 3_200_000);
+/// First pause between probes of a worker that drains or does not answer; it doubles each time.
+const MIN_PAUSE_US: Micros = 100_000;
+/// Longest such pause.
+const MAX_PAUSE_US: Micros = 3_200_000;
+/// Longest such pause while no worker may get work.
 const MAX_PAUSE_NONE_OPEN_US: Micros = 800_000;
-/// Questions to such workers in one sweep.
+/// Limit on probes of such workers in one sweep.
 const PROBES_PER_SWEEP: usize = 2;
-/// A worker that turns work away this soon after it has answered a question is merely full.
+/// A worker that rejects work within this time after it answered a probe is full, not draining.
 const FULL_AFTER_PROBE_US: Micros = 250_000;
-/// Without questions, a worker that turned away so many in a row gets nothing for a pause.
+/// If probes are not allowed, a worker that rejects this many requests in a row gets no work for a pause.
 const MAX_REFUSALS: u32 = 3;
-/// The list has told of a restart by then, where it is followed.
+/// While the list is followed, it announces a restart within this time.
 const RESTART_NOTICE_US: Micros = 3_000_000;
-/// How much more a worker that has to be asked first weighs among those where copies stand: calls go where calls renew
-/// the lease.
+/// Cost factor of a worker that must be probed first, when choosing among workers with loaded copies. It concentrates
+/// calls on workers whose lease the calls themselves renew.
 const PROBE_COST: f64 = 4.0;
 
-/// A worker drains by its own word, or does not answer.
+/// A worker has reported that it drains, or did not answer.
 #[derive(Clone, Copy)]
 struct Denial {
-    /// When the question was sent that it answers.
+    /// When the probe or request that it answers was sent.
     sent: Micros,
-    /// When it was noted, and the pause from then on.
+    /// When the denial was recorded.
     noted_at: Micros,
+    /// Time from `noted_at` until the next probe or, if probes are not allowed, until calls may be sent again.
     pause: Micros,
 }
 
-/// What a worker has shown of itself while the list is out of reach.
+/// Evidence of whether a worker drains, collected while the list is out of reach.
 #[derive(Clone, Default)]
 pub struct DrainEvidence {
-    /// It did not drain before this time.
+    /// It was not yet draining at this time.
     not_draining_at: Option<Micros>,
-    /// Work sent at this time was turned away: whether it drains or is full is not known.
+    /// It rejected work sent at this time; whether it drains or is full is unknown.
     refused_at: Option<Micros>,
-    /// How often it has turned work away since it last served.
+    /// Rejections since it last served.
     refusals: u32,
-    /// It has answered a question sent at this time.
+    /// Send time of the last probe that it answered with success.
     probe_passed_at: Option<Micros>,
     denial: Option<Denial>,
-    /// When the question was sent that is not answered.
+    /// Send time of the probe that is not yet answered.
     probe_sent_at: Option<Micros>,
     /// When its last connection was lost.
     disconnected_at: Option<Micros>,
-    /// Its next proof is that of a process that has started since.
+    /// Its next successful answer comes from a process that has restarted.
     restart_expected: bool,
 }
 
 impl DrainEvidence {
-    /// Whether it has turned work away in this outage and served none since.
-    pub fn is_doubted(&self) -> bool {
+    /// Whether it has rejected work during this outage and not served since.
+    pub fn has_refused(&self) -> bool {
         self.refused_at.is_some()
     }
 }
@@ -74,56 +78,57 @@
 /// Whether new work may begin at a worker now.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Access {
-    /// It may.
+    /// Allowed.
     Open,
-    /// The worker is to be asked first.
+    /// Allowed after a successful probe.
     NeedsProbe,
-    /// It has been asked a moment ago.
+    /// A probe was sent within the last [`PROBE_WAIT_US`].
     Probing,
-    /// It may not.
+    /// Not allowed.
     Closed,
 }
 
 impl Controller {
-    /// Until when new work may begin at a worker, as far as its draining goes; `None` for no bound. Whoever writes the
-    /// first byte looks again: what was decided may have waited since.
+    /// The time until which new work may begin at a worker in view of a possible drain; `None` for no limit. The
+    /// caller must check it again before it writes the first byte, as the decision may have been queued in between.
     pub fn new_work_until(&self, worker: &WorkerId) -> Option<Micros> {
         let listed = self.listed_until()?;
         let Some(known) = self.workers.get(worker) else { return Some(listed) };
-        let is_shut = known.drain_evidence.denial.is_some() || known.drain_evidence.refused_at.is_some();
-        if is_shut && self.settings.limits.probes && !self.is_list_current() {
+        let is_closed = known.drain_evidence.denial.is_some() || known.drain_evidence.refused_at.is_some();
+        if is_closed && self.settings.limits.probes && !self.is_list_current() {
             Some(0)
         } else {
             Some(listed.max(self.lease_until(known)))
         }
     }
 
-    /// Whether the list is followed, or nobody says how old it is.
+    /// Whether the list is being followed, its freshness is never reported, or there is no grace to observe.
     fn is_list_current(&self) -> bool {
         matches!(self.list_freshness, None | Some(ListFreshness::Current { .. }))
             || self.settings.rules.drain_grace.is_none()
     }
 
-    /// The grace, without what is kept free of it.
+    /// The grace less the safety margin.
     fn grace(&self) -> Option<Micros> {
         self.settings.rules.drain_grace.map(|grace| grace - LEASE_MARGIN_US.min(grace / 2))
     }
 
-    /// Until when the list alone allows new work at those that it holds.
+    /// The time until which the list alone permits new work at listed workers.
     fn listed_until(&self) -> Option<Micros> {
         let grace = self.grace()?;
         Some(match self.list_freshness? {
-            ListFreshness::Current { announced_at: told_at }
-            | ListFreshness::Interrupted { announced_at: told_at } => told_at + grace,
-            // Without questions nothing else could ever show more: the list of the start counts as true then.
+            ListFreshness::Current { announced_at } | ListFreshness::Interrupted { announced_at } => {
+                announced_at + grace
+            }
+            // If probes are not allowed, nothing else could ever confirm the initial list, so it is accepted.
             ListFreshness::Unconfirmed { since } if !self.settings.limits.probes => since + grace,
             ListFreshness::Unconfirmed { .. } => 0,
         })
     }
 
     fn lease_until(&self, worker: &Worker) -> Micros {
-        let proven = worker.drain_evidence.not_draining_at.zip(self.grace());
-        proven.map_or(0, |(proven, grace)| proven + grace)
+        let lease = worker.drain_evidence.not_draining_at.zip(self.grace());
+        lease.map_or(0, |(start, grace)| start + grace)
     }
 
     /// Whether new work may begin at a worker now.
@@ -132,36 +137,36 @@
         if self.is_list_current() && now < listed {
             return Access::Open;
         }
-        let (standing, probes) = (&worker.drain_evidence, self.settings.limits.probes);
-        // Without questions the next call after the pause is one.
-        if standing.denial.is_some_and(|denial| probes || now < denial.noted_at + denial.pause) {
+        let (evidence, probes) = (&worker.drain_evidence, self.settings.limits.probes);
+        // If probes are not allowed, the next call after the pause takes the place of one.
+        if evidence.denial.is_some_and(|denial| probes || now < denial.noted_at + denial.pause) {
             return Access::Closed;
         }
-        let is_doubted = probes && standing.refused_at.is_some();
-        if now < listed.max(self.lease_until(worker)) && !is_doubted {
+        let needs_check = probes && evidence.refused_at.is_some();
+        if now < listed.max(self.lease_until(worker)) && !needs_check {
             return Access::Open;
         }
-        match standing.probe_sent_at {
+        match evidence.probe_sent_at {
             _ if !probes => Access::Closed,
-            Some(asked) if now < asked + PROBE_WAIT_US => Access::Probing,
-            Some(asked) if now < asked + PROBE_TIMEOUT_US => Access::Closed,
+            Some(sent) if now < sent + PROBE_WAIT_US => Access::Probing,
+            Some(sent) if now < sent + PROBE_TIMEOUT_US => Access::Closed,
             _ => Access::NeedsProbe,
         }
     }
 
-    /// Whether a worker is in the list and may get work, at the latest once it is asked.
+    /// Whether a worker is listed and may get work, at once or after a probe.
     pub(crate) fn takes_work(&self, now: Micros, worker: &Worker) -> bool {
         worker.usable && self.access(now, worker) != Access::Closed
     }
 
-    /// How much more a worker weighs among those where copies stand: one that has to be asked first, or turned work away.
+    /// Cost factor of a worker among those with loaded copies; above 1 if it must be probed first or rejected work.
     pub(crate) fn probe_cost(&self, now: Micros, worker: &Worker) -> f64 {
-        let is_free = self.access(now, worker) == Access::Open && !worker.drain_evidence.is_doubted();
-        if is_free { 1.0 } else { PROBE_COST }
+        let is_open = self.access(now, worker) == Access::Open && !worker.drain_evidence.has_refused();
+        if is_open { 1.0 } else { PROBE_COST }
     }
 
-    /// The one place that all new work passes, calls as well as orders to load: whether it may begin at this worker now.
-    /// A worker that has to be asked first is asked.
+    /// Whether new work may begin at this worker now. All new work, calls and load orders, passes this check. It sends
+    /// a probe to a worker that needs one.
     pub(crate) fn may_begin(&mut self, now: Micros, worker: &WorkerId, out: &mut Actions) -> bool {
         let Some(known) = self.workers.get(worker) else { return false };
         let access = self.access(now, known);
@@ -178,32 +183,32 @@
         }
     }
 
-    /// Whether no worker of the list may get work, and none is being asked.
+    /// Whether no listed worker may get work, and none has a first probe pending.
     pub(crate) fn is_every_worker_closed(&self, now: Micros) -> bool {
-        let shut = |w: &Worker| {
-            let unproven = !self.settings.limits.probes || w.drain_evidence.denial.is_some();
-            unproven && self.access(now, w) == Access::Closed
+        let closed = |w: &Worker| {
+            let no_probe_pending = !self.settings.limits.probes || w.drain_evidence.denial.is_some();
+            no_probe_pending && self.access(now, w) == Access::Closed
         };
         let mut usable = self.workers.values().filter(|w| w.usable).peekable();
-        usable.peek().is_some() && usable.all(shut)
+        usable.peek().is_some() && usable.all(closed)
     }
 
-    /// Whether the list is out of reach and no worker of it may get work without a question.
+    /// Whether the list is out of reach and no listed worker may get work without a probe.
     pub(crate) fn is_no_worker_open(&self, now: Micros) -> bool {
         !self.is_list_current()
             && !self.workers.values().any(|w| w.usable && self.access(now, w) == Access::Open)
     }
 
-    /// How long a client is to stay away while nobody is left.
+    /// Retry delay for clients while every worker is closed.
     pub(crate) fn retry_after_closed(&self) -> Micros {
         MAX_PAUSE_NONE_OPEN_US
     }
 
-    /// Takes how far the list is to be believed. Once it is followed again it tells of every worker, and what workers
-    /// have shown meanwhile is forgotten.
-    pub(crate) fn on_list_freshness(&mut self, now: Micros, trust: ListFreshness) {
+    /// Records the freshness of the list. Once the list is followed again it covers every worker, so the evidence
+    /// collected in the meantime is discarded.
+    pub(crate) fn on_list_freshness(&mut self, now: Micros, freshness: ListFreshness) {
         let was_current = self.is_list_current();
-        self.list_freshness = Some(trust);
+        self.list_freshness = Some(freshness);
         match (was_current, self.is_list_current()) {
             (false, true) => {
                 for worker in self.workers.values_mut() {
@@ -214,10 +219,10 @@
                 }
             }
             (true, false) => {
-                let lately = |w: &Worker| {
+                let recently = |w: &Worker| {
                     w.drain_evidence.disconnected_at.is_some_and(|lost| lost + RESTART_NOTICE_US > now)
                 };
-                let lost = self.workers.iter().filter(|(_, w)| lately(w));
+                let lost = self.workers.iter().filter(|(_, w)| recently(w));
                 let lost: Vec<_> = lost.map(|(id, _)| id.clone()).collect();
                 lost.iter().for_each(|id| self.presume_restart(now, id));
             }
@@ -225,7 +230,7 @@
         }
     }
 
-    /// A worker's last connection has ended. While the list is out of reach nobody tells of a restart but this.
+    /// A worker's last connection was lost. While the list is out of reach this is the only sign of a restart.
     pub(crate) fn on_disconnected(&mut self, now: Micros, worker: &WorkerId) {
         let Some(known) = self.workers.get_mut(worker) else { return };
         known.drain_evidence.disconnected_at = Some(now);
@@ -234,7 +239,7 @@
         }
     }
 
-    /// A worker may have started anew: it counts as cold and empty from now on, and again from its next answer on.
+    /// A worker may have restarted: it counts as cold and empty from now on, and again from its next answer on.
     fn presume_restart(&mut self, now: Micros, worker: &WorkerId) {
         self.record_restart(now, worker);
         if let Some(known) = self.workers.get_mut(worker) {
@@ -242,63 +247,65 @@
         }
     }
 
-    /// A worker counts as started now. What it has shown of its draining stands.
+    /// Treats a worker as started now. Its drain evidence is retained.
     fn record_restart(&mut self, now: Micros, worker: &WorkerId) {
         let Some(known) = self.workers.get(worker) else { return };
-        let (mut member, standing) = (known.member.clone(), known.drain_evidence.clone());
+        let (mut member, evidence) = (known.member.clone(), known.drain_evidence.clone());
         member.started = now;
-        // Each scheduler finds it at a time of its own: their parts are spread by what all know alike.
+        // Schedulers detect the restart at different times, so the key must not depend on the time: with a constant
+        // key their shares of the cold budget are still spread evenly.
         self.add_cold_worker(now, member, 0);
         if let Some(known) = self.workers.get_mut(worker) {
-            known.drain_evidence = standing;
+            known.drain_evidence = evidence;
         }
     }
 
-    /// A worker has answered what was sent at `sent` as one that drains would not have.
+    /// A worker has answered something sent at `sent` as a draining worker would not have done.
     pub(crate) fn renew_lease(&mut self, now: Micros, worker: &WorkerId, sent: Micros) {
         if self.is_list_current() {
             return;
         }
         let Some(known) = self.workers.get_mut(worker) else { return };
-        let standing = &mut known.drain_evidence;
-        standing.not_draining_at = standing.not_draining_at.max(Some(sent));
-        if standing.refused_at.take_if(|doubted| *doubted <= sent).is_some() {
-            standing.refusals = 0;
+        let evidence = &mut known.drain_evidence;
+        evidence.not_draining_at = evidence.not_draining_at.max(Some(sent));
+        if evidence.refused_at.take_if(|refused| *refused <= sent).is_some() {
+            evidence.refusals = 0;
         }
-        standing.denial.take_if(|denial| denial.sent < sent);
-        if standing.denial.is_none() && std::mem::take(&mut standing.restart_expected) {
+        evidence.denial.take_if(|denial| denial.sent < sent);
+        if evidence.denial.is_none() && std::mem::take(&mut evidence.restart_expected) {
             self.record_restart(now, worker);
         }
     }
 
-    /// Work sent at `sent` was turned away. Gives whether that tells of too much load. A worker that drains turns all away,
-    /// one that is full serves in between: it is asked before it gets more, and what it turns away just after its answer is
-    /// load. Without questions the first of several in a row counts.
+    /// Work sent at `sent` was rejected. Returns whether the rejection counts as overload. A draining worker rejects
+    /// everything, a full one serves some requests in between. The worker is therefore probed before it gets more, and
+    /// what it rejects shortly after a successful probe is overload. If probes are not allowed, the first of several
+    /// rejections in a row counts as overload.
     pub(crate) fn on_refusal(&mut self, now: Micros, worker: &WorkerId, sent: Micros) -> bool {
         let (current, probes) = (self.is_list_current(), self.settings.limits.probes);
         let Some(known) = self.workers.get_mut(worker).filter(|_| !current) else { return true };
-        let standing = &mut known.drain_evidence;
-        if probes && standing.probe_passed_at.is_some_and(|cleared| cleared + FULL_AFTER_PROBE_US > now) {
+        let evidence = &mut known.drain_evidence;
+        if probes && evidence.probe_passed_at.is_some_and(|passed| passed + FULL_AFTER_PROBE_US > now) {
             return true;
         }
-        let is_first = standing.refused_at.is_none();
-        standing.refused_at = standing.refused_at.max(Some(sent));
-        standing.refusals += 1;
-        if !probes && standing.refusals >= MAX_REFUSALS {
+        let is_first = evidence.refused_at.is_none();
+        evidence.refused_at = evidence.refused_at.max(Some(sent));
+        evidence.refusals += 1;
+        if !probes && evidence.refusals >= MAX_REFUSALS {
             self.deny(now, worker, sent, false);
         }
         is_first && !probes
     }
 
-    /// A question was answered, or was not.
+    /// A probe was answered or has failed.
     pub(crate) fn on_probed(
         &mut self,
         now: Micros,
         worker: &WorkerId,
-        of: (Code, Micros),
+        result: (Code, Micros),
         out: &mut Actions,
     ) {
-        let (code, latency) = of;
+        let (code, latency) = result;
         let (sent, current) = (now.saturating_sub(latency), self.is_list_current());
         let Some(known) = self.workers.get_mut(worker).filter(|_| !current) else { return };
         known.drain_evidence.probe_sent_at = None;
@@ -313,35 +320,37 @@
         self.route_waiting(now, None, out);
     }
 
-    /// A worker says that it drains, or has not answered. One that drains comes back as a new process, empty and cold.
+    /// A worker has reported that it drains, or has not answered. One that drains returns as a new process, empty and
+    /// cold.
     fn deny(&mut self, now: Micros, worker: &WorkerId, sent: Micros, drains: bool) {
         let Some(known) = self.workers.get_mut(worker) else { return };
-        let standing = &mut known.drain_evidence;
-        // What was sent later has been answered otherwise.
-        if standing.not_draining_at.is_some_and(|proven| proven > sent) {
+        let evidence = &mut known.drain_evidence;
+        // Something sent later was answered successfully.
+        if evidence.not_draining_at.is_some_and(|proven| proven > sent) {
             return;
         }
-        let pause = standing.denial.map_or(PAUSE_US.0, |denial| (denial.pause * 2).min(PAUSE_US.1));
-        standing.denial = Some(Denial { sent, noted_at: now, pause });
-        if drains && !std::mem::replace(&mut standing.restart_expected, true) {
+        let pause = evidence.denial.map_or(MIN_PAUSE_US, |denial| (denial.pause * 2).min(MAX_PAUSE_US));
+        evidence.denial = Some(Denial { sent, noted_at: now, pause });
+        if drains && !std::mem::replace(&mut evidence.restart_expected, true) {
             self.clear_placements(worker);
         }
     }
 
-    /// Asks again those whose pause is over, the one that has waited longest first.
+    /// Probes denied workers whose pause is over, the longest overdue first.
     pub(crate) fn probe_denied(&mut self, now: Micros, out: &mut Actions) {
         if self.is_list_current() || !self.settings.limits.probes {
             return;
         }
-        let longest = if self.is_no_worker_open(now) { MAX_PAUSE_NONE_OPEN_US } else { PAUSE_US.1 };
-        let free = |w: &Worker| {
-            w.usable && w.drain_evidence.probe_sent_at.is_none_or(|asked| now >= asked + PROBE_TIMEOUT_US)
+        let longest = if self.is_no_worker_open(now) { MAX_PAUSE_NONE_OPEN_US } else { MAX_PAUSE_US };
+        let no_probe_pending = |w: &Worker| {
+            w.usable && w.drain_evidence.probe_sent_at.is_none_or(|sent| now >= sent + PROBE_TIMEOUT_US)
         };
         let due =
             |w: &Worker| w.drain_evidence.denial.map(|denial| denial.noted_at + denial.pause.min(longest));
         for _ in 0..PROBES_PER_SWEEP {
-            let open = self.workers.iter().filter(|(_, w)| free(w)).filter_map(|(id, w)| Some((due(w)?, id)));
-            let Some(worker) = open.min().filter(|(due, _)| *due <= now).map(|(_, id)| id.clone()) else {
+            let denied = self.workers.iter().filter(|(_, w)| no_probe_pending(w));
+            let denied = denied.filter_map(|(id, w)| Some((due(w)?, id)));
+            let Some(worker) = denied.min().filter(|(due, _)| *due <= now).map(|(_, id)| id.clone()) else {
                 return;
             };
             self.probe(now, &worker, out);
