--- a/src/control.rs
+++ b/src/control.rs
@@ -1,57 +1,60 @@
-//! The policy: every decision of a scheduler. Its types, events and actions stand in `src/interface.rs`, the
-//! records that it keeps in `src/state.rs`.
-//! The ordinary path: each function is placed on the worker whose memory pressure ratio (weighted demand over
-//! memory left) would be lowest, its requests follow it there and overflow onward by the same rule, a timer
-//! re-places it past a gain threshold, and idle placements are released.
+//! The scheduling policy. Events and actions are defined in `src/interface.rs`, the state in `src/state.rs`.
+//! Each function is placed on the worker whose memory pressure ratio (weighted demand over free memory) would
+//! be lowest. Its requests go there and overflow to other workers by the same rule. A timer moves the
+//! function when another worker is better by more than a threshold, and idle placements are released.
 
 use crate::interface::*;
 use crate::standing::Access;
 use crate::state::*;
 use std::collections::BTreeSet;
 
-/// How far a lower ratio outweighs the shared hash: at 1.25 times the ratio a worker comes first 3 times in
-/// 10.
+/// Weight of the ratio against the shared hash: a worker with 1.25 times the ratio ranks first in 3 of 10.
 const RATIO_EXPONENT: f64 = 4.0;
-/// A function leaves its home once another ratio is lower by this factor.
+/// A function leaves its home once another worker's ratio is lower by this factor.
 const REBALANCE_GAIN: f64 = 1.6;
-/// Calls a worker in the window at which our own account of demand counts as much as the fleet's mean, for
-/// one of many.
+/// Calls per worker in the window that make one of many schedulers trust its own figures like the mean.
 const CONFIDENT_CALLS: f64 = 20.0;
-/// Share of all told memory reckoned with for copies; running work and others' placements take the rest.
+/// Share of the memory planned for copies; running requests and other schedulers' placements take the rest.
 const COPY_MEMORY_SHARE: f64 = 0.5;
-/// How often what waits is looked over, sums and idle placements are, and functions are re-placed.
+/// Interval at which waiting calls are routed again.
 const SWEEP_US: Micros = 50_000;
+/// Interval at which fleet statistics are refreshed and idle placements released.
 const MAINTENANCE_US: Micros = 500_000;
+/// Interval at which functions are checked for a better home.
 const REBALANCE_US: Micros = 1_000_000;
-/// Functions looked at for a re-placement in one sweep: some hundreds within the second.
+/// Functions checked for a better home in one sweep; this covers several hundred per second.
 const REBALANCE_BATCH: usize = 16;
-/// Evidence against a worker fades to 1/e in this time.
-const PENALTY_DECAY_US: f64 = 6_000_000.0;
-/// Slowness below this is chance.
-const SLOWNESS_TOLERANCE: f64 = 0.5;
-/// Evidence past which a worker is no place for a request.
-const SUSPECT_FACTOR: f64 = 3.0;
-/// Share of attempts that come back full or late from which on requests are turned away.
+/// Penalties of a worker decay to 1/e in this time.
+const DECAY_US: f64 = 6_000_000.0;
+/// Slowness below this is treated as random variation.
+const TOLERANCE: f64 = 0.5;
+/// A worker whose penalty exceeds the fleet's baseline by this factor is suspect and gets no requests.
+const SUSPECT: f64 = 3.0;
+/// Share of attempts rejected, timed out or answered late above which new requests are refused.
 const OVERLOAD_SHARE: f64 = 0.15;
-/// Span over which a tenant's calls are held against its share.
+/// Window over which a tenant's calls are counted against its share.
 const SHARE_WINDOW_US: f64 = 3_000_000.0;
-/// Crowd notes and load reports fade to 1/e in this time.
-const CROWD_DECAY_US: f64 = 2_000_000.0;
-/// Gaps between answers from which on a queue is judged by them.
+/// Crowd and load reports decay to 1/e in this time.
+const CROWD_US: f64 = 2_000_000.0;
+/// Number of measured gaps between answers required to predict the wait in a queue.
 const MIN_ANSWER_GAPS: u32 = 10;
-/// Gap between load orders after one that failed, and the longest.
-const GAP: (Micros, Micros) = (50_000, 400_000);
-/// Without another failure for so long orders go freely again.
+/// Gap between load orders after the first failed load; it doubles with each further failure.
+const MIN_LOAD_GAP_US: Micros = 50_000;
+/// Longest gap between load orders.
+const MAX_LOAD_GAP_US: Micros = 400_000;
+/// Load orders are no longer spaced once no load has failed for this time.
 const LOAD_GAP_RESET_US: Micros = 1_500_000;
-/// Patience with questions on where copies stand, and how many workers are asked.
-const ASK: (Micros, usize) = (15_000, 3);
-/// How much more a worker in another zone weighs among holders, for the price of the way as a share of worth.
+/// How long calls wait for the answers to queries for loaded copies.
+const QUERY_WAIT_US: Micros = 15_000;
+/// Number of workers queried for loaded copies.
+const QUERY_WORKERS: usize = 3;
+/// A holder in another zone costs more by this factor times the cost of crossing zones (a share of value).
 const CROSS_ZONE_WEIGHT: f64 = 40.0;
-/// Share of sends that may be second attempts which prove needless.
+/// Limit on second attempts for overdue ones, as a share of all sends; they may prove unnecessary.
 const HEDGE_SHARE: f64 = 0.1;
 
-/// A usable worker as a place for a function: lowest key first.
-struct Candidate<'a> {
+/// A usable worker as a place for a function; the lowest key is the best.
+struct Choice<'a> {
     key: f64,
     ratio: f64,
     id: &'a WorkerId,
@@ -61,15 +64,14 @@
 type WorkerFunction<'a> = (&'a WorkerId, &'a FunctionId);
 
 impl Controller {
-    /// A controller that has heard nothing yet. It draws nothing: ties are broken by hash.
+    /// Creates a controller; fails if [`Settings::check`] does. The seed is unused: ties are broken by hash.
     pub fn new(settings: Settings, _seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let class_usual = settings.classes.iter().map(|c| c.aim as f64 / 4.0).collect();
-        Ok(Self::blank(settings, class_usual))
+        let class_latency = settings.classes.iter().map(|c| c.aim as f64 / 4.0).collect();
+        Ok(Self::blank(settings, class_latency))
     }
 
-    /// Takes one event at time `now` and appends what is to be done. Events about unknown things change
-    /// nothing.
+    /// Handles one event at time `now` and appends the actions. Events about unknown ids change nothing.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Members { kind, members } => self.on_members(now, kind, members, out),
@@ -85,17 +87,18 @@
                 Some(TimerPurpose::Deadline(id)) if self.requests.get(&id).is_none_or(|h| h.streaming) => {}
                 Some(TimerPurpose::Deadline(id)) => self.finish(id, Some(Action::Fail { id }), out),
                 Some(TimerPurpose::Shed(id)) => {
-                    // All copies are crowded, or loads fail and none is under way; the aim is past. Could
-                    // hurt where late answers are worth much.
-                    let loads = |h: &PendingRequest| {
+                    // The aim can't be met: all copies are busy, loads fail and none is under way, or no
+                    // worker may get work. Known drawback: late answers may have a high value.
+                    let is_loading = |h: &PendingRequest| {
                         let function = self.functions.get(&h.request.function);
-                        function.is_some_and(|f| f.places.values().any(|p| p.loading_since.is_some()))
+                        function.is_some_and(|f| f.places.values().any(|p| p.loading.is_some()))
                     };
-                    let nobody = self.is_no_worker_open(now);
-                    let stuck =
-                        |h: &PendingRequest| nobody || h.awaits_capacity || self.load_gap > 0 && !loads(h);
-                    let sheds = |h: &PendingRequest| h.is_waiting && stuck(h) && self.may_refuse(h);
-                    if self.requests.get(&id).is_some_and(sheds) {
+                    let no_worker_open = self.is_no_worker_open(now);
+                    let is_stuck = |h: &PendingRequest| {
+                        no_worker_open || h.awaits_capacity || self.load_gap > 0 && !is_loading(h)
+                    };
+                    let is_shed = |h: &PendingRequest| h.is_waiting && is_stuck(h) && self.may_refuse(h);
+                    if self.requests.get(&id).is_some_and(is_shed) {
                         let wait = Some(self.load_gap).filter(|gap| *gap > 0);
                         self.refuse_or_fail(id, wait, out);
                     }
@@ -103,413 +106,393 @@
                 Some(TimerPurpose::Overdue(id, attempt)) => self.on_overdue(now, id, attempt, out),
                 None => {}
             },
-            Event::ListFreshness(trust) => self.on_list_freshness(now, trust),
+            Event::ListFreshness(freshness) => self.on_list_freshness(now, freshness),
             Event::Disconnected { worker } => self.on_disconnected(now, &worker),
             Event::Probed { worker, code, latency, .. } => self.on_probed(now, &worker, (code, latency), out),
             Event::Peer { .. } => {}
         }
     }
 
-    // ---- pressure ----------------------------------------------------------------------------------------
+    // ---- pressure ratio -----------------------------------------------------------------------------------
 
-    /// Evidence that a worker does less for a class than its memory promises, 1 for none: slowness against
-    /// usual times, answers of this class that stay away (those of others count a little: a worker may
-    /// swallow one class and serve the rest), broken connections, a cold start. It only orders workers.
+    /// How much worse a worker serves a class than its memory suggests; 1 for no evidence. Combines slowness,
+    /// failed connections, a cold start and unanswered attempts of this class (others count less: a worker
+    /// may lose the requests of one class and serve the rest). It only decides between workers.
     fn penalty(&self, now: Micros, worker: &Worker, class: usize) -> f64 {
-        // What has not passed the slack does not by fading.
-        let told = worker.slowness.value > SLOWNESS_TOLERANCE;
-        let slow = if told {
-            (worker.slowness.get(now, PENALTY_DECAY_US) - SLOWNESS_TOLERANCE).max(0.0)
-        } else {
-            0.0
-        };
-        let missed = |c: usize| worker.unanswered.get(c).map_or(0.0, |m| m.get(now, PENALTY_DECAY_US));
-        let silent = missed(class) * 0.7 + (0..worker.unanswered.len()).map(missed).sum::<f64>() * 0.3;
-        (1.0 + slow + silent + worker.failures.get(now, PENALTY_DECAY_US)) / self.warmth(now, worker)
+        // Compares the value before decay: what never exceeded the tolerance can't exceed it by decaying.
+        let is_slow = worker.slowness.value > TOLERANCE;
+        let slow = if is_slow { (worker.slowness.get(now, DECAY_US) - TOLERANCE).max(0.0) } else { 0.0 };
+        let overdue = |c: usize| worker.unanswered.get(c).map_or(0.0, |m| m.get(now, DECAY_US));
+        let silence = overdue(class) * 0.7 + (0..worker.unanswered.len()).map(overdue).sum::<f64>() * 0.3;
+        (1.0 + slow + silence + worker.failures.get(now, DECAY_US)) / self.warmth(now, worker)
     }
 
-    /// Evidence past which a worker is no place for a request of a class: against the better quarter of the
-    /// fleet, for where nearly all look bad at once it is the evidence that is to be doubted.
+    /// Penalty from which on a worker gets no requests of a class. It is relative to the first quartile of
+    /// the fleet: if nearly all workers look bad at once, the evidence is more likely wrong than the workers.
     fn suspect_threshold(&self, class: usize) -> f64 {
-        SUSPECT_FACTOR * self.fleet.baseline_penalty.get(class).copied().unwrap_or(1.0)
+        SUSPECT * self.fleet.baseline_penalty.get(class).copied().unwrap_or(1.0)
     }
 
-    /// A worker's pressure ratio if `added` demand and `mb` memory came to it. Our own account of demand and
-    /// memory is drawn toward the fleet's mean where we have few calls: a scheduler of many would else see
-    /// noise, and each would place a function somewhere else.
+    /// A worker's pressure ratio with `added` demand and `mb` of memory on top. With few calls, this
+    /// scheduler's own measurements of demand and memory are shrunk toward the fleet's mean. Otherwise each
+    /// of many schedulers would see mostly noise and place the same function on a different worker.
     fn pressure_ratio(&self, now: Micros, worker: &Worker, added: f64, mb: f64, class: usize) -> f64 {
         let (fleet, kinds) = (&self.fleet, &self.settings.copies.kind_memory_mb);
-        let told = kinds.get(worker.member.kind).copied().unwrap_or(fleet.memory_mb);
-        let left = (told - fleet.local_confidence * worker.placed_mb).max(mb).max(told * 0.1)
-            / fleet.memory_mb.max(1.0);
-        let own =
-            if worker.placed_mb > 0.0 { worker.demand.get(now, DEMAND_WINDOW_US) } else { fleet.demand };
-        let drawn = fleet.demand + fleet.local_confidence * (own - fleet.demand);
-        // Nobody can have placed more on it than its life holds of the window.
-        let age = now.saturating_sub(worker.member.started) as f64 / DEMAND_WINDOW_US;
-        let lived = if worker.member.started == 0 || age > 5.0 { 1.0 } else { 1.0 - (-age).exp() };
-        let placed = drawn * lived / DEMAND_WINDOW_US * f64::from(self.settings.schedulers);
-        (placed + added).max(0.001) * self.penalty(now, worker, class) / (left * fleet.relative_size(worker))
+        let total = kinds.get(worker.member.kind).copied().unwrap_or(fleet.memory_mb);
+        let free =
+            (total - fleet.confidence * worker.placed_mb).max(mb).max(total * 0.1) / fleet.memory_mb.max(1.0);
+        let own = if worker.placed_mb > 0.0 { worker.demand.get(now, WINDOW_US) } else { fleet.demand };
+        let smoothed = fleet.demand + fleet.confidence * (own - fleet.demand);
+        // A worker younger than the window can only have received demand since its start.
+        let age = now.saturating_sub(worker.member.started) as f64 / WINDOW_US;
+        let window_share = if worker.member.started == 0 || age > 5.0 { 1.0 } else { 1.0 - (-age).exp() };
+        let placed = smoothed * window_share / WINDOW_US * f64::from(self.settings.schedulers);
+        (placed + added).max(0.001) * self.penalty(now, worker, class) / (free * fleet.relative_size(worker))
     }
 
-    /// A holder's ratio, spread by our own hash the more the less we know, or all would crowd the same
-    /// holder. Where the way to another zone has its price, holders in our own come before.
-    fn holder_key(&self, function: &Function, c: &Candidate) -> f64 {
+    /// The ratio of a holder, randomized by a hash local to this scheduler. The less the scheduler can rely
+    /// on its own measurements, the more it is randomized; otherwise all schedulers would overload the same
+    /// holder. If crossing zones has a cost, holders in the local zone are preferred.
+    fn holder_key(&self, function: &Function, c: &Choice) -> f64 {
         let spread = -unit_interval(rendezvous(function.hash ^ self.local_hash, c.worker.hash)).ln();
-        let away = f64::from(u8::from(c.worker.member.zone != self.settings.zone));
-        let way = 1.0 + CROSS_ZONE_WEIGHT * self.settings.cross_zone * away;
-        c.ratio * way * spread.powf((1.0 - self.fleet.local_confidence).powi(2))
+        let other_zone = f64::from(u8::from(c.worker.member.zone != self.settings.zone));
+        let zone_factor = 1.0 + CROSS_ZONE_WEIGHT * self.settings.cross_zone * other_zone;
+        c.ratio * zone_factor * spread.powf((1.0 - self.fleet.confidence).powi(2))
     }
 
-    /// A worker as a place for a function, its key spread by a hash that all schedulers share, so that those
-    /// who see nearly the same ratios choose the same workers. The home keeps its place until another ratio
-    /// is lower past the threshold.
-    fn candidate<'a>(
-        &self,
-        now: Micros,
-        of: (&Function, f64),
-        at: (&'a WorkerId, &'a Worker),
-    ) -> Candidate<'a> {
+    /// Evaluates a worker as a place for a function. The key is randomized by a hash that all schedulers
+    /// share, so that those which see similar ratios choose alike. The home is kept until another gains the
+    /// threshold.
+    fn choice<'a>(&self, now: Micros, of: (&Function, f64), at: (&'a WorkerId, &'a Worker)) -> Choice<'a> {
         let ((function, added), (id, worker)) = (of, at);
         self.evaluations.set(self.evaluations.get() + 1);
         let ratio = self.pressure_ratio(now, worker, added, function.memory_mb, function.class);
-        let held = if function.home.as_ref() == Some(id) { ratio / REBALANCE_GAIN } else { ratio };
-        let key = held.powf(RATIO_EXPONENT) * -unit_interval(rendezvous(function.hash, worker.hash)).ln();
-        Candidate { key, ratio, id, worker }
+        let biased = if function.home.as_ref() == Some(id) { ratio / REBALANCE_GAIN } else { ratio };
+        let key = biased.powf(RATIO_EXPONENT) * -unit_interval(rendezvous(function.hash, worker.hash)).ln();
+        Choice { key, ratio, id, worker }
     }
 
-    /// A function with the demand that it would bring.
+    /// A function with the demand that it adds to a worker.
     fn with_demand<'a>(&self, now: Micros, function: &'a Function) -> (&'a Function, f64) {
-        (
-            function,
-            function.rate.get(now, DEMAND_WINDOW_US) * function.typical_latency * function.weight
-                / DEMAND_WINDOW_US,
-        )
+        (function, function.rate.get(now, WINDOW_US) * function.latency * function.weight / WINDOW_US)
     }
 
-    /// Every usable worker as a place for a function, best first. It looks at the whole fleet: not for a call
-    /// that can go nowhere yet, which is looked at again and again.
-    fn rank(&self, now: Micros, function: &Function) -> Vec<Candidate<'_>> {
+    /// Every usable worker as a place for a function, best first. It evaluates the whole fleet, so it must
+    /// not be called for a call that can't be sent yet, as such a call is routed again many times.
+    fn rank(&self, now: Micros, function: &Function) -> Vec<Choice<'_>> {
         let usable = self.workers.iter().filter(|(_, w)| self.takes_work(now, w));
-        let of = self.with_demand(now, function);
-        let mut ranked: Vec<_> = usable.map(|at| self.candidate(now, of, at)).collect();
+        let demand = self.with_demand(now, function);
+        let mut ranked: Vec<_> = usable.map(|at| self.choice(now, demand, at)).collect();
         ranked.sort_by(|a, b| a.key.total_cmp(&b.key));
         ranked
     }
 
-    // ---- demand ------------------------------------------------------------------------------------------
+    // ---- demand -------------------------------------------------------------------------------------------
 
-    /// Copies that a function needs in all, and the workers to hold them. Its calls in hand anywhere are
-    /// taken as our own times the schedulers, where a first call says nothing. One that carries far more than
-    /// the others would take itself for the average: notes of crowds times the holders are a bound from
-    /// above, the mean crowd at one worker is one from below. They need lanes, with room for chance (twice
-    /// the root); where memory allows there is a holder for each, as a worker's cores serve other functions
-    /// too.
+    /// Number of copies that a function needs in the fleet, and of workers to hold them. Its concurrent calls
+    /// are estimated as this scheduler's own, less the first call, times the schedulers. A scheduler with far
+    /// more calls than the others would overestimate: the mean reported crowd times the holders is an upper
+    /// bound, the mean crowd at one worker a lower one. The calls need lanes, with a margin of twice the
+    /// square root for chance. If memory allows, each call gets a holder, as a worker's cores serve other
+    /// functions too.
     fn target_copies(&self, now: Micros, function: &Function) -> (usize, usize) {
         let (least, most) = self.copy_bounds(now, function);
-        let holders = (least + (most - least) * self.fleet.memory_headroom) as usize;
+        let holders = (least + (most - least) * self.fleet.headroom) as usize;
         let holders = holders.clamp(1, self.fleet.workers.max(1));
         ((least as usize).max(holders), holders)
     }
 
-    /// Copies that a function needs at least, and those that it is given where memory is no concern.
+    /// The minimum number of copies that a function needs, and the number if memory is plentiful.
     fn copy_bounds(&self, now: Micros, function: &Function) -> (f64, f64) {
         let own = busy_lanes(now, function) * f64::from(self.settings.schedulers);
-        let notes = function.crowd_reports.get(now, DEMAND_WINDOW_US);
-        let crowd = function.crowd_sum.get(now, DEMAND_WINDOW_US) / notes.max(1e-9);
-        let held = if notes > 0.1 { own.min(crowd * function.holders).max(crowd) } else { own };
-        let room = held + 2.0 * held.sqrt();
-        ((room / f64::from(function.lanes)).ceil().max(1.0), room.max(1.0))
+        let reports = function.crowd_reports.get(now, WINDOW_US);
+        let crowd = function.crowd_sum.get(now, WINDOW_US) / reports.max(1e-9);
+        let concurrent = if reports > 0.1 { own.min(crowd * function.holders).max(crowd) } else { own };
+        let target = concurrent + 2.0 * concurrent.sqrt();
+        ((target / f64::from(function.lanes)).ceil().max(1.0), target.max(1.0))
     }
 
-    // ---- routing -----------------------------------------------------------------------------------------
+    // ---- routing ------------------------------------------------------------------------------------------
 
-    /// Whether the rules let this request go to this worker now; a keyed one as late as it may come.
-    fn may_send(&self, now: Micros, held: &PendingRequest, worker: &Worker) -> bool {
+    /// Whether the rules permit sending to this worker now; a keyed request must arrive within its window.
+    fn may_send(&self, now: Micros, call: &PendingRequest, worker: &Worker) -> bool {
         if !worker.usable
-            || held.answered
-            || held.streaming
-            || held.attempts.len() >= self.settings.limits.attempts as usize
-            || !self.settings.limits.concurrent_attempts && held.attempts.iter().any(|a| a.ended.is_none())
+            || call.answered
+            || call.streaming
+            || call.attempts.len() >= self.settings.limits.attempts as usize
+            || !self.settings.limits.concurrent_attempts && call.attempts.iter().any(|a| a.ended.is_none())
             || self.cold_credit(now, worker) < 1.0
             || self.access(now, worker) == Access::Closed
         {
             return false;
         }
-        let mut maybe = held.attempts.iter().filter(|a| a.may_have_run());
+        let mut may_have_run = call.attempts.iter().filter(|a| a.may_have_run());
         let (zone, cell) = (worker.member.zone, worker.member.cell);
-        match self.settings.classes[held.request.class].repeat {
+        match self.settings.classes[call.request.class].repeat {
             Repeat::Safe => true,
-            Repeat::Unsafe => maybe.next().is_none(),
-            Repeat::Keyed { group, window } => maybe.all(|a| {
+            Repeat::Unsafe => may_have_run.next().is_none(),
+            Repeat::Keyed { group, window } => may_have_run.all(|a| {
                 let same = group == Group::All || a.zone == zone && (group == Group::Zone || a.cell == cell);
                 same && now + self.settings.tick + self.settings.rules.send_delay < a.sent + window
             }),
         }
     }
 
-    /// Whether a refusal, which tells the client that trying again is harmless, would be true.
-    fn may_refuse(&self, held: &PendingRequest) -> bool {
-        match self.settings.classes[held.request.class].repeat {
+    /// Whether the request may be refused, which tells the client that a retry is harmless.
+    fn may_refuse(&self, call: &PendingRequest) -> bool {
+        match self.settings.classes[call.request.class].repeat {
             Repeat::Safe | Repeat::Keyed { group: Group::All, .. } => true,
-            _ => !held.attempts.iter().any(Attempt::may_have_run),
+            _ => !call.attempts.iter().any(Attempt::may_have_run),
         }
     }
 
-    /// Sends a request where it should go, has it wait for a load, or ends it. What waits comes here with
-    /// each answer and sweep, so that a call that can't go must cost little: the places where copies stand
-    /// are looked at first, the whole fleet only where an order may follow.
-    fn route(&mut self, now: Micros, id: RequestId, out: &mut Actions) {
-        let Some(held) = self.requests.get(&id).filter(|h| !h.answered) else { return };
-        let name = held.request.function.clone();
+    /// Sends a request, queues it for a load, or ends it. Waiting calls are routed with each answer and
+    /// sweep, so one that can't be sent must be cheap: the whole fleet is evaluated only if an order may
+    /// follow.
+    fn route(&mut self, now: Micros, id: RequestId, out: &mut Out) {
+        let Some(call) = self.requests.get(&id).filter(|h| !h.answered) else { return };
+        let name = call.request.function.clone();
         let Some(function) = self.functions.get(&name) else { return };
-        let may = |w: &Worker| self.may_send(now, held, w);
-        if !held.attempts.is_empty() && !self.workers.values().any(may) {
-            if held.attempts.iter().all(|a| a.ended.is_some()) {
+        let allowed = |w: &Worker| self.may_send(now, call, w);
+        if !call.attempts.is_empty() && !self.workers.values().any(allowed) {
+            if call.attempts.iter().all(|a| a.ended.is_some()) {
                 self.refuse_or_fail(id, None, out);
             }
             return;
         }
-        // A miss told that no copy stood there: where one stands since, it may be tried again. Else a call
-        // whose own order brought the copy would wait beside it until its time is over, in a small fleet
-        // always. Could hurt where copies come and go faster than answers: attempts are used up.
-        // Nor does a broken connection tell of the copy behind it: a process that died refuses the next.
-        let again = |a: &Attempt| matches!(a.ended, Some(Code::Miss | Code::Reset));
-        let tried = |id: &WorkerId| held.attempts.iter().any(|a| a.worker == *id && !again(a));
-        let class = held.request.class;
-        let sound = |w: &Worker| self.penalty(now, w, class) < self.suspect_threshold(class);
-        let stands = function.places.iter().filter(|(id, p)| p.loaded && !tried(id));
-        let open = stands.filter_map(|(id, p)| Some((id, self.workers.get(id).filter(|w| may(w))?, p)));
-        let (mut standing, unsound): (Vec<_>, Vec<_>) = open.partition(|(_, w, _)| sound(w));
-        // Where no worker at all is sound, the evidence is doubted as in `suspect`, whose figure is some time
-        // old: a small fleet that slows down together would hold every call until the next walk.
-        if !unsound.is_empty() && !self.workers.values().any(|w| may(w) && sound(w)) {
-            standing = unsound;
+        // After a miss, a worker may be tried again once a copy is loaded there. Otherwise a call whose own
+        // order loaded the copy would wait next to it until its deadline, always so in a small fleet. Known
+        // drawback: if copies come and go faster than answers, attempts are used up. A lost connection says
+        // nothing about the copy either: a process that died refuses the next connection.
+        let retryable = |a: &Attempt| matches!(a.ended, Some(Code::Miss | Code::Reset));
+        let tried = |id: &WorkerId| call.attempts.iter().any(|a| a.worker == *id && !retryable(a));
+        let class = call.request.class;
+        let healthy = |w: &Worker| self.penalty(now, w, class) < self.suspect_threshold(class);
+        let untried = function.places.iter().filter(|(id, p)| p.loaded && !tried(id));
+        let open = untried.filter_map(|(id, p)| Some((id, self.workers.get(id).filter(|w| allowed(w))?, p)));
+        let (mut loaded, unhealthy): (Vec<_>, Vec<_>) = open.partition(|(_, w, _)| healthy(w));
+        // If no worker is healthy, the evidence is ignored as in `suspect_threshold`, whose baseline may be
+        // old: a small fleet that slows down as a whole would queue every call until the next maintenance.
+        if !unhealthy.is_empty() && !self.workers.values().any(|w| allowed(w) && healthy(w)) {
+            loaded = unhealthy;
         }
-        if standing.is_empty() {
+        if loaded.is_empty() {
             return self.wait_or_load(now, id, &name, out);
         }
         let (copies, holders) = self.target_copies(now, function);
-        let of = self.with_demand(now, function);
-        let choices = standing.into_iter().map(|(id, w, p)| (self.candidate(now, of, (id, w)), p));
-        let mut standing: Vec<_> = choices.collect();
-        standing.sort_by(|(a, _), (b, _)| a.key.total_cmp(&b.key));
-        // Past a copy's lanes a worker starts another by itself: what waits here instead causes no load.
+        let demand = self.with_demand(now, function);
+        let choices = loaded.into_iter().map(|(id, w, p)| (self.choice(now, demand, (id, w)), p));
+        let mut loaded: Vec<_> = choices.collect();
+        loaded.sort_by(|(a, _), (b, _)| a.key.total_cmp(&b.key));
+        // Beyond its copies' lanes a worker starts another copy by itself; a call queued here causes no load.
         let lanes = |p: &Place| f64::from(function.lanes * p.copies.max(1));
-        let own = |c: &Candidate| self.holder_key(function, c);
-        let crowd = |p: &Place| f64::from(p.in_flight) + p.crowd.get(now, CROWD_DECAY_US);
-        // A queue that outlasts the aim is no room.
-        let left = held.aim.checked_sub(now).unwrap_or(held.deadline.saturating_sub(now)) as f64;
-        let soon = |p: &Place| crowd(p) * function.typical_latency <= left * lanes(p);
-        let free = |(_, p): &&(Candidate, &Place)| f64::from(p.in_flight) < lanes(p) && soon(p);
-        let cost = |(c, p): &(Candidate, &Place)| {
-            let present = c.worker.due.len() as f64 + c.worker.others_in_flight.get(now, CROWD_DECAY_US);
-            let question = self.probe_cost(now, c.worker);
-            question * own(c) * (1.0 + crowd(p) / lanes(p) + present / self.fleet.in_flight.max(1.0))
+        let holder_key = |c: &Choice| self.holder_key(function, c);
+        let crowd = |p: &Place| f64::from(p.in_flight) + p.crowd.get(now, CROWD_US);
+        // A worker whose queue would miss the aim has no capacity for this call.
+        let time_left = call.aim.checked_sub(now).unwrap_or(call.deadline.saturating_sub(now)) as f64;
+        let meets_aim = |p: &Place| crowd(p) * function.latency <= time_left * lanes(p);
+        let free = |(_, p): &&(Choice, &Place)| f64::from(p.in_flight) < lanes(p) && meets_aim(p);
+        let cost = |(c, p): &(Choice, &Place)| {
+            let in_flight = c.worker.due.len() as f64 + c.worker.others_in_flight.get(now, CROWD_US);
+            let probe = self.probe_cost(now, c.worker);
+            probe * holder_key(c) * (1.0 + crowd(p) / lanes(p) + in_flight / self.fleet.in_flight.max(1.0))
         };
-        let best = |range: &[(Candidate, &Place)], idle: bool| {
-            let usable = range.iter().filter(free).filter(|(_, p)| !idle || crowd(p) < lanes(p));
+        let best = |range: &[(Choice, &Place)], only_idle: bool| {
+            let usable = range.iter().filter(free).filter(|(_, p)| !only_idle || crowd(p) < lanes(p));
             usable.min_by(|a, b| cost(a).total_cmp(&cost(b))).map(|(c, _)| c.id.clone())
         };
-        let (kept, beyond) = standing.split_at(holders.min(standing.len()));
-        let roomy = best(kept, true).or_else(|| best(beyond, true));
-        let choice = roomy.clone().or_else(|| best(kept, false)).or_else(|| best(beyond, false));
-        // The holder that is ours by our own hash is sought even while others have room: so all holders
-        // serve, though each scheduler knows few.
-        let lacks = |c: &&Candidate| {
+        let (first, rest) = loaded.split_at(holders.min(loaded.len()));
+        let idle = best(first, true).or_else(|| best(rest, true));
+        let choice = idle.clone().or_else(|| best(first, false)).or_else(|| best(rest, false));
+        // The holder preferred by the local hash gets copies even while others have capacity: so all holders
+        // are used, although each scheduler knows only a few.
+        let needs_copies = |c: &&Choice| {
             let place = function.places.get(c.id);
-            !place.is_some_and(|p| {
-                p.loading_since.is_some() || p.loaded && p.copies as usize * holders >= copies
-            })
+            !place.is_some_and(|p| p.loading.is_some() || p.loaded && p.copies as usize * holders >= copies)
         };
-        let grows = holders > 1 && self.may_order(now, function);
-        let mut ranked = if grows { self.rank(now, function) } else { Vec::new() };
+        let may_add_copies = holders > 1 && self.may_order(now, function);
+        let mut ranked = if may_add_copies { self.rank(now, function) } else { Vec::new() };
         ranked.truncate(holders);
-        let by_own = |a: &&Candidate, b: &&Candidate| own(a).total_cmp(&own(b));
-        let part = ranked.iter().min_by(by_own).filter(lacks).filter(|_| self.fleet.local_confidence < 0.5);
-        let more = || ranked.iter().filter(lacks).min_by(by_own).filter(|_| roomy.is_none());
-        let next = part.or_else(more).map(|c| c.id.clone());
+        let by_key = |a: &&Choice, b: &&Choice| holder_key(a).total_cmp(&holder_key(b));
+        let own = ranked.iter().min_by(by_key).filter(needs_copies).filter(|_| self.fleet.confidence < 0.5);
+        let overflow = || ranked.iter().filter(needs_copies).min_by(by_key).filter(|_| idle.is_none());
+        let next = own.or_else(overflow).map(|c| c.id.clone());
         match choice {
             Some(worker) => self.send(now, id, &worker, out),
             None => self.enqueue(id, true),
         }
         if let Some(worker) = next {
-            self.order_copies(now, &name, &worker, copies.div_ceil(holders) as u32, out);
+            self.grow(now, &name, &worker, copies.div_ceil(holders) as u32, out);
         }
     }
 
-    /// No copy is known: wait for answers or a load under way, else cause a load where the ratio is lowest.
-    fn wait_or_load(&mut self, now: Micros, id: RequestId, name: &FunctionId, out: &mut Actions) {
+    /// No copy is usable: waits for query answers or a load, else orders a load where the ratio is lowest.
+    fn wait_or_load(&mut self, now: Micros, id: RequestId, name: &FunctionId, out: &mut Out) {
         self.enqueue(id, false);
-        let has_ration = self.has_order_left(now);
-        let (Some(function), Some(held)) = (self.functions.get(name), self.requests.get(&id)) else { return };
-        let (last, family) = (function.query_deadline, &self.settings.copies);
-        if family.orders && (last == 0 || now >= last + function.load_time) {
+        let has_order_left = self.has_order_left(now);
+        let (Some(function), Some(call)) = (self.functions.get(name), self.requests.get(&id)) else { return };
+        let (queried_until, copies) = (function.query_deadline, &self.settings.copies);
+        if copies.orders && (queried_until == 0 || now >= queried_until + function.load_time) {
             return self.query_holders(now, name, out);
         }
-        let asking = function.queries_in_flight > 0 && now < function.query_deadline;
-        if asking || !self.may_order(now, function) {
-            let until = match (asking, function.order_after) {
+        let query_pending = function.queries > 0 && now < function.query_deadline;
+        if query_pending || !self.may_order(now, function) {
+            let until = match (query_pending, function.order_after) {
                 (true, _) => function.query_deadline,
-                (_, after) if after > now => after.min(last + function.load_time),
-                _ => last + function.load_time,
+                (_, after) if after > now => after.min(queried_until + function.load_time),
+                _ => queried_until + function.load_time,
             };
-            let rests = held.attempts.is_empty() && !function.places.values().any(|p| p.loaded);
-            if let Some(calls) = self.waiting.get_mut(name).filter(|_| rests && family.orders) {
+            let is_blocked = call.attempts.is_empty() && !function.places.values().any(|p| p.loaded);
+            if let Some(calls) = self.waiting.get_mut(name).filter(|_| is_blocked && copies.orders) {
                 calls.blocked_until = until;
             }
             return;
         }
-        if self.is_order_delayed(now, name) || !(family.orders && has_ration || family.load_on_miss) {
+        if self.is_order_delayed(now, name) || !(copies.orders && has_order_left || copies.load_on_miss) {
             return;
         }
-        let allowed = |c: &&Candidate| self.may_send(now, held, c.worker);
-        // Copies may stand where nothing may be sent for now: an order there would only be repeated.
-        let lacks = |c: &&Candidate| !function.places.get(c.id).is_some_and(|p| p.loaded);
+        let allowed = |c: &&Choice| self.may_send(now, call, c.worker);
+        // A copy may be loaded where nothing can be sent now; another order there would change nothing.
+        let empty = |c: &&Choice| !function.places.get(c.id).is_some_and(|p| p.loaded);
         let ranked = self.rank(now, function);
-        // One that turned calls away in an outage comes last: a call would spend all its attempts there.
-        let trusted = |c: &&Candidate| allowed(c) && !c.worker.drain_evidence.has_refused();
-        let first = ranked.iter().filter(lacks).find(trusted).or(ranked.iter().filter(lacks).find(allowed));
-        let Some(target) = first.or(ranked.iter().find(lacks)).map(|c| c.id.clone()) else { return };
+        // Workers that rejected calls in this outage come last: a call would spend all its attempts there.
+        let trusted = |c: &&Choice| allowed(c) && !c.worker.drain_evidence.has_refused();
+        let first = ranked.iter().filter(empty).find(trusted).or(ranked.iter().filter(empty).find(allowed));
+        let Some(target) = first.or(ranked.iter().find(empty)).map(|c| c.id.clone()) else { return };
         let direct = ranked.iter().find(trusted).or(ranked.iter().find(allowed)).map(|c| c.id.clone());
-        let ordered = self.order_copies(now, name, &target, 1, out);
-        // No order is to be had: the request itself brings the copy.
+        let ordered = self.grow(now, name, &target, 1, out);
+        // If no order is possible, the request itself makes the worker load the copy.
         if let Some(worker) = direct.filter(|_| !ordered && self.settings.copies.load_on_miss) {
             self.send(now, id, &worker, out);
         }
     }
 
-    /// Sends a request, or has it wait where its worker has to be asked first.
-    fn send(&mut self, now: Micros, id: RequestId, worker: &WorkerId, out: &mut Actions) {
+    /// Sends a request, or queues it if its worker must be probed first.
+    fn send(&mut self, now: Micros, id: RequestId, worker: &WorkerId, out: &mut Out) {
         if !self.may_begin(now, worker, out) {
             return self.enqueue(id, true);
         }
         let credit = self.workers.get(worker).map_or(0.0, |w| self.cold_credit(now, w));
-        let (Some(held), Some(known)) = (self.requests.get_mut(&id), self.workers.get_mut(worker)) else {
+        let (Some(call), Some(known)) = (self.requests.get_mut(&id), self.workers.get_mut(worker)) else {
             return;
         };
-        let Some(function) = self.functions.get_mut(&held.request.function) else { return };
-        stop_waiting((&mut self.waiting, &self.longest_queue), held);
+        let Some(function) = self.functions.get_mut(&call.request.function) else { return };
+        stop_waiting((&mut self.waiting, &self.longest_queue), call);
         let place = function.places.entry(worker.clone()).or_default();
-        let mut patience = function.typical_latency * 3.0;
+        let mut allowance = function.latency * 3.0;
         if !place.loaded {
-            patience += function.load_time as f64 * 2.0;
-            place.loading_since.get_or_insert(now);
+            allowance += function.load_time as f64 * 2.0;
+            place.loading.get_or_insert(now);
         }
         place.in_flight += 1;
         place.last_used = now;
         function.home.get_or_insert_with(|| worker.clone());
-        let aim = held.aim.saturating_sub(now) as f64;
-        let left = (aim - function.typical_latency * 1.5).max(function.typical_latency * 1.5);
-        let after = patience.min(left).max(20_000.0) as Micros;
-        let (number, due) = (held.attempts.len(), now + after);
-        held.attempts.push(Attempt::new(&known.member, now, due));
+        let aim = call.aim.saturating_sub(now) as f64;
+        let left = (aim - function.latency * 1.5).max(function.latency * 1.5);
+        let after = allowance.min(left).max(20_000.0) as Micros;
+        let (number, due) = (call.attempts.len(), now + after);
+        call.attempts.push(Attempt::new(&known.member, now, due));
         known.due.insert((due, id, number));
-        known.demand.add(now, function.typical_latency * function.weight, DEMAND_WINDOW_US);
+        known.demand.add(now, function.latency * function.weight, WINDOW_US);
         (known.cold_credit, known.cold_at) = (credit - 1.0, now);
-        self.sends.add(now, 1.0, DEMAND_WINDOW_US);
+        self.sends.add(now, 1.0, WINDOW_US);
         out.push(Action::Send { id, worker: worker.clone(), until: None });
         self.set_timer(after, TimerPurpose::Overdue(id, number), out);
     }
 
-    /// Functions worth a look at their home, those with least demand first.
+    /// Functions with enough calls to check their home, by ascending demand.
     fn functions_by_demand(&self, now: Micros) -> Vec<FunctionId> {
-        let calls = self.functions.iter().map(|(n, f)| (f.rate.get(now, DEMAND_WINDOW_US), n.clone()));
+        let calls = self.functions.iter().map(|(n, f)| (f.rate.get(now, WINDOW_US), n.clone()));
         let mut order: Vec<_> = calls.filter(|(calls, _)| *calls >= 2.0).collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(&a.1)));
         order.into_iter().map(|(_, name)| name).collect()
     }
 
-    /// Moves functions, in falling demand, that gain past the threshold: the load is ordered at the target,
-    /// the source serves on, and the home switches once the copy stands. A part of them a sweep: weighed all
-    /// at once, hundreds of functions at a large fleet would hold up what is due meanwhile.
-    fn rebalance(&mut self, now: Micros, out: &mut Actions) {
-        let has_ration = self.has_order_left(now);
+    /// Moves functions that gain more than the threshold, by descending demand. The load is ordered at the
+    /// target, the source continues to serve, and the home switches once the copy is loaded. Each sweep
+    /// checks a batch: checking hundreds of functions against a large fleet at once would delay other events.
+    fn rebalance(&mut self, now: Micros, out: &mut Out) {
+        let has_order_left = self.has_order_left(now);
         for _ in 0..REBALANCE_BATCH {
             let Some(name) = self.rebalance_queue.pop() else { return };
             let Some(function) = self.functions.get(&name) else { continue };
             let Some(home) = function.home.clone() else { continue };
             let at = |id| self.workers.get_key_value(id).filter(|(_, w)| self.takes_work(now, w));
-            let choice = |at| self.candidate(now, self.with_demand(now, function), at);
-            let here = at(&home).map_or(f64::INFINITY, |at| choice(at).ratio);
-            let gains = |c: &&Candidate| *c.id != home && here > c.ratio * REBALANCE_GAIN;
-            // Without an order it can only move to where a copy stands: seldom worth a look at the fleet.
-            let standing = function.places.iter().filter(|(_, p)| p.loaded);
-            let moves = || standing.filter_map(|(id, _)| at(id)).any(|at| gains(&&choice(at)));
-            let orders = has_ration && self.may_order(now, function) && self.load_gap == 0;
-            if !orders && !moves() {
+            let choice = |at| self.choice(now, self.with_demand(now, function), at);
+            let home_ratio = at(&home).map_or(f64::INFINITY, |at| choice(at).ratio);
+            let gains = |c: &&Choice| *c.id != home && home_ratio > c.ratio * REBALANCE_GAIN;
+            // Without an order it can only move to a loaded copy: rarely worth ranking the whole fleet.
+            let loaded = function.places.iter().filter(|(_, p)| p.loaded);
+            let can_move_to_loaded = || loaded.filter_map(|(id, _)| at(id)).any(|at| gains(&&choice(at)));
+            let may_order = has_order_left && self.may_order(now, function) && self.load_gap == 0;
+            if !may_order && !can_move_to_loaded() {
                 continue;
             }
             let ranked = self.rank(now, function);
             let Some(best) = ranked.first().filter(gains) else { continue };
-            let (best, stands) = (best.id.clone(), function.places.get(best.id).is_some_and(|p| p.loaded));
-            let ordered = !stands && orders && self.send_order(now, (&best, &name), 1, out);
+            let (best, is_loaded) = (best.id.clone(), function.places.get(best.id).is_some_and(|p| p.loaded));
+            let ordered = !is_loaded && may_order && self.send_order(now, (&best, &name), 1, out);
             let Some(function) = self.functions.get_mut(&name) else { continue };
             if ordered {
                 function.moving_to = Some(best);
                 return self.rebalance_queue.clear();
             }
-            function.home = if stands { Some(best) } else { Some(home) };
+            function.home = if is_loaded { Some(best) } else { Some(home) };
         }
     }
 
-    // ---- fairness ----------------------------------------------------------------------------------------
+    // ---- fairness -----------------------------------------------------------------------------------------
 
-    /// Whether a request is past our part of its tenant's share: the share itself is always let in, however
-    /// many repeats come on top. Such requests wait behind the others and go first where there is no room.
+    /// Whether a request exceeds this scheduler's part of its tenant's share. Only admitted requests within
+    /// the share are counted, so the share itself is always available, however many repeats come on top.
+    /// Requests over the share wait behind the others and are shed first.
     fn is_over_share(&mut self, now: Micros, tenant: usize) -> bool {
         let Some(quota) = self.settings.tenant_quotas.get(tenant) else { return false };
         let share = quota / f64::from(self.settings.schedulers) * SHARE_WINDOW_US / 1e6;
-        let past = self.tenants[tenant].get(now, SHARE_WINDOW_US) > share + share.sqrt();
-        self.tenants[tenant].add(now, if past { 0.0 } else { 1.0 }, SHARE_WINDOW_US);
-        past
+        let is_over = self.tenants[tenant].get(now, SHARE_WINDOW_US) > share + share.sqrt();
+        self.tenants[tenant].add(now, if is_over { 0.0 } else { 1.0 }, SHARE_WINDOW_US);
+        is_over
     }
 
-    /// Whether a new request is turned away at once. Where attempts come back full or late, all schedulers
-    /// together send more than the fleet can do, though each sends little: what is past a tenant's share goes
-    /// first, then a part of the rest that grows with the jam, or all would be late. It lets go as answers
-    /// come in time, or after seconds without any. Could hurt where one jammed worker has most of our calls.
-    fn rejects_for_overload(&mut self, now: Micros, excess: bool) -> bool {
-        let over = self.overload.get(now, PENALTY_DECAY_US) - OVERLOAD_SHARE;
-        if over <= 0.0 || excess {
-            return over > 0.0;
+    /// Whether a new request is refused for overload. If attempts are rejected or late, all schedulers
+    /// together send more than the fleet can serve, even if each sends little. Requests over their tenant's
+    /// share go first, then a growing part of the rest; otherwise all would be late. It ends as answers come
+    /// in time, or after seconds without any. Known drawback: one overloaded worker with most calls triggers
+    /// it.
+    fn rejects_for_overload(&mut self, now: Micros, over_share: bool) -> bool {
+        let excess = self.overload.get(now, DECAY_US) - OVERLOAD_SHARE;
+        if excess <= 0.0 || over_share {
+            return excess > 0.0;
         }
-        self.admission_credit += 1.0 - (2.0 * over - OVERLOAD_SHARE).clamp(0.0, 0.8);
+        self.admission_credit += 1.0 - (2.0 * excess - OVERLOAD_SHARE).clamp(0.0, 0.8);
         let away = self.admission_credit < 1.0;
         self.admission_credit -= if away { 0.0 } else { 1.0 };
         away
     }
 
-    /// How far past its aim a new request would wait behind those for the same function, as fast as answers
-    /// came while some waited: it would be shed at its aim, and is better told at once. Answers of quiet
-    /// times say nothing of what copies can do, so a burst after them is let in. Could hurt where copies
-    /// about to stand will serve faster than those before.
+    /// How far past its aim a new request would wait in its function's queue, at the rate of answers measured
+    /// while calls waited. It would be shed at its aim, so it is better refused at once. Answers without a
+    /// queue say nothing about the capacity of the copies: a burst after a quiet time is admitted. Known
+    /// drawback: copies about to be loaded may serve faster.
     fn wait_past_aim(&self, now: Micros, id: RequestId) -> Option<Micros> {
-        let held = self.requests.get(&id)?;
+        let call = self.requests.get(&id)?;
         let (function, calls) =
-            (self.functions.get(&held.request.function)?, self.waiting.get(&held.request.function)?);
-        let ahead = calls.queues[0].len() + if held.over_share { calls.queues[1].len() } else { 0 };
-        let beyond = ahead as f64 * function.answer_gap + function.typical_latency
-            - held.aim.saturating_sub(now) as f64;
-        (function.answer_gap_count >= MIN_ANSWER_GAPS && beyond > 0.0).then_some(beyond as Micros)
+            (self.functions.get(&call.request.function)?, self.waiting.get(&call.request.function)?);
+        let ahead = calls.queues[0].len() + if call.over_share { calls.queues[1].len() } else { 0 };
+        let excess = ahead as f64 * function.gap + function.latency - call.aim.saturating_sub(now) as f64;
+        (function.gap_count >= MIN_ANSWER_GAPS && excess > 0.0).then_some(excess as Micros)
     }
 
-    // ---- copies ------------------------------------------------------------------------------------------
+    // ---- copies -------------------------------------------------------------------------------------------
 
-    /// Whether no order of a function is out, nor on hold after a failure.
+    /// Whether a function has no order under way and no pause after a failed one.
     fn may_order(&self, now: Micros, function: &Function) -> bool {
-        now >= function.order_after && !function.places.values().any(|p| p.loading_since.is_some())
+        now >= function.order_after && !function.places.values().any(|p| p.loading.is_some())
     }
 
-    /// Orders copies, one order of a function at a time: true while one is out or on hold after a failure.
-    fn order_copies(
-        &mut self,
-        now: Micros,
-        name: &FunctionId,
-        worker: &WorkerId,
-        count: u32,
-        out: &mut Actions,
-    ) -> bool {
+    /// Orders copies, one order per function at a time; false if no order is possible, true if one was sent,
+    /// is under way, is delayed after a failure or waits for a probe.
+    fn grow(&mut self, now: Micros, name: &FunctionId, worker: &WorkerId, count: u32, out: &mut Out) -> bool {
         if !self.may_order(now, &self.functions[name]) || self.is_order_delayed(now, name) {
             return true;
         }
@@ -519,42 +502,41 @@
         self.send_order(now, (worker, name), count, out)
     }
 
-    /// A load has failed: the gap between orders grows, under calls once for those that fail together.
+    /// A load has failed: widens the gap between orders; for requests that fail together only once.
     fn on_load_failed(&mut self, now: Micros, ordered: bool) {
         if ordered || now >= self.load_gap_raised_at + self.load_gap {
-            self.load_gap = (self.load_gap * 2).clamp(GAP.0, GAP.1);
+            self.load_gap = (self.load_gap * 2).clamp(MIN_LOAD_GAP_US, MAX_LOAD_GAP_US);
             (self.load_gap_raised_at, self.next_load) = (now, now + self.load_gap);
         }
     }
 
-    /// Whether a function's order has to wait since loads fail: the store turns fetches away, and orders that
-    /// come again at once, each for one call, keep it so. They go one at a time then, at a gap that doubles
-    /// with each failure, and those first that most calls wait for. Could hurt where one function alone
-    /// can't be loaded.
+    /// Whether a function's order must wait because loads fail. The code store rejects fetches, and repeating
+    /// orders at once, each for one call, would keep it overloaded. They go one at a time, with a gap that
+    /// doubles with each failure, longest queues first. Known drawback: one bad function delays others.
     fn is_order_delayed(&self, now: Micros, name: &FunctionId) -> bool {
         if self.load_gap == 0 {
             return false;
         }
         let count = |calls: &WaitingCalls| calls.queues.iter().map(BTreeSet::len).sum::<usize>();
-        let most = || {
+        let longest = || {
             self.longest_queue.get().unwrap_or_else(|| self.waiting.values().map(count).max().unwrap_or(0))
         };
         now < self.next_load || {
-            self.longest_queue.set(Some(most()));
-            self.waiting.get(name).map_or(0, count) * 2 < most()
+            self.longest_queue.set(Some(longest()));
+            self.waiting.get(name).map_or(0, count) * 2 < longest()
         }
     }
 
-    /// Whether the ration of load orders has one more, however late this one or those before it come whole.
+    /// Whether the rate limit permits another load order, however late this one and earlier ones arrive.
     fn has_order_left(&mut self, now: Micros) -> bool {
-        let (family, delay) = (&self.settings.copies, self.settings.rules.send_delay);
-        while self.recent_orders.pop_front_if(|t| *t + family.load_window + delay < now).is_some() {}
-        while self.recent_requests.pop_front_if(|t| *t + family.load_window <= now + delay).is_some() {}
-        let most = family.load_free + family.load_share * self.recent_requests.len() as f64;
-        family.load_window == 0 || (self.recent_orders.len() + 1) as f64 <= most
+        let (copies, delay) = (&self.settings.copies, self.settings.rules.send_delay);
+        while self.recent_orders.pop_front_if(|t| *t + copies.load_window + delay < now).is_some() {}
+        while self.recent_requests.pop_front_if(|t| *t + copies.load_window <= now + delay).is_some() {}
+        let limit = copies.load_free + copies.load_share * self.recent_requests.len() as f64;
+        copies.load_window == 0 || (self.recent_orders.len() + 1) as f64 <= limit
     }
 
-    fn send_order(&mut self, now: Micros, at: WorkerFunction, count: u32, out: &mut Actions) -> bool {
+    fn send_order(&mut self, now: Micros, at: WorkerFunction, count: u32, out: &mut Out) -> bool {
         let (worker, name) = at;
         let usable = self.workers.get(worker).is_some_and(|w| w.usable);
         if !usable
@@ -564,10 +546,10 @@
         {
             return false;
         }
-        self.unload_idle_copy(now, worker, name, out);
+        self.make_room(now, worker, name, out);
         let Some(function) = self.functions.get_mut(name) else { return false };
         let place = function.places.entry(worker.clone()).or_default();
-        place.loading_since = Some(now);
+        place.loading = Some(now);
         place.last_used = now;
         self.next_load = now + self.load_gap;
         self.recent_orders.push_back(now);
@@ -575,49 +557,42 @@
         true
     }
 
-    /// Just before a load on a worker that our account shows short of memory: unload the youngest idle
-    /// instance of a function that we saw once, so that it does not push out an older, hotter copy. Copies of
-    /// others stay: what we do not use there another scheduler may.
-    fn unload_idle_copy(&mut self, now: Micros, worker: &WorkerId, name: &FunctionId, out: &mut Actions) {
+    /// Before a load on a worker short of memory, unloads the most recently loaded idle copy of a function
+    /// called once, so that the load evicts no older, busier copy. Others stay: other schedulers may use
+    /// them.
+    fn make_room(&mut self, now: Micros, worker: &WorkerId, name: &FunctionId, out: &mut Out) {
         let (Some(known), Some(function)) = (self.workers.get(worker), self.functions.get(name)) else {
             return;
         };
-        let told = self.settings.copies.kind_memory_mb.get(known.member.kind);
-        if told.is_none_or(|told| told - known.placed_mb >= function.memory_mb) {
+        let memory = self.settings.copies.kind_memory_mb.get(known.member.kind);
+        if memory.is_none_or(|memory| memory - known.placed_mb >= function.memory_mb) {
             return;
         }
         let idle = self.functions.iter().filter(|(n, _)| *n != name).filter_map(|(n, f)| {
             let place = f.places.get(worker).filter(|p| p.loaded && p.in_flight == 0)?;
             let unused = place.last_used + self.settings.copies.keep_alive / 4 < now;
-            let once = f.rate.get(now, DEMAND_WINDOW_US) <= 1.0;
-            (unused && once).then_some((place.loaded_at, n))
+            let called_once = f.rate.get(now, WINDOW_US) <= 1.0;
+            (unused && called_once).then_some((place.loaded_at, n))
         });
         if let Some(victim) = idle.max().map(|(_, n)| n.clone()) {
-            self.record_copies(worker, &victim, false, 0, 0);
+            self.set_copies(worker, &victim, false, 0, 0);
             out.push(Action::Drop { worker: worker.clone(), function: victim });
         }
     }
 
-    /// Records whether a function stands on a worker, and the memory that it takes in our account.
-    fn record_copies(
-        &mut self,
-        worker: &WorkerId,
-        name: &FunctionId,
-        stands: bool,
-        copies: u32,
-        now: Micros,
-    ) {
+    /// Records the copies of a function on a worker and the memory that they take.
+    fn set_copies(&mut self, worker: &WorkerId, name: &FunctionId, loaded: bool, copies: u32, now: Micros) {
         let Some(function) = self.functions.get_mut(name) else { return };
         let place = function.places.entry(worker.clone()).or_default();
         let before = if place.loaded { f64::from(place.copies.max(1)) } else { 0.0 };
-        place.loaded_at = if stands && !place.loaded { now } else { place.loaded_at };
-        (place.loaded, place.copies) = (stands, copies);
-        let after = if stands { f64::from(copies.max(1)) } else { 0.0 };
+        place.loaded_at = if loaded && !place.loaded { now } else { place.loaded_at };
+        (place.loaded, place.copies) = (loaded, copies);
+        let after = if loaded { f64::from(copies.max(1)) } else { 0.0 };
         if let Some(known) = self.workers.get_mut(worker) {
             known.placed_mb = (known.placed_mb + (after - before) * function.memory_mb).max(0.0);
         }
-        if stands {
-            place.loading_since = None;
+        if loaded {
+            place.loading = None;
             if function.home.is_none() || function.moving_to.as_ref() == Some(worker) {
                 function.home = Some(worker.clone());
                 function.moving_to = None;
@@ -627,57 +602,57 @@
         }
     }
 
-    /// Takes the answer to an order or a question: copies standing, how it ended, after how long.
-    fn on_loaded(&mut self, now: Micros, at: WorkerFunction, told: (u32, Code, Micros), out: &mut Actions) {
-        let ((worker, name), (count, code, latency)) = (at, told);
+    /// Handles the answer to a load order or a query: the number of loaded copies, the code and the latency.
+    fn on_loaded(&mut self, now: Micros, at: WorkerFunction, result: (u32, Code, Micros), out: &mut Out) {
+        let ((worker, name), (count, code, latency)) = (at, result);
         if !self.workers.contains_key(worker) {
             return;
         }
         let Some(function) = self.functions.get_mut(name) else { return };
-        function.queries_in_flight = function.queries_in_flight.saturating_sub(1);
+        function.queries = function.queries.saturating_sub(1);
         self.waiting.get_mut(name).into_iter().for_each(|calls| calls.blocked_until = 0);
-        let early = |since| code == Code::Ok && count == 0 && now < since + function.load_time;
-        let ends = |p: &&mut Place| p.loading_since.is_some_and(|since| !early(since));
-        let Some(place) = function.places.get_mut(worker).filter(ends) else {
-            // An answer to a question; of no copy also one to a question from before the order.
+        let predates_order = |since| code == Code::Ok && count == 0 && now < since + function.load_time;
+        let ends_load = |p: &&mut Place| p.loading.is_some_and(|since| !predates_order(since));
+        let Some(place) = function.places.get_mut(worker).filter(ends_load) else {
+            // The answer to a query. If it reports no copy, the query may also have preceded the order.
             if code == Code::Ok && count > 0 {
                 function.places.entry(worker.clone()).or_default().last_used = now;
-                self.record_copies(worker, name, true, count, now);
+                self.set_copies(worker, name, true, count, now);
             }
-            if count > 0 || self.functions[name].queries_in_flight == 0 {
+            if count > 0 || self.functions[name].queries == 0 {
                 self.route_waiting(now, None, out);
             }
             return;
         };
-        place.loading_since = None;
+        place.loading = None;
         if function.moving_to.as_ref() == Some(worker) && code != Code::Ok {
             function.moving_to = None;
         }
         if code == Code::Ok && count > 0 {
-            let took = if latency > 20_000 { latency } else { function.load_time };
-            function.load_time = (function.load_time * 7 + took * 3) / 10;
-            self.record_copies(worker, name, true, count, now);
+            let duration = if latency > 20_000 { latency } else { function.load_time };
+            function.load_time = (function.load_time * 7 + duration * 3) / 10;
+            self.set_copies(worker, name, true, count, now);
         } else if let Some(known) = self.workers.get_mut(worker) {
-            known.failures.add(now, 1.0, PENALTY_DECAY_US);
+            known.failures.add(now, 1.0, DECAY_US);
             function.order_after = now + function.load_time / 2;
         }
         if code == Code::Error {
             self.on_load_failed(now, true);
         } else if code == Code::Ok && self.load_gap > 0 {
-            self.load_gap = Some(self.load_gap / 2).filter(|gap| *gap >= GAP.0).unwrap_or(0);
+            self.load_gap = Some(self.load_gap / 2).filter(|gap| *gap >= MIN_LOAD_GAP_US).unwrap_or(0);
         }
         self.route_waiting(now, None, out);
     }
 
-    /// Routes what waits, within its tenant's share first, then by aim; after an answer only what it may
-    /// free. Of a function whose first call finds no place the others find none either: each turn costs the
-    /// functions that wait and the calls that go, not all that wait.
-    pub(crate) fn route_waiting(&mut self, now: Micros, freed: Option<&WorkerId>, out: &mut Actions) {
-        let lane = |p: &Place, f: &Function| !p.loaded || p.in_flight < f.lanes * p.copies.max(1);
-        let usable = |f: &Function, w| f.places.get(w).is_some_and(|p| lane(p, f));
-        let may = |name: &FunctionId, w| self.functions.get(name).is_some_and(|f| usable(f, w));
-        let awake = self.waiting.iter().filter(|(_, calls)| calls.blocked_until <= now);
-        let names = awake.filter(|(name, _)| freed.is_none_or(|w| may(name, w)));
+    /// Routes waiting calls, those within their tenant's share first, then by aim; after an answer only those
+    /// with a free lane at the worker `freed`. If a function's first call can't be sent, its others can't
+    /// either, so the cost grows with the waiting functions and the sent calls, not with all waiting calls.
+    pub(crate) fn route_waiting(&mut self, now: Micros, freed: Option<&WorkerId>, out: &mut Out) {
+        let has_lane = |p: &Place, f: &Function| !p.loaded || p.in_flight < f.lanes * p.copies.max(1);
+        let can_take = |f: &Function, w| f.places.get(w).is_some_and(|p| has_lane(p, f));
+        let may_go = |name: &FunctionId, w| self.functions.get(name).is_some_and(|f| can_take(f, w));
+        let unblocked = self.waiting.iter().filter(|(_, calls)| calls.blocked_until <= now);
+        let names = unblocked.filter(|(name, _)| freed.is_none_or(|w| may_go(name, w)));
         let heads = names.filter_map(|(name, calls)| Some((first_waiting(now, calls)?, name.clone())));
         let mut heads: BTreeSet<_> = heads.collect();
         while let Some(((.., id), name)) = heads.pop_first() {
@@ -689,26 +664,26 @@
         }
     }
 
-    /// Asks the first few workers whether they hold a function that we know no copy of, again while a load is
-    /// late. A scheduler of many hears of most functions more rarely than copies are kept, though others use
-    /// them all the time. Useless for functions seen once, where it costs some asks.
-    fn query_holders(&mut self, now: Micros, name: &FunctionId, out: &mut Actions) {
+    /// Queries the best few workers for copies of a function if none is known, and again while a load is
+    /// late. One of many schedulers calls most functions less often than idle copies expire, though other
+    /// schedulers use the copies all the time. For functions called only once the queries are wasted.
+    fn query_holders(&mut self, now: Micros, name: &FunctionId, out: &mut Out) {
         let function = &self.functions[name];
         let mut ranked = self.rank(now, function);
-        // Where many should hold it, ours are asked besides the first.
-        ranked.truncate(self.target_copies(now, function).1.max(ASK.1));
-        let own = |c: &Candidate| self.holder_key(function, c);
-        ranked.get_mut(1..).unwrap_or_default().sort_by(|a, b| own(a).total_cmp(&own(b)));
-        let asked: Vec<_> = ranked.iter().take(ASK.1).map(|c| c.id.clone()).collect();
+        // If many workers should hold it, the first and those preferred by the local hash are queried.
+        ranked.truncate(self.target_copies(now, function).1.max(QUERY_WORKERS));
+        let holder_key = |c: &Choice| self.holder_key(function, c);
+        ranked.get_mut(1..).unwrap_or_default().sort_by(|a, b| holder_key(a).total_cmp(&holder_key(b)));
+        let targets: Vec<_> = ranked.iter().take(QUERY_WORKERS).map(|c| c.id.clone()).collect();
         let Some(function) = self.functions.get_mut(name) else { return };
-        (function.queries_in_flight, function.query_deadline) = (asked.len() as u32, now + ASK.0);
-        let ask = |worker| Action::Load { worker, function: name.clone(), count: 0 };
-        out.extend(asked.into_iter().map(ask));
+        (function.queries, function.query_deadline) = (targets.len() as u32, now + QUERY_WAIT_US);
+        let query = |worker| Action::Load { worker, function: name.clone(), count: 0 };
+        out.extend(targets.into_iter().map(query));
     }
 
-    // ---- health ------------------------------------------------------------------------------------------
+    // ---- list of workers ----------------------------------------------------------------------------------
 
-    fn on_members(&mut self, now: Micros, kind: MembersKind, members: Vec<Member>, out: &mut Actions) {
+    fn on_members(&mut self, now: Micros, kind: MembersKind, members: Vec<Member>, out: &mut Out) {
         if !self.started {
             self.started = true;
             self.next_rebalance = now + REBALANCE_US;
@@ -743,242 +718,231 @@
         self.maintain(now);
     }
 
-    /// Forgets all that we believed loaded on a worker.
+    /// Clears all records of copies on a worker.
     pub(crate) fn clear_placements(&mut self, worker: &WorkerId) {
         let held = self.functions.iter().filter(|(_, f)| f.places.contains_key(worker));
         let names: Vec<_> = held.map(|(n, _)| n.clone()).collect();
         for name in names {
-            self.record_copies(worker, &name, false, 0, 0);
+            self.set_copies(worker, &name, false, 0, 0);
             let Some(function) = self.functions.get_mut(&name) else { continue };
             function.moving_to.take_if(|w| *w == *worker);
             self.waiting.get_mut(&name).into_iter().for_each(|calls| calls.blocked_until = 0);
-            function.places.get_mut(worker).into_iter().for_each(|place| place.loading_since = None);
+            function.places.get_mut(worker).into_iter().for_each(|place| place.loading = None);
             function.places.retain(|w, p| w != worker || p.in_flight > 0);
         }
     }
 
-    // ---- request life ------------------------------------------------------------------------------------
+    // ---- request lifecycle --------------------------------------------------------------------------------
 
-    fn on_request(&mut self, now: Micros, told: Request, out: &mut Actions) {
-        let (id, name) = (told.id, told.function.clone());
-        let usable = told.memory_mb.is_finite() && told.memory_mb > 0.0 && told.lanes > 0;
+    fn on_request(&mut self, now: Micros, request: Request, out: &mut Out) {
+        let (id, name) = (request.id, request.function.clone());
+        let usable = request.memory_mb.is_finite() && request.memory_mb > 0.0 && request.lanes > 0;
         if self.requests.contains_key(&id) {
             return;
-        } else if told.class >= self.settings.classes.len() || !usable {
+        } else if request.class >= self.settings.classes.len() || !usable {
             return out.push(Action::Refuse { id, wait: None });
         }
         let strictest = self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(1) as f64;
-        let class = &self.settings.classes[told.class];
+        let class = &self.settings.classes[request.class];
         self.recent_requests.push_back(now);
         let holders = self.functions.get(&name).map_or(1, |f| self.target_copies(now, f).1);
         let function = self.functions.entry(name.clone()).or_insert_with(|| Function {
-            memory_mb: told.memory_mb,
-            lanes: told.lanes,
-            load_time: told.load_time.unwrap_or(class.aim),
-            typical_latency: self.class_typical_latency[told.class],
+            memory_mb: request.memory_mb,
+            lanes: request.lanes,
+            load_time: request.load_time.unwrap_or(class.aim),
+            latency: self.class_latency[request.class],
             weight: strictest / class.aim as f64,
-            class: told.class,
+            class: request.class,
             holders: 1.0,
             hash: text_hash(name.as_str()),
             created_at: now,
             ..Function::default()
         });
-        function.rate.add(now, 1.0, DEMAND_WINDOW_US);
+        function.rate.add(now, 1.0, WINDOW_US);
         function.last_called = now;
         function.holders = holders as f64;
-        let deadline = now + told.client_timeout;
-        // Told less patience than the aim, what is left of it is the aim.
-        let within = class.aim.min(told.client_timeout);
-        let (aim, shed) = (now + within, within.saturating_sub(function.typical_latency as Micros));
-        let excess = self.is_over_share(now, told.tenant);
+        let deadline = now + request.client_timeout;
+        // If the client waits less than the class's aim, its timeout is the aim.
+        let within = class.aim.min(request.client_timeout);
+        let (aim, shed) = (now + within, within.saturating_sub(function.latency as Micros));
+        let over_share = self.is_over_share(now, request.tenant);
         self.set_timer(shed, TimerPurpose::Shed(id), out);
-        self.set_timer(told.client_timeout, TimerPurpose::Deadline(id), out);
-        self.requests.insert(id, PendingRequest::new(told, deadline, aim, excess));
+        self.set_timer(request.client_timeout, TimerPurpose::Deadline(id), out);
+        self.requests.insert(id, PendingRequest::new(request, deadline, aim, over_share));
         if self.is_every_worker_closed(now) {
             return self.refuse_or_fail(id, Some(self.retry_after_closed()), out);
         }
-        let beyond = self.wait_past_aim(now, id);
-        if self.rejects_for_overload(now, excess) || beyond.is_some() {
-            self.refuse_or_fail(id, beyond, out);
+        let excess = self.wait_past_aim(now, id);
+        if self.rejects_for_overload(now, over_share) || excess.is_some() {
+            self.refuse_or_fail(id, excess, out);
         } else {
             self.route(now, id, out);
         }
     }
 
-    fn on_outcome(&mut self, now: Micros, told: Outcome, out: &mut Actions) {
-        let Some(held) = self.requests.get_mut(&told.id) else { return };
-        let open = |a: &&mut Attempt| a.ended.is_none() && a.worker == told.worker;
-        let Some(attempt) = held.attempts.get_mut(told.attempt).filter(open) else { return };
-        attempt.ended = Some(told.code);
-        let (sent, due, class, missed) =
-            (attempt.sent, attempt.due, held.request.class, attempt.counted_overdue);
-        let name = held.request.function.clone();
-        held.answered |= told.is_final;
-        let (done, quiet) = (held.answered, held.attempts.iter().all(|a| a.ended.is_some()));
-        if told.code == Code::Ok {
-            self.renew_lease(now, &told.worker, sent);
+    fn on_outcome(&mut self, now: Micros, outcome: Outcome, out: &mut Out) {
+        let Some(call) = self.requests.get_mut(&outcome.id) else { return };
+        let open = |a: &&mut Attempt| a.ended.is_none() && a.worker == outcome.worker;
+        let Some(attempt) = call.attempts.get_mut(outcome.attempt).filter(open) else { return };
+        attempt.ended = Some(outcome.code);
+        let (sent, due, class, overdue) = (attempt.sent, attempt.due, call.request.class, attempt.overdue);
+        let name = call.request.function.clone();
+        call.answered |= outcome.is_final;
+        let (answered, ended) = (call.answered, call.attempts.iter().all(|a| a.ended.is_some()));
+        if outcome.code == Code::Ok {
+            self.renew_lease(now, &outcome.worker, sent);
         }
-        let is_load = told.code != Code::Full || self.on_refusal(now, &told.worker, sent);
-        self.record_outcome(now, &name, (class, due, missed, is_load), &told);
-        if done {
-            self.finish(told.id, None, out);
-        } else if self.requests.get(&told.id).is_some_and(|h| now + self.settings.tick >= h.deadline) {
-            self.finish(told.id, Some(Action::Fail { id: told.id }), out);
-        } else if quiet {
-            self.route(now, told.id, out);
+        let is_load = outcome.code != Code::Full || self.on_refusal(now, &outcome.worker, sent);
+        self.record(now, &name, (class, due, overdue, is_load), &outcome);
+        if answered {
+            self.finish(outcome.id, None, out);
+        } else if self.requests.get(&outcome.id).is_some_and(|h| now + self.settings.tick >= h.deadline) {
+            self.finish(outcome.id, Some(Action::Fail { id: outcome.id }), out);
+        } else if ended {
+            self.route(now, outcome.id, out);
         }
-        self.route_waiting(now, Some(&told.worker), out);
+        self.route_waiting(now, Some(&outcome.worker), out);
     }
 
-    /// Takes what an outcome tells of the worker, the copy and the function's usual time.
-    fn record_outcome(
-        &mut self,
-        now: Micros,
-        name: &FunctionId,
-        of: (usize, Micros, bool, bool),
-        told: &Outcome,
-    ) {
-        let (class, due, missed, is_load) = of;
-        let (worker, key) = (&told.worker, (due, told.id, told.attempt));
+    /// Updates worker, copy and typical latency from an outcome. `info`: the class, when the attempt becomes
+    /// overdue, whether it was counted as overdue, and whether the outcome counts for overload.
+    fn record(&mut self, now: Micros, name: &FunctionId, info: (usize, Micros, bool, bool), end: &Outcome) {
+        let (class, due, overdue, is_load) = info;
+        let (worker, key) = (&end.worker, (due, end.id, end.attempt));
         self.waiting.get_mut(name).into_iter().for_each(|calls| calls.blocked_until = 0);
         let Some(function) = self.functions.get_mut(name) else { return };
         let place = function.places.entry(worker.clone()).or_default();
         place.in_flight = place.in_flight.saturating_sub(1);
         let Some(known) = self.workers.get_mut(worker) else { return };
         known.due.remove(&key);
-        if !matches!(told.code, Code::Timeout | Code::Cancelled | Code::ConnectFailed | Code::Moot) {
+        if !matches!(end.code, Code::Timeout | Code::Cancelled | Code::ConnectFailed | Code::Moot) {
             known.answered_at[class] = now;
-            known.unanswered[class].blend(now, 0.0, 0.7, PENALTY_DECAY_US);
+            known.unanswered[class].blend(now, 0.0, 0.7, DECAY_US);
         }
-        if let Some(crowd) = told.crowd {
+        if let Some(crowd) = end.crowd {
             let others = (f64::from(crowd) - f64::from(place.in_flight)).max(0.0);
-            place.crowd.blend(now, others, 0.5, CROWD_DECAY_US);
-            if !matches!(told.copy, CopyStatus::LoadStarted | CopyStatus::WaitedForLoad) {
-                function.crowd_reports.add(now, 1.0, DEMAND_WINDOW_US);
-                function.crowd_sum.add(now, f64::from(crowd), DEMAND_WINDOW_US);
+            place.crowd.blend(now, others, 0.5, CROWD_US);
+            if !matches!(end.copy, CopyStatus::LoadStarted | CopyStatus::WaitedForLoad) {
+                function.crowd_reports.add(now, 1.0, WINDOW_US);
+                function.crowd_sum.add(now, f64::from(crowd), WINDOW_US);
             }
         }
         let names = &self.settings.report_names;
-        let at = names.iter().position(|n| n == "outstanding" || n == "inflight");
-        if let Some(held) = at.and_then(|i| told.report.get(i)).filter(|v| v.is_finite()) {
-            let others = (held.clamp(0.0, 1_000.0) - known.due.len() as f64).max(0.0);
-            known.others_in_flight.blend(now, others, 0.3, CROWD_DECAY_US);
+        let index = names.iter().position(|n| n == "outstanding" || n == "inflight");
+        if let Some(reported) = index.and_then(|i| end.report.get(i)).filter(|v| v.is_finite()) {
+            let others = (reported.clamp(0.0, 1_000.0) - known.due.len() as f64).max(0.0);
+            known.others_in_flight.blend(now, others, 0.3, CROWD_US);
         }
-        let stood = told.code == Code::Ok && matches!(told.copy, CopyStatus::Loaded | CopyStatus::Unknown);
-        let share = told.latency as f64 / self.settings.classes[class].aim as f64;
-        // A time-out of a worker that answers others of the class meanwhile is jam, else silence.
-        let working = known.answered_at[class] + told.latency > now;
-        if is_load && (matches!(told.code, Code::Full | Code::Ok) || told.code == Code::Timeout && working) {
-            let jammed = told.code != Code::Ok || share > 1.0;
-            self.overload.blend(now, f64::from(u8::from(jammed)), 0.1, PENALTY_DECAY_US);
+        let from_copy = end.code == Code::Ok && matches!(end.copy, CopyStatus::Loaded | CopyStatus::Unknown);
+        let share = end.latency as f64 / self.settings.classes[class].aim as f64;
+        // A timeout at a worker that meanwhile answers others of the class is overload, otherwise silence.
+        let is_responsive = known.answered_at[class] + end.latency > now;
+        if is_load
+            && (matches!(end.code, Code::Full | Code::Ok) || end.code == Code::Timeout && is_responsive)
+        {
+            let is_overloaded = end.code != Code::Ok || share > 1.0;
+            self.overload.blend(now, f64::from(u8::from(is_overloaded)), 0.1, DECAY_US);
         }
-        match told.code {
+        match end.code {
             Code::Ok => {
-                // By those that served then, each as far as it was warm: fewer may be left.
-                self.served_per_warm_worker.add(
-                    now,
-                    1.0 / self.fleet.warm_equivalent.max(1.0),
-                    DEMAND_WINDOW_US,
-                );
+                // Divides by the workers that served at this time, weighted by warmth; later there may be
+                // fewer.
+                self.served.add(now, 1.0 / self.fleet.warm.max(1.0), WINDOW_US);
                 if function.had_waiting {
-                    function.answer_gap_count = function.answer_gap_count.saturating_add(1);
+                    function.gap_count = function.gap_count.saturating_add(1);
                     let gap = now.saturating_sub(function.served_at) as f64;
-                    function.answer_gap +=
-                        (gap - function.answer_gap) * (1.0 / f64::from(function.answer_gap_count)).max(0.05);
+                    function.gap += (gap - function.gap) * (1.0 / f64::from(function.gap_count)).max(0.05);
                 }
                 (function.had_waiting, function.served_at) = (self.waiting.contains_key(name), now);
-                if stood {
-                    let latency = told.latency as f64;
-                    let slow = (latency / function.typical_latency.max(1.0)).clamp(0.1, 10.0) - 1.0;
-                    known.slowness.blend(now, slow, 0.15, PENALTY_DECAY_US);
-                    // 1.3 times the median: a crowded spell must not pass for more work.
-                    function.typical_latency *=
-                        if latency * 1.3 > function.typical_latency { 1.03 } else { 1.0 / 1.03 };
-                    let usual = &mut self.class_typical_latency[class];
-                    *usual += 0.02 * (latency.min(*usual * 10.0) - *usual);
+                if from_copy {
+                    let latency = end.latency as f64;
+                    let slow = (latency / function.latency.max(1.0)).clamp(0.1, 10.0) - 1.0;
+                    known.slowness.blend(now, slow, 0.15, DECAY_US);
+                    // Tracks 1.3 times the median: a busy period must not pass for a longer service time.
+                    function.latency *= if latency * 1.3 > function.latency { 1.03 } else { 1.0 / 1.03 };
+                    let typical = &mut self.class_latency[class];
+                    *typical += 0.02 * (latency.min(*typical * 10.0) - *typical);
                 }
-                let began = told.copy == CopyStatus::LoadStarted && place.loaded;
-                let copies = (place.copies + u32::from(began)).max(1);
+                let load_started = end.copy == CopyStatus::LoadStarted && place.loaded;
+                let copies = (place.copies + u32::from(load_started)).max(1);
                 if known.usable {
-                    self.record_copies(worker, name, true, copies, now);
+                    self.set_copies(worker, name, true, copies, now);
                 }
             }
-            Code::Miss => self.record_copies(worker, name, false, 0, now),
-            // No copy stands there whatever we believed: what is sent on would only load again and fail.
-            Code::Error if told.copy == CopyStatus::LoadFailed => {
+            Code::Miss => self.set_copies(worker, name, false, 0, now),
+            // No copy is loaded there, whatever was recorded: more requests would only load again and fail.
+            Code::Error if end.copy == CopyStatus::LoadFailed => {
                 function.order_after = now + function.load_time / 2;
-                known.failures.add(now, 0.5, PENALTY_DECAY_US);
-                self.record_copies(worker, name, false, 0, now);
+                known.failures.add(now, 0.5, DECAY_US);
+                self.set_copies(worker, name, false, 0, now);
                 self.on_load_failed(now, false);
             }
-            Code::ConnectFailed => known.failures.add(now, 3.0, PENALTY_DECAY_US),
-            // One may be the way's fault; a process that dies breaks all that are open.
-            Code::Reset => known.failures.add(now, 1.0, PENALTY_DECAY_US),
-            Code::Error | Code::Unknown => known.failures.add(now, 0.5, PENALTY_DECAY_US),
-            Code::Timeout | Code::Cancelled if missed => {
-                known.unanswered[class].add(now, 1.0, PENALTY_DECAY_US)
-            }
+            Code::ConnectFailed => known.failures.add(now, 3.0, DECAY_US),
+            // A single reset may be the network's fault; a process that dies resets all open connections.
+            Code::Reset => known.failures.add(now, 1.0, DECAY_US),
+            Code::Error | Code::Unknown => known.failures.add(now, 0.5, DECAY_US),
+            Code::Timeout | Code::Cancelled if overdue => known.unanswered[class].add(now, 1.0, DECAY_US),
             Code::Full | Code::Timeout | Code::Cancelled | Code::Moot => {}
         }
         let place = self.functions.get_mut(name).and_then(|f| f.places.get_mut(worker));
-        if let Some(place) = place.filter(|p| told.code != Code::Ok && !p.loaded) {
-            place.loading_since = None;
+        if let Some(place) = place.filter(|p| end.code != Code::Ok && !p.loaded) {
+            place.loading = None;
         }
     }
 
-    /// An attempt is overdue: evidence against its worker unless it answered this class since, and a try
-    /// elsewhere where class and settings allow. A worker that answers others is at work, and a second
-    /// attempt would only add to a crowd, until it is suspect for this class. Tries are rationed, so a jam
-    /// stays one.
-    fn on_overdue(&mut self, now: Micros, id: RequestId, number: usize, out: &mut Actions) {
-        let Some(held) = self.requests.get_mut(&id).filter(|h| !h.answered) else { return };
-        let (last, class, deadline) = (held.attempts.len() == number + 1, held.request.class, held.deadline);
-        let more = held.attempts.len() < self.settings.limits.attempts as usize;
-        let Some(attempt) = held.attempts.get_mut(number).filter(|a| a.ended.is_none()) else { return };
+    /// An attempt is overdue: counts against its worker unless that answered this class since, and tries
+    /// again if allowed. A worker that answers others is working, and a second attempt would only add load,
+    /// unless it is suspect. Second attempts are rationed, so that they do not amplify an overload.
+    fn on_overdue(&mut self, now: Micros, id: RequestId, number: usize, out: &mut Out) {
+        let Some(call) = self.requests.get_mut(&id).filter(|h| !h.answered) else { return };
+        let (latest, class, deadline) =
+            (call.attempts.len() == number + 1, call.request.class, call.deadline);
+        let attempts_left = call.attempts.len() < self.settings.limits.attempts as usize;
+        let Some(attempt) = call.attempts.get_mut(number).filter(|a| a.ended.is_none()) else { return };
         let Some(worker) = self.workers.get_mut(&attempt.worker) else { return };
-        let silent = worker.answered_at[class] <= attempt.sent;
-        if silent && !std::mem::replace(&mut attempt.counted_overdue, true) {
-            worker.unanswered[class].add(now, 1.0, PENALTY_DECAY_US);
+        let is_silent = worker.answered_at[class] <= attempt.sent;
+        if is_silent && !std::mem::replace(&mut attempt.overdue, true) {
+            worker.unanswered[class].add(now, 1.0, DECAY_US);
         }
         let (sent, worker) = (attempt.sent, &self.workers[&attempt.worker]);
         let suspect = self.penalty(now, worker, class) >= self.suspect_threshold(class);
-        // Called off, its work is lost and done again: there only suspicion will do.
-        let busy = worker.answered_at.iter().any(|h| *h > sent) || !self.settings.limits.concurrent_attempts;
-        if busy && !suspect {
-            let again = (now - sent).max(1);
-            if now + again < deadline {
-                self.set_timer(again, TimerPurpose::Overdue(id, number), out);
+        // The alternative to concurrent attempts is to cancel, which loses work: only for a suspect worker.
+        let wait = worker.answered_at.iter().any(|h| *h > sent) || !self.settings.limits.concurrent_attempts;
+        if wait && !suspect {
+            let retry_after = (now - sent).max(1);
+            if now + retry_after < deadline {
+                self.set_timer(retry_after, TimerPurpose::Overdue(id, number), out);
             }
             return;
         }
-        let spent = self.hedges.get(now, DEMAND_WINDOW_US);
-        if !last
+        let hedges = self.hedges.get(now, WINDOW_US);
+        if !latest
             || self.settings.classes[class].repeat == Repeat::Unsafe
-            || spent > HEDGE_SHARE * self.sends.get(now, DEMAND_WINDOW_US) + 1.0
+            || hedges > HEDGE_SHARE * self.sends.get(now, WINDOW_US) + 1.0
         {
             return;
         }
-        self.hedges.add(now, 1.0, DEMAND_WINDOW_US);
+        self.hedges.add(now, 1.0, WINDOW_US);
         if self.settings.limits.concurrent_attempts {
             self.route(now, id, out);
-        } else if self.settings.limits.cancel && more {
+        } else if self.settings.limits.cancel && attempts_left {
             out.push(Action::Cancel { id, attempt: number });
         }
     }
 
-    /// An answer has begun to stream: the other attempts are called off.
-    fn on_answer_started(&mut self, id: RequestId, attempt: usize, out: &mut Actions) {
-        let begun = self.requests.get_mut(&id).filter(|h| !h.answered && attempt < h.attempts.len());
-        let Some(held) = begun else { return };
-        held.streaming = true;
-        let others = held.attempts.iter().enumerate().filter(|(i, a)| *i != attempt && a.ended.is_none());
+    /// An answer has begun to stream: cancels the other attempts.
+    fn on_answer_started(&mut self, id: RequestId, attempt: usize, out: &mut Out) {
+        let call = self.requests.get_mut(&id).filter(|h| !h.answered && attempt < h.attempts.len());
+        let Some(call) = call else { return };
+        call.streaming = true;
+        let others = call.attempts.iter().enumerate().filter(|(i, a)| *i != attempt && a.ended.is_none());
         if self.settings.limits.cancel {
             out.extend(others.map(|(attempt, _)| Action::Cancel { id, attempt }));
         }
     }
 
-    /// No further attempt is allowed.
-    fn refuse_or_fail(&mut self, id: RequestId, wait: Option<Micros>, out: &mut Actions) {
+    /// Ends a request without further attempts: refuses it if a retry is harmless, otherwise fails it.
+    fn refuse_or_fail(&mut self, id: RequestId, wait: Option<Micros>, out: &mut Out) {
         let limits = &self.settings.limits;
         let wait = wait.filter(|_| limits.retry_after).map(|wait| wait.min(limits.max_retry_after));
         let refuse = self.requests.get(&id).is_some_and(|h| self.may_refuse(h));
@@ -986,24 +950,24 @@
         self.finish(id, Some(answer), out);
     }
 
-    /// Closes a request once, with the final answer if one is still owed, and calls off what is out.
-    fn finish(&mut self, id: RequestId, answer: Option<Action>, out: &mut Actions) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
-        if !held.answered {
-            held.answered = true;
+    /// Ends a request. Sends the final answer unless one was given before, and cancels attempts in flight.
+    fn finish(&mut self, id: RequestId, answer: Option<Action>, out: &mut Out) {
+        let Some(call) = self.requests.get_mut(&id) else { return };
+        if !call.answered {
+            call.answered = true;
             out.extend(answer);
         }
-        stop_waiting((&mut self.waiting, &self.longest_queue), held);
+        stop_waiting((&mut self.waiting, &self.longest_queue), call);
         if self.settings.limits.cancel {
-            let open = held.attempts.iter().enumerate().filter(|(_, a)| a.ended.is_none());
+            let open = call.attempts.iter().enumerate().filter(|(_, a)| a.ended.is_none());
             out.extend(open.map(|(attempt, _)| Action::Cancel { id, attempt }));
         }
-        if held.attempts.iter().all(|a| a.ended.is_some()) {
+        if call.attempts.iter().all(|a| a.ended.is_some()) {
             self.requests.remove(&id);
         }
     }
 
-    fn on_sweep(&mut self, now: Micros, out: &mut Actions) {
+    fn on_sweep(&mut self, now: Micros, out: &mut Out) {
         out.push(Action::Timer { after: SWEEP_US, token: 0 });
         if now >= self.next_maintenance {
             self.next_maintenance = now + MAINTENANCE_US;
@@ -1022,26 +986,26 @@
         self.rebalance(now, out);
     }
 
-    /// Gives up loads that never ended, releases idle copies and placements, and takes the fleet's sums.
+    /// Abandons unanswered loads, releases idle copies and placements, refreshes the fleet statistics.
     fn maintain(&mut self, now: Micros) {
-        // Loads that fail by themselves now and then are no jam.
+        // Occasional failures of single loads do not indicate an overloaded store.
         self.load_gap = if now >= self.load_gap_raised_at + LOAD_GAP_RESET_US { 0 } else { self.load_gap };
         let keep = self.settings.copies.keep_alive;
         let names: Vec<_> = self.functions.keys().cloned().collect();
         for name in names {
             let Some(function) = self.functions.get_mut(&name) else { continue };
-            let late = function.load_time * 3 + 1_000_000;
+            let load_timeout = function.load_time * 3 + 1_000_000;
             for place in function.places.values_mut() {
-                if place.loading_since.take_if(|since| *since + late < now).is_some() {
+                if place.loading.take_if(|since| *since + load_timeout < now).is_some() {
                     function.moving_to = None;
                     self.waiting.get_mut(&name).into_iter().for_each(|calls| calls.blocked_until = 0);
                 }
             }
-            let idle = function.places.iter().filter(|(_, p)| p.in_flight == 0 && p.loading_since.is_none());
+            let idle = function.places.iter().filter(|(_, p)| p.in_flight == 0 && p.loading.is_none());
             let idle: Vec<_> =
                 idle.filter(|(_, p)| p.last_used + keep < now).map(|(w, _)| w.clone()).collect();
             let home = function.home.clone();
-            idle.iter().for_each(|worker| self.record_copies(worker, &name, false, 0, now));
+            idle.iter().for_each(|worker| self.set_copies(worker, &name, false, 0, now));
             let Some(function) = self.functions.get_mut(&name) else { continue };
             function.places.retain(|w, _| !idle.contains(w));
             function.home = function.home.take().or(home);
@@ -1055,38 +1019,38 @@
         };
         let (least, most) = self.functions.values().fold((0.0, 0.0), sum);
         let mean = |of: &dyn Fn(&Worker) -> f64| usable.iter().map(|w| of(w)).sum::<f64>() / count;
-        let calls = self.sends.get(now, DEMAND_WINDOW_US) / count;
+        let calls = self.sends.get(now, WINDOW_US) / count;
         let others = 1.0 - 1.0 / f64::from(self.settings.schedulers);
-        let better = |class: usize| {
+        let first_quartile = |class: usize| {
             let mut all: Vec<_> = usable.iter().map(|w| self.penalty(now, w, class)).collect();
             all.sort_by(f64::total_cmp);
             all.get(all.len() / 4).copied().unwrap_or(1.0)
         };
         let kinds = &self.settings.copies.kind_memory_mb;
-        let told: f64 = usable.iter().filter_map(|w| kinds.get(w.member.kind)).sum();
+        let memory: f64 = usable.iter().filter_map(|w| kinds.get(w.member.kind)).sum();
         self.fleet = FleetStats {
-            memory_headroom: ((told * COPY_MEMORY_SHARE - least) / (most - least).max(1.0)).clamp(0.0, 1.0),
+            headroom: ((memory * COPY_MEMORY_SHARE - least) / (most - least).max(1.0)).clamp(0.0, 1.0),
             workers: usable.len(),
-            warm_equivalent: usable.iter().map(|w| self.warmth(now, w)).sum(),
+            warm: usable.iter().map(|w| self.warmth(now, w)).sum(),
             memory_mb: kinds.iter().sum::<f64>() / kinds.len() as f64,
             hint: mean(&|w| w.hint()),
-            demand: mean(&|w| w.demand.get(now, DEMAND_WINDOW_US)),
-            in_flight: mean(&|w| w.due.len() as f64 + w.others_in_flight.get(now, CROWD_DECAY_US)),
-            local_confidence: calls / (calls + CONFIDENT_CALLS * others).max(1e-9),
-            baseline_penalty: (0..self.settings.classes.len()).map(better).collect(),
+            demand: mean(&|w| w.demand.get(now, WINDOW_US)),
+            in_flight: mean(&|w| w.due.len() as f64 + w.others_in_flight.get(now, CROWD_US)),
+            confidence: calls / (calls + CONFIDENT_CALLS * others).max(1e-9),
+            baseline_penalty: (0..self.settings.classes.len()).map(first_quartile).collect(),
         };
     }
 }
 
-/// Lanes that our calls keep busy, the first call left out; a young function's window counts only as far as
-/// it is full.
+/// Lanes kept busy by this scheduler's calls, the first call left out; for a function younger than the demand
+/// window, the rate is corrected for the part that has passed.
 fn busy_lanes(now: Micros, function: &Function) -> f64 {
     let age = now.saturating_sub(function.created_at).max(1_000_000) as f64;
-    let calls = (function.rate.get(now, DEMAND_WINDOW_US) - 1.0).max(0.0);
-    calls * function.typical_latency / DEMAND_WINDOW_US / (1.0 - (-age / DEMAND_WINDOW_US).exp())
+    let calls = (function.rate.get(now, WINDOW_US) - 1.0).max(0.0);
+    calls * function.latency / WINDOW_US / (1.0 - (-age / WINDOW_US).exp())
 }
 
-/// A hash as a number above 0 and at most 1.
+/// Maps a hash to a number above 0 and at most 1.
 fn unit_interval(hash: u64) -> f64 {
     ((hash >> 11) + 1) as f64 / (1u64 << 53) as f64
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,14 +7,14 @@
 
 //!
 //! ```
-//! use basaltward::{Action, Class, Controller, Event, Member, MembersKind, Repeat, Settings, State};
+//! use basaltward::{Action, Class, Controller, Event, Member, MembersKind, Repeat, Settings, WorkerState};
 //!
 //! let mut settings = Settings::new(vec![Class::new(500_000, 2_000_000, Repeat::Safe)], vec![16_384.0]);
-//! settings.family.load_on_miss = true;
-//! settings.family.orders = false;
+//! settings.copies.load_on_miss = true;
+//! settings.copies.orders = false;
 //! let mut controller = Controller::new(settings, 7)?;
 //! let mut actions = Vec::new();
-//! let worker = Member { worker: "10.0.0.1:7000".into(), state: State::Active, started: 0, hint: 1.0,
+//! let worker = Member { worker: "10.0.0.1:7000".into(), state: WorkerState::Active, started: 0, hint: 1.0,
 //!     kind: 0, zone: 0, cell: 0 };
 //! controller.handle(0, Event::Members { kind: MembersKind::Whole, members: vec![worker] }, &mut actions);
 //! controller.handle(1_000, Event::Request(basaltward::Request::new(1, "resize", 384.0, 2, 2_000_000)),
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -22,7 +22,7 @@
     pub(crate) fn add_cold_worker(&mut self, now: Micros, member: Member, key: u64) {
         let id = member.worker.clone();
         let due = self.workers.remove(&id).map_or(BTreeSet::new(), |w| w.due);
-        let mut fresh = Worker::new(member, now, self.class_typical_latency.len(), due);
+        let mut fresh = Worker::new(member, now, self.class_latency.len(), due);
         let (key, schedulers) = (rendezvous(key, fresh.hash), self.settings.schedulers);
         fresh.cold_credit = stratified_fraction(self.settings.self_index, schedulers, key);
         self.workers.insert(id.clone(), fresh);
@@ -40,7 +40,7 @@
         if warmth >= 1.0 {
             return f64::INFINITY;
         }
-        let served_rate = self.served_per_warm_worker.get(now, DEMAND_WINDOW_US) / DEMAND_WINDOW_US;
+        let served_rate = self.served.get(now, WINDOW_US) / WINDOW_US;
         let rate = COLD_SHARE * rules.overload_multiple * served_rate;
 
         // One request per window from all schedulers together is within any worker's tolerance, however cold it is.
--- a/src/standing.rs
+++ b/src/standing.rs
@@ -167,7 +167,7 @@
 
     /// Whether new work may begin at this worker now. All new work, calls and load orders, passes this check. It sends
     /// a probe to a worker that needs one.
-    pub(crate) fn may_begin(&mut self, now: Micros, worker: &WorkerId, out: &mut Actions) -> bool {
+    pub(crate) fn may_begin(&mut self, now: Micros, worker: &WorkerId, out: &mut Out) -> bool {
         let Some(known) = self.workers.get(worker) else { return false };
         let access = self.access(now, known);
         if access == Access::NeedsProbe {
@@ -176,7 +176,7 @@
         access == Access::Open
     }
 
-    fn probe(&mut self, now: Micros, worker: &WorkerId, out: &mut Actions) {
+    fn probe(&mut self, now: Micros, worker: &WorkerId, out: &mut Out) {
         if let Some(known) = self.workers.get_mut(worker) {
             known.drain_evidence.probe_sent_at = Some(now);
             out.push(Action::Probe { worker: worker.clone() });
@@ -303,7 +303,7 @@
         now: Micros,
         worker: &WorkerId,
         result: (Code, Micros),
-        out: &mut Actions,
+        out: &mut Out,
     ) {
         let (code, latency) = result;
         let (sent, current) = (now.saturating_sub(latency), self.is_list_current());
@@ -337,7 +337,7 @@
     }
 
     /// Probes denied workers whose pause is over, the longest overdue first.
-    pub(crate) fn probe_denied(&mut self, now: Micros, out: &mut Actions) {
+    pub(crate) fn probe_denied(&mut self, now: Micros, out: &mut Out) {
         if self.is_list_current() || !self.settings.limits.probes {
             return;
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -8,10 +8,10 @@
 
 /// Time constant of the demand average. The pressure-ratio paper uses 60 s; idle copies here are kept for only
 /// about ten seconds.
-pub const DEMAND_WINDOW_US: f64 = 10_000_000.0;
+pub const WINDOW_US: f64 = 10_000_000.0;
 
 /// Output buffer for actions.
-pub type Actions = Vec<Action>;
+pub type Out = Vec<Action>;
 
 /// A value that decays exponentially. Each method takes the time constant as `span`, in microseconds: after one
 /// span without an update, 1/e of the value is left.
@@ -84,7 +84,7 @@
     /// This scheduler's attempts in flight for the function there.
     pub in_flight: u32,
     /// Start of a load under way.
-    pub loading_since: Option<Micros>,
+    pub loading: Option<Micros>,
     pub last_used: Micros,
     pub loaded_at: Micros,
     /// Requests of other schedulers for the function there, from crowd reports; decays.
@@ -98,7 +98,7 @@
     pub lanes: u32,
     pub load_time: Micros,
     /// Typical latency at a loaded copy, in microseconds.
-    pub typical_latency: f64,
+    pub latency: f64,
     /// The strictest class's aim over that of its own class: 1 for the strictest class, less for others.
     pub weight: f64,
     /// Requests received; decays over the demand window.
@@ -119,15 +119,15 @@
     pub moving_to: Option<WorkerId>,
     pub places: BTreeMap<WorkerId, Place>,
     /// Unanswered queries for loaded copies, and the time until which calls wait for the answers.
-    pub queries_in_flight: u32,
+    pub queries: u32,
     pub query_deadline: Micros,
     /// Time of the last served call.
     pub served_at: Micros,
     /// Calls were waiting for the function when it was last served.
     pub had_waiting: bool,
     /// Mean time between answers while calls waited, in microseconds, and the number of samples in it.
-    pub answer_gap: f64,
-    pub answer_gap_count: u32,
+    pub gap: f64,
+    pub gap_count: u32,
     /// After a failed order, the earliest time of the next one. Without the pause, each answer that the worker
     /// is full would cause another order.
     pub order_after: Micros,
@@ -140,8 +140,8 @@
     pub cell: u64,
     pub sent: Micros,
     pub due: Micros,
-    /// Already counted in [`Worker::unanswered`].
-    pub counted_overdue: bool,
+    /// Found overdue and counted in [`Worker::unanswered`].
+    pub overdue: bool,
     pub ended: Option<Code>,
 }
 
@@ -249,9 +249,9 @@
     /// Number of usable workers.
     pub workers: usize,
     /// The same, with a cold worker counted by the share of its capacity that it has.
-    pub warm_equivalent: f64,
+    pub warm: f64,
     /// How far memory allows more copies than the lanes require, 0 to 1.
-    pub memory_headroom: f64,
+    pub headroom: f64,
     /// Mean configured memory over the kinds of worker, MB.
     pub memory_mb: f64,
     /// Means over the usable workers: reported size, demand from this scheduler, requests in flight.
@@ -259,7 +259,7 @@
     pub demand: f64,
     pub in_flight: f64,
     /// Weight of this scheduler's own measurements of a worker against the fleet's mean, 0 to 1.
-    pub local_confidence: f64,
+    pub confidence: f64,
     /// 25th percentile of the workers' penalties, for each class.
     pub baseline_penalty: Vec<f64>,
 }
@@ -300,7 +300,7 @@
 impl Attempt {
     pub fn new(member: &Member, sent: Micros, due: Micros) -> Self {
         let worker = member.worker.clone();
-        Self { worker, zone: member.zone, cell: member.cell, sent, due, counted_overdue: false, ended: None }
+        Self { worker, zone: member.zone, cell: member.cell, sent, due, overdue: false, ended: None }
     }
 
     pub fn may_have_run(&self) -> bool {
@@ -343,12 +343,12 @@
     /// Freshness of the list of workers; `None` if it was never reported.
     pub(crate) list_freshness: Option<ListFreshness>,
     /// Typical latency of each class in microseconds, the initial estimate for a new function.
-    pub(crate) class_typical_latency: Vec<f64>,
+    pub(crate) class_latency: Vec<f64>,
     /// Attempts sent; decays.
     pub(crate) sends: DecayingValue,
     /// Requests served per warm worker; decays. A cold worker counted by the share of its capacity that it had
     /// at that time.
-    pub(crate) served_per_warm_worker: DecayingValue,
+    pub(crate) served: DecayingValue,
     /// Second attempts for overdue ones; decays.
     pub(crate) hedges: DecayingValue,
     /// Share of attempts that were rejected, timed out or were answered late; decays.
@@ -392,9 +392,9 @@
             rebalance_queue: Vec::new(),
             watch_failed: false,
             list_freshness: None,
-            class_typical_latency: class_usual,
+            class_latency: class_usual,
             sends: DecayingValue::default(),
-            served_per_warm_worker: DecayingValue::default(),
+            served: DecayingValue::default(),
             tenants,
             waiting: BTreeMap::new(),
             fleet: FleetStats::default(),
@@ -433,7 +433,7 @@
         }
     }
 
-    pub(crate) fn set_timer(&mut self, after: Micros, wake: TimerPurpose, out: &mut Actions) {
+    pub(crate) fn set_timer(&mut self, after: Micros, wake: TimerPurpose, out: &mut Out) {
         self.timers.insert(self.next_token, wake);
         out.push(Action::Timer { after, token: self.next_token });
         self.next_token += 1;
