--- a/benchlink/src/lib.rs
+++ b/benchlink/src/lib.rs
@@ -1,5 +1,5 @@
-//! The simulator's line protocol around [`basaltward::Controller`]: reads batches of events, keeps one
-//! controller for each instance, writes their actions. It decides nothing.
+//! Adapter between the simulator's line protocol and [`basaltward::Controller`]: reads batches of events, runs one
+//! controller for each scheduler instance, and writes their actions. It takes no decisions of its own.
 
 use basaltward::{
     Action, Code, Controller, CopyStatus, Event, Member, MembersKind, Outcome, Request, RequestId,
@@ -12,8 +12,8 @@
 
 /// Why the adapter stopped before the end of its input.
 #[derive(Debug)]
-pub enum LinkError {
-    /// A line was not what the protocol says.
+pub enum AdapterError {
+    /// A line violates the protocol.
     Malformed {
         /// The line's number, from 1.
         line: usize,
@@ -24,7 +24,7 @@
     Io(io::Error),
 }
 
-impl fmt::Display for LinkError {
+impl fmt::Display for AdapterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed { line, expected } => write!(f, "line {line}: expected {expected}"),
@@ -33,15 +33,15 @@
     }
 }
 
-impl std::error::Error for LinkError {}
+impl std::error::Error for AdapterError {}
 
-impl From<io::Error> for LinkError {
+impl From<io::Error> for AdapterError {
     fn from(error: io::Error) -> Self {
         Self::Io(error)
     }
 }
 
-/// The values of one line, taken in order.
+/// The fields of one line, consumed in order.
 struct Fields<'a> {
     parts: std::str::SplitN<'a, char>,
 }
@@ -136,7 +136,7 @@
     let worker = fields.text("worker")?.into();
     let code = code(fields.number("result")?);
     let latency = fields.number_or("latencyUs", 0)?;
-    let last = fields.number_or("last", 0u8)? != 0;
+    let is_final = fields.number_or("last", 0u8)? != 0;
     let detail: Option<u32> =
         fields.optional().map(str::parse).transpose().map_err(|_| "a number for detail")?;
     let attempt = fields.number_or("sendNo", 0)?;
@@ -148,7 +148,7 @@
         _ => CopyStatus::Unknown,
     };
     let crowd = detail.filter(|_| matches!(code, Code::Ok | Code::Full)).map(|d| d / 8);
-    Ok(Outcome { id, attempt, worker, code, latency, is_final: last, copy, crowd, report: fields.report()? })
+    Ok(Outcome { id, attempt, worker, code, latency, is_final, copy, crowd, report: fields.report()? })
 }
 
 fn request(fields: &mut Fields) -> Result<Request, String> {
@@ -156,12 +156,12 @@
     let tenant = fields.number_or("realm", 0)?;
     let _flags: u32 = fields.number_or("flags", 0)?;
     let class = fields.number_or("band", 0)?;
-    let load = fields.number_or("bringupMs", 0.0f64)?;
+    let load_ms = fields.number_or("bringupMs", 0.0f64)?;
     Ok(Request {
         id,
         tenant,
         class,
-        load_time: (load > 0.0).then_some((load * 1000.0) as u64),
+        load_time: (load_ms > 0.0).then_some((load_ms * 1000.0) as u64),
         client_timeout: fields.number("patienceLeftUs")?,
         memory_mb: fields.finite("residentMb")?,
         lanes: fields.number_or("perCopy", 1)?,
@@ -169,7 +169,7 @@
     })
 }
 
-/// The events of one line, or `None` where the line is one that the controller need not hear of.
+/// Parses the event of one line, or `None` if the line is irrelevant to the controller.
 fn event(
     name: &str,
     fields: &mut Fields,
@@ -253,31 +253,35 @@
     written.expect("writing to a string does not fail");
 }
 
-/// Everything the process holds between lines.
+/// State of the adapter between lines.
 #[derive(Default)]
-struct Link {
+struct Adapter {
+    /// Controllers by the id of their instance.
     controllers: HashMap<String, Controller>,
+    /// Lists of workers by number.
     lists: HashMap<u32, Vec<Member>>,
-    /// The list being read: its number and the entries still to come.
-    filling: Option<(u32, usize)>,
+    /// The list being read: its number and the number of entries still expected.
+    open_list: Option<(u32, usize)>,
+    /// Clock of the current batch, `None` between batches.
     now: Option<u64>,
-    current: Option<String>,
+    /// Instance that the following events are for.
+    instance: Option<String>,
     reply: String,
     actions: Vec<Action>,
 }
 
-impl Link {
-    /// Takes one line; `true` when the batch is complete.
+impl Adapter {
+    /// Handles one line. Returns `true` when the batch is complete.
     fn line(&mut self, text: &str) -> Result<bool, String> {
         let (name, rest) = text.split_once(' ').unwrap_or((text, ""));
-        let wanted = if name == "begin" { 2 } else { 16 };
-        let mut fields = Fields { parts: rest.splitn(wanted, ' ') };
-        if let Some((list, left)) = self.filling {
+        let field_count = if name == "begin" { 2 } else { 16 };
+        let mut fields = Fields { parts: rest.splitn(field_count, ' ') };
+        if let Some((list, remaining)) = self.open_list {
             if name != "entry" {
-                return Err(format!("{left} more entry lines of list {list}"));
+                return Err(format!("{remaining} more entry lines of list {list}"));
             }
             self.lists.entry(list).or_default().push(member(&mut fields)?);
-            self.filling = (left > 1).then_some((list, left - 1));
+            self.open_list = (remaining > 1).then_some((list, remaining - 1));
             return Ok(false);
         }
         let Some(now) = self.now else {
@@ -285,7 +289,7 @@
                 return Err(format!("batch, not {name:?}"));
             }
             self.now = Some(fields.number("the clock")?);
-            self.current = None;
+            self.instance = None;
             return Ok(false);
         };
         match name {
@@ -296,22 +300,22 @@
             "list" => {
                 let (list, count) = (fields.number("ref")?, fields.number_or("lines", 0)?);
                 self.lists.insert(list, Vec::new());
-                self.filling = (count > 0).then_some((list, count));
+                self.open_list = (count > 0).then_some((list, count));
                 return Ok(false);
             }
             "for" => {
-                self.current = Some(fields.text("schedulerId")?.to_owned());
+                self.instance = Some(fields.text("schedulerId")?.to_owned());
                 return Ok(false);
             }
             _ => {}
         }
-        let instance = self.current.clone().ok_or("a for line before the first event")?;
+        let instance = self.instance.clone().ok_or("a for line before the first event")?;
         match name {
             "begin" => {
                 let seed = fields.number("initSeed")?;
-                let told = basaltward_told::parse(fields.text("options")?)
+                let settings = basaltward_told::parse(fields.text("options")?)
                     .map_err(|e| format!("usable settings in options ({e})"))?;
-                let controller = Controller::new(told.module, seed)
+                let controller = Controller::new(settings.module, seed)
                     .map_err(|e| format!("usable settings in options ({e})"))?;
                 self.controllers.insert(instance, controller);
             }
@@ -320,14 +324,14 @@
             }
             _ => {
                 if let Some(event) = event(name, &mut fields, &self.lists)? {
-                    self.decide(now, &instance, event)?;
+                    self.run_event(now, &instance, event)?;
                 }
             }
         }
         Ok(false)
     }
 
-    fn decide(&mut self, now: u64, instance: &str, event: Event) -> Result<(), String> {
+    fn run_event(&mut self, now: u64, instance: &str, event: Event) -> Result<(), String> {
         let controller = self.controllers.get_mut(instance).ok_or("a begin for this instance before")?;
         self.actions.clear();
         let (actions, reply) = (&mut self.actions, &mut self.reply);
@@ -346,15 +350,19 @@
     }
 }
 
-/// Serves batches until the input ends.
-pub fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), LinkError> {
-    let mut link = Link::default();
+/// Serves batches until the end of the input.
+///
+/// # Errors
+///
+/// Returns an error if a line violates the protocol, the input ends within a batch, or reading or writing fails.
+pub fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut adapter = Adapter::default();
     let (mut bytes, mut line) = (Vec::new(), 0);
     loop {
         bytes.clear();
-        let malformed = |line, expected| LinkError::Malformed { line, expected };
+        let malformed = |line, expected| AdapterError::Malformed { line, expected };
         if input.read_until(b'\n', &mut bytes)? == 0 {
-            return match link.now {
+            return match adapter.now {
                 None => Ok(()),
                 Some(_) => Err(malformed(line + 1, "flush before the end of input".into())),
             };
@@ -365,11 +373,11 @@
         if text.is_empty() {
             continue;
         }
-        if link.line(text).map_err(|expected| malformed(line, expected))? {
-            link.reply.push_str("ok\n");
-            output.write_all(link.reply.as_bytes())?;
+        if adapter.line(text).map_err(|expected| malformed(line, expected))? {
+            adapter.reply.push_str("ok\n");
+            output.write_all(adapter.reply.as_bytes())?;
             output.flush()?;
-            link.reply.clear();
+            adapter.reply.clear();
         }
     }
 }
--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -1,4 +1,4 @@
-//! Serves the simulator's wire on standard input and output.
+//! Serves the simulator's line protocol on standard input and output.
 
 use std::io;
 use std::process::ExitCode;
--- a/benchlink/tests/wire.rs
+++ b/benchlink/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire both ways, and what malformed input gets.
+//! The line protocol in both directions, and the errors for malformed input.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_request_is_asked_for_sent_and_served() {
+fn a_request_is_queried_sent_and_served() {
     let served = serve(&format!(
         "{}batch 2000\nfor scheduler_0\nrequest e86a19a15d3a91c4 0 1 0 900 240000 384 2 h:f 12000\nflush\n\
          batch 4000\nfor scheduler_0\nwarmed h:f 1 2000 200 10.0.0.1:7000\nflush\n\
@@ -38,11 +38,11 @@
 }
 
 #[test]
-fn instances_share_nothing_and_a_killed_one_is_forgotten() {
-    let both = begin().replace("flush\n", "")
+fn instances_are_independent_and_a_stopped_one_is_removed() {
+    let two_instances = begin().replace("flush\n", "")
         + &begin().replace("batch 1000\n", "").replace("scheduler_0", "scheduler_1");
     let served = serve(&format!(
-        "{both}batch 2000\nfor scheduler_0\ndown\nfor scheduler_1\nrequest 00000000000000aa 0 0 0 - 240000 384 2 h:f -\nflush\n"
+        "{two_instances}batch 2000\nfor scheduler_0\ndown\nfor scheduler_1\nrequest 00000000000000aa 0 0 0 - 240000 384 2 h:f -\nflush\n"
     ));
     assert!(served.status.success());
     let text = String::from_utf8(served.stdout).expect("text");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn malformed_input_gets_its_line_number_and_a_failing_exit() {
+fn malformed_input_reports_its_line_number_and_fails() {
     for (input, line, expected) in [
         ("hello\n".to_string(), 1, "batch"),
         ("batch soon\n".to_string(), 1, "a number for the clock"),
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn the_end_of_input_between_batches_is_clean() {
+fn end_of_input_between_batches_is_no_error() {
     assert!(serve("").status.success());
     assert!(serve(&begin()).status.success());
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -161,7 +161,7 @@
     }
 
     /// Evaluates a worker as a place for a function. The key is randomized by a hash that all schedulers
-    /// share, so that those which see similar ratios choose alike. The home is kept until another gains the
+    /// share, so that those which see similar ratios choose alike. The home stays until a ratio passes the
     /// threshold.
     fn choice<'a>(&self, now: Micros, of: (&Function, f64), at: (&'a WorkerId, &'a Worker)) -> Choice<'a> {
         let ((function, added), (id, worker)) = (of, at);
