--- a/examples/first.rs
+++ b/examples/first.rs
@@ -1,4 +1,4 @@
-//! The README's example.
+//! The example from the README.
 use basaltward::{Action, Class, Controller, Event, Member, MembersKind, Repeat, Request, Settings};
 
 fn main() -> Result<(), basaltward::SettingsError> {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,23 +1,25 @@
+//! Test bed around a [`Controller`]: a clock, timers and a log of actions.
 #![allow(dead_code)]
 use basaltward::*;
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-/// A fleet of equal workers named w0, w1, ... of kind 0.
+/// A worker of kind 0 with a hint of 1.
 pub fn member(name: &str, state: WorkerState, started: Micros) -> Member {
     Member { worker: name.into(), state, started, hint: 1.0, kind: 0, zone: 0, cell: 0 }
 }
 
-pub struct Bed {
+/// A controller with workers named w0, w1, ... and a clock that the test advances.
+pub struct TestBed {
     pub controller: Controller,
     pub now: Micros,
     pub timers: Vec<(Micros, u64)>,
-    /// Every action with its time.
+    /// All actions except timers, with their time.
     pub log: Vec<(Micros, Action)>,
 }
 
-impl Bed {
+impl TestBed {
     pub fn new(settings: Settings, workers: usize) -> Self {
         let controller = Controller::new(settings, 1).expect("usable settings");
         let mut bed = Self { controller, now: 100 * S, timers: Vec::new(), log: Vec::new() };
@@ -26,7 +28,7 @@
         bed
     }
 
-    /// Hands over one event; timers asked for are kept, all actions are returned.
+    /// Handles one event. Timers are stored; all other actions are logged and returned.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.controller.handle(self.now, event, &mut out);
@@ -40,7 +42,7 @@
         out
     }
 
-    /// Moves the clock on, delivering the timers that fall due.
+    /// Advances the clock and fires due timers; returns the resulting actions.
     pub fn advance(&mut self, by: Micros) -> Vec<Action> {
         let until = self.now + by;
         let mut out = Vec::new();
@@ -53,8 +55,8 @@
         out
     }
 
-    pub fn request(&mut self, id: u64, function: &str, patience: Micros) -> Vec<Action> {
-        self.event(Event::Request(Request::new(id, function, 400.0, 2, patience)))
+    pub fn request(&mut self, id: u64, function: &str, client_timeout: Micros) -> Vec<Action> {
+        self.event(Event::Request(Request::new(id, function, 400.0, 2, client_timeout)))
     }
 
     pub fn outcome(
@@ -84,8 +86,7 @@
         self.event(Event::Loaded { worker, function, count, code, latency: 2 * MS })
     }
 
-    /// Requests come for one function, each 5 ms after the one before it, and each is served at once. Gives how many went
-    /// to this worker.
+    /// Sends one request for function f every 5 ms, each served at once. Returns how many of them this worker got.
     pub fn served_by(&mut self, worker: &str, ids: std::ops::Range<u64>) -> usize {
         let mut count = 0;
         for id in ids {
@@ -98,23 +99,25 @@
         count
     }
 
-    /// Answers every question among the actions with `count` copies at `holder`, none elsewhere.
-    pub fn answer_asks(&mut self, actions: &[Action], holder: &str, count: u32) -> Vec<Action> {
+    /// Answers every query among the actions: `count` copies at `holder`, none elsewhere.
+    pub fn answer_queries(&mut self, actions: &[Action], holder: &str, count: u32) -> Vec<Action> {
         let mut out = Vec::new();
         for action in actions {
             if let Action::Load { worker, function, count: 0 } = action {
-                let standing = if worker.as_str() == holder { count } else { 0 };
-                out.extend(self.loaded(&worker.clone(), function.as_str(), standing, Code::Ok));
+                let loaded = if worker.as_str() == holder { count } else { 0 };
+                out.extend(self.loaded(&worker.clone(), function.as_str(), loaded, Code::Ok));
             }
         }
         out
     }
 }
 
+/// Settings of a single scheduler with one class and one kind of worker of 4,000 MB.
 pub fn settings(repeat: Repeat) -> Settings {
     Settings::new(vec![Class::new(500 * MS, 2 * S, repeat)], vec![4_000.0])
 }
 
+/// The request and the worker of each attempt among the actions.
 pub fn sends(actions: &[Action]) -> Vec<(u64, String)> {
     let pick = |a: &Action| match a {
         Action::Send { id, worker, .. } => Some((id.0, worker.to_string())),
@@ -123,6 +126,7 @@
     actions.iter().filter_map(pick).collect()
 }
 
+/// The workers at which the actions order a load.
 pub fn loads(actions: &[Action]) -> Vec<String> {
     let pick = |a: &Action| match a {
         Action::Load { worker, count, .. } if *count > 0 => Some(worker.to_string()),
@@ -131,7 +135,7 @@
     actions.iter().filter_map(pick).collect()
 }
 
-/// The functions that the actions order to be loaded.
+/// The functions for which the actions order a load.
 pub fn loads_of(actions: &[Action]) -> Vec<String> {
     let pick = |a: &Action| match a {
         Action::Load { function, count: 1.., .. } => Some(function.to_string()),
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What decisions cost, counted in workers weighed: a figure that repeats, where time does not.
+//! Cost of decisions, counted in evaluated workers: unlike time, the count is reproducible.
 mod common;
 
 use basaltward::*;
@@ -6,33 +6,34 @@
 
 const WORKERS: usize = 120;
 
-/// A scheduler of many at a fleet of 120, with so many functions whose calls wait for loads that never end.
-fn with_waiting(functions: u64) -> Bed {
+/// One of many schedulers with a fleet of 120 workers and this number of functions whose calls wait for loads that
+/// never end.
+fn with_waiting(functions: u64) -> TestBed {
     let mut settings = settings(Repeat::Safe);
     settings.schedulers = 300;
     settings.classes[0].deadline = 60 * S;
     settings.classes[0].aim = 30 * S;
-    let mut bed = Bed::new(settings, WORKERS);
+    let mut bed = TestBed::new(settings, WORKERS);
     for id in 0..functions {
         let name = format!("stuck{id}");
         let request = Request { load_time: Some(20 * S), ..Request::new(id, &name, 400.0, 2, 60 * S) };
-        let asked = bed.event(Event::Request(request));
-        let ordered = bed.answer_asks(&asked, "nobody", 0);
+        let queries = bed.event(Event::Request(request));
+        let ordered = bed.answer_queries(&queries, "nobody", 0);
         assert_eq!(loads(&ordered).len(), 1, "the call waits for a load");
     }
     bed
 }
 
-/// Weighed in two seconds of calls that are served at once, of answers to questions, and of sweeps.
-fn looks(functions: u64) -> u64 {
+/// Evaluations during two seconds of calls that are served at once, query answers and sweeps.
+fn evaluations(functions: u64) -> u64 {
     let mut bed = with_waiting(functions);
-    let asked = bed.request(1_000, "hot", 60 * S);
-    let holder = asked.iter().find_map(|a| match a {
+    let queries = bed.request(1_000, "hot", 60 * S);
+    let holder = queries.iter().find_map(|a| match a {
         Action::Load { worker, .. } => Some(worker.to_string()),
         _ => None,
     });
-    let holder = holder.expect("a question");
-    let sent = bed.answer_asks(&asked, &holder, 1);
+    let holder = holder.expect("a query");
+    let sent = bed.answer_queries(&queries, &holder, 1);
     assert_eq!(sends(&sent), [(1_000, holder.clone())]);
     bed.outcome(1_000, 0, &holder, Code::Ok, 5 * MS);
     let before = bed.controller.placements_evaluated();
@@ -46,17 +47,17 @@
     bed.controller.placements_evaluated() - before
 }
 
-/// Of 300 schedulers the few with most calls fell behind for seconds while a zone was cut off: each answer to
-/// a question weighed all 120 workers for each function that waited, and their own calls got no answer.
+/// While a zone was cut off, the busiest few of 300 schedulers fell behind by seconds: each query answer made them
+/// evaluate all 120 workers for each waiting function, and their own calls got no answer.
 #[test]
-fn calls_that_can_go_nowhere_weigh_no_worker_again_and_again() {
-    let (none, many) = (looks(0), looks(100));
-    assert!(none > 0, "calls that go are weighed");
-    assert!(many <= none * 2, "{none} with none that waits, {many} with a hundred");
+fn waiting_calls_do_not_evaluate_the_fleet_repeatedly() {
+    let (none, many) = (evaluations(0), evaluations(100));
+    assert!(none > 0, "sent calls are evaluated");
+    assert!(many <= none * 2, "{none} with no waiting function, {many} with a hundred");
 }
 
 #[test]
-fn what_waits_goes_as_soon_as_its_copy_stands() {
+fn waiting_calls_are_sent_once_their_copy_is_loaded() {
     let mut bed = with_waiting(5);
     bed.advance(700 * MS);
     let home = |a: &(Micros, Action)| match &a.1 {
