--- a/src/interface.rs
+++ b/src/interface.rs
@@ -289,7 +289,7 @@
         match self {
             Self::NoClass => write!(f, "settings define no request class"),
             Self::ClassTimes(i) => write!(f, "class {i}: aim and deadline must be above zero"),
-            Self::ClassValue(i) => write!(f, "class {i}: value must be a number, zero or more"),
+            Self::ClassValue(i) => write!(f, "class {i}: worth must be a number, zero or more"),
             Self::NoKind => write!(f, "settings define no kind of worker"),
             Self::KindMemory(i) => write!(f, "kind {i}: memory must be above zero"),
             Self::Figure(name) => write!(f, "setting {name} is out of range"),
@@ -441,7 +441,7 @@
 }
 
 /// The state of the copy as reported with an outcome.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub enum CopyStatus {
     /// Not reported.
     Unknown,
@@ -455,6 +455,19 @@
     LoadFailed,
 }
 
+/// The debug text is part of the call records, whose words are fixed.
+impl fmt::Debug for CopyStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Unknown => "Untold",
+            Self::Loaded => "Stood",
+            Self::LoadStarted => "Began",
+            Self::WaitedForLoad => "Waited",
+            Self::LoadFailed => "LoadFailed",
+        })
+    }
+}
+
 /// The outcome of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
