--- a/src/control.rs
+++ b/src/control.rs
@@ -29,7 +29,7 @@
 /// Slowness below this is treated as random variation.
 const TOLERANCE: f64 = 0.5;
 /// A worker whose penalty exceeds the fleet's baseline by this factor is suspect and gets no requests.
-const SUSPECT: f64 = 3.0;
+const SUSPECT_FACTOR: f64 = 3.0;
 /// Share of attempts rejected, timed out or answered late above which new requests are refused.
 const OVERLOAD_SHARE: f64 = 0.15;
 /// Window over which a tenant's calls are counted against its share.
@@ -130,7 +130,7 @@
     /// Penalty from which on a worker gets no requests of a class. It is relative to the first quartile of
     /// the fleet: if nearly all workers look bad at once, the evidence is more likely wrong than the workers.
     fn suspect_threshold(&self, class: usize) -> f64 {
-        SUSPECT * self.fleet.baseline_penalty.get(class).copied().unwrap_or(1.0)
+        SUSPECT_FACTOR * self.fleet.baseline_penalty.get(class).copied().unwrap_or(1.0)
     }
 
     /// A worker's pressure ratio with `added` demand and `mb` of memory on top. With few calls, this
@@ -465,9 +465,9 @@
             return excess > 0.0;
         }
         self.admission_credit += 1.0 - (2.0 * excess - OVERLOAD_SHARE).clamp(0.0, 0.8);
-        let away = self.admission_credit < 1.0;
-        self.admission_credit -= if away { 0.0 } else { 1.0 };
-        away
+        let refused = self.admission_credit < 1.0;
+        self.admission_credit -= if refused { 0.0 } else { 1.0 };
+        refused
     }
 
     /// How far past its aim a new request would wait in its function's queue, at the rate of answers measured
@@ -512,7 +512,7 @@
 
     /// Whether a function's order must wait because loads fail. The code store rejects fetches, and repeating
     /// orders at once, each for one call, would keep it overloaded. They go one at a time, with a gap that
-    /// doubles with each failure, longest queues first. Known drawback: one bad function delays others.
+    /// doubles with each failure, longest queues first. Known drawback: one failing function delays others.
     fn is_order_delayed(&self, now: Micros, name: &FunctionId) -> bool {
         if self.load_gap == 0 {
             return false;
--- a/src/state.rs
+++ b/src/state.rs
@@ -378,7 +378,7 @@
 }
 
 impl Controller {
-    pub(crate) fn blank(settings: Settings, class_usual: Vec<f64>) -> Self {
+    pub(crate) fn blank(settings: Settings, class_latency: Vec<f64>) -> Self {
         let tenants = vec![DecayingValue::default(); settings.tenant_quotas.len()];
         Self {
             settings,
@@ -392,7 +392,7 @@
             rebalance_queue: Vec::new(),
             watch_failed: false,
             list_freshness: None,
-            class_latency: class_usual,
+            class_latency,
             sends: DecayingValue::default(),
             served: DecayingValue::default(),
             tenants,
@@ -433,8 +433,8 @@
         }
     }
 
-    pub(crate) fn set_timer(&mut self, after: Micros, wake: TimerPurpose, out: &mut Out) {
-        self.timers.insert(self.next_token, wake);
+    pub(crate) fn set_timer(&mut self, after: Micros, purpose: TimerPurpose, out: &mut Out) {
+        self.timers.insert(self.next_token, purpose);
         out.push(Action::Timer { after, token: self.next_token });
         self.next_token += 1;
     }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -151,8 +151,8 @@
     workers_change(&mut bed, "w0", WorkerState::Leaving);
     assert_eq!(sends_and_orders(&bed.request(500, &name, S)), [], "it waits for the order in flight");
     assert_eq!(loads_of(&bed.advance(300 * MS)), Vec::<String>::new());
-    let stands = bed.loaded(&"w1".into(), &name, 1, Code::Ok);
-    assert_eq!(sends(&stands), [(500, "w1".to_owned())]);
+    let sent = bed.loaded(&"w1".into(), &name, 1, Code::Ok);
+    assert_eq!(sends(&sent), [(500, "w1".to_owned())]);
 }
 
 #[test]
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -39,9 +39,9 @@
         loads(&second).is_empty() && sends(&second).is_empty(),
         "waits for the load under way: {second:?}"
     );
-    let stands = bed.loaded(&target[0].as_str().into(), "f", 1, Code::Ok);
-    assert_eq!(sends(&stands).len(), 2);
-    assert!(sends(&stands).iter().all(|(_, w)| *w == target[0]));
+    let sent = bed.loaded(&target[0].as_str().into(), "f", 1, Code::Ok);
+    assert_eq!(sends(&sent).len(), 2);
+    assert!(sends(&sent).iter().all(|(_, w)| *w == target[0]));
 }
 
 #[test]
@@ -228,12 +228,12 @@
         // One function with many calls, and many functions with one call each.
         let name = if id % 3 == 0 { "hot".to_owned() } else { format!("once{id}") };
         let queries = bed.request(id, &name, 2 * S);
-        let mut told = bed.answer_queries(&queries, "none", 0);
-        told.extend(bed.advance(20 * MS));
-        while let Some(action) = told.pop() {
+        let mut actions = bed.answer_queries(&queries, "none", 0);
+        actions.extend(bed.advance(20 * MS));
+        while let Some(action) = actions.pop() {
             if let Action::Load { worker, function, count: 1.. } = action {
                 orders.push(function.to_string());
-                told.extend(bed.loaded(&worker, function.as_str(), 0, Code::Error));
+                actions.extend(bed.loaded(&worker, function.as_str(), 0, Code::Error));
             }
         }
     }
@@ -383,22 +383,22 @@
     // The scheduler assumes a copy, but the only worker answers with a miss. The order that follows loads the copy
     // for this call.
     let mut bed = TestBed::new(settings(Repeat::Unsafe), 1);
-    let asked = bed.request(1, "f", 2 * S);
-    let told = bed.answer_queries(&asked, "w0", 1);
-    assert_eq!(sends(&told), [(1, "w0".to_string())]);
+    let queries = bed.request(1, "f", 2 * S);
+    let actions = bed.answer_queries(&queries, "w0", 1);
+    assert_eq!(sends(&actions), [(1, "w0".to_string())]);
     let missed = bed.outcome(1, 0, "w0", Code::Miss, MS);
     assert_eq!(loads(&missed), ["w0"]);
     bed.advance(400 * MS);
-    let stood = bed.loaded(&"w0".into(), "f", 1, Code::Ok);
-    assert_eq!(sends(&stood), [(1, "w0".to_string())]);
+    let sent = bed.loaded(&"w0".into(), "f", 1, Code::Ok);
+    assert_eq!(sends(&sent), [(1, "w0".to_string())]);
 }
 
 #[test]
 fn a_fleet_that_slows_down_as_a_whole_is_still_used() {
     // One worker that is fast at first; then, under load, every answer takes thirty times as long.
     let mut bed = TestBed::new(settings(Repeat::Safe), 1);
-    let asked = bed.request(1, "f", 2 * S);
-    bed.answer_queries(&asked, "w0", 1);
+    let queries = bed.request(1, "f", 2 * S);
+    bed.answer_queries(&queries, "w0", 1);
     bed.outcome(1, 0, "w0", Code::Ok, MS);
     for id in 2..200 {
         bed.request(id, "f", 2 * S);
@@ -782,10 +782,11 @@
     for id in 0..40 {
         let mut out = bed.request(id, "f", S);
         for _ in 0..5 {
-            let asked: Vec<_> = out.iter().filter(|a| matches!(a, Action::Load { .. })).cloned().collect();
-            orders += loads(&asked).len();
+            let load_actions: Vec<_> =
+                out.iter().filter(|a| matches!(a, Action::Load { .. })).cloned().collect();
+            orders += loads(&load_actions).len();
             out = Vec::new();
-            for action in asked {
+            for action in load_actions {
                 let Action::Load { worker, function, .. } = action else { continue };
                 out.extend(bed.loaded(&worker, function.as_str(), 1, Code::Ok));
             }
