--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -6,7 +6,7 @@
     NewCall, OrderId, Output, Refusal, Reply, WaiterId,
 };
 use basaltward::{
-    Action, Code, Controller, CopyNote, Event, Micros, Outcome, Repeat, Request, RequestId, SettingsError,
+    Action, Code, Controller, CopyStatus, Event, Micros, Outcome, Repeat, Request, RequestId, SettingsError,
     WorkerId,
 };
 use basaltward_timers::Timers;
@@ -93,9 +93,9 @@
         answer.into_iter().chain(self.timers.next_due()).min()
     }
 
-    /// How often the controller has weighed a worker so far, see [`Controller::looks`].
+    /// How often the controller has weighed a worker so far, see [`Controller::placements_evaluated`].
     pub fn workers_weighed(&self) -> u64 {
-        self.controller.looks()
+        self.controller.placements_evaluated()
     }
 
     /// Until when new work may begin at a worker, see [`Controller::new_work_until`].
@@ -130,7 +130,7 @@
                 self.events.push_back(Event::Loaded { worker, function, count, code, latency });
             }
             Input::Members(kind, members) => self.events.push_back(Event::Members { kind, members }),
-            Input::ListTrust(trust) => self.events.push_back(Event::ListTrust(trust)),
+            Input::ListTrust(trust) => self.events.push_back(Event::ListFreshness(trust)),
             Input::Disconnected(worker) => self.events.push_back(Event::Disconnected { worker }),
             Input::Stop => self.stopping = true,
             Input::ExitAt(at) => self.set_exit_time(now, at),
@@ -361,10 +361,10 @@
             tenant: identity.tenant,
             class: function.class,
             function: function.name.clone(),
-            patience: deadline.saturating_sub(now),
+            client_timeout: deadline.saturating_sub(now),
             memory_mb: function.memory_mb,
             lanes: function.lanes,
-            load: function.load_time,
+            load_time: function.load_time,
         }));
         let state =
             RequestState { call: id, identity, function, deadline, attempts: Vec::new(), concluded: false };
@@ -434,7 +434,7 @@
         let Some(call) = self.calls.get(&id).filter(|c| c.waiters.is_empty()) else { return };
         let Some(request) = call.request else { return drop(self.remove_unstarted(now, id)) };
         self.abort_unwritten(request, outputs);
-        self.events.push_back(Event::Gone { id: request });
+        self.events.push_back(Event::ClientGone { id: request });
         self.close_call(now, request, None);
     }
 
@@ -571,7 +571,7 @@
             worker,
             code,
             latency,
-            last: concluded || code == Code::Ok,
+            is_final: concluded || code == Code::Ok,
             copy: end.copy,
             crowd: end.crowd,
             report: end.report,
@@ -653,7 +653,7 @@
         let id = OrderId(self.sequence);
         self.sequence += 1;
         self.orders.insert(id, order);
-        self.timers.set(now + self.settings.controller.family.order_timeout, Timer::Order(id));
+        self.timers.set(now + self.settings.controller.copies.order_timeout, Timer::Order(id));
         id
     }
 
@@ -674,9 +674,10 @@
             if let Some(attempt) = state.attempts.last_mut() {
                 attempt.end_code = Some(Code::Moot);
             }
-            let (code, copy) = (Code::Moot, CopyNote::Untold);
+            let (code, copy) = (Code::Moot, CopyStatus::Unknown);
             let (latency, last, crowd, report) = (0, true, None, Vec::new());
-            let moot = Outcome { id, attempt: number, worker, code, latency, last, copy, crowd, report };
+            let moot =
+                Outcome { id, attempt: number, worker, code, latency, is_final: last, copy, crowd, report };
             return self.events.push_back(Event::Outcome(moot));
         };
         call.attempts += 1;
--- a/crates/engine/src/types.rs
+++ b/crates/engine/src/types.rs
@@ -1,5 +1,7 @@
 use crate::{Function, Identity};
-use basaltward::{Code, CopyNote, FunctionId, ListTrust, Member, MembersKind, Micros, RequestId, WorkerId};
+use basaltward::{
+    Code, CopyStatus, FunctionId, ListFreshness, Member, MembersKind, Micros, RequestId, WorkerId,
+};
 use std::sync::Arc;
 
 /// Identifies a waiting client. The front end assigns it, and may reuse it once the client has been answered
@@ -53,7 +55,7 @@
     /// The reply, if the call was served.
     pub reply: Option<R>,
     /// State of the copy, as the worker reported it.
-    pub copy: CopyNote,
+    pub copy: CopyStatus,
     /// Number of requests for the function that the worker held on arrival, if reported.
     pub crowd: Option<u32>,
     /// The load report, in the order of the controller's settings.
@@ -63,7 +65,7 @@
 impl<R> AttemptEnd<R> {
     /// An end without any information besides its code.
     pub fn from_code(code: Code) -> Self {
-        Self { code, reply: None, copy: CopyNote::Untold, crowd: None, report: Vec::new() }
+        Self { code, reply: None, copy: CopyStatus::Unknown, crowd: None, report: Vec::new() }
     }
 }
 
@@ -87,7 +89,7 @@
     /// An update of the list of workers.
     Members(MembersKind, Vec<Member>),
     /// How far to trust the list of workers from now on.
-    ListTrust(ListTrust),
+    ListTrust(ListFreshness),
     /// The last connection to a worker was closed by the worker or the network, or none could be established.
     Disconnected(WorkerId),
     /// Refuse new calls; those in flight go on.
--- a/crates/engine/tests/calls.rs
+++ b/crates/engine/tests/calls.rs
@@ -1,5 +1,5 @@
 //! Tests of single calls and their repeats: inputs and times in, outputs out, without sockets or a clock.
-use basaltward::{Class, Code, CopyNote, Member, MembersKind, Micros, Repeat, Settings};
+use basaltward::{Class, Code, CopyStatus, Member, MembersKind, Micros, Repeat, Settings};
 use basaltward_engine::*;
 use std::sync::Arc;
 
@@ -27,7 +27,7 @@
     /// call.
     fn new(repeat: Repeat, workers: usize, change: impl FnOnce(&mut EngineSettings)) -> Self {
         let mut controller = Settings::new(vec![Class::new(500 * MS, 2 * S, repeat)], vec![4_000.0]);
-        (controller.family.load_on_miss, controller.family.orders) = (true, false);
+        (controller.copies.load_on_miss, controller.copies.orders) = (true, false);
         let mut settings = EngineSettings {
             controller,
             max_in_flight: 10,
@@ -90,7 +90,7 @@
     }
 
     fn end_attempt(&mut self, attempt: AttemptId, code: Code, reply: Option<Text>) {
-        let copy = if code == Code::Ok { CopyNote::Stood } else { CopyNote::Untold };
+        let copy = if code == Code::Ok { CopyStatus::Loaded } else { CopyStatus::Unknown };
         self.input(Input::AttemptEnded(attempt, AttemptEnd { copy, reply, ..AttemptEnd::from_code(code) }));
     }
 }
--- a/crates/engine/tests/late_loop.rs
+++ b/crates/engine/tests/late_loop.rs
@@ -2,7 +2,7 @@
 //! virtual time: its clock advances by the cost of its work. There are no sockets; a turn has the same order of
 //! steps as in the live scheduler's loop.
 use basaltward::{
-    Class, Code, CopyNote, FunctionId, Member, MembersKind, Micros, Repeat, Settings, WorkerId,
+    Class, Code, CopyStatus, FunctionId, Member, MembersKind, Micros, Repeat, Settings, WorkerId,
 };
 use basaltward_engine::*;
 use rand::rngs::StdRng;
@@ -78,8 +78,8 @@
         let class = Class::new(S, PATIENCE, Repeat::Safe);
         let mut controller = Settings::new(vec![class], vec![20_000.0]);
         controller.schedulers = 300;
-        controller.limits.second_copies = false;
-        controller.family.order_timeout = 4 * S;
+        controller.limits.concurrent_attempts = false;
+        controller.copies.order_timeout = 4 * S;
         let settings = EngineSettings {
             controller,
             max_in_flight: 4_000,
@@ -149,7 +149,7 @@
                         }
                         None => AttemptEnd::from_code(Code::Miss),
                         Some(_) => {
-                            let (reply, copy) = (Some(Body), CopyNote::Stood);
+                            let (reply, copy) = (Some(Body), CopyStatus::Loaded);
                             AttemptEnd { code: Code::Ok, reply, copy, crowd: Some(1), report: Vec::new() }
                         }
                     };
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -58,7 +58,7 @@
     pace: LoopPacer,
     roster: RosterFile,
     clock: Clock,
-    states: BTreeMap<WorkerId, basaltward::State>,
+    states: BTreeMap<WorkerId, basaltward::WorkerState>,
     recorder: Recorder,
     orders: Orders,
     stopping: bool,
@@ -500,18 +500,18 @@
             AnswerOrigin::Direct => "direct",
         };
         info!(
-            target: "basaltward::call",
-            scheduler = self.name,
-            id = waiting.event.id,
-            source = waiting.event.source,
-            function = %waiting.function.name,
-            outcome,
-            status,
-            attempts,
-            worker = worker.as_ref().map(WorkerId::as_str),
-            how,
-            took_us = now.saturating_sub(waiting.began),
-            "call"
+        target: "basaltward::call",
+        scheduler = self.name,
+        id = waiting.event.id,
+        source = waiting.event.source,
+        function = %waiting.function.name,
+        outcome,
+        status,
+        attempts,
+        worker = worker.as_ref().map(WorkerId::as_str),
+        how,
+        took_us = now.saturating_sub(waiting.began),
+        "call"
         );
     }
 }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -178,7 +178,7 @@
     /// Creates a front end without clients.
     pub fn new(config: &NodeConfig) -> Self {
         let classes = config.settings.classes.iter().zip(&config.settings.module.classes);
-        let memory = config.settings.module.family.kind_memory_mb.iter().copied();
+        let memory = config.settings.module.copies.kind_memory_mb.iter().copied();
         Self {
             frames: FrameLimits { max_bytes: MAX_FRAME_BYTES },
             max_clients: config.budget.clients,
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -4,7 +4,7 @@
 use crate::config::NodeConfig;
 use crate::instance_directory::{CopyReport, InstanceDirectory};
 use crate::links::JobEnd;
-use basaltward::{Code, CopyNote, FunctionId, Member, MembersKind, Micros, WorkerId};
+use basaltward::{Code, CopyStatus, FunctionId, Member, MembersKind, Micros, WorkerId};
 use basaltward_engine::{AttemptId, OrderId};
 use basaltward_membership::MAX_DATAGRAM_BYTES;
 use basaltward_net::{Io, NetError};
@@ -41,7 +41,8 @@
         let others =
             addressing.addresses.iter().enumerate().filter(|(n, _)| *n != module.self_index as usize);
         let peers: HashMap<_, _> = others.map(|(number, at)| (*at, number as u32)).collect();
-        let directory = InstanceDirectory::new(now, (module.self_index, peers.len()), module.family.keep);
+        let directory =
+            InstanceDirectory::new(now, (module.self_index, peers.len()), module.copies.keep_alive);
         Ok(Some(Self { directory, socket, group: addressing.group, peers, attempts, orders }))
     }
 
@@ -117,8 +118,8 @@
     pub fn job_ended(&mut self, now: Micros, done: &JobEnd) {
         let (at, copies) = match done {
             JobEnd::Attempt(id, end) => {
-                let is_loaded = end.code == Code::Ok && end.copy != CopyNote::Untold;
-                let none = end.code == Code::Miss || end.copy == CopyNote::LoadFailed;
+                let is_loaded = end.code == Code::Ok && end.copy != CopyStatus::Unknown;
+                let none = end.code == Code::Miss || end.copy == CopyStatus::LoadFailed;
                 (self.attempts.remove(id), if is_loaded { Some(1) } else { none.then_some(0) })
             }
             // A rejected order says nothing about copies that were loaded before.
--- a/crates/node/src/instance_directory.rs
+++ b/crates/node/src/instance_directory.rs
@@ -4,7 +4,7 @@
 //! scheduler observed.
 
 use crate::gossip_wire::{InstanceUpdate, decode, encode, name_hash};
-use basaltward::{FunctionId, Member, MembersKind, Micros, State, WorkerId};
+use basaltward::{FunctionId, Member, MembersKind, Micros, WorkerId, WorkerState};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Maximum number of observations; further ones are dropped until others have expired.
@@ -108,7 +108,7 @@
         for member in members {
             let worker_hash = name_hash(member.worker.as_str());
             let known = self.workers.get(&worker_hash);
-            if member.state != State::Active || known.is_some_and(|w| w.started < member.started) {
+            if member.state != WorkerState::Active || known.is_some_and(|w| w.started < member.started) {
                 discarded.push(worker_hash);
             }
         }
@@ -118,7 +118,7 @@
                 self.count -= usize::from(observations.remove(&worker_hash).is_some());
             }
         }
-        for member in members.iter().filter(|m| m.state == State::Active) {
+        for member in members.iter().filter(|m| m.state == WorkerState::Active) {
             let worker = Worker { id: member.worker.clone(), started: member.started };
             self.workers.insert(name_hash(member.worker.as_str()), worker);
         }
@@ -348,7 +348,7 @@
     const S: Micros = 1_000_000;
     const KEEP: Micros = 8 * S;
 
-    fn member(name: &str, state: State, started: Micros) -> Member {
+    fn member(name: &str, state: WorkerState, started: Micros) -> Member {
         Member { state, started, ..Member::active(name) }
     }
 
@@ -356,7 +356,7 @@
     fn fleet(numbers: std::ops::Range<u32>) -> Vec<InstanceDirectory> {
         let each = numbers.map(|own| {
             let mut directory = InstanceDirectory::new(0, (own, 4), KEEP);
-            let members = ["a", "b"].map(|name| member(name, State::Active, 0));
+            let members = ["a", "b"].map(|name| member(name, WorkerState::Active, 0));
             directory.update_members(MembersKind::Whole, &members);
             directory
         });
@@ -434,7 +434,7 @@
         let gone = other.next_datagram(5 * S).expect("a datagram");
         third.receive(5 * S, 1, &gone);
         assert_eq!(third.query(5 * S, &a, &f), Some(0));
-        third.update_members(MembersKind::Changes, &[member("b", State::Active, 5 * S)]);
+        third.update_members(MembersKind::Changes, &[member("b", WorkerState::Active, 5 * S)]);
         assert_eq!(third.query(5 * S, &b, &f), None);
         let of_b =
             |age| encode(&[InstanceUpdate::new((name_hash("f"), name_hash("b")), age, 1)]).expect("it fits");
@@ -442,7 +442,7 @@
         assert_eq!(third.query(5 * S, &b, &f), None, "observed before the worker started");
         third.receive(6 * S, 1, &of_b(0));
         assert_eq!(third.query(6 * S, &b, &f), Some(1));
-        third.update_members(MembersKind::Changes, &[member("b", State::Leaving, 5 * S)]);
+        third.update_members(MembersKind::Changes, &[member("b", WorkerState::Leaving, 5 * S)]);
         third.receive(6 * S, 1, &of_b(0));
         assert_eq!(third.query(6 * S, &b, &f), None);
         third.update_members(MembersKind::Whole, &[]);
--- a/crates/node/src/job.rs
+++ b/crates/node/src/job.rs
@@ -1,7 +1,7 @@
 //! Jobs sent over connections to workers, and how they end.
 
 use crate::payload::{CallPayload, ReplyBody};
-use basaltward::{Code, CopyNote, FunctionId, Micros};
+use basaltward::{Code, CopyStatus, FunctionId, Micros};
 use basaltward_engine::{AttemptEnd, AttemptId, OrderId};
 use basaltward_worker_lines::{CopyDetail, Reply, Status};
 use std::sync::Arc;
@@ -81,11 +81,11 @@
         }
         Job::Attempt { id, .. } => {
             let copy = match (code, reply.copy) {
-                (Code::Ok, Some(CopyDetail::Up)) => CopyNote::Stood,
-                (Code::Ok, Some(CopyDetail::Fresh)) => CopyNote::Began,
-                (Code::Ok, Some(CopyDetail::Behind)) => CopyNote::Waited,
-                (Code::Miss | Code::Error, Some(CopyDetail::Crashed)) => CopyNote::LoadFailed,
-                _ => CopyNote::Untold,
+                (Code::Ok, Some(CopyDetail::Up)) => CopyStatus::Loaded,
+                (Code::Ok, Some(CopyDetail::Fresh)) => CopyStatus::LoadStarted,
+                (Code::Ok, Some(CopyDetail::Behind)) => CopyStatus::WaitedForLoad,
+                (Code::Miss | Code::Error, Some(CopyDetail::Crashed)) => CopyStatus::LoadFailed,
+                _ => CopyStatus::Unknown,
             };
             let crowd = matches!(code, Code::Ok | Code::Full).then_some(reply.crowd);
             let report = report_values(&reply, report);
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -10,7 +10,7 @@
 use crate::payload::CallPayload;
 use crate::recent_ids::RecentIds;
 use crate::send_progress::{OutputBytes, SendProgress, Span};
-use basaltward::{Code, FunctionId, Member, MembersKind, Micros, State, WorkerId};
+use basaltward::{Code, FunctionId, Member, MembersKind, Micros, WorkerId, WorkerState};
 use basaltward_engine::{AttemptId, OrderId};
 use basaltward_net::{ConnId, End, Io};
 use basaltward_timers::Timers;
@@ -111,7 +111,7 @@
 
 struct Worker {
     address: SocketAddr,
-    state: State,
+    state: WorkerState,
     conns: Vec<ConnId>,
 }
 
@@ -195,7 +195,7 @@
         if kind == MembersKind::Whole {
             let is_listed = |w: &WorkerId| members.iter().any(|(m, _)| m.worker == *w);
             let absent: Vec<_> = self.workers.keys().filter(|w| !is_listed(w)).cloned().collect();
-            absent.iter().for_each(|w| self.set_state(io, w, State::Gone, done));
+            absent.iter().for_each(|w| self.set_state(io, w, WorkerState::Gone, done));
         }
         for (member, address) in members {
             let (address, state, conns) = (*address, member.state, Vec::new());
@@ -208,10 +208,10 @@
         }
     }
 
-    fn set_state(&mut self, io: &mut Io, worker: &WorkerId, state: State, done: &mut Vec<JobEnd>) {
+    fn set_state(&mut self, io: &mut Io, worker: &WorkerId, state: WorkerState, done: &mut Vec<JobEnd>) {
         let Some(known) = self.workers.get_mut(worker) else { return };
         known.state = state;
-        if state == State::Active {
+        if state == WorkerState::Active {
             return;
         }
         for conn in known.conns.clone() {
@@ -226,7 +226,7 @@
     }
 
     fn remove_if_gone(&mut self, worker: &WorkerId) {
-        if self.workers.get(worker).is_some_and(|w| w.state == State::Gone && w.conns.is_empty()) {
+        if self.workers.get(worker).is_some_and(|w| w.state == WorkerState::Gone && w.conns.is_empty()) {
             self.workers.remove(worker);
         }
     }
@@ -250,7 +250,7 @@
 
     /// Starts a job. Returns its end at once if no byte of it can be sent.
     pub fn start(&mut self, io: &mut Io, now: Micros, worker: &WorkerId, job: Job) -> Option<JobEnd> {
-        if !self.workers.get(worker).is_some_and(|w| w.state == State::Active) {
+        if !self.workers.get(worker).is_some_and(|w| w.state == WorkerState::Active) {
             return end_without_reply(&job, Code::Moot);
         }
         self.recent_ids.forget(now);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -10,7 +10,7 @@
 use crate::payload::{CallPayload, ReplyBody};
 use crate::peers::Fleet;
 use crate::recorder::TraceRecorder;
-use basaltward::{Code, ListTrust, Micros, SettingsError, State, WorkerId};
+use basaltward::{Code, ListFreshness, Micros, SettingsError, WorkerId, WorkerState};
 use basaltward_bulletin::{
     FeedId, Follower, FollowerLimits, Freshness, OWED_WITHIN_US, Roster, Step as Feed,
 };
@@ -112,7 +112,7 @@
     /// Ends of jobs that were withdrawn within a turn.
     withdrawn: Vec<JobEnd>,
     /// Trust in the list of workers, as last passed to the module.
-    list_trust: Option<ListTrust>,
+    list_trust: Option<ListFreshness>,
     discovery_log: DiscoveryLog,
     recorder: TraceRecorder,
     commands: Arc<AtomicU8>,
@@ -748,10 +748,10 @@
         let mut workers = std::mem::take(&mut self.links.disconnected);
         let mut first = std::mem::take(&mut self.links.first_connected);
         let is_out_of_reach = match self.list_trust {
-            Some(ListTrust::Interrupted { .. }) => true,
+            Some(ListFreshness::Interrupted { .. }) => true,
             // At a normal start the bulletin's first event number arrives within this time.
-            Some(ListTrust::Unconfirmed { since }) => now > since + OWED_WITHIN_US,
-            Some(ListTrust::Current { .. }) | None => false,
+            Some(ListFreshness::Unconfirmed { since }) => now > since + OWED_WITHIN_US,
+            Some(ListFreshness::Current { .. }) | None => false,
         };
         if is_out_of_reach {
             workers.append(&mut first);
@@ -763,9 +763,9 @@
     fn update_list_trust(&mut self, now: Micros) {
         let freshness = self.follower.freshness(now);
         let trust = match freshness {
-            Freshness::Unconfirmed => ListTrust::Unconfirmed { since: self.started_at },
-            Freshness::Current { told_at } => ListTrust::Current { told_at },
-            Freshness::Interrupted { told_at, .. } => ListTrust::Interrupted { told_at },
+            Freshness::Unconfirmed => ListFreshness::Unconfirmed { since: self.started_at },
+            Freshness::Current { told_at } => ListFreshness::Current { announced_at: told_at },
+            Freshness::Interrupted { told_at, .. } => ListFreshness::Interrupted { announced_at: told_at },
         };
         self.discovery_log.update(now, freshness, self.follower.last());
         if self.list_trust.replace(trust) != Some(trust) {
@@ -816,7 +816,7 @@
 
     fn apply_members(&mut self, now: Micros, roster: &Roster) {
         let (kind, members) = self.members.members(roster);
-        if members.iter().any(|member| member.state == State::Active) {
+        if members.iter().any(|member| member.state == WorkerState::Active) {
             self.front.set_ready();
         }
         let addressed: Vec<_> =
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -3,7 +3,7 @@
 use crate::front::OpenRequest;
 use crate::links::{Written, WrittenJob};
 use crate::payload::ReplyBody;
-use basaltward::{FunctionId, Member, MembersKind, Micros, State, WorkerId};
+use basaltward::{FunctionId, Member, MembersKind, Micros, WorkerId, WorkerState};
 use basaltward_engine::{Answer, AttemptEnd, AttemptId};
 use basaltward_membership::{Incarnation, MemberId};
 use basaltward_net::{Io, monotonic};
@@ -104,25 +104,25 @@
     /// Logs the start of an attempt at debug level; its end is logged too.
     pub fn started(id: AttemptId, worker: &WorkerId, function: &FunctionId) {
         debug!(
-            target: "basaltward::attempt",
-            request = id.request.0,
-            number = id.number,
-            %worker,
-            %function,
-            "start"
+        target: "basaltward::attempt",
+        request = id.request.0,
+        number = id.number,
+        %worker,
+        %function,
+        "start"
         );
     }
 
     pub fn ended(&mut self, now: Micros, id: AttemptId, end: &AttemptEnd<ReplyBody>) {
         let code = end.code;
         debug!(
-            target: "basaltward::attempt",
-            request = id.request.0,
-            number = id.number,
-            ?code,
-            copy = ?end.copy,
-            crowd = end.crowd,
-            "attempt"
+        target: "basaltward::attempt",
+        request = id.request.0,
+        number = id.number,
+        ?code,
+        copy = ?end.copy,
+        crowd = end.crowd,
+        "attempt"
         );
         if let Some(attempt) = self.attempt_names.remove(&id) {
             self.put(now, What::Ended { attempt, code: format!("{code:?}") });
@@ -143,16 +143,16 @@
             Answer::Failed(why) => ("failed", 500, Some(why as &dyn Debug)),
         };
         debug!(
-            target: "basaltward::call",
-            id = format_args!("{:016x}", request.request),
-            class = request.class,
-            function = %request.function,
-            outcome,
-            why = why.map(tracing::field::debug),
-            attempts,
-            worker = worker.map(WorkerId::as_str),
-            took_us = now.saturating_sub(request.arrived),
-            "call"
+        target: "basaltward::call",
+        id = format_args!("{:016x}", request.request),
+        class = request.class,
+        function = %request.function,
+        outcome,
+        why = why.map(tracing::field::debug),
+        attempts,
+        worker = worker.map(WorkerId::as_str),
+        took_us = now.saturating_sub(request.arrived),
+        "call"
         );
         if self.recorder.is_on() {
             self.unflushed_answers.push((format!("{:016x}", request.request), status));
@@ -183,9 +183,9 @@
         }
         for member in members {
             let state = match member.state {
-                State::Active => "active",
-                State::Leaving => "leaving",
-                State::Gone => "gone",
+                WorkerState::Active => "active",
+                WorkerState::Leaving => "leaving",
+                WorkerState::Gone => "gone",
             };
             self.known.insert(member.worker.clone());
             self.put(now, What::Told { worker: member.worker.to_string(), state: state.into() });
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,19 +1,20 @@
-//! Decisions of a function platform's invoker front end.
+//! The decision module of a function platform's scheduler.
 //!
-//! A [`Controller`] is told what its front end sees (requests, outcomes, the list of workers) and
-//! answers with what to do (send, load, refuse, ...). It keeps every function on the worker whose
-//! memory pressure ratio is lowest, lets requests follow that placement and overflow onward by the
-//! same rule. It does no I/O, reads no clock and starts no thread; identical events give identical actions.
+//! A [`Controller`] receives what its front end observes as events (requests, outcomes, the list of workers) and
+//! returns what to do as actions (send, load, refuse, ...). It places every function on the worker with the lowest
+//! memory pressure ratio; requests follow that placement and overflow to other workers by the same rule.
+//! It does no I/O, reads no clock and starts no thread; identical events give identical actions.
+
 //!
 //! ```
-//! use basaltward::{Action, Class, Controller, Event, Member, MembersKind, Repeat, Settings, State};
+//! use basaltward::{Action, Class, Controller, Event, Member, MembersKind, Repeat, Settings, WorkerState};
 //!
 //! let mut settings = Settings::new(vec![Class::new(500_000, 2_000_000, Repeat::Safe)], vec![16_384.0]);
-//! settings.family.load_on_miss = true;
-//! settings.family.orders = false;
+//! settings.copies.load_on_miss = true;
+//! settings.copies.orders = false;
 //! let mut controller = Controller::new(settings, 7)?;
 //! let mut actions = Vec::new();
-//! let worker = Member { worker: "10.0.0.1:7000".into(), state: State::Active, started: 0, hint: 1.0,
+//! let worker = Member { worker: "10.0.0.1:7000".into(), state: WorkerState::Active, started: 0, hint: 1.0,
 //!     kind: 0, zone: 0, cell: 0 };
 //! controller.handle(0, Event::Members { kind: MembersKind::Whole, members: vec![worker] }, &mut actions);
 //! controller.handle(1_000, Event::Request(basaltward::Request::new(1, "resize", 384.0, 2, 2_000_000)),
