--- a/crates/bench/src/agreed.rs
+++ b/crates/bench/src/agreed.rs
@@ -7,7 +7,7 @@
 use basaltward_peers::ask_agreed;
 use basaltward_permits::{
     Bounds, Denied, Limit, Observation, Observations, OperatorCommand, OperatorReply, PermitRequest,
-    PermitSettings, Subject, VirtualFleet, worker,
+    PermitSettings, Subject, VirtualFleet, worker_subject,
 };
 use basaltward_trial::{Bed, BedSpec, Loss};
 use std::error::Error;
@@ -32,7 +32,7 @@
 fn permit(fleet: &mut VirtualFleet, by: MemberId, of: Subject, patience: Micros) -> Option<Micros> {
     let from = fleet.net.now;
     let mut told = fleet.answers.len();
-    fleet.ask(by, PermitRequest::Acquire(of));
+    fleet.submit(by, PermitRequest::Acquire(of));
     while fleet.net.now < from + patience {
         let next = fleet.net.now + 2_000;
         fleet.run(next);
@@ -43,11 +43,11 @@
         match answer {
             // Or the answer to the one before was lost.
             Some((at, Ok(_) | Err(Denied::Taken(_)))) => {
-                fleet.ask(by, PermitRequest::WriteOff(of));
+                fleet.submit(by, PermitRequest::WriteOff(of));
                 fleet.run(at + S);
                 return Some(at - from);
             }
-            Some(_) => fleet.ask(by, PermitRequest::Acquire(of)),
+            Some(_) => fleet.submit(by, PermitRequest::Acquire(of)),
             None => {}
         }
     }
@@ -65,13 +65,19 @@
         let mut quiet = 0.0;
         for seed in 1..=seeds {
             let settings = PermitSettings { bounds: wide(), ..PermitSettings::new(size, 0, 0, seed) };
-            let seen = Observation { zone: 0, life: 0, used: Some(60 * S), sole: false, runs: None };
+            let seen = Observation {
+                zone: 0,
+                incarnation: 0,
+                in_use_for: Some(60 * S),
+                holds_last_copy: false,
+                running_version: None,
+            };
             let workers: Observations = (0..40).map(|of| (Subject::Worker(of), seen)).collect();
             let mut fleet =
                 VirtualFleet::new(size, settings, workers, LinkFaults { lost, ..LinkFaults::default() });
             fleet.net.numbers().for_each(|of| fleet.start(of));
             first.push(permit(&mut fleet, size / 3, Subject::Worker(0), 120 * S));
-            let bytes = |fleet: &VirtualFleet| fleet.part_bytes();
+            let bytes = |fleet: &VirtualFleet| fleet.permit_bytes_sent();
             fleet.run(fleet.net.now + 10 * S);
             let (from, before) = (fleet.net.now, bytes(&fleet));
             fleet.run(from + 20 * S);
@@ -88,7 +94,7 @@
             }
             let from = fleet.net.now;
             fleet.net.act(size / 2, |one, now, out| {
-                one.part(now, out, |node, _, out| node.stop_all(out));
+                one.with_node(now, out, |node, _, out| node.halt_all(out));
             });
             let halted = |fleet: &VirtualFleet| {
                 fleet.net.numbers().filter_map(|of| fleet.net.node(of)).all(|one| one.node.halt().on)
@@ -128,11 +134,11 @@
         }
         None
     };
-    let first = permit(0, worker("s-0"), Duration::from_secs(60));
-    ask(0, PermitRequest::WriteOff(worker("s-0")))?;
+    let first = permit(0, worker_subject("s-0"), Duration::from_secs(60));
+    ask(0, PermitRequest::WriteOff(worker_subject("s-0")))?;
     let mut asked = Vec::new();
     for round in 0..rounds {
-        let (by, of) = (round % schedulers, worker(&format!("s-{}", round % 4)));
+        let (by, of) = (round % schedulers, worker_subject(&format!("s-{}", round % 4)));
         asked.push(permit(by, of, Duration::from_secs(20)));
         ask(by, PermitRequest::WriteOff(of))?;
     }
--- a/crates/bench/src/capacity/measure.rs
+++ b/crates/bench/src/capacity/measure.rs
@@ -13,7 +13,7 @@
 use basaltward_node::InstanceDirectory;
 use basaltward_permits::{
     Bounds, Observation, Observations, PermitNode as PermitMember, PermitSettings, PermitState, Subject,
-    VirtualFleet, permit,
+    VirtualFleet, grant_permit,
 };
 use basaltward_route::{FunctionTold, Route, RouteSettings};
 use basaltward_shed::{ClassOf, Count, Counts, Shed, ShedSettings};
@@ -304,8 +304,13 @@
 
 /// So many subjects in seven zones, all in use.
 fn sight(subjects: u32) -> Observations {
-    let seen =
-        |of: u32| Observation { zone: (of % 7) as u8, life: 1, used: Some(60 * S), sole: false, runs: None };
+    let seen = |of: u32| Observation {
+        zone: (of % 7) as u8,
+        incarnation: 1,
+        in_use_for: Some(60 * S),
+        holds_last_copy: false,
+        running_version: None,
+    };
     (0..subjects).map(|of| (Subject::Worker(of), seen(of))).collect()
 }
 
@@ -315,7 +320,12 @@
         let us = best_us(5, || {
             // What a request costs the leader: what it sees is put together, then counted.
             let sight = sight(subjects);
-            _ = black_box(permit(&PermitState::default(), &sight, &Bounds::default(), Subject::Worker(1)));
+            _ = black_box(grant_permit(
+                &PermitState::default(),
+                &sight,
+                &Bounds::default(),
+                Subject::Worker(1),
+            ));
         });
         points.push(Point::new("permits_request_us", subjects.into(), us, "us"));
     }
@@ -325,9 +335,9 @@
             VirtualFleet::new(size, settings, sight(40), LinkFaults { lost: 0.05, ..LinkFaults::default() });
         fleet.net.numbers().for_each(|of| fleet.start(of));
         fleet.run(fleet.net.now + 30 * S);
-        let (from, before) = (fleet.net.now, fleet.part_bytes());
+        let (from, before) = (fleet.net.now, fleet.permit_bytes_sent());
         fleet.run(from + 20 * S);
-        let bytes_per_s = (fleet.part_bytes() - before) as f64 / 20.0;
+        let bytes_per_s = (fleet.permit_bytes_sent() - before) as f64 / 20.0;
         let point = Point::new("permits_all_bytes_per_s", size.into(), bytes_per_s, "bytes/s");
         points.push(Point { lost: "0.05".into(), ..point });
     }
--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -6,7 +6,7 @@
 use super::plan::{Assumptions, DAY_S, Plan, Role};
 use super::points::{Points, Reading};
 use basaltward_membership::MembershipSettings;
-use basaltward_permits::{PERMITS, PermitSettings};
+use basaltward_permits::{MAX_PERMITS, PermitSettings};
 use basaltward_route::FunctionTold;
 
 /// How a figure came to be.
@@ -698,10 +698,10 @@
                 "permits at once",
                 "restarts_per_day x permit_s / (restart_hours x 3600) + 3 x its root, of 12 permits in a datagram",
                 Value::arithmetic(most),
-                PERMITS as f64,
+                MAX_PERMITS as f64,
             ),
         ];
-        let release = plan.schedulers * open.permit_s / PERMITS as f64 / 3_600.0;
+        let release = plan.schedulers * open.permit_s / MAX_PERMITS as f64 / 3_600.0;
         Section {
             role,
             state: "A replicated state of up to 12 permits, a release plan and a halt, in one datagram; what is seen of \
--- a/crates/cli/examples/planted.rs
+++ b/crates/cli/examples/planted.rs
@@ -15,7 +15,7 @@
     let (recorder, writer) = Recorder::file(Path::new(&records))?;
     let mut node = Node::new(config.into(), None, recorder.clone())?;
     node.plant(|entry, incarnation, state| (entry.incarnation, entry.state) != (incarnation, state));
-    node.plant_agreed(Fault::CountsTheViewAlone);
+    node.plant_agreed(Fault::IgnoresPermits);
     node.take_signals()?;
     node.run()?;
     drop(recorder);
--- a/crates/cli/src/agreed.rs
+++ b/crates/cli/src/agreed.rs
@@ -4,8 +4,8 @@
 use crate::args::{FleetCommand, Through};
 use basaltward_peers::ask_agreed;
 use basaltward_permits::{
-    Denied, OperatorCommand, OperatorReply, Permit, PermitRequest, PermitResult, PermitStatus, Subject, mark,
-    worker,
+    Denied, OperatorCommand, OperatorReply, Permit, PermitRequest, PermitResult, PermitStatus, Subject,
+    name_hash, worker_subject,
 };
 use serde_json::json;
 use std::path::Path;
@@ -22,7 +22,7 @@
     match command {
         FleetCommand::Status(through) => show(through),
         FleetCommand::Drain { worker: name, dry_run, wait, through } => {
-            let subject = worker(name);
+            let subject = worker_subject(name);
             if *dry_run {
                 return tried(through, name, subject);
             }
@@ -32,14 +32,14 @@
             clear(through, name, (subject, number), until)
         }
         FleetCommand::Back { worker: name, through } => {
-            let subject = worker(name);
+            let subject = worker_subject(name);
             let number = standing(through, subject)?.number;
             granted(through, PermitRequest::Return(subject, number))?;
             say(through, name, "back", json!({}));
             Ok(())
         }
         FleetCommand::WriteOff { subject: name, scheduler, through } => {
-            let subject = if *scheduler { Subject::Scheduler(numbered(name)?) } else { worker(name) };
+            let subject = if *scheduler { Subject::Scheduler(numbered(name)?) } else { worker_subject(name) };
             granted(through, PermitRequest::WriteOff(subject))?;
             say(through, name, "written off", json!({}));
             Ok(())
@@ -221,9 +221,9 @@
 fn planned(through: &Through, asked: &Release) -> Result<u16, Failed> {
     let stands = status(through)?.plan.map(|(plan, _)| plan);
     let (to, from, back) = match (asked.to, stands) {
-        (Some(name), Some(plan)) if plan.to == mark(name) && !plan.back => return Ok(plan.number),
-        (Some(name), Some(plan)) => (mark(name), plan.to, false),
-        (Some(name), None) => (mark(name), mark(asked.from), false),
+        (Some(name), Some(plan)) if plan.to == name_hash(name) && !plan.back => return Ok(plan.number),
+        (Some(name), Some(plan)) => (name_hash(name), plan.to, false),
+        (Some(name), None) => (name_hash(name), name_hash(asked.from), false),
         (None, Some(plan)) if plan.back => return Ok(plan.number),
         (None, Some(plan)) => (plan.from, plan.to, true),
         (None, None) => return Err(Failed::Run("no release stands that could be taken back".into())),
--- a/crates/peers/src/config.rs
+++ b/crates/peers/src/config.rs
@@ -5,7 +5,7 @@
 use crate::error::PeerError;
 use crate::frame::OVERHEAD;
 use basaltward_membership::{MemberId, Membership, MembershipSettings, Micros, SiteMap};
-use basaltward_permits::{Bounds, Observations, PermitSettings, sites};
+use basaltward_permits::{Bounds, Observations, PermitSettings, observe_sites};
 use std::net::{IpAddr, SocketAddr};
 
 /// What a program is told of its peers.
@@ -50,7 +50,7 @@
 impl SitesToWatch {
     /// What a membership shows of them and their gateways.
     pub(crate) fn observe(&self, membership: &Membership, now: Micros) -> Observations {
-        sites(membership, &self.map, self.lost_after_us, now)
+        observe_sites(membership, &self.map, self.lost_after_us, now)
     }
 }
 
--- a/crates/peers/src/operator_client.rs
+++ b/crates/peers/src/operator_client.rs
@@ -23,13 +23,13 @@
     let socket = socket(of)?;
     let tag =
         crc32fast::hash(format!("{:?} {:?}", socket.local_addr()?, std::time::SystemTime::now()).as_bytes());
-    let request = OperatorRequest { tag, want }.write();
+    let request = OperatorRequest { tag, command: want }.write();
     for _ in 0..PERMIT_TRIES {
         socket.send(&request)?;
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
         while let Ok(length) = socket.recv(&mut bytes) {
             match OperatorResponse::read(&bytes[..length]) {
-                Ok(response) if response.tag == tag => return Ok(response.told),
+                Ok(response) if response.tag == tag => return Ok(response.reply),
                 _ => {}
             }
         }
--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -14,7 +14,7 @@
 use basaltward_permits::{
     Bounds, Denied, Epoch, Fault, FleetObserver, Halt, MembershipObserver, Observations, OperatorCommand,
     OperatorReply, OperatorRequest, OperatorResponse, Output, PermitNode, PermitRequest, PermitResult,
-    PermitState, PermitStatus, Stored, Subject, done, mark,
+    PermitState, PermitStatus, Stored, Subject, name_hash, on_target_version,
 };
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -94,7 +94,7 @@
             learning,
             started: now,
             noted: None,
-            runs: mark(&config.version),
+            runs: name_hash(&config.version),
             peers_zones: config.zones.clone(),
             sites: config.sites.clone(),
             tell_runs: now,
@@ -105,7 +105,7 @@
 
     /// See [`PermitNode::plant`].
     pub fn plant(&mut self, fault: Fault, now: Micros) {
-        self.node.plant(fault, now);
+        self.node.inject(fault, now);
     }
 
     /// A new configuration.
@@ -160,9 +160,9 @@
         if let Some(Learning { until, ask_again_at }) = self.learning
             && now >= ask_again_at
         {
-            if now < until && !self.node.has_heard() {
+            if now < until && !self.node.has_received_state() {
                 self.learning = Some(Learning { until, ask_again_at: now + LEARN_AGAIN_US });
-                self.node.recall(&mut self.out);
+                self.node.query_voters(&mut self.out);
             } else {
                 self.learning = None;
                 self.released = true;
@@ -199,11 +199,11 @@
         socket: usize,
     ) {
         let mut reply = |told| {
-            io.send_to(socket, from, &OperatorResponse { tag: request.tag, told }.write());
+            io.send_to(socket, from, &OperatorResponse { tag: request.tag, reply: told }.write());
         };
-        let permit_request = match request.want {
+        let permit_request = match request.command {
             OperatorCommand::Halt => {
-                let halt = self.node.stop_all(&mut self.out);
+                let halt = self.node.halt_all(&mut self.out);
                 info!(count = halt.count, %from, "halted by an operator");
                 return reply(OperatorReply::Halted(halt));
             }
@@ -223,7 +223,7 @@
             self.pending.pop_front();
         }
         let mut our_tag = 0;
-        self.act(membership, |node, observer, out| our_tag = node.ask(now, permit_request, observer, out));
+        self.act(membership, |node, observer, out| our_tag = node.submit(now, permit_request, observer, out));
         info!(%from, request = ?permit_request, "asked by an operator");
         self.pending.push_back(PendingRequest { from, their_tag: request.tag, our_tag, answer: None });
     }
@@ -253,18 +253,18 @@
         let workers = move |now| known.observations(now);
         let observer =
             MembershipObserver { membership, zones: &self.peers_zones, workers: &workers, wall_ms: 0 };
-        let all = self.node.out(now, &observer);
+        let all = self.node.out_of_service(now, &observer);
         let of_workers = all.iter().filter(|of| matches!(of, Subject::Worker(_))).count();
         let known = self.node.known();
         PermitStatus {
             own: membership.own(),
             leader: self.node.leader(),
-            at: known.map(|known| known.at()),
+            at: known.map(|known| known.position()),
             halt: self.node.halt(),
             out: ((all.len() - of_workers) as u16, of_workers as u16),
             unclear: if self.drained.is_empty() { 0 } else { self.unclear(membership, now) as u16 },
             plan: known.and_then(|known| known.value.plan).map(|plan| {
-                let done = done(&plan, &observer.observations(now));
+                let done = on_target_version(&plan, &observer.observations(now));
                 (plan, done as u16)
             }),
             permits: known.map(|known| known.value.permits.clone()).unwrap_or_default(),
@@ -279,7 +279,7 @@
     /// A request of this program itself.
     pub fn submit(&mut self, membership: &Membership, now: Micros, permit_request: PermitRequest) -> u32 {
         let mut tag = 0;
-        self.act(membership, |node, observer, out| tag = node.ask(now, permit_request, observer, out));
+        self.act(membership, |node, observer, out| tag = node.submit(now, permit_request, observer, out));
         tag
     }
 
@@ -290,12 +290,12 @@
 
     /// See [`PeerTransport::holds`](crate::PeerTransport::holds).
     pub fn holds(&self, worker: &str) -> bool {
-        self.learning.is_some() || self.drained.contains(&mark(worker))
+        self.learning.is_some() || self.drained.contains(&name_hash(worker))
     }
 
     /// See [`PeerTransport::knows`](crate::PeerTransport::knows).
     pub fn knows(&self, worker: &str) -> bool {
-        self.workers.get(mark(worker)).is_some()
+        self.workers.get(name_hash(worker)).is_some()
     }
 
     /// Sends what is to be sent, answers operators, and tells what is new.
@@ -324,7 +324,7 @@
                             io.send_to(
                                 socket,
                                 pending_request.from,
-                                &OperatorResponse { tag: pending_request.their_tag, told }.write(),
+                                &OperatorResponse { tag: pending_request.their_tag, reply: told }.write(),
                             );
                         }
                         Some(_) => {}
@@ -345,8 +345,8 @@
     fn changed(&mut self, now: Micros, events: &mut Vec<Event>) -> Vec<String> {
         let Halt { on, count } = self.node.halt();
         let Some(known) = self.node.known() else { return Vec::new() };
-        if self.noted < Some(known.at()) {
-            self.noted = Some(known.at());
+        if self.noted < Some(known.position()) {
+            self.noted = Some(known.position());
             events.push(Event::Agreed(known.clone()));
         }
         info!(
@@ -357,7 +357,7 @@
             count,
             "agreed"
         );
-        let drained: BTreeSet<u32> = self.workers.tags().filter(|tag| known.value.drains(*tag)).collect();
+        let drained: BTreeSet<u32> = self.workers.tags().filter(|tag| known.value.is_drained(*tag)).collect();
         let before = std::mem::replace(&mut self.drained, drained);
         // Whoever asks hears soon how much is in hand.
         self.tell = now;
@@ -368,6 +368,6 @@
     /// No leader can be reached, as far as whoever asks need know.
     pub fn none(io: &mut Io, socket: usize, from: SocketAddr, tag: u32) {
         let told = OperatorReply::Answer(Err(Denied::NoLeader));
-        io.send_to(socket, from, &OperatorResponse { tag, told }.write());
+        io.send_to(socket, from, &OperatorResponse { tag, reply: told }.write());
     }
 }
--- a/crates/peers/src/workers.rs
+++ b/crates/peers/src/workers.rs
@@ -2,7 +2,7 @@
 //! minutes, and as long as it is drained.
 
 use basaltward_net::Micros;
-use basaltward_permits::{Observation, Observations, Subject, mark};
+use basaltward_permits::{Observation, Observations, Subject, name_hash};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A worker that is gone counts as out for so long: by then it has been replaced, or is not meant to be.
@@ -56,7 +56,16 @@
         let seen = |(tag, (worker, since)): (&u32, &(Worker, Micros))| {
             let used = (worker.stands == Stands::Ready).then(|| now.saturating_sub(*since));
             let life = (worker.boot_ms / 1_000) as u16;
-            (Subject::Worker(*tag), Observation { zone: worker.zone, life, used, sole: false, runs: None })
+            (
+                Subject::Worker(*tag),
+                Observation {
+                    zone: worker.zone,
+                    incarnation: life,
+                    in_use_for: used,
+                    holds_last_copy: false,
+                    running_version: None,
+                },
+            )
         };
         self.all.iter().map(seen).collect()
     }
@@ -64,7 +73,7 @@
     /// The list, or what has changed in it. Those that are drained are kept though they are gone.
     pub fn told(&mut self, now: Micros, whole: bool, told: &[Worker], drained: &BTreeSet<u32>) {
         if whole {
-            let listed: BTreeSet<_> = told.iter().map(|worker| mark(&worker.name)).collect();
+            let listed: BTreeSet<_> = told.iter().map(|worker| name_hash(&worker.name)).collect();
             for (tag, (worker, since)) in &mut self.all {
                 if !listed.contains(tag) && worker.stands != Stands::Gone {
                     (worker.stands, *since) = (Stands::Gone, now);
@@ -72,7 +81,7 @@
             }
         }
         for worker in told {
-            let tag = mark(&worker.name);
+            let tag = name_hash(&worker.name);
             let same = |(known, _): &&(Worker, Micros)| {
                 known.stands == worker.stands && known.boot_ms == worker.boot_ms
             };
--- a/crates/pending/src/kept.rs
+++ b/crates/pending/src/kept.rs
@@ -320,8 +320,8 @@
                 }
             }
         }
-        let lost = self.observations.iter().any(|(of, seen)| of.is_taken_over() && seen.used.is_none());
-        let taken = self.permit_state.permits.iter().any(|permit| permit.subject.is_taken_over());
+        let lost = self.observations.iter().any(|(of, seen)| of.is_takeover() && seen.in_use_for.is_none());
+        let taken = self.permit_state.permits.iter().any(|permit| permit.subject.is_takeover());
         self.look = if lost || taken { now + LOOK } else { Micros::MAX };
     }
 
--- a/crates/pending/src/world.rs
+++ b/crates/pending/src/world.rs
@@ -317,8 +317,13 @@
 
     /// What all see of sites and their gateways.
     fn observations(&self) -> Observations {
-        let seen =
-            |used: bool| Observation { zone: 0, life: 0, used: used.then_some(0), sole: false, runs: None };
+        let seen = |used: bool| Observation {
+            zone: 0,
+            incarnation: 0,
+            in_use_for: used.then_some(0),
+            holds_last_copy: false,
+            running_version: None,
+        };
         let of = |site: Site| self.net.numbers().filter(move |of| self.sites[usize::from(*of)] == site);
         let lives = |of: MemberId| self.seen[usize::from(of)];
         let mut observations = Observations::new();
@@ -381,9 +386,9 @@
                     self.tell_all();
                 }
                 PermitRequest::Acquire(subject) if self.permit_state.permit(subject).is_none() => {
-                    let number = self.permit_state.given + 1;
-                    self.permit_state.given = number;
-                    self.permit_state.permits.push(Permit { subject, number, life: 0, back: false });
+                    let number = self.permit_state.last_number + 1;
+                    self.permit_state.last_number = number;
+                    self.permit_state.permits.push(Permit { subject, number, incarnation: 0, back: false });
                     self.tell_all();
                 }
                 _ => {}
--- a/crates/pending/tests/model.rs
+++ b/crates/pending/tests/model.rs
@@ -209,7 +209,13 @@
         for at in 0..2 {
             let of = at as MemberId + 1;
             let used = (!world.sees[at]).then_some(0);
-            let seen = Observation { zone: 0, life: 0, used, sole: false, runs: None };
+            let seen = Observation {
+                zone: 0,
+                incarnation: 0,
+                in_use_for: used,
+                holds_last_copy: false,
+                running_version: None,
+            };
             let observations: Observations = [(Subject::Site(0), seen)].into();
             let holder = &mut world.holders[at];
             let (mut turns, mut out) = (Vec::new(), Vec::new());
@@ -446,10 +452,10 @@
                 }
             }
             Act::Permit(of) => {
-                let number = world.permit_state.given + 1;
-                let permit = Permit { subject: Subject::Site(of as u8), number, life: 0, back: false };
+                let number = world.permit_state.last_number + 1;
+                let permit = Permit { subject: Subject::Site(of as u8), number, incarnation: 0, back: false };
                 let _ = world.permit_state.add(permit);
-                world.permit_state.given = number;
+                world.permit_state.last_number = number;
             }
             Act::Learn(at) => world.known[at] = world.permit_state.clone(),
             Act::See(at) => world.sees[at] = true,
--- a/crates/permits/src/bounds.rs
+++ b/crates/permits/src/bounds.rs
@@ -2,7 +2,7 @@
 //! all subjects, the bounds. Output: a permit or the reason why not. Out counts everything: permitted, told to be draining or
 //! gone, silent, crashed, never come back. At most [`PERMITS`] permits stand.
 
-use crate::state::{PERMITS, Permit, PermitState, Subject};
+use crate::state::{MAX_PERMITS, Permit, PermitState, Subject};
 use basaltward_membership::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -62,13 +62,13 @@
     /// Its zone; zones are numbered by whoever looks.
     pub zone: u8,
     /// A mark of its present life.
-    pub life: u16,
+    pub incarnation: u16,
     /// It is in use, for so long without a break; none where it is told to be draining or gone, or silent.
-    pub used: Option<Micros>,
+    pub in_use_for: Option<Micros>,
     /// It alone is known to hold something that calls need.
-    pub sole: bool,
+    pub holds_last_copy: bool,
     /// The mark of the version that it says it runs.
-    pub runs: Option<u32>,
+    pub running_version: Option<u32>,
 }
 
 /// All that is known to exist, with what is seen of it.
@@ -112,7 +112,7 @@
     #[error("it is out by permit {0} already")]
     Taken(u16),
     /// So many permits stand that no more fit.
-    #[error("{PERMITS} permits stand: no more fit")]
+    #[error("{MAX_PERMITS} permits stand: no more fit")]
     Full,
     /// No majority of the voters can be reached, or it has forgotten what is out and learns it.
     #[error("no leader: no majority of the voters answers, or it learns what is out")]
@@ -133,8 +133,8 @@
 }
 
 /// All that are out: by permit, or seen to be.
-pub fn out(state: &PermitState, observations: &Observations) -> BTreeSet<Subject> {
-    let seen = observations.iter().filter(|(_, seen)| seen.used.is_none()).map(|(subject, _)| *subject);
+pub fn out_of_service(state: &PermitState, observations: &Observations) -> BTreeSet<Subject> {
+    let seen = observations.iter().filter(|(_, seen)| seen.in_use_for.is_none()).map(|(subject, _)| *subject);
     seen.chain(state.permits.iter().map(|permit| permit.subject)).collect()
 }
 
@@ -142,7 +142,7 @@
 ///
 /// # Errors
 /// Why it may not.
-pub fn permit(
+pub fn grant_permit(
     state: &PermitState,
     observations: &Observations,
     bounds: &Bounds,
@@ -152,13 +152,13 @@
     if let Some(standing) = state.permit(subject) {
         return Err(Denied::Taken(standing.number));
     }
-    if state.permits.len() >= PERMITS {
+    if state.permits.len() >= MAX_PERMITS {
         return Err(Denied::Full);
     }
-    if subject.is_taken_over() && seen.used.is_some() {
+    if subject.is_takeover() && seen.in_use_for.is_some() {
         return Err(Denied::InUse);
     }
-    let mut out = out(state, observations);
+    let mut out = out_of_service(state, observations);
     out.insert(subject);
     let (of_fleet, of_zone) = match subject {
         Subject::Scheduler(_) => (bounds.schedulers, bounds.schedulers_of_zone),
@@ -180,10 +180,15 @@
             return Err(Denied::Bound { of: group, out: count as u16, most: most as u16 });
         }
     }
-    if seen.sole {
+    if seen.holds_last_copy {
         return Err(Denied::LastCopy);
     }
-    Ok(Permit { subject, number: state.given.wrapping_add(1), life: seen.life, back: false })
+    Ok(Permit {
+        subject,
+        number: state.last_number.wrapping_add(1),
+        incarnation: seen.incarnation,
+        back: false,
+    })
 }
 
 #[cfg(test)]
--- a/crates/permits/src/bounds/tests.rs
+++ b/crates/permits/src/bounds/tests.rs
@@ -7,7 +7,13 @@
         let used = used.then_some(1_000_000);
         (
             Subject::Worker(at as u32),
-            Observation { zone: (at % 2) as u8, life: 1, used, sole: at == 9, runs: None },
+            Observation {
+                zone: (at % 2) as u8,
+                incarnation: 1,
+                in_use_for: used,
+                holds_last_copy: at == 9,
+                running_version: None,
+            },
         )
     };
     used.iter().enumerate().map(seen).collect()
@@ -18,7 +24,7 @@
     let bounds = Bounds { workers: Limit::Number(3), workers_of_zone: Limit::Number(2), ..Bounds::default() };
     let mut state = PermitState::default();
     let ask = |state: &PermitState, used: &[bool], of| {
-        permit(state, &observations(used), &bounds, Subject::Worker(of))
+        grant_permit(state, &observations(used), &bounds, Subject::Worker(of))
     };
     let all = [true; 10];
     let given = ask(&state, &all, 0).expect("nobody is out");
@@ -37,9 +43,12 @@
     assert_eq!(ask(&state, &crashed, 3), Err(fleet));
     // Who crashes while permitted counts once.
     crashed[0] = false;
-    assert_eq!(out(&state, &observations(&crashed)).len(), 3);
+    assert_eq!(out_of_service(&state, &observations(&crashed)).len(), 3);
     // One that has left every list stays counted until it is written off.
-    assert_eq!(permit(&state, &observations(&all[2..]), &bounds, Subject::Worker(3)).map(|_| ()), Ok(()));
+    assert_eq!(
+        grant_permit(&state, &observations(&all[2..]), &bounds, Subject::Worker(3)).map(|_| ()),
+        Ok(())
+    );
 }
 
 #[test]
@@ -53,11 +62,11 @@
 #[test]
 fn no_more_permits_than_a_datagram_holds() {
     let mut state = PermitState::default();
-    let all = |of: u32| Permit { subject: Subject::Worker(of), number: 1, life: 0, back: false };
-    assert!((0..PERMITS as u32).all(|of| state.add(all(of))));
+    let all = |of: u32| Permit { subject: Subject::Worker(of), number: 1, incarnation: 0, back: false };
+    assert!((0..MAX_PERMITS as u32).all(|of| state.add(all(of))));
     assert!(!state.add(all(99)) && state.add(all(3)));
     let bounds =
         Bounds { workers: Limit::Percent(100), workers_of_zone: Limit::Percent(100), ..Bounds::default() };
     let observations = observations(&[true; 30]);
-    assert_eq!(permit(&state, &observations, &bounds, Subject::Worker(25)), Err(Denied::Full));
+    assert_eq!(grant_permit(&state, &observations, &bounds, Subject::Worker(25)), Err(Denied::Full));
 }
--- a/crates/permits/src/leader.rs
+++ b/crates/permits/src/leader.rs
@@ -1,9 +1,9 @@
 //! What a node does as leader: it grants requests, and answers each once the state that it leads to is agreed on by a majority.
 //! Input: requests with the number of who asks. Output: datagrams. A request that is sent again is answered as before.
 
-use crate::bounds::{Denied, out as all_out, permit};
+use crate::bounds::{Denied, grant_permit, out_of_service as all_out};
 use crate::node::{FleetObserver, Out, PermitNode};
-use crate::plan::next;
+use crate::plan::next_scheduler;
 use crate::register::ReplicatedRegister;
 use crate::request_table::{Asker, PermitResult};
 use crate::state::{PermitState, Plan, Subject};
@@ -38,7 +38,7 @@
         let value = self
             .register
             .as_ref()
-            .filter(|register| register.agreed().is_some())
+            .filter(|register| register.committed().is_some())
             .and_then(ReplicatedRegister::value);
         let Some(state) = value.cloned() else {
             return self.send(asker.node, Body::Reply(asker.tag, Err(Denied::NoLeader)), out);
@@ -53,7 +53,7 @@
             Err(why) => return self.answer(asker, Err(why), out),
         };
         let agreed =
-            self.register.as_ref().and_then(ReplicatedRegister::agreed).map_or(0, |agreed| agreed.version);
+            self.register.as_ref().and_then(ReplicatedRegister::committed).map_or(0, |agreed| agreed.version);
         match self.change(changed) {
             // It changes nothing, and what stands is agreed.
             Some(version) if version <= agreed => self.answer(asker, Ok(number), out),
@@ -77,34 +77,34 @@
                 return Err(Denied::Halted);
             }
             PermitRequest::Check(subject) => {
-                permit(state, &observer.observations(now), &self.settings.bounds, subject)?;
+                grant_permit(state, &observer.observations(now), &self.settings.bounds, subject)?;
                 0
             }
             PermitRequest::Plan { to, from, back } => {
-                let number = state.given.wrapping_add(1);
-                (changed.given, changed.plan) = (number, Some(Plan { number, to, from, back }));
+                let number = state.last_number.wrapping_add(1);
+                (changed.last_number, changed.plan) = (number, Some(Plan { number, to, from, back }));
                 number
             }
             PermitRequest::Next(number) => {
                 let observations = observer.observations(now);
                 let plan = state.plan.filter(|plan| plan.number == number).ok_or(Denied::Stale)?;
-                let subject = next(state, &plan, &observations, self.settings.own)?;
+                let subject = next_scheduler(state, &plan, &observations, self.settings.own)?;
                 self.acquire(now, &mut changed, subject, observer)?
             }
             PermitRequest::Acquire(subject) => self.acquire(now, &mut changed, subject, observer)?,
-            PermitRequest::Return(subject, number) if subject.is_taken_over() => {
+            PermitRequest::Return(subject, number) if subject.is_takeover() => {
                 let standing = state.permit(subject).filter(|permit| permit.number == number);
                 standing.ok_or(Denied::Stale)?;
                 changed.remove(subject);
                 number
             }
-            PermitRequest::Reclaim(subject) if subject.is_taken_over() => {
+            PermitRequest::Reclaim(subject) if subject.is_takeover() => {
                 // Another number makes another value, which only a majority can agree on.
-                changed.given = state.given.wrapping_add(1);
+                changed.last_number = state.last_number.wrapping_add(1);
                 state.permit(subject).map_or(0, |permit| permit.number)
             }
             PermitRequest::Reclaim(_) => return Err(Denied::Unknown),
-            PermitRequest::Return(subject, number) if changed.bring_back(subject, number) => number,
+            PermitRequest::Return(subject, number) if changed.mark_returned(subject, number) => number,
             PermitRequest::Return(..) => return Err(Denied::Stale),
             PermitRequest::WriteOff(subject) if state.permit(subject).is_some() => {
                 changed.remove(subject);
@@ -128,19 +128,19 @@
         subject: Subject,
         observer: &impl FleetObserver,
     ) -> PermitResult {
-        let none = PermitState { given: state.given, ..PermitState::default() };
+        let none = PermitState { last_number: state.last_number, ..PermitState::default() };
         let counted = if self.counts_permits { &*state } else { &none };
-        let given = permit(counted, &observer.observations(now), &self.settings.bounds, subject)?;
+        let given = grant_permit(counted, &observer.observations(now), &self.settings.bounds, subject)?;
         if !state.add(given) {
             return Err(Denied::Full);
         }
-        state.given = given.number;
+        state.last_number = given.number;
         self.requests.given(now, subject);
         Ok(given.number)
     }
 
     /// All that are out, as a leader counts them.
-    pub fn out(&self, now: Micros, observer: &impl FleetObserver) -> BTreeSet<Subject> {
+    pub fn out_of_service(&self, now: Micros, observer: &impl FleetObserver) -> BTreeSet<Subject> {
         let none = PermitState::default();
         all_out(self.known.as_ref().map_or(&none, |known| &known.value), &observer.observations(now))
     }
--- a/crates/permits/src/lib.rs
+++ b/crates/permits/src/lib.rs
@@ -31,19 +31,19 @@
 mod voter;
 mod wire;
 
-pub use bounds::{Bounds, Denied, Group, Limit, Observation, Observations, out, permit};
+pub use bounds::{Bounds, Denied, Group, Limit, Observation, Observations, grant_permit, out_of_service};
 #[doc(hidden)]
 pub use node::Fault;
 pub use node::{FleetObserver, Output, PermitNode};
-pub use observer::{MembershipObserver, sites};
+pub use observer::{MembershipObserver, observe_sites};
 pub use operator::{
     OPERATOR, OperatorCommand, OperatorReply, OperatorRequest, OperatorResponse, PermitStatus,
 };
-pub use plan::{done, next};
+pub use plan::{next_scheduler, on_target_version};
 pub use register::{RegisterEvent, ReplicatedRegister, Times};
 pub use request_table::PermitResult;
 pub use settings::{MAX_VOTERS, PermitSettings, SettingsError, default_voters};
-pub use state::{PERMITS, Permit, PermitState, Plan, Subject, mark, worker};
+pub use state::{MAX_PERMITS, Permit, PermitState, Plan, Subject, name_hash, worker_subject};
 pub use virtual_fleet::{OperatorAnswer, Scheduler, SchedulerOutput, VirtualFleet};
-pub use voter::{Epoch, FromVoter, Stored, ToVoter, Voter};
+pub use voter::{Epoch, Stored, Voter, VoterRequest, VoterResponse};
 pub use wire::{Halt, PermitRequest, VERSION};
--- a/crates/permits/src/node.rs
+++ b/crates/permits/src/node.rs
@@ -122,8 +122,8 @@
     pub fn new(settings: PermitSettings, now: Micros) -> Result<Self, SettingsError> {
         settings.check()?;
         let is_voter = settings.voters.contains(&settings.own);
-        let voter = is_voter.then(|| Voter::new(settings.life, now, settings.times.silence));
-        let seed = settings.seed ^ u64::from(settings.own) << 32 ^ u64::from(settings.life);
+        let voter = is_voter.then(|| Voter::new(settings.incarnation, now, settings.times.silence));
+        let seed = settings.seed ^ u64::from(settings.own) << 32 ^ u64::from(settings.incarnation);
         let mut node = Self {
             voter,
             register: None,
@@ -139,7 +139,7 @@
             claim_at: now,
             asked: BTreeMap::new(),
             // A leader remembers what it answered an earlier life of ours: its numbers are not used again.
-            tag: settings.life,
+            tag: settings.incarnation,
             outcomes: VecDeque::new(),
             heard: false,
             rng: StdRng::seed_from_u64(seed),
@@ -154,16 +154,16 @@
 
     /// Plants a fault, see [`Fault`].
     #[doc(hidden)]
-    pub fn plant(&mut self, fault: Fault, now: Micros) {
+    pub fn inject(&mut self, fault: Fault, now: Micros) {
         match fault {
-            Fault::VotesAfterForgetting => {
+            Fault::VotesAfterRestart => {
                 self.forgets = true;
                 if self.voter.is_some() {
-                    self.voter = Some(Voter::new(self.settings.life, now, 0));
+                    self.voter = Some(Voter::new(self.settings.incarnation, now, 0));
                 }
             }
-            Fault::NoEpochs => self.voter.iter_mut().for_each(Voter::plant_no_epochs),
-            Fault::CountsTheViewAlone => self.counts_permits = false,
+            Fault::IgnoresEpochs => self.voter.iter_mut().for_each(Voter::inject_ignored_epochs),
+            Fault::IgnoresPermits => self.counts_permits = false,
         }
     }
 
@@ -179,20 +179,20 @@
 
     /// Whether another one has told us what it knows since our start: before, a worker may be drained and we not
     /// know of it.
-    pub fn has_heard(&self) -> bool {
+    pub fn has_received_state(&self) -> bool {
         self.heard
     }
 
     /// Asks the voters what they know. For whoever has just started, as a view has nobody to ask yet.
-    pub fn recall(&mut self, out: &mut Out) {
+    pub fn query_voters(&mut self, out: &mut Out) {
         let own = self.settings.own;
         let voters = self.settings.voters.clone().into_iter();
-        voters.filter(|voter| *voter != own).for_each(|to| self.send(to, Body::Recall, out));
+        voters.filter(|voter| *voter != own).for_each(|to| self.send(to, Body::StateQuery, out));
     }
 
     /// Whether we are leader, and know what is out.
     pub fn is_leader(&self) -> bool {
-        self.register.as_ref().is_some_and(|register| register.agreed().is_some())
+        self.register.as_ref().is_some_and(|register| register.committed().is_some())
     }
 
     /// Bounds from now on.
@@ -209,7 +209,7 @@
     }
 
     /// Asks the leader for something; the answer names the number that this gives.
-    pub fn ask(
+    pub fn submit(
         &mut self,
         now: Micros,
         request: PermitRequest,
@@ -228,7 +228,7 @@
     }
 
     /// Nothing new is permitted anywhere from now on: by our word alone, at once.
-    pub fn stop_all(&mut self, out: &mut Out) -> Halt {
+    pub fn halt_all(&mut self, out: &mut Out) -> Halt {
         let told = Halt { count: self.halt.count + 1, on: true };
         self.hear_halt(told, out);
         self.halt
@@ -244,13 +244,13 @@
         }
         if now >= self.next_compare {
             self.next_compare = now + COMPARE_US;
-            let body = Body::Known(self.known.as_ref().map(Stored::at), self.halt);
+            let body = Body::Position(self.known.as_ref().map(Stored::position), self.halt);
             self.some(1, observer).into_iter().for_each(|to| self.send(to, body.clone(), out));
         }
         if self.passes > 0 && now >= self.next_pass {
             self.passes -= 1;
             self.next_pass = now + PASS_INTERVAL_US;
-            let body = Body::Tell(self.known.clone(), self.halt);
+            let body = Body::State(self.known.clone(), self.halt);
             self.some(PASS_MEMBERS, observer).into_iter().for_each(|to| self.send(to, body.clone(), out));
         }
         self.ask_again(now, observer, out);
@@ -264,15 +264,15 @@
     }
 
     fn tick(&mut self, now: Micros, observer: &impl FleetObserver, out: &mut Out) {
-        let speaks = self.voter.as_ref().is_some_and(|voter| voter.speaks(now));
+        let speaks = self.voter.as_ref().is_some_and(|voter| voter.may_vote(now));
         if self.register.is_none() && speaks && now >= self.claim_at {
             let promised = self.voter.as_ref().map(Voter::promised).unwrap_or_default();
             let latest = promised.max(self.known.as_ref().map(|known| known.epoch).unwrap_or_default());
             let epoch = latest.next(observer.wall_ms(), self.settings.own);
             let mut register =
-                ReplicatedRegister::claim(self.settings.times, &self.settings.voters, epoch, now);
+                ReplicatedRegister::candidate(self.settings.times, &self.settings.voters, epoch, now);
             if self.forgets {
-                register.plant_no_memory();
+                register.inject_amnesia();
             }
             (self.register, self.requests) = (Some(register), RequestTable::default());
             self.put_off(now);
@@ -282,8 +282,8 @@
         {
             let left = self.requests.settle(now, &value, &observer.observations(now), &self.settings);
             self.change(left);
-            if !self.halt.on && self.requests.is_overdue(now, &value, self.settings.step) {
-                self.stop_all(out);
+            if !self.halt.on && self.requests.is_overdue(now, &value, self.settings.step_timeout) {
+                self.halt_all(out);
             }
         }
         self.recall_some(out);
@@ -291,21 +291,21 @@
     }
 
     pub(crate) fn beat(&mut self, now: Micros, out: &mut Out) {
-        let told = self.register.as_mut().map(|register| register.beat(now)).unwrap_or_default();
+        let told = self.register.as_mut().map(|register| register.heartbeat(now)).unwrap_or_default();
         for (to, told) in told {
-            self.send(to, Body::ToVoter(told), out);
+            self.send(to, Body::VoterRequest(told), out);
         }
     }
 
     fn recall_some(&mut self, out: &mut Out) {
         let from = self.recall.len().saturating_sub(RECALLED_PER_TICK);
         for to in self.recall.split_off(from) {
-            self.send(to, Body::Recall, out);
+            self.send(to, Body::StateQuery, out);
         }
     }
 
     pub(crate) fn change(&mut self, state: PermitState) -> Option<u32> {
-        self.register.as_mut()?.change(state)
+        self.register.as_mut()?.propose(state)
     }
 
     /// What we told ourselves, and what has come of being leader.
@@ -314,27 +314,29 @@
             while let Some(body) = self.own.pop_front() {
                 self.take(now, self.settings.own, body, observer, out);
             }
-            match self.register.as_mut().map_or(RegisterEvent::Same, |register| register.turn(now)) {
-                RegisterEvent::Same if self.own.is_empty() => break,
-                RegisterEvent::Same => {}
+            match self.register.as_mut().map_or(RegisterEvent::Unchanged, |register| register.poll(now)) {
+                RegisterEvent::Unchanged if self.own.is_empty() => break,
+                RegisterEvent::Unchanged => {}
                 RegisterEvent::Lost => {
                     self.register = None;
                     self.put_off(now);
                 }
-                RegisterEvent::Learns(held) => {
+                RegisterEvent::LearningStarted(held) => {
                     self.learnt = held.unwrap_or_default();
                     if let Some(known) = &self.known {
-                        self.learnt.join(&known.value);
+                        self.learnt.merge(&known.value);
                     }
                     self.recall = observer.live();
                 }
-                RegisterEvent::Learnt => {
+                RegisterEvent::LearningDue => {
                     let learnt = std::mem::take(&mut self.learnt);
-                    self.register.iter_mut().for_each(|register| register.learnt(now, learnt.clone()));
+                    self.register
+                        .iter_mut()
+                        .for_each(|register| register.finish_learning(now, learnt.clone()));
                     self.beat(now, out);
                 }
-                RegisterEvent::Agreed(version) => {
-                    let agreed = self.register.as_ref().and_then(ReplicatedRegister::agreed);
+                RegisterEvent::Committed(version) => {
+                    let agreed = self.register.as_ref().and_then(ReplicatedRegister::committed);
                     agreed.into_iter().for_each(|agreed| self.hear(agreed, out));
                     for granted in self.requests.agreed(version) {
                         self.answer(granted.asker, Ok(granted.number), out);
@@ -353,7 +355,7 @@
                 over.push(*tag);
             } else {
                 asked.again = now + ASK_AGAIN_US;
-                told.extend(leader.map(|leader| (leader, Body::Ask(*tag, asked.request))));
+                told.extend(leader.map(|leader| (leader, Body::Request(*tag, asked.request))));
             }
         }
         for tag in over {
@@ -418,40 +420,42 @@
         out: &mut Out,
     ) {
         match body {
-            Body::ToVoter(told) => {
+            Body::VoterRequest(told) => {
                 if !self.settings.voters.contains(&from) {
                     return;
                 }
                 let answer = self.voter.as_mut().and_then(|voter| voter.handle(now, told));
                 if let Some(answer) = answer {
-                    if !matches!(answer, crate::voter::FromVoter::No { .. }) && from != self.settings.own {
+                    if !matches!(answer, crate::voter::VoterResponse::Rejected { .. })
+                        && from != self.settings.own
+                    {
                         self.put_off(now);
                     }
-                    self.send(from, Body::FromVoter(answer), out);
+                    self.send(from, Body::VoterResponse(answer), out);
                 }
             }
-            Body::FromVoter(told) => {
+            Body::VoterResponse(told) => {
                 self.register.iter_mut().for_each(|register| register.handle(now, from, told.clone()));
             }
-            Body::Tell(stored, halt) => {
+            Body::State(stored, halt) => {
                 self.heard = true;
                 if let Some(stored) = stored {
-                    self.learnt.join(&stored.value);
+                    self.learnt.merge(&stored.value);
                     self.hear(stored, out);
                 }
                 self.hear_halt(halt, out);
             }
-            Body::Known(at, halt) => {
+            Body::Position(at, halt) => {
                 self.hear_halt(halt, out);
-                let ours = self.known.as_ref().map(Stored::at);
+                let ours = self.known.as_ref().map(Stored::position);
                 if ours > at || self.halt > halt {
-                    self.send(from, Body::Tell(self.known.clone(), self.halt), out);
+                    self.send(from, Body::State(self.known.clone(), self.halt), out);
                 } else if at > ours {
-                    self.send(from, Body::Recall, out);
+                    self.send(from, Body::StateQuery, out);
                 }
             }
-            Body::Recall => self.send(from, Body::Tell(self.known.clone(), self.halt), out),
-            Body::Ask(tag, request) => self.asked(now, Asker { node: from, tag }, request, observer, out),
+            Body::StateQuery => self.send(from, Body::State(self.known.clone(), self.halt), out),
+            Body::Request(tag, request) => self.asked(now, Asker { node: from, tag }, request, observer, out),
             Body::Reply(tag, answer) => self.answered(now, tag, answer, observer, out),
         }
     }
@@ -480,7 +484,7 @@
             out.push(Output::Answered { tag, answer });
         }
         if let Some((subject, number)) = nobodys {
-            self.ask(now, PermitRequest::Return(subject, number), observer, out);
+            self.submit(now, PermitRequest::Return(subject, number), observer, out);
         }
     }
 
@@ -495,7 +499,7 @@
     }
 
     fn hear(&mut self, stored: Stored<PermitState>, out: &mut Out) {
-        if self.known.as_ref().is_none_or(|known| known.at() < stored.at()) {
+        if self.known.as_ref().is_none_or(|known| known.position() < stored.position()) {
             self.known = Some(stored);
             self.passes = PASSES;
             out.push(Output::Changed);
@@ -516,9 +520,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A voter has its voice at once after its start, and a leader takes its word for a memory.
-    VotesAfterForgetting,
+    VotesAfterRestart,
     /// A voter takes what comes, of whatever epoch.
-    NoEpochs,
+    IgnoresEpochs,
     /// A leader counts what it sees, and not what it has permitted.
-    CountsTheViewAlone,
+    IgnoresPermits,
 }
--- a/crates/permits/src/observer.rs
+++ b/crates/permits/src/observer.rs
@@ -34,7 +34,13 @@
             let zone = self.zones.get(of).copied().unwrap_or(0);
             (
                 Subject::Scheduler(of as MemberId),
-                Observation { zone, life, used, sole: false, runs: runs(of) },
+                Observation {
+                    zone,
+                    incarnation: life,
+                    in_use_for: used,
+                    holds_last_copy: false,
+                    running_version: runs(of),
+                },
             )
         };
         let mut observations: Observations = self.membership.members().iter().enumerate().map(seen).collect();
@@ -57,7 +63,7 @@
 
 /// Sites and the gateways of all others, as a view shows them: out of use is one of which nothing was live for the
 /// settling time. A gateway counts by itself only while its site lives.
-pub fn sites(membership: &Membership, places: &SiteMap, settle: Micros, now: Micros) -> Observations {
+pub fn observe_sites(membership: &Membership, places: &SiteMap, settle: Micros, now: Micros) -> Observations {
     let used = |of: MemberId| {
         let entry = &membership.members()[usize::from(of)];
         let since = now.saturating_sub(entry.since);
@@ -66,7 +72,13 @@
             false => (since < settle).then_some(0),
         }
     };
-    let seen = |used, life| Observation { zone: 0, life, used, sole: false, runs: None };
+    let seen = |used, life| Observation {
+        zone: 0,
+        incarnation: life,
+        in_use_for: used,
+        holds_last_copy: false,
+        running_version: None,
+    };
     let life = |of: MemberId| (membership.members()[usize::from(of)].incarnation.start / 1_000) as u16;
     let mut observations = Observations::new();
     for site in places.sites() {
--- a/crates/permits/src/operator.rs
+++ b/crates/permits/src/operator.rs
@@ -28,7 +28,7 @@
     /// Comes back with the answer; another one for each request of a process.
     pub tag: u32,
     /// What is wanted.
-    pub want: OperatorCommand,
+    pub command: OperatorCommand,
 }
 
 /// What a member knows of what is agreed.
@@ -70,7 +70,7 @@
     /// Of the request.
     pub tag: u32,
     /// The answer.
-    pub told: OperatorReply,
+    pub reply: OperatorReply,
 }
 
 macro_rules! datagram {
--- a/crates/permits/src/operator/tests.rs
+++ b/crates/permits/src/operator/tests.rs
@@ -1,12 +1,13 @@
 //! Tests of [`super`], which need its inside.
 
 use super::*;
-use crate::state::{PERMITS, Subject};
+use crate::state::{MAX_PERMITS, Subject};
 use basaltward_membership::MAX_DATAGRAM_BYTES;
 
 #[test]
 fn the_largest_status_fits_and_comes_back_as_it_was() {
-    let permit = |of| Permit { subject: Subject::Worker(of), number: u16::MAX, life: u16::MAX, back: true };
+    let permit =
+        |of| Permit { subject: Subject::Worker(of), number: u16::MAX, incarnation: u16::MAX, back: true };
     let status = PermitStatus {
         own: u16::MAX,
         leader: Some(u16::MAX),
@@ -15,9 +16,9 @@
         out: (u16::MAX, u16::MAX),
         unclear: u16::MAX,
         plan: Some((Plan { number: u16::MAX, to: u32::MAX, from: u32::MAX, back: true }, u16::MAX)),
-        permits: (0..PERMITS as u32).map(|of| permit(u32::MAX - of)).collect(),
+        permits: (0..MAX_PERMITS as u32).map(|of| permit(u32::MAX - of)).collect(),
     };
-    let response = OperatorResponse { tag: u32::MAX, told: OperatorReply::Status(status) };
+    let response = OperatorResponse { tag: u32::MAX, reply: OperatorReply::Status(status) };
     let bytes = response.write();
     assert!(bytes.len() > 200 && bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
     assert_eq!(OperatorResponse::read(&bytes), Ok(response));
--- a/crates/permits/src/plan.rs
+++ b/crates/permits/src/plan.rs
@@ -13,8 +13,8 @@
 }
 
 /// How many say that they run the version of a plan.
-pub fn done(plan: &Plan, observations: &Observations) -> usize {
-    schedulers(observations).filter(|(_, seen)| seen.runs == Some(plan.to)).count()
+pub fn on_target_version(plan: &Plan, observations: &Observations) -> usize {
+    schedulers(observations).filter(|(_, seen)| seen.running_version == Some(plan.to)).count()
 }
 
 /// The scheduler that goes next: of those in use that say that they run another version the first by number, on a way
@@ -22,14 +22,14 @@
 ///
 /// # Errors
 /// Where all run it, or where the next step has to wait.
-pub fn next(
+pub fn next_scheduler(
     state: &PermitState,
     plan: &Plan,
     observations: &Observations,
     leader: MemberId,
 ) -> Result<Subject, Denied> {
-    let done = done(plan, observations);
-    if schedulers(observations).all(|(_, seen)| seen.runs == Some(plan.to)) {
+    let done = on_target_version(plan, observations);
+    if schedulers(observations).all(|(_, seen)| seen.running_version == Some(plan.to)) {
         return Err(Denied::Over);
     }
     let permitted = |of: MemberId| state.permit(Subject::Scheduler(of)).is_some();
@@ -38,10 +38,12 @@
         return Err(Denied::Waits);
     }
     let left = schedulers(observations).filter(|(of, seen)| {
-        seen.used.is_some() && seen.runs.is_some_and(|runs| runs != plan.to) && !permitted(*of)
+        seen.in_use_for.is_some()
+            && seen.running_version.is_some_and(|runs| runs != plan.to)
+            && !permitted(*of)
     });
     let turn = |(of, seen): &(MemberId, &Observation)| {
-        let newest = if plan.back { seen.used.unwrap_or_default() } else { 0 };
+        let newest = if plan.back { seen.in_use_for.unwrap_or_default() } else { 0 };
         (*of == leader, newest, *of)
     };
     left.min_by_key(turn).map(|(of, _)| Subject::Scheduler(of)).ok_or(Denied::Waits)
--- a/crates/permits/src/plan/tests.rs
+++ b/crates/permits/src/plan/tests.rs
@@ -6,7 +6,16 @@
 fn observations(runs: &[Option<u32>]) -> Observations {
     let seen = |(of, runs): (usize, &Option<u32>)| {
         let used = Some(1_000_000 * (10 - of as u64));
-        (Subject::Scheduler(of as MemberId), Observation { zone: 0, life: 0, used, sole: false, runs: *runs })
+        (
+            Subject::Scheduler(of as MemberId),
+            Observation {
+                zone: 0,
+                incarnation: 0,
+                in_use_for: used,
+                holds_last_copy: false,
+                running_version: *runs,
+            },
+        )
     };
     runs.iter().enumerate().map(seen).collect()
 }
@@ -17,17 +26,17 @@
     let mut state = PermitState::default();
     let (old, new) = (Some(1), Some(2));
     let of = |of| Ok(Subject::Scheduler(of));
-    assert_eq!(next(&state, &plan, &observations(&[old, old, old, old]), 0), of(1));
-    let permit = |of| Permit { subject: Subject::Scheduler(of), number: 1, life: 0, back: false };
+    assert_eq!(next_scheduler(&state, &plan, &observations(&[old, old, old, old]), 0), of(1));
+    let permit = |of| Permit { subject: Subject::Scheduler(of), number: 1, incarnation: 0, back: false };
     assert!(state.add(permit(1)));
-    assert_eq!(next(&state, &plan, &observations(&[old, old, old, old]), 0), Err(Denied::Waits));
+    assert_eq!(next_scheduler(&state, &plan, &observations(&[old, old, old, old]), 0), Err(Denied::Waits));
     // With one done two may be out.
-    assert_eq!(next(&state, &plan, &observations(&[old, new, old, old]), 0), of(2));
+    assert_eq!(next_scheduler(&state, &plan, &observations(&[old, new, old, old]), 0), of(2));
     state.remove(Subject::Scheduler(1));
-    assert_eq!(next(&state, &plan, &observations(&[old, new, new, None]), 0), of(0));
-    assert_eq!(next(&state, &plan, &observations(&[new, new, new, None]), 0), Err(Denied::Waits));
-    assert_eq!(next(&state, &plan, &observations(&[new, new, new, new]), 0), Err(Denied::Over));
+    assert_eq!(next_scheduler(&state, &plan, &observations(&[old, new, new, None]), 0), of(0));
+    assert_eq!(next_scheduler(&state, &plan, &observations(&[new, new, new, None]), 0), Err(Denied::Waits));
+    assert_eq!(next_scheduler(&state, &plan, &observations(&[new, new, new, new]), 0), Err(Denied::Over));
     // A way back begins with those started last.
     let back = Plan { back: true, to: 1, from: 2, ..plan };
-    assert_eq!(next(&state, &back, &observations(&[new, new, new, old]), 0), of(2));
+    assert_eq!(next_scheduler(&state, &back, &observations(&[new, new, new, old]), 0), of(2));
 }
--- a/crates/permits/src/register.rs
+++ b/crates/permits/src/register.rs
@@ -3,7 +3,7 @@
 //! the time at which that was sent, by its own clock, and only so long. Input: answers of voters and times; output: what goes
 //! to each voter, and [`RegisterEvent`]s.
 
-use crate::voter::{Epoch, FromVoter, Stored, ToVoter};
+use crate::voter::{Epoch, Stored, VoterRequest, VoterResponse};
 use basaltward_membership::{MemberId, Micros};
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Heard<V> {
-    life: u32,
+    incarnation: u32,
     /// When that was sent to which it last answered.
     sent: Option<Micros>,
     /// What it yielded.
@@ -58,14 +58,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegisterEvent<V> {
     /// Nothing new.
-    Same,
+    Unchanged,
     /// It has the promises of a majority, of which too few remember: it has to learn, see [`ReplicatedRegister::learnt`]. With
     /// what one that remembers holds.
-    Learns(Option<V>),
+    LearningStarted(Option<V>),
     /// What it was to learn it has to give now.
-    Learnt,
+    LearningDue,
     /// A version is agreed.
-    Agreed(u32),
+    Committed(u32),
     /// It is no leader: too few answer, or a later epoch is about.
     Lost,
 }
@@ -88,14 +88,14 @@
 
 impl<V: Clone + PartialEq> ReplicatedRegister<V> {
     /// A candidate.
-    pub fn claim(times: Times, voters: &[MemberId], epoch: Epoch, now: Micros) -> Self {
+    pub fn candidate(times: Times, voters: &[MemberId], epoch: Epoch, now: Micros) -> Self {
         let (sent, heard, stage) = (Vec::new(), BTreeMap::new(), Stage::Claiming(now));
         Self { times, voters: voters.to_vec(), epoch, beat: 0, sent, heard, stage, heeds_memory: true }
     }
 
     /// Plants a fault: voters that have forgotten count like the others.
     #[doc(hidden)]
-    pub fn plant_no_memory(&mut self) {
+    pub fn inject_amnesia(&mut self) {
         self.heeds_memory = false;
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// The latest version that is agreed, with its value.
-    pub fn agreed(&self) -> Option<Stored<V>> {
+    pub fn committed(&self) -> Option<Stored<V>> {
         match &self.stage {
             Stage::Keeping { agreed, known: Some(value), .. } => {
                 Some(Stored { epoch: self.epoch, version: *agreed, value: value.clone() })
@@ -138,7 +138,7 @@
     }
 
     /// Voters that have answered within the lease.
-    pub fn answered(&self, now: Micros) -> usize {
+    pub fn voters_in_lease(&self, now: Micros) -> usize {
         self.fresh(now).count()
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// What goes to each voter now.
-    pub fn beat(&mut self, now: Micros) -> Vec<(MemberId, ToVoter<V>)> {
+    pub fn heartbeat(&mut self, now: Micros) -> Vec<(MemberId, VoterRequest<V>)> {
         self.beat += 1;
         if self.sent.len() == BEATS {
             self.sent.remove(0);
@@ -156,11 +156,13 @@
         self.sent.push((self.beat, now));
         let (epoch, beat) = (self.epoch, self.beat);
         let told = |voter: &MemberId| match &self.stage {
-            Stage::Claiming(_) | Stage::Learning(_) => Some((*voter, ToVoter::Claim { epoch, beat })),
+            Stage::Claiming(_) | Stage::Learning(_) => {
+                Some((*voter, VoterRequest::Prepare { epoch, heartbeat: beat }))
+            }
             Stage::Keeping { version, value, .. } => {
-                let life = self.heard.get(voter).map_or(0, |heard| heard.life);
+                let life = self.heard.get(voter).map_or(0, |heard| heard.incarnation);
                 let stored = Stored { epoch, version: *version, value: value.clone() };
-                Some((*voter, ToVoter::Store { beat, life, stored }))
+                Some((*voter, VoterRequest::Accept { heartbeat: beat, incarnation: life, stored }))
             }
             Stage::Lost => None,
         };
@@ -168,65 +170,66 @@
     }
 
     /// A voter has answered.
-    pub fn handle(&mut self, now: Micros, from: MemberId, told: FromVoter<V>) {
+    pub fn handle(&mut self, now: Micros, from: MemberId, told: VoterResponse<V>) {
         let (epoch, beat, life) = match &told {
-            FromVoter::Yield { epoch, beat, life, .. } | FromVoter::Holds { epoch, beat, life, .. } => {
+            VoterResponse::Promise { epoch, heartbeat: beat, incarnation: life, .. }
+            | VoterResponse::Accepted { epoch, heartbeat: beat, incarnation: life, .. } => {
                 (*epoch, Some(*beat), *life)
             }
-            FromVoter::No { epoch, life, .. } => (*epoch, None, *life),
+            VoterResponse::Rejected { epoch, incarnation: life, .. } => (*epoch, None, *life),
         };
         if epoch != self.epoch || !self.voters.contains(&from) || self.is_lost() {
             return;
         }
-        if let FromVoter::No { promised, .. } = told {
+        if let VoterResponse::Rejected { promised, .. } = told {
             if promised > self.epoch {
                 self.stage = Stage::Lost;
             } else {
                 // It has forgotten, and is named by its new life from now on. That is no answer that counts.
-                self.heard.insert(from, Heard { life, sent: None, held: None, version: 0 });
+                self.heard.insert(from, Heard { incarnation: life, sent: None, held: None, version: 0 });
             }
             return;
         }
         let sent = self.sent.iter().find(|(of, _)| Some(*of) == beat).map(|(_, sent)| *sent);
         let Some(sent) = sent.filter(|sent| now < sent + self.times.lease) else { return };
-        let fresh = Heard { life, sent: None, held: None, version: 0 };
+        let fresh = Heard { incarnation: life, sent: None, held: None, version: 0 };
         let known = self.heard.entry(from).or_insert_with(|| fresh.clone());
-        if known.life != life {
+        if known.incarnation != life {
             *known = fresh;
         }
         known.sent = known.sent.max(Some(sent));
         match told {
-            FromVoter::Yield { held, .. } => known.held = held,
-            FromVoter::Holds { version, .. } => known.version = known.version.max(version),
-            FromVoter::No { .. } => {}
+            VoterResponse::Promise { held, .. } => known.held = held,
+            VoterResponse::Accepted { version, .. } => known.version = known.version.max(version),
+            VoterResponse::Rejected { .. } => {}
         }
     }
 
     /// Looks what has come of it by `now`. Asked after each answer and whenever time has passed.
-    pub fn turn(&mut self, now: Micros) -> RegisterEvent<V> {
+    pub fn poll(&mut self, now: Micros) -> RegisterEvent<V> {
         let (lease, majority) = (self.times.lease, self.majority());
-        let has_lease = self.answered(now) >= majority;
+        let has_lease = self.voters_in_lease(now) >= majority;
         let holding = |version: u32| self.fresh(now).filter(|(_, heard)| heard.version >= version).count();
         match &self.stage {
             // A later epoch was heard of.
             Stage::Lost => RegisterEvent::Lost,
             Stage::Claiming(since) if !has_lease => match now >= since + lease {
                 true => self.lose(),
-                false => RegisterEvent::Same,
+                false => RegisterEvent::Unchanged,
             },
             Stage::Claiming(_) => self.elected(now),
             _ if !has_lease => self.lose(),
-            Stage::Learning(until) if now < *until => RegisterEvent::Same,
-            Stage::Learning(_) => RegisterEvent::Learnt,
+            Stage::Learning(until) if now < *until => RegisterEvent::Unchanged,
+            Stage::Learning(_) => RegisterEvent::LearningDue,
             Stage::Keeping { version, agreed, .. } => {
                 let version = *version;
                 if *agreed == version || holding(version) < majority {
-                    return RegisterEvent::Same;
+                    return RegisterEvent::Unchanged;
                 }
                 if let Stage::Keeping { agreed, known, value, .. } = &mut self.stage {
                     (*agreed, *known) = (version, Some(value.clone()));
                 }
-                RegisterEvent::Agreed(version)
+                RegisterEvent::Committed(version)
             }
         }
     }
@@ -238,16 +241,16 @@
 
     fn elected(&mut self, now: Micros) -> RegisterEvent<V> {
         let held: Vec<_> = self.fresh(now).filter_map(|(_, heard)| heard.held.as_ref()).collect();
-        let latest = held.iter().max_by_key(|held| held.at()).map(|held| held.value.clone());
-        let remember = if self.heeds_memory { held.len() } else { self.answered(now) };
+        let latest = held.iter().max_by_key(|held| held.position()).map(|held| held.value.clone());
+        let remember = if self.heeds_memory { held.len() } else { self.voters_in_lease(now) };
         match latest {
             Some(value) if remember >= self.majority() => {
                 self.keep(value);
-                RegisterEvent::Same
+                RegisterEvent::Unchanged
             }
             latest => {
                 self.stage = Stage::Learning(now + self.times.learning);
-                RegisterEvent::Learns(latest)
+                RegisterEvent::LearningStarted(latest)
             }
         }
     }
@@ -257,14 +260,14 @@
     }
 
     /// What is out, as it was learnt: the value begins with it.
-    pub fn learnt(&mut self, now: Micros, value: V) {
+    pub fn finish_learning(&mut self, now: Micros, value: V) {
         if matches!(self.stage, Stage::Learning(until) if now >= until) {
             self.keep(value);
         }
     }
 
     /// Changes the value; gives the version that has to be agreed before anything is done by it.
-    pub fn change(&mut self, value: V) -> Option<u32> {
+    pub fn propose(&mut self, value: V) -> Option<u32> {
         let Stage::Keeping { version, value: kept, .. } = &mut self.stage else { return None };
         if *kept != value {
             *version += 1;
--- a/crates/permits/src/request_table.rs
+++ b/crates/permits/src/request_table.rs
@@ -118,16 +118,16 @@
             let subject = permit.subject;
             let known = *self.known.entry(subject).or_insert(now);
             let Some(seen) = observations.get(&subject) else { continue };
-            let warm = seen.used.is_some_and(|used| used >= settings.warm);
+            let warm = seen.in_use_for.is_some_and(|used| used >= settings.min_in_use);
             let shown = now >= known + settings.times.silence + settings.settle;
             let back = permit.back.then(|| *self.back.entry(subject).or_insert(now));
             let by_itself = match subject {
                 Subject::Scheduler(_) => shown,
-                Subject::Worker(_) => shown && seen.life != permit.life,
+                Subject::Worker(_) => shown && seen.incarnation != permit.incarnation,
                 // What was done in its place it has to learn first, and says so.
                 Subject::Site(_) | Subject::Gateway(_) => false,
             };
-            if warm && (by_itself || back.is_some_and(|since| now >= since + settings.warm)) {
+            if warm && (by_itself || back.is_some_and(|since| now >= since + settings.min_in_use)) {
                 left.remove(subject);
             }
         }
--- a/crates/permits/src/settings.rs
+++ b/crates/permits/src/settings.rs
@@ -18,7 +18,7 @@
     /// Members that vote, by number.
     pub voters: Vec<MemberId>,
     /// Another one with each life.
-    pub life: u32,
+    pub incarnation: u32,
     /// For choices.
     pub seed: u64,
     /// See [`Times`].
@@ -28,9 +28,9 @@
     /// By then a view shows what has become of a member: the view's settling time.
     pub settle: Micros,
     /// One that was out has to be in use for so long, to count as back.
-    pub warm: Micros,
+    pub min_in_use: Micros,
     /// A scheduler whose permit stands for longer than this while a release goes on halts all.
-    pub step: Micros,
+    pub step_timeout: Micros,
     /// How many may be out.
     pub bounds: Bounds,
 }
@@ -68,13 +68,13 @@
             fleet: 0,
             own,
             voters: default_voters(size),
-            life,
+            incarnation: life,
             seed,
             times: Times { lease: 2_000_000, silence: 2_500_000, learning: 2_500_000 + settle },
             tick: 400_000,
             settle,
-            warm: 5_000_000,
-            step: 180_000_000,
+            min_in_use: 5_000_000,
+            step_timeout: 180_000_000,
             bounds: Bounds::default(),
         }
     }
--- a/crates/permits/src/state.rs
+++ b/crates/permits/src/state.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Permits at once at most: so many fit into a datagram.
-pub const PERMITS: usize = 12;
+pub const MAX_PERMITS: usize = 12;
 
 /// Who can be out of use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -22,14 +22,14 @@
 
 impl Subject {
     /// Its permit is leave to do what it owes, and ends when it says that it has learnt what was done in its place.
-    pub fn is_taken_over(self) -> bool {
+    pub fn is_takeover(self) -> bool {
         matches!(self, Self::Site(_) | Self::Gateway(_))
     }
 }
 
 /// The subject that a worker's name stands for.
-pub fn worker(name: &str) -> Subject {
-    Subject::Worker(mark(name))
+pub fn worker_subject(name: &str) -> Subject {
+    Subject::Worker(name_hash(name))
 }
 
 /// Leave to be out, until its subject has proven to be back.
@@ -40,7 +40,8 @@
     /// Which of all that were given: whoever is done says with which.
     pub number: u16,
     /// A mark of its life as it was given: another one has been out.
-    pub life: u16,
+    #[serde(rename = "life")]
+    pub incarnation: u16,
     /// Nobody takes it out by this any more: it may be used, and still counts until it has proven to be back.
     pub back: bool,
 }
@@ -59,7 +60,7 @@
 }
 
 /// The mark that the name of a worker or of a version stands for.
-pub fn mark(name: &str) -> u32 {
+pub fn name_hash(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
 
@@ -69,7 +70,7 @@
     /// By subject, each once.
     pub permits: Vec<Permit>,
     /// The number of the last one that was given, and of the last plan.
-    pub given: u16,
+    pub last_number: u16,
     /// The release that goes on.
     pub plan: Option<Plan>,
 }
@@ -86,7 +87,7 @@
         if self.permit(permit.subject).is_some() {
             return true;
         }
-        if self.permits.len() == PERMITS {
+        if self.permits.len() == MAX_PERMITS {
             return false;
         }
         self.permits.push(permit);
@@ -101,8 +102,8 @@
 
     /// With all that another one says is out, as far as there is room; what there is none for is out by being
     /// seen to be, or not at all any more.
-    pub fn join(&mut self, other: &Self) {
-        self.given = self.given.max(other.given);
+    pub fn merge(&mut self, other: &Self) {
+        self.last_number = self.last_number.max(other.last_number);
         let later = |plan: &Plan| self.plan.is_none_or(|own| own.number < plan.number);
         self.plan = other.plan.filter(later).or(self.plan);
         for permit in &other.permits {
@@ -117,7 +118,7 @@
     }
 
     /// Marks that nothing more is done by a permit; false where it does not stand.
-    pub fn bring_back(&mut self, subject: Subject, number: u16) -> bool {
+    pub fn mark_returned(&mut self, subject: Subject, number: u16) -> bool {
         let asked = |permit: &&mut Permit| (permit.subject, permit.number) == (subject, number);
         let permit = self.permits.iter_mut().find(asked);
         permit.is_some_and(|permit| {
@@ -127,7 +128,7 @@
     }
 
     /// Whether a worker is drained: nothing new goes there.
-    pub fn drains(&self, tag: u32) -> bool {
+    pub fn is_drained(&self, tag: u32) -> bool {
         self.permit(Subject::Worker(tag)).is_some_and(|permit| !permit.back)
     }
 }
--- a/crates/permits/src/virtual_fleet.rs
+++ b/crates/permits/src/virtual_fleet.rs
@@ -6,7 +6,7 @@
 
 use crate::bounds::Observations;
 use crate::node::{Fault, Output, PermitNode};
-use crate::observer::{MembershipObserver, sites};
+use crate::observer::{MembershipObserver, observe_sites};
 use crate::settings::PermitSettings;
 use crate::state::Subject;
 use crate::wire::{PermitRequest, VERSION};
@@ -47,7 +47,7 @@
 
 impl Scheduler {
     /// Has its part do something, by what it sees.
-    pub fn part<T>(
+    pub fn with_node<T>(
         &mut self,
         now: Micros,
         out: &mut Vec<SchedulerOutput>,
@@ -57,7 +57,9 @@
         let (membership, told, places) = (&self.membership, &self.workers, &self.places);
         let seen = |now| {
             let mut seen = told.clone();
-            seen.extend(places.iter().flat_map(|(places, settle)| sites(membership, places, *settle, now)));
+            seen.extend(
+                places.iter().flat_map(|(places, settle)| observe_sites(membership, places, *settle, now)),
+            );
             seen
         };
         let observer = MembershipObserver { membership, zones: &[], workers: &seen, wall_ms };
@@ -86,7 +88,7 @@
 
     fn handle(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Vec<SchedulerOutput>) {
         if bytes.first() == Some(&VERSION) {
-            self.part(now, out, |node, observer, out| node.handle(now, from, bytes, observer, out));
+            self.with_node(now, out, |node, observer, out| node.handle(now, from, bytes, observer, out));
         } else {
             let mut told = Vec::new();
             self.membership.handle(now, from, bytes, &mut told);
@@ -105,7 +107,7 @@
             seen(told, out);
         }
         if self.node.next_due() <= now {
-            self.part(now, out, |node, observer, out| node.wake(now, observer, out));
+            self.with_node(now, out, |node, observer, out| node.wake(now, observer, out));
         }
     }
 
@@ -135,7 +137,7 @@
     /// When, in the world's time.
     pub at: Micros,
     /// Through whom it was asked.
-    pub by: MemberId,
+    pub through: MemberId,
     /// What was wanted.
     pub request: PermitRequest,
     /// The answer.
@@ -182,24 +184,24 @@
 
     /// Whoever starts from now on has this fault.
     #[doc(hidden)]
-    pub fn plant(&mut self, fault: Fault) {
+    pub fn inject(&mut self, fault: Fault) {
         self.planted = Some(fault);
     }
 
     /// Starts a scheduler, which knows nothing of an earlier life.
     pub fn start(&mut self, of: MemberId) {
-        self.start_as(of, 0);
+        self.start_with_version(of, 0);
     }
 
     /// As [`VirtualFleet::start`], with the mark of the version that it runs.
-    pub fn start_as(&mut self, of: MemberId, runs: u32) {
+    pub fn start_with_version(&mut self, of: MemberId, runs: u32) {
         let (size, now) = (self.net.numbers().end, self.net.clock(of));
         let wall = EPOCH_MS + self.net.now / 1_000;
         let life = self.net.draw(u64::from(u32::MAX)) as u32;
-        let settings = PermitSettings { own: of, life, ..self.settings.clone() };
+        let settings = PermitSettings { own: of, incarnation: life, ..self.settings.clone() };
         let membership = Membership::new(MembershipSettings::new(size, of, wall, self.settings.seed), now);
         let (Ok(membership), Ok(mut node)) = (membership, PermitNode::new(settings, now)) else { return };
-        self.planted.into_iter().for_each(|fault| node.plant(fault, now));
+        self.planted.into_iter().for_each(|fault| node.inject(fault, now));
         let wall_ms = wall - now / 1_000;
         let scheduler = Scheduler {
             membership,
@@ -215,7 +217,7 @@
     }
 
     /// What all are told of workers from now on.
-    pub fn tell_workers(&mut self, workers: Observations) {
+    pub fn set_workers(&mut self, workers: Observations) {
         for of in self.net.numbers() {
             self.net.node_mut(of).into_iter().for_each(|one| one.workers.clone_from(&workers));
         }
@@ -223,10 +225,11 @@
     }
 
     /// An operator asks for something through a scheduler that is up.
-    pub fn ask(&mut self, by: MemberId, request: PermitRequest) {
+    pub fn submit(&mut self, by: MemberId, request: PermitRequest) {
         let mut tag = None;
         self.net.act(by, |one, now, out| {
-            let asked = one.part(now, out, |node, observer, out| node.ask(now, request, observer, out));
+            let asked =
+                one.with_node(now, out, |node, observer, out| node.submit(now, request, observer, out));
             tag = Some((asked, now));
         });
         if let Some((tag, since)) = tag {
@@ -235,7 +238,7 @@
     }
 
     /// Bytes that living members have sent for what is agreed, their views aside.
-    pub fn part_bytes(&self) -> u64 {
+    pub fn permit_bytes_sent(&self) -> u64 {
         self.net.numbers().filter_map(|of| self.net.node(of)).map(|one| one.bytes).sum()
     }
 
@@ -246,7 +249,7 @@
             let SchedulerOutput::Agreed(Output::Answered { tag, answer }) = told else { continue };
             let Some(PendingRequest { request, since }) = self.asked.remove(&(*by, *tag)) else { continue };
             let until = since + self.settings.times.lease;
-            self.answers.push(OperatorAnswer { at: *at, by: *by, request, answer: *answer, until });
+            self.answers.push(OperatorAnswer { at: *at, through: *by, request, answer: *answer, until });
         }
         self.net.told.clear();
     }
--- a/crates/permits/src/voter.rs
+++ b/crates/permits/src/voter.rs
@@ -35,27 +35,27 @@
 
 impl<V> Stored<V> {
     /// Its place in the order of all.
-    pub fn at(&self) -> (Epoch, u32) {
+    pub fn position(&self) -> (Epoch, u32) {
         (self.epoch, self.version)
     }
 }
 
 /// What a candidate or a leader tells a voter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum ToVoter<V> {
+pub enum VoterRequest<V> {
     /// I would be leader.
-    Claim {
+    Prepare {
         /// By this epoch.
         epoch: Epoch,
         /// Counts what the leader sends, so that an answer names the time from which it counts.
-        beat: u32,
+        heartbeat: u32,
     },
     /// Store this.
-    Store {
+    Accept {
         /// As in a claim.
-        beat: u32,
+        heartbeat: u32,
         /// The voter's life, as the leader knows it: one that has forgotten takes nothing that names an earlier one.
-        life: u32,
+        incarnation: u32,
         /// What to store.
         stored: Stored<V>,
     },
@@ -63,44 +63,44 @@
 
 /// What a voter answers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum FromVoter<V> {
+pub enum VoterResponse<V> {
     /// I promise to heed no earlier epoch; this is what I hold, if I remember anything.
-    Yield {
+    Promise {
         /// The claim's.
         epoch: Epoch,
         /// The claim's.
-        beat: u32,
+        heartbeat: u32,
         /// The voter's life.
-        life: u32,
+        incarnation: u32,
         /// What it holds.
         held: Option<Stored<V>>,
     },
     /// I hold this version or a later one of yours.
-    Holds {
+    Accepted {
         /// The leader's.
         epoch: Epoch,
         /// The order's.
-        beat: u32,
+        heartbeat: u32,
         /// The voter's life.
-        life: u32,
+        incarnation: u32,
         /// The version.
         version: u32,
     },
     /// I don't.
-    No {
+    Rejected {
         /// The epoch that it is an answer to.
         epoch: Epoch,
         /// The latest that I have promised.
         promised: Epoch,
         /// The voter's life.
-        life: u32,
+        incarnation: u32,
     },
 }
 
 /// A voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter<V> {
-    life: u32,
+    incarnation: u32,
     /// It says nothing before: what an earlier life has promised may still count.
     speaks: Micros,
     promised: Epoch,
@@ -113,17 +113,17 @@
     /// A voter whose life begins, silent for so long.
     pub fn new(life: u32, now: Micros, silence: Micros) -> Self {
         let (promised, held) = (Epoch::default(), None);
-        Self { life, speaks: now + silence, promised, held, heeds_epochs: true }
+        Self { incarnation: life, speaks: now + silence, promised, held, heeds_epochs: true }
     }
 
     /// Plants a fault: epochs are not checked.
     #[doc(hidden)]
-    pub fn plant_no_epochs(&mut self) {
+    pub fn inject_ignored_epochs(&mut self) {
         self.heeds_epochs = false;
     }
 
     /// Whether it has a voice by now.
-    pub fn speaks(&self, now: Micros) -> bool {
+    pub fn may_vote(&self, now: Micros) -> bool {
         now >= self.speaks
     }
 
@@ -138,34 +138,40 @@
     }
 
     /// Takes what a leader tells; gives the answer, if it has a voice.
-    pub fn handle(&mut self, now: Micros, told: ToVoter<V>) -> Option<FromVoter<V>> {
+    pub fn handle(&mut self, now: Micros, told: VoterRequest<V>) -> Option<VoterResponse<V>> {
         if now < self.speaks {
             return None;
         }
-        let Self { life, promised, .. } = *self;
+        let Self { incarnation: life, promised, .. } = *self;
         Some(match told {
-            ToVoter::Claim { epoch, .. } if epoch < promised && self.heeds_epochs => {
-                FromVoter::No { epoch, promised, life }
+            VoterRequest::Prepare { epoch, .. } if epoch < promised && self.heeds_epochs => {
+                VoterResponse::Rejected { epoch, promised, incarnation: life }
             }
-            ToVoter::Claim { epoch, beat } => {
+            VoterRequest::Prepare { epoch, heartbeat: beat } => {
                 self.promised = epoch.max(promised);
-                FromVoter::Yield { epoch, beat, life, held: self.held.clone() }
+                VoterResponse::Promise { epoch, heartbeat: beat, incarnation: life, held: self.held.clone() }
             }
-            ToVoter::Store { stored, .. } if stored.epoch < promised && self.heeds_epochs => {
-                FromVoter::No { epoch: stored.epoch, promised, life }
+            VoterRequest::Accept { stored, .. } if stored.epoch < promised && self.heeds_epochs => {
+                VoterResponse::Rejected { epoch: stored.epoch, promised, incarnation: life }
             }
             // It knows of no life of ours, or of an earlier one: it may have been on its way for an hour.
-            ToVoter::Store { life: known, stored, .. } if self.held.is_none() && known != life => {
-                FromVoter::No { epoch: stored.epoch, promised, life }
+            VoterRequest::Accept { incarnation: known, stored, .. }
+                if self.held.is_none() && known != life =>
+            {
+                VoterResponse::Rejected { epoch: stored.epoch, promised, incarnation: life }
             }
-            ToVoter::Store { beat, stored, .. } => {
+            VoterRequest::Accept { heartbeat: beat, stored, .. } => {
                 self.promised = stored.epoch.max(promised);
                 let epoch = stored.epoch;
-                if self.held.as_ref().is_none_or(|held| held.at() < stored.at() || !self.heeds_epochs) {
+                if self
+                    .held
+                    .as_ref()
+                    .is_none_or(|held| held.position() < stored.position() || !self.heeds_epochs)
+                {
                     self.held = Some(stored);
                 }
                 let version = self.held.as_ref().map_or(0, |held| held.version);
-                FromVoter::Holds { epoch, beat, life, version }
+                VoterResponse::Accepted { epoch, heartbeat: beat, incarnation: life, version }
             }
         })
     }
--- a/crates/permits/src/wire.rs
+++ b/crates/permits/src/wire.rs
@@ -3,7 +3,7 @@
 
 use crate::request_table::PermitResult;
 use crate::state::{PermitState, Subject};
-use crate::voter::{Epoch, FromVoter, Stored, ToVoter};
+use crate::voter::{Epoch, Stored, VoterRequest, VoterResponse};
 use basaltward_membership::{MemberId, WireError, decode_datagram, encode_datagram};
 use serde::{Deserialize, Serialize};
 
@@ -53,17 +53,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
     /// From a candidate or the leader to a voter.
-    ToVoter(ToVoter<PermitState>),
+    VoterRequest(VoterRequest<PermitState>),
     /// From a voter to it.
-    FromVoter(FromVoter<PermitState>),
+    VoterResponse(VoterResponse<PermitState>),
     /// What is agreed, as far as the sender knows.
-    Tell(Option<Stored<PermitState>>, Halt),
+    State(Option<Stored<PermitState>>, Halt),
     /// How far the sender knows it: whoever knows more tells.
-    Known(Option<(Epoch, u32)>, Halt),
+    Position(Option<(Epoch, u32)>, Halt),
     /// Tell what you know.
-    Recall,
+    StateQuery,
     /// To the leader, by a number that its answer names.
-    Ask(u32, PermitRequest),
+    Request(u32, PermitRequest),
     /// Its answer.
     Reply(u32, PermitResult),
 }
--- a/crates/permits/tests/hard_cases.rs
+++ b/crates/permits/tests/hard_cases.rs
@@ -120,7 +120,7 @@
             match (told.request, told.answer) {
                 (PermitRequest::Acquire(Subject::Scheduler(of)), Ok(number)) => {
                     let at = now + self.fleet.net.draw(if self.late { 30 * S } else { 3 * S });
-                    self.held.push(Held { of, number, by: told.by, until: told.until, at });
+                    self.held.push(Held { of, number, by: told.through, until: told.until, at });
                 }
                 (PermitRequest::Return(Subject::Scheduler(of), number), Ok(_) | Err(Denied::Stale)) => {
                     self.done.retain(|who, done| (*who, *done) != (of, number));
@@ -154,9 +154,9 @@
             let (of, by) = (self.fleet.net.draw(self.size().into()) as MemberId, self.any_up());
             let done = self.done.first_key_value().map(|(of, number)| (*of, *number));
             if let Some(by) = by {
-                self.fleet.ask(by, PermitRequest::Acquire(Subject::Scheduler(of)));
+                self.fleet.submit(by, PermitRequest::Acquire(Subject::Scheduler(of)));
                 if let Some((of, number)) = done {
-                    self.fleet.ask(by, PermitRequest::Return(Subject::Scheduler(of), number));
+                    self.fleet.submit(by, PermitRequest::Return(Subject::Scheduler(of), number));
                 }
             }
         }
@@ -370,7 +370,7 @@
     run.fleet.net.cut(&[missing], true);
     for of in [1, 3] {
         let by = run.leader().expect("a leader");
-        run.fleet.ask(by, request(of));
+        run.fleet.submit(by, request(of));
     }
     // They go at the last moment.
     run.pass(S);
@@ -381,7 +381,7 @@
         run.start(of);
     }
     for _ in 0..20 {
-        [5, 7].into_iter().for_each(|of| run.fleet.ask(missing, request(of)));
+        [5, 7].into_iter().for_each(|of| run.fleet.submit(missing, request(of)));
         run.pass(S / 4);
     }
     run
@@ -391,18 +391,18 @@
 #[test]
 fn a_seat_that_votes_after_forgetting_is_found() {
     let broken = |seed, plant: fn(&mut Run)| !forgotten(seed, plant).broken.is_empty();
-    assert!((0..40).any(|seed| broken(seed, |run| run.fleet.plant(Fault::VotesAfterForgetting))));
+    assert!((0..40).any(|seed| broken(seed, |run| run.fleet.inject(Fault::VotesAfterRestart))));
     assert!((0..40).all(|seed| !broken(seed, |_| {})));
 }
 
 #[test]
 fn a_seat_that_does_not_check_epochs_is_found() {
-    assert!(found(&[2, 3, 5], 40, |run| run.fleet.plant(Fault::NoEpochs)));
+    assert!(found(&[2, 3, 5], 40, |run| run.fleet.inject(Fault::IgnoresEpochs)));
 }
 
 #[test]
 fn a_leader_that_counts_its_view_alone_is_found() {
-    assert!(found(&[0], 4, |run| run.fleet.plant(Fault::CountsTheViewAlone)));
+    assert!(found(&[0], 4, |run| run.fleet.inject(Fault::IgnoresPermits)));
 }
 
 #[test]
--- a/crates/permits/tests/model.rs
+++ b/crates/permits/tests/model.rs
@@ -2,7 +2,7 @@
 //! leader, each with somebody who wants to be out under a bound of one. Voters restart and know nothing; messages
 //! are late for any time, doubled, or never come; time passes at any moment.
 use basaltward_permits::{
-    Epoch, FromVoter, RegisterEvent, ReplicatedRegister, Stored, Times, ToVoter, Voter,
+    Epoch, RegisterEvent, ReplicatedRegister, Stored, Times, Voter, VoterRequest, VoterResponse,
 };
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 type Value = u8;
 
 /// From, to, and what.
-type Said = (u16, u16, ToVoter<Value>);
+type Said = (u16, u16, VoterRequest<Value>);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
@@ -61,16 +61,17 @@
 }
 
 /// Without the number of the beat, which says only when it was sent.
-fn content(told: &ToVoter<Value>) -> ToVoter<Value> {
+fn content(told: &VoterRequest<Value>) -> VoterRequest<Value> {
     let mut told = told.clone();
-    let (ToVoter::Claim { beat, .. } | ToVoter::Store { beat, .. }) = &mut told;
+    let (VoterRequest::Prepare { heartbeat: beat, .. } | VoterRequest::Accept { heartbeat: beat, .. }) =
+        &mut told;
     *beat = 0;
     told
 }
 
 impl VotersModel {
     /// On its way for good; it stands for what says the same and was sent earlier, and counts less.
-    fn say(world: &mut World, from: u16, to: u16, told: ToVoter<Value>) {
+    fn say(world: &mut World, from: u16, to: u16, told: VoterRequest<Value>) {
         let same = |said: &Said| (said.0, said.1) == (from, to) && content(&said.2) == content(&told);
         world.words.retain(|said| !same(said));
         world.words.insert((from, to, told));
@@ -78,7 +79,7 @@
 
     fn beat(&self, world: &mut World, of: usize) {
         let now = world.now;
-        let told = world.registers[of].as_mut().map(|register| register.beat(now)).unwrap_or_default();
+        let told = world.registers[of].as_mut().map(|register| register.heartbeat(now)).unwrap_or_default();
         for (to, told) in told {
             // What one says to itself comes at once.
             if usize::from(to) == of {
@@ -98,8 +99,8 @@
             let now = world.now;
             let was = world.registers[of].as_ref().is_some_and(|register| register.value().is_some());
             let Some(register) = &mut world.registers[of] else { return };
-            match register.turn(now) {
-                RegisterEvent::Same => {
+            match register.poll(now) {
+                RegisterEvent::Unchanged => {
                     let is = register.value().is_some();
                     if was == is {
                         return;
@@ -107,15 +108,15 @@
                     self.beat(world, of);
                 }
                 RegisterEvent::Lost => world.registers[of] = None,
-                RegisterEvent::Learns(_) => {}
-                RegisterEvent::Learnt => {
+                RegisterEvent::LearningStarted(_) => {}
+                RegisterEvent::LearningDue => {
                     // All that anybody could still begin to do is done, and seen by now.
                     let out = world.out;
-                    register.learnt(now, out);
+                    register.finish_learning(now, out);
                     self.beat(world, of);
                 }
-                RegisterEvent::Agreed(_) => {
-                    let agreed = register.agreed().map_or(0, |agreed| agreed.value);
+                RegisterEvent::Committed(_) => {
+                    let agreed = register.committed().map_or(0, |agreed| agreed.value);
                     if agreed >> of & 1 == 1 && world.asked[of].is_some() {
                         world.granted[of] = true;
                     }
@@ -134,10 +135,10 @@
         let voter = |_| {
             let mut voter = Voter::new(1, 0, 0);
             if self.planted == Planted::NoEpochs {
-                voter.plant_no_epochs();
+                voter.inject_ignored_epochs();
             }
             let stored = Stored { epoch, version: 1, value: 0 };
-            let _ = voter.handle(0, ToVoter::Store { beat: 0, life: 1, stored });
+            let _ = voter.handle(0, VoterRequest::Accept { heartbeat: 0, incarnation: 1, stored });
             voter
         };
         let mut world = World {
@@ -158,7 +159,7 @@
                 world = self.next_state(&world, Step::Deliver(said, true)).unwrap_or(world);
             }
         }
-        assert!(world.registers[0].as_ref().is_some_and(|register| register.agreed().is_some()));
+        assert!(world.registers[0].as_ref().is_some_and(|register| register.committed().is_some()));
         world.words.clear();
         vec![world]
     }
@@ -166,12 +167,13 @@
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         steps.extend((world.now < self.ticks).then_some(Step::Tick));
         for of in 0..2 {
-            let speaks = world.voters[of].speaks(world.now);
+            let speaks = world.voters[of].may_vote(world.now);
             if world.claims[of] > 0 && world.registers[of].is_none() && speaks {
                 steps.push(Step::Claim(of));
             }
-            let free =
-                world.registers[of].as_ref().is_some_and(|k| k.agreed().is_some() && k.value() == Some(&0));
+            let free = world.registers[of]
+                .as_ref()
+                .is_some_and(|k| k.committed().is_some() && k.value() == Some(&0));
             if free && world.asked[of].is_none() {
                 steps.push(Step::Ask(of));
             }
@@ -198,16 +200,16 @@
             Step::Claim(of) => {
                 world.claims[of] -= 1;
                 let epoch = world.voters[of].promised().next(world.now + 10, of as u16);
-                let mut register = ReplicatedRegister::claim(TIMES, &VOTERS, epoch, world.now);
+                let mut register = ReplicatedRegister::candidate(TIMES, &VOTERS, epoch, world.now);
                 if matches!(self.planted, Planted::NoMemory | Planted::NoSilence) {
-                    register.plant_no_memory();
+                    register.inject_amnesia();
                 }
                 world.registers[of] = Some(register);
                 self.beat(&mut world, of);
             }
             Step::Ask(of) => {
                 world.asked[of] = Some(world.now);
-                let _ = world.registers[of].as_mut().and_then(|register| register.change(1 << of));
+                let _ = world.registers[of].as_mut().and_then(|register| register.propose(1 << of));
                 self.beat(&mut world, of);
             }
             Step::Go(of) => world.out |= 1 << of,
@@ -221,7 +223,7 @@
                 let now = world.now;
                 let answer = world.voters[usize::from(to)].handle(now, told).filter(|_| heard);
                 // That a later epoch is about ends a leader, and is as well never heard.
-                let later = |no: &FromVoter<_>| matches!(no, FromVoter::No { epoch, promised, .. } if promised > epoch);
+                let later = |no: &VoterResponse<_>| matches!(no, VoterResponse::Rejected { epoch, promised, .. } if promised > epoch);
                 if let (Some(answer), Some(register)) =
                     (answer.filter(|answer| !later(answer)), &mut world.registers[usize::from(from)])
                 {
--- a/crates/permits/tests/release.rs
+++ b/crates/permits/tests/release.rs
@@ -31,7 +31,7 @@
             LinkFaults { lost, doubled: 0.05, ..LinkFaults::default() },
         );
         let runs: BTreeMap<_, _> = fleet.net.numbers().map(|of| (of, 1)).collect();
-        runs.iter().for_each(|(of, runs)| fleet.start_as(*of, *runs));
+        runs.iter().for_each(|(of, runs)| fleet.start_with_version(*of, *runs));
         fleet.run(40 * S);
         Self { fleet, runs, out: BTreeMap::new(), restarts: 0, most: 0 }
     }
@@ -52,12 +52,12 @@
         patience: Micros,
     ) -> Option<(MemberId, Result<u16, Denied>, Micros)> {
         let (by, read) = (self.any(), self.fleet.answers.len());
-        self.fleet.ask(by, request);
+        self.fleet.submit(by, request);
         let until = self.fleet.net.now + patience;
         while self.fleet.net.now < until {
             self.pass(20_000);
             if let Some(told) =
-                self.fleet.answers[read..].iter().find(|told| told.by == by && told.request == request)
+                self.fleet.answers[read..].iter().find(|told| told.through == by && told.request == request)
             {
                 return Some((by, told.answer, told.until));
             }
@@ -72,9 +72,9 @@
         let back: Vec<_> = self.out.iter().filter(|(_, (at, _))| *at <= next).map(|(of, _)| *of).collect();
         for of in back {
             let (_, number) = self.out.remove(&of).expect("it is out");
-            self.fleet.start_as(of, self.runs[&of]);
+            self.fleet.start_with_version(of, self.runs[&of]);
             let by = self.any();
-            self.fleet.ask(by, PermitRequest::Return(Subject::Scheduler(of), number));
+            self.fleet.submit(by, PermitRequest::Return(Subject::Scheduler(of), number));
         }
     }
 
@@ -140,7 +140,7 @@
         (9, Some(of)) if !run.out.contains_key(&of) => {
             run.fleet.net.kill(of);
             run.pass(S);
-            run.fleet.start_as(of, run.runs[&of]);
+            run.fleet.start_with_version(of, run.runs[&of]);
         }
         (19, Some(of)) => {
             run.fleet.net.pause(of, 4 * S);
@@ -186,7 +186,7 @@
         panic!("no plan")
     };
     run.fleet.net.act(3, |one, now, out| {
-        one.part(now, out, |node, _, out| node.stop_all(out));
+        one.with_node(now, out, |node, _, out| node.halt_all(out));
     });
     run.pass(2 * S);
     let told = run.ask(PermitRequest::Next(number), 3 * S).map(|told| told.1);
--- a/crates/permits/tests/sites.rs
+++ b/crates/permits/tests/sites.rs
@@ -39,11 +39,13 @@
         let mut told = Err(Denied::NoLeader);
         for _ in 0..10 {
             let before = self.fleet.answers.len();
-            self.fleet.ask(by, request);
+            self.fleet.submit(by, request);
             self.fleet.run(self.fleet.net.now + 3 * S);
             let new = &self.fleet.answers[before..];
-            told =
-                new.iter().find(|one| one.by == by && one.request == request).map_or(told, |one| one.answer);
+            told = new
+                .iter()
+                .find(|one| one.through == by && one.request == request)
+                .map_or(told, |one| one.answer);
             if told != Err(Denied::NoLeader) {
                 break;
             }
--- a/crates/permits/tests/workers.rs
+++ b/crates/permits/tests/workers.rs
@@ -9,8 +9,13 @@
 const S: Micros = 1_000_000;
 
 fn workers(count: u32) -> Observations {
-    let seen =
-        |of: u32| Observation { zone: (of % 4) as u8, life: 1, used: Some(60 * S), sole: false, runs: None };
+    let seen = |of: u32| Observation {
+        zone: (of % 4) as u8,
+        incarnation: 1,
+        in_use_for: Some(60 * S),
+        holds_last_copy: false,
+        running_version: None,
+    };
     (0..count).map(|of| (Subject::Worker(of), seen(of))).collect()
 }
 
@@ -63,7 +68,7 @@
         while !wanted.is_empty() {
             assert!(fleet.net.now < until, "seed {seed}: {wanted:?} wait");
             for (at, subject) in wanted.iter().enumerate() {
-                fleet.ask((at % 10) as MemberId, PermitRequest::Acquire(*subject));
+                fleet.submit((at % 10) as MemberId, PermitRequest::Acquire(*subject));
             }
             let next = fleet.net.now + 4 * S;
             fleet.run(next);
@@ -74,7 +79,7 @@
             assert!(most <= Some(3), "seed {seed}");
             for (subject, number) in given {
                 wanted.retain(|of| *of != subject);
-                fleet.ask(5, PermitRequest::Return(subject, number));
+                fleet.submit(5, PermitRequest::Return(subject, number));
                 done += 1;
             }
         }
@@ -86,20 +91,20 @@
 fn a_worker_that_dies_while_drained_comes_back_by_itself_once_it_is_a_new_one() {
     let mut fleet = fleet(1, 0.05, 3);
     let subject = Subject::Worker(7);
-    fleet.ask(2, PermitRequest::Acquire(subject));
+    fleet.submit(2, PermitRequest::Acquire(subject));
     fleet.run(45 * S);
     assert_eq!(permitted(&fleet.answers).len(), 1);
     let drains = |fleet: &VirtualFleet, of| {
-        fleet.net.node(of).and_then(|one| one.node.known()).is_some_and(|known| known.value.drains(7))
+        fleet.net.node(of).and_then(|one| one.node.known()).is_some_and(|known| known.value.is_drained(7))
     };
     assert!(fleet.net.numbers().all(|of| drains(&fleet, of)), "all know of it");
     let mut told = workers(40);
-    told.entry(subject).and_modify(|seen| seen.used = None);
-    fleet.tell_workers(told.clone());
+    told.entry(subject).and_modify(|seen| seen.in_use_for = None);
+    fleet.set_workers(told.clone());
     fleet.run(80 * S);
     assert!(drains(&fleet, 0), "who is gone is not back");
-    told.entry(subject).and_modify(|seen| (seen.used, seen.life) = (Some(6 * S), 2));
-    fleet.tell_workers(told);
+    told.entry(subject).and_modify(|seen| (seen.in_use_for, seen.incarnation) = (Some(6 * S), 2));
+    fleet.set_workers(told);
     fleet.run(85 * S);
     assert!(fleet.net.numbers().all(|of| state(&fleet, of).is_empty()));
 }
@@ -108,7 +113,7 @@
 fn a_bound_that_is_lowered_takes_nothing_back_and_permits_nothing_more() {
     let mut fleet = fleet(3, 0.05, 3);
     for of in 0..3 {
-        fleet.ask(of as MemberId, PermitRequest::Acquire(Subject::Worker(of)));
+        fleet.submit(of as MemberId, PermitRequest::Acquire(Subject::Worker(of)));
     }
     fleet.run(45 * S);
     assert_eq!(permitted(&fleet.answers).len(), 3);
@@ -116,7 +121,7 @@
         fleet.net.node_mut(of).into_iter().for_each(|one| one.node.set_bounds(bounds(1)));
     }
     let read = fleet.answers.len();
-    fleet.ask(4, PermitRequest::Acquire(Subject::Worker(9)));
+    fleet.submit(4, PermitRequest::Acquire(Subject::Worker(9)));
     fleet.run(50 * S);
     assert_eq!(state(&fleet, 0).len(), 3);
     let told = fleet.answers[read..].first().map(|told| told.answer);
@@ -132,8 +137,8 @@
     // What the asker sends, to be told again later.
     let mut kept = Vec::new();
     fleet.net.act(by, |one, now, out| {
-        one.part(now, out, |node, observer, out| {
-            node.ask(now, PermitRequest::Acquire(Subject::Worker(3)), observer, out)
+        one.with_node(now, out, |node, observer, out| {
+            node.submit(now, PermitRequest::Acquire(Subject::Worker(3)), observer, out)
         });
         kept.extend(out.iter().filter_map(|said| match said {
             SchedulerOutput::Send(to, bytes) if *to == leader => Some(bytes.clone()),
@@ -146,12 +151,12 @@
         known.and_then(|known| known.value.permit(Subject::Worker(3)).copied())
     };
     let first = number(&fleet).expect("permitted");
-    fleet.ask(by, PermitRequest::Return(Subject::Worker(3), first.number));
+    fleet.submit(by, PermitRequest::Return(Subject::Worker(3), first.number));
     fleet.run(70 * S);
     assert_eq!(number(&fleet), None);
     // The leader has answered others since, and forgotten this one.
     for of in 0..70 {
-        fleet.ask(by, PermitRequest::Check(Subject::Worker(of % 40)));
+        fleet.submit(by, PermitRequest::Check(Subject::Worker(of % 40)));
         let next = fleet.net.now + S / 10;
         fleet.run(next);
     }
@@ -161,7 +166,7 @@
     let second = number(&fleet).expect("the leader can't know that it is old");
     assert!(second.back && second.number != first.number, "{second:?}");
     // An answer that comes doubled, though, takes nothing back.
-    fleet.ask(by, PermitRequest::Acquire(Subject::Worker(8)));
+    fleet.submit(by, PermitRequest::Acquire(Subject::Worker(8)));
     fleet.run(fleet.net.now + 5 * S);
     assert!(state(&fleet, by).contains(&(Subject::Worker(8), false)));
 }
@@ -173,7 +178,7 @@
     for bytes in [vec![VERSION + 1, 0, 1, 2, 3], vec![VERSION], vec![VERSION, 9, 0, 3, 0, 0], vec![0; 400]] {
         let mut told = Vec::new();
         fleet.net.act(1, |one, now, out| {
-            let heeded = one.part(now, out, |node, observer, out| {
+            let heeded = one.with_node(now, out, |node, observer, out| {
                 let heeded = node.handle(now, 0, &bytes, observer, out);
                 told.extend(out.iter().filter(|output| !matches!(output, Output::Send { .. })).cloned());
                 heeded
