--- a/crates/cli/src/agreed.rs
+++ b/crates/cli/src/agreed.rs
@@ -172,8 +172,9 @@
 fn clear(through: &Through, name: &str, of: (Subject, u16), until: Instant) -> Result<(), Failed> {
     loop {
         let PermitStatus { unclear, permits, .. } = status(through)?;
-        let knows =
-            permits.iter().any(|permit| (permit.subject, permit.number, permit.back) == (of.0, of.1, false));
+        let knows = permits
+            .iter()
+            .any(|permit| (permit.subject, permit.number, permit.returned) == (of.0, of.1, false));
         if unclear == 0 && knows {
             say(through, name, "clear", json!({}));
             return Ok(());
@@ -198,11 +199,11 @@
     println!("by n{}: leader {leader}{halted}", status.own);
     println!("out: {} schedulers, {} workers; unclear: {}", status.out.0, status.out.1, status.unclear);
     if let Some((plan, done)) = &status.plan {
-        let what = if plan.back { "way back" } else { "release" };
+        let what = if plan.rollback { "way back" } else { "release" };
         println!("{what} {}: {done} run version {:08x}, from {:08x}", plan.number, plan.to, plan.from);
     }
     for permit in &status.permits {
-        let back = if permit.back { ", comes back" } else { "" };
+        let back = if permit.returned { ", comes back" } else { "" };
         println!("permit {}: {:?}{back}", permit.number, permit.subject);
     }
     Ok(())
@@ -221,14 +222,14 @@
 fn planned(through: &Through, asked: &Release) -> Result<u16, Failed> {
     let stands = status(through)?.plan.map(|(plan, _)| plan);
     let (to, from, back) = match (asked.to, stands) {
-        (Some(name), Some(plan)) if plan.to == name_hash(name) && !plan.back => return Ok(plan.number),
+        (Some(name), Some(plan)) if plan.to == name_hash(name) && !plan.rollback => return Ok(plan.number),
         (Some(name), Some(plan)) => (name_hash(name), plan.to, false),
         (Some(name), None) => (name_hash(name), name_hash(asked.from), false),
-        (None, Some(plan)) if plan.back => return Ok(plan.number),
+        (None, Some(plan)) if plan.rollback => return Ok(plan.number),
         (None, Some(plan)) => (plan.from, plan.to, true),
         (None, None) => return Err(Failed::Run("no release stands that could be taken back".into())),
     };
-    granted(through, PermitRequest::Plan { to, from, back })
+    granted(through, PermitRequest::Plan { to, from, rollback: back })
 }
 
 /// Carries out the steps of a plan that the fleet keeps. Whoever dies here loses nothing: run again, it goes on. A
@@ -273,7 +274,7 @@
 fn step(through: &Through, run: &Path, permit: u16, since: Instant) -> Result<(), Failed> {
     let of = loop {
         let permits = status(through)?.permits;
-        let one = permits.iter().find(|one| one.number == permit && !one.back);
+        let one = permits.iter().find(|one| one.number == permit && !one.returned);
         if let Some(Subject::Scheduler(of)) = one.map(|one| one.subject) {
             break of;
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -246,7 +246,7 @@
         self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant(newer));
     }
 
-    /// Plants a fault in its part in what is agreed, see [`basaltward_permits::PermitNode::plant`].
+    /// Plants a fault in its part in what is agreed, see [`basaltward_permits::PermitNode::inject`].
     #[doc(hidden)]
     pub fn plant_agreed(&mut self, fault: basaltward_permits::Fault) {
         self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant_agreed(fault, monotonic()));
--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -103,7 +103,7 @@
         }))
     }
 
-    /// See [`PermitNode::plant`].
+    /// See [`PermitNode::inject`].
     pub fn plant(&mut self, fault: Fault, now: Micros) {
         self.node.inject(fault, now);
     }
--- a/crates/pending/src/owner.rs
+++ b/crates/pending/src/owner.rs
@@ -38,7 +38,7 @@
     #[test]
     fn only_events_of_those_taken_over_move_and_they_move_evenly() {
         let keys = || (0..4_000u128).map(|n| Key(n * 0x9e37_79b9_7f4a_7c15_f39c));
-        let permit = |subject| Permit { subject, number: 1, incarnation: 0, back: false };
+        let permit = |subject| Permit { subject, number: 1, incarnation: 0, returned: false };
         let mut permit_state = PermitState::default();
         let places = SiteMap::new(vec![0, 0, 1, 1], 0).expect("in the list");
         let before: Vec<_> = keys().map(|key| owner(key, &taken(&permit_state, &places))).collect();
--- a/crates/pending/src/world.rs
+++ b/crates/pending/src/world.rs
@@ -388,7 +388,12 @@
                 PermitRequest::Acquire(subject) if self.permit_state.permit(subject).is_none() => {
                     let number = self.permit_state.last_number + 1;
                     self.permit_state.last_number = number;
-                    self.permit_state.permits.push(Permit { subject, number, incarnation: 0, back: false });
+                    self.permit_state.permits.push(Permit {
+                        subject,
+                        number,
+                        incarnation: 0,
+                        returned: false,
+                    });
                     self.tell_all();
                 }
                 _ => {}
--- a/crates/pending/tests/model.rs
+++ b/crates/pending/tests/model.rs
@@ -453,7 +453,8 @@
             }
             Act::Permit(of) => {
                 let number = world.permit_state.last_number + 1;
-                let permit = Permit { subject: Subject::Site(of as u8), number, incarnation: 0, back: false };
+                let permit =
+                    Permit { subject: Subject::Site(of as u8), number, incarnation: 0, returned: false };
                 let _ = world.permit_state.add(permit);
                 world.permit_state.last_number = number;
             }
--- a/crates/permits/src/bounds.rs
+++ b/crates/permits/src/bounds.rs
@@ -20,7 +20,7 @@
 
 impl Limit {
     /// Of so many.
-    pub fn of(self, size: usize) -> usize {
+    pub fn to_count(self, size: usize) -> usize {
         match self {
             Self::Number(number) => usize::from(number).min(size),
             Self::Percent(share) => (size * usize::from(share.min(100)) / 100).max(1).min(size),
@@ -174,7 +174,7 @@
         };
         let (count, most) = (
             out.iter().filter(|of| within(of)).count(),
-            most.of(observations.keys().filter(|of| within(of)).count()),
+            most.to_count(observations.keys().filter(|of| within(of)).count()),
         );
         if count > most {
             return Err(Denied::Bound { of: group, out: count as u16, most: most as u16 });
@@ -187,7 +187,7 @@
         subject,
         number: state.last_number.wrapping_add(1),
         incarnation: seen.incarnation,
-        back: false,
+        returned: false,
     })
 }
 
--- a/crates/permits/src/bounds/tests.rs
+++ b/crates/permits/src/bounds/tests.rs
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_share_is_one_at_least_and_never_more_than_there_are() {
-    let of = |most: Limit| [0, 1, 9, 10, 300].map(|size| most.of(size));
+    let of = |most: Limit| [0, 1, 9, 10, 300].map(|size| most.to_count(size));
     assert_eq!(of(Limit::Percent(10)), [0, 1, 1, 1, 30]);
     assert_eq!(of(Limit::Percent(200)), [0, 1, 9, 10, 300]);
     assert_eq!(of(Limit::Number(3)), [0, 1, 3, 3, 3]);
@@ -62,7 +62,7 @@
 #[test]
 fn no_more_permits_than_a_datagram_holds() {
     let mut state = PermitState::default();
-    let all = |of: u32| Permit { subject: Subject::Worker(of), number: 1, incarnation: 0, back: false };
+    let all = |of: u32| Permit { subject: Subject::Worker(of), number: 1, incarnation: 0, returned: false };
     assert!((0..MAX_PERMITS as u32).all(|of| state.add(all(of))));
     assert!(!state.add(all(99)) && state.add(all(3)));
     let bounds =
--- a/crates/permits/src/leader.rs
+++ b/crates/permits/src/leader.rs
@@ -80,9 +80,10 @@
                 grant_permit(state, &observer.observations(now), &self.settings.bounds, subject)?;
                 0
             }
-            PermitRequest::Plan { to, from, back } => {
+            PermitRequest::Plan { to, from, rollback: back } => {
                 let number = state.last_number.wrapping_add(1);
-                (changed.last_number, changed.plan) = (number, Some(Plan { number, to, from, back }));
+                (changed.last_number, changed.plan) =
+                    (number, Some(Plan { number, to, from, rollback: back }));
                 number
             }
             PermitRequest::Next(number) => {
--- a/crates/permits/src/lib.rs
+++ b/crates/permits/src/lib.rs
@@ -37,7 +37,7 @@
 pub use node::{FleetObserver, Output, PermitNode};
 pub use observer::{MembershipObserver, observe_sites};
 pub use operator::{
-    OPERATOR, OperatorCommand, OperatorReply, OperatorRequest, OperatorResponse, PermitStatus,
+    OPERATOR_VERSION, OperatorCommand, OperatorReply, OperatorRequest, OperatorResponse, PermitStatus,
 };
 pub use plan::{next_scheduler, on_target_version};
 pub use register::{RegisterEvent, ReplicatedRegister, Times};
--- a/crates/permits/src/node.rs
+++ b/crates/permits/src/node.rs
@@ -317,7 +317,7 @@
             match self.register.as_mut().map_or(RegisterEvent::Unchanged, |register| register.poll(now)) {
                 RegisterEvent::Unchanged if self.own.is_empty() => break,
                 RegisterEvent::Unchanged => {}
-                RegisterEvent::Lost => {
+                RegisterEvent::SteppedDown => {
                     self.register = None;
                     self.put_off(now);
                 }
--- a/crates/permits/src/operator.rs
+++ b/crates/permits/src/operator.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The first byte of a request and of its answer.
-pub const OPERATOR: u8 = 0x72;
+pub const OPERATOR_VERSION: u8 = 0x72;
 
 /// What an operator wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -78,7 +78,7 @@
         impl $name {
             /// Its bytes, at most [`basaltward_membership::MAX_DATAGRAM_BYTES`].
             pub fn write(&self) -> Vec<u8> {
-                encode_datagram(OPERATOR, self).unwrap_or_default()
+                encode_datagram(OPERATOR_VERSION, self).unwrap_or_default()
             }
 
             /// Reads one.
@@ -86,7 +86,7 @@
             /// # Errors
             /// Where it is none.
             pub fn read(bytes: &[u8]) -> Result<Self, WireError> {
-                decode_datagram(OPERATOR, bytes)
+                decode_datagram(OPERATOR_VERSION, bytes)
             }
         }
     };
--- a/crates/permits/src/operator/tests.rs
+++ b/crates/permits/src/operator/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn the_largest_status_fits_and_comes_back_as_it_was() {
     let permit =
-        |of| Permit { subject: Subject::Worker(of), number: u16::MAX, incarnation: u16::MAX, back: true };
+        |of| Permit { subject: Subject::Worker(of), number: u16::MAX, incarnation: u16::MAX, returned: true };
     let status = PermitStatus {
         own: u16::MAX,
         leader: Some(u16::MAX),
@@ -15,7 +15,7 @@
         halt: Halt { count: u32::MAX, on: true },
         out: (u16::MAX, u16::MAX),
         unclear: u16::MAX,
-        plan: Some((Plan { number: u16::MAX, to: u32::MAX, from: u32::MAX, back: true }, u16::MAX)),
+        plan: Some((Plan { number: u16::MAX, to: u32::MAX, from: u32::MAX, rollback: true }, u16::MAX)),
         permits: (0..MAX_PERMITS as u32).map(|of| permit(u32::MAX - of)).collect(),
     };
     let response = OperatorResponse { tag: u32::MAX, reply: OperatorReply::Status(status) };
--- a/crates/permits/src/plan.rs
+++ b/crates/permits/src/plan.rs
@@ -43,7 +43,7 @@
             && !permitted(*of)
     });
     let turn = |(of, seen): &(MemberId, &Observation)| {
-        let newest = if plan.back { seen.in_use_for.unwrap_or_default() } else { 0 };
+        let newest = if plan.rollback { seen.in_use_for.unwrap_or_default() } else { 0 };
         (*of == leader, newest, *of)
     };
     left.min_by_key(turn).map(|(of, _)| Subject::Scheduler(of)).ok_or(Denied::Waits)
--- a/crates/permits/src/plan/tests.rs
+++ b/crates/permits/src/plan/tests.rs
@@ -22,12 +22,12 @@
 
 #[test]
 fn one_goes_first_then_more_and_the_leader_last() {
-    let plan = Plan { number: 1, to: 2, from: 1, back: false };
+    let plan = Plan { number: 1, to: 2, from: 1, rollback: false };
     let mut state = PermitState::default();
     let (old, new) = (Some(1), Some(2));
     let of = |of| Ok(Subject::Scheduler(of));
     assert_eq!(next_scheduler(&state, &plan, &observations(&[old, old, old, old]), 0), of(1));
-    let permit = |of| Permit { subject: Subject::Scheduler(of), number: 1, incarnation: 0, back: false };
+    let permit = |of| Permit { subject: Subject::Scheduler(of), number: 1, incarnation: 0, returned: false };
     assert!(state.add(permit(1)));
     assert_eq!(next_scheduler(&state, &plan, &observations(&[old, old, old, old]), 0), Err(Denied::Waits));
     // With one done two may be out.
@@ -37,6 +37,6 @@
     assert_eq!(next_scheduler(&state, &plan, &observations(&[new, new, new, None]), 0), Err(Denied::Waits));
     assert_eq!(next_scheduler(&state, &plan, &observations(&[new, new, new, new]), 0), Err(Denied::Over));
     // A way back begins with those started last.
-    let back = Plan { back: true, to: 1, from: 2, ..plan };
+    let back = Plan { rollback: true, to: 1, from: 2, ..plan };
     assert_eq!(next_scheduler(&state, &back, &observations(&[new, new, new, old]), 0), of(2));
 }
--- a/crates/permits/src/register.rs
+++ b/crates/permits/src/register.rs
@@ -38,11 +38,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage<V> {
     /// It asks for promises, since when.
-    Claiming(Micros),
+    Preparing(Micros),
     /// Too few voters remember: it learns what is out until this time.
     Learning(Micros),
     /// It is leader.
-    Keeping {
+    Leading {
         version: u32,
         value: V,
         /// The latest version that a majority holds.
@@ -51,7 +51,7 @@
         known: Option<V>,
     },
     /// It is not, or not any more.
-    Lost,
+    SteppedDown,
 }
 
 /// What has come of it.
@@ -67,7 +67,7 @@
     /// A version is agreed.
     Committed(u32),
     /// It is no leader: too few answer, or a later epoch is about.
-    Lost,
+    SteppedDown,
 }
 
 /// See the module's page.
@@ -89,7 +89,7 @@
 impl<V: Clone + PartialEq> ReplicatedRegister<V> {
     /// A candidate.
     pub fn candidate(times: Times, voters: &[MemberId], epoch: Epoch, now: Micros) -> Self {
-        let (sent, heard, stage) = (Vec::new(), BTreeMap::new(), Stage::Claiming(now));
+        let (sent, heard, stage) = (Vec::new(), BTreeMap::new(), Stage::Preparing(now));
         Self { times, voters: voters.to_vec(), epoch, beat: 0, sent, heard, stage, heeds_memory: true }
     }
 
@@ -112,7 +112,7 @@
     /// The value, agreed or not, while it is leader.
     pub fn value(&self) -> Option<&V> {
         match &self.stage {
-            Stage::Keeping { value, .. } => Some(value),
+            Stage::Leading { value, .. } => Some(value),
             _ => None,
         }
     }
@@ -120,7 +120,7 @@
     /// The latest version that is agreed, with its value.
     pub fn committed(&self) -> Option<Stored<V>> {
         match &self.stage {
-            Stage::Keeping { agreed, known: Some(value), .. } => {
+            Stage::Leading { agreed, known: Some(value), .. } => {
                 Some(Stored { epoch: self.epoch, version: *agreed, value: value.clone() })
             }
             _ => None,
@@ -129,12 +129,12 @@
 
     /// Whether it is leader, or learns to be.
     pub fn is_elected(&self) -> bool {
-        matches!(self.stage, Stage::Learning(_) | Stage::Keeping { .. })
+        matches!(self.stage, Stage::Learning(_) | Stage::Leading { .. })
     }
 
     /// Whether it has nothing left to do.
     fn is_lost(&self) -> bool {
-        matches!(self.stage, Stage::Lost)
+        matches!(self.stage, Stage::SteppedDown)
     }
 
     /// Voters that have answered within the lease.
@@ -156,15 +156,15 @@
         self.sent.push((self.beat, now));
         let (epoch, beat) = (self.epoch, self.beat);
         let told = |voter: &MemberId| match &self.stage {
-            Stage::Claiming(_) | Stage::Learning(_) => {
+            Stage::Preparing(_) | Stage::Learning(_) => {
                 Some((*voter, VoterRequest::Prepare { epoch, heartbeat: beat }))
             }
-            Stage::Keeping { version, value, .. } => {
+            Stage::Leading { version, value, .. } => {
                 let life = self.heard.get(voter).map_or(0, |heard| heard.incarnation);
                 let stored = Stored { epoch, version: *version, value: value.clone() };
                 Some((*voter, VoterRequest::Accept { heartbeat: beat, incarnation: life, stored }))
             }
-            Stage::Lost => None,
+            Stage::SteppedDown => None,
         };
         self.voters.iter().filter_map(told).collect()
     }
@@ -183,7 +183,7 @@
         }
         if let VoterResponse::Rejected { promised, .. } = told {
             if promised > self.epoch {
-                self.stage = Stage::Lost;
+                self.stage = Stage::SteppedDown;
             } else {
                 // It has forgotten, and is named by its new life from now on. That is no answer that counts.
                 self.heard.insert(from, Heard { incarnation: life, sent: None, held: None, version: 0 });
@@ -212,21 +212,21 @@
         let holding = |version: u32| self.fresh(now).filter(|(_, heard)| heard.version >= version).count();
         match &self.stage {
             // A later epoch was heard of.
-            Stage::Lost => RegisterEvent::Lost,
-            Stage::Claiming(since) if !has_lease => match now >= since + lease {
+            Stage::SteppedDown => RegisterEvent::SteppedDown,
+            Stage::Preparing(since) if !has_lease => match now >= since + lease {
                 true => self.lose(),
                 false => RegisterEvent::Unchanged,
             },
-            Stage::Claiming(_) => self.elected(now),
+            Stage::Preparing(_) => self.elected(now),
             _ if !has_lease => self.lose(),
             Stage::Learning(until) if now < *until => RegisterEvent::Unchanged,
             Stage::Learning(_) => RegisterEvent::LearningDue,
-            Stage::Keeping { version, agreed, .. } => {
+            Stage::Leading { version, agreed, .. } => {
                 let version = *version;
                 if *agreed == version || holding(version) < majority {
                     return RegisterEvent::Unchanged;
                 }
-                if let Stage::Keeping { agreed, known, value, .. } = &mut self.stage {
+                if let Stage::Leading { agreed, known, value, .. } = &mut self.stage {
                     (*agreed, *known) = (version, Some(value.clone()));
                 }
                 RegisterEvent::Committed(version)
@@ -235,8 +235,8 @@
     }
 
     fn lose(&mut self) -> RegisterEvent<V> {
-        self.stage = Stage::Lost;
-        RegisterEvent::Lost
+        self.stage = Stage::SteppedDown;
+        RegisterEvent::SteppedDown
     }
 
     fn elected(&mut self, now: Micros) -> RegisterEvent<V> {
@@ -256,7 +256,7 @@
     }
 
     fn keep(&mut self, value: V) {
-        self.stage = Stage::Keeping { version: 1, value, agreed: 0, known: None };
+        self.stage = Stage::Leading { version: 1, value, agreed: 0, known: None };
     }
 
     /// What is out, as it was learnt: the value begins with it.
@@ -268,7 +268,7 @@
 
     /// Changes the value; gives the version that has to be agreed before anything is done by it.
     pub fn propose(&mut self, value: V) -> Option<u32> {
-        let Stage::Keeping { version, value: kept, .. } = &mut self.stage else { return None };
+        let Stage::Leading { version, value: kept, .. } = &mut self.stage else { return None };
         if *kept != value {
             *version += 1;
             *kept = value;
--- a/crates/permits/src/request_table.rs
+++ b/crates/permits/src/request_table.rs
@@ -112,7 +112,7 @@
         settings: &PermitSettings,
     ) -> PermitState {
         self.known.retain(|subject, _| state.permit(*subject).is_some());
-        self.back.retain(|subject, _| state.permit(*subject).is_some_and(|permit| permit.back));
+        self.back.retain(|subject, _| state.permit(*subject).is_some_and(|permit| permit.returned));
         let mut left = state.clone();
         for permit in &state.permits {
             let subject = permit.subject;
@@ -120,7 +120,7 @@
             let Some(seen) = observations.get(&subject) else { continue };
             let warm = seen.in_use_for.is_some_and(|used| used >= settings.min_in_use);
             let shown = now >= known + settings.times.silence + settings.settle;
-            let back = permit.back.then(|| *self.back.entry(subject).or_insert(now));
+            let back = permit.returned.then(|| *self.back.entry(subject).or_insert(now));
             let by_itself = match subject {
                 Subject::Scheduler(_) => shown,
                 Subject::Worker(_) => shown && seen.incarnation != permit.incarnation,
--- a/crates/permits/src/state.rs
+++ b/crates/permits/src/state.rs
@@ -43,7 +43,8 @@
     #[serde(rename = "life")]
     pub incarnation: u16,
     /// Nobody takes it out by this any more: it may be used, and still counts until it has proven to be back.
-    pub back: bool,
+    #[serde(rename = "back")]
+    pub returned: bool,
 }
 
 /// A release that goes on: every scheduler is to run one version.
@@ -56,7 +57,8 @@
     /// The one that they ran, for the way back.
     pub from: u32,
     /// It is a way back: the newest go first.
-    pub back: bool,
+    #[serde(rename = "back")]
+    pub rollback: bool,
 }
 
 /// The mark that the name of a worker or of a version stands for.
@@ -108,11 +110,11 @@
         self.plan = other.plan.filter(later).or(self.plan);
         for permit in &other.permits {
             let _ = self.add(*permit);
-            if !permit.back {
+            if !permit.returned {
                 self.permits
                     .iter_mut()
                     .filter(|own| own.subject == permit.subject)
-                    .for_each(|own| own.back = false);
+                    .for_each(|own| own.returned = false);
             }
         }
     }
@@ -122,13 +124,13 @@
         let asked = |permit: &&mut Permit| (permit.subject, permit.number) == (subject, number);
         let permit = self.permits.iter_mut().find(asked);
         permit.is_some_and(|permit| {
-            permit.back = true;
+            permit.returned = true;
             true
         })
     }
 
     /// Whether a worker is drained: nothing new goes there.
     pub fn is_drained(&self, tag: u32) -> bool {
-        self.permit(Subject::Worker(tag)).is_some_and(|permit| !permit.back)
+        self.permit(Subject::Worker(tag)).is_some_and(|permit| !permit.returned)
     }
 }
--- a/crates/permits/src/virtual_fleet.rs
+++ b/crates/permits/src/virtual_fleet.rs
@@ -17,7 +17,7 @@
 use std::collections::BTreeMap;
 
 /// Each tells the version that it runs so often.
-const TELL_US: Micros = 5_000_000;
+const VERSION_REPORT_INTERVAL_US: Micros = 5_000_000;
 
 /// A scheduler: its view and its part in what is agreed.
 pub struct Scheduler {
@@ -42,7 +42,7 @@
     /// Its view.
     Membership(MembershipOutput),
     /// What is agreed.
-    Agreed(Output),
+    Permits(Output),
 }
 
 impl Scheduler {
@@ -70,7 +70,7 @@
         self.bytes += told.iter().map(bytes).sum::<u64>();
         out.extend(told.into_iter().map(|told| match told {
             Output::Send { to, bytes } => SchedulerOutput::Send(to, bytes),
-            other => SchedulerOutput::Agreed(other),
+            other => SchedulerOutput::Permits(other),
         }));
         done
     }
@@ -98,8 +98,13 @@
 
     fn wake(&mut self, now: Micros, out: &mut Vec<SchedulerOutput>) {
         if now >= self.tell_runs {
-            self.tell_runs = now + TELL_US;
-            self.membership.publish_fact(now, RUNS, &encode_counters(&[self.runs.into()]), TELL_US * 4);
+            self.tell_runs = now + VERSION_REPORT_INTERVAL_US;
+            self.membership.publish_fact(
+                now,
+                RUNS,
+                &encode_counters(&[self.runs.into()]),
+                VERSION_REPORT_INTERVAL_US * 4,
+            );
         }
         if self.membership.next_due() <= now {
             let mut told = Vec::new();
@@ -246,7 +251,7 @@
     pub fn run(&mut self, until: Micros) {
         self.net.run(until);
         for (at, by, told) in &self.net.told {
-            let SchedulerOutput::Agreed(Output::Answered { tag, answer }) = told else { continue };
+            let SchedulerOutput::Permits(Output::Answered { tag, answer }) = told else { continue };
             let Some(PendingRequest { request, since }) = self.asked.remove(&(*by, *tag)) else { continue };
             let until = since + self.settings.times.lease;
             self.answers.push(OperatorAnswer { at: *at, through: *by, request, answer: *answer, until });
--- a/crates/permits/src/wire.rs
+++ b/crates/permits/src/wire.rs
@@ -38,7 +38,7 @@
         /// The one that they ran.
         from: u32,
         /// It is a way back.
-        back: bool,
+        rollback: bool,
     },
     /// A permit for the next scheduler of this plan, of its choosing.
     Next(u16),
--- a/crates/permits/src/wire/tests.rs
+++ b/crates/permits/src/wire/tests.rs
@@ -7,8 +7,9 @@
 #[test]
 fn the_largest_ledger_fits_and_comes_back_as_it_was() {
     let subject = |of| Subject::Worker(u32::MAX - of);
-    let permit = |of| Permit { subject: subject(of), number: u16::MAX, incarnation: u16::MAX, back: true };
-    let plan = Some(Plan { number: u16::MAX, to: u32::MAX, from: u32::MAX, back: true });
+    let permit =
+        |of| Permit { subject: subject(of), number: u16::MAX, incarnation: u16::MAX, returned: true };
+    let plan = Some(Plan { number: u16::MAX, to: u32::MAX, from: u32::MAX, rollback: true });
     let value =
         PermitState { permits: (0..MAX_PERMITS as u32).map(permit).collect(), last_number: u16::MAX, plan };
     let epoch = Epoch { ms: u64::MAX, by: MemberId::MAX };
--- a/crates/permits/tests/model.rs
+++ b/crates/permits/tests/model.rs
@@ -107,7 +107,7 @@
                     }
                     self.beat(world, of);
                 }
-                RegisterEvent::Lost => world.registers[of] = None,
+                RegisterEvent::SteppedDown => world.registers[of] = None,
                 RegisterEvent::LearningStarted(_) => {}
                 RegisterEvent::LearningDue => {
                     // All that anybody could still begin to do is done, and seen by now.
--- a/crates/permits/tests/release.rs
+++ b/crates/permits/tests/release.rs
@@ -96,7 +96,9 @@
         let until = self.fleet.net.now + 1_200 * S;
         let number = loop {
             assert!(self.fleet.net.now < until, "no plan");
-            if let Some((_, Ok(number), _)) = self.ask(PermitRequest::Plan { to, from, back }, 3 * S) {
+            if let Some((_, Ok(number), _)) =
+                self.ask(PermitRequest::Plan { to, from, rollback: back }, 3 * S)
+            {
                 break number;
             }
         };
@@ -182,7 +184,8 @@
 #[test]
 fn a_halt_stops_the_next_step_and_a_step_that_does_not_come_back_halts_all() {
     let mut run = Run::new(7, 0.0);
-    let Some((_, Ok(number), _)) = run.ask(PermitRequest::Plan { to: 2, from: 1, back: false }, 3 * S) else {
+    let Some((_, Ok(number), _)) = run.ask(PermitRequest::Plan { to: 2, from: 1, rollback: false }, 3 * S)
+    else {
         panic!("no plan")
     };
     run.fleet.net.act(3, |one, now, out| {
--- a/crates/permits/tests/workers.rs
+++ b/crates/permits/tests/workers.rs
@@ -47,7 +47,9 @@
 
 fn state(fleet: &VirtualFleet, of: MemberId) -> Vec<(Subject, bool)> {
     let known = fleet.net.node(of).and_then(|one| one.node.known());
-    known.map(|known| known.value.permits.iter().map(|p| (p.subject, p.back)).collect()).unwrap_or_default()
+    known
+        .map(|known| known.value.permits.iter().map(|p| (p.subject, p.returned)).collect())
+        .unwrap_or_default()
 }
 
 fn permitted(answers: &[OperatorAnswer]) -> Vec<(Subject, u16)> {
@@ -164,7 +166,7 @@
     fleet.net.act(leader, |one, now, out| one.handle(now, by, &kept[0], out));
     fleet.run(fleet.net.now + 2 * S);
     let second = number(&fleet).expect("the leader can't know that it is old");
-    assert!(second.back && second.number != first.number, "{second:?}");
+    assert!(second.returned && second.number != first.number, "{second:?}");
     // An answer that comes doubled, though, takes nothing back.
     fleet.submit(by, PermitRequest::Acquire(Subject::Worker(8)));
     fleet.run(fleet.net.now + 5 * S);
--- a/crates/trial/src/checker.rs
+++ b/crates/trial/src/checker.rs
@@ -164,8 +164,8 @@
     let mut found = BTreeSet::new();
     let Some(bounds) = bed.spec.bounds else { return found };
     let of = [
-        ("schedulers", "scheduler ", bounds.schedulers.of(bed.schedulers.len())),
-        ("workers", "worker ", bounds.workers.of(bed.workers.len())),
+        ("schedulers", "scheduler ", bounds.schedulers.to_count(bed.schedulers.len())),
+        ("workers", "worker ", bounds.workers.to_count(bed.workers.len())),
     ];
     let mut known: BTreeMap<((u64, u16), u32), &Vec<String>> = BTreeMap::new();
     for Record { what, .. } in records {
