--- a/crates/permits/src/bounds.rs
+++ b/crates/permits/src/bounds.rs
@@ -1,6 +1,7 @@
-//! How many subjects may be out of use at once, and whether one more may be. Input: the permit state, what is observed of
-//! all subjects, the bounds. Output: a permit or the reason why not. Out counts everything: permitted, told to be draining or
-//! gone, silent, crashed, never come back. At most [`PERMITS`] permits stand.
+//! Bounds on how many subjects may be out of service at once, and the decision whether one more may be. Input: the permit state,
+//! the observations of all subjects, the bounds. Output: a permit or the reason for its denial. A subject counts as out of
+//! service whatever the cause: it has a permit, is listed as draining or gone, is silent, has crashed or never came back. At
+//! most [`MAX_PERMITS`] permits are in force.
 
 use crate::state::{MAX_PERMITS, Permit, PermitState, Subject};
 use basaltward_membership::Micros;
@@ -8,46 +9,47 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// How many of a group at most.
+/// The largest number of a group that may be out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Limit {
-    /// A number.
+    /// An absolute number.
     Number(u16),
-    /// A share in hundredths, rounded down, but one at least.
+    /// A percentage of the group, rounded down, but at least one.
     Percent(u8),
 }
 
 impl Limit {
-    /// Of so many.
+    /// The limit as a number for a group of this size.
     pub fn to_count(self, size: usize) -> usize {
         match self {
             Self::Number(number) => usize::from(number).min(size),
-            Self::Percent(share) => (size * usize::from(share.min(100)) / 100).max(1).min(size),
+            Self::Percent(percent) => (size * usize::from(percent.min(100)) / 100).max(1).min(size),
         }
     }
 }
 
-/// Bounds for schedulers and workers apart, in the whole fleet and in each zone.
+/// Separate bounds for schedulers and workers, in the whole fleet and in each zone, and for sites and gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// Schedulers of the fleet.
+    /// Schedulers out of service in the fleet.
     pub schedulers: Limit,
-    /// Schedulers of a zone.
+    /// Schedulers out of service in a zone.
     pub schedulers_of_zone: Limit,
-    /// Workers of the fleet.
+    /// Workers out of service in the fleet.
     pub workers: Limit,
-    /// Workers of a zone.
+    /// Workers out of service in a zone.
     pub workers_of_zone: Limit,
-    /// Sites that are lost: with more the others are rather cut off themselves.
+    /// Lost sites: if more seem lost, it is more likely that the observers themselves are partitioned off.
     pub sites: Limit,
-    /// Gateways that are lost while their sites live, likewise.
+    /// Lost gateways of live sites, bounded for the same reason.
     pub gateways: Limit,
 }
 
 impl Default for Bounds {
-    /// A tenth of each, a fifth of a zone; sites and gateways are taken over by more than half of them.
+    /// 10 % of schedulers and workers, 20 % of those in a zone. For sites and gateways 49 %, so that more than half of them
+    /// are left to take over the others.
     fn default() -> Self {
         let (all, zone) = (Limit::Percent(10), Limit::Percent(20));
         let (sites, gateways) = (Limit::Percent(49), Limit::Percent(49));
@@ -56,25 +58,25 @@
     }
 }
 
-/// What is seen of a subject.
+/// What a node observes of a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// Its zone; zones are numbered by whoever looks.
+    /// Its zone, numbered by the observing node.
     pub zone: u8,
-    /// A mark of its present life.
+    /// A short hash of its current incarnation.
     pub incarnation: u16,
-    /// It is in use, for so long without a break; none where it is told to be draining or gone, or silent.
+    /// How long it has been in use without interruption; none if it is listed as draining or gone, or is silent.
     pub in_use_for: Option<Micros>,
-    /// It alone is known to hold something that calls need.
+    /// Whether it is the only one known to hold something that calls need.
     pub holds_last_copy: bool,
-    /// The mark of the version that it says it runs.
+    /// The hash of the name of the version that it reports to run, see [`name_hash`](crate::name_hash).
     pub running_version: Option<u32>,
 }
 
-/// All that is known to exist, with what is seen of it.
+/// All subjects known to exist, with what is observed of each.
 pub type Observations = BTreeMap<Subject, Observation>;
 
-/// Which bound.
+/// The group that a bound applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Group {
     /// All schedulers or all workers.
@@ -83,48 +85,50 @@
     Zone(u8),
 }
 
-/// Why something is not done.
+/// Why a request is denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum Denied {
-    /// Nobody of that name is known.
-    #[error("nobody of that name is known")]
+    /// The subject is unknown to the leader.
+    #[error("no subject of that name is known")]
     Unknown,
-    /// Somebody has halted all of it.
+    /// An operator or an overdue release step has halted the fleet.
     #[error("halted")]
     Halted,
-    /// It would be one too many.
+    /// A bound would be exceeded.
     #[error("{out} would be out, {most} may be, of {of:?}")]
     Bound {
-        /// Of which group.
+        /// The group that the bound applies to.
         of: Group,
-        /// Out, with the one asked for.
+        /// How many of the group would be out of service, the requested one included.
         out: u16,
         /// The bound.
         most: u16,
     },
-    /// It is lost by nobody's sight, or has not been for the settling time.
+    /// The leader does not observe the site or gateway as lost, or not yet for the settling time.
     #[error("it is in use, or has not been lost for long enough")]
     InUse,
-    /// Nobody else is known to hold what it holds.
+    /// No other subject is known to hold what it holds.
     #[error("it holds the last copy of something that calls need")]
     LastCopy,
-    /// It has a permit already, of this number: another one has asked for it, or the answer was lost.
-    #[error("it is out by permit {0} already")]
+    /// It already has a permit, of this number: another request acquired it, or the reply to an earlier request was lost.
+    #[error("it is already out by permit {0}")]
     Taken(u16),
-    /// So many permits stand that no more fit.
-    #[error("{MAX_PERMITS} permits stand: no more fit")]
+    /// The largest number of permits is in force, or too many requests are waiting.
+    #[error("{MAX_PERMITS} permits are in force: no more fit")]
     Full,
-    /// No majority of the voters can be reached, or it has forgotten what is out and learns it.
-    #[error("no leader: no majority of the voters answers, or it learns what is out")]
+    /// No majority of the voters can be reached, or too many of them restarted and the new leader still has to learn which
+    /// subjects are out of service.
+    #[error("no leader: no majority of the voters answers, or a new leader is still learning what is out")]
     NoLeader,
-    /// All that are to run the version do.
-    #[error("all run it")]
+    /// The release is complete: all schedulers run its version.
+    #[error("all schedulers run the version")]
     Over,
-    /// Those that are left are out, or have not said what they run, or as many are out as this wave may have.
-    #[error("those left are out, or have not said what they run, or the wave is full")]
+    /// The release has to wait: the remaining schedulers are out of service or have not reported their version, or as many
+    /// are out as the current wave allows.
+    #[error("the remaining schedulers are out or have not reported their version, or the wave is full")]
     Waits,
-    /// What it names is not what stands.
-    #[error("what it names is not what stands now")]
+    /// The permit, plan or halt that the request names is not the current one, or the reply came too late.
+    #[error("the permit, plan or halt that it names is not the current one")]
     Stale,
 }
 
@@ -132,16 +136,16 @@
     std::mem::discriminant(&subject)
 }
 
-/// All that are out: by permit, or seen to be.
+/// All subjects that are out of service: by permit, or as observed.
 pub fn out_of_service(state: &PermitState, observations: &Observations) -> BTreeSet<Subject> {
     let seen = observations.iter().filter(|(_, seen)| seen.in_use_for.is_none()).map(|(subject, _)| *subject);
     seen.chain(state.permits.iter().map(|permit| permit.subject)).collect()
 }
 
-/// The permit for one more to be out, if it may be.
+/// Returns the permit for one more subject to be out of service, if the bounds allow it.
 ///
 /// # Errors
-/// Why it may not.
+/// The reason for the denial.
 pub fn grant_permit(
     state: &PermitState,
     observations: &Observations,
@@ -149,8 +153,8 @@
     subject: Subject,
 ) -> Result<Permit, Denied> {
     let seen = observations.get(&subject).ok_or(Denied::Unknown)?;
-    if let Some(standing) = state.permit(subject) {
-        return Err(Denied::Taken(standing.number));
+    if let Some(permit) = state.permit(subject) {
+        return Err(Denied::Taken(permit.number));
     }
     if state.permits.len() >= MAX_PERMITS {
         return Err(Denied::Full);
@@ -167,7 +171,7 @@
         Subject::Gateway(_) => (bounds.gateways, bounds.gateways),
     };
     for (group, most) in [(Group::Fleet, of_fleet), (Group::Zone(seen.zone), of_zone)] {
-        // What is out and not in sight any more, as it left the list, is counted in the whole fleet.
+        // A subject with a permit that left the list has no known zone and counts in the whole fleet only.
         let within = |of: &Subject| {
             let zone = observations.get(of).map(|seen| seen.zone);
             kind(*of) == kind(subject) && (group == Group::Fleet || zone == Some(seen.zone))
--- a/crates/permits/src/operator.rs
+++ b/crates/permits/src/operator.rs
@@ -1,5 +1,5 @@
-//! How an operator asks a node, and what it is answered: one datagram each, a version byte and the content by serde. The JSON
-//! keys of [`PermitStatus`] are those that `fleet status --json` prints.
+//! Requests of operators to a node and the node's responses: one datagram each, a version byte and the content serialized with
+//! serde. The JSON keys of [`PermitStatus`] are those that `fleet status --json` prints.
 
 use crate::request_table::PermitResult;
 use crate::state::{Permit, Plan};
@@ -8,83 +8,84 @@
 use basaltward_membership::{MemberId, WireError, decode_datagram, encode_datagram};
 use serde::{Deserialize, Serialize};
 
-/// The first byte of a request and of its answer.
+/// The first byte of an operator's request and of the response.
 pub const OPERATOR_VERSION: u8 = 0x72;
 
-/// What an operator wants.
+/// An operator's command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorCommand {
-    /// Something of the leader.
+    /// Forwards a request to the leader.
     Request(PermitRequest),
-    /// Nothing new is to be permitted anywhere.
+    /// Halts the fleet: no new permit is granted anywhere.
     Halt,
-    /// What is known.
+    /// Queries the node's status.
     Status,
 }
 
-/// A request; sent again it is the same one.
+/// A request; a retransmission repeats it unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorRequest {
-    /// Comes back with the answer; another one for each request of a process.
+    /// Repeated in the response; unique among the requests of a process.
     pub tag: u32,
-    /// What is wanted.
+    /// The command.
     pub command: OperatorCommand,
 }
 
-/// What a member knows of what is agreed.
+/// The state of permits as one member knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitStatus {
-    /// Who answers.
+    /// The member that responds.
     pub own: MemberId,
-    /// Whom it believes to be leader.
+    /// The leader as far as it knows.
     #[serde(rename = "foreman")]
     pub leader: Option<MemberId>,
-    /// Of what it knows to be agreed.
+    /// The position of the latest committed state that it knows.
     pub at: Option<(Epoch, u32)>,
-    /// Whether all is halted.
+    /// Whether the fleet is halted.
     pub halt: Halt,
-    /// Schedulers and workers that are out, by permit or by what it sees.
+    /// The numbers of schedulers and of workers that are out of service, by permit or as it observes them.
     pub out: (u16, u16),
-    /// Members that have not said that they have nothing in hand for drained workers, as they know them now.
+    /// How many members have not reported that none of their requests to drained workers are in flight. Each member
+    /// goes by the set of drained workers that it knows.
     pub unclear: u16,
-    /// The release that goes on, and how many say that they run its version.
+    /// The release in progress, and how many schedulers report that they run its version.
     pub plan: Option<(Plan, u16)>,
-    /// Permits that stand.
+    /// Permits in force.
     pub permits: Vec<Permit>,
 }
 
-/// An answer.
+/// The content of a response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorReply {
-    /// Of the leader, or that there is none.
+    /// The leader's reply, or that there is no leader.
     Answer(PermitResult),
-    /// All is halted, by this count.
+    /// The fleet is halted with this count.
     Halted(Halt),
-    /// What is known.
+    /// The node's status.
     Status(PermitStatus),
 }
 
-/// An answer with the tag of its request.
+/// A response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorResponse {
-    /// Of the request.
+    /// The tag of the request.
     pub tag: u32,
-    /// The answer.
+    /// The content.
     pub reply: OperatorReply,
 }
 
 macro_rules! datagram {
     ($name:ident) => {
         impl $name {
-            /// Its bytes, at most [`basaltward_membership::MAX_DATAGRAM_BYTES`].
+            /// Serializes it to at most [`basaltward_membership::MAX_DATAGRAM_BYTES`].
             pub fn write(&self) -> Vec<u8> {
                 encode_datagram(OPERATOR_VERSION, self).unwrap_or_default()
             }
 
-            /// Reads one.
+            /// Parses a datagram.
             ///
             /// # Errors
-            /// Where it is none.
+            /// If the bytes are not one of this version.
             pub fn read(bytes: &[u8]) -> Result<Self, WireError> {
                 decode_datagram(OPERATOR_VERSION, bytes)
             }
--- a/crates/permits/src/state.rs
+++ b/crates/permits/src/state.rs
@@ -1,79 +1,82 @@
-//! The replicated state: who may be out, and the release that goes on. Bounded by [`PERMITS`], so that each datagram holds all
-//! of it.
+//! The replicated state: the permits in force and the release in progress. [`MAX_PERMITS`] bounds it, so that one datagram
+//! holds all of it.
 
 use basaltward_membership::{MemberId, Site};
 use serde::{Deserialize, Serialize};
 
-/// Permits at once at most: so many fit into a datagram.
+/// Most permits in force at once: as many as fit into a datagram.
 pub const MAX_PERMITS: usize = 12;
 
-/// Who can be out of use.
+/// What a permit takes out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Subject {
     /// A scheduler, by its number in the configured list.
     Scheduler(MemberId),
-    /// A worker, by a hash of its name: see [`worker`].
+    /// A worker, by the hash of its name: see [`worker_subject`].
     Worker(u32),
-    /// A site, lost with all its gateways: its permit is leave to do what it owes.
+    /// A site that is lost with all its gateways: its permit allows others to take over its pending work.
     Site(Site),
-    /// A gateway that is lost while its site lives: leave to do what it owes.
+    /// A gateway that is lost while its site is live: its permit allows others to take over its pending work.
     Gateway(MemberId),
 }
 
 impl Subject {
-    /// Its permit is leave to do what it owes, and ends when it says that it has learnt what was done in its place.
+    /// Whether a permit for it allows others to take over its pending work. Such a permit ends only by a `Return`: the
+    /// subject sends it once it has learned what was done in its place.
     pub fn is_takeover(self) -> bool {
         matches!(self, Self::Site(_) | Self::Gateway(_))
     }
 }
 
-/// The subject that a worker's name stands for.
+/// The subject of the worker of this name.
 pub fn worker_subject(name: &str) -> Subject {
     Subject::Worker(name_hash(name))
 }
 
-/// Leave to be out, until its subject has proven to be back.
+/// Permission for a subject to be out of service, in force until the subject has proven to be in use again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Permit {
-    /// Whose.
+    /// The subject that it takes out of service.
     pub subject: Subject,
-    /// Which of all that were given: whoever is done says with which.
+    /// Its number in the sequence of permits and plans; a `Return` names it.
     pub number: u16,
-    /// A mark of its life as it was given: another one has been out.
+    /// A short hash of the subject's incarnation when the permit was granted: a subject in use with another one has
+    /// been out since.
     #[serde(rename = "life")]
     pub incarnation: u16,
-    /// Nobody takes it out by this any more: it may be used, and still counts until it has proven to be back.
+    /// The permit was returned: nobody acts on it any more and the subject may be used, but it counts against the bounds
+    /// until the subject has proven to be in use again.
     #[serde(rename = "back")]
     pub returned: bool,
 }
 
-/// A release that goes on: every scheduler is to run one version.
+/// A release in progress: every scheduler is to run the same version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Plan {
-    /// Which of all plans and permits.
+    /// Its number in the sequence of permits and plans.
     pub number: u16,
-    /// The version that all are to run, by a hash of its name: see [`mark`].
+    /// The version that all are to run, by the hash of its name: see [`name_hash`].
     pub to: u32,
-    /// The one that they ran, for the way back.
+    /// The version that they ran before, for a rollback.
     pub from: u32,
-    /// It is a way back: the newest go first.
+    /// Whether this is a rollback, in which the most recently started schedulers go first.
     #[serde(rename = "back")]
     pub rollback: bool,
 }
 
-/// The mark that the name of a worker or of a version stands for.
+/// The CRC-32 of the name of a worker or a version, by which datagrams refer to it.
 pub fn name_hash(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
 
-/// What is agreed.
+/// The value of the replicated register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitState {
-    /// By subject, each once.
+    /// Permits in force, sorted by subject, at most one per subject.
     pub permits: Vec<Permit>,
-    /// The number of the last one that was given, and of the last plan.
+    /// The number of the latest permit or plan.
     pub last_number: u16,
-    /// The release that goes on.
+    /// The release in progress.
     pub plan: Option<Plan>,
 }
 
@@ -83,7 +86,7 @@
         self.permits.iter().find(|permit| permit.subject == subject)
     }
 
-    /// With a permit more; the one before stands where there is one. False where there is no room.
+    /// Adds a permit; a subject's existing permit stays as it is. False if [`MAX_PERMITS`] are in force.
     #[must_use]
     pub fn add(&mut self, permit: Permit) -> bool {
         if self.permit(permit.subject).is_some() {
@@ -97,13 +100,14 @@
         true
     }
 
-    /// Without a subject's permit.
+    /// Removes a subject's permit.
     pub fn remove(&mut self, subject: Subject) {
         self.permits.retain(|permit| permit.subject != subject);
     }
 
-    /// With all that another one says is out, as far as there is room; what there is none for is out by being
-    /// seen to be, or not at all any more.
+    /// Adds the permits of another member's state, up to [`MAX_PERMITS`], and takes the later number and plan. A permit
+    /// that no longer fits is left out: its subject counts if it is observed to be out of service. A permit counts as
+    /// returned only if both states say so.
     pub fn merge(&mut self, other: &Self) {
         self.last_number = self.last_number.max(other.last_number);
         let later = |plan: &Plan| self.plan.is_none_or(|own| own.number < plan.number);
@@ -119,18 +123,18 @@
         }
     }
 
-    /// Marks that nothing more is done by a permit; false where it does not stand.
+    /// Marks a permit as returned; false if no permit of this subject and number is in force.
     pub fn mark_returned(&mut self, subject: Subject, number: u16) -> bool {
-        let asked = |permit: &&mut Permit| (permit.subject, permit.number) == (subject, number);
-        let permit = self.permits.iter_mut().find(asked);
+        let matches = |permit: &&mut Permit| (permit.subject, permit.number) == (subject, number);
+        let permit = self.permits.iter_mut().find(matches);
         permit.is_some_and(|permit| {
             permit.returned = true;
             true
         })
     }
 
-    /// Whether a worker is drained: nothing new goes there.
-    pub fn is_drained(&self, tag: u32) -> bool {
-        self.permit(Subject::Worker(tag)).is_some_and(|permit| !permit.returned)
+    /// Whether the worker of this name hash is drained, so that no new request goes there.
+    pub fn is_drained(&self, worker_hash: u32) -> bool {
+        self.permit(Subject::Worker(worker_hash)).is_some_and(|permit| !permit.returned)
     }
 }
--- a/crates/permits/src/voter.rs
+++ b/crates/permits/src/voter.rs
@@ -1,177 +1,178 @@
-//! One voter: it promises an epoch and it stores a value. Nothing survives its restart; how one that has forgotten is kept from
-//! undoing what it promised or stored is in the design note, "A voter that has forgotten". Input: a message of a candidate or
-//! leader and a time; output: an answer, or none while it has to be silent.
+//! One voter: it promises not to accept earlier epochs, and it stores the accepted value. It persists nothing, so a restart
+//! loses both; the design note, "A voter that has forgotten", explains how a restarted voter is kept from undoing them.
+//! Input: a request of a candidate or leader and a time; output: a response, or none while it must stay silent.
 
 use basaltward_membership::{MemberId, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Orders leaders: a later epoch goes before. By wall time, so that one drawn after all voters have forgotten is
-/// later all the same.
+/// Orders leaders: a later epoch takes precedence. Epochs are drawn from the wall clock, so that one drawn after all voters
+/// have restarted and lost their state is still later than those before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch {
-    /// Milliseconds since the beginning of 2026, by the wall clock of whoever drew it, or one more than any known.
+    /// Milliseconds since the beginning of 2026 by the wall clock of the candidate, but more than any epoch known to it.
     pub ms: u64,
-    /// Whose it is.
+    /// The candidate that drew it, which is the leader of this epoch if elected.
     pub by: MemberId,
 }
 
 impl Epoch {
-    /// The next one of a voter that knows of this one.
+    /// The epoch that member `by` draws if this one is the latest known to it.
     pub fn next(self, wall_ms: u64, by: MemberId) -> Self {
         Self { ms: wall_ms.max(self.ms + 1), by }
     }
 }
 
-/// A value with its place in the order of all: the epoch, then the leader's count.
+/// A value with its position in the total order of values: the epoch, then the version within it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stored<V> {
-    /// The leader's.
+    /// The epoch of the leader that wrote it.
     pub epoch: Epoch,
-    /// Its count.
+    /// Counts the values that this leader wrote.
     pub version: u32,
     /// The value.
     pub value: V,
 }
 
 impl<V> Stored<V> {
-    /// Its place in the order of all.
+    /// Its position in the total order of values.
     pub fn position(&self) -> (Epoch, u32) {
         (self.epoch, self.version)
     }
 }
 
-/// What a candidate or a leader tells a voter.
+/// A request of a candidate or a leader to a voter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum VoterRequest<V> {
-    /// I would be leader.
+    /// Asks for the voter's promise and its stored value.
     Prepare {
-        /// By this epoch.
+        /// The epoch of the candidate.
         epoch: Epoch,
-        /// Counts what the leader sends, so that an answer names the time from which it counts.
+        /// Numbers what the leader sends, so that a response identifies when its request was sent.
         heartbeat: u32,
     },
-    /// Store this.
+    /// Asks the voter to store a value.
     Accept {
-        /// As in a claim.
+        /// As in `Prepare`.
         heartbeat: u32,
-        /// The voter's life, as the leader knows it: one that has forgotten takes nothing that names an earlier one.
+        /// The voter's incarnation as the leader knows it: a voter that has lost its state in a restart rejects values that
+        /// are addressed to an earlier incarnation.
         incarnation: u32,
-        /// What to store.
+        /// The value to store.
         stored: Stored<V>,
     },
 }
 
-/// What a voter answers.
+/// A voter's response.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum VoterResponse<V> {
-    /// I promise to heed no earlier epoch; this is what I hold, if I remember anything.
+    /// The voter promises to reject earlier epochs.
     Promise {
-        /// The claim's.
+        /// The epoch of the `Prepare`.
         epoch: Epoch,
-        /// The claim's.
+        /// The number of the `Prepare`.
         heartbeat: u32,
-        /// The voter's life.
+        /// The voter's incarnation.
         incarnation: u32,
-        /// What it holds.
+        /// Its stored value, none if it has accepted none since its start.
         held: Option<Stored<V>>,
     },
-    /// I hold this version or a later one of yours.
+    /// The voter stores this version of the leader, which is the requested one or a later one.
     Accepted {
-        /// The leader's.
+        /// The epoch of the `Accept`.
         epoch: Epoch,
-        /// The order's.
+        /// The number of the `Accept`.
         heartbeat: u32,
-        /// The voter's life.
+        /// The voter's incarnation.
         incarnation: u32,
-        /// The version.
+        /// The stored version.
         version: u32,
     },
-    /// I don't.
+    /// The voter rejects the request.
     Rejected {
-        /// The epoch that it is an answer to.
+        /// The epoch of the request.
         epoch: Epoch,
-        /// The latest that I have promised.
+        /// The latest epoch that the voter has promised.
         promised: Epoch,
-        /// The voter's life.
+        /// The voter's incarnation.
         incarnation: u32,
     },
 }
 
-/// A voter.
+/// The state of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter<V> {
     incarnation: u32,
-    /// It says nothing before: what an earlier life has promised may still count.
-    speaks: Micros,
+    /// It responds to nothing before this time: promises of its previous incarnation may still count until then.
+    silent_until: Micros,
     promised: Epoch,
     held: Option<Stored<V>>,
-    /// Planted: it forgets its promises, or takes whatever comes.
-    pub(crate) heeds_epochs: bool,
+    /// False with the injected fault [`Voter::inject_ignored_epochs`].
+    pub(crate) checks_epochs: bool,
 }
 
 impl<V: Clone> Voter<V> {
-    /// A voter whose life begins, silent for so long.
-    pub fn new(life: u32, now: Micros, silence: Micros) -> Self {
+    /// A voter that has just started and stays silent for `silence`.
+    pub fn new(incarnation: u32, now: Micros, silence: Micros) -> Self {
         let (promised, held) = (Epoch::default(), None);
-        Self { incarnation: life, speaks: now + silence, promised, held, heeds_epochs: true }
+        Self { incarnation, silent_until: now + silence, promised, held, checks_epochs: true }
     }
 
-    /// Plants a fault: epochs are not checked.
+    /// Injects a fault: the voter accepts requests of any epoch.
     #[doc(hidden)]
     pub fn inject_ignored_epochs(&mut self) {
-        self.heeds_epochs = false;
+        self.checks_epochs = false;
     }
 
-    /// Whether it has a voice by now.
+    /// Whether the silence after its start is over, so that it may respond.
     pub fn may_vote(&self, now: Micros) -> bool {
-        now >= self.speaks
+        now >= self.silent_until
     }
 
-    /// The latest epoch that it has heard of.
+    /// The latest epoch that it has promised.
     pub fn promised(&self) -> Epoch {
         self.promised
     }
 
-    /// What it holds.
+    /// Its stored value.
     pub fn held(&self) -> Option<&Stored<V>> {
         self.held.as_ref()
     }
 
-    /// Takes what a leader tells; gives the answer, if it has a voice.
-    pub fn handle(&mut self, now: Micros, told: VoterRequest<V>) -> Option<VoterResponse<V>> {
-        if now < self.speaks {
+    /// Handles a request of a candidate or leader; returns no response during the silence after its start.
+    pub fn handle(&mut self, now: Micros, request: VoterRequest<V>) -> Option<VoterResponse<V>> {
+        if now < self.silent_until {
             return None;
         }
-        let Self { incarnation: life, promised, .. } = *self;
-        Some(match told {
-            VoterRequest::Prepare { epoch, .. } if epoch < promised && self.heeds_epochs => {
-                VoterResponse::Rejected { epoch, promised, incarnation: life }
+        let Self { incarnation, promised, .. } = *self;
+        Some(match request {
+            VoterRequest::Prepare { epoch, .. } if epoch < promised && self.checks_epochs => {
+                VoterResponse::Rejected { epoch, promised, incarnation }
             }
-            VoterRequest::Prepare { epoch, heartbeat: beat } => {
+            VoterRequest::Prepare { epoch, heartbeat } => {
                 self.promised = epoch.max(promised);
-                VoterResponse::Promise { epoch, heartbeat: beat, incarnation: life, held: self.held.clone() }
+                VoterResponse::Promise { epoch, heartbeat, incarnation, held: self.held.clone() }
             }
-            VoterRequest::Accept { stored, .. } if stored.epoch < promised && self.heeds_epochs => {
-                VoterResponse::Rejected { epoch: stored.epoch, promised, incarnation: life }
+            VoterRequest::Accept { stored, .. } if stored.epoch < promised && self.checks_epochs => {
+                VoterResponse::Rejected { epoch: stored.epoch, promised, incarnation }
             }
-            // It knows of no life of ours, or of an earlier one: it may have been on its way for an hour.
+            // The leader knows another incarnation of this voter or none: the request may have been delayed for an hour.
             VoterRequest::Accept { incarnation: known, stored, .. }
-                if self.held.is_none() && known != life =>
+                if self.held.is_none() && known != incarnation =>
             {
-                VoterResponse::Rejected { epoch: stored.epoch, promised, incarnation: life }
+                VoterResponse::Rejected { epoch: stored.epoch, promised, incarnation }
             }
-            VoterRequest::Accept { heartbeat: beat, stored, .. } => {
+            VoterRequest::Accept { heartbeat, stored, .. } => {
                 self.promised = stored.epoch.max(promised);
                 let epoch = stored.epoch;
                 if self
                     .held
                     .as_ref()
-                    .is_none_or(|held| held.position() < stored.position() || !self.heeds_epochs)
+                    .is_none_or(|held| held.position() < stored.position() || !self.checks_epochs)
                 {
                     self.held = Some(stored);
                 }
                 let version = self.held.as_ref().map_or(0, |held| held.version);
-                VoterResponse::Accepted { epoch, heartbeat: beat, incarnation: life, version }
+                VoterResponse::Accepted { epoch, heartbeat, incarnation, version }
             }
         })
     }
--- a/crates/permits/src/wire.rs
+++ b/crates/permits/src/wire.rs
@@ -1,5 +1,5 @@
-//! Datagrams between nodes: a version byte, then one message by serde, 256 bytes at most. Each holds the whole state where it
-//! tells of it. The order of variants is the format.
+//! Datagrams between nodes: a version byte, then one message serialized with serde, at most 256 bytes. A datagram that carries
+//! the state carries all of it. The order of variants and fields is the format.
 
 use crate::request_table::PermitResult;
 use crate::state::{PermitState, Subject};
@@ -7,88 +7,89 @@
 use basaltward_membership::{MemberId, WireError, decode_datagram, encode_datagram};
 use serde::{Deserialize, Serialize};
 
-/// The first byte of all that is told here; a view's datagrams begin otherwise.
+/// The first byte of a datagram between nodes; datagrams of the membership protocol begin with another one.
 pub const VERSION: u8 = 0x33;
 
-/// Whether all is halted: the later count goes before, and at one count a halt before its end.
+/// Whether the fleet is halted. The value with the higher count is the later one; at equal counts a halt supersedes a resume.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Halt {
-    /// Counts halts and their ends.
+    /// Counts halts and resumes.
     pub count: u32,
-    /// Nothing new is permitted.
+    /// Whether the fleet is halted: no new permit is granted.
     pub on: bool,
 }
 
-/// What somebody wants of the leader.
+/// A request to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitRequest {
-    /// A permit to be out.
+    /// Requests a permit for a subject to be out of service.
     Acquire(Subject),
-    /// Whether one would be given now.
+    /// Checks whether a permit would be granted now, without acquiring it.
     Check(Subject),
-    /// Whoever asked for this one's permit, of this number, does nothing by it any more; it is in use again, or was
-    /// never out.
+    /// Returns the permit of this number: its holder no longer acts on it, as the subject is in use again or was never
+    /// out.
     Return(Subject, u16),
-    /// This one's permit ends whatever is seen of it.
+    /// Removes a subject's permit, whatever is observed of the subject.
     WriteOff(Subject),
-    /// All schedulers are to run a version. It takes the place of another plan.
+    /// Starts a release: all schedulers are to run a version. It replaces the current plan.
     Plan {
-        /// The version that all are to run, see [`mark`](crate::mark).
+        /// The version that all are to run, see [`name_hash`](crate::name_hash).
         to: u32,
-        /// The one that they ran.
+        /// The version that they ran before.
         from: u32,
-        /// It is a way back.
+        /// Whether it is a rollback.
         rollback: bool,
     },
-    /// A permit for the next scheduler of this plan, of its choosing.
+    /// Requests a permit for the next scheduler of the plan of this number; the leader chooses the scheduler.
     Next(u16),
-    /// The halt of this count ends.
+    /// Ends the halt of this count.
     Resume(u32),
-    /// This site or gateway would take kept events again. Answered by the number of the permit by which it was taken
-    /// over, 0 for none, as a majority knows it: never by what a leader alone remembers.
+    /// A restarted site or gateway asks whether it may accept persisted events again. The reply is the number of the permit
+    /// by which it was taken over, 0 for none, once a majority has confirmed it: never the leader's memory alone.
     Reclaim(Subject),
 }
 
-/// What one member tells another.
+/// The message of a datagram between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
     /// From a candidate or the leader to a voter.
     VoterRequest(VoterRequest<PermitState>),
-    /// From a voter to it.
+    /// From a voter to the candidate or leader.
     VoterResponse(VoterResponse<PermitState>),
-    /// What is agreed, as far as the sender knows.
+    /// The latest committed state known to the sender, and the halt.
     State(Option<Stored<PermitState>>, Halt),
-    /// How far the sender knows it: whoever knows more tells.
+    /// The position of the latest committed state known to the sender, and the halt. A receiver that knows a later one
+    /// replies with `State`.
     Position(Option<(Epoch, u32)>, Halt),
-    /// Tell what you know.
+    /// Asks the receiver for its `State`.
     StateQuery,
-    /// To the leader, by a number that its answer names.
+    /// A request to the leader, with a tag that the reply repeats.
     Request(u32, PermitRequest),
-    /// Its answer.
+    /// The leader's reply to the request of this tag.
     Reply(u32, PermitResult),
 }
 
 /// A datagram's content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The fleet, as in its view.
+    /// The fleet's number, as in the membership protocol.
     pub fleet: u16,
-    /// Who sends it.
+    /// The sender.
     pub from: MemberId,
-    /// What it says.
+    /// The message.
     pub body: Body,
 }
 
 impl Message {
-    /// Its bytes, at most [`basaltward_membership::MAX_DATAGRAM_BYTES`]; a permit state is bounded so that they are.
+    /// Serializes the message to at most [`basaltward_membership::MAX_DATAGRAM_BYTES`], which the bound on the state ensures.
     pub fn write(&self) -> Option<Vec<u8>> {
         encode_datagram(VERSION, self)
     }
 
-    /// Reads one.
+    /// Parses a datagram.
     ///
     /// # Errors
-    /// Where it is not one of ours.
+    /// If the bytes are not a message of this version.
     pub fn read(bytes: &[u8]) -> Result<Self, WireError> {
         decode_datagram(VERSION, bytes)
     }
