--- a/crates/permits/src/leader.rs
+++ b/crates/permits/src/leader.rs
@@ -1,39 +1,39 @@
-//! What a node does as leader: it grants requests, and answers each once the state that it leads to is agreed on by a majority.
-//! Input: requests with the number of who asks. Output: datagrams. A request that is sent again is answered as before.
+//! The leader's part of a permit node: it decides on requests, and replies to each once a majority has committed the state that
+//! results from it. Input: requests with their sender and tag. Output: datagrams. A repeated request gets the same reply again.
 
-use crate::bounds::{Denied, grant_permit, out_of_service as all_out};
-use crate::node::{FleetObserver, Out, PermitNode};
+use crate::bounds::{Denied, grant_permit, out_of_service};
+use crate::node::{FleetObserver, Outputs, PermitNode};
 use crate::plan::next_scheduler;
 use crate::register::ReplicatedRegister;
-use crate::request_table::{Asker, PermitResult};
+use crate::request_table::{PermitResult, Requester};
 use crate::state::{PermitState, Plan, Subject};
 use crate::wire::{Body, Halt, PermitRequest};
 use basaltward_membership::Micros;
 use std::collections::BTreeSet;
 
-/// What a request leads to.
+/// The result of a granted request.
 struct Grant {
-    /// The state to be agreed.
+    /// The state to commit.
     state: PermitState,
-    /// The permit or plan that it is answered by, 0 for none.
+    /// The number of the permit or plan that answers it, 0 for none.
     number: u16,
 }
 
 impl PermitNode {
-    /// Answers a request, and remembers the answer.
-    pub(crate) fn answer(&mut self, asker: Asker, answer: PermitResult, out: &mut Out) {
-        self.requests.answer(asker, answer);
-        self.send(asker.node, Body::Reply(asker.tag, answer), out);
+    /// Replies to a request, and remembers the reply.
+    pub(crate) fn answer(&mut self, requester: Requester, answer: PermitResult, out: &mut Outputs) {
+        self.requests.record_reply(requester, answer);
+        self.send(requester.node, Body::Reply(requester.tag, answer), out);
     }
 
-    /// Takes a request of a node, which may be ourselves.
-    pub(crate) fn asked(
+    /// Handles a request of a node, which may be this one.
+    pub(crate) fn handle_request(
         &mut self,
         now: Micros,
-        asker: Asker,
+        requester: Requester,
         request: PermitRequest,
         observer: &impl FleetObserver,
-        out: &mut Out,
+        out: &mut Outputs,
     ) {
         let value = self
             .register
@@ -41,35 +41,35 @@
             .filter(|register| register.committed().is_some())
             .and_then(ReplicatedRegister::value);
         let Some(state) = value.cloned() else {
-            return self.send(asker.node, Body::Reply(asker.tag, Err(Denied::NoLeader)), out);
+            return self.send(requester.node, Body::Reply(requester.tag, Err(Denied::NoLeader)), out);
         };
-        match self.requests.repeated(asker) {
-            Some(Some(answer)) => return self.send(asker.node, Body::Reply(asker.tag, answer), out),
+        match self.requests.reply_to_repeated(requester) {
+            Some(Some(answer)) => return self.send(requester.node, Body::Reply(requester.tag, answer), out),
             Some(None) => return,
             None => {}
         }
-        let Grant { state: changed, number } = match self.granted(now, &state, request, observer, out) {
+        let Grant { state: changed, number } = match self.decide(now, &state, request, observer, out) {
             Ok(grant) => grant,
-            Err(why) => return self.answer(asker, Err(why), out),
+            Err(why) => return self.answer(requester, Err(why), out),
         };
-        let agreed =
-            self.register.as_ref().and_then(ReplicatedRegister::committed).map_or(0, |agreed| agreed.version);
-        match self.change(changed) {
-            // It changes nothing, and what stands is agreed.
-            Some(version) if version <= agreed => self.answer(asker, Ok(number), out),
-            Some(version) if self.requests.wait(version, asker, number) => self.beat(now, out),
-            _ => self.answer(asker, Err(Denied::Full), out),
+        let committed = self.register.as_ref().and_then(ReplicatedRegister::committed);
+        let committed = committed.map_or(0, |committed| committed.version);
+        match self.propose(changed) {
+            // The request changes nothing, and the current state is committed.
+            Some(version) if version <= committed => self.answer(requester, Ok(number), out),
+            Some(version) if self.requests.wait(version, requester, number) => self.send_heartbeats(now, out),
+            _ => self.answer(requester, Err(Denied::Full), out),
         }
     }
 
-    /// What a request leads to. Nothing of it holds before it is agreed.
-    fn granted(
+    /// Decides on a request. The result takes effect only once it is committed.
+    fn decide(
         &mut self,
         now: Micros,
         state: &PermitState,
         request: PermitRequest,
         observer: &impl FleetObserver,
-        out: &mut Out,
+        out: &mut Outputs,
     ) -> Result<Grant, Denied> {
         let mut changed = state.clone();
         let number = match request {
@@ -94,13 +94,13 @@
             }
             PermitRequest::Acquire(subject) => self.acquire(now, &mut changed, subject, observer)?,
             PermitRequest::Return(subject, number) if subject.is_takeover() => {
-                let standing = state.permit(subject).filter(|permit| permit.number == number);
-                standing.ok_or(Denied::Stale)?;
+                let permit = state.permit(subject).filter(|permit| permit.number == number);
+                permit.ok_or(Denied::Stale)?;
                 changed.remove(subject);
                 number
             }
             PermitRequest::Reclaim(subject) if subject.is_takeover() => {
-                // Another number makes another value, which only a majority can agree on.
+                // The new number makes a new value, so that the reply has to wait for a majority to commit it.
                 changed.last_number = state.last_number.wrapping_add(1);
                 state.permit(subject).map_or(0, |permit| permit.number)
             }
@@ -113,7 +113,7 @@
             }
             PermitRequest::WriteOff(_) => return Err(Denied::Stale),
             PermitRequest::Resume(count) if self.halt == (Halt { count, on: true }) => {
-                self.hear_halt(Halt { count: count + 1, on: false }, out);
+                self.adopt_halt(Halt { count: count + 1, on: false }, out);
                 0
             }
             PermitRequest::Resume(_) => return Err(Denied::Stale),
@@ -121,7 +121,7 @@
         Ok(Grant { state: changed, number })
     }
 
-    /// Adds the permit of one more to be out; gives its number.
+    /// Adds a permit for one more subject to be out of service, and returns its number.
     fn acquire(
         &mut self,
         now: Micros,
@@ -131,18 +131,18 @@
     ) -> PermitResult {
         let none = PermitState { last_number: state.last_number, ..PermitState::default() };
         let counted = if self.counts_permits { &*state } else { &none };
-        let given = grant_permit(counted, &observer.observations(now), &self.settings.bounds, subject)?;
-        if !state.add(given) {
+        let granted = grant_permit(counted, &observer.observations(now), &self.settings.bounds, subject)?;
+        if !state.add(granted) {
             return Err(Denied::Full);
         }
-        state.last_number = given.number;
-        self.requests.given(now, subject);
-        Ok(given.number)
+        state.last_number = granted.number;
+        self.requests.permit_granted(now, subject);
+        Ok(granted.number)
     }
 
-    /// All that are out, as a leader counts them.
+    /// All subjects that are out of service, counted as the leader counts them.
     pub fn out_of_service(&self, now: Micros, observer: &impl FleetObserver) -> BTreeSet<Subject> {
         let none = PermitState::default();
-        all_out(self.known.as_ref().map_or(&none, |known| &known.value), &observer.observations(now))
+        out_of_service(self.known.as_ref().map_or(&none, |known| &known.value), &observer.observations(now))
     }
 }
--- a/crates/permits/src/node.rs
+++ b/crates/permits/src/node.rs
@@ -1,10 +1,10 @@
-//! A node: its voter, if it votes, the register while it is candidate or leader, and what it knows to be agreed. Input:
-//! datagrams, requests, times in microseconds on its own clock, and what a [`FleetObserver`] sees. Output: [`Output`]s. Bounds:
-//! 64 requests under way, 256 outcomes remembered.
+//! A permit node: its voter, if it votes, the register while it is a candidate or the leader, and the latest committed state that
+//! it knows. Input: datagrams, requests, times in microseconds on its own clock, and the observations of a [`FleetObserver`].
+//! Output: [`Output`]s. Bounds: 64 requests in flight, 256 remembered outcomes.
 
 use crate::bounds::{Denied, Observations};
 use crate::register::{RegisterEvent, ReplicatedRegister};
-use crate::request_table::{Asker, PermitResult, RequestTable};
+use crate::request_table::{PermitResult, RequestTable, Requester};
 use crate::settings::{PermitSettings, SettingsError};
 use crate::state::{PermitState, Subject};
 use crate::voter::{Epoch, Stored, Voter};
@@ -15,65 +15,66 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What is new is passed on to so many others at once, ...
-const PASS_MEMBERS: usize = 2;
-/// ... so often, ...
-const PASSES: u32 = 4;
-/// ... and so far apart: a tenth of a second carries it through a fleet of hundreds within the lease.
-const PASS_INTERVAL_US: Micros = 100_000;
-/// One other is told in this time how far we know.
-const COMPARE_US: Micros = 1_000_000;
-/// Members asked in a tick what they know, by a leader that learns.
-const RECALLED_PER_TICK: usize = 16;
-/// Requests of ours that are out, at most.
-const MAX_ASKED: usize = 64;
-/// Each is sent again after this, while it has no answer.
-const ASK_AGAIN_US: Micros = 300_000;
-
-/// Outcomes of requests for permits remembered.
+/// How many members receive a new state or halt in one gossip round.
+const GOSSIP_MEMBERS: usize = 2;
+/// For how many rounds a new state or halt is gossiped.
+const GOSSIP_ROUNDS: u32 = 4;
+/// Time between gossip rounds. With 0.1 s a new state reaches a fleet of hundreds within the lease.
+const GOSSIP_INTERVAL_US: Micros = 100_000;
+/// The interval at which the position of the known state is sent to one random member, which repairs lost gossip.
+const POSITION_INTERVAL_US: Micros = 1_000_000;
+/// How many members a leader that is still learning asks for their state in each tick.
+const QUERIES_PER_TICK: usize = 16;
+/// The largest number of local requests in flight.
+const MAX_PENDING_REQUESTS: usize = 64;
+/// A request without a reply is sent again after this time.
+const RESEND_INTERVAL_US: Micros = 300_000;
+
+/// How many outcomes of local requests for permits are remembered.
 const MAX_OUTCOMES: usize = 256;
 
-/// What a member sees of the fleet.
+/// What a member observes of the fleet.
 pub trait FleetObserver {
-    /// All that exist, with what is seen of them.
+    /// The observations of all known subjects.
     fn observations(&self, now: Micros) -> Observations;
-    /// Live members, not ourselves.
+    /// The live members, except the local one.
     fn live(&self) -> Vec<MemberId>;
     /// The wall clock, in milliseconds since the beginning of 2026.
     fn wall_ms(&self) -> u64;
 }
 
-/// What a member puts out.
+/// An output of a node, to be carried out by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send these bytes.
+    /// Send a datagram.
     Send {
-        /// To whom.
+        /// The receiver.
         to: MemberId,
-        /// At most [`basaltward_membership::MAX_DATAGRAM_BYTES`].
+        /// The datagram, at most [`basaltward_membership::MAX_DATAGRAM_BYTES`] long.
         bytes: Vec<u8>,
     },
-    /// Something else is agreed, or halted, see [`PermitNode::known`].
+    /// The known committed state or the halt has changed, see [`PermitNode::known`] and [`PermitNode::halt`].
     Changed,
-    /// The answer to a question of ours. One that comes when nothing may be done by it any more is a `Stale`.
+    /// The reply to a request submitted here. A reply that arrives after the lease is replaced by [`Denied::Stale`], as it
+    /// must no longer be acted on.
     Answered {
-        /// The question.
+        /// The tag that [`PermitNode::submit`] returned.
         tag: u32,
-        /// The answer.
+        /// The reply.
         answer: PermitResult,
     },
 }
 
-pub(crate) type Out = Vec<Output>;
+pub(crate) type Outputs = Vec<Output>;
 
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct PendingRequest {
     request: PermitRequest,
-    since: Micros,
-    again: Micros,
+    submitted_at: Micros,
+    resend_at: Micros,
 }
 
-/// What came of a request for a permit.
+/// The outcome of a local request for a permit.
 #[derive(Clone, Copy, Debug)]
 struct Outcome {
     tag: u32,
@@ -82,43 +83,46 @@
     number: u16,
 }
 
-/// See the module's page.
+/// A member of the fleet that agrees on permits.
 pub struct PermitNode {
     pub(crate) settings: PermitSettings,
     voter: Option<Voter<PermitState>>,
     pub(crate) register: Option<ReplicatedRegister<PermitState>>,
     pub(crate) requests: RequestTable,
-    /// What members told while we learn.
-    learnt: PermitState,
-    /// Who is still to be asked what it knows.
-    recall: Vec<MemberId>,
+    /// The states received from members, merged; the first value of the register once learning is over.
+    learned: PermitState,
+    /// Members that are still to be pending for their state.
+    to_query: Vec<MemberId>,
     pub(crate) known: Option<Stored<PermitState>>,
     pub(crate) halt: Halt,
-    /// How often what is new still goes on.
-    passes: u32,
-    next_pass: Micros,
-    next_compare: Micros,
+    /// How many more rounds the known state and halt are gossiped.
+    gossip_rounds: u32,
+    next_gossip: Micros,
+    next_position: Micros,
     next_tick: Micros,
-    claim_at: Micros,
-    asked: BTreeMap<u32, Asked>,
+    /// No election is started before this time.
+    election_at: Micros,
+    pending: BTreeMap<u32, PendingRequest>,
+    /// The tag of the latest request.
     tag: u32,
-    /// What came of the latest requests for permits.
+    /// Outcomes of the latest local requests for permits.
     outcomes: VecDeque<Outcome>,
-    /// Another one has told us what it knows since our start.
-    heard: bool,
+    /// Whether a member has sent its state since the start of this node.
+    received_state: bool,
     rng: StdRng,
-    /// Messages to ourselves.
-    own: VecDeque<Body>,
-    /// Planted: leaders that count only what they see, and not what is permitted.
+    /// Messages of this node to itself.
+    to_self: VecDeque<Body>,
+    /// False with the injected fault [`Fault::IgnoresPermits`].
     pub(crate) counts_permits: bool,
-    forgets: bool,
+    /// True with the injected fault [`Fault::VotesAfterRestart`].
+    votes_after_restart: bool,
 }
 
 impl PermitNode {
-    /// A member whose life begins.
+    /// A node that has just started.
     ///
     /// # Errors
-    /// Where the settings can't be used.
+    /// If the settings are invalid.
     pub fn new(settings: PermitSettings, now: Micros) -> Result<Self, SettingsError> {
         settings.check()?;
         let is_voter = settings.voters.contains(&settings.own);
@@ -128,36 +132,37 @@
             voter,
             register: None,
             requests: RequestTable::default(),
-            learnt: PermitState::default(),
-            recall: Vec::new(),
+            learned: PermitState::default(),
+            to_query: Vec::new(),
             known: None,
             halt: Halt::default(),
-            passes: 0,
-            next_pass: now,
-            next_compare: now,
+            gossip_rounds: 0,
+            next_gossip: now,
+            next_position: now,
             next_tick: now,
-            claim_at: now,
-            asked: BTreeMap::new(),
-            // A leader remembers what it answered an earlier life of ours: its numbers are not used again.
+            election_at: now,
+            pending: BTreeMap::new(),
+            // A leader remembers its replies to the previous incarnation of this node, so that incarnation's tags must not
+            // be used again.
             tag: settings.incarnation,
             outcomes: VecDeque::new(),
-            heard: false,
+            received_state: false,
             rng: StdRng::seed_from_u64(seed),
-            own: VecDeque::new(),
+            to_self: VecDeque::new(),
             counts_permits: true,
-            forgets: false,
+            votes_after_restart: false,
             settings,
         };
-        node.put_off(now + node.settings.times.silence);
+        node.postpone_election(now + node.settings.times.silence);
         Ok(node)
     }
 
-    /// Plants a fault, see [`Fault`].
+    /// Injects a fault, see [`Fault`].
     #[doc(hidden)]
     pub fn inject(&mut self, fault: Fault, now: Micros) {
         match fault {
             Fault::VotesAfterRestart => {
-                self.forgets = true;
+                self.votes_after_restart = true;
                 if self.voter.is_some() {
                     self.voter = Some(Voter::new(self.settings.incarnation, now, 0));
                 }
@@ -167,329 +172,337 @@
         }
     }
 
-    /// What is agreed, as far as we know.
+    /// The latest committed state known to this node.
     pub fn known(&self) -> Option<&Stored<PermitState>> {
         self.known.as_ref()
     }
 
-    /// Whether all is halted, as far as we know.
+    /// The latest halt or resume known to this node.
     pub fn halt(&self) -> Halt {
         self.halt
     }
 
-    /// Whether another one has told us what it knows since our start: before, a worker may be drained and we not
-    /// know of it.
+    /// Whether a member has sent its state since the start of this node. Before that a worker may be drained without this
+    /// node knowing it.
     pub fn has_received_state(&self) -> bool {
-        self.heard
+        self.received_state
     }
 
-    /// Asks the voters what they know. For whoever has just started, as a view has nobody to ask yet.
-    pub fn query_voters(&mut self, out: &mut Out) {
+    /// Asks the voters for their state. For a node that has just started, whose membership lists no live member yet.
+    pub fn query_voters(&mut self, out: &mut Outputs) {
         let own = self.settings.own;
         let voters = self.settings.voters.clone().into_iter();
         voters.filter(|voter| *voter != own).for_each(|to| self.send(to, Body::StateQuery, out));
     }
 
-    /// Whether we are leader, and know what is out.
+    /// Whether this node is the leader and has committed a state.
     pub fn is_leader(&self) -> bool {
         self.register.as_ref().is_some_and(|register| register.committed().is_some())
     }
 
-    /// Bounds from now on.
+    /// Replaces the bounds; permits in force are not affected.
     pub fn set_bounds(&mut self, bounds: crate::bounds::Bounds) {
         self.settings.bounds = bounds;
     }
 
-    /// When [`PermitNode::wake`] is due next.
+    /// When the next [`PermitNode::wake`] is due.
     pub fn next_due(&self) -> Micros {
-        let passes = (self.passes > 0).then_some(self.next_pass);
-        let asked = self.asked.values().map(|asked| asked.again);
-        let due = [self.next_compare, self.next_tick];
-        due.into_iter().chain(passes).chain(asked).min().unwrap_or(Micros::MAX)
+        let gossip = (self.gossip_rounds > 0).then_some(self.next_gossip);
+        let pending = self.pending.values().map(|pending| pending.resend_at);
+        let due = [self.next_position, self.next_tick];
+        due.into_iter().chain(gossip).chain(pending).min().unwrap_or(Micros::MAX)
     }
 
-    /// Asks the leader for something; the answer names the number that this gives.
+    /// Sends a request to the leader, again and again until the lease ends, and returns its tag. The reply is an
+    /// [`Output::Answered`] with this tag: [`Denied::NoLeader`] after the lease, [`Denied::Full`] at once if too many
+    /// requests are in flight.
     pub fn submit(
         &mut self,
         now: Micros,
         request: PermitRequest,
         observer: &impl FleetObserver,
-        out: &mut Out,
+        out: &mut Outputs,
     ) -> u32 {
         self.tag = self.tag.wrapping_add(1);
         let tag = self.tag;
-        if self.asked.len() >= MAX_ASKED {
+        if self.pending.len() >= MAX_PENDING_REQUESTS {
             out.push(Output::Answered { tag, answer: Err(Denied::Full) });
             return tag;
         }
-        self.asked.insert(tag, Asked { request, since: now, again: now });
-        self.ask_again(now, observer, out);
+        self.pending.insert(tag, PendingRequest { request, submitted_at: now, resend_at: now });
+        self.resend_requests(now, observer, out);
         tag
     }
 
-    /// Nothing new is permitted anywhere from now on: by our word alone, at once.
-    pub fn halt_all(&mut self, out: &mut Out) -> Halt {
-        let told = Halt { count: self.halt.count + 1, on: true };
-        self.hear_halt(told, out);
+    /// Halts the fleet: gossips that no new permit may be granted, without waiting for the leader or a commit.
+    pub fn halt_all(&mut self, out: &mut Outputs) -> Halt {
+        let halt = Halt { count: self.halt.count + 1, on: true };
+        self.adopt_halt(halt, out);
         self.halt
     }
 
-    // ---- what is due -------------------------------------------------------------------------------------
+    // ---- timers ------------------------------------------------------------------------------------------
 
-    /// Does what is due by `now`.
-    pub fn wake(&mut self, now: Micros, observer: &impl FleetObserver, out: &mut Out) {
+    /// Runs the timers that are due by `now`.
+    pub fn wake(&mut self, now: Micros, observer: &impl FleetObserver, out: &mut Outputs) {
         if now >= self.next_tick {
             self.next_tick = now + self.settings.tick;
             self.tick(now, observer, out);
         }
-        if now >= self.next_compare {
-            self.next_compare = now + COMPARE_US;
+        if now >= self.next_position {
+            self.next_position = now + POSITION_INTERVAL_US;
             let body = Body::Position(self.known.as_ref().map(Stored::position), self.halt);
-            self.some(1, observer).into_iter().for_each(|to| self.send(to, body.clone(), out));
+            self.random_members(1, observer).into_iter().for_each(|to| self.send(to, body.clone(), out));
         }
-        if self.passes > 0 && now >= self.next_pass {
-            self.passes -= 1;
-            self.next_pass = now + PASS_INTERVAL_US;
+        if self.gossip_rounds > 0 && now >= self.next_gossip {
+            self.gossip_rounds -= 1;
+            self.next_gossip = now + GOSSIP_INTERVAL_US;
             let body = Body::State(self.known.clone(), self.halt);
-            self.some(PASS_MEMBERS, observer).into_iter().for_each(|to| self.send(to, body.clone(), out));
+            self.random_members(GOSSIP_MEMBERS, observer)
+                .into_iter()
+                .for_each(|to| self.send(to, body.clone(), out));
         }
-        self.ask_again(now, observer, out);
-        self.work(now, observer, out);
+        self.resend_requests(now, observer, out);
+        self.process_events(now, observer, out);
     }
 
-    /// Who hears a leader waits for a lease and some more before it would be one.
-    fn put_off(&mut self, now: Micros) {
+    /// Postpones this node's next election by the lease plus a random time up to another lease.
+    fn postpone_election(&mut self, now: Micros) {
         let lease = self.settings.times.lease;
-        self.claim_at = now + lease + self.rng.random_range(0..=lease);
+        self.election_at = now + lease + self.rng.random_range(0..=lease);
     }
 
-    fn tick(&mut self, now: Micros, observer: &impl FleetObserver, out: &mut Out) {
-        let speaks = self.voter.as_ref().is_some_and(|voter| voter.may_vote(now));
-        if self.register.is_none() && speaks && now >= self.claim_at {
+    fn tick(&mut self, now: Micros, observer: &impl FleetObserver, out: &mut Outputs) {
+        let may_vote = self.voter.as_ref().is_some_and(|voter| voter.may_vote(now));
+        if self.register.is_none() && may_vote && now >= self.election_at {
             let promised = self.voter.as_ref().map(Voter::promised).unwrap_or_default();
             let latest = promised.max(self.known.as_ref().map(|known| known.epoch).unwrap_or_default());
             let epoch = latest.next(observer.wall_ms(), self.settings.own);
             let mut register =
                 ReplicatedRegister::candidate(self.settings.times, &self.settings.voters, epoch, now);
-            if self.forgets {
+            if self.votes_after_restart {
                 register.inject_amnesia();
             }
             (self.register, self.requests) = (Some(register), RequestTable::default());
-            self.put_off(now);
+            self.postpone_election(now);
         }
         if let Some(value) = self.register.as_ref().and_then(ReplicatedRegister::value).cloned()
             && !value.permits.is_empty()
         {
-            let left = self.requests.settle(now, &value, &observer.observations(now), &self.settings);
-            self.change(left);
+            let remaining =
+                self.requests.without_ended(now, &value, &observer.observations(now), &self.settings);
+            self.propose(remaining);
             if !self.halt.on && self.requests.is_overdue(now, &value, self.settings.step_timeout) {
                 self.halt_all(out);
             }
         }
-        self.recall_some(out);
-        self.beat(now, out);
+        self.query_some(out);
+        self.send_heartbeats(now, out);
     }
 
-    pub(crate) fn beat(&mut self, now: Micros, out: &mut Out) {
-        let told = self.register.as_mut().map(|register| register.heartbeat(now)).unwrap_or_default();
-        for (to, told) in told {
-            self.send(to, Body::VoterRequest(told), out);
+    pub(crate) fn send_heartbeats(&mut self, now: Micros, out: &mut Outputs) {
+        let requests = self.register.as_mut().map(|register| register.heartbeat(now)).unwrap_or_default();
+        for (to, request) in requests {
+            self.send(to, Body::VoterRequest(request), out);
         }
     }
 
-    fn recall_some(&mut self, out: &mut Out) {
-        let from = self.recall.len().saturating_sub(RECALLED_PER_TICK);
-        for to in self.recall.split_off(from) {
+    fn query_some(&mut self, out: &mut Outputs) {
+        let from = self.to_query.len().saturating_sub(QUERIES_PER_TICK);
+        for to in self.to_query.split_off(from) {
             self.send(to, Body::StateQuery, out);
         }
     }
 
-    pub(crate) fn change(&mut self, state: PermitState) -> Option<u32> {
+    pub(crate) fn propose(&mut self, state: PermitState) -> Option<u32> {
         self.register.as_mut()?.propose(state)
     }
 
-    /// What we told ourselves, and what has come of being leader.
-    fn work(&mut self, now: Micros, observer: &impl FleetObserver, out: &mut Out) {
+    /// Handles the messages of this node to itself and the register's events until none are left.
+    fn process_events(&mut self, now: Micros, observer: &impl FleetObserver, out: &mut Outputs) {
         loop {
-            while let Some(body) = self.own.pop_front() {
-                self.take(now, self.settings.own, body, observer, out);
+            while let Some(body) = self.to_self.pop_front() {
+                self.handle_message(now, self.settings.own, body, observer, out);
             }
             match self.register.as_mut().map_or(RegisterEvent::Unchanged, |register| register.poll(now)) {
-                RegisterEvent::Unchanged if self.own.is_empty() => break,
+                RegisterEvent::Unchanged if self.to_self.is_empty() => break,
                 RegisterEvent::Unchanged => {}
                 RegisterEvent::SteppedDown => {
                     self.register = None;
-                    self.put_off(now);
+                    self.postpone_election(now);
                 }
                 RegisterEvent::LearningStarted(held) => {
-                    self.learnt = held.unwrap_or_default();
+                    self.learned = held.unwrap_or_default();
                     if let Some(known) = &self.known {
-                        self.learnt.merge(&known.value);
+                        self.learned.merge(&known.value);
                     }
-                    self.recall = observer.live();
+                    self.to_query = observer.live();
                 }
                 RegisterEvent::LearningDue => {
-                    let learnt = std::mem::take(&mut self.learnt);
+                    let learned = std::mem::take(&mut self.learned);
                     self.register
                         .iter_mut()
-                        .for_each(|register| register.finish_learning(now, learnt.clone()));
-                    self.beat(now, out);
+                        .for_each(|register| register.finish_learning(now, learned.clone()));
+                    self.send_heartbeats(now, out);
                 }
                 RegisterEvent::Committed(version) => {
-                    let agreed = self.register.as_ref().and_then(ReplicatedRegister::committed);
-                    agreed.into_iter().for_each(|agreed| self.hear(agreed, out));
-                    for granted in self.requests.agreed(version) {
-                        self.answer(granted.asker, Ok(granted.number), out);
+                    let committed = self.register.as_ref().and_then(ReplicatedRegister::committed);
+                    committed.into_iter().for_each(|committed| self.adopt_state(committed, out));
+                    for granted in self.requests.committed(version) {
+                        self.answer(granted.requester, Ok(granted.number), out);
                     }
                 }
             }
         }
     }
 
-    fn ask_again(&mut self, now: Micros, observer: &impl FleetObserver, out: &mut Out) {
+    fn resend_requests(&mut self, now: Micros, observer: &impl FleetObserver, out: &mut Outputs) {
         let leader = self.leader();
-        let mut over = Vec::new();
-        let mut told = Vec::new();
-        for (tag, asked) in self.asked.iter_mut().filter(|(_, asked)| asked.again <= now) {
-            if now >= asked.since + self.settings.times.lease {
-                over.push(*tag);
+        let mut expired = Vec::new();
+        let mut messages = Vec::new();
+        for (tag, pending) in self.pending.iter_mut().filter(|(_, pending)| pending.resend_at <= now) {
+            if now >= pending.submitted_at + self.settings.times.lease {
+                expired.push(*tag);
             } else {
-                asked.again = now + ASK_AGAIN_US;
-                told.extend(leader.map(|leader| (leader, Body::Request(*tag, asked.request))));
+                pending.resend_at = now + RESEND_INTERVAL_US;
+                messages.extend(leader.map(|leader| (leader, Body::Request(*tag, pending.request))));
             }
         }
-        for tag in over {
-            if let Some(asked) = self.asked.remove(&tag) {
-                self.remember(tag, asked.request, None);
+        for tag in expired {
+            if let Some(pending) = self.pending.remove(&tag) {
+                self.record_outcome(tag, pending.request, None);
             }
             out.push(Output::Answered { tag, answer: Err(Denied::NoLeader) });
         }
-        told.into_iter().for_each(|(to, body)| self.send(to, body, out));
-        while let Some(body) = self.own.pop_front() {
-            self.take(now, self.settings.own, body, observer, out);
+        messages.into_iter().for_each(|(to, body)| self.send(to, body, out));
+        while let Some(body) = self.to_self.pop_front() {
+            self.handle_message(now, self.settings.own, body, observer, out);
         }
     }
 
-    /// Who we believe to be leader.
+    /// The leader as far as this node knows.
     pub fn leader(&self) -> Option<MemberId> {
         let ours = self.register.as_ref().filter(|register| register.is_elected()).map(|_| self.settings.own);
         let seen = self.voter.as_ref().map(Voter::promised).filter(|epoch| *epoch > Epoch::default());
         ours.or(seen.max(self.known.as_ref().map(|known| known.epoch)).map(|epoch| epoch.by))
     }
 
-    fn some(&mut self, count: usize, observer: &impl FleetObserver) -> Vec<MemberId> {
+    fn random_members(&mut self, count: usize, observer: &impl FleetObserver) -> Vec<MemberId> {
         let mut live = observer.live();
         live.partial_shuffle(&mut self.rng, count).0.to_vec()
     }
 
-    pub(crate) fn send(&mut self, to: MemberId, body: Body, out: &mut Out) {
+    pub(crate) fn send(&mut self, to: MemberId, body: Body, out: &mut Outputs) {
         if to == self.settings.own {
-            self.own.push_back(body);
+            self.to_self.push_back(body);
             return;
         }
         let message = Message { fleet: self.settings.fleet, from: self.settings.own, body };
         out.extend(message.write().map(|bytes| Output::Send { to, bytes }));
     }
 
-    // ---- what comes --------------------------------------------------------------------------------------
+    // ---- received datagrams ------------------------------------------------------------------------------
 
-    /// Takes a datagram that came from this member's address; false where it is none of ours.
+    /// Handles a datagram that came from the address of member `from`; returns false and ignores it if it is not a permit
+    /// datagram of this fleet and this sender.
     pub fn handle(
         &mut self,
         now: Micros,
         from: MemberId,
         bytes: &[u8],
         observer: &impl FleetObserver,
-        out: &mut Out,
+        out: &mut Outputs,
     ) -> bool {
         let Ok(message) = Message::read(bytes) else { return false };
         if message.fleet != self.settings.fleet || message.from != from || from == self.settings.own {
             return false;
         }
-        self.take(now, from, message.body, observer, out);
-        self.work(now, observer, out);
+        self.handle_message(now, from, message.body, observer, out);
+        self.process_events(now, observer, out);
         true
     }
 
-    fn take(
+    fn handle_message(
         &mut self,
         now: Micros,
         from: MemberId,
         body: Body,
         observer: &impl FleetObserver,
-        out: &mut Out,
+        out: &mut Outputs,
     ) {
         match body {
-            Body::VoterRequest(told) => {
+            Body::VoterRequest(request) => {
                 if !self.settings.voters.contains(&from) {
                     return;
                 }
-                let answer = self.voter.as_mut().and_then(|voter| voter.handle(now, told));
-                if let Some(answer) = answer {
-                    if !matches!(answer, crate::voter::VoterResponse::Rejected { .. })
+                let response = self.voter.as_mut().and_then(|voter| voter.handle(now, request));
+                if let Some(response) = response {
+                    if !matches!(response, crate::voter::VoterResponse::Rejected { .. })
                         && from != self.settings.own
                     {
-                        self.put_off(now);
+                        self.postpone_election(now);
                     }
-                    self.send(from, Body::VoterResponse(answer), out);
+                    self.send(from, Body::VoterResponse(response), out);
                 }
             }
-            Body::VoterResponse(told) => {
-                self.register.iter_mut().for_each(|register| register.handle(now, from, told.clone()));
+            Body::VoterResponse(response) => {
+                self.register.iter_mut().for_each(|register| register.handle(now, from, response.clone()));
             }
             Body::State(stored, halt) => {
-                self.heard = true;
+                self.received_state = true;
                 if let Some(stored) = stored {
-                    self.learnt.merge(&stored.value);
-                    self.hear(stored, out);
+                    self.learned.merge(&stored.value);
+                    self.adopt_state(stored, out);
                 }
-                self.hear_halt(halt, out);
+                self.adopt_halt(halt, out);
             }
-            Body::Position(at, halt) => {
-                self.hear_halt(halt, out);
+            Body::Position(theirs, halt) => {
+                self.adopt_halt(halt, out);
                 let ours = self.known.as_ref().map(Stored::position);
-                if ours > at || self.halt > halt {
+                if ours > theirs || self.halt > halt {
                     self.send(from, Body::State(self.known.clone(), self.halt), out);
-                } else if at > ours {
+                } else if theirs > ours {
                     self.send(from, Body::StateQuery, out);
                 }
             }
             Body::StateQuery => self.send(from, Body::State(self.known.clone(), self.halt), out),
-            Body::Request(tag, request) => self.asked(now, Asker { node: from, tag }, request, observer, out),
-            Body::Reply(tag, answer) => self.answered(now, tag, answer, observer, out),
+            Body::Request(tag, request) => {
+                self.handle_request(now, Requester { node: from, tag }, request, observer, out)
+            }
+            Body::Reply(tag, answer) => self.handle_reply(now, tag, answer, observer, out),
         }
     }
 
-    /// An answer to a question of ours. Whoever acts looks at the time itself: a permit that comes too late, or that a
-    /// question brings which was an hour on its way, is nobody's, and is given back.
-    fn answered(
+    /// Handles the reply to a local request. A permit that nobody will act on is returned: the reply came after the lease,
+    /// or a request that was delayed, possibly for an hour, acquired a second permit.
+    fn handle_reply(
         &mut self,
         now: Micros,
         tag: u32,
         answer: PermitResult,
         observer: &impl FleetObserver,
-        out: &mut Out,
+        out: &mut Outputs,
     ) {
-        let asked = self.asked.remove(&tag);
-        let late = asked.is_some_and(|asked| now >= asked.since + self.settings.times.lease);
-        let known = self.outcomes.iter().find(|outcome| outcome.tag == tag).copied();
-        let nobodys = match (asked.map(|asked| asked.request), known, answer) {
+        let pending = self.pending.remove(&tag);
+        let late = pending.is_some_and(|pending| now >= pending.submitted_at + self.settings.times.lease);
+        let outcome = self.outcomes.iter().find(|outcome| outcome.tag == tag).copied();
+        let unused = match (pending.map(|pending| pending.request), outcome, answer) {
             (Some(PermitRequest::Acquire(subject)), _, Ok(number)) if late => Some((subject, number)),
             (None, Some(outcome), Ok(number)) if number != outcome.number => Some((outcome.subject, number)),
             _ => None,
         };
-        if let Some(asked) = asked {
-            self.remember(tag, asked.request, answer.ok().filter(|_| !late));
+        if let Some(pending) = pending {
+            self.record_outcome(tag, pending.request, answer.ok().filter(|_| !late));
             let answer = if late { Err(Denied::Stale) } else { answer };
             out.push(Output::Answered { tag, answer });
         }
-        if let Some((subject, number)) = nobodys {
+        if let Some((subject, number)) = unused {
             self.submit(now, PermitRequest::Return(subject, number), observer, out);
         }
     }
 
-    /// What came of a question for a permit: its number, or none.
-    fn remember(&mut self, tag: u32, request: PermitRequest, number: Option<u16>) {
+    /// Remembers the outcome of a request for a permit: the number of the permit, or none.
+    fn record_outcome(&mut self, tag: u32, request: PermitRequest, number: Option<u16>) {
         if let PermitRequest::Acquire(subject) = request {
             if self.outcomes.len() == MAX_OUTCOMES {
                 self.outcomes.pop_front();
@@ -498,31 +511,31 @@
         }
     }
 
-    fn hear(&mut self, stored: Stored<PermitState>, out: &mut Out) {
+    fn adopt_state(&mut self, stored: Stored<PermitState>, out: &mut Outputs) {
         if self.known.as_ref().is_none_or(|known| known.position() < stored.position()) {
             self.known = Some(stored);
-            self.passes = PASSES;
+            self.gossip_rounds = GOSSIP_ROUNDS;
             out.push(Output::Changed);
         }
     }
 
-    pub(crate) fn hear_halt(&mut self, halt: Halt, out: &mut Out) {
+    pub(crate) fn adopt_halt(&mut self, halt: Halt, out: &mut Outputs) {
         if halt > self.halt {
             self.halt = halt;
-            self.passes = PASSES;
+            self.gossip_rounds = GOSSIP_ROUNDS;
             out.push(Output::Changed);
         }
     }
 }
 
-/// Faults that checkers must find.
+/// Faults that tests inject, to show that their checks find them.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A voter has its voice at once after its start, and a leader takes its word for a memory.
+    /// A voter responds at once after its start, and a candidate counts voters that have lost their state like the others.
     VotesAfterRestart,
-    /// A voter takes what comes, of whatever epoch.
+    /// A voter accepts requests of any epoch.
     IgnoresEpochs,
-    /// A leader counts what it sees, and not what it has permitted.
+    /// A leader counts the subjects that it observes as out, but not those with a permit.
     IgnoresPermits,
 }
--- a/crates/permits/src/observer.rs
+++ b/crates/permits/src/observer.rs
@@ -1,5 +1,5 @@
-//! What a node sees of the fleet: schedulers by its membership, sites by their gateways, workers as it is told of them.
-//! Nothing is kept here; observations are put together when they are looked at.
+//! What a node observes of the fleet: schedulers through the membership protocol, sites through their gateways, workers as the
+//! caller reports them. Keeps no state; observations are computed on each call.
 
 use crate::bounds::{Observation, Observations};
 use crate::node::FleetObserver;
@@ -8,13 +8,14 @@
     Member, MemberId, MemberState, Membership, Micros, RUNS, SiteMap, decode_counters,
 };
 
-/// See the module's page.
+/// A [`FleetObserver`] on top of a membership.
 pub struct MembershipObserver<'a> {
-    /// The view.
+    /// The membership of the schedulers.
     pub membership: &'a Membership,
-    /// Zones of the schedulers, by number; those that are not told are in zone 0.
+    /// Zones of the schedulers, by their number; those not listed are in zone 0.
     pub zones: &'a [u8],
-    /// Workers, by what the bulletin tells, and sites, see [`sites`]: put together when they are looked at, which few datagrams lead to.
+    /// Observations of workers, from the bulletin, and of sites, see [`observe_sites`]. Computed on demand, which few
+    /// datagrams need.
     pub workers: &'a dyn Fn(Micros) -> Observations,
     /// The wall clock, in milliseconds since the beginning of 2026.
     pub wall_ms: u64,
@@ -23,21 +24,21 @@
 impl FleetObserver for MembershipObserver<'_> {
     fn observations(&self, now: Micros) -> Observations {
         let runs = |of: usize| {
-            let told =
+            let counters =
                 self.membership.fact_of_current_life(now, of as MemberId, RUNS).and_then(decode_counters)?;
-            told.first().and_then(|mark| u32::try_from(*mark).ok())
+            counters.first().and_then(|mark| u32::try_from(*mark).ok())
         };
         let seen = |(of, entry): (usize, &Member)| {
-            // One that is suspected is not known to be in use.
-            let used = (entry.state == MemberState::Up).then(|| now.saturating_sub(entry.since));
-            let life = (entry.incarnation.start / 1_000) as u16;
+            // A suspected member is not known to be in use.
+            let in_use_for = (entry.state == MemberState::Up).then(|| now.saturating_sub(entry.since));
+            let incarnation = (entry.incarnation.start / 1_000) as u16;
             let zone = self.zones.get(of).copied().unwrap_or(0);
             (
                 Subject::Scheduler(of as MemberId),
                 Observation {
                     zone,
-                    incarnation: life,
-                    in_use_for: used,
+                    incarnation,
+                    in_use_for,
                     holds_last_copy: false,
                     running_version: runs(of),
                 },
@@ -61,10 +62,10 @@
     }
 }
 
-/// Sites and the gateways of all others, as a view shows them: out of use is one of which nothing was live for the
-/// settling time. A gateway counts by itself only while its site lives.
+/// Observations of all sites and their gateways, from the membership. A site is out of use once none of its gateways was live
+/// for the settling time, a gateway once it was not live for that time. A gateway of a lost site is not out of use on its own.
 pub fn observe_sites(membership: &Membership, places: &SiteMap, settle: Micros, now: Micros) -> Observations {
-    let used = |of: MemberId| {
+    let in_use_for = |of: MemberId| {
         let entry = &membership.members()[usize::from(of)];
         let since = now.saturating_sub(entry.since);
         match entry.state.is_live() || of == membership.own() {
@@ -72,24 +73,24 @@
             false => (since < settle).then_some(0),
         }
     };
-    let seen = |used, life| Observation {
+    let seen = |in_use_for, incarnation| Observation {
         zone: 0,
-        incarnation: life,
-        in_use_for: used,
+        incarnation,
+        in_use_for,
         holds_last_copy: false,
         running_version: None,
     };
-    let life = |of: MemberId| (membership.members()[usize::from(of)].incarnation.start / 1_000) as u16;
+    let incarnation = |of: MemberId| (membership.members()[usize::from(of)].incarnation.start / 1_000) as u16;
     let mut observations = Observations::new();
     for site in places.sites() {
         let members: Vec<MemberId> =
             places.members(site).filter(|of| usize::from(*of) < membership.members().len()).collect();
-        let lives = members.iter().filter_map(|of| used(*of)).max();
-        observations.insert(Subject::Site(site), seen(lives, 0));
+        let site_in_use = members.iter().filter_map(|of| in_use_for(*of)).max();
+        observations.insert(Subject::Site(site), seen(site_in_use, 0));
         for of in members {
-            // Of a lost site each gateway is lost, which one permit for all of them says.
-            let used = if lives.is_none() { Some(0) } else { used(of) };
-            observations.insert(Subject::Gateway(of), seen(used, life(of)));
+            // The one permit for a lost site covers all its gateways.
+            let used = if site_in_use.is_none() { Some(0) } else { in_use_for(of) };
+            observations.insert(Subject::Gateway(of), seen(used, incarnation(of)));
         }
     }
     observations
--- a/crates/permits/src/plan.rs
+++ b/crates/permits/src/plan.rs
@@ -1,5 +1,6 @@
-//! The next step of a release: which scheduler goes, and how many at once. One at first, then as many more as are done, within
-//! the bound. Input: the state, the plan, observations; output: a subject, or why none goes now.
+//! The next step of a release: which scheduler is restarted next, and how many at once. One at first; later at most one more
+//! than already run the target version, within the bounds. Input: the state, the plan, observations; output: a subject, or why
+//! none may be restarted now.
 
 use crate::bounds::{Denied, Observation, Observations};
 use crate::state::{PermitState, Plan, Subject};
@@ -12,16 +13,16 @@
     })
 }
 
-/// How many say that they run the version of a plan.
+/// How many schedulers report that they run the target version of a plan.
 pub fn on_target_version(plan: &Plan, observations: &Observations) -> usize {
     schedulers(observations).filter(|(_, seen)| seen.running_version == Some(plan.to)).count()
 }
 
-/// The scheduler that goes next: of those in use that say that they run another version the first by number, on a way
-/// back the one that was started last; the leader itself at the end.
+/// The scheduler to restart next, among those in use that report another version: the one with the lowest number, in a
+/// rollback the most recently started one. The leader comes last.
 ///
 /// # Errors
-/// Where all run it, or where the next step has to wait.
+/// [`Denied::Over`] if all run the target version, [`Denied::Waits`] if the next step has to wait.
 pub fn next_scheduler(
     state: &PermitState,
     plan: &Plan,
@@ -42,11 +43,11 @@
             && seen.running_version.is_some_and(|runs| runs != plan.to)
             && !permitted(*of)
     });
-    let turn = |(of, seen): &(MemberId, &Observation)| {
+    let order = |(of, seen): &(MemberId, &Observation)| {
         let newest = if plan.rollback { seen.in_use_for.unwrap_or_default() } else { 0 };
         (*of == leader, newest, *of)
     };
-    left.min_by_key(turn).map(|(of, _)| Subject::Scheduler(of)).ok_or(Denied::Waits)
+    left.min_by_key(order).map(|(of, _)| Subject::Scheduler(of)).ok_or(Denied::Waits)
 }
 
 #[cfg(test)]
--- a/crates/permits/src/register.rs
+++ b/crates/permits/src/register.rs
@@ -1,115 +1,117 @@
-//! The replicated register as a candidate and leader keep it: one value, stored by a majority of the voters under an epoch. It
-//! does anything only while a majority of the voters has answered what it sent within the lease; each answer counts from
-//! the time at which that was sent, by its own clock, and only so long. Input: answers of voters and times; output: what goes
-//! to each voter, and [`RegisterEvent`]s.
+//! The candidate's and leader's side of the replicated register: one value, stored by a majority of the voters under an epoch.
+//! It acts only while it holds a lease, which takes responses of a majority of the voters. Each response extends the lease
+//! from the time at which its request was sent, by the leader's own clock. Input: responses of voters and times; output:
+//! requests to the voters, and [`RegisterEvent`]s.
 
 use crate::voter::{Epoch, Stored, VoterRequest, VoterResponse};
 use basaltward_membership::{MemberId, Micros};
 use std::collections::BTreeMap;
 
-/// The times that safety rests on, alike at all.
+/// The times on which safety depends. All members must have the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Times {
-    /// An answer counts for so long from when its question was sent, and so does a permit from when it was asked
-    /// for, each on the clock of whoever sent or asked.
+    /// How long a voter's response counts from when its request was sent, by the sender's clock, and how long a permit may
+    /// be acted on from when it was requested, by the requester's clock.
     pub lease: Micros,
-    /// A voter is silent for so long after its start: longer than the lease by all that clocks may differ in rate.
+    /// How long a voter stays silent after its start: longer than the lease by the largest difference in clock rates.
     pub silence: Micros,
-    /// A leader who finds that too many have forgotten learns for so long: a silence, after which nobody acts on
-    /// what an earlier leader permitted, and the time until it is seen who did.
+    /// How long a new leader learns which subjects are out if too many voters lost their state in a restart: a silence,
+    /// after which nobody acts on permits of an earlier leader any more, and the time until those who did are observed
+    /// as out.
     pub learning: Micros,
 }
 
-/// Beats remembered: more than go out in a lease.
-const BEATS: usize = 64;
+/// Heartbeats whose sending time is remembered: more than are sent in a lease.
+const MAX_HEARTBEATS: usize = 64;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Heard<V> {
+struct VoterState<V> {
     incarnation: u32,
-    /// When that was sent to which it last answered.
-    sent: Option<Micros>,
-    /// What it yielded.
+    /// When the latest request that it responded to was sent.
+    request_sent: Option<Micros>,
+    /// The value of its promise.
     held: Option<Stored<V>>,
-    /// The version that it holds.
+    /// The version that it has accepted.
     version: u32,
 }
 
-/// What a leader does.
+/// The stages of a candidacy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage<V> {
-    /// It asks for promises, since when.
+    /// It has been collecting promises since this time.
     Preparing(Micros),
-    /// Too few voters remember: it learns what is out until this time.
+    /// It is elected, but too few voters still have their state: until this time it learns which subjects are out.
     Learning(Micros),
-    /// It is leader.
+    /// It is the leader.
     Leading {
         version: u32,
         value: V,
-        /// The latest version that a majority holds.
-        agreed: u32,
+        /// The latest version that a majority has accepted.
+        committed: u32,
         /// The value of that version.
-        known: Option<V>,
+        committed_value: Option<V>,
     },
-    /// It is not, or not any more.
+    /// It was not elected, or is no longer the leader.
     SteppedDown,
 }
 
-/// What has come of it.
+/// What [`ReplicatedRegister::poll`] reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegisterEvent<V> {
-    /// Nothing new.
+    /// Nothing has changed.
     Unchanged,
-    /// It has the promises of a majority, of which too few remember: it has to learn, see [`ReplicatedRegister::learnt`]. With
-    /// what one that remembers holds.
+    /// It has the promises of a majority, but too few of those voters still have their state: the caller has to learn which
+    /// subjects are out, see [`ReplicatedRegister::finish_learning`]. Holds the latest value among the promises.
     LearningStarted(Option<V>),
-    /// What it was to learn it has to give now.
+    /// The learning time is over: the caller has to call [`ReplicatedRegister::finish_learning`] now.
     LearningDue,
-    /// A version is agreed.
+    /// A majority has accepted this version.
     Committed(u32),
-    /// It is no leader: too few answer, or a later epoch is about.
+    /// It is not the leader: too few voters respond, or a voter has promised a later epoch.
     SteppedDown,
 }
 
-/// See the module's page.
+/// A candidate or leader, with the register's value while it leads.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReplicatedRegister<V> {
     times: Times,
-    /// The voters.
     voters: Vec<MemberId>,
     epoch: Epoch,
-    beat: u32,
-    /// When the latest beats were sent.
-    sent: Vec<(u32, Micros)>,
-    heard: BTreeMap<MemberId, Heard<V>>,
+    /// The number of the latest heartbeat.
+    heartbeat: u32,
+    /// The numbers and sending times of the latest heartbeats.
+    heartbeats: Vec<(u32, Micros)>,
+    voter_states: BTreeMap<MemberId, VoterState<V>>,
     stage: Stage<V>,
-    /// Planted: whoever has forgotten counts as one that remembers nothing.
-    pub(crate) heeds_memory: bool,
+    /// False with the injected fault [`ReplicatedRegister::inject_amnesia`].
+    pub(crate) checks_memory: bool,
 }
 
 impl<V: Clone + PartialEq> ReplicatedRegister<V> {
-    /// A candidate.
+    /// A candidate that starts an election with this epoch.
     pub fn candidate(times: Times, voters: &[MemberId], epoch: Epoch, now: Micros) -> Self {
-        let (sent, heard, stage) = (Vec::new(), BTreeMap::new(), Stage::Preparing(now));
-        Self { times, voters: voters.to_vec(), epoch, beat: 0, sent, heard, stage, heeds_memory: true }
+        let (heartbeats, voter_states, stage) = (Vec::new(), BTreeMap::new(), Stage::Preparing(now));
+        let voters = voters.to_vec();
+        Self { times, voters, epoch, heartbeat: 0, heartbeats, voter_states, stage, checks_memory: true }
     }
 
-    /// Plants a fault: voters that have forgotten count like the others.
+    /// Injects a fault: voters that lost their state in a restart count like the others.
     #[doc(hidden)]
     pub fn inject_amnesia(&mut self) {
-        self.heeds_memory = false;
+        self.checks_memory = false;
     }
 
-    /// Its epoch.
+    /// The epoch of this candidate or leader.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// A majority of the voters.
+    /// How many voters are a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// The value, agreed or not, while it is leader.
+    /// The latest value, committed or not; none unless it is the leader.
     pub fn value(&self) -> Option<&V> {
         match &self.stage {
             Stage::Leading { value, .. } => Some(value),
@@ -117,135 +119,140 @@
         }
     }
 
-    /// The latest version that is agreed, with its value.
+    /// The latest committed value; none unless it is the leader and a majority has accepted a value of its epoch.
     pub fn committed(&self) -> Option<Stored<V>> {
         match &self.stage {
-            Stage::Leading { agreed, known: Some(value), .. } => {
-                Some(Stored { epoch: self.epoch, version: *agreed, value: value.clone() })
+            Stage::Leading { committed, committed_value: Some(value), .. } => {
+                Some(Stored { epoch: self.epoch, version: *committed, value: value.clone() })
             }
             _ => None,
         }
     }
 
-    /// Whether it is leader, or learns to be.
+    /// Whether it has been elected: it is the leader or is still learning which subjects are out.
     pub fn is_elected(&self) -> bool {
         matches!(self.stage, Stage::Learning(_) | Stage::Leading { .. })
     }
 
-    /// Whether it has nothing left to do.
-    fn is_lost(&self) -> bool {
+    /// Whether it was not elected or is no longer the leader.
+    fn has_stepped_down(&self) -> bool {
         matches!(self.stage, Stage::SteppedDown)
     }
 
-    /// Voters that have answered within the lease.
+    /// How many voters have responded to a request sent within the lease.
     pub fn voters_in_lease(&self, now: Micros) -> usize {
-        self.fresh(now).count()
+        self.responsive(now).count()
     }
 
-    fn fresh(&self, now: Micros) -> impl Iterator<Item = (&MemberId, &Heard<V>)> {
+    fn responsive(&self, now: Micros) -> impl Iterator<Item = (&MemberId, &VoterState<V>)> {
         let lease = self.times.lease;
-        self.heard.iter().filter(move |(_, heard)| heard.sent.is_some_and(|sent| now < sent + lease))
+        let states = self.voter_states.iter();
+        states.filter(move |(_, state)| state.request_sent.is_some_and(|sent| now < sent + lease))
     }
 
-    /// What goes to each voter now.
+    /// The requests to send to the voters now.
     pub fn heartbeat(&mut self, now: Micros) -> Vec<(MemberId, VoterRequest<V>)> {
-        self.beat += 1;
-        if self.sent.len() == BEATS {
-            self.sent.remove(0);
+        self.heartbeat += 1;
+        if self.heartbeats.len() == MAX_HEARTBEATS {
+            self.heartbeats.remove(0);
         }
-        self.sent.push((self.beat, now));
-        let (epoch, beat) = (self.epoch, self.beat);
-        let told = |voter: &MemberId| match &self.stage {
+        self.heartbeats.push((self.heartbeat, now));
+        let (epoch, heartbeat) = (self.epoch, self.heartbeat);
+        let request = |voter: &MemberId| match &self.stage {
             Stage::Preparing(_) | Stage::Learning(_) => {
-                Some((*voter, VoterRequest::Prepare { epoch, heartbeat: beat }))
+                Some((*voter, VoterRequest::Prepare { epoch, heartbeat }))
             }
             Stage::Leading { version, value, .. } => {
-                let life = self.heard.get(voter).map_or(0, |heard| heard.incarnation);
+                let incarnation = self.voter_states.get(voter).map_or(0, |state| state.incarnation);
                 let stored = Stored { epoch, version: *version, value: value.clone() };
-                Some((*voter, VoterRequest::Accept { heartbeat: beat, incarnation: life, stored }))
+                Some((*voter, VoterRequest::Accept { heartbeat, incarnation, stored }))
             }
             Stage::SteppedDown => None,
         };
-        self.voters.iter().filter_map(told).collect()
+        self.voters.iter().filter_map(request).collect()
     }
 
-    /// A voter has answered.
-    pub fn handle(&mut self, now: Micros, from: MemberId, told: VoterResponse<V>) {
-        let (epoch, beat, life) = match &told {
-            VoterResponse::Promise { epoch, heartbeat: beat, incarnation: life, .. }
-            | VoterResponse::Accepted { epoch, heartbeat: beat, incarnation: life, .. } => {
-                (*epoch, Some(*beat), *life)
+    /// Handles a voter's response.
+    pub fn handle(&mut self, now: Micros, from: MemberId, response: VoterResponse<V>) {
+        let (epoch, heartbeat, incarnation) = match &response {
+            VoterResponse::Promise { epoch, heartbeat, incarnation, .. }
+            | VoterResponse::Accepted { epoch, heartbeat, incarnation, .. } => {
+                (*epoch, Some(*heartbeat), *incarnation)
             }
-            VoterResponse::Rejected { epoch, incarnation: life, .. } => (*epoch, None, *life),
+            VoterResponse::Rejected { epoch, incarnation, .. } => (*epoch, None, *incarnation),
         };
-        if epoch != self.epoch || !self.voters.contains(&from) || self.is_lost() {
+        if epoch != self.epoch || !self.voters.contains(&from) || self.has_stepped_down() {
             return;
         }
-        if let VoterResponse::Rejected { promised, .. } = told {
+        if let VoterResponse::Rejected { promised, .. } = response {
             if promised > self.epoch {
                 self.stage = Stage::SteppedDown;
             } else {
-                // It has forgotten, and is named by its new life from now on. That is no answer that counts.
-                self.heard.insert(from, Heard { incarnation: life, sent: None, held: None, version: 0 });
+                // The voter lost its state in a restart. Later requests name its new incarnation; the rejection does not
+                // count as a response within the lease.
+                let state = VoterState { incarnation, request_sent: None, held: None, version: 0 };
+                self.voter_states.insert(from, state);
             }
             return;
         }
-        let sent = self.sent.iter().find(|(of, _)| Some(*of) == beat).map(|(_, sent)| *sent);
+        let sent =
+            self.heartbeats.iter().find(|(number, _)| Some(*number) == heartbeat).map(|(_, sent)| *sent);
         let Some(sent) = sent.filter(|sent| now < sent + self.times.lease) else { return };
-        let fresh = Heard { incarnation: life, sent: None, held: None, version: 0 };
-        let known = self.heard.entry(from).or_insert_with(|| fresh.clone());
-        if known.incarnation != life {
-            *known = fresh;
+        let initial = VoterState { incarnation, request_sent: None, held: None, version: 0 };
+        let state = self.voter_states.entry(from).or_insert_with(|| initial.clone());
+        if state.incarnation != incarnation {
+            *state = initial;
         }
-        known.sent = known.sent.max(Some(sent));
-        match told {
-            VoterResponse::Promise { held, .. } => known.held = held,
-            VoterResponse::Accepted { version, .. } => known.version = known.version.max(version),
+        state.request_sent = state.request_sent.max(Some(sent));
+        match response {
+            VoterResponse::Promise { held, .. } => state.held = held,
+            VoterResponse::Accepted { version, .. } => state.version = state.version.max(version),
             VoterResponse::Rejected { .. } => {}
         }
     }
 
-    /// Looks what has come of it by `now`. Asked after each answer and whenever time has passed.
+    /// Advances the stage and reports what has changed by `now`. Called after each response and whenever time has passed.
     pub fn poll(&mut self, now: Micros) -> RegisterEvent<V> {
         let (lease, majority) = (self.times.lease, self.majority());
         let has_lease = self.voters_in_lease(now) >= majority;
-        let holding = |version: u32| self.fresh(now).filter(|(_, heard)| heard.version >= version).count();
+        let accepted =
+            |version: u32| self.responsive(now).filter(|(_, state)| state.version >= version).count();
         match &self.stage {
-            // A later epoch was heard of.
+            // A voter has promised a later epoch.
             Stage::SteppedDown => RegisterEvent::SteppedDown,
             Stage::Preparing(since) if !has_lease => match now >= since + lease {
-                true => self.lose(),
+                true => self.step_down(),
                 false => RegisterEvent::Unchanged,
             },
-            Stage::Preparing(_) => self.elected(now),
-            _ if !has_lease => self.lose(),
+            Stage::Preparing(_) => self.become_elected(now),
+            _ if !has_lease => self.step_down(),
             Stage::Learning(until) if now < *until => RegisterEvent::Unchanged,
             Stage::Learning(_) => RegisterEvent::LearningDue,
-            Stage::Leading { version, agreed, .. } => {
+            Stage::Leading { version, committed, .. } => {
                 let version = *version;
-                if *agreed == version || holding(version) < majority {
+                if *committed == version || accepted(version) < majority {
                     return RegisterEvent::Unchanged;
                 }
-                if let Stage::Leading { agreed, known, value, .. } = &mut self.stage {
-                    (*agreed, *known) = (version, Some(value.clone()));
+                if let Stage::Leading { committed, committed_value, value, .. } = &mut self.stage {
+                    (*committed, *committed_value) = (version, Some(value.clone()));
                 }
                 RegisterEvent::Committed(version)
             }
         }
     }
 
-    fn lose(&mut self) -> RegisterEvent<V> {
+    fn step_down(&mut self) -> RegisterEvent<V> {
         self.stage = Stage::SteppedDown;
         RegisterEvent::SteppedDown
     }
 
-    fn elected(&mut self, now: Micros) -> RegisterEvent<V> {
-        let held: Vec<_> = self.fresh(now).filter_map(|(_, heard)| heard.held.as_ref()).collect();
+    fn become_elected(&mut self, now: Micros) -> RegisterEvent<V> {
+        let held: Vec<_> = self.responsive(now).filter_map(|(_, state)| state.held.as_ref()).collect();
         let latest = held.iter().max_by_key(|held| held.position()).map(|held| held.value.clone());
-        let remember = if self.heeds_memory { held.len() } else { self.voters_in_lease(now) };
+        let with_memory = if self.checks_memory { held.len() } else { self.voters_in_lease(now) };
         match latest {
-            Some(value) if remember >= self.majority() => {
-                self.keep(value);
+            Some(value) if with_memory >= self.majority() => {
+                self.lead(value);
                 RegisterEvent::Unchanged
             }
             latest => {
@@ -255,23 +262,24 @@
         }
     }
 
-    fn keep(&mut self, value: V) {
-        self.stage = Stage::Leading { version: 1, value, agreed: 0, known: None };
+    fn lead(&mut self, value: V) {
+        self.stage = Stage::Leading { version: 1, value, committed: 0, committed_value: None };
     }
 
-    /// What is out, as it was learnt: the value begins with it.
+    /// Takes the learned state as the first value and starts to lead. Ignored before the learning time is over.
     pub fn finish_learning(&mut self, now: Micros, value: V) {
         if matches!(self.stage, Stage::Learning(until) if now >= until) {
-            self.keep(value);
+            self.lead(value);
         }
     }
 
-    /// Changes the value; gives the version that has to be agreed before anything is done by it.
+    /// Proposes a value. Returns the version that has to be committed before anybody acts on the value; none unless it is
+    /// the leader.
     pub fn propose(&mut self, value: V) -> Option<u32> {
-        let Stage::Leading { version, value: kept, .. } = &mut self.stage else { return None };
-        if *kept != value {
+        let Stage::Leading { version, value: current, .. } = &mut self.stage else { return None };
+        if *current != value {
             *version += 1;
-            *kept = value;
+            *current = value;
         }
         Some(*version)
     }
--- a/crates/permits/src/request_table.rs
+++ b/crates/permits/src/request_table.rs
@@ -1,5 +1,5 @@
-//! The leader's request table: what is asked for, what is answered once it is agreed, and when a permit ends. Bounds: 64
-//! requests wait and 64 answers are remembered; who asks beyond that is told that the table is full.
+//! The leader's request table: requests that wait for a commit, the latest replies, and when a permit ends. Bounds: 64 requests
+//! wait and 64 replies are remembered; further requests are denied with [`Denied::Full`].
 
 use crate::bounds::{Denied, Observations};
 use crate::settings::PermitSettings;
@@ -7,127 +7,128 @@
 use basaltward_membership::{MemberId, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests that wait and answers that are remembered, each at most: whoever asks without end waits.
+/// The largest number of waiting requests, and of remembered replies: a member that sends requests without end has to wait.
 const MAX_REQUESTS: usize = 64;
 
-/// What is answered: the number of the permit that it is about, 0 where it is about none.
+/// The reply to a request: the number of the permit or plan that it concerns, 0 for none.
 pub type PermitResult = Result<u16, Denied>;
 
-/// Whose request.
+/// Identifies a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asker {
-    /// The node.
+pub struct Requester {
+    /// The node that sent it.
     pub node: MemberId,
-    /// The request's number there.
+    /// The tag that the node gave it.
     pub tag: u32,
 }
 
-/// A request that is answered once a version is agreed.
+/// A request that is answered once a version is committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Waiting {
     version: u32,
-    asker: Asker,
-    /// The permit that it is answered by, 0 for none.
+    requester: Requester,
+    /// The number of the permit or plan that answers it, 0 for none.
     number: u16,
 }
 
-/// A request with the permit that answers it.
+/// A granted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Granted {
-    /// Whose request.
-    pub asker: Asker,
-    /// The permit's number, 0 for none.
+    /// The request.
+    pub requester: Requester,
+    /// The number of the permit or plan that answers it, 0 for none.
     pub number: u16,
 }
 
-/// A leader's request table; a new leader has a new one.
+/// The request table; a new leader starts with an empty one.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     /// When this leader first knew of a permit.
-    known: BTreeMap<Subject, Micros>,
-    /// When this leader first knew that nothing more is done by it.
-    back: BTreeMap<Subject, Micros>,
+    first_known: BTreeMap<Subject, Micros>,
+    /// When this leader first knew that a permit was returned.
+    returned_since: BTreeMap<Subject, Micros>,
     waiting: Vec<Waiting>,
-    answered: VecDeque<(Asker, PermitResult)>,
+    replies: VecDeque<(Requester, PermitResult)>,
 }
 
 impl RequestTable {
-    /// The answer that this request has had, or that it waits; nothing where it is new.
-    pub fn repeated(&self, asker: Asker) -> Option<Option<PermitResult>> {
-        let waits = self.waiting.iter().any(|waiting| waiting.asker == asker).then_some(None);
-        waits.or_else(|| self.answered.iter().find(|(of, _)| *of == asker).map(|(_, answer)| Some(*answer)))
+    /// The reply to a request that was received before: `Some(None)` while it waits, none for a new request.
+    pub fn reply_to_repeated(&self, requester: Requester) -> Option<Option<PermitResult>> {
+        let waits = self.waiting.iter().any(|waiting| waiting.requester == requester).then_some(None);
+        waits.or_else(|| self.replies.iter().find(|(of, _)| *of == requester).map(|(_, reply)| Some(*reply)))
     }
 
-    /// Remembers an answer, which may have to be given again.
-    pub fn answer(&mut self, asker: Asker, answer: PermitResult) {
-        if self.answered.len() == MAX_REQUESTS {
-            self.answered.pop_front();
+    /// Remembers a reply for repetitions of its request.
+    pub fn record_reply(&mut self, requester: Requester, reply: PermitResult) {
+        if self.replies.len() == MAX_REQUESTS {
+            self.replies.pop_front();
         }
-        self.answered.push_back((asker, answer));
+        self.replies.push_back((requester, reply));
     }
 
-    /// A request waits until this version is agreed, and is answered by this number then; false where too many
-    /// wait.
-    pub fn wait(&mut self, version: u32, asker: Asker, number: u16) -> bool {
-        let room = self.waiting.len() < MAX_REQUESTS;
-        if room {
-            self.waiting.push(Waiting { version, asker, number });
+    /// Lets a request wait until this version is committed, to be answered with this number; false if too many wait.
+    pub fn wait(&mut self, version: u32, requester: Requester, number: u16) -> bool {
+        let has_capacity = self.waiting.len() < MAX_REQUESTS;
+        if has_capacity {
+            self.waiting.push(Waiting { version, requester, number });
         }
-        room
+        has_capacity
     }
 
-    /// This version is agreed: the requests that are answered by it.
-    pub fn agreed(&mut self, version: u32) -> Vec<Granted> {
+    /// Removes and returns the requests that the commit of this version answers.
+    pub fn committed(&mut self, version: u32) -> Vec<Granted> {
         let (ready, waiting): (Vec<_>, _) =
             self.waiting.drain(..).partition(|waiting| waiting.version <= version);
         self.waiting = waiting;
-        ready.into_iter().map(|Waiting { asker, number, .. }| Granted { asker, number }).collect()
+        ready.into_iter().map(|Waiting { requester, number, .. }| Granted { requester, number }).collect()
     }
 
-    /// A permit is given anew: what was known of an earlier one of its subject says nothing of it.
-    pub fn given(&mut self, now: Micros, subject: Subject) {
-        self.known.insert(subject, now);
-        self.back.remove(&subject);
+    /// Records that a permit was granted; discards what was known of an earlier permit of this subject.
+    pub fn permit_granted(&mut self, now: Micros, subject: Subject) {
+        self.first_known.insert(subject, now);
+        self.returned_since.remove(&subject);
     }
 
-    /// Whether a scheduler's permit has stood for longer than a step may take.
-    pub fn is_overdue(&self, now: Micros, state: &PermitState, step: Micros) -> bool {
+    /// Whether a scheduler's permit has been in force during a release for longer than a step may take.
+    pub fn is_overdue(&self, now: Micros, state: &PermitState, step_timeout: Micros) -> bool {
         let schedulers =
             state.permits.iter().filter(|permit| matches!(permit.subject, Subject::Scheduler(_)));
-        let known = schedulers.filter_map(|permit| self.known.get(&permit.subject));
-        state.plan.is_some() && known.min().is_some_and(|known| now >= known + step)
+        let known = schedulers.filter_map(|permit| self.first_known.get(&permit.subject));
+        state.plan.is_some() && known.min().is_some_and(|known| now >= known + step_timeout)
     }
 
-    /// The state without the permits whose subjects have proven to be back.
+    /// Returns the state without the permits whose subjects have proven to be back in use.
     ///
-    /// A permit may be acted on for a lease from when it was asked for, so that a silence after we first knew of it
-    /// nobody begins to any more; a settling time later our view shows who did. Whoever asked may say earlier that
-    /// it is done. A drained worker is back when it is a new one, or when whoever drained it says so, and has been
-    /// used since.
-    pub fn settle(
+    /// A permit may be acted on for a lease from when it was requested. So a silence after this leader first knew of the
+    /// permit nobody starts to act on it any more, and a settling time later the membership shows whether its subject is
+    /// out. The holder may return the permit earlier. A drained worker is back once it runs as a new incarnation, or once
+    /// its permit was returned, and it has been in use since.
+    pub fn without_ended(
         &mut self,
         now: Micros,
         state: &PermitState,
         observations: &Observations,
         settings: &PermitSettings,
     ) -> PermitState {
-        self.known.retain(|subject, _| state.permit(*subject).is_some());
-        self.back.retain(|subject, _| state.permit(*subject).is_some_and(|permit| permit.returned));
+        self.first_known.retain(|subject, _| state.permit(*subject).is_some());
+        self.returned_since.retain(|subject, _| state.permit(*subject).is_some_and(|permit| permit.returned));
         let mut left = state.clone();
         for permit in &state.permits {
             let subject = permit.subject;
-            let known = *self.known.entry(subject).or_insert(now);
+            let known = *self.first_known.entry(subject).or_insert(now);
             let Some(seen) = observations.get(&subject) else { continue };
-            let warm = seen.in_use_for.is_some_and(|used| used >= settings.min_in_use);
-            let shown = now >= known + settings.times.silence + settings.settle;
-            let back = permit.returned.then(|| *self.back.entry(subject).or_insert(now));
-            let by_itself = match subject {
-                Subject::Scheduler(_) => shown,
-                Subject::Worker(_) => shown && seen.incarnation != permit.incarnation,
-                // What was done in its place it has to learn first, and says so.
+            let long_in_use = seen.in_use_for.is_some_and(|used| used >= settings.min_in_use);
+            let visible = now >= known + settings.times.silence + settings.settle;
+            let returned_since = permit.returned.then(|| *self.returned_since.entry(subject).or_insert(now));
+            let without_return = match subject {
+                Subject::Scheduler(_) => visible,
+                Subject::Worker(_) => visible && seen.incarnation != permit.incarnation,
+                // It first has to learn what was done in its place, and then returns the permit.
                 Subject::Site(_) | Subject::Gateway(_) => false,
             };
-            if warm && (by_itself || back.is_some_and(|since| now >= since + settings.min_in_use)) {
+            if long_in_use
+                && (without_return || returned_since.is_some_and(|since| now >= since + settings.min_in_use))
+            {
                 left.remove(subject);
             }
         }
--- a/crates/permits/src/settings.rs
+++ b/crates/permits/src/settings.rs
@@ -1,44 +1,44 @@
-//! Figures of a permits node, with their usual values and checks. Times are microseconds.
+//! Settings of a permit node, with their default values and checks. Times are in microseconds.
 
 use crate::bounds::Bounds;
 use crate::register::Times;
 use basaltward_membership::{MemberId, Micros};
 use thiserror::Error;
 
-/// Voters at most.
+/// The largest number of voters.
 pub const MAX_VOTERS: usize = 7;
 
-/// Figures of a member. All of a fleet need the same, but for `own`, `seed` and `life`.
+/// Settings of a member. All members of a fleet need the same, except for `own`, `seed` and `incarnation`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PermitSettings {
-    /// Names the fleet, as in its view.
+    /// The fleet's number, as in the membership protocol.
     pub fleet: u16,
-    /// Our number in the configured list.
+    /// This member's number in the configured list.
     pub own: MemberId,
-    /// Members that vote, by number.
+    /// The numbers of the members that vote.
     pub voters: Vec<MemberId>,
-    /// Another one with each life.
+    /// Different after each restart.
     pub incarnation: u32,
-    /// For choices.
+    /// Seeds the random choices.
     pub seed: u64,
-    /// See [`Times`].
+    /// The times on which safety depends.
     pub times: Times,
-    /// The leader asks its voters for an answer so often.
+    /// The interval of the heartbeats that the leader sends to the voters.
     pub tick: Micros,
-    /// By then a view shows what has become of a member: the view's settling time.
+    /// How long it takes until the membership shows a change of a member's state everywhere: its settling time.
     pub settle: Micros,
-    /// One that was out has to be in use for so long, to count as back.
+    /// How long a subject that was out has to be in use before its permit may end.
     pub min_in_use: Micros,
-    /// A scheduler whose permit stands for longer than this while a release goes on halts all.
+    /// A scheduler's permit that is in force for longer than this during a release halts the fleet.
     pub step_timeout: Micros,
-    /// How many may be out.
+    /// How many subjects may be out of service.
     pub bounds: Bounds,
 }
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// There is an odd number of voters, up to [`MAX_VOTERS`], each once.
+    /// The number of voters is not odd, exceeds [`MAX_VOTERS`], or a voter is listed twice.
     #[error("{0} voters: there has to be an odd number of them, each once, 7 at most")]
     Voters(usize),
     /// A time is too short.
@@ -46,8 +46,8 @@
     Short(&'static str),
 }
 
-/// The voters of a fleet of so many: five, or as many as there are, an odd number, far apart in the list, as
-/// neighbours in a list often stand in one zone and on one machine.
+/// The default voters of a fleet of this size: five, three or one, spread over the list, as neighbours in the list often run
+/// in the same zone or on the same machine.
 pub fn default_voters(size: MemberId) -> Vec<MemberId> {
     let count: MemberId = match size {
         0 => 0,
@@ -61,7 +61,7 @@
 }
 
 impl PermitSettings {
-    /// The usual figures: a lease of 2 s, told four times in it, and clocks that differ by a tenth of their rate.
+    /// The defaults: a lease of 2 s with at least four heartbeats in it, for clocks that run up to 10 % fast or slow.
     pub fn new(size: MemberId, own: MemberId, life: u32, seed: u64) -> Self {
         let settle = basaltward_membership::MembershipSettings::new(size.max(1), 0, 0, 0).settling();
         Self {
@@ -79,26 +79,26 @@
         }
     }
 
-    /// Checks them.
+    /// Checks the settings.
     ///
     /// # Errors
-    /// Where they can't be used.
+    /// If the voters are invalid or a time is too short for the others.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let mut each = self.voters.clone();
-        each.sort_unstable();
-        each.dedup();
-        if each.len() != self.voters.len() || each.len().is_multiple_of(2) || each.len() > MAX_VOTERS {
+        let mut unique = self.voters.clone();
+        unique.sort_unstable();
+        unique.dedup();
+        if unique.len() != self.voters.len() || unique.len().is_multiple_of(2) || unique.len() > MAX_VOTERS {
             return Err(SettingsError::Voters(self.voters.len()));
         }
         let Times { lease, silence, learning } = self.times;
-        // A clock that runs a tenth fast against one that runs a tenth slow: 1.1 / 0.9 < 1.25.
-        let figures = [
+        // A clock that runs 10 % fast against one that runs 10 % slow: 1.1 / 0.9 < 1.25.
+        let checks = [
             ("silence", silence >= lease + lease / 4),
             ("learning", learning >= silence + self.settle),
             ("lease", lease >= self.tick * 4),
             ("tick", self.tick > 0),
         ];
-        match figures.iter().find(|(_, good)| !good) {
+        match checks.iter().find(|(_, valid)| !valid) {
             Some((name, _)) => Err(SettingsError::Short(name)),
             None => Ok(()),
         }
