--- a/crates/permits/src/bounds/tests.rs
+++ b/crates/permits/src/bounds/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of [`super`], which need its inside.
+//! Tests of the private parts of [`super`].
 
 use super::*;
 
 fn observations(used: &[bool]) -> Observations {
-    let seen = |(at, used): (usize, &bool)| {
+    let observation = |(at, used): (usize, &bool)| {
         let used = used.then_some(1_000_000);
         (
             Subject::Worker(at as u32),
@@ -16,35 +16,35 @@
             },
         )
     };
-    used.iter().enumerate().map(seen).collect()
+    used.iter().enumerate().map(observation).collect()
 }
 
 #[test]
-fn everything_that_is_out_counts_whoever_put_it_there() {
+fn every_subject_out_of_service_counts_whatever_the_cause() {
     let bounds = Bounds { workers: Limit::Number(3), workers_of_zone: Limit::Number(2), ..Bounds::default() };
     let mut state = PermitState::default();
-    let ask = |state: &PermitState, used: &[bool], of| {
+    let request = |state: &PermitState, used: &[bool], of| {
         grant_permit(state, &observations(used), &bounds, Subject::Worker(of))
     };
     let all = [true; 10];
-    let given = ask(&state, &all, 0).expect("nobody is out");
-    assert!(state.add(given));
-    assert_eq!(ask(&state, &all, 0), Err(Denied::Taken(1)));
-    assert_eq!(ask(&state, &all, 77), Err(Denied::Unknown));
-    assert_eq!(ask(&state, &all, 9), Err(Denied::LastCopy));
-    // One of the same zone has crashed: with the one permitted the zone has two.
+    let permit = request(&state, &all, 0).expect("nothing is out");
+    assert!(state.add(permit));
+    assert_eq!(request(&state, &all, 0), Err(Denied::Taken(1)));
+    assert_eq!(request(&state, &all, 77), Err(Denied::Unknown));
+    assert_eq!(request(&state, &all, 9), Err(Denied::LastCopy));
+    // A worker of the same zone has crashed: together with the permitted one that makes two in the zone.
     let mut crashed = all;
     crashed[4] = false;
     let zone = Denied::Bound { of: Group::Zone(0), out: 3, most: 2 };
-    assert_eq!(ask(&state, &crashed, 2), Err(zone));
-    let other = ask(&state, &crashed, 1).expect("the other zone has room");
+    assert_eq!(request(&state, &crashed, 2), Err(zone));
+    let other = request(&state, &crashed, 1).expect("the other zone is below its bound");
     assert!(state.add(other));
     let fleet = Denied::Bound { of: Group::Fleet, out: 4, most: 3 };
-    assert_eq!(ask(&state, &crashed, 3), Err(fleet));
-    // Who crashes while permitted counts once.
+    assert_eq!(request(&state, &crashed, 3), Err(fleet));
+    // A worker that crashes while it has a permit counts once.
     crashed[0] = false;
     assert_eq!(out_of_service(&state, &observations(&crashed)).len(), 3);
-    // One that has left every list stays counted until it is written off.
+    // A worker with a permit that has left the list counts in the fleet until it is written off.
     assert_eq!(
         grant_permit(&state, &observations(&all[2..]), &bounds, Subject::Worker(3)).map(|_| ()),
         Ok(())
@@ -52,19 +52,20 @@
 }
 
 #[test]
-fn a_share_is_one_at_least_and_never_more_than_there_are() {
-    let of = |most: Limit| [0, 1, 9, 10, 300].map(|size| most.to_count(size));
-    assert_eq!(of(Limit::Percent(10)), [0, 1, 1, 1, 30]);
-    assert_eq!(of(Limit::Percent(200)), [0, 1, 9, 10, 300]);
-    assert_eq!(of(Limit::Number(3)), [0, 1, 3, 3, 3]);
+fn a_percentage_is_at_least_one_and_at_most_the_size_of_the_group() {
+    let counts = |limit: Limit| [0, 1, 9, 10, 300].map(|size| limit.to_count(size));
+    assert_eq!(counts(Limit::Percent(10)), [0, 1, 1, 1, 30]);
+    assert_eq!(counts(Limit::Percent(200)), [0, 1, 9, 10, 300]);
+    assert_eq!(counts(Limit::Number(3)), [0, 1, 3, 3, 3]);
 }
 
 #[test]
-fn no_more_permits_than_a_datagram_holds() {
+fn no_more_permits_are_granted_than_a_datagram_holds() {
     let mut state = PermitState::default();
-    let all = |of: u32| Permit { subject: Subject::Worker(of), number: 1, incarnation: 0, returned: false };
-    assert!((0..MAX_PERMITS as u32).all(|of| state.add(all(of))));
-    assert!(!state.add(all(99)) && state.add(all(3)));
+    let permit =
+        |of: u32| Permit { subject: Subject::Worker(of), number: 1, incarnation: 0, returned: false };
+    assert!((0..MAX_PERMITS as u32).all(|of| state.add(permit(of))));
+    assert!(!state.add(permit(99)) && state.add(permit(3)));
     let bounds =
         Bounds { workers: Limit::Percent(100), workers_of_zone: Limit::Percent(100), ..Bounds::default() };
     let observations = observations(&[true; 30]);
--- a/crates/permits/src/lib.rs
+++ b/crates/permits/src/lib.rs
@@ -1,19 +1,20 @@
-//! What a fleet of schedulers agrees on, though parts of it fail and nothing survives a restart: how many are out of use at
-//! once, which workers are drained, whether all is halted. A permit needs a majority of the voters, which are configured
-//! members (7 at most). One leader, elected by them for an epoch, keeps the replicated state. It travels in datagrams of at
-//! most 256 bytes that may be late, doubled or lost. Free of I/O: datagrams and times in, datagrams, changes and the next
-//! time out; times are microseconds on the caller's clock.
+//! Consensus of a fleet of schedulers on permits: how many subjects are out of service at once, which workers are drained,
+//! whether the fleet is halted. It holds although parts of the fleet fail and nothing is persisted over a restart. A permit needs
+//! a majority of the voters, which are configured members, at most 7. One leader, elected by them for an epoch, maintains the
+//! replicated state. It travels in datagrams of at most 256 bytes, which may be delayed, duplicated or lost. The crate does no
+//! I/O: datagrams and times in; datagrams, changes and the time of the next timer out. Times are in microseconds on the caller's
+//! clock.
 //!
-//! Modules use only what stands above them:
+//! Modules use only modules listed above them:
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `state`, `settings` | the replicated state, its permits and release plan; figures |
-//! | `bounds`, `plan` | whether one more may be out; which scheduler a release takes next |
-//! | `voter`, `register` | one voter; a candidate and leader of the replicated register |
-//! | `request_table`, `wire`, `operator` | the leader's requests; datagrams of nodes; datagrams of operators |
-//! | `node`, `leader` | [`PermitNode`]: a member's part in all of it; what it does while it leads |
-//! | `observer` | what a node sees, from the membership and the list of workers |
+//! | `state`, `settings` | the replicated state with its permits and release plan; settings of a node |
+//! | `bounds`, `plan` | whether one more subject may be out of service; which scheduler a release restarts next |
+//! | `voter`, `register` | one voter; a candidate or leader of the replicated register |
+//! | `request_table`, `wire`, `operator` | the leader's requests; datagrams between nodes; datagrams of operators |
+//! | `node`, `leader` | [`PermitNode`], the protocol of one member; its part as leader |
+//! | `observer` | observations of a node, from the membership and the list of workers |
 //! | `virtual_fleet` | schedulers and operators in virtual time |
 #![warn(missing_docs)]
 
--- a/crates/permits/src/operator/tests.rs
+++ b/crates/permits/src/operator/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of [`super`], which need its inside.
+//! Tests of the private parts of [`super`].
 
 use super::*;
 use crate::state::{MAX_PERMITS, Subject};
 use basaltward_membership::MAX_DATAGRAM_BYTES;
 
 #[test]
-fn the_largest_status_fits_and_comes_back_as_it_was() {
+fn the_largest_status_fits_into_a_datagram_and_round_trips() {
     let permit =
         |of| Permit { subject: Subject::Worker(of), number: u16::MAX, incarnation: u16::MAX, returned: true };
     let status = PermitStatus {
--- a/crates/permits/src/plan/tests.rs
+++ b/crates/permits/src/plan/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of [`super`], which need its inside.
+//! Tests of the private parts of [`super`].
 
 use super::*;
 use crate::state::Permit;
 
 fn observations(runs: &[Option<u32>]) -> Observations {
-    let seen = |(of, runs): (usize, &Option<u32>)| {
+    let observation = |(of, runs): (usize, &Option<u32>)| {
         let used = Some(1_000_000 * (10 - of as u64));
         (
             Subject::Scheduler(of as MemberId),
@@ -17,11 +17,11 @@
             },
         )
     };
-    runs.iter().enumerate().map(seen).collect()
+    runs.iter().enumerate().map(observation).collect()
 }
 
 #[test]
-fn one_goes_first_then_more_and_the_leader_last() {
+fn one_scheduler_goes_first_then_several_at_once_and_the_leader_last() {
     let plan = Plan { number: 1, to: 2, from: 1, rollback: false };
     let mut state = PermitState::default();
     let (old, new) = (Some(1), Some(2));
@@ -30,13 +30,13 @@
     let permit = |of| Permit { subject: Subject::Scheduler(of), number: 1, incarnation: 0, returned: false };
     assert!(state.add(permit(1)));
     assert_eq!(next_scheduler(&state, &plan, &observations(&[old, old, old, old]), 0), Err(Denied::Waits));
-    // With one done two may be out.
+    // Once one scheduler runs the target version, two may be out.
     assert_eq!(next_scheduler(&state, &plan, &observations(&[old, new, old, old]), 0), of(2));
     state.remove(Subject::Scheduler(1));
     assert_eq!(next_scheduler(&state, &plan, &observations(&[old, new, new, None]), 0), of(0));
     assert_eq!(next_scheduler(&state, &plan, &observations(&[new, new, new, None]), 0), Err(Denied::Waits));
     assert_eq!(next_scheduler(&state, &plan, &observations(&[new, new, new, new]), 0), Err(Denied::Over));
-    // A way back begins with those started last.
-    let back = Plan { rollback: true, to: 1, from: 2, ..plan };
-    assert_eq!(next_scheduler(&state, &back, &observations(&[new, new, new, old]), 0), of(2));
+    // A rollback begins with the most recently started schedulers.
+    let rollback = Plan { rollback: true, to: 1, from: 2, ..plan };
+    assert_eq!(next_scheduler(&state, &rollback, &observations(&[new, new, new, old]), 0), of(2));
 }
--- a/crates/permits/src/virtual_fleet.rs
+++ b/crates/permits/src/virtual_fleet.rs
@@ -1,8 +1,8 @@
-//! A fleet of schedulers in virtual time that are taken out and brought back by permits, while parts of it fail: for tests and
-//! measurements.
+//! A fleet of schedulers in virtual time that are taken out of service and brought back by permits, while parts of the fleet
+//! fail: for tests and measurements.
 //!
-//! Operators act as the command does: one asks a scheduler for a permit, looks at the time before it acts by it, and
-//! says when it is done. What is out is known here, whatever anybody believes.
+//! Operators act as the `fleet` command does: an operator requests a permit through a scheduler, checks the time before acting
+//! on it, and returns it when done. Which schedulers really are down is known here, whatever the members observe.
 
 use crate::bounds::Observations;
 use crate::node::{Fault, Output, PermitNode};
@@ -16,37 +16,37 @@
 };
 use std::collections::BTreeMap;
 
-/// Each tells the version that it runs so often.
+/// The interval at which each scheduler publishes the version that it runs.
 const VERSION_REPORT_INTERVAL_US: Micros = 5_000_000;
 
-/// A scheduler: its view and its part in what is agreed.
+/// A scheduler: its membership and its permit node.
 pub struct Scheduler {
-    /// The view.
+    /// The membership.
     pub membership: Membership,
-    /// The part.
+    /// The permit node.
     pub node: PermitNode,
     workers: Observations,
-    /// Where all stand, and by when a view shows who is lost.
+    /// The sites of all gateways, and the settling time after which one counts as lost.
     places: Option<(SiteMap, Micros)>,
     wall_ms: u64,
-    /// Sent for what is agreed.
+    /// Bytes of permit datagrams sent.
     bytes: u64,
-    runs: u32,
-    tell_runs: Micros,
+    version: u32,
+    next_version_report: Micros,
 }
 
-/// What a scheduler puts out.
+/// An output of a scheduler.
 pub enum SchedulerOutput {
-    /// Bytes to another.
+    /// A datagram to another scheduler.
     Send(MemberId, Vec<u8>),
-    /// Its view.
+    /// An output of its membership.
     Membership(MembershipOutput),
-    /// What is agreed.
+    /// An output of its permit node.
     Permits(Output),
 }
 
 impl Scheduler {
-    /// Has its part do something, by what it sees.
+    /// Calls `act` with the permit node and its observer, and collects the outputs.
     pub fn with_node<T>(
         &mut self,
         now: Micros,
@@ -54,30 +54,30 @@
         act: impl FnOnce(&mut PermitNode, &MembershipObserver, &mut Vec<Output>) -> T,
     ) -> T {
         let wall_ms = self.wall_ms + now / 1_000;
-        let (membership, told, places) = (&self.membership, &self.workers, &self.places);
-        let seen = |now| {
-            let mut seen = told.clone();
-            seen.extend(
+        let (membership, workers, places) = (&self.membership, &self.workers, &self.places);
+        let observations = |now| {
+            let mut observations = workers.clone();
+            observations.extend(
                 places.iter().flat_map(|(places, settle)| observe_sites(membership, places, *settle, now)),
             );
-            seen
+            observations
         };
-        let observer = MembershipObserver { membership, zones: &[], workers: &seen, wall_ms };
-        let mut told = Vec::new();
-        let done = act(&mut self.node, &observer, &mut told);
+        let observer = MembershipObserver { membership, zones: &[], workers: &observations, wall_ms };
+        let mut outputs = Vec::new();
+        let result = act(&mut self.node, &observer, &mut outputs);
         let bytes =
-            |told: &Output| if let Output::Send { bytes, .. } = told { bytes.len() as u64 } else { 0 };
-        self.bytes += told.iter().map(bytes).sum::<u64>();
-        out.extend(told.into_iter().map(|told| match told {
+            |output: &Output| if let Output::Send { bytes, .. } = output { bytes.len() as u64 } else { 0 };
+        self.bytes += outputs.iter().map(bytes).sum::<u64>();
+        out.extend(outputs.into_iter().map(|output| match output {
             Output::Send { to, bytes } => SchedulerOutput::Send(to, bytes),
             other => SchedulerOutput::Permits(other),
         }));
-        done
+        result
     }
 }
 
-fn seen(told: Vec<MembershipOutput>, out: &mut Vec<SchedulerOutput>) {
-    out.extend(told.into_iter().map(|told| match told {
+fn collect(outputs: Vec<MembershipOutput>, out: &mut Vec<SchedulerOutput>) {
+    out.extend(outputs.into_iter().map(|output| match output {
         MembershipOutput::Send { to, bytes } => SchedulerOutput::Send(to, bytes),
         other => SchedulerOutput::Membership(other),
     }));
@@ -90,26 +90,26 @@
         if bytes.first() == Some(&VERSION) {
             self.with_node(now, out, |node, observer, out| node.handle(now, from, bytes, observer, out));
         } else {
-            let mut told = Vec::new();
-            self.membership.handle(now, from, bytes, &mut told);
-            seen(told, out);
+            let mut outputs = Vec::new();
+            self.membership.handle(now, from, bytes, &mut outputs);
+            collect(outputs, out);
         }
     }
 
     fn wake(&mut self, now: Micros, out: &mut Vec<SchedulerOutput>) {
-        if now >= self.tell_runs {
-            self.tell_runs = now + VERSION_REPORT_INTERVAL_US;
+        if now >= self.next_version_report {
+            self.next_version_report = now + VERSION_REPORT_INTERVAL_US;
             self.membership.publish_fact(
                 now,
                 RUNS,
-                &encode_counters(&[self.runs.into()]),
+                &encode_counters(&[self.version.into()]),
                 VERSION_REPORT_INTERVAL_US * 4,
             );
         }
         if self.membership.next_due() <= now {
-            let mut told = Vec::new();
-            self.membership.wake(now, &mut told);
-            seen(told, out);
+            let mut outputs = Vec::new();
+            self.membership.wake(now, &mut outputs);
+            collect(outputs, out);
         }
         if self.node.next_due() <= now {
             self.with_node(now, out, |node, observer, out| node.wake(now, observer, out));
@@ -117,7 +117,7 @@
     }
 
     fn next_due(&self) -> Micros {
-        self.membership.next_due().min(self.node.next_due()).min(self.tell_runs)
+        self.membership.next_due().min(self.node.next_due()).min(self.next_version_report)
     }
 
     fn datagram(out: SchedulerOutput) -> Result<(MemberId, Vec<u8>), SchedulerOutput> {
@@ -128,26 +128,26 @@
     }
 }
 
-/// An operator's question that is out, by whom it was asked and its number there.
+/// An operator's request in flight.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     request: PermitRequest,
-    /// On the clock of whom it was asked through.
-    since: Micros,
+    /// When it was submitted, by the clock of the scheduler that it goes through.
+    submitted_at: Micros,
 }
 
-/// An answer that an operator has.
+/// A reply that an operator has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OperatorAnswer {
-    /// When, in the world's time.
+    /// When it was received, in virtual time.
     pub at: Micros,
-    /// Through whom it was asked.
+    /// The scheduler through which the request was submitted.
     pub through: MemberId,
-    /// What was wanted.
+    /// The request.
     pub request: PermitRequest,
-    /// The answer.
+    /// The reply.
     pub answer: crate::request_table::PermitResult,
-    /// Until when it may be acted on, on that one's clock.
+    /// Until when it may be acted on, by that scheduler's clock.
     pub until: Micros,
 }
 
@@ -158,17 +158,18 @@
     settings: PermitSettings,
     workers: Observations,
     sites: Vec<Site>,
-    asked: BTreeMap<(MemberId, u32), PendingRequest>,
-    planted: Option<Fault>,
-    /// Answers that operators have had.
+    /// Requests in flight, by the scheduler that they go through and their tag there.
+    pending: BTreeMap<(MemberId, u32), PendingRequest>,
+    fault: Option<Fault>,
+    /// Replies that operators have received.
     pub answers: Vec<OperatorAnswer>,
 }
 
-/// The platform's wall clock at the world's beginning, in milliseconds since the beginning of 2026.
+/// The wall clock at the beginning of virtual time, in milliseconds since the beginning of 2026.
 const EPOCH_MS: u64 = 28_000_000_000;
 
 impl VirtualFleet {
-    /// So many schedulers by these settings, none of them started.
+    /// A fleet of `size` schedulers with these settings, none of them started.
     pub fn new(size: MemberId, settings: PermitSettings, workers: Observations, link: LinkFaults) -> Self {
         let net = VirtualNetwork::new(size, settings.seed, link);
         Self {
@@ -176,37 +177,37 @@
             settings,
             workers,
             sites: Vec::new(),
-            asked: BTreeMap::new(),
-            planted: None,
+            pending: BTreeMap::new(),
+            fault: None,
             answers: Vec::new(),
         }
     }
 
-    /// Whoever starts from now on is a gateway at one of these sites.
+    /// Schedulers started from now on are gateways at these sites, listed by scheduler number.
     pub fn set_sites(&mut self, sites: Vec<Site>) {
         self.sites = sites;
     }
 
-    /// Whoever starts from now on has this fault.
+    /// Schedulers started from now on have this fault.
     #[doc(hidden)]
     pub fn inject(&mut self, fault: Fault) {
-        self.planted = Some(fault);
+        self.fault = Some(fault);
     }
 
-    /// Starts a scheduler, which knows nothing of an earlier life.
+    /// Starts a scheduler as a new incarnation without any state.
     pub fn start(&mut self, of: MemberId) {
         self.start_with_version(of, 0);
     }
 
-    /// As [`VirtualFleet::start`], with the mark of the version that it runs.
-    pub fn start_with_version(&mut self, of: MemberId, runs: u32) {
+    /// Like [`VirtualFleet::start`], with the hash of the version that the scheduler runs.
+    pub fn start_with_version(&mut self, of: MemberId, version: u32) {
         let (size, now) = (self.net.numbers().end, self.net.clock(of));
         let wall = EPOCH_MS + self.net.now / 1_000;
-        let life = self.net.draw(u64::from(u32::MAX)) as u32;
-        let settings = PermitSettings { own: of, incarnation: life, ..self.settings.clone() };
+        let incarnation = self.net.draw(u64::from(u32::MAX)) as u32;
+        let settings = PermitSettings { own: of, incarnation, ..self.settings.clone() };
         let membership = Membership::new(MembershipSettings::new(size, of, wall, self.settings.seed), now);
         let (Ok(membership), Ok(mut node)) = (membership, PermitNode::new(settings, now)) else { return };
-        self.planted.into_iter().for_each(|fault| node.inject(fault, now));
+        self.fault.into_iter().for_each(|fault| node.inject(fault, now));
         let wall_ms = wall - now / 1_000;
         let scheduler = Scheduler {
             membership,
@@ -215,13 +216,13 @@
             places: SiteMap::new(self.sites.clone(), of).map(|places| (places, self.settings.settle)),
             wall_ms,
             bytes: 0,
-            runs,
-            tell_runs: now,
+            version,
+            next_version_report: now,
         };
         self.net.put(of, scheduler);
     }
 
-    /// What all are told of workers from now on.
+    /// Replaces the observations of workers at all schedulers, also at those started later.
     pub fn set_workers(&mut self, workers: Observations) {
         for of in self.net.numbers() {
             self.net.node_mut(of).into_iter().for_each(|one| one.workers.clone_from(&workers));
@@ -229,43 +230,43 @@
         self.workers = workers;
     }
 
-    /// An operator asks for something through a scheduler that is up.
-    pub fn submit(&mut self, by: MemberId, request: PermitRequest) {
-        let mut tag = None;
-        self.net.act(by, |one, now, out| {
-            let asked =
-                one.with_node(now, out, |node, observer, out| node.submit(now, request, observer, out));
-            tag = Some((asked, now));
+    /// An operator submits a request through a scheduler, which has to be up.
+    pub fn submit(&mut self, through: MemberId, request: PermitRequest) {
+        let mut submitted = None;
+        self.net.act(through, |one, now, out| {
+            let tag = one.with_node(now, out, |node, observer, out| node.submit(now, request, observer, out));
+            submitted = Some((tag, now));
         });
-        if let Some((tag, since)) = tag {
-            self.asked.insert((by, tag), PendingRequest { request, since });
+        if let Some((tag, submitted_at)) = submitted {
+            self.pending.insert((through, tag), PendingRequest { request, submitted_at });
         }
     }
 
-    /// Bytes that living members have sent for what is agreed, their views aside.
+    /// Bytes of permit datagrams that the running schedulers have sent; datagrams of the membership are not included.
     pub fn permit_bytes_sent(&self) -> u64 {
         self.net.numbers().filter_map(|of| self.net.node(of)).map(|one| one.bytes).sum()
     }
 
-    /// Runs until this time, and reads the answers that have come.
+    /// Runs until this time and collects the replies received.
     pub fn run(&mut self, until: Micros) {
         self.net.run(until);
-        for (at, by, told) in &self.net.told {
-            let SchedulerOutput::Permits(Output::Answered { tag, answer }) = told else { continue };
-            let Some(PendingRequest { request, since }) = self.asked.remove(&(*by, *tag)) else { continue };
-            let until = since + self.settings.times.lease;
-            self.answers.push(OperatorAnswer { at: *at, through: *by, request, answer: *answer, until });
+        for (at, through, output) in &self.net.told {
+            let SchedulerOutput::Permits(Output::Answered { tag, answer }) = output else { continue };
+            let Some(pending) = self.pending.remove(&(*through, *tag)) else { continue };
+            let PendingRequest { request, submitted_at } = pending;
+            let until = submitted_at + self.settings.times.lease;
+            self.answers.push(OperatorAnswer { at: *at, through: *through, request, answer: *answer, until });
         }
         self.net.told.clear();
     }
 
-    /// The schedulers that are leaders, by their own word.
+    /// The schedulers that consider themselves leader.
     pub fn leaders(&self) -> Vec<MemberId> {
-        let is = |of: &MemberId| self.net.node(*of).is_some_and(|one| one.node.is_leader());
-        self.net.numbers().filter(is).collect()
+        let is_leader = |of: &MemberId| self.net.node(*of).is_some_and(|one| one.node.is_leader());
+        self.net.numbers().filter(is_leader).collect()
     }
 
-    /// Whether a scheduler does not run.
+    /// Whether a subject is a scheduler that does not run.
     pub fn is_down(&self, subject: Subject) -> bool {
         matches!(subject, Subject::Scheduler(of) if self.net.node(of).is_none())
     }
--- a/crates/permits/src/wire/tests.rs
+++ b/crates/permits/src/wire/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of [`super`], which need its inside.
+//! Tests of the private parts of [`super`].
 
 use super::*;
 use crate::state::{MAX_PERMITS, Permit, Plan};
 use basaltward_membership::MAX_DATAGRAM_BYTES;
 
 #[test]
-fn the_largest_ledger_fits_and_comes_back_as_it_was() {
+fn the_largest_state_fits_into_a_datagram_and_round_trips() {
     let subject = |of| Subject::Worker(u32::MAX - of);
     let permit =
         |of| Permit { subject: subject(of), number: u16::MAX, incarnation: u16::MAX, returned: true };
@@ -14,15 +14,15 @@
         PermitState { permits: (0..MAX_PERMITS as u32).map(permit).collect(), last_number: u16::MAX, plan };
     let epoch = Epoch { ms: u64::MAX, by: MemberId::MAX };
     let stored = Stored { epoch, version: u32::MAX, value };
-    let store = VoterRequest::Accept { heartbeat: u32::MAX, incarnation: u32::MAX, stored: stored.clone() };
-    let yields = VoterResponse::Promise {
+    let accept = VoterRequest::Accept { heartbeat: u32::MAX, incarnation: u32::MAX, stored: stored.clone() };
+    let promise = VoterResponse::Promise {
         epoch,
         heartbeat: u32::MAX,
         incarnation: u32::MAX,
         held: Some(stored.clone()),
     };
     let halt = Halt { count: u32::MAX, on: true };
-    for body in [Body::VoterRequest(store), Body::VoterResponse(yields), Body::State(Some(stored), halt)] {
+    for body in [Body::VoterRequest(accept), Body::VoterResponse(promise), Body::State(Some(stored), halt)] {
         let message = Message { fleet: u16::MAX, from: MemberId::MAX, body };
         let bytes = message.write().expect("it fits");
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES && bytes.len() > 200, "{}", bytes.len());
