--- a/crates/permits/tests/hard_cases.rs
+++ b/crates/permits/tests/hard_cases.rs
@@ -1,5 +1,5 @@
-//! What a fleet under a bound goes through, in virtual time, over many seeds: never more are out by permit than the
-//! bound allows, and none goes while accidents use it up. Other seeds: `AGREED_SEEDS=0..500 cargo test --release`.
+//! Failures of a fleet in virtual time, over many seeds: never more schedulers are out by permit than the bound allows, and
+//! none is taken out while failures use up the bound. Other seeds: `AGREED_SEEDS=0..500 cargo test --release`.
 use basaltward_membership::{LinkFaults, MemberId, Micros};
 use basaltward_permits::{
     Bounds, Denied, Fault, Limit, Observations, PermitRequest, PermitSettings, Subject, VirtualFleet,
@@ -9,45 +9,47 @@
 const S: Micros = 1_000_000;
 const BOUND: usize = 2;
 
-fn seeds(usual: u64) -> std::ops::Range<u64> {
-    let told = std::env::var("AGREED_SEEDS").unwrap_or_default();
-    let told = told.split_once("..").and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
-    told.unwrap_or(0..usual)
+fn seeds(default_count: u64) -> std::ops::Range<u64> {
+    let range = std::env::var("AGREED_SEEDS").unwrap_or_default();
+    let range = range.split_once("..").and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
+    range.unwrap_or(0..default_count)
 }
 
-/// A permit in an operator's hands.
-struct Held {
+/// A permit that an operator has received and not yet acted on.
+struct HeldPermit {
     of: MemberId,
     number: u16,
-    /// Through whom it was asked for, and until when it may be acted on, on that one's clock.
-    by: MemberId,
+    /// The scheduler through which it was requested.
+    through: MemberId,
+    /// Until when it may be acted on, by that scheduler's clock.
     until: Micros,
-    /// When the operator acts.
-    at: Micros,
+    /// When the operator acts on it.
+    act_at: Micros,
 }
 
-/// A fleet with operators that want schedulers out all the time, and its true state.
+/// A fleet whose operators request permits for schedulers all the time, and its actual state.
 struct Run {
     fleet: VirtualFleet,
     settings: PermitSettings,
-    /// Who is out by a permit, and when each comes back.
+    /// Schedulers that are out by a permit, with the time at which each comes back and the number of the permit.
     out: BTreeMap<MemberId, (Micros, u16)>,
-    /// Who is down by accident, since when.
-    accidents: BTreeMap<MemberId, Micros>,
-    /// Permits in operators' hands.
-    held: Vec<Held>,
-    /// Who is back, so that nothing more is done by its permit of this number.
-    done: BTreeMap<MemberId, u16>,
+    /// Schedulers that have failed, and since when.
+    failed: BTreeMap<MemberId, Micros>,
+    /// Permits that operators have received and not yet acted on.
+    held: Vec<HeldPermit>,
+    /// Permits still to be returned, by scheduler, as the scheduler is back.
+    to_return: BTreeMap<MemberId, u16>,
+    /// How many of the replies have been read.
     read: usize,
-    next_ask: Micros,
-    /// How often somebody went by a permit.
-    gone: usize,
-    /// What is broken, by time.
-    broken: Vec<(Micros, String)>,
-    /// One that goes is out for a second and up to this.
-    away: Micros,
-    /// Operators that don't look at the time.
-    late: bool,
+    next_request: Micros,
+    /// How many schedulers have been taken out by a permit so far.
+    taken_out: usize,
+    /// Violations of the bound, with their time.
+    violations: Vec<(Micros, String)>,
+    /// A scheduler that is taken out is down for one second and up to this time.
+    max_down: Micros,
+    /// Operators act on permits without checking the time.
+    ignores_lease: bool,
 }
 
 impl Run {
@@ -61,15 +63,15 @@
             fleet,
             settings,
             out: BTreeMap::new(),
-            accidents: BTreeMap::new(),
+            failed: BTreeMap::new(),
             held: Vec::new(),
-            done: BTreeMap::new(),
+            to_return: BTreeMap::new(),
             read: 0,
-            next_ask: 0,
-            gone: 0,
-            broken: Vec::new(),
-            away: 3 * S,
-            late: false,
+            next_request: 0,
+            taken_out: 0,
+            violations: Vec::new(),
+            max_down: 3 * S,
+            ignores_lease: false,
         }
     }
 
@@ -92,18 +94,18 @@
     }
 
     fn start(&mut self, of: MemberId) {
-        self.accidents.remove(&of);
+        self.failed.remove(&of);
         self.fleet.start(of);
     }
 
     fn kill(&mut self, of: MemberId) {
         if self.fleet.net.node(of).is_some() {
             self.fleet.net.kill(of);
-            self.accidents.insert(of, self.now());
+            self.failed.insert(of, self.now());
         }
     }
 
-    /// Lets time pass, with operators at work.
+    /// Lets time pass while operators act.
     fn pass(&mut self, span: Micros) {
         let until = self.now() + span;
         while self.now() < until {
@@ -116,64 +118,65 @@
     fn operate(&mut self) {
         let now = self.now();
         for at in self.read..self.fleet.answers.len() {
-            let told = self.fleet.answers[at];
-            match (told.request, told.answer) {
+            let answer = self.fleet.answers[at];
+            match (answer.request, answer.answer) {
                 (PermitRequest::Acquire(Subject::Scheduler(of)), Ok(number)) => {
-                    let at = now + self.fleet.net.draw(if self.late { 30 * S } else { 3 * S });
-                    self.held.push(Held { of, number, by: told.through, until: told.until, at });
+                    let act_at = now + self.fleet.net.draw(if self.ignores_lease { 30 * S } else { 3 * S });
+                    let (through, until) = (answer.through, answer.until);
+                    self.held.push(HeldPermit { of, number, through, until, act_at });
                 }
                 (PermitRequest::Return(Subject::Scheduler(of), number), Ok(_) | Err(Denied::Stale)) => {
-                    self.done.retain(|who, done| (*who, *done) != (of, number));
+                    self.to_return.retain(|back, returned| (*back, *returned) != (of, number));
                 }
                 _ => {}
             }
         }
         self.read = self.fleet.answers.len();
-        // Whoever holds a permit that may be acted on yet may go at any moment.
-        let may = self.held.iter().filter(|held| self.fleet.net.clock(held.by) < held.until);
-        let all: BTreeSet<_> = may.map(|held| held.of).chain(self.out.keys().copied()).collect();
+        // A permit that may still be acted on can take its scheduler out at any moment.
+        let usable = self.held.iter().filter(|held| self.fleet.net.clock(held.through) < held.until);
+        let all: BTreeSet<_> = usable.map(|held| held.of).chain(self.out.keys().copied()).collect();
         if all.len() > BOUND {
-            self.broken.push((now, format!("{all:?} are out or may go")));
+            self.violations.push((now, format!("{all:?} are out or may be taken out")));
         }
-        let (due, held): (Vec<_>, Vec<_>) = self.held.drain(..).partition(|held| held.at <= now);
+        let (due, held): (Vec<_>, Vec<_>) = self.held.drain(..).partition(|held| held.act_at <= now);
         self.held = held;
-        for Held { of, number, by, until, .. } in due {
-            let in_time = self.late || self.fleet.net.clock(by) < until;
+        for HeldPermit { of, number, through, until, .. } in due {
+            let in_time = self.ignores_lease || self.fleet.net.clock(through) < until;
             if in_time && self.fleet.net.node(of).is_some() {
-                self.go(of, number);
+                self.take_out(of, number);
             }
         }
         let back = self.out.iter().filter(|(_, (at, _))| *at <= now).map(|(of, (_, number))| (*of, *number));
         for (of, number) in back.collect::<Vec<_>>() {
             self.out.remove(&of);
             self.fleet.start(of);
-            self.done.insert(of, number);
+            self.to_return.insert(of, number);
         }
-        if now >= self.next_ask {
-            self.next_ask = now + 200_000 + self.fleet.net.draw(400_000);
-            let (of, by) = (self.fleet.net.draw(self.size().into()) as MemberId, self.any_up());
-            let done = self.done.first_key_value().map(|(of, number)| (*of, *number));
-            if let Some(by) = by {
-                self.fleet.submit(by, PermitRequest::Acquire(Subject::Scheduler(of)));
-                if let Some((of, number)) = done {
-                    self.fleet.submit(by, PermitRequest::Return(Subject::Scheduler(of), number));
+        if now >= self.next_request {
+            self.next_request = now + 200_000 + self.fleet.net.draw(400_000);
+            let (of, through) = (self.fleet.net.draw(self.size().into()) as MemberId, self.any_up());
+            let back = self.to_return.first_key_value().map(|(of, number)| (*of, *number));
+            if let Some(through) = through {
+                self.fleet.submit(through, PermitRequest::Acquire(Subject::Scheduler(of)));
+                if let Some((of, number)) = back {
+                    self.fleet.submit(through, PermitRequest::Return(Subject::Scheduler(of), number));
                 }
             }
         }
     }
 
-    /// One goes by its permit: the bound holds, with all accidents that could be known of.
-    fn go(&mut self, of: MemberId, number: u16) {
+    /// Takes a scheduler out by its permit, and checks the bound. Failures count once the leader could have observed them.
+    fn take_out(&mut self, of: MemberId, number: u16) {
         let now = self.now();
         self.fleet.net.kill(of);
-        let back = now + S + self.fleet.net.draw(self.away);
+        let back = now + S + self.fleet.net.draw(self.max_down);
         self.out.insert(of, (back, number));
-        self.gone += 1;
-        let known = now.saturating_sub(self.settings.settle + self.settings.times.lease);
-        let accidents = self.accidents.values().filter(|since| **since <= known).count();
-        if self.out.len() > BOUND || self.out.len() + accidents > BOUND.max(accidents) {
-            let told = format!("{:?} out by permit, {accidents} by accident", self.out.keys());
-            self.broken.push((now, told));
+        self.taken_out += 1;
+        let observable = now.saturating_sub(self.settings.settle + self.settings.times.lease);
+        let failed = self.failed.values().filter(|since| **since <= observable).count();
+        if self.out.len() > BOUND || self.out.len() + failed > BOUND.max(failed) {
+            let violation = format!("{:?} out by permit, {failed} failed", self.out.keys());
+            self.violations.push((now, violation));
         }
     }
 
@@ -181,10 +184,10 @@
         self.fleet.leaders().first().copied()
     }
 
-    /// Until there is a leader, and permits are given.
-    fn ready(&mut self) {
-        let (until, gone) = (self.now() + 180 * S, self.gone);
-        while self.gone == gone {
+    /// Runs until a leader grants permits again and a scheduler is taken out by one.
+    fn run_until_permit_used(&mut self) {
+        let (until, taken_out) = (self.now() + 180 * S, self.taken_out);
+        while self.taken_out == taken_out {
             assert!(self.now() < until, "no permit in 180 s; leaders {:?}", self.fleet.leaders());
             self.pass(S / 2);
         }
@@ -195,7 +198,7 @@
 
 const CASES: [Case; 12] = [
     ("nothing fails", |run| run.pass(40 * S)),
-    ("the leader is killed again and again, at any moment", |run| {
+    ("the leader is killed repeatedly, at random moments", |run| {
         for _ in 0..12 {
             let moment = run.fleet.net.draw(4 * S);
             run.pass(moment);
@@ -206,7 +209,7 @@
             }
         }
     }),
-    ("the leader stands still for twenty seconds", |run| {
+    ("the leader is paused for twenty seconds", |run| {
         for _ in 0..2 {
             if let Some(of) = run.leader() {
                 run.fleet.net.pause(of, 20 * S);
@@ -214,7 +217,7 @@
             run.pass(25 * S);
         }
     }),
-    ("the leader stands still for the length of a lease", |run| {
+    ("the leader is paused for about the length of a lease", |run| {
         for _ in 0..10 {
             if let Some(of) = run.leader() {
                 let span = S + run.fleet.net.draw(3 * S);
@@ -223,7 +226,7 @@
             run.pass(5 * S);
         }
     }),
-    ("two halves", |run| {
+    ("the fleet is partitioned into two halves", |run| {
         let half: Vec<_> = (0..run.size() / 2).collect();
         for span in [6 * S, 20 * S] {
             run.fleet.net.cut(&half, true);
@@ -232,25 +235,25 @@
             run.pass(10 * S);
         }
     }),
-    ("the leader is heard by nobody, then hears nobody", |run| {
-        for speaks in [false, true] {
+    ("the leader cannot send, then cannot receive", |run| {
+        for can_send in [false, true] {
             let Some(of) = run.leader() else { continue };
             for blocked in [true, false] {
                 for other in run.fleet.net.numbers().filter(|other| *other != of) {
-                    let way = if speaks { (other, of) } else { (of, other) };
-                    run.fleet.net.block(way, blocked);
+                    let link = if can_send { (other, of) } else { (of, other) };
+                    run.fleet.net.block(link, blocked);
                 }
                 run.pass(8 * S);
             }
         }
     }),
-    ("seven in ten are killed at once, with permits out", |run| {
+    ("70 % of the schedulers are killed at once while permits are in force", |run| {
         let most: Vec<_> = (0..run.size() * 7 / 10).collect();
         most.iter().for_each(|of| run.kill(*of));
         run.pass(3 * S);
         most.iter().for_each(|of| run.start(*of));
     }),
-    ("every voter is restarted within a second", |run| {
+    ("all voters are restarted within a second", |run| {
         for _ in 0..3 {
             for of in run.settings.voters.clone() {
                 let moment = run.fleet.net.draw(S / 5);
@@ -274,7 +277,7 @@
             run.pass(moment);
         }
     }),
-    ("half of the clocks run a tenth fast, a quarter a tenth slow", |run| {
+    ("half of the clocks run 10 % fast, a quarter 10 % slow", |run| {
         for of in run.fleet.net.numbers() {
             run.fleet.net.set_rate(of, [1.1, 0.9, 1.1, 1.0][usize::from(of % 4)]);
             run.kill(of);
@@ -288,7 +291,7 @@
         }
         run.pass(20 * S);
     }),
-    ("a voter that was cut off is back as all others restart", |run| {
+    ("a partitioned voter reconnects as all others restart", |run| {
         for _ in 0..4 {
             let voters = run.settings.voters.clone();
             let at = run.fleet.net.draw(voters.len() as u64) as usize;
@@ -305,19 +308,19 @@
             run.pass(15 * S);
         }
     }),
-    ("one never comes back", |run| {
+    ("two schedulers never come back", |run| {
         run.kill(1);
         run.kill(2);
         run.pass(30 * S);
     }),
 ];
 
-fn play(size: MemberId, seed: u64, case: Case, plant: impl FnOnce(&mut Run)) -> Run {
+fn play(size: MemberId, seed: u64, case: Case, inject: impl FnOnce(&mut Run)) -> Run {
     let lost = [0.05, 0.0, 0.15, 0.3][(seed % 4) as usize];
     let mut run = Run::new(size, seed, lost);
-    plant(&mut run);
+    inject(&mut run);
     run.fleet.net.numbers().for_each(|of| run.fleet.start(of));
-    run.ready();
+    run.run_until_permit_used();
     (case.1)(&mut run);
     run.pass(15 * S);
     run
@@ -327,54 +330,56 @@
     for seed in seeds(count) {
         for case in CASES {
             let mut run = play(size, seed, case, |_| {});
-            // Once nothing fails any more permits are given again, but where some never come back.
+            // Once nothing fails any more, permits are granted again, except in the case in which schedulers never come back.
             if case.0 != CASES[11].0 {
-                run.ready();
+                run.run_until_permit_used();
             }
-            assert!(run.broken.is_empty(), "{}, {size}, seed {seed}: {:?}", case.0, run.broken);
+            assert!(run.violations.is_empty(), "{}, {size}, seed {seed}: {:?}", case.0, run.violations);
             assert!(run.fleet.net.longest <= basaltward_membership::MAX_DATAGRAM_BYTES);
         }
     }
 }
 
 #[test]
-fn three_keep_the_bound_in_each_case() {
+fn three_schedulers_keep_the_bound_in_each_case() {
     all_cases(3, 12);
 }
 
 #[test]
-fn ten_keep_the_bound_in_each_case() {
+fn ten_schedulers_keep_the_bound_in_each_case() {
     all_cases(10, 4);
 }
 
 #[test]
-fn thirty_keep_the_bound_in_each_case() {
+fn thirty_schedulers_keep_the_bound_in_each_case() {
     all_cases(30, 1);
 }
 
-/// Plays cases until the checker finds something, over so many seeds.
-fn found(cases: &[usize], seeds: u64, plant: impl Fn(&mut Run)) -> bool {
-    (0..seeds).any(|seed| cases.iter().any(|case| !play(5, seed, CASES[*case], &plant).broken.is_empty()))
+/// Whether the checker finds a violation in any of the cases with any of the seeds.
+fn finds_violation(cases: &[usize], seeds: u64, inject: impl Fn(&mut Run)) -> bool {
+    (0..seeds)
+        .any(|seed| cases.iter().any(|case| !play(5, seed, CASES[*case], &inject).violations.is_empty()))
 }
 
-/// One voter misses what is permitted, and all others that know of it restart before anybody sees who goes by it.
-fn forgotten(seed: u64, plant: impl FnOnce(&mut Run)) -> Run {
+/// One voter misses the commit of two permits, and all voters that stored them restart before the schedulers that go out by
+/// them are observed as down.
+fn lose_committed_permits(seed: u64, inject: impl FnOnce(&mut Run)) -> Run {
     let mut run = Run::new(10, seed, 0.0);
-    plant(&mut run);
-    run.next_ask = Micros::MAX;
-    run.away = 60 * S;
+    inject(&mut run);
+    run.next_request = Micros::MAX;
+    run.max_down = 60 * S;
     run.fleet.net.numbers().for_each(|of| run.fleet.start(of));
     run.pass(40 * S);
     let missing = run.settings.voters.iter().copied().find(|of| Some(*of) != run.leader()).expect("a voter");
     let request = |of| PermitRequest::Acquire(Subject::Scheduler(of));
     run.fleet.net.cut(&[missing], true);
     for of in [1, 3] {
-        let by = run.leader().expect("a leader");
-        run.fleet.submit(by, request(of));
+        let through = run.leader().expect("a leader");
+        run.fleet.submit(through, request(of));
     }
-    // They go at the last moment.
+    // Operators act on the permits at the last moment.
     run.pass(S);
-    run.held.iter_mut().for_each(|held| held.at = held.until - S / 10);
+    run.held.iter_mut().for_each(|held| held.act_at = held.until - S / 10);
     run.fleet.net.cut(&[missing], false);
     for of in run.settings.voters.clone().into_iter().filter(|of| *of != missing) {
         run.kill(of);
@@ -387,36 +392,36 @@
     run
 }
 
-/// Faults planted, each found by the same checker.
+/// The checker finds each injected fault; this one is a voter that responds at once after a restart.
 #[test]
-fn a_seat_that_votes_after_forgetting_is_found() {
-    let broken = |seed, plant: fn(&mut Run)| !forgotten(seed, plant).broken.is_empty();
-    assert!((0..40).any(|seed| broken(seed, |run| run.fleet.inject(Fault::VotesAfterRestart))));
-    assert!((0..40).all(|seed| !broken(seed, |_| {})));
+fn a_voter_without_silence_after_restart_is_found() {
+    let violated = |seed, inject: fn(&mut Run)| !lose_committed_permits(seed, inject).violations.is_empty();
+    assert!((0..40).any(|seed| violated(seed, |run| run.fleet.inject(Fault::VotesAfterRestart))));
+    assert!((0..40).all(|seed| !violated(seed, |_| {})));
 }
 
 #[test]
-fn a_seat_that_does_not_check_epochs_is_found() {
-    assert!(found(&[2, 3, 5], 40, |run| run.fleet.inject(Fault::IgnoresEpochs)));
+fn a_voter_that_does_not_check_epochs_is_found() {
+    assert!(finds_violation(&[2, 3, 5], 40, |run| run.fleet.inject(Fault::IgnoresEpochs)));
 }
 
 #[test]
-fn a_leader_that_counts_its_view_alone_is_found() {
-    assert!(found(&[0], 4, |run| run.fleet.inject(Fault::IgnoresPermits)));
+fn a_leader_that_ignores_permits_in_force_is_found() {
+    assert!(finds_violation(&[0], 4, |run| run.fleet.inject(Fault::IgnoresPermits)));
 }
 
 #[test]
-fn an_operator_that_acts_on_an_old_permit_is_found() {
-    assert!(found(&[0], 40, |run| run.late = true));
+fn an_operator_that_acts_on_an_expired_permit_is_found() {
+    assert!(finds_violation(&[0], 40, |run| run.ignores_lease = true));
 }
 
-/// A candidate that was refused tries again: four of five that had lost the first election never did, and nobody took
-/// the place of a leader that died.
+/// A candidate that lost an election has to start another one later. Once four of five voters that had lost the first election
+/// never did, and nobody replaced a leader that died.
 #[test]
-fn another_takes_the_place_of_a_leader_that_dies() {
+fn a_dead_leader_is_replaced() {
     for seed in 0..20 {
         let mut run = Run::new(8, seed, 0.05);
-        run.next_ask = Micros::MAX;
+        run.next_request = Micros::MAX;
         run.fleet.net.numbers().for_each(|of| run.fleet.start(of));
         run.pass(40 * S);
         for _ in 0..2 {
@@ -428,16 +433,17 @@
     }
 }
 
-/// The bound is kept by giving permits, not by giving none.
+/// Permits are granted while the bound allows it: the checks above would also hold if none ever were.
 #[test]
-fn permits_go_on_being_given() {
+fn permits_are_granted_within_the_bound() {
     let run = play(10, 1, CASES[0], |_| {});
-    assert!(run.gone >= 8, "{} went", run.gone);
-    // Two that never come back use the bound up.
+    assert!(run.taken_out >= 8, "{} were taken out", run.taken_out);
+    // Two schedulers that never come back use up the bound.
     let mut run = play(10, 1, CASES[11], |_| {});
-    let gone = run.gone;
+    let taken_out = run.taken_out;
     run.pass(30 * S);
-    assert_eq!(run.gone, gone);
-    let told = run.fleet.answers.iter().rev().find(|told| matches!(told.request, PermitRequest::Acquire(_)));
-    assert!(matches!(told.map(|told| told.answer), Some(Err(Denied::Bound { .. }))), "{told:?}");
+    assert_eq!(run.taken_out, taken_out);
+    let last =
+        run.fleet.answers.iter().rev().find(|answer| matches!(answer.request, PermitRequest::Acquire(_)));
+    assert!(matches!(last.map(|last| last.answer), Some(Err(Denied::Bound { .. }))), "{last:?}");
 }
--- a/crates/permits/tests/model.rs
+++ b/crates/permits/tests/model.rs
@@ -1,123 +1,130 @@
-//! Voters and leaders, checked exhaustively by the transitions of the code: three voters, two of whom would be
-//! leader, each with somebody who wants to be out under a bound of one. Voters restart and know nothing; messages
-//! are late for any time, doubled, or never come; time passes at any moment.
+//! Exhaustive model check of voters and leaders, with the code itself as the transitions: three voters, two of which are
+//! candidates and have a subject that requests a permit, under a bound of one. Voters restart without any state; messages are
+//! delayed for any time, duplicated or lost; time passes at any moment.
 use basaltward_permits::{
     Epoch, RegisterEvent, ReplicatedRegister, Stored, Times, Voter, VoterRequest, VoterResponse,
 };
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// In ticks.
+/// Times in ticks.
 const TIMES: Times = Times { lease: 2, silence: 3, learning: 3 };
 const VOTERS: [u16; 3] = [0, 1, 2];
 
-/// Who may be out, as bits.
+/// The subjects that may be out, as bits.
 type Value = u8;
 
-/// From, to, and what.
-type Said = (u16, u16, VoterRequest<Value>);
+/// Sender, receiver and request.
+type Sent = (u16, u16, VoterRequest<Value>);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: u64,
     voters: Vec<Voter<Value>>,
     registers: Vec<Option<ReplicatedRegister<Value>>>,
-    /// Who may still become leader, and so often restart, all together.
-    claims: Vec<u8>,
+    /// How many elections each candidate may still start.
+    elections: Vec<u8>,
+    /// How many restarts of any voters are still to come at most.
     restarts: u8,
-    /// When each asked to be out, and whether it was told that it may.
-    asked: Vec<Option<u64>>,
+    /// When each candidate's subject requested a permit.
+    requested: Vec<Option<u64>>,
+    /// Whether the permit was granted.
     granted: Vec<bool>,
+    /// The subjects that are out.
     out: Value,
-    /// On their way for good.
-    words: BTreeSet<Said>,
+    /// Sent requests; they are never removed, so that each can be delivered at any time and repeatedly.
+    in_flight: BTreeSet<Sent>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Tick,
-    Claim(usize),
-    Ask(usize),
-    /// Whoever may be out goes.
-    Go(usize),
+    StartElection(usize),
+    RequestPermit(usize),
+    /// A subject with a permit goes out.
+    GoOut(usize),
     Restart(usize),
-    /// A voter hears, and its answer comes or is lost. Answers that come later count for less, or not at all.
-    Deliver(Said, bool),
+    /// A voter receives a request; its response arrives at once or is lost. A later arrival would extend the lease less or
+    /// not at all.
+    Deliver(Sent, bool),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Planted {
-    Nothing,
-    /// A voter votes at once after it has forgotten, and its word counts as that of one that remembers.
+enum Fault {
+    None,
+    /// A voter responds at once after a restart, and counts like voters that still have their state.
     NoSilence,
-    NoMemory,
-    NoEpochs,
+    /// Voters that have lost their state count like the others.
+    Amnesia,
+    /// Voters accept requests of any epoch.
+    IgnoredEpochs,
 }
 
 struct VotersModel {
-    planted: Planted,
+    fault: Fault,
     ticks: u64,
     restarts: u8,
 }
 
-/// Without the number of the beat, which says only when it was sent.
-fn content(told: &VoterRequest<Value>) -> VoterRequest<Value> {
-    let mut told = told.clone();
-    let (VoterRequest::Prepare { heartbeat: beat, .. } | VoterRequest::Accept { heartbeat: beat, .. }) =
-        &mut told;
-    *beat = 0;
-    told
+/// The request without its heartbeat number, which only identifies when it was sent.
+fn content(request: &VoterRequest<Value>) -> VoterRequest<Value> {
+    let mut request = request.clone();
+    let (VoterRequest::Prepare { heartbeat, .. } | VoterRequest::Accept { heartbeat, .. }) = &mut request;
+    *heartbeat = 0;
+    request
 }
 
 impl VotersModel {
-    /// On its way for good; it stands for what says the same and was sent earlier, and counts less.
-    fn say(world: &mut World, from: u16, to: u16, told: VoterRequest<Value>) {
-        let same = |said: &Said| (said.0, said.1) == (from, to) && content(&said.2) == content(&told);
-        world.words.retain(|said| !same(said));
-        world.words.insert((from, to, told));
+    /// Puts a request in flight. It replaces earlier requests of the same content, whose responses would extend the lease
+    /// less.
+    fn send(world: &mut World, from: u16, to: u16, request: VoterRequest<Value>) {
+        let same = |sent: &Sent| (sent.0, sent.1) == (from, to) && content(&sent.2) == content(&request);
+        world.in_flight.retain(|sent| !same(sent));
+        world.in_flight.insert((from, to, request));
     }
 
-    fn beat(&self, world: &mut World, of: usize) {
+    fn send_heartbeats(&self, world: &mut World, of: usize) {
         let now = world.now;
-        let told = world.registers[of].as_mut().map(|register| register.heartbeat(now)).unwrap_or_default();
-        for (to, told) in told {
-            // What one says to itself comes at once.
+        let requests =
+            world.registers[of].as_mut().map(|register| register.heartbeat(now)).unwrap_or_default();
+        for (to, request) in requests {
+            // A candidate's request to its own voter is delivered at once.
             if usize::from(to) == of {
-                if let Some(answer) = world.voters[of].handle(now, told) {
+                if let Some(response) = world.voters[of].handle(now, request) {
                     world.registers[of]
                         .iter_mut()
-                        .for_each(|register| register.handle(now, to, answer.clone()));
+                        .for_each(|register| register.handle(now, to, response.clone()));
                 }
             } else {
-                Self::say(world, of as u16, to, told);
+                Self::send(world, of as u16, to, request);
             }
         }
     }
 
-    fn turn(&self, world: &mut World, of: usize) {
+    fn process_events(&self, world: &mut World, of: usize) {
         loop {
             let now = world.now;
-            let was = world.registers[of].as_ref().is_some_and(|register| register.value().is_some());
+            let was_leading = world.registers[of].as_ref().is_some_and(|register| register.value().is_some());
             let Some(register) = &mut world.registers[of] else { return };
             match register.poll(now) {
                 RegisterEvent::Unchanged => {
-                    let is = register.value().is_some();
-                    if was == is {
+                    let is_leading = register.value().is_some();
+                    if was_leading == is_leading {
                         return;
                     }
-                    self.beat(world, of);
+                    self.send_heartbeats(world, of);
                 }
                 RegisterEvent::SteppedDown => world.registers[of] = None,
                 RegisterEvent::LearningStarted(_) => {}
                 RegisterEvent::LearningDue => {
-                    // All that anybody could still begin to do is done, and seen by now.
+                    // No permit of an earlier leader can be acted on any more, and the subjects that are out are observed.
                     let out = world.out;
                     register.finish_learning(now, out);
-                    self.beat(world, of);
+                    self.send_heartbeats(world, of);
                 }
                 RegisterEvent::Committed(_) => {
-                    let agreed = register.committed().map_or(0, |agreed| agreed.value);
-                    if agreed >> of & 1 == 1 && world.asked[of].is_some() {
+                    let committed = register.committed().map_or(0, |committed| committed.value);
+                    if committed >> of & 1 == 1 && world.requested[of].is_some() {
                         world.granted[of] = true;
                     }
                 }
@@ -134,7 +141,7 @@
         let epoch = Epoch { ms: 1, by: 2 };
         let voter = |_| {
             let mut voter = Voter::new(1, 0, 0);
-            if self.planted == Planted::NoEpochs {
+            if self.fault == Fault::IgnoredEpochs {
                 voter.inject_ignored_epochs();
             }
             let stored = Stored { epoch, version: 1, value: 0 };
@@ -145,48 +152,49 @@
             now: 0,
             voters: VOTERS.iter().map(voter).collect(),
             registers: vec![None; 2],
-            claims: vec![1; 2],
+            elections: vec![1; 2],
             restarts: self.restarts,
-            asked: vec![None; 2],
+            requested: vec![None; 2],
             granted: vec![false; 2],
             out: 0,
-            words: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
         };
-        // The first is leader, and has told all.
-        world = self.next_state(&world, Step::Claim(0)).expect("it claims");
+        // The first candidate is the leader and has committed its state at all voters.
+        world = self.next_state(&world, Step::StartElection(0)).expect("it starts an election");
         for _ in 0..2 {
-            for said in world.words.clone() {
-                world = self.next_state(&world, Step::Deliver(said, true)).unwrap_or(world);
+            for sent in world.in_flight.clone() {
+                world = self.next_state(&world, Step::Deliver(sent, true)).unwrap_or(world);
             }
         }
         assert!(world.registers[0].as_ref().is_some_and(|register| register.committed().is_some()));
-        world.words.clear();
+        world.in_flight.clear();
         vec![world]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         steps.extend((world.now < self.ticks).then_some(Step::Tick));
         for of in 0..2 {
-            let speaks = world.voters[of].may_vote(world.now);
-            if world.claims[of] > 0 && world.registers[of].is_none() && speaks {
-                steps.push(Step::Claim(of));
+            let may_vote = world.voters[of].may_vote(world.now);
+            if world.elections[of] > 0 && world.registers[of].is_none() && may_vote {
+                steps.push(Step::StartElection(of));
             }
-            let free = world.registers[of]
+            let no_permits = world.registers[of]
                 .as_ref()
-                .is_some_and(|k| k.committed().is_some() && k.value() == Some(&0));
-            if free && world.asked[of].is_none() {
-                steps.push(Step::Ask(of));
+                .is_some_and(|register| register.committed().is_some() && register.value() == Some(&0));
+            if no_permits && world.requested[of].is_none() {
+                steps.push(Step::RequestPermit(of));
             }
-            let in_time = world.asked[of].is_some_and(|since| world.now < since + TIMES.lease);
+            let in_time = world.requested[of].is_some_and(|since| world.now < since + TIMES.lease);
             if world.granted[of] && in_time && world.out >> of & 1 == 0 {
-                steps.push(Step::Go(of));
+                steps.push(Step::GoOut(of));
             }
         }
         if world.restarts > 0 {
             steps.extend((0..3).map(Step::Restart));
         }
-        let heard = world.words.iter().flat_map(|said| [true, false].map(|heard| (said, heard)));
-        steps.extend(heard.map(|(said, heard)| Step::Deliver(said.clone(), heard)));
+        let deliveries =
+            world.in_flight.iter().flat_map(|sent| [true, false].map(|answered| (sent, answered)));
+        steps.extend(deliveries.map(|(sent, answered)| Step::Deliver(sent.clone(), answered)));
     }
 
     fn next_state(&self, last: &World, step: Step) -> Option<World> {
@@ -194,85 +202,93 @@
         match step {
             Step::Tick => {
                 world.now += 1;
-                (0..2).for_each(|of| self.turn(&mut world, of));
-                (0..2).for_each(|of| self.beat(&mut world, of));
+                (0..2).for_each(|of| self.process_events(&mut world, of));
+                (0..2).for_each(|of| self.send_heartbeats(&mut world, of));
             }
-            Step::Claim(of) => {
-                world.claims[of] -= 1;
+            Step::StartElection(of) => {
+                world.elections[of] -= 1;
                 let epoch = world.voters[of].promised().next(world.now + 10, of as u16);
                 let mut register = ReplicatedRegister::candidate(TIMES, &VOTERS, epoch, world.now);
-                if matches!(self.planted, Planted::NoMemory | Planted::NoSilence) {
+                if matches!(self.fault, Fault::Amnesia | Fault::NoSilence) {
                     register.inject_amnesia();
                 }
                 world.registers[of] = Some(register);
-                self.beat(&mut world, of);
+                self.send_heartbeats(&mut world, of);
             }
-            Step::Ask(of) => {
-                world.asked[of] = Some(world.now);
+            Step::RequestPermit(of) => {
+                world.requested[of] = Some(world.now);
                 let _ = world.registers[of].as_mut().and_then(|register| register.propose(1 << of));
-                self.beat(&mut world, of);
+                self.send_heartbeats(&mut world, of);
             }
-            Step::Go(of) => world.out |= 1 << of,
+            Step::GoOut(of) => world.out |= 1 << of,
             Step::Restart(of) => {
                 world.restarts -= 1;
-                let silence = if self.planted == Planted::NoSilence { 0 } else { TIMES.silence };
+                let silence = if self.fault == Fault::NoSilence { 0 } else { TIMES.silence };
                 world.voters[of] = Voter::new(u32::from(world.restarts) + 10, world.now, silence);
-                world.registers.iter_mut().enumerate().filter(|(i, _)| *i == of).for_each(|(_, k)| *k = None);
+                world
+                    .registers
+                    .iter_mut()
+                    .enumerate()
+                    .filter(|(i, _)| *i == of)
+                    .for_each(|(_, register)| *register = None);
             }
-            Step::Deliver((from, to, told), heard) => {
+            Step::Deliver((from, to, request), answered) => {
                 let now = world.now;
-                let answer = world.voters[usize::from(to)].handle(now, told).filter(|_| heard);
-                // That a later epoch is about ends a leader, and is as well never heard.
-                let later = |no: &VoterResponse<_>| matches!(no, VoterResponse::Rejected { epoch, promised, .. } if promised > epoch);
-                if let (Some(answer), Some(register)) =
-                    (answer.filter(|answer| !later(answer)), &mut world.registers[usize::from(from)])
+                let response = world.voters[usize::from(to)].handle(now, request).filter(|_| answered);
+                // A rejection with a later epoch only makes the leader step down; the model treats it as lost.
+                let later = |response: &VoterResponse<_>| matches!(response, VoterResponse::Rejected { epoch, promised, .. } if promised > epoch);
+                if let (Some(response), Some(register)) =
+                    (response.filter(|response| !later(response)), &mut world.registers[usize::from(from)])
                 {
-                    register.handle(now, to, answer);
+                    register.handle(now, to, response);
                 }
             }
         }
-        (0..2).for_each(|of| self.turn(&mut world, of));
+        (0..2).for_each(|of| self.process_events(&mut world, of));
         (world != *last).then_some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("one is out at most", |_, world: &World| world.out != 3),
+            Property::<Self>::always("at most one is out", |_, world: &World| world.out != 3),
             Property::<Self>::sometimes("one is out", |_, world: &World| world.out != 0),
         ]
     }
 }
 
-/// Time that passes, and restarts, in all histories: `AGREED_TICKS=4 cargo test --release` looks at 8 million states.
-fn told(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
+/// A bound of the model from the environment, on the ticks (`AGREED_TICKS`) or restarts (`AGREED_RESTARTS`) of a history:
+/// `AGREED_TICKS=4 cargo test --release` checks 8 million states.
+fn bound_from_env(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
-fn check(planted: Planted, ticks: u64) -> impl Checker<VotersModel> {
-    let (ticks, restarts) = (told("AGREED_TICKS", ticks), told("AGREED_RESTARTS", 1) as u8);
-    VotersModel { planted, ticks, restarts }.checker().threads(2).spawn_bfs().join()
+fn check(fault: Fault, ticks: u64) -> impl Checker<VotersModel> {
+    let (ticks, restarts) =
+        (bound_from_env("AGREED_TICKS", ticks), bound_from_env("AGREED_RESTARTS", 1) as u8);
+    VotersModel { fault, ticks, restarts }.checker().threads(2).spawn_bfs().join()
 }
 
 #[test]
-fn one_is_out_at_most_whatever_restarts_and_whatever_is_late() {
-    let checked = check(Planted::Nothing, 1);
+fn at_most_one_is_out_despite_restarts_and_delays() {
+    let checked = check(Fault::None, 1);
     checked.assert_properties();
     assert!(checked.unique_state_count() > 100_000, "{}", checked.unique_state_count());
 }
 
 #[test]
-fn a_seat_that_votes_after_forgetting_is_found() {
-    assert!(check(Planted::NoSilence, 1).discovery("one is out at most").is_some());
+fn a_voter_without_silence_after_restart_is_found() {
+    assert!(check(Fault::NoSilence, 1).discovery("at most one is out").is_some());
 }
 
-/// The forgetful voter has kept its silence: a history long enough takes a minute, `-- --ignored`.
+/// The restarted voter keeps its silence here, so that only long histories break the bound: checking them takes a minute. Run
+/// it with `-- --ignored`.
 #[test]
 #[ignore = "takes a minute"]
-fn a_leader_that_takes_the_forgotten_for_a_memory_is_found() {
-    assert!(check(Planted::NoMemory, 4).discovery("one is out at most").is_some());
+fn a_leader_that_counts_voters_without_state_is_found() {
+    assert!(check(Fault::Amnesia, 4).discovery("at most one is out").is_some());
 }
 
 #[test]
-fn a_seat_that_does_not_check_epochs_is_found() {
-    assert!(check(Planted::NoEpochs, 1).discovery("one is out at most").is_some());
+fn a_voter_that_does_not_check_epochs_is_found() {
+    assert!(check(Fault::IgnoredEpochs, 1).discovery("at most one is out").is_some());
 }
--- a/crates/permits/tests/release.rs
+++ b/crates/permits/tests/release.rs
@@ -1,5 +1,5 @@
-//! A release and its way back in virtual time: the plan is kept by the fleet, whoever carries out its steps may die at any
-//! of them, and so may the leader.
+//! A release and its rollback in virtual time: the fleet stores the plan, and both the operator that carries out its steps and
+//! the leader may die at any step.
 use basaltward_membership::{LinkFaults, MemberId, Micros};
 use basaltward_permits::{
     Bounds, Denied, Limit, Observations, PermitRequest, PermitSettings, Subject, VirtualFleet,
@@ -11,12 +11,13 @@
 
 struct Run {
     fleet: VirtualFleet,
-    /// What each runs, or is to run once it is back.
-    runs: BTreeMap<MemberId, u32>,
-    /// Who is out, until when, by which permit.
+    /// The version that each scheduler runs, or is to run once it is back.
+    versions: BTreeMap<MemberId, u32>,
+    /// Schedulers that are out, with the time at which each comes back and the number of its permit.
     out: BTreeMap<MemberId, (Micros, u16)>,
     restarts: usize,
-    most: usize,
+    /// The most schedulers that were out at once.
+    most_out: usize,
 }
 
 impl Run {
@@ -30,13 +31,13 @@
             Observations::new(),
             LinkFaults { lost, doubled: 0.05, ..LinkFaults::default() },
         );
-        let runs: BTreeMap<_, _> = fleet.net.numbers().map(|of| (of, 1)).collect();
-        runs.iter().for_each(|(of, runs)| fleet.start_with_version(*of, *runs));
+        let versions: BTreeMap<_, _> = fleet.net.numbers().map(|of| (of, 1)).collect();
+        versions.iter().for_each(|(of, version)| fleet.start_with_version(*of, *version));
         fleet.run(40 * S);
-        Self { fleet, runs, out: BTreeMap::new(), restarts: 0, most: 0 }
+        Self { fleet, versions, out: BTreeMap::new(), restarts: 0, most_out: 0 }
     }
 
-    fn any(&mut self) -> MemberId {
+    fn any_up(&mut self) -> MemberId {
         loop {
             let of = self.fleet.net.draw(12) as MemberId;
             if self.fleet.net.is_up(of) {
@@ -45,43 +46,43 @@
         }
     }
 
-    /// Asks until it has the answer, or for so long.
-    fn ask(
+    /// Submits a request and waits for the reply, at most for `patience`. Returns the scheduler that the request went through,
+    /// the reply, and until when it may be acted on by that scheduler's clock.
+    fn request(
         &mut self,
         request: PermitRequest,
         patience: Micros,
     ) -> Option<(MemberId, Result<u16, Denied>, Micros)> {
-        let (by, read) = (self.any(), self.fleet.answers.len());
-        self.fleet.submit(by, request);
+        let (through, read) = (self.any_up(), self.fleet.answers.len());
+        self.fleet.submit(through, request);
         let until = self.fleet.net.now + patience;
         while self.fleet.net.now < until {
             self.pass(20_000);
-            if let Some(told) =
-                self.fleet.answers[read..].iter().find(|told| told.through == by && told.request == request)
-            {
-                return Some((by, told.answer, told.until));
+            let mut new = self.fleet.answers[read..].iter();
+            if let Some(answer) = new.find(|answer| answer.through == through && answer.request == request) {
+                return Some((through, answer.answer, answer.until));
             }
         }
         None
     }
 
-    /// Lets time pass; who is out comes back.
+    /// Lets time pass; schedulers that are out come back when their time is up.
     fn pass(&mut self, span: Micros) {
         let next = self.fleet.net.now + span;
         self.fleet.run(next);
         let back: Vec<_> = self.out.iter().filter(|(_, (at, _))| *at <= next).map(|(of, _)| *of).collect();
         for of in back {
             let (_, number) = self.out.remove(&of).expect("it is out");
-            self.fleet.start_with_version(of, self.runs[&of]);
-            let by = self.any();
-            self.fleet.submit(by, PermitRequest::Return(Subject::Scheduler(of), number));
+            self.fleet.start_with_version(of, self.versions[&of]);
+            let through = self.any_up();
+            self.fleet.submit(through, PermitRequest::Return(Subject::Scheduler(of), number));
         }
     }
 
-    /// Whose permit this is, once the scheduler that was asked knows of it.
-    fn subject(&mut self, by: MemberId, permit: u16) -> Option<MemberId> {
+    /// The scheduler that a permit is for, once the one that it was requested through knows of it.
+    fn subject(&mut self, through: MemberId, permit: u16) -> Option<MemberId> {
         for _ in 0..50 {
-            let known = self.fleet.net.node(by).and_then(|one| one.node.known());
+            let known = self.fleet.net.node(through).and_then(|one| one.node.known());
             let one = known.and_then(|known| known.value.permits.iter().find(|p| p.number == permit));
             if let Some(Subject::Scheduler(of)) = one.map(|one| one.subject) {
                 return Some(of);
@@ -91,58 +92,69 @@
         None
     }
 
-    /// Sets a plan and carries out its steps as one operator after another, each dying at its seventh step.
-    fn release(&mut self, to: u32, from: u32, back: bool, disturb: fn(&mut Self, usize)) -> Vec<MemberId> {
+    /// Sets a plan and carries out its steps, as one operator after another: each dies at its seventh step. Returns the
+    /// schedulers in the order in which they were restarted.
+    fn release(
+        &mut self,
+        to: u32,
+        from: u32,
+        rollback: bool,
+        disturb: fn(&mut Self, usize),
+    ) -> Vec<MemberId> {
         let until = self.fleet.net.now + 1_200 * S;
         let number = loop {
             assert!(self.fleet.net.now < until, "no plan");
-            if let Some((_, Ok(number), _)) =
-                self.ask(PermitRequest::Plan { to, from, rollback: back }, 3 * S)
+            if let Some((_, Ok(number), _)) = self.request(PermitRequest::Plan { to, from, rollback }, 3 * S)
             {
                 break number;
             }
         };
-        let mut went = Vec::new();
+        let mut restarted = Vec::new();
         for step in 0.. {
-            assert!(self.fleet.net.now < until, "{} of 12 went: {:?}", went.len(), self.fleet.leaders());
+            assert!(
+                self.fleet.net.now < until,
+                "{} of 12 restarted: {:?}",
+                restarted.len(),
+                self.fleet.leaders()
+            );
             disturb(self, step);
-            match self.ask(PermitRequest::Next(number), 3 * S) {
-                Some((_, Err(Denied::Over), _)) => return went,
-                Some((by, Ok(permit), until)) => {
-                    let Some(of) = self.subject(by, permit) else { continue };
-                    // An operator that dies with a permit in its hands.
-                    if step % 7 == 6 || self.fleet.net.clock(by) >= until {
+            match self.request(PermitRequest::Next(number), 3 * S) {
+                Some((_, Err(Denied::Over), _)) => return restarted,
+                Some((through, Ok(permit), until)) => {
+                    let Some(of) = self.subject(through, permit) else { continue };
+                    // The operator dies before it acts on its permit, or the permit is too old.
+                    if step % 7 == 6 || self.fleet.net.clock(through) >= until {
                         continue;
                     }
                     if self.fleet.net.kill(of).is_some() {
                         let at = self.fleet.net.now + S + self.fleet.net.draw(2 * S);
                         self.out.insert(of, (at, permit));
-                        self.runs.insert(of, to);
+                        self.versions.insert(of, to);
                         self.restarts += 1;
-                        self.most = self.most.max(self.out.len());
+                        self.most_out = self.most_out.max(self.out.len());
                         assert!(self.out.len() <= BOUND, "{:?} are out", self.out.keys());
-                        went.push(of);
+                        restarted.push(of);
                     }
                 }
                 Some((_, Err(Denied::Stale), _)) => panic!("the plan is lost"),
                 _ => self.pass(S / 2),
             }
         }
-        went
+        restarted
     }
 }
 
-fn quiet(_: &mut Run, _: usize) {}
+fn no_faults(_: &mut Run, _: usize) {}
 
-/// The leader is killed, stands still, or a half is cut off, every few steps.
-fn rough(run: &mut Run, step: usize) {
+/// Every few steps the leader is killed or paused, or half of the fleet is partitioned off.
+fn with_faults(run: &mut Run, step: usize) {
     let leader = run.fleet.leaders().first().copied();
     let half = [0, 1, 2, 3, 4, 5];
     match (step % 40, leader) {
         (9, Some(of)) if !run.out.contains_key(&of) => {
             run.fleet.net.kill(of);
             run.pass(S);
-            run.fleet.start_with_version(of, run.runs[&of]);
+            run.fleet.start_with_version(of, run.versions[&of]);
         }
         (19, Some(of)) => {
             run.fleet.net.pause(of, 4 * S);
@@ -158,33 +170,34 @@
 }
 
 #[test]
-fn a_release_goes_through_all_in_growing_steps_and_comes_back_newest_first() {
+fn a_release_restarts_all_in_growing_waves_and_its_rollback_the_last_restarted_first() {
     let mut run = Run::new(1, 0.05);
-    let went = run.release(2, 1, false, quiet);
-    assert!(run.runs.values().all(|runs| *runs == 2) && run.restarts == 12, "{went:?}");
-    assert!(run.most > 1, "never more than one at once");
-    let leader_last = went.last().copied();
-    let back = run.release(1, 2, true, quiet);
-    assert!(run.runs.values().all(|runs| *runs == 1) && run.restarts == 24, "{back:?}");
-    // The first to come back is one that went late.
-    let early: Vec<_> = went[..6].to_vec();
-    assert!(!early.contains(&back[0]), "{went:?}, {back:?}, {leader_last:?}");
+    let restarted = run.release(2, 1, false, no_faults);
+    assert!(run.versions.values().all(|version| *version == 2) && run.restarts == 12, "{restarted:?}");
+    assert!(run.most_out > 1, "never more than one at once");
+    let last = restarted.last().copied();
+    let rolled_back = run.release(1, 2, true, no_faults);
+    assert!(run.versions.values().all(|version| *version == 1) && run.restarts == 24, "{rolled_back:?}");
+    // The first scheduler of the rollback is one that was restarted late in the release.
+    let early: Vec<_> = restarted[..6].to_vec();
+    assert!(!early.contains(&rolled_back[0]), "{restarted:?}, {rolled_back:?}, {last:?}");
 }
 
 #[test]
-fn a_release_survives_its_operators_and_the_leader_and_restarts_nobody_twice() {
+fn a_release_survives_its_operators_and_leaders_and_restarts_no_scheduler_twice() {
     for (seed, lost) in [(2, 0.0), (3, 0.05), (4, 0.15), (5, 0.05), (6, 0.1)] {
         let mut run = Run::new(seed, lost);
-        let went = run.release(2, 1, false, rough);
-        assert!(run.runs.values().all(|runs| *runs == 2), "seed {seed}: {went:?}");
-        assert_eq!(run.restarts, 12, "seed {seed}: {went:?}");
+        let restarted = run.release(2, 1, false, with_faults);
+        assert!(run.versions.values().all(|version| *version == 2), "seed {seed}: {restarted:?}");
+        assert_eq!(run.restarts, 12, "seed {seed}: {restarted:?}");
     }
 }
 
 #[test]
-fn a_halt_stops_the_next_step_and_a_step_that_does_not_come_back_halts_all() {
+fn a_halt_blocks_the_next_step_and_an_overdue_step_halts_the_fleet() {
     let mut run = Run::new(7, 0.0);
-    let Some((_, Ok(number), _)) = run.ask(PermitRequest::Plan { to: 2, from: 1, rollback: false }, 3 * S)
+    let Some((_, Ok(number), _)) =
+        run.request(PermitRequest::Plan { to: 2, from: 1, rollback: false }, 3 * S)
     else {
         panic!("no plan")
     };
@@ -192,11 +205,13 @@
         one.with_node(now, out, |node, _, out| node.halt_all(out));
     });
     run.pass(2 * S);
-    let told = run.ask(PermitRequest::Next(number), 3 * S).map(|told| told.1);
-    assert_eq!(told, Some(Err(Denied::Halted)));
-    assert!(matches!(run.ask(PermitRequest::Resume(1), 3 * S), Some((_, Ok(_), _))));
-    let Some((by, Ok(permit), _)) = run.ask(PermitRequest::Next(number), 3 * S) else { panic!("no step") };
-    let of = run.subject(by, permit).expect("it stands");
+    let reply = run.request(PermitRequest::Next(number), 3 * S).map(|reply| reply.1);
+    assert_eq!(reply, Some(Err(Denied::Halted)));
+    assert!(matches!(run.request(PermitRequest::Resume(1), 3 * S), Some((_, Ok(_), _))));
+    let Some((through, Ok(permit), _)) = run.request(PermitRequest::Next(number), 3 * S) else {
+        panic!("no step")
+    };
+    let of = run.subject(through, permit).expect("the permit is in force");
     run.fleet.net.kill(of);
     run.pass(200 * S);
     let halted = |run: &Run, of| run.fleet.net.node(of).is_some_and(|one| one.node.halt().on);
--- a/crates/permits/tests/sites.rs
+++ b/crates/permits/tests/sites.rs
@@ -1,5 +1,5 @@
-//! Sites of gateways that are lost and come back, in virtual time: who takes over has the permit of a majority, one at
-//! a time, and never for a site that anybody sees in use. Other seeds: `AGREED_SEEDS=0..500 cargo test --release`.
+//! Sites of gateways that are lost and come back, in virtual time: a takeover needs the one permit that a majority has committed,
+//! and no permit is granted for a site in use. Other seeds: `AGREED_SEEDS=0..500 cargo test --release`.
 use basaltward_membership::{LinkFaults, MemberId, Micros, Site};
 use basaltward_permits::{
     Denied, Observations, PermitRequest, PermitResult, PermitSettings, Subject, VirtualFleet,
@@ -8,10 +8,10 @@
 const S: Micros = 1_000_000;
 const LOST: Subject = Subject::Site(1);
 
-fn seeds(usual: u64) -> std::ops::Range<u64> {
-    let told = std::env::var("AGREED_SEEDS").unwrap_or_default();
-    let told = told.split_once("..").and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
-    told.unwrap_or(0..usual)
+fn seeds(default_count: u64) -> std::ops::Range<u64> {
+    let range = std::env::var("AGREED_SEEDS").unwrap_or_default();
+    let range = range.split_once("..").and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
+    range.unwrap_or(0..default_count)
 }
 
 struct Run {
@@ -34,55 +34,55 @@
         self.fleet.net.numbers().filter(|of| self.sites[usize::from(*of)] == site).collect()
     }
 
-    /// What the leader answers; asked until there is one, as whoever asks does.
-    fn ask(&mut self, by: MemberId, request: PermitRequest) -> PermitResult {
-        let mut told = Err(Denied::NoLeader);
+    /// The leader's reply to a request, which is repeated until there is a leader.
+    fn request(&mut self, through: MemberId, request: PermitRequest) -> PermitResult {
+        let mut reply = Err(Denied::NoLeader);
         for _ in 0..10 {
             let before = self.fleet.answers.len();
-            self.fleet.submit(by, request);
+            self.fleet.submit(through, request);
             self.fleet.run(self.fleet.net.now + 3 * S);
             let new = &self.fleet.answers[before..];
-            told = new
+            reply = new
                 .iter()
-                .find(|one| one.through == by && one.request == request)
-                .map_or(told, |one| one.answer);
-            if told != Err(Denied::NoLeader) {
+                .find(|one| one.through == through && one.request == request)
+                .map_or(reply, |one| one.answer);
+            if reply != Err(Denied::NoLeader) {
                 break;
             }
         }
-        told
+        reply
     }
 }
 
 #[test]
-fn a_lost_site_is_taken_over_by_one_permit_and_learns_of_it() {
+fn a_lost_site_is_taken_over_by_one_permit_and_learns_its_number() {
     for seed in seeds(2) {
         let mut run = Run::new(&[0, 0, 1, 1, 2, 2], seed);
-        assert_eq!(run.ask(4, PermitRequest::Acquire(LOST)), Err(Denied::InUse), "seed {seed}");
-        assert_eq!(run.ask(2, PermitRequest::Reclaim(LOST)), Ok(0), "seed {seed}");
+        assert_eq!(run.request(4, PermitRequest::Acquire(LOST)), Err(Denied::InUse), "seed {seed}");
+        assert_eq!(run.request(2, PermitRequest::Reclaim(LOST)), Ok(0), "seed {seed}");
         let lost = run.members(1);
         lost.iter().for_each(|of| _ = run.fleet.net.kill(*of));
         run.fleet.run(run.fleet.net.now + 20 * S);
-        let number = run.ask(4, PermitRequest::Acquire(LOST)).expect("it is lost");
-        assert_eq!(run.ask(0, PermitRequest::Acquire(LOST)), Err(Denied::Taken(number)), "seed {seed}");
-        // Each gateway of it is lost with it.
+        let number = run.request(4, PermitRequest::Acquire(LOST)).expect("it is lost");
+        assert_eq!(run.request(0, PermitRequest::Acquire(LOST)), Err(Denied::Taken(number)), "seed {seed}");
+        // The permit for the site covers its gateways.
         assert_eq!(
-            run.ask(0, PermitRequest::Acquire(Subject::Gateway(2))),
+            run.request(0, PermitRequest::Acquire(Subject::Gateway(2))),
             Err(Denied::InUse),
             "seed {seed}"
         );
         lost.iter().for_each(|of| run.fleet.start(*of));
         run.fleet.run(run.fleet.net.now + 20 * S);
-        // It has been back for long, and says nothing of what it has learnt yet.
-        assert_eq!(run.ask(3, PermitRequest::Reclaim(LOST)), Ok(number), "seed {seed}");
-        assert_eq!(run.ask(3, PermitRequest::Return(LOST, number)), Ok(number), "seed {seed}");
-        assert_eq!(run.ask(2, PermitRequest::Reclaim(LOST)), Ok(0), "seed {seed}");
-        assert_eq!(run.ask(2, PermitRequest::Return(LOST, number)), Err(Denied::Stale), "seed {seed}");
+        // The permit stays in force while the site is in use again, until the site returns it.
+        assert_eq!(run.request(3, PermitRequest::Reclaim(LOST)), Ok(number), "seed {seed}");
+        assert_eq!(run.request(3, PermitRequest::Return(LOST, number)), Ok(number), "seed {seed}");
+        assert_eq!(run.request(2, PermitRequest::Reclaim(LOST)), Ok(0), "seed {seed}");
+        assert_eq!(run.request(2, PermitRequest::Return(LOST, number)), Err(Denied::Stale), "seed {seed}");
     }
 }
 
 #[test]
-fn a_minority_takes_over_nobody_and_a_majority_never_the_most_of_them() {
+fn a_minority_takes_over_no_site_and_a_majority_not_more_than_the_bound() {
     for seed in seeds(2) {
         let mut run = Run::new(&[0, 0, 1, 1, 2, 2], seed);
         let apart = run.members(1);
@@ -90,27 +90,27 @@
         run.fleet.run(run.fleet.net.now + 20 * S);
         for site in [0, 2] {
             assert_eq!(
-                run.ask(2, PermitRequest::Acquire(Subject::Site(site))),
+                run.request(2, PermitRequest::Acquire(Subject::Site(site))),
                 Err(Denied::NoLeader),
                 "seed {seed}"
             );
         }
-        assert!(run.ask(0, PermitRequest::Acquire(LOST)).is_ok(), "seed {seed}");
+        assert!(run.request(0, PermitRequest::Acquire(LOST)).is_ok(), "seed {seed}");
         let mut run = Run::new(&[0, 0, 0, 1, 2], seed);
         [3, 4].into_iter().for_each(|of| _ = run.fleet.net.kill(of));
         run.fleet.run(run.fleet.net.now + 20 * S);
-        let denied = run.ask(0, PermitRequest::Acquire(Subject::Site(1)));
+        let denied = run.request(0, PermitRequest::Acquire(Subject::Site(1)));
         assert!(matches!(denied, Err(Denied::Bound { out: 2, most: 1, .. })), "seed {seed}: {denied:?}");
     }
 }
 
 #[test]
-fn a_gateway_alone_is_taken_over_while_its_site_lives() {
+fn a_lost_gateway_is_taken_over_while_its_site_is_live() {
     for seed in seeds(2) {
         let mut run = Run::new(&[0, 0, 1, 1, 2, 2], seed);
         run.fleet.net.kill(3);
         run.fleet.run(run.fleet.net.now + 20 * S);
-        assert_eq!(run.ask(0, PermitRequest::Acquire(LOST)), Err(Denied::InUse), "seed {seed}");
-        assert!(run.ask(0, PermitRequest::Acquire(Subject::Gateway(3))).is_ok(), "seed {seed}");
+        assert_eq!(run.request(0, PermitRequest::Acquire(LOST)), Err(Denied::InUse), "seed {seed}");
+        assert!(run.request(0, PermitRequest::Acquire(Subject::Gateway(3))).is_ok(), "seed {seed}");
     }
 }
