--- a/crates/permits/src/bounds.rs
+++ b/crates/permits/src/bounds.rs
@@ -1,7 +1,7 @@
-//! Bounds on how many subjects may be out of service at once, and the decision whether one more may be. Input: the permit state,
-//! the observations of all subjects, the bounds. Output: a permit or the reason for its denial. A subject counts as out of
-//! service whatever the cause: it has a permit, is listed as draining or gone, is silent, has crashed or never came back. At
-//! most [`MAX_PERMITS`] permits are in force.
+//! Bounds on how many subjects may be out of service at once, and the decision whether one more may be. Input: the
+//! permit state, the observations of all subjects, the bounds. Output: a permit or the reason for its denial. A subject
+//! counts as out of service whatever the cause: it has a permit, is listed as draining or gone, is silent, has crashed
+//! or never came back. At most [`MAX_PERMITS`] permits are in force.
 
 use crate::state::{MAX_PERMITS, Permit, PermitState, Subject};
 use basaltward_membership::Micros;
@@ -48,8 +48,8 @@
 }
 
 impl Default for Bounds {
-    /// 10 % of schedulers and workers, 20 % of those in a zone. For sites and gateways 49 %, so that more than half of them
-    /// are left to take over the others.
+    /// 10 % of schedulers and workers, 20 % of those in a zone. For sites and gateways 49 %, so that more than half of
+    /// them are left to take over the others.
     fn default() -> Self {
         let (all, zone) = (Limit::Percent(10), Limit::Percent(20));
         let (sites, gateways) = (Limit::Percent(49), Limit::Percent(49));
@@ -63,7 +63,7 @@
 pub struct Observation {
     /// Its zone, numbered by the observing node.
     pub zone: u8,
-    /// A short hash of its current incarnation.
+    /// Identifies its current incarnation: the low 16 bits of its start time in seconds, 0 for a site.
     pub incarnation: u16,
     /// How long it has been in use without interruption; none if it is listed as draining or gone, or is silent.
     pub in_use_for: Option<Micros>,
@@ -110,21 +110,22 @@
     /// No other subject is known to hold what it holds.
     #[error("it holds the last copy of something that calls need")]
     LastCopy,
-    /// It already has a permit, of this number: another request acquired it, or the reply to an earlier request was lost.
+    /// It already has a permit, of this number: another request acquired it, or the reply to an earlier request was
+    /// lost.
     #[error("it is already out by permit {0}")]
     Taken(u16),
     /// The largest number of permits is in force, or too many requests are waiting.
     #[error("{MAX_PERMITS} permits are in force: no more fit")]
     Full,
-    /// No majority of the voters can be reached, or too many of them restarted and the new leader still has to learn which
-    /// subjects are out of service.
+    /// No majority of the voters can be reached, or too many of them restarted and the new leader still has to learn
+    /// which subjects are out of service.
     #[error("no leader: no majority of the voters answers, or a new leader is still learning what is out")]
     NoLeader,
     /// The release is complete: all schedulers run its version.
     #[error("all schedulers run the version")]
     Over,
-    /// The release has to wait: the remaining schedulers are out of service or have not reported their version, or as many
-    /// are out as the current wave allows.
+    /// The release has to wait: the remaining schedulers are out of service or have not reported their version, or as
+    /// many are out as the current wave allows.
     #[error("the remaining schedulers are out or have not reported their version, or the wave is full")]
     Waits,
     /// The permit, plan or halt that the request names is not the current one, or the reply came too late.
@@ -138,8 +139,9 @@
 
 /// All subjects that are out of service: by permit, or as observed.
 pub fn out_of_service(state: &PermitState, observations: &Observations) -> BTreeSet<Subject> {
-    let seen = observations.iter().filter(|(_, seen)| seen.in_use_for.is_none()).map(|(subject, _)| *subject);
-    seen.chain(state.permits.iter().map(|permit| permit.subject)).collect()
+    let observed = observations.iter().filter(|(_, seen)| seen.in_use_for.is_none());
+    let observed = observed.map(|(subject, _)| *subject);
+    observed.chain(state.permits.iter().map(|permit| permit.subject)).collect()
 }
 
 /// Returns the permit for one more subject to be out of service, if the bounds allow it.
--- a/crates/permits/src/leader.rs
+++ b/crates/permits/src/leader.rs
@@ -1,11 +1,12 @@
-//! The leader's part of a permit node: it decides on requests, and replies to each once a majority has committed the state that
-//! results from it. Input: requests with their sender and tag. Output: datagrams. A repeated request gets the same reply again.
+//! The leader's part of a permit node: it decides on requests, and replies to each once a majority has committed the
+//! state that results from it. Input: requests with their sender and tag. Output: datagrams. A repeated request gets
+//! the same reply again.
 
 use crate::bounds::{Denied, grant_permit, out_of_service};
 use crate::node::{FleetObserver, Outputs, PermitNode};
 use crate::plan::next_scheduler;
 use crate::register::ReplicatedRegister;
-use crate::request_table::{PermitResult, Requester};
+use crate::request_table::{PermitResult, RequestId};
 use crate::state::{PermitState, Plan, Subject};
 use crate::wire::{Body, Halt, PermitRequest};
 use basaltward_membership::Micros;
@@ -21,16 +22,16 @@
 
 impl PermitNode {
     /// Replies to a request, and remembers the reply.
-    pub(crate) fn answer(&mut self, requester: Requester, answer: PermitResult, out: &mut Outputs) {
-        self.requests.record_reply(requester, answer);
-        self.send(requester.node, Body::Reply(requester.tag, answer), out);
+    pub(crate) fn answer(&mut self, request_id: RequestId, answer: PermitResult, out: &mut Outputs) {
+        self.requests.record_reply(request_id, answer);
+        self.send(request_id.node, Body::Reply(request_id.tag, answer), out);
     }
 
     /// Handles a request of a node, which may be this one.
     pub(crate) fn handle_request(
         &mut self,
         now: Micros,
-        requester: Requester,
+        request_id: RequestId,
         request: PermitRequest,
         observer: &impl FleetObserver,
         out: &mut Outputs,
@@ -41,24 +42,28 @@
             .filter(|register| register.committed().is_some())
             .and_then(ReplicatedRegister::value);
         let Some(state) = value.cloned() else {
-            return self.send(requester.node, Body::Reply(requester.tag, Err(Denied::NoLeader)), out);
+            return self.send(request_id.node, Body::Reply(request_id.tag, Err(Denied::NoLeader)), out);
         };
-        match self.requests.reply_to_repeated(requester) {
-            Some(Some(answer)) => return self.send(requester.node, Body::Reply(requester.tag, answer), out),
+        match self.requests.reply_to_repeated(request_id) {
+            Some(Some(answer)) => {
+                return self.send(request_id.node, Body::Reply(request_id.tag, answer), out);
+            }
             Some(None) => return,
             None => {}
         }
         let Grant { state: changed, number } = match self.decide(now, &state, request, observer, out) {
             Ok(grant) => grant,
-            Err(why) => return self.answer(requester, Err(why), out),
+            Err(why) => return self.answer(request_id, Err(why), out),
         };
         let committed = self.register.as_ref().and_then(ReplicatedRegister::committed);
         let committed = committed.map_or(0, |committed| committed.version);
         match self.propose(changed) {
             // The request changes nothing, and the current state is committed.
-            Some(version) if version <= committed => self.answer(requester, Ok(number), out),
-            Some(version) if self.requests.wait(version, requester, number) => self.send_heartbeats(now, out),
-            _ => self.answer(requester, Err(Denied::Full), out),
+            Some(version) if version <= committed => self.answer(request_id, Ok(number), out),
+            Some(version) if self.requests.wait(version, request_id, number) => {
+                self.send_heartbeats(now, out)
+            }
+            _ => self.answer(request_id, Err(Denied::Full), out),
         }
     }
 
@@ -80,10 +85,9 @@
                 grant_permit(state, &observer.observations(now), &self.settings.bounds, subject)?;
                 0
             }
-            PermitRequest::Plan { to, from, rollback: back } => {
+            PermitRequest::Plan { to, from, rollback } => {
                 let number = state.last_number.wrapping_add(1);
-                (changed.last_number, changed.plan) =
-                    (number, Some(Plan { number, to, from, rollback: back }));
+                (changed.last_number, changed.plan) = (number, Some(Plan { number, to, from, rollback }));
                 number
             }
             PermitRequest::Next(number) => {
--- a/crates/permits/src/lib.rs
+++ b/crates/permits/src/lib.rs
@@ -1,9 +1,9 @@
-//! Consensus of a fleet of schedulers on permits: how many subjects are out of service at once, which workers are drained,
-//! whether the fleet is halted. It holds although parts of the fleet fail and nothing is persisted over a restart. A permit needs
-//! a majority of the voters, which are configured members, at most 7. One leader, elected by them for an epoch, maintains the
-//! replicated state. It travels in datagrams of at most 256 bytes, which may be delayed, duplicated or lost. The crate does no
-//! I/O: datagrams and times in; datagrams, changes and the time of the next timer out. Times are in microseconds on the caller's
-//! clock.
+//! Consensus of a fleet of schedulers on permits: how many subjects are out of service at once, which workers are
+//! drained, whether the fleet is halted. It holds although parts of the fleet fail and nothing is persisted over a
+//! restart. A permit needs a majority of the voters, which are configured members, at most 7. One leader, elected by
+//! them for an epoch, maintains the replicated state. It travels in datagrams of at most 256 bytes, which may be
+//! delayed, duplicated or lost. The crate does no I/O: datagrams and times in; datagrams, changes and the time of the
+//! next timer out. Times are in microseconds on the caller's clock.
 //!
 //! Modules use only modules listed above them:
 //!
--- a/crates/permits/src/node.rs
+++ b/crates/permits/src/node.rs
@@ -1,10 +1,10 @@
-//! A permit node: its voter, if it votes, the register while it is a candidate or the leader, and the latest committed state that
-//! it knows. Input: datagrams, requests, times in microseconds on its own clock, and the observations of a [`FleetObserver`].
-//! Output: [`Output`]s. Bounds: 64 requests in flight, 256 remembered outcomes.
+//! A permit node: its voter, if it votes, the register while it is a candidate or the leader, and the latest committed
+//! state that it knows. Input: datagrams, requests, times in microseconds on its own clock, and the observations of a
+//! [`FleetObserver`]. Output: [`Output`]s. Bounds: 64 requests in flight, 256 remembered outcomes.
 
 use crate::bounds::{Denied, Observations};
 use crate::register::{RegisterEvent, ReplicatedRegister};
-use crate::request_table::{PermitResult, RequestTable, Requester};
+use crate::request_table::{PermitResult, RequestId, RequestTable};
 use crate::settings::{PermitSettings, SettingsError};
 use crate::state::{PermitState, Subject};
 use crate::voter::{Epoch, Stored, Voter};
@@ -55,8 +55,8 @@
     },
     /// The known committed state or the halt has changed, see [`PermitNode::known`] and [`PermitNode::halt`].
     Changed,
-    /// The reply to a request submitted here. A reply that arrives after the lease is replaced by [`Denied::Stale`], as it
-    /// must no longer be acted on.
+    /// The reply to a request submitted here. A reply that arrives after the lease is replaced by [`Denied::Stale`], as
+    /// it must no longer be acted on.
     Answered {
         /// The tag that [`PermitNode::submit`] returned.
         tag: u32,
@@ -142,8 +142,8 @@
             next_tick: now,
             election_at: now,
             pending: BTreeMap::new(),
-            // A leader remembers its replies to the previous incarnation of this node, so that incarnation's tags must not
-            // be used again.
+            // A leader remembers its replies to the previous incarnation of this node, so that incarnation's tags must
+            // not be used again.
             tag: settings.incarnation,
             outcomes: VecDeque::new(),
             received_state: false,
@@ -182,8 +182,8 @@
         self.halt
     }
 
-    /// Whether a member has sent its state since the start of this node. Before that a worker may be drained without this
-    /// node knowing it.
+    /// Whether a member has sent its state since the start of this node. Before that a worker may be drained without
+    /// this node knowing it.
     pub fn has_received_state(&self) -> bool {
         self.received_state
     }
@@ -349,7 +349,7 @@
                     let committed = self.register.as_ref().and_then(ReplicatedRegister::committed);
                     committed.into_iter().for_each(|committed| self.adopt_state(committed, out));
                     for granted in self.requests.committed(version) {
-                        self.answer(granted.requester, Ok(granted.number), out);
+                        self.answer(granted.request_id, Ok(granted.number), out);
                     }
                 }
             }
@@ -403,8 +403,8 @@
 
     // ---- received datagrams ------------------------------------------------------------------------------
 
-    /// Handles a datagram that came from the address of member `from`; returns false and ignores it if it is not a permit
-    /// datagram of this fleet and this sender.
+    /// Handles a datagram that came from the address of member `from`; returns false and ignores it if it is not a
+    /// permit datagram of this fleet and this sender.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -467,14 +467,14 @@
             }
             Body::StateQuery => self.send(from, Body::State(self.known.clone(), self.halt), out),
             Body::Request(tag, request) => {
-                self.handle_request(now, Requester { node: from, tag }, request, observer, out)
+                self.handle_request(now, RequestId { node: from, tag }, request, observer, out)
             }
             Body::Reply(tag, answer) => self.handle_reply(now, tag, answer, observer, out),
         }
     }
 
-    /// Handles the reply to a local request. A permit that nobody will act on is returned: the reply came after the lease,
-    /// or a request that was delayed, possibly for an hour, acquired a second permit.
+    /// Handles the reply to a local request. A permit that nobody will act on is returned: the reply came after the
+    /// lease, or a request that was delayed, possibly for an hour, acquired a second permit.
     fn handle_reply(
         &mut self,
         now: Micros,
@@ -532,7 +532,8 @@
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A voter responds at once after its start, and a candidate counts voters that have lost their state like the others.
+    /// A voter responds at once after its start, and a candidate counts voters that have lost their state like the
+    /// others.
     VotesAfterRestart,
     /// A voter accepts requests of any epoch.
     IgnoresEpochs,
--- a/crates/permits/src/observer.rs
+++ b/crates/permits/src/observer.rs
@@ -1,5 +1,5 @@
-//! What a node observes of the fleet: schedulers through the membership protocol, sites through their gateways, workers as the
-//! caller reports them. Keeps no state; observations are computed on each call.
+//! What a node observes of the fleet: schedulers through the membership protocol, sites through their gateways, workers
+//! as the caller reports them. Keeps no state; observations are computed on each call.
 
 use crate::bounds::{Observation, Observations};
 use crate::node::FleetObserver;
@@ -23,12 +23,12 @@
 
 impl FleetObserver for MembershipObserver<'_> {
     fn observations(&self, now: Micros) -> Observations {
-        let runs = |of: usize| {
+        let running_version = |of: usize| {
             let counters =
                 self.membership.fact_of_current_life(now, of as MemberId, RUNS).and_then(decode_counters)?;
-            counters.first().and_then(|mark| u32::try_from(*mark).ok())
+            counters.first().and_then(|version| u32::try_from(*version).ok())
         };
-        let seen = |(of, entry): (usize, &Member)| {
+        let observe = |(of, entry): (usize, &Member)| {
             // A suspected member is not known to be in use.
             let in_use_for = (entry.state == MemberState::Up).then(|| now.saturating_sub(entry.since));
             let incarnation = (entry.incarnation.start / 1_000) as u16;
@@ -40,11 +40,12 @@
                     incarnation,
                     in_use_for,
                     holds_last_copy: false,
-                    running_version: runs(of),
+                    running_version: running_version(of),
                 },
             )
         };
-        let mut observations: Observations = self.membership.members().iter().enumerate().map(seen).collect();
+        let mut observations: Observations =
+            self.membership.members().iter().enumerate().map(observe).collect();
         observations.extend((self.workers)(now));
         observations
     }
@@ -62,8 +63,9 @@
     }
 }
 
-/// Observations of all sites and their gateways, from the membership. A site is out of use once none of its gateways was live
-/// for the settling time, a gateway once it was not live for that time. A gateway of a lost site is not out of use on its own.
+/// Observations of all sites and their gateways, from the membership. A site is out of use once none of its gateways
+/// was live for the settling time, a gateway once it was not live for that time. A gateway of a lost site is not out of
+/// use on its own.
 pub fn observe_sites(membership: &Membership, places: &SiteMap, settle: Micros, now: Micros) -> Observations {
     let in_use_for = |of: MemberId| {
         let entry = &membership.members()[usize::from(of)];
@@ -73,7 +75,7 @@
             false => (since < settle).then_some(0),
         }
     };
-    let seen = |in_use_for, incarnation| Observation {
+    let observation = |in_use_for, incarnation| Observation {
         zone: 0,
         incarnation,
         in_use_for,
@@ -86,11 +88,11 @@
         let members: Vec<MemberId> =
             places.members(site).filter(|of| usize::from(*of) < membership.members().len()).collect();
         let site_in_use = members.iter().filter_map(|of| in_use_for(*of)).max();
-        observations.insert(Subject::Site(site), seen(site_in_use, 0));
+        observations.insert(Subject::Site(site), observation(site_in_use, 0));
         for of in members {
             // The one permit for a lost site covers all its gateways.
             let used = if site_in_use.is_none() { Some(0) } else { in_use_for(of) };
-            observations.insert(Subject::Gateway(of), seen(used, incarnation(of)));
+            observations.insert(Subject::Gateway(of), observation(used, incarnation(of)));
         }
     }
     observations
--- a/crates/permits/src/operator.rs
+++ b/crates/permits/src/operator.rs
@@ -1,5 +1,5 @@
-//! Requests of operators to a node and the node's responses: one datagram each, a version byte and the content serialized with
-//! serde. The JSON keys of [`PermitStatus`] are those that `fleet status --json` prints.
+//! Requests of operators to a node and the node's responses: one datagram each, a version byte and the content
+//! serialized with serde. The JSON keys of [`PermitStatus`] are those that `fleet status --json` prints.
 
 use crate::request_table::PermitResult;
 use crate::state::{Permit, Plan};
--- a/crates/permits/src/plan.rs
+++ b/crates/permits/src/plan.rs
@@ -1,6 +1,6 @@
-//! The next step of a release: which scheduler is restarted next, and how many at once. One at first; later at most one more
-//! than already run the target version, within the bounds. Input: the state, the plan, observations; output: a subject, or why
-//! none may be restarted now.
+//! The next step of a release: which scheduler is restarted next, and how many at once. One at first; later at most one
+//! more than already run the target version, within the bounds. Input: the state, the plan, observations; output: a
+//! subject, or why none may be restarted now.
 
 use crate::bounds::{Denied, Observation, Observations};
 use crate::state::{PermitState, Plan, Subject};
@@ -38,16 +38,16 @@
     if out > done {
         return Err(Denied::Waits);
     }
-    let left = schedulers(observations).filter(|(of, seen)| {
+    let remaining = schedulers(observations).filter(|(of, seen)| {
         seen.in_use_for.is_some()
-            && seen.running_version.is_some_and(|runs| runs != plan.to)
+            && seen.running_version.is_some_and(|version| version != plan.to)
             && !permitted(*of)
     });
     let order = |(of, seen): &(MemberId, &Observation)| {
-        let newest = if plan.rollback { seen.in_use_for.unwrap_or_default() } else { 0 };
-        (*of == leader, newest, *of)
+        let newest_first = if plan.rollback { seen.in_use_for.unwrap_or_default() } else { 0 };
+        (*of == leader, newest_first, *of)
     };
-    left.min_by_key(order).map(|(of, _)| Subject::Scheduler(of)).ok_or(Denied::Waits)
+    remaining.min_by_key(order).map(|(of, _)| Subject::Scheduler(of)).ok_or(Denied::Waits)
 }
 
 #[cfg(test)]
--- a/crates/permits/src/register.rs
+++ b/crates/permits/src/register.rs
@@ -1,7 +1,7 @@
-//! The candidate's and leader's side of the replicated register: one value, stored by a majority of the voters under an epoch.
-//! It acts only while it holds a lease, which takes responses of a majority of the voters. Each response extends the lease
-//! from the time at which its request was sent, by the leader's own clock. Input: responses of voters and times; output:
-//! requests to the voters, and [`RegisterEvent`]s.
+//! The candidate's and leader's side of the replicated register: one value, stored by a majority of the voters under an
+//! epoch. It acts only while it holds a lease, which takes responses of a majority of the voters. Each response extends
+//! the lease from the time at which its request was sent, by the leader's own clock. Input: responses of voters and
+//! times; output: requests to the voters, and [`RegisterEvent`]s.
 
 use crate::voter::{Epoch, Stored, VoterRequest, VoterResponse};
 use basaltward_membership::{MemberId, Micros};
@@ -10,8 +10,8 @@
 /// The times on which safety depends. All members must have the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Times {
-    /// How long a voter's response counts from when its request was sent, by the sender's clock, and how long a permit may
-    /// be acted on from when it was requested, by the requester's clock.
+    /// How long a voter's response counts from when its request was sent, by the sender's clock, and how long a permit
+    /// may be acted on from when it was requested, by the requester's clock.
     pub lease: Micros,
     /// How long a voter stays silent after its start: longer than the lease by the largest difference in clock rates.
     pub silence: Micros,
@@ -60,8 +60,8 @@
 pub enum RegisterEvent<V> {
     /// Nothing has changed.
     Unchanged,
-    /// It has the promises of a majority, but too few of those voters still have their state: the caller has to learn which
-    /// subjects are out, see [`ReplicatedRegister::finish_learning`]. Holds the latest value among the promises.
+    /// It has the promises of a majority, but too few of those voters still have their state: the caller has to learn
+    /// which subjects are out, see [`ReplicatedRegister::finish_learning`]. Holds the latest value among the promises.
     LearningStarted(Option<V>),
     /// The learning time is over: the caller has to call [`ReplicatedRegister::finish_learning`] now.
     LearningDue,
@@ -188,8 +188,8 @@
             if promised > self.epoch {
                 self.stage = Stage::SteppedDown;
             } else {
-                // The voter lost its state in a restart. Later requests name its new incarnation; the rejection does not
-                // count as a response within the lease.
+                // The voter lost its state in a restart. Later requests name its new incarnation; the rejection does
+                // not count as a response within the lease.
                 let state = VoterState { incarnation, request_sent: None, held: None, version: 0 };
                 self.voter_states.insert(from, state);
             }
@@ -211,7 +211,8 @@
         }
     }
 
-    /// Advances the stage and reports what has changed by `now`. Called after each response and whenever time has passed.
+    /// Advances the stage and reports what has changed by `now`. Called after each response and whenever time has
+    /// passed.
     pub fn poll(&mut self, now: Micros) -> RegisterEvent<V> {
         let (lease, majority) = (self.times.lease, self.majority());
         let has_lease = self.voters_in_lease(now) >= majority;
@@ -273,8 +274,8 @@
         }
     }
 
-    /// Proposes a value. Returns the version that has to be committed before anybody acts on the value; none unless it is
-    /// the leader.
+    /// Proposes a value. Returns the version that has to be committed before anybody acts on the value; none unless it
+    /// is the leader.
     pub fn propose(&mut self, value: V) -> Option<u32> {
         let Stage::Leading { version, value: current, .. } = &mut self.stage else { return None };
         if *current != value {
--- a/crates/permits/src/request_table.rs
+++ b/crates/permits/src/request_table.rs
@@ -1,5 +1,5 @@
-//! The leader's request table: requests that wait for a commit, the latest replies, and when a permit ends. Bounds: 64 requests
-//! wait and 64 replies are remembered; further requests are denied with [`Denied::Full`].
+//! The leader's request table: requests that wait for a commit, the latest replies, and when a permit ends. Bounds: 64
+//! requests wait and 64 replies are remembered; further requests are denied with [`Denied::Full`].
 
 use crate::bounds::{Denied, Observations};
 use crate::settings::PermitSettings;
@@ -7,7 +7,8 @@
 use basaltward_membership::{MemberId, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The largest number of waiting requests, and of remembered replies: a member that sends requests without end has to wait.
+/// The largest number of waiting requests, and of remembered replies: a member that sends requests without end has to
+/// wait.
 const MAX_REQUESTS: usize = 64;
 
 /// The reply to a request: the number of the permit or plan that it concerns, 0 for none.
@@ -15,7 +16,7 @@
 
 /// Identifies a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Requester {
+pub struct RequestId {
     /// The node that sent it.
     pub node: MemberId,
     /// The tag that the node gave it.
@@ -26,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Waiting {
     version: u32,
-    requester: Requester,
+    request_id: RequestId,
     /// The number of the permit or plan that answers it, 0 for none.
     number: u16,
 }
@@ -35,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Granted {
     /// The request.
-    pub requester: Requester,
+    pub request_id: RequestId,
     /// The number of the permit or plan that answers it, 0 for none.
     pub number: u16,
 }
@@ -48,29 +49,29 @@
     /// When this leader first knew that a permit was returned.
     returned_since: BTreeMap<Subject, Micros>,
     waiting: Vec<Waiting>,
-    replies: VecDeque<(Requester, PermitResult)>,
+    replies: VecDeque<(RequestId, PermitResult)>,
 }
 
 impl RequestTable {
     /// The reply to a request that was received before: `Some(None)` while it waits, none for a new request.
-    pub fn reply_to_repeated(&self, requester: Requester) -> Option<Option<PermitResult>> {
-        let waits = self.waiting.iter().any(|waiting| waiting.requester == requester).then_some(None);
-        waits.or_else(|| self.replies.iter().find(|(of, _)| *of == requester).map(|(_, reply)| Some(*reply)))
+    pub fn reply_to_repeated(&self, request_id: RequestId) -> Option<Option<PermitResult>> {
+        let waits = self.waiting.iter().any(|waiting| waiting.request_id == request_id).then_some(None);
+        waits.or_else(|| self.replies.iter().find(|(of, _)| *of == request_id).map(|(_, reply)| Some(*reply)))
     }
 
     /// Remembers a reply for repetitions of its request.
-    pub fn record_reply(&mut self, requester: Requester, reply: PermitResult) {
+    pub fn record_reply(&mut self, request_id: RequestId, reply: PermitResult) {
         if self.replies.len() == MAX_REQUESTS {
             self.replies.pop_front();
         }
-        self.replies.push_back((requester, reply));
+        self.replies.push_back((request_id, reply));
     }
 
     /// Lets a request wait until this version is committed, to be answered with this number; false if too many wait.
-    pub fn wait(&mut self, version: u32, requester: Requester, number: u16) -> bool {
+    pub fn wait(&mut self, version: u32, request_id: RequestId, number: u16) -> bool {
         let has_capacity = self.waiting.len() < MAX_REQUESTS;
         if has_capacity {
-            self.waiting.push(Waiting { version, requester, number });
+            self.waiting.push(Waiting { version, request_id, number });
         }
         has_capacity
     }
@@ -80,7 +81,7 @@
         let (ready, waiting): (Vec<_>, _) =
             self.waiting.drain(..).partition(|waiting| waiting.version <= version);
         self.waiting = waiting;
-        ready.into_iter().map(|Waiting { requester, number, .. }| Granted { requester, number }).collect()
+        ready.into_iter().map(|Waiting { request_id, number, .. }| Granted { request_id, number }).collect()
     }
 
     /// Records that a permit was granted; discards what was known of an earlier permit of this subject.
@@ -99,10 +100,10 @@
 
     /// Returns the state without the permits whose subjects have proven to be back in use.
     ///
-    /// A permit may be acted on for a lease from when it was requested. So a silence after this leader first knew of the
-    /// permit nobody starts to act on it any more, and a settling time later the membership shows whether its subject is
-    /// out. The holder may return the permit earlier. A drained worker is back once it runs as a new incarnation, or once
-    /// its permit was returned, and it has been in use since.
+    /// A permit may be acted on for a lease from when it was requested. So a silence after this leader first knew of
+    /// the permit nobody starts to act on it any more, and a settling time later the membership shows whether its
+    /// subject is out. The holder may return the permit earlier. A drained worker is back once it runs as a new
+    /// incarnation, or once its permit was returned, and it has been in use since.
     pub fn without_ended(
         &mut self,
         now: Micros,
@@ -112,7 +113,7 @@
     ) -> PermitState {
         self.first_known.retain(|subject, _| state.permit(*subject).is_some());
         self.returned_since.retain(|subject, _| state.permit(*subject).is_some_and(|permit| permit.returned));
-        let mut left = state.clone();
+        let mut remaining = state.clone();
         for permit in &state.permits {
             let subject = permit.subject;
             let known = *self.first_known.entry(subject).or_insert(now);
@@ -129,9 +130,9 @@
             if long_in_use
                 && (without_return || returned_since.is_some_and(|since| now >= since + settings.min_in_use))
             {
-                left.remove(subject);
+                remaining.remove(subject);
             }
         }
-        left
+        remaining
     }
 }
--- a/crates/permits/src/state.rs
+++ b/crates/permits/src/state.rs
@@ -1,5 +1,5 @@
-//! The replicated state: the permits in force and the release in progress. [`MAX_PERMITS`] bounds it, so that one datagram
-//! holds all of it.
+//! The replicated state: the permits in force and the release in progress. [`MAX_PERMITS`] bounds it, so that one
+//! datagram holds all of it.
 
 use basaltward_membership::{MemberId, Site};
 use serde::{Deserialize, Serialize};
@@ -40,12 +40,12 @@
     pub subject: Subject,
     /// Its number in the sequence of permits and plans; a `Return` names it.
     pub number: u16,
-    /// A short hash of the subject's incarnation when the permit was granted: a subject in use with another one has
-    /// been out since.
+    /// Identifies the subject's incarnation when the permit was granted: a subject in use with another value has been
+    /// out since.
     #[serde(rename = "life")]
     pub incarnation: u16,
-    /// The permit was returned: nobody acts on it any more and the subject may be used, but it counts against the bounds
-    /// until the subject has proven to be in use again.
+    /// The permit was returned: nobody acts on it any more and the subject may be used, but it counts against the
+    /// bounds until the subject has proven to be in use again.
     #[serde(rename = "back")]
     pub returned: bool,
 }
--- a/crates/permits/src/virtual_fleet.rs
+++ b/crates/permits/src/virtual_fleet.rs
@@ -1,8 +1,9 @@
-//! A fleet of schedulers in virtual time that are taken out of service and brought back by permits, while parts of the fleet
-//! fail: for tests and measurements.
+//! A fleet of schedulers in virtual time that are taken out of service and brought back by permits, while parts of the
+//! fleet fail: for tests and measurements.
 //!
-//! Operators act as the `fleet` command does: an operator requests a permit through a scheduler, checks the time before acting
-//! on it, and returns it when done. Which schedulers really are down is known here, whatever the members observe.
+//! Operators act as the `fleet` command does: an operator requests a permit through a scheduler, checks the time before
+//! acting on it, and returns it when done. Which schedulers really are down is known here, whatever the members
+//! observe.
 
 use crate::bounds::Observations;
 use crate::node::{Fault, Output, PermitNode};
--- a/crates/permits/src/voter.rs
+++ b/crates/permits/src/voter.rs
@@ -1,15 +1,17 @@
-//! One voter: it promises not to accept earlier epochs, and it stores the accepted value. It persists nothing, so a restart
-//! loses both; the design note, "A voter that has forgotten", explains how a restarted voter is kept from undoing them.
-//! Input: a request of a candidate or leader and a time; output: a response, or none while it must stay silent.
+//! One voter: it promises not to accept earlier epochs, and it stores the accepted value. It persists nothing, so a
+//! restart loses both; the design note, "A voter that has forgotten", explains how a restarted voter is kept from
+//! undoing them. Input: a request of a candidate or leader and a time; output: a response, or none while it must stay
+//! silent.
 
 use basaltward_membership::{MemberId, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Orders leaders: a later epoch takes precedence. Epochs are drawn from the wall clock, so that one drawn after all voters
-/// have restarted and lost their state is still later than those before.
+/// Orders leaders: a later epoch takes precedence. Epochs are drawn from the wall clock, so that one drawn after all
+/// voters have restarted and lost their state is still later than those before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch {
-    /// Milliseconds since the beginning of 2026 by the wall clock of the candidate, but more than any epoch known to it.
+    /// Milliseconds since the beginning of 2026 by the wall clock of the candidate, but more than any epoch known to
+    /// it.
     pub ms: u64,
     /// The candidate that drew it, which is the leader of this epoch if elected.
     pub by: MemberId,
@@ -54,8 +56,8 @@
     Accept {
         /// As in `Prepare`.
         heartbeat: u32,
-        /// The voter's incarnation as the leader knows it: a voter that has lost its state in a restart rejects values that
-        /// are addressed to an earlier incarnation.
+        /// The voter's incarnation as the leader knows it: a voter that has lost its state in a restart rejects values
+        /// that are addressed to an earlier incarnation.
         incarnation: u32,
         /// The value to store.
         stored: Stored<V>,
@@ -155,7 +157,8 @@
             VoterRequest::Accept { stored, .. } if stored.epoch < promised && self.checks_epochs => {
                 VoterResponse::Rejected { epoch: stored.epoch, promised, incarnation }
             }
-            // The leader knows another incarnation of this voter or none: the request may have been delayed for an hour.
+            // The leader knows another incarnation of this voter or none: the request may have been delayed for an
+            // hour.
             VoterRequest::Accept { incarnation: known, stored, .. }
                 if self.held.is_none() && known != incarnation =>
             {
--- a/crates/permits/src/wire.rs
+++ b/crates/permits/src/wire.rs
@@ -1,5 +1,5 @@
-//! Datagrams between nodes: a version byte, then one message serialized with serde, at most 256 bytes. A datagram that carries
-//! the state carries all of it. The order of variants and fields is the format.
+//! Datagrams between nodes: a version byte, then one message serialized with serde, at most 256 bytes. A datagram that
+//! carries the state carries all of it. The order of variants and fields is the format.
 
 use crate::request_table::PermitResult;
 use crate::state::{PermitState, Subject};
@@ -10,7 +10,8 @@
 /// The first byte of a datagram between nodes; datagrams of the membership protocol begin with another one.
 pub const VERSION: u8 = 0x33;
 
-/// Whether the fleet is halted. The value with the higher count is the later one; at equal counts a halt supersedes a resume.
+/// Whether the fleet is halted. The value with the higher count is the later one; at equal counts a halt supersedes a
+/// resume.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Halt {
     /// Counts halts and resumes.
@@ -44,8 +45,9 @@
     Next(u16),
     /// Ends the halt of this count.
     Resume(u32),
-    /// A restarted site or gateway asks whether it may accept persisted events again. The reply is the number of the permit
-    /// by which it was taken over, 0 for none, once a majority has confirmed it: never the leader's memory alone.
+    /// A restarted site or gateway asks whether it may accept persisted events again. The reply is the number of the
+    /// permit by which it was taken over, 0 for none, once a majority has confirmed it: never the leader's memory
+    /// alone.
     Reclaim(Subject),
 }
 
@@ -81,7 +83,8 @@
 }
 
 impl Message {
-    /// Serializes the message to at most [`basaltward_membership::MAX_DATAGRAM_BYTES`], which the bound on the state ensures.
+    /// Serializes the message to at most [`basaltward_membership::MAX_DATAGRAM_BYTES`], which the bound on the state
+    /// ensures.
     pub fn write(&self) -> Option<Vec<u8>> {
         encode_datagram(VERSION, self)
     }
--- a/crates/permits/tests/hard_cases.rs
+++ b/crates/permits/tests/hard_cases.rs
@@ -1,5 +1,5 @@
-//! Failures of a fleet in virtual time, over many seeds: never more schedulers are out by permit than the bound allows, and
-//! none is taken out while failures use up the bound. Other seeds: `AGREED_SEEDS=0..500 cargo test --release`.
+//! Failures of a fleet in virtual time, over many seeds: never more schedulers are out by permit than the bound allows,
+//! and none is taken out while failures use up the bound. Other seeds: `AGREED_SEEDS=0..500 cargo test --release`.
 use basaltward_membership::{LinkFaults, MemberId, Micros};
 use basaltward_permits::{
     Bounds, Denied, Fault, Limit, Observations, PermitRequest, PermitSettings, Subject, VirtualFleet,
@@ -165,7 +165,8 @@
         }
     }
 
-    /// Takes a scheduler out by its permit, and checks the bound. Failures count once the leader could have observed them.
+    /// Takes a scheduler out by its permit, and checks the bound. Failures count once the leader could have observed
+    /// them.
     fn take_out(&mut self, of: MemberId, number: u16) {
         let now = self.now();
         self.fleet.net.kill(of);
@@ -330,7 +331,8 @@
     for seed in seeds(count) {
         for case in CASES {
             let mut run = play(size, seed, case, |_| {});
-            // Once nothing fails any more, permits are granted again, except in the case in which schedulers never come back.
+            // Once nothing fails any more, permits are granted again, except in the case in which schedulers never come
+            // back.
             if case.0 != CASES[11].0 {
                 run.run_until_permit_used();
             }
@@ -361,8 +363,8 @@
         .any(|seed| cases.iter().any(|case| !play(5, seed, CASES[*case], &inject).violations.is_empty()))
 }
 
-/// One voter misses the commit of two permits, and all voters that stored them restart before the schedulers that go out by
-/// them are observed as down.
+/// One voter misses the commit of two permits, and all voters that stored them restart before the schedulers that go
+/// out by them are observed as down.
 fn lose_committed_permits(seed: u64, inject: impl FnOnce(&mut Run)) -> Run {
     let mut run = Run::new(10, seed, 0.0);
     inject(&mut run);
@@ -415,8 +417,8 @@
     assert!(finds_violation(&[0], 40, |run| run.ignores_lease = true));
 }
 
-/// A candidate that lost an election has to start another one later. Once four of five voters that had lost the first election
-/// never did, and nobody replaced a leader that died.
+/// A candidate that lost an election has to start another one later. Once four of five voters that had lost the first
+/// election never did, and nobody replaced a leader that died.
 #[test]
 fn a_dead_leader_is_replaced() {
     for seed in 0..20 {
--- a/crates/permits/tests/model.rs
+++ b/crates/permits/tests/model.rs
@@ -1,6 +1,6 @@
-//! Exhaustive model check of voters and leaders, with the code itself as the transitions: three voters, two of which are
-//! candidates and have a subject that requests a permit, under a bound of one. Voters restart without any state; messages are
-//! delayed for any time, duplicated or lost; time passes at any moment.
+//! Exhaustive model check of voters and leaders, with the code itself as the transitions: three voters, two of which
+//! are candidates and have a subject that requests a permit, under a bound of one. Voters restart without any state;
+//! messages are delayed for any time, duplicated or lost; time passes at any moment.
 use basaltward_permits::{
     Epoch, RegisterEvent, ReplicatedRegister, Stored, Times, Voter, VoterRequest, VoterResponse,
 };
@@ -44,8 +44,8 @@
     /// A subject with a permit goes out.
     GoOut(usize),
     Restart(usize),
-    /// A voter receives a request; its response arrives at once or is lost. A later arrival would extend the lease less or
-    /// not at all.
+    /// A voter receives a request; its response arrives at once or is lost. A later arrival would extend the lease less
+    /// or not at all.
     Deliver(Sent, bool),
 }
 
@@ -75,8 +75,8 @@
 }
 
 impl VotersModel {
-    /// Puts a request in flight. It replaces earlier requests of the same content, whose responses would extend the lease
-    /// less.
+    /// Puts a request in flight. It replaces earlier requests of the same content, whose responses would extend the
+    /// lease less.
     fn send(world: &mut World, from: u16, to: u16, request: VoterRequest<Value>) {
         let same = |sent: &Sent| (sent.0, sent.1) == (from, to) && content(&sent.2) == content(&request);
         world.in_flight.retain(|sent| !same(sent));
@@ -117,7 +117,8 @@
                 RegisterEvent::SteppedDown => world.registers[of] = None,
                 RegisterEvent::LearningStarted(_) => {}
                 RegisterEvent::LearningDue => {
-                    // No permit of an earlier leader can be acted on any more, and the subjects that are out are observed.
+                    // No permit of an earlier leader can be acted on any more, and the subjects that are out are
+                    // observed.
                     let out = world.out;
                     register.finish_learning(now, out);
                     self.send_heartbeats(world, of);
@@ -256,8 +257,8 @@
     }
 }
 
-/// A bound of the model from the environment, on the ticks (`AGREED_TICKS`) or restarts (`AGREED_RESTARTS`) of a history:
-/// `AGREED_TICKS=4 cargo test --release` checks 8 million states.
+/// A bound of the model from the environment, on the ticks (`AGREED_TICKS`) or restarts (`AGREED_RESTARTS`) of a
+/// history: `AGREED_TICKS=4 cargo test --release` checks 8 million states.
 fn bound_from_env(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
@@ -280,8 +281,8 @@
     assert!(check(Fault::NoSilence, 1).discovery("at most one is out").is_some());
 }
 
-/// The restarted voter keeps its silence here, so that only long histories break the bound: checking them takes a minute. Run
-/// it with `-- --ignored`.
+/// The restarted voter keeps its silence here, so that only long histories break the bound: checking them takes a
+/// minute. Run it with `-- --ignored`.
 #[test]
 #[ignore = "takes a minute"]
 fn a_leader_that_counts_voters_without_state_is_found() {
--- a/crates/permits/tests/release.rs
+++ b/crates/permits/tests/release.rs
@@ -1,5 +1,5 @@
-//! A release and its rollback in virtual time: the fleet stores the plan, and both the operator that carries out its steps and
-//! the leader may die at any step.
+//! A release and its rollback in virtual time: the fleet stores the plan, and both the operator that carries out its
+//! steps and the leader may die at any step.
 use basaltward_membership::{LinkFaults, MemberId, Micros};
 use basaltward_permits::{
     Bounds, Denied, Limit, Observations, PermitRequest, PermitSettings, Subject, VirtualFleet,
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Submits a request and waits for the reply, at most for `patience`. Returns the scheduler that the request went through,
-    /// the reply, and until when it may be acted on by that scheduler's clock.
+    /// Submits a request and waits for the reply, at most for `patience`. Returns the scheduler that the request went
+    /// through, the reply, and until when it may be acted on by that scheduler's clock.
     fn request(
         &mut self,
         request: PermitRequest,
--- a/crates/permits/tests/sites.rs
+++ b/crates/permits/tests/sites.rs
@@ -1,5 +1,5 @@
-//! Sites of gateways that are lost and come back, in virtual time: a takeover needs the one permit that a majority has committed,
-//! and no permit is granted for a site in use. Other seeds: `AGREED_SEEDS=0..500 cargo test --release`.
+//! Sites of gateways that are lost and come back, in virtual time: a takeover needs the one permit that a majority has
+//! committed, and no permit is granted for a site in use. Other seeds: `AGREED_SEEDS=0..500 cargo test --release`.
 use basaltward_membership::{LinkFaults, MemberId, Micros, Site};
 use basaltward_permits::{
     Denied, Observations, PermitRequest, PermitResult, PermitSettings, Subject, VirtualFleet,
--- a/crates/permits/tests/workers.rs
+++ b/crates/permits/tests/workers.rs
@@ -1,5 +1,5 @@
-//! Drains of workers in virtual time: many requests at once, workers that die and come back, bounds that change, datagrams that
-//! are late or of another version.
+//! Drains of workers in virtual time: many requests at once, workers that die and come back, bounds that change,
+//! datagrams that are late or of another version.
 use basaltward_membership::{LinkFaults, MemberId, Micros, VirtualNode};
 use basaltward_permits::{
     Bounds, Denied, Limit, Observation, Observations, OperatorAnswer, Output, PermitRequest, PermitSettings,
@@ -130,7 +130,8 @@
     assert!(matches!(reply, Some(Err(Denied::Bound { out: 4, most: 1, .. }))), "{reply:?}");
 }
 
-/// A request that reaches the leader an hour late acquires a permit that nobody waits for: the requester has to return it.
+/// A request that reaches the leader an hour late acquires a permit that nobody waits for: the requester has to return
+/// it.
 #[test]
 fn a_permit_acquired_by_a_delayed_request_is_returned() {
     let mut fleet = fleet(4, 0.0, 3);
