--- a/crates/permits/tests/model.rs
+++ b/crates/permits/tests/model.rs
@@ -24,7 +24,7 @@
     registers: Vec<Option<ReplicatedRegister<Value>>>,
     /// How many elections each candidate may still start.
     elections: Vec<u8>,
-    /// How many restarts of any voters are still to come at most.
+    /// How many more restarts of voters may happen.
     restarts: u8,
     /// When each candidate's subject requested a permit.
     requested: Vec<Option<u64>>,
