--- a/crates/pending/src/kept.rs
+++ b/crates/pending/src/kept.rs
@@ -320,8 +320,9 @@
                 }
             }
         }
-        let lost = self.observations.iter().any(|(of, seen)| of.is_takeover() && seen.in_use_for.is_none());
-        let taken = self.permit_state.permits.iter().any(|permit| permit.subject.is_takeover());
+        let lost =
+            self.observations.iter().any(|(of, seen)| of.allows_takeover() && seen.in_use_for.is_none());
+        let taken = self.permit_state.permits.iter().any(|permit| permit.subject.allows_takeover());
         self.look = if lost || taken { now + LOOK } else { Micros::MAX };
     }
 
--- a/crates/pending/src/takeover.rs
+++ b/crates/pending/src/takeover.rs
@@ -97,7 +97,7 @@
         promises: &mut Promises,
         out: &mut Vec<Turn>,
     ) {
-        let lost = observations.iter().filter(|(of, seen)| of.is_takeover() && seen.in_use_for.is_none());
+        let lost = observations.iter().filter(|(of, seen)| of.allows_takeover() && seen.in_use_for.is_none());
         let lost: BTreeSet<Subject> = lost.map(|(of, _)| *of).collect();
         self.lost.retain(|of, _| lost.contains(of));
         for subject in lost {
@@ -120,7 +120,7 @@
                 out.push(Turn::Ask(subject));
             }
         }
-        for permit in permit_state.permits.iter().filter(|permit| permit.subject.is_takeover()) {
+        for permit in permit_state.permits.iter().filter(|permit| permit.subject.allows_takeover()) {
             self.permitted(now, permit.subject, permit.number, &life, promises, out);
         }
         let over = |of: &Subject| permit_state.permit(*of).is_none() && self.planted.is_none();
--- a/crates/permits/src/bounds.rs
+++ b/crates/permits/src/bounds.rs
@@ -161,7 +161,7 @@
     if state.permits.len() >= MAX_PERMITS {
         return Err(Denied::Full);
     }
-    if subject.is_takeover() && seen.in_use_for.is_some() {
+    if subject.allows_takeover() && seen.in_use_for.is_some() {
         return Err(Denied::InUse);
     }
     let mut out = out_of_service(state, observations);
--- a/crates/permits/src/leader.rs
+++ b/crates/permits/src/leader.rs
@@ -97,13 +97,13 @@
                 self.acquire(now, &mut changed, subject, observer)?
             }
             PermitRequest::Acquire(subject) => self.acquire(now, &mut changed, subject, observer)?,
-            PermitRequest::Return(subject, number) if subject.is_takeover() => {
+            PermitRequest::Return(subject, number) if subject.allows_takeover() => {
                 let permit = state.permit(subject).filter(|permit| permit.number == number);
                 permit.ok_or(Denied::Stale)?;
                 changed.remove(subject);
                 number
             }
-            PermitRequest::Reclaim(subject) if subject.is_takeover() => {
+            PermitRequest::Reclaim(subject) if subject.allows_takeover() => {
                 // The new number makes a new value, so that the reply has to wait for a majority to commit it.
                 changed.last_number = state.last_number.wrapping_add(1);
                 state.permit(subject).map_or(0, |permit| permit.number)
--- a/crates/permits/src/state.rs
+++ b/crates/permits/src/state.rs
@@ -23,7 +23,7 @@
 impl Subject {
     /// Whether a permit for it allows others to take over its pending work. Such a permit ends only by a `Return`: the
     /// subject sends it once it has learned what was done in its place.
-    pub fn is_takeover(self) -> bool {
+    pub fn allows_takeover(self) -> bool {
         matches!(self, Self::Site(_) | Self::Gateway(_))
     }
 }
