--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -6,7 +6,7 @@
 use super::plan::{Assumptions, DAY_S, Plan, Role};
 use super::points::{Points, Reading};
 use basaltward_membership::MembershipSettings;
-use basaltward_permits::{PERMITS, PermitSettings};
+use basaltward_permits::{MAX_PERMITS, PermitSettings};
 use basaltward_route::FunctionTold;
 
 /// How a figure came to be.
@@ -449,29 +449,29 @@
         // The module's own patience with questions, then a question and its answer between zones.
         let cold = MODULE_ASK_S + 2.0 * open.hop_zones_s;
         let needs = vec![
-            self.of_share(
-                role,
-                Resource::Processor,
-                "all its events",
-                "calls_per_s / schedulers x ((1 - new_share) x call_us(workers, functions_held) + new_share x new_us(workers)) \
+self.of_share(
+role,
+Resource::Processor,
+"all its events",
+"calls_per_s / schedulers x ((1 - new_share) x call_us(workers, functions_held) + new_share x new_us(workers)) \
                  + sweep_us_per_s(workers, functions_held)",
-                processor,
-            ),
-            self.of_share(
-                role,
-                Resource::Memory,
-                "functions, their places and workers",
-                "bytes(functions_held) + bytes(workers)",
-                memory,
-            ),
-            self.need(
-                Resource::Time,
-                "a cold start's questions",
-                "0.015 s of patience with questions + 2 x hop_zones_s",
-                Value::arithmetic(cold),
-                plan.cold_start_s * open.cold_control_share,
-            ),
-        ];
+processor,
+),
+self.of_share(
+role,
+Resource::Memory,
+"functions, their places and workers",
+"bytes(functions_held) + bytes(workers)",
+memory,
+),
+self.need(
+Resource::Time,
+"a cold start's questions",
+"0.015 s of patience with questions + 2 x hop_zones_s",
+Value::arithmetic(cold),
+plan.cold_start_s * open.cold_control_share,
+),
+];
         Section {
             role,
             state: "Each worker of the list with demand, evidence and attempts; each function called within four times \
@@ -549,19 +549,19 @@
             ),
         ];
         Section {
-            role,
-            state: "Where copies stand, by function and worker, with age and count, as far as anybody has seen it within \
+role,
+state: "Where copies stand, by function and worker, with age and count, as far as anybody has seen it within \
                     keep_s: `crates/node/src/words.rs`, `hearsay.rs`.",
-            messages: "Each start, end and refresh goes in one datagram of up to 25 updates to an address at which all \
+messages: "Each start, end and refresh goes in one datagram of up to 25 updates to an address at which all \
                        schedulers listen; every scheduler takes every update, called there or not. What is counted is \
                        what one scheduler takes.",
-            needs,
-            mechanism: "updates told to everyone",
-            missing: Some(Missing::PartitionedDirectory),
-            notes: vec!["Used where the fleet's membership is off: with it on, the directory has no socket and tells \
+needs,
+mechanism: "updates told to everyone",
+missing: Some(Missing::PartitionedDirectory),
+notes: vec!["Used where the fleet's membership is off: with it on, the directory has no socket and tells \
                          nothing (`Hearsay::open`)."
-                .into()],
-        }
+.into()],
+}
     }
 
     fn membership(&self) -> Section {
@@ -665,43 +665,43 @@
         let settings = PermitSettings::new(plan.schedulers as u16, 0, 0, 0);
         let voters = settings.voters.len();
         let needs = vec![
-            self.of_share(
-                role,
-                Resource::Bandwidth,
-                "a member, mean",
-                "all_bytes_per_s(schedulers) / schedulers",
-                each,
-            ),
-            self.of_share(
-                role,
-                Resource::Bandwidth,
-                "the leader at most: its intercept and a member's slope",
-                "all_bytes_per_s(0) + slope",
-                of_leader,
-            ),
-            self.of_share(
-                role,
-                Resource::Processor,
-                "requests at the leader",
-                "2 x restarts_per_day / (restart_hours x 3600) x request_us(schedulers + workers)",
-                Value::of([(&request, subjects)], |[us]| us * requests),
-            ),
-            self.of_share(
-                role,
-                Resource::Memory,
-                "what the leader sees, while it answers",
-                "bytes(schedulers + workers)",
-                Value::of([(&sight, subjects)], |[bytes]| bytes),
-            ),
-            self.need(
-                Resource::Bound,
-                "permits at once",
-                "restarts_per_day x permit_s / (restart_hours x 3600) + 3 x its root, of 12 permits in a datagram",
-                Value::arithmetic(most),
-                PERMITS as f64,
-            ),
-        ];
-        let release = plan.schedulers * open.permit_s / PERMITS as f64 / 3_600.0;
+self.of_share(
+role,
+Resource::Bandwidth,
+"a member, mean",
+"all_bytes_per_s(schedulers) / schedulers",
+each,
+),
+self.of_share(
+role,
+Resource::Bandwidth,
+"the leader at most: its intercept and a member's slope",
+"all_bytes_per_s(0) + slope",
+of_leader,
+),
+self.of_share(
+role,
+Resource::Processor,
+"requests at the leader",
+"2 x restarts_per_day / (restart_hours x 3600) x request_us(schedulers + workers)",
+Value::of([(&request, subjects)], |[us]| us * requests),
+),
+self.of_share(
+role,
+Resource::Memory,
+"what the leader sees, while it answers",
+"bytes(schedulers + workers)",
+Value::of([(&sight, subjects)], |[bytes]| bytes),
+),
+self.need(
+Resource::Bound,
+"permits at once",
+"restarts_per_day x permit_s / (restart_hours x 3600) + 3 x its root, of 12 permits in a datagram",
+Value::arithmetic(most),
+MAX_PERMITS as f64,
+),
+];
+        let release = plan.schedulers * open.permit_s / MAX_PERMITS as f64 / 3_600.0;
         Section {
             role,
             state: "A replicated state of up to 12 permits, a release plan and a halt, in one datagram; what is seen of \
@@ -765,19 +765,19 @@
             ),
         ];
         Section {
-            role,
-            state: "What comes by class and tenant at each other member, told within the last 5 s; a table of shares.",
-            messages: "Each member tells a head and pages of pairs as facts, those that changed each 500 ms; membership \
+role,
+state: "What comes by class and tenant at each other member, told within the last 5 s; a table of shares.",
+messages: "Each member tells a head and pages of pairs as facts, those that changed each 500 ms; membership \
                        carries each fact to every member.",
-            needs,
-            mechanism: "`crates/shed`: shares worked out alike by all from what all tell, on membership's facts",
-            missing: Some(Missing::ZonedMembership),
-            notes: vec!["Membership sends no faster than its own budget: past it facts come late, those older than 5 s are \
+needs,
+mechanism: "`crates/shed`: shares worked out alike by all from what all tell, on membership's facts",
+missing: Some(Missing::ZonedMembership),
+notes: vec!["Membership sends no faster than its own budget: past it facts come late, those older than 5 s are \
                          not believed, and doors then take everything. So the need does not show as bytes but as \
                          admission control that is off. Sums of a zone in place of facts of each member would be zones x \
                          the same bytes. The door is in `serve`; `node` has none."
-                .into()],
-        }
+.into()],
+}
     }
 
     /// Bytes a member sends for one fact at the plan's size: as measured at the largest size, with the times a fact is
@@ -841,10 +841,10 @@
             mechanism: "`crates/route`: one teller a site, frames over kept connections",
             missing: Some(Missing::ZonedMembership),
             notes: vec![
-                "Measured with 200 functions called at every gateway; with more functions frames grow until their bound, \
+"Measured with 200 functions called at every gateway; with more functions frames grow until their bound, \
                  so this is from below."
-                    .into(),
-            ],
+.into(),
+],
         }
     }
 
@@ -883,16 +883,16 @@
             ),
         ];
         Section {
-            role,
-            state: "Events accepted and not ended, ended ones for their time, those held for neighbours.",
-            messages: "For each kept event three entries to a holder at another site, and their acknowledgements.",
-            needs,
-            mechanism: "`crates/pending`: a journal a writer, holders at other sites",
-            missing: None,
-            notes: vec!["The bytes of the events themselves go to the holder too; they are traffic of calls here, not \
+role,
+state: "Events accepted and not ended, ended ones for their time, those held for neighbours.",
+messages: "For each kept event three entries to a holder at another site, and their acknowledgements.",
+needs,
+mechanism: "`crates/pending`: a journal a writer, holders at other sites",
+missing: None,
+notes: vec!["The bytes of the events themselves go to the holder too; they are traffic of calls here, not \
                          control. kept_share is the assumption that decides: see the sensitivity run."
-                .into()],
-        }
+.into()],
+}
     }
 
     fn configuration(&self) -> Section {
@@ -1017,35 +1017,35 @@
         let quorum = (plan.control_machines / 2.0).floor() + 1.0;
         let left = plan.control_machines - (plan.control_machines / plan.regions).ceil();
         let needs = vec![
-            self.need(
-                Resource::Bandwidth,
-                "changes of configuration and of the list, to its part of the schedulers",
-                "schedulers / control_machines x (changes_per_day / 86400 x change_bytes + list changes)",
-                slope(&bytes, &|each| of_one * (config + changes * each + WATCH_LINE_BYTES)),
-                open.control_bytes_per_s,
-            ),
-            self.need(
-                Resource::Bandwidth,
-                "whole lists to its part, all of which start",
-                "schedulers / control_machines x list_bytes(workers) / start_s",
-                Value::of([(&bytes, workers)], |[bytes]| of_one * bytes / open.start_s),
-                open.control_bytes_per_s,
-            ),
-            self.need(
-                Resource::Processor,
-                "an entry read or written, to its part, all of which start",
-                "schedulers / control_machines x workers x us a worker / start_s",
-                slope(&parse, &|each| of_one * open.workers * each / open.start_s),
-                open.control_cores * 1e6,
-            ),
-            self.need(
-                Resource::Machines,
-                "a majority while one region is lost",
-                "floor(control_machines / 2) + 1, of control_machines - ceil(control_machines / regions) left",
-                Value::arithmetic(quorum),
-                left,
-            ),
-        ];
+self.need(
+Resource::Bandwidth,
+"changes of configuration and of the list, to its part of the schedulers",
+"schedulers / control_machines x (changes_per_day / 86400 x change_bytes + list changes)",
+slope(&bytes, &|each| of_one * (config + changes * each + WATCH_LINE_BYTES)),
+open.control_bytes_per_s,
+),
+self.need(
+Resource::Bandwidth,
+"whole lists to its part, all of which start",
+"schedulers / control_machines x list_bytes(workers) / start_s",
+Value::of([(&bytes, workers)], |[bytes]| of_one * bytes / open.start_s),
+open.control_bytes_per_s,
+),
+self.need(
+Resource::Processor,
+"an entry read or written, to its part, all of which start",
+"schedulers / control_machines x workers x us a worker / start_s",
+slope(&parse, &|each| of_one * open.workers * each / open.start_s),
+open.control_cores * 1e6,
+),
+self.need(
+Resource::Machines,
+"a majority while one region is lost",
+"floor(control_machines / 2) + 1, of control_machines - ceil(control_machines / regions) left",
+Value::arithmetic(quorum),
+left,
+),
+];
         Section {
             role,
             state: "Nothing of this project: the platform's list of workers is told from there.",
--- a/crates/cli/examples/planted.rs
+++ b/crates/cli/examples/planted.rs
@@ -17,7 +17,7 @@
     node.inject_view_fault(|entry, incarnation, state| {
         (entry.incarnation, entry.state) != (incarnation, state)
     });
-    node.inject_permit_fault(Fault::CountsTheViewAlone);
+    node.inject_permit_fault(Fault::IgnoresPermits);
     node.handle_signals()?;
     node.run()?;
     drop(recorder);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -252,7 +252,7 @@
         self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant(newer));
     }
 
-    /// Injects a fault into its permit node, see [`basaltward_permits::PermitNode::plant`].
+    /// Injects a fault into its permit node, see [`basaltward_permits::PermitNode::inject`].
     #[doc(hidden)]
     pub fn inject_permit_fault(&mut self, fault: basaltward_permits::Fault) {
         self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant_agreed(fault, monotonic()));
