--- a/benchlink/src/lib.rs
+++ b/benchlink/src/lib.rs
@@ -308,7 +308,7 @@
         match name {
             "begin" => {
                 let seed = fields.number("initSeed")?;
-                let told = basaltward_told::parse(fields.text("options")?)
+                let told = basaltward_platform_settings::parse(fields.text("options")?)
                     .map_err(|e| format!("usable settings in options ({e})"))?;
                 let controller = Controller::new(told.module, seed)
                     .map_err(|e| format!("usable settings in options ({e})"))?;
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,7 +1,7 @@
 use crate::Budget;
 use basaltward_bulletin::Known;
 use basaltward_permits::Bounds;
-use basaltward_told::{Told, ToldError};
+use basaltward_platform_settings::{Told, ToldError};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 use serde_json::value::RawValue;
@@ -187,7 +187,7 @@
     json.end().map_err(ConfigError::Tail)?;
     refuse_renamed(&file)?;
     let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed(file.seed))?;
-    let settings = basaltward_told::parse(file.settings.get())?;
+    let settings = basaltward_platform_settings::parse(file.settings.get())?;
     let without_fleet = FleetFile {
         view,
         name: String::new(),
--- a/crates/told/tests/settings.rs
+++ b/crates/platform-settings/tests/settings.rs
@@ -1,5 +1,5 @@
 //! What a settings object may hold wrong, and how that is named.
-use basaltward_told::parse;
+use basaltward_platform_settings::parse;
 
 const GOOD: &str = r#"{"dcs":["a","b"],"familyInfo":{"machineMb":[4000.0],"staysLoadedUs":9000000},
 "limits":{"sendCap":3,"streamsPerConn":32,"idleCloseUs":30000000},"models":["m"],"replicasOfMe":2,
