--- a/crates/bulletin/src/event.rs
+++ b/crates/bulletin/src/event.rs
@@ -10,20 +10,20 @@
     Line(#[from] serde_json::Error),
     /// It has no end within the bound.
     #[error("a line without end")]
-    Endless,
+    LineTooLong,
     /// Events between the last one held and this number are missing.
-    #[error("event {told} after {held}")]
+    #[error("event {received} after {last}")]
     Gap {
         /// The last event held.
-        held: u64,
+        last: u64,
         /// The number told.
-        told: u64,
+        received: u64,
     },
 }
 
 /// A worker's state as the bulletin tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub enum Standing {
+pub enum WorkerState {
     /// Takes work.
     Ready,
     /// Finishes its work and takes nothing new.
@@ -49,7 +49,7 @@
     #[serde(default)]
     pub pod_group: u64,
     /// Its state.
-    pub state: Standing,
+    pub state: WorkerState,
     /// Its size, comparable between workers.
     #[serde(default = "one")]
     pub capacity_hint: f64,
@@ -81,7 +81,7 @@
 
 /// One event.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Item {
+pub struct RosterEvent {
     /// Its number, from 1.
     pub no: u64,
     /// What it tells.
@@ -90,9 +90,9 @@
 
 /// The events that a scheduler is given at its start.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
-pub struct Known {
+pub struct InitialEvents {
     /// Number of the last one.
     pub no: u64,
     /// The events.
-    pub items: Vec<Item>,
+    pub items: Vec<RosterEvent>,
 }
--- a/crates/bulletin/src/follower.rs
+++ b/crates/bulletin/src/follower.rs
@@ -10,19 +10,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowerLimits {
     /// Most bytes of a line, its end included.
-    pub line: usize,
+    pub max_line: usize,
     /// A bulletin that says nothing for so long, though it owes a line each second, is left.
-    pub silence: Micros,
+    pub silence_timeout: Micros,
     /// A connection that does not stand by then has failed.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// Shortest and longest wait between two connections that fail.
-    pub again: (Micros, Micros),
+    pub reconnect_delays: (Micros, Micros),
 }
 
 impl Default for FollowerLimits {
     fn default() -> Self {
         // What a silent bulletin would have told counts as told after 4 s, what a broken one would after 2.
-        Self { line: 1 << 20, silence: 2_200_000, connect: 500_000, again: (20_000, 500_000) }
+        Self {
+            max_line: 1 << 20,
+            silence_timeout: 2_200_000,
+            connect_timeout: 500_000,
+            reconnect_delays: (20_000, 500_000),
+        }
     }
 }
 
@@ -30,9 +35,9 @@
     /// Bounds where the settings say that a connection may take so long to stand: one that does is not given up
     /// before, else no connection would ever stand there. With the longest silence it stays under the 4 s after which
     /// what was not heard counts as told.
-    pub fn where_connecting_takes(told: Micros) -> Self {
+    pub fn with_connect_timeout(told: Micros) -> Self {
         let usual = Self::default();
-        Self { connect: told.clamp(usual.connect, 1_500_000), ..usual }
+        Self { connect_timeout: told.clamp(usual.connect_timeout, 1_500_000), ..usual }
     }
 }
 
@@ -52,7 +57,7 @@
     /// A roster that holds from now on.
     Roster(Roster),
     /// A connection is left, and why; for the log.
-    Left(FeedId, Option<BulletinError>),
+    Abandoned(FeedId, Option<BulletinError>),
 }
 
 struct Feed {
@@ -102,7 +107,7 @@
     /// woken.
     pub fn new(limits: FollowerLimits, address: SocketAddr, last: u64) -> Self {
         let (feeds, given) = (Vec::new(), 0);
-        let (next, wait, freshness) = (Some(0), limits.again.0, FreshnessClock::default());
+        let (next, wait, freshness) = (Some(0), limits.reconnect_delays.0, FreshnessClock::default());
         Self { limits, address, last, feeds, given, next, wait, freshness, read_all: 0 }
     }
 
@@ -113,12 +118,12 @@
 
     /// Nothing waited to be read at `at`: what is read from now on has come later. Lines and ends count as of this
     /// time, not as of when they are read: a process that stood still reads words that are old.
-    pub fn nothing_waited(&mut self, at: Micros) {
+    pub fn input_drained(&mut self, at: Micros) {
         self.read_all = self.read_all.max(at);
     }
 
     /// Number of the last event held.
-    pub fn last(&self) -> u64 {
+    pub fn last_event(&self) -> u64 {
         self.last
     }
 
@@ -137,7 +142,7 @@
             self.next = None;
             let id = FeedId(self.given);
             self.given += 1;
-            let (address, until) = (self.address, now + self.limits.connect);
+            let (address, until) = (self.address, now + self.limits.connect_timeout);
             self.feeds.push(Feed { id, address, begun: now, until, stood: false, spoke: false, searched: 0 });
             out.push(Step::Connect(id, address));
         }
@@ -145,7 +150,7 @@
 
     /// A connection stands: the events after the last one held are asked for.
     pub fn connected(&mut self, now: Micros, id: FeedId, out: &mut Vec<Step>) {
-        let until = now + self.limits.silence;
+        let until = now + self.limits.silence_timeout;
         if let Some(feed) = self.feeds.iter_mut().find(|f| f.id == id) {
             feed.until = until;
             feed.stood = true;
@@ -161,10 +166,10 @@
 
     /// Another bulletin is to be followed. The one before is followed too until the new one speaks or it ends; one
     /// that was to take its place and has told nothing yet is not waited for.
-    pub fn moved(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<Step>) {
+    pub fn switch_to(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<Step>) {
         if address != self.address {
             self.address = address;
-            (self.next, self.wait) = (Some(now), self.limits.again.0);
+            (self.next, self.wait) = (Some(now), self.limits.reconnect_delays.0);
             let oldest = self.feeds.first().map(|feed| feed.id);
             self.keep(|feed| Some(feed.id) == oldest, out);
         }
@@ -177,21 +182,21 @@
     }
 
     /// Takes the whole lines out of a connection's input.
-    pub fn lines(&mut self, now: Micros, id: FeedId, input: &mut BytesMut, out: &mut Vec<Step>) {
+    pub fn read_lines(&mut self, now: Micros, id: FeedId, input: &mut BytesMut, out: &mut Vec<Step>) {
         while let Some(feed) = self.feeds.iter_mut().find(|f| f.id == id) {
             let from = feed.searched.min(input.len());
             let Some(end) = memchr::memchr(b'\n', &input[from..]).map(|at| at + from) else {
                 feed.searched = input.len();
-                if input.len() > self.limits.line {
+                if input.len() > self.limits.max_line {
                     out.push(Step::Close(id));
                     self.broke(now, id);
-                    self.leave(now, id, Some(BulletinError::Endless), out);
+                    self.leave(now, id, Some(BulletinError::LineTooLong), out);
                 }
                 return;
             };
             feed.searched = 0;
-            let within = end < self.limits.line;
-            let told = if within { parse(&input[..end]) } else { Err(BulletinError::Endless) };
+            let within = end < self.limits.max_line;
+            let told = if within { parse(&input[..end]) } else { Err(BulletinError::LineTooLong) };
             input.advance(end + 1);
             let complete = told.as_ref().is_ok_and(|line| line.roster.is_none() && line.no == self.last);
             if let Err(error) = told.and_then(|line| self.line(line, out)) {
@@ -223,11 +228,11 @@
         // Of an event the one before must be held, of a number alone the event itself.
         let most = self.last + u64::from(line.roster.is_some());
         if line.no > most {
-            return Err(BulletinError::Gap { held: self.last, told: line.no });
+            return Err(BulletinError::Gap { last: self.last, received: line.no });
         }
         if let Some(roster) = line.roster.filter(|_| line.no > self.last) {
             self.last = line.no;
-            self.wait = self.limits.again.0;
+            self.wait = self.limits.reconnect_delays.0;
             out.push(Step::Roster(roster));
         }
         Ok(())
@@ -238,7 +243,7 @@
     fn spoke(&mut self, now: Micros, id: FeedId, out: &mut Vec<Step>) {
         let (address, newest) = (self.address, self.feeds.last().is_some_and(|f| f.id == id));
         let Some(feed) = self.feeds.iter_mut().find(|f| f.id == id) else { return };
-        feed.until = now + self.limits.silence;
+        feed.until = now + self.limits.silence_timeout;
         feed.spoke = true;
         if newest && feed.address == address {
             self.keep(|feed| feed.id == id, out);
@@ -248,13 +253,13 @@
     fn leave(&mut self, now: Micros, id: FeedId, why: Option<BulletinError>, out: &mut Vec<Step>) {
         let Some(at) = self.feeds.iter().position(|f| f.id == id) else { return };
         let feed = self.feeds.remove(at);
-        out.push(Step::Left(id, why));
+        out.push(Step::Abandoned(id, why));
         if feed.address != self.address || self.feeds.iter().any(|f| f.address == self.address) {
             return;
         }
         // At once after one that was of use: it brought an event, or stood for longer than any wait. One that speaks
         // and breaks each time would be asked without a pause. Else ever later, up to the bound.
-        let (shortest, longest) = self.limits.again;
+        let (shortest, longest) = self.limits.reconnect_delays;
         if feed.spoke && now.saturating_sub(feed.begun) >= longest {
             self.wait = shortest;
         }
--- a/crates/bulletin/src/freshness.rs
+++ b/crates/bulletin/src/freshness.rs
@@ -7,11 +7,11 @@
 type Micros = u64;
 
 /// What a bulletin that broke off would have told counts as told this long after it broke off.
-pub const TOLD_AFTER_BREAK_US: Micros = 2_000_000;
+pub const DELIVERED_AFTER_BREAK_US: Micros = 2_000_000;
 /// What a bulletin that fell silent would have told counts as told this long after its last word.
-pub const TOLD_AFTER_SILENCE_US: Micros = 4_000_000;
+pub const DELIVERED_AFTER_SILENCE_US: Micros = 4_000_000;
 /// A bulletin owes a line each second; once it is half a second late it counts as interrupted.
-pub const OWED_WITHIN_US: Micros = 1_500_000;
+pub const LINE_OVERDUE_US: Micros = 1_500_000;
 
 /// Why a list is not followed for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,12 +30,12 @@
     /// It is followed. Unless another line comes, all that it is missing counts as told at `told_at`.
     Current {
         /// When that is, at the latest.
-        told_at: Micros,
+        delivered_by: Micros,
     },
     /// It is not followed for now.
     Interrupted {
         /// When all that it is missing counts as told, at the latest.
-        told_at: Micros,
+        delivered_by: Micros,
         /// Why.
         why: Interruption,
     },
@@ -66,16 +66,16 @@
 
     pub fn read(&self, now: Micros) -> Freshness {
         let Some(confirmed) = self.confirmed else { return Freshness::Unconfirmed };
-        let by_silence = confirmed + TOLD_AFTER_SILENCE_US;
+        let by_silence = confirmed + DELIVERED_AFTER_SILENCE_US;
         match self.broken {
             Some(broken) => Freshness::Interrupted {
-                told_at: by_silence.min(broken + TOLD_AFTER_BREAK_US),
+                delivered_by: by_silence.min(broken + DELIVERED_AFTER_BREAK_US),
                 why: Interruption::Broken,
             },
-            None if now >= confirmed + OWED_WITHIN_US => {
-                Freshness::Interrupted { told_at: by_silence, why: Interruption::Silent }
+            None if now >= confirmed + LINE_OVERDUE_US => {
+                Freshness::Interrupted { delivered_by: by_silence, why: Interruption::Silent }
             }
-            None => Freshness::Current { told_at: by_silence },
+            None => Freshness::Current { delivered_by: by_silence },
         }
     }
 }
--- a/crates/bulletin/src/lib.rs
+++ b/crates/bulletin/src/lib.rs
@@ -11,6 +11,8 @@
 mod follower;
 mod freshness;
 
-pub use event::{BulletinError, Item, Known, Roster, Standing, Target};
+pub use event::{BulletinError, InitialEvents, Roster, RosterEvent, Target, WorkerState};
 pub use follower::{FeedId, Follower, FollowerLimits, Step};
-pub use freshness::{Freshness, Interruption, OWED_WITHIN_US, TOLD_AFTER_BREAK_US, TOLD_AFTER_SILENCE_US};
+pub use freshness::{
+    DELIVERED_AFTER_BREAK_US, DELIVERED_AFTER_SILENCE_US, Freshness, Interruption, LINE_OVERDUE_US,
+};
--- a/crates/bulletin/tests/histories.rs
+++ b/crates/bulletin/tests/histories.rs
@@ -4,8 +4,12 @@
 use std::net::SocketAddr;
 
 const S: u64 = 1_000_000;
-const LIMITS: FollowerLimits =
-    FollowerLimits { line: 4_096, silence: 2 * S, connect: S / 2, again: (S / 50, S / 2) };
+const LIMITS: FollowerLimits = FollowerLimits {
+    max_line: 4_096,
+    silence_timeout: 2 * S,
+    connect_timeout: S / 2,
+    reconnect_delays: (S / 50, S / 2),
+};
 
 fn address(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
@@ -50,7 +54,7 @@
                 Step::Write(_, text) => self.asked.push(text),
                 Step::Close(id) => self.open.retain(|(open, _)| *open != id),
                 Step::Roster(roster) => self.told.extend(roster.targets.into_iter().map(|t| t.uid)),
-                Step::Left(_, why) => self.faults.extend(why.map(|w| w.to_string())),
+                Step::Abandoned(_, why) => self.faults.extend(why.map(|w| w.to_string())),
             }
         }
     }
@@ -77,13 +81,13 @@
         });
         let mut input = std::mem::take(&mut self.inputs[at].1);
         input.extend_from_slice(text.as_bytes());
-        self.with(|f, now, out| f.lines(now, id, &mut input, out));
+        self.with(|f, now, out| f.read_lines(now, id, &mut input, out));
         self.inputs[at].1 = input;
     }
 
     /// A configuration names the bulletin at this port.
     fn moves(&mut self, port: u16) {
-        self.with(|f, now, out| f.moved(now, address(port), out));
+        self.with(|f, now, out| f.switch_to(now, address(port), out));
         self.advance(0);
     }
 
@@ -126,7 +130,7 @@
         assert!(bed.faults[0].starts_with(fault), "{:?}", bed.faults);
         bed.advance(0);
         bed.stand();
-        assert_eq!((bed.open.len(), bed.asked.len(), bed.follower.last()), (1, 2, 3));
+        assert_eq!((bed.open.len(), bed.asked.len(), bed.follower.last_event()), (1, 2, 3));
     }
 }
 
@@ -191,9 +195,9 @@
             let mut input = BytesMut::new();
             for piece in pieces {
                 input.extend_from_slice(piece);
-                bed.with(|f, now, out| f.lines(now, feed, &mut input, out));
+                bed.with(|f, now, out| f.read_lines(now, feed, &mut input, out));
             }
-            (bed.told.clone(), bed.follower.last(), bed.faults)
+            (bed.told.clone(), bed.follower.last_event(), bed.faults)
         };
         assert_eq!(run(&[&bytes]), run(&[&bytes[..cut], &bytes[cut..]]));
     }
@@ -287,7 +291,7 @@
             let act = draw(8);
             let feed = (!bed.open.is_empty()).then(|| bed.open[draw(bed.open.len())].0);
             history.push((act, feed));
-            let next = bed.follower.last() + 1;
+            let next = bed.follower.last_event() + 1;
             match (act, feed) {
                 (0, _) => {
                     at = draw(3) as u16 + 1;
@@ -311,10 +315,10 @@
         });
         assert!(waited.is_some(), "{history:?}");
         let feed = bed.stand();
-        let last = bed.follower.last();
+        let last = bed.follower.last_event();
         bed.says(feed, &event(last + 1));
         assert_eq!(
-            (&bed.open[..], bed.follower.last()),
+            (&bed.open[..], bed.follower.last_event()),
             (&[(feed, address(at))][..], last + 1),
             "{history:?}"
         );
@@ -418,7 +422,7 @@
     let mut bed = Bed::new(3);
     let feed = bed.stand();
     bed.says(feed, &(event(1) + &event(2) + "{\"no\":2}\n1\n" + &event(3) + "0\n"));
-    assert_eq!((bed.told.len(), bed.follower.last(), bed.faults.len()), (0, 3, 0));
+    assert_eq!((bed.told.len(), bed.follower.last_event(), bed.faults.len()), (0, 3, 0));
     bed.says(feed, &event(4));
     assert_eq!((bed.told.as_slice(), bed.open.len()), (&["s-4".to_owned()][..], 1));
 }
@@ -431,7 +435,9 @@
         text
     };
     for pieces in [1, 7] {
-        for (length, taken) in [(LIMITS.line - 1, true), (LIMITS.line, true), (LIMITS.line + 1, false)] {
+        for (length, taken) in
+            [(LIMITS.max_line - 1, true), (LIMITS.max_line, true), (LIMITS.max_line + 1, false)]
+        {
             let mut bed = Bed::new(3);
             let feed = bed.stand();
             let text = line(length);
@@ -461,7 +467,7 @@
 
 #[test]
 fn a_connection_that_takes_as_long_as_the_settings_allow_is_waited_for() {
-    let limits = FollowerLimits::where_connecting_takes;
+    let limits = FollowerLimits::with_connect_timeout;
     for (told, takes, stands) in [
         (S + S / 5, S, true),
         (S + S / 5, S + S / 4, false),
@@ -478,7 +484,7 @@
         bed.with(|f, now, out| f.connected(now, first, out));
         assert_eq!(bed.asked.len(), usize::from(stands), "{told} {takes}");
         // Whatever is told: a silent one is left and the next one had its whole time within 4 s of its last line.
-        assert!(limits(told).silence + limits(told).connect < 4 * S);
+        assert!(limits(told).silence_timeout + limits(told).connect_timeout < 4 * S);
     }
 }
 
@@ -486,7 +492,7 @@
     /// A number alone: nothing is missing up to it.
     fn tells(&mut self, id: FeedId, no: u64) {
         let now = self.now;
-        self.follower.nothing_waited(now);
+        self.follower.input_drained(now);
         self.says(id, &format!("{no}\n"));
     }
 
@@ -496,11 +502,11 @@
 }
 
 fn broken(told_at: u64) -> Freshness {
-    Freshness::Interrupted { told_at, why: Interruption::Broken }
+    Freshness::Interrupted { delivered_by: told_at, why: Interruption::Broken }
 }
 
 fn silent(told_at: u64) -> Freshness {
-    Freshness::Interrupted { told_at, why: Interruption::Silent }
+    Freshness::Interrupted { delivered_by: told_at, why: Interruption::Silent }
 }
 
 #[test]
@@ -513,11 +519,11 @@
     assert_eq!(bed.freshness(), Freshness::Unconfirmed);
     bed.tells(feed, 4);
     let confirmed = bed.now;
-    assert_eq!(bed.freshness(), Freshness::Current { told_at: confirmed + 4 * S });
+    assert_eq!(bed.freshness(), Freshness::Current { delivered_by: confirmed + 4 * S });
     bed.advance(S + S / 2);
     assert_eq!(bed.freshness(), silent(confirmed + 4 * S));
     bed.tells(feed, 4);
-    assert_eq!(bed.freshness(), Freshness::Current { told_at: bed.now + 4 * S });
+    assert_eq!(bed.freshness(), Freshness::Current { delivered_by: bed.now + 4 * S });
 }
 
 #[test]
@@ -526,7 +532,7 @@
     let feed = bed.stand();
     bed.tells(feed, 3);
     bed.advance(S / 2);
-    bed.follower.nothing_waited(bed.now);
+    bed.follower.input_drained(bed.now);
     let broke = bed.now;
     bed.breaks(feed);
     assert_eq!(bed.freshness(), broken(broke + 2 * S));
@@ -536,7 +542,7 @@
         let feed = bed.stand();
         bed.says(feed, &(event(2) + "{\"no\":2}\n"));
         bed.advance(S * 3 / 10);
-        bed.follower.nothing_waited(bed.now);
+        bed.follower.input_drained(bed.now);
         bed.breaks(feed);
         assert_eq!(bed.freshness(), broken(broke + 2 * S));
     }
@@ -554,12 +560,12 @@
     let confirmed = bed.now;
     bed.advance(S * 19 / 10);
     bed.advance(S / 20);
-    bed.follower.nothing_waited(bed.now);
+    bed.follower.input_drained(bed.now);
     bed.breaks(feed);
     assert_eq!(bed.freshness(), broken((confirmed + 4 * S).min(bed.now + 2 * S)));
     bed.advance(10 * S);
     assert!(
-        matches!(bed.freshness(), Freshness::Interrupted { told_at, .. } if told_at <= confirmed + 4 * S)
+        matches!(bed.freshness(), Freshness::Interrupted { delivered_by: told_at, .. } if told_at <= confirmed + 4 * S)
     );
 }
 
@@ -586,10 +592,10 @@
     bed.tells(old, 3);
     // Its planned end is no break of the list.
     bed.breaks(old);
-    assert_eq!(bed.freshness(), Freshness::Current { told_at: confirmed + 4 * S });
+    assert_eq!(bed.freshness(), Freshness::Current { delivered_by: confirmed + 4 * S });
     let new = bed.stand();
     bed.says(new, &event(4));
-    assert_eq!(bed.freshness(), Freshness::Current { told_at: confirmed + 4 * S });
+    assert_eq!(bed.freshness(), Freshness::Current { delivered_by: confirmed + 4 * S });
     bed.tells(new, 4);
-    assert_eq!(bed.freshness(), Freshness::Current { told_at: bed.now + 4 * S });
+    assert_eq!(bed.freshness(), Freshness::Current { delivered_by: bed.now + 4 * S });
 }
--- a/crates/gateway/src/scheduler/notes.rs
+++ b/crates/gateway/src/scheduler/notes.rs
@@ -4,7 +4,7 @@
 use crate::links::attempt_name;
 use basaltward::{MembersKind, Micros, WorkerId};
 use basaltward_engine::Input;
-use basaltward_roster::{News, Source, place};
+use basaltward_roster::{RosterUpdate, Source, to_member};
 use basaltward_rules::What;
 use tracing::{info, warn};
 
@@ -33,14 +33,14 @@
     pub(super) fn poll_roster(&mut self, now: Micros) {
         let (kind, entries) = match self.roster.poll(now) {
             None => return,
-            Some(News::Whole(entries)) => (MembersKind::Whole, entries),
-            Some(News::Changes(entries)) => (MembersKind::Changes, entries),
-            Some(News::Failed(why)) => {
+            Some(RosterUpdate::Full(entries)) => (MembersKind::Whole, entries),
+            Some(RosterUpdate::Changes(entries)) => (MembersKind::Changes, entries),
+            Some(RosterUpdate::Failed(why)) => {
                 warn!(scheduler = self.name, why, "roster can't be used; the previous list stands");
                 (MembersKind::Failed, Vec::new())
             }
         };
-        let members: Vec<_> = entries.iter().map(|e| place(e, |wall| self.clock.place(wall))).collect();
+        let members: Vec<_> = entries.iter().map(|e| to_member(e, |wall| self.clock.place(wall))).collect();
         self.note_states(now, kind, &members);
         self.tell(now, Input::Members(kind, members));
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,7 +1,7 @@
 use crate::Budget;
-use basaltward_bulletin::Known;
+use basaltward_bulletin::InitialEvents;
 use basaltward_permits::Bounds;
-use basaltward_platform_settings::{Told, ToldError};
+use basaltward_platform_settings::{PlatformSettings, PlatformSettingsError};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 use serde_json::value::RawValue;
@@ -26,7 +26,7 @@
     Tail(serde_json::Error),
     /// The settings object can't be used.
     #[error("configuration, at settings: {0}")]
-    Settings(#[from] ToldError),
+    Settings(#[from] PlatformSettingsError),
     /// The fleet's view is enabled but misconfigured.
     #[error("configuration, at fleet: {0}")]
     Fleet(&'static str),
@@ -50,7 +50,7 @@
     seed: String,
     limits: Limits,
     bulletin: SocketAddr,
-    known: Known,
+    known: InitialEvents,
     settings: Box<RawValue>,
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
@@ -140,9 +140,9 @@
     /// The bulletin's address.
     pub bulletin: SocketAddr,
     /// The bulletin's events known at the start.
-    pub known: Known,
+    pub known: InitialEvents,
     /// The settings.
-    pub settings: Told,
+    pub settings: PlatformSettings,
     /// Other schedulers, if the settings allow datagrams to them and a group address is configured.
     pub peers: Option<Peers>,
     /// The fleet's view, if it is enabled.
--- a/crates/node/src/discovery_log.rs
+++ b/crates/node/src/discovery_log.rs
@@ -49,7 +49,7 @@
             // After a start, the bulletin has a second to respond.
             Freshness::Unconfirmed => {}
             Freshness::Current { .. } => self.recovered(now, last),
-            Freshness::Interrupted { told_at, why } => {
+            Freshness::Interrupted { delivered_by: told_at, why } => {
                 if self.interrupted_since.is_none() {
                     self.interrupted_since = Some(now);
                     let told_in_ms = told_at.saturating_sub(now) / 1_000;
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -13,7 +13,7 @@
 use basaltward::{Code, FunctionId, Member, MembersKind, Micros, State, WorkerId};
 use basaltward_engine::{AttemptId, OrderId};
 use basaltward_net::{ConnId, End, Io};
-use basaltward_platform_settings::LinkFigures;
+use basaltward_platform_settings::LinkSettings;
 use basaltward_timers::Timers;
 use basaltward_worker_lines as lines;
 use basaltward_worker_lines::{AnswerDecoder, ExecFields, LineLimits};
@@ -118,7 +118,7 @@
 /// All connections to workers.
 pub struct Links {
     budget: Budget,
-    settings: LinkFigures,
+    settings: LinkSettings,
     classes: Vec<String>,
     report: Vec<String>,
     workers: BTreeMap<WorkerId, Worker>,
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -3,7 +3,7 @@
 use crate::config::NodeConfig;
 use crate::start_times::StartTimes;
 use basaltward::{Member, MembersKind, Micros, State};
-use basaltward_bulletin::{Roster, Standing, Target};
+use basaltward_bulletin::{Roster, Target, WorkerState};
 use basaltward_net::Clock;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -31,9 +31,9 @@
         Member {
             worker: target.uid.as_str().into(),
             state: match target.state {
-                Standing::Ready => State::Active,
-                Standing::Terminating => State::Leaving,
-                Standing::Gone => State::Gone,
+                WorkerState::Ready => State::Active,
+                WorkerState::Terminating => State::Leaving,
+                WorkerState::Gone => State::Gone,
             },
             started,
             hint: target.capacity_hint,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -12,7 +12,7 @@
 use crate::recorder::TraceRecorder;
 use basaltward::{Code, ListTrust, Micros, SettingsError, State, WorkerId};
 use basaltward_bulletin::{
-    FeedId, Follower, FollowerLimits, Freshness, OWED_WITHIN_US, Roster, Step as Feed,
+    FeedId, Follower, FollowerLimits, Freshness, LINE_OVERDUE_US, Roster, Step as Feed,
 };
 use basaltward_engine::{
     Answer, Engine, EngineSettings, Input, LoopPacer, MarginSettings, Output, RepeatLimits, TurnReport,
@@ -200,7 +200,7 @@
         let fleet = Fleet::open(&config, &mut io, monotonic())?;
         let gossip = Gossip::open(&config, &mut io, monotonic())?;
         let known = std::mem::take(&mut config.known);
-        let follower_limits = FollowerLimits::where_connecting_takes(config.settings.links.connect_timeout);
+        let follower_limits = FollowerLimits::with_connect_timeout(config.settings.links.connect_timeout);
         let max_deadline = config.settings.module.classes.iter().map(|class| class.deadline).max();
         let kill_after = max_deadline.unwrap_or(0).min(MAX_KILL_DELAY_US) + EXCUSED_AFTER_TERM_US;
         let mut node = Self {
@@ -296,7 +296,7 @@
             self.io.hold_accepting(!self.pace.should_accept(oldest_age));
             let wait = self.poll_timeout(now);
             self.io.turn(Some(wait), &mut events)?;
-            self.follower.nothing_waited(now);
+            self.follower.input_drained(now);
             self.turn((now, now + wait), &mut events);
             self.io.forget_ended();
             if self.is_finished(monotonic()) {
@@ -736,8 +736,10 @@
                     }
                 }
                 Feed::Roster(roster) => self.apply_roster(now, &roster),
-                Feed::Left(_, Some(why)) => warn!(name = self.name, %why, "connecting to the bulletin again"),
-                Feed::Left(_, None) => {}
+                Feed::Abandoned(_, Some(why)) => {
+                    warn!(name = self.name, %why, "connecting to the bulletin again")
+                }
+                Feed::Abandoned(_, None) => {}
             }
         }
     }
@@ -750,7 +752,7 @@
         let is_out_of_reach = match self.list_trust {
             Some(ListTrust::Interrupted { .. }) => true,
             // At a normal start the bulletin's first event number arrives within this time.
-            Some(ListTrust::Unconfirmed { since }) => now > since + OWED_WITHIN_US,
+            Some(ListTrust::Unconfirmed { since }) => now > since + LINE_OVERDUE_US,
             Some(ListTrust::Current { .. }) | None => false,
         };
         if is_out_of_reach {
@@ -764,10 +766,10 @@
         let freshness = self.follower.freshness(now);
         let trust = match freshness {
             Freshness::Unconfirmed => ListTrust::Unconfirmed { since: self.started_at },
-            Freshness::Current { told_at } => ListTrust::Current { told_at },
-            Freshness::Interrupted { told_at, .. } => ListTrust::Interrupted { told_at },
+            Freshness::Current { delivered_by: told_at } => ListTrust::Current { told_at },
+            Freshness::Interrupted { delivered_by: told_at, .. } => ListTrust::Interrupted { told_at },
         };
-        self.discovery_log.update(now, freshness, self.follower.last());
+        self.discovery_log.update(now, freshness, self.follower.last_event());
         if self.list_trust.replace(trust) != Some(trust) {
             self.notify_engine(now, Input::ListTrust(trust));
         }
@@ -781,7 +783,7 @@
         let Some(feed) = self.feeds.get(&conn).copied() else { return };
         let Some(input) = self.io.input(conn) else { return };
         let mut input = std::mem::take(input);
-        self.drive_follower(now, |follower, out| follower.lines(now, feed, &mut input, out));
+        self.drive_follower(now, |follower, out| follower.read_lines(now, feed, &mut input, out));
         self.members.list_confirmed(now);
         self.update_list_trust(now);
         if let Some(left) = self.io.input(conn) {
@@ -848,7 +850,7 @@
                 }
                 self.fleet.iter_mut().for_each(|fleet| fleet.reread(&config));
                 self.drive_follower(now, |follower, out| {
-                    follower.moved(now, config.bulletin, out);
+                    follower.switch_to(now, config.bulletin, out);
                     follower.wake(now, out);
                 });
             }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -3,7 +3,7 @@
 
 use crate::config::{FleetConfig, NodeConfig};
 use crate::recorder::TraceRecorder;
-use basaltward_bulletin::{Roster, Standing, Target};
+use basaltward_bulletin::{Roster, Target, WorkerState};
 use basaltward_membership::MemberId;
 use basaltward_net::{Io, Micros};
 use basaltward_peers::{Event, PeerConfig, PeerError, PeerTransport, Stands, Worker};
@@ -90,7 +90,7 @@
         let workers: Vec<_> = roster.targets.iter().map(|target| self.worker(target)).collect();
         self.transport.told(now, roster.all, &workers);
         if roster.all {
-            self.targets.values_mut().for_each(|target| target.state = Standing::Gone);
+            self.targets.values_mut().for_each(|target| target.state = WorkerState::Gone);
         }
         self.targets.extend(roster.targets.iter().map(|target| (target.uid.clone(), target.clone())));
         self.targets.retain(|name, _| self.transport.knows(name));
@@ -105,16 +105,16 @@
     fn worker(&self, target: &Target) -> Worker {
         let zone = self.zones.iter().position(|zone| *zone == target.az).unwrap_or(self.zones.len());
         let stands = match target.state {
-            Standing::Ready => Stands::Ready,
-            Standing::Terminating => Stands::Leaving,
-            Standing::Gone => Stands::Gone,
+            WorkerState::Ready => Stands::Ready,
+            WorkerState::Terminating => Stands::Leaving,
+            WorkerState::Gone => Stands::Gone,
         };
         Worker { name: target.uid.clone(), zone: zone as u8, boot_ms: target.boot_ms, stands }
     }
 
     fn with_drain(&self, target: &Target) -> Target {
-        let drained = target.state == Standing::Ready && self.transport.holds(&target.uid);
-        let state = if drained { Standing::Terminating } else { target.state };
+        let drained = target.state == WorkerState::Ready && self.transport.holds(&target.uid);
+        let state = if drained { WorkerState::Terminating } else { target.state };
         Target { state, ..target.clone() }
     }
 }
--- a/crates/node/src/start_times.rs
+++ b/crates/node/src/start_times.rs
@@ -1,7 +1,7 @@
 //! Start times of workers on the loop's monotonic clock. They are reported by wall clocks, which may be stepped.
 
 use basaltward::Micros;
-use basaltward_bulletin::{Standing, Target};
+use basaltward_bulletin::{Target, WorkerState};
 use basaltward_net::Clock;
 use std::collections::{HashMap, HashSet};
 
@@ -77,7 +77,7 @@
 
     /// When a worker started, on the monotonic clock; 0 for one that started long ago.
     pub fn started(&mut self, target: &Target) -> Micros {
-        let gone = (target.state == Standing::Gone).then_some(self.now);
+        let gone = (target.state == WorkerState::Gone).then_some(self.now);
         if target.boot_ms == 0 {
             self.workers.remove(&target.uid);
             return 0;
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -9,13 +9,13 @@
 
 /// Why a settings object can't be used.
 #[derive(Debug, Error)]
-pub enum ToldError {
+pub enum PlatformSettingsError {
     /// A field is missing or of the wrong form.
     #[error("{0}")]
     Field(#[from] serde_path_to_error::Error<serde_json::Error>),
     /// A word stands where another is expected.
     #[error("{field} {told:?} is none of {expected}")]
-    Word {
+    UnknownValue {
         /// The field.
         field: &'static str,
         /// What it holds.
@@ -30,7 +30,7 @@
 
 /// What a settings object tells.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct PlatformSettings {
     /// For the module.
     pub module: Settings,
     /// Names of the classes, in the module's order.
@@ -42,14 +42,14 @@
     /// Names of the zones, in the module's order.
     pub zones: Vec<String>,
     /// For connections to workers.
-    pub links: LinkFigures,
+    pub links: LinkSettings,
     /// Schedulers may send one another datagrams.
     pub peers: bool,
 }
 
 /// Figures of connections to workers; 0 where none is told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LinkFigures {
+pub struct LinkSettings {
     /// Requests that one connection carries at once.
     pub streams: usize,
     /// Workers close a connection that has been idle for so long.
@@ -184,8 +184,12 @@
     1.0
 }
 
-fn class(wire: &WireClass) -> Result<Class, ToldError> {
-    let word = |field, told: &str, expected| ToldError::Word { field, told: told.into(), expected };
+fn class(wire: &WireClass) -> Result<Class, PlatformSettingsError> {
+    let word = |field, told: &str, expected| PlatformSettingsError::UnknownValue {
+        field,
+        told: told.into(),
+        expected,
+    };
     let repeat = match wire.repeat.as_str() {
         "safe" => Repeat::Safe,
         "unsafe" => Repeat::Unsafe,
@@ -213,10 +217,10 @@
 ///
 /// # Errors
 /// Where it is not JSON of this form, or the module could not decide by it.
-pub fn parse(text: &str) -> Result<Told, ToldError> {
+pub fn parse(text: &str) -> Result<PlatformSettings, PlatformSettingsError> {
     let options: Options = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(text))?;
     let (family, limits, rules) = (options.family_info, options.limits, options.rules);
-    let links = LinkFigures {
+    let links = LinkSettings {
         streams: limits.streams_per_conn,
         idle_close: limits.idle_close_us as u64,
         connect_timeout: limits.connect_timeout_us as u64,
@@ -265,5 +269,5 @@
         must_ask: options.discovery == "ask",
     };
     module.check()?;
-    Ok(Told { module, classes, tenants, kinds: options.models, zones: options.dcs, links, peers })
+    Ok(PlatformSettings { module, classes, tenants, kinds: options.models, zones: options.dcs, links, peers })
 }
--- a/crates/roster/src/entry.rs
+++ b/crates/roster/src/entry.rs
@@ -30,7 +30,7 @@
 
 /// An entry as the module reads it; `on_clock` places a wall time on the loop's clock. The module takes 0 for
 /// long ago, so a start that the clock does not reach back to is placed at 1.
-pub fn place(entry: &Entry, on_clock: impl Fn(Micros) -> Micros) -> Member {
+pub fn to_member(entry: &Entry, on_clock: impl Fn(Micros) -> Micros) -> Member {
     Member {
         worker: entry.address.as_str().into(),
         state: entry.state,
--- a/crates/roster/src/file.rs
+++ b/crates/roster/src/file.rs
@@ -1,4 +1,4 @@
-use crate::{Entry, Names, News, Source};
+use crate::{Entry, Names, RosterUpdate, Source};
 use basaltward::{Micros, State};
 use basaltward_config::xml::{Node, checked};
 use basaltward_config::{ConfigError, Fault};
@@ -47,7 +47,7 @@
 }
 
 impl Source for RosterFile {
-    fn poll(&mut self, now: Micros) -> Option<News> {
+    fn poll(&mut self, now: Micros) -> Option<RosterUpdate> {
         if now < self.due {
             return None;
         }
@@ -56,12 +56,12 @@
             Ok(None) => None,
             Ok(Some(entries)) => {
                 self.failed = false;
-                Some(News::Whole(entries))
+                Some(RosterUpdate::Full(entries))
             }
             Err(_) if self.failed => None,
             Err(why) => {
                 self.failed = true;
-                Some(News::Failed(why))
+                Some(RosterUpdate::Failed(why))
             }
         }
     }
@@ -165,17 +165,17 @@
         let first = vec![entry("127.0.0.1:7001", State::Active), entry("[::1]:7002", State::Leaving)];
         write(&path, &names, &first).expect("written");
         let mut roster = RosterFile::new(path.clone(), names.clone(), 10);
-        assert_eq!(roster.poll(0), Some(News::Whole(first.clone())));
+        assert_eq!(roster.poll(0), Some(RosterUpdate::Full(first.clone())));
         assert_eq!(roster.poll(5), None);
         assert_eq!(roster.poll(10), None);
         write(&path, &names, &[]).expect("written");
-        assert_eq!(roster.poll(20), Some(News::Whole(Vec::new())));
+        assert_eq!(roster.poll(20), Some(RosterUpdate::Full(Vec::new())));
         let bad = "<roster xmlns=\"urn:basaltward:roster:1\"><worker address=\"x\"/></roster>";
         std::fs::write(&path, bad).expect("written");
-        assert!(matches!(roster.poll(30), Some(News::Failed(why)) if why.contains("roster.xml:1:")));
+        assert!(matches!(roster.poll(30), Some(RosterUpdate::Failed(why)) if why.contains("roster.xml:1:")));
         assert_eq!(roster.poll(40), None);
         write(&path, &names, &first[..1]).expect("written");
-        assert_eq!(roster.poll(50), Some(News::Whole(first[..1].to_vec())));
+        assert_eq!(roster.poll(50), Some(RosterUpdate::Full(first[..1].to_vec())));
         std::fs::remove_dir_all(&folder).expect("removed");
     }
 }
