--- a/crates/net/src/io.rs
+++ b/crates/net/src/io.rs
@@ -1,5 +1,5 @@
-use crate::again::Again;
 use crate::diverted::Diversion;
+use crate::retry::Again;
 use crate::system::{SystemCall, SystemCalls};
 use crate::wake::{Signal, Signals, Waker, drain};
 use crate::{Micros, monotonic};
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -4,12 +4,12 @@
 //! [`Io::input`] and puts bytes to send into [`Io::output`], which are written together at the next turn.
 #![warn(missing_docs)]
 
-mod again;
 mod clock;
 mod datagram;
 mod diverted;
 mod io;
 mod listen;
+mod retry;
 mod system;
 mod wake;
 
