--- a/crates/bench/src/echo.rs
+++ b/crates/bench/src/echo.rs
@@ -2,7 +2,7 @@
 
 use basaltward_gateway::fields;
 use basaltward_http::{Body, Decoded, HeadWriter, Limits, Method, RequestDecoder};
-use basaltward_net::{ConnId, Happened, Io, IoLimits, bind};
+use basaltward_net::{ConnId, Io, IoEvent, IoLimits, bind};
 use std::collections::HashMap;
 use std::error::Error;
 use std::net::SocketAddr;
@@ -17,15 +17,15 @@
         while io.turn(None, &mut happened).is_ok() {
             for happened in happened.drain(..) {
                 match happened {
-                    Happened::Accepted { conn, .. } => {
+                    IoEvent::Accepted { conn, .. } => {
                         conns.insert(conn, RequestDecoder::new(Limits::default()));
                     }
-                    Happened::Data(conn) => answer(&mut io, &mut conns, conn),
-                    Happened::Ended(conn, _) => drop(conns.remove(&conn)),
+                    IoEvent::Data(conn) => answer(&mut io, &mut conns, conn),
+                    IoEvent::Ended(conn, _) => drop(conns.remove(&conn)),
                     _ => {}
                 }
             }
-            io.forget_ended();
+            io.free_ended();
         }
     })?;
     Ok(address)
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,7 +1,7 @@
 //! Closed-loop load: each connection sends its next call when the answer to the last one is there.
 
 use basaltward_http::{Body, Decoded, HeadWriter, Limits, Method, ResponseDecoder};
-use basaltward_net::{ConnId, Happened, Io, IoLimits};
+use basaltward_net::{ConnId, Io, IoEvent, IoLimits};
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 use std::error::Error;
@@ -52,11 +52,11 @@
         }
         for happened in happened.drain(..) {
             let conn = match happened {
-                Happened::Connected(conn) => {
+                IoEvent::Connected(conn) => {
                     open += 1;
                     conn
                 }
-                Happened::Data(conn) => {
+                IoEvent::Data(conn) => {
                     let Some(known) = conns.get_mut(&conn) else { continue };
                     let Some(input) = io.input(conn) else { continue };
                     let Decoded::Message(answer) = known.decoder.decode(input, Method::Post)? else {
@@ -68,7 +68,7 @@
                     answered += 1;
                     conn
                 }
-                Happened::Ended(_, how) => return Err(format!("connection ended: {how:?}").into()),
+                IoEvent::Ended(_, how) => return Err(format!("connection ended: {how:?}").into()),
                 _ => continue,
             };
             if next < first + calls {
--- a/crates/bench/src/peers.rs
+++ b/crates/bench/src/peers.rs
@@ -2,7 +2,7 @@
 //! are quiet.
 
 use crate::memory::resident;
-use basaltward_net::{Happened, Io, IoLimits, Micros, monotonic, thread_time};
+use basaltward_net::{Io, IoEvent, IoLimits, Micros, monotonic, thread_time};
 use basaltward_peers::{
     Channel, ConnectionConfig, ConnectionEvent, EndpointConfig, EndpointEvent, OVERHEAD, PeerConfig,
     PeerEndpoint, write,
@@ -20,7 +20,7 @@
 struct Peer {
     io: Io,
     endpoint: PeerEndpoint,
-    happened: Vec<Happened>,
+    happened: Vec<IoEvent>,
 }
 
 fn config(own: u16, size: usize) -> EndpointConfig {
@@ -70,7 +70,7 @@
         if self.endpoint.next_due() <= now {
             self.endpoint.wake(&mut self.io, now);
         }
-        self.io.forget_ended();
+        self.io.free_ended();
         self.happened = happened;
         Ok(came)
     }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -58,7 +58,7 @@
 /// As [`wait`]; does something once, so long after it began to wait.
 pub fn wait_and(mut planned: Option<(Duration, &dyn Fn())>) -> Result<(), Failed> {
     let mut io = Io::new(IoLimits::default())?;
-    io.watch_signals(Signals::take(&SIGNALS)?)?;
+    io.watch_signals(Signals::register(&SIGNALS)?)?;
     let (mut happened, began) = (Vec::new(), monotonic());
     while happened.is_empty() {
         let left = planned.map(|(after, _)| (began + after.as_micros() as u64).saturating_sub(monotonic()));
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -213,7 +213,7 @@
                 let events = self.endpoint.data(&mut self.io, now, &happened);
                 self.heard(now, events);
             }
-            self.io.forget_ended();
+            self.io.free_ended();
             let stall = self.stall.swap(0, Ordering::Relaxed);
             if stall > 0 {
                 std::thread::sleep(std::time::Duration::from_micros(stall));
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -7,7 +7,7 @@
 use basaltward_config::LinkConfig;
 use basaltward_engine::{AttemptEnd, AttemptId, Function, Identity, OrderId, WaiterId};
 use basaltward_http::{Decoded, Limits, Method, Response, ResponseDecoder};
-use basaltward_net::{ConnId, End, Io, monotonic};
+use basaltward_net::{ConnId, EndReason, Io, monotonic};
 use basaltward_timers::Timers;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -354,10 +354,10 @@
     }
 
     /// A connection has ended, by the worker or on the way.
-    pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, how: End) -> Option<Done> {
+    pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, how: EndReason) -> Option<Done> {
         let known = self.conns.get_mut(&conn)?;
         // A response may run until its connection's end.
-        let input = io.input(conn).filter(|_| how == End::Closed);
+        let input = io.input(conn).filter(|_| how == EndReason::Closed);
         if let Some(Ok(response)) = input.map(|input| known.decoder.end(input)) {
             return self.finish(io, now, conn, response, false);
         }
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -16,7 +16,7 @@
     Answer, AnswerOrigin, AttemptEnd, Engine, EngineSettings, Failure, Handoffs, Input, Lag, LoopPacer,
     MarginSettings, Output, RepeatLimits, TurnReport, WaiterId,
 };
-use basaltward_net::{Clock, ConnId, Happened, Io, NetError, monotonic, thread_time};
+use basaltward_net::{Clock, ConnId, Io, IoEvent, NetError, monotonic, thread_time};
 use basaltward_roster::{Names, RosterFile, Source};
 use basaltward_rules::{Recorder, What};
 use std::collections::{BTreeMap, VecDeque};
@@ -139,11 +139,11 @@
             let now = monotonic();
             self.poll_roster(now);
             self.io
-                .hold_accepting(!self.pace.should_accept(self.front.oldest().map_or(0, |came| now - came)));
+                .pause_accepting(!self.pace.should_accept(self.front.oldest().map_or(0, |came| now - came)));
             let wait = self.wait(now);
             self.io.turn(Some(wait), &mut happened)?;
             self.turn((now, now + wait), &mut happened);
-            self.io.forget_ended();
+            self.io.free_ended();
             let now = monotonic();
             let stall = self.orders.stall.swap(0, Ordering::Relaxed);
             if stall > 0 {
@@ -163,7 +163,7 @@
                 && self.handed.is_empty()
                 && self.sites.as_ref().is_none_or(Sites::is_empty)
                 && !self.mail.is_behind()
-                && self.io.is_settled()
+                && self.io.is_flushed()
                 && self.mail.rest()
             {
                 self.recorder.put(monotonic(), &self.name, What::Down { killed: false });
@@ -184,14 +184,14 @@
     }
 
     /// One turn: what has ended and what is due, then what is new as far as its time goes.
-    fn turn(&mut self, (since, due): (Micros, Micros), happened: &mut Vec<Happened>) {
+    fn turn(&mut self, (since, due): (Micros, Micros), happened: &mut Vec<IoEvent>) {
         let mut now = monotonic();
         let began = now;
         self.pace.begin_turn(since, due, now);
         // What is written in between may bring further ends.
         let mut later = Vec::new();
         for happened in happened.drain(..) {
-            if let Happened::Data(conn) | Happened::Drained(conn) = happened
+            if let IoEvent::Data(conn) | IoEvent::Drained(conn) = happened
                 && !self.links.owns(conn)
                 && !self.owns_peer(conn)
             {
@@ -235,7 +235,7 @@
     }
 
     /// Writes what there is to write. An answer counts as given once its bytes are with the system.
-    fn flush(&mut self, happened: &mut Vec<Happened>) {
+    fn flush(&mut self, happened: &mut Vec<IoEvent>) {
         self.io.flush(happened);
         self.mail.flush();
         if !self.given.is_empty() {
@@ -255,36 +255,36 @@
         self.tell(now, Input::Stop);
     }
 
-    fn take(&mut self, now: Micros, happened: Happened) {
+    fn take(&mut self, now: Micros, happened: IoEvent) {
         match happened {
-            Happened::Accepted { conn, .. } => self.front.accepted(now, conn),
-            Happened::Connected(conn) if self.owns_peer(conn) => {
+            IoEvent::Accepted { conn, .. } => self.front.accepted(now, conn),
+            IoEvent::Connected(conn) if self.owns_peer(conn) => {
                 let done = self.sites.as_mut().and_then(|sites| sites.connected(&mut self.io, now, conn));
                 self.came_back(now, done);
             }
-            Happened::Data(conn) if self.owns_peer(conn) => {
+            IoEvent::Data(conn) if self.owns_peer(conn) => {
                 let done = self.sites.as_mut().and_then(|sites| sites.data(&mut self.io, now, conn));
                 self.came_back(now, done);
             }
-            Happened::Ended(conn, how) if self.owns_peer(conn) => {
+            IoEvent::Ended(conn, how) if self.owns_peer(conn) => {
                 let done = self.sites.as_mut().and_then(|sites| sites.ended(&mut self.io, now, conn, how));
                 self.came_back(now, done);
             }
-            Happened::Connected(conn) => {
+            IoEvent::Connected(conn) => {
                 let done = self.links.connected(&mut self.io, now, conn);
                 self.note_sent(now);
                 self.done(now, done);
             }
-            Happened::Data(conn) if self.links.owns(conn) => {
+            IoEvent::Data(conn) if self.links.owns(conn) => {
                 let done = self.links.data(&mut self.io, now, conn);
                 self.done(now, done);
             }
-            Happened::Data(conn) | Happened::Drained(conn) => self.front.came(now, conn),
-            Happened::Ended(conn, how) if self.links.owns(conn) => {
+            IoEvent::Data(conn) | IoEvent::Drained(conn) => self.front.came(now, conn),
+            IoEvent::Ended(conn, how) if self.links.owns(conn) => {
                 let done = self.links.ended(&mut self.io, now, conn, how);
                 self.done(now, done);
             }
-            Happened::Ended(conn, _) => {
+            IoEvent::Ended(conn, _) => {
                 for waiter in self.front.ended(conn) {
                     if self.sites.as_mut().is_some_and(|sites| sites.left(&mut self.io, now, waiter)) {
                         continue;
@@ -295,7 +295,7 @@
                     }
                 }
             }
-            Happened::Signal(_) | Happened::Woken | Happened::Datagrams(_) => {}
+            IoEvent::Signal(_) | IoEvent::Woken | IoEvent::Datagrams(_) => {}
         }
     }
 
--- a/crates/gateway/src/scheduler/notes.rs
+++ b/crates/gateway/src/scheduler/notes.rs
@@ -40,7 +40,8 @@
                 (MembersKind::Failed, Vec::new())
             }
         };
-        let members: Vec<_> = entries.iter().map(|e| to_member(e, |wall| self.clock.place(wall))).collect();
+        let members: Vec<_> =
+            entries.iter().map(|e| to_member(e, |wall| self.clock.to_monotonic(wall))).collect();
         self.note_states(now, kind, &members);
         self.tell(now, Input::Members(kind, members));
     }
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -10,7 +10,7 @@
 use basaltward_config::{Config, LinkConfig, SitesConfig};
 use basaltward_engine::{Answer, AttemptEnd, AttemptId, Failure, Identity, NewCall, Refusal, WaiterId};
 use basaltward_membership::MemberId;
-use basaltward_net::{ConnId, End, Io};
+use basaltward_net::{ConnId, EndReason, Io};
 use basaltward_pending::{Key, owner};
 use basaltward_route::{Counted, Counts, Handed, HandedEnd, Router, Where, home_by};
 use basaltward_shed::{Asked, Door, Ended, ShedSettings, Verdict, Waits};
@@ -405,7 +405,7 @@
     }
 
     /// See [`Links::ended`].
-    pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, how: End) -> Option<Done> {
+    pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, how: EndReason) -> Option<Done> {
         self.links.ended(io, now, conn, how)
     }
 
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -41,7 +41,7 @@
 
     /// When this wall time (microseconds since 1970) is or was, on the monotonic clock; 0 where that is
     /// before the clock's own zero.
-    pub fn place(&self, wall: Micros) -> Micros {
+    pub fn to_monotonic(&self, wall: Micros) -> Micros {
         (self.monotonic + wall).saturating_sub(self.wall)
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// By how many microseconds the wall clock was stepped between this reading and another, either way.
-    pub fn apart(&self, other: &Self) -> Micros {
+    pub fn wall_step(&self, other: &Self) -> Micros {
         (self.wall + other.monotonic).abs_diff(other.wall + self.monotonic)
     }
 
--- a/crates/net/src/datagram.rs
+++ b/crates/net/src/datagram.rs
@@ -10,7 +10,7 @@
     ///
     /// # Errors
     /// Where the address can't be had.
-    pub fn datagrams(&mut self, at: SocketAddr) -> Result<(usize, SocketAddr), NetError> {
+    pub fn bind_datagrams(&mut self, at: SocketAddr) -> Result<(usize, SocketAddr), NetError> {
         let socket = UdpSocket::bind(at)?;
         socket.set_nonblocking(true)?;
         let vacant = self.sockets.iter().position(Option::is_none);
--- a/crates/net/src/diverted.rs
+++ b/crates/net/src/diverted.rs
@@ -6,7 +6,7 @@
 
 /// A datagram that was sent on a loop whose datagrams are diverted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Diverted {
+pub struct DivertedDatagram {
     /// The number of the socket that it was sent on.
     pub socket: usize,
     /// Its receiver.
@@ -19,14 +19,14 @@
 #[derive(Default)]
 pub(crate) struct Diversion {
     /// Sent, and not taken yet.
-    sent: Vec<Diverted>,
+    sent: Vec<DivertedDatagram>,
     /// Given to be received by the next [`Io::receive`] on its socket.
     given: Option<(usize, SocketAddr, Vec<u8>)>,
 }
 
 impl Diversion {
     pub fn send(&mut self, socket: usize, to: SocketAddr, bytes: &[u8]) {
-        self.sent.push(Diverted { socket, to, bytes: bytes.to_vec() });
+        self.sent.push(DivertedDatagram { socket, to, bytes: bytes.to_vec() });
     }
 
     pub fn receive(&mut self, number: usize, into: &mut [u8]) -> Option<(usize, SocketAddr)> {
@@ -45,12 +45,12 @@
     }
 
     /// What was sent since this was last asked; nothing where datagrams are not diverted.
-    pub fn take_diverted(&mut self) -> Vec<Diverted> {
+    pub fn take_diverted(&mut self) -> Vec<DivertedDatagram> {
         self.diversion.as_mut().map(|diversion| std::mem::take(&mut diversion.sent)).unwrap_or_default()
     }
 
     /// The next [`Io::receive`] on this socket has this datagram. One is held at a time: a second takes its place.
-    pub fn give(&mut self, socket: usize, from: SocketAddr, bytes: Vec<u8>) {
+    pub fn inject_datagram(&mut self, socket: usize, from: SocketAddr, bytes: Vec<u8>) {
         if let Some(diversion) = &mut self.diversion {
             diversion.given = Some((socket, from, bytes));
         }
--- a/crates/net/src/io.rs
+++ b/crates/net/src/io.rs
@@ -39,7 +39,7 @@
 
 /// How a connection ended, when the owner did not end it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum EndReason {
     /// The peer sends no more.
     Closed,
     /// It broke.
@@ -50,7 +50,7 @@
 
 /// What a turn of the loop brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Happened {
+pub enum IoEvent {
     /// A connection came in at a listener, by its number.
     Accepted {
         /// The new connection.
@@ -65,7 +65,7 @@
     /// All output has been written, after some of it had to wait or [`Io::await_drained`] was called.
     Drained(ConnId),
     /// The connection is gone, its id void once this has been handled; the input may still hold bytes.
-    Ended(ConnId, End),
+    Ended(ConnId, EndReason),
     /// A signal came.
     Signal(i32),
     /// The loop's [`Waker`] was used.
@@ -86,12 +86,12 @@
     pub linger: Micros,
     /// Who has ended its side of a connection that was accepted is gone at once: what it sent before and was not
     /// read is not. Else that is read first.
-    pub ends_at_once: bool,
+    pub end_on_peer_close: bool,
 }
 
 impl Default for IoLimits {
     fn default() -> Self {
-        Self { connections: 10_000, input: 256 << 10, linger: 1_000_000, ends_at_once: false }
+        Self { connections: 10_000, input: 256 << 10, linger: 1_000_000, end_on_peer_close: false }
     }
 }
 
@@ -204,7 +204,7 @@
 
     /// Has the next calls of this kind fail so, as many of them.
     #[doc(hidden)]
-    pub fn plant_failures(&mut self, call: SystemCall, error: rustix::io::Errno, times: usize) {
+    pub fn inject_failures(&mut self, call: SystemCall, error: rustix::io::Errno, times: usize) {
         self.system.plant(call, error, times);
     }
 
@@ -363,34 +363,34 @@
     }
 
     /// Whether a connection's socket takes no more for now.
-    pub fn is_stuck(&mut self, id: ConnId) -> bool {
+    pub fn is_write_blocked(&mut self, id: ConnId) -> bool {
         self.get(id).is_some_and(|conn| conn.stuck)
     }
 
     /// Bounds what the system holds of a connection's output: what it has can't be taken back, and left to itself it
     /// takes megabytes for a peer that does not read.
-    pub fn bound_system(&mut self, id: ConnId, bytes: usize) {
+    pub fn set_send_buffer_size(&mut self, id: ConnId, bytes: usize) {
         if let Some(conn) = self.get(id) {
             let _ = sockopt::set_socket_send_buffer_size(&conn.stream, bytes);
         }
     }
 
     /// Has [`Happened::Drained`] told once all output given so far is written, also where none of it has to wait.
-    pub fn await_drained(&mut self, id: ConnId) {
+    pub fn notify_when_drained(&mut self, id: ConnId) {
         if let Some(conn) = self.get(id) {
             conn.awaited = true;
         }
     }
 
     /// Whether no connection still has output to write or an orderly end to reach.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.dirty.is_empty() && self.conns.iter().all(|(_, c)| c.output.is_empty() && !c.closing)
     }
 
     /// Stops or resumes reading: with it stopped the peer soon can't send on. Its end is seen all the same where
     /// that ends the connection at once.
     pub fn pause(&mut self, id: ConnId, paused: bool) {
-        let ends = self.limits.ends_at_once;
+        let ends = self.limits.end_on_peer_close;
         let Some(conn) = self.get(id).filter(|conn| !conn.connecting && !conn.ended) else { return };
         // Told at each turn, an end that is only noted would have the loop spin.
         let stops = if ends && conn.accepted { epoll::EventFlags::IN } else { READ };
@@ -405,7 +405,7 @@
     }
 
     /// Whether the peer has ended a connection without this having been told yet: asks the socket itself.
-    pub fn has_ended(&mut self, id: ConnId) -> bool {
+    pub fn peer_has_ended(&mut self, id: ConnId) -> bool {
         match self.peek(id) {
             Some(Ok(waiting)) => waiting == 0,
             Some(Err(error)) => error.kind() != ErrorKind::WouldBlock,
@@ -433,14 +433,14 @@
 
     /// Writes what the socket takes, then ends the connection without waiting for the peer: it holds no descriptor
     /// from now on, and the system brings the peer the rest.
-    pub fn leave(&mut self, id: ConnId) {
+    pub fn write_and_abort(&mut self, id: ConnId) {
         self.write_once(id);
         self.abort(id);
     }
 
     /// As [`Io::leave`], with a reset in place of an orderly end: what the peer's system has not got by then never comes
     /// to it.
-    pub fn leave_by_reset(&mut self, id: ConnId) {
+    pub fn write_and_reset(&mut self, id: ConnId) {
         self.write_once(id);
         self.reset(id);
     }
@@ -477,7 +477,7 @@
     ///
     /// # Errors
     /// Where waiting itself fails.
-    pub fn turn(&mut self, wait: Option<Micros>, out: &mut Vec<Happened>) -> Result<(), NetError> {
+    pub fn turn(&mut self, wait: Option<Micros>, out: &mut Vec<IoEvent>) -> Result<(), NetError> {
         self.flush(out);
         let now = monotonic();
         self.expire(now);
@@ -501,7 +501,7 @@
             Err(errno) => return Err(errno.into()),
         };
         for id in std::mem::take(&mut self.failed) {
-            self.end(id, End::ConnectFailed, out);
+            self.end(id, EndReason::ConnectFailed, out);
         }
         let (mut listener_told, all_told) = (false, events.len() < EVENTS);
         for event in events {
@@ -519,9 +519,9 @@
                 }
                 WAKE => {
                     drain(&self.woken);
-                    out.push(Happened::Woken);
+                    out.push(IoEvent::Woken);
                 }
-                DATAGRAMS => out.push(Happened::Datagrams(slot as usize)),
+                DATAGRAMS => out.push(IoEvent::Datagrams(slot as usize)),
                 _ => self.ready(ConnId { slot, generation }, flags, out),
             }
         }
@@ -529,19 +529,19 @@
             self.may_wait = !all_told;
         }
         // By the mark that its handler made: what it wrote to wake the loop may be lost.
-        out.extend(self.signals.iter().filter(|signal| signal.take()).map(|s| Happened::Signal(s.number)));
+        out.extend(self.signals.iter().filter(|signal| signal.take()).map(|s| IoEvent::Signal(s.number)));
         Ok(())
     }
 
     /// Frees the connections whose end has been told; called by the owner after each turn's events.
-    pub fn forget_ended(&mut self) {
+    pub fn free_ended(&mut self) {
         for id in std::mem::take(&mut self.ended) {
             // By id, not by slot: the owner may have freed it, and another connection has the slot by now.
             self.abort(id);
         }
     }
 
-    pub(crate) fn end(&mut self, id: ConnId, how: End, out: &mut Vec<Happened>) {
+    pub(crate) fn end(&mut self, id: ConnId, how: EndReason, out: &mut Vec<IoEvent>) {
         let Some(conn) = self.get(id).filter(|c| !c.ended) else { return };
         if conn.closing {
             return self.remove(id.slot);
@@ -549,17 +549,17 @@
         conn.ended = true;
         let _ = epoll::delete(&self.epoll, &self.conns[id.slot as usize].stream);
         self.ended.push(id);
-        out.push(Happened::Ended(id, how));
+        out.push(IoEvent::Ended(id, how));
     }
 
     /// Holds new connections back in the system's queue, or accepts them again.
-    pub fn hold_accepting(&mut self, held: bool) {
+    pub fn pause_accepting(&mut self, held: bool) {
         self.held = held;
     }
 
     /// Whether connections are accepted as they come: neither held back nor at the limit, nor refused by the system for
     /// now. With none accepted in a turn none waits in the system's queue then.
-    pub fn accepts_all(&self) -> bool {
+    pub fn accepts_without_backlog(&self) -> bool {
         let put_off = self.may_wait || self.again.holds_accepting(monotonic());
         !self.held && !put_off && self.accepting && self.accepted < self.limits.connections
     }
@@ -574,7 +574,7 @@
         }
     }
 
-    fn accept(&mut self, number: usize, out: &mut Vec<Happened>) {
+    fn accept(&mut self, number: usize, out: &mut Vec<IoEvent>) {
         self.may_wait = true;
         let mut failed = false;
         for _ in 0..ACCEPT_BATCH {
@@ -588,7 +588,7 @@
                     self.again.accepted();
                     let conn = self.add(TcpStream::from(socket), true);
                     self.conns[conn.slot as usize].wanted = READ;
-                    out.push(Happened::Accepted { conn, listener: number });
+                    out.push(IoEvent::Accepted { conn, listener: number });
                     self.watch_or_read(conn, out);
                 }
                 // No more waiting.
@@ -605,26 +605,26 @@
         }
     }
 
-    fn ready(&mut self, id: ConnId, flags: epoll::EventFlags, out: &mut Vec<Happened>) {
-        let ends = self.limits.ends_at_once;
+    fn ready(&mut self, id: ConnId, flags: epoll::EventFlags, out: &mut Vec<IoEvent>) {
+        let ends = self.limits.end_on_peer_close;
         let Some(conn) = self.get(id).filter(|c| !c.ended) else { return };
         if conn.connecting {
             let failed = flags.intersects(epoll::EventFlags::ERR | epoll::EventFlags::HUP)
                 || !matches!(sockopt::socket_error(&conn.stream), Ok(Ok(())));
             if failed {
-                return self.end(id, End::ConnectFailed, out);
+                return self.end(id, EndReason::ConnectFailed, out);
             }
             conn.connecting = false;
             conn.wanted = epoll::EventFlags::empty();
             self.pause(id, false);
-            out.push(Happened::Connected(id));
+            out.push(IoEvent::Connected(id));
             return;
         }
         let broken = epoll::EventFlags::ERR | epoll::EventFlags::HUP;
         let gone = flags.intersects(epoll::EventFlags::RDHUP | broken);
         // One that was closed here reads our last bytes yet.
         if gone && ends && conn.accepted && !conn.closing {
-            let how = if flags.intersects(broken) { End::Reset } else { End::Closed };
+            let how = if flags.intersects(broken) { EndReason::Reset } else { EndReason::Closed };
             return self.end(id, how, out);
         }
         if flags.contains(epoll::EventFlags::OUT) {
@@ -649,30 +649,30 @@
         }
     }
 
-    pub(crate) fn read(&mut self, id: ConnId, out: &mut Vec<Happened>) {
+    pub(crate) fn read(&mut self, id: ConnId, out: &mut Vec<IoEvent>) {
         let most = self.limits.input;
         let Some(conn) = self.conns.get_mut(id.slot as usize).filter(|c| c.generation == id.generation)
         else {
             return;
         };
         match conn.stream.read(&mut self.scratch) {
-            Ok(0) => self.end(id, End::Closed, out),
+            Ok(0) => self.end(id, EndReason::Closed, out),
             Ok(_) if conn.closing => {}
             Ok(read) => {
                 conn.input.extend_from_slice(&self.scratch[..read]);
                 if conn.input.len() > most {
                     self.pause(id, true);
                 }
-                out.push(Happened::Data(id));
+                out.push(IoEvent::Data(id));
             }
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
-            Err(_) => self.end(id, End::Reset, out),
+            Err(_) => self.end(id, EndReason::Reset, out),
         }
     }
 
     /// Writes the output of connections that got some since the last turn, or since this was last called: for
     /// owners whose turns are long. What it finds is added to what happened.
-    pub fn flush(&mut self, out: &mut Vec<Happened>) {
+    pub fn flush(&mut self, out: &mut Vec<IoEvent>) {
         for slot in std::mem::take(&mut self.dirty) {
             let Some(conn) = self.conns.get_mut(slot as usize).filter(|c| c.dirty) else { continue };
             conn.dirty = false;
@@ -683,7 +683,7 @@
     }
 
     /// Writes what the socket takes; true where the connection ended over it.
-    fn write(&mut self, slot: u32, out: &mut Vec<Happened>) -> bool {
+    fn write(&mut self, slot: u32, out: &mut Vec<IoEvent>) -> bool {
         let Some(conn) = self.conns.get_mut(slot as usize) else { return true };
         let id = ConnId { slot, generation: conn.generation };
         if conn.closing && !conn.output.is_empty() {
@@ -702,7 +702,7 @@
                     return false;
                 }
                 Err(_) => {
-                    self.end(id, End::Reset, out);
+                    self.end(id, EndReason::Reset, out);
                     return true;
                 }
             }
@@ -713,7 +713,7 @@
             let _ = rustix::net::shutdown(&conn.stream, Shutdown::Write);
         }
         if unblocked || awaited {
-            out.push(Happened::Drained(id));
+            out.push(IoEvent::Drained(id));
         }
         false
     }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -14,8 +14,8 @@
 mod wake;
 
 pub use clock::{Clock, Micros, monotonic, thread_time};
-pub use diverted::Diverted;
-pub use io::{ConnId, End, Happened, Io, IoLimits, NetError};
+pub use diverted::DivertedDatagram;
+pub use io::{ConnId, EndReason, Io, IoEvent, IoLimits, NetError};
 pub use listen::bind;
 #[doc(hidden)]
 pub use rustix::io::Errno;
--- a/crates/net/src/retry.rs
+++ b/crates/net/src/retry.rs
@@ -1,7 +1,7 @@
 //! System calls that fail for a moment on this machine are made again: what a connection is watched for, connections
 //! that are begun, connections that wait to be accepted.
 
-use crate::io::{CONN, Conn, ConnId, Happened, Io, LISTENER, data};
+use crate::io::{CONN, Conn, ConnId, Io, IoEvent, LISTENER, data};
 use crate::{Micros, monotonic};
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
@@ -88,7 +88,7 @@
     }
 
     /// As [`Io::watch`]; what is not told of a connection that can't be watched is asked of it.
-    pub(crate) fn watch_or_read(&mut self, id: ConnId, out: &mut Vec<Happened>) {
+    pub(crate) fn watch_or_read(&mut self, id: ConnId, out: &mut Vec<IoEvent>) {
         let reads = |conn: &Conn| conn.wanted.contains(EventFlags::IN);
         if !self.watch(id.slot) && self.conns.get(id.slot as usize).is_some_and(reads) {
             self.read(id, out);
@@ -143,7 +143,7 @@
     }
 
     /// Tries again what failed, where it is time.
-    pub(crate) fn try_again(&mut self, now: Micros, out: &mut Vec<Happened>) {
+    pub(crate) fn try_again(&mut self, now: Micros, out: &mut Vec<IoEvent>) {
         if now < self.again.at {
             return;
         }
--- a/crates/net/src/system.rs
+++ b/crates/net/src/system.rs
@@ -14,9 +14,9 @@
     /// `connect`.
     Connect,
     /// `epoll_ctl` that begins to watch a connection.
-    Watch,
+    EpollAdd,
     /// `epoll_ctl` that changes what a connection or a listener is watched for.
-    Rewatch,
+    EpollModify,
 }
 
 /// The calls, and what tests have fail.
@@ -59,7 +59,7 @@
         data: epoll::EventData,
         events: epoll::EventFlags,
     ) -> Result<(), Errno> {
-        self.fails(SystemCall::Watch)?;
+        self.fails(SystemCall::EpollAdd)?;
         epoll::add(epoll, of, data, events)
     }
 
@@ -70,7 +70,7 @@
         data: epoll::EventData,
         events: epoll::EventFlags,
     ) -> Result<(), Errno> {
-        self.fails(SystemCall::Rewatch)?;
+        self.fails(SystemCall::EpollModify)?;
         epoll::modify(epoll, of, data, events)
     }
 }
--- a/crates/net/src/wake.rs
+++ b/crates/net/src/wake.rs
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// Where the system refuses the pipe or the handler.
-    pub fn take(signals: &[i32]) -> Result<Self, NetError> {
+    pub fn register(signals: &[i32]) -> Result<Self, NetError> {
         let mut taken = Vec::new();
         for number in signals.iter().copied() {
             let (write, pipe) = UnixStream::pair()?;
@@ -77,7 +77,7 @@
     /// # Errors
     /// Where the system refuses a pipe.
     #[doc(hidden)]
-    pub fn lose_wakes(&mut self) -> Result<(), NetError> {
+    pub fn discard_wakes(&mut self) -> Result<(), NetError> {
         for signal in &mut self.taken {
             let (deaf, never) = UnixStream::pair()?;
             deaf.set_nonblocking(true)?;
--- a/crates/net/tests/descriptors.rs
+++ b/crates/net/tests/descriptors.rs
@@ -1,5 +1,5 @@
 //! The process has no descriptor left. Alone in its file: the limit is the whole process's.
-use basaltward_net::{Happened, Io, IoLimits, bind, thread_time};
+use basaltward_net::{Io, IoEvent, IoLimits, bind, thread_time};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
     while began.elapsed() < Duration::from_millis(400) {
         io.turn(Some(100_000), &mut happened).expect("a turn");
         conns.extend(happened.drain(..).filter_map(|h| match h {
-            Happened::Accepted { conn, .. } => Some(conn),
+            IoEvent::Accepted { conn, .. } => Some(conn),
             _ => None,
         }));
         turns += 1;
@@ -31,7 +31,7 @@
     while conns.len() < clients.len() {
         io.turn(Some(100_000), &mut happened).expect("a turn");
         conns.extend(happened.drain(..).filter_map(|h| match h {
-            Happened::Accepted { conn, .. } => Some(conn),
+            IoEvent::Accepted { conn, .. } => Some(conn),
             _ => None,
         }));
         assert!(began.elapsed() < Duration::from_secs(20), "never accepted");
--- a/crates/net/tests/ends.rs
+++ b/crates/net/tests/ends.rs
@@ -1,5 +1,5 @@
 //! How connections end and make room, over loopback sockets.
-use basaltward_net::{ConnId, End, Happened, Io, IoLimits, bind};
+use basaltward_net::{ConnId, EndReason, Io, IoEvent, IoLimits, bind};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 }
 
 /// Turns until something happens of which this gives something.
-fn until<T>(io: &mut Io, mut found: impl FnMut(&Happened) -> Option<T>) -> T {
+fn until<T>(io: &mut Io, mut found: impl FnMut(&IoEvent) -> Option<T>) -> T {
     let (began, mut happened) = (Instant::now(), Vec::new());
     loop {
         io.turn(Some(100_000), &mut happened).expect("a turn");
@@ -26,7 +26,7 @@
 
 fn accepted(io: &mut Io) -> ConnId {
     until(io, |h| match h {
-        Happened::Accepted { conn, .. } => Some(*conn),
+        IoEvent::Accepted { conn, .. } => Some(*conn),
         _ => None,
     })
 }
@@ -38,7 +38,7 @@
 #[test]
 fn who_ends_is_gone_also_while_it_is_not_read_and_is_told_once() {
     for (broken, unread) in [(false, true), (true, true), (false, false), (true, false)] {
-        let (mut io, at) = listening(IoLimits { ends_at_once: true, ..IoLimits::default() });
+        let (mut io, at) = listening(IoLimits { end_on_peer_close: true, ..IoLimits::default() });
         let mut client = TcpStream::connect(at).expect("connected");
         let conn = accepted(&mut io);
         if unread {
@@ -57,11 +57,11 @@
             }
         };
         let how = until(&mut io, |h| match h {
-            Happened::Ended(ended, how) if *ended == conn => Some(*how),
+            IoEvent::Ended(ended, how) if *ended == conn => Some(*how),
             _ => None,
         });
-        assert_eq!(how, if broken { End::Reset } else { End::Closed });
-        io.forget_ended();
+        assert_eq!(how, if broken { EndReason::Reset } else { EndReason::Closed });
+        io.free_ended();
         // Nothing more of it: the next turn lasts as long as it may.
         let (began, mut happened) = (Instant::now(), Vec::new());
         io.turn(Some(50_000), &mut happened).expect("a turn");
@@ -78,15 +78,15 @@
     client.write_all(b"first").expect("sent");
     client.shutdown(Shutdown::Write).expect("it stands");
     let mut input = Vec::new();
-    until(&mut io, |h| matches!(h, Happened::Data(c) if *c == conn).then_some(()));
+    until(&mut io, |h| matches!(h, IoEvent::Data(c) if *c == conn).then_some(()));
     input.extend_from_slice(io.input(conn).expect("it stands"));
     assert_eq!(input, b"first");
-    until(&mut io, |h| matches!(h, Happened::Ended(c, End::Closed) if *c == conn).then_some(()));
+    until(&mut io, |h| matches!(h, IoEvent::Ended(c, EndReason::Closed) if *c == conn).then_some(()));
 }
 
 #[test]
 fn one_closed_here_gets_its_last_bytes_though_it_sends_on() {
-    let (mut io, at) = listening(IoLimits { ends_at_once: true, ..IoLimits::default() });
+    let (mut io, at) = listening(IoLimits { end_on_peer_close: true, ..IoLimits::default() });
     let mut client = TcpStream::connect(at).expect("connected");
     client.set_read_timeout(Some(PATIENCE)).expect("it stands");
     let conn = accepted(&mut io);
@@ -133,13 +133,13 @@
         let conns: Vec<_> = (0..4).map(|_| io.connect(at).expect("room")).collect();
         let mut up = 0;
         until(&mut io, |h| {
-            up += usize::from(matches!(h, Happened::Connected(_)));
+            up += usize::from(matches!(h, IoEvent::Connected(_)));
             (up == 4).then_some(())
         });
         let peers: Vec<_> = (0..4).map(|_| silent.accept().expect("one that came").0).collect();
         for conn in conns {
             io.output(conn).expect("it stands").extend_from_slice(b"last words");
-            io.leave(conn);
+            io.write_and_abort(conn);
         }
         // From now on, not once the peer has read: those of the next round are beside none of this one.
         assert!(io.is_empty(), "{round}: {} linger", io.len());
@@ -159,10 +159,10 @@
             io.turn(Some(100_000), &mut happened).expect("a turn");
             assert!(io.len() <= 4, "{round}: {} stand", io.len());
             conns.extend(happened.drain(..).filter_map(|h| match h {
-                Happened::Accepted { conn, .. } => Some(conn),
+                IoEvent::Accepted { conn, .. } => Some(conn),
                 _ => None,
             }));
-            io.forget_ended();
+            io.free_ended();
             assert!(began.elapsed() < PATIENCE, "{round}: never accepted");
         }
         conns.into_iter().for_each(|conn| io.close(conn));
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -4,7 +4,7 @@
 use crate::payload::{CallPayload, ReplyBody};
 use basaltward::{Class, FunctionId, Micros, Repeat};
 use basaltward_engine::{Answer, Function, Identity, NewCall, WaiterId};
-use basaltward_net::{ConnId, Happened, Io};
+use basaltward_net::{ConnId, Io, IoEvent};
 use basaltward_thrift::{
     ClientRequest, FrameLimits, MessageKind, ServerReply, Submit, next_frame, read_request, write,
 };
@@ -299,9 +299,9 @@
     }
 
     /// Whether this event concerns a client's connection.
-    pub fn owns(&self, event: &Happened) -> bool {
+    pub fn owns(&self, event: &IoEvent) -> bool {
         match event {
-            Happened::Data(conn) | Happened::Drained(conn) | Happened::Ended(conn, _) => {
+            IoEvent::Data(conn) | IoEvent::Drained(conn) | IoEvent::Ended(conn, _) => {
                 self.clients.contains_key(conn)
             }
             _ => false,
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -36,7 +36,7 @@
             return Ok(None);
         };
         let module = &config.settings.module;
-        let (socket, _) = io.datagrams(addressing.listen)?;
+        let (socket, _) = io.bind_datagrams(addressing.listen)?;
         let (attempts, orders) = (HashMap::new(), HashMap::new());
         let others =
             addressing.addresses.iter().enumerate().filter(|(n, _)| *n != module.self_index as usize);
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -12,7 +12,7 @@
 use crate::send_progress::{OutputBytes, SendProgress, Span};
 use basaltward::{Code, FunctionId, Member, MembersKind, Micros, State, WorkerId};
 use basaltward_engine::{AttemptId, OrderId};
-use basaltward_net::{ConnId, End, Io};
+use basaltward_net::{ConnId, EndReason, Io};
 use basaltward_platform_settings::LinkSettings;
 use basaltward_timers::Timers;
 use basaltward_worker_lines as lines;
@@ -260,7 +260,7 @@
             match chosen {
                 // The worker may have closed the connection in input that this turn has not read yet. A request
                 // written after that never runs, but that could not be proven.
-                Some(conn) if self.is_open(conn) && io.has_ended(conn) => self.retire(io, conn),
+                Some(conn) if self.is_open(conn) && io.peer_has_ended(conn) => self.retire(io, conn),
                 Some(conn) => break conn,
                 None if !has_capacity => return end_without_reply(&job, Code::Full),
                 // Running out of descriptors says nothing about the worker: the request shares a connection if it
@@ -318,7 +318,7 @@
     fn connect(&mut self, io: &mut Io, now: Micros, worker: &WorkerId) -> Option<ConnId> {
         let known = self.workers.get_mut(worker)?;
         let conn = io.connect(known.address).ok()?;
-        io.bound_system(conn, MAX_UNSENT_BYTES);
+        io.set_send_buffer_size(conn, MAX_UNSENT_BYTES);
         let is_first = known.conns.is_empty();
         known.conns.push(conn);
         self.first_connected.extend(is_first.then(|| worker.clone()));
@@ -375,7 +375,7 @@
             }
         }
         if !link.queue.is_empty() {
-            io.await_drained(conn);
+            io.notify_when_drained(conn);
         }
         if !self.unsent.contains(&conn) {
             self.unsent.push(conn);
@@ -444,7 +444,7 @@
                     link.maybe_unread |= link.last_input < since;
                     // A socket that takes no more bytes shows at once that its worker does not read; otherwise only
                     // the worker's silence shows it.
-                    let stuck = io.is_stuck(conn);
+                    let stuck = io.is_write_blocked(conn);
                     if stuck || link.maybe_unread {
                         let at = if stuck { now } else { since + self.settings.connect_timeout };
                         self.due.set(at.max(now) + READ_GRACE_US, Due::UnreadCheck(conn, span));
@@ -480,8 +480,8 @@
     /// the connection is reset: that request would otherwise begin whenever the worker is back.
     fn close(&mut self, io: &mut Io, conn: ConnId) {
         match self.conns.get(&conn).is_some_and(|link| link.maybe_unread) {
-            true => io.leave_by_reset(conn),
-            false => io.leave(conn),
+            true => io.write_and_reset(conn),
+            false => io.write_and_abort(conn),
         }
         self.remove_link(conn);
     }
@@ -493,7 +493,7 @@
     fn reset_unless_read(&mut self, io: &mut Io, conn: ConnId, of: Span, done: &mut Vec<JobEnd>) {
         let Some(link) = self.conns.get(&conn) else { return };
         let is_sent = link.output_bytes.progress(io, conn, of) == SendProgress::Complete;
-        let is_unread = link.maybe_unread && (io.is_stuck(conn) || link.load() == 0);
+        let is_unread = link.maybe_unread && (io.is_write_blocked(conn) || link.load() == 0);
         if !is_sent || is_unread {
             debug!(worker = %link.worker, "connection reset: the worker has not read a request that was given up");
             self.close_with(io, conn, Code::Reset, Io::reset, done);
@@ -564,8 +564,8 @@
     }
 
     /// Handles a connection that failed or was closed by the worker.
-    pub fn ended(&mut self, io: &mut Io, conn: ConnId, how: End, done: &mut Vec<JobEnd>) {
-        let code = if how == End::ConnectFailed { Code::ConnectFailed } else { Code::Reset };
+    pub fn ended(&mut self, io: &mut Io, conn: ConnId, how: EndReason, done: &mut Vec<JobEnd>) {
+        let code = if how == EndReason::ConnectFailed { Code::ConnectFailed } else { Code::Reset };
         let worker = self.conns.get(&conn).map(|link| link.worker.clone());
         self.abort_link(io, conn, code, done);
         self.disconnected.extend(worker.filter(|worker| !self.has_open_connection(worker)));
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -18,7 +18,7 @@
     Answer, Engine, EngineSettings, Input, LoopPacer, MarginSettings, Output, RepeatLimits, TurnReport,
 };
 use basaltward_net::{
-    ConnId, Errno, Happened, Io, IoLimits, NetError, Signals, SystemCall, Waker, bind, monotonic, thread_time,
+    ConnId, Errno, Io, IoEvent, IoLimits, NetError, Signals, SystemCall, Waker, bind, monotonic, thread_time,
 };
 use basaltward_peers::{Event, PeerError, PeerTransport};
 use basaltward_rules::Recorder;
@@ -108,7 +108,7 @@
     reload: Option<(Micros, u32)>,
     outputs: Vec<Output<CallPayload, ReplyBody>>,
     /// Events caused by a flush within a turn; handled in the next turn.
-    deferred_events: Vec<Happened>,
+    deferred_events: Vec<IoEvent>,
     /// Ends of jobs that were withdrawn within a turn.
     withdrawn: Vec<JobEnd>,
     /// Trust in the list of workers, as last passed to the module.
@@ -195,7 +195,7 @@
         let started_at = monotonic();
         let mut config = load_with_view(&path, view)?;
         let Budget { clients: connections, input, .. } = config.budget;
-        let limits = IoLimits { connections, input, linger: 300_000, ends_at_once: true };
+        let limits = IoLimits { connections, input, linger: 300_000, end_on_peer_close: true };
         let mut io = Io::new(limits)?;
         let fleet = Fleet::open(&config, &mut io, monotonic())?;
         let gossip = Gossip::open(&config, &mut io, monotonic())?;
@@ -261,7 +261,7 @@
     /// Makes the next `times` system calls of this kind fail with this error.
     #[doc(hidden)]
     pub fn inject_system_call_failures(&mut self, call: SystemCall, error: Errno, times: usize) {
-        self.io.plant_failures(call, error, times);
+        self.io.inject_failures(call, error, times);
     }
 
     /// The address at which it listens.
@@ -280,7 +280,7 @@
     /// If the operating system refuses to.
     pub fn handle_signals(&mut self) -> Result<(), NodeError> {
         let signals = [SIGTERM, SIGINT, SIGHUP];
-        Ok(self.io.watch_signals(Signals::take(&signals)?)?)
+        Ok(self.io.watch_signals(Signals::register(&signals)?)?)
     }
 
     /// Runs until it is asked to stop and has no outstanding work.
@@ -293,12 +293,12 @@
         loop {
             let now = monotonic();
             let oldest_age = self.oldest_request().map_or(0, |arrived| now.saturating_sub(arrived));
-            self.io.hold_accepting(!self.pace.should_accept(oldest_age));
+            self.io.pause_accepting(!self.pace.should_accept(oldest_age));
             let wait = self.poll_timeout(now);
             self.io.turn(Some(wait), &mut events)?;
             self.follower.input_drained(now);
             self.turn((now, now + wait), &mut events);
-            self.io.forget_ended();
+            self.io.free_ended();
             if self.is_finished(monotonic()) {
                 let now = monotonic();
                 self.with_peers(now, |transport, io, events| transport.stop(io, now, events));
@@ -331,10 +331,11 @@
     /// outstanding. While a client has a connection, or has just lost it, a request may be in transit.
     fn is_finished(&self, now: Micros) -> bool {
         let Some(term) = self.term_at.filter(|_| self.is_rejecting) else { return false };
-        let all_accepted = !self.has_accepted && self.io.accepts_all() && self.oldest_request().is_none();
+        let all_accepted =
+            !self.has_accepted && self.io.accepts_without_backlog() && self.oldest_request().is_none();
         let settled = all_accepted
             && self.front.all_clients_left(now, term + self.rejects_after)
-            && self.io.is_settled();
+            && self.io.is_flushed();
         // An answer written as late as SIGKILL allows has half of the remaining time to be read.
         let unread_until =
             (term + LATEST_REJECT_US + LAST_ANSWERS_US).max(self.last_answer + CLOCK_SKEW_US / 2);
@@ -345,14 +346,14 @@
     /// other events and timers are handled; then requests are started. Each phase has a time budget. Input is read
     /// before any request in it is started, because the request's time is running: a loop that has fallen behind
     /// must know of it to answer in time.
-    fn turn(&mut self, (since, due): (Micros, Micros), events: &mut Vec<Happened>) {
+    fn turn(&mut self, (since, due): (Micros, Micros), events: &mut Vec<IoEvent>) {
         let mut now = monotonic();
         let began = now;
         self.pace.begin_turn(since, due, now);
         self.has_accepted = false;
         // Accept new clients last: a connection that is closed to free capacity for them must not have unread
         // input.
-        let (front, is_accept) = (&self.front, |event: &Happened| matches!(event, Happened::Accepted { .. }));
+        let (front, is_accept) = (&self.front, |event: &IoEvent| matches!(event, IoEvent::Accepted { .. }));
         events.sort_by_key(|event| if front.owns(event) { 0 } else { 1 + u8::from(!is_accept(event)) });
         let others = events.partition_point(|event| front.owns(event) || is_accept(event));
         for event in events.drain(..others) {
@@ -451,49 +452,49 @@
         late
     }
 
-    fn handle_event(&mut self, began: Micros, now: Micros, event: Happened) {
+    fn handle_event(&mut self, began: Micros, now: Micros, event: IoEvent) {
         let mut done = Vec::new();
         match event {
-            Happened::Accepted { conn, .. } => {
+            IoEvent::Accepted { conn, .. } => {
                 self.has_accepted = true;
                 self.front.accepted(&mut self.io, now, conn);
             }
-            Happened::Connected(conn) if self.links.owns(conn) => {
+            IoEvent::Connected(conn) if self.links.owns(conn) => {
                 self.links.connected(&mut self.io, now, conn);
                 self.note_written(now);
             }
-            Happened::Connected(conn) => {
+            IoEvent::Connected(conn) => {
                 if let Some(feed) = self.feeds.get(&conn).copied() {
                     self.drive_follower(now, |follower, out| follower.connected(now, feed, out));
                 }
             }
-            Happened::Drained(conn) if self.links.owns(conn) => {
+            IoEvent::Drained(conn) if self.links.owns(conn) => {
                 self.links.drained(&mut self.io, now, conn);
                 self.note_written(now);
             }
-            Happened::Data(conn) if self.links.owns(conn) => {
+            IoEvent::Data(conn) if self.links.owns(conn) => {
                 self.links.receive(&mut self.io, now, conn, &mut done);
             }
-            Happened::Data(conn) if self.feeds.contains_key(&conn) => self.receive_feed(now, conn),
-            Happened::Data(conn) => self.front.input_arrived(began, conn),
-            Happened::Drained(_) => {}
-            Happened::Ended(conn, how) if self.links.owns(conn) => {
+            IoEvent::Data(conn) if self.feeds.contains_key(&conn) => self.receive_feed(now, conn),
+            IoEvent::Data(conn) => self.front.input_arrived(began, conn),
+            IoEvent::Drained(_) => {}
+            IoEvent::Ended(conn, how) if self.links.owns(conn) => {
                 self.links.ended(&mut self.io, conn, how, &mut done);
                 // Before the ends of the jobs on the connection, which are retried elsewhere.
                 for worker in self.disconnected(now) {
                     self.notify_engine(now, Input::Disconnected(worker));
                 }
             }
-            Happened::Ended(conn, _) => match self.feeds.remove(&conn) {
+            IoEvent::Ended(conn, _) => match self.feeds.remove(&conn) {
                 Some(feed) => self.drive_follower(now, |follower, out| follower.ended(now, feed, out)),
                 None => {
                     let left = self.front.forget(conn);
                     left.into_iter().for_each(|w| self.notify_engine(now, Input::ClientLeft(w)));
                 }
             },
-            Happened::Signal(SIGHUP) => self.command(now, RELOAD),
-            Happened::Signal(_) => self.command(now, STOP),
-            Happened::Datagrams(_) => {
+            IoEvent::Signal(SIGHUP) => self.command(now, RELOAD),
+            IoEvent::Signal(_) => self.command(now, STOP),
+            IoEvent::Datagrams(_) => {
                 self.gossip.iter_mut().for_each(|gossip| gossip.receive(&mut self.io, now));
                 let reports = self.gossip.as_mut().map(Gossip::take_reports).unwrap_or_default();
                 for (worker, function, copies) in reports {
@@ -502,7 +503,7 @@
                 self.with_peers(now, |transport, io, events| transport.data(io, now, events));
                 self.apply_drain_changes(now);
             }
-            Happened::Woken => {
+            IoEvent::Woken => {
                 let commands = self.commands.swap(0, Ordering::AcqRel);
                 self.command(now, commands);
             }
--- a/crates/node/src/start_times.rs
+++ b/crates/node/src/start_times.rs
@@ -48,7 +48,7 @@
     /// Notes that a list, or a change to it, arrived at this reading of the clocks.
     pub fn list_received(&mut self, clock: Clock) {
         self.now = clock.monotonic();
-        let last = self.readings.last_mut().filter(|last| last.apart(&clock) < ADJUSTED_US);
+        let last = self.readings.last_mut().filter(|last| last.wall_step(&clock) < ADJUSTED_US);
         match last {
             Some(last) => *last = clock,
             None => self.readings.push(clock),
@@ -95,7 +95,7 @@
     /// The latest time by any of the clocks that is not in the future, or now if none is plausible.
     fn to_monotonic(&self, boot_ms: u64) -> Micros {
         let wall = boot_ms.saturating_mul(1_000);
-        let places = self.readings.iter().map(|clock| clock.place(wall));
+        let places = self.readings.iter().map(|clock| clock.to_monotonic(wall));
         // Clocks that were not stepped differ a little too.
         let past = places.filter(|at| *at <= self.now + ADJUSTED_US).max();
         let earliest = self.confirmed_at.map_or(0, |confirmed_at| confirmed_at.saturating_sub(LIST_LAG_US));
--- a/crates/peers/src/connections.rs
+++ b/crates/peers/src/connections.rs
@@ -14,7 +14,7 @@
 use crate::log_limiter::LogLimiter;
 use crate::peer::Peer;
 use basaltward_membership::MemberId;
-use basaltward_net::{ConnId, End, Io, Micros, NetError};
+use basaltward_net::{ConnId, EndReason, Io, Micros, NetError};
 use bytes::BytesMut;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -236,15 +236,15 @@
         io: &mut Io,
         now: Micros,
         conn: ConnId,
-        how: End,
+        how: EndReason,
         out: &mut Vec<ConnectionEvent>,
     ) {
         self.data(io, now, conn, out);
         let Some(connection) = self.connections.get(&conn) else { return };
         let why = connection.ends(match how {
-            End::Closed => ConnectionError::Closed,
-            End::Reset => ConnectionError::Reset,
-            End::ConnectFailed => ConnectionError::Unreached,
+            EndReason::Closed => ConnectionError::Closed,
+            EndReason::Reset => ConnectionError::Reset,
+            EndReason::ConnectFailed => ConnectionError::Unreached,
         });
         self.end(io, now, conn, why, out);
     }
--- a/crates/peers/src/endpoint.rs
+++ b/crates/peers/src/endpoint.rs
@@ -8,7 +8,7 @@
 use crate::event::{Channel, ConnectionEvent, Event};
 use crate::transport::PeerTransport;
 use basaltward_membership::{MemberId, Membership};
-use basaltward_net::{Happened, Io, Micros, bind};
+use basaltward_net::{Io, IoEvent, Micros, bind};
 use basaltward_permits::{PermitRequest, PermitState, Stored};
 use std::net::SocketAddr;
 
@@ -129,15 +129,15 @@
     }
 
     /// Takes what happened on the loop, where it is of our sockets.
-    pub fn data(&mut self, io: &mut Io, now: Micros, happened: &Happened) -> Vec<EndpointEvent> {
+    pub fn data(&mut self, io: &mut Io, now: Micros, happened: &IoEvent) -> Vec<EndpointEvent> {
         match *happened {
-            Happened::Datagrams(socket) if socket == self.transport.socket() => {
+            IoEvent::Datagrams(socket) if socket == self.transport.socket() => {
                 self.transport.data(io, now, &mut self.told);
             }
-            Happened::Accepted { conn, listener } => self.connections.accepted(io, now, conn, listener),
-            Happened::Connected(conn) => self.connections.connected(io, now, conn),
-            Happened::Data(conn) => self.connections.data(io, now, conn, &mut self.came),
-            Happened::Ended(conn, how) => self.connections.ended(io, now, conn, how, &mut self.came),
+            IoEvent::Accepted { conn, listener } => self.connections.accepted(io, now, conn, listener),
+            IoEvent::Connected(conn) => self.connections.connected(io, now, conn),
+            IoEvent::Data(conn) => self.connections.data(io, now, conn, &mut self.came),
+            IoEvent::Ended(conn, how) => self.connections.ended(io, now, conn, how, &mut self.came),
             _ => {}
         }
         self.events()
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -52,7 +52,7 @@
         let membership = Membership::new(settings, now)?;
         let permits = PermitService::new(&settings, config, now)?;
         let refused = |why| PeerError::Datagrams { at: config.listen, why };
-        let (socket, address) = io.datagrams(config.listen).map_err(refused)?;
+        let (socket, address) = io.bind_datagrams(config.listen).map_err(refused)?;
         Ok(Self {
             membership,
             life,
--- a/crates/peers/tests/links/bed.rs
+++ b/crates/peers/tests/links/bed.rs
@@ -1,7 +1,7 @@
 //! Some peers with a loop each, turned by one thread, so that time passes for them as a test says.
 
 use crate::relay::Relay;
-use basaltward_net::{Happened, Io, IoLimits, Micros};
+use basaltward_net::{Io, IoEvent, IoLimits, Micros};
 use basaltward_peers::{
     Channel, ConnectionConfig, ConnectionError, ConnectionEvent, EndpointConfig, EndpointEvent, PeerConfig,
     PeerEndpoint,
@@ -44,10 +44,10 @@
         let mut happened = Vec::new();
         self.io.turn(Some(0), &mut happened).expect("a turn");
         for happened in happened {
-            assert!(!matches!(happened, Happened::Signal(_)));
+            assert!(!matches!(happened, IoEvent::Signal(_)));
             self.events.extend(self.endpoint.data(&mut self.io, now, &happened));
         }
-        self.io.forget_ended();
+        self.io.free_ended();
     }
 
     /// Payloads that came from a peer, in their order.
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -1,7 +1,7 @@
 //! Scripted clients on one loop: events sent at told times, answers awaited, tries repeated.
 
 use basaltward_http::{Body, Decoded, HeadWriter, Limits, Method, Response, ResponseDecoder};
-use basaltward_net::{ConnId, Happened, Io, IoLimits, Micros, NetError, monotonic};
+use basaltward_net::{ConnId, Io, IoEvent, IoLimits, Micros, NetError, monotonic};
 use basaltward_rules::{Final, Recorder, What};
 use basaltward_timers::Timers;
 use std::collections::{BTreeMap, HashMap};
@@ -173,9 +173,9 @@
             let now = monotonic();
             for happened in happened.drain(..) {
                 match happened {
-                    Happened::Connected(conn) => self.connected(now, conn),
-                    Happened::Data(conn) => self.data(now, conn),
-                    Happened::Ended(conn, _) => self.lost(now, conn),
+                    IoEvent::Connected(conn) => self.connected(now, conn),
+                    IoEvent::Data(conn) => self.data(now, conn),
+                    IoEvent::Ended(conn, _) => self.lost(now, conn),
                     _ => {}
                 }
             }
@@ -186,7 +186,7 @@
                     Due::GiveUp(trial) => self.give_up(now, trial),
                 }
             }
-            self.io.forget_ended();
+            self.io.free_ended();
         }
         self.tally.events = self.plans.len();
         for progress in &self.progress {
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::model::{Call, CopyNote, Reply, Worker, WorkerSpec};
 use crate::store::{Store, StoreSpec};
 use basaltward_http::{Body, Decoded, HeadWriter, Limits, Method, Request, RequestDecoder};
-use basaltward_net::{ConnId, Happened, Io, IoLimits, Micros, NetError, Waker, bind, monotonic};
+use basaltward_net::{ConnId, Io, IoEvent, IoLimits, Micros, NetError, Waker, bind, monotonic};
 use basaltward_rules::{Recorder, What};
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, HashMap};
@@ -206,14 +206,14 @@
             }
             for happened in happened.drain(..) {
                 match happened {
-                    Happened::Accepted { conn, listener } => {
+                    IoEvent::Accepted { conn, listener } => {
                         if let Some(server) = self.servers.iter().position(|s| s.listener == Some(listener)) {
                             let decoder = RequestDecoder::new(Limits { body: 16 << 20, ..Limits::default() });
                             self.conns.insert(conn, Conn { server, decoder, token: None });
                         }
                     }
-                    Happened::Data(conn) => self.data(now, conn),
-                    Happened::Ended(conn, _) => self.lost(conn),
+                    IoEvent::Data(conn) => self.data(now, conn),
+                    IoEvent::Ended(conn, _) => self.lost(conn),
                     _ => {}
                 }
             }
@@ -224,7 +224,7 @@
                 server.model.wake(now, (&mut self.store, keys), &mut replies);
                 self.answer_all_of(now, index, replies);
             }
-            self.io.forget_ended();
+            self.io.free_ended();
         }
     }
 
--- a/crates/trial/src/hollow/run.rs
+++ b/crates/trial/src/hollow/run.rs
@@ -12,7 +12,7 @@
 use super::shards::{Shards, Shared, SharedState};
 use crate::workspace::Workspace;
 use basaltward_membership::MemberId;
-use basaltward_net::{Happened, Io, IoLimits, Micros, Signals};
+use basaltward_net::{Io, IoEvent, IoLimits, Micros, Signals};
 use basaltward_peers::ask_agreed;
 use basaltward_permits::{OperatorCommand, OperatorReply, PermitRequest, Subject};
 use rand::rngs::StdRng;
@@ -99,7 +99,7 @@
     fn start(script: &'a HollowScript, tell: &'a mut dyn FnMut(String)) -> Result<Self, HollowError> {
         let spec = &script.spec;
         let mut io = Io::new(IoLimits::default())?;
-        io.watch_signals(Signals::take(&[Signal::INT.as_raw(), Signal::TERM.as_raw()])?)?;
+        io.watch_signals(Signals::register(&[Signal::INT.as_raw(), Signal::TERM.as_raw()])?)?;
         let workspace = Workspace::new()?;
         let host = match workspace.ip(HOST) {
             IpAddr::V4(host) => host,
@@ -167,7 +167,7 @@
             let left = self.script.spec.machine_time(left);
             self.io.turn(Some(left), &mut happened)?;
             for event in happened.drain(..) {
-                if let Happened::Signal(signal) = event {
+                if let IoEvent::Signal(signal) = event {
                     return Err(HollowError::Signal(signal));
                 }
             }
--- a/crates/trial/src/hollow/shard.rs
+++ b/crates/trial/src/hollow/shard.rs
@@ -6,7 +6,7 @@
 use super::load::{LATE_US, Load};
 use super::shards::{Command, Look, Shared};
 use basaltward_membership::{MemberId, MemberState};
-use basaltward_net::{Happened, Io, Micros, thread_time};
+use basaltward_net::{Io, IoEvent, Micros, thread_time};
 use basaltward_peers::{Event, PeerConfig, PeerTransport};
 use basaltward_permits::Bounds;
 use rand::rngs::StdRng;
@@ -109,8 +109,8 @@
             self.copy_state();
             for event in happened.drain(..) {
                 match event {
-                    Happened::Datagrams(socket) => self.read(socket),
-                    Happened::Woken => {
+                    IoEvent::Datagrams(socket) => self.read(socket),
+                    IoEvent::Woken => {
                         for command in commands.try_iter() {
                             if matches!(command, Command::Stop) {
                                 return;
@@ -249,7 +249,7 @@
     fn deliver(&mut self, number: MemberId, from: SocketAddr, bytes: Vec<u8>) {
         let Some(member) = self.members.get_mut(&number) else { return };
         self.load.received += 1;
-        self.io.give(member.transport.socket(), from, bytes);
+        self.io.inject_datagram(member.transport.socket(), from, bytes);
         let now = self.shared.spec.now();
         member.transport.data(&mut self.io, now, &mut self.events);
         self.follow_up(number);
--- a/crates/trial/src/kept_checker.rs
+++ b/crates/trial/src/kept_checker.rs
@@ -71,7 +71,7 @@
             Glance::Line(source, number, Step::Accepted(accepted)) => {
                 let event = events.entry(accepted.key).or_default();
                 event.name = event_name(accepted);
-                event.deadline = event.deadline.max(clock.place(accepted.deadline * 1_000));
+                event.deadline = event.deadline.max(clock.to_monotonic(accepted.deadline * 1_000));
                 event.lines.insert((*source, *number), None);
                 let lines = &mut journals.entry(*source).or_default().accepted;
                 let line = lines.entry(*number).or_insert((accepted.key, BTreeSet::new(), BTreeSet::new()));
--- a/crates/trial/src/relay.rs
+++ b/crates/trial/src/relay.rs
@@ -153,7 +153,7 @@
             for j in 0..peers.len() {
                 sockets[i].push(match i == j {
                     true => (usize::MAX, *own),
-                    false => self.io.datagrams(([127, 0, 0, 1], 0).into())?,
+                    false => self.io.bind_datagrams(([127, 0, 0, 1], 0).into())?,
                 });
             }
         }
--- a/crates/trial/src/relaying.rs
+++ b/crates/trial/src/relaying.rs
@@ -4,7 +4,7 @@
 use crate::relay::{Command, Counts, Pair, Route, Shared};
 use crate::shaping::{Item, Lane, Shaping};
 use crate::way::{Stream, Way};
-use basaltward_net::{ConnId, End, Happened, Io, Micros, NetError, bind, monotonic};
+use basaltward_net::{ConnId, EndReason, Io, IoEvent, Micros, NetError, bind, monotonic};
 use basaltward_timers::Timers;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -75,7 +75,7 @@
             for happened in happened.drain(..) {
                 self.take(happened);
             }
-            self.io.forget_ended();
+            self.io.free_ended();
             let now = monotonic();
             while let Some((_, due)) = self.due.pop_due(now) {
                 match due {
@@ -159,18 +159,18 @@
         }
     }
 
-    fn take(&mut self, happened: Happened) {
+    fn take(&mut self, happened: IoEvent) {
         match happened {
-            Happened::Accepted { conn, listener } => self.accepted(conn, listener),
-            Happened::Connected(conn) | Happened::Data(conn) => self.carry(conn),
-            Happened::Drained(conn) => {
+            IoEvent::Accepted { conn, listener } => self.accepted(conn, listener),
+            IoEvent::Connected(conn) | IoEvent::Data(conn) => self.carry(conn),
+            IoEvent::Drained(conn) => {
                 if let Some(other) = self.halves.get(&conn).map(|half| half.other) {
                     self.carry(other);
                 }
             }
-            Happened::Ended(conn, how) => self.ended(conn, how),
-            Happened::Datagrams(number) => self.datagrams(number),
-            Happened::Signal(_) | Happened::Woken => {}
+            IoEvent::Ended(conn, how) => self.ended(conn, how),
+            IoEvent::Datagrams(number) => self.datagrams(number),
+            IoEvent::Signal(_) | IoEvent::Woken => {}
         }
     }
 
@@ -264,7 +264,11 @@
                 Some(Item::End(how)) => {
                     self.halves.remove(&conn);
                     self.halves.remove(&other);
-                    return if how == End::Closed { self.io.close(other) } else { self.io.reset(other) };
+                    return if how == EndReason::Closed {
+                        self.io.close(other)
+                    } else {
+                        self.io.reset(other)
+                    };
                 }
                 None => {
                     let (next, room) = (half.lane.next(), half.lane.has_room());
@@ -278,7 +282,7 @@
         }
     }
 
-    fn ended(&mut self, conn: ConnId, how: End) {
+    fn ended(&mut self, conn: ConnId, how: EndReason) {
         // What came before the end is under way before it, also while nothing is carried.
         self.take_in(conn);
         let late = self.late(conn);
--- a/crates/trial/src/shaping.rs
+++ b/crates/trial/src/shaping.rs
@@ -1,6 +1,6 @@
 //! What becomes of bytes on their way in one direction: late, slow, or not carried at all. Their order stays.
 
-use basaltward_net::{End, Micros};
+use basaltward_net::{EndReason, Micros};
 use bytes::BytesMut;
 use rand::RngExt;
 use std::collections::VecDeque;
@@ -38,7 +38,7 @@
 pub(crate) enum Item {
     Bytes(BytesMut),
     /// The connection's end, behind all that was sent before it.
-    End(End),
+    End(EndReason),
 }
 
 /// What is under way in one direction of one connection.
@@ -74,7 +74,7 @@
     }
 
     /// The end of who sends.
-    pub fn end(&mut self, now: Micros, how: End, late: Micros) {
+    pub fn end(&mut self, now: Micros, how: EndReason, late: Micros) {
         self.put(now + late, Item::End(how));
     }
 
