--- a/crates/bulletin/src/event.rs
+++ b/crates/bulletin/src/event.rs
@@ -2,58 +2,58 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a line is not one of the bulletin's.
+/// Why the input from a bulletin is invalid.
 #[derive(Debug, Error)]
 pub enum BulletinError {
-    /// It is neither a number nor an event.
-    #[error("line can't be read: {0}")]
+    /// The line is neither a number nor an event.
+    #[error("line can't be parsed: {0}")]
     Line(#[from] serde_json::Error),
-    /// It has no end within the bound.
-    #[error("a line without end")]
+    /// The line is longer than [`FollowerLimits::max_line`](crate::FollowerLimits::max_line).
+    #[error("line exceeds the length limit")]
     LineTooLong,
-    /// Events between the last one held and this number are missing.
-    #[error("event {received} after {last}")]
+    /// Events between the last one applied and the received number are missing.
+    #[error("events are missing: received number {received} after event {last}")]
     Gap {
-        /// The last event held.
+        /// Number of the last event applied.
         last: u64,
-        /// The number told.
+        /// Number in the received line.
         received: u64,
     },
 }
 
-/// A worker's state as the bulletin tells it.
+/// State of a worker in the bulletin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum WorkerState {
-    /// Takes work.
+    /// Accepts work.
     Ready,
-    /// Finishes its work and takes nothing new.
+    /// Finishes its work and accepts nothing new.
     Terminating,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
 /// One entry of the list of workers.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Target {
-    /// Its name. A new worker has a new one, wherever it stands.
+    /// Unique name. A new worker has a new name, also where it reuses an address.
     pub uid: String,
-    /// Where it listens.
+    /// Address that the worker listens on.
     pub endpoint: SocketAddr,
-    /// Its zone.
+    /// Zone.
     #[serde(default)]
     pub az: String,
-    /// Its kind.
+    /// Kind of the worker.
     #[serde(default)]
     pub model: String,
-    /// Its cell.
+    /// Cell.
     #[serde(default)]
     pub pod_group: u64,
-    /// Its state.
+    /// State.
     pub state: WorkerState,
-    /// Its size, comparable between workers.
+    /// Relative size, comparable between workers.
     #[serde(default = "one")]
     pub capacity_hint: f64,
-    /// When it started late, in Unix milliseconds, or 0.
+    /// Start time of a worker that started late, in Unix milliseconds; 0 for all others.
     #[serde(default)]
     pub boot_ms: u64,
 }
@@ -62,36 +62,36 @@
     1.0
 }
 
-/// The list, or what has changed in it.
+/// The whole list of workers, or the changes to it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Roster {
     /// Whether this is the whole list.
     #[serde(default)]
     pub all: bool,
-    /// The entries.
+    /// The listed or changed entries.
     pub targets: Vec<Target>,
 }
 
-/// A line of the bulletin: an event, or the last number alone.
+/// A line of the bulletin: an event, or only the number of the latest event.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Line {
     pub no: u64,
     pub roster: Option<Roster>,
 }
 
-/// One event.
+/// A numbered event of the bulletin.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct RosterEvent {
-    /// Its number, from 1.
+    /// Number, counted from 1.
     pub no: u64,
-    /// What it tells.
+    /// The list or its changes.
     pub roster: Roster,
 }
 
-/// The events that a scheduler is given at its start.
+/// The events in the configuration with which a scheduler starts.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct InitialEvents {
-    /// Number of the last one.
+    /// Number of the last event.
     pub no: u64,
     /// The events.
     pub items: Vec<RosterEvent>,
--- a/crates/bulletin/src/follower.rs
+++ b/crates/bulletin/src/follower.rs
@@ -6,22 +6,22 @@
 /// Microseconds.
 type Micros = u64;
 
-/// Bounds of a follower.
+/// Limits and timeouts of a [`Follower`]; times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowerLimits {
-    /// Most bytes of a line, its end included.
+    /// Maximum length of a line in bytes, the newline included.
     pub max_line: usize,
-    /// A bulletin that says nothing for so long, though it owes a line each second, is left.
+    /// A connection on which no valid line arrives for this long is closed; a bulletin sends a line every second.
     pub silence_timeout: Micros,
-    /// A connection that does not stand by then has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Micros,
-    /// Shortest and longest wait between two connections that fail.
+    /// Minimum and maximum delay before the next connection attempt after a failed one.
     pub reconnect_delays: (Micros, Micros),
 }
 
 impl Default for FollowerLimits {
     fn default() -> Self {
-        // What a silent bulletin would have told counts as told after 4 s, what a broken one would after 2.
+        // Missing events count as delivered 4 s after a bulletin falls silent and 2 s after its connection breaks.
         Self {
             max_line: 1 << 20,
             silence_timeout: 2_200_000,
@@ -32,68 +32,70 @@
 }
 
 impl FollowerLimits {
-    /// Bounds where the settings say that a connection may take so long to stand: one that does is not given up
-    /// before, else no connection would ever stand there. With the longest silence it stays under the 4 s after which
-    /// what was not heard counts as told.
-    pub fn with_connect_timeout(told: Micros) -> Self {
-        let usual = Self::default();
-        Self { connect_timeout: told.clamp(usual.connect_timeout, 1_500_000), ..usual }
+    /// Default limits with a longer connect timeout, for platforms whose settings allow that much time to connect: with
+    /// a shorter one no connection would ever be established there. At most 1.5 s, so that it and the silence timeout
+    /// together stay below the 4 s after which missing events count as delivered.
+    pub fn with_connect_timeout(configured: Micros) -> Self {
+        let default = Self::default();
+        Self { connect_timeout: configured.clamp(default.connect_timeout, 1_500_000), ..default }
     }
 }
 
-/// Names a connection to a bulletin, over the life of the follower.
+/// Identifies a connection to a bulletin; never reused by the same follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FeedId(pub u64);
 
-/// What a follower wants done, or has learnt.
+/// An action for the caller of a [`Follower`], or a result.
 #[derive(Debug)]
 pub enum Step {
-    /// Begin a connection.
+    /// Open a connection to this address.
     Connect(FeedId, SocketAddr),
-    /// Write this on it.
+    /// Write this text to the connection.
     Write(FeedId, String),
-    /// End it; nothing of it is to be told any more.
+    /// Close the connection and pass no more of its input or its end to the follower.
     Close(FeedId),
-    /// A roster that holds from now on.
+    /// Apply this roster.
     Roster(Roster),
-    /// A connection is left, and why; for the log.
+    /// The follower has abandoned the connection, with the error that caused it, if any; for the log.
     Abandoned(FeedId, Option<BulletinError>),
 }
 
 struct Feed {
     id: FeedId,
     address: SocketAddr,
-    begun: Micros,
-    /// When patience with it ends.
-    until: Micros,
-    /// It stood at some time.
-    stood: bool,
-    /// It has told a line that can be read.
-    spoke: bool,
-    /// Input already searched for the end of a line.
+    opened_at: Micros,
+    /// When the connect timeout or the silence timeout expires.
+    expires_at: Micros,
+    was_connected: bool,
+    /// Whether a valid line has been received.
+    has_valid_line: bool,
+    /// Bytes of the input that contain no newline.
     searched: usize,
 }
 
-/// Follows one bulletin, and a second one while it moves from one to the other.
+/// Follows one bulletin, and a second one while it switches from one to the other.
 ///
-/// At any time there is a connection to the last address told or a time for the next one, and no more than two stand:
-/// the one followed so far, and the one begun last.
+/// Invariant: a connection to the current address exists or the next attempt is scheduled, and at most two connections
+/// exist: the one followed so far and the newest one.
 pub struct Follower {
     limits: FollowerLimits,
+    /// Address of the bulletin that was configured last.
     address: SocketAddr,
-    /// Number of the last event held.
-    last: u64,
+    /// Number of the last event applied.
+    last_event: u64,
     feeds: Vec<Feed>,
-    given: u64,
-    /// When the next connection is begun, where none is under way.
-    next: Option<Micros>,
-    wait: Micros,
+    /// Value of the next [`FeedId`].
+    next_id: u64,
+    /// When the next connection is opened, if none to the current address exists.
+    reconnect_at: Option<Micros>,
+    /// Delay before the connection attempt after the next failure.
+    reconnect_delay: Micros,
     freshness: FreshnessClock,
-    /// The latest time at which nothing waited to be read.
-    read_all: Micros,
+    /// Latest time at which no input was waiting to be read.
+    drained_at: Micros,
 }
 
-/// The last number alone comes as a JSON object that holds no more, or bare.
+/// Parses a line. A number without an event is a JSON object with that single field, or a plain number.
 fn parse(line: &[u8]) -> Result<Line, BulletinError> {
     let bare = line.trim_ascii();
     if let Some(no) = std::str::from_utf8(bare).ok().and_then(|text| text.parse().ok()) {
@@ -103,85 +105,102 @@
 }
 
 impl Follower {
-    /// A follower of the bulletin at this address that holds the events up to `last`; it connects when first
-    /// woken.
+    /// Creates a follower of the bulletin at this address for a list with the events up to `last`. It connects at the
+    /// first [`Follower::wake`].
     pub fn new(limits: FollowerLimits, address: SocketAddr, last: u64) -> Self {
-        let (feeds, given) = (Vec::new(), 0);
-        let (next, wait, freshness) = (Some(0), limits.reconnect_delays.0, FreshnessClock::default());
-        Self { limits, address, last, feeds, given, next, wait, freshness, read_all: 0 }
+        Self {
+            limits,
+            address,
+            last_event: last,
+            feeds: Vec::new(),
+            next_id: 0,
+            reconnect_at: Some(0),
+            reconnect_delay: limits.reconnect_delays.0,
+            freshness: FreshnessClock::default(),
+            drained_at: 0,
+        }
     }
 
-    /// How far the list that is held is to be believed at `now`.
+    /// Freshness of the list at `now`.
     pub fn freshness(&self, now: Micros) -> Freshness {
-        self.freshness.read(now)
+        self.freshness.at(now)
     }
 
-    /// Nothing waited to be read at `at`: what is read from now on has come later. Lines and ends count as of this
-    /// time, not as of when they are read: a process that stood still reads words that are old.
+    /// Records that no input was waiting to be read at `at`, so input that is read later arrived after `at`. Lines and
+    /// ends of connections are dated by this time and not by when they are read: a process that was suspended reads
+    /// old lines.
     pub fn input_drained(&mut self, at: Micros) {
-        self.read_all = self.read_all.max(at);
+        self.drained_at = self.drained_at.max(at);
     }
 
-    /// Number of the last event held.
+    /// Number of the last event applied.
     pub fn last_event(&self) -> u64 {
-        self.last
+        self.last_event
     }
 
     /// When [`Follower::wake`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
-        self.feeds.iter().map(|f| f.until).chain(self.next).min()
+        self.feeds.iter().map(|f| f.expires_at).chain(self.reconnect_at).min()
     }
 
-    /// Does what is due by `now`.
+    /// Closes connections whose timeout has expired by `now`, and opens the next one if it is due.
     pub fn wake(&mut self, now: Micros, out: &mut Vec<Step>) {
-        while let Some(feed) = self.feeds.iter().find(|f| f.until <= now).map(|f| f.id) {
+        while let Some(feed) = self.feeds.iter().find(|f| f.expires_at <= now).map(|f| f.id) {
             out.push(Step::Close(feed));
-            self.leave(now, feed, None, out);
+            self.abandon(now, feed, None, out);
         }
-        if self.next.is_some_and(|at| at <= now) {
-            self.next = None;
-            let id = FeedId(self.given);
-            self.given += 1;
-            let (address, until) = (self.address, now + self.limits.connect_timeout);
-            self.feeds.push(Feed { id, address, begun: now, until, stood: false, spoke: false, searched: 0 });
+        if self.reconnect_at.is_some_and(|at| at <= now) {
+            self.reconnect_at = None;
+            let id = FeedId(self.next_id);
+            self.next_id += 1;
+            let (address, expires_at) = (self.address, now + self.limits.connect_timeout);
+            self.feeds.push(Feed {
+                id,
+                address,
+                opened_at: now,
+                expires_at,
+                was_connected: false,
+                has_valid_line: false,
+                searched: 0,
+            });
             out.push(Step::Connect(id, address));
         }
     }
 
-    /// A connection stands: the events after the last one held are asked for.
+    /// Handles an established connection: requests the events after the last one applied.
     pub fn connected(&mut self, now: Micros, id: FeedId, out: &mut Vec<Step>) {
-        let until = now + self.limits.silence_timeout;
+        let expires_at = now + self.limits.silence_timeout;
         if let Some(feed) = self.feeds.iter_mut().find(|f| f.id == id) {
-            feed.until = until;
-            feed.stood = true;
-            out.push(Step::Write(id, format!("after {}\n", self.last)));
+            feed.expires_at = expires_at;
+            feed.was_connected = true;
+            out.push(Step::Write(id, format!("after {}\n", self.last_event)));
         }
     }
 
-    /// A connection has ended, or never stood.
+    /// Handles a connection that has ended or could not be established.
     pub fn ended(&mut self, now: Micros, id: FeedId, out: &mut Vec<Step>) {
-        self.broke(now, id);
-        self.leave(now, id, None, out);
+        self.on_break(now, id);
+        self.abandon(now, id, None, out);
     }
 
-    /// Another bulletin is to be followed. The one before is followed too until the new one speaks or it ends; one
-    /// that was to take its place and has told nothing yet is not waited for.
+    /// Switches to the bulletin at another address. The previous one is followed too, until the new one has sent a valid
+    /// line or the previous connection ends. A connection of an earlier switch that is not complete yet is closed.
     pub fn switch_to(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<Step>) {
         if address != self.address {
             self.address = address;
-            (self.next, self.wait) = (Some(now), self.limits.reconnect_delays.0);
+            (self.reconnect_at, self.reconnect_delay) = (Some(now), self.limits.reconnect_delays.0);
             let oldest = self.feeds.first().map(|feed| feed.id);
-            self.keep(|feed| Some(feed.id) == oldest, out);
+            self.close_others(|feed| Some(feed.id) == oldest, out);
         }
     }
 
-    /// Closes all connections but those that are kept.
-    fn keep(&mut self, kept: impl Fn(&Feed) -> bool, out: &mut Vec<Step>) {
+    /// Closes all connections for which `kept` is false.
+    fn close_others(&mut self, kept: impl Fn(&Feed) -> bool, out: &mut Vec<Step>) {
         out.extend(self.feeds.iter().filter(|f| !kept(f)).map(|f| Step::Close(f.id)));
         self.feeds.retain(kept);
     }
 
-    /// Takes the whole lines out of a connection's input.
+    /// Consumes the complete lines in a connection's input.
     pub fn read_lines(&mut self, now: Micros, id: FeedId, input: &mut BytesMut, out: &mut Vec<Step>) {
         while let Some(feed) = self.feeds.iter_mut().find(|f| f.id == id) {
             let from = feed.searched.min(input.len());
@@ -189,82 +208,85 @@
                 feed.searched = input.len();
                 if input.len() > self.limits.max_line {
                     out.push(Step::Close(id));
-                    self.broke(now, id);
-                    self.leave(now, id, Some(BulletinError::LineTooLong), out);
+                    self.on_break(now, id);
+                    self.abandon(now, id, Some(BulletinError::LineTooLong), out);
                 }
                 return;
             };
             feed.searched = 0;
-            let within = end < self.limits.max_line;
-            let told = if within { parse(&input[..end]) } else { Err(BulletinError::LineTooLong) };
+            let fits = end < self.limits.max_line;
+            let parsed = if fits { parse(&input[..end]) } else { Err(BulletinError::LineTooLong) };
             input.advance(end + 1);
-            let complete = told.as_ref().is_ok_and(|line| line.roster.is_none() && line.no == self.last);
-            if let Err(error) = told.and_then(|line| self.line(line, out)) {
+            let is_complete =
+                parsed.as_ref().is_ok_and(|line| line.roster.is_none() && line.no == self.last_event);
+            if let Err(error) = parsed.and_then(|line| self.apply(line, out)) {
                 out.push(Step::Close(id));
-                self.broke(now, id);
-                return self.leave(now, id, Some(error), out);
+                self.on_break(now, id);
+                return self.abandon(now, id, Some(error), out);
             }
-            if complete && self.follows(id) {
-                self.freshness.confirm(self.read_all.min(now));
+            if is_complete && self.is_current(id) {
+                self.freshness.confirm(self.drained_at.min(now));
             }
-            self.spoke(now, id, out);
+            self.on_valid_line(now, id, out);
         }
     }
 
-    /// Whether this connection is one to the address told last: one before it tells nothing further.
-    fn follows(&self, id: FeedId) -> bool {
+    /// Whether this connection goes to the current address. Others are no longer evidence of the list's freshness.
+    fn is_current(&self, id: FeedId) -> bool {
         self.feeds.iter().any(|feed| feed.id == id && feed.address == self.address)
     }
 
-    /// A connection has ended by itself, or is of no more use for what it told. One that never stood, or one to an
-    /// address before, tells nothing of the list.
-    fn broke(&mut self, now: Micros, id: FeedId) {
-        if self.follows(id) && self.feeds.iter().any(|feed| feed.id == id && feed.stood) {
-            self.freshness.break_off(self.read_all.min(now));
+    /// Records the break of a connection that ended or sent an invalid line. One that was never established, or goes to
+    /// an earlier address, does not affect the list's freshness.
+    fn on_break(&mut self, now: Micros, id: FeedId) {
+        if self.is_current(id) && self.feeds.iter().any(|feed| feed.id == id && feed.was_connected) {
+            self.freshness.record_break(self.drained_at.min(now));
         }
     }
 
-    fn line(&mut self, line: Line, out: &mut Vec<Step>) -> Result<(), BulletinError> {
-        // Of an event the one before must be held, of a number alone the event itself.
-        let most = self.last + u64::from(line.roster.is_some());
-        if line.no > most {
-            return Err(BulletinError::Gap { last: self.last, received: line.no });
+    fn apply(&mut self, line: Line, out: &mut Vec<Step>) -> Result<(), BulletinError> {
+        // An event may be the next one; a number without an event may be at most the last event applied.
+        let max_number = self.last_event + u64::from(line.roster.is_some());
+        if line.no > max_number {
+            return Err(BulletinError::Gap { last: self.last_event, received: line.no });
         }
-        if let Some(roster) = line.roster.filter(|_| line.no > self.last) {
-            self.last = line.no;
-            self.wait = self.limits.reconnect_delays.0;
+        if let Some(roster) = line.roster.filter(|_| line.no > self.last_event) {
+            self.last_event = line.no;
+            self.reconnect_delay = self.limits.reconnect_delays.0;
             out.push(Step::Roster(roster));
         }
         Ok(())
     }
 
-    /// A line that can be read has come: patience begins anew, and with the connection begun last to the address told
-    /// last, those before it are left.
-    fn spoke(&mut self, now: Micros, id: FeedId, out: &mut Vec<Step>) {
+    /// Handles a valid line: restarts the silence timeout, and closes the earlier connections if this is the newest one
+    /// and goes to the current address.
+    fn on_valid_line(&mut self, now: Micros, id: FeedId, out: &mut Vec<Step>) {
         let (address, newest) = (self.address, self.feeds.last().is_some_and(|f| f.id == id));
         let Some(feed) = self.feeds.iter_mut().find(|f| f.id == id) else { return };
-        feed.until = now + self.limits.silence_timeout;
-        feed.spoke = true;
+        feed.expires_at = now + self.limits.silence_timeout;
+        feed.has_valid_line = true;
         if newest && feed.address == address {
-            self.keep(|feed| feed.id == id, out);
+            self.close_others(|feed| feed.id == id, out);
         }
     }
 
-    fn leave(&mut self, now: Micros, id: FeedId, why: Option<BulletinError>, out: &mut Vec<Step>) {
+    /// Removes a connection and schedules the next one if none to the current address is left.
+    fn abandon(&mut self, now: Micros, id: FeedId, why: Option<BulletinError>, out: &mut Vec<Step>) {
         let Some(at) = self.feeds.iter().position(|f| f.id == id) else { return };
         let feed = self.feeds.remove(at);
         out.push(Step::Abandoned(id, why));
         if feed.address != self.address || self.feeds.iter().any(|f| f.address == self.address) {
             return;
         }
-        // At once after one that was of use: it brought an event, or stood for longer than any wait. One that speaks
-        // and breaks each time would be asked without a pause. Else ever later, up to the bound.
-        let (shortest, longest) = self.limits.reconnect_delays;
-        if feed.spoke && now.saturating_sub(feed.begun) >= longest {
-            self.wait = shortest;
+        // Reconnects at once after a useful connection: one that delivered an event or lasted for the longest delay. A
+        // valid line alone is not enough: a bulletin that sends one and breaks each time would be reconnected to without
+        // pause. Else the delay doubles up to the maximum.
+        let (min_delay, max_delay) = self.limits.reconnect_delays;
+        if feed.has_valid_line && now.saturating_sub(feed.opened_at) >= max_delay {
+            self.reconnect_delay = min_delay;
         }
-        let at_once = feed.spoke && self.wait == shortest;
-        self.next = Some(if at_once { now } else { now + self.wait });
-        self.wait = (self.wait * 2).min(longest);
+        let immediately = feed.has_valid_line && self.reconnect_delay == min_delay;
+        self.reconnect_at = Some(if immediately { now } else { now + self.reconnect_delay });
+        self.reconnect_delay = (self.reconnect_delay * 2).min(max_delay);
     }
 }
--- a/crates/bulletin/src/freshness.rs
+++ b/crates/bulletin/src/freshness.rs
@@ -1,57 +1,58 @@
-//! How old the list is that a follower holds, by the clocks of the protocol.
+//! Age of the follower's list of workers, by the time limits of the protocol.
 //!
-//! The bulletin is complete as of a moment when a line shows that nothing is missing: a number alone that is the last one
-//! held. A connection that stands, an event, or a number already passed shows nothing of the kind.
+//! Only one kind of line confirms that the list is complete: a number without an event that equals the number of the
+//! last event applied. An open connection, an event or a lower number confirms nothing.
 
 /// Microseconds.
 type Micros = u64;
 
-/// What a bulletin that broke off would have told counts as told this long after it broke off.
+/// After a connection broke, events that it did not deliver count as delivered this many microseconds later.
 pub const DELIVERED_AFTER_BREAK_US: Micros = 2_000_000;
-/// What a bulletin that fell silent would have told counts as told this long after its last word.
+/// After a bulletin fell silent, events that it did not deliver count as delivered this many microseconds after the
+/// list was last confirmed.
 pub const DELIVERED_AFTER_SILENCE_US: Micros = 4_000_000;
-/// A bulletin owes a line each second; once it is half a second late it counts as interrupted.
+/// A bulletin sends a line every second. After this many microseconds (half a second late) it counts as interrupted.
 pub const LINE_OVERDUE_US: Micros = 1_500_000;
 
-/// Why a list is not followed for now.
+/// Why the list of workers is currently not updated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interruption {
-    /// Its connection has ended or told what makes no sense.
+    /// The connection ended or delivered an invalid line.
     Broken,
-    /// Nothing has come for longer than a line may take.
+    /// The list was not confirmed for [`LINE_OVERDUE_US`].
     Silent,
 }
 
-/// How far the list that is held is to be believed; times in microseconds of the caller's monotonic clock.
+/// Freshness of the follower's list; times in microseconds of the caller's monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Since the follower's start nothing has shown that the list is complete.
+    /// The list has not been confirmed as complete since the follower started.
     Unconfirmed,
-    /// It is followed. Unless another line comes, all that it is missing counts as told at `told_at`.
+    /// The list is up to date.
     Current {
-        /// When that is, at the latest.
+        /// Latest time at which all missing events count as delivered, should no other line arrive.
         delivered_by: Micros,
     },
-    /// It is not followed for now.
+    /// The list is currently not updated.
     Interrupted {
-        /// When all that it is missing counts as told, at the latest.
+        /// Latest time at which all missing events count as delivered.
         delivered_by: Micros,
-        /// Why.
+        /// Cause of the interruption.
         why: Interruption,
     },
 }
 
-/// Keeps the times that [`Freshness`] follows from.
+/// Records the times from which [`Freshness`] is computed.
 #[derive(Debug, Default)]
 pub(crate) struct FreshnessClock {
-    /// The latest time as of which nothing was missing.
+    /// Latest time as of which the list was complete.
     confirmed: Option<Micros>,
-    /// When the connection first broke since.
+    /// When the connection first broke after `confirmed`.
     broken: Option<Micros>,
 }
 
 impl FreshnessClock {
-    /// A line that came after `as_of` has shown that nothing is missing.
+    /// Records that a line received after `as_of` confirmed the list as complete.
     pub fn confirm(&mut self, as_of: Micros) {
         if self.confirmed.is_none_or(|confirmed| confirmed <= as_of) {
             self.confirmed = Some(as_of);
@@ -59,23 +60,24 @@
         }
     }
 
-    /// A connection that stood has ended after `as_of`. Of several ends in a row the first one counts.
-    pub fn break_off(&mut self, as_of: Micros) {
+    /// Records that an established connection ended after `as_of`. Of several ends in a row the first one counts.
+    pub fn record_break(&mut self, as_of: Micros) {
         self.broken.get_or_insert(as_of);
     }
 
-    pub fn read(&self, now: Micros) -> Freshness {
+    /// Freshness of the list at `now`.
+    pub fn at(&self, now: Micros) -> Freshness {
         let Some(confirmed) = self.confirmed else { return Freshness::Unconfirmed };
-        let by_silence = confirmed + DELIVERED_AFTER_SILENCE_US;
+        let after_silence = confirmed + DELIVERED_AFTER_SILENCE_US;
         match self.broken {
             Some(broken) => Freshness::Interrupted {
-                delivered_by: by_silence.min(broken + DELIVERED_AFTER_BREAK_US),
+                delivered_by: after_silence.min(broken + DELIVERED_AFTER_BREAK_US),
                 why: Interruption::Broken,
             },
             None if now >= confirmed + LINE_OVERDUE_US => {
-                Freshness::Interrupted { delivered_by: by_silence, why: Interruption::Silent }
+                Freshness::Interrupted { delivered_by: after_silence, why: Interruption::Silent }
             }
-            None => Freshness::Current { delivered_by: by_silence },
+            None => Freshness::Current { delivered_by: after_silence },
         }
     }
 }
--- a/crates/bulletin/src/lib.rs
+++ b/crates/bulletin/src/lib.rs
@@ -1,10 +1,11 @@
-//! The bulletin: numbered events with the changes to the list of workers. [`Follower`] takes lines and the
-//! time and says what to connect, write and close, and which rosters hold; it does no I/O and reads no clock.
+//! Client of the bulletin, a stream of numbered events with the changes to the list of workers. [`Follower`] is a
+//! state machine without I/O or clock: the caller passes it the received lines and the time, and it returns what to
+//! connect, write and close, and which rosters to apply.
 //!
-//! What a bulletin may do wrong, and what it gets: an event told twice changes nothing; a number that skips
-//! events, a line that can't be read, an end, and silence for longer than its second allows each mean that the
-//! connection is of no more use, and the events after the last one held are asked for on a new one. The list
-//! that is held stands meanwhile.
+//! Fault handling: an event that was received already is ignored. A number that skips events, a line that can't be
+//! parsed, the end of the connection, and silence for longer than [`FollowerLimits::silence_timeout`] (the bulletin
+//! sends a line every second) each end the connection. The follower then requests the events after the last one
+//! received on a new connection, and the current list stays in use meanwhile.
 #![warn(missing_docs)]
 
 mod event;
