--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,60 +1,60 @@
-//! The settings object that a platform tells each scheduler at its start, read into [`basaltward::Settings`]
-//! and the figures that the network code needs. Unknown keys are disregarded. The simulator's adapter and the
-//! live scheduler read it with this one reader.
+//! Parses the settings object with which the platform configures each scheduler at its start into
+//! [`basaltward::Settings`] and the settings of the network code. Unknown keys are ignored. Both the simulator's
+//! adapter and the live scheduler use this parser.
 #![warn(missing_docs)]
 
 use basaltward::{Class, Family, Group, Limits, Micros, Repeat, Rules, Settings, SettingsError};
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Why a settings object can't be used.
+/// Why a settings object is invalid.
 #[derive(Debug, Error)]
 pub enum PlatformSettingsError {
-    /// A field is missing or of the wrong form.
+    /// The text is not JSON, or a field is missing or has the wrong type.
     #[error("{0}")]
     Field(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// A word stands where another is expected.
-    #[error("{field} {told:?} is none of {expected}")]
+    /// A field has a value that is not one of its known values.
+    #[error("{field} {value:?} is not one of {expected}")]
     UnknownValue {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What it holds.
-        told: String,
-        /// What it may hold.
+        /// Its value.
+        value: String,
+        /// The allowed values, separated by commas.
         expected: &'static str,
     },
-    /// The module can't decide by them.
+    /// The module rejects the settings.
     #[error("{0}")]
     Settings(#[from] SettingsError),
 }
 
-/// What a settings object tells.
+/// A parsed settings object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformSettings {
-    /// For the module.
+    /// Settings of the module.
     pub module: Settings,
-    /// Names of the classes, in the module's order.
+    /// Names of the classes, in the order of the module's indexes.
     pub classes: Vec<String>,
-    /// Names of the tenants, in the module's order; none where calls belong to none.
+    /// Names of the tenants, in the order of the module's indexes; empty if calls have no tenants.
     pub tenants: Vec<String>,
-    /// Names of the kinds of workers, in the module's order.
+    /// Names of the kinds of workers, in the order of the module's indexes.
     pub kinds: Vec<String>,
-    /// Names of the zones, in the module's order.
+    /// Names of the zones, in the order of the module's indexes.
     pub zones: Vec<String>,
-    /// For connections to workers.
+    /// Settings of connections to workers.
     pub links: LinkSettings,
-    /// Schedulers may send one another datagrams.
+    /// Whether schedulers may send datagrams to each other.
     pub peers: bool,
 }
 
-/// Figures of connections to workers; 0 where none is told.
+/// Settings of connections to workers; 0 means not configured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkSettings {
-    /// Requests that one connection carries at once.
+    /// Maximum number of concurrent requests on one connection.
     pub streams: usize,
-    /// Workers close a connection that has been idle for so long.
+    /// Workers close a connection after this idle time, in microseconds.
     pub idle_close: Micros,
-    /// A connection that does not stand by then has failed.
+    /// A connection that is not established within this time, in microseconds, has failed.
     pub connect_timeout: Micros,
 }
 
@@ -185,9 +185,9 @@
 }
 
 fn class(wire: &WireClass) -> Result<Class, PlatformSettingsError> {
-    let word = |field, told: &str, expected| PlatformSettingsError::UnknownValue {
+    let unknown_value = |field, value: &str, expected| PlatformSettingsError::UnknownValue {
         field,
-        told: told.into(),
+        value: value.into(),
         expected,
     };
     let repeat = match wire.repeat.as_str() {
@@ -198,11 +198,11 @@
                 "all" => Group::All,
                 "zone" => Group::Zone,
                 "cell" => Group::Cell,
-                other => return Err(word("group", other, "all, zone, cell")),
+                other => return Err(unknown_value("group", other, "all, zone, cell")),
             };
             Repeat::Keyed { group, window: wire.window_us as u64 }
         }
-        other => return Err(word("repeat", other, "safe, keyed, unsafe")),
+        other => return Err(unknown_value("repeat", other, "safe, keyed, unsafe")),
     };
     Ok(Class {
         aim: wire.on_time_us as u64,
@@ -213,10 +213,10 @@
     })
 }
 
-/// Reads the settings object.
+/// Parses a settings object.
 ///
 /// # Errors
-/// Where it is not JSON of this form, or the module could not decide by it.
+/// If the text is not a valid settings object, or the module rejects the settings.
 pub fn parse(text: &str) -> Result<PlatformSettings, PlatformSettingsError> {
     let options: Options = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(text))?;
     let (family, limits, rules) = (options.family_info, options.limits, options.rules);
@@ -257,7 +257,7 @@
             tip_multiple: rules.tip_multiple,
             fall: rules.fall_us as u64,
             drain_grace: rules.drain_grace_us.map(|grace| grace as u64),
-            // Who moves the bytes says how long that may take.
+            // Set by the network code, which knows how long sending may take.
             send_delay: 0,
         },
         report_names: options.report.names,
--- a/crates/platform-settings/tests/settings.rs
+++ b/crates/platform-settings/tests/settings.rs
@@ -1,16 +1,16 @@
-//! What a settings object may hold wrong, and how that is named.
+//! Errors for invalid settings objects.
 use basaltward_platform_settings::parse;
 
-const GOOD: &str = r#"{"dcs":["a","b"],"familyInfo":{"machineMb":[4000.0],"staysLoadedUs":9000000},
+const VALID: &str = r#"{"dcs":["a","b"],"familyInfo":{"machineMb":[4000.0],"staysLoadedUs":9000000},
 "limits":{"sendCap":3,"streamsPerConn":32,"idleCloseUs":30000000},"models":["m"],"replicasOfMe":2,
 "requestClasses":[{"name":"call","deadlineUs":2000000,"onTimeUs":500000,"repeat":"safe"},
 {"name":"order","deadlineUs":2500000,"onTimeUs":600000,"repeat":"unsafe"}],"roundUs":1000,
 "rules":{"answerSlackUs":8000,"coldFrom":0.2,"fallUs":1500000,"tipMultiple":4.0,"warmWithinUs":16000000}}"#;
 
 #[test]
-fn what_cannot_be_used_is_named_in_one_line() {
-    assert_eq!(parse(GOOD).expect("it is good").classes, ["call", "order"]);
-    let wrong = [
+fn an_invalid_settings_object_is_reported_by_field_in_one_line() {
+    assert_eq!(parse(VALID).expect("valid settings").classes, ["call", "order"]);
+    let invalid = [
         ("\"sendCap\":3", "\"sendCap\":\"many\"", "limits.sendCap"),
         ("\"sendCap\":3", "\"sendCap\":-3", "limits.sendCap"),
         ("\"sendCap\":3,", "", "limits: missing field `sendCap`"),
@@ -23,12 +23,12 @@
         ("\"roundUs\":1000,", "", "roundUs"),
         ("\"onTimeUs\":600000", "\"onTimeUs\":0", "class 1"),
     ];
-    for (from, to, named) in wrong {
-        assert!(GOOD.contains(from), "{from}");
-        let error = parse(&GOOD.replace(from, to)).expect_err(named).to_string();
-        assert!(error.contains(named) && !error.contains('\n'), "{named}: {error}");
+    for (from, to, field) in invalid {
+        assert!(VALID.contains(from), "{from}");
+        let error = parse(&VALID.replace(from, to)).expect_err(field).to_string();
+        assert!(error.contains(field) && !error.contains('\n'), "{field}: {error}");
     }
-    for length in 0..GOOD.len() {
-        assert!(parse(&GOOD[..length]).is_err(), "{length} bytes of it");
+    for length in 0..VALID.len() {
+        assert!(parse(&VALID[..length]).is_err(), "truncated to {length} bytes");
     }
 }
--- a/crates/roster/src/entry.rs
+++ b/crates/roster/src/entry.rs
@@ -1,40 +1,40 @@
 use basaltward::{Member, Micros, State};
 
-/// One worker as a source lists it.
+/// One worker in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its address, which also names it.
+    /// Address `IP:port`, which is also the worker's name.
     pub address: String,
-    /// Its state.
+    /// State.
     pub state: State,
-    /// When it last started, microseconds since 1970; `None` for long ago.
+    /// Last start in microseconds since 1970; `None` means long ago.
     pub started: Option<Micros>,
-    /// Position of its kind.
+    /// Index of the kind in [`Names::kinds`].
     pub kind: usize,
-    /// Position of its zone.
+    /// Index of the zone in [`Names::zones`].
     pub zone: usize,
-    /// Its cell.
+    /// Cell.
     pub cell: u64,
-    /// Told size.
+    /// Configured relative size.
     pub size: f64,
 }
 
-/// Names that entries may use, by position.
+/// The kinds and zones that entries may refer to by index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
-    /// Kinds of worker.
+    /// Names of the kinds of workers.
     pub kinds: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
 }
 
-/// An entry as the module reads it; `on_clock` places a wall time on the loop's clock. The module takes 0 for
-/// long ago, so a start that the clock does not reach back to is placed at 1.
-pub fn to_member(entry: &Entry, on_clock: impl Fn(Micros) -> Micros) -> Member {
+/// Converts an entry to the module's member; `to_monotonic` converts a wall time to the loop's clock. For the module 0
+/// means long ago, so a start before the clock's zero becomes 1.
+pub fn to_member(entry: &Entry, to_monotonic: impl Fn(Micros) -> Micros) -> Member {
     Member {
         worker: entry.address.as_str().into(),
         state: entry.state,
-        started: entry.started.map_or(0, |wall| on_clock(wall).max(1)),
+        started: entry.started.map_or(0, |wall| to_monotonic(wall).max(1)),
         hint: entry.size,
         kind: entry.kind,
         zone: entry.zone,
--- a/crates/roster/src/file.rs
+++ b/crates/roster/src/file.rs
@@ -10,40 +10,42 @@
 
 const SCHEMA: &str = include_str!("../roster.xsd");
 
-/// A roster in a file, read again whenever it changes. A file that can't be used is told once as failed, and
-/// the list before it stands.
+/// A roster file, read again whenever it changes. A file that can't be read or is invalid is reported once as failed, and
+/// the previous list stays in use.
 pub struct RosterFile {
     path: PathBuf,
     names: Names,
-    every: Micros,
+    interval: Micros,
     due: Micros,
-    /// Size, time and number of the file last read: a rename over it changes at least the number.
-    seen: Option<(u64, SystemTime, u64)>,
-    failed: bool,
+    /// Size, modification time and inode of the file last read: a rename over it changes at least the inode.
+    last_read: Option<(u64, SystemTime, u64)>,
+    /// Whether the failure of the current file has been reported.
+    is_failed: bool,
 }
 
 impl RosterFile {
-    /// A roster looked at every so often.
-    pub fn new(path: PathBuf, names: Names, every: Micros) -> Self {
-        Self { path, names, every, due: 0, seen: None, failed: false }
+    /// Creates a source that checks the file for changes at this interval in microseconds.
+    pub fn new(path: PathBuf, names: Names, interval: Micros) -> Self {
+        Self { path, names, interval, due: 0, last_read: None, is_failed: false }
     }
 
-    fn look(&mut self) -> Result<Option<Vec<Entry>>, String> {
+    /// Reads the file if it has changed.
+    fn read_if_changed(&mut self) -> Result<Option<Vec<Entry>>, String> {
         let failed = |error: io::Error| format!("{}: {error}", self.path.display());
-        let told = std::fs::metadata(&self.path).map_err(failed)?;
-        let seen = (told.len(), told.modified().map_err(failed)?, inode(&told));
-        if self.seen == Some(seen) {
+        let metadata = std::fs::metadata(&self.path).map_err(failed)?;
+        let version = (metadata.len(), metadata.modified().map_err(failed)?, inode(&metadata));
+        if self.last_read == Some(version) {
             return Ok(None);
         }
         let text = std::fs::read_to_string(&self.path).map_err(failed)?;
-        self.seen = Some(seen);
+        self.last_read = Some(version);
         read(&text, &self.path, &self.names).map(Some).map_err(|error| error.to_string())
     }
 }
 
-fn inode(told: &std::fs::Metadata) -> u64 {
+fn inode(metadata: &std::fs::Metadata) -> u64 {
     use std::os::unix::fs::MetadataExt;
-    told.ino()
+    metadata.ino()
 }
 
 impl Source for RosterFile {
@@ -51,16 +53,16 @@
         if now < self.due {
             return None;
         }
-        self.due = now + self.every;
-        match self.look() {
+        self.due = now + self.interval;
+        match self.read_if_changed() {
             Ok(None) => None,
             Ok(Some(entries)) => {
-                self.failed = false;
+                self.is_failed = false;
                 Some(RosterUpdate::Full(entries))
             }
-            Err(_) if self.failed => None,
+            Err(_) if self.is_failed => None,
             Err(why) => {
-                self.failed = true;
+                self.is_failed = true;
                 Some(RosterUpdate::Failed(why))
             }
         }
@@ -81,7 +83,7 @@
                 faults.push(node.fault(format!("address {:?} is not IP:port", entry.address)));
             }
             if !addresses.insert(entry.address.clone()) {
-                faults.push(node.fault(format!("worker {} stands twice", entry.address)));
+                faults.push(node.fault(format!("worker {} is listed twice", entry.address)));
             }
             entries.push(entry);
         }
@@ -92,8 +94,8 @@
 fn entry(node: &Node, names: &Names, faults: &mut Vec<Fault>) -> Entry {
     let mut position = |attribute: &str, names: &[String]| match node.text(attribute) {
         None => 0,
-        Some(told) => names.iter().position(|n| n == told).unwrap_or_else(|| {
-            faults.push(node.fault(format!("{attribute} {told:?} is not among {}", names.join(", "))));
+        Some(name) => names.iter().position(|n| n == name).unwrap_or_else(|| {
+            faults.push(node.fault(format!("{attribute} {name:?} is not one of {}", names.join(", "))));
             0
         }),
     };
@@ -113,10 +115,10 @@
     }
 }
 
-/// Writes a roster file in one step: readers see the old list or the new one.
+/// Writes a roster file atomically: readers see the old list or the new one.
 ///
 /// # Errors
-/// Where the folder can't be written.
+/// If the file can't be written or renamed.
 pub fn write(path: &Path, names: &Names, entries: &[Entry]) -> io::Result<()> {
     let mut text = String::from("<roster xmlns=\"urn:basaltward:roster:1\">\n");
     for entry in entries {
@@ -129,17 +131,19 @@
         if let Some(started) = entry.started {
             let _ = write!(text, " started-ms=\"{}\"", started / 1_000);
         }
-        for (name, told) in [("kind", names.kinds.get(entry.kind)), ("zone", names.zones.get(entry.zone))] {
-            if let Some(told) = told {
-                let _ = write!(text, " {name}=\"{told}\"");
+        for (attribute, name) in
+            [("kind", names.kinds.get(entry.kind)), ("zone", names.zones.get(entry.zone))]
+        {
+            if let Some(name) = name {
+                let _ = write!(text, " {attribute}=\"{name}\"");
             }
         }
         let _ = writeln!(text, " cell=\"{}\" size=\"{}\"/>", entry.cell, entry.size);
     }
     text.push_str("</roster>\n");
-    let beside = path.with_extension("new");
-    std::fs::write(&beside, text)?;
-    std::fs::rename(&beside, path)
+    let temporary = path.with_extension("new");
+    std::fs::write(&temporary, text)?;
+    std::fs::rename(&temporary, path)
 }
 
 #[cfg(test)]
@@ -147,7 +151,7 @@
     use super::*;
 
     #[test]
-    fn changes_are_told_once_and_a_bad_file_leaves_the_list() {
+    fn changes_are_reported_once_and_an_invalid_file_keeps_the_list() {
         let folder = std::env::temp_dir().join(format!("basaltward-roster-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let path = folder.join("roster.xml");
@@ -170,8 +174,8 @@
         assert_eq!(roster.poll(10), None);
         write(&path, &names, &[]).expect("written");
         assert_eq!(roster.poll(20), Some(RosterUpdate::Full(Vec::new())));
-        let bad = "<roster xmlns=\"urn:basaltward:roster:1\"><worker address=\"x\"/></roster>";
-        std::fs::write(&path, bad).expect("written");
+        let invalid = "<roster xmlns=\"urn:basaltward:roster:1\"><worker address=\"x\"/></roster>";
+        std::fs::write(&path, invalid).expect("written");
         assert!(matches!(roster.poll(30), Some(RosterUpdate::Failed(why)) if why.contains("roster.xml:1:")));
         assert_eq!(roster.poll(40), None);
         write(&path, &names, &first[..1]).expect("written");
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -1,4 +1,4 @@
-//! Where the list of workers comes from. A [`Source`] gives [`News`]; the file is the first of them.
+//! Sources of the list of workers. A [`Source`] returns [`RosterUpdate`]s; [`RosterFile`] is the first one.
 #![warn(missing_docs)]
 
 mod entry;
@@ -9,22 +9,22 @@
 
 use basaltward::Micros;
 
-/// What a source has to say.
+/// An update of the list of workers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RosterUpdate {
-    /// The whole list; who is missing is gone.
+    /// The whole list; workers that are missing in it are gone.
     Full(Vec<Entry>),
-    /// Changed entries only.
+    /// Only the changed entries.
     Changes(Vec<Entry>),
-    /// The list could not be had, and why; the previous one stands.
+    /// The list could not be read, with the reason; the previous list stays in use.
     Failed(String),
 }
 
 /// A source of the list of workers.
 pub trait Source {
-    /// News since the last call, if there is any. Must not block on a peer.
+    /// Returns the update since the last call, if there is any. Must not block on the network.
     fn poll(&mut self, now: Micros) -> Option<RosterUpdate>;
 
-    /// When it wants to be asked next.
+    /// When the next [`Source::poll`] is due.
     fn next_due(&self) -> Micros;
 }
