--- a/crates/net/src/diverted.rs
+++ b/crates/net/src/diverted.rs
@@ -1,27 +1,27 @@
-//! Datagrams carried by the owner of a loop in place of the system, for trials that put delays and losses on them: what
-//! is sent waits to be taken, and what is received is what the owner gives.
+//! Datagrams that the owner of a loop transfers in place of the kernel, for simulations of delay and loss: sent ones are
+//! queued for the owner, and received ones are those that the owner injects.
 
 use crate::Io;
 use std::net::SocketAddr;
 
-/// A datagram that was sent on a loop whose datagrams are diverted.
+/// A datagram sent on a loop with diverted datagrams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DivertedDatagram {
-    /// The number of the socket that it was sent on.
+    /// Number of the sending socket.
     pub socket: usize,
-    /// Its receiver.
+    /// Destination address.
     pub to: SocketAddr,
-    /// What it says.
+    /// Payload.
     pub bytes: Vec<u8>,
 }
 
-/// What waits on a loop whose datagrams are diverted.
+/// State of a loop with diverted datagrams.
 #[derive(Default)]
 pub(crate) struct Diversion {
-    /// Sent, and not taken yet.
+    /// Sent and not yet taken by [`Io::take_diverted`].
     sent: Vec<DivertedDatagram>,
-    /// Given to be received by the next [`Io::receive`] on its socket.
-    given: Option<(usize, SocketAddr, Vec<u8>)>,
+    /// Socket, sender and payload of the datagram for the next [`Io::receive`] on that socket.
+    injected: Option<(usize, SocketAddr, Vec<u8>)>,
 }
 
 impl Diversion {
@@ -30,7 +30,7 @@
     }
 
     pub fn receive(&mut self, number: usize, into: &mut [u8]) -> Option<(usize, SocketAddr)> {
-        let (_, from, bytes) = self.given.take_if(|(socket, ..)| *socket == number)?;
+        let (_, from, bytes) = self.injected.take_if(|(socket, ..)| *socket == number)?;
         let length = bytes.len().min(into.len());
         into[..length].copy_from_slice(&bytes[..length]);
         Some((length, from))
@@ -38,21 +38,22 @@
 }
 
 impl Io {
-    /// From now on [`Io::send_to`] and [`Io::receive`] leave the system's sockets alone: what is sent waits for
-    /// [`Io::take_diverted`], and what is received is what [`Io::give`] gave.
+    /// Detaches [`Io::send_to`] and [`Io::receive`] from the sockets: sent datagrams are queued for
+    /// [`Io::take_diverted`], and received ones come from [`Io::inject_datagram`].
     pub fn divert_datagrams(&mut self) {
         self.diversion.get_or_insert_default();
     }
 
-    /// What was sent since this was last asked; nothing where datagrams are not diverted.
+    /// Takes the datagrams sent since the last call; empty if datagrams are not diverted.
     pub fn take_diverted(&mut self) -> Vec<DivertedDatagram> {
         self.diversion.as_mut().map(|diversion| std::mem::take(&mut diversion.sent)).unwrap_or_default()
     }
 
-    /// The next [`Io::receive`] on this socket has this datagram. One is held at a time: a second takes its place.
+    /// Makes the next [`Io::receive`] on this socket return this datagram. Only one is held at a time: a second one
+    /// replaces it. Ignored if datagrams are not diverted.
     pub fn inject_datagram(&mut self, socket: usize, from: SocketAddr, bytes: Vec<u8>) {
         if let Some(diversion) = &mut self.diversion {
-            diversion.given = Some((socket, from, bytes));
+            diversion.injected = Some((socket, from, bytes));
         }
     }
 }
--- a/crates/net/src/io.rs
+++ b/crates/net/src/io.rs
@@ -1,5 +1,5 @@
 use crate::diverted::Diversion;
-use crate::retry::Again;
+use crate::retry::Retries;
 use crate::system::{SystemCall, SystemCalls};
 use crate::wake::{Signal, Signals, Waker, drain};
 use crate::{Micros, monotonic};
@@ -16,10 +16,10 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why the loop itself failed; what goes wrong with one connection is an [`End`].
+/// Failure of the loop itself. The failure of one connection is an [`EndReason`].
 #[derive(Debug, Error)]
 pub enum NetError {
-    /// The system refused a call.
+    /// A system call failed.
     #[error("system call failed: {0}")]
     System(#[from] io::Error),
 }
@@ -30,62 +30,62 @@
     }
 }
 
-/// Names a connection for as long as it lasts; never given to another one later.
+/// Identifies a connection. The id is not reused for a later connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId {
     pub(crate) slot: u32,
     pub(crate) generation: u32,
 }
 
-/// How a connection ended, when the owner did not end it.
+/// Why a connection ended that the owner did not end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// The peer sends no more.
+    /// The peer closed its sending side (FIN).
     Closed,
-    /// It broke.
+    /// The connection failed, for example by a reset.
     Reset,
-    /// It was never established: no byte has left.
+    /// The connection was never established; no data was sent.
     ConnectFailed,
 }
 
-/// What a turn of the loop brought.
+/// An event of the loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IoEvent {
-    /// A connection came in at a listener, by its number.
+    /// A connection was accepted.
     Accepted {
         /// The new connection.
         conn: ConnId,
-        /// Which listener.
+        /// Number of the listener.
         listener: usize,
     },
-    /// A connection begun with [`Io::connect`] stands.
+    /// A connection started with [`Io::connect`] is established.
     Connected(ConnId),
-    /// Bytes were added to the input.
+    /// Bytes were appended to the connection's input.
     Data(ConnId),
-    /// All output has been written, after some of it had to wait or [`Io::await_drained`] was called.
+    /// All output has been written, after a write was blocked or [`Io::notify_when_drained`] was called.
     Drained(ConnId),
-    /// The connection is gone, its id void once this has been handled; the input may still hold bytes.
+    /// The connection has ended. Its input may still hold bytes, and its id is valid until [`Io::free_ended`].
     Ended(ConnId, EndReason),
-    /// A signal came.
+    /// A signal was delivered.
     Signal(i32),
     /// The loop's [`Waker`] was used.
     Woken,
-    /// Datagrams wait at a socket, by its number.
+    /// Datagrams are waiting at the UDP socket with this number.
     Datagrams(usize),
 }
 
-/// Bounds of one loop.
+/// Limits of one loop.
 #[derive(Clone, Copy, Debug)]
 pub struct IoLimits {
-    /// Most accepted connections, those that were closed here and have not ended yet among them; beyond it none are
-    /// accepted until some end.
+    /// Maximum number of accepted connections, including locally closed ones that have not ended yet. At the limit none
+    /// is accepted until one ends.
     pub connections: usize,
-    /// Most bytes of input held for one connection; beyond it reading stops until some are taken.
+    /// Limit in bytes of the buffered input of a connection. Beyond it reading is paused until the owner resumes it.
     pub input: usize,
-    /// How long a connection that was closed here may take to end, in microseconds.
+    /// Maximum time that a locally closed connection may take to end, in microseconds.
     pub linger: Micros,
-    /// Who has ended its side of a connection that was accepted is gone at once: what it sent before and was not
-    /// read is not. Else that is read first.
+    /// Whether an accepted connection ends as soon as the peer closes its side; unread input is then discarded. If false,
+    /// the input before the end is read first.
     pub end_on_peer_close: bool,
 }
 
@@ -100,87 +100,92 @@
     pub(crate) generation: u32,
     input: BytesMut,
     output: BytesMut,
-    /// What epoll is to be asked for.
-    pub(crate) wanted: epoll::EventFlags,
-    /// What epoll was asked for, once it was.
-    pub(crate) interest: Option<epoll::EventFlags>,
+    /// Events that epoll should report.
+    pub(crate) desired: epoll::EventFlags,
+    /// Events registered with epoll; `None` before the first registration.
+    pub(crate) registered: Option<epoll::EventFlags>,
     connecting: bool,
-    /// Output waits for the peer.
-    stuck: bool,
-    /// It was stuck since output was last written whole.
-    unblocked: bool,
-    /// The owner has more to send once the output is written.
-    awaited: bool,
+    /// The socket's send buffer is full.
+    write_blocked: bool,
+    /// A write was blocked since the output was last empty.
+    was_blocked: bool,
+    /// The owner requested [`IoEvent::Drained`].
+    notify_drained: bool,
+    /// Listed in [`Io::dirty`].
     dirty: bool,
-    /// Closed by the owner: what comes in is thrown away.
+    /// Closed by the owner: further input is discarded.
     closing: bool,
     accepted: bool,
     pub(crate) ended: bool,
 }
 
-/// What a connection that is read is watched for.
+/// epoll events of a connection that is read.
 const READ: epoll::EventFlags = epoll::EventFlags::IN.union(epoll::EventFlags::RDHUP);
-const KIND: u64 = 60;
+/// Bit position of the kind of source in epoll's event data; the lower bits hold slot and generation.
+const KIND_SHIFT: u64 = 60;
 pub(crate) const CONN: u64 = 0;
 pub(crate) const LISTENER: u64 = 1;
 const SIGNAL: u64 = 2;
 const WAKE: u64 = 3;
 const DATAGRAMS: u64 = 4;
-/// Room made for the first bytes of an output.
-const MESSAGE: usize = 512;
-/// Events taken from epoll in one turn; the rest come with the next.
-const EVENTS: usize = 256;
-/// Connections accepted from one listener before others get their turn.
+/// Capacity reserved for output, in bytes.
+const OUTPUT_RESERVE: usize = 512;
+/// Maximum number of epoll events per turn; the others are reported by the next one.
+const MAX_EVENTS: usize = 256;
+/// Maximum number of connections accepted from one listener per turn.
 const ACCEPT_BATCH: usize = 64;
 
-/// The loop.
+/// The event loop.
 ///
-/// epoll is used level-triggered: on the ordinary path there is one read for each message and no call that
-/// changes interest, as with edges, while a pause in reading can lose no event.
+/// epoll is used in level-triggered mode: in the common case each message takes one read and no `epoll_ctl`, as in
+/// edge-triggered mode, but pausing a connection can't lose an event.
 pub struct Io {
     pub(crate) epoll: OwnedFd,
     pub(crate) system: SystemCalls,
-    pub(crate) again: Again,
+    pub(crate) retries: Retries,
     limits: IoLimits,
     pub(crate) conns: Slab<Conn>,
     generation: u32,
     pub(crate) listeners: Vec<Option<TcpListener>>,
-    /// By number; none where it was closed.
+    /// UDP sockets by number; `None` if closed.
     pub(crate) sockets: Vec<Option<UdpSocket>>,
-    /// Where the owner carries datagrams in place of the system.
+    /// Set if the owner transfers datagrams in place of the kernel.
     pub(crate) diversion: Option<Diversion>,
+    /// Whether the listeners are registered for new connections.
     pub(crate) accepting: bool,
-    /// The last turn may have left connections in the system's queue.
-    may_wait: bool,
-    /// The owner wants no new connections for now.
-    held: bool,
+    /// Connections may be waiting in the kernel's accept queue since the last turn.
+    may_have_backlog: bool,
+    /// The owner has paused accepting.
+    accept_paused: bool,
+    /// Number of accepted connections in `conns`.
     accepted: usize,
     signals: Vec<Signal>,
     waker: Waker,
     woken: UnixStream,
     scratch: Box<[u8]>,
+    /// Slots of the connections with output to write at the next flush.
     dirty: Vec<u32>,
-    /// Connections whose end has been told, to be freed once the owner has handled it.
+    /// Connections whose end has been reported, to be freed by [`Io::free_ended`].
     ended: Vec<ConnId>,
-    /// Connections that failed when they were begun, to be told by the next turn.
+    /// Connections whose start failed, to be reported by the next turn.
     pub(crate) failed: Vec<ConnId>,
-    /// Connections closed here, by the time at which their patience ends.
+    /// Locally closed connections and the times at which they are aborted, in ascending order.
     closing: VecDeque<(Micros, ConnId)>,
 }
 
 impl Io {
-    /// A loop without connections.
+    /// Creates a loop without connections.
     ///
     /// # Errors
-    /// Where the system refuses the descriptors.
+    /// If the descriptors can't be created.
     pub fn new(limits: IoLimits) -> Result<Self, NetError> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         let (waker, woken) = Waker::pair()?;
-        epoll::add(&epoll, &woken, data(WAKE, 0, 0), epoll::EventFlags::IN)?;
+        epoll::add(&epoll, &woken, event_data(WAKE, 0, 0), epoll::EventFlags::IN)?;
         Ok(Self {
             epoll,
             system: SystemCalls::default(),
-            again: Again::default(),
+            retries: Retries::default(),
             limits,
             conns: Slab::new(),
             generation: 0,
@@ -188,8 +193,8 @@
             sockets: Vec::new(),
             diversion: None,
             accepting: true,
-            may_wait: false,
-            held: false,
+            may_have_backlog: false,
+            accept_paused: false,
             accepted: 0,
             signals: Vec::new(),
             waker,
@@ -202,65 +207,65 @@
         })
     }
 
-    /// Has the next calls of this kind fail so, as many of them.
+    /// Makes the next `times` calls of this kind fail with `error`.
     #[doc(hidden)]
     pub fn inject_failures(&mut self, call: SystemCall, error: rustix::io::Errno, times: usize) {
-        self.system.plant(call, error, times);
+        self.system.inject(call, error, times);
     }
 
-    /// Wakes this loop from other threads.
+    /// Returns a handle that wakes this loop from other threads.
     pub fn waker(&self) -> Waker {
         self.waker.clone()
     }
 
-    /// Has these signals told by this loop.
+    /// Makes this loop report these signals.
     ///
     /// # Errors
-    /// Where the system refuses them.
+    /// If epoll refuses them.
     pub fn watch_signals(&mut self, signals: Signals) -> Result<(), NetError> {
-        for signal in signals.taken {
-            let of = data(SIGNAL, self.signals.len() as u32, 0);
-            epoll::add(&self.epoll, &signal.pipe, of, epoll::EventFlags::IN)?;
+        for signal in signals.registered {
+            let data = event_data(SIGNAL, self.signals.len() as u32, 0);
+            epoll::add(&self.epoll, &signal.pipe, data, epoll::EventFlags::IN)?;
             self.signals.push(signal);
         }
         Ok(())
     }
 
-    /// Accepts connections from a listener made by [`bind`](crate::bind); gives its number and address.
+    /// Accepts connections from a listener made by [`bind`](crate::bind). Returns its number and address.
     ///
     /// # Errors
-    /// Where the system refuses to watch it.
+    /// If the listener can't be registered with epoll.
     pub fn listen(&mut self, listener: TcpListener) -> Result<(usize, SocketAddr), NetError> {
         let (number, address) = (self.listeners.len(), listener.local_addr()?);
-        epoll::add(&self.epoll, &listener, data(LISTENER, number as u32, 0), epoll::EventFlags::IN)?;
+        epoll::add(&self.epoll, &listener, event_data(LISTENER, number as u32, 0), epoll::EventFlags::IN)?;
         self.listeners.push(Some(listener));
         Ok((number, address))
     }
 
-    /// Stops accepting at one listener. Connections that stand are not touched.
+    /// Closes one listener. Accepted connections are not affected.
     pub fn stop_listening(&mut self, number: usize) {
         if let Some(slot) = self.listeners.get_mut(number) {
             *slot = None;
         }
     }
 
-    /// Stops accepting at all listeners.
+    /// Closes all listeners. Accepted connections are not affected.
     pub fn stop_all_listening(&mut self) {
         self.listeners.iter_mut().for_each(|slot| *slot = None);
     }
 
-    /// Begins a connection; [`Happened::Connected`] or [`Happened::Ended`] follows.
+    /// Starts a connection. [`IoEvent::Connected`] or [`IoEvent::Ended`] follows.
     ///
     /// # Errors
-    /// Where no socket can be had.
+    /// If no socket can be created.
     pub fn connect(&mut self, to: SocketAddr) -> Result<ConnId, NetError> {
         self.connect_from(None, to)
     }
 
-    /// As [`Io::connect`], from this address.
+    /// Like [`Io::connect`], from this local address if there is one.
     ///
     /// # Errors
-    /// Where no socket can be had, or not this address.
+    /// If no socket can be created or the local address can't be bound.
     pub fn connect_from(&mut self, from: Option<SocketAddr>, to: SocketAddr) -> Result<ConnId, NetError> {
         let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -269,14 +274,14 @@
             sockopt::set_socket_reuseaddr(&socket, true)?;
             rustix::net::bind(&socket, &from)?;
         }
-        let conn = self.add(TcpStream::from(socket), false);
+        let conn = self.insert(TcpStream::from(socket), false);
         self.conns[conn.slot as usize].connecting = true;
-        self.begin(conn, to);
+        self.start_connect(conn, to);
         Ok(conn)
     }
 
-    /// Takes a connection in, which is watched for nothing yet.
-    fn add(&mut self, stream: TcpStream, accepted: bool) -> ConnId {
+    /// Inserts a connection, without registering it with epoll.
+    fn insert(&mut self, stream: TcpStream, accepted: bool) -> ConnId {
         let _ = sockopt::set_tcp_nodelay(&stream, true);
         self.generation = (self.generation + 1) & 0x0fff_ffff;
         let generation = self.generation;
@@ -285,12 +290,12 @@
             generation,
             input: BytesMut::new(),
             output: BytesMut::new(),
-            wanted: epoll::EventFlags::empty(),
-            interest: None,
+            desired: epoll::EventFlags::empty(),
+            registered: None,
             connecting: false,
-            stuck: false,
-            unblocked: false,
-            awaited: false,
+            write_blocked: false,
+            was_blocked: false,
+            notify_drained: false,
             dirty: false,
             closing: false,
             accepted,
@@ -305,22 +310,22 @@
         (conn.generation == id.generation).then_some(conn)
     }
 
-    /// Whether the connection is still usable.
+    /// Whether the connection exists and has neither ended nor been closed locally.
     pub fn is_open(&mut self, id: ConnId) -> bool {
         self.get(id).is_some_and(|c| !c.ended && !c.closing)
     }
 
-    /// The other end's address, by asking the system.
+    /// The peer's address, by a system call.
     pub fn peer_address(&mut self, id: ConnId) -> Option<SocketAddr> {
         self.get(id).and_then(|c| c.stream.peer_addr().ok())
     }
 
-    /// Its own end's address, by asking the system.
+    /// The local address, by a system call.
     pub fn local_address(&mut self, id: ConnId) -> Option<SocketAddr> {
         self.get(id).and_then(|c| c.stream.local_addr().ok())
     }
 
-    /// Connections that stand, closing ones included.
+    /// Number of connections, including closing ones.
     pub fn len(&self) -> usize {
         self.conns.len()
     }
@@ -330,19 +335,19 @@
         self.conns.is_empty()
     }
 
-    /// The bytes received and not yet taken; `None` for one that is gone.
+    /// The bytes received and not yet consumed; `None` if the connection does not exist.
     pub fn input(&mut self, id: ConnId) -> Option<&mut BytesMut> {
         self.get(id).map(|c| &mut c.input)
     }
 
-    /// Gives back the memory of an input that has been taken whole: an idle connection holds none.
+    /// Frees the memory of an empty input, so that idle connections hold none.
     pub fn release_input(&mut self, id: ConnId) {
         if let Some(conn) = self.get(id).filter(|c| c.input.is_empty()) {
             conn.input = BytesMut::new();
         }
     }
 
-    /// Where bytes to send are put; written at the next turn. `None` for one that is gone.
+    /// Buffer for bytes to send, which are written at the next turn. `None` if the connection has ended or was closed.
     pub fn output(&mut self, id: ConnId) -> Option<&mut BytesMut> {
         let conn = self.conns.get_mut(id.slot as usize)?;
         if conn.generation != id.generation || conn.closing || conn.ended {
@@ -351,60 +356,60 @@
         if !conn.dirty {
             conn.dirty = true;
             self.dirty.push(id.slot);
-            // A usual message in one allocation; given back once it is written.
-            conn.output.reserve(MESSAGE);
+            // A typical message needs one allocation, which is freed once it is written.
+            conn.output.reserve(OUTPUT_RESERVE);
         }
         Some(&mut conn.output)
     }
 
-    /// Bytes given to [`Io::output`] and not yet written.
+    /// Number of bytes in [`Io::output`] that are not yet written.
     pub fn unsent(&mut self, id: ConnId) -> usize {
         self.get(id).map_or(0, |c| c.output.len())
     }
 
-    /// Whether a connection's socket takes no more for now.
+    /// Whether the socket's send buffer is full.
     pub fn is_write_blocked(&mut self, id: ConnId) -> bool {
-        self.get(id).is_some_and(|conn| conn.stuck)
+        self.get(id).is_some_and(|conn| conn.write_blocked)
     }
 
-    /// Bounds what the system holds of a connection's output: what it has can't be taken back, and left to itself it
-    /// takes megabytes for a peer that does not read.
+    /// Limits the kernel's send buffer of a connection. Data in it can't be withdrawn, and by default the kernel buffers
+    /// megabytes for a peer that does not read.
     pub fn set_send_buffer_size(&mut self, id: ConnId, bytes: usize) {
         if let Some(conn) = self.get(id) {
             let _ = sockopt::set_socket_send_buffer_size(&conn.stream, bytes);
         }
     }
 
-    /// Has [`Happened::Drained`] told once all output given so far is written, also where none of it has to wait.
+    /// Requests [`IoEvent::Drained`] once all current output is written, even if no write is blocked.
     pub fn notify_when_drained(&mut self, id: ConnId) {
         if let Some(conn) = self.get(id) {
-            conn.awaited = true;
+            conn.notify_drained = true;
         }
     }
 
-    /// Whether no connection still has output to write or an orderly end to reach.
+    /// Whether no connection has output to write or is still closing.
     pub fn is_flushed(&self) -> bool {
         self.dirty.is_empty() && self.conns.iter().all(|(_, c)| c.output.is_empty() && !c.closing)
     }
 
-    /// Stops or resumes reading: with it stopped the peer soon can't send on. Its end is seen all the same where
-    /// that ends the connection at once.
+    /// Pauses or resumes reading. While it is paused, flow control soon stops the peer. With
+    /// [`IoLimits::end_on_peer_close`] the end of an accepted connection is still noticed.
     pub fn pause(&mut self, id: ConnId, paused: bool) {
-        let ends = self.limits.end_on_peer_close;
+        let end_on_close = self.limits.end_on_peer_close;
         let Some(conn) = self.get(id).filter(|conn| !conn.connecting && !conn.ended) else { return };
-        // Told at each turn, an end that is only noted would have the loop spin.
-        let stops = if ends && conn.accepted { epoll::EventFlags::IN } else { READ };
-        conn.wanted = if paused { conn.wanted - stops } else { conn.wanted | READ };
-        self.watch(id.slot);
+        // An end that does not close the connection would be reported at each turn and make the loop spin.
+        let masked = if end_on_close && conn.accepted { epoll::EventFlags::IN } else { READ };
+        conn.desired = if paused { conn.desired - masked } else { conn.desired | READ };
+        self.update_interest(id.slot);
     }
 
-    /// Whether the peer has ended an idle connection, or sent what nobody asked for, without this having
-    /// been told yet: asks the socket itself.
+    /// Whether the peer has closed an idle connection or sent unexpected data that has not been reported yet. Checks the
+    /// socket itself.
     pub fn is_stale(&mut self, id: ConnId) -> bool {
         !matches!(self.peek(id), Some(Err(error)) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Whether the peer has ended a connection without this having been told yet: asks the socket itself.
+    /// Whether the peer has closed a connection, even if this has not been reported yet. Checks the socket itself.
     pub fn peer_has_ended(&mut self, id: ConnId) -> bool {
         match self.peek(id) {
             Some(Ok(waiting)) => waiting == 0,
@@ -418,7 +423,8 @@
         Some(conn.stream.peek(&mut [0]))
     }
 
-    /// Writes what is left, then ends the connection, waiting a bounded time for the peer to read it.
+    /// Closes a connection in order: writes the remaining output, shuts down the sending side and waits at most
+    /// [`IoLimits::linger`] for the peer to end the connection.
     pub fn close(&mut self, id: ConnId) {
         let until = monotonic() + self.limits.linger;
         let Some(conn) = self.get(id).filter(|c| !c.closing && !c.ended) else { return };
@@ -431,15 +437,15 @@
         self.closing.push_back((until, id));
     }
 
-    /// Writes what the socket takes, then ends the connection without waiting for the peer: it holds no descriptor
-    /// from now on, and the system brings the peer the rest.
+    /// Writes as much output as the send buffer holds, then closes the socket without waiting for the peer. This frees the
+    /// descriptor at once, and the kernel delivers the buffered data.
     pub fn write_and_abort(&mut self, id: ConnId) {
         self.write_once(id);
         self.abort(id);
     }
 
-    /// As [`Io::leave`], with a reset in place of an orderly end: what the peer's system has not got by then never comes
-    /// to it.
+    /// Like [`Io::write_and_abort`], but resets the connection: data that the peer's kernel has not received by then is
+    /// lost.
     pub fn write_and_reset(&mut self, id: ConnId) {
         self.write_once(id);
         self.reset(id);
@@ -451,14 +457,14 @@
         }
     }
 
-    /// Ends the connection at once; what was not written is lost.
+    /// Closes the socket at once; unwritten output is lost.
     pub fn abort(&mut self, id: ConnId) {
         if self.get(id).is_some() {
             self.remove(id.slot);
         }
     }
 
-    /// Ends the connection at once with a reset in place of an orderly end.
+    /// Closes the socket at once with a TCP reset; unwritten output is lost.
     pub fn reset(&mut self, id: ConnId) {
         if let Some(conn) = self.get(id) {
             let _ = sockopt::set_socket_linger(&conn.stream, Some(Duration::ZERO));
@@ -472,29 +478,29 @@
         }
     }
 
-    /// Writes what is to be sent, waits for at most `wait` (`None`: until something happens), and adds what
-    /// happened.
+    /// Writes pending output, waits for at most `wait` microseconds (`None`: until an event), and appends the events to
+    /// `out`.
     ///
     /// # Errors
-    /// Where waiting itself fails.
+    /// If `epoll_wait` fails.
     pub fn turn(&mut self, wait: Option<Micros>, out: &mut Vec<IoEvent>) -> Result<(), NetError> {
         self.flush(out);
         let now = monotonic();
-        self.expire(now);
-        // Before it is known how long to wait: what this brings is not to wait.
-        self.try_again(now, out);
+        self.abort_expired(now);
+        // Before the wait is computed, since events of this step must not be delayed by it.
+        self.retry_failed(now, out);
         let wait = if out.is_empty() && self.failed.is_empty() { wait } else { Some(0) };
         let wait = match (wait, self.closing.front()) {
             (Some(wait), Some(_)) => Some(wait.min(self.limits.linger)),
             (None, Some(_)) => Some(self.limits.linger),
             (wait, None) => wait,
         };
-        self.watch_listeners(now);
-        let again = self.again.next_due(now).map(|at| at.saturating_sub(now));
-        let wait = again.into_iter().chain(wait).min();
+        self.update_listeners(now);
+        let until_retry = self.retries.next_due(now).map(|at| at.saturating_sub(now));
+        let wait = until_retry.into_iter().chain(wait).min();
         let wait = wait
             .map(|w| Timespec { tv_sec: (w / 1_000_000) as i64, tv_nsec: (w % 1_000_000 * 1_000) as i64 });
-        let mut space = [MaybeUninit::<epoll::Event>::uninit(); EVENTS];
+        let mut space = [MaybeUninit::<epoll::Event>::uninit(); MAX_EVENTS];
         let events: &[epoll::Event] = match epoll::wait(&self.epoll, &mut space, wait.as_ref()) {
             Ok((events, _)) => events,
             Err(rustix::io::Errno::INTR) => &[],
@@ -503,13 +509,13 @@
         for id in std::mem::take(&mut self.failed) {
             self.end(id, EndReason::ConnectFailed, out);
         }
-        let (mut listener_told, all_told) = (false, events.len() < EVENTS);
+        let (mut listener_ready, all_reported) = (false, events.len() < MAX_EVENTS);
         for event in events {
             let (data, flags) = (event.data.u64(), event.flags);
             let (slot, generation) = (data as u32, (data >> 32) as u32 & 0x0fff_ffff);
-            match data >> KIND {
+            match data >> KIND_SHIFT {
                 LISTENER => {
-                    listener_told = true;
+                    listener_ready = true;
                     self.accept(slot as usize, out);
                 }
                 SIGNAL => {
@@ -522,26 +528,26 @@
                     out.push(IoEvent::Woken);
                 }
                 DATAGRAMS => out.push(IoEvent::Datagrams(slot as usize)),
-                _ => self.ready(ConnId { slot, generation }, flags, out),
+                _ => self.on_ready(ConnId { slot, generation }, flags, out),
             }
         }
-        if !listener_told {
-            self.may_wait = !all_told;
+        if !listener_ready {
+            self.may_have_backlog = !all_reported;
         }
-        // By the mark that its handler made: what it wrote to wake the loop may be lost.
+        // Checks the mark set by the handler, since its write to wake the loop may have failed.
         out.extend(self.signals.iter().filter(|signal| signal.take()).map(|s| IoEvent::Signal(s.number)));
         Ok(())
     }
 
-    /// Frees the connections whose end has been told; called by the owner after each turn's events.
+    /// Frees the connections whose end has been reported. The owner calls this after handling the events of a turn.
     pub fn free_ended(&mut self) {
         for id in std::mem::take(&mut self.ended) {
-            // By id, not by slot: the owner may have freed it, and another connection has the slot by now.
+            // By id and not by slot: the owner may have freed the connection, and the slot may have been reused.
             self.abort(id);
         }
     }
 
-    pub(crate) fn end(&mut self, id: ConnId, how: EndReason, out: &mut Vec<IoEvent>) {
+    pub(crate) fn end(&mut self, id: ConnId, reason: EndReason, out: &mut Vec<IoEvent>) {
         let Some(conn) = self.get(id).filter(|c| !c.ended) else { return };
         if conn.closing {
             return self.remove(id.slot);
@@ -549,33 +555,33 @@
         conn.ended = true;
         let _ = epoll::delete(&self.epoll, &self.conns[id.slot as usize].stream);
         self.ended.push(id);
-        out.push(IoEvent::Ended(id, how));
+        out.push(IoEvent::Ended(id, reason));
     }
 
-    /// Holds new connections back in the system's queue, or accepts them again.
-    pub fn pause_accepting(&mut self, held: bool) {
-        self.held = held;
+    /// Pauses or resumes accepting; meanwhile new connections wait in the kernel's queue.
+    pub fn pause_accepting(&mut self, paused: bool) {
+        self.accept_paused = paused;
     }
 
-    /// Whether connections are accepted as they come: neither held back nor at the limit, nor refused by the system for
-    /// now. With none accepted in a turn none waits in the system's queue then.
+    /// Whether connections are accepted as they arrive: accepting is not paused, at the connection limit or delayed after
+    /// an error, and the last turn left none in the kernel's queue. If it also accepted none, then none is waiting there.
     pub fn accepts_without_backlog(&self) -> bool {
-        let put_off = self.may_wait || self.again.holds_accepting(monotonic());
-        !self.held && !put_off && self.accepting && self.accepted < self.limits.connections
+        let delayed = self.may_have_backlog || self.retries.delays_accepting(monotonic());
+        !self.accept_paused && !delayed && self.accepting && self.accepted < self.limits.connections
     }
 
-    /// Connections at the limit are not accepted: they wait in the system's queue.
-    fn watch_listeners(&mut self, now: Micros) {
-        let put_off = self.again.holds_accepting(now);
-        let wanted = !self.held && !put_off && self.accepted < self.limits.connections;
-        if wanted != self.accepting {
-            self.accepting = wanted;
-            self.watch_all_listeners(wanted);
+    /// Registers or deregisters the listeners. At the connection limit new connections wait in the kernel's queue.
+    fn update_listeners(&mut self, now: Micros) {
+        let delayed = self.retries.delays_accepting(now);
+        let accepting = !self.accept_paused && !delayed && self.accepted < self.limits.connections;
+        if accepting != self.accepting {
+            self.accepting = accepting;
+            self.register_listeners(accepting);
         }
     }
 
     fn accept(&mut self, number: usize, out: &mut Vec<IoEvent>) {
-        self.may_wait = true;
+        self.may_have_backlog = true;
         let mut failed = false;
         for _ in 0..ACCEPT_BATCH {
             if self.accepted >= self.limits.connections {
@@ -585,28 +591,29 @@
             match self.system.accept(listener) {
                 Ok(socket) => {
                     failed = false;
-                    self.again.accepted();
-                    let conn = self.add(TcpStream::from(socket), true);
-                    self.conns[conn.slot as usize].wanted = READ;
+                    self.retries.accept_succeeded();
+                    let conn = self.insert(TcpStream::from(socket), true);
+                    self.conns[conn.slot as usize].desired = READ;
                     out.push(IoEvent::Accepted { conn, listener: number });
-                    self.watch_or_read(conn, out);
+                    self.register_or_read(conn, out);
                 }
-                // No more waiting.
+                // The queue is empty.
                 Err(rustix::io::Errno::WOULDBLOCK) => {
-                    self.may_wait = false;
+                    self.may_have_backlog = false;
                     return;
                 }
-                // One that had gone before it was accepted.
+                // The peer closed the connection before it was accepted, or the call was interrupted.
                 Err(rustix::io::Errno::CONNABORTED | rustix::io::Errno::INTR) => {}
-                // No descriptor or memory left for one, or an error that waited on it: the next may go through.
+                // Descriptors or memory are exhausted, or the error was pending on that connection and the next call may
+                // succeed.
                 Err(_) if !std::mem::replace(&mut failed, true) => {}
-                Err(_) => return self.again.not_accepted(),
+                Err(_) => return self.retries.accept_failed(),
             }
         }
     }
 
-    fn ready(&mut self, id: ConnId, flags: epoll::EventFlags, out: &mut Vec<IoEvent>) {
-        let ends = self.limits.end_on_peer_close;
+    fn on_ready(&mut self, id: ConnId, flags: epoll::EventFlags, out: &mut Vec<IoEvent>) {
+        let end_on_close = self.limits.end_on_peer_close;
         let Some(conn) = self.get(id).filter(|c| !c.ended) else { return };
         if conn.connecting {
             let failed = flags.intersects(epoll::EventFlags::ERR | epoll::EventFlags::HUP)
@@ -615,17 +622,17 @@
                 return self.end(id, EndReason::ConnectFailed, out);
             }
             conn.connecting = false;
-            conn.wanted = epoll::EventFlags::empty();
+            conn.desired = epoll::EventFlags::empty();
             self.pause(id, false);
             out.push(IoEvent::Connected(id));
             return;
         }
         let broken = epoll::EventFlags::ERR | epoll::EventFlags::HUP;
-        let gone = flags.intersects(epoll::EventFlags::RDHUP | broken);
-        // One that was closed here reads our last bytes yet.
-        if gone && ends && conn.accepted && !conn.closing {
-            let how = if flags.intersects(broken) { EndReason::Reset } else { EndReason::Closed };
-            return self.end(id, how, out);
+        let peer_ended = flags.intersects(epoll::EventFlags::RDHUP | broken);
+        // The peer of a locally closed connection may still be reading the last output.
+        if peer_ended && end_on_close && conn.accepted && !conn.closing {
+            let reason = if flags.intersects(broken) { EndReason::Reset } else { EndReason::Closed };
+            return self.end(id, reason, out);
         }
         if flags.contains(epoll::EventFlags::OUT) {
             self.unblock(id);
@@ -635,22 +642,22 @@
         }
     }
 
-    /// A connection's socket takes bytes again. They go with the next [`Io::flush`], as all do: its owner may have output
-    /// that must not leave any more, and looks at it before.
+    /// Handles a socket that is writable again. Its output is written by the next [`Io::flush`] and not here, since the
+    /// owner may first withdraw output that must no longer be sent.
     fn unblock(&mut self, id: ConnId) {
-        let Some(conn) = self.get(id).filter(|conn| conn.stuck) else { return };
-        conn.stuck = false;
-        conn.unblocked = true;
-        conn.wanted -= epoll::EventFlags::OUT;
-        let is_new = !std::mem::replace(&mut conn.dirty, true);
-        self.watch(id.slot);
-        if is_new {
+        let Some(conn) = self.get(id).filter(|conn| conn.write_blocked) else { return };
+        conn.write_blocked = false;
+        conn.was_blocked = true;
+        conn.desired -= epoll::EventFlags::OUT;
+        let was_clean = !std::mem::replace(&mut conn.dirty, true);
+        self.update_interest(id.slot);
+        if was_clean {
             self.dirty.push(id.slot);
         }
     }
 
     pub(crate) fn read(&mut self, id: ConnId, out: &mut Vec<IoEvent>) {
-        let most = self.limits.input;
+        let limit = self.limits.input;
         let Some(conn) = self.conns.get_mut(id.slot as usize).filter(|c| c.generation == id.generation)
         else {
             return;
@@ -660,7 +667,7 @@
             Ok(_) if conn.closing => {}
             Ok(read) => {
                 conn.input.extend_from_slice(&self.scratch[..read]);
-                if conn.input.len() > most {
+                if conn.input.len() > limit {
                     self.pause(id, true);
                 }
                 out.push(IoEvent::Data(id));
@@ -670,25 +677,25 @@
         }
     }
 
-    /// Writes the output of connections that got some since the last turn, or since this was last called: for
-    /// owners whose turns are long. What it finds is added to what happened.
+    /// Writes the output added since the last turn or flush, for owners that spend a long time between turns. Appends
+    /// events to `out`.
     pub fn flush(&mut self, out: &mut Vec<IoEvent>) {
         for slot in std::mem::take(&mut self.dirty) {
             let Some(conn) = self.conns.get_mut(slot as usize).filter(|c| c.dirty) else { continue };
             conn.dirty = false;
-            if !conn.connecting && !conn.ended && !conn.stuck {
+            if !conn.connecting && !conn.ended && !conn.write_blocked {
                 self.write(slot, out);
             }
         }
     }
 
-    /// Writes what the socket takes; true where the connection ended over it.
+    /// Writes output until it is empty or the send buffer is full. Returns true if the connection ended.
     fn write(&mut self, slot: u32, out: &mut Vec<IoEvent>) -> bool {
         let Some(conn) = self.conns.get_mut(slot as usize) else { return true };
         let id = ConnId { slot, generation: conn.generation };
         if conn.closing && !conn.output.is_empty() {
-            // The last bytes go with the end in one segment: a peer that was woken by the bytes alone would
-            // take the connection for one that is kept.
+            // Sends the last bytes and the FIN in one segment: a peer that receives the bytes alone would assume that the
+            // connection stays open.
             let _ = sockopt::set_tcp_cork(&conn.stream, true);
         }
         while !conn.output.is_empty() {
@@ -696,9 +703,9 @@
                 Ok(written) => conn.output.advance(written),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    conn.stuck = true;
-                    conn.wanted |= epoll::EventFlags::OUT;
-                    self.watch(slot);
+                    conn.write_blocked = true;
+                    conn.desired |= epoll::EventFlags::OUT;
+                    self.update_interest(slot);
                     return false;
                 }
                 Err(_) => {
@@ -708,18 +715,19 @@
             }
         }
         conn.output = BytesMut::new();
-        let (unblocked, awaited) = (std::mem::take(&mut conn.unblocked), std::mem::take(&mut conn.awaited));
+        let (was_blocked, notify) =
+            (std::mem::take(&mut conn.was_blocked), std::mem::take(&mut conn.notify_drained));
         if conn.closing {
             let _ = rustix::net::shutdown(&conn.stream, Shutdown::Write);
         }
-        if unblocked || awaited {
+        if was_blocked || notify {
             out.push(IoEvent::Drained(id));
         }
         false
     }
 
-    /// Ends connections that were closed here and whose peer takes too long.
-    fn expire(&mut self, now: Micros) {
+    /// Aborts locally closed connections that have not ended in time.
+    fn abort_expired(&mut self, now: Micros) {
         while let Some((_, id)) = self.closing.front().filter(|(until, _)| *until <= now).copied() {
             self.closing.pop_front();
             self.abort(id);
@@ -727,10 +735,10 @@
     }
 }
 
-pub(crate) fn data(kind: u64, slot: u32, generation: u32) -> epoll::EventData {
-    epoll::EventData::new_u64(kind << KIND | u64::from(generation) << 32 | u64::from(slot))
+pub(crate) fn event_data(kind: u64, slot: u32, generation: u32) -> epoll::EventData {
+    epoll::EventData::new_u64(kind << KIND_SHIFT | u64::from(generation) << 32 | u64::from(slot))
 }
 
 pub(crate) fn datagram_event(number: usize) -> epoll::EventData {
-    data(DATAGRAMS, number as u32, 0)
+    event_data(DATAGRAMS, number as u32, 0)
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
-//! A loop over non-blocking sockets on epoll: it moves bytes and tells what happened, and decides nothing.
+//! An event loop for non-blocking sockets on epoll. It transfers bytes and reports events, and contains no policy.
 //!
-//! The owner calls [`Io::turn`] and goes through what [`Happened`]; it takes received bytes from
-//! [`Io::input`] and puts bytes to send into [`Io::output`], which are written together at the next turn.
+//! The owner calls [`Io::turn`] and handles the returned [`IoEvent`]s. It takes received bytes from [`Io::input`] and
+//! appends bytes to send to [`Io::output`]; they are written together at the next turn.
 #![warn(missing_docs)]
 
 mod clock;
--- a/crates/net/src/listen.rs
+++ b/crates/net/src/listen.rs
@@ -2,11 +2,11 @@
 use rustix::net::{AddressFamily, SocketFlags, SocketType, sockopt};
 use std::net::{SocketAddr, TcpListener};
 
-/// A non-blocking listener. `shared` sets `SO_REUSEPORT`, with which several loops listen on one port and
-/// the system spreads connections over them.
+/// Binds a non-blocking listener. `shared` sets `SO_REUSEPORT`: several loops can listen on one port, and the kernel
+/// distributes connections over them.
 ///
 /// # Errors
-/// Where the address can't be had.
+/// If the socket can't be created or the address can't be bound.
 pub fn bind(address: SocketAddr, shared: bool) -> Result<TcpListener, NetError> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
--- a/crates/net/src/retry.rs
+++ b/crates/net/src/retry.rs
@@ -1,130 +1,133 @@
-//! System calls that fail for a moment on this machine are made again: what a connection is watched for, connections
-//! that are begun, connections that wait to be accepted.
+//! Retries of system calls that failed temporarily on this machine: epoll registrations, starts of connections, and
+//! accepting connections.
 
-use crate::io::{CONN, Conn, ConnId, Io, IoEvent, LISTENER, data};
+use crate::io::{CONN, Conn, ConnId, Io, IoEvent, LISTENER, event_data};
 use crate::{Micros, monotonic};
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 use std::net::SocketAddr;
 
-/// Between two tries of a call that failed.
-const AGAIN_US: Micros = 5_000;
-/// A call that is interrupted so often in a row is made again later.
-const INTERRUPTS: usize = 8;
-/// Shortest and longest wait for new connections once the system has failed to accept one twice in a row. Those that
-/// wait would be told at every turn.
-const ACCEPT_AGAIN_US: (Micros, Micros) = (1_000, 20_000);
+/// Delay before a failed call is retried, in microseconds.
+const RETRY_DELAY_US: Micros = 5_000;
+/// After this number of consecutive interrupts (`EINTR`) the call is retried later.
+const MAX_INTERRUPTS: usize = 8;
+/// Minimum and maximum pause in accepting, in microseconds, after two failures of `accept` in a row. Without a pause the
+/// waiting connections would wake the loop at every turn.
+const ACCEPT_DELAYS_US: (Micros, Micros) = (1_000, 20_000);
 
-/// What failed and is tried again.
+/// Failed calls to be retried.
 #[derive(Debug, Default)]
-pub(crate) struct Again {
-    /// Connections that are not watched as they should be.
-    unwatched: Vec<ConnId>,
-    /// Connections that could not be begun, and where they go.
-    unbegun: Vec<(ConnId, SocketAddr)>,
-    /// What listeners are watched for could not be changed.
+pub(crate) struct Retries {
+    /// Connections whose epoll registration is out of date.
+    unregistered: Vec<ConnId>,
+    /// Connections that could not be started, and their destinations.
+    unstarted: Vec<(ConnId, SocketAddr)>,
+    /// Whether the registration of a listener is out of date.
     listeners: bool,
-    /// When all of this is tried next.
-    at: Micros,
-    /// New connections are not accepted before this, and how long the wait is.
+    /// Time of the next retry of all of these.
+    retry_at: Micros,
+    /// No connection is accepted before this time.
     accept_at: Micros,
-    accept_wait: Micros,
+    /// Length of the current pause in accepting; 0 if the last accept succeeded.
+    accept_delay: Micros,
 }
 
-impl Again {
-    fn later(&mut self) {
-        self.at = monotonic() + AGAIN_US;
+impl Retries {
+    fn schedule(&mut self) {
+        self.retry_at = monotonic() + RETRY_DELAY_US;
     }
 
-    /// When something is to be tried next.
+    /// When the next retry or the end of a pause in accepting is due.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
-        let waits = self.listeners || !self.unwatched.is_empty() || !self.unbegun.is_empty();
+        let is_pending = self.listeners || !self.unregistered.is_empty() || !self.unstarted.is_empty();
         let accept = Some(self.accept_at).filter(|at| *at > now);
-        waits.then_some(self.at).into_iter().chain(accept).min()
+        is_pending.then_some(self.retry_at).into_iter().chain(accept).min()
     }
 
-    /// Whether accepting waits for the system.
-    pub fn holds_accepting(&self, now: Micros) -> bool {
+    /// Whether accepting is paused after failures.
+    pub fn delays_accepting(&self, now: Micros) -> bool {
         now < self.accept_at
     }
 
-    /// A connection was accepted.
-    pub fn accepted(&mut self) {
-        self.accept_wait = 0;
+    /// Records that a connection was accepted.
+    pub fn accept_succeeded(&mut self) {
+        self.accept_delay = 0;
     }
 
-    /// The system failed to accept, twice in a row.
-    pub fn not_accepted(&mut self) {
-        self.accept_wait = (self.accept_wait * 2).clamp(ACCEPT_AGAIN_US.0, ACCEPT_AGAIN_US.1);
-        self.accept_at = monotonic() + self.accept_wait;
+    /// Pauses accepting after two failures in a row, for twice as long each time.
+    pub fn accept_failed(&mut self) {
+        self.accept_delay = (self.accept_delay * 2).clamp(ACCEPT_DELAYS_US.0, ACCEPT_DELAYS_US.1);
+        self.accept_at = monotonic() + self.accept_delay;
     }
 }
 
 impl Io {
-    /// Has a connection watched for what it should be. False where that fails for now.
-    pub(crate) fn watch(&mut self, slot: u32) -> bool {
+    /// Registers the desired events of a connection with epoll. Returns false if that fails; it is retried later.
+    pub(crate) fn update_interest(&mut self, slot: u32) -> bool {
         let Some(conn) = self.conns.get_mut(slot as usize).filter(|conn| !conn.ended) else { return true };
-        let Conn { wanted, generation, .. } = *conn;
-        let of = data(CONN, slot, generation);
-        let told = match conn.interest {
-            Some(interest) if interest == wanted => return true,
-            Some(_) => self.system.rewatch(&self.epoll, &conn.stream, of, wanted),
-            None => self.system.watch(&self.epoll, &conn.stream, of, wanted),
+        let Conn { desired, generation, .. } = *conn;
+        let data = event_data(CONN, slot, generation);
+        let result = match conn.registered {
+            Some(registered) if registered == desired => return true,
+            Some(_) => self.system.epoll_modify(&self.epoll, &conn.stream, data, desired),
+            None => self.system.epoll_add(&self.epoll, &conn.stream, data, desired),
         };
-        match told {
+        match result {
             Ok(()) => {
-                conn.interest = Some(wanted);
+                conn.registered = Some(desired);
                 true
             }
             Err(_) => {
                 let id = ConnId { slot, generation };
-                if !self.again.unwatched.contains(&id) {
-                    self.again.unwatched.push(id);
+                if !self.retries.unregistered.contains(&id) {
+                    self.retries.unregistered.push(id);
                 }
-                self.again.later();
+                self.retries.schedule();
                 false
             }
         }
     }
 
-    /// As [`Io::watch`]; what is not told of a connection that can't be watched is asked of it.
-    pub(crate) fn watch_or_read(&mut self, id: ConnId, out: &mut Vec<IoEvent>) {
-        let reads = |conn: &Conn| conn.wanted.contains(EventFlags::IN);
-        if !self.watch(id.slot) && self.conns.get(id.slot as usize).is_some_and(reads) {
+    /// Like [`Io::update_interest`]. If registration fails, epoll would not report data that has arrived, so the
+    /// connection is read directly.
+    pub(crate) fn register_or_read(&mut self, id: ConnId, out: &mut Vec<IoEvent>) {
+        let reads = |conn: &Conn| conn.desired.contains(EventFlags::IN);
+        if !self.update_interest(id.slot) && self.conns.get(id.slot as usize).is_some_and(reads) {
             self.read(id, out);
         }
     }
 
-    /// Has all listeners watched for new connections, or for none.
-    pub(crate) fn watch_all_listeners(&mut self, accepting: bool) {
+    /// Registers all listeners for new connections, or for no events.
+    pub(crate) fn register_listeners(&mut self, accepting: bool) {
         let flags = if accepting { EventFlags::IN } else { EventFlags::empty() };
-        self.again.listeners = false;
+        self.retries.listeners = false;
         for (number, listener) in self.listeners.iter().enumerate() {
             let Some(listener) = listener else { continue };
-            let of = data(LISTENER, number as u32, 0);
-            if self.system.rewatch(&self.epoll, listener, of, flags).is_err() {
-                self.again.listeners = true;
+            let data = event_data(LISTENER, number as u32, 0);
+            if self.system.epoll_modify(&self.epoll, listener, data, flags).is_err() {
+                self.retries.listeners = true;
             }
         }
-        if self.again.listeners {
-            self.again.later();
+        if self.retries.listeners {
+            self.retries.schedule();
         }
     }
 
-    /// Begins a connection whose socket is there. One that this machine refuses for now is begun later, for as long as
-    /// its owner waits for it; one that fails is told by the next turn.
-    pub(crate) fn begin(&mut self, id: ConnId, to: SocketAddr) {
+    /// Starts connecting a socket. If this machine refuses temporarily, the start is retried until the owner closes the
+    /// connection; another failure is reported by the next turn.
+    pub(crate) fn start_connect(&mut self, id: ConnId, to: SocketAddr) {
         let Some(conn) = self.conns.get_mut(id.slot as usize).filter(|c| c.generation == id.generation)
         else {
             return;
         };
         let connect = || self.system.connect(&conn.stream, &to);
-        // Interrupted it may have begun or not: asked again the system says which.
-        let told = std::iter::repeat_with(connect).take(INTERRUPTS).find(|told| *told != Err(Errno::INTR));
-        match told.unwrap_or(Err(Errno::AGAIN)) {
+        // An interrupted call may have started the connection or not: the result of the next call tells which.
+        let result =
+            std::iter::repeat_with(connect).take(MAX_INTERRUPTS).find(|result| *result != Err(Errno::INTR));
+        match result.unwrap_or(Err(Errno::AGAIN)) {
             Ok(()) | Err(Errno::INPROGRESS | Errno::ALREADY | Errno::ISCONN) => {
-                conn.wanted = EventFlags::OUT;
-                self.watch(id.slot);
+                conn.desired = EventFlags::OUT;
+                self.update_interest(id.slot);
             }
             Err(
                 Errno::ADDRNOTAVAIL
@@ -135,30 +138,30 @@
                 | Errno::AGAIN
                 | Errno::ADDRINUSE,
             ) => {
-                self.again.unbegun.push((id, to));
-                self.again.later();
+                self.retries.unstarted.push((id, to));
+                self.retries.schedule();
             }
             Err(_) => self.failed.push(id),
         }
     }
 
-    /// Tries again what failed, where it is time.
-    pub(crate) fn try_again(&mut self, now: Micros, out: &mut Vec<IoEvent>) {
-        if now < self.again.at {
+    /// Retries failed calls if that is due.
+    pub(crate) fn retry_failed(&mut self, now: Micros, out: &mut Vec<IoEvent>) {
+        if now < self.retries.retry_at {
             return;
         }
-        for id in std::mem::take(&mut self.again.unwatched) {
+        for id in std::mem::take(&mut self.retries.unregistered) {
             if self.get(id).is_some() {
-                self.watch_or_read(id, out);
+                self.register_or_read(id, out);
             }
         }
-        for (id, to) in std::mem::take(&mut self.again.unbegun) {
+        for (id, to) in std::mem::take(&mut self.retries.unstarted) {
             if self.is_open(id) {
-                self.begin(id, to);
+                self.start_connect(id, to);
             }
         }
-        if self.again.listeners {
-            self.watch_all_listeners(self.accepting);
+        if self.retries.listeners {
+            self.register_listeners(self.accepting);
         }
     }
 }
--- a/crates/net/src/system.rs
+++ b/crates/net/src/system.rs
@@ -1,4 +1,4 @@
-//! The system calls of a loop that may fail for a moment, and failures that tests plant in them.
+//! System calls of a loop that may fail temporarily, with failure injection for tests.
 
 use rustix::event::epoll;
 use rustix::io::Errno;
@@ -6,34 +6,35 @@
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::{AsFd, OwnedFd};
 
-/// A system call that may fail.
+/// A system call whose failure can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCall {
     /// `accept4`.
     Accept,
     /// `connect`.
     Connect,
-    /// `epoll_ctl` that begins to watch a connection.
+    /// `epoll_ctl` that adds a connection.
     EpollAdd,
-    /// `epoll_ctl` that changes what a connection or a listener is watched for.
+    /// `epoll_ctl` that modifies the interest in a connection or a listener.
     EpollModify,
 }
 
-/// The calls, and what tests have fail.
+/// The system calls and the injected failures.
 #[derive(Debug, Default)]
 pub(crate) struct SystemCalls {
-    planted: Vec<(SystemCall, Errno, usize)>,
+    /// Call, error and number of failures left.
+    injected: Vec<(SystemCall, Errno, usize)>,
 }
 
 impl SystemCalls {
-    /// The next calls of this kind fail, so many of them.
-    pub fn plant(&mut self, call: SystemCall, error: Errno, times: usize) {
-        self.planted.push((call, error, times));
+    /// Makes the next `times` calls of this kind fail with `error`.
+    pub fn inject(&mut self, call: SystemCall, error: Errno, times: usize) {
+        self.injected.push((call, error, times));
     }
 
-    fn fails(&mut self, call: SystemCall) -> Result<(), Errno> {
-        let planted = self.planted.iter_mut().find(|(of, _, times)| *of == call && *times > 0);
-        match planted {
+    fn check_injected(&mut self, call: SystemCall) -> Result<(), Errno> {
+        let injected = self.injected.iter_mut().find(|(kind, _, times)| *kind == call && *times > 0);
+        match injected {
             Some((_, error, times)) => {
                 *times -= 1;
                 Err(*error)
@@ -43,34 +44,34 @@
     }
 
     pub fn accept(&mut self, listener: &TcpListener) -> Result<OwnedFd, Errno> {
-        self.fails(SystemCall::Accept)?;
+        self.check_injected(SystemCall::Accept)?;
         rustix::net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC)
     }
 
     pub fn connect(&mut self, socket: impl AsFd, to: &SocketAddr) -> Result<(), Errno> {
-        self.fails(SystemCall::Connect)?;
+        self.check_injected(SystemCall::Connect)?;
         rustix::net::connect(socket, to)
     }
 
-    pub fn watch(
+    pub fn epoll_add(
         &mut self,
         epoll: &OwnedFd,
-        of: impl AsFd,
+        source: impl AsFd,
         data: epoll::EventData,
         events: epoll::EventFlags,
     ) -> Result<(), Errno> {
-        self.fails(SystemCall::EpollAdd)?;
-        epoll::add(epoll, of, data, events)
+        self.check_injected(SystemCall::EpollAdd)?;
+        epoll::add(epoll, source, data, events)
     }
 
-    pub fn rewatch(
+    pub fn epoll_modify(
         &mut self,
         epoll: &OwnedFd,
-        of: impl AsFd,
+        source: impl AsFd,
         data: epoll::EventData,
         events: epoll::EventFlags,
     ) -> Result<(), Errno> {
-        self.fails(SystemCall::EpollModify)?;
-        epoll::modify(epoll, of, data, events)
+        self.check_injected(SystemCall::EpollModify)?;
+        epoll::modify(epoll, source, data, events)
     }
 }
--- a/crates/net/src/wake.rs
+++ b/crates/net/src/wake.rs
@@ -9,7 +9,7 @@
 pub struct Waker(Arc<UnixStream>);
 
 impl Waker {
-    /// The waker and the end that the loop reads.
+    /// Creates a waker and the end of its socket pair that the loop reads.
     pub(crate) fn pair() -> Result<(Self, UnixStream), NetError> {
         let (write, read) = UnixStream::pair()?;
         write.set_nonblocking(true)?;
@@ -17,73 +17,73 @@
         Ok((Self(Arc::new(write)), read))
     }
 
-    /// Wakes the loop. A full pipe means that it is about to wake anyway.
+    /// Wakes the loop. If the socket's buffer is full, the loop is about to wake anyway.
     pub fn wake(&self) {
         let _ = (&*self.0).write(&[1]);
     }
 }
 
-/// Reads away what woke the loop.
+/// Discards the bytes that woke the loop.
 pub(crate) fn drain(mut from: &UnixStream) {
     let mut bytes = [0; 64];
     while matches!(from.read(&mut bytes), Ok(n) if n == bytes.len()) {}
 }
 
-/// A signal that comes to a loop.
+/// A signal that is delivered to a loop.
 #[derive(Debug)]
 pub(crate) struct Signal {
     pub number: i32,
-    /// Its handler writes to the other end: this wakes the loop.
+    /// The signal handler writes to the other end, which wakes the loop.
     pub pipe: UnixStream,
-    /// Its handler sets it: this says that the signal came.
-    came: Arc<AtomicBool>,
+    /// Set by the signal handler; the actual mark of a delivered signal.
+    is_pending: Arc<AtomicBool>,
 }
 
 impl Signal {
-    /// Whether it has come since this was last asked.
+    /// Whether the signal has been delivered since the last call.
     pub fn take(&self) -> bool {
-        self.came.swap(false, Ordering::AcqRel)
+        self.is_pending.swap(false, Ordering::AcqRel)
     }
 }
 
-/// Signals that come to a loop as [`Happened::Signal`](crate::Happened::Signal) in place of their default
+/// Signals that are delivered to a loop as [`IoEvent::Signal`](crate::IoEvent::Signal) in place of their default
 /// action.
 #[derive(Debug)]
 pub struct Signals {
-    pub(crate) taken: Vec<Signal>,
+    pub(crate) registered: Vec<Signal>,
 }
 
 impl Signals {
-    /// Takes over these signals for the process.
+    /// Registers handlers for these signals in the process.
     ///
     /// # Errors
-    /// Where the system refuses the pipe or the handler.
+    /// If the pipe can't be created or a handler can't be registered.
     pub fn register(signals: &[i32]) -> Result<Self, NetError> {
-        let mut taken = Vec::new();
+        let mut registered = Vec::new();
         for number in signals.iter().copied() {
             let (write, pipe) = UnixStream::pair()?;
             pipe.set_nonblocking(true)?;
-            let came = Arc::<AtomicBool>::default();
-            // In this order: whoever is woken finds the mark.
-            signal_hook::flag::register(number, came.clone())?;
+            let is_pending = Arc::<AtomicBool>::default();
+            // Handlers run in the order of registration, so a loop that is woken finds the mark set.
+            signal_hook::flag::register(number, is_pending.clone())?;
             signal_hook::low_level::pipe::register(number, write)?;
-            taken.push(Signal { number, pipe, came });
+            registered.push(Signal { number, pipe, is_pending });
         }
-        Ok(Self { taken })
+        Ok(Self { registered })
     }
 
-    /// What handlers write is lost from now on.
+    /// Makes the handlers' writes to wake the loop have no effect, for tests.
     ///
     /// # Errors
-    /// Where the system refuses a pipe.
+    /// If a pipe can't be created.
     #[doc(hidden)]
     pub fn discard_wakes(&mut self) -> Result<(), NetError> {
-        for signal in &mut self.taken {
-            let (deaf, never) = UnixStream::pair()?;
-            deaf.set_nonblocking(true)?;
-            // Its other end stays open, so that it is silent.
-            std::mem::forget(never);
-            signal.pipe = deaf;
+        for signal in &mut self.registered {
+            let (silent, other_end) = UnixStream::pair()?;
+            silent.set_nonblocking(true)?;
+            // The other end is leaked so that it stays open: closing it would make this end readable.
+            std::mem::forget(other_end);
+            signal.pipe = silent;
         }
         Ok(())
     }
