--- a/crates/bulletin/src/follower.rs
+++ b/crates/bulletin/src/follower.rs
@@ -183,8 +183,9 @@
         self.abandon(now, id, None, out);
     }
 
-    /// Switches to the bulletin at another address. The previous one is followed too, until the new one has sent a valid
-    /// line or the previous connection ends. A connection of an earlier switch that is not complete yet is closed.
+    /// Switches to the bulletin at another address. The previous one is followed too, until the new one has sent a
+    /// valid line or the previous connection ends. A connection of an earlier switch that is not complete yet is
+    /// closed.
     pub fn switch_to(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<Step>) {
         if address != self.address {
             self.address = address;
@@ -279,8 +280,8 @@
             return;
         }
         // Reconnects at once after a useful connection: one that delivered an event or lasted for the longest delay. A
-        // valid line alone is not enough: a bulletin that sends one and breaks each time would be reconnected to without
-        // pause. Else the delay doubles up to the maximum.
+        // valid line alone is not enough: a bulletin that sends one and breaks each time would be reconnected to
+        // without pause. Else the delay doubles up to the maximum.
         let (min_delay, max_delay) = self.limits.reconnect_delays;
         if feed.has_valid_line && now.saturating_sub(feed.opened_at) >= max_delay {
             self.reconnect_delay = min_delay;
--- a/crates/net/src/datagram.rs
+++ b/crates/net/src/datagram.rs
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Receives the next datagram of a socket: its length and its sender. One longer than `into` is truncated; `None` if
-    /// none is waiting.
+    /// Receives the next datagram of a socket: its length and its sender. One longer than `into` is truncated; `None`
+    /// if none is waiting.
     pub fn receive(&mut self, number: usize, into: &mut [u8]) -> Option<(usize, SocketAddr)> {
         match &mut self.diversion {
             Some(diversion) => diversion.receive(number, into),
--- a/crates/net/src/diverted.rs
+++ b/crates/net/src/diverted.rs
@@ -1,5 +1,5 @@
-//! Datagrams that the owner of a loop transfers in place of the kernel, for simulations of delay and loss: sent ones are
-//! queued for the owner, and received ones are those that the owner injects.
+//! Datagrams that the owner of a loop transfers in place of the kernel, for simulations of delay and loss: sent ones
+//! are queued for the owner, and received ones are those that the owner injects.
 
 use crate::Io;
 use std::net::SocketAddr;
--- a/crates/net/src/io.rs
+++ b/crates/net/src/io.rs
@@ -84,8 +84,8 @@
     pub input: usize,
     /// Maximum time that a locally closed connection may take to end, in microseconds.
     pub linger: Micros,
-    /// Whether an accepted connection ends as soon as the peer closes its side; unread input is then discarded. If false,
-    /// the input before the end is read first.
+    /// Whether an accepted connection ends as soon as the peer closes its side; unread input is then discarded. If
+    /// false, the input before the end is read first.
     pub end_on_peer_close: bool,
 }
 
@@ -372,8 +372,8 @@
         self.get(id).is_some_and(|conn| conn.write_blocked)
     }
 
-    /// Limits the kernel's send buffer of a connection. Data in it can't be withdrawn, and by default the kernel buffers
-    /// megabytes for a peer that does not read.
+    /// Limits the kernel's send buffer of a connection. Data in it can't be withdrawn, and by default the kernel
+    /// buffers megabytes for a peer that does not read.
     pub fn set_send_buffer_size(&mut self, id: ConnId, bytes: usize) {
         if let Some(conn) = self.get(id) {
             let _ = sockopt::set_socket_send_buffer_size(&conn.stream, bytes);
@@ -403,8 +403,8 @@
         self.update_interest(id.slot);
     }
 
-    /// Whether the peer has closed an idle connection or sent unexpected data that has not been reported yet. Checks the
-    /// socket itself.
+    /// Whether the peer has closed an idle connection or sent unexpected data that has not been reported yet. Checks
+    /// the socket itself.
     pub fn is_stale(&mut self, id: ConnId) -> bool {
         !matches!(self.peek(id), Some(Err(error)) if error.kind() == ErrorKind::WouldBlock)
     }
@@ -437,8 +437,8 @@
         self.closing.push_back((until, id));
     }
 
-    /// Writes as much output as the send buffer holds, then closes the socket without waiting for the peer. This frees the
-    /// descriptor at once, and the kernel delivers the buffered data.
+    /// Writes as much output as the send buffer holds, then closes the socket without waiting for the peer. This frees
+    /// the descriptor at once, and the kernel delivers the buffered data.
     pub fn write_and_abort(&mut self, id: ConnId) {
         self.write_once(id);
         self.abort(id);
@@ -563,8 +563,9 @@
         self.accept_paused = paused;
     }
 
-    /// Whether connections are accepted as they arrive: accepting is not paused, at the connection limit or delayed after
-    /// an error, and the last turn left none in the kernel's queue. If it also accepted none, then none is waiting there.
+    /// Whether connections are accepted as they arrive: accepting is not paused, at the connection limit or delayed
+    /// after an error, and the last turn left none in the kernel's queue. If it also accepted none, then none is
+    /// waiting there.
     pub fn accepts_without_backlog(&self) -> bool {
         let delayed = self.may_have_backlog || self.retries.delays_accepting(monotonic());
         !self.accept_paused && !delayed && self.accepting && self.accepted < self.limits.connections
@@ -604,8 +605,8 @@
                 }
                 // The peer closed the connection before it was accepted, or the call was interrupted.
                 Err(rustix::io::Errno::CONNABORTED | rustix::io::Errno::INTR) => {}
-                // Descriptors or memory are exhausted, or the error was pending on that connection and the next call may
-                // succeed.
+                // Descriptors or memory are exhausted, or the error was pending on that connection. The next call may
+                // succeed, so accepting pauses only after two failures in a row.
                 Err(_) if !std::mem::replace(&mut failed, true) => {}
                 Err(_) => return self.retries.accept_failed(),
             }
@@ -694,8 +695,8 @@
         let Some(conn) = self.conns.get_mut(slot as usize) else { return true };
         let id = ConnId { slot, generation: conn.generation };
         if conn.closing && !conn.output.is_empty() {
-            // Sends the last bytes and the FIN in one segment: a peer that receives the bytes alone would assume that the
-            // connection stays open.
+            // Sends the last bytes and the FIN in one segment: a peer that receives the bytes alone would assume that
+            // the connection stays open.
             let _ = sockopt::set_tcp_cork(&conn.stream, true);
         }
         while !conn.output.is_empty() {
--- a/crates/net/src/retry.rs
+++ b/crates/net/src/retry.rs
@@ -11,8 +11,8 @@
 const RETRY_DELAY_US: Micros = 5_000;
 /// After this number of consecutive interrupts (`EINTR`) the call is retried later.
 const MAX_INTERRUPTS: usize = 8;
-/// Minimum and maximum pause in accepting, in microseconds, after two failures of `accept` in a row. Without a pause the
-/// waiting connections would wake the loop at every turn.
+/// Minimum and maximum pause in accepting, in microseconds, after two failures of `accept` in a row. Without a pause
+/// the waiting connections would wake the loop at every turn.
 const ACCEPT_DELAYS_US: (Micros, Micros) = (1_000, 20_000);
 
 /// Failed calls to be retried.
--- a/crates/roster/src/file.rs
+++ b/crates/roster/src/file.rs
@@ -10,8 +10,8 @@
 
 const SCHEMA: &str = include_str!("../roster.xsd");
 
-/// A roster file, read again whenever it changes. A file that can't be read or is invalid is reported once as failed, and
-/// the previous list stays in use.
+/// A roster file, read again whenever it changes. A file that can't be read or is invalid is reported once as failed,
+/// and the previous list stays in use.
 pub struct RosterFile {
     path: PathBuf,
     names: Names,
