--- a/crates/bulletin/src/freshness.rs
+++ b/crates/bulletin/src/freshness.rs
@@ -28,12 +28,12 @@
 pub enum Freshness {
     /// The list has not been confirmed as complete since the follower started.
     Unconfirmed,
-    /// The list is up to date.
+    /// The list was confirmed as complete within the last [`LINE_OVERDUE_US`].
     Current {
         /// Latest time at which all missing events count as delivered, should no other line arrive.
         delivered_by: Micros,
     },
-    /// The list is currently not updated.
+    /// The list is currently not confirmed.
     Interrupted {
         /// Latest time at which all missing events count as delivered.
         delivered_by: Micros,
--- a/crates/bulletin/tests/histories.rs
+++ b/crates/bulletin/tests/histories.rs
@@ -248,7 +248,7 @@
     harness.send(old, "1\n");
     harness.switch_to(2);
     harness.switch_to(1);
-    let again = harness.open.last().expect("begun").0;
+    let again = harness.open.last().expect("opened").0;
     harness.break_off(again);
     harness.send(old, &event(2));
     harness.advance(S);
--- a/crates/net/src/io.rs
+++ b/crates/net/src/io.rs
@@ -123,6 +123,7 @@
 const READ: epoll::EventFlags = epoll::EventFlags::IN.union(epoll::EventFlags::RDHUP);
 /// Bit position of the kind of source in epoll's event data; the lower bits hold slot and generation.
 const KIND_SHIFT: u64 = 60;
+// Kinds of event sources in epoll's event data.
 pub(crate) const CONN: u64 = 0;
 pub(crate) const LISTENER: u64 = 1;
 const SIGNAL: u64 = 2;
@@ -161,7 +162,9 @@
     accepted: usize,
     signals: Vec<Signal>,
     waker: Waker,
+    /// The end of the waker's socket pair that the loop reads.
     woken: UnixStream,
+    /// Read buffer shared by all connections.
     scratch: Box<[u8]>,
     /// Slots of the connections with output to write at the next flush.
     dirty: Vec<u32>,
--- a/crates/net/src/wake.rs
+++ b/crates/net/src/wake.rs
@@ -35,7 +35,7 @@
     pub number: i32,
     /// The signal handler writes to the other end, which wakes the loop.
     pub pipe: UnixStream,
-    /// Set by the signal handler; the actual mark of a delivered signal.
+    /// Set by the signal handler. Unlike the write to `pipe`, this mark can't be lost.
     is_pending: Arc<AtomicBool>,
 }
 
--- a/crates/net/tests/descriptors.rs
+++ b/crates/net/tests/descriptors.rs
@@ -7,7 +7,7 @@
 #[test]
 fn without_descriptors_accepting_pauses_and_later_resumes() {
     let mut io = Io::new(IoLimits::default()).expect("a loop");
-    let (_, at) = io.listen(bind(([127, 0, 0, 1], 0).into(), false).expect("a port")).expect("it listens");
+    let (_, at) = io.listen(bind(([127, 0, 0, 1], 0).into(), false).expect("a port")).expect("listening");
     let clients: Vec<_> = (0..20).map(|_| TcpStream::connect(at).expect("connected")).collect();
     let limit = getrlimit(Resource::Nofile);
     let open = std::fs::read_dir("/proc/self/fd").expect("a list").count() as u64;
--- a/crates/net/tests/ends.rs
+++ b/crates/net/tests/ends.rs
@@ -8,7 +8,7 @@
 
 fn listening(limits: IoLimits) -> (Io, SocketAddr) {
     let mut io = Io::new(limits).expect("a loop");
-    let (_, at) = io.listen(bind(([127, 0, 0, 1], 0).into(), false).expect("a port")).expect("it listens");
+    let (_, at) = io.listen(bind(([127, 0, 0, 1], 0).into(), false).expect("a port")).expect("listening");
     (io, at)
 }
 
--- a/crates/net/tests/system_calls.rs
+++ b/crates/net/tests/system_calls.rs
@@ -13,7 +13,7 @@
 
 fn listening() -> (Io, SocketAddr) {
     let mut io = Io::new(IoLimits::default()).expect("a loop");
-    let (_, at) = io.listen(bind(([127, 0, 0, 1], 0).into(), false).expect("a port")).expect("it listens");
+    let (_, at) = io.listen(bind(([127, 0, 0, 1], 0).into(), false).expect("a port")).expect("listening");
     (io, at)
 }
 
