--- a/benchlink/src/lib.rs
+++ b/benchlink/src/lib.rs
@@ -313,7 +313,7 @@
         match name {
             "begin" => {
                 let seed = fields.number("initSeed")?;
-                let settings = basaltward_told::parse(fields.text("options")?)
+                let settings = basaltward_platform_settings::parse(fields.text("options")?)
                     .map_err(|e| format!("usable settings in options ({e})"))?;
                 let controller = Controller::new(settings.module, seed)
                     .map_err(|e| format!("usable settings in options ({e})"))?;
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -3,7 +3,7 @@
 use crate::config::NodeConfig;
 use crate::start_times::StartTimes;
 use basaltward::{Member, MembersKind, Micros, WorkerState};
-use basaltward_bulletin::{Roster, Standing, Target};
+use basaltward_bulletin::{Roster, Target, TargetState};
 use basaltward_net::Clock;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -31,9 +31,9 @@
         Member {
             worker: target.uid.as_str().into(),
             state: match target.state {
-                Standing::Ready => WorkerState::Active,
-                Standing::Terminating => WorkerState::Leaving,
-                Standing::Gone => WorkerState::Gone,
+                TargetState::Ready => WorkerState::Active,
+                TargetState::Terminating => WorkerState::Leaving,
+                TargetState::Gone => WorkerState::Gone,
             },
             started,
             hint: target.capacity_hint,
--- a/crates/node/src/start_times.rs
+++ b/crates/node/src/start_times.rs
@@ -1,7 +1,7 @@
 //! Start times of workers on the loop's monotonic clock. They are reported by wall clocks, which may be stepped.
 
 use basaltward::Micros;
-use basaltward_bulletin::{Standing, Target};
+use basaltward_bulletin::{Target, TargetState};
 use basaltward_net::Clock;
 use std::collections::{HashMap, HashSet};
 
@@ -48,7 +48,7 @@
     /// Notes that a list, or a change to it, arrived at this reading of the clocks.
     pub fn list_received(&mut self, clock: Clock) {
         self.now = clock.monotonic();
-        let last = self.readings.last_mut().filter(|last| last.apart(&clock) < ADJUSTED_US);
+        let last = self.readings.last_mut().filter(|last| last.wall_step(&clock) < ADJUSTED_US);
         match last {
             Some(last) => *last = clock,
             None => self.readings.push(clock),
@@ -77,7 +77,7 @@
 
     /// When a worker started, on the monotonic clock; 0 for one that started long ago.
     pub fn started(&mut self, target: &Target) -> Micros {
-        let gone = (target.state == Standing::Gone).then_some(self.now);
+        let gone = (target.state == TargetState::Gone).then_some(self.now);
         if target.boot_ms == 0 {
             self.workers.remove(&target.uid);
             return 0;
@@ -95,7 +95,7 @@
     /// The latest time by any of the clocks that is not in the future, or now if none is plausible.
     fn to_monotonic(&self, boot_ms: u64) -> Micros {
         let wall = boot_ms.saturating_mul(1_000);
-        let places = self.readings.iter().map(|clock| clock.place(wall));
+        let places = self.readings.iter().map(|clock| clock.to_monotonic(wall));
         // Clocks that were not stepped differ a little too.
         let past = places.filter(|at| *at <= self.now + ADJUSTED_US).max();
         let earliest = self.confirmed_at.map_or(0, |confirmed_at| confirmed_at.saturating_sub(LIST_LAG_US));
