--- a/crates/node/tests/sockets/picked.rs
+++ b/crates/node/tests/sockets/connection_races.rs
@@ -1,7 +1,7 @@
 //! Connections to workers that end, or are answered on, at the moment in which they are wanted, and descriptors.
 
 use crate::common::*;
-use crate::link::{big, quiet, served, warm};
+use crate::unsent_requests::{big, quiet, served, warm};
 use basaltward_rules::{Record, What};
 use basaltward_standins::{Act, Exec, FrontReply, LineWorker, answer};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
@@ -249,7 +249,7 @@
 #[test]
 fn a_request_shares_a_connection_where_no_descriptor_can_be_had() {
     if std::env::var_os(ALONE).is_none() {
-        let name = "picked::a_request_shares_a_connection_where_no_descriptor_can_be_had";
+        let name = "connection_races::a_request_shares_a_connection_where_no_descriptor_can_be_had";
         let this = std::env::current_exe().expect("this test");
         let run = Command::new(this).args(["--exact", name, "--nocapture"]).env(ALONE, "1").output();
         let run = run.expect("it runs");
--- a/crates/node/tests/sockets/reload.rs
+++ b/crates/node/tests/sockets/reload.rs
@@ -2,7 +2,7 @@
 //! change.
 
 use crate::common::*;
-use crate::untold::{Calls, FUNCTIONS, LATE, MS, SILENT, after, bed, heard};
+use crate::bulletin_outage::{Calls, FUNCTIONS, LATE, MS, SILENT, after, bed, heard};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{Record, What, check};
 use basaltward_standins::{Board, FrontReply, LineWorker};
