--- a/crates/cli/tests/crossings/killed.rs
+++ b/crates/cli/tests/crossings/killed.rs
@@ -1,6 +1,6 @@
 //! A scheduler is killed right after it has accepted, and clients repeat elsewhere: no effect comes about twice, and each
 //! client has one final answer.
-use crate::common::{Limits, PATIENCE, delivered, target, text};
+use crate::common::{Limits, TEST_TIMEOUT, bulletin_entry, config_json, wait_until_delivered};
 use crate::process::{file, freeze, signal, start};
 use basaltward_rules::Recorder;
 use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker, answer};
@@ -63,12 +63,13 @@
             LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("a worker")
         };
         let workers: Vec<_> = (0..2).map(start_one).collect();
-        let one = |(n, w): (usize, &LineWorker)| target(&format!("s-{n}"), w.address(), "Ready");
+        let one = |(n, w): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), w.address(), "Ready");
         let targets = workers.iter().enumerate().map(one).collect::<Vec<_>>().join(",");
         let boards: Vec<_> = (0..2).map(|_| Board::start(2).expect("a bulletin")).collect();
         let limits = Limits { connect_ms: 3_000, ..Limits::default() };
         let scheduler = |(n, board): (usize, &Board)| {
-            let config = file(&format!("{name}-{n}"), &with_keyed(&text(limits, board.address(), &targets)));
+            let config =
+                file(&format!("{name}-{n}"), &with_keyed(&config_json(limits, board.address(), &targets)));
             let (child, to) = start(&config);
             (child, to, config)
         };
@@ -84,12 +85,12 @@
     }
 
     fn client(&self, n: usize) -> FrontClient {
-        FrontClient::connect(self.to(n), PATIENCE).expect("connected")
+        FrontClient::connect(self.to(n), TEST_TIMEOUT).expect("connected")
     }
 
     /// Calls are served there. On a loaded machine some are turned away first.
     fn passes(&self, n: usize) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         for again in 0u64.. {
             let one = Op { class: "view", body: b"passes".to_vec(), key: None };
             let mut client = self.client(n);
@@ -108,7 +109,7 @@
 
     /// Waits until a worker has run this.
     fn runs(&self, body: &[u8]) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         while self.ran(body) == 0 {
             assert!(Instant::now() < until, "never ran");
             std::thread::sleep(Duration::from_millis(1));
@@ -168,7 +169,7 @@
 }
 
 fn all_came(bed: &Bed, client: &FrontClient) {
-    delivered(client.stream().local_addr().expect("it stands"), bed.to(0), "revoke");
+    wait_until_delivered(client.stream().local_addr().expect("it stands"), bed.to(0), "revoke");
 }
 
 #[test]
--- a/crates/cli/tests/crossings/ready.rs
+++ b/crates/cli/tests/crossings/ready.rs
@@ -1,5 +1,5 @@
 //! The program stands still for a while: once it says that it is ready, it serves.
-use crate::common::{Limits, PATIENCE, call, delivered, send, target, text};
+use crate::common::{Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send, wait_until_delivered};
 use crate::process::{file, freeze, signal, start, thaw};
 use basaltward_rules::Recorder;
 use basaltward_standins::{Board, FrontClient, FrontReply, LineWorker};
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 fn client(to: SocketAddr) -> FrontClient {
-    FrontClient::connect(to, PATIENCE).expect("connected")
+    FrontClient::connect(to, TEST_TIMEOUT).expect("connected")
 }
 
 /// Between two calls of which the first was turned away.
@@ -57,10 +57,14 @@
         LineWorker::start(&format!("s-{n}"), Recorder::none(), |exec| exec.serve()).expect("a worker")
     });
     let board = Board::start(2).expect("a bulletin");
-    let entry = |n: usize, state: &str| target(&format!("s-{n}"), workers[n].address(), state);
+    let entry = |n: usize, state: &str| bulletin_entry(&format!("s-{n}"), workers[n].address(), state);
     let config = file(
         "stalled",
-        &text(Limits::default(), board.address(), &format!("{},{}", entry(0, "Ready"), entry(1, "Ready"))),
+        &config_json(
+            Limits::default(),
+            board.address(),
+            &format!("{},{}", entry(0, "Ready"), entry(1, "Ready")),
+        ),
     );
     let (child, to) = start(&config);
     let mut running = Running(child);
@@ -79,7 +83,7 @@
         board.tell(&entry(0, "Terminating"));
         std::thread::sleep(Duration::from_millis(stall));
         let at = front.stream().local_addr().expect("it stands");
-        delivered(at, to, "revoke");
+        wait_until_delivered(at, to, "revoke");
         thaw(&running.0);
         let when = format!("after {stall} ms of standing still");
         // Idle ones may have been closed: a front connects anew then.
--- a/crates/cli/tests/crossings/restarts.rs
+++ b/crates/cli/tests/crossings/restarts.rs
@@ -1,6 +1,6 @@
 //! A planned restart of the program under many clients: every request that it takes gets its final answer, and it ends
 //! by itself before SIGKILL may come.
-use crate::common::{Call, Limits, PATIENCE, call, send, target, text};
+use crate::common::{Call, Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send};
 use crate::process::{end, file, signal, start};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
@@ -68,9 +68,9 @@
         let start_one = |n| LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("a worker");
         let workers: Vec<_> = (0..4).map(start_one).collect();
         let board = Board::start(2).expect("a bulletin");
-        let one = |(n, w): (usize, &LineWorker)| target(&format!("s-{n}"), w.address(), "Ready");
+        let one = |(n, w): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), w.address(), "Ready");
         let targets = workers.iter().enumerate().map(one).collect::<Vec<_>>().join(",");
-        let config = file(name, &text(Limits::default(), board.address(), &targets));
+        let config = file(name, &config_json(Limits::default(), board.address(), &targets));
         let (child, to) = start(&config);
         Self { child, to, config, _workers: workers, _board: board }
     }
@@ -129,7 +129,7 @@
     (before, after): (&Barrier, &Barrier),
     term: &dyn Fn() -> Micros,
 ) -> Vec<Went> {
-    let mut kept = FrontClient::connect(to, PATIENCE).expect("connected");
+    let mut kept = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
     let mut went = Vec::new();
     let mut next = number << 32;
     let mut one = |client: &mut FrontClient, connection, term| {
@@ -150,7 +150,7 @@
             break;
         }
         if now < connects && nth % 2 == 1 {
-            let mut new = FrontClient::connect(to, PATIENCE).expect("it still listens");
+            let mut new = FrontClient::connect(to, TEST_TIMEOUT).expect("it still listens");
             one(&mut new, "new", Some(term));
         } else {
             one(&mut kept, "kept", Some(term));
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -6,7 +6,7 @@
 
 use basaltward_rules::Recorder;
 use basaltward_standins::{Board, FrontClient, FrontReply, LineWorker};
-use common::{Limits, PATIENCE, target, text};
+use common::{Limits, TEST_TIMEOUT, bulletin_entry, config_json};
 use process::{file, program, signal, start, start_heard};
 use rustix::process::{Pid, Resource, Rlimit, Signal, getrlimit, prlimit};
 use std::net::{SocketAddr, TcpListener};
@@ -17,7 +17,7 @@
 
 /// Waits for a log line that holds this.
 fn said(lines: &Receiver<String>, what: &str) -> String {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let left = until.saturating_duration_since(Instant::now());
         let line = lines.recv_timeout(left).unwrap_or_else(|_| panic!("never said: {what}"));
@@ -64,7 +64,7 @@
         ("subject", function.as_str()),
         ("props", "memory_mb:64;lanes:8;load_ms:20"),
     ];
-    let mut client = FrontClient::connect(to, PATIENCE).expect("connected");
+    let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
     client.submit(&fields, b"a body").expect("sent");
     client.read().expect("a reply").expect("an answer").1
 }
@@ -72,7 +72,7 @@
 #[test]
 fn a_wrong_configuration_ends_with_2_and_one_line_that_names_the_field() {
     let at = ([127, 0, 0, 1], 1).into();
-    let wrong = text(Limits::default(), at, "").replace("\"sockets\":256", "\"sockets\":\"many\"");
+    let wrong = config_json(Limits::default(), at, "").replace("\"sockets\":256", "\"sockets\":\"many\"");
     let config = file("wrong", &wrong);
     let done = program(&config).output().expect("ran");
     let said = String::from_utf8_lossy(&done.stderr).into_owned();
@@ -85,8 +85,8 @@
 fn signals_together_and_twice_do_no_harm() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
     let board = Board::start(2).expect("a bulletin");
-    let targets = target("s-0", worker.address(), "Ready");
-    let config = file("signals", &text(Limits::default(), board.address(), &targets));
+    let targets = bulletin_entry("s-0", worker.address(), "Ready");
+    let config = file("signals", &config_json(Limits::default(), board.address(), &targets));
     let (mut child, to) = start(&config);
     assert!(matches!(call(to, 1), FrontReply::Served(_)));
     for sent in [Signal::HUP, Signal::HUP, Signal::TERM, Signal::HUP, Signal::TERM] {
@@ -101,8 +101,8 @@
 fn ten_thousand_clients_functions_and_many_workers_leave_nothing_behind() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
     let board = Board::start(2).expect("a bulletin");
-    let targets = target("s-0", worker.address(), "Ready");
-    let long = text(Limits::default(), board.address(), &targets);
+    let targets = bulletin_entry("s-0", worker.address(), "Ready");
+    let long = config_json(Limits::default(), board.address(), &targets);
     // What is idle for 0.2 s is forgotten, and no timer lasts for seconds, so that the test need not last for
     // minutes.
     let short = long.replace("\"staysLoadedUs\":4000000", "\"staysLoadedUs\":50000");
@@ -114,8 +114,8 @@
             if number % 5 == 0 {
                 // A new worker at the address of the one that goes.
                 let name = |n: u64| format!("s-{n}");
-                board.tell(&target(&name(generation + 1), worker.address(), "Ready"));
-                board.tell(&target(&name(generation), worker.address(), "Gone"));
+                board.tell(&bulletin_entry(&name(generation + 1), worker.address(), "Ready"));
+                board.tell(&bulletin_entry(&name(generation), worker.address(), "Gone"));
                 generation += 1;
             }
             let told = call(to, number);
@@ -153,7 +153,7 @@
 /// What a program that is to end at its start ends with and says; one that serves is ended and has no code.
 fn refused(config: &Path) -> (Option<i32>, String) {
     let mut child = program(config).spawn().expect("started");
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while child.try_wait().expect("a child").is_none() && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -165,7 +165,7 @@
 #[test]
 fn whatever_is_wrong_at_the_start_ends_with_2_and_one_line_that_names_the_field() {
     let at = ([127, 0, 0, 1], 12_345).into();
-    let good = text(Limits::default(), at, &target("s-0", at, "Ready"));
+    let good = config_json(Limits::default(), at, &bulletin_entry("s-0", at, "Ready"));
     let mut wrong: Vec<_> = WRONG.map(|(from, to, named)| (good.replace(from, to), named)).to_vec();
     wrong.push((good[..good.len() / 2].to_owned(), "configuration"));
     wrong.push((good.clone() + "}", "configuration, behind its end"));
@@ -185,8 +185,8 @@
 fn a_bad_configuration_at_a_signal_changes_nothing_and_is_named_in_one_line() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
     let (old, new) = (Board::start(2).expect("a bulletin"), Board::start(2).expect("a bulletin"));
-    let targets = target("s-0", worker.address(), "Ready");
-    let first = text(Limits::default(), old.address(), &targets);
+    let targets = bulletin_entry("s-0", worker.address(), "Ready");
+    let first = config_json(Limits::default(), old.address(), &targets);
     let config = file("again", &first);
     let (child, to, lines) = start_heard(&config);
     let good = first.replace(&old.address().to_string(), &new.address().to_string());
@@ -210,8 +210,8 @@
     // The good one that follows is taken without a further signal, and it is the last word.
     std::fs::write(&config, &good).expect("written");
     assert!(said(&lines, "configuration read").contains(&new.address().to_string()));
-    new.tell(&target("s-9", worker.address(), "Gone"));
-    let until = Instant::now() + PATIENCE;
+    new.tell(&bulletin_entry("s-9", worker.address(), "Gone"));
+    let until = Instant::now() + TEST_TIMEOUT;
     while (old.standing(), new.standing()) != (0, 1) {
         assert!(Instant::now() < until, "the new one is never followed alone");
         std::thread::sleep(Duration::from_millis(5));
@@ -226,7 +226,8 @@
 fn a_good_signal_while_a_bad_configuration_waits_is_taken_at_once() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
     let (old, new) = (Board::start(2).expect("a bulletin"), Board::start(2).expect("a bulletin"));
-    let first = text(Limits::default(), old.address(), &target("s-0", worker.address(), "Ready"));
+    let first =
+        config_json(Limits::default(), old.address(), &bulletin_entry("s-0", worker.address(), "Ready"));
     let good = first.replace(&old.address().to_string(), &new.address().to_string());
     let config = file("twice", &first);
     let (child, to, lines) = start_heard(&config);
@@ -252,7 +253,8 @@
 fn a_second_signal_has_a_bad_configuration_read_again_for_as_long_as_the_first() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
     let (old, new) = (Board::start(2).expect("a bulletin"), Board::start(2).expect("a bulletin"));
-    let first = text(Limits::default(), old.address(), &target("s-0", worker.address(), "Ready"));
+    let first =
+        config_json(Limits::default(), old.address(), &bulletin_entry("s-0", worker.address(), "Ready"));
     let good = first.replace(&old.address().to_string(), &new.address().to_string());
     let config = file("second", &first);
     let (child, to, lines) = start_heard(&config);
@@ -275,7 +277,8 @@
 fn other_settings_at_a_signal_leave_those_in_force_and_are_named() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
     let (old, new) = (Board::start(2).expect("a bulletin"), Board::start(2).expect("a bulletin"));
-    let first = text(Limits::default(), old.address(), &target("s-0", worker.address(), "Ready"));
+    let first =
+        config_json(Limits::default(), old.address(), &bulletin_entry("s-0", worker.address(), "Ready"));
     let config = file("other", &first);
     let (child, to, lines) = start_heard(&config);
     let other = first.replace(&old.address().to_string(), &new.address().to_string());
@@ -286,7 +289,7 @@
     let line = said(&lines, "restart");
     assert!(line.contains("seed, settings") && !line.contains("listen"), "{line}");
     // The bulletin is taken, the classes are those of the start.
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while new.standing() != 1 {
         assert!(Instant::now() < until, "the new one is never followed");
         std::thread::sleep(Duration::from_millis(5));
@@ -308,7 +311,7 @@
     // The page's bound is 10 s for nine in ten, 30 s for all.
     const READY: Duration = Duration::from_secs(4);
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let targets = target("s-0", worker.address(), "Ready");
+    let targets = bulletin_entry("s-0", worker.address(), "Ready");
     // One that refuses, one that accepts and never speaks, one behind an address that never answers.
     let refuses = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     let mute = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -316,11 +319,11 @@
     let fleet: Vec<_> = (0..12)
         .map(|nth| {
             let config =
-                file(&format!("fleet-{nth}"), &text(Limits::default(), bulletins[nth % 3], &targets));
+                file(&format!("fleet-{nth}"), &config_json(Limits::default(), bulletins[nth % 3], &targets));
             std::thread::spawn(move || {
                 let began = Instant::now();
                 let (child, to) = start(&config);
-                let mut client = FrontClient::connect(to, PATIENCE).expect("connected");
+                let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
                 client.heartbeat().expect("sent");
                 let reply = client.read().expect("a reply").expect("an answer").1;
                 let took = began.elapsed();
@@ -353,15 +356,16 @@
 fn with_no_descriptor_left_it_waits_and_then_goes_on() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
     let board = Board::start(2).expect("a bulletin");
-    let targets = target("s-0", worker.address(), "Ready");
-    let config = file("short", &text(Limits::default(), board.address(), &targets));
+    let targets = bulletin_entry("s-0", worker.address(), "Ready");
+    let config = file("short", &config_json(Limits::default(), board.address(), &targets));
     let (mut child, to) = start(&config);
     assert!((1..50).any(|n| matches!(call(to, n << 20), FrontReply::Served(_))));
     let pid = Pid::from_raw(child.id() as i32);
     let open = std::fs::read_dir(format!("/proc/{}/fd", child.id())).expect("it runs").count() as u64;
     let maximum = getrlimit(Resource::Nofile).maximum;
     let limit = prlimit(pid, Resource::Nofile, Rlimit { current: Some(open + 4), maximum }).expect("set");
-    let mut idle: Vec<_> = (0..20).map(|_| FrontClient::connect(to, PATIENCE).expect("connected")).collect();
+    let mut idle: Vec<_> =
+        (0..20).map(|_| FrontClient::connect(to, TEST_TIMEOUT).expect("connected")).collect();
     // The bulletin and the worker end what stands, and new connections to them need descriptors too.
     worker.reset_all();
     board.cut();
@@ -382,9 +386,9 @@
 fn a_flood_of_large_bodies_and_clients_that_do_not_read_stay_within_memory() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
     let board = Board::start(2).expect("a bulletin");
-    let targets = target("s-0", worker.address(), "Ready");
+    let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let limits = Limits::default();
-    let config = file("flood", &text(limits, board.address(), &targets));
+    let config = file("flood", &config_json(limits, board.address(), &targets));
     let (mut child, to) = start(&config);
     assert!((1..50).any(|n| matches!(call(to, n << 20), FrontReply::Served(_))));
     let before = resident(&child);
@@ -392,7 +396,7 @@
     let floods: Vec<_> = (0..40)
         .map(|number| {
             std::thread::spawn(move || {
-                let mut client = FrontClient::connect(to, PATIENCE).expect("connected");
+                let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
                 client.stream().set_write_timeout(Some(Duration::from_millis(300))).expect("it stands");
                 let body = vec![b'x'; 16 << 10];
                 for sent in 0..400u64 {
@@ -431,8 +435,10 @@
 fn one_whose_address_the_system_refuses_for_a_moment_starts_all_the_same() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
     let board = Board::start(2).expect("a bulletin");
-    let config =
-        file("patient", &text(Limits::default(), board.address(), &target("s-0", worker.address(), "Ready")));
+    let config = file(
+        "patient",
+        &config_json(Limits::default(), board.address(), &bulletin_entry("s-0", worker.address(), "Ready")),
+    );
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = taken.local_addr().expect("an address");
     let mut child =
@@ -441,9 +447,9 @@
     std::thread::sleep(Duration::from_millis(500));
     assert!(child.try_wait().expect("a child").is_none(), "it has ended");
     drop(taken);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     let serves = || {
-        FrontClient::connect(at, PATIENCE)
+        FrontClient::connect(at, TEST_TIMEOUT)
             .is_ok_and(|mut client| client.is_ready().is_ok_and(|r| r == Some(true)))
     };
     while !serves() {
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -12,7 +12,7 @@
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
 use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
-use common::{Call, Limits, fields, target, text};
+use common::{Call, Limits, bulletin_entry, config_json, fields};
 use process::{file, signal, start};
 use rustix::process::Signal;
 use std::collections::HashMap;
@@ -153,11 +153,11 @@
         let start_one = |n| LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("a worker");
         let workers: Vec<_> = (0..4).map(start_one).collect();
         let board = Board::start(2).expect("a bulletin");
-        let one = |(n, w): (usize, &LineWorker)| target(&format!("s-{n}"), w.address(), "Ready");
+        let one = |(n, w): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), w.address(), "Ready");
         let targets = workers.iter().enumerate().map(one).collect::<Vec<_>>().join(",");
         let limits = Limits { deadline_ms: scenario.deadline_ms, ..Limits::default() };
         let aim = format!("\"onTimeUs\":{}", scenario.deadline_ms * MS / 2);
-        let text = text(limits, board.address(), &targets)
+        let text = config_json(limits, board.address(), &targets)
             .replace("\"onTimeUs\":2000000", &aim)
             .replace("\"rules\":{", &format!("\"rules\":{{\"drainGraceUs\":{GRACE},"))
             .replace("\"limits\":{\"cancel\"", "\"limits\":{\"probes\":true,\"cancel\"");
--- a/crates/cli/tests/stalls.rs
+++ b/crates/cli/tests/stalls.rs
@@ -7,7 +7,10 @@
 use basaltward_net::monotonic;
 use basaltward_rules::{Recorder, What};
 use basaltward_standins::{Board, Exec, FrontClient, FrontReply, LineWorker, answer};
-use common::{Call, Limits, PATIENCE, WAYS, call, delivered, leave, send, target, text};
+use common::{
+    ABANDON_METHODS, Call, Limits, TEST_TIMEOUT, abandon, bulletin_entry, call, config_json, send,
+    wait_until_delivered,
+};
 use process::{end, file, freeze, signal, start, thaw};
 use rustix::process::Signal;
 use std::net::SocketAddr;
@@ -32,21 +35,21 @@
         let start_one = |n| LineWorker::start(&format!("s-{n}"), recorder.clone(), held).expect("a worker");
         let workers: Vec<_> = (0..workers).map(start_one).collect();
         let board = Board::start(2).expect("a bulletin");
-        let one = |(n, w): (usize, &LineWorker)| target(&format!("s-{n}"), w.address(), "Ready");
+        let one = |(n, w): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), w.address(), "Ready");
         let targets = workers.iter().enumerate().map(one).collect::<Vec<_>>().join(",");
-        let config = file(name, &text(limits, board.address(), &targets));
+        let config = file(name, &config_json(limits, board.address(), &targets));
         let (child, to) = start(&config);
         Self { child, to, workers, config, recorder, _board: board }
     }
 
     fn client(&self) -> FrontClient {
-        FrontClient::connect(self.to, PATIENCE).expect("connected")
+        FrontClient::connect(self.to, TEST_TIMEOUT).expect("connected")
     }
 
     /// A call of a client of its own is served: the scheduler has come to what lay in its sockets before. On a loaded
     /// machine some are turned away first.
     fn passes(&self, number: u64) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         for again in 0.. {
             let mut client = self.client();
             let asked = send(&mut client, &call(again << 20 | number, "view"));
@@ -62,7 +65,7 @@
     /// Which worker has a call, and from which port it came.
     fn holder(&self, id: &str) -> (&LineWorker, u16) {
         let mut found = None;
-        let came = self.recorder.wait(PATIENCE, |all| {
+        let came = self.recorder.wait(TEST_TIMEOUT, |all| {
             found = all.iter().find_map(|record| match &record.what {
                 What::Arrived { event, attempt, .. } if event == id => {
                     let at = usize::from(record.by == "s-1");
@@ -99,7 +102,7 @@
 
 #[test]
 fn who_left_in_a_stall_goes_before_an_answer_that_would_have_the_call_sent() {
-    for way in WAYS {
+    for way in ABANDON_METHODS {
         let bed = Bed::new(&format!("left-answer-{way}"), Limits::default(), 1);
         bed.passes(1);
         bed.workers[0].hold_orders();
@@ -107,7 +110,7 @@
         let one = Call { function: "00000000000000f0".into(), ..held(2, "extract") };
         let seqid = send(&mut client, &one);
         // The worker is asked whether it has a copy.
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         let asked = || bed.lines().into_iter().find(|line| line.contains(&one.function));
         while asked().is_none() {
             assert!(Instant::now() < until, "never asked: {:?}", bed.lines());
@@ -120,7 +123,7 @@
         let tag = words.split(' ').nth(1).expect("a tag");
         let stands = answer(tag, "OK", "slots_up=1", b"");
         bed.workers[0].say(port.parse().expect("a port"), &stands).expect("it stands");
-        let left = leave(client, &[seqid], way);
+        let left = abandon(client, &[seqid], way);
         thaw(&bed.child);
         (10..13).for_each(|n| bed.passes(n));
         assert_eq!(bed.execs(&one.id), 0, "{way}: {:?}", bed.lines());
@@ -130,7 +133,7 @@
 
 #[test]
 fn who_left_in_a_stall_goes_before_a_connection_that_comes_up() {
-    for (number, way) in WAYS.into_iter().enumerate() {
+    for (number, way) in ABANDON_METHODS.into_iter().enumerate() {
         let limits = Limits { connect_ms: 3_000, ..Limits::default() };
         let bed = Bed::new(&format!("left-connection-{way}"), limits, 1);
         bed.passes(1);
@@ -147,7 +150,7 @@
         bed.workers.iter().for_each(LineWorker::unplug);
         // The system tries again a second after the first packet.
         std::thread::sleep(Duration::from_millis(1_300));
-        let left = leave(client, &[seqid], way);
+        let left = abandon(client, &[seqid], way);
         thaw(&bed.child);
         (10..13).for_each(|n| bed.passes(100 * (number as u64 + 1) + n));
         assert_eq!(bed.execs(&one.id), 0, "{way}: {:?}", bed.lines());
@@ -159,13 +162,13 @@
 fn who_left_in_a_stall_goes_before_what_it_asked_in_the_same_breath() {
     let bed = Bed::new("left-breath", Limits::default(), 2);
     bed.passes(1);
-    for (number, way) in WAYS.into_iter().enumerate() {
+    for (number, way) in ABANDON_METHODS.into_iter().enumerate() {
         let mut client = bed.client();
         client.heartbeat().and_then(|_| client.read()).expect("alive");
         freeze(&bed.child);
         let calls: Vec<_> = (0..20).map(|n| held((number as u64 + 1) * 100 + n, "view")).collect();
         let asked: Vec<_> = calls.iter().map(|one| send(&mut client, one)).collect();
-        let left = leave(client, &asked, way);
+        let left = abandon(client, &asked, way);
         thaw(&bed.child);
         (10..13).for_each(|n| bed.passes(100 * (number as u64 + 1) + n));
         let sent: usize = calls.iter().map(|one| bed.execs(&one.id)).sum();
@@ -188,7 +191,7 @@
     let newer: Vec<_> = (0..4).map(|_| bed.client()).collect();
     let asked = send(&mut clients[0], &call(1, "view"));
     let stream = clients[0].stream();
-    delivered(stream.local_addr().expect("it stands"), bed.to, "revoke");
+    wait_until_delivered(stream.local_addr().expect("it stands"), bed.to, "revoke");
     thaw(&bed.child);
     let told = clients[0].read().expect("told");
     assert!(told.as_ref().is_some_and(|(seqid, _)| *seqid == asked), "{told:?}");
@@ -228,7 +231,7 @@
             }
             None => send(&mut client, &one),
         };
-        delivered(client.stream().local_addr().expect("it stands"), bed.to, "revoke");
+        wait_until_delivered(client.stream().local_addr().expect("it stands"), bed.to, "revoke");
         thaw(&bed.child);
         let told = client.read().expect("told");
         // It may be turned away, which is an answer.
@@ -245,8 +248,8 @@
 fn a_signal_before_it_is_ready_ends_it_and_breaks_nothing() {
     let worker = LineWorker::start("s-0", Recorder::none(), Exec::serve).expect("a worker");
     let board = Board::start(2).expect("a bulletin");
-    let targets = target("s-0", worker.address(), "Ready");
-    let config = file("early", &text(Limits::default(), board.address(), &targets));
+    let targets = bulletin_entry("s-0", worker.address(), "Ready");
+    let config = file("early", &config_json(Limits::default(), board.address(), &targets));
     for round in 0..20u64 {
         let mut child =
             process::program(&config).stderr(std::process::Stdio::null()).spawn().expect("started");
@@ -271,7 +274,7 @@
     std::thread::sleep(Duration::from_millis(1_500));
     freeze(&bed.child);
     let asked = send(&mut asks, &call(2, "view"));
-    delivered(asks.stream().local_addr().expect("it stands"), bed.to, "revoke");
+    wait_until_delivered(asks.stream().local_addr().expect("it stands"), bed.to, "revoke");
     std::thread::sleep(Duration::from_millis(1_200));
     thaw(&bed.child);
     let told = asks.read().expect("told");
@@ -290,7 +293,7 @@
         let (worker, port) = bed.holder(&one.id);
         freeze(&bed.child);
         worker.say(port, &answer(&one.id, "OK", "detail=up", b"late")).expect("it stands");
-        client = leave(client, &[seqid], "revoke").expect("it stands");
+        client = abandon(client, &[seqid], "revoke").expect("it stands");
         thaw(&bed.child);
         // What is asked next is what is answered next.
         let next = client.heartbeat().expect("sent");
--- a/crates/cli/tests/unseen_drains.rs
+++ b/crates/cli/tests/unseen_drains.rs
@@ -9,7 +9,7 @@
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
 use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker, TurnedAway};
-use common::{Call, Limits, PATIENCE, send, target, text};
+use common::{Call, Limits, TEST_TIMEOUT, bulletin_entry, config_json, send};
 use process::{file, start_heard};
 use rustix::process::Signal;
 use std::net::SocketAddr;
@@ -159,14 +159,14 @@
     }
 
     fn entry(&self, worker: usize, state: &str) -> String {
-        target(&format!("s-{worker}"), self.workers[worker].address(), state)
+        bulletin_entry(&format!("s-{worker}"), self.workers[worker].address(), state)
     }
 
     fn start(&self) -> Scheduler {
         let index = self.number.fetch_add(1, Ordering::SeqCst);
         let known = (0..WORKERS).map(|n| self.entry(n, "Ready")).collect::<Vec<_>>().join(",");
         let limits = Limits { deadline_ms: 2_000, ..Limits::default() };
-        let mut told = text(limits, self.board.address(), &known)
+        let mut told = config_json(limits, self.board.address(), &known)
             .replace("\"rules\":{", &format!("\"rules\":{{\"drainGraceUs\":{GRACE},"))
             .replace("\"replicasOfMe\":1", &format!("\"replicasOfMe\":3,\"selfIndex\":{}", index % 3))
             .replace("\"onTimeUs\":2000000", "\"onTimeUs\":1000000");
@@ -333,7 +333,7 @@
     over: &AtomicBool,
     (part, tallies): (&AtomicU64, &Tallies),
 ) {
-    let mut client = FrontClient::connect(to, PATIENCE).expect("connected");
+    let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
     for nth in 0u64.. {
         if over.load(Ordering::SeqCst) {
             return;
--- a/crates/node/tests/cold_worker.rs
+++ b/crates/node/tests/cold_worker.rs
@@ -11,7 +11,7 @@
 use basaltward_node::{Control, Node};
 use basaltward_rules::{Recorder, What};
 use basaltward_standins::{Act, Board, Exec, FrontClient, LineWorker, answer};
-use common::{Limits, PATIENCE, call, send, target, text};
+use common::{Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -58,7 +58,7 @@
         let name = format!("basaltward-cold-{}-{}-{index}-{life}.json", std::process::id(), fleet.number);
         let config = std::env::temp_dir().join(name);
         let rules = "\"rules\":{\"drainGraceUs\":1000000,";
-        let told = text(Limits { deadline_ms: 2_000, ..Limits::default() }, bulletin, targets)
+        let told = config_json(Limits { deadline_ms: 2_000, ..Limits::default() }, bulletin, targets)
             .replace("\"replicasOfMe\":1", &format!("\"replicasOfMe\":{SCHEDULERS},\"selfIndex\":{index}"))
             .replace("\"loadControl\":true", "\"loadControl\":false")
             .replace("\"rules\":{", rules)
@@ -112,7 +112,7 @@
         }
         let to = *to.lock().expect("sound");
         if at.as_ref().is_none_or(|(known, _)| *known != to) {
-            at = Some((to, FrontClient::connect(to, PATIENCE).expect("connected")));
+            at = Some((to, FrontClient::connect(to, TEST_TIMEOUT).expect("connected")));
         }
         let client = &mut at.as_mut().expect("connected").1;
         let is_lost = lost.load(Ordering::SeqCst);
@@ -173,7 +173,7 @@
         })
         .collect();
     let board = Board::start(2).expect("a bulletin");
-    let entry = |n: usize, state: &str| target(&format!("s-{n}"), workers[n].address(), state);
+    let entry = |n: usize, state: &str| bulletin_entry(&format!("s-{n}"), workers[n].address(), state);
     let known: Vec<_> = (0..WARM).map(|n| entry(n, "Ready")).collect();
     let start_one = |index| Scheduler::start(index, 0, board.address(), &known.join(","), &fleet);
     let mut schedulers: Vec<_> = (0..SCHEDULERS).map(start_one).collect();
@@ -233,7 +233,7 @@
         })
         .collect();
     let board = Board::start(2).expect("a bulletin");
-    let entry = |n: usize| target(&format!("s-{n}"), workers[n].address(), "Ready");
+    let entry = |n: usize| bulletin_entry(&format!("s-{n}"), workers[n].address(), "Ready");
     let known = (0..=WARM).map(entry).collect::<Vec<_>>().join(",");
     let start_one = |index| Scheduler::start(index, 0, board.address(), &known, &fleet);
     let schedulers: Vec<_> = (0..SCHEDULERS).map(start_one).collect();
--- a/crates/node/tests/sockets/bulletin_outage.rs
+++ b/crates/node/tests/sockets/bulletin_outage.rs
@@ -45,108 +45,113 @@
 
 impl Calls {
     /// So many calls; each is served.
-    pub fn go(&mut self, bed: &mut Bed, count: u64) {
+    pub fn go(&mut self, harness: &mut Harness, count: u64) {
         for _ in 0..count {
             self.next += 1;
             let mut one = call(self.next, ["view", "extract"][self.next as usize % 2]);
             one.function = format!("7f3a9c21e0b4{:04x}", self.next % FUNCTIONS);
-            assert!(matches!(bed.call(&one), FrontReply::Served(_)), "call {}", self.next);
+            assert!(matches!(harness.call(&one), FrontReply::Served(_)), "call {}", self.next);
         }
     }
 
     /// Calls until this time.
-    pub fn until(&mut self, bed: &mut Bed, at: Micros) {
+    pub fn until(&mut self, harness: &mut Harness, at: Micros) {
         while monotonic() < at {
-            self.go(bed, 1);
+            self.go(harness, 1);
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
 /// A scheduler in use with two workers, and which of them has most calls.
-pub fn bed() -> (Bed, Calls, usize) {
-    let mut bed = Bed::new(Limits::default(), 2, |_, exec| exec.serve());
+pub fn busy_harness() -> (Harness, Calls, usize) {
+    let mut harness = Harness::new(Limits::default(), 2, |_, exec| exec.serve());
     let mut calls = Calls { next: 0 };
-    calls.go(&mut bed, FUNCTIONS);
-    let execs = |i: &usize| bed.workers[*i].lines().iter().filter(|l| l.starts_with("exec")).count();
+    calls.go(&mut harness, FUNCTIONS);
+    let execs = |i: &usize| harness.workers[*i].lines().iter().filter(|l| l.starts_with("exec")).count();
     let most = (0..2).max_by_key(execs).expect("two workers");
-    (bed, calls, most)
+    (harness, calls, most)
 }
 
-pub fn tell(bed: &Bed, most: usize, state: &str) -> Micros {
-    bed.board.tell(&target(&format!("s-{most}"), bed.workers[most].address(), state));
+pub fn tell(harness: &Harness, most: usize, state: &str) -> Micros {
+    harness.board.tell(&bulletin_entry(&format!("s-{most}"), harness.workers[most].address(), state));
     monotonic()
 }
 
 #[test]
 fn what_a_bulletin_held_while_it_was_down_holds_once_it_can_be_asked() {
-    let (mut bed, mut calls, most) = bed();
+    let (mut harness, mut calls, most) = busy_harness();
     let uid = format!("s-{most}");
-    bed.board.down();
-    let began = tell(&bed, most, "Terminating");
+    harness.board.down();
+    let began = tell(&harness, most, "Terminating");
     // What is sent meanwhile can't be known to be wrong.
-    calls.until(&mut bed, began + 1_200 * MS);
-    bed.board.up().expect("its port is free");
+    calls.until(&mut harness, began + 1_200 * MS);
+    harness.board.up().expect("its port is free");
     let up = monotonic();
-    bed.wait(|what| matches!(what, What::Told { worker, state } if *worker == uid && state == "leaving"));
-    calls.go(&mut bed, 60);
-    let records = bed.finish();
+    harness.wait_for(
+        |what| matches!(what, What::Told { worker, state } if *worker == uid && state == "leaving"),
+    );
+    calls.go(&mut harness, 60);
+    let records = harness.finish();
     let known = heard(&records, &uid, "leaving");
     assert!(known <= up + AGAIN + LATE, "heard {} us after it was back", known - up);
     assert_eq!(after(&records, &uid, known), Vec::<String>::new());
-    assert_eq!(check(&records, &rules()), []);
+    assert_eq!(check(&records, &rule_settings()), []);
     // The same look finds what went there before it could be known.
     assert!(!after(&records, &uid, began).is_empty());
 }
 
 #[test]
 fn a_watch_that_falls_silent_is_left_before_its_news_count_as_told() {
-    let (mut bed, mut calls, most) = bed();
+    let (mut harness, mut calls, most) = busy_harness();
     let uid = format!("s-{most}");
-    bed.board.hush();
-    let began = tell(&bed, most, "Gone");
+    harness.board.hush();
+    let began = tell(&harness, most, "Gone");
     let told = |all: &[Record]| heard(all, &uid, "gone") < Micros::MAX;
-    while !bed.recorder.wait(Duration::ZERO, told) && monotonic() < began + SILENT {
-        calls.go(&mut bed, 1);
+    while !harness.recorder.wait(Duration::ZERO, told) && monotonic() < began + SILENT {
+        calls.go(&mut harness, 1);
     }
-    calls.go(&mut bed, 60);
-    let records = bed.finish();
+    calls.go(&mut harness, 60);
+    let records = harness.finish();
     let known = heard(&records, &uid, "gone");
     assert!(known <= began + SILENT, "heard after {} us", known.saturating_sub(began));
     assert_eq!(after(&records, &uid, known.min(began + SILENT)), Vec::<String>::new());
-    assert_eq!(check(&records, &rules()), []);
+    assert_eq!(check(&records, &rule_settings()), []);
     assert!(!after(&records, &uid, began).is_empty());
 }
 
 #[test]
 fn a_change_told_again_does_not_bring_a_worker_back() {
-    let (mut bed, mut calls, most) = bed();
+    let (mut harness, mut calls, most) = busy_harness();
     let uid = format!("s-{most}");
-    let at = bed.workers[most].address();
-    tell(&bed, most, "Ready");
-    tell(&bed, most, "Terminating");
-    bed.wait(|what| matches!(what, What::Told { worker, state } if *worker == uid && state == "leaving"));
+    let at = harness.workers[most].address();
+    tell(&harness, most, "Ready");
+    tell(&harness, most, "Terminating");
+    harness.wait_for(
+        |what| matches!(what, What::Told { worker, state } if *worker == uid && state == "leaving"),
+    );
     let told = monotonic();
-    let ready = target(&uid, at, "Ready");
+    let ready = bulletin_entry(&uid, at, "Ready");
     let again = |no: u64, all: bool| {
         format!("{{\"no\":{no},\"roster\":{{\"rev\":{no},\"all\":{all},\"targets\":[{ready}]}}}}\n")
     };
     for _ in 0..3 {
-        bed.board.garble(&(again(1, true) + &again(2, false) + "{\"no\":2}\n{\"no\":3}\n"));
-        calls.go(&mut bed, 30);
+        harness.board.garble(&(again(1, true) + &again(2, false) + "{\"no\":2}\n{\"no\":3}\n"));
+        calls.go(&mut harness, 30);
     }
     // A later event is read in its turn: all before it has been.
-    bed.board.tell(&target("s-9", at, "Gone"));
-    bed.wait(|what| matches!(what, What::Told { worker, .. } if worker == "s-9"));
-    calls.go(&mut bed, 30);
+    harness.board.tell(&bulletin_entry("s-9", at, "Gone"));
+    harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-9"));
+    calls.go(&mut harness, 30);
     let back = monotonic();
     // The same under a new number does bring it back, and the look finds it.
-    bed.board.tell(&ready);
-    bed.wait(|what| matches!(what, What::Told { worker, state } if *worker == uid && state == "active"));
-    calls.until(&mut bed, back + 300 * MS);
-    let records = bed.finish();
+    harness.board.tell(&ready);
+    harness
+        .wait_for(|what| matches!(what, What::Told { worker, state } if *worker == uid && state == "active"));
+    calls.until(&mut harness, back + 300 * MS);
+    let records = harness.finish();
     let before: Vec<_> = records.iter().filter(|r| r.t <= back).cloned().collect();
     assert_eq!(after(&before, &uid, told), Vec::<String>::new());
     assert!(!after(&records, &uid, told).is_empty());
-    assert_eq!(check(&records, &rules()), []);
+    assert_eq!(check(&records, &rule_settings()), []);
 }
--- a/crates/node/tests/sockets/common.rs
+++ b/crates/node/tests/sockets/common.rs
@@ -13,12 +13,12 @@
 use std::time::{Duration, Instant};
 
 /// Longer than anything here takes, also on a loaded machine.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const MS: Micros = 1_000;
 
-static BEDS: AtomicU64 = AtomicU64::new(0);
+static NEXT_HARNESS: AtomicU64 = AtomicU64::new(0);
 
-pub struct Bed {
+pub struct Harness {
     pub recorder: Recorder,
     pub workers: Vec<LineWorker>,
     pub board: Board,
@@ -30,7 +30,7 @@
 }
 
 /// One entry of the bulletin.
-pub fn target(uid: &str, at: SocketAddr, state: &str) -> String {
+pub fn bulletin_entry(uid: &str, at: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{at}","az":"east","model":"std","pod_group":0,"state":"{state}","capacity_hint":1,"boot_ms":0}}"#
     )
@@ -45,46 +45,46 @@
     pub deadline_ms: u64,
     pub connect_ms: u64,
     /// Another scheduler, where the settings allow datagrams to it.
-    pub fellow: Option<SocketAddr>,
+    pub peer: Option<SocketAddr>,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { sockets: 256, memory_mb: 32, streams: 32, deadline_ms: 8_000, connect_ms: 250, fellow: None }
+        Self { sockets: 256, memory_mb: 32, streams: 32, deadline_ms: 8_000, connect_ms: 250, peer: None }
     }
 }
 
-impl Bed {
+impl Harness {
     /// A scheduler with workers s-0, s-1, ... that do what the script says.
     pub fn new(
         limits: Limits,
         workers: usize,
         script: impl Fn(usize, &Exec) -> Vec<Act> + Clone + Send + Sync + 'static,
     ) -> Self {
-        Self::configured(limits, workers, |text| text, script)
+        Self::with_config(limits, workers, |text| text, script)
     }
 
     /// The same, its configuration file being what `edit` makes of the usual one.
-    pub fn configured(
+    pub fn with_config(
         limits: Limits,
         workers: usize,
         edit: impl Fn(String) -> String,
         script: impl Fn(usize, &Exec) -> Vec<Act> + Clone + Send + Sync + 'static,
     ) -> Self {
-        Self::made(limits, workers, edit, |_| (), script)
+        Self::build(limits, workers, edit, |_| (), script)
     }
 
     /// As [`Bed::new`]; `plant` has a part of the scheduler fail.
-    pub fn planted(
+    pub fn with_failures(
         limits: Limits,
         workers: usize,
         plant: impl FnOnce(&mut Node),
         script: impl Fn(usize, &Exec) -> Vec<Act> + Clone + Send + Sync + 'static,
     ) -> Self {
-        Self::made(limits, workers, |text| text, plant, script)
+        Self::build(limits, workers, |text| text, plant, script)
     }
 
-    fn made(
+    fn build(
         limits: Limits,
         workers: usize,
         edit: impl Fn(String) -> String,
@@ -99,15 +99,16 @@
         };
         let workers: Vec<_> = (0..workers).map(worker).collect();
         let board = Board::start(2).expect("a bulletin");
-        let number = BEDS.fetch_add(1, Ordering::SeqCst);
+        let number = NEXT_HARNESS.fetch_add(1, Ordering::SeqCst);
         let config =
             std::env::temp_dir().join(format!("basaltward-node-{}-{number}.json", std::process::id()));
         let targets: Vec<_> = workers
             .iter()
             .enumerate()
-            .map(|(i, w)| target(&format!("s-{i}"), w.address(), "Ready"))
+            .map(|(i, w)| bulletin_entry(&format!("s-{i}"), w.address(), "Ready"))
             .collect();
-        std::fs::write(&config, edit(text(limits, board.address(), &targets.join(",")))).expect("written");
+        std::fs::write(&config, edit(config_json(limits, board.address(), &targets.join(","))))
+            .expect("written");
         let mut node = Node::new(config.clone(), None, recorder.clone()).expect("a scheduler");
         plant(&mut node);
         let (address, control) = (node.address(), node.control());
@@ -116,11 +117,11 @@
     }
 
     pub fn client(&self) -> FrontClient {
-        FrontClient::connect(self.address, PATIENCE).expect("connected")
+        FrontClient::connect(self.address, TEST_TIMEOUT).expect("connected")
     }
 
     /// Sends a call of a class for a function, and records that it was asked.
-    pub fn submit(&mut self, client: &mut FrontClient, call: &Call) -> Asked {
+    pub fn submit(&mut self, client: &mut FrontClient, call: &Call) -> Submitted {
         self.tried += 1;
         let now = monotonic();
         self.recorder.put(
@@ -136,11 +137,11 @@
                 deadline: now + (call.timeout_ms + 50) * MS,
             },
         );
-        Asked { seqid: send(client, call), tried: self.tried }
+        Submitted { seqid: send(client, call), tried: self.tried }
     }
 
     /// Reads one reply and records it for the request it answers.
-    pub fn read(&self, client: &mut FrontClient, open: &[&Asked]) -> Option<(i32, FrontReply)> {
+    pub fn read(&self, client: &mut FrontClient, open: &[&Submitted]) -> Option<(i32, FrontReply)> {
         let (seqid, reply) = client.read().expect("a reply")?;
         let asked = open.iter().find(|a| a.seqid == seqid).expect("an answer to what is open");
         let (answer, status) = match &reply {
@@ -160,8 +161,8 @@
     }
 
     /// Waits until what was recorded holds what is looked for.
-    pub fn wait(&self, mut holds: impl FnMut(&What) -> bool) {
-        let found = self.recorder.wait(PATIENCE, |all| all.iter().any(|r| holds(&r.what)));
+    pub fn wait_for(&self, mut holds: impl FnMut(&What) -> bool) {
+        let found = self.recorder.wait(TEST_TIMEOUT, |all| all.iter().any(|r| holds(&r.what)));
         assert!(found, "never recorded");
     }
 
@@ -173,12 +174,12 @@
     }
 
     /// Stops the scheduler and gives the breaches of the rules.
-    pub fn judge(&mut self) -> Vec<Breach> {
-        check(&self.finish(), &rules())
+    pub fn check_rules(&mut self) -> Vec<Breach> {
+        check(&self.finish(), &rule_settings())
     }
 }
 
-impl Drop for Bed {
+impl Drop for Harness {
     fn drop(&mut self) {
         self.control.stop();
         let _ = std::fs::remove_file(&self.config);
@@ -202,7 +203,7 @@
     client.submit(&fields(call, &timeout), &call.body).expect("sent")
 }
 
-pub struct Asked {
+pub struct Submitted {
     pub seqid: i32,
     pub tried: u64,
 }
@@ -222,7 +223,7 @@
     Call { id, class, function, timeout_ms: 4_000, body: format!("body {number}").into_bytes() }
 }
 
-pub fn rules() -> RuleSettings {
+pub fn rule_settings() -> RuleSettings {
     let class = |repeat| ClassRule { repeat, aim: 1_000 * MS, worth: 1.0, late_worth: 0.0 };
     let classes = [("view", RepeatRule::Safe), ("extract", RepeatRule::Unsafe)];
     RuleSettings {
@@ -240,18 +241,18 @@
 }
 
 /// A configuration file.
-pub fn text(limits: Limits, bulletin: SocketAddr, targets: &str) -> String {
-    let Limits { sockets, memory_mb, streams, deadline_ms, connect_ms, fellow } = limits;
-    let fellows = |at| {
+pub fn config_json(limits: Limits, bulletin: SocketAddr, targets: &str) -> String {
+    let Limits { sockets, memory_mb, streams, deadline_ms, connect_ms, peer } = limits;
+    let peer_settings = |at| {
         format!(
             r#""gossip":true,"peer_listen":"127.0.0.1:0","peers":["127.0.0.1:9","{at}"],"peers_all":"{at}","#
         )
     };
-    let (peers, fellows) = (fellow.is_some(), fellow.map(fellows).unwrap_or_default());
+    let (peers, peer_config) = (peer.is_some(), peer.map(peer_settings).unwrap_or_default());
     let (deadline, connect) = (deadline_ms * MS, connect_ms * MS);
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"1","limits":{{"cores":1.0,"memory_mb":{memory_mb},"sockets":{sockets}}},
-{fellows}"bulletin":"{bulletin}","known":{{"no":1,"items":[{{"no":1,"roster":{{"rev":1,"all":true,"targets":[{targets}]}}}}]}},
+{peer_config}"bulletin":"{bulletin}","known":{{"no":1,"items":[{{"no":1,"roster":{{"rev":1,"all":true,"targets":[{targets}]}}}}]}},
 "settings":{{"dcs":["east"],"models":["std"],"discovery":"push","familyInfo":{{"loadControl":true,"machineMb":[8000.0],"missMode":"load","orderLimitUs":4000000,"staysLoadedUs":4000000}},
 "limits":{{"cancel":true,"connectTimeoutUs":{connect},"idleCloseUs":30000000,"maxRetryAfterUs":1000000,"peers":{peers},"retryAfter":true,"secondCopies":false,"sendCap":5,"streamsPerConn":{streams}}},
 "replicasOfMe":1,"report":{{"names":["backlog"]}},"roundUs":1000,
@@ -261,27 +262,31 @@
 }
 
 /// The answers to these requests, by number, in any order.
-pub fn read_all(bed: &Bed, client: &mut FrontClient, asked: &[Asked]) -> HashMap<i32, FrontReply> {
+pub fn read_all(
+    harness: &Harness,
+    client: &mut FrontClient,
+    asked: &[Submitted],
+) -> HashMap<i32, FrontReply> {
     let open: Vec<_> = asked.iter().collect();
-    (0..asked.len()).filter_map(|_| bed.read(client, &open)).collect()
+    (0..asked.len()).filter_map(|_| harness.read(client, &open)).collect()
 }
 
 /// Has a call served. On a loaded machine some are turned away first.
-pub fn serves(bed: &mut Bed) {
-    let served = |n: u64| matches!(bed.call(&call(n << 20, "view")), FrontReply::Served(_));
+pub fn wait_until_served(harness: &mut Harness) {
+    let served = |n: u64| matches!(harness.call(&call(n << 20, "view")), FrontReply::Served(_));
     assert!((1..100).any(served), "never served");
 }
 
 /// Has calls served on a connection and reads none of the answers, until the scheduler takes no more. Gives how many
 /// were asked; the last of them were turned away.
-pub fn fill(bed: &mut Bed, client: &mut FrontClient) -> usize {
+pub fn fill_output(harness: &mut Harness, client: &mut FrontClient) -> usize {
     // On a loaded machine one may be turned away though it is read.
     let mut stuck = 0;
     for asked in 1..2_000 {
         let one = Call { body: vec![b'x'; 16 << 10], ..call(1_000 + asked, "view") };
-        bed.submit(client, &one);
+        harness.submit(client, &one);
         let ran = |what: &What| matches!(what, What::Ran { event, .. } if *event == one.id);
-        let came = bed.recorder.wait(Duration::from_millis(700), |all| all.iter().any(|r| ran(&r.what)));
+        let came = harness.recorder.wait(Duration::from_millis(700), |all| all.iter().any(|r| ran(&r.what)));
         stuck = if came { 0 } else { stuck + 1 };
         if stuck == 3 {
             return asked as usize;
@@ -291,10 +296,10 @@
 }
 
 /// How a client stops waiting for a call.
-pub const WAYS: [&str; 3] = ["revoke", "end", "reset"];
+pub const ABANDON_METHODS: [&str; 3] = ["revoke", "end", "reset"];
 
 /// The client leaves; once this returns the scheduler's socket has it. Gives what is left of its connection.
-pub fn leave(mut client: FrontClient, asked: &[i32], way: &str) -> Option<FrontClient> {
+pub fn abandon(mut client: FrontClient, asked: &[i32], way: &str) -> Option<FrontClient> {
     let ends = (client.stream().local_addr(), client.stream().peer_addr());
     let left = match way {
         "revoke" => {
@@ -311,13 +316,13 @@
             None
         }
     };
-    delivered(ends.0.expect("an address"), ends.1.expect("an address"), way);
+    wait_until_delivered(ends.0.expect("an address"), ends.1.expect("an address"), way);
     left
 }
 
 /// Waits until all that a client sent, and its end, has come to the other end's socket, by the system's table.
-pub fn delivered(client: SocketAddr, server: SocketAddr, way: &str) {
-    let until = Instant::now() + PATIENCE;
+pub fn wait_until_delivered(client: SocketAddr, server: SocketAddr, way: &str) {
+    let until = Instant::now() + TEST_TIMEOUT;
     let port = |of: &str| of.rsplit_once(':').and_then(|(_, port)| u16::from_str_radix(port, 16).ok());
     let holds = || {
         let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
@@ -347,10 +352,10 @@
 
 /// Waits until no connection is left at this address, by the system's table: a worker ends its own once it has read all
 /// that came before the other end's.
-pub fn closed(server: SocketAddr) {
+pub fn wait_until_closed(server: SocketAddr) {
     const LISTENS: &str = "0A";
     const TIME_WAIT: &str = "06";
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     let of = format!(":{:04X}", server.port());
     let stands = || {
         let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
--- a/crates/node/tests/sockets/connection_races.rs
+++ b/crates/node/tests/sockets/connection_races.rs
@@ -23,27 +23,28 @@
         }
         _ => exec.serve(),
     };
-    let mut bed = Bed::new(Limits::default(), 1, script);
+    let mut harness = Harness::new(Limits::default(), 1, script);
     let warm = call(1, "extract");
-    assert_eq!(bed.call(&warm), served(&warm));
-    let mut client = bed.client();
+    assert_eq!(harness.call(&warm), served(&warm));
+    let mut client = harness.client();
     let first = Call { body: b"held".to_vec(), ..call(2, "extract") };
-    let asked = bed.submit(&mut client, &first);
-    bed.wait(|what| matches!(what, What::Ran { event, .. } if *event == first.id));
-    let port = port_of(&bed, &first.id);
+    let asked = harness.submit(&mut client, &first);
+    harness.wait_for(|what| matches!(what, What::Ran { event, .. } if *event == first.id));
+    let port = port_of(&harness, &first.id);
     client.revoke(asked.seqid).expect("sent");
     let dropped = format!("drop {}", first.id);
-    until(|| bed.workers[0].lines().contains(&dropped));
+    until(|| harness.workers[0].lines().contains(&dropped));
     // The client uses the id anew; the first answer comes while the second request is out.
     let second = Call { body: b"another".to_vec(), ..first.clone() };
-    let asked = bed.submit(&mut client, &second);
+    let asked = harness.submit(&mut client, &second);
     until(|| {
-        bed.workers[0].lines().iter().filter(|line| line.contains(&format!("exec {}", first.id))).count() == 2
+        harness.workers[0].lines().iter().filter(|line| line.contains(&format!("exec {}", first.id))).count()
+            == 2
     });
-    bed.workers[0].say(port, &answer(&first.id, "OK", "detail=up", b"dleh")).expect("it stands");
-    quiet(&bed);
+    harness.workers[0].say(port, &answer(&first.id, "OK", "detail=up", b"dleh")).expect("it stands");
+    quiet(&harness);
     go.send(()).expect("it waits");
-    assert_eq!(bed.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
+    assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
 }
 
 /// What the system knows of one end of a connection.
@@ -82,7 +83,7 @@
 const ESTABLISHED: usize = 1;
 
 fn until(mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "never");
         std::thread::yield_now();
@@ -90,13 +91,13 @@
 }
 
 /// The port from which a request came to its worker.
-fn port_of(bed: &Bed, id: &str) -> u16 {
+fn port_of(harness: &Harness, id: &str) -> u16 {
     let mut port = 0;
     let came = |record: &Record| match &record.what {
         What::Arrived { event, attempt, .. } if event == id => attempt.rsplit_once('@')?.1.parse().ok(),
         _ => None,
     };
-    assert!(bed.recorder.wait(PATIENCE, |all| {
+    assert!(harness.recorder.wait(TEST_TIMEOUT, |all| {
         port = all.iter().find_map(came).unwrap_or_default();
         port > 0
     }));
@@ -108,24 +109,24 @@
     let mut rounds = 0;
     for _ in 0..20 {
         // Each time a new one: a scheduler that stood still for long turns calls away for a while.
-        let mut bed = Bed::new(Limits::default(), 1, |_, exec| exec.serve());
+        let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
         let warm = call(1, "extract");
-        assert_eq!(bed.call(&warm), served(&warm));
-        let (port, to) = (port_of(&bed, &warm.id), bed.workers[0].address().port());
-        let (mut client, front) = (bed.client(), bed.address.port());
+        assert_eq!(harness.call(&warm), served(&warm));
+        let (port, to) = (port_of(&harness, &warm.id), harness.workers[0].address().port());
+        let (mut client, front) = (harness.client(), harness.address.port());
         client.heartbeat().and_then(|_| client.read()).expect("accepted");
         let from = client.port();
         let one = Call { timeout_ms: 8_000, ..call(2, "extract") };
         let mut seqid = 0;
         // The scheduler stands still at its next record, that the call was taken, for as long as this looks.
-        bed.recorder.wait(PATIENCE, |_| {
+        harness.recorder.wait(TEST_TIMEOUT, |_| {
             seqid = send(&mut client, &one);
             until(|| {
                 let all = sockets(from);
                 let taken = end_of(&all, from, front).is_some_and(|s| s.unsent == 0);
                 taken && end_of(&all, front, from).is_some_and(|s| s.unread == 0)
             });
-            end(&bed.workers[0]);
+            end(&harness.workers[0]);
             until(|| end_of(&sockets(port), port, to).is_none_or(|s| s.state != ESTABLISHED));
             true
         });
@@ -167,17 +168,17 @@
         }
         exec.serve()
     };
-    let mut bed = Bed::new(Limits { sockets: 30, connect_ms: 10, ..Limits::default() }, 1, script);
-    warm(&mut bed);
+    let mut harness = Harness::new(Limits { sockets: 30, connect_ms: 10, ..Limits::default() }, 1, script);
+    warm(&mut harness);
     // Four links of ten descriptors that are not the scheduler's own, see `Budget`.
-    let (links, to) = (4, bed.workers[0].address().port());
-    let mut client = bed.client();
+    let (links, to) = (4, harness.workers[0].address().port());
+    let mut client = harness.client();
     let mut most = Vec::new();
     for round in 0..6 {
         let calls: Vec<_> =
             (0..4).map(|n| Call { timeout_ms: 60, ..big(256 + 4 * round + n, "view") }).collect();
-        let asked: Vec<_> = calls.iter().map(|call| bed.submit(&mut client, call)).collect();
-        read_all(&bed, &mut client, &asked);
+        let asked: Vec<_> = calls.iter().map(|call| harness.submit(&mut client, call)).collect();
+        read_all(&harness, &mut client, &asked);
         let held = held(to);
         most = if held.len() > most.len() { held } else { most };
     }
@@ -195,21 +196,25 @@
         }
         exec.serve()
     };
-    let mut bed = Bed::new(Limits::default(), 1, script);
+    let mut harness = Harness::new(Limits::default(), 1, script);
     let warm = call(1, "extract");
-    assert_eq!(bed.call(&warm), served(&warm));
-    let mut client = bed.client();
+    assert_eq!(harness.call(&warm), served(&warm));
+    let mut client = harness.client();
     let held = Call { body: b"held".to_vec(), ..call(2, "extract") };
-    let open = bed.submit(&mut client, &held);
-    let old = port_of(&bed, &held.id);
-    let at = bed.workers[0].address();
-    bed.board.tell(&format!("{},{}", target("s-0", at, "Gone"), target("s-9", at, "Ready")));
-    bed.wait(|what| matches!(what, What::Told { worker, .. } if worker == "s-9"));
+    let open = harness.submit(&mut client, &held);
+    let old = port_of(&harness, &held.id);
+    let at = harness.workers[0].address();
+    harness.board.tell(&format!(
+        "{},{}",
+        bulletin_entry("s-0", at, "Gone"),
+        bulletin_entry("s-9", at, "Ready")
+    ));
+    harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-9"));
     let next = call(3, "extract");
-    assert_eq!(bed.call(&next), served(&next));
-    assert_ne!(port_of(&bed, &next.id), old);
+    assert_eq!(harness.call(&next), served(&next));
+    assert_ne!(port_of(&harness, &next.id), old);
     go.send(()).expect("it waits");
-    assert_eq!(bed.read(&mut client, &[&open]), Some((open.seqid, served(&held))));
+    assert_eq!(harness.read(&mut client, &[&open]), Some((open.seqid, served(&held))));
 }
 
 const CONNECTING: usize = 2;
@@ -217,23 +222,23 @@
 #[test]
 fn a_connection_that_never_comes_up_is_left_after_the_told_time() {
     let limits = Limits { connect_ms: 300, ..Limits::default() };
-    let mut bed = Bed::new(limits, 1, |_, exec| exec.serve());
-    let to = bed.workers[0].address().port();
+    let mut harness = Harness::new(limits, 1, |_, exec| exec.serve());
+    let to = harness.workers[0].address().port();
     let connecting = || held(to).iter().any(|s| s.state == CONNECTING);
     let warm = call(1, "view");
-    assert_eq!(bed.call(&warm), served(&warm));
-    bed.workers[0].plug().expect("plugged");
-    bed.workers[0].reset_all();
-    quiet(&bed);
-    let mut client = bed.client();
-    let asked = bed.submit(&mut client, &Call { timeout_ms: 1_500, ..call(2, "extract") });
+    assert_eq!(harness.call(&warm), served(&warm));
+    harness.workers[0].plug().expect("plugged");
+    harness.workers[0].reset_all();
+    quiet(&harness);
+    let mut client = harness.client();
+    let asked = harness.submit(&mut client, &Call { timeout_ms: 1_500, ..call(2, "extract") });
     until(connecting);
     // It never ran, and says so.
-    let told = bed.read(&mut client, &[&asked]).expect("an answer").1;
+    let told = harness.read(&mut client, &[&asked]).expect("an answer").1;
     assert!(matches!(told, FrontReply::Rejected(_)), "{told:?}");
     // The system itself would go on for minutes.
     until(|| !connecting());
-    assert_eq!(bed.judge(), []);
+    assert_eq!(harness.check_rules(), []);
 }
 
 /// Set in a process of this test's own: the limit on descriptors is that of a process.
@@ -257,19 +262,23 @@
         return;
     }
     let script = |_: usize, exec: &Exec| if exec.body == b"held" { vec![Act::Run] } else { exec.serve() };
-    let mut bed = Bed::new(Limits::default(), 1, script);
+    let mut harness = Harness::new(Limits::default(), 1, script);
     let warm = call(1, "view");
-    assert_eq!(bed.call(&warm), served(&warm));
-    let mut client = bed.client();
+    assert_eq!(harness.call(&warm), served(&warm));
+    let mut client = harness.client();
     let held = Call { body: b"held".to_vec(), timeout_ms: 8_000, ..call(2, "view") };
-    let open = bed.submit(&mut client, &held);
-    bed.wait(|what| matches!(what, What::Ran { event, .. } if *event == held.id));
+    let open = harness.submit(&mut client, &held);
+    harness.wait_for(|what| matches!(what, What::Ran { event, .. } if *event == held.id));
     fill_descriptors();
     // Others than those in hand: what went wrong here must not be held against their worker either.
     for number in 3..9 {
         let one = call(number, "extract");
-        let asked = bed.submit(&mut client, &one);
-        assert_eq!(bed.read(&mut client, &[&open, &asked]), Some((asked.seqid, served(&one))), "{number}");
-        assert_eq!(port_of(&bed, &one.id), port_of(&bed, &held.id));
+        let asked = harness.submit(&mut client, &one);
+        assert_eq!(
+            harness.read(&mut client, &[&open, &asked]),
+            Some((asked.seqid, served(&one))),
+            "{number}"
+        );
+        assert_eq!(port_of(&harness, &one.id), port_of(&harness, &held.id));
     }
 }
--- a/crates/node/tests/sockets/delayed_sends.rs
+++ b/crates/node/tests/sockets/delayed_sends.rs
@@ -35,8 +35,8 @@
         false => exec.serve(),
     };
     let limits = Limits { connect_ms: 2_500, ..Limits::default() };
-    let mut bed = Bed::configured(limits, 1, keyed, script);
-    let mut client = bed.client();
+    let mut harness = Harness::with_config(limits, 1, keyed, script);
+    let mut client = harness.client();
     let timeout = "6000";
     let submit = |client: &mut basaltward_standins::FrontClient, id: &str| {
         let one = call(1, "extract");
@@ -46,7 +46,7 @@
         client.submit(&fields, b"x").expect("sent")
     };
     // A copy stands at the first.
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     for number in 1.. {
         submit(&mut client, &format!("{number:016x}"));
         if matches!(client.read().expect("a reply"), Some((_, basaltward_standins::FrontReply::Served(_)))) {
@@ -55,18 +55,18 @@
         assert!(Instant::now() < until, "never served");
     }
     let other =
-        LineWorker::start("s-1", bed.recorder.clone(), move |exec| script(1, exec)).expect("a worker");
+        LineWorker::start("s-1", harness.recorder.clone(), move |exec| script(1, exec)).expect("a worker");
     other.plug().expect("plugged");
-    bed.board.tell(&target("s-1", other.address(), "Ready"));
-    bed.wait(|what| matches!(what, What::Told { worker, .. } if worker == "s-1"));
+    harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
+    harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-1"));
     let id = "f000000000000001";
     submit(&mut client, id);
-    bed.wait(|what| matches!(what, What::Arrived { event, .. } if event == id));
+    harness.wait_for(|what| matches!(what, What::Arrived { event, .. } if event == id));
     std::thread::sleep(Duration::from_millis(1_400));
     other.unplug();
     client.read().expect("a reply").expect("an answer");
     std::thread::sleep(Duration::from_millis(300));
-    let came = arrivals(&bed.finish(), id);
+    let came = arrivals(&harness.finish(), id);
     let late: Vec<_> = came[1..].iter().filter(|at| **at >= came[0] + WINDOW).collect();
     assert!(late.is_empty(), "it came again {} us after the first", late[0] - came[0]);
 }
@@ -83,9 +83,9 @@
     };
     let limits = Limits { connect_ms: 1_300, ..Limits::default() };
     let miss = |_: usize, exec: &Exec| vec![Act::Write(answer(&exec.id, "MISS", "-", b""))];
-    let bed = Bed::configured(limits, 1, ration, miss);
-    bed.workers[0].plug().expect("plugged");
-    let mut client = bed.client();
+    let harness = Harness::with_config(limits, 1, ration, miss);
+    harness.workers[0].plug().expect("plugged");
+    let mut client = harness.client();
     // Functions that nobody holds, one after another: each wants an order.
     let ask = |client: &mut basaltward_standins::FrontClient, number: u64| {
         let one = Call { function: format!("{number:016x}"), timeout_ms: 3_500, ..call(number, "view") };
@@ -98,7 +98,7 @@
     let mut number = 5;
     while began.elapsed() < Duration::from_millis(5_000) {
         if began.elapsed() > Duration::from_millis(500) {
-            bed.workers[0].unplug();
+            harness.workers[0].unplug();
         }
         if number < 48 {
             ask(&mut client, number);
@@ -106,11 +106,11 @@
         }
         std::thread::sleep(Duration::from_millis(100));
     }
-    let when = bed.workers[0].ordered();
+    let when = harness.workers[0].ordered();
     assert!(when.len() > FREE, "few orders: {when:?}");
     for (last, at) in when.iter().enumerate() {
         let within = when[..=last].iter().filter(|t| **t + WINDOW > *at).count();
         assert!(within <= FREE, "{within} orders within the window: {when:?}");
     }
-    bed.control.stop();
+    harness.control.stop();
 }
--- a/crates/node/tests/sockets/fragmentation.rs
+++ b/crates/node/tests/sockets/fragmentation.rs
@@ -53,8 +53,8 @@
 
 #[test]
 fn requests_that_come_byte_by_byte_are_answered_whole_and_in_time() {
-    let bed = Bed::new(Limits::default(), 2, serve);
-    let mut clients: Vec<_> = (0..8).map(|_| bed.client()).collect();
+    let harness = Harness::new(Limits::default(), 2, serve);
+    let mut clients: Vec<_> = (0..8).map(|_| harness.client()).collect();
     let threads: Vec<_> = clients
         .drain(..)
         .enumerate()
@@ -72,12 +72,15 @@
         .collect();
     threads.into_iter().for_each(|thread| thread.join().expect("answered"));
     // A request is withdrawn byte by byte as well.
-    let hold =
-        Bed::new(Limits::default(), 1, |_, exec: &Exec| if exec.nth == 0 { vec![] } else { exec.serve() });
+    let hold = Harness::new(
+        Limits::default(),
+        1,
+        |_, exec: &Exec| if exec.nth == 0 { vec![] } else { exec.serve() },
+    );
     let mut client = hold.client();
     let (first, second) = (call(1, "extract"), call(2, "extract"));
     client.raw(&frame(1, &first)).expect("sent");
-    hold.wait(|what| matches!(what, What::Arrived { .. }));
+    hold.wait_for(|what| matches!(what, What::Arrived { .. }));
     let mut revoke = BytesMut::new();
     write::revoke(&mut revoke, 2, 1);
     one_by_one(&mut client, &revoke);
@@ -89,8 +92,8 @@
 
 #[test]
 fn a_request_may_be_split_at_every_byte() {
-    let bed = Bed::new(Limits::default(), 2, serve);
-    let (mut marker, mut client) = (bed.client(), bed.client());
+    let harness = Harness::new(Limits::default(), 2, serve);
+    let (mut marker, mut client) = (harness.client(), harness.client());
     let length = frame(1, &call(FIRST, "view")).len();
     for at in 1..length {
         let (seqid, one) = (at as i32, call(FIRST + at as u64, "view"));
@@ -104,8 +107,8 @@
 
 #[test]
 fn whole_requests_in_front_of_a_part_are_answered_before_its_rest_comes() {
-    let bed = Bed::new(Limits::default(), 2, serve);
-    let (mut marker, mut client) = (bed.client(), bed.client());
+    let harness = Harness::new(Limits::default(), 2, serve);
+    let (mut marker, mut client) = (harness.client(), harness.client());
     let length = frame(1, &call(FIRST, "view")).len();
     let mut seqid = 0;
     for at in (1..length).step_by(7) {
@@ -131,8 +134,8 @@
 
 #[test]
 fn who_always_sends_a_part_behind_a_whole_request_is_served_for_as_long_as_it_likes() {
-    let bed = Bed::new(Limits::default(), 2, serve);
-    let mut client = bed.client();
+    let harness = Harness::new(Limits::default(), 2, serve);
+    let mut client = harness.client();
     // Longer than the scheduler's patience with one half request, which is 2.4 s.
     let until = monotonic() + 3_500 * MS;
     let one = |seqid: i32| call(FIRST + seqid as u64, "view");
@@ -160,31 +163,32 @@
         let each = bytes.into_iter().flat_map(|byte| [Act::Write(vec![byte]), Act::Wait(BYTE)]);
         std::iter::once(Act::Run).chain(each).collect()
     };
-    let mut bed = Bed::new(Limits::default(), 2, slow);
-    let mut client = bed.client();
+    let mut harness = Harness::new(Limits::default(), 2, slow);
+    let mut client = harness.client();
     for wave in 0..2 {
         let calls: Vec<_> =
             (0..8).map(|n| call(wave * 100 + n, ["view", "extract"][n as usize % 2])).collect();
         let sent = monotonic();
-        let asked: Vec<_> = calls.iter().map(|one| bed.submit(&mut client, one)).collect();
-        let told = read_all(&bed, &mut client, &asked);
+        let asked: Vec<_> = calls.iter().map(|one| harness.submit(&mut client, one)).collect();
+        let told = read_all(&harness, &mut client, &asked);
         for (asked, one) in asked.iter().zip(&calls) {
             assert_eq!(told.get(&asked.seqid), Some(&turned(one)));
         }
         assert!(monotonic() - sent < IN_TIME, "{} us", monotonic() - sent);
     }
-    assert_eq!(bed.judge(), []);
+    assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
 fn an_answer_may_be_split_at_every_byte_and_one_in_front_of_a_part_is_passed_on() {
     // So many others in the list that there is one connection to each worker: both calls are on it.
-    let others: Vec<_> =
-        (100..200).map(|n| target(&format!("s-{n}"), ([127, 0, 0, 1], 9).into(), "Terminating")).collect();
+    let others: Vec<_> = (100..200)
+        .map(|n| bulletin_entry(&format!("s-{n}"), ([127, 0, 0, 1], 9).into(), "Terminating"))
+        .collect();
     let list = format!("\"targets\":[{},", others.join(","));
     let crowded = |text: String| text.replace("\"targets\":[", &list);
-    let bed = Bed::configured(Limits::default(), 1, crowded, |_, _| Vec::new());
-    let (mut marker, mut client) = (bed.client(), bed.client());
+    let harness = Harness::with_config(Limits::default(), 1, crowded, |_, _| Vec::new());
+    let (mut marker, mut client) = (harness.client(), harness.client());
     let served = |one: &Call, fields: &str| {
         let body: Vec<_> = one.body.iter().rev().copied().collect();
         answer(&one.id, "OK", fields, &body)
@@ -194,23 +198,23 @@
         let seqids = [2 * at as i32 - 1, 2 * at as i32];
         let calls = seqids.map(|seqid| call(FIRST + seqid as u64, "view"));
         calls.iter().zip(seqids).for_each(|(one, seqid)| client.raw(&frame(seqid, one)).expect("sent"));
-        let ports = calls.each_ref().map(|one| port(&bed, one));
+        let ports = calls.each_ref().map(|one| port(&harness, one));
         assert_eq!(ports[0], ports[1]);
         // The first one's answer whole, and behind it a part of the second one's, whose line is longer: the next line
         // may end before this one had been searched to.
         let (whole, bytes) = (served(&calls[0], "-"), served(&calls[1], "detail=up"));
-        bed.workers[0].say(ports[0], &[&whole[..], &bytes[..at]].concat()).expect("it stands");
+        harness.workers[0].say(ports[0], &[&whole[..], &bytes[..at]].concat()).expect("it stands");
         is_told(&mut client, seqids[0], &calls[0], &format!("in front of {at} bytes"));
         is_read(&mut marker);
-        bed.workers[0].say(ports[1], &bytes[at..]).expect("it stands");
+        harness.workers[0].say(ports[1], &bytes[at..]).expect("it stands");
         is_told(&mut client, seqids[1], &calls[1], &format!("split behind byte {at}"));
     }
 }
 
 /// From which port a call came to its worker.
-fn port(bed: &Bed, one: &Call) -> u16 {
+fn port(harness: &Harness, one: &Call) -> u16 {
     let mut port = None;
-    let came = bed.recorder.wait(PATIENCE, |all| {
+    let came = harness.recorder.wait(TEST_TIMEOUT, |all| {
         port = all.iter().rev().find_map(|record| match &record.what {
             What::Arrived { event, attempt, .. } if *event == one.id => {
                 attempt.rsplit_once('@').and_then(|(_, port)| port.parse().ok())
--- a/crates/node/tests/sockets/half_open_connections.rs
+++ b/crates/node/tests/sockets/half_open_connections.rs
@@ -22,17 +22,17 @@
             false => exec.serve(),
         }
     };
-    let mut bed = Bed::new(Limits::default(), 2, script);
-    serves(&mut bed);
+    let mut harness = Harness::new(Limits::default(), 2, script);
+    wait_until_served(&mut harness);
     forgets.store(true, Ordering::SeqCst);
     let one = call(7 << 40, class);
-    let told = bed.call(&one);
+    let told = harness.call(&one);
     // The next one has a connection that stands.
-    serves(&mut bed);
-    let records = bed.finish();
+    wait_until_served(&mut harness);
+    let records = harness.finish();
     let came = |what: &What| matches!(what, What::Arrived { event, .. } if *event == one.id);
     let times = records.iter().filter(|record| came(&record.what)).count();
-    assert_eq!(basaltward_rules::check(&records, &rules()), []);
+    assert_eq!(basaltward_rules::check(&records, &rule_settings()), []);
     (told, times)
 }
 
--- a/crates/node/tests/sockets/invalid_requests.rs
+++ b/crates/node/tests/sockets/invalid_requests.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn what_cannot_be_used_is_refused_and_reaches_no_worker() {
-    let mut bed = Bed::new(Limits::default(), 1, |_, exec| exec.serve());
+    let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
     let wrong = [
         ("kind", None),
         ("kind", Some("nobody")),
@@ -46,20 +46,20 @@
         ("props", Some("lanes:8")),
     ];
     for (name, to) in wrong {
-        let mut client = bed.client();
+        let mut client = harness.client();
         client.submit(&fields(name, to), b"x").expect("sent");
         assert_eq!(client.read().expect("told"), Some((1, FrontReply::Rejected(None))), "{name} {to:?}");
     }
-    let mut client = bed.client();
+    let mut client = harness.client();
     client.submit(&fields("", None), &[0; (16 << 10) + 1]).expect("sent");
     assert_eq!(client.read().expect("told"), Some((1, FrontReply::Rejected(None))));
-    assert!(bed.workers[0].lines().iter().all(|line| !line.starts_with("exec")));
-    assert_eq!(bed.judge(), []);
+    assert!(harness.workers[0].lines().iter().all(|line| !line.starts_with("exec")));
+    assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
 fn what_cannot_be_read_ends_the_connection_in_time() {
-    let mut bed = Bed::new(Limits::default(), 1, |_, exec| exec.serve());
+    let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
     let bad: [&[u8]; 9] = [
         b"GET / HTTP/1.1\r\n\r\n",
         b"\xff\xff\xff\xff",
@@ -72,7 +72,7 @@
         b"\0\0",
         b"",
     ];
-    let mut clients: Vec<_> = bad.iter().map(|_| bed.client()).collect();
+    let mut clients: Vec<_> = bad.iter().map(|_| harness.client()).collect();
     let began = Instant::now();
     for (client, bytes) in clients.iter_mut().zip(bad) {
         client.raw(bytes).expect("sent");
@@ -81,20 +81,20 @@
         assert_eq!(client.read().expect("an end"), None, "{bytes:?}");
     }
     assert!(began.elapsed() < OWED, "{:?}", began.elapsed());
-    assert_eq!(bed.judge(), []);
+    assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
 fn numbers_and_ids_used_twice_and_too_many_at_once_are_not_served() {
-    let bed = Bed::new(Limits::default(), 1, |_, _| vec![]);
+    let harness = Harness::new(Limits::default(), 1, |_, _| vec![]);
     // An id that is open, from another connection and with another body.
-    let (mut first, mut second) = (bed.client(), bed.client());
+    let (mut first, mut second) = (harness.client(), harness.client());
     first.submit(&fields("", None), b"mine").expect("sent");
-    bed.wait(|what| matches!(what, basaltward_rules::What::Taken { .. }));
+    harness.wait_for(|what| matches!(what, basaltward_rules::What::Taken { .. }));
     second.submit(&fields("", None), b"another").expect("sent");
     assert_eq!(second.read().expect("told"), Some((1, FrontReply::Crashed)));
     // The same number again.
-    let mut client = bed.client();
+    let mut client = harness.client();
     let mut wire = bytes::BytesMut::new();
     for id in ["00000000000000ab", "00000000000000ac"] {
         basaltward_thrift::write::submit(&mut wire, 7, &fields("req", Some(id)), b"x");
@@ -102,29 +102,29 @@
     client.raw(&wire).expect("sent");
     assert_eq!(client.read().expect("an end"), None);
     // More than may be open.
-    let mut client = bed.client();
+    let mut client = harness.client();
     for n in 0..200 {
         let id = format!("{:016x}", 0x1000 + n);
         // It may have been ended already.
         let _ = client.submit(&fields("req", Some(&id)), b"x");
     }
     assert_eq!(client.read().unwrap_or(None), None);
-    bed.control.stop();
+    harness.control.stop();
 }
 
 #[test]
 fn usual_clients_are_served_beside_a_crowd_that_says_nothing_or_nonsense() {
-    let mut bed = Bed::new(Limits { sockets: 64, ..Limits::default() }, 1, |_, exec| exec.serve());
+    let mut harness = Harness::new(Limits { sockets: 64, ..Limits::default() }, 1, |_, exec| exec.serve());
     let mut crowd = Vec::new();
     for number in 0..150 {
         // Silent ones, kept; and such as come again at once on each refusal.
-        crowd.push(bed.client());
-        let mut rude = bed.client();
+        crowd.push(harness.client());
+        let mut rude = harness.client();
         for _ in 0..3 {
             let _ = rude.submit(&fields("kind", Some("nobody")), b"x");
         }
         let call = call(number, "view");
-        assert!(matches!(bed.call(&call), FrontReply::Served(_)), "{number}");
+        assert!(matches!(harness.call(&call), FrontReply::Served(_)), "{number}");
     }
-    assert_eq!(bed.judge(), []);
+    assert_eq!(harness.check_rules(), []);
 }
--- a/crates/node/tests/sockets/local_connect_errors.rs
+++ b/crates/node/tests/sockets/local_connect_errors.rs
@@ -12,16 +12,16 @@
 fn connections_that_this_machine_refuses_for_a_moment_cost_no_call_and_no_worker() {
     for error in [Errno::ADDRNOTAVAIL, Errno::NETUNREACH, Errno::INTR, Errno::AGAIN] {
         let plant = |node: &mut basaltward_node::Node| node.plant_failures(SystemCall::Connect, error, 12);
-        let mut bed = Bed::planted(Limits::default(), 1, plant, |_, exec: &Exec| exec.serve());
+        let mut harness = Harness::with_failures(Limits::default(), 1, plant, |_, exec: &Exec| exec.serve());
         for (number, class) in [(1, "extract"), (2, "view")] {
             let one = call(number, class);
             let began = monotonic();
-            let told = bed.call(&one);
+            let told = harness.call(&one);
             assert!(matches!(told, FrontReply::Served(_)), "{error:?}: {told:?}");
             let took = monotonic() - began;
             assert!(took < MOMENT, "{error:?}: served after {took} us");
         }
-        let records = bed.finish();
+        let records = harness.finish();
         let failed = records.iter().filter(|r| matches!(&r.what, What::Ended { code, .. } if code != "Ok"));
         assert_eq!(failed.count(), 0, "{error:?}");
     }
--- a/crates/node/tests/sockets/planned_restart.rs
+++ b/crates/node/tests/sockets/planned_restart.rs
@@ -87,7 +87,7 @@
     fn play(self, to: SocketAddr, mut client: Option<FrontClient>, term: Micros) -> Vec<Seen> {
         if client.is_none() {
             sleep_until(term + self.opens);
-            client = FrontClient::connect(to, PATIENCE).ok();
+            client = FrontClient::connect(to, TEST_TIMEOUT).ok();
         }
         let mut seen = Vec::new();
         let mut numbers = Vec::new();
@@ -137,7 +137,7 @@
     // Those there before have each been served once, but for the one that says nothing.
     let opened = |plan: &Plan| {
         (plan.opens == 0).then(|| {
-            let mut client = FrontClient::connect(to, PATIENCE).expect("connected");
+            let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
             if !plan.sends.is_empty() {
                 client.heartbeat().and_then(|_| client.read()).expect("alive");
             }
@@ -160,9 +160,9 @@
 }
 
 /// When the scheduler was told to stop, and when it ended.
-fn ended(bed: &mut Bed) -> (Micros, Micros) {
+fn ended(harness: &mut Harness) -> (Micros, Micros) {
     let (mut stopping, mut down) = (0, 0);
-    bed.finish().iter().for_each(|record| match record.what {
+    harness.finish().iter().for_each(|record| match record.what {
         What::Stopping => stopping = record.t,
         What::Down { killed: false } => down = record.t,
         _ => {}
@@ -170,10 +170,10 @@
     (stopping, down)
 }
 
-fn stop(bed: &Bed) -> Micros {
+fn stop(harness: &Harness) -> Micros {
     // The page counts from the signal, which comes before the scheduler knows of it.
     let now = monotonic();
-    bed.control.stop();
+    harness.control.stop();
     now
 }
 
@@ -186,9 +186,9 @@
 #[test]
 fn every_request_until_the_stated_time_is_answered_and_then_it_ends() {
     for _ in 0..PLAYS {
-        let mut bed = Bed::new(Limits::default(), 2, slow);
-        let all = play(bed.address, || stop(&bed));
-        let (stopping, down) = ended(&mut bed);
+        let mut harness = Harness::new(Limits::default(), 2, slow);
+        let all = play(harness.address, || stop(&harness));
+        let (stopping, down) = ended(&mut harness);
         assert_eq!(lost(&all).len(), 0, "{:?}", lost(&all));
         let ends = down - stopping;
         assert!((REQUESTS..KILL).contains(&ends), "it ended after {ends} us");
@@ -288,7 +288,7 @@
                 Ends::Last => {
                     let all = plans().iter().map(|plan| plan.sends.len()).sum();
                     let seen = self.counts.seen.lock().expect("sound");
-                    let wait = self.counts.changed.wait_timeout_while(seen, PATIENCE, |seen| *seen < all);
+                    let wait = self.counts.changed.wait_timeout_while(seen, TEST_TIMEOUT, |seen| *seen < all);
                     drop(wait.expect("sound"));
                 }
             }
@@ -329,11 +329,12 @@
 fn nothing_is_open_when_sigkill_may_come() {
     // The workers hang: each request has the end that its time gives it, or else the restart.
     const LONG_MS: u64 = 8_000;
-    let mut bed = Bed::new(Limits { deadline_ms: LONG_MS, ..Limits::default() }, 2, |_, _| vec![Act::Run]);
-    let mut before = bed.client();
+    let mut harness =
+        Harness::new(Limits { deadline_ms: LONG_MS, ..Limits::default() }, 2, |_, _| vec![Act::Run]);
+    let mut before = harness.client();
     let long = |number| Call { timeout_ms: LONG_MS, ..call(number, "extract") };
-    let asked: Vec<_> = (1..=8).map(|number| bed.submit(&mut before, &long(number))).collect();
-    bed.wait(|what| matches!(what, What::Sent { .. }));
+    let asked: Vec<_> = (1..=8).map(|number| harness.submit(&mut before, &long(number))).collect();
+    harness.wait_for(|what| matches!(what, What::Sent { .. }));
     let plan = |what, at, timeout_ms| Plan { what, opens: 0, sends: vec![(at, 0)], timeout_ms };
     let plans = [
         plan("in the window, longer than SIGKILL waits", 100 * MS, LONG_MS),
@@ -341,16 +342,16 @@
         plan("past what the page excuses", EXCUSED + 50 * MS, LONG_MS),
         plan("later", 1_500 * MS, LONG_MS),
     ];
-    let plans = plans.map(|plan| (bed.client(), plan));
-    let (to, term) = (bed.address, stop(&bed));
+    let plans = plans.map(|plan| (harness.client(), plan));
+    let (to, term) = (harness.address, stop(&harness));
     let threads = plans.map(|(client, plan)| std::thread::spawn(move || plan.play(to, Some(client), term)));
     let open: Vec<_> = asked.iter().collect();
     for _ in &asked {
-        bed.read(&mut before, &open).expect("an answer to each of before the signal");
+        harness.read(&mut before, &open).expect("an answer to each of before the signal");
     }
     let told = monotonic() - term;
     let all: Vec<_> = threads.into_iter().flat_map(|t| t.join().expect("played")).collect();
-    let (stopping, down) = ended(&mut bed);
+    let (stopping, down) = ended(&mut harness);
     assert_eq!(lost(&all).len(), 0, "{:?}", lost(&all));
     assert_eq!(open_at_kill(&all).len(), 0, "{all:?}");
     // Also what SIGKILL would be excused for: its clients are told, and nobody has to be killed.
--- a/crates/node/tests/sockets/shutdown.rs
+++ b/crates/node/tests/sockets/shutdown.rs
@@ -19,9 +19,9 @@
 }
 
 /// When the scheduler was told to stop, and when it ended.
-fn ended(bed: &mut Bed) -> (Micros, Micros) {
+fn ended(harness: &mut Harness) -> (Micros, Micros) {
     let (mut stopping, mut down) = (Vec::new(), 0);
-    bed.finish().iter().for_each(|record| match record.what {
+    harness.finish().iter().for_each(|record| match record.what {
         What::Stopping => stopping.push(record.t),
         What::Down { killed: false } => down = record.t,
         _ => {}
@@ -32,11 +32,11 @@
 
 #[test]
 fn answers_half_written_to_a_slow_reader_come_whole() {
-    let mut bed = Bed::new(Limits::default(), 1, |_, exec| exec.serve());
-    let mut client = bed.client();
-    let asked = fill(&mut bed, &mut client);
+    let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
+    let mut client = harness.client();
+    let asked = fill_output(&mut harness, &mut client);
     let term = monotonic();
-    bed.control.stop();
+    harness.control.stop();
     // It reads again once the scheduler has closed all that is idle, and before it goes for good.
     sleep_until(term + ENDS + 400 * MS);
     let mut read = 0;
@@ -44,18 +44,18 @@
         assert!(matches!(reply, FrontReply::Served(_) | FrontReply::Rejected(_)), "{reply:?}");
         read += 1;
     }
-    let (stopping, down) = ended(&mut bed);
+    let (stopping, down) = ended(&mut harness);
     assert_eq!(read, asked);
     assert!(down - stopping < ENDS + READ + LATE, "{}", down - stopping);
 }
 
 #[test]
 fn who_never_reads_its_answers_does_not_keep_the_scheduler() {
-    let mut bed = Bed::new(Limits::default(), 1, |_, exec| exec.serve());
-    let mut client = bed.client();
-    fill(&mut bed, &mut client);
-    bed.control.stop();
-    let (stopping, down) = ended(&mut bed);
+    let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
+    let mut client = harness.client();
+    fill_output(&mut harness, &mut client);
+    harness.control.stop();
+    let (stopping, down) = ended(&mut harness);
     // Its answers are waited for, and for no longer.
     let took = down - stopping;
     assert!((ENDS + READ - 100 * MS..ENDS + READ + LATE).contains(&took), "{took}");
@@ -68,23 +68,23 @@
         acts.extend(exec.serve());
         acts
     };
-    let mut bed = Bed::new(Limits::default(), 1, slow);
-    let (mut first, mut second) = (bed.client(), bed.client());
+    let mut harness = Harness::new(Limits::default(), 1, slow);
+    let (mut first, mut second) = (harness.client(), harness.client());
     let one = call(1, "extract");
-    let asked = bed.submit(&mut first, &one);
-    std::fs::write(&bed.config, "{").expect("written");
+    let asked = harness.submit(&mut first, &one);
+    std::fs::write(&harness.config, "{").expect("written");
     let term = monotonic();
-    bed.control.reread();
-    bed.control.stop();
-    assert!(matches!(bed.read(&mut first, &[&asked]), Some((_, FrontReply::Served(_)))));
+    harness.control.reread();
+    harness.control.stop();
+    assert!(matches!(harness.read(&mut first, &[&asked]), Some((_, FrontReply::Served(_)))));
     sleep_until(term + 500 * MS);
-    bed.control.stop();
-    bed.control.reread();
+    harness.control.stop();
+    harness.control.reread();
     let one = call(2, "extract");
-    let asked = bed.submit(&mut second, &one);
+    let asked = harness.submit(&mut second, &one);
     // It may be turned away, which is an answer.
-    assert!(bed.read(&mut second, &[&asked]).is_some());
-    let (stopping, down) = ended(&mut bed);
+    assert!(harness.read(&mut second, &[&asked]).is_some());
+    let (stopping, down) = ended(&mut harness);
     let took = down - stopping;
     assert!((ENDS..ENDS + 300 * MS + LATE).contains(&took), "{took}");
 }
@@ -94,23 +94,23 @@
 
 #[test]
 fn clients_that_never_stop_coming_do_not_keep_the_scheduler() {
-    let mut bed = Bed::new(Limits::default(), 1, |_, exec| exec.serve());
-    serves(&mut bed);
-    let (to, began) = (bed.address, Instant::now());
+    let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
+    wait_until_served(&mut harness);
+    let (to, began) = (harness.address, Instant::now());
     let comes = move |number: u64| {
         for next in 0.. {
-            let asked = FrontClient::connect(to, PATIENCE).and_then(|mut client| {
+            let asked = FrontClient::connect(to, TEST_TIMEOUT).and_then(|mut client| {
                 send(&mut client, &call(number << 32 | next, "view"));
                 client.read()
             });
-            if asked.is_err() || began.elapsed() > PATIENCE {
+            if asked.is_err() || began.elapsed() > TEST_TIMEOUT {
                 return;
             }
         }
     };
     let clients: Vec<_> = (1..=4).map(|number| std::thread::spawn(move || comes(number))).collect();
     let stopped = Instant::now();
-    bed.finish();
+    harness.finish();
     let took = stopped.elapsed();
     assert!(took < KILL + Duration::from_millis(500), "it ended after {took:?}");
     clients.into_iter().for_each(|client| client.join().expect("it asked"));
--- a/crates/node/tests/sockets/tenants_and_keys.rs
+++ b/crates/node/tests/sockets/tenants_and_keys.rs
@@ -44,19 +44,19 @@
         seen.push(exec.fields.clone());
         if seen.len() == 1 { vec![Act::Reset] } else { exec.serve() }
     };
-    let mut bed = Bed::configured(Limits::default(), 2, settings, script);
-    let mut client = bed.client();
+    let mut harness = Harness::with_config(Limits::default(), 2, settings, script);
+    let mut client = harness.client();
     assert_eq!(told(&mut client, 1, "deed", &[("owner", "north"), ("opkey", KEY)]), served());
     let seen = std::mem::take(&mut *seen.lock().expect("whole"));
     assert_eq!(seen.len(), 2, "{seen:?}");
     assert!(seen.iter().all(|fields| fields.split(',').any(|f| f == format!("uniq={KEY}"))), "{seen:?}");
-    bed.finish();
+    harness.finish();
 }
 
 #[test]
 fn keys_and_tenants_that_cannot_be_used_are_refused_and_reach_no_worker() {
     let script = |_: usize, exec: &Exec| exec.serve();
-    let mut bed = Bed::configured(Limits::default(), 1, settings, script);
+    let mut harness = Harness::with_config(Limits::default(), 1, settings, script);
     let long = "k".repeat(65);
     let cases: [(&str, &[(&str, &str)]); 8] = [
         ("deed", &[("owner", "north")]),
@@ -70,13 +70,13 @@
     ];
     for (number, (class, more)) in cases.into_iter().enumerate() {
         // A connection of its own: one that sends many of these is ended.
-        let told = told(&mut bed.client(), number as u64 + 1, class, more);
+        let told = told(&mut harness.client(), number as u64 + 1, class, more);
         assert!(matches!(told, FrontReply::Rejected(_)), "{number}: {told:?}");
     }
-    let sent = bed.workers[0].lines();
+    let sent = harness.workers[0].lines();
     assert!(!sent.iter().any(|line| line.starts_with("exec")), "{sent:?}");
-    assert_eq!(told(&mut bed.client(), 99, "view", &[("owner", "south")]), served());
-    bed.finish();
+    assert_eq!(told(&mut harness.client(), 99, "view", &[("owner", "south")]), served());
+    harness.finish();
 }
 
 #[test]
@@ -90,13 +90,13 @@
         }
         _ => exec.serve(),
     };
-    let mut bed = Bed::configured(Limits::default(), 4, settings, script);
-    let mut north = bed.client();
+    let mut harness = Harness::with_config(Limits::default(), 4, settings, script);
+    let mut north = harness.client();
     (1..=20).for_each(|number| ask(&mut north, number, "view", &[("owner", "north")]));
     // Enough for the scheduler to take the fleet for jammed.
-    (0..8).for_each(|_| fulls.recv_timeout(PATIENCE).expect("it is sent on"));
-    let mut south = bed.client();
+    (0..8).for_each(|_| fulls.recv_timeout(TEST_TIMEOUT).expect("it is sent on"));
+    let mut south = harness.client();
     let south: Vec<_> = (0..20).map(|n| told(&mut south, 0x100 + n, "view", &[("owner", "south")])).collect();
     assert!(south.contains(&served()), "{south:?}");
-    bed.finish();
+    harness.finish();
 }
--- a/crates/node/tests/sockets/unread_requests.rs
+++ b/crates/node/tests/sockets/unread_requests.rs
@@ -27,33 +27,33 @@
 /// A request that its worker does not read is given up: its client leaves, or its time runs out. Gives when that was and
 /// when it came whole to the worker, if it did.
 fn given_up(way: &str) -> (Micros, Option<Micros>) {
-    let mut bed = Bed::new(Limits { connect_ms: 100, ..Limits::default() }, 1, deaf);
-    bed.workers[0].narrow().expect("narrow");
-    serves(&mut bed);
-    let mut client = bed.client();
+    let mut harness = Harness::new(Limits { connect_ms: 100, ..Limits::default() }, 1, deaf);
+    harness.workers[0].narrow().expect("narrow");
+    wait_until_served(&mut harness);
+    let mut client = harness.client();
     let timeout_ms = if way == "deadline" { 800 } else { 8_000 };
     let one = Call { timeout_ms, body: vec![7; BODY], ..call(7 << 40, "extract") };
-    let asked = bed.submit(&mut client, &one);
-    bed.wait(|what| matches!(what, What::Sent { event, .. } if *event == one.id));
+    let asked = harness.submit(&mut client, &one);
+    harness.wait_for(|what| matches!(what, What::Sent { event, .. } if *event == one.id));
     // A connection is doubted once it has been silent for as long as connecting may take.
     std::thread::sleep(Duration::from_millis(300));
     let left = match way {
-        "deadline" => bed.read(&mut client, &[&asked]).map(|_| monotonic()).expect("an answer"),
+        "deadline" => harness.read(&mut client, &[&asked]).map(|_| monotonic()).expect("an answer"),
         way => {
-            drop(leave(client, &[asked.seqid], way));
+            drop(abandon(client, &[asked.seqid], way));
             monotonic()
         }
     };
     std::thread::sleep(DEAF);
     let came = |what: &What| matches!(what, What::Arrived { event, .. } if *event == one.id);
-    let at = bed.finish().iter().find(|record| came(&record.what)).map(|record| record.t);
+    let at = harness.finish().iter().find(|record| came(&record.what)).map(|record| record.t);
     (left, at)
 }
 
 #[test]
 fn what_a_worker_has_not_read_does_not_begin_once_its_client_has_gone() {
     std::thread::scope(|scope| {
-        for way in WAYS.into_iter().chain(["deadline"]) {
+        for way in ABANDON_METHODS.into_iter().chain(["deadline"]) {
             scope.spawn(move || {
                 let (left, came) = given_up(way);
                 let late = came.map(|at| at.saturating_sub(left));
--- a/crates/node/tests/wall_clock_steps.rs
+++ b/crates/node/tests/wall_clock_steps.rs
@@ -8,7 +8,7 @@
 use basaltward_node::Node;
 use basaltward_rules::{Recorder, What};
 use basaltward_standins::{Act, Board, Exec, FrontClient, LineWorker, answer};
-use common::{Limits, PATIENCE, call, send, target, text};
+use common::{Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -64,18 +64,19 @@
         })
         .collect();
     let board = Board::start(2).expect("a bulletin");
-    let entry = |n: usize| target(&format!("s-{n}"), workers[n].address(), "Ready");
+    let entry = |n: usize| bulletin_entry(&format!("s-{n}"), workers[n].address(), "Ready");
     let known: Vec<_> = (0..WARM).map(entry).collect();
     let name = format!("basaltward-clocks-{}-{number}.json", std::process::id());
     let config = std::env::temp_dir().join(name);
-    let told = text(Limits { deadline_ms: 2_000, ..Limits::default() }, board.address(), &known.join(","));
+    let told =
+        config_json(Limits { deadline_ms: 2_000, ..Limits::default() }, board.address(), &known.join(","));
     std::fs::write(&config, told.replace("\"loadControl\":true", "\"loadControl\":false")).expect("written");
     let step = Arc::new(AtomicI64::new(case.at_start));
     let node = Node::new_stepped(config.clone(), None, recorder.clone(), false, step.clone());
     let node = node.expect("a scheduler");
     let (address, control) = (node.address(), node.control());
     let runs = std::thread::spawn(move || node.run().expect("it runs"));
-    let mut client = FrontClient::connect(address, PATIENCE).expect("connected");
+    let mut client = FrontClient::connect(address, TEST_TIMEOUT).expect("connected");
     let mut ask = |number: u64, at_once: u64| {
         for nth in 0..at_once {
             let mut one = call(number << 16 | nth, "view");
@@ -99,7 +100,7 @@
     board.tell(&entry(WARM).replace("\"boot_ms\":0", &format!("\"boot_ms\":{boot}")));
     let cold = format!("s-{WARM}");
     let heard = |what: &What| matches!(what, What::Told { worker, .. } if *worker == cold);
-    assert!(recorder.wait(PATIENCE, |all| all.iter().any(|r| heard(&r.what))), "never told");
+    assert!(recorder.wait(TEST_TIMEOUT, |all| all.iter().any(|r| heard(&r.what))), "never told");
     std::thread::sleep(ALONE);
     lost.store(true, Ordering::SeqCst);
     let until = monotonic() + AFTER.as_micros() as Micros;
