--- a/crates/node/tests/cold_worker.rs
+++ b/crates/node/tests/cold_worker.rs
@@ -1,8 +1,8 @@
-//! Twenty-four schedulers on loopback and a worker that has just started, of which all are told in one moment: what they
-//! send it together stays under N + 2 x root of N + 2 in the time that the settings name, also where a third of them is
-//! started anew meanwhile and where all other workers are lost, and where a worker in use starts anew while discovery is out
-//! of reach, so that nobody is told. The same in virtual time, with more cases and up to 300
-//! schedulers: `tests/cold.rs`.
+//! Twenty-four schedulers on loopback share a worker that has just started and whose start they all learn of at once.
+//! The requests that they send it together within the window that the settings name must stay below N + 2 * sqrt(N) +
+//! 2. This must also hold where a third of the schedulers restart and then all other workers reject calls, and where
+//! a worker in use restarts while discovery is unreachable, so that no scheduler is notified. `tests/cold.rs` checks
+//! the same in virtual time, with more cases and up to 300 schedulers.
 #[path = "sockets/common.rs"]
 #[allow(dead_code)]
 mod common;
@@ -21,28 +21,28 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const MS: Micros = 1_000;
-const S: Micros = 1_000 * MS;
+const SECOND: Micros = 1_000 * MS;
 const SCHEDULERS: usize = 24;
-/// Workers that are warm from the beginning on; the one behind them is cold.
+/// Workers that are warm from the beginning; the one after them is cold.
 const WARM: usize = 4;
-/// Requests a second that a warm worker serves; more are turned away.
+/// Requests per second that a warm worker serves; it rejects the rest.
 const CAPACITY: f64 = 20.0;
-/// Requests that come, as a share of what all warm workers serve.
+/// Request rate, as a share of the capacity of all warm workers.
 const LOAD: f64 = 0.9;
-/// Before the start; after it until a third is started anew, until all warm workers turn everything away, and until
-/// the end.
-const BEFORE: Micros = 3 * S;
-const ANEW: Micros = S;
-const LOST: Micros = 1_500 * MS;
-const END: Micros = 4 * S;
-/// How long discovery has been silent as a worker starts anew that nobody is told of.
-const UNHEARD: Micros = 6 * S;
-/// Requests that each client sends at once when the others are lost: together sixteen times what a warm worker serves in a
-/// second.
+/// Phases of a run: warm-up before the cold worker starts; then, counted from its start, the time at which a third of
+/// the schedulers restart, at which all warm workers begin to reject everything, and at which the run ends.
+const WARM_UP: Micros = 3 * SECOND;
+const RESTART_AFTER: Micros = SECOND;
+const REJECT_AFTER: Micros = 1_500 * MS;
+const END_AFTER: Micros = 4 * SECOND;
+/// How long discovery has been silent when a worker restarts unnoticed.
+const SILENCE: Micros = 6 * SECOND;
+/// Requests that each client sends at once when the other workers begin to reject: together sixteen times what a warm
+/// worker serves in a second.
 const BURST: u64 = 16 * CAPACITY as u64 / SCHEDULERS as u64 + 1;
-/// The settings' figures, as in [`text`].
+/// These repeat the settings in [`config_json`].
 const COLD_FROM: f64 = 0.2;
-const WARM_WITHIN: Micros = 16 * S;
+const WARM_WITHIN: Micros = 16 * SECOND;
 const TIP_MULTIPLE: f64 = 4.0;
 const FALL: Micros = 1_500 * MS;
 
@@ -54,20 +54,21 @@
 }
 
 impl Scheduler {
-    fn start(index: usize, life: usize, bulletin: SocketAddr, targets: &str, fleet: &Fleet) -> Self {
-        let name = format!("basaltward-cold-{}-{}-{index}-{life}.json", std::process::id(), fleet.number);
+    fn start(index: usize, generation: usize, bulletin: SocketAddr, targets: &str, fleet: &Fleet) -> Self {
+        let name =
+            format!("basaltward-cold-{}-{}-{index}-{generation}.json", std::process::id(), fleet.number);
         let config = std::env::temp_dir().join(name);
         let rules = "\"rules\":{\"drainGraceUs\":1000000,";
-        let told = config_json(Limits { deadline_ms: 2_000, ..Limits::default() }, bulletin, targets)
+        let settings = config_json(Limits { deadline_ms: 2_000, ..Limits::default() }, bulletin, targets)
             .replace("\"replicasOfMe\":1", &format!("\"replicasOfMe\":{SCHEDULERS},\"selfIndex\":{index}"))
             .replace("\"loadControl\":true", "\"loadControl\":false")
             .replace("\"rules\":{", rules)
             .replace("\"limits\":{\"cancel\"", "\"limits\":{\"probes\":true,\"cancel\"")
             .replace("\"seed\":\"1\"", &format!("\"seed\":\"{:x}\"", index + 1));
-        std::fs::write(&config, told).expect("written");
-        let node = Node::new(config.clone(), None, fleet.recorder.clone()).expect("a scheduler");
+        std::fs::write(&config, settings).expect("configuration written");
+        let node = Node::new(config.clone(), None, fleet.recorder.clone()).expect("scheduler created");
         let (address, control) = (node.address(), node.control());
-        let runs = Some(std::thread::spawn(move || node.run().expect("it runs")));
+        let runs = Some(std::thread::spawn(move || node.run().expect("scheduler runs")));
         Self { address, control, config, runs }
     }
 }
@@ -85,73 +86,73 @@
     recorder: Recorder,
 }
 
-/// Serves as many in a second as it has room for, and none once it is lost.
-fn warm(exec: &Exec, came: &Mutex<VecDeque<Micros>>, lost: &AtomicBool) -> Vec<Act> {
-    let (now, mut came) = (monotonic(), came.lock().expect("sound"));
-    while came.front().is_some_and(|at| at + S <= now) {
-        came.pop_front();
+/// Serves up to the capacity within a second, and nothing once `rejecting` is set.
+fn serve_up_to_capacity(exec: &Exec, arrivals: &Mutex<VecDeque<Micros>>, rejecting: &AtomicBool) -> Vec<Act> {
+    let (now, mut arrivals) = (monotonic(), arrivals.lock().expect("lock not poisoned"));
+    while arrivals.front().is_some_and(|at| at + SECOND <= now) {
+        arrivals.pop_front();
     }
-    if lost.load(Ordering::SeqCst) || came.len() as f64 >= CAPACITY {
+    if rejecting.load(Ordering::SeqCst) || arrivals.len() as f64 >= CAPACITY {
         return vec![Act::Write(answer(&exec.id, "BUSY", "-", b""))];
     }
-    came.push_back(now);
+    arrivals.push_back(now);
     exec.serve()
 }
 
-/// One scheduler's client, that asks at a rate of its own until the end; it asks where it is told to.
-fn ask(index: usize, to: &Mutex<SocketAddr>, lost: &AtomicBool, over: &AtomicBool) {
-    // Some get several times what others do.
+/// The client of one scheduler: sends calls at a fixed rate until the run ends, to the address that `to` holds.
+fn run_client(index: usize, to: &Mutex<SocketAddr>, rejecting: &AtomicBool, finished: &AtomicBool) {
+    // The load is uneven: some schedulers get several times as many requests as others.
     let rate = CAPACITY * WARM as f64 * LOAD / SCHEDULERS as f64 * [0.4, 0.7, 1.0, 1.9][index % 4];
     let gap = Duration::from_secs_f64(1.0 / rate);
     let mut at: Option<(SocketAddr, FrontClient)> = None;
-    let mut was_lost = false;
+    let mut was_rejecting = false;
     std::thread::sleep(gap * index as u32 / SCHEDULERS as u32);
     for number in 0u64.. {
-        if over.load(Ordering::SeqCst) {
+        if finished.load(Ordering::SeqCst) {
             return;
         }
-        let to = *to.lock().expect("sound");
+        let to = *to.lock().expect("lock not poisoned");
         if at.as_ref().is_none_or(|(known, _)| *known != to) {
             at = Some((to, FrontClient::connect(to, TEST_TIMEOUT).expect("connected")));
         }
         let client = &mut at.as_mut().expect("connected").1;
-        let is_lost = lost.load(Ordering::SeqCst);
-        let count = if is_lost && !was_lost { BURST } else { 1 };
-        was_lost = is_lost;
+        let is_rejecting = rejecting.load(Ordering::SeqCst);
+        let count = if is_rejecting && !was_rejecting { BURST } else { 1 };
+        was_rejecting = is_rejecting;
         for nth in 0..count {
             let mut one = call((index as u64) << 32 | number << 8 | nth, "view");
             one.function = format!("7f3a9c21e0b4{:04x}", (number + nth) % 24);
             one.timeout_ms = 600;
             send(client, &one);
         }
-        // Whatever it is told: the next one comes in its time.
+        // The next call is sent at its time, whatever these replies are.
         for _ in 0..count {
-            client.read().expect("told").expect("it stands");
+            client.read().expect("reply read").expect("connection open");
         }
         std::thread::sleep(gap);
     }
 }
 
-/// What the fleet sent the cold worker.
+/// What the schedulers sent the cold worker.
 struct Sent {
-    /// Where it came nearest to what makes the worker fall, as a share of N + 2 x root of N + 2.
+    /// The highest ratio of requests in a window to the bound N + 2 * sqrt(N) + 2.
     worst: f64,
-    /// That in words.
-    told: String,
+    /// Description of that window, for failure messages.
+    detail: String,
     total: usize,
 }
 
-fn weigh(sent: &[Micros], start: Micros) -> Sent {
-    let mut found = Sent { worst: 0.0, told: String::new(), total: sent.len() };
+fn worst_window(sent: &[Micros], start: Micros) -> Sent {
+    let mut found = Sent { worst: 0.0, detail: String::new(), total: sent.len() };
     for (last, at) in sent.iter().enumerate() {
         let age = at.saturating_sub(start) as f64 / WARM_WITHIN as f64;
-        let can = COLD_FROM + (1.0 - COLD_FROM) * age;
-        let n = TIP_MULTIPLE * can * CAPACITY * FALL as f64 / S as f64;
+        let relative_capacity = COLD_FROM + (1.0 - COLD_FROM) * age;
+        let n = TIP_MULTIPLE * relative_capacity * CAPACITY * FALL as f64 / SECOND as f64;
         let count = last + 1 - sent.partition_point(|t| t + FALL <= *at);
         let share = count as f64 / (n + 2.0 * n.sqrt() + 2.0);
         if share > found.worst {
             found.worst = share;
-            found.told = format!("{count} sent of {} in all, N is {n:.0}", sent.len());
+            found.detail = format!("{count} of {} requests in the worst window, N = {n:.0}", sent.len());
         }
     }
     found
@@ -161,18 +162,21 @@
     std::thread::sleep(Duration::from_micros(at.saturating_sub(monotonic())));
 }
 
-/// A day of a fleet that is told of the start, or of a worker that has been there for long.
-fn play(number: usize, told: bool) -> Sent {
+/// Runs the schedulers while a worker starts and a third of them restart. Unless `reported` is set, the entry of the
+/// new worker names no start time, so that it looks like one that started long ago.
+fn run_with_cold_worker(number: usize, reported: bool) -> Sent {
     let fleet = Fleet { number, recorder: Recorder::memory() };
-    let (lost, over) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+    let (rejecting, finished) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
     let workers: Vec<_> = (0..=WARM)
         .map(|n| {
-            let (lost, came) = (lost.clone(), Mutex::default());
-            let script = move |exec: &Exec| if n < WARM { warm(exec, &came, &lost) } else { exec.serve() };
-            LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("a worker")
+            let (rejecting, arrivals) = (rejecting.clone(), Mutex::default());
+            let script = move |exec: &Exec| {
+                if n < WARM { serve_up_to_capacity(exec, &arrivals, &rejecting) } else { exec.serve() }
+            };
+            LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("worker started")
         })
         .collect();
-    let board = Board::start(2).expect("a bulletin");
+    let board = Board::start(2).expect("bulletin started");
     let entry = |n: usize, state: &str| bulletin_entry(&format!("s-{n}"), workers[n].address(), state);
     let known: Vec<_> = (0..WARM).map(|n| entry(n, "Ready")).collect();
     let start_one = |index| Scheduler::start(index, 0, board.address(), &known.join(","), &fleet);
@@ -183,32 +187,32 @@
         .cloned()
         .enumerate()
         .map(|(index, to)| {
-            let (lost, over) = (lost.clone(), over.clone());
-            std::thread::spawn(move || ask(index, &to, &lost, &over))
+            let (rejecting, finished) = (rejecting.clone(), finished.clone());
+            std::thread::spawn(move || run_client(index, &to, &rejecting, &finished))
         })
         .collect();
-    sleep_until(monotonic() + BEFORE);
+    sleep_until(monotonic() + WARM_UP);
     let start = monotonic();
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis();
-    let wall = if told { wall } else { 0 };
+    let wall = SystemTime::now().duration_since(UNIX_EPOCH).expect("clock after 1970").as_millis();
+    let wall = if reported { wall } else { 0 };
     let cold = entry(WARM, "Ready").replace("\"boot_ms\":0", &format!("\"boot_ms\":{wall}"));
     let change = [cold, entry(0, "Terminating")];
     board.tell(&change.join(","));
-    sleep_until(start + ANEW);
-    // A third knows nothing of what it has sent; clients of the old ones go to them.
-    let second = Board::start(2).expect("a bulletin");
-    let whole: Vec<_> = change.into_iter().chain((1..WARM).map(|n| entry(n, "Ready"))).collect();
+    sleep_until(start + RESTART_AFTER);
+    // The restarted third has no record of what it has sent; clients of the old processes switch to the new ones.
+    let new_board = Board::start(2).expect("bulletin started");
+    let full_list: Vec<_> = change.into_iter().chain((1..WARM).map(|n| entry(n, "Ready"))).collect();
     for index in (0..SCHEDULERS).step_by(3) {
-        let new = Scheduler::start(index, 1, second.address(), &whole.join(","), &fleet);
-        *addresses[index].lock().expect("sound") = new.address;
+        let new = Scheduler::start(index, 1, new_board.address(), &full_list.join(","), &fleet);
+        *addresses[index].lock().expect("lock not poisoned") = new.address;
         schedulers[index].control.stop();
         schedulers.push(new);
     }
-    sleep_until(start + LOST);
-    lost.store(true, Ordering::SeqCst);
-    sleep_until(start + END);
-    over.store(true, Ordering::SeqCst);
-    clients.into_iter().for_each(|client| client.join().expect("it asked"));
+    sleep_until(start + REJECT_AFTER);
+    rejecting.store(true, Ordering::SeqCst);
+    sleep_until(start + END_AFTER);
+    finished.store(true, Ordering::SeqCst);
+    clients.into_iter().for_each(|client| client.join().expect("client thread ended"));
     schedulers.iter().for_each(|one| one.control.stop());
     drop(schedulers);
     let cold = format!("s-{WARM}");
@@ -218,21 +222,24 @@
     });
     let mut sent: Vec<_> = sent.collect();
     sent.sort_unstable();
-    weigh(&sent, start)
+    worst_window(&sent, start)
 }
 
-/// A day on which a worker in use starts anew while discovery is silent: its connections break, and nobody is told.
-fn play_unseen(number: usize) -> Sent {
+/// Runs the schedulers while a worker in use restarts and discovery is silent: its connections break, and no
+/// scheduler is notified of the restart.
+fn run_unnoticed_restart(number: usize) -> Sent {
     let fleet = Fleet { number, recorder: Recorder::memory() };
-    let (lost, over) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+    let (rejecting, finished) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
     let workers: Vec<_> = (0..=WARM)
         .map(|n| {
-            let (lost, came) = (lost.clone(), Mutex::default());
-            let script = move |exec: &Exec| if n < WARM { warm(exec, &came, &lost) } else { exec.serve() };
-            LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("a worker")
+            let (rejecting, arrivals) = (rejecting.clone(), Mutex::default());
+            let script = move |exec: &Exec| {
+                if n < WARM { serve_up_to_capacity(exec, &arrivals, &rejecting) } else { exec.serve() }
+            };
+            LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("worker started")
         })
         .collect();
-    let board = Board::start(2).expect("a bulletin");
+    let board = Board::start(2).expect("bulletin started");
     let entry = |n: usize| bulletin_entry(&format!("s-{n}"), workers[n].address(), "Ready");
     let known = (0..=WARM).map(entry).collect::<Vec<_>>().join(",");
     let start_one = |index| Scheduler::start(index, 0, board.address(), &known, &fleet);
@@ -241,21 +248,22 @@
         .iter()
         .enumerate()
         .map(|(index, scheduler)| {
-            let (to, lost, over) = (Mutex::new(scheduler.address), lost.clone(), over.clone());
-            std::thread::spawn(move || ask(index, &to, &lost, &over))
+            let (to, rejecting, finished) =
+                (Mutex::new(scheduler.address), rejecting.clone(), finished.clone());
+            std::thread::spawn(move || run_client(index, &to, &rejecting, &finished))
         })
         .collect();
-    sleep_until(monotonic() + BEFORE);
+    sleep_until(monotonic() + WARM_UP);
     board.silence(true);
-    // Past the list's clock and the grace, all go by the workers' own words.
-    sleep_until(monotonic() + UNHEARD);
+    // The lease of the list and the grace have passed: schedulers now go by the workers' own reports.
+    sleep_until(monotonic() + SILENCE);
     let start = monotonic();
     workers[WARM].reset_all();
-    sleep_until(start + LOST);
-    lost.store(true, Ordering::SeqCst);
-    sleep_until(start + END);
-    over.store(true, Ordering::SeqCst);
-    clients.into_iter().for_each(|client| client.join().expect("it asked"));
+    sleep_until(start + REJECT_AFTER);
+    rejecting.store(true, Ordering::SeqCst);
+    sleep_until(start + END_AFTER);
+    finished.store(true, Ordering::SeqCst);
+    clients.into_iter().for_each(|client| client.join().expect("client thread ended"));
     schedulers.iter().for_each(|one| one.control.stop());
     drop(schedulers);
     let cold = format!("s-{WARM}");
@@ -265,28 +273,28 @@
     });
     let mut sent: Vec<_> = sent.collect();
     sent.sort_unstable();
-    weigh(&sent, start)
+    worst_window(&sent, start)
 }
 
 #[test]
-fn twenty_four_schedulers_spare_a_worker_that_starts_anew_while_discovery_is_silent() {
-    let sent = play_unseen(2);
-    assert!(sent.total > 0, "nobody wants the worker");
-    assert!(sent.worst <= 1.0, "{}", sent.told);
-    println!("{:.2} of the bound: {}", sent.worst, sent.told);
+fn twenty_four_schedulers_spare_a_worker_that_restarts_while_discovery_is_silent() {
+    let sent = run_unnoticed_restart(2);
+    assert!(sent.total > 0, "the cold worker got no requests");
+    assert!(sent.worst <= 1.0, "{}", sent.detail);
+    println!("{:.2} of the bound: {}", sent.worst, sent.detail);
 }
 
 #[test]
-fn twenty_four_schedulers_spare_a_cold_worker_also_when_a_third_starts_anew() {
-    let sent = play(0, true);
-    assert!(sent.total > 0, "nobody wants the worker");
-    assert!(sent.worst <= 1.0, "{}", sent.told);
-    println!("{:.2} of the bound: {}", sent.worst, sent.told);
+fn twenty_four_schedulers_spare_a_cold_worker_even_when_a_third_of_them_restart() {
+    let sent = run_with_cold_worker(0, true);
+    assert!(sent.total > 0, "the cold worker got no requests");
+    assert!(sent.worst <= 1.0, "{}", sent.detail);
+    println!("{:.2} of the bound: {}", sent.worst, sent.detail);
 }
 
 #[test]
-fn a_fleet_that_is_not_told_of_the_start_is_found() {
-    let sent = play(1, false);
-    assert!(sent.worst > 1.0, "{}", sent.told);
-    println!("{:.2} of the bound: {}", sent.worst, sent.told);
+fn the_check_finds_a_fleet_that_is_not_informed_of_the_start() {
+    let sent = run_with_cold_worker(1, false);
+    assert!(sent.worst > 1.0, "{}", sent.detail);
+    println!("{:.2} of the bound: {}", sent.worst, sent.detail);
 }
--- a/crates/node/tests/sockets/answers.rs
+++ b/crates/node/tests/sockets/answers.rs
@@ -1,4 +1,4 @@
-//! What a call gets, and what is proven of it, whatever becomes of its worker.
+//! What a client receives for a call, whatever happens at its worker.
 
 use crate::common::*;
 use basaltward_rules::What;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn many_calls_on_one_connection_get_their_own_bodies() {
+fn pipelined_calls_on_one_connection_each_get_their_own_answer() {
     let mut harness = Harness::new(Limits::default(), 3, serve);
     let mut client = harness.client();
     assert_eq!(
@@ -25,17 +25,17 @@
         let calls: Vec<_> =
             (0..30).map(|n| call(round * 100 + n, ["view", "extract"][n as usize % 2])).collect();
         let asked: Vec<_> = calls.iter().map(|c| harness.submit(&mut client, c)).collect();
-        let told = read_all(&harness, &mut client, &asked);
+        let replies = read_all(&harness, &mut client, &asked);
         for (call, asked) in calls.iter().zip(&asked) {
-            assert_eq!(told[&asked.seqid], served(call));
+            assert_eq!(replies[&asked.seqid], served(call));
         }
     }
     assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
-fn an_unsafe_call_is_repeated_only_where_it_never_ran() {
-    // The first attempt ends in each way in turn; the second is served.
+fn an_unsafe_call_is_retried_only_if_it_never_ran() {
+    // The first attempt ends in each of these ways in turn; the second is served.
     type End = fn(&Exec) -> Vec<Act>;
     let cases: [(End, bool); 7] = [
         (|e| vec![Act::Write(answer(&e.id, "MISS", "-", b""))], true),
@@ -46,29 +46,32 @@
         (|_| vec![Act::Run, Act::Close], false),
         (|e| vec![Act::Run, Act::Write(format!("{} OK - 3000000000\r\nxx", e.id).into_bytes())], false),
     ];
-    for (number, (end, again)) in cases.into_iter().enumerate() {
+    for (number, (end, retried)) in cases.into_iter().enumerate() {
         let script = move |_: usize, exec: &Exec| {
             let second = exec.body.starts_with(b"second");
             if exec.nth == 0 && !second { end(exec) } else { exec.serve() }
         };
         let mut harness = Harness::new(Limits::default(), 1, script);
         let call = call(1, "extract");
-        let told = harness.call(&call);
-        // A call that never ran may also be turned away; one that may have run has failed.
-        if again {
-            assert!(told == served(&call) || matches!(told, FrontReply::Rejected(_)), "{number}: {told:?}");
+        let reply = harness.call(&call);
+        // A call that never ran may also be rejected; one that may have run has failed.
+        if retried {
+            assert!(
+                reply == served(&call) || matches!(reply, FrontReply::Rejected(_)),
+                "{number}: {reply:?}"
+            );
         } else {
-            assert_eq!(told, FrontReply::Crashed, "{number}");
+            assert_eq!(reply, FrontReply::Crashed, "{number}");
         }
         assert_eq!(harness.check_rules(), [], "{number}");
     }
 }
 
 #[test]
-fn a_second_copy_an_unknown_id_and_a_late_answer_are_nobodys() {
+fn duplicate_unknown_and_late_answers_are_discarded() {
     let script = |_: usize, exec: &Exec| {
-        let ahead = answer("00000000000000ff", "OK", "-", b"not yours");
-        let mut acts = vec![Act::Write(ahead)];
+        let unknown_id = answer("00000000000000ff", "OK", "-", b"not yours");
+        let mut acts = vec![Act::Write(unknown_id)];
         acts.extend(exec.serve());
         acts.push(Act::Write(answer(&exec.id, "OK", "detail=up", b"a second copy")));
         acts
@@ -78,14 +81,14 @@
     for round in 0..20 {
         let calls: Vec<_> = (0..10).map(|n| call(round * 100 + n, "extract")).collect();
         let asked: Vec<_> = calls.iter().map(|c| harness.submit(&mut client, c)).collect();
-        let told = read_all(&harness, &mut client, &asked);
-        calls.iter().zip(&asked).for_each(|(call, asked)| assert_eq!(told[&asked.seqid], served(call)));
+        let replies = read_all(&harness, &mut client, &asked);
+        calls.iter().zip(&asked).for_each(|(call, asked)| assert_eq!(replies[&asked.seqid], served(call)));
     }
     assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
-fn a_spoilt_answer_is_never_passed_on_and_safe_calls_go_elsewhere() {
+fn malformed_answers_are_never_forwarded_and_safe_calls_are_retried() {
     let noise: [&[u8]; 4] = [b"\xff\xfe\0\r\n", b"x x x x\r\n", &[b'y'; 5_000], b"zz OK - -1\r\n"];
     let script = move |_: usize, exec: &Exec| match exec.nth % 3 {
         0 => vec![Act::Run, Act::Write(noise[exec.nth / 3 % 4].to_vec())],
@@ -94,21 +97,24 @@
     let mut harness = Harness::new(Limits::default(), 3, script);
     for number in 0..40 {
         let call = call(number, if number % 4 == 3 { "extract" } else { "view" });
-        let told = harness.call(&call);
-        assert!(told == served(&call) || told == FrontReply::Crashed && call.class == "extract", "{told:?}");
+        let reply = harness.call(&call);
+        assert!(
+            reply == served(&call) || reply == FrontReply::Crashed && call.class == "extract",
+            "{reply:?}"
+        );
     }
     assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
-fn a_call_is_answered_by_its_deadline_though_its_worker_is_silent() {
+fn a_call_to_a_silent_worker_is_answered_by_its_deadline() {
     let mut harness = Harness::new(Limits::default(), 1, |_, _| vec![Act::Run]);
     for (number, class) in ["view", "extract"].into_iter().enumerate() {
-        let mut short = call(number as u64, class);
-        short.timeout_ms = 400;
-        assert!(matches!(harness.call(&short), FrontReply::Crashed | FrontReply::Rejected(_)));
+        let mut one = call(number as u64, class);
+        one.timeout_ms = 400;
+        assert!(matches!(harness.call(&one), FrontReply::Crashed | FrontReply::Rejected(_)));
     }
-    // Given up at the worker, too: it reads that a little after the client has its answer.
+    // The calls are given up at the worker, too, which reads the drop shortly after the client has its answer.
     let dropped = |n: u64| harness.workers[0].lines().contains(&format!("drop {n:016x}"));
     let until = std::time::Instant::now() + TEST_TIMEOUT;
     while !(0..2).all(dropped) {
@@ -119,15 +125,15 @@
 }
 
 #[test]
-fn nothing_is_answered_after_revoke_and_the_worker_is_told() {
+fn a_revoked_call_gets_no_answer_and_is_dropped_at_the_worker() {
     let script = |_: usize, exec: &Exec| if exec.nth == 0 { vec![Act::Run] } else { exec.serve() };
     let mut harness = Harness::new(Limits::default(), 1, script);
     let mut client = harness.client();
     let (first, second) = (call(1, "extract"), call(2, "view"));
     let asked = harness.submit(&mut client, &first);
     harness.wait_for(|what| matches!(what, What::Ran { event, .. } if *event == first.id));
-    client.revoke(asked.seqid).expect("sent");
-    harness.recorder.put(basaltward_net::monotonic(), "client", What::Left { tried: asked.tried });
+    client.revoke(asked.seqid).expect("bytes sent");
+    harness.recorder.put(basaltward_net::monotonic(), "client", What::Left { tried: asked.try_no });
     let asked = harness.submit(&mut client, &second);
     assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
     assert!(harness.workers[0].lines().contains(&format!("drop {}", first.id)));
@@ -135,21 +141,21 @@
 }
 
 #[test]
-fn connections_that_break_while_idle_cost_nothing() {
+fn connections_reset_while_idle_fail_no_call() {
     let mut harness = Harness::new(Limits::default(), 2, serve);
     for number in 0..30 {
         let call = call(number, "extract");
         assert_eq!(harness.call(&call), served(&call));
         harness.workers.iter().for_each(|w| w.reset_all());
-        // Its end has come to the scheduler once it answers what was asked after it.
+        // The scheduler has seen the reset once it answers a heartbeat sent after it.
         let mut client = harness.client();
-        client.heartbeat().and_then(|_| client.read()).expect("alive");
+        client.heartbeat().and_then(|_| client.read()).expect("heartbeat answered");
     }
     assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
-fn requests_share_connections_where_descriptors_are_short() {
+fn requests_share_connections_when_descriptors_are_scarce() {
     let script = |_: usize, exec: &Exec| {
         let mut acts = vec![Act::Wait(Duration::from_millis(2))];
         acts.extend(exec.serve());
@@ -161,8 +167,11 @@
         for (at, client) in clients.iter_mut().enumerate() {
             let calls: Vec<_> = (0..8).map(|n| call(round * 1_000 + at as u64 * 100 + n, "view")).collect();
             let asked: Vec<_> = calls.iter().map(|c| harness.submit(client, c)).collect();
-            let told = read_all(&harness, client, &asked);
-            calls.iter().zip(&asked).for_each(|(call, asked)| assert_eq!(told[&asked.seqid], served(call)));
+            let replies = read_all(&harness, client, &asked);
+            calls
+                .iter()
+                .zip(&asked)
+                .for_each(|(call, asked)| assert_eq!(replies[&asked.seqid], served(call)));
         }
     }
     assert_eq!(harness.check_rules(), []);
--- a/crates/node/tests/sockets/common.rs
+++ b/crates/node/tests/sockets/common.rs
@@ -1,4 +1,5 @@
-//! A scheduler on loopback between stand-in workers, a stand-in bulletin and clients, judged by the rules.
+//! Harness that runs a live scheduler on loopback between stand-in workers, a stand-in bulletin and clients, and
+//! checks the recorded events against the rules.
 
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::{Control, Node};
@@ -12,7 +13,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes, also on a loaded machine.
+/// Longer than any step of these tests takes, even on a loaded machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const MS: Micros = 1_000;
 
@@ -26,17 +27,17 @@
     pub control: Control,
     pub config: PathBuf,
     node: Option<JoinHandle<()>>,
-    tried: u64,
+    try_no: u64,
 }
 
-/// One entry of the bulletin.
+/// One worker entry of the bulletin, as JSON.
 pub fn bulletin_entry(uid: &str, at: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{at}","az":"east","model":"std","pod_group":0,"state":"{state}","capacity_hint":1,"boot_ms":0}}"#
     )
 }
 
-/// Limits of a test's scheduler.
+/// Limits in the configuration of the scheduler under test.
 #[derive(Clone, Copy)]
 pub struct Limits {
     pub sockets: usize,
@@ -44,7 +45,7 @@
     pub streams: usize,
     pub deadline_ms: u64,
     pub connect_ms: u64,
-    /// Another scheduler, where the settings allow datagrams to it.
+    /// Another scheduler, to which the settings then allow datagrams.
     pub peer: Option<SocketAddr>,
 }
 
@@ -55,7 +56,7 @@
 }
 
 impl Harness {
-    /// A scheduler with workers s-0, s-1, ... that do what the script says.
+    /// Starts a scheduler with workers s-0, s-1, ... that run the script.
     pub fn new(
         limits: Limits,
         workers: usize,
@@ -64,7 +65,7 @@
         Self::with_config(limits, workers, |text| text, script)
     }
 
-    /// The same, its configuration file being what `edit` makes of the usual one.
+    /// Like [`Harness::new`], with `edit` applied to the default configuration file.
     pub fn with_config(
         limits: Limits,
         workers: usize,
@@ -74,7 +75,7 @@
         Self::build(limits, workers, edit, |_| (), script)
     }
 
-    /// As [`Bed::new`]; `plant` has a part of the scheduler fail.
+    /// Like [`Harness::new`]; `plant` injects failures into the scheduler.
     pub fn with_failures(
         limits: Limits,
         workers: usize,
@@ -95,10 +96,10 @@
         let worker = |i: usize| {
             let script = script.clone();
             LineWorker::start(&format!("s-{i}"), recorder.clone(), move |exec| script(i, exec))
-                .expect("a worker")
+                .expect("worker started")
         };
         let workers: Vec<_> = (0..workers).map(worker).collect();
-        let board = Board::start(2).expect("a bulletin");
+        let board = Board::start(2).expect("bulletin started");
         let number = NEXT_HARNESS.fetch_add(1, Ordering::SeqCst);
         let config =
             std::env::temp_dir().join(format!("basaltward-node-{}-{number}.json", std::process::id()));
@@ -108,72 +109,72 @@
             .map(|(i, w)| bulletin_entry(&format!("s-{i}"), w.address(), "Ready"))
             .collect();
         std::fs::write(&config, edit(config_json(limits, board.address(), &targets.join(","))))
-            .expect("written");
-        let mut node = Node::new(config.clone(), None, recorder.clone()).expect("a scheduler");
+            .expect("configuration written");
+        let mut node = Node::new(config.clone(), None, recorder.clone()).expect("scheduler created");
         plant(&mut node);
         let (address, control) = (node.address(), node.control());
-        let node = Some(std::thread::spawn(move || node.run().expect("it runs")));
-        Self { recorder, workers, board, address, control, config, node, tried: 0 }
+        let node = Some(std::thread::spawn(move || node.run().expect("scheduler runs")));
+        Self { recorder, workers, board, address, control, config, node, try_no: 0 }
     }
 
     pub fn client(&self) -> FrontClient {
         FrontClient::connect(self.address, TEST_TIMEOUT).expect("connected")
     }
 
-    /// Sends a call of a class for a function, and records that it was asked.
+    /// Sends a call and records the request.
     pub fn submit(&mut self, client: &mut FrontClient, call: &Call) -> Submitted {
-        self.tried += 1;
+        self.try_no += 1;
         let now = monotonic();
         self.recorder.put(
             now,
             "client",
             What::Asked {
-                tried: self.tried,
+                tried: self.try_no,
                 event: call.id.clone(),
                 class: call.class.into(),
                 tenant: String::new(),
                 to: self.address.to_string(),
-                // The rules on sockets allow 50 ms more.
+                // The rules for tests over sockets allow 50 ms more.
                 deadline: now + (call.timeout_ms + 50) * MS,
             },
         );
-        Submitted { seqid: send(client, call), tried: self.tried }
+        Submitted { seqid: send(client, call), try_no: self.try_no }
     }
 
-    /// Reads one reply and records it for the request it answers.
+    /// Reads one reply and records it for the request that it answers; `None` at the end of the connection.
     pub fn read(&self, client: &mut FrontClient, open: &[&Submitted]) -> Option<(i32, FrontReply)> {
-        let (seqid, reply) = client.read().expect("a reply")?;
-        let asked = open.iter().find(|a| a.seqid == seqid).expect("an answer to what is open");
+        let (seqid, reply) = client.read().expect("reply read")?;
+        let asked = open.iter().find(|a| a.seqid == seqid).expect("a reply to an open request");
         let (answer, status) = match &reply {
             FrontReply::Served(_) => (Final::Served, 200),
             FrontReply::Rejected(_) => (Final::Refused, 503),
             FrontReply::Crashed | FrontReply::Exception => (Final::Failed, 500),
         };
-        self.recorder.put(monotonic(), "client", What::Answered { tried: asked.tried, answer, status });
+        self.recorder.put(monotonic(), "client", What::Answered { tried: asked.try_no, answer, status });
         Some((seqid, reply))
     }
 
-    /// Sends one call on a connection of its own and reads its answer.
+    /// Sends one call on its own connection and reads its reply.
     pub fn call(&mut self, call: &Call) -> FrontReply {
         let mut client = self.client();
         let asked = self.submit(&mut client, call);
-        self.read(&mut client, &[&asked]).expect("an answer").1
+        self.read(&mut client, &[&asked]).expect("a reply before the connection closes").1
     }
 
-    /// Waits until what was recorded holds what is looked for.
+    /// Waits until the recorder holds an event that matches; panics after [`TEST_TIMEOUT`].
     pub fn wait_for(&self, mut holds: impl FnMut(&What) -> bool) {
         let found = self.recorder.wait(TEST_TIMEOUT, |all| all.iter().any(|r| holds(&r.what)));
-        assert!(found, "never recorded");
+        assert!(found, "the expected event was never recorded");
     }
 
-    /// Stops the scheduler and gives what was recorded.
+    /// Stops the scheduler and returns the recorded events.
     pub fn finish(&mut self) -> Vec<Record> {
         self.control.stop();
-        self.node.take().expect("it runs").join().expect("it ended well");
+        self.node.take().expect("scheduler runs").join().expect("scheduler thread ended");
         self.recorder.take()
     }
 
-    /// Stops the scheduler and gives the breaches of the rules.
+    /// Stops the scheduler and returns all breaches of the rules.
     pub fn check_rules(&mut self) -> Vec<Breach> {
         check(&self.finish(), &rule_settings())
     }
@@ -186,7 +187,7 @@
     }
 }
 
-/// The fields of a call.
+/// The header fields of a call.
 pub fn fields<'a>(call: &'a Call, timeout: &'a str) -> [(&'a str, &'a str); 5] {
     [
         ("kind", call.class),
@@ -197,15 +198,15 @@
     ]
 }
 
-/// Sends a call; gives its number.
+/// Sends a call and returns its sequence id.
 pub fn send(client: &mut FrontClient, call: &Call) -> i32 {
     let timeout = call.timeout_ms.to_string();
-    client.submit(&fields(call, &timeout), &call.body).expect("sent")
+    client.submit(&fields(call, &timeout), &call.body).expect("bytes sent")
 }
 
 pub struct Submitted {
     pub seqid: i32,
-    pub tried: u64,
+    pub try_no: u64,
 }
 
 #[derive(Clone)]
@@ -217,7 +218,7 @@
     pub body: Vec<u8>,
 }
 
-/// A call with its number as its id.
+/// Builds a call whose id is derived from its number.
 pub fn call(number: u64, class: &'static str) -> Call {
     let (id, function) = (format!("{number:016x}"), "7f3a9c21e0b4d655".into());
     Call { id, class, function, timeout_ms: 4_000, body: format!("body {number}").into_bytes() }
@@ -240,7 +241,7 @@
     }
 }
 
-/// A configuration file.
+/// The scheduler's configuration file.
 pub fn config_json(limits: Limits, bulletin: SocketAddr, targets: &str) -> String {
     let Limits { sockets, memory_mb, streams, deadline_ms, connect_ms, peer } = limits;
     let peer_settings = |at| {
@@ -261,7 +262,7 @@
     )
 }
 
-/// The answers to these requests, by number, in any order.
+/// Reads the replies to all of these requests, in any order; keyed by sequence id.
 pub fn read_all(
     harness: &Harness,
     client: &mut FrontClient,
@@ -271,61 +272,65 @@
     (0..asked.len()).filter_map(|_| harness.read(client, &open)).collect()
 }
 
-/// Has a call served. On a loaded machine some are turned away first.
+/// Sends calls until one is served: on a loaded machine the first few may be rejected.
 pub fn wait_until_served(harness: &mut Harness) {
     let served = |n: u64| matches!(harness.call(&call(n << 20, "view")), FrontReply::Served(_));
-    assert!((1..100).any(served), "never served");
+    assert!((1..100).any(served), "no call was served");
 }
 
-/// Has calls served on a connection and reads none of the answers, until the scheduler takes no more. Gives how many
-/// were asked; the last of them were turned away.
+/// Sends calls on a connection without reading any reply, until the scheduler's output to it is full and it reads no
+/// more requests. Returns how many calls were sent; the last of them are rejected.
 pub fn fill_output(harness: &mut Harness, client: &mut FrontClient) -> usize {
-    // On a loaded machine one may be turned away though it is read.
-    let mut stuck = 0;
+    // On a loaded machine a single request may be rejected although it is read.
+    let mut unserved = 0;
     for asked in 1..2_000 {
         let one = Call { body: vec![b'x'; 16 << 10], ..call(1_000 + asked, "view") };
         harness.submit(client, &one);
-        let ran = |what: &What| matches!(what, What::Ran { event, .. } if *event == one.id);
-        let came = harness.recorder.wait(Duration::from_millis(700), |all| all.iter().any(|r| ran(&r.what)));
-        stuck = if came { 0 } else { stuck + 1 };
-        if stuck == 3 {
+        let matches_call = |what: &What| matches!(what, What::Ran { event, .. } if *event == one.id);
+        let ran = harness
+            .recorder
+            .wait(Duration::from_millis(700), |all| all.iter().any(|r| matches_call(&r.what)));
+        unserved = if ran { 0 } else { unserved + 1 };
+        if unserved == 3 {
             return asked as usize;
         }
     }
-    panic!("its output was never full");
+    panic!("the output to the client never filled up");
 }
 
-/// How a client stops waiting for a call.
+/// The ways in which a client stops waiting for a call.
 pub const ABANDON_METHODS: [&str; 3] = ["revoke", "end", "reset"];
 
-/// The client leaves; once this returns the scheduler's socket has it. Gives what is left of its connection.
-pub fn abandon(mut client: FrontClient, asked: &[i32], way: &str) -> Option<FrontClient> {
+/// Makes the client abandon these calls. On return this has reached the scheduler's socket. Returns the client unless
+/// its connection was reset.
+pub fn abandon(mut client: FrontClient, asked: &[i32], method: &str) -> Option<FrontClient> {
     let ends = (client.stream().local_addr(), client.stream().peer_addr());
-    let left = match way {
+    let remaining = match method {
         "revoke" => {
-            asked.iter().for_each(|seqid| client.revoke(*seqid).expect("sent"));
+            asked.iter().for_each(|seqid| client.revoke(*seqid).expect("bytes sent"));
             Some(client)
         }
         "end" => {
-            client.stream().shutdown(Shutdown::Write).expect("it stands");
+            client.stream().shutdown(Shutdown::Write).expect("connection open");
             Some(client)
         }
         _ => {
-            set_socket_linger(client.stream(), Some(Duration::ZERO)).expect("it stands");
+            set_socket_linger(client.stream(), Some(Duration::ZERO)).expect("connection open");
             drop(client);
             None
         }
     };
-    wait_until_delivered(ends.0.expect("an address"), ends.1.expect("an address"), way);
-    left
+    wait_until_delivered(ends.0.expect("address known"), ends.1.expect("address known"), method);
+    remaining
 }
 
-/// Waits until all that a client sent, and its end, has come to the other end's socket, by the system's table.
-pub fn wait_until_delivered(client: SocketAddr, server: SocketAddr, way: &str) {
+/// Waits until everything that a client sent, including the end of its connection, has reached the socket of its
+/// peer, according to the kernel's connection table.
+pub fn wait_until_delivered(client: SocketAddr, server: SocketAddr, method: &str) {
     let until = Instant::now() + TEST_TIMEOUT;
     let port = |of: &str| of.rsplit_once(':').and_then(|(_, port)| u16::from_str_radix(port, 16).ok());
     let holds = || {
-        let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
+        let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
         let of = format!(":{:04X} ", client.port());
         let rows = table
             .lines()
@@ -334,37 +339,38 @@
             .map(|row| row.split_whitespace().collect::<Vec<_>>());
         let ends = |row: &Vec<&str>| (port(row[1]).unwrap_or(0), port(row[2]).unwrap_or(0));
         let rows: Vec<_> = rows.map(|row| (ends(&row), row[3].to_owned(), row[4].to_owned())).collect();
-        let ours = rows.iter().find(|(ends, ..)| *ends == (client.port(), server.port()));
-        let theirs = rows.iter().any(|(ends, ..)| *ends == (server.port(), client.port()));
-        match way {
-            // Nothing unacknowledged; an end is in the state 04 until it is; one reset is gone.
-            "revoke" => ours.is_none_or(|(_, _, queues)| queues.starts_with("00000000:")),
-            "end" => ours.is_none_or(|(_, state, _)| state != "04"),
-            _ => !theirs,
+        let client_end = rows.iter().find(|(ends, ..)| *ends == (client.port(), server.port()));
+        let server_end = rows.iter().any(|(ends, ..)| *ends == (server.port(), client.port()));
+        match method {
+            // Nothing is unacknowledged; a FIN is in state 04 (FIN_WAIT1) until acknowledged; a reset removes the
+            // entry of the peer.
+            "revoke" => client_end.is_none_or(|(_, _, queues)| queues.starts_with("00000000:")),
+            "end" => client_end.is_none_or(|(_, state, _)| state != "04"),
+            _ => !server_end,
         }
     };
     while !holds() {
-        assert!(Instant::now() < until, "never delivered");
-        // Its table tells no event, and to read it is dear.
+        assert!(Instant::now() < until, "the bytes were never delivered");
+        // The table has no change notification, and reading it is expensive.
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Waits until no connection is left at this address, by the system's table: a worker ends its own once it has read all
-/// that came before the other end's.
+/// Waits until no connection is left at this address, according to the kernel's connection table: a worker closes its
+/// side once it has read everything sent before the peer's FIN.
 pub fn wait_until_closed(server: SocketAddr) {
-    const LISTENS: &str = "0A";
+    const LISTEN: &str = "0A";
     const TIME_WAIT: &str = "06";
     let until = Instant::now() + TEST_TIMEOUT;
     let of = format!(":{:04X}", server.port());
-    let stands = || {
-        let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
-        let words = table.lines().skip(1).map(|row| row.split_whitespace().collect::<Vec<_>>());
-        words.filter(|words| words[1].ends_with(&of) && ![LISTENS, TIME_WAIT].contains(&words[3])).count() > 0
+    let is_open = || {
+        let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
+        let rows = table.lines().skip(1).map(|row| row.split_whitespace().collect::<Vec<_>>());
+        rows.filter(|row| row[1].ends_with(&of) && ![LISTEN, TIME_WAIT].contains(&row[3])).count() > 0
     };
-    while stands() {
-        assert!(Instant::now() < until, "never closed");
-        // Its table tells no event, and to read it is dear.
+    while is_open() {
+        assert!(Instant::now() < until, "the connections were never closed");
+        // The table has no change notification, and reading it is expensive.
         std::thread::sleep(Duration::from_millis(2));
     }
 }
--- a/crates/node/tests/sockets/unsent_requests.rs
+++ b/crates/node/tests/sockets/unsent_requests.rs
@@ -223,7 +223,7 @@
 
 fn left(harness: &Harness, calls: &[&(usize, Call, Submitted)]) {
     for (_, _, asked) in calls {
-        harness.recorder.put(monotonic(), "client", What::Left { tried: asked.tried });
+        harness.recorder.put(monotonic(), "client", What::Left { tried: asked.try_no });
     }
 }
 
