--- a/crates/node/tests/sockets/delayed_sends.rs
+++ b/crates/node/tests/sockets/delayed_sends.rs
@@ -1,5 +1,5 @@
-//! What waits for a connection that comes up late comes to its worker later than it was decided on: the windows of the
-//! rules are counted as it comes whole.
+//! Work that waits for a slow connection reaches its worker later than it was decided on. The time windows of the
+//! rules must hold as of its arrival.
 
 use crate::common::*;
 use basaltward_net::Micros;
@@ -8,24 +8,25 @@
 use std::time::{Duration, Instant};
 
 const MS: Micros = 1_000;
-/// How long workers know a key, and the window of the ration of orders.
+/// How long workers remember a key, and the window of the rate limit for load orders.
 const WINDOW: Micros = 1_500 * MS;
 
-fn keyed(text: String) -> String {
+fn with_keyed_class(text: String) -> String {
     let text = text.replace("\"loadControl\":true", "\"loadControl\":false");
     let class = "\"onTimeUs\":2000000,\"repeat\":\"unsafe\"";
     text.replace(class, "\"onTimeUs\":2000000,\"repeat\":\"keyed\",\"group\":\"all\",\"windowUs\":1500000")
 }
 
-/// When each attempt of a request came whole to a worker.
+/// When each attempt of a request arrived complete at a worker.
 fn arrivals(records: &[Record], id: &str) -> Vec<Micros> {
     let of = |what: &What| matches!(what, What::Arrived { event, .. } if event == id);
     records.iter().filter(|record| of(&record.what)).map(|record| record.t).collect()
 }
 
 #[test]
-fn a_keyed_request_comes_no_second_time_once_its_key_is_forgotten() {
-    // The first worker answers that it may have run, late in the window; the second's connections come up a second late.
+fn a_keyed_request_is_not_delivered_again_after_its_key_window() {
+    // The first worker reports a possible run late in the window; connections to the second are established a second
+    // late.
     let script = |at: usize, exec: &Exec| match at == 0 && exec.id.starts_with('f') {
         true => vec![
             Act::Run,
@@ -35,7 +36,7 @@
         false => exec.serve(),
     };
     let limits = Limits { connect_ms: 2_500, ..Limits::default() };
-    let mut harness = Harness::with_config(limits, 1, keyed, script);
+    let mut harness = Harness::with_config(limits, 1, with_keyed_class, script);
     let mut client = harness.client();
     let timeout = "6000";
     let submit = |client: &mut basaltward_standins::FrontClient, id: &str| {
@@ -43,20 +44,21 @@
         let mut fields = fields(&one, timeout).to_vec();
         fields[1].1 = id;
         fields.push(("opkey", "k1"));
-        client.submit(&fields, b"x").expect("sent")
+        client.submit(&fields, b"x").expect("bytes sent")
     };
-    // A copy stands at the first.
+    // Until a copy is loaded at the first worker.
     let until = Instant::now() + TEST_TIMEOUT;
     for number in 1.. {
         submit(&mut client, &format!("{number:016x}"));
-        if matches!(client.read().expect("a reply"), Some((_, basaltward_standins::FrontReply::Served(_)))) {
+        if matches!(client.read().expect("reply read"), Some((_, basaltward_standins::FrontReply::Served(_))))
+        {
             break;
         }
-        assert!(Instant::now() < until, "never served");
+        assert!(Instant::now() < until, "no call was served");
     }
-    let other =
-        LineWorker::start("s-1", harness.recorder.clone(), move |exec| script(1, exec)).expect("a worker");
-    other.plug().expect("plugged");
+    let other = LineWorker::start("s-1", harness.recorder.clone(), move |exec| script(1, exec))
+        .expect("worker started");
+    other.plug().expect("accept queue blocked");
     harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
     harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-1"));
     let id = "f000000000000001";
@@ -64,17 +66,17 @@
     harness.wait_for(|what| matches!(what, What::Arrived { event, .. } if event == id));
     std::thread::sleep(Duration::from_millis(1_400));
     other.unplug();
-    client.read().expect("a reply").expect("an answer");
+    client.read().expect("reply read").expect("a reply before the connection closes");
     std::thread::sleep(Duration::from_millis(300));
-    let came = arrivals(&harness.finish(), id);
-    let late: Vec<_> = came[1..].iter().filter(|at| **at >= came[0] + WINDOW).collect();
-    assert!(late.is_empty(), "it came again {} us after the first", late[0] - came[0]);
+    let arrived = arrivals(&harness.finish(), id);
+    let late: Vec<_> = arrived[1..].iter().filter(|at| **at >= arrived[0] + WINDOW).collect();
+    assert!(late.is_empty(), "delivered again {} us after the first arrival", late[0] - arrived[0]);
 }
 
 #[test]
-fn orders_that_come_late_are_within_the_ration_as_they_come() {
+fn delayed_load_orders_stay_within_the_rate_limit_on_arrival() {
     const FREE: usize = 2;
-    let ration = |text: String| {
+    let with_order_limit = |text: String| {
         let family = "\"loadControl\":true";
         text.replace("\"missMode\":\"load\"", "\"missMode\":\"miss\"").replace(
             family,
@@ -83,16 +85,16 @@
     };
     let limits = Limits { connect_ms: 1_300, ..Limits::default() };
     let miss = |_: usize, exec: &Exec| vec![Act::Write(answer(&exec.id, "MISS", "-", b""))];
-    let harness = Harness::with_config(limits, 1, ration, miss);
-    harness.workers[0].plug().expect("plugged");
+    let harness = Harness::with_config(limits, 1, with_order_limit, miss);
+    harness.workers[0].plug().expect("accept queue blocked");
     let mut client = harness.client();
-    // Functions that nobody holds, one after another: each wants an order.
-    let ask = |client: &mut basaltward_standins::FrontClient, number: u64| {
+    // Functions without a copy anywhere, one after another: each needs a load order.
+    let send_call = |client: &mut basaltward_standins::FrontClient, number: u64| {
         let one = Call { function: format!("{number:016x}"), timeout_ms: 3_500, ..call(number, "view") };
         send(client, &one);
     };
     for number in 1..=4 {
-        ask(&mut client, number);
+        send_call(&mut client, number);
     }
     let began = Instant::now();
     let mut number = 5;
@@ -101,16 +103,16 @@
             harness.workers[0].unplug();
         }
         if number < 48 {
-            ask(&mut client, number);
+            send_call(&mut client, number);
             number += 1;
         }
         std::thread::sleep(Duration::from_millis(100));
     }
-    let when = harness.workers[0].ordered();
-    assert!(when.len() > FREE, "few orders: {when:?}");
-    for (last, at) in when.iter().enumerate() {
-        let within = when[..=last].iter().filter(|t| **t + WINDOW > *at).count();
-        assert!(within <= FREE, "{within} orders within the window: {when:?}");
+    let arrived = harness.workers[0].ordered();
+    assert!(arrived.len() > FREE, "too few orders to check the limit: {arrived:?}");
+    for (last, at) in arrived.iter().enumerate() {
+        let within = arrived[..=last].iter().filter(|t| **t + WINDOW > *at).count();
+        assert!(within <= FREE, "{within} orders within the window: {arrived:?}");
     }
     harness.control.stop();
 }
--- a/crates/node/tests/sockets/descriptor_exhaustion.rs
+++ b/crates/node/tests/sockets/descriptor_exhaustion.rs
@@ -1,38 +1,42 @@
-//! Clients that fill the descriptors that are theirs, while the bulletin is down and connections to workers break. What the
-//! system's own limit does is in the program's tests and in those of the loop.
+//! Clients use up the scheduler's descriptor budget for clients while the bulletin is down and connections to workers
+//! break. The process limit itself is covered by the tests of the program and of the event loop.
 
 use crate::common::*;
 use basaltward_standins::{Exec, LineWorker};
 use std::time::{Duration, Instant};
 
 #[test]
-fn idle_clients_fill_the_descriptors_while_the_bulletin_is_down_and_all_goes_on() {
+fn calls_are_served_while_idle_clients_use_all_descriptors_and_the_bulletin_is_down() {
     let limits = Limits { sockets: 64, ..Limits::default() };
     let mut harness = Harness::new(limits, 1, |_, exec| exec.serve());
     wait_until_served(&mut harness);
     harness.board.down();
-    // More than may be open, each of them used once and kept. By itself the scheduler would end the first of them six
-    // seconds later.
+    // More connections than may be open, each used once and then kept. Left alone, the scheduler would close the
+    // first of them six seconds later.
     let began = Instant::now();
-    let mut crowd: Vec<_> = (0..60)
+    let mut idle_clients: Vec<_> = (0..60)
         .map(|_| {
             let mut client = harness.client();
-            client.heartbeat().and_then(|_| client.read()).expect("alive").expect("an answer");
+            client
+                .heartbeat()
+                .and_then(|_| client.read())
+                .expect("heartbeat answered")
+                .expect("a reply before the connection closes");
             client
         })
         .collect();
-    crowd.extend((0..20).map(|_| harness.client()));
+    idle_clients.extend((0..20).map(|_| harness.client()));
     for number in 10..30 {
         harness.workers[0].reset_all();
-        // Its end has come to the scheduler once it answers what was asked after it.
+        // The scheduler has seen the reset once it answers a heartbeat sent after it.
         let mut client = harness.client();
-        client.heartbeat().and_then(|_| client.read()).expect("alive");
+        client.heartbeat().and_then(|_| client.read()).expect("heartbeat answered");
         drop(harness.call(&call(number, "view")));
     }
     wait_until_served(&mut harness);
     assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
-    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("a worker");
-    harness.board.up().expect("it listens");
+    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
+    harness.board.up().expect("bulletin listens again");
     harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
     let until = Instant::now() + TEST_TIMEOUT;
     for number in 100.. {
@@ -41,8 +45,8 @@
         if other.lines().iter().any(|line| line.starts_with("exec")) {
             break;
         }
-        assert!(Instant::now() < until, "the bulletin was never asked again");
+        assert!(Instant::now() < until, "the scheduler never reconnected to the bulletin");
     }
-    drop(crowd);
+    drop(idle_clients);
     assert_eq!(harness.check_rules(), []);
 }
--- a/crates/node/tests/sockets/fleet_changes.rs
+++ b/crates/node/tests/sockets/fleet_changes.rs
@@ -1,4 +1,5 @@
-//! Workers that come, drain and go, the bulletin that tells it, new configurations and planned restarts.
+//! Workers that start, drain and go, interruptions of the bulletin that lists them, reloads of the configuration and
+//! planned restarts.
 
 use crate::common::*;
 use basaltward_rules::{Record, What, check};
@@ -9,70 +10,74 @@
     exec.serve()
 }
 
-/// Waits until the scheduler was told that a worker has this state.
-fn told(harness: &Harness, uid: &str, wanted: &str) {
-    harness.wait_for(|what| matches!(what, What::Told { worker, state } if worker == uid && state == wanted));
+/// Waits until the scheduler has learned that a worker has this state.
+fn wait_for_state(harness: &Harness, uid: &str, expected: &str) {
+    harness
+        .wait_for(|what| matches!(what, What::Told { worker, state } if worker == uid && state == expected));
 }
 
-/// What was written to a worker after the scheduler was told of its state.
-fn written_after<'a>(records: &'a [Record], uid: &str, wanted: &str) -> Vec<&'a Record> {
-    let told =
-        |r: &&Record| matches!(&r.what, What::Told { worker, state } if worker == uid && state == wanted);
+/// What was written to a worker after the scheduler learned of its state.
+fn written_after<'a>(records: &'a [Record], uid: &str, expected: &str) -> Vec<&'a Record> {
+    let reported =
+        |r: &&Record| matches!(&r.what, What::Told { worker, state } if worker == uid && state == expected);
     let to = |r: &&Record| match &r.what {
         What::Sent { worker, .. } | What::Ordered { worker, .. } => worker == uid,
         _ => false,
     };
-    records.iter().skip_while(|r| !told(r)).filter(to).collect()
+    records.iter().skip_while(|r| !reported(r)).filter(to).collect()
 }
 
 #[test]
-fn a_draining_worker_gets_nothing_new_and_a_new_one_stands_at_its_address() {
+fn a_draining_worker_gets_no_new_work_and_its_address_can_be_reused() {
     let mut harness = Harness::new(Limits::default(), 2, serve);
     for number in 0..20 {
         assert!(matches!(harness.call(&call(number, "view")), FrontReply::Served(_)));
     }
     let at = harness.workers[0].address();
     harness.board.tell(&bulletin_entry("s-0", at, "Terminating"));
-    told(&harness, "s-0", "leaving");
-    // The scheduler ends its connections to it; once the worker has as well, it has read what was on its way.
+    wait_for_state(&harness, "s-0", "leaving");
+    // The scheduler closes its connections to the worker; once the worker has closed them too, it has read everything
+    // in flight.
     wait_until_closed(at);
     let before = harness.workers[0].lines().len();
     for number in 100..140 {
         assert!(matches!(harness.call(&call(number, "extract")), FrontReply::Served(_)));
     }
     assert_eq!(harness.workers[0].lines().len(), before);
-    // Another worker with a name of its own at the same address, and the other one goes.
+    // A worker with another uid takes over the address, and the second worker goes.
     harness.board.tell(&bulletin_entry("s-0", at, "Gone"));
     harness.board.tell(&bulletin_entry("s-9", at, "Ready"));
     harness.board.tell(&bulletin_entry("s-1", harness.workers[1].address(), "Gone"));
-    told(&harness, "s-1", "gone");
+    wait_for_state(&harness, "s-1", "gone");
     for number in 200..220 {
         assert!(matches!(harness.call(&call(number, "view")), FrontReply::Served(_)));
     }
     assert!(harness.workers[0].lines().len() > before);
     let records = harness.finish();
     assert_eq!(written_after(&records, "s-0", "leaving"), Vec::<&Record>::new());
-    // The stand-in still goes by its old name, so the two are told apart by the scheduler's records alone.
+    // The stand-in still records under its old uid, so only the scheduler's records tell the two apart.
     assert_eq!(check(&records, &rule_settings()), []);
 }
 
 #[test]
-fn a_bulletin_cut_garbled_or_silent_is_asked_again_and_nothing_is_lost() {
+fn no_event_is_lost_when_the_bulletin_disconnects_sends_garbage_or_falls_silent() {
     let mut harness = Harness::new(Limits::default(), 1, serve);
-    let new = LineWorker::start("s-7", harness.recorder.clone(), |exec| exec.serve()).expect("a worker");
+    let new =
+        LineWorker::start("s-7", harness.recorder.clone(), |exec| exec.serve()).expect("worker started");
     harness.board.tell(&bulletin_entry("s-7", new.address(), "Ready"));
-    told(&harness, "s-7", "active");
+    wait_for_state(&harness, "s-7", "active");
     harness.board.cut();
     harness.board.tell(&bulletin_entry("s-8", new.address(), "Ready"));
-    told(&harness, "s-8", "active");
+    wait_for_state(&harness, "s-8", "active");
     harness.board.garble("{\"no\":4,\"roster\":{\"rev\":4,\"targ\n");
     harness.board.tell(&bulletin_entry("s-10", new.address(), "Ready"));
-    told(&harness, "s-10", "active");
-    // Silent while open: left after its bound, and what was missed is told by the next connection.
+    wait_for_state(&harness, "s-10", "active");
+    // Silent while open: the scheduler drops the connection after a bound, and the next one delivers the missed
+    // events.
     harness.board.silence(true);
     harness.board.tell(&bulletin_entry("s-11", new.address(), "Ready"));
     harness.board.silence(false);
-    told(&harness, "s-11", "active");
+    wait_for_state(&harness, "s-11", "active");
     assert!(matches!(harness.call(&call(1, "view")), FrontReply::Served(_)));
     let asked = harness.board.asked();
     assert!(asked.len() >= 3 && asked[0] == "after 1", "{asked:?}");
@@ -80,73 +85,74 @@
 }
 
 #[test]
-fn a_new_configuration_moves_to_its_bulletin_whole_or_not_at_all() {
+fn a_reload_switches_bulletins_only_once_the_configuration_file_is_complete() {
     let mut harness = Harness::new(Limits::default(), 1, serve);
     assert!(matches!(harness.call(&call(1, "view")), FrontReply::Served(_)));
-    let next = Board::start(2).expect("a bulletin");
-    let new = LineWorker::start("s-5", harness.recorder.clone(), |exec| exec.serve()).expect("a worker");
+    let next = Board::start(2).expect("bulletin started");
+    let new =
+        LineWorker::start("s-5", harness.recorder.clone(), |exec| exec.serve()).expect("worker started");
     next.tell(&bulletin_entry("s-5", new.address(), "Ready"));
     let whole = config_json(Limits::default(), next.address(), "");
-    // Half written at the signal, whole a little later; told twice, as signals may be.
-    std::fs::write(&harness.config, &whole[..whole.len() / 2]).expect("written");
+    // The file is half written at the signal and complete a little later; the signal comes twice, as signals may.
+    std::fs::write(&harness.config, &whole[..whole.len() / 2]).expect("configuration written");
     harness.control.reread();
     harness.control.reread();
     assert!(matches!(harness.call(&call(2, "view")), FrontReply::Served(_)));
-    std::fs::write(&harness.config, &whole).expect("written");
-    told(&harness, "s-5", "active");
+    std::fs::write(&harness.config, &whole).expect("configuration written");
+    wait_for_state(&harness, "s-5", "active");
     assert_eq!(next.asked(), ["after 1"]);
-    // The worker known before stands: numbers go on.
+    // The worker known before stays, and event numbers continue.
     harness.board.cut();
     next.tell(&bulletin_entry("s-5", new.address(), "Gone"));
-    told(&harness, "s-5", "gone");
+    wait_for_state(&harness, "s-5", "gone");
     assert!(matches!(harness.call(&call(3, "view")), FrontReply::Served(_)));
     assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
-fn a_planned_restart_answers_all_who_still_come() {
+fn a_planned_restart_answers_requests_that_arrive_after_the_stop() {
     let script = |_: usize, exec: &Exec| {
         let mut acts = vec![Act::Wait(Duration::from_millis(50))];
         acts.extend(exec.serve());
         acts
     };
     let mut harness = Harness::new(Limits::default(), 2, script);
-    let mut kept = harness.client();
-    let first = harness.submit(&mut kept, &call(1, "extract"));
+    let mut idle = harness.client();
+    let first = harness.submit(&mut idle, &call(1, "extract"));
     harness.wait_for(|what| matches!(what, What::Sent { .. }));
     harness.control.stop();
     harness.control.reread();
     harness.control.stop();
     harness.wait_for(|what| matches!(what, What::Stopping));
-    assert!(matches!(harness.read(&mut kept, &[&first]), Some((_, FrontReply::Served(_)))));
-    // On the open connection and on new ones, as for some tenths of a second they come.
+    assert!(matches!(harness.read(&mut idle, &[&first]), Some((_, FrontReply::Served(_)))));
+    // On the open connection and on new ones: both keep arriving for some tenths of a second.
     for number in 2..4 {
-        let asked = harness.submit(&mut kept, &call(number, "extract"));
-        assert!(matches!(harness.read(&mut kept, &[&asked]), Some((_, FrontReply::Served(_)))));
+        let asked = harness.submit(&mut idle, &call(number, "extract"));
+        assert!(matches!(harness.read(&mut idle, &[&asked]), Some((_, FrontReply::Served(_)))));
         assert!(matches!(harness.call(&call(100 + number, "view")), FrontReply::Served(_)));
     }
     assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
-fn a_kept_connection_does_not_give_way_to_a_crowd_while_it_stops() {
+fn an_idle_connection_is_not_evicted_by_new_clients_during_shutdown() {
     let script = |_: usize, exec: &Exec| {
         let mut acts = vec![Act::Wait(Duration::from_millis(50))];
         acts.extend(exec.serve());
         acts
     };
     let mut harness = Harness::new(Limits { sockets: 64, ..Limits::default() }, 1, script);
-    let mut kept = harness.client();
-    kept.heartbeat().and_then(|_| kept.read()).expect("alive");
-    // Idle for longer than any other by now, and for as long as makes one give way.
+    let mut idle = harness.client();
+    idle.heartbeat().and_then(|_| idle.read()).expect("heartbeat answered");
+    // By now the connection has been idle for longer than any other, and long enough to be evicted.
     for number in 0..8 {
         assert!(matches!(harness.call(&call(number, "view")), FrontReply::Served(_)));
     }
     harness.control.stop();
     harness.wait_for(|what| matches!(what, What::Stopping));
-    let crowd: Vec<_> = (0..40).map(|_| harness.client()).collect();
-    let asked = harness.submit(&mut kept, &call(100, "extract"));
-    assert!(matches!(harness.read(&mut kept, &[&asked]), Some((_, FrontReply::Served(_)))));
-    drop(crowd);
+    let new_clients: Vec<_> = (0..40).map(|_| harness.client()).collect();
+    let asked = harness.submit(&mut idle, &call(100, "extract"));
+    assert!(matches!(harness.read(&mut idle, &[&asked]), Some((_, FrontReply::Served(_)))));
+    drop(new_clients);
     assert_eq!(harness.check_rules(), []);
 }
--- a/crates/node/tests/sockets/half_open_connections.rs
+++ b/crates/node/tests/sockets/half_open_connections.rs
@@ -1,5 +1,5 @@
-//! A worker, or what stands between, has forgotten an idle connection without a word: it answers nothing on it, and resets
-//! it later.
+//! A worker, or a middlebox in front of it, has lost the state of an idle connection without closing it: it answers
+//! nothing on it, and resets it later.
 
 use crate::common::*;
 use basaltward_rules::What;
@@ -8,39 +8,40 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How long after a request on it a forgotten connection is reset.
-const RESETS: Duration = Duration::from_millis(600);
+/// How long after a request on it a half-open connection is reset.
+const RESET_DELAY: Duration = Duration::from_millis(600);
 
-/// The first request on a forgotten connection, of this class; gives its answer and how often it came to a worker.
-fn ask(class: &'static str) -> (FrontReply, usize) {
-    let forgets = Arc::new(AtomicBool::new(false));
+/// Sends a call of this class as the first one on a half-open connection; returns its reply and how often it reached
+/// a worker.
+fn call_on_half_open_connection(class: &'static str) -> (FrontReply, usize) {
+    let half_open = Arc::new(AtomicBool::new(false));
     let script = {
-        let forgets = forgets.clone();
-        // One that has forgotten the connection takes nothing from it.
-        move |_: usize, exec: &Exec| match forgets.swap(false, Ordering::SeqCst) {
-            true => vec![Act::Wait(RESETS), Act::Reset],
+        let half_open = half_open.clone();
+        // A worker without the state of the connection processes nothing that comes on it.
+        move |_: usize, exec: &Exec| match half_open.swap(false, Ordering::SeqCst) {
+            true => vec![Act::Wait(RESET_DELAY), Act::Reset],
             false => exec.serve(),
         }
     };
     let mut harness = Harness::new(Limits::default(), 2, script);
     wait_until_served(&mut harness);
-    forgets.store(true, Ordering::SeqCst);
+    half_open.store(true, Ordering::SeqCst);
     let one = call(7 << 40, class);
-    let told = harness.call(&one);
-    // The next one has a connection that stands.
+    let reply = harness.call(&one);
+    // The next call gets a working connection.
     wait_until_served(&mut harness);
     let records = harness.finish();
-    let came = |what: &What| matches!(what, What::Arrived { event, .. } if *event == one.id);
-    let times = records.iter().filter(|record| came(&record.what)).count();
+    let arrived = |what: &What| matches!(what, What::Arrived { event, .. } if *event == one.id);
+    let arrivals = records.iter().filter(|record| arrived(&record.what)).count();
     assert_eq!(basaltward_rules::check(&records, &rule_settings()), []);
-    (told, times)
+    (reply, arrivals)
 }
 
 #[test]
-fn the_first_request_on_a_forgotten_connection_fails_once_or_goes_elsewhere() {
-    // It may have run: told so, and sent nowhere else.
-    assert_eq!(ask("extract"), (FrontReply::Crashed, 1));
-    // What may be repeated is.
-    let (told, times) = ask("view");
-    assert!(matches!(told, FrontReply::Served(_)) && times == 2, "{told:?} after {times}");
+fn the_first_request_on_a_half_open_connection_fails_or_is_retried_once() {
+    // It may have run, so it fails and is not retried.
+    assert_eq!(call_on_half_open_connection("extract"), (FrontReply::Crashed, 1));
+    // A safe call is retried.
+    let (reply, arrivals) = call_on_half_open_connection("view");
+    assert!(matches!(reply, FrontReply::Served(_)) && arrivals == 2, "{reply:?} after {arrivals}");
 }
--- a/crates/node/tests/sockets/invalid_requests.rs
+++ b/crates/node/tests/sockets/invalid_requests.rs
@@ -1,11 +1,13 @@
-//! Clients that send what can't be used: each gets a refusal, an error or an end, and harms nobody.
+//! Clients that send invalid input: each gets a rejection, an error or a closed connection, and other clients are not
+//! affected.
 
 use crate::common::*;
 use basaltward_standins::FrontReply;
 use std::time::{Duration, Instant};
 
-const OWED: Duration = Duration::from_secs(3);
+const CLOSED_WITHIN: Duration = Duration::from_secs(3);
 
+/// Valid header fields, of which `changed` has another value or, for `None`, is left out.
 fn fields<'a>(changed: &'a str, to: Option<&'a str>) -> Vec<(&'a str, &'a str)> {
     let all = [
         ("kind", "view"),
@@ -22,9 +24,9 @@
 }
 
 #[test]
-fn what_cannot_be_used_is_refused_and_reaches_no_worker() {
+fn invalid_requests_are_rejected_and_reach_no_worker() {
     let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
-    let wrong = [
+    let invalid = [
         ("kind", None),
         ("kind", Some("nobody")),
         ("req", None),
@@ -45,20 +47,24 @@
         ("props", Some("memory_mb:1e300;lanes:8")),
         ("props", Some("lanes:8")),
     ];
-    for (name, to) in wrong {
+    for (name, to) in invalid {
         let mut client = harness.client();
-        client.submit(&fields(name, to), b"x").expect("sent");
-        assert_eq!(client.read().expect("told"), Some((1, FrontReply::Rejected(None))), "{name} {to:?}");
+        client.submit(&fields(name, to), b"x").expect("bytes sent");
+        assert_eq!(
+            client.read().expect("reply read"),
+            Some((1, FrontReply::Rejected(None))),
+            "{name} {to:?}"
+        );
     }
     let mut client = harness.client();
-    client.submit(&fields("", None), &[0; (16 << 10) + 1]).expect("sent");
-    assert_eq!(client.read().expect("told"), Some((1, FrontReply::Rejected(None))));
+    client.submit(&fields("", None), &[0; (16 << 10) + 1]).expect("bytes sent");
+    assert_eq!(client.read().expect("reply read"), Some((1, FrontReply::Rejected(None))));
     assert!(harness.workers[0].lines().iter().all(|line| !line.starts_with("exec")));
     assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
-fn what_cannot_be_read_ends_the_connection_in_time() {
+fn unparsable_input_closes_the_connection_within_a_bound() {
     let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
     let bad: [&[u8]; 9] = [
         b"GET / HTTP/1.1\r\n\r\n",
@@ -75,37 +81,37 @@
     let mut clients: Vec<_> = bad.iter().map(|_| harness.client()).collect();
     let began = Instant::now();
     for (client, bytes) in clients.iter_mut().zip(bad) {
-        client.raw(bytes).expect("sent");
+        client.raw(bytes).expect("bytes sent");
     }
     for (client, bytes) in clients.iter_mut().zip(bad) {
-        assert_eq!(client.read().expect("an end"), None, "{bytes:?}");
+        assert_eq!(client.read().expect("connection closed cleanly"), None, "{bytes:?}");
     }
-    assert!(began.elapsed() < OWED, "{:?}", began.elapsed());
+    assert!(began.elapsed() < CLOSED_WITHIN, "{:?}", began.elapsed());
     assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
-fn numbers_and_ids_used_twice_and_too_many_at_once_are_not_served() {
+fn duplicate_ids_and_too_many_open_requests_are_not_served() {
     let harness = Harness::new(Limits::default(), 1, |_, _| vec![]);
-    // An id that is open, from another connection and with another body.
+    // An id that is already open, from another connection and with another body.
     let (mut first, mut second) = (harness.client(), harness.client());
-    first.submit(&fields("", None), b"mine").expect("sent");
+    first.submit(&fields("", None), b"mine").expect("bytes sent");
     harness.wait_for(|what| matches!(what, basaltward_rules::What::Taken { .. }));
-    second.submit(&fields("", None), b"another").expect("sent");
-    assert_eq!(second.read().expect("told"), Some((1, FrontReply::Crashed)));
-    // The same number again.
+    second.submit(&fields("", None), b"another").expect("bytes sent");
+    assert_eq!(second.read().expect("reply read"), Some((1, FrontReply::Crashed)));
+    // The same sequence id twice.
     let mut client = harness.client();
     let mut wire = bytes::BytesMut::new();
     for id in ["00000000000000ab", "00000000000000ac"] {
         basaltward_thrift::write::submit(&mut wire, 7, &fields("req", Some(id)), b"x");
     }
-    client.raw(&wire).expect("sent");
-    assert_eq!(client.read().expect("an end"), None);
-    // More than may be open.
+    client.raw(&wire).expect("bytes sent");
+    assert_eq!(client.read().expect("connection closed cleanly"), None);
+    // More requests than may be open on a connection.
     let mut client = harness.client();
     for n in 0..200 {
         let id = format!("{:016x}", 0x1000 + n);
-        // It may have been ended already.
+        // The scheduler may have closed the connection already.
         let _ = client.submit(&fields("req", Some(&id)), b"x");
     }
     assert_eq!(client.read().unwrap_or(None), None);
@@ -113,15 +119,15 @@
 }
 
 #[test]
-fn usual_clients_are_served_beside_a_crowd_that_says_nothing_or_nonsense() {
+fn valid_clients_are_served_despite_many_silent_or_invalid_ones() {
     let mut harness = Harness::new(Limits { sockets: 64, ..Limits::default() }, 1, |_, exec| exec.serve());
-    let mut crowd = Vec::new();
+    let mut silent_clients = Vec::new();
     for number in 0..150 {
-        // Silent ones, kept; and such as come again at once on each refusal.
-        crowd.push(harness.client());
-        let mut rude = harness.client();
+        // Some connect and stay silent; others retry at once after each rejection.
+        silent_clients.push(harness.client());
+        let mut invalid = harness.client();
         for _ in 0..3 {
-            let _ = rude.submit(&fields("kind", Some("nobody")), b"x");
+            let _ = invalid.submit(&fields("kind", Some("nobody")), b"x");
         }
         let call = call(number, "view");
         assert!(matches!(harness.call(&call), FrontReply::Served(_)), "{number}");
--- a/crates/node/tests/sockets/lease_expiry.rs
+++ b/crates/node/tests/sockets/lease_expiry.rs
@@ -1,5 +1,6 @@
-//! Work that was decided while it might begin, and that waits: for a connection that comes up late, or in an output that
-//! its worker does not read. Once the lease of its worker is over, no byte of it may leave before the worker was asked.
+//! Work that was permitted when it was decided and then waits, for a slow connection or in an output that its worker
+//! does not read. Once the lease of the worker has expired, no byte of it may leave before the worker has been
+//! probed.
 
 use crate::common::*;
 use basaltward_rules::{Record, What, check};
@@ -8,28 +9,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a silent bulletin would have told counts as told after 4 s; the grace is one more.
-const EXPIRES: Duration = Duration::from_millis(5_000);
+/// Changes that a silent bulletin withholds take effect for the rules after 4 s; the grace adds one more.
+const LEASE_EXPIRY: Duration = Duration::from_millis(5_000);
 const BODY: usize = 16 << 10;
 
-fn leased(text: String) -> String {
+fn with_lease(text: String) -> String {
     text.replace("\"rules\":{", "\"rules\":{\"drainGraceUs\":1000000,")
         .replace("\"limits\":{\"cancel\"", "\"limits\":{\"probes\":true,\"cancel\"")
         .replace("\"loadControl\":true", "\"loadControl\":false")
-        // Past its aim a call that waits would be refused.
+        // Otherwise a waiting call would be refused past its aim.
         .replace("\"onTimeUs\":2000000", "\"onTimeUs\":7000000")
 }
 
-/// Has the bulletin fall silent once it has shown that nothing is missing, which it does each second; gives when.
-fn silence(harness: &Harness) -> Instant {
+/// Silences the bulletin right after it has confirmed that nothing is missing, which it does every second; returns
+/// when.
+fn silence_bulletin(harness: &Harness) -> Instant {
     std::thread::sleep(Duration::from_millis(1_200));
     let silent = Instant::now();
     harness.board.silence(true);
     silent
 }
 
-/// Attempts that were given to a connection and taken back before a byte had left.
-fn taken_back(records: &[Record]) -> usize {
+/// Attempts that were withdrawn from a connection before any byte had left.
+fn withdrawn(records: &[Record]) -> usize {
     let moot = |what: &What| matches!(what, What::Ended { code, .. } if code == "Moot");
     records.iter().filter(|record| moot(&record.what)).count()
 }
@@ -39,57 +41,58 @@
 }
 
 #[test]
-fn a_call_whose_connection_comes_up_after_the_lease_waits_for_a_question() {
+fn a_call_whose_connection_is_established_after_the_lease_waits_for_a_probe() {
     let limits = Limits { connect_ms: 4_000, ..Limits::default() };
-    let mut harness = Harness::with_config(limits, 1, leased, |_, exec| exec.serve());
+    let mut harness = Harness::with_config(limits, 1, with_lease, |_, exec| exec.serve());
     wait_until_served(&mut harness);
-    // The only one left is one to which no connection stands, and none comes up for now.
-    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("a worker");
-    other.plug().expect("plugged");
+    // The only remaining worker has no established connection, and none can be established for now.
+    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
+    other.plug().expect("accept queue blocked");
     let drains = bulletin_entry("s-0", harness.workers[0].address(), "Terminating");
     harness.board.tell(&format!("{},{drains}", bulletin_entry("s-1", other.address(), "Ready")));
     harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-1"));
-    let silent = silence(&harness);
-    // The list's last word was up to a second before its silence.
+    let silent = silence_bulletin(&harness);
+    // The last confirmation of the list came up to a second before the silence.
     wait_until(silent + Duration::from_millis(3_600));
     let mut client = harness.client();
-    // One that may not run twice is not given up while it waits.
+    // An unsafe call is not given up while it waits.
     let one = Call { timeout_ms: 7_000, ..call(9 << 40, "extract") };
     let asked = harness.submit(&mut client, &one);
-    wait_until(silent + EXPIRES + Duration::from_millis(300));
+    wait_until(silent + LEASE_EXPIRY + Duration::from_millis(300));
     other.unplug();
-    harness.read(&mut client, &[&asked]).expect("an answer");
+    harness.read(&mut client, &[&asked]).expect("a reply before the connection closes");
     let records = harness.finish();
-    let came = other.lines();
-    let first = |word: &str| came.iter().position(|line| line.starts_with(word));
-    assert!(first("load").is_some_and(|asked| first("exec").is_none_or(|sent| asked < sent)), "{came:?}");
-    assert!(taken_back(&records) > 0, "it was decided on after the lease: nothing was tested");
+    let lines = other.lines();
+    let first = |word: &str| lines.iter().position(|line| line.starts_with(word));
+    assert!(first("load").is_some_and(|probed| first("exec").is_none_or(|sent| probed < sent)), "{lines:?}");
+    assert!(withdrawn(&records) > 0, "nothing was withdrawn: the call was decided on after the lease");
     assert!(check(&records, &rule_settings()).is_empty());
 }
 
 #[test]
-fn calls_in_an_output_that_is_not_read_are_taken_back_once_the_lease_is_over() {
+fn unsent_calls_are_withdrawn_once_the_lease_expires() {
     let (go, held) = channel::<()>();
     let held = Arc::new(Mutex::new(held));
-    let deaf = move |_: usize, exec: &Exec| {
+    let unread = move |_: usize, exec: &Exec| {
         if exec.id == format!("{:016x}", 1) {
-            let _ = held.lock().expect("sound").recv_timeout(TEST_TIMEOUT);
+            let _ = held.lock().expect("lock not poisoned").recv_timeout(TEST_TIMEOUT);
         }
         exec.serve()
     };
     let limits =
         Limits { sockets: 30, memory_mb: 64, streams: 128, deadline_ms: 12_000, ..Limits::default() };
-    let mut harness = Harness::with_config(limits, 1, leased, deaf);
-    harness.workers[0].narrow().expect("narrow");
+    let mut harness = Harness::with_config(limits, 1, with_lease, unread);
+    harness.workers[0].narrow().expect("receive buffer reduced");
     let at = harness.workers[0].address();
     let others: Vec<_> = (1..4).map(|n| bulletin_entry(&format!("t-{n}"), at, "Terminating")).collect();
     harness.board.tell(&others.join(","));
     harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "t-3"));
     wait_until_served(&mut harness);
-    let silent = silence(&harness);
-    // A call that its worker is busy with, and behind it more than the sockets take.
+    let silent = silence_bulletin(&harness);
+    // A call that keeps its worker busy, and behind it more than the sockets take.
     let mut client = harness.client();
-    // Those that may not run twice are not given up while they wait. Each is for a function of its own: a copy has lanes.
+    // Unsafe calls are not given up while they wait. Each is for a function of its own, since the lanes of a copy are
+    // limited.
     let big = |number| Call {
         timeout_ms: 11_000,
         body: vec![7; BODY],
@@ -97,13 +100,13 @@
         ..call(number, "extract")
     };
     let asked: Vec<_> = (1..=24).map(|number| harness.submit(&mut client, &big(number))).collect();
-    wait_until(silent + EXPIRES + Duration::from_millis(500));
-    go.send(()).expect("it waits");
-    let told = read_all(&harness, &mut client, &asked);
-    assert_eq!(told.len(), asked.len(), "each has its one answer");
+    wait_until(silent + LEASE_EXPIRY + Duration::from_millis(500));
+    go.send(()).expect("receiver alive");
+    let replies = read_all(&harness, &mut client, &asked);
+    assert_eq!(replies.len(), asked.len(), "each request gets exactly one answer");
     let records = harness.finish();
-    let count = taken_back(&records);
-    assert!(count > 0, "all had left at once: nothing was tested");
-    let asked = harness.workers[0].lines().iter().any(|line| line.starts_with("load"));
-    assert!(asked, "{count} were taken back, and its worker was never asked");
+    let count = withdrawn(&records);
+    assert!(count > 0, "nothing was withdrawn: all requests had left at once");
+    let probed = harness.workers[0].lines().iter().any(|line| line.starts_with("load"));
+    assert!(probed, "{count} were withdrawn, and their worker was never probed");
 }
--- a/crates/node/tests/sockets/slow_workers.rs
+++ b/crates/node/tests/sockets/slow_workers.rs
@@ -1,4 +1,4 @@
-//! Workers that hang, connections that come up late, answers that come twice.
+//! Workers that hang, connections that are established late, and answers that arrive twice.
 
 use crate::common::*;
 use basaltward_net::monotonic;
@@ -12,13 +12,13 @@
     FrontReply::Served(call.body.iter().rev().copied().collect())
 }
 
-/// The lines of requests that came to a worker.
+/// The `exec` lines that a worker received.
 fn execs(worker: &LineWorker) -> Vec<String> {
     worker.lines().into_iter().filter(|line| line.starts_with("exec")).collect()
 }
 
-/// Batches of calls for 30 functions; gives, of the later half, the share that came to the first of three workers, and
-/// how many of those that may be repeated were not served.
+/// Sends batches of calls for 30 functions. Returns, for the later half of them, the share that reached the first of
+/// three workers, and how many safe calls were not served.
 fn later_half(harness: &mut Harness) -> (f64, usize) {
     let (batches, each) = (10, 15);
     let (mut before, mut unserved) = (0, 0);
@@ -36,44 +36,44 @@
             })
             .collect();
         let asked: Vec<_> = calls.iter().map(|c| harness.submit(&mut client, c)).collect();
-        let told = read_all(harness, &mut client, &asked);
+        let replies = read_all(harness, &mut client, &asked);
         for (call, asked) in calls.iter().zip(&asked) {
-            unserved += usize::from(call.class == "view" && told[&asked.seqid] != served(call));
+            unserved += usize::from(call.class == "view" && replies[&asked.seqid] != served(call));
         }
     }
-    let came = execs(&harness.workers[0]).len() - before;
-    (came as f64 / (batches / 2 * each) as f64, unserved)
+    let arrived = execs(&harness.workers[0]).len() - before;
+    (arrived as f64 / (batches / 2 * each) as f64, unserved)
 }
 
-/// Of what is fair between three, a worker that hangs gets less.
-const LESS: f64 = 0.5 / 3.0;
+/// A hung worker gets less than half of a fair share among three.
+const HUNG_SHARE: f64 = 0.5 / 3.0;
 
 #[test]
-fn a_worker_that_hangs_is_left_to_the_others_which_serve_what_may_be_repeated() {
+fn a_hung_worker_loses_its_share_and_others_serve_its_safe_calls() {
     let script = |worker: usize, exec: &Exec| if worker == 0 { Vec::new() } else { exec.serve() };
     let mut harness = Harness::new(Limits::default(), 3, script);
     let (share, unserved) = later_half(&mut harness);
-    assert!(share < LESS && unserved == 0, "{share} {unserved}");
+    assert!(share < HUNG_SHARE && unserved == 0, "{share} {unserved}");
     assert_eq!(harness.check_rules(), []);
-    // The same look finds a worker that goes on being used. Where functions go varies from fleet to fleet, and in one of
-    // some eight a sound worker gets as little: of five it is not found in all.
-    let used = || later_half(&mut Harness::new(Limits::default(), 3, |_, exec| exec.serve())).0 > LESS;
-    assert!((0..5).any(|_| used()), "never found");
+    // The same measurement must recognize a worker that stays in use. The placement of functions varies from fleet to
+    // fleet, and in about one of eight a healthy worker gets as little: that all of five do is unlikely.
+    let used = || later_half(&mut Harness::new(Limits::default(), 3, |_, exec| exec.serve())).0 > HUNG_SHARE;
+    assert!((0..5).any(|_| used()), "the check found every healthy worker hung");
 }
 
-/// The milliseconds that a request told its worker.
+/// The budget in milliseconds that a request carries to its worker.
 fn budget(exec: &str) -> u64 {
     let field = exec.split([' ', ',']).find_map(|word| word.strip_prefix("budget="));
     field.and_then(|ms| ms.parse().ok()).expect("a budget")
 }
 
 #[test]
-fn a_connection_that_comes_up_after_a_second_carries_what_waits_and_is_still_wanted() {
+fn a_connection_established_late_carries_only_the_calls_that_are_still_open() {
     let limits = Limits { connect_ms: 3_000, ..Limits::default() };
     let mut harness = Harness::new(limits, 1, |_, exec| exec.serve());
-    // A copy stands, and no connection to ask.
+    // A copy is loaded, and there is no connection for a probe.
     assert_eq!(harness.call(&call(1, "extract")), served(&call(1, "extract")));
-    harness.workers[0].plug().expect("plugged");
+    harness.workers[0].plug().expect("accept queue blocked");
     harness.workers[0].reset_all();
     let mut client = harness.client();
     let (mut short, long) = (call(2, "extract"), call(3, "extract"));
@@ -81,30 +81,31 @@
     let began = monotonic();
     let (first, second) = (harness.submit(&mut client, &short), harness.submit(&mut client, &long));
     let open = [&first, &second];
-    let (number, told) = harness.read(&mut client, &open).expect("an answer");
+    let (number, reply) = harness.read(&mut client, &open).expect("a reply before the connection closes");
     assert_eq!(number, first.seqid);
-    assert!(matches!(told, FrontReply::Crashed | FrontReply::Rejected(_)), "{told:?}");
+    assert!(matches!(reply, FrontReply::Crashed | FrontReply::Rejected(_)), "{reply:?}");
     assert!(execs(&harness.workers[0]).iter().all(|line| line.contains(&call(1, "extract").id)));
     harness.workers[0].unplug();
     assert_eq!(harness.read(&mut client, &open), Some((second.seqid, served(&long))));
     let waited = (monotonic() - began) / 1_000;
-    assert!(waited >= 900, "it came up after {waited} ms already");
+    assert!(waited >= 900, "the connection was established after only {waited} ms");
     let lines = execs(&harness.workers[0]);
     assert!(!lines.iter().any(|line| line.contains(&short.id)), "{lines:?}");
-    // The worker is told what is left, and the look tells that from all there was.
-    let line = lines.iter().find(|line| line.contains(&long.id)).expect("it came");
+    // The worker must receive the remaining time; the last assertion makes sure that the check tells it from the
+    // whole timeout.
+    let line = lines.iter().find(|line| line.contains(&long.id)).expect("call reached the worker");
     assert!(budget(line) + 900 <= long.timeout_ms, "{line}");
     assert!(budget("exec 1 queue=extract,path=f,budget=4000 0") + 900 > long.timeout_ms);
     assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
-fn a_connection_that_is_not_up_in_the_told_time_is_left_and_its_calls_go_elsewhere() {
+fn calls_go_to_another_worker_when_a_connection_exceeds_the_connect_timeout() {
     let mut harness = Harness::new(Limits::default(), 2, |_, exec| exec.serve());
     for number in 0..20 {
         assert_eq!(harness.call(&call(number, "extract")), served(&call(number, "extract")));
     }
-    harness.workers[0].plug().expect("plugged");
+    harness.workers[0].plug().expect("accept queue blocked");
     harness.workers[0].reset_all();
     let before = execs(&harness.workers[0]).len();
     for number in 100..120 {
@@ -117,7 +118,7 @@
     assert_eq!(harness.check_rules(), []);
 }
 
-/// From which ports the attempts of each request came, in order.
+/// The source ports of the attempts, in order of arrival.
 fn ports(records: &[Record]) -> Vec<u16> {
     let port = |record: &Record| match &record.what {
         What::Arrived { attempt, .. } => attempt.rsplit_once('@').and_then(|(_, port)| port.parse().ok()),
@@ -127,12 +128,12 @@
 }
 
 #[test]
-fn an_answer_told_twice_is_not_taken_for_that_to_another_request_under_its_id() {
+fn a_duplicate_answer_is_not_matched_to_a_later_request_with_the_same_id() {
     let (go, held) = mpsc::channel();
     let held = Arc::new(Mutex::new(held));
     let script = move |_: usize, exec: &Exec| {
         if exec.body == b"another body" {
-            held.lock().expect("sound").recv().expect("told");
+            held.lock().expect("lock not poisoned").recv().expect("test releases the answer");
         }
         let mut acts = vec![Act::Wait(Duration::from_millis(10))];
         acts.extend(exec.serve());
@@ -140,35 +141,36 @@
     };
     let mut harness = Harness::new(Limits::default(), 1, script);
     let mut client = harness.client();
-    let (first, came) = (call(7, "view"), Arc::new(Mutex::new(Vec::new())));
+    let (first, attempt_ports) = (call(7, "view"), Arc::new(Mutex::new(Vec::new())));
     let asked = harness.submit(&mut client, &first);
     assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&first))));
     let second = Call { body: b"another body".to_vec(), ..first.clone() };
     let asked = harness.submit(&mut client, &second);
     let sent = |record: &Record| matches!(&record.what, What::Sent { event, .. } if *event == first.id);
     let twice = harness.recorder.wait(TEST_TIMEOUT, |all| {
-        *came.lock().expect("sound") = ports(all);
+        *attempt_ports.lock().expect("lock not poisoned") = ports(all);
         all.iter().filter(|record| sent(record)).count() == 2
     });
-    assert!(twice, "never sent again");
-    // The first answer once more, where it came; and that to the second a little later.
+    assert!(twice, "the second request was never sent");
+    // A duplicate of the first answer, on the connection of the first; the answer to the second request follows a
+    // little later.
     let again = answer(&first.id, "OK", "detail=up", &first.body.iter().rev().copied().collect::<Vec<_>>());
-    let port = came.lock().expect("sound")[0];
-    harness.workers[0].say(port, &again).expect("it stands");
+    let port = attempt_ports.lock().expect("lock not poisoned")[0];
+    harness.workers[0].say(port, &again).expect("connection open");
     std::thread::sleep(Duration::from_millis(5));
-    go.send(()).expect("it waits");
+    go.send(()).expect("receiver alive");
     assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
-    // The connection on which the copy came is of use as before, where several are needed at once.
+    // The connection that carried the duplicate stays in use where several are needed at once.
     let until = Instant::now() + TEST_TIMEOUT;
     let used = |all: &[Record]| ports(all)[2..].contains(&port);
     for round in 2.. {
         let calls: Vec<_> = (0..4).map(|n| call(round * 10 + n, "view")).collect();
         let asked: Vec<_> = calls.iter().map(|c| harness.submit(&mut client, c)).collect();
-        let told = read_all(&harness, &mut client, &asked);
-        calls.iter().zip(&asked).for_each(|(call, asked)| assert_eq!(told[&asked.seqid], served(call)));
+        let replies = read_all(&harness, &mut client, &asked);
+        calls.iter().zip(&asked).for_each(|(call, asked)| assert_eq!(replies[&asked.seqid], served(call)));
         if harness.recorder.wait(Duration::ZERO, used) {
             break;
         }
-        assert!(Instant::now() < until, "never used again");
+        assert!(Instant::now() < until, "the connection was never used again");
     }
 }
