--- a/crates/node/tests/sockets/connection_races.rs
+++ b/crates/node/tests/sockets/connection_races.rs
@@ -1,7 +1,8 @@
-//! Connections to workers that end, or are answered on, at the moment in which they are wanted, and descriptors.
+//! Connections to workers that end, or carry a stale answer, at the moment at which they are needed; and their
+//! descriptors.
 
 use crate::common::*;
-use crate::unsent_requests::{big, quiet, served, warm};
+use crate::unsent_requests::{large_call, load_copies, served, wait_until_processed};
 use basaltward_rules::{Record, What};
 use basaltward_standins::{Act, Exec, FrontReply, LineWorker, answer};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
@@ -12,13 +13,13 @@
 use std::time::Instant;
 
 #[test]
-fn an_answer_that_crosses_its_drop_is_not_taken_for_that_to_another_request_under_its_id() {
+fn an_answer_that_crosses_its_drop_is_not_matched_to_a_new_request_with_the_same_id() {
     let (go, held) = channel::<()>();
     let held = Arc::new(Mutex::new(held));
     let script = move |_: usize, exec: &Exec| match exec.body.as_slice() {
         b"held" => vec![Act::Run],
         b"another" => {
-            let _ = held.lock().expect("sound").recv();
+            let _ = held.lock().expect("lock not poisoned").recv();
             exec.serve()
         }
         _ => exec.serve(),
@@ -31,46 +32,46 @@
     let asked = harness.submit(&mut client, &first);
     harness.wait_for(|what| matches!(what, What::Ran { event, .. } if *event == first.id));
     let port = port_of(&harness, &first.id);
-    client.revoke(asked.seqid).expect("sent");
+    client.revoke(asked.seqid).expect("bytes sent");
     let dropped = format!("drop {}", first.id);
-    until(|| harness.workers[0].lines().contains(&dropped));
-    // The client uses the id anew; the first answer comes while the second request is out.
+    wait_until(|| harness.workers[0].lines().contains(&dropped));
+    // The client reuses the id; the first answer arrives while the second request is in flight.
     let second = Call { body: b"another".to_vec(), ..first.clone() };
     let asked = harness.submit(&mut client, &second);
-    until(|| {
+    wait_until(|| {
         harness.workers[0].lines().iter().filter(|line| line.contains(&format!("exec {}", first.id))).count()
             == 2
     });
-    harness.workers[0].say(port, &answer(&first.id, "OK", "detail=up", b"dleh")).expect("it stands");
-    quiet(&harness);
-    go.send(()).expect("it waits");
+    harness.workers[0].say(port, &answer(&first.id, "OK", "detail=up", b"dleh")).expect("connection open");
+    wait_until_processed(&harness);
+    go.send(()).expect("receiver alive");
     assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
 }
 
-/// What the system knows of one end of a connection.
+/// One end of a connection, according to the kernel's table.
 #[derive(Clone, Copy, Debug)]
 struct Socket {
     local: usize,
     remote: usize,
     state: usize,
-    /// Bytes that the other end's system has not taken, and that were not read here.
+    /// Bytes that the peer's kernel has not acknowledged, and bytes that the local process has not read.
     unsent: usize,
     unread: usize,
-    /// 0 for one that the system alone still keeps.
+    /// 0 if no process holds the socket any more.
     inode: usize,
 }
 
-/// The connections from and to a port, at both ends.
+/// The connections from and to a port, both ends of each.
 fn sockets(of: u16) -> Vec<Socket> {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
     let row = |line: &str| {
-        let hex = |word: &str| usize::from_str_radix(word.rsplit(':').next()?, 16).ok();
-        let words: Vec<_> = line.split_whitespace().collect();
-        let (local, remote, state) = (hex(words[1])?, hex(words[2])?, hex(words[3])?);
-        let (unsent, unread) = (hex(words[4].split(':').next()?)?, hex(words[4])?);
-        Some(Socket { local, remote, state, unsent, unread, inode: words[9].parse().ok()? })
+        let hex = |text: &str| usize::from_str_radix(text.rsplit(':').next()?, 16).ok();
+        let columns: Vec<_> = line.split_whitespace().collect();
+        let (local, remote, state) = (hex(columns[1])?, hex(columns[2])?, hex(columns[3])?);
+        let (unsent, unread) = (hex(columns[4].split(':').next()?)?, hex(columns[4])?);
+        Some(Socket { local, remote, state, unsent, unread, inode: columns[9].parse().ok()? })
     };
-    // The table is large where many connections have ended lately: most of it is not looked at closely.
+    // The table is large if many connections ended recently, so most lines are skipped before parsing.
     let of = format!(" {:08X}:{of:04X} ", u32::from_ne_bytes([127, 0, 0, 1]));
     table.lines().filter(|line| line.contains(&of)).filter_map(row).collect()
 }
@@ -82,15 +83,15 @@
 
 const ESTABLISHED: usize = 1;
 
-fn until(mut holds: impl FnMut() -> bool) {
+fn wait_until(mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + TEST_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "never");
+        assert!(Instant::now() < end, "the condition was never met");
         std::thread::yield_now();
     }
 }
 
-/// The port from which a request came to its worker.
+/// The source port of a request at its worker.
 fn port_of(harness: &Harness, id: &str) -> u16 {
     let mut port = 0;
     let came = |record: &Record| match &record.what {
@@ -104,11 +105,11 @@
     port
 }
 
-/// A call comes, and before it is sent on its worker ends the one connection that stands, by `end`.
-fn ended_as_it_is_picked(end: impl Fn(&LineWorker)) {
+/// Sends a call whose worker ends the only open connection, by `end`, before the scheduler can send the call on it.
+fn connection_ends_as_it_is_chosen(end: impl Fn(&LineWorker)) {
     let mut rounds = 0;
     for _ in 0..20 {
-        // Each time a new one: a scheduler that stood still for long turns calls away for a while.
+        // A new harness each time: a scheduler that was stalled for long rejects calls for a while.
         let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
         let warm = call(1, "extract");
         assert_eq!(harness.call(&warm), served(&warm));
@@ -118,22 +119,22 @@
         let from = client.port();
         let one = Call { timeout_ms: 8_000, ..call(2, "extract") };
         let mut seqid = 0;
-        // The scheduler stands still at its next record, that the call was taken, for as long as this looks.
+        // The scheduler blocks on its next record, that the call was taken, while this closure runs.
         harness.recorder.wait(TEST_TIMEOUT, |_| {
             seqid = send(&mut client, &one);
-            until(|| {
+            wait_until(|| {
                 let all = sockets(from);
                 let taken = end_of(&all, from, front).is_some_and(|s| s.unsent == 0);
                 taken && end_of(&all, front, from).is_some_and(|s| s.unread == 0)
             });
             end(&harness.workers[0]);
-            until(|| end_of(&sockets(port), port, to).is_none_or(|s| s.state != ESTABLISHED));
+            wait_until(|| end_of(&sockets(port), port, to).is_none_or(|s| s.state != ESTABLISHED));
             true
         });
-        // Where the look took too long it is turned away, which says as well that it never ran.
-        match client.read().expect("a reply") {
-            Some((id, told)) if id == seqid && told == served(&one) => rounds += 1,
-            told => assert!(matches!(told, Some((_, FrontReply::Rejected(_)))), "{told:?}"),
+        // If the closure took too long the call is rejected, which also means that it never ran.
+        match client.read().expect("reply read") {
+            Some((id, reply)) if id == seqid && reply == served(&one) => rounds += 1,
+            reply => assert!(matches!(reply, Some((_, FrontReply::Rejected(_)))), "{reply:?}"),
         }
         if rounds == 2 {
             return;
@@ -143,56 +144,56 @@
 }
 
 #[test]
-fn a_call_is_served_though_its_worker_closes_the_connection_as_it_is_picked() {
-    ended_as_it_is_picked(LineWorker::close_all);
+fn a_call_is_served_when_the_worker_closes_the_chosen_connection() {
+    connection_ends_as_it_is_chosen(LineWorker::close_all);
 }
 
 #[test]
-fn a_call_is_served_though_its_worker_resets_the_connection_as_it_is_picked() {
-    ended_as_it_is_picked(LineWorker::reset_all);
+fn a_call_is_served_when_the_worker_resets_the_chosen_connection() {
+    connection_ends_as_it_is_chosen(LineWorker::reset_all);
 }
 
-/// The ends of connections to a port of which somebody holds a descriptor.
-fn held(to: u16) -> Vec<Socket> {
+/// The ends of connections to a port that a process still holds.
+fn held_ends(to: u16) -> Vec<Socket> {
     sockets(to).into_iter().filter(|s| s.remote == usize::from(to) && s.inode != 0).collect()
 }
 
 #[test]
-fn connections_that_are_closed_hold_no_descriptors_beside_those_that_may_stand() {
-    // It reads nothing more on a connection from its first request on, not even its end.
+fn closed_connections_hold_no_descriptors_beyond_the_budget_of_open_ones() {
+    // From its first request on a connection the worker reads nothing more on it, not even its end.
     let (go, wait) = channel::<()>();
     let wait = Arc::new(Mutex::new(wait));
     let script = move |_: usize, exec: &Exec| {
         if exec.id.starts_with("00000000000001") {
-            let _ = wait.lock().expect("sound").recv();
+            let _ = wait.lock().expect("lock not poisoned").recv();
         }
         exec.serve()
     };
     let mut harness = Harness::new(Limits { sockets: 30, connect_ms: 10, ..Limits::default() }, 1, script);
-    warm(&mut harness);
-    // Four links of ten descriptors that are not the scheduler's own, see `Budget`.
+    load_copies(&mut harness);
+    // Four links from the ten descriptors that the scheduler does not reserve for itself, see `Budget`.
     let (links, to) = (4, harness.workers[0].address().port());
     let mut client = harness.client();
-    let mut most = Vec::new();
+    let mut max_held = Vec::new();
     for round in 0..6 {
         let calls: Vec<_> =
-            (0..4).map(|n| Call { timeout_ms: 60, ..big(256 + 4 * round + n, "view") }).collect();
+            (0..4).map(|n| Call { timeout_ms: 60, ..large_call(256 + 4 * round + n, "view") }).collect();
         let asked: Vec<_> = calls.iter().map(|call| harness.submit(&mut client, call)).collect();
         read_all(&harness, &mut client, &asked);
-        let held = held(to);
-        most = if held.len() > most.len() { held } else { most };
+        let held = held_ends(to);
+        max_held = if held.len() > max_held.len() { held } else { max_held };
     }
     drop(go);
-    assert!((1..=links).contains(&most.len()), "{most:?}");
+    assert!((1..=links).contains(&max_held.len()), "{max_held:?}");
 }
 
 #[test]
-fn an_answer_of_a_worker_that_has_gone_comes_through_while_another_stands_at_its_address() {
+fn an_answer_of_a_removed_worker_arrives_after_another_took_over_its_address() {
     let (go, wait) = channel::<()>();
     let wait = Arc::new(Mutex::new(wait));
     let script = move |_: usize, exec: &Exec| {
         if exec.body == b"held" {
-            let _ = wait.lock().expect("sound").recv();
+            let _ = wait.lock().expect("lock not poisoned").recv();
         }
         exec.serve()
     };
@@ -213,51 +214,51 @@
     let next = call(3, "extract");
     assert_eq!(harness.call(&next), served(&next));
     assert_ne!(port_of(&harness, &next.id), old);
-    go.send(()).expect("it waits");
+    go.send(()).expect("receiver alive");
     assert_eq!(harness.read(&mut client, &[&open]), Some((open.seqid, served(&held))));
 }
 
 const CONNECTING: usize = 2;
 
 #[test]
-fn a_connection_that_never_comes_up_is_left_after_the_told_time() {
+fn a_connection_attempt_is_abandoned_after_the_connect_timeout() {
     let limits = Limits { connect_ms: 300, ..Limits::default() };
     let mut harness = Harness::new(limits, 1, |_, exec| exec.serve());
     let to = harness.workers[0].address().port();
-    let connecting = || held(to).iter().any(|s| s.state == CONNECTING);
+    let connecting = || held_ends(to).iter().any(|s| s.state == CONNECTING);
     let warm = call(1, "view");
     assert_eq!(harness.call(&warm), served(&warm));
-    harness.workers[0].plug().expect("plugged");
+    harness.workers[0].plug().expect("accept queue blocked");
     harness.workers[0].reset_all();
-    quiet(&harness);
+    wait_until_processed(&harness);
     let mut client = harness.client();
     let asked = harness.submit(&mut client, &Call { timeout_ms: 1_500, ..call(2, "extract") });
-    until(connecting);
-    // It never ran, and says so.
-    let told = harness.read(&mut client, &[&asked]).expect("an answer").1;
-    assert!(matches!(told, FrontReply::Rejected(_)), "{told:?}");
-    // The system itself would go on for minutes.
-    until(|| !connecting());
+    wait_until(connecting);
+    // It never ran, and the reply says so.
+    let reply = harness.read(&mut client, &[&asked]).expect("a reply before the connection closes").1;
+    assert!(matches!(reply, FrontReply::Rejected(_)), "{reply:?}");
+    // The kernel itself would keep trying for minutes.
+    wait_until(|| !connecting());
     assert_eq!(harness.check_rules(), []);
 }
 
-/// Set in a process of this test's own: the limit on descriptors is that of a process.
-const ALONE: &str = "BASALTWARD_TEST_ALONE";
+/// Set in a child process that runs this test alone: the descriptor limit applies to a whole process.
+const RUN_ALONE: &str = "BASALTWARD_TEST_ALONE";
 
-/// No descriptor can be had from now on.
-fn fill_descriptors() {
-    let lowest = std::fs::File::open("/dev/null").expect("one more").as_raw_fd();
+/// Makes every further allocation of a descriptor fail.
+fn exhaust_descriptors() {
+    let lowest = std::fs::File::open("/dev/null").expect("a descriptor is available").as_raw_fd();
     let limit = Rlimit { current: Some(lowest as u64), ..getrlimit(Resource::Nofile) };
-    setrlimit(Resource::Nofile, limit).expect("a lower limit");
+    setrlimit(Resource::Nofile, limit).expect("limit lowered");
 }
 
 #[test]
-fn a_request_shares_a_connection_where_no_descriptor_can_be_had() {
-    if std::env::var_os(ALONE).is_none() {
-        let name = "connection_races::a_request_shares_a_connection_where_no_descriptor_can_be_had";
-        let this = std::env::current_exe().expect("this test");
-        let run = Command::new(this).args(["--exact", name, "--nocapture"]).env(ALONE, "1").output();
-        let run = run.expect("it runs");
+fn a_request_shares_a_connection_when_no_descriptor_is_available() {
+    if std::env::var_os(RUN_ALONE).is_none() {
+        let name = "connection_races::a_request_shares_a_connection_when_no_descriptor_is_available";
+        let this = std::env::current_exe().expect("path of the test binary");
+        let run = Command::new(this).args(["--exact", name, "--nocapture"]).env(RUN_ALONE, "1").output();
+        let run = run.expect("child process runs");
         assert!(run.status.success(), "{}", String::from_utf8_lossy(&run.stderr));
         return;
     }
@@ -269,8 +270,8 @@
     let held = Call { body: b"held".to_vec(), timeout_ms: 8_000, ..call(2, "view") };
     let open = harness.submit(&mut client, &held);
     harness.wait_for(|what| matches!(what, What::Ran { event, .. } if *event == held.id));
-    fill_descriptors();
-    // Others than those in hand: what went wrong here must not be held against their worker either.
+    exhaust_descriptors();
+    // New calls, beside those in flight: the failure on this machine must not be held against their worker either.
     for number in 3..9 {
         let one = call(number, "extract");
         let asked = harness.submit(&mut client, &one);
--- a/crates/node/tests/sockets/fragmentation.rs
+++ b/crates/node/tests/sockets/fragmentation.rs
@@ -1,4 +1,4 @@
-//! Requests and answers that come byte by byte, or in pieces whose borders lie anywhere.
+//! Requests and answers that arrive byte by byte, or in segments with arbitrary boundaries.
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 const MS: Micros = 1_000;
-/// A loaded machine may take so long for a call that waits for nothing.
+/// The time that a loaded machine may need for a call that waits for nothing.
 const IN_TIME: Micros = 2_000 * MS;
-/// Numbers of calls from here on have as many digits, and their requests as many bytes.
-const FIRST: u64 = 1_000;
-/// Between two bytes: each finds the scheduler in another turn.
-const BYTE: Duration = Duration::from_micros(300);
+/// Call numbers from here on have the same number of digits, so that their requests have the same length.
+const FIRST_NUMBER: u64 = 1_000;
+/// Pause between two bytes, so that each arrives in another turn of the scheduler.
+const BYTE_INTERVAL: Duration = Duration::from_micros(300);
 
 /// The bytes of a request.
 fn frame(seqid: i32, call: &Call) -> Vec<u8> {
@@ -24,26 +24,26 @@
     out.to_vec()
 }
 
-fn turned(call: &Call) -> FrontReply {
+fn reversed(call: &Call) -> FrontReply {
     FrontReply::Served(call.body.iter().rev().copied().collect())
 }
 
-/// Has the scheduler read all that was written before this.
-fn is_read(marker: &mut FrontClient) {
-    let asked = marker.heartbeat().expect("sent");
-    assert_eq!(marker.read().expect("told").map(|(seqid, _)| seqid), Some(asked));
+/// Waits until the scheduler has read everything written before this call.
+fn wait_until_read(marker: &mut FrontClient) {
+    let asked = marker.heartbeat().expect("bytes sent");
+    assert_eq!(marker.read().expect("reply read").map(|(seqid, _)| seqid), Some(asked));
 }
 
-/// Reads one answer, which has to be this.
-fn is_told(client: &mut FrontClient, seqid: i32, call: &Call, what: &str) {
-    assert_eq!(client.read().expect("told"), Some((seqid, turned(call))), "{what}");
+/// Reads one reply, which must be the one to this call.
+fn expect_reply(client: &mut FrontClient, seqid: i32, call: &Call, what: &str) {
+    assert_eq!(client.read().expect("reply read"), Some((seqid, reversed(call))), "{what}");
 }
 
 /// Writes these bytes one by one.
-fn one_by_one(client: &mut FrontClient, bytes: &[u8]) {
+fn send_byte_by_byte(client: &mut FrontClient, bytes: &[u8]) {
     for byte in bytes {
-        client.raw(&[*byte]).expect("sent");
-        std::thread::sleep(BYTE);
+        client.raw(&[*byte]).expect("bytes sent");
+        std::thread::sleep(BYTE_INTERVAL);
     }
 }
 
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn requests_that_come_byte_by_byte_are_answered_whole_and_in_time() {
+fn requests_received_byte_by_byte_are_answered_complete_and_in_time() {
     let harness = Harness::new(Limits::default(), 2, serve);
     let mut clients: Vec<_> = (0..8).map(|_| harness.client()).collect();
     let threads: Vec<_> = clients
@@ -62,93 +62,98 @@
             std::thread::spawn(move || {
                 for seqid in 1..=3 {
                     let one = call(number as u64 * 100 + seqid as u64, ["view", "extract"][number % 2]);
-                    one_by_one(&mut client, &frame(seqid, &one));
+                    send_byte_by_byte(&mut client, &frame(seqid, &one));
                     let sent = monotonic();
-                    is_told(&mut client, seqid, &one, "byte by byte");
+                    expect_reply(&mut client, seqid, &one, "byte by byte");
                     assert!(monotonic() - sent < IN_TIME, "{} us after its last byte", monotonic() - sent);
                 }
             })
         })
         .collect();
-    threads.into_iter().for_each(|thread| thread.join().expect("answered"));
-    // A request is withdrawn byte by byte as well.
-    let hold = Harness::new(
+    threads.into_iter().for_each(|thread| thread.join().expect("client thread ended"));
+    // A revoke may arrive byte by byte as well.
+    let holding = Harness::new(
         Limits::default(),
         1,
         |_, exec: &Exec| if exec.nth == 0 { vec![] } else { exec.serve() },
     );
-    let mut client = hold.client();
+    let mut client = holding.client();
     let (first, second) = (call(1, "extract"), call(2, "extract"));
-    client.raw(&frame(1, &first)).expect("sent");
-    hold.wait_for(|what| matches!(what, What::Arrived { .. }));
+    client.raw(&frame(1, &first)).expect("bytes sent");
+    holding.wait_for(|what| matches!(what, What::Arrived { .. }));
     let mut revoke = BytesMut::new();
     write::revoke(&mut revoke, 2, 1);
-    one_by_one(&mut client, &revoke);
-    client.raw(&frame(3, &second)).expect("sent");
-    is_told(&mut client, 3, &second, "behind a revoke byte by byte");
+    send_byte_by_byte(&mut client, &revoke);
+    client.raw(&frame(3, &second)).expect("bytes sent");
+    expect_reply(&mut client, 3, &second, "after a revoke sent byte by byte");
     let dropped = format!("drop {}", first.id);
-    assert!(hold.workers[0].lines().contains(&dropped), "{:?}", hold.workers[0].lines());
+    assert!(holding.workers[0].lines().contains(&dropped), "{:?}", holding.workers[0].lines());
 }
 
 #[test]
-fn a_request_may_be_split_at_every_byte() {
+fn a_request_may_be_split_at_any_byte() {
     let harness = Harness::new(Limits::default(), 2, serve);
     let (mut marker, mut client) = (harness.client(), harness.client());
-    let length = frame(1, &call(FIRST, "view")).len();
+    let length = frame(1, &call(FIRST_NUMBER, "view")).len();
     for at in 1..length {
-        let (seqid, one) = (at as i32, call(FIRST + at as u64, "view"));
+        let (seqid, one) = (at as i32, call(FIRST_NUMBER + at as u64, "view"));
         let bytes = frame(seqid, &one);
-        client.raw(&bytes[..at]).expect("sent");
-        is_read(&mut marker);
-        client.raw(&bytes[at..]).expect("sent");
-        is_told(&mut client, seqid, &one, &format!("split behind byte {at}"));
+        client.raw(&bytes[..at]).expect("bytes sent");
+        wait_until_read(&mut marker);
+        client.raw(&bytes[at..]).expect("bytes sent");
+        expect_reply(&mut client, seqid, &one, &format!("split after byte {at}"));
     }
 }
 
 #[test]
-fn whole_requests_in_front_of_a_part_are_answered_before_its_rest_comes() {
+fn complete_requests_are_answered_before_the_rest_of_a_partial_one_arrives() {
     let harness = Harness::new(Limits::default(), 2, serve);
     let (mut marker, mut client) = (harness.client(), harness.client());
-    let length = frame(1, &call(FIRST, "view")).len();
+    let length = frame(1, &call(FIRST_NUMBER, "view")).len();
     let mut seqid = 0;
     for at in (1..length).step_by(7) {
         let mut open = HashMap::new();
         let mut bytes = Vec::new();
         for _ in 0..4 {
             seqid += 1;
-            let one = call(FIRST + seqid as u64, "view");
+            let one = call(FIRST_NUMBER + seqid as u64, "view");
             bytes.extend(frame(seqid, &one));
-            open.insert(seqid, turned(&one));
+            open.insert(seqid, reversed(&one));
         }
         let (last, rest) = (open.remove(&seqid).expect("the last one"), bytes.split_off(3 * length + at));
-        client.raw(&bytes).expect("sent");
+        client.raw(&bytes).expect("bytes sent");
         for _ in 0..3 {
-            let (seqid, reply) = client.read().expect("told").expect("an answer");
-            assert_eq!(open.remove(&seqid), Some(reply), "in front of {at} bytes");
+            let (seqid, reply) =
+                client.read().expect("reply read").expect("a reply before the connection closes");
+            assert_eq!(open.remove(&seqid), Some(reply), "followed by {at} bytes");
         }
-        is_read(&mut marker);
-        client.raw(&rest).expect("sent");
-        assert_eq!(client.read().expect("told"), Some((seqid, last)), "its first {at} bytes came before");
+        wait_until_read(&mut marker);
+        client.raw(&rest).expect("bytes sent");
+        assert_eq!(
+            client.read().expect("reply read"),
+            Some((seqid, last)),
+            "its first {at} bytes arrived before"
+        );
     }
 }
 
 #[test]
-fn who_always_sends_a_part_behind_a_whole_request_is_served_for_as_long_as_it_likes() {
+fn a_client_that_always_has_a_partial_request_pending_is_not_timed_out() {
     let harness = Harness::new(Limits::default(), 2, serve);
     let mut client = harness.client();
-    // Longer than the scheduler's patience with one half request, which is 2.4 s.
+    // Longer than the scheduler waits for the rest of a partial request, which is 2.4 s.
     let until = monotonic() + 3_500 * MS;
-    let one = |seqid: i32| call(FIRST + seqid as u64, "view");
+    let one = |seqid: i32| call(FIRST_NUMBER + seqid as u64, "view");
     let half = frame(1, &one(1)).len() / 2;
-    client.raw(&frame(1, &one(1))[..half]).expect("sent");
+    client.raw(&frame(1, &one(1))[..half]).expect("bytes sent");
     for seqid in 1.. {
         let (this, ends) = (one(seqid), monotonic() > until);
         let mut bytes = frame(seqid, &this)[half..].to_vec();
         if !ends {
             bytes.extend(&frame(seqid + 1, &one(seqid + 1))[..half]);
         }
-        client.raw(&bytes).expect("sent");
-        is_told(&mut client, seqid, &this, "a part stands behind it");
+        client.raw(&bytes).expect("bytes sent");
+        expect_reply(&mut client, seqid, &this, "a partial request follows");
         if ends {
             return;
         }
@@ -157,10 +162,10 @@
 }
 
 #[test]
-fn answers_that_come_byte_by_byte_are_passed_on_whole_and_in_time() {
+fn answers_received_byte_by_byte_are_forwarded_complete_and_in_time() {
     let slow = |_: usize, exec: &Exec| {
         let bytes = answer(&exec.id, "OK", "detail=up", &exec.turned());
-        let each = bytes.into_iter().flat_map(|byte| [Act::Write(vec![byte]), Act::Wait(BYTE)]);
+        let each = bytes.into_iter().flat_map(|byte| [Act::Write(vec![byte]), Act::Wait(BYTE_INTERVAL)]);
         std::iter::once(Act::Run).chain(each).collect()
     };
     let mut harness = Harness::new(Limits::default(), 2, slow);
@@ -170,9 +175,9 @@
             (0..8).map(|n| call(wave * 100 + n, ["view", "extract"][n as usize % 2])).collect();
         let sent = monotonic();
         let asked: Vec<_> = calls.iter().map(|one| harness.submit(&mut client, one)).collect();
-        let told = read_all(&harness, &mut client, &asked);
+        let replies = read_all(&harness, &mut client, &asked);
         for (asked, one) in asked.iter().zip(&calls) {
-            assert_eq!(told.get(&asked.seqid), Some(&turned(one)));
+            assert_eq!(replies.get(&asked.seqid), Some(&reversed(one)));
         }
         assert!(monotonic() - sent < IN_TIME, "{} us", monotonic() - sent);
     }
@@ -180,8 +185,8 @@
 }
 
 #[test]
-fn an_answer_may_be_split_at_every_byte_and_one_in_front_of_a_part_is_passed_on() {
-    // So many others in the list that there is one connection to each worker: both calls are on it.
+fn an_answer_may_be_split_at_any_byte_and_a_complete_one_before_it_is_forwarded() {
+    // With so many others in the list there is one connection to each worker, which carries both calls.
     let others: Vec<_> = (100..200)
         .map(|n| bulletin_entry(&format!("s-{n}"), ([127, 0, 0, 1], 9).into(), "Terminating"))
         .collect();
@@ -193,26 +198,26 @@
         let body: Vec<_> = one.body.iter().rev().copied().collect();
         answer(&one.id, "OK", fields, &body)
     };
-    let length = served(&call(FIRST, "view"), "detail=up").len();
+    let length = served(&call(FIRST_NUMBER, "view"), "detail=up").len();
     for at in 1..length {
         let seqids = [2 * at as i32 - 1, 2 * at as i32];
-        let calls = seqids.map(|seqid| call(FIRST + seqid as u64, "view"));
-        calls.iter().zip(seqids).for_each(|(one, seqid)| client.raw(&frame(seqid, one)).expect("sent"));
-        let ports = calls.each_ref().map(|one| port(&harness, one));
+        let calls = seqids.map(|seqid| call(FIRST_NUMBER + seqid as u64, "view"));
+        calls.iter().zip(seqids).for_each(|(one, seqid)| client.raw(&frame(seqid, one)).expect("bytes sent"));
+        let ports = calls.each_ref().map(|one| source_port(&harness, one));
         assert_eq!(ports[0], ports[1]);
-        // The first one's answer whole, and behind it a part of the second one's, whose line is longer: the next line
-        // may end before this one had been searched to.
+        // The complete answer to the first call, followed by a part of the answer to the second, whose line is
+        // longer: the end of the next line may come before the offset up to which this line had been searched.
         let (whole, bytes) = (served(&calls[0], "-"), served(&calls[1], "detail=up"));
-        harness.workers[0].say(ports[0], &[&whole[..], &bytes[..at]].concat()).expect("it stands");
-        is_told(&mut client, seqids[0], &calls[0], &format!("in front of {at} bytes"));
-        is_read(&mut marker);
-        harness.workers[0].say(ports[1], &bytes[at..]).expect("it stands");
-        is_told(&mut client, seqids[1], &calls[1], &format!("split behind byte {at}"));
+        harness.workers[0].say(ports[0], &[&whole[..], &bytes[..at]].concat()).expect("connection open");
+        expect_reply(&mut client, seqids[0], &calls[0], &format!("followed by {at} bytes"));
+        wait_until_read(&mut marker);
+        harness.workers[0].say(ports[1], &bytes[at..]).expect("connection open");
+        expect_reply(&mut client, seqids[1], &calls[1], &format!("split after byte {at}"));
     }
 }
 
-/// From which port a call came to its worker.
-fn port(harness: &Harness, one: &Call) -> u16 {
+/// The source port of a call at its worker.
+fn source_port(harness: &Harness, one: &Call) -> u16 {
     let mut port = None;
     let came = harness.recorder.wait(TEST_TIMEOUT, |all| {
         port = all.iter().rev().find_map(|record| match &record.what {
@@ -223,6 +228,6 @@
         });
         port.is_some()
     });
-    assert!(came, "{} never came", one.id);
-    port.expect("a port")
+    assert!(came, "call {} never reached a worker", one.id);
+    port.expect("port known")
 }
--- a/crates/node/tests/sockets/limits.rs
+++ b/crates/node/tests/sockets/limits.rs
@@ -1,4 +1,5 @@
-//! What the pages allow, at its limits: bodies of all sizes and bytes, little time left, many open requests.
+//! Requests at the limits of the protocol: bodies of all sizes and contents, almost no time left, as many open
+//! requests as allowed.
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
@@ -10,35 +11,36 @@
 use std::time::Duration;
 
 const MS: Micros = 1_000;
-/// Most bytes of a body.
-const BODY: usize = 16 << 10;
-/// Most requests open on one connection.
-const OPEN: usize = 32;
+/// Maximum size of a body in bytes.
+const MAX_BODY: usize = 16 << 10;
+/// Maximum number of open requests on one connection.
+const MAX_OPEN: usize = 32;
 
 fn served(call: &Call) -> FrontReply {
     FrontReply::Served(call.body.iter().rev().copied().collect())
 }
 
 #[test]
-fn any_bytes_up_to_the_largest_body_are_passed_on_both_ways() {
+fn arbitrary_bodies_up_to_the_size_limit_pass_unchanged_in_both_directions() {
     let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
-    let words: &[u8] =
+    let protocol_lines: &[u8] =
         b"0000000000000001 OK - 4\r\nbody\r\nexec 2 - 0\r\n\r\ndrop 2\r\nensure t path=1,slots_up=1\r\n";
-    let mut bodies = vec![Vec::new(), vec![0; 1], b"\r\n".to_vec(), words.to_vec(), vec![b'\n'; BODY]];
-    bodies.push((0..BODY).map(|at| at as u8).collect());
+    let mut bodies =
+        vec![Vec::new(), vec![0; 1], b"\r\n".to_vec(), protocol_lines.to_vec(), vec![b'\n'; MAX_BODY]];
+    bodies.push((0..MAX_BODY).map(|at| at as u8).collect());
     for (number, body) in bodies.into_iter().enumerate() {
         let one = Call { body, ..call(number as u64 + 1, "extract") };
-        let told = harness.call(&one);
-        assert!(told == served(&one), "{number}: {told:.80?}");
+        let reply = harness.call(&one);
+        assert!(reply == served(&one), "{number}: {reply:.80?}");
     }
-    let over = Call { body: vec![b'x'; BODY + 1], ..call(50, "view") };
+    let over = Call { body: vec![b'x'; MAX_BODY + 1], ..call(50, "view") };
     assert_eq!(harness.call(&over), FrontReply::Rejected(None));
     assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
-fn requests_with_hardly_any_time_left_have_an_answer_each_and_keep_their_connection() {
-    // What has no time left is dropped by its worker without a word.
+fn requests_with_almost_no_time_left_are_answered_and_keep_their_connection() {
+    // A worker silently drops a request whose time has run out.
     let silent = |_: usize, exec: &Exec| if exec.id.starts_with('f') { Vec::new() } else { exec.serve() };
     let mut harness = Harness::new(Limits::default(), 1, silent);
     wait_until_served(&mut harness);
@@ -48,73 +50,73 @@
         let one = Call { timeout_ms, id: format!("f{number:015x}"), ..call(0, "extract") };
         let began = monotonic();
         let seqid = send(&mut client, &one);
-        let (of, told) = client.read().expect("a reply").expect("its connection stands");
-        assert_eq!(of, seqid);
-        assert!(matches!(told, FrontReply::Rejected(_) | FrontReply::Crashed), "{timeout_ms} ms: {told:?}");
+        let (answered, reply) = client.read().expect("reply read").expect("connection open");
+        assert_eq!(answered, seqid);
+        assert!(matches!(reply, FrontReply::Rejected(_) | FrontReply::Crashed), "{timeout_ms} ms: {reply:?}");
         let took = monotonic() - began;
         assert!(took < 500 * MS, "{timeout_ms} ms left, answered after {took} us");
     }
-    // Their worker is none the worse for it.
+    // The worker still serves as usual.
     let one = call(99, "view");
     let asked = harness.submit(&mut client, &one);
-    assert_eq!(harness.read(&mut client, &[&asked]).map(|(_, told)| told), Some(served(&one)));
+    assert_eq!(harness.read(&mut client, &[&asked]).map(|(_, reply)| reply), Some(served(&one)));
     harness.control.stop();
 }
 
 #[test]
-fn with_all_open_a_revoke_and_the_next_request_may_come_in_one_piece() {
-    let held = |_: usize, exec: &Exec| if exec.id.starts_with('f') { Vec::new() } else { exec.serve() };
-    let mut harness = Harness::new(Limits::default(), 1, held);
+fn at_the_open_request_limit_a_revoke_and_a_new_request_may_arrive_in_one_segment() {
+    let unanswered = |_: usize, exec: &Exec| if exec.id.starts_with('f') { Vec::new() } else { exec.serve() };
+    let mut harness = Harness::new(Limits::default(), 1, unanswered);
     wait_until_served(&mut harness);
     let mut client = harness.client();
     let open = |number: u64| Call { id: format!("f{number:015x}"), ..call(0, "view") };
-    let asked: Vec<_> = (0..OPEN as u64).map(|number| send(&mut client, &open(number))).collect();
-    for number in 0..OPEN as u64 {
+    let asked: Vec<_> = (0..MAX_OPEN as u64).map(|number| send(&mut client, &open(number))).collect();
+    for number in 0..MAX_OPEN as u64 {
         harness.wait_for(|what| matches!(what, What::Taken { event } if *event == open(number).id));
     }
     let next = Call { function: "00000000000000f0".into(), ..call(77, "view") };
     let timeout = next.timeout_ms.to_string();
     let mut bytes = BytesMut::new();
-    write::revoke(&mut bytes, OPEN as i32 + 1, asked[5]);
-    write::submit(&mut bytes, OPEN as i32 + 2, &fields(&next, &timeout), &next.body);
-    client.stream().write_all(&bytes).expect("sent");
-    // Some of those open may be turned away meanwhile.
+    write::revoke(&mut bytes, MAX_OPEN as i32 + 1, asked[5]);
+    write::submit(&mut bytes, MAX_OPEN as i32 + 2, &fields(&next, &timeout), &next.body);
+    client.stream().write_all(&bytes).expect("bytes sent");
+    // Some of the open requests may be rejected meanwhile.
     loop {
-        let (of, told) = client.read().expect("a reply").expect("its connection stands");
-        if of == OPEN as i32 + 2 {
-            break assert_eq!(told, served(&next));
+        let (answered, reply) = client.read().expect("reply read").expect("connection open");
+        if answered == MAX_OPEN as i32 + 2 {
+            break assert_eq!(reply, served(&next));
         }
-        assert!(told != FrontReply::Exception && of <= OPEN as i32, "{of}: {told:?}");
+        assert!(reply != FrontReply::Exception && answered <= MAX_OPEN as i32, "{answered}: {reply:?}");
     }
     harness.control.stop();
 }
 
-/// A request whose last byte comes 50 ms after its first, on a connection that was opened `before`.
+/// Sends a request whose last byte arrives 50 ms after its first, on a connection opened `before` earlier.
 fn in_two_pieces(harness: &mut Harness, before: Duration) -> Option<FrontReply> {
     let mut client = FrontClient::connect(harness.address, TEST_TIMEOUT).expect("connected");
     std::thread::sleep(before);
     let one = call(monotonic(), "view");
     let timeout = one.timeout_ms.to_string();
-    let (_, rest) = client.half(&fields(&one, &timeout), &one.body).expect("sent");
+    let (_, rest) = client.half(&fields(&one, &timeout), &one.body).expect("bytes sent");
     std::thread::sleep(Duration::from_millis(50));
-    client.raw(&rest).expect("sent");
-    client.read().expect("a reply").map(|(_, told)| told)
+    client.raw(&rest).expect("bytes sent");
+    client.read().expect("reply read").map(|(_, reply)| reply)
 }
 
 #[test]
-fn no_connection_is_closed_under_a_request_that_has_begun_to_come() {
+fn a_connection_is_not_closed_while_a_request_is_partially_received() {
     let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
     wait_until_served(&mut harness);
-    // A connection that asks nothing for 2.4 s is closed.
+    // A connection without a request for 2.4 s is closed.
     for before in [2_360, 2_375, 2_390] {
-        let told = in_two_pieces(&mut harness, Duration::from_millis(before));
-        assert!(matches!(told, Some(FrontReply::Served(_))), "opened {before} ms before: {told:?}");
+        let reply = in_two_pieces(&mut harness, Duration::from_millis(before));
+        assert!(matches!(reply, Some(FrontReply::Served(_))), "opened {before} ms before: {reply:?}");
     }
     harness.control.stop();
 }
 
 #[test]
-fn a_worker_is_told_no_more_time_than_its_client_has() {
+fn the_budget_sent_to_a_worker_never_exceeds_the_client_timeout() {
     let slow = |_: usize, exec: &Exec| [vec![Act::Wait(Duration::from_millis(5))], exec.serve()].concat();
     let mut harness = Harness::new(Limits::default(), 1, slow);
     wait_until_served(&mut harness);
@@ -122,7 +124,7 @@
     for (number, timeout_ms) in [(1, 60), (2, 250), (3, 1_000), (4, 4_000)] {
         let one = Call { timeout_ms, ..call(number, "view") };
         let asked = harness.submit(&mut client, &one);
-        harness.read(&mut client, &[&asked]).expect("an answer");
+        harness.read(&mut client, &[&asked]).expect("a reply before the connection closes");
         let of = format!("exec {}", one.id);
         let lines = harness.workers[0].lines();
         for line in lines.iter().filter(|line| line.starts_with(&of)) {
--- a/crates/node/tests/sockets/local_connect_errors.rs
+++ b/crates/node/tests/sockets/local_connect_errors.rs
@@ -1,25 +1,26 @@
-//! System calls of the scheduler's own machine that fail for a moment are no fault of a worker, and cost no call.
+//! System calls that fail briefly on the scheduler's own machine are not held against a worker and fail no call.
 
 use crate::common::*;
 use basaltward_net::{Errno, Micros, SystemCall, monotonic};
 use basaltward_rules::What;
 use basaltward_standins::{Exec, FrontReply};
 
-/// What the failures may cost a call, on a loaded machine too: before long a worker would be taken for gone.
-const MOMENT: Micros = 500_000;
+/// Upper bound on the delay that the failures add to a call, also on a loaded machine: soon after it a worker would
+/// be considered gone.
+const MAX_DELAY: Micros = 500_000;
 
 #[test]
-fn connections_that_this_machine_refuses_for_a_moment_cost_no_call_and_no_worker() {
+fn transient_local_connect_errors_fail_no_call_and_exclude_no_worker() {
     for error in [Errno::ADDRNOTAVAIL, Errno::NETUNREACH, Errno::INTR, Errno::AGAIN] {
         let plant = |node: &mut basaltward_node::Node| node.plant_failures(SystemCall::Connect, error, 12);
         let mut harness = Harness::with_failures(Limits::default(), 1, plant, |_, exec: &Exec| exec.serve());
         for (number, class) in [(1, "extract"), (2, "view")] {
             let one = call(number, class);
             let began = monotonic();
-            let told = harness.call(&one);
-            assert!(matches!(told, FrontReply::Served(_)), "{error:?}: {told:?}");
+            let reply = harness.call(&one);
+            assert!(matches!(reply, FrontReply::Served(_)), "{error:?}: {reply:?}");
             let took = monotonic() - began;
-            assert!(took < MOMENT, "{error:?}: served after {took} us");
+            assert!(took < MAX_DELAY, "{error:?}: served after {took} us");
         }
         let records = harness.finish();
         let failed = records.iter().filter(|r| matches!(&r.what, What::Ended { code, .. } if code != "Ok"));
--- a/crates/node/tests/sockets/readiness.rs
+++ b/crates/node/tests/sockets/readiness.rs
@@ -1,5 +1,5 @@
-//! A scheduler that says it is ready serves: after its start, whatever state discovery is in, and after a new
-//! configuration. After a stall: in the program's own tests.
+//! A scheduler that reports readiness serves calls: after its start, whatever the state of discovery, and after a
+//! reload. Readiness after a stall is covered by the program's own tests.
 
 use crate::common::*;
 use basaltward_rules::check;
@@ -7,79 +7,80 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// What the front waits for before it takes a scheduler in.
+/// Queries the readiness check that a front uses before it sends traffic to a scheduler.
 fn is_ready(client: &mut FrontClient) -> bool {
-    client.is_ready().expect("told").expect("it stands")
+    client.is_ready().expect("reply read").expect("connection open")
 }
 
-fn ready_in_time(client: &mut FrontClient) {
+fn wait_until_ready(client: &mut FrontClient) {
     let until = Instant::now() + TEST_TIMEOUT;
     while !is_ready(client) {
-        assert!(Instant::now() < until, "never ready");
-        // A front asks again after a while.
+        assert!(Instant::now() < until, "the scheduler never became ready");
+        // A front repeats the check after a pause.
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// It has said that it is ready: the very next call is served, on a connection of its own.
+/// After a positive check the very next call is served, on its own connection.
 fn serves_at_once(harness: &mut Harness, number: u64, when: &str) {
     let reply = harness.call(&call(number, ["view", "extract"][number as usize % 2]));
     assert!(matches!(reply, FrontReply::Served(_)), "{when}: {reply:?}");
 }
 
-/// Nobody listens there.
-fn closed() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
+/// An address without a listener.
+fn unused_address() -> SocketAddr {
+    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("port known")
 }
 
-/// What the bulletin tells of the workers, none of which the configuration knows.
-type Tell = fn(&Board, &str);
+/// How the bulletin announces the workers, none of which is in the configuration.
+type Announce = fn(&Board, &str);
 
 #[test]
-fn one_that_knows_no_worker_is_not_ready_until_it_is_told_of_one_that_takes_calls() {
-    let tells: [(&str, Tell); 2] = [
-        ("a change", |board, entry| board.tell(entry)),
-        ("the whole list", |board, entry| board.tell_whole(entry)),
+fn a_scheduler_without_workers_is_not_ready_until_one_that_takes_calls_is_listed() {
+    let variants: [(&str, Announce); 2] = [
+        ("an update", |board, entry| board.tell(entry)),
+        ("a full list", |board, entry| board.tell_whole(entry)),
     ];
-    for (what, tell) in tells {
-        let nobody = |text: String| {
+    for (what, announce) in variants {
+        let without_workers = |text: String| {
             let (head, tail) = text.split_once("\"targets\":[").expect("a list");
             let (_, tail) = tail.split_once("]}}]}").expect("its end");
             format!("{head}\"targets\":[]}}}}]}}{tail}")
         };
-        let mut harness = Harness::with_config(Limits::default(), 1, nobody, |_, exec| exec.serve());
+        let mut harness = Harness::with_config(Limits::default(), 1, without_workers, |_, exec| exec.serve());
         let mut front = harness.client();
         let until = Instant::now() + Duration::from_millis(200);
         while Instant::now() < until {
-            assert!(!is_ready(&mut front), "{what}: it can serve nobody");
+            assert!(!is_ready(&mut front), "{what}: ready without a worker");
             std::thread::sleep(Duration::from_millis(5));
         }
-        // One that drains takes no calls.
+        // A draining worker takes no calls.
         let at = harness.workers[0].address();
-        harness.board.tell(&bulletin_entry("s-9", closed(), "Terminating"));
+        harness.board.tell(&bulletin_entry("s-9", unused_address(), "Terminating"));
         harness
             .wait_for(|what| matches!(what, basaltward_rules::What::Told { worker, .. } if worker == "s-9"));
-        assert!(!is_ready(&mut front), "{what}: it can serve nobody yet");
-        tell(&harness.board, &bulletin_entry("s-0", at, "Ready"));
-        ready_in_time(&mut front);
+        assert!(!is_ready(&mut front), "{what}: ready although the only worker drains");
+        announce(&harness.board, &bulletin_entry("s-0", at, "Ready"));
+        wait_until_ready(&mut front);
         serves_at_once(&mut harness, 1, what);
         assert_eq!(harness.check_rules(), []);
     }
 }
 
 #[test]
-fn one_that_is_ready_while_discovery_is_down_or_a_worker_has_gone_serves() {
-    let mute = TcpListener::bind("127.0.0.1:0").expect("a port");
-    for bulletin in [closed(), mute.local_addr().expect("an address")] {
-        let down = |text: String| {
-            let (head, tail) = text.split_once("\"bulletin\":\"").expect("an address");
+fn a_ready_scheduler_serves_while_discovery_is_down_or_a_worker_is_gone() {
+    let unanswering = TcpListener::bind("127.0.0.1:0").expect("port known");
+    for bulletin in [unused_address(), unanswering.local_addr().expect("address known")] {
+        let with_bulletin_down = |text: String| {
+            let (head, tail) = text.split_once("\"bulletin\":\"").expect("address known");
             let (_, tail) = tail.split_once('"').expect("its end");
-            // One of the workers that it knows has gone.
-            let known = format!("\"targets\":[{},", bulletin_entry("s-9", closed(), "Ready"));
+            // One of the configured workers is gone.
+            let known = format!("\"targets\":[{},", bulletin_entry("s-9", unused_address(), "Ready"));
             format!("{head}\"bulletin\":\"{bulletin}\"{tail}").replace("\"targets\":[", &known)
         };
-        let mut harness = Harness::with_config(Limits::default(), 1, down, |_, exec| exec.serve());
-        ready_in_time(&mut harness.client());
+        let mut harness =
+            Harness::with_config(Limits::default(), 1, with_bulletin_down, |_, exec| exec.serve());
+        wait_until_ready(&mut harness.client());
         for number in 1..5 {
             serves_at_once(&mut harness, number, "discovery is down");
         }
@@ -88,21 +89,22 @@
 }
 
 #[test]
-fn one_that_is_ready_after_a_new_configuration_serves() {
+fn a_ready_scheduler_serves_after_a_reload() {
     let mut harness = Harness::new(Limits::default(), 2, |_, exec| exec.serve());
     let mut front = harness.client();
-    ready_in_time(&mut front);
+    wait_until_ready(&mut front);
     let (there, first) =
-        (Board::start(2).expect("a bulletin"), std::fs::read_to_string(&harness.config).expect("read"));
+        (Board::start(2).expect("bulletin started"), std::fs::read_to_string(&harness.config).expect("read"));
     let old = harness.board.address().to_string();
     let moved = |to: SocketAddr| first.replace(&old, &to.to_string());
-    // One that follows, one that refuses, one that is cut off in the middle of its file, and the first again.
-    let files = [moved(there.address()), moved(closed()), first[..first.len() / 2].to_owned(), first.clone()];
+    // A reachable bulletin, one that refuses connections, a truncated file, and the first one again.
+    let files =
+        [moved(there.address()), moved(unused_address()), first[..first.len() / 2].to_owned(), first.clone()];
     for (number, file) in files.iter().enumerate() {
-        std::fs::write(&harness.config, file).expect("written");
+        std::fs::write(&harness.config, file).expect("configuration written");
         harness.control.reread();
         for again in 0..5 {
-            ready_in_time(&mut front);
+            wait_until_ready(&mut front);
             serves_at_once(&mut harness, 10 * number as u64 + again, &format!("configuration {number}"));
         }
     }
--- a/crates/node/tests/sockets/unsent_requests.rs
+++ b/crates/node/tests/sockets/unsent_requests.rs
@@ -1,4 +1,5 @@
-//! What crosses on connections to workers: idle closes, resets, answers under ids used anew, drains told in between.
+//! Requests that were given to a connection and of which its socket has no byte yet, when their client leaves, their
+//! worker drains or the connection breaks.
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
@@ -10,65 +11,65 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// An attempt may begin for so long after its client has gone.
-const GONE: Duration = Duration::from_millis(100);
-/// What fills a connection.
+/// How long after its client has left an attempt may still start.
+const START_GRACE: Duration = Duration::from_millis(100);
+/// Enough calls to fill a connection.
 const CALLS: u64 = 40;
-/// The largest body.
-const BODY: usize = 16 << 10;
+/// Maximum size of a body in bytes.
+const MAX_BODY: usize = 16 << 10;
 
 pub fn served(call: &Call) -> FrontReply {
     FrontReply::Served(call.body.iter().rev().copied().collect())
 }
 
-/// Of one function no more calls are out at a time than it has lanes.
+/// Spreads calls over functions: a function has no more calls in flight than it has lanes.
 fn function(number: u64) -> String {
     format!("7f3a9c21e0b4{:04x}", number % 8)
 }
 
-pub fn big(number: u64, class: &'static str) -> Call {
+pub fn large_call(number: u64, class: &'static str) -> Call {
     let one = call(number, class);
-    Call { function: function(number), timeout_ms: 8_000, body: vec![number as u8; BODY], ..one }
+    Call { function: function(number), timeout_ms: 8_000, body: vec![number as u8; MAX_BODY], ..one }
 }
 
-/// A scheduler with one connection to its one worker, which from the first large request on reads nothing more until
-/// it is told to, and whose socket holds few of them.
-fn stuck(limits: Limits) -> (Harness, Sender<()>) {
+/// A scheduler with one connection to its only worker. From the first large request on the worker reads nothing until
+/// it is released, and its socket holds only a few requests.
+fn with_unread_connection(limits: Limits) -> (Harness, Sender<()>) {
     let (go, held) = channel();
     let held = Arc::new(Mutex::new(held));
     let script = move |_: usize, exec: &Exec| {
         if exec.id == format!("{:016x}", 0) {
-            let _ = held.lock().expect("sound").recv();
+            let _ = held.lock().expect("lock not poisoned").recv();
         }
         exec.serve()
     };
     let mut harness = Harness::new(Limits { sockets: 30, memory_mb: 64, streams: 128, ..limits }, 1, script);
-    harness.workers[0].narrow().expect("narrow");
-    one_link(&harness);
-    warm(&mut harness);
+    harness.workers[0].narrow().expect("receive buffer reduced");
+    limit_to_one_connection(&harness);
+    load_copies(&mut harness);
     (harness, go)
 }
 
 /// Has a copy of each function loaded.
-pub fn warm(harness: &mut Harness) {
+pub fn load_copies(harness: &mut Harness) {
     for number in 1_000..1_008 {
         let one = Call { function: function(number), ..call(number, "view") };
         assert_eq!(harness.call(&one), served(&one));
     }
 }
 
-/// Has the scheduler know of so many workers that there is one connection for each.
-fn one_link(harness: &Harness) {
+/// Adds so many workers to the list that each gets one connection.
+fn limit_to_one_connection(harness: &Harness) {
     let at = harness.workers[0].address();
     let others: Vec<_> = (1..4).map(|n| bulletin_entry(&format!("t-{n}"), at, "Terminating")).collect();
     harness.board.tell(&others.join(","));
     harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "t-3"));
 }
 
-/// The scheduler has done all that was sent to it before.
-pub fn quiet(harness: &Harness) {
+/// Waits until the scheduler has processed everything sent to it before.
+pub fn wait_until_processed(harness: &Harness) {
     let mut client = harness.client();
-    client.heartbeat().and_then(|_| client.read()).expect("alive");
+    client.heartbeat().and_then(|_| client.read()).expect("heartbeat answered");
 }
 
 /// The requests given to connections so far, in order.
@@ -84,13 +85,13 @@
     ids
 }
 
-/// How the first attempt of each request has ended.
+/// How the first attempt of each request ended.
 fn ends(all: &[Record]) -> BTreeMap<String, String> {
     let end = |record: &Record| match &record.what {
         What::Ended { attempt, code } => Some((attempt[3..19].to_owned(), code.clone())),
         _ => None,
     };
-    // Of several attempts of one request the first: from the last to the first, each takes the place of those after.
+    // Collecting from last to first lets the first attempt of a request replace later ones.
     all.iter().rev().filter_map(end).collect()
 }
 
@@ -103,33 +104,33 @@
     let mut all = Vec::new();
     for number in 0..CALLS {
         let at = number as usize % 2;
-        let call = Call { timeout_ms: timeout_ms[at], ..big(number, "extract") };
+        let call = Call { timeout_ms: timeout_ms[at], ..large_call(number, "extract") };
         let asked = harness.submit(&mut clients[at], &call);
         harness.wait_for(|what| matches!(what, What::Taken { event } if *event == call.id));
         all.push((at, call, asked));
     }
-    quiet(harness);
-    assert!(sent(harness).len() < CALLS as usize, "never full");
+    wait_until_processed(harness);
+    assert!(sent(harness).len() < CALLS as usize, "the connection never filled up");
     all
 }
 
-/// When each request came whole to a worker.
+/// When each request arrived complete at a worker.
 fn arrivals(harness: &Harness) -> BTreeMap<String, Vec<Micros>> {
-    let mut came: BTreeMap<_, Vec<_>> = BTreeMap::new();
+    let mut arrived: BTreeMap<_, Vec<_>> = BTreeMap::new();
     harness.recorder.wait(Duration::ZERO, |all| {
-        came.clear();
+        arrived.clear();
         for record in all {
             if let What::Arrived { event, .. } = &record.what {
-                came.entry(event.clone()).or_default().push(record.t);
+                arrived.entry(event.clone()).or_default().push(record.t);
             }
         }
         true
     });
-    came
+    arrived
 }
 
-/// Lines of these requests that came to the worker: `exec`, then `drop`.
-fn lines_of(harness: &Harness, id: &str) -> Vec<String> {
+/// The commands that the worker received for this request: `exec`, then `drop`.
+fn commands_for(harness: &Harness, id: &str) -> Vec<String> {
     let of = |line: &String| line.split(' ').nth(1) == Some(id);
     harness.workers[0]
         .lines()
@@ -149,154 +150,154 @@
     ended
 }
 
-/// Reads the answers to all of these.
+/// Reads the answers to all of these calls.
 fn read_each(
     harness: &Harness,
     client: &mut FrontClient,
     of: &[&(usize, Call, Submitted)],
 ) -> BTreeMap<String, FrontReply> {
     let open: Vec<_> = of.iter().map(|(_, _, asked)| asked).collect();
-    let read = of.iter().map(|_| harness.read(client, &open).expect("an answer"));
-    let told: BTreeMap<_, _> = read.collect();
-    of.iter().map(|(_, call, asked)| (call.id.clone(), told[&asked.seqid].clone())).collect()
+    let read = of.iter().map(|_| harness.read(client, &open).expect("a reply before the connection closes"));
+    let replies: BTreeMap<_, _> = read.collect();
+    of.iter().map(|(_, call, asked)| (call.id.clone(), replies[&asked.seqid].clone())).collect()
 }
 
-/// Calls of two clients fill the one connection; those of the first are called off by `leave`. Its worker does not read:
-/// none of them comes whole to it once it does, and one of which a part has left takes the connection with it. The calls
-/// of the second are served on another, but for those that may have run.
-fn called_off(
+/// Calls of two clients fill the only connection; then `leave` abandons those of the first. The worker does not read:
+/// none of the abandoned calls may arrive complete once it does, and one that was sent in part takes the connection
+/// down with it. The calls of the second client are served on another connection, except those that may have run.
+fn abandon_unsent(
     timeout_ms: u64,
     leave: impl Fn(&Harness, FrontClient, &[&(usize, Call, Submitted)]) -> Option<FrontClient>,
 ) {
-    // On a loaded machine the system's buffers may grow late, and take all that was given by then.
-    assert!((0..3).any(|_| called_off_once(timeout_ms, &leave)), "nothing was taken back");
+    // On a loaded machine the kernel's buffers may grow late and take everything that was given until then.
+    assert!((0..3).any(|_| abandon_unsent_once(timeout_ms, &leave)), "nothing was withdrawn");
 }
 
-/// False where all that was given had begun to leave, or nothing: no crossing.
-fn called_off_once(
+/// False if all or none of the given requests had begun to leave, so that nothing was tested.
+fn abandon_unsent_once(
     timeout_ms: u64,
     leave: &impl Fn(&Harness, FrontClient, &[&(usize, Call, Submitted)]) -> Option<FrontClient>,
 ) -> bool {
-    let (mut harness, go) = stuck(Limits::default());
+    let (mut harness, go) = with_unread_connection(Limits::default());
     let mut clients = [harness.client(), harness.client()];
     let all = fill_connection(&mut harness, &mut clients, [timeout_ms, 8_000]);
     let given = sent(&harness);
-    let (gone, stay): (Vec<_>, Vec<_>) = all.iter().partition(|(at, ..)| *at == 0);
-    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("a worker");
+    let (gone, remaining): (Vec<_>, Vec<_>) = all.iter().partition(|(at, ..)| *at == 0);
+    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
     harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
     harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-1"));
     let [first, mut second] = clients;
-    let _kept = leave(&harness, first, &gone);
-    let out: Vec<_> = gone.iter().filter(|(_, call, _)| given.contains(&call.id)).collect();
-    let over = harness.recorder.wait(TEST_TIMEOUT, |all| {
+    let _remaining_client = leave(&harness, first, &gone);
+    let in_flight: Vec<_> = gone.iter().filter(|(_, call, _)| given.contains(&call.id)).collect();
+    let all_ended = harness.recorder.wait(TEST_TIMEOUT, |all| {
         let ended = ends(all);
-        out.iter().all(|(_, call, _)| ended.contains_key(&call.id))
+        in_flight.iter().all(|(_, call, _)| ended.contains_key(&call.id))
     });
-    assert!(over, "still out: {:?}", ended(&harness));
-    quiet(&harness);
+    assert!(all_ended, "attempts still in flight: {:?}", ended(&harness));
+    wait_until_processed(&harness);
     let ended = ended(&harness);
-    // The terms let an attempt begin until then.
-    std::thread::sleep(GONE);
-    let left = monotonic();
-    go.send(()).expect("it waits");
-    let told = read_each(&harness, &mut second, &stay);
+    // An attempt may still start until then.
+    std::thread::sleep(START_GRACE);
+    let released = monotonic();
+    go.send(()).expect("receiver alive");
+    let replies = read_each(&harness, &mut second, &remaining);
     let arrived = arrivals(&harness);
-    for (_, call, _) in &stay {
+    for (_, call, _) in &remaining {
         let times = arrived.get(&call.id).map_or(0, Vec::len);
-        match &told[&call.id] {
-            told if *told == served(call) => assert_eq!(times, 1, "{}", call.id),
+        match &replies[&call.id] {
+            reply if *reply == served(call) => assert_eq!(times, 1, "{}", call.id),
             FrontReply::Crashed => assert!(times <= 1 && given.contains(&call.id), "{}", call.id),
-            told => panic!("{}: {told:.80?}", call.id),
+            reply => panic!("{}: {reply:.80?}", call.id),
         }
     }
-    // The worker's own system may hold the one behind the request that it works on: that has come.
-    let began_late = |call: &Call| arrived.get(&call.id).is_some_and(|at| at.iter().any(|at| *at > left));
+    // The kernel of the worker may hold the one request behind the one being worked on: that one had already arrived.
+    let began_late = |call: &Call| arrived.get(&call.id).is_some_and(|at| at.iter().any(|at| *at > released));
     let late = gone.iter().filter(|(_, call, _)| began_late(call)).map(|(_, call, _)| &call.id);
     let late: Vec<_> = late.collect();
     let first = gone.iter().map(|(_, call, _)| &call.id).find(|id| given.contains(id));
-    assert!(late.len() <= 1 && late.iter().all(|id| Some(*id) == first), "{late:?} began late");
+    assert!(late.len() <= 1 && late.iter().all(|id| Some(*id) == first), "{late:?} started too late");
     assert_eq!(harness.check_rules(), []);
-    // Of both kinds there was one.
-    let moot = out.iter().filter(|(_, call, _)| ended[&call.id] == "Moot").count();
-    (1..out.len()).contains(&moot)
+    // Some were withdrawn, and some were not.
+    let moot = in_flight.iter().filter(|(_, call, _)| ended[&call.id] == "Moot").count();
+    (1..in_flight.len()).contains(&moot)
 }
 
-fn left(harness: &Harness, calls: &[&(usize, Call, Submitted)]) {
+fn record_leaving(harness: &Harness, calls: &[&(usize, Call, Submitted)]) {
     for (_, _, asked) in calls {
         harness.recorder.put(monotonic(), "client", What::Left { tried: asked.try_no });
     }
 }
 
 #[test]
-fn what_a_socket_has_nothing_of_is_taken_back_when_its_client_goes() {
-    called_off(8_000, |harness, client, calls| {
-        left(harness, calls);
+fn unsent_requests_are_withdrawn_when_the_client_disconnects() {
+    abandon_unsent(8_000, |harness, client, calls| {
+        record_leaving(harness, calls);
         drop(client);
         None
     });
 }
 
 #[test]
-fn what_a_socket_has_nothing_of_is_taken_back_at_a_revoke() {
-    called_off(8_000, |harness, mut client, calls| {
-        left(harness, calls);
-        calls.iter().for_each(|(_, _, asked)| client.revoke(asked.seqid).expect("sent"));
+fn unsent_requests_are_withdrawn_on_revoke() {
+    abandon_unsent(8_000, |harness, mut client, calls| {
+        record_leaving(harness, calls);
+        calls.iter().for_each(|(_, _, asked)| client.revoke(asked.seqid).expect("bytes sent"));
         Some(client)
     });
 }
 
 #[test]
-fn what_a_socket_has_nothing_of_is_taken_back_at_its_deadline() {
-    called_off(1_500, |harness, mut client, calls| {
-        for (id, told) in read_each(harness, &mut client, calls) {
-            assert!(matches!(told, FrontReply::Crashed | FrontReply::Rejected(_)), "{id}: {told:.80?}");
+fn unsent_requests_are_withdrawn_at_their_deadline() {
+    abandon_unsent(1_500, |harness, mut client, calls| {
+        for (id, reply) in read_each(harness, &mut client, calls) {
+            assert!(matches!(reply, FrontReply::Crashed | FrontReply::Rejected(_)), "{id}: {reply:.80?}");
         }
         Some(client)
     });
 }
 
-/// Calls fill the one connection, then `tell` takes its worker out of the list and puts another in. That gets all
-/// that had not begun to leave; the first one serves the rest once it reads on.
-fn taken_out(tell: impl Fn(&Harness, SocketAddr)) {
-    let (mut harness, go) = stuck(Limits::default());
+/// Calls fill the only connection, then `tell` removes its worker from the list and adds another. The new worker gets
+/// everything that had not begun to leave; the old one serves the rest once it reads again.
+fn remove_worker(tell: impl Fn(&Harness, SocketAddr)) {
+    let (mut harness, go) = with_unread_connection(Limits::default());
     let mut clients = [harness.client(), harness.client()];
     let all = fill_connection(&mut harness, &mut clients, [8_000; 2]);
     let given = sent(&harness);
-    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("a worker");
+    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
     tell(&harness, other.address());
     harness.wait_for(
         |what| matches!(what, What::Told { worker, state } if worker == "s-0" && state != "active"),
     );
-    quiet(&harness);
+    wait_until_processed(&harness);
     let moot: Vec<_> =
         ended(&harness).into_iter().filter(|(_, code)| code == "Moot").map(|(id, _)| id).collect();
-    go.send(()).expect("it waits");
+    go.send(()).expect("receiver alive");
     for (at, client) in clients.iter_mut().enumerate() {
         let of: Vec<_> = all.iter().filter(|(a, ..)| *a == at).collect();
-        let told = read_each(&harness, client, &of);
-        of.iter().for_each(|(_, call, _)| assert!(told[&call.id] == served(call), "{}", call.id));
+        let replies = read_each(&harness, client, &of);
+        of.iter().for_each(|(_, call, _)| assert!(replies[&call.id] == served(call), "{}", call.id));
     }
     for (_, call, _) in &all {
-        let stays = given.contains(&call.id) && !moot.contains(&call.id);
-        assert_eq!(lines_of(&harness, &call.id).is_empty(), !stays, "{}", call.id);
+        let not_withdrawn = given.contains(&call.id) && !moot.contains(&call.id);
+        assert_eq!(commands_for(&harness, &call.id).is_empty(), !not_withdrawn, "{}", call.id);
     }
-    let out: Vec<_> = all.iter().filter(|(_, call, _)| given.contains(&call.id)).collect();
-    let back = out.iter().filter(|(_, call, _)| moot.contains(&call.id)).count();
-    assert!((1..out.len()).contains(&back), "{given:?} {moot:?}");
+    let in_flight: Vec<_> = all.iter().filter(|(_, call, _)| given.contains(&call.id)).collect();
+    let withdrawn = in_flight.iter().filter(|(_, call, _)| moot.contains(&call.id)).count();
+    assert!((1..in_flight.len()).contains(&withdrawn), "{given:?} {moot:?}");
     assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
-fn what_a_draining_workers_socket_has_nothing_of_goes_to_another() {
-    taken_out(|harness, other| {
+fn unsent_requests_of_a_draining_worker_go_to_another() {
+    remove_worker(|harness, other| {
         let drains = bulletin_entry("s-0", harness.workers[0].address(), "Terminating");
         harness.board.tell(&format!("{drains},{}", bulletin_entry("s-1", other, "Ready")));
     });
 }
 
 #[test]
-fn what_a_worker_has_nothing_of_that_a_whole_list_lacks_goes_to_another() {
-    taken_out(|harness, other| {
+fn unsent_requests_of_a_worker_missing_from_a_full_list_go_to_another() {
+    remove_worker(|harness, other| {
         let only = bulletin_entry("s-1", other, "Ready");
         harness
             .board
@@ -305,53 +306,53 @@
 }
 
 #[test]
-fn all_that_waited_for_a_connection_goes_out_once_it_stands() {
+fn all_requests_waiting_for_a_connection_are_sent_once_it_is_established() {
     let limits = Limits { sockets: 30, memory_mb: 64, connect_ms: 5_000, ..Limits::default() };
     let mut harness = Harness::new(limits, 1, |_, exec| exec.serve());
-    one_link(&harness);
-    warm(&mut harness);
-    harness.workers[0].plug().expect("plugged");
+    limit_to_one_connection(&harness);
+    load_copies(&mut harness);
+    harness.workers[0].plug().expect("accept queue blocked");
     harness.workers[0].reset_all();
-    quiet(&harness);
+    wait_until_processed(&harness);
     let mut client = harness.client();
-    // More than is given to a connection at a time, and less than a socket takes.
-    let calls: Vec<_> = (0..16).map(|number| big(number, "extract")).collect();
+    // More than is given to a connection at a time, and less than a socket holds.
+    let calls: Vec<_> = (0..16).map(|number| large_call(number, "extract")).collect();
     let asked: Vec<_> = calls.iter().map(|call| harness.submit(&mut client, call)).collect();
     for call in &calls {
         harness.wait_for(|what| matches!(what, What::Taken { event } if *event == call.id));
     }
-    quiet(&harness);
-    assert!(sent(&harness).len() == 8, "it stood already");
+    wait_until_processed(&harness);
+    assert!(sent(&harness).len() == 8, "the connection was established already");
     harness.workers[0].unplug();
-    let told = read_all(&harness, &mut client, &asked);
+    let replies = read_all(&harness, &mut client, &asked);
     for (call, asked) in calls.iter().zip(&asked) {
-        assert!(told[&asked.seqid] == served(call), "{}: {:.80?}", call.id, told[&asked.seqid]);
+        assert!(replies[&asked.seqid] == served(call), "{}: {:.80?}", call.id, replies[&asked.seqid]);
     }
     assert_eq!(harness.check_rules(), []);
 }
 
 #[test]
-fn of_a_connection_that_breaks_only_what_its_socket_had_whole_may_have_run() {
-    let (mut harness, go) = stuck(Limits::default());
+fn after_a_reset_only_fully_sent_requests_may_have_run() {
+    let (mut harness, go) = with_unread_connection(Limits::default());
     let mut clients = [harness.client(), harness.client()];
     let all = fill_connection(&mut harness, &mut clients, [8_000; 2]);
     let given = sent(&harness);
-    // The worker is left alone for a while after so many breaks: another one serves the rest.
-    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("a worker");
+    // The worker is avoided for a while after so many failures: another one serves the rest.
+    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
     harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
     harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-1"));
     harness.workers[0].reset_all();
-    quiet(&harness);
-    go.send(()).expect("it waits");
-    let mut told = BTreeMap::new();
+    wait_until_processed(&harness);
+    go.send(()).expect("receiver alive");
+    let mut replies = BTreeMap::new();
     for (at, client) in clients.iter_mut().enumerate() {
         let of: Vec<_> = all.iter().filter(|(a, ..)| *a == at).collect();
-        told.extend(read_each(&harness, client, &of));
+        replies.extend(read_each(&harness, client, &of));
     }
-    let served_of = |(_, call, _): &&(usize, Call, Submitted)| told[&call.id] == served(call);
+    let served_of = |(_, call, _): &&(usize, Call, Submitted)| replies[&call.id] == served(call);
     let failed: Vec<_> = all.iter().filter(|of| !served_of(of)).map(|(_, call, _)| call.id.clone()).collect();
-    assert!(failed.iter().all(|id| told[id] == FrontReply::Crashed), "{failed:?} {:?}", ended(&harness));
-    // Those that went first, and not the four that the output held at the least.
+    assert!(failed.iter().all(|id| replies[id] == FrontReply::Crashed), "{failed:?} {:?}", ended(&harness));
+    // The failed calls are those sent first, without the four or more that the output still held.
     let large: Vec<_> =
         given.into_iter().filter(|id| all.iter().any(|(_, call, _)| call.id == *id)).collect();
     assert_eq!(failed, large[..failed.len()]);
