--- a/crates/node/tests/sockets/bulletin_outage.rs
+++ b/crates/node/tests/sockets/bulletin_outage.rs
@@ -1,5 +1,5 @@
-//! Changes of the list that count as told though the bulletin was down, silent or told the same again: from then on
-//! nothing new, call or order to load, goes to a worker that drains.
+//! Changes of the worker list that take effect for the rules although the bulletin was down, silent or repeated old
+//! events: from then on a draining worker gets neither calls nor load orders.
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
@@ -8,44 +8,45 @@
 use std::time::Duration;
 
 pub const MS: Micros = 1_000;
-/// What a silent bulletin would have told counts as told so long after it began, or once it is asked again.
-pub const SILENT: Micros = 4_000 * MS;
-/// A bulletin that is down is asked again so often, at least.
-const AGAIN: Micros = 500 * MS;
-/// What the machine may be late; and the grace of the rule, which the tests' settings put at 50 ms.
+/// A change that a silent bulletin withholds takes effect this long after the silence began, or once the bulletin is
+/// queried again.
+pub const SILENCE_LIMIT: Micros = 4_000 * MS;
+/// Maximum interval between connection attempts to a bulletin that is down.
+const RECONNECT_INTERVAL: Micros = 500 * MS;
+/// How late the machine may be; and below it the grace of the rule, which the settings of the tests put at 50 ms.
 pub const LATE: Micros = 500 * MS;
 const GRACE: Micros = 50 * MS;
 
-/// What went to a worker after a change of it counted as told, the grace over. What comes there may have been sent
-/// before and wait for its reader.
-pub fn after(records: &[Record], uid: &str, told: Micros) -> Vec<String> {
+/// What went to a worker after a change of its state took effect and the grace passed. Arrivals get some more time:
+/// they may have been sent before and wait to be read.
+pub fn sent_after(records: &[Record], uid: &str, since: Micros) -> Vec<String> {
     let from = |record: &Record| match &record.what {
-        What::Sent { worker, .. } if worker == uid => Some(told + GRACE),
-        What::Ordered { worker, count, .. } if worker == uid && *count > 0 => Some(told + GRACE),
-        What::Arrived { .. } if record.by == uid => Some(told + GRACE + LATE),
+        What::Sent { worker, .. } if worker == uid => Some(since + GRACE),
+        What::Ordered { worker, count, .. } if worker == uid && *count > 0 => Some(since + GRACE),
+        What::Arrived { .. } if record.by == uid => Some(since + GRACE + LATE),
         _ => None,
     };
     let late = records.iter().filter(|record| from(record).is_some_and(|from| record.t > from));
-    late.map(|r| format!("{:?} at {} us", r.what, r.t - told)).collect()
+    late.map(|r| format!("{:?} at {} us", r.what, r.t - since)).collect()
 }
 
-pub fn heard(records: &[Record], uid: &str, wanted: &str) -> Micros {
-    let told =
-        |r: &&Record| matches!(&r.what, What::Told { worker, state } if worker == uid && state == wanted);
-    records.iter().find(told).map_or(Micros::MAX, |r| r.t)
+pub fn state_received(records: &[Record], uid: &str, expected: &str) -> Micros {
+    let reported =
+        |r: &&Record| matches!(&r.what, What::Told { worker, state } if worker == uid && state == expected);
+    records.iter().find(reported).map_or(Micros::MAX, |r| r.t)
 }
 
-/// Enough that there are orders to load at any time.
+/// Enough functions that there are load orders at any time.
 pub const FUNCTIONS: u64 = 50;
 
-/// Calls of both classes, one after another.
+/// Sends calls of both classes, one after another.
 pub struct Calls {
     pub next: u64,
 }
 
 impl Calls {
-    /// So many calls; each is served.
-    pub fn go(&mut self, harness: &mut Harness, count: u64) {
+    /// Sends this many calls, each of which must be served.
+    pub fn send(&mut self, harness: &mut Harness, count: u64) {
         for _ in 0..count {
             self.next += 1;
             let mut one = call(self.next, ["view", "extract"][self.next as usize % 2]);
@@ -54,104 +55,108 @@
         }
     }
 
-    /// Calls until this time.
-    pub fn until(&mut self, harness: &mut Harness, at: Micros) {
+    /// Sends calls until this time.
+    pub fn send_until(&mut self, harness: &mut Harness, at: Micros) {
         while monotonic() < at {
-            self.go(harness, 1);
+            self.send(harness, 1);
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
-/// A scheduler in use with two workers, and which of them has most calls.
+/// A scheduler with load and two workers, and the index of the worker that has most of the calls.
 pub fn busy_harness() -> (Harness, Calls, usize) {
     let mut harness = Harness::new(Limits::default(), 2, |_, exec| exec.serve());
     let mut calls = Calls { next: 0 };
-    calls.go(&mut harness, FUNCTIONS);
+    calls.send(&mut harness, FUNCTIONS);
     let execs = |i: &usize| harness.workers[*i].lines().iter().filter(|l| l.starts_with("exec")).count();
-    let most = (0..2).max_by_key(execs).expect("two workers");
-    (harness, calls, most)
+    let busiest = (0..2).max_by_key(execs).expect("two workers");
+    (harness, calls, busiest)
 }
 
-pub fn tell(harness: &Harness, most: usize, state: &str) -> Micros {
-    harness.board.tell(&bulletin_entry(&format!("s-{most}"), harness.workers[most].address(), state));
+pub fn announce(harness: &Harness, busiest: usize, state: &str) -> Micros {
+    harness.board.tell(&bulletin_entry(&format!("s-{busiest}"), harness.workers[busiest].address(), state));
     monotonic()
 }
 
 #[test]
-fn what_a_bulletin_held_while_it_was_down_holds_once_it_can_be_asked() {
-    let (mut harness, mut calls, most) = busy_harness();
-    let uid = format!("s-{most}");
+fn changes_made_while_the_bulletin_was_down_apply_once_it_is_reachable() {
+    let (mut harness, mut calls, busiest) = busy_harness();
+    let uid = format!("s-{busiest}");
     harness.board.down();
-    let began = tell(&harness, most, "Terminating");
+    let began = announce(&harness, busiest, "Terminating");
     // What is sent meanwhile can't be known to be wrong.
-    calls.until(&mut harness, began + 1_200 * MS);
-    harness.board.up().expect("its port is free");
+    calls.send_until(&mut harness, began + 1_200 * MS);
+    harness.board.up().expect("bulletin listens again");
     let up = monotonic();
     harness.wait_for(
         |what| matches!(what, What::Told { worker, state } if *worker == uid && state == "leaving"),
     );
-    calls.go(&mut harness, 60);
+    calls.send(&mut harness, 60);
     let records = harness.finish();
-    let known = heard(&records, &uid, "leaving");
-    assert!(known <= up + AGAIN + LATE, "heard {} us after it was back", known - up);
-    assert_eq!(after(&records, &uid, known), Vec::<String>::new());
+    let received = state_received(&records, &uid, "leaving");
+    assert!(
+        received <= up + RECONNECT_INTERVAL + LATE,
+        "received {} us after the bulletin was back",
+        received - up
+    );
+    assert_eq!(sent_after(&records, &uid, received), Vec::<String>::new());
     assert_eq!(check(&records, &rule_settings()), []);
-    // The same look finds what went there before it could be known.
-    assert!(!after(&records, &uid, began).is_empty());
+    // The same check finds what was sent before the change could be known.
+    assert!(!sent_after(&records, &uid, began).is_empty());
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_left_before_its_news_count_as_told() {
-    let (mut harness, mut calls, most) = busy_harness();
-    let uid = format!("s-{most}");
+fn a_silent_watch_is_replaced_before_its_withheld_changes_take_effect() {
+    let (mut harness, mut calls, busiest) = busy_harness();
+    let uid = format!("s-{busiest}");
     harness.board.hush();
-    let began = tell(&harness, most, "Gone");
-    let told = |all: &[Record]| heard(all, &uid, "gone") < Micros::MAX;
-    while !harness.recorder.wait(Duration::ZERO, told) && monotonic() < began + SILENT {
-        calls.go(&mut harness, 1);
+    let began = announce(&harness, busiest, "Gone");
+    let reported = |all: &[Record]| state_received(all, &uid, "gone") < Micros::MAX;
+    while !harness.recorder.wait(Duration::ZERO, reported) && monotonic() < began + SILENCE_LIMIT {
+        calls.send(&mut harness, 1);
     }
-    calls.go(&mut harness, 60);
+    calls.send(&mut harness, 60);
     let records = harness.finish();
-    let known = heard(&records, &uid, "gone");
-    assert!(known <= began + SILENT, "heard after {} us", known.saturating_sub(began));
-    assert_eq!(after(&records, &uid, known.min(began + SILENT)), Vec::<String>::new());
+    let received = state_received(&records, &uid, "gone");
+    assert!(received <= began + SILENCE_LIMIT, "received after {} us", received.saturating_sub(began));
+    assert_eq!(sent_after(&records, &uid, received.min(began + SILENCE_LIMIT)), Vec::<String>::new());
     assert_eq!(check(&records, &rule_settings()), []);
-    assert!(!after(&records, &uid, began).is_empty());
+    assert!(!sent_after(&records, &uid, began).is_empty());
 }
 
 #[test]
-fn a_change_told_again_does_not_bring_a_worker_back() {
-    let (mut harness, mut calls, most) = busy_harness();
-    let uid = format!("s-{most}");
-    let at = harness.workers[most].address();
-    tell(&harness, most, "Ready");
-    tell(&harness, most, "Terminating");
+fn a_replayed_change_does_not_reactivate_a_worker() {
+    let (mut harness, mut calls, busiest) = busy_harness();
+    let uid = format!("s-{busiest}");
+    let at = harness.workers[busiest].address();
+    announce(&harness, busiest, "Ready");
+    announce(&harness, busiest, "Terminating");
     harness.wait_for(
         |what| matches!(what, What::Told { worker, state } if *worker == uid && state == "leaving"),
     );
-    let told = monotonic();
+    let drained_at = monotonic();
     let ready = bulletin_entry(&uid, at, "Ready");
-    let again = |no: u64, all: bool| {
+    let replay = |no: u64, all: bool| {
         format!("{{\"no\":{no},\"roster\":{{\"rev\":{no},\"all\":{all},\"targets\":[{ready}]}}}}\n")
     };
     for _ in 0..3 {
-        harness.board.garble(&(again(1, true) + &again(2, false) + "{\"no\":2}\n{\"no\":3}\n"));
-        calls.go(&mut harness, 30);
+        harness.board.garble(&(replay(1, true) + &replay(2, false) + "{\"no\":2}\n{\"no\":3}\n"));
+        calls.send(&mut harness, 30);
     }
-    // A later event is read in its turn: all before it has been.
+    // A later event is processed in order: everything before it has been read.
     harness.board.tell(&bulletin_entry("s-9", at, "Gone"));
     harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-9"));
-    calls.go(&mut harness, 30);
+    calls.send(&mut harness, 30);
     let back = monotonic();
-    // The same under a new number does bring it back, and the look finds it.
+    // The same entry under a new event number does reactivate the worker, and the check finds its calls.
     harness.board.tell(&ready);
     harness
         .wait_for(|what| matches!(what, What::Told { worker, state } if *worker == uid && state == "active"));
-    calls.until(&mut harness, back + 300 * MS);
+    calls.send_until(&mut harness, back + 300 * MS);
     let records = harness.finish();
     let before: Vec<_> = records.iter().filter(|r| r.t <= back).cloned().collect();
-    assert_eq!(after(&before, &uid, told), Vec::<String>::new());
-    assert!(!after(&records, &uid, told).is_empty());
+    assert_eq!(sent_after(&before, &uid, drained_at), Vec::<String>::new());
+    assert!(!sent_after(&records, &uid, drained_at).is_empty());
     assert_eq!(check(&records, &rule_settings()), []);
 }
--- a/crates/node/tests/sockets/shutdown.rs
+++ b/crates/node/tests/sockets/shutdown.rs
@@ -1,5 +1,5 @@
-//! What crosses a planned end of the scheduler, beside the clock of the page that `restart` plays. Signals that meet in one
-//! turn, and connections that nobody has accepted, are in the program's own tests.
+//! Events that coincide with a planned shutdown, beyond the timetable that `planned_restart` checks. Signals that
+//! meet in one turn, and connections not yet accepted, are covered by the program's own tests.
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
@@ -8,17 +8,18 @@
 use std::time::{Duration, Instant};
 
 const MS: Micros = 1_000;
-/// The scheduler accepts for so long after the signal, and waits so long for its last answers to be read.
-const ENDS: Micros = 900 * MS;
-const READ: Micros = 1_500 * MS;
-/// What a loaded machine may add.
+/// How long the scheduler accepts connections after the signal, and how long it waits for its last answers to be
+/// read.
+const ACCEPT_PERIOD: Micros = 900 * MS;
+const READ_PERIOD: Micros = 1_500 * MS;
+/// Extra time for a loaded machine.
 const LATE: Micros = 500 * MS;
 
 fn sleep_until(at: Micros) {
     std::thread::sleep(Duration::from_micros(at.saturating_sub(monotonic())));
 }
 
-/// When the scheduler was told to stop, and when it ended.
+/// When the scheduler was asked to stop, and when it ended.
 fn ended(harness: &mut Harness) -> (Micros, Micros) {
     let (mut stopping, mut down) = (Vec::new(), 0);
     harness.finish().iter().for_each(|record| match record.what {
@@ -26,43 +27,46 @@
         What::Down { killed: false } => down = record.t,
         _ => {}
     });
-    assert_eq!(stopping.len(), 1, "a second word counts for nothing");
+    assert_eq!(stopping.len(), 1, "a second stop request must have no effect");
     (stopping[0], down)
 }
 
 #[test]
-fn answers_half_written_to_a_slow_reader_come_whole() {
+fn partially_written_answers_reach_a_slow_reader_complete() {
     let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
     let mut client = harness.client();
     let asked = fill_output(&mut harness, &mut client);
     let term = monotonic();
     harness.control.stop();
-    // It reads again once the scheduler has closed all that is idle, and before it goes for good.
-    sleep_until(term + ENDS + 400 * MS);
+    // The client reads again after the scheduler has closed all idle connections, and before it ends.
+    sleep_until(term + ACCEPT_PERIOD + 400 * MS);
     let mut read = 0;
-    while let Some((_, reply)) = client.read().expect("whole answers and an end") {
+    while let Some((_, reply)) = client.read().expect("complete answers and a clean close") {
         assert!(matches!(reply, FrontReply::Served(_) | FrontReply::Rejected(_)), "{reply:?}");
         read += 1;
     }
     let (stopping, down) = ended(&mut harness);
     assert_eq!(read, asked);
-    assert!(down - stopping < ENDS + READ + LATE, "{}", down - stopping);
+    assert!(down - stopping < ACCEPT_PERIOD + READ_PERIOD + LATE, "{}", down - stopping);
 }
 
 #[test]
-fn who_never_reads_its_answers_does_not_keep_the_scheduler() {
+fn a_client_that_never_reads_does_not_delay_shutdown_past_its_bound() {
     let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
     let mut client = harness.client();
     fill_output(&mut harness, &mut client);
     harness.control.stop();
     let (stopping, down) = ended(&mut harness);
-    // Its answers are waited for, and for no longer.
+    // The scheduler waits for its answers to be read, up to the bound and no longer.
     let took = down - stopping;
-    assert!((ENDS + READ - 100 * MS..ENDS + READ + LATE).contains(&took), "{took}");
+    assert!(
+        (ACCEPT_PERIOD + READ_PERIOD - 100 * MS..ACCEPT_PERIOD + READ_PERIOD + LATE).contains(&took),
+        "{took}"
+    );
 }
 
 #[test]
-fn a_second_signal_and_a_configuration_that_cannot_be_read_change_nothing() {
+fn a_second_signal_and_an_invalid_configuration_do_not_affect_shutdown() {
     let slow = |_: usize, exec: &Exec| {
         let mut acts = vec![Act::Wait(Duration::from_millis(20))];
         acts.extend(exec.serve());
@@ -72,7 +76,7 @@
     let (mut first, mut second) = (harness.client(), harness.client());
     let one = call(1, "extract");
     let asked = harness.submit(&mut first, &one);
-    std::fs::write(&harness.config, "{").expect("written");
+    std::fs::write(&harness.config, "{").expect("configuration written");
     let term = monotonic();
     harness.control.reread();
     harness.control.stop();
@@ -82,22 +86,22 @@
     harness.control.reread();
     let one = call(2, "extract");
     let asked = harness.submit(&mut second, &one);
-    // It may be turned away, which is an answer.
+    // A rejection counts as an answer.
     assert!(harness.read(&mut second, &[&asked]).is_some());
     let (stopping, down) = ended(&mut harness);
     let took = down - stopping;
-    assert!((ENDS..ENDS + 300 * MS + LATE).contains(&took), "{took}");
+    assert!((ACCEPT_PERIOD..ACCEPT_PERIOD + 300 * MS + LATE).contains(&took), "{took}");
 }
 
 /// The earliest SIGKILL after SIGTERM, where the longest deadline is 3 s or more.
 const KILL: Duration = Duration::from_millis(3_700);
 
 #[test]
-fn clients_that_never_stop_coming_do_not_keep_the_scheduler() {
+fn clients_that_keep_connecting_do_not_delay_shutdown() {
     let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
     wait_until_served(&mut harness);
     let (to, began) = (harness.address, Instant::now());
-    let comes = move |number: u64| {
+    let keep_connecting = move |number: u64| {
         for next in 0.. {
             let asked = FrontClient::connect(to, TEST_TIMEOUT).and_then(|mut client| {
                 send(&mut client, &call(number << 32 | next, "view"));
@@ -108,10 +112,10 @@
             }
         }
     };
-    let clients: Vec<_> = (1..=4).map(|number| std::thread::spawn(move || comes(number))).collect();
+    let clients: Vec<_> = (1..=4).map(|number| std::thread::spawn(move || keep_connecting(number))).collect();
     let stopped = Instant::now();
     harness.finish();
     let took = stopped.elapsed();
-    assert!(took < KILL + Duration::from_millis(500), "it ended after {took:?}");
-    clients.into_iter().for_each(|client| client.join().expect("it asked"));
+    assert!(took < KILL + Duration::from_millis(500), "the scheduler ended after {took:?}");
+    clients.into_iter().for_each(|client| client.join().expect("client thread ended"));
 }
--- a/crates/node/tests/sockets/unread_requests.rs
+++ b/crates/node/tests/sockets/unread_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that lie in the socket of a worker that does not read: once nobody waits for them they must not come whole
-//! to it, however late it reads on.
+//! Requests in the socket of a worker that does not read: once their client has given up on them they must not arrive
+//! complete, however late the worker reads again.
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
@@ -8,56 +8,62 @@
 use std::time::Duration;
 
 const MS: Micros = 1_000;
-/// An attempt may come whole for so long after its client has gone.
-const GONE: Micros = 100 * MS;
-/// For how long the worker reads nothing.
-const DEAF: Duration = Duration::from_millis(2_500);
-/// Some bytes of a body so large stay with the caller's system.
-const BODY: usize = 16 << 10;
+/// How long after its client has left an attempt may still arrive complete.
+const START_GRACE: Micros = 100 * MS;
+/// How long the worker reads nothing.
+const UNREAD_PERIOD: Duration = Duration::from_millis(2_500);
+/// A body large enough that some bytes stay in the sender's kernel.
+const BODY_SIZE: usize = 16 << 10;
 
 /// Serves the first request, then reads nothing for a while.
-fn deaf(_: usize, exec: &Exec) -> Vec<Act> {
+fn stop_reading(_: usize, exec: &Exec) -> Vec<Act> {
     let mut acts = exec.serve();
     if exec.nth == 0 {
-        acts.push(Act::Wait(DEAF));
+        acts.push(Act::Wait(UNREAD_PERIOD));
     }
     acts
 }
 
-/// A request that its worker does not read is given up: its client leaves, or its time runs out. Gives when that was and
-/// when it came whole to the worker, if it did.
-fn given_up(way: &str) -> (Micros, Option<Micros>) {
-    let mut harness = Harness::new(Limits { connect_ms: 100, ..Limits::default() }, 1, deaf);
-    harness.workers[0].narrow().expect("narrow");
+/// Sends a request that its worker does not read, and has its client leave or its deadline pass. Returns when that
+/// was, and when the request arrived complete at the worker, if it did.
+fn abandon_unread(method: &str) -> (Micros, Option<Micros>) {
+    let mut harness = Harness::new(Limits { connect_ms: 100, ..Limits::default() }, 1, stop_reading);
+    harness.workers[0].narrow().expect("receive buffer reduced");
     wait_until_served(&mut harness);
     let mut client = harness.client();
-    let timeout_ms = if way == "deadline" { 800 } else { 8_000 };
-    let one = Call { timeout_ms, body: vec![7; BODY], ..call(7 << 40, "extract") };
+    let timeout_ms = if method == "deadline" { 800 } else { 8_000 };
+    let one = Call { timeout_ms, body: vec![7; BODY_SIZE], ..call(7 << 40, "extract") };
     let asked = harness.submit(&mut client, &one);
     harness.wait_for(|what| matches!(what, What::Sent { event, .. } if *event == one.id));
-    // A connection is doubted once it has been silent for as long as connecting may take.
+    // A connection counts as suspect once it has been silent for the connect timeout.
     std::thread::sleep(Duration::from_millis(300));
-    let left = match way {
-        "deadline" => harness.read(&mut client, &[&asked]).map(|_| monotonic()).expect("an answer"),
-        way => {
-            drop(abandon(client, &[asked.seqid], way));
+    let left = match method {
+        "deadline" => harness
+            .read(&mut client, &[&asked])
+            .map(|_| monotonic())
+            .expect("a reply before the connection closes"),
+        method => {
+            drop(abandon(client, &[asked.seqid], method));
             monotonic()
         }
     };
-    std::thread::sleep(DEAF);
-    let came = |what: &What| matches!(what, What::Arrived { event, .. } if *event == one.id);
-    let at = harness.finish().iter().find(|record| came(&record.what)).map(|record| record.t);
+    std::thread::sleep(UNREAD_PERIOD);
+    let arrived = |what: &What| matches!(what, What::Arrived { event, .. } if *event == one.id);
+    let at = harness.finish().iter().find(|record| arrived(&record.what)).map(|record| record.t);
     (left, at)
 }
 
 #[test]
-fn what_a_worker_has_not_read_does_not_begin_once_its_client_has_gone() {
+fn a_request_unread_by_its_worker_does_not_start_after_its_client_left() {
     std::thread::scope(|scope| {
-        for way in ABANDON_METHODS.into_iter().chain(["deadline"]) {
+        for method in ABANDON_METHODS.into_iter().chain(["deadline"]) {
             scope.spawn(move || {
-                let (left, came) = given_up(way);
-                let late = came.map(|at| at.saturating_sub(left));
-                assert!(late.is_none_or(|late| late <= GONE), "{way}: it came whole {late:?} us after");
+                let (left, arrived) = abandon_unread(method);
+                let late = arrived.map(|at| at.saturating_sub(left));
+                assert!(
+                    late.is_none_or(|late| late <= START_GRACE),
+                    "{method}: it arrived complete {late:?} us after"
+                );
             });
         }
     });
