--- a/crates/node/tests/sockets/client_disconnects.rs
+++ b/crates/node/tests/sockets/client_disconnects.rs
@@ -39,7 +39,7 @@
 }
 
 fn wait_until_dropped(harness: &Harness, call: &Call) {
-    wait_for_line(&harness, |line| line == format!("drop {}", call.id));
+    wait_for_line(harness, |line| line == format!("drop {}", call.id));
 }
 
 #[test]
@@ -121,8 +121,8 @@
         // The scheduler has processed the leaving once calls of another client have completed, a turn or two later.
         (10..13).for_each(|n| drop(harness.call(&call(n, "view"))));
         for order in harness.workers[0].lines().iter().filter(|line| line.contains(&one.function)) {
-            let Some((words, port)) = order.split_once(" from=") else { continue };
-            let tag = words.split(' ').nth(1).expect("a tag");
+            let Some((command, port)) = order.split_once(" from=") else { continue };
+            let tag = command.split(' ').nth(1).expect("a tag");
             let loaded = answer(tag, "OK", "slots_up=1", b"");
             harness.workers[0].say(port.parse().expect("port known"), &loaded).expect("connection open");
         }
--- a/crates/node/tests/sockets/connection_races.rs
+++ b/crates/node/tests/sockets/connection_races.rs
@@ -94,12 +94,12 @@
 /// The source port of a request at its worker.
 fn port_of(harness: &Harness, id: &str) -> u16 {
     let mut port = 0;
-    let came = |record: &Record| match &record.what {
+    let source = |record: &Record| match &record.what {
         What::Arrived { event, attempt, .. } if event == id => attempt.rsplit_once('@')?.1.parse().ok(),
         _ => None,
     };
     assert!(harness.recorder.wait(TEST_TIMEOUT, |all| {
-        port = all.iter().find_map(came).unwrap_or_default();
+        port = all.iter().find_map(source).unwrap_or_default();
         port > 0
     }));
     port
--- a/crates/node/tests/sockets/fragmentation.rs
+++ b/crates/node/tests/sockets/fragmentation.rs
@@ -219,7 +219,7 @@
 /// The source port of a call at its worker.
 fn source_port(harness: &Harness, one: &Call) -> u16 {
     let mut port = None;
-    let came = harness.recorder.wait(TEST_TIMEOUT, |all| {
+    let arrived = harness.recorder.wait(TEST_TIMEOUT, |all| {
         port = all.iter().rev().find_map(|record| match &record.what {
             What::Arrived { event, attempt, .. } if *event == one.id => {
                 attempt.rsplit_once('@').and_then(|(_, port)| port.parse().ok())
@@ -228,6 +228,6 @@
         });
         port.is_some()
     });
-    assert!(came, "call {} never reached a worker", one.id);
+    assert!(arrived, "call {} never reached a worker", one.id);
     port.expect("port known")
 }
--- a/crates/node/tests/sockets/planned_restart.rs
+++ b/crates/node/tests/sockets/planned_restart.rs
@@ -18,8 +18,8 @@
 /// The last new connection, and the last request, after SIGTERM.
 const LAST_CONNECT: Micros = 400 * MS;
 const LAST_REQUEST: Micros = 600 * MS;
-/// A request that arrives after this time may be lost if SIGKILL finds it open.
-const LOSS_EXCUSED: Micros = 700 * MS;
+/// A request received by then does not count as lost if SIGKILL finds it open.
+const LAST_EXCUSED: Micros = 700 * MS;
 /// When the scheduler begins to close connections.
 const CLOSE_START: Micros = 850 * MS;
 /// The slack that the specification adds to each time limit.
@@ -69,7 +69,7 @@
 /// The requests, among those that the specification does not excuse, that SIGKILL would find open. One that crosses
 /// the end of its connection has not been accepted: the program documents when it closes that.
 fn open_at_kill(all: &[Observed]) -> Vec<&Observed> {
-    let late = |s: &&Observed| (LOSS_EXCUSED..CLOSE_START).contains(&s.sent);
+    let late = |s: &&Observed| (LAST_EXCUSED..CLOSE_START).contains(&s.sent);
     all.iter().filter(late).filter(|s| s.reply.as_ref().is_none_or(|(at, _)| *at > KILL + LATE)).collect()
 }
 
@@ -144,7 +144,7 @@
 /// time.
 fn run_clients(to: SocketAddr, stop: impl FnOnce() -> Micros) -> Vec<Observed> {
     // Connections that were there before have each been used once, except the silent one.
-    let opened = |plan: &Plan| {
+    let open_before = |plan: &Plan| {
         (plan.opens == 0).then(|| {
             let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
             if !plan.sends.is_empty() {
@@ -153,7 +153,7 @@
             client
         })
     };
-    let plans: Vec<_> = plans().into_iter().map(|plan| (opened(&plan), plan)).collect();
+    let plans: Vec<_> = plans().into_iter().map(|plan| (open_before(&plan), plan)).collect();
     let term = stop();
     let threads: Vec<_> = plans
         .into_iter()
@@ -235,7 +235,7 @@
     /// No request is answered from this time on.
     until: AtomicU64,
     /// Requests handled, by an answer or by withholding it.
-    seen: Mutex<usize>,
+    handled: Mutex<usize>,
     changed: Condvar,
 }
 
@@ -246,15 +246,18 @@
         let address = listener.local_addr().expect("address known");
         let open: Arc<Mutex<Vec<TcpStream>>> = Arc::default();
         let (received, until) = (AtomicU64::new(0), AtomicU64::new(Micros::MAX));
-        let counts = Arc::new(Counts { received, until, seen: Mutex::new(0), changed: Condvar::new() });
-        let (kept, shared) = (open.clone(), counts.clone());
+        let counts = Arc::new(Counts { received, until, handled: Mutex::new(0), changed: Condvar::new() });
+        let (connections, shared) = (open.clone(), counts.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let stream = stream.expect("connection accepted");
-                if Arc::strong_count(&kept) == 1 {
+                if Arc::strong_count(&connections) == 1 {
                     return;
                 }
-                kept.lock().expect("lock not poisoned").push(stream.try_clone().expect("socket cloned"));
+                connections
+                    .lock()
+                    .expect("lock not poisoned")
+                    .push(stream.try_clone().expect("socket cloned"));
                 let (answers, counts) = (answers.clone(), shared.clone());
                 std::thread::spawn(move || Self::serve(stream, &counts, answers));
             }
@@ -276,7 +279,7 @@
                     write::reply(&mut out, head.name, head.seqid, &Told::Answer(b"", true));
                     stream.write_all(&out).ok()?;
                 }
-                *counts.seen.lock().expect("lock not poisoned") += usize::from(submit);
+                *counts.handled.lock().expect("lock not poisoned") += usize::from(submit);
                 counts.changed.notify_all();
             }
             match stream.read(&mut bytes).ok()? {
@@ -297,8 +300,11 @@
                 EndsAt::After(after) => sleep_until(now + after),
                 EndsAt::AllHandled => {
                     let all = plans().iter().map(|plan| plan.sends.len()).sum();
-                    let seen = self.counts.seen.lock().expect("lock not poisoned");
-                    let wait = self.counts.changed.wait_timeout_while(seen, TEST_TIMEOUT, |seen| *seen < all);
+                    let handled = self.counts.handled.lock().expect("lock not poisoned");
+                    let wait = self
+                        .counts
+                        .changed
+                        .wait_timeout_while(handled, TEST_TIMEOUT, |handled| *handled < all);
                     drop(wait.expect("lock not poisoned"));
                 }
             }
@@ -333,9 +339,9 @@
         ["the last millisecond", "opened last", "32 at the end"].iter().all(|w| found.contains(w)),
         "{found:?}"
     );
-    let kept_back = run(|nth| nth != 40, EndsAt::AllHandled);
-    assert_eq!(lost(&kept_back).len(), 1);
-    let late = |reply| Observed { what: "late", sent: LOSS_EXCUSED, timeout: 4_000 * MS, reply };
+    let withheld = run(|nth| nth != 40, EndsAt::AllHandled);
+    assert_eq!(lost(&withheld).len(), 1);
+    let late = |reply| Observed { what: "late", sent: LAST_EXCUSED, timeout: 4_000 * MS, reply };
     let (never, after) = (late(None), late(Some((KILL + LATE + MS, FrontReply::Crashed))));
     assert_eq!(open_at_kill(&[never, after, late(Some((KILL, FrontReply::Crashed)))]).len(), 2);
 }
@@ -354,7 +360,7 @@
     let plans = [
         plan("in the window, longer than SIGKILL waits", 100 * MS, LONG_MS),
         plan("in the last millisecond, as long as SIGKILL waits", LAST_REQUEST - MS, 3_000),
-        plan("past the time from which loss is excused", LOSS_EXCUSED + 50 * MS, LONG_MS),
+        plan("after the last request that may be lost", LAST_EXCUSED + 50 * MS, LONG_MS),
         plan("later", 1_500 * MS, LONG_MS),
     ];
     let plans = plans.map(|plan| (harness.client(), plan));
@@ -369,8 +375,7 @@
     let (stopping, down) = ended(&mut harness);
     assert_eq!(lost(&all).len(), 0, "{:?}", lost(&all));
     assert_eq!(open_at_kill(&all).len(), 0, "{all:?}");
-    // The requests that SIGKILL would be excused for are answered too, so no process has to be killed with open
-    // requests.
+    // Requests that may be open at SIGKILL are answered too, and the process ends before it has to be killed.
     assert!(answered < KILL + LATE, "the requests from before the signal were answered after {answered} us");
     let first = all[0].reply.as_ref().expect("request was answered").0;
     assert!(first < KILL + LATE, "a request in the window was answered after {first} us");
--- a/crates/node/tests/sockets/unsent_requests.rs
+++ b/crates/node/tests/sockets/unsent_requests.rs
@@ -256,15 +256,15 @@
     });
 }
 
-/// Calls fill the only connection, then `tell` removes its worker from the list and adds another. The new worker gets
-/// everything that had not begun to leave; the old one serves the rest once it reads again.
-fn remove_worker(tell: impl Fn(&Harness, SocketAddr)) {
+/// Calls fill the only connection, then `update_list` removes its worker from the list and adds another. The new worker
+/// gets everything that had not begun to leave; the old one serves the rest once it reads again.
+fn remove_worker(update_list: impl Fn(&Harness, SocketAddr)) {
     let (mut harness, go) = with_unread_connection(Limits::default());
     let mut clients = [harness.client(), harness.client()];
     let all = fill_connection(&mut harness, &mut clients, [8_000; 2]);
     let given = sent(&harness);
     let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
-    tell(&harness, other.address());
+    update_list(&harness, other.address());
     harness.wait_for(
         |what| matches!(what, What::Told { worker, state } if worker == "s-0" && state != "active"),
     );
