--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -279,7 +279,7 @@
         let mut out = Vec::new();
         for event in events {
             let input = match event {
-                EndpointEvent::Transport(Event::MemberChanged { of, incarnation, state }) => {
+                EndpointEvent::Transport(Event::MemberChanged { member: of, incarnation, state }) => {
                     self.believed(now, of, incarnation, state);
                     continue;
                 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -243,7 +243,7 @@
     /// Plants a fault in its view, see [`basaltward_membership::Membership::inject_fault`].
     #[doc(hidden)]
     pub fn plant(&mut self, newer: basaltward_membership::OverrideRule) {
-        self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant(newer));
+        self.fleet.iter_mut().for_each(|fleet| fleet.transport.inject_fault(newer));
     }
 
     /// Plants a fault in its part in what is agreed, see [`basaltward_permits::PermitNode::plant`].
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -67,7 +67,7 @@
         act(&mut self.transport, &mut self.events);
         for event in std::mem::take(&mut self.events) {
             match event {
-                Event::MemberChanged { of, incarnation, state } => {
+                Event::MemberChanged { member: of, incarnation, state } => {
                     recorder.believed(now, of, incarnation, state)
                 }
                 Event::Agreed(known) => recorder.agreed(now, &known),
--- a/crates/peers/src/connection.rs
+++ b/crates/peers/src/connection.rs
@@ -184,7 +184,7 @@
             return Err(ConnectionError::InvalidPeerNumber(handshake.from));
         }
         if let Some(wanted) = self.expected_peer.filter(|wanted| *wanted != handshake.from) {
-            return Err(ConnectionError::UnexpectedPeer { is: handshake.from, wanted });
+            return Err(ConnectionError::UnexpectedPeer { actual: handshake.from, expected: wanted });
         }
         if handshake.to == local.from { Ok(()) } else { Err(ConnectionError::Misaddressed(handshake.to)) }
     }
--- a/crates/peers/src/connections.rs
+++ b/crates/peers/src/connections.rs
@@ -133,7 +133,7 @@
     ) -> Result<(), ConnectionError> {
         self.check_stall(now);
         if payload.len() > self.config.max_frame_bytes {
-            return Err(ConnectionError::Length { told: payload.len(), most: self.config.max_frame_bytes });
+            return Err(ConnectionError::Length { length: payload.len(), max: self.config.max_frame_bytes });
         }
         let unsent = self.unsent_bytes(io, to) + FRAME_OVERHEAD + payload.len();
         let known = to != self.local.from;
@@ -188,7 +188,7 @@
     }
 
     /// Bytes came on a connection, which may be ours.
-    pub fn data(&mut self, io: &mut Io, now: Micros, conn: ConnId, out: &mut Vec<ConnectionEvent>) {
+    pub fn received(&mut self, io: &mut Io, now: Micros, conn: ConnId, out: &mut Vec<ConnectionEvent>) {
         self.check_stall(now);
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         if let Some(input) = io.input(conn) {
@@ -241,7 +241,7 @@
         how: End,
         out: &mut Vec<ConnectionEvent>,
     ) {
-        self.data(io, now, conn, out);
+        self.received(io, now, conn, out);
         let Some(connection) = self.connections.get(&conn) else { return };
         let why = connection.end_reason(match how {
             End::Closed => ConnectionError::Closed,
@@ -425,11 +425,11 @@
             // Our handshake and theirs.
             peer.rtt = trip;
         }
-        self.stands(io, now, of, out);
+        self.activate(io, now, of, out);
     }
 
     /// Sends what waits on a connection that stands, where there is one and none is in use.
-    fn stands(&mut self, io: &mut Io, now: Micros, of: MemberId, out: &mut Vec<ConnectionEvent>) {
+    fn activate(&mut self, io: &mut Io, now: Micros, of: MemberId, out: &mut Vec<ConnectionEvent>) {
         let peer = &mut self.peers[usize::from(of)];
         if peer.active.is_some() {
             return;
@@ -514,7 +514,7 @@
         if peer.active == Some(conn) {
             (peer.active, peer.rtt) = (None, None);
             out.push(ConnectionEvent::Down(of));
-            self.stands(io, now, of, out);
+            self.activate(io, now, of, out);
         }
     }
 }
--- a/crates/peers/src/endpoint.rs
+++ b/crates/peers/src/endpoint.rs
@@ -47,7 +47,7 @@
     start_ms: u64,
     listen_address: SocketAddr,
     transport_events: Vec<Event>,
-    came: Vec<ConnectionEvent>,
+    connection_events: Vec<ConnectionEvent>,
 }
 
 impl PeerEndpoint {
@@ -72,7 +72,7 @@
             start_ms: life,
             listen_address: listens,
             transport_events: Vec::new(),
-            came: Vec::new(),
+            connection_events: Vec::new(),
         })
     }
 
@@ -143,8 +143,10 @@
             }
             Happened::Accepted { conn, listener } => self.connections.accepted(io, now, conn, listener),
             Happened::Connected(conn) => self.connections.connected(io, now, conn),
-            Happened::Data(conn) => self.connections.data(io, now, conn, &mut self.came),
-            Happened::Ended(conn, how) => self.connections.ended(io, now, conn, how, &mut self.came),
+            Happened::Data(conn) => self.connections.received(io, now, conn, &mut self.connection_events),
+            Happened::Ended(conn, how) => {
+                self.connections.ended(io, now, conn, how, &mut self.connection_events)
+            }
             _ => {}
         }
         self.events()
@@ -154,7 +156,7 @@
     pub fn wake(&mut self, io: &mut Io, now: Micros) -> Vec<EndpointEvent> {
         // A gateway's workers are not drained through here: it has none of theirs in hand.
         self.transport.wake(io, now, |_| 0, &mut self.transport_events);
-        self.connections.wake(io, now, &mut self.came);
+        self.connections.wake(io, now, &mut self.connection_events);
         self.events()
     }
 
@@ -176,7 +178,7 @@
         check_lists(config, &peers)?;
         config.membership_settings(self.start_ms)?;
         self.transport.update_peers(config);
-        self.connections.update_peers(io, now, peers, &mut self.came);
+        self.connections.update_peers(io, now, peers, &mut self.connection_events);
         Ok(self.events())
     }
 
@@ -201,6 +203,6 @@
 
     fn events(&mut self) -> Vec<EndpointEvent> {
         let told = self.transport_events.drain(..).map(EndpointEvent::Transport);
-        told.chain(self.came.drain(..).map(EndpointEvent::Connection)).collect()
+        told.chain(self.connection_events.drain(..).map(EndpointEvent::Connection)).collect()
     }
 }
--- a/crates/peers/src/error.rs
+++ b/crates/peers/src/error.rs
@@ -52,13 +52,13 @@
 pub enum ConnectionError {
     /// A frame is longer than allowed, or empty.
     #[error(
-        "a frame of {told} bytes where {most} are allowed: give all peers the same bounds; else look who connects here"
+        "a frame of {length} bytes where {max} are allowed: give all peers the same bounds; else look who connects here"
     )]
     Length {
         /// Its payload's length, as told.
-        told: usize,
+        length: usize,
         /// The longest allowed.
-        most: usize,
+        max: usize,
     },
     /// A frame was changed on the way.
     #[error("a frame's checksum is wrong: look for what changes bytes between the two hosts")]
@@ -132,13 +132,13 @@
     #[strum(serialize = "Number")]
     InvalidPeerNumber(MemberId),
     /// It is not the one that the list has at this address.
-    #[error("number {is} answers where the list has number {wanted}: put the address right")]
+    #[error("number {actual} answers where the list has number {expected}: put the address right")]
     #[strum(serialize = "Other")]
     UnexpectedPeer {
         /// Who it is.
-        is: MemberId,
+        actual: MemberId,
         /// Who should be.
-        wanted: MemberId,
+        expected: MemberId,
     },
     /// It takes us for somebody else.
     #[error("it takes us for number {0}: put our address right in its list")]
--- a/crates/peers/src/event.rs
+++ b/crates/peers/src/event.rs
@@ -10,7 +10,7 @@
     /// Something else is believed of a member.
     MemberChanged {
         /// Which.
-        of: MemberId,
+        member: MemberId,
         /// Of which of its lives.
         incarnation: Incarnation,
         /// What it is now.
--- a/crates/peers/src/frame.rs
+++ b/crates/peers/src/frame.rs
@@ -70,7 +70,7 @@
         };
         // Known before the rest has come: no room is made for what will be refused.
         if length == 0 || length > self.max_payload + 1 {
-            return Err(ConnectionError::Length { told: length.saturating_sub(1), most: self.max_payload });
+            return Err(ConnectionError::Length { length: length.saturating_sub(1), max: self.max_payload });
         }
         if self.buffered.len() < HEADER_BYTES + length {
             return Ok(None);
--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -105,7 +105,7 @@
     }
 
     /// See [`PermitNode::plant`].
-    pub fn plant(&mut self, fault: Fault, now: Micros) {
+    pub fn inject_fault(&mut self, fault: Fault, now: Micros) {
         self.node.plant(fault, now);
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// A request of an operator.
-    pub fn asked(
+    pub fn handle_operator_request(
         &mut self,
         membership: &Membership,
         now: Micros,
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -95,13 +95,13 @@
     }
 
     /// See [`Membership::inject_fault`].
-    pub fn plant(&mut self, newer: OverrideRule) {
+    pub fn inject_fault(&mut self, newer: OverrideRule) {
         self.membership.inject_fault(newer);
     }
 
     /// See [`PermitService::plant`].
     pub fn inject_permit_fault(&mut self, fault: Fault, now: Micros) {
-        self.permits.iter_mut().for_each(|permits| permits.plant(fault, now));
+        self.permits.iter_mut().for_each(|permits| permits.inject_fault(fault, now));
     }
 
     /// When [`PeerTransport::wake`] is due next.
@@ -150,7 +150,9 @@
                 && let Ok(request) = OperatorRequest::read(bytes)
             {
                 match &mut self.permits {
-                    Some(permits) => permits.asked(&self.membership, now, from, request, io, self.socket),
+                    Some(permits) => {
+                        permits.handle_operator_request(&self.membership, now, from, request, io, self.socket)
+                    }
                     None => PermitService::reply_no_leader(io, self.socket, from, request.tag),
                 }
             }
@@ -244,7 +246,7 @@
                     }
                 }
                 Output::Changed { member: of, incarnation, state: is, .. } => {
-                    events.push(Event::MemberChanged { of, incarnation, state: is });
+                    events.push(Event::MemberChanged { member: of, incarnation, state: is });
                     self.log_change(now, of, is);
                 }
                 Output::Superseded { start } => {
--- a/crates/peers/tests/links/hostile.rs
+++ b/crates/peers/tests/links/hostile.rs
@@ -208,7 +208,7 @@
     let payload = [7; 4 << 10];
     fill(&mut bed, &payload);
     assert_eq!(bed.send(0, 1, &payload), Err(ConnectionError::QueueFull));
-    assert_eq!(bed.send(0, 1, &[0; (4 << 10) + 1]), Err(ConnectionError::Length { told: 4097, most: 4096 }));
+    assert_eq!(bed.send(0, 1, &[0; (4 << 10) + 1]), Err(ConnectionError::Length { length: 4097, max: 4096 }));
     let zero = &mut bed.peers[0];
     let unsent = zero.endpoint.connections().unsent_bytes(&mut zero.io, 1);
     assert!(unsent <= 256 << 10, "{unsent}");
--- a/crates/trial/src/hollow/shard.rs
+++ b/crates/trial/src/hollow/shard.rs
@@ -297,7 +297,7 @@
     /// Sends what a member has put out, counts what it believes, and sees to its next wake.
     fn follow_up(&mut self, number: MemberId) {
         for event in std::mem::take(&mut self.events) {
-            if let Event::MemberChanged { of, state: MemberState::Gone, .. } = event {
+            if let Event::MemberChanged { member: of, state: MemberState::Gone, .. } = event {
                 let runs = self.running.get(usize::from(of)).copied().unwrap_or_default();
                 self.load.false_deaths += u64::from(runs);
             }
