--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -484,7 +484,7 @@
                 for (worker, function, copies) in news {
                     self.tell(now, Input::Stands(worker, function, copies));
                 }
-                self.with_peers(now, |transport, io, events| transport.data(io, now, events));
+                self.with_peers(now, |transport, io, events| transport.receive(io, now, events));
                 self.drains(now);
             }
             Happened::Woken => {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -88,7 +88,7 @@
             return roster.clone();
         }
         let workers: Vec<_> = roster.targets.iter().map(|target| self.worker(target)).collect();
-        self.transport.told(now, roster.all, &workers);
+        self.transport.update_workers(now, roster.all, &workers);
         if roster.all {
             self.targets.values_mut().for_each(|target| target.state = Standing::Gone);
         }
@@ -109,7 +109,7 @@
             Standing::Terminating => WorkerState::Leaving,
             Standing::Gone => WorkerState::Gone,
         };
-        Worker { name: target.uid.clone(), zone: zone as u8, boot_ms: target.boot_ms, stands }
+        Worker { name: target.uid.clone(), zone: zone as u8, boot_ms: target.boot_ms, state: stands }
     }
 
     fn heard(&self, target: &Target) -> Target {
--- a/crates/peers/src/connection.rs
+++ b/crates/peers/src/connection.rs
@@ -42,7 +42,7 @@
     /// Names the fleet.
     pub fleet: u32,
     /// Our number among `size`.
-    pub from: MemberId,
+    pub member: MemberId,
     /// When this life began.
     pub start_ms: u64,
     /// So many are in the list.
@@ -52,7 +52,7 @@
 impl LocalIdentity {
     /// Our handshake to this one.
     pub fn handshake(&self, to: MemberId) -> Control {
-        Control::Handshake(Handshake::new(self.fleet, (self.from, self.start_ms), to))
+        Control::Handshake(Handshake::new(self.fleet, (self.member, self.start_ms), to))
     }
 }
 
@@ -180,13 +180,13 @@
         if handshake.fleet != local.fleet {
             return Err(ConnectionError::WrongFleet);
         }
-        if handshake.from == local.from || usize::from(handshake.from) >= local.size {
+        if handshake.from == local.member || usize::from(handshake.from) >= local.size {
             return Err(ConnectionError::InvalidPeerNumber(handshake.from));
         }
         if let Some(wanted) = self.expected_peer.filter(|wanted| *wanted != handshake.from) {
             return Err(ConnectionError::UnexpectedPeer { actual: handshake.from, expected: wanted });
         }
-        if handshake.to == local.from { Ok(()) } else { Err(ConnectionError::Misaddressed(handshake.to)) }
+        if handshake.to == local.member { Ok(()) } else { Err(ConnectionError::Misaddressed(handshake.to)) }
     }
 
     /// How it ends where the connection does, by this cause.
--- a/crates/peers/src/connections.rs
+++ b/crates/peers/src/connections.rs
@@ -136,7 +136,7 @@
             return Err(ConnectionError::Length { length: payload.len(), max: self.config.max_frame_bytes });
         }
         let unsent = self.unsent_bytes(io, to) + FRAME_OVERHEAD + payload.len();
-        let known = to != self.local.from;
+        let known = to != self.local.member;
         let peer =
             self.peers.get_mut(usize::from(to)).filter(|_| known).ok_or(ConnectionError::UnknownPeer(to))?;
         if unsent > self.config.max_unsent_bytes {
@@ -173,7 +173,7 @@
         if self.unidentified.len() > self.peers.len() + 16
             && let Some(oldest) = self.unidentified.front().copied()
         {
-            self.end(io, now, oldest, ConnectionError::NoHandshake, &mut Vec::new());
+            self.end_connection(io, now, oldest, ConnectionError::NoHandshake, &mut Vec::new());
         }
     }
 
@@ -207,17 +207,17 @@
                 Ok(Some(Incoming::Reply(answer))) => {
                     // Whoever asks and reads no answers fills no memory.
                     if io.unsent(conn) > self.config.max_unsent_bytes + ORDERLY_CLOSE_BYTES {
-                        return self.end(io, now, conn, ConnectionError::NotReading, out);
+                        return self.end_connection(io, now, conn, ConnectionError::NotReading, out);
                     }
                     self.send_control(io, conn, &answer);
                 }
                 Ok(Some(Incoming::RoundTrip(trip))) => {
-                    if let Some(peer) = self.peer(of) {
+                    if let Some(peer) = self.peer_mut(of) {
                         peer.rtt = Some((trip, now));
                     }
                 }
                 Ok(Some(Incoming::Frame(frame))) => {
-                    let (Some((of, _)), channel) = (of, Channel::of(frame.channel)) else { continue };
+                    let (Some((of, _)), channel) = (of, Channel::from_byte(frame.channel)) else { continue };
                     let counts = &mut self.peers[usize::from(of)].counters;
                     counts.received_frames += 1;
                     counts.received_bytes += (FRAME_OVERHEAD + frame.payload.len()) as u64;
@@ -227,7 +227,7 @@
                         None => counts.unknown_channel += 1,
                     }
                 }
-                Err(why) => return self.end(io, now, conn, why, out),
+                Err(why) => return self.end_connection(io, now, conn, why, out),
             }
         }
     }
@@ -248,7 +248,7 @@
             End::Reset => ConnectionError::Reset,
             End::ConnectFailed => ConnectionError::ConnectFailed,
         });
-        self.end(io, now, conn, why, out);
+        self.end_connection(io, now, conn, why, out);
     }
 
     /// Does what is due.
@@ -264,7 +264,7 @@
         for (conn, told) in due {
             match told {
                 Ok(ask) => ask.iter().for_each(|ask| self.send_control(io, conn, ask)),
-                Err(why) => self.end(io, now, conn, why, out),
+                Err(why) => self.end_connection(io, now, conn, why, out),
             }
         }
         for of in self.queued_peers.clone() {
@@ -329,7 +329,7 @@
             .filter_map(|(conn, connection)| Some((*conn, past(connection)?)))
             .collect();
         for (conn, of) in past {
-            self.end(io, now, conn, ConnectionError::InvalidPeerNumber(of), out);
+            self.end_connection(io, now, conn, ConnectionError::InvalidPeerNumber(of), out);
         }
         self.queued_peers.retain(|of| usize::from(*of) < peers.len());
         let pause = self.config.backoff.0;
@@ -353,7 +353,7 @@
         decoder
     }
 
-    fn peer(&mut self, of: Option<(MemberId, u64)>) -> Option<&mut Peer> {
+    fn peer_mut(&mut self, of: Option<(MemberId, u64)>) -> Option<&mut Peer> {
         of.and_then(|(of, _)| self.peers.get_mut(usize::from(of)))
     }
 
@@ -409,11 +409,11 @@
         let others: Vec<_> =
             others.filter_map(|other| Some((other, self.connections.get(&other)?.remote()?.1))).collect();
         if others.iter().any(|(_, other)| *other > life) {
-            return self.end(io, now, conn, ConnectionError::EarlierIncarnation, out);
+            return self.end_connection(io, now, conn, ConnectionError::EarlierIncarnation, out);
         }
         for (other, theirs) in others {
             if theirs < life || (taken && self.peers[usize::from(of)].inbound == Some(other)) {
-                self.end(io, now, other, ConnectionError::Replaced, out);
+                self.end_connection(io, now, other, ConnectionError::Replaced, out);
             }
         }
         let trip = self.connections.get(&conn).map(|connection| (connection.established_for(now), now));
@@ -472,7 +472,7 @@
     }
 
     /// Ends a connection, by us or by what happened to it.
-    fn end(
+    fn end_connection(
         &mut self,
         io: &mut Io,
         now: Micros,
--- a/crates/peers/src/endpoint.rs
+++ b/crates/peers/src/endpoint.rs
@@ -64,7 +64,7 @@
         let listener = bind(config.listen, false).map_err(refused)?;
         let (listener, listens) = io.listen(listener).map_err(refused)?;
         let life = transport.start_ms();
-        let local = LocalIdentity { fleet: config.transport.fleet_hash(), from: own, start_ms: life, size };
+        let local = LocalIdentity { fleet: config.transport.fleet_hash(), member: own, start_ms: life, size };
         let connections = PeerConnections::new(config.connections, local, listener, config.transport.seed);
         Ok(Self {
             transport,
@@ -139,7 +139,7 @@
     pub fn handle_event(&mut self, io: &mut Io, now: Micros, happened: &Happened) -> Vec<EndpointEvent> {
         match *happened {
             Happened::Datagrams(socket) if socket == self.transport.socket() => {
-                self.transport.data(io, now, &mut self.transport_events);
+                self.transport.receive(io, now, &mut self.transport_events);
             }
             Happened::Accepted { conn, listener } => self.connections.accepted(io, now, conn, listener),
             Happened::Connected(conn) => self.connections.connected(io, now, conn),
--- a/crates/peers/src/event.rs
+++ b/crates/peers/src/event.rs
@@ -45,7 +45,7 @@
 
 impl Channel {
     /// The channel of a frame, where it is one that we know.
-    pub(crate) fn of(byte: u8) -> Option<Self> {
+    pub(crate) fn from_byte(byte: u8) -> Option<Self> {
         [Self::Pending, Self::Route, Self::Shed].into_iter().find(|channel| *channel as u8 == byte)
     }
 }
--- a/crates/peers/src/handshake.rs
+++ b/crates/peers/src/handshake.rs
@@ -41,7 +41,7 @@
     /// Nothing of any room went on it.
     Idle,
     /// It hears nothing, or no answers.
-    Silent,
+    NoResponse,
     /// A later one takes its place.
     Replaced,
     /// It stops.
@@ -61,7 +61,7 @@
             | ConnectionError::Refused
             | ConnectionError::NotReceiving => None,
             ConnectionError::Idle => Some(Self::Idle),
-            ConnectionError::ReceiveTimeout | ConnectionError::NotReading => Some(Self::Silent),
+            ConnectionError::ReceiveTimeout | ConnectionError::NotReading => Some(Self::NoResponse),
             ConnectionError::Replaced | ConnectionError::EarlierIncarnation => Some(Self::Replaced),
             ConnectionError::Stopped => Some(Self::Stopped),
             _ => Some(Self::ProtocolError),
@@ -72,7 +72,7 @@
     pub fn error(self) -> ConnectionError {
         match self {
             Self::Idle => ConnectionError::Idle,
-            Self::Silent => ConnectionError::NotReceiving,
+            Self::NoResponse => ConnectionError::NotReceiving,
             Self::Replaced => ConnectionError::Replaced,
             Self::Stopped => ConnectionError::Stopped,
             Self::ProtocolError => ConnectionError::Refused,
--- a/crates/peers/src/log_limiter.rs
+++ b/crates/peers/src/log_limiter.rs
@@ -4,7 +4,7 @@
 use tracing::info;
 
 /// Log lines in a second at most; more are counted.
-const LINES: u32 = 50;
+const MAX_LINES_PER_S: u32 = 50;
 
 /// Bounds the log lines on one matter.
 #[derive(Debug, Default)]
@@ -22,7 +22,7 @@
             }
             self.window = (now, 0, 0);
         }
-        let may = self.window.1 < LINES;
+        let may = self.window.1 < MAX_LINES_PER_S;
         self.window.1 += u32::from(may);
         self.window.2 += u32::from(!may);
         may
--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -24,30 +24,30 @@
 /// Operators' requests remembered; the oldest go.
 const MAX_PENDING_REQUESTS: usize = 64;
 /// What we have in hand for drained workers is published so often.
-const IN_HAND_INTERVAL: PublishInterval = PublishInterval { min_us: 1_000_000, per_member_us: 100_000 };
+const DRAIN_REPORT_INTERVAL: PublishInterval = PublishInterval { min_us: 1_000_000, per_member_us: 100_000 };
 /// Whoever starts uses no worker until it has heard what is drained, but for no longer than this: with nobody there to
 /// tell, it serves.
-const LEARN_US: Micros = 500_000;
+const LEARNING_TIMEOUT_US: Micros = 500_000;
 /// It asks this often what is drained.
-const LEARN_AGAIN_US: Micros = 50_000;
+const LEARNING_RETRY_US: Micros = 50_000;
 /// A member that has been gone for so long has nothing in hand any more: no call lasts so long.
-const CLEAR_US: Micros = 60_000_000;
+const GONE_MEMBER_CLEAR_US: Micros = 60_000_000;
 
 /// Workers wait for what is drained.
 #[derive(Clone, Copy)]
 struct Learning {
     /// At most until then.
-    until: Micros,
+    deadline: Micros,
     /// When it is asked for again.
-    ask_again_at: Micros,
+    next_request: Micros,
 }
 
 /// A request of an operator.
 struct PendingRequest {
     from: SocketAddr,
-    their_tag: u32,
+    operator_tag: u32,
     /// Of our question to the leader.
-    our_tag: u32,
+    node_tag: u32,
     answer: Option<PermitResult>,
 }
 
@@ -84,7 +84,7 @@
             [fleet.start, fleet.seed, u64::from(std::process::id()), now].map(u64::to_le_bytes).concat();
         let Some(settings) = config.permit_settings(fleet, crc32fast::hash(&life)) else { return Ok(None) };
         let node = PermitNode::new(settings, now)?;
-        let learning = Learning { until: now + LEARN_US, ask_again_at: now };
+        let learning = Learning { deadline: now + LEARNING_TIMEOUT_US, next_request: now };
         let learning = (fleet.size > 1).then_some(learning);
         Ok(Some(Self {
             node,
@@ -110,14 +110,14 @@
     }
 
     /// A new configuration.
-    pub fn reread(&mut self, bounds: Bounds, zones: &[u8]) {
+    pub fn update_config(&mut self, bounds: Bounds, zones: &[u8]) {
         self.node.set_bounds(bounds);
         self.peer_zones = zones.to_vec();
     }
 
     pub fn next_due(&self) -> Micros {
         let tell = if self.drained.is_empty() { Micros::MAX } else { self.next_drain_report };
-        let learns = self.learning.map_or(Micros::MAX, |learning| learning.ask_again_at);
+        let learns = self.learning.map_or(Micros::MAX, |learning| learning.next_request);
         self.node.next_due().min(tell).min(learns).min(self.next_version_report)
     }
 
@@ -126,7 +126,7 @@
         self.sites.iter().flat_map(|to_watch| to_watch.observe(membership, now)).collect()
     }
 
-    fn act(
+    fn with_node(
         &mut self,
         membership: &Membership,
         act: impl FnOnce(&mut PermitNode, &MembershipObserver, &mut Vec<Output>),
@@ -148,7 +148,7 @@
 
     /// A datagram of another member.
     pub fn handle(&mut self, membership: &Membership, now: Micros, from: MemberId, bytes: &[u8]) {
-        self.act(membership, |node, observer, out| {
+        self.with_node(membership, |node, observer, out| {
             node.handle(now, from, bytes, observer, out);
         });
     }
@@ -156,13 +156,13 @@
     /// Does what is due; tells what we have in hand for drained workers.
     pub fn wake(&mut self, membership: &mut Membership, now: Micros, in_hand: impl FnOnce(&[&str]) -> usize) {
         if self.node.next_due() <= now {
-            self.act(membership, |node, observer, out| node.wake(now, observer, out));
+            self.with_node(membership, |node, observer, out| node.wake(now, observer, out));
         }
-        if let Some(Learning { until, ask_again_at }) = self.learning
+        if let Some(Learning { deadline: until, next_request: ask_again_at }) = self.learning
             && now >= ask_again_at
         {
             if now < until && !self.node.has_heard() {
-                self.learning = Some(Learning { until, ask_again_at: now + LEARN_AGAIN_US });
+                self.learning = Some(Learning { deadline: until, next_request: now + LEARNING_RETRY_US });
                 self.node.recall(&mut self.outputs);
             } else {
                 self.learning = None;
@@ -180,7 +180,7 @@
             );
         }
         if !self.drained.is_empty() && now >= self.next_drain_report {
-            let interval = IN_HAND_INTERVAL.for_members(membership.members().len());
+            let interval = DRAIN_REPORT_INTERVAL.for_members(membership.members().len());
             self.next_drain_report = now + interval;
             let names = self.drained.iter().filter_map(|tag| Some(self.workers.get(*tag)?.name.as_str()));
             let held = in_hand(&names.collect::<Vec<_>>());
@@ -217,7 +217,7 @@
             OperatorCommand::Request(permit_request) => permit_request,
         };
         let same = |pending_request: &&PendingRequest| {
-            pending_request.from == from && pending_request.their_tag == request.tag
+            pending_request.from == from && pending_request.operator_tag == request.tag
         };
         if let Some(pending_request) = self.pending.iter().find(same) {
             if let Some(answer) = pending_request.answer {
@@ -229,9 +229,16 @@
             self.pending.pop_front();
         }
         let mut our_tag = 0;
-        self.act(membership, |node, observer, out| our_tag = node.ask(now, permit_request, observer, out));
+        self.with_node(membership, |node, observer, out| {
+            our_tag = node.ask(now, permit_request, observer, out)
+        });
         info!(%from, request = ?permit_request, "asked by an operator");
-        self.pending.push_back(PendingRequest { from, their_tag: request.tag, our_tag, answer: None });
+        self.pending.push_back(PendingRequest {
+            from,
+            operator_tag: request.tag,
+            node_tag: our_tag,
+            answer: None,
+        });
     }
 
     /// Members that may still have calls in hand for drained workers: who has not said since it knew of the latest
@@ -245,9 +252,9 @@
             let clear = told.is_some_and(|told| matches!(told[..], [ms, v, 0] if (ms, v) >= at));
             let ended = match entry.state {
                 MemberState::Stopped => true,
-                MemberState::Gone => now >= entry.state_since + CLEAR_US,
+                MemberState::Gone => now >= entry.state_since + GONE_MEMBER_CLEAR_US,
                 // Never there, as far as we can have heard.
-                MemberState::Unknown => now >= self.started + CLEAR_US,
+                MemberState::Unknown => now >= self.started + GONE_MEMBER_CLEAR_US,
                 _ => false,
             };
             !clear && !ended
@@ -286,13 +293,13 @@
     /// A request of this program itself.
     pub fn submit(&mut self, membership: &Membership, now: Micros, permit_request: PermitRequest) -> u32 {
         let mut tag = 0;
-        self.act(membership, |node, observer, out| tag = node.ask(now, permit_request, observer, out));
+        self.with_node(membership, |node, observer, out| tag = node.ask(now, permit_request, observer, out));
         tag
     }
 
     /// Workers that are told.
-    pub fn told(&mut self, now: Micros, whole: bool, workers: &[Worker]) {
-        self.workers.told(now, whole, workers, &self.drained);
+    pub fn update_workers(&mut self, now: Micros, whole: bool, workers: &[Worker]) {
+        self.workers.update(now, whole, workers, &self.drained);
     }
 
     /// See [`PeerTransport::holds`](crate::PeerTransport::holds).
@@ -306,7 +313,7 @@
     }
 
     /// Sends what is to be sent, answers operators, and tells what is new.
-    pub fn carry_out(
+    pub fn process_outputs(
         &mut self,
         io: &mut Io,
         now: Micros,
@@ -324,14 +331,14 @@
                 }
                 Output::Changed => changed = true,
                 Output::Answered { tag, answer } => {
-                    match self.pending.iter_mut().find(|pending_request| pending_request.our_tag == tag) {
+                    match self.pending.iter_mut().find(|pending_request| pending_request.node_tag == tag) {
                         Some(pending_request) if pending_request.answer.is_none() => {
                             pending_request.answer = Some(answer);
                             let told = OperatorReply::Answer(answer);
                             io.send_to(
                                 socket,
                                 pending_request.from,
-                                &OperatorResponse { tag: pending_request.their_tag, told }.write(),
+                                &OperatorResponse { tag: pending_request.operator_tag, told }.write(),
                             );
                         }
                         Some(_) => {}
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -121,14 +121,14 @@
             (self.peers, self.member_numbers) = (fleet.peers.clone(), member_numbers(&fleet.peers));
             self.operators.clone_from(&fleet.operators);
             if let (Some(permits), Some(bounds)) = (&mut self.permits, fleet.bounds) {
-                permits.reread(bounds, &fleet.zones);
+                permits.update_config(bounds, &fleet.zones);
             }
             info!(members = self.peers.len(), "fleet's list read");
         }
     }
 
     /// Takes what waits at the socket.
-    pub fn data(&mut self, io: &mut Io, now: Micros, events: &mut Vec<Event>) {
+    pub fn receive(&mut self, io: &mut Io, now: Micros, events: &mut Vec<Event>) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         // Bounded: whoever sends without end does not hold up the loop.
         for _ in 0..64 {
@@ -157,7 +157,7 @@
                 }
             }
         }
-        self.carry_out(io, now, events);
+        self.process_outputs(io, now, events);
     }
 
     /// Does what is due; `in_hand` says how much these workers have of ours.
@@ -179,19 +179,19 @@
         if self.membership.next_due() <= now {
             self.membership.wake(now, &mut self.outputs);
         }
-        self.carry_out(io, now, events);
+        self.process_outputs(io, now, events);
     }
 
     /// We leave, and finish what we have.
     pub fn leave(&mut self, io: &mut Io, now: Micros, events: &mut Vec<Event>) {
         self.membership.leave(now, &mut self.outputs);
-        self.carry_out(io, now, events);
+        self.process_outputs(io, now, events);
     }
 
     /// We are no more.
     pub fn stop(&mut self, io: &mut Io, now: Micros, events: &mut Vec<Event>) {
         self.membership.stop(now, &mut self.outputs);
-        self.carry_out(io, now, events);
+        self.process_outputs(io, now, events);
     }
 
     /// The latest that is agreed, as far as we know.
@@ -219,8 +219,8 @@
     }
 
     /// Workers that are told: all of them where `whole`, or else what has changed.
-    pub fn told(&mut self, now: Micros, whole: bool, workers: &[Worker]) {
-        self.permits.iter_mut().for_each(|permits| permits.told(now, whole, workers));
+    pub fn update_workers(&mut self, now: Micros, whole: bool, workers: &[Worker]) {
+        self.permits.iter_mut().for_each(|permits| permits.update_workers(now, whole, workers));
     }
 
     /// Whether this worker is to be given nothing new, as the fleet drains it, or as we have not heard yet whether it
@@ -234,9 +234,9 @@
         self.permits.as_ref().is_some_and(|permits| permits.is_known(worker))
     }
 
-    fn carry_out(&mut self, io: &mut Io, now: Micros, events: &mut Vec<Event>) {
+    fn process_outputs(&mut self, io: &mut Io, now: Micros, events: &mut Vec<Event>) {
         if let Some(permits) = &mut self.permits {
-            permits.carry_out(io, now, (self.socket, &self.peers), events);
+            permits.process_outputs(io, now, (self.socket, &self.peers), events);
         }
         for output in std::mem::take(&mut self.outputs) {
             match output {
--- a/crates/peers/src/workers.rs
+++ b/crates/peers/src/workers.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A worker that is gone counts as out for so long: by then it has been replaced, or is not meant to be.
-const GONE_US: Micros = 300_000_000;
+const GONE_RETENTION_US: Micros = 300_000_000;
 
 /// What a worker is told to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     /// When it started late, in Unix milliseconds, or 0.
     pub boot_ms: u64,
     /// What it is.
-    pub stands: WorkerState,
+    pub state: WorkerState,
 }
 
 /// All workers that count, by mark.
@@ -54,7 +54,7 @@
 
     pub fn observations(&self, now: Micros) -> Observations {
         let seen = |(tag, (worker, since)): (&u32, &(Worker, Micros))| {
-            let used = (worker.stands == WorkerState::Ready).then(|| now.saturating_sub(*since));
+            let used = (worker.state == WorkerState::Ready).then(|| now.saturating_sub(*since));
             let life = (worker.boot_ms / 1_000) as u16;
             (Subject::Worker(*tag), Observation { zone: worker.zone, life, used, sole: false, runs: None })
         };
@@ -62,25 +62,25 @@
     }
 
     /// The list, or what has changed in it. Those that are drained are kept though they are gone.
-    pub fn told(&mut self, now: Micros, whole: bool, told: &[Worker], drained: &BTreeSet<u32>) {
+    pub fn update(&mut self, now: Micros, whole: bool, told: &[Worker], drained: &BTreeSet<u32>) {
         if whole {
             let listed: BTreeSet<_> = told.iter().map(|worker| mark(&worker.name)).collect();
             for (tag, (worker, since)) in &mut self.by_mark {
-                if !listed.contains(tag) && worker.stands != WorkerState::Gone {
-                    (worker.stands, *since) = (WorkerState::Gone, now);
+                if !listed.contains(tag) && worker.state != WorkerState::Gone {
+                    (worker.state, *since) = (WorkerState::Gone, now);
                 }
             }
         }
         for worker in told {
             let tag = mark(&worker.name);
             let same = |(known, _): &&(Worker, Micros)| {
-                known.stands == worker.stands && known.boot_ms == worker.boot_ms
+                known.state == worker.state && known.boot_ms == worker.boot_ms
             };
             let since = self.by_mark.get(&tag).filter(same).map_or(now, |(_, since)| *since);
             self.by_mark.insert(tag, (worker.clone(), since));
         }
         self.by_mark.retain(|tag, (worker, since)| {
-            worker.stands != WorkerState::Gone || drained.contains(tag) || now < *since + GONE_US
+            worker.state != WorkerState::Gone || drained.contains(tag) || now < *since + GONE_RETENTION_US
         });
     }
 }
--- a/crates/trial/src/hollow/shard.rs
+++ b/crates/trial/src/hollow/shard.rs
@@ -251,7 +251,7 @@
         self.load.received += 1;
         self.io.give(member.transport.socket(), from, bytes);
         let now = self.shared.spec.now();
-        member.transport.data(&mut self.io, now, &mut self.events);
+        member.transport.receive(&mut self.io, now, &mut self.events);
         self.follow_up(number);
     }
 
