--- a/crates/peers/src/clock.rs
+++ b/crates/peers/src/clock.rs
@@ -1,21 +1,23 @@
-//! The wall clock that incarnations count by, and intervals that the membership and the permits of a process share.
-//! Microseconds, but where a name says milliseconds.
+//! The wall clock that incarnations are based on, and the intervals at which a process publishes facts. Times are
+//! microseconds unless a name says milliseconds.
 
 use basaltward_net::{Clock, Micros};
 
-/// How often a fact is published: every member passes on those of all, so the interval grows with their number.
+/// How often a fact is published. Every member forwards the facts of all others, so the interval grows with the number of
+/// members.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PublishInterval {
-    /// At least.
+    /// The shortest interval.
     pub min_us: Micros,
-    /// What each member adds, where that is more.
+    /// The interval per member, used where the product is longer than the minimum.
     pub per_member_us: Micros,
 }
 
-/// Of counters of calls and of the version that we run: three that are missed leave the last one standing.
+/// For call counters and for the version of this process. Facts expire after four intervals, so three lost updates in a
+/// row leave the last value valid.
 pub(crate) const COUNTERS_INTERVAL: PublishInterval =
     PublishInterval { min_us: 5_000_000, per_member_us: 500_000 };
-/// The beginning of 2026, in milliseconds since 1970: incarnations count from there.
+/// The beginning of 2026 in Unix milliseconds; start times of processes count from there.
 const EPOCH_MS: u64 = 1_767_225_600_000;
 
 /// The wall clock, in milliseconds since the beginning of 2026.
@@ -24,7 +26,7 @@
 }
 
 impl PublishInterval {
-    /// Among so many members.
+    /// The interval in a fleet of `members`.
     pub(crate) fn for_members(self, members: usize) -> Micros {
         self.min_us.max(self.per_member_us * members as Micros)
     }
--- a/crates/peers/src/counts.rs
+++ b/crates/peers/src/counts.rs
@@ -1,41 +1,43 @@
-//! Counters of the connections to one peer; they only grow.
+//! Counters of the connections to one peer. They only grow.
 
 use crate::error::ConnectionError;
 
-/// What was counted of the links to one peer.
+/// Counters of the connections to one peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionCounters {
-    /// Connections that frames went on.
+    /// Connections that were used to send frames.
     pub established: u64,
-    /// Frames taken to be sent, and their bytes with what the wire adds.
+    /// Frames accepted for sending.
     pub sent_frames: u64,
-    /// See `sent`.
+    /// Bytes of the frames accepted for sending, frame headers included.
     pub sent_bytes: u64,
-    /// Frames that came, and their bytes.
+    /// Frames received.
     pub received_frames: u64,
-    /// See `came`.
+    /// Bytes of the frames received, frame headers included.
     pub received_bytes: u64,
-    /// Frames that were not taken, as too much was unsent.
+    /// Frames rejected because too many bytes were unsent.
     pub rejected: u64,
-    /// Times that what waited for a connection was given up.
+    /// Times that the frames queued for a connection were discarded.
     pub queue_discards: u64,
-    /// Frames of no channel that we know.
+    /// Frames received on a channel that this version does not have.
     pub unknown_channel: u64,
-    /// Connections that the other end closed or that broke: the link was cut, or the process ended.
+    /// Connections that the other end closed or that broke: the network path was cut or the process ended.
     pub disconnected: u64,
-    /// Connections that stood and on which nothing came, or nothing was read: the link or the process stood still.
+    /// Established connections ended because nothing was received or the other end did not read: the network path or the
+    /// process stalled.
     pub stalled: u64,
-    /// Connections that could not be made, or were refused.
+    /// Connections that could not be established, or were refused.
     pub connect_failed: u64,
-    /// Connections ended over a frame or a hello that can't be used.
+    /// Connections ended because of an invalid frame or handshake.
     pub protocol_errors: u64,
-    /// Connections ended as unused, or as another took their place.
+    /// Connections ended because they were idle or replaced, or because one of the two processes stopped.
     pub closed_in_order: u64,
 }
 
 impl ConnectionCounters {
-    pub(crate) fn count_end(&mut self, why: ConnectionError) {
-        let count = match why {
+    /// Counts the end of a connection under its cause.
+    pub(crate) fn count_end(&mut self, error: ConnectionError) {
+        let count = match error {
             ConnectionError::Closed | ConnectionError::Reset | ConnectionError::Truncated(_) => {
                 &mut self.disconnected
             }
--- a/crates/peers/src/event.rs
+++ b/crates/peers/src/event.rs
@@ -1,41 +1,42 @@
-//! What a program hears of its peers, by datagrams and by connections, and the channels of frames.
+//! Events that a process receives about its peers, from datagrams and from connections, and the channels of frames.
 
 use basaltward_membership::{Incarnation, MemberId, MemberState};
 use basaltward_permits::{PermitResult, PermitState, Stored};
 use bytes::Bytes;
 
-/// What a program hears of its peers by datagrams.
+/// An event from the datagrams of peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Something else is believed of a member.
+    /// The state of a member changed in the local view.
     MemberChanged {
-        /// Which.
+        /// The member.
         member: MemberId,
-        /// Of which of its lives.
+        /// The incarnation that the state belongs to.
         incarnation: Incarnation,
-        /// What it is now.
+        /// The new state.
         state: MemberState,
     },
-    /// A later life of our name goes on, and the fleet hears nothing of us any more.
+    /// A later incarnation of the local member is running; the fleet ignores this process from now on.
     Superseded,
-    /// Something later is agreed.
+    /// A later permit state was agreed on.
     Agreed(Stored<PermitState>),
-    /// Workers, by name, whose drain has begun or ended: ask of each whether it is held.
+    /// Names of workers whose drain began or ended, or all workers once the drains are first known. Query
+    /// [`PeerTransport::is_blocked`](crate::PeerTransport::is_blocked) for each.
     DrainsChanged(Vec<String>),
-    /// The answer to a request of this program itself, by the number that asking gave.
+    /// The result of a permit request that this process submitted.
     Answered {
-        /// The number.
+        /// The number that [`PeerTransport::submit`](crate::PeerTransport::submit) returned.
         tag: u32,
-        /// The answer.
+        /// The result.
         answer: PermitResult,
     },
 }
 
-/// Whose frames.
+/// The component that a frame belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
 pub enum Channel {
-    /// Journals of kept calls (`crates/pending`).
+    /// Journals of stored calls (`crates/pending`).
     Pending = 1,
     /// Choice of sites (`crates/route`).
     Route = 2,
@@ -44,20 +45,20 @@
 }
 
 impl Channel {
-    /// The channel of a frame, where it is one that we know.
+    /// The channel with this number, or `None` if this version does not have it.
     pub(crate) fn from_byte(byte: u8) -> Option<Self> {
         [Self::Pending, Self::Route, Self::Shed].into_iter().find(|channel| *channel as u8 == byte)
     }
 }
 
-/// What links tell.
+/// An event from the connections to peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConnectionEvent {
-    /// A peer can be sent to and heard, in this life of it.
+    /// A connection to the peer is established. The second field is the peer's start time, which identifies its process.
     Up(MemberId, u64),
-    /// What was sent to it and not answered may be lost: its connection has ended, or could not be made in time. Where
-    /// another still stands, `Up` follows.
+    /// Frames sent to the peer and not yet answered may be lost: its connection ended or could not be established in
+    /// time. If another connection to it is established, `Up` follows.
     Down(MemberId),
-    /// A frame came.
+    /// A frame was received.
     Frame(MemberId, Channel, Bytes),
 }
--- a/crates/peers/src/handshake.rs
+++ b/crates/peers/src/handshake.rs
@@ -1,59 +1,61 @@
-//! What the two ends of a connection tell one another about it, on channel 0: who each is, that it is there, and why it ends
-//! the connection. One frame each, by postcard.
+//! Control messages on channel 0, by which the two ends of a connection identify themselves, check that the other end is alive,
+//! and give the reason for closing. Each message is one frame, encoded with postcard.
 
 use crate::error::ConnectionError;
 use basaltward_membership::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// Of the frames and of what stands here; other formats are refused.
+/// Format of the frames and of the messages in this module. A handshake of any other format is rejected.
 const FORMAT: u8 = 1;
 
-/// The first frame of each end. The address of an end can't name it, as relays may stand between.
+/// The first frame that each end sends. The address of a connection does not identify a peer, as there may be relays between
+/// the two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handshake {
     format: u8,
-    /// Names the fleet.
+    /// Hash of the fleet's name.
     pub fleet: u32,
-    /// Who says it, and in which life.
+    /// Number of the sender.
     pub from: MemberId,
-    /// See `from`.
+    /// Start time of the sender in milliseconds since the beginning of 2026; identifies its process.
     pub start_ms: u64,
-    /// Whom it takes the other end for.
+    /// Number of the peer that the sender expects at the other end.
     pub to: MemberId,
 }
 
-/// What goes on channel 0.
+/// A message on channel 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Control {
-    /// Who I am.
+    /// Identifies the sender.
     Handshake(Handshake),
-    /// Are you there?
+    /// Requests a [`Control::Pong`] with the same number.
     Ping(u32),
-    /// I am.
+    /// Answers a [`Control::Ping`].
     Pong(u32),
-    /// I end this, for this cause: the other end can't tell it by the end alone.
+    /// The sender closes the connection for this reason, which the closing of the socket alone does not show.
     Bye(Bye),
 }
 
-/// Why an end ends a connection.
+/// Why the sender closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Bye {
-    /// Nothing of any room went on it.
+    /// No frames of a channel other than 0 were sent or received for a while.
     Idle,
-    /// It hears nothing, or no answers.
+    /// It receives nothing, or no answers to its pings.
     NoResponse,
-    /// A later one takes its place.
+    /// A later connection replaces this one.
     Replaced,
     /// It stops.
     Stopped,
-    /// It can't use what came.
+    /// It received an invalid frame or message.
     ProtocolError,
 }
 
 impl Bye {
-    /// What to say where we end a connection for this cause; nothing where it has ended by itself.
-    pub fn of(why: ConnectionError) -> Option<Self> {
-        match why {
+    /// The reason to send when this process ends a connection with this error, or `None` if the other end or the network
+    /// already ended it.
+    pub fn of(error: ConnectionError) -> Option<Self> {
+        match error {
             ConnectionError::Closed
             | ConnectionError::Reset
             | ConnectionError::Truncated(_)
@@ -68,7 +70,7 @@
         }
     }
 
-    /// The cause where the other end says this.
+    /// The error by which a connection ends when the other end sends this reason.
     pub fn error(self) -> ConnectionError {
         match self {
             Self::Idle => ConnectionError::Idle,
@@ -81,8 +83,8 @@
 }
 
 impl Handshake {
-    pub fn new(fleet: u32, (from, life): (MemberId, u64), to: MemberId) -> Self {
-        Self { format: FORMAT, fleet, from, start_ms: life, to }
+    pub fn new(fleet: u32, (from, start_ms): (MemberId, u64), to: MemberId) -> Self {
+        Self { format: FORMAT, fleet, from, start_ms, to }
     }
 }
 
@@ -91,12 +93,13 @@
         postcard::to_extend(self, Vec::new()).unwrap_or_default()
     }
 
-    /// Reads one.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// Where it is none, or of another format.
+    /// [`ConnectionError::Format`] for a handshake of another format, [`ConnectionError::Control`] for bytes that are no
+    /// message.
     pub fn read(bytes: &[u8]) -> Result<Self, ConnectionError> {
-        // A handshake's place of the format is the same in all formats.
+        // All formats have the format number at the same position of a handshake.
         if let [0, format, ..] = bytes
             && *format != FORMAT
         {
--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -371,7 +371,7 @@
             count,
             "agreed"
         );
-        let drained: BTreeSet<u32> = self.workers.tags().filter(|tag| known.value.drains(*tag)).collect();
+        let drained: BTreeSet<u32> = self.workers.marks().filter(|tag| known.value.drains(*tag)).collect();
         let before = std::mem::replace(&mut self.drained, drained);
         // Whoever asks hears soon how much is in hand.
         self.next_drain_report = now;
--- a/crates/peers/src/workers.rs
+++ b/crates/peers/src/workers.rs
@@ -1,50 +1,50 @@
-//! Workers as a program is told of them, as far as what is agreed needs to know. One that is gone counts as out for five
-//! minutes, and as long as it is drained.
+//! The workers as the permits see them. A removed worker still counts as out of service for five minutes, and for as long as it
+//! is drained.
 
 use basaltward_net::Micros;
 use basaltward_permits::{Observation, Observations, Subject, mark};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A worker that is gone counts as out for so long: by then it has been replaced, or is not meant to be.
+/// How long a removed worker counts as out of service: after that it has been replaced, or is not meant to be.
 const GONE_RETENTION_US: Micros = 300_000_000;
 
-/// What a worker is told to be.
+/// The state of a worker in the list of workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerState {
-    /// Takes work.
+    /// Accepts work.
     Ready,
-    /// Finishes its work and takes nothing new.
+    /// Finishes its work and accepts no more.
     Leaving,
     /// Removed.
     Gone,
 }
 
-/// A worker as it is told.
+/// A worker as it is listed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Worker {
-    /// Its name. A new worker has a new one.
+    /// Its name. A new worker has a new name.
     pub name: String,
-    /// Its zone, numbered by whoever tells.
+    /// Its zone, as the caller numbers zones.
     pub zone: u8,
-    /// When it started late, in Unix milliseconds, or 0.
+    /// When it last started, in Unix milliseconds, or 0.
     pub boot_ms: u64,
-    /// What it is.
+    /// Its state.
     pub state: WorkerState,
 }
 
 /// All workers that count, by mark.
 #[derive(Default)]
 pub(crate) struct Workers {
-    /// Each with the time since when it has been as it is told to be.
+    /// Each with the time since when it has been in its state.
     by_mark: BTreeMap<u32, (Worker, Micros)>,
 }
 
 impl Workers {
-    pub fn get(&self, tag: u32) -> Option<&Worker> {
-        self.by_mark.get(&tag).map(|(worker, _)| worker)
+    pub fn get(&self, mark: u32) -> Option<&Worker> {
+        self.by_mark.get(&mark).map(|(worker, _)| worker)
     }
 
-    pub fn tags(&self) -> impl Iterator<Item = u32> {
+    pub fn marks(&self) -> impl Iterator<Item = u32> {
         self.by_mark.keys().copied()
     }
 
@@ -53,34 +53,34 @@
     }
 
     pub fn observations(&self, now: Micros) -> Observations {
-        let seen = |(tag, (worker, since)): (&u32, &(Worker, Micros))| {
+        let observation = |(mark, (worker, since)): (&u32, &(Worker, Micros))| {
             let used = (worker.state == WorkerState::Ready).then(|| now.saturating_sub(*since));
             let life = (worker.boot_ms / 1_000) as u16;
-            (Subject::Worker(*tag), Observation { zone: worker.zone, life, used, sole: false, runs: None })
+            (Subject::Worker(*mark), Observation { zone: worker.zone, life, used, sole: false, runs: None })
         };
-        self.by_mark.iter().map(seen).collect()
+        self.by_mark.iter().map(observation).collect()
     }
 
-    /// The list, or what has changed in it. Those that are drained are kept though they are gone.
-    pub fn update(&mut self, now: Micros, whole: bool, told: &[Worker], drained: &BTreeSet<u32>) {
-        if whole {
-            let listed: BTreeSet<_> = told.iter().map(|worker| mark(&worker.name)).collect();
-            for (tag, (worker, since)) in &mut self.by_mark {
-                if !listed.contains(tag) && worker.state != WorkerState::Gone {
+    /// Applies the complete list of workers, or the changes in it. Removed workers that are drained are retained.
+    pub fn update(&mut self, now: Micros, complete: bool, workers: &[Worker], drained: &BTreeSet<u32>) {
+        if complete {
+            let listed: BTreeSet<_> = workers.iter().map(|worker| mark(&worker.name)).collect();
+            for (mark, (worker, since)) in &mut self.by_mark {
+                if !listed.contains(mark) && worker.state != WorkerState::Gone {
                     (worker.state, *since) = (WorkerState::Gone, now);
                 }
             }
         }
-        for worker in told {
-            let tag = mark(&worker.name);
-            let same = |(known, _): &&(Worker, Micros)| {
+        for worker in workers {
+            let mark = mark(&worker.name);
+            let unchanged = |(known, _): &&(Worker, Micros)| {
                 known.state == worker.state && known.boot_ms == worker.boot_ms
             };
-            let since = self.by_mark.get(&tag).filter(same).map_or(now, |(_, since)| *since);
-            self.by_mark.insert(tag, (worker.clone(), since));
+            let since = self.by_mark.get(&mark).filter(unchanged).map_or(now, |(_, since)| *since);
+            self.by_mark.insert(mark, (worker.clone(), since));
         }
-        self.by_mark.retain(|tag, (worker, since)| {
-            worker.state != WorkerState::Gone || drained.contains(tag) || now < *since + GONE_RETENTION_US
+        self.by_mark.retain(|mark, (worker, since)| {
+            worker.state != WorkerState::Gone || drained.contains(mark) || now < *since + GONE_RETENTION_US
         });
     }
 }
