--- a/crates/peers/src/connections.rs
+++ b/crates/peers/src/connections.rs
@@ -1,8 +1,8 @@
-//! Kept connections to peers: made when there is something to send, by the sender; what comes back comes on them.
+//! Persistent connections to peers. A connection is opened when there is something to send; both ends send on it.
 //!
-//! Frames come whole, and in order within one connection. A frame that was taken may still be lost with its connection, which
-//! [`ConnectionEvent::Down`] tells; whoever needs it there numbers what it sends. Bounds: one connection each way a peer, as
-//! many unidentified ones as there are peers and 16, and the unsent bytes that the configuration names.
+//! Frames arrive whole, and in order within one connection. A frame accepted for sending may still be lost with its connection,
+//! which [`ConnectionEvent::Down`] reports; a sender that needs delivery numbers its messages. Bounds: one connection in each
+//! direction per peer, as many connections without a handshake as there are peers plus 16, and the configured unsent bytes.
 
 use crate::config::ConnectionConfig;
 use crate::connection::{Incoming, LocalIdentity, PeerConnection};
@@ -22,24 +22,24 @@
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// A connection with no more than this unsent is ended in order; of more, the memory is wanted back at once. Answers of
-/// our own may go beyond the bound by so much.
+/// A connection with at most this many unsent bytes is closed after they are written; with more it is aborted, to free the
+/// memory at once. Pongs may exceed the limit of unsent bytes by as much.
 const ORDERLY_CLOSE_BYTES: usize = 64 << 10;
 
-/// See the module's page.
+/// The connections of one process to its peers; see the module's documentation.
 pub struct PeerConnections {
     config: ConnectionConfig,
     local: LocalIdentity,
     listener: usize,
     peers: Vec<Peer>,
     connections: BTreeMap<ConnId, PeerConnection>,
-    /// Peers that frames wait for.
+    /// Peers with frames queued for a connection.
     queued_peers: BTreeSet<MemberId>,
-    /// Connections that came and have sent no handshake yet, the oldest first.
+    /// Inbound connections without a handshake, the oldest first.
     unidentified: VecDeque<ConnId>,
-    /// Ends of connections that had sent no handshake.
+    /// Number of inbound connections that ended without a valid handshake.
     rejected: u64,
-    /// When we last looked.
+    /// When this process last handled an event or a timer.
     last_run: Micros,
     rng: StdRng,
     log_limiter: LogLimiter,
@@ -47,7 +47,7 @@
 }
 
 impl PeerConnections {
-    /// None yet, of us who are this, with connections coming in at this listener of the loop.
+    /// No connections yet. `listener` is the number of the listener for inbound ones on the loop.
     pub(crate) fn new(config: ConnectionConfig, local: LocalIdentity, listener: usize, seed: u64) -> Self {
         let peers = config.peers.iter().map(|_| Peer::new(config.backoff.0)).collect();
         Self {
@@ -66,64 +66,65 @@
         }
     }
 
-    /// Plants a fault: checksums of frames are not looked at.
+    /// Fault injection: checksums are not verified on new connections.
     pub(crate) fn inject_skipped_checksums(&mut self) {
         self.skip_checksums = true;
     }
 
-    /// Whether this connection is one of ours.
+    /// Whether this is a connection to or from a peer.
     pub fn owns(&self, conn: ConnId) -> bool {
         self.connections.contains_key(&conn)
     }
 
-    /// Whether a peer can be sent to now, and in which life it is.
-    pub fn connected_start_ms(&self, of: MemberId) -> Option<u64> {
-        let via = self.peers.get(usize::from(of))?.active?;
-        self.connections.get(&via)?.remote().map(|(_, life)| life)
+    /// The start time of a peer with an established connection, which identifies its process; `None` without a connection.
+    pub fn connected_start_ms(&self, member: MemberId) -> Option<u64> {
+        let active = self.peers.get(usize::from(member))?.active?;
+        self.connections.get(&active)?.remote().map(|(_, start_ms)| start_ms)
     }
 
-    /// The way there and back on a link that stands, and how old that is; none where none stands. While an answer is owed
-    /// for longer than the last took, so long at least.
-    pub fn rtt(&self, of: MemberId, now: Micros) -> Option<(Micros, Micros)> {
-        let peer = self.peers.get(usize::from(of))?;
-        let (trip, at) = peer.rtt?;
-        let waits = peer.active.and_then(|via| self.connections.get(&via)?.pending_ping_age(now));
-        match waits.filter(|waits| *waits > trip) {
-            Some(waits) => Some((waits, 0)),
-            None => Some((trip, now.saturating_sub(at))),
+    /// The latest round trip time on the active connection and its age, in microseconds; `None` without a connection. If the
+    /// pending ping has been unanswered for longer than that time, the age of the ping is returned instead, as a lower bound.
+    pub fn rtt(&self, member: MemberId, now: Micros) -> Option<(Micros, Micros)> {
+        let peer = self.peers.get(usize::from(member))?;
+        let (rtt, measured_at) = peer.rtt?;
+        let pending = peer.active.and_then(|active| self.connections.get(&active)?.pending_ping_age(now));
+        match pending.filter(|pending| *pending > rtt) {
+            Some(pending) => Some((pending, 0)),
+            None => Some((rtt, now.saturating_sub(measured_at))),
         }
     }
 
-    /// What was counted of a peer.
-    pub fn counters(&self, of: MemberId) -> ConnectionCounters {
-        self.peers.get(usize::from(of)).map(|peer| peer.counters).unwrap_or_default()
+    /// The counters of a peer.
+    pub fn counters(&self, member: MemberId) -> ConnectionCounters {
+        self.peers.get(usize::from(member)).map(|peer| peer.counters).unwrap_or_default()
     }
 
-    /// Connections that ended before they had said whose they are.
+    /// Number of inbound connections that ended without a valid handshake.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// Connections that stand or are being made.
+    /// Number of connections, established or not.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Bytes that wait to be sent to a peer.
-    pub fn unsent_bytes(&self, io: &mut Io, of: MemberId) -> usize {
-        let Some(peer) = self.peers.get(usize::from(of)) else { return 0 };
-        peer.queued.len() + peer.active.map_or(0, |via| io.unsent(via))
+    /// Bytes queued for a connection to a peer or unsent on it.
+    pub fn unsent_bytes(&self, io: &mut Io, member: MemberId) -> usize {
+        let Some(peer) = self.peers.get(usize::from(member)) else { return 0 };
+        peer.queued.len() + peer.active.map_or(0, |active| io.unsent(active))
     }
 
-    /// Sends a frame, or has it wait for a connection.
+    /// Sends a frame on the active connection, or queues it until a connection is established.
     ///
     /// # Errors
-    /// Where it is not taken, and nothing of it goes.
+    /// [`ConnectionError::Length`], [`ConnectionError::UnknownPeer`] or [`ConnectionError::QueueFull`]; no part of the frame is
+    /// sent then.
     pub fn send(
         &mut self,
         io: &mut Io,
@@ -136,20 +137,20 @@
             return Err(ConnectionError::Length { length: payload.len(), max: self.config.max_frame_bytes });
         }
         let unsent = self.unsent_bytes(io, to) + FRAME_OVERHEAD + payload.len();
-        let known = to != self.local.member;
+        let remote = to != self.local.member;
         let peer =
-            self.peers.get_mut(usize::from(to)).filter(|_| known).ok_or(ConnectionError::UnknownPeer(to))?;
+            self.peers.get_mut(usize::from(to)).filter(|_| remote).ok_or(ConnectionError::UnknownPeer(to))?;
         if unsent > self.config.max_unsent_bytes {
             peer.counters.rejected += 1;
             return Err(ConnectionError::QueueFull);
         }
         peer.counters.sent_frames += 1;
         peer.counters.sent_bytes += (FRAME_OVERHEAD + payload.len()) as u64;
-        if let Some(via) = peer.active
-            && let Some(output) = io.output(via)
+        if let Some(active) = peer.active
+            && let Some(output) = io.output(active)
         {
             write_frame(channel as u8, payload, output);
-            self.connections.get_mut(&via).into_iter().for_each(|connection| connection.mark_used(now));
+            self.connections.get_mut(&active).into_iter().for_each(|connection| connection.mark_used(now));
             return Ok(());
         }
         if peer.queued.is_empty() {
@@ -161,7 +162,7 @@
         Ok(())
     }
 
-    /// A connection came in at a listener, which may be ours.
+    /// A listener accepted a connection; other listeners than that for peers are ignored.
     pub fn accepted(&mut self, io: &mut Io, now: Micros, conn: ConnId, listener: usize) {
         if listener != self.listener {
             return;
@@ -169,7 +170,7 @@
         self.check_stall(now);
         self.connections.insert(conn, PeerConnection::new(None, self.decoder(), now));
         self.unidentified.push_back(conn);
-        // All peers may come at once; whoever says nothing gives way to them.
+        // All peers may connect at once, so the oldest connection without a handshake is dropped for a new one.
         if self.unidentified.len() > self.peers.len() + 16
             && let Some(oldest) = self.unidentified.front().copied()
         {
@@ -177,7 +178,7 @@
         }
     }
 
-    /// A connection that we began stands.
+    /// An outbound connection was established; connections of others are ignored.
     pub fn connected(&mut self, io: &mut Io, now: Micros, conn: ConnId) {
         self.check_stall(now);
         let Some(connection) = self.connections.get_mut(&conn) else { return };
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Bytes came on a connection, which may be ours.
+    /// Bytes were received on a connection; connections of others are ignored.
     pub fn received(&mut self, io: &mut Io, now: Micros, conn: ConnId, out: &mut Vec<ConnectionEvent>) {
         self.check_stall(now);
         let Some(connection) = self.connections.get_mut(&conn) else { return };
@@ -198,84 +199,86 @@
         }
         loop {
             let Some(connection) = self.connections.get_mut(&conn) else { return };
-            let of = connection.remote();
+            let remote = connection.remote();
             match connection.next_incoming(now, &self.local) {
                 Ok(None) => return,
-                Ok(Some(Incoming::Handshake(of, life))) => {
-                    self.handle_handshake(io, now, conn, (of, life), out)
+                Ok(Some(Incoming::Handshake(member, start_ms))) => {
+                    self.handle_handshake(io, now, conn, (member, start_ms), out)
                 }
-                Ok(Some(Incoming::Reply(answer))) => {
-                    // Whoever asks and reads no answers fills no memory.
+                Ok(Some(Incoming::Reply(reply))) => {
+                    // A peer that sends pings and reads no answers must not fill the memory.
                     if io.unsent(conn) > self.config.max_unsent_bytes + ORDERLY_CLOSE_BYTES {
                         return self.end_connection(io, now, conn, ConnectionError::NotReading, out);
                     }
-                    self.send_control(io, conn, &answer);
+                    self.send_control(io, conn, &reply);
                 }
-                Ok(Some(Incoming::RoundTrip(trip))) => {
-                    if let Some(peer) = self.peer_mut(of) {
-                        peer.rtt = Some((trip, now));
+                Ok(Some(Incoming::RoundTrip(rtt))) => {
+                    if let Some(peer) = self.peer_mut(remote) {
+                        peer.rtt = Some((rtt, now));
                     }
                 }
                 Ok(Some(Incoming::Frame(frame))) => {
-                    let (Some((of, _)), channel) = (of, Channel::from_byte(frame.channel)) else { continue };
-                    let counts = &mut self.peers[usize::from(of)].counters;
-                    counts.received_frames += 1;
-                    counts.received_bytes += (FRAME_OVERHEAD + frame.payload.len()) as u64;
+                    let (Some((member, _)), channel) = (remote, Channel::from_byte(frame.channel)) else {
+                        continue;
+                    };
+                    let counters = &mut self.peers[usize::from(member)].counters;
+                    counters.received_frames += 1;
+                    counters.received_bytes += (FRAME_OVERHEAD + frame.payload.len()) as u64;
                     match channel {
-                        Some(channel) => out.push(ConnectionEvent::Frame(of, channel, frame.payload)),
-                        // Of a later version: its sender learns from what it is not answered.
-                        None => counts.unknown_channel += 1,
+                        Some(channel) => out.push(ConnectionEvent::Frame(member, channel, frame.payload)),
+                        // The frame belongs to a later version; its sender notices that it gets no answer.
+                        None => counters.unknown_channel += 1,
                     }
                 }
-                Err(why) => return self.end_connection(io, now, conn, why, out),
+                Err(error) => return self.end_connection(io, now, conn, error, out),
             }
         }
     }
 
-    /// A connection has ended, which may be ours.
+    /// A connection ended; connections of others are ignored.
     pub fn ended(
         &mut self,
         io: &mut Io,
         now: Micros,
         conn: ConnId,
-        how: End,
+        end: End,
         out: &mut Vec<ConnectionEvent>,
     ) {
         self.received(io, now, conn, out);
         let Some(connection) = self.connections.get(&conn) else { return };
-        let why = connection.end_reason(match how {
+        let error = connection.end_reason(match end {
             End::Closed => ConnectionError::Closed,
             End::Reset => ConnectionError::Reset,
             End::ConnectFailed => ConnectionError::ConnectFailed,
         });
-        self.end_connection(io, now, conn, why, out);
+        self.end_connection(io, now, conn, error, out);
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due: pings, timeouts, new attempts to connect.
     pub fn wake(&mut self, io: &mut Io, now: Micros, out: &mut Vec<ConnectionEvent>) {
         self.check_stall(now);
         let mut due = Vec::new();
         for (conn, connection) in &mut self.connections {
             match connection.wake(now, &self.config.timeouts) {
                 Ok(None) => {}
-                told => due.push((*conn, told)),
+                result => due.push((*conn, result)),
             }
         }
-        for (conn, told) in due {
-            match told {
-                Ok(ask) => ask.iter().for_each(|ask| self.send_control(io, conn, ask)),
-                Err(why) => self.end_connection(io, now, conn, why, out),
+        for (conn, result) in due {
+            match result {
+                Ok(ping) => ping.iter().for_each(|ping| self.send_control(io, conn, ping)),
+                Err(error) => self.end_connection(io, now, conn, error, out),
             }
         }
-        for of in self.queued_peers.clone() {
-            let peer = &mut self.peers[usize::from(of)];
+        for member in self.queued_peers.clone() {
+            let peer = &mut self.peers[usize::from(member)];
             if now >= peer.queued_since + self.config.queue_timeout {
                 peer.queued = BytesMut::new();
                 peer.counters.queue_discards += 1;
-                self.queued_peers.remove(&of);
-                out.push(ConnectionEvent::Down(of));
+                self.queued_peers.remove(&member);
+                out.push(ConnectionEvent::Down(member));
             } else {
-                self.connect(io, now, of);
+                self.connect(io, now, member);
             }
         }
     }
@@ -284,34 +287,36 @@
     pub fn next_due(&self) -> Micros {
         let connections =
             self.connections.values().map(|connection| connection.next_due(&self.config.timeouts));
-        let waiting = self.queued_peers.iter().map(|of| {
-            let peer = &self.peers[usize::from(*of)];
-            let again = if peer.outbound.is_none() { peer.next_attempt } else { Micros::MAX };
-            again.min(peer.queued_since + self.config.queue_timeout)
+        let queued = self.queued_peers.iter().map(|member| {
+            let peer = &self.peers[usize::from(*member)];
+            let next_attempt = if peer.outbound.is_none() { peer.next_attempt } else { Micros::MAX };
+            next_attempt.min(peer.queued_since + self.config.queue_timeout)
         });
-        // Looking at the times of links is what tells our own standing still from theirs.
-        let looks = if self.connections.is_empty() {
+        // With connections, run at least once per ping interval: the times between runs show whether this process stalled
+        // rather than a peer.
+        let stall_check = if self.connections.is_empty() {
             Micros::MAX
         } else {
             self.last_run + self.config.timeouts.ping_interval
         };
-        connections.chain(waiting).min().unwrap_or(Micros::MAX).min(looks)
+        connections.chain(queued).min().unwrap_or(Micros::MAX).min(stall_check)
     }
 
-    /// Ends all of them, once what was given to be sent is written.
+    /// Closes all connections, established ones after their unsent data is written.
     pub fn stop(&mut self, io: &mut Io) {
         for (conn, connection) in std::mem::take(&mut self.connections) {
             self.close(io, conn, &connection, ConnectionError::Stopped);
         }
         self.unidentified.clear();
         self.queued_peers.clear();
-        let pause = self.config.backoff.0;
+        let backoff = self.config.backoff.0;
         self.peers.iter_mut().for_each(|peer| {
-            *peer = Peer { counters: peer.counters, ..Peer::new(pause) };
+            *peer = Peer { counters: peer.counters, ..Peer::new(backoff) };
         });
     }
 
-    /// Another list: peers keep their numbers, and those past its end are no more. It has our number in it.
+    /// Applies a new list of peers. Peers keep their numbers, those past the end of the list are removed. The local number must
+    /// be within the list.
     pub(crate) fn update_peers(
         &mut self,
         io: &mut Io,
@@ -319,25 +324,25 @@
         peers: Vec<SocketAddr>,
         out: &mut Vec<ConnectionEvent>,
     ) {
-        let past = |connection: &PeerConnection| {
-            let of = connection.remote().map(|(of, _)| of).or(connection.expected_peer());
-            of.filter(|of| usize::from(*of) >= peers.len())
+        let removed_peer = |connection: &PeerConnection| {
+            let member = connection.remote().map(|(member, _)| member).or(connection.expected_peer());
+            member.filter(|member| usize::from(*member) >= peers.len())
         };
-        let past: Vec<_> = self
+        let removed: Vec<_> = self
             .connections
             .iter()
-            .filter_map(|(conn, connection)| Some((*conn, past(connection)?)))
+            .filter_map(|(conn, connection)| Some((*conn, removed_peer(connection)?)))
             .collect();
-        for (conn, of) in past {
-            self.end_connection(io, now, conn, ConnectionError::InvalidPeerNumber(of), out);
+        for (conn, member) in removed {
+            self.end_connection(io, now, conn, ConnectionError::InvalidPeerNumber(member), out);
         }
-        self.queued_peers.retain(|of| usize::from(*of) < peers.len());
-        let pause = self.config.backoff.0;
-        self.peers.resize_with(peers.len(), || Peer::new(pause));
+        self.queued_peers.retain(|member| usize::from(*member) < peers.len());
+        let backoff = self.config.backoff.0;
+        self.peers.resize_with(peers.len(), || Peer::new(backoff));
         (self.local.size, self.config.peers) = (peers.len(), peers);
     }
 
-    /// A loop that has stood still knows nothing of what came meanwhile.
+    /// Resets the timeouts if this process itself stalled, as data received meanwhile was not read yet.
     fn check_stall(&mut self, now: Micros) {
         if now > self.last_run + self.config.timeouts.ping_interval * 2 && self.last_run > 0 {
             self.connections.values_mut().for_each(|connection| connection.reset_after_stall(now));
@@ -353,116 +358,124 @@
         decoder
     }
 
-    fn peer_mut(&mut self, of: Option<(MemberId, u64)>) -> Option<&mut Peer> {
-        of.and_then(|(of, _)| self.peers.get_mut(usize::from(of)))
+    fn peer_mut(&mut self, remote: Option<(MemberId, u64)>) -> Option<&mut Peer> {
+        remote.and_then(|(member, _)| self.peers.get_mut(usize::from(member)))
     }
 
-    fn send_control(&self, io: &mut Io, conn: ConnId, what: &Control) {
+    fn send_control(&self, io: &mut Io, conn: ConnId, message: &Control) {
         if let Some(output) = io.output(conn) {
-            write_frame(0, &what.write(), output);
+            write_frame(0, &message.write(), output);
         }
     }
 
-    /// Begins a connection where none stands or is being made, and its pause is over.
-    fn connect(&mut self, io: &mut Io, now: Micros, of: MemberId) {
-        let peer = &mut self.peers[usize::from(of)];
+    /// Opens a connection to a peer, unless there is an outbound one already or the backoff has not passed.
+    fn connect(&mut self, io: &mut Io, now: Micros, member: MemberId) {
+        let peer = &mut self.peers[usize::from(member)];
         if peer.outbound.is_some() || now < peer.next_attempt {
             return;
         }
-        match io.connect(self.config.peers[usize::from(of)]) {
+        match io.connect(self.config.peers[usize::from(member)]) {
             Ok(conn) => {
                 peer.outbound = Some(conn);
-                self.connections.insert(conn, PeerConnection::new(Some(of), self.decoder(), now));
+                self.connections.insert(conn, PeerConnection::new(Some(member), self.decoder(), now));
             }
-            Err(NetError::System(why)) => {
-                self.schedule_retry(now, of);
+            Err(NetError::System(error)) => {
+                self.schedule_retry(now, member);
                 if self.log_limiter.allows(now, "links") {
-                    warn!(peer = of, %why, "no socket for a connection: raise the limit of descriptors");
+                    warn!(
+                        peer = member,
+                        why = %error,
+                        "can't open a socket for a connection: raise the limit of file descriptors"
+                    );
                 }
             }
         }
     }
 
-    fn schedule_retry(&mut self, now: Micros, of: MemberId) {
-        let (rng, most) = (&mut self.rng, self.config.backoff.1);
-        self.peers[usize::from(of)].schedule_retry(now, most, |below| rng.random_range(0..=below));
+    fn schedule_retry(&mut self, now: Micros, member: MemberId) {
+        let (rng, max_backoff) = (&mut self.rng, self.config.backoff.1);
+        self.peers[usize::from(member)].schedule_retry(now, max_backoff, |max| rng.random_range(0..=max));
     }
 
-    /// Whether a connection that came was nobody's yet; it is no longer.
+    /// Removes a connection from the inbound ones without a handshake; returns whether it was one of them.
     fn remove_unidentified(&mut self, conn: ConnId) -> bool {
-        let at = self.unidentified.iter().position(|other| *other == conn);
-        at.and_then(|at| self.unidentified.remove(at)).is_some()
+        let index = self.unidentified.iter().position(|other| *other == conn);
+        index.and_then(|index| self.unidentified.remove(index)).is_some()
     }
 
-    /// The other end has said who it is.
+    /// A valid handshake was received: ends connections that this one replaces, or this one if it is from an earlier
+    /// incarnation of the peer.
     fn handle_handshake(
         &mut self,
         io: &mut Io,
         now: Micros,
         conn: ConnId,
-        (of, life): (MemberId, u64),
+        (member, start_ms): (MemberId, u64),
         out: &mut Vec<ConnectionEvent>,
     ) {
-        let taken = self.remove_unidentified(conn);
-        let peer = &self.peers[usize::from(of)];
+        let inbound = self.remove_unidentified(conn);
+        let peer = &self.peers[usize::from(member)];
         let others = [peer.outbound, peer.inbound].into_iter().flatten().filter(|other| *other != conn);
         let others: Vec<_> =
             others.filter_map(|other| Some((other, self.connections.get(&other)?.remote()?.1))).collect();
-        if others.iter().any(|(_, other)| *other > life) {
+        if others.iter().any(|(_, other_start)| *other_start > start_ms) {
             return self.end_connection(io, now, conn, ConnectionError::EarlierIncarnation, out);
         }
-        for (other, theirs) in others {
-            if theirs < life || (taken && self.peers[usize::from(of)].inbound == Some(other)) {
+        for (other, other_start) in others {
+            if other_start < start_ms || (inbound && self.peers[usize::from(member)].inbound == Some(other)) {
                 self.end_connection(io, now, other, ConnectionError::Replaced, out);
             }
         }
-        let trip = self.connections.get(&conn).map(|connection| (connection.established_for(now), now));
-        let peer = &mut self.peers[usize::from(of)];
-        if taken {
+        let rtt = self.connections.get(&conn).map(|connection| (connection.established_for(now), now));
+        let peer = &mut self.peers[usize::from(member)];
+        if inbound {
             peer.inbound = Some(conn);
-            self.send_control(io, conn, &self.local.handshake(of));
+            self.send_control(io, conn, &self.local.handshake(member));
         } else {
-            // Our handshake and theirs.
-            peer.rtt = trip;
+            // The round trip of the two handshakes.
+            peer.rtt = rtt;
         }
-        self.activate(io, now, of, out);
+        self.activate(io, now, member, out);
     }
 
-    /// Sends what waits on a connection that stands, where there is one and none is in use.
-    fn activate(&mut self, io: &mut Io, now: Micros, of: MemberId, out: &mut Vec<ConnectionEvent>) {
-        let peer = &mut self.peers[usize::from(of)];
+    /// Selects an established connection for sending if none is active, and sends the queued frames on it.
+    fn activate(&mut self, io: &mut Io, now: Micros, member: MemberId, out: &mut Vec<ConnectionEvent>) {
+        let peer = &mut self.peers[usize::from(member)];
         if peer.active.is_some() {
             return;
         }
-        let met = |conn: &ConnId| {
+        let established = |conn: &ConnId| {
             self.connections.get(conn).is_some_and(|connection| connection.remote().is_some())
         };
-        let Some(via) = [peer.outbound, peer.inbound].into_iter().flatten().find(met) else { return };
-        let Some(connection) = self.connections.get_mut(&via) else { return };
-        let Some((_, life)) = connection.remote() else { return };
-        peer.active = Some(via);
+        let Some(active) = [peer.outbound, peer.inbound].into_iter().flatten().find(established) else {
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(&active) else { return };
+        let Some((_, start_ms)) = connection.remote() else { return };
+        peer.active = Some(active);
         peer.counters.established += 1;
-        let waiting = std::mem::take(&mut peer.queued);
-        let other = peer.start_ms.replace(life).is_some_and(|met| met != life);
-        if other && !waiting.is_empty() {
-            // Meant for a life that is no more.
+        let queued = std::mem::take(&mut peer.queued);
+        let restarted = peer.start_ms.replace(start_ms).is_some_and(|previous| previous != start_ms);
+        if restarted && !queued.is_empty() {
+            // The frames were meant for the previous process of the peer.
             peer.counters.queue_discards += 1;
-            out.push(ConnectionEvent::Down(of));
-        } else if let Some(output) = io.output(via).filter(|_| !waiting.is_empty()) {
-            output.extend_from_slice(&waiting);
+            out.push(ConnectionEvent::Down(member));
+        } else if let Some(output) = io.output(active).filter(|_| !queued.is_empty()) {
+            output.extend_from_slice(&queued);
             connection.mark_used(now);
         }
-        self.queued_peers.remove(&of);
-        out.push(ConnectionEvent::Up(of, life));
+        self.queued_peers.remove(&member);
+        out.push(ConnectionEvent::Up(member, start_ms));
         if self.log_limiter.allows(now, "links") {
-            info!(peer = of, life, "link up");
+            info!(peer = member, life = start_ms, "connection up");
         }
     }
 
-    /// Gives a connection up, and says why where the other end is a peer and can soon hear it.
-    fn close(&self, io: &mut Io, conn: ConnId, connection: &PeerConnection, why: ConnectionError) {
-        let bye = Bye::of(why).filter(|_| connection.remote().is_some());
-        match bye.filter(|_| why == ConnectionError::Stopped || io.unsent(conn) <= ORDERLY_CLOSE_BYTES) {
+    /// Closes a connection. The reason is sent first if the other end completed its handshake and little data is unsent before
+    /// it; otherwise the connection is aborted.
+    fn close(&self, io: &mut Io, conn: ConnId, connection: &PeerConnection, error: ConnectionError) {
+        let bye = Bye::of(error).filter(|_| connection.remote().is_some());
+        match bye.filter(|_| error == ConnectionError::Stopped || io.unsent(conn) <= ORDERLY_CLOSE_BYTES) {
             Some(bye) => {
                 self.send_control(io, conn, &Control::Bye(bye));
                 io.close(conn);
@@ -471,50 +484,51 @@
         }
     }
 
-    /// Ends a connection, by us or by what happened to it.
+    /// Removes a connection that this process ends or that ended: logs and counts the reason, schedules a new attempt, and
+    /// switches to the other connection of the peer if there is one.
     fn end_connection(
         &mut self,
         io: &mut Io,
         now: Micros,
         conn: ConnId,
-        why: ConnectionError,
+        error: ConnectionError,
         out: &mut Vec<ConnectionEvent>,
     ) {
         let Some(connection) = self.connections.remove(&conn) else { return };
         let from = io.peer_address(conn);
-        self.close(io, conn, &connection, why);
+        self.close(io, conn, &connection, error);
         self.remove_unidentified(conn);
-        let of = connection.remote().map(|(of, _)| of).or(connection.expected_peer());
+        let member = connection.remote().map(|(member, _)| member).or(connection.expected_peer());
         if self.log_limiter.allows(now, "links") {
-            let quiet = matches!(why, ConnectionError::Idle | ConnectionError::Stopped);
-            if quiet {
-                info!(peer = of, %why, "link ended")
+            let expected = matches!(error, ConnectionError::Idle | ConnectionError::Stopped);
+            if expected {
+                info!(peer = member, why = %error, "connection ended")
             } else {
-                warn!(peer = of, ?from, %why, "link ended")
+                warn!(peer = member, ?from, why = %error, "connection ended")
             }
         }
-        let Some(of) = of else {
+        let Some(member) = member else {
             self.rejected += 1;
             return;
         };
-        let peer = &mut self.peers[usize::from(of)];
-        peer.counters.count_end(why);
+        let peer = &mut self.peers[usize::from(member)];
+        peer.counters.count_end(error);
         if peer.outbound == Some(conn) {
             peer.outbound = None;
-            // One that stood well is made anew at once; one that did not come about, later and later.
+            // After a connection that lasted, the backoff starts again at its minimum; after failed attempts it keeps growing.
             if connection.established_for(now) >= self.config.backoff.1 {
                 peer.backoff = self.config.backoff.0;
             }
-            self.schedule_retry(now, of);
+            self.schedule_retry(now, member);
         }
-        let peer = &mut self.peers[usize::from(of)];
+        let peer = &mut self.peers[usize::from(member)];
         if peer.inbound == Some(conn) {
             peer.inbound = None;
         }
         if peer.active == Some(conn) {
             (peer.active, peer.rtt) = (None, None);
-            out.push(ConnectionEvent::Down(of));
-            self.activate(io, now, of, out);
+            out.push(ConnectionEvent::Down(member));
+            self.activate(io, now, member, out);
         }
     }
 }
--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -1,6 +1,6 @@
-//! What the fleet agrees on, on the loop: the permits node of this process, the workers that are drained, and what operators
-//! ask for. Input: datagrams, workers as they are told, requests; output: datagrams and events. Bound: 64 requests of operators
-//! are remembered.
+//! Runs the permits node of this process on its event loop, tracks which workers are drained, and answers operators. Input:
+//! datagrams, updates of the list of workers, requests; output: datagrams and events. Bound: the last 64 requests of operators
+//! are retained.
 
 use crate::clock::{COUNTERS_INTERVAL, PublishInterval, since_2026_ms};
 use crate::config::{PeerConfig, SitesToWatch};
@@ -21,71 +21,79 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// Operators' requests remembered; the oldest go.
+/// Most requests of operators retained, to answer repeated ones; the oldest are dropped.
 const MAX_PENDING_REQUESTS: usize = 64;
-/// What we have in hand for drained workers is published so often.
+/// Interval at which the number of calls in flight on drained workers is published.
 const DRAIN_REPORT_INTERVAL: PublishInterval = PublishInterval { min_us: 1_000_000, per_member_us: 100_000 };
-/// Whoever starts uses no worker until it has heard what is drained, but for no longer than this: with nobody there to
-/// tell, it serves.
+/// A process that starts uses no worker until it has learned which ones are drained, but for no longer than this: with no
+/// member there to answer, it serves.
 const LEARNING_TIMEOUT_US: Micros = 500_000;
-/// It asks this often what is drained.
+/// Interval between requests for the permit state while learning.
 const LEARNING_RETRY_US: Micros = 50_000;
-/// A member that has been gone for so long has nothing in hand any more: no call lasts so long.
+/// A member that has been gone for this long has no calls in flight: no call lasts longer.
 const GONE_MEMBER_CLEAR_US: Micros = 60_000_000;
 
-/// Workers wait for what is drained.
+/// The phase after the start in which workers are blocked until it is known which ones are drained.
 #[derive(Clone, Copy)]
 struct Learning {
-    /// At most until then.
+    /// When the phase ends at the latest.
     deadline: Micros,
-    /// When it is asked for again.
+    /// When the permit state is requested next.
     next_request: Micros,
 }
 
-/// A request of an operator.
+/// A permit request of an operator.
 struct PendingRequest {
     from: SocketAddr,
+    /// Number of the request at the operator.
     operator_tag: u32,
-    /// Of our question to the leader.
+    /// Number of the request at the local node.
     node_tag: u32,
     answer: Option<PermitResult>,
 }
 
-/// See the module's page.
+/// The permits node of this process with the workers that it observes.
 pub struct PermitService {
     node: PermitNode,
     workers: Workers,
     drained: BTreeSet<u32>,
     pending: VecDeque<PendingRequest>,
+    /// When the calls in flight on drained workers are published next.
     next_drain_report: Micros,
     learning: Option<Learning>,
     started: Micros,
     /// Zones of the schedulers, by number.
     peer_zones: Vec<u8>,
     sites: Option<SitesToWatch>,
-    /// The mark of the version that we run, and when it is told next.
+    /// Mark of the version of this process.
     version_mark: u32,
+    /// When the version is published next.
     next_version_report: Micros,
-    /// The latest that is recorded.
+    /// Epoch and version of the latest permit state reported as an event.
     last_reported: Option<(Epoch, u32)>,
-    /// Workers no longer wait.
+    /// The learning phase has ended, which is not reported as an event yet.
     learning_ended: bool,
     outputs: Vec<Output>,
 }
 
 impl PermitService {
-    /// A member's part in a fleet of this view, where the configuration asks for one.
+    /// The permits service of a member with these membership settings, or `None` if the configuration has no bounds.
+    ///
+    /// # Errors
+    /// If the settings of the permits are invalid.
     pub fn new(
-        fleet: &MembershipSettings,
+        membership: &MembershipSettings,
         config: &PeerConfig,
         now: Micros,
     ) -> Result<Option<Self>, PeerError> {
-        let life =
-            [fleet.start, fleet.seed, u64::from(std::process::id()), now].map(u64::to_le_bytes).concat();
-        let Some(settings) = config.permit_settings(fleet, crc32fast::hash(&life)) else { return Ok(None) };
+        let life = [membership.start, membership.seed, u64::from(std::process::id()), now];
+        let life = life.map(u64::to_le_bytes).concat();
+        let Some(settings) = config.permit_settings(membership, crc32fast::hash(&life)) else {
+            return Ok(None);
+        };
         let node = PermitNode::new(settings, now)?;
         let learning = Learning { deadline: now + LEARNING_TIMEOUT_US, next_request: now };
-        let learning = (fleet.size > 1).then_some(learning);
+        let learning = (membership.size > 1).then_some(learning);
         Ok(Some(Self {
             node,
             workers: Workers::default(),
@@ -104,37 +112,39 @@
         }))
     }
 
-    /// See [`PermitNode::plant`].
+    /// Injects a fault, see [`PermitNode::plant`].
     pub fn inject_fault(&mut self, fault: Fault, now: Micros) {
         self.node.plant(fault, now);
     }
 
-    /// A new configuration.
+    /// Applies new bounds and zones.
     pub fn update_config(&mut self, bounds: Bounds, zones: &[u8]) {
         self.node.set_bounds(bounds);
         self.peer_zones = zones.to_vec();
     }
 
+    /// When [`PermitService::wake`] is due next.
     pub fn next_due(&self) -> Micros {
-        let tell = if self.drained.is_empty() { Micros::MAX } else { self.next_drain_report };
-        let learns = self.learning.map_or(Micros::MAX, |learning| learning.next_request);
-        self.node.next_due().min(tell).min(learns).min(self.next_version_report)
+        let drain_report = if self.drained.is_empty() { Micros::MAX } else { self.next_drain_report };
+        let learning = self.learning.map_or(Micros::MAX, |learning| learning.next_request);
+        self.node.next_due().min(drain_report).min(learning).min(self.next_version_report)
     }
 
-    /// What the view shows of sites and their gateways.
+    /// Observations of the sites and their gateways in the membership.
     pub fn site_observations(&self, membership: &Membership, now: Micros) -> Observations {
-        self.sites.iter().flat_map(|to_watch| to_watch.observe(membership, now)).collect()
+        self.sites.iter().flat_map(|sites| sites.observe(membership, now)).collect()
     }
 
+    /// Calls the permits node with an observer of the membership, the workers and the sites.
     fn with_node(
         &mut self,
         membership: &Membership,
-        act: impl FnOnce(&mut PermitNode, &MembershipObserver, &mut Vec<Output>),
+        call: impl FnOnce(&mut PermitNode, &MembershipObserver, &mut Vec<Output>),
     ) {
-        let (known, to_watch) = (&self.workers, &self.sites);
+        let (workers, sites) = (&self.workers, &self.sites);
         let workers = move |now| {
-            let mut observations = known.observations(now);
-            observations.extend(to_watch.iter().flat_map(|to_watch| to_watch.observe(membership, now)));
+            let mut observations = workers.observations(now);
+            observations.extend(sites.iter().flat_map(|sites| sites.observe(membership, now)));
             observations
         };
         let observer = MembershipObserver {
@@ -143,26 +153,32 @@
             workers: &workers,
             wall_ms: since_2026_ms(),
         };
-        act(&mut self.node, &observer, &mut self.outputs);
+        call(&mut self.node, &observer, &mut self.outputs);
     }
 
-    /// A datagram of another member.
+    /// Handles a datagram of another member.
     pub fn handle(&mut self, membership: &Membership, now: Micros, from: MemberId, bytes: &[u8]) {
         self.with_node(membership, |node, observer, out| {
             node.handle(now, from, bytes, observer, out);
         });
     }
 
-    /// Does what is due; tells what we have in hand for drained workers.
-    pub fn wake(&mut self, membership: &mut Membership, now: Micros, in_hand: impl FnOnce(&[&str]) -> usize) {
+    /// Runs the timers that are due, among them the publishing of the calls in flight on drained workers, which `in_flight`
+    /// counts by worker names.
+    pub fn wake(
+        &mut self,
+        membership: &mut Membership,
+        now: Micros,
+        in_flight: impl FnOnce(&[&str]) -> usize,
+    ) {
         if self.node.next_due() <= now {
             self.with_node(membership, |node, observer, out| node.wake(now, observer, out));
         }
-        if let Some(Learning { deadline: until, next_request: ask_again_at }) = self.learning
-            && now >= ask_again_at
+        if let Some(Learning { deadline, next_request }) = self.learning
+            && now >= next_request
         {
-            if now < until && !self.node.has_heard() {
-                self.learning = Some(Learning { deadline: until, next_request: now + LEARNING_RETRY_US });
+            if now < deadline && !self.node.has_heard() {
+                self.learning = Some(Learning { deadline, next_request: now + LEARNING_RETRY_US });
                 self.node.recall(&mut self.outputs);
             } else {
                 self.learning = None;
@@ -182,19 +198,19 @@
         if !self.drained.is_empty() && now >= self.next_drain_report {
             let interval = DRAIN_REPORT_INTERVAL.for_members(membership.members().len());
             self.next_drain_report = now + interval;
-            let names = self.drained.iter().filter_map(|tag| Some(self.workers.get(*tag)?.name.as_str()));
-            let held = in_hand(&names.collect::<Vec<_>>());
+            let names = self.drained.iter().filter_map(|mark| Some(self.workers.get(*mark)?.name.as_str()));
+            let calls = in_flight(&names.collect::<Vec<_>>());
             let at = self.node.known().map_or((0, 0), |known| (known.epoch.ms, known.version));
             membership.publish_fact(
                 now,
                 DRAINS_KEY,
-                &encode_counters(&[at.0, at.1.into(), held as u64]),
+                &encode_counters(&[at.0, at.1.into(), calls as u64]),
                 interval * 4,
             );
         }
     }
 
-    /// A request of an operator.
+    /// Handles a request of an operator. A repeated request is not submitted again, but gets the answer if there is one.
     pub fn handle_operator_request(
         &mut self,
         membership: &Membership,
@@ -204,13 +220,13 @@
         io: &mut Io,
         socket: usize,
     ) {
-        let mut reply = |told| {
-            io.send_to(socket, from, &OperatorResponse { tag: request.tag, told }.write());
+        let mut reply = |reply| {
+            io.send_to(socket, from, &OperatorResponse { tag: request.tag, told: reply }.write());
         };
         let permit_request = match request.want {
             OperatorCommand::Halt => {
                 let halt = self.node.stop_all(&mut self.outputs);
-                info!(count = halt.count, %from, "halted by an operator");
+                info!(count = halt.count, %from, "permits halted by an operator");
                 return reply(OperatorReply::Halted(halt));
             }
             OperatorCommand::Status => return reply(OperatorReply::Status(self.status(membership, now))),
@@ -228,43 +244,39 @@
         if self.pending.len() == MAX_PENDING_REQUESTS {
             self.pending.pop_front();
         }
-        let mut our_tag = 0;
+        let mut node_tag = 0;
         self.with_node(membership, |node, observer, out| {
-            our_tag = node.ask(now, permit_request, observer, out)
-        });
-        info!(%from, request = ?permit_request, "asked by an operator");
-        self.pending.push_back(PendingRequest {
-            from,
-            operator_tag: request.tag,
-            node_tag: our_tag,
-            answer: None,
+            node_tag = node.ask(now, permit_request, observer, out)
         });
+        info!(%from, request = ?permit_request, "permit request of an operator");
+        self.pending.push_back(PendingRequest { from, operator_tag: request.tag, node_tag, answer: None });
     }
 
-    /// Members that may still have calls in hand for drained workers: who has not said since it knew of the latest
-    /// that it has none, and has not been gone for so long that none can last.
+    /// Number of members that may still have calls in flight on drained workers: those that did not publish a count of zero since
+    /// they know the latest permit state, and were not gone for longer than any call lasts.
     fn members_not_clear(&self, membership: &Membership, now: Micros) -> usize {
         let at = self.node.known().map_or((0, 0), |known| (known.epoch.ms, u64::from(known.version)));
-        let unclear = |(of, entry): (usize, &basaltward_membership::Member)| {
-            let told = membership
-                .fact(now, of as MemberId, DRAINS_KEY)
+        let not_clear = |(number, member): (usize, &basaltward_membership::Member)| {
+            let counters = membership
+                .fact(now, number as MemberId, DRAINS_KEY)
                 .and_then(basaltward_membership::decode_counters);
-            let clear = told.is_some_and(|told| matches!(told[..], [ms, v, 0] if (ms, v) >= at));
-            let ended = match entry.state {
+            let clear = counters
+                .is_some_and(|counters| matches!(counters[..], [ms, version, 0] if (ms, version) >= at));
+            let ended = match member.state {
                 MemberState::Stopped => true,
-                MemberState::Gone => now >= entry.state_since + GONE_MEMBER_CLEAR_US,
-                // Never there, as far as we can have heard.
+                MemberState::Gone => now >= member.state_since + GONE_MEMBER_CLEAR_US,
+                // Never seen since this process started.
                 MemberState::Unknown => now >= self.started + GONE_MEMBER_CLEAR_US,
                 _ => false,
             };
             !clear && !ended
         };
-        membership.members().iter().enumerate().filter(|one| unclear(*one)).count()
+        membership.members().iter().enumerate().filter(|member| not_clear(*member)).count()
     }
 
     fn status(&self, membership: &Membership, now: Micros) -> PermitStatus {
-        let known = &self.workers;
-        let workers = move |now| known.observations(now);
+        let workers = &self.workers;
+        let workers = move |now| workers.observations(now);
         let observer =
             MembershipObserver { membership, zones: &self.peer_zones, workers: &workers, wall_ms: 0 };
         let all = self.node.out(now, &observer);
@@ -285,34 +297,34 @@
         }
     }
 
-    /// The latest that is agreed, as far as we know.
+    /// The latest permit state known to this process.
     pub fn permit_state(&self) -> Option<&Stored<PermitState>> {
         self.node.known()
     }
 
-    /// A request of this program itself.
+    /// Submits a request of this process itself; returns its number.
     pub fn submit(&mut self, membership: &Membership, now: Micros, permit_request: PermitRequest) -> u32 {
         let mut tag = 0;
         self.with_node(membership, |node, observer, out| tag = node.ask(now, permit_request, observer, out));
         tag
     }
 
-    /// Workers that are told.
-    pub fn update_workers(&mut self, now: Micros, whole: bool, workers: &[Worker]) {
-        self.workers.update(now, whole, workers, &self.drained);
+    /// Updates the list of workers, see [`PeerTransport::update_workers`](crate::PeerTransport::update_workers).
+    pub fn update_workers(&mut self, now: Micros, complete: bool, workers: &[Worker]) {
+        self.workers.update(now, complete, workers, &self.drained);
     }
 
-    /// See [`PeerTransport::holds`](crate::PeerTransport::holds).
+    /// Whether a worker is blocked, see [`PeerTransport::is_blocked`](crate::PeerTransport::is_blocked).
     pub fn is_blocked(&self, worker: &str) -> bool {
         self.learning.is_some() || self.drained.contains(&mark(worker))
     }
 
-    /// See [`PeerTransport::knows`](crate::PeerTransport::knows).
+    /// Whether a worker counts, see [`PeerTransport::is_known`](crate::PeerTransport::is_known).
     pub fn is_known(&self, worker: &str) -> bool {
         self.workers.get(mark(worker)).is_some()
     }
 
-    /// Sends what is to be sent, answers operators, and tells what is new.
+    /// Sends the outputs of the node, answers operators, and reports events.
     pub fn process_outputs(
         &mut self,
         io: &mut Io,
@@ -334,11 +346,11 @@
                     match self.pending.iter_mut().find(|pending_request| pending_request.node_tag == tag) {
                         Some(pending_request) if pending_request.answer.is_none() => {
                             pending_request.answer = Some(answer);
-                            let told = OperatorReply::Answer(answer);
+                            let reply = OperatorReply::Answer(answer);
                             io.send_to(
                                 socket,
                                 pending_request.from,
-                                &OperatorResponse { tag: pending_request.operator_tag, told }.write(),
+                                &OperatorResponse { tag: pending_request.operator_tag, told: reply }.write(),
                             );
                         }
                         Some(_) => {}
@@ -347,15 +359,16 @@
                 }
             }
         }
-        let released = std::mem::take(&mut self.learning_ended);
-        let held = if changed || released { self.apply_permit_state(now, events) } else { Vec::new() };
-        let held = if released { self.workers.names() } else { held };
-        if !held.is_empty() {
-            events.push(Event::DrainsChanged(held));
+        let learning_ended = std::mem::take(&mut self.learning_ended);
+        let workers =
+            if changed || learning_ended { self.apply_permit_state(now, events) } else { Vec::new() };
+        let workers = if learning_ended { self.workers.names() } else { workers };
+        if !workers.is_empty() {
+            events.push(Event::DrainsChanged(workers));
         }
     }
 
-    /// Takes over what is agreed; gives the workers whose drain began or ended by it.
+    /// Applies the latest permit state; returns the names of workers whose drain began or ended by it.
     fn apply_permit_state(&mut self, now: Micros, events: &mut Vec<Event>) -> Vec<String> {
         let Halt { on, count } = self.node.halt();
         let Some(known) = self.node.known() else { return Vec::new() };
@@ -371,17 +384,17 @@
             count,
             "agreed"
         );
-        let drained: BTreeSet<u32> = self.workers.marks().filter(|tag| known.value.drains(*tag)).collect();
+        let drained: BTreeSet<u32> = self.workers.marks().filter(|mark| known.value.drains(*mark)).collect();
         let before = std::mem::replace(&mut self.drained, drained);
-        // Whoever asks hears soon how much is in hand.
+        // Publish the calls in flight at once, so that operators see the progress of a new drain soon.
         self.next_drain_report = now;
-        let other = before.symmetric_difference(&self.drained);
-        other.filter_map(|tag| Some(self.workers.get(*tag)?.name.clone())).collect()
+        let changed = before.symmetric_difference(&self.drained);
+        changed.filter_map(|mark| Some(self.workers.get(*mark)?.name.clone())).collect()
     }
 
-    /// No leader can be reached, as far as whoever asks need know.
+    /// Answers an operator that no leader can be reached; used where this process takes no part in the permits.
     pub fn reply_no_leader(io: &mut Io, socket: usize, from: SocketAddr, tag: u32) {
-        let told = OperatorReply::Answer(Err(Denied::NoLeader));
-        io.send_to(socket, from, &OperatorResponse { tag, told }.write());
+        let reply = OperatorReply::Answer(Err(Denied::NoLeader));
+        io.send_to(socket, from, &OperatorResponse { tag, told: reply }.write());
     }
 }
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -1,5 +1,5 @@
-//! The datagrams of peers on the loop: carried between one socket and the membership, the permits and operators. Bound: 64
-//! datagrams a turn.
+//! Datagram transport of peers on the event loop: passes datagrams between one UDP socket and the membership, the permits and
+//! operators. Bound: 64 datagrams are received per turn of the loop.
 
 use crate::clock::{COUNTERS_INTERVAL, since_2026_ms};
 use crate::config::PeerConfig;
@@ -18,44 +18,45 @@
 use std::net::{IpAddr, SocketAddr};
 use tracing::{error, info};
 
-/// The view with its socket.
+/// The membership and the permits with their UDP socket.
 pub struct PeerTransport {
     membership: Membership,
     start_ms: u64,
     socket: usize,
     address: SocketAddr,
-    /// Where each is reached.
+    /// Address of each member, by number.
     peers: Vec<SocketAddr>,
     member_numbers: HashMap<SocketAddr, MemberId>,
     operators: Vec<IpAddr>,
     log_limiter: LogLimiter,
-    /// Calls served, refused and failed, and when they are told next.
+    /// Calls served, refused and failed.
     call_counts: [u64; 3],
+    /// When the call counts are published next.
     next_calls_report: Micros,
     outputs: Vec<Output>,
-    /// Our part in what is agreed, where the configuration asks for it.
+    /// The permits service, if this process takes part in the permits.
     permits: Option<PermitService>,
 }
 
 fn member_numbers(peers: &[SocketAddr]) -> HashMap<SocketAddr, MemberId> {
-    peers.iter().enumerate().map(|(n, at)| (*at, n as MemberId)).collect()
+    peers.iter().enumerate().map(|(number, address)| (*address, number as MemberId)).collect()
 }
 
 impl PeerTransport {
-    /// The view that a configuration asks for.
+    /// Opens the socket and starts the membership, and the permits if they are configured.
     ///
     /// # Errors
-    /// Where the configuration can't be used or its address can't be had.
+    /// If the configuration is invalid or its address can't be bound.
     pub fn open(config: &PeerConfig, io: &mut Io, now: Micros) -> Result<Self, PeerError> {
-        let life = since_2026_ms();
-        let settings = config.membership_settings(life)?;
+        let start_ms = since_2026_ms();
+        let settings = config.membership_settings(start_ms)?;
         let membership = Membership::new(settings, now)?;
         let permits = PermitService::new(&settings, config, now)?;
-        let refused = |why| PeerError::Datagrams { at: config.listen, why };
-        let (socket, address) = io.datagrams(config.listen).map_err(refused)?;
+        let socket_error = |why| PeerError::Datagrams { at: config.listen, why };
+        let (socket, address) = io.datagrams(config.listen).map_err(socket_error)?;
         Ok(Self {
             membership,
-            start_ms: life,
+            start_ms,
             socket,
             address,
             member_numbers: member_numbers(&config.peers),
@@ -69,68 +70,68 @@
         })
     }
 
-    /// The view.
+    /// The local view of the membership.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// When this life began, in milliseconds since the beginning of 2026.
+    /// Start time of this process, in milliseconds since the beginning of 2026.
     pub fn start_ms(&self) -> u64 {
         self.start_ms
     }
 
-    /// Tells a fact of ours, see [`Membership::publish_fact`].
-    pub fn publish_fact(&mut self, now: Micros, key: u8, value: &[u8], stands: Micros) -> bool {
-        self.membership.publish_fact(now, key, value, stands)
+    /// Publishes a fact of this member, see [`Membership::publish_fact`].
+    pub fn publish_fact(&mut self, now: Micros, key: u8, value: &[u8], valid_for: Micros) -> bool {
+        self.membership.publish_fact(now, key, value, valid_for)
     }
 
-    /// Where datagrams of peers come.
+    /// The address that datagrams of peers are received on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The number of the socket that datagrams come to.
+    /// Number of the datagram socket on the loop.
     pub fn socket(&self) -> usize {
         self.socket
     }
 
-    /// See [`Membership::inject_fault`].
-    pub fn inject_fault(&mut self, newer: OverrideRule) {
-        self.membership.inject_fault(newer);
+    /// Injects a fault into the membership, see [`Membership::inject_fault`].
+    pub fn inject_fault(&mut self, rule: OverrideRule) {
+        self.membership.inject_fault(rule);
     }
 
-    /// See [`PermitService::plant`].
+    /// Injects a fault into the permits, see [`basaltward_permits::PermitNode::plant`].
     pub fn inject_permit_fault(&mut self, fault: Fault, now: Micros) {
         self.permits.iter_mut().for_each(|permits| permits.inject_fault(fault, now));
     }
 
     /// When [`PeerTransport::wake`] is due next.
     pub fn next_due(&self) -> Micros {
-        let agreed = self.permits.as_ref().map_or(Micros::MAX, PermitService::next_due);
-        self.membership.next_due().min(self.next_calls_report).min(agreed)
+        let permits = self.permits.as_ref().map_or(Micros::MAX, PermitService::next_due);
+        self.membership.next_due().min(self.next_calls_report).min(permits)
     }
 
-    /// A call has its answer: served, refused or failed.
+    /// Counts a call that was answered; `outcome` is 0 for served, 1 for refused, 2 for failed.
     pub fn count_call(&mut self, outcome: usize) {
         self.call_counts[outcome] += 1;
     }
 
-    /// A new configuration: its list of members and its operators hold from now on.
-    pub fn update_peers(&mut self, fleet: &PeerConfig) {
-        if self.membership.resize(fleet.peers.len() as MemberId) {
-            (self.peers, self.member_numbers) = (fleet.peers.clone(), member_numbers(&fleet.peers));
-            self.operators.clone_from(&fleet.operators);
-            if let (Some(permits), Some(bounds)) = (&mut self.permits, fleet.bounds) {
-                permits.update_config(bounds, &fleet.zones);
+    /// Applies a new configuration: the list of members, the operators, and the bounds and zones of the permits.
+    pub fn update_peers(&mut self, config: &PeerConfig) {
+        if self.membership.resize(config.peers.len() as MemberId) {
+            (self.peers, self.member_numbers) = (config.peers.clone(), member_numbers(&config.peers));
+            self.operators.clone_from(&config.operators);
+            if let (Some(permits), Some(bounds)) = (&mut self.permits, config.bounds) {
+                permits.update_config(bounds, &config.zones);
             }
-            info!(members = self.peers.len(), "fleet's list read");
+            info!(members = self.peers.len(), "list of members updated");
         }
     }
 
-    /// Takes what waits at the socket.
+    /// Receives and handles the datagrams that wait at the socket.
     pub fn receive(&mut self, io: &mut Io, now: Micros, events: &mut Vec<Event>) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-        // Bounded: whoever sends without end does not hold up the loop.
+        // Bounded, so that a sender that never stops does not block the loop.
         for _ in 0..64 {
             let Some((length, from)) = io.receive(self.socket, &mut bytes) else { break };
             let bytes = &bytes[..length];
@@ -160,12 +161,13 @@
         self.process_outputs(io, now, events);
     }
 
-    /// Does what is due; `in_hand` says how much these workers have of ours.
+    /// Runs the timers that are due. `in_flight` returns the number of calls that this process has in flight on the named
+    /// workers.
     pub fn wake(
         &mut self,
         io: &mut Io,
         now: Micros,
-        in_hand: impl FnOnce(&[&str]) -> usize,
+        in_flight: impl FnOnce(&[&str]) -> usize,
         events: &mut Vec<Event>,
     ) {
         if now >= self.next_calls_report {
@@ -174,7 +176,7 @@
             self.membership.publish_fact(now, CALLS_KEY, &encode_counters(&self.call_counts), interval * 4);
         }
         if let Some(permits) = &mut self.permits {
-            permits.wake(&mut self.membership, now, in_hand);
+            permits.wake(&mut self.membership, now, in_flight);
         }
         if self.membership.next_due() <= now {
             self.membership.wake(now, &mut self.outputs);
@@ -182,24 +184,24 @@
         self.process_outputs(io, now, events);
     }
 
-    /// We leave, and finish what we have.
+    /// Announces that this process is leaving while it finishes its work.
     pub fn leave(&mut self, io: &mut Io, now: Micros, events: &mut Vec<Event>) {
         self.membership.leave(now, &mut self.outputs);
         self.process_outputs(io, now, events);
     }
 
-    /// We are no more.
+    /// Announces the end of this process.
     pub fn stop(&mut self, io: &mut Io, now: Micros, events: &mut Vec<Event>) {
         self.membership.stop(now, &mut self.outputs);
         self.process_outputs(io, now, events);
     }
 
-    /// The latest that is agreed, as far as we know.
+    /// The latest permit state known to this process.
     pub fn permit_state(&self) -> Option<&Stored<PermitState>> {
         self.permits.as_ref().and_then(PermitService::permit_state)
     }
 
-    /// What the view shows of sites and their gateways; nothing where we have no part in what is agreed.
+    /// Observations of the sites and their gateways in the membership; empty if this process takes no part in the permits.
     pub fn site_observations(&self, now: Micros) -> Observations {
         self.permits
             .as_ref()
@@ -207,29 +209,28 @@
             .unwrap_or_default()
     }
 
-    /// Whether we have a part in what is agreed.
+    /// Whether this process takes part in the permits.
     pub fn has_permits(&self) -> bool {
         self.permits.is_some()
     }
 
-    /// Asks for something that the fleet agrees on; [`Event::Answered`] with this number follows. None where we have no
-    /// part in it.
+    /// Submits a permit request. [`Event::Answered`] with the returned number follows. `None` if this process takes no part in
+    /// the permits.
     pub fn submit(&mut self, now: Micros, request: PermitRequest) -> Option<u32> {
         self.permits.as_mut().map(|permits| permits.submit(&self.membership, now, request))
     }
 
-    /// Workers that are told: all of them where `whole`, or else what has changed.
-    pub fn update_workers(&mut self, now: Micros, whole: bool, workers: &[Worker]) {
-        self.permits.iter_mut().for_each(|permits| permits.update_workers(now, whole, workers));
+    /// Updates the list of workers: `workers` is the complete list if `complete`, otherwise the changed workers.
+    pub fn update_workers(&mut self, now: Micros, complete: bool, workers: &[Worker]) {
+        self.permits.iter_mut().for_each(|permits| permits.update_workers(now, complete, workers));
     }
 
-    /// Whether this worker is to be given nothing new, as the fleet drains it, or as we have not heard yet whether it
-    /// does.
+    /// Whether a worker must not get new calls, because it is drained or because it is not known yet which workers are.
     pub fn is_blocked(&self, worker: &str) -> bool {
         self.permits.as_ref().is_some_and(|permits| permits.is_blocked(worker))
     }
 
-    /// Whether this worker counts, though it may be gone.
+    /// Whether a worker counts for the permits; a removed one still does for a while.
     pub fn is_known(&self, worker: &str) -> bool {
         self.permits.as_ref().is_some_and(|permits| permits.is_known(worker))
     }
@@ -245,21 +246,24 @@
                         io.send_to(self.socket, *to, &bytes);
                     }
                 }
-                Output::Changed { member: of, incarnation, state: is, .. } => {
-                    events.push(Event::MemberChanged { member: of, incarnation, state: is });
-                    self.log_change(now, of, is);
+                Output::Changed { member, incarnation, state, .. } => {
+                    events.push(Event::MemberChanged { member, incarnation, state });
+                    self.log_change(now, member, state);
                 }
                 Output::Superseded { start } => {
-                    error!(start, "a later life of our name goes on: the fleet hears nothing of us any more");
+                    error!(
+                        start,
+                        "superseded by a later incarnation of this member: the fleet ignores this process from now on"
+                    );
                     events.push(Event::Superseded);
                 }
             }
         }
     }
 
-    fn log_change(&mut self, now: Micros, of: MemberId, is: MemberState) {
+    fn log_change(&mut self, now: Micros, member: MemberId, state: MemberState) {
         if self.log_limiter.allows(now, "fleet") {
-            info!(member = of, ?is, live = self.membership.live_count(), part = ?self.membership.fleet_share(), "fleet");
+            info!(member, is = ?state, live = self.membership.live_count(), part = ?self.membership.fleet_share(), "fleet");
         }
     }
 }
