--- a/crates/peers/src/error.rs
+++ b/crates/peers/src/error.rs
@@ -122,13 +122,13 @@
     Control,
     /// The other end uses another format.
     #[error(
-        "frame format {theirs} does not match the local format {ours}: run the same version on all peers"
+        "frame format {remote} does not match the local format {local}: run the same version on all peers"
     )]
     Format {
         /// The format of the other end.
-        theirs: u8,
+        remote: u8,
         /// The local format.
-        ours: u8,
+        local: u8,
     },
     /// The other end belongs to another fleet.
     #[error(
--- a/crates/peers/src/handshake.rs
+++ b/crates/peers/src/handshake.rs
@@ -103,7 +103,7 @@
         if let [0, format, ..] = bytes
             && *format != FORMAT
         {
-            return Err(ConnectionError::Format { theirs: *format, ours: FORMAT });
+            return Err(ConnectionError::Format { remote: *format, local: FORMAT });
         }
         match postcard::take_from_bytes(bytes) {
             Ok((control, [])) => Ok(control),
--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -200,7 +200,7 @@
             self.next_drain_report = now + interval;
             let names = self.drained.iter().filter_map(|mark| Some(self.workers.get(*mark)?.name.as_str()));
             let calls = in_flight(&names.collect::<Vec<_>>());
-            let at = self.node.known().map_or((0, 0), |known| (known.epoch.ms, known.version));
+            let at = self.node.known().map_or((0, 0), |state| (state.epoch.ms, state.version));
             membership.publish_fact(
                 now,
                 DRAINS_KEY,
@@ -255,7 +255,7 @@
     /// Number of members that may still have calls in flight on drained workers: those that did not publish a count of zero since
     /// they know the latest permit state, and were not gone for longer than any call lasts.
     fn members_not_clear(&self, membership: &Membership, now: Micros) -> usize {
-        let at = self.node.known().map_or((0, 0), |known| (known.epoch.ms, u64::from(known.version)));
+        let at = self.node.known().map_or((0, 0), |state| (state.epoch.ms, u64::from(state.version)));
         let not_clear = |(number, member): (usize, &basaltward_membership::Member)| {
             let counters = membership
                 .fact(now, number as MemberId, DRAINS_KEY)
@@ -281,19 +281,19 @@
             MembershipObserver { membership, zones: &self.peer_zones, workers: &workers, wall_ms: 0 };
         let all = self.node.out(now, &observer);
         let of_workers = all.iter().filter(|of| matches!(of, Subject::Worker(_))).count();
-        let known = self.node.known();
+        let state = self.node.known();
         PermitStatus {
             own: membership.own(),
             leader: self.node.leader(),
-            at: known.map(|known| known.at()),
+            at: state.map(|state| state.at()),
             halt: self.node.halt(),
             out: ((all.len() - of_workers) as u16, of_workers as u16),
             unclear: if self.drained.is_empty() { 0 } else { self.members_not_clear(membership, now) as u16 },
-            plan: known.and_then(|known| known.value.plan).map(|plan| {
+            plan: state.and_then(|state| state.value.plan).map(|plan| {
                 let done = done(&plan, &observer.observations(now));
                 (plan, done as u16)
             }),
-            permits: known.map(|known| known.value.permits.clone()).unwrap_or_default(),
+            permits: state.map(|state| state.value.permits.clone()).unwrap_or_default(),
         }
     }
 
@@ -371,20 +371,20 @@
     /// Applies the latest permit state; returns the names of workers whose drain began or ended by it.
     fn apply_permit_state(&mut self, now: Micros, events: &mut Vec<Event>) -> Vec<String> {
         let Halt { on, count } = self.node.halt();
-        let Some(known) = self.node.known() else { return Vec::new() };
-        if self.last_reported < Some(known.at()) {
-            self.last_reported = Some(known.at());
-            events.push(Event::Agreed(known.clone()));
+        let Some(state) = self.node.known() else { return Vec::new() };
+        if self.last_reported < Some(state.at()) {
+            self.last_reported = Some(state.at());
+            events.push(Event::Agreed(state.clone()));
         }
         info!(
-            by = known.epoch.by,
-            version = known.version,
-            permits = known.value.permits.len(),
+            by = state.epoch.by,
+            version = state.version,
+            permits = state.value.permits.len(),
             on,
             count,
             "agreed"
         );
-        let drained: BTreeSet<u32> = self.workers.marks().filter(|mark| known.value.drains(*mark)).collect();
+        let drained: BTreeSet<u32> = self.workers.marks().filter(|mark| state.value.drains(*mark)).collect();
         let before = std::mem::replace(&mut self.drained, drained);
         // Publish the calls in flight at once, so that operators see the progress of a new drain soon.
         self.next_drain_report = now;
