--- a/crates/peers/tests/links/usual.rs
+++ b/crates/peers/tests/links/connections.rs
@@ -1,4 +1,4 @@
-use crate::bed::Bed;
+use crate::network::Bed;
 use crate::relay::Faults;
 use basaltward_membership::MemberState;
 use basaltward_peers::{ConnectionEvent, EndpointEvent, Event};
--- a/crates/peers/tests/links/hostile.rs
+++ b/crates/peers/tests/links/faulty_peers.rs
@@ -1,4 +1,4 @@
-use crate::bed::Bed;
+use crate::network::Bed;
 use crate::relay::{Faults, Relay};
 use basaltward_peers::{ConnectionError, ConnectionEvent, write_frame};
 use bytes::BytesMut;
--- a/crates/peers/tests/links/main.rs
+++ b/crates/peers/tests/links/main.rs
@@ -1,6 +1,6 @@
 //! Peers over sockets of the loopback, on clocks of the test's own: what takes seconds there takes none here.
-mod bed;
-mod hostile;
+mod connections;
+mod faulty_peers;
+mod network;
+mod random_faults;
 mod relay;
-mod seeds;
-mod usual;
--- a/crates/peers/tests/links/seeds.rs
+++ b/crates/peers/tests/links/random_faults.rs
@@ -1,7 +1,7 @@
 //! Faults by chance, one seed after another: whatever happens on the way, no frame comes changed or twice, and none is
 //! lost without a word.
 
-use crate::bed::Bed;
+use crate::network::Bed;
 use crate::relay::Faults;
 use basaltward_peers::{ConnectionEvent, EndpointEvent};
 use rand::rngs::StdRng;
