--- a/crates/peers/tests/links/faulty_peers.rs
+++ b/crates/peers/tests/links/faulty_peers.rs
@@ -1,4 +1,4 @@
-use crate::network::Bed;
+use crate::network::TestNetwork;
 use crate::relay::{Faults, Relay};
 use basaltward_peers::{ConnectionError, ConnectionEvent, write_frame};
 use bytes::BytesMut;
@@ -16,11 +16,11 @@
 }
 
 fn fleet() -> u32 {
-    crc32fast::hash(b"bed")
+    crc32fast::hash(b"test")
 }
 
-fn raw(bed: &Bed, to: usize, bytes: &[u8]) -> TcpStream {
-    let mut raw = TcpStream::connect(bed.peers[to].endpoint.listen_address()).expect("it listens");
+fn raw(network: &TestNetwork, to: usize, bytes: &[u8]) -> TcpStream {
+    let mut raw = TcpStream::connect(network.peers[to].endpoint.listen_address()).expect("it listens");
     // The test's time goes faster than what the system would wait for.
     raw.set_nodelay(true).expect("it can be");
     raw.write_all(bytes).expect("written");
@@ -41,45 +41,47 @@
 
 #[test]
 fn a_connection_cut_anywhere_gives_whole_frames_and_goes_on_with_the_next() {
-    let mut bed = Bed::new(2);
+    let mut network = TestNetwork::new(2);
     // The handshake takes 9 bytes and its payload; each frame 9 and 4.
     let mut sent = 0u32;
     for cut in 1..60 {
-        bed.relays[1].faults = Faults { cut: Some(cut), ..Faults::default() };
-        let before = bed.peers[1].came(0).len();
-        (0..4).for_each(|n| bed.send(0, 1, &(sent + n).to_le_bytes()).expect("taken"));
-        bed.pass_until(60 * S, "told", |bed| bed.peers[0].saw(&ConnectionEvent::Down(1)) == cut);
-        let came = bed.peers[1].came(0)[before..].to_vec();
+        network.relays[1].faults = Faults { close_after: Some(cut), ..Faults::default() };
+        let before = network.peers[1].received_from(0).len();
+        (0..4).for_each(|n| network.send(0, 1, &(sent + n).to_le_bytes()).expect("taken"));
+        network.advance_until(60 * S, "told", |network| {
+            network.peers[0].event_count(&ConnectionEvent::Down(1)) == cut
+        });
+        let came = network.peers[1].received_from(0)[before..].to_vec();
         let whole = (0..4).map(|n| (sent + n).to_le_bytes().to_vec()).take(came.len());
         assert!(came.iter().cloned().eq(whole), "cut at {cut}: {came:?}");
         sent += 4;
     }
-    assert!(bed.peers[1].came(0).len() > 20, "some came through");
-    let counts = bed.peers[1].endpoint.connections().counters(0);
+    assert!(network.peers[1].received_from(0).len() > 20, "some came through");
+    let counts = network.peers[1].endpoint.connections().counters(0);
     assert!(counts.disconnected > 20 && counts.protocol_errors == 0, "{counts:?}");
 }
 
 /// Frames that came though they were never sent, with a byte changed at each place; and ends over it.
 fn changed(unchecked: bool) -> (usize, u64) {
-    let mut bed = Bed::new(2);
+    let mut network = TestNetwork::new(2);
     if unchecked {
-        bed.peers[1].endpoint.inject_skipped_checksums();
+        network.peers[1].endpoint.inject_skipped_checksums();
     }
     let mut wrong = 0;
     for at in 30..60 {
-        bed.relays[1].faults = Faults { changed: Some(at), ..Faults::default() };
-        (0..4).for_each(|n: u8| bed.send(0, 1, &[n; 4]).expect("taken"));
-        bed.pass(6 * S);
-        bed.relays[1].cut();
-        bed.pass(S);
-        wrong += bed.peers[1]
-            .came(0)
+        network.relays[1].faults = Faults { corrupt_at: Some(at), ..Faults::default() };
+        (0..4).for_each(|n: u8| network.send(0, 1, &[n; 4]).expect("taken"));
+        network.advance(6 * S);
+        network.relays[1].close_all();
+        network.advance(S);
+        wrong += network.peers[1]
+            .received_from(0)
             .iter()
             .filter(|f| f.len() != 4 || f.iter().any(|b| *b != f[0] || *b > 3))
             .count();
-        bed.peers[1].events.clear();
+        network.peers[1].events.clear();
     }
-    (wrong, bed.peers[1].endpoint.connections().counters(0).protocol_errors)
+    (wrong, network.peers[1].endpoint.connections().counters(0).protocol_errors)
 }
 
 #[test]
@@ -92,7 +94,7 @@
 
 #[test]
 fn whoever_is_no_peer_of_ours_is_ended_and_hears_nothing() {
-    let mut bed = Bed::new(3);
+    let mut network = TestNetwork::new(3);
     let mut other = handshake(fleet(), 1, 5, 0);
     other[10] = 2;
     let body = other.split_off(9);
@@ -113,124 +115,142 @@
         vec![0; 64],
     ];
     for (number, bytes) in strangers.iter().enumerate() {
-        let raw = raw(&bed, 0, bytes);
-        bed.until("refused", |bed| bed.peers[0].endpoint.connections().rejected() == number as u64 + 1);
-        bed.until("ended", |_| over(&raw));
+        let raw = raw(&network, 0, bytes);
+        network.run_until("refused", |network| {
+            network.peers[0].endpoint.connections().rejected() == number as u64 + 1
+        });
+        network.run_until("ended", |_| over(&raw));
     }
-    assert!(bed.peers[0].events.iter().all(|e| !matches!(e, basaltward_peers::EndpointEvent::Connection(_))));
+    assert!(
+        network.peers[0].events.iter().all(|e| !matches!(e, basaltward_peers::EndpointEvent::Connection(_)))
+    );
     // Those that say nothing give way to peers, and go after a while.
-    let silent: Vec<_> = (0..100).map(|_| raw(&bed, 0, b"\x10")).collect();
-    bed.until("taken", |bed| bed.peers[0].endpoint.connections().rejected() == 10 + 100 - 19);
-    bed.send(1, 0, b"a peer").expect("taken");
-    bed.until("it comes through", |bed| bed.peers[0].came(1).len() == 1);
-    assert!(bed.peers[0].endpoint.connections().len() <= 20);
-    bed.pass(6 * S);
-    assert!(silent.iter().all(over) && bed.peers[0].endpoint.connections().len() == 1);
+    let silent: Vec<_> = (0..100).map(|_| raw(&network, 0, b"\x10")).collect();
+    network.run_until("taken", |network| network.peers[0].endpoint.connections().rejected() == 10 + 100 - 19);
+    network.send(1, 0, b"a peer").expect("taken");
+    network.run_until("it comes through", |network| network.peers[0].received_from(1).len() == 1);
+    assert!(network.peers[0].endpoint.connections().len() <= 20);
+    network.advance(6 * S);
+    assert!(silent.iter().all(over) && network.peers[0].endpoint.connections().len() == 1);
 }
 
 #[test]
 fn a_peer_at_a_wrong_address_gets_nothing_that_is_for_another() {
-    let mut bed = Bed::new(3);
-    let two = bed.peers[2].endpoint.listen_address();
-    bed.relays[1] = Relay::new(two);
-    let links: Vec<_> = bed.relays.iter().map(Relay::address).collect();
-    let (now, zero) = (bed.now, &mut bed.peers[0]);
+    let mut network = TestNetwork::new(3);
+    let two = network.peers[2].endpoint.listen_address();
+    network.relays[1] = Relay::new(two);
+    let links: Vec<_> = network.relays.iter().map(Relay::address).collect();
+    let (now, zero) = (network.now, &mut network.peers[0]);
     zero.endpoint.update_peers(&mut zero.io, now, (&zero.config.transport, links)).expect("good");
-    bed.send(0, 1, b"for 1").expect("taken");
-    bed.pass(10 * S);
+    network.send(0, 1, b"for 1").expect("taken");
+    network.advance(10 * S);
     assert_eq!(
-        (bed.peers[2].came(0).len(), bed.peers[0].endpoint.connections().connected_start_ms(1)),
+        (
+            network.peers[2].received_from(0).len(),
+            network.peers[0].endpoint.connections().connected_start_ms(1)
+        ),
         (0, None)
     );
-    assert!(bed.peers[2].endpoint.connections().rejected() > 0);
+    assert!(network.peers[2].endpoint.connections().rejected() > 0);
     // One that takes whoever comes, and says who it is.
     let liar = TcpListener::bind("127.0.0.1:0").expect("an address");
-    bed.relays[1] = Relay::new(liar.local_addr().expect("it is bound"));
-    let links: Vec<_> = bed.relays.iter().map(Relay::address).collect();
-    let (now, zero) = (bed.now, &mut bed.peers[0]);
+    network.relays[1] = Relay::new(liar.local_addr().expect("it is bound"));
+    let links: Vec<_> = network.relays.iter().map(Relay::address).collect();
+    let (now, zero) = (network.now, &mut network.peers[0]);
     zero.endpoint.update_peers(&mut zero.io, now, (&zero.config.transport, links)).expect("good");
-    while bed.relays[1].came == 0 {
-        bed.send(0, 1, b"for 1").expect("taken");
-        bed.pass(S);
+    while network.relays[1].accepted == 0 {
+        network.send(0, 1, b"for 1").expect("taken");
+        network.advance(S);
     }
-    let spoilt = bed.peers[0].endpoint.connections().counters(1).protocol_errors;
+    let spoilt = network.peers[0].endpoint.connections().counters(1).protocol_errors;
     let (mut raw, _) = liar.accept().expect("it came");
     raw.write_all(&handshake(fleet(), 2, 5, 0)).expect("written");
-    bed.until("refused", |bed| bed.peers[0].endpoint.connections().counters(1).protocol_errors == spoilt + 1);
-    assert_eq!([1, 2].map(|of| bed.peers[0].endpoint.connections().connected_start_ms(of)), [None; 2]);
+    network.run_until("refused", |network| {
+        network.peers[0].endpoint.connections().counters(1).protocol_errors == spoilt + 1
+    });
+    assert_eq!([1, 2].map(|of| network.peers[0].endpoint.connections().connected_start_ms(of)), [None; 2]);
 }
 
 #[test]
 fn what_was_replaced_is_heard_no_more_and_an_earlier_life_not_at_all() {
-    let mut bed = Bed::new(2);
+    let mut network = TestNetwork::new(2);
     let mut frame = BytesMut::new();
     write_frame(1, b"1", &mut frame);
-    let mut first = raw(&bed, 0, &[&handshake(fleet(), 1, 5, 0)[..], &frame].concat());
-    bed.until("first", |bed| bed.peers[0].came(1).len() == 1);
-    let second = raw(&bed, 0, &[&handshake(fleet(), 1, 5, 0)[..], &frame, &frame].concat());
-    bed.until("second", |bed| bed.peers[0].came(1).len() == 3);
+    let mut first = raw(&network, 0, &[&handshake(fleet(), 1, 5, 0)[..], &frame].concat());
+    network.run_until("first", |network| network.peers[0].received_from(1).len() == 1);
+    let second = raw(&network, 0, &[&handshake(fleet(), 1, 5, 0)[..], &frame, &frame].concat());
+    network.run_until("second", |network| network.peers[0].received_from(1).len() == 3);
     let _ = first.write_all(&frame);
-    bed.until("the first is over", |_| over(&first));
-    let earlier = raw(&bed, 0, &[&handshake(fleet(), 1, 4, 0)[..], &frame].concat());
-    bed.until("the earlier life is over", |_| over(&earlier));
-    bed.pass(S);
+    network.run_until("the first is over", |_| over(&first));
+    let earlier = raw(&network, 0, &[&handshake(fleet(), 1, 4, 0)[..], &frame].concat());
+    network.run_until("the earlier life is over", |_| over(&earlier));
+    network.advance(S);
     assert_eq!(
-        (bed.peers[0].came(1).len(), bed.peers[0].endpoint.connections().connected_start_ms(1)),
+        (
+            network.peers[0].received_from(1).len(),
+            network.peers[0].endpoint.connections().connected_start_ms(1)
+        ),
         (3, Some(5))
     );
     drop(second);
-    bed.until("over", |bed| bed.peers[0].endpoint.connections().connected_start_ms(1).is_none());
-    let earlier = raw(&bed, 0, &handshake(fleet(), 1, 4, 0));
-    bed.until("once the later one is gone it may come", |bed| {
-        bed.peers[0].endpoint.connections().connected_start_ms(1) == Some(4)
+    network
+        .run_until("over", |network| network.peers[0].endpoint.connections().connected_start_ms(1).is_none());
+    let earlier = raw(&network, 0, &handshake(fleet(), 1, 4, 0));
+    network.run_until("once the later one is gone it may come", |network| {
+        network.peers[0].endpoint.connections().connected_start_ms(1) == Some(4)
     });
     drop(earlier);
 }
 
 /// Sends to 1 until no more is taken, with what the system takes.
-fn fill(bed: &mut Bed, payload: &[u8]) {
+fn fill(network: &mut TestNetwork, payload: &[u8]) {
     for taken in 0.. {
         assert!(taken < 10_000, "no bound");
-        if bed.send(0, 1, payload).is_err() {
+        if network.send(0, 1, payload).is_err() {
             return;
         }
-        bed.pass(50_000 * u64::from(taken % 32 == 31));
+        network.advance(50_000 * u64::from(taken % 32 == 31));
     }
 }
 
 #[test]
 fn one_that_never_reads_fills_a_bound_and_is_ended() {
-    let mut bed = Bed::new(2);
+    let mut network = TestNetwork::new(2);
     let mut ping = BytesMut::new();
     write_frame(0, &[1, 7], &mut ping);
-    let mut first = raw(&bed, 0, &handshake(fleet(), 1, 5, 0));
-    bed.until("up", |bed| bed.peers[0].endpoint.connections().connected_start_ms(1).is_some());
+    let mut first = raw(&network, 0, &handshake(fleet(), 1, 5, 0));
+    network
+        .run_until("up", |network| network.peers[0].endpoint.connections().connected_start_ms(1).is_some());
     let payload = [7; 4 << 10];
-    fill(&mut bed, &payload);
-    assert_eq!(bed.send(0, 1, &payload), Err(ConnectionError::QueueFull));
-    assert_eq!(bed.send(0, 1, &[0; (4 << 10) + 1]), Err(ConnectionError::Length { length: 4097, max: 4096 }));
-    let zero = &mut bed.peers[0];
+    fill(&mut network, &payload);
+    assert_eq!(network.send(0, 1, &payload), Err(ConnectionError::QueueFull));
+    assert_eq!(
+        network.send(0, 1, &[0; (4 << 10) + 1]),
+        Err(ConnectionError::Length { length: 4097, max: 4096 })
+    );
+    let zero = &mut network.peers[0];
     let unsent = zero.endpoint.connections().unsent_bytes(&mut zero.io, 1);
     assert!(unsent <= 256 << 10, "{unsent}");
-    assert_eq!(bed.peers[0].endpoint.connections().counters(1).rejected, 2);
+    assert_eq!(network.peers[0].endpoint.connections().counters(1).rejected, 2);
     // It goes on asking, and reads no answers: it is alive, but of no use.
     let mut asks = 0;
-    while bed.peers[0].endpoint.connections().connected_start_ms(1).is_some() {
+    while network.peers[0].endpoint.connections().connected_start_ms(1).is_some() {
         let _ = first.write(&ping);
-        bed.pass(500_000);
+        network.advance(500_000);
         asks += 1;
         assert!(asks < 100, "never ended");
     }
-    assert_eq!(bed.peers[0].endpoint.connections().counters(1).stalled, 1);
+    assert_eq!(network.peers[0].endpoint.connections().counters(1).stalled, 1);
     // Nor do its questions make memory for it, before any time is over.
-    let mut second = raw(&bed, 0, &handshake(fleet(), 1, 5, 0));
-    bed.until("up", |bed| bed.peers[0].endpoint.connections().connected_start_ms(1).is_some());
-    fill(&mut bed, &payload);
-    let began = bed.now;
-    while bed.peers[0].endpoint.connections().connected_start_ms(1).is_some() {
+    let mut second = raw(&network, 0, &handshake(fleet(), 1, 5, 0));
+    network
+        .run_until("up", |network| network.peers[0].endpoint.connections().connected_start_ms(1).is_some());
+    fill(&mut network, &payload);
+    let began = network.now;
+    while network.peers[0].endpoint.connections().connected_start_ms(1).is_some() {
         let _ = second.write(&ping.repeat(500));
-        bed.pass(50_000);
-        assert!(bed.now < began + 3 * S, "no bound");
+        network.advance(50_000);
+        assert!(network.now < began + 3 * S, "no bound");
     }
-    assert!(bed.send(0, 0, b"to us").is_err() && bed.send(0, 2, b"to nobody").is_err());
+    assert!(network.send(0, 0, b"to us").is_err() && network.send(0, 2, b"to nobody").is_err());
 }
--- a/crates/peers/tests/links/main.rs
+++ b/crates/peers/tests/links/main.rs
@@ -1,4 +1,4 @@
-//! Peers over sockets of the loopback, on clocks of the test's own: what takes seconds there takes none here.
+//! Tests of peers over loopback sockets, on a simulated clock: timeouts of seconds take no real time.
 mod connections;
 mod faulty_peers;
 mod network;
--- a/crates/peers/tests/links/network.rs
+++ b/crates/peers/tests/links/network.rs
@@ -16,11 +16,11 @@
     pub endpoint: PeerEndpoint,
     pub events: Vec<EndpointEvent>,
     /// It does not turn: stopped by a signal, or held up.
-    pub still: bool,
+    pub stalled: bool,
     pub config: EndpointConfig,
 }
 
-pub struct Bed {
+pub struct TestNetwork {
     pub now: Micros,
     pub peers: Vec<Peer>,
     /// A relay before each, where there is one.
@@ -33,10 +33,10 @@
     fn new(config: EndpointConfig, now: Micros) -> Self {
         let mut io = Io::new(IoLimits::default()).expect("a loop");
         let endpoint = PeerEndpoint::open(config.clone(), &mut io, now).expect("it opens");
-        Self { io, endpoint, events: Vec::new(), still: false, config }
+        Self { io, endpoint, events: Vec::new(), stalled: false, config }
     }
 
-    fn turn(&mut self, now: Micros) {
+    fn poll(&mut self, now: Micros) {
         // What is due goes before what has come: a loop that stood still has not looked at its sockets yet.
         if self.endpoint.next_due() <= now {
             self.events.extend(self.endpoint.wake(&mut self.io, now));
@@ -51,7 +51,7 @@
     }
 
     /// Payloads that came from a peer, in their order.
-    pub fn came(&self, from: u16) -> Vec<Vec<u8>> {
+    pub fn received_from(&self, from: u16) -> Vec<Vec<u8>> {
         let payload = |event: &EndpointEvent| match event {
             EndpointEvent::Connection(ConnectionEvent::Frame(of, _, bytes)) if *of == from => {
                 Some(bytes.to_vec())
@@ -61,7 +61,7 @@
         self.events.iter().filter_map(payload).collect()
     }
 
-    pub fn saw(&self, event: &ConnectionEvent) -> usize {
+    pub fn event_count(&self, event: &ConnectionEvent) -> usize {
         self.events
             .iter()
             .filter(|seen| matches!(seen, EndpointEvent::Connection(link) if link == event))
@@ -79,7 +79,7 @@
     let nowhere = vec![SocketAddr::from(([127, 0, 0, 1], 9)); size];
     let transport = PeerConfig {
         sites: None,
-        name: "bed".into(),
+        name: "test".into(),
         listen: any,
         peers: nowhere.clone(),
         own,
@@ -100,7 +100,7 @@
     EndpointConfig { transport, listen: any, connections }
 }
 
-impl Bed {
+impl TestNetwork {
     pub fn new(size: usize) -> Self {
         Self::with(size, |_| {})
     }
@@ -114,13 +114,13 @@
         };
         let peers: Vec<_> = (0..size as u16).map(peer).collect();
         let relays = peers.iter().map(|peer| Relay::new(peer.endpoint.listen_address())).collect();
-        let mut bed = Self { now, peers, relays, past: Vec::new() };
-        bed.introduce();
-        bed
+        let mut network = Self { now, peers, relays, past: Vec::new() };
+        network.update_peer_lists();
+        network
     }
 
     /// Tells all where all are: connections go through the relays.
-    fn introduce(&mut self) {
+    fn update_peer_lists(&mut self) {
         let peers: Vec<_> = self.peers.iter_mut().map(|peer| peer.endpoint.transport().address()).collect();
         let links: Vec<_> = self.relays.iter().map(Relay::address).collect();
         for peer in &mut self.peers {
@@ -138,46 +138,46 @@
         self.peers[of] = Peer::new(config, self.now);
         let relay = Relay::new(self.peers[of].endpoint.listen_address());
         self.past.push(std::mem::replace(&mut self.relays[of], relay));
-        self.introduce();
+        self.update_peer_lists();
     }
 
     pub fn send(&mut self, from: usize, to: u16, payload: &[u8]) -> Result<(), ConnectionError> {
         self.peers[from].send(self.now, to, payload)
     }
 
-    fn pump(&mut self) {
-        for peer in self.peers.iter_mut().filter(|peer| !peer.still) {
-            peer.turn(self.now);
+    fn poll(&mut self) {
+        for peer in self.peers.iter_mut().filter(|peer| !peer.stalled) {
+            peer.poll(self.now);
         }
-        self.relays.iter_mut().chain(&mut self.past).for_each(|relay| relay.pump(self.now));
+        self.relays.iter_mut().chain(&mut self.past).for_each(|relay| relay.poll(self.now));
     }
 
     /// Turns until something is so, in no time of theirs.
-    pub fn until(&mut self, what: &str, so: impl Fn(&mut Self) -> bool) {
+    pub fn run_until(&mut self, what: &str, so: impl Fn(&mut Self) -> bool) {
         let end = Instant::now() + Duration::from_secs(20);
         while !so(self) {
             assert!(Instant::now() < end, "never: {what}");
-            self.pump();
+            self.poll();
         }
     }
 
     /// Time passes, in steps that no loop takes for standing still.
-    pub fn pass(&mut self, span: Micros) {
+    pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
             self.now += 50_000;
             for _ in 0..3 {
-                self.pump();
+                self.poll();
             }
         }
     }
 
     /// Time passes until something is so; gives how much.
-    pub fn pass_until(&mut self, most: Micros, what: &str, so: impl Fn(&Self) -> bool) -> Micros {
+    pub fn advance_until(&mut self, most: Micros, what: &str, so: impl Fn(&Self) -> bool) -> Micros {
         let began = self.now;
         while !so(self) {
             assert!(self.now < began + most, "not in {most}: {what}");
-            self.pass(50_000);
+            self.advance(50_000);
         }
         self.now - began
     }
--- a/crates/peers/tests/links/random_faults.rs
+++ b/crates/peers/tests/links/random_faults.rs
@@ -1,7 +1,7 @@
 //! Faults by chance, one seed after another: whatever happens on the way, no frame comes changed or twice, and none is
 //! lost without a word.
 
-use crate::network::Bed;
+use crate::network::TestNetwork;
 use crate::relay::Faults;
 use basaltward_peers::{ConnectionEvent, EndpointEvent};
 use rand::rngs::StdRng;
@@ -21,8 +21,8 @@
 }
 
 /// Goes through what has happened: who was told of a loss is owed nothing, and what came is no longer owed.
-fn settle(bed: &mut Bed, owed: &mut Owed, came: &mut BTreeSet<(usize, u32)>, seed: u64) {
-    for (of, peer) in bed.peers.iter_mut().enumerate() {
+fn settle(network: &mut TestNetwork, owed: &mut Owed, came: &mut BTreeSet<(usize, u32)>, seed: u64) {
+    for (of, peer) in network.peers.iter_mut().enumerate() {
         for event in std::mem::take(&mut peer.events) {
             match event {
                 EndpointEvent::Connection(ConnectionEvent::Down(to)) => owed[of][usize::from(to)].clear(),
@@ -40,40 +40,40 @@
 
 fn day(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let (mut bed, mut owed, mut came) = (Bed::new(SIZE), Owed::default(), BTreeSet::new());
+    let (mut network, mut owed, mut came) = (TestNetwork::new(SIZE), Owed::default(), BTreeSet::new());
     let mut number = 0;
     for _ in 0..60 {
         let of = rng.random_range(0..SIZE);
         match rng.random_range(0..12) {
-            0 => bed.relays[of].cut(),
-            1 => bed.relays[of].faults.stalled = [rng.random(), rng.random()],
-            2 => bed.relays[of].faults.late = rng.random_range(0..600_000),
-            3 => bed.relays[of].faults.cut = Some(rng.random_range(1..20_000)),
-            4 => bed.relays[of].faults.changed = Some(rng.random_range(0..20_000)),
-            5 => bed.peers[of].still = true,
+            0 => network.relays[of].close_all(),
+            1 => network.relays[of].faults.stalled = [rng.random(), rng.random()],
+            2 => network.relays[of].faults.delay = rng.random_range(0..600_000),
+            3 => network.relays[of].faults.close_after = Some(rng.random_range(1..20_000)),
+            4 => network.relays[of].faults.corrupt_at = Some(rng.random_range(0..20_000)),
+            5 => network.peers[of].stalled = true,
             6 => {
-                bed.restart(of);
+                network.restart(of);
                 // A life that is no more is owed nothing, and owes nothing.
                 (0..SIZE).for_each(|other| owed[of][other].clear());
             }
-            7 | 8 => bed.relays[of].faults = Faults::default(),
-            _ => bed.peers.iter_mut().for_each(|peer| peer.still = false),
+            7 | 8 => network.relays[of].faults = Faults::default(),
+            _ => network.peers.iter_mut().for_each(|peer| peer.stalled = false),
         }
         for _ in 0..rng.random_range(0..30) {
             let (from, to) = (rng.random_range(0..SIZE), rng.random_range(0..SIZE));
             number += 1;
-            if from != to && bed.send(from, to as u16, &frame(number)).is_ok() {
+            if from != to && network.send(from, to as u16, &frame(number)).is_ok() {
                 owed[from][to].insert(number);
             }
         }
-        bed.pass(rng.random_range(1..60) * 50_000);
-        settle(&mut bed, &mut owed, &mut came, seed);
+        network.advance(rng.random_range(1..60) * 50_000);
+        settle(&mut network, &mut owed, &mut came, seed);
     }
     for of in 0..SIZE {
-        (bed.relays[of].faults, bed.peers[of].still) = (Faults::default(), false);
+        (network.relays[of].faults, network.peers[of].stalled) = (Faults::default(), false);
     }
-    bed.pass(40 * S);
-    settle(&mut bed, &mut owed, &mut came, seed);
+    network.advance(40 * S);
+    settle(&mut network, &mut owed, &mut came, seed);
     assert!(owed.iter().flatten().all(BTreeSet::is_empty), "seed {seed}: lost without a word: {owed:?}");
     assert!(came.len() * 4 > number as usize, "seed {seed}: {} of {number} came", came.len());
 }
--- a/crates/peers/tests/links/relay.rs
+++ b/crates/peers/tests/links/relay.rs
@@ -1,32 +1,33 @@
-//! Stands between two peers on the way of their connections, and does to the bytes what a link may do.
+//! A TCP relay in front of a peer that injects network faults into its connections.
 
 use basaltward_net::Micros;
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// What is done to bytes on the way; 0 is from whoever made the connection, 1 back to it.
+/// Faults of a relay. Direction 0 is from the end that opened the connection, 1 is towards it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Bytes come so much later.
-    pub late: Micros,
-    /// So many bytes a second go each way, at most.
+    /// Delay of all bytes, in microseconds.
+    pub delay: Micros,
+    /// Bandwidth limit of each direction, in bytes per second.
     pub rate: Option<u64>,
-    /// Bytes of one way go nowhere, and neither end is told.
+    /// Directions in which nothing is forwarded, without an error at either end.
     pub stalled: [bool; 2],
-    /// Connections are closed once so many bytes have gone from whoever made them.
-    pub cut: Option<usize>,
-    /// The byte at this place of each connection is changed.
-    pub changed: Option<usize>,
+    /// Each connection is closed after this many bytes were forwarded in direction 0.
+    pub close_after: Option<usize>,
+    /// A bit of the byte at this position of direction 0 is flipped in each connection.
+    pub corrupt_at: Option<usize>,
 }
 
 struct Pair {
     ends: [TcpStream; 2],
-    on_the_way: [VecDeque<(Micros, Vec<u8>)>; 2],
-    gone: usize,
-    /// Until when the last bytes of each way take.
-    busy: [Micros; 2],
-    /// Nothing goes on it any more, not even its end.
+    in_flight: [VecDeque<(Micros, Vec<u8>)>; 2],
+    /// Bytes forwarded in direction 0.
+    forwarded: usize,
+    /// When the bandwidth limit allows each direction to read again.
+    busy_until: [Micros; 2],
+    /// Nothing is forwarded any more, not even the end of the connection.
     frozen: bool,
 }
 
@@ -35,88 +36,92 @@
     listener: TcpListener,
     to: SocketAddr,
     pairs: Vec<Pair>,
-    scratch: Vec<u8>,
+    buffer: Vec<u8>,
     pub faults: Faults,
-    /// Connections that came so far.
-    pub came: usize,
+    /// Number of connections accepted so far.
+    pub accepted: usize,
 }
 
 impl Relay {
     pub fn new(to: SocketAddr) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
-        listener.set_nonblocking(true).expect("it can be");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
+        listener.set_nonblocking(true).expect("non-blocking");
         Self {
             listener,
             to,
             pairs: Vec::new(),
-            scratch: vec![0; 64 << 10],
+            buffer: vec![0; 64 << 10],
             faults: Faults::default(),
-            came: 0,
+            accepted: 0,
         }
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.listener.local_addr().expect("it is bound")
+        self.listener.local_addr().expect("bound")
     }
 
-    /// Ends all connections.
-    pub fn cut(&mut self) {
+    /// Closes all connections.
+    pub fn close_all(&mut self) {
         self.pairs.clear();
     }
 
-    /// Nothing goes any more on the connections that stand.
+    /// Stops forwarding on the present connections, their end included.
     pub fn freeze(&mut self) {
         self.pairs.iter_mut().for_each(|pair| pair.frozen = true);
     }
 
-    pub fn pump(&mut self, now: Micros) {
+    pub fn poll(&mut self, now: Micros) {
         while let Ok((from, _)) = self.listener.accept() {
-            self.came += 1;
+            self.accepted += 1;
             let Ok(to) = TcpStream::connect(self.to) else { continue };
             for end in [&from, &to] {
-                end.set_nonblocking(true).expect("it can be");
-                end.set_nodelay(true).expect("it can be");
+                end.set_nonblocking(true).expect("non-blocking");
+                end.set_nodelay(true).expect("no delay");
             }
             self.pairs.push(Pair {
                 ends: [from, to],
-                on_the_way: Default::default(),
-                gone: 0,
-                busy: [0; 2],
+                in_flight: Default::default(),
+                forwarded: 0,
+                busy_until: [0; 2],
                 frozen: false,
             });
         }
-        let (faults, scratch) = (self.faults, &mut self.scratch);
-        self.pairs.retain_mut(|pair| (0..2).all(|way| pair.carry(way, now, &faults, scratch)));
+        let (faults, buffer) = (self.faults, &mut self.buffer);
+        self.pairs.retain_mut(|pair| (0..2).all(|direction| pair.forward(direction, now, &faults, buffer)));
     }
 }
 
 impl Pair {
-    /// False once the connection is over.
-    fn carry(&mut self, way: usize, now: Micros, faults: &Faults, bytes: &mut [u8]) -> bool {
-        if faults.stalled[way] || self.frozen || now < self.busy[way] {
+    /// Forwards bytes in one direction; returns false once the connection is over.
+    fn forward(&mut self, direction: usize, now: Micros, faults: &Faults, buffer: &mut [u8]) -> bool {
+        if faults.stalled[direction] || self.frozen || now < self.busy_until[direction] {
             return true;
         }
-        let room = faults.rate.map_or(bytes.len(), |rate| bytes.len().min(rate as usize / 20));
-        match (&self.ends[way]).read(&mut bytes[..room]) {
+        let capacity = faults.rate.map_or(buffer.len(), |rate| buffer.len().min(rate as usize / 20));
+        match (&self.ends[direction]).read(&mut buffer[..capacity]) {
             Ok(0) => return false,
             Ok(length) => {
-                self.busy[way] = now + faults.rate.map_or(0, |rate| length as u64 * 1_000_000 / rate);
-                self.on_the_way[way].push_back((now + faults.late, bytes[..length].to_vec()));
+                self.busy_until[direction] =
+                    now + faults.rate.map_or(0, |rate| length as u64 * 1_000_000 / rate);
+                self.in_flight[direction].push_back((now + faults.delay, buffer[..length].to_vec()));
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(_) => return false,
         }
-        while let Some((_, mut bytes)) = self.on_the_way[way].pop_front_if(|(at, _)| *at <= now) {
-            if way == 0 {
-                if let Some(byte) = faults.changed.and_then(|at| bytes.get_mut(at.checked_sub(self.gone)?)) {
+        while let Some((_, mut bytes)) = self.in_flight[direction].pop_front_if(|(due, _)| *due <= now) {
+            if direction == 0 {
+                if let Some(byte) =
+                    faults.corrupt_at.and_then(|at| bytes.get_mut(at.checked_sub(self.forwarded)?))
+                {
                     *byte ^= 0x10;
                 }
-                let left = faults.cut.map_or(usize::MAX, |cut| cut.saturating_sub(self.gone));
+                let left =
+                    faults.close_after.map_or(usize::MAX, |limit| limit.saturating_sub(self.forwarded));
                 bytes.truncate(left);
-                self.gone += bytes.len();
+                self.forwarded += bytes.len();
             }
-            if (&self.ends[1 - way]).write_all(&bytes).is_err()
-                || faults.cut.is_some_and(|cut| cut <= self.gone)
+            if (&self.ends[1 - direction]).write_all(&bytes).is_err()
+                || faults.close_after.is_some_and(|limit| limit <= self.forwarded)
             {
                 return false;
             }
