--- a/crates/peers/src/clock.rs
+++ b/crates/peers/src/clock.rs
@@ -3,8 +3,8 @@
 
 use basaltward_net::{Clock, Micros};
 
-/// How often a fact is published. Every member forwards the facts of all others, so the interval grows with the number of
-/// members.
+/// How often a fact is published. Every member forwards the facts of all others, so the interval grows with the
+/// number of members.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PublishInterval {
     /// The shortest interval.
@@ -13,8 +13,8 @@
     pub per_member_us: Micros,
 }
 
-/// For call counters and for the version of this process. Facts expire after four intervals, so three lost updates in a
-/// row leave the last value valid.
+/// For call counters and for the version of this process. Facts expire after four intervals, so three lost updates in
+/// a row leave the last value valid.
 pub(crate) const COUNTERS_INTERVAL: PublishInterval =
     PublishInterval { min_us: 5_000_000, per_member_us: 500_000 };
 /// The beginning of 2026 in Unix milliseconds; start times of processes count from there.
--- a/crates/peers/src/config.rs
+++ b/crates/peers/src/config.rs
@@ -1,5 +1,5 @@
-//! Configuration of the transport between peers and its validation: addresses, settings of the membership and the permits,
-//! limits of connections. Times are microseconds.
+//! Configuration of the transport between peers and its validation: addresses, settings of the membership and the
+//! permits, limits of connections. Times are microseconds.
 
 use crate::connection::ConnectionTimeouts;
 use crate::error::PeerError;
@@ -25,7 +25,8 @@
     pub operators: Vec<IpAddr>,
     /// Zone of each of `peers`, as a number; a peer without an entry is in zone 0.
     pub zones: Vec<u8>,
-    /// How many members and workers may be out of service at once. Without it, this process takes no part in the permits.
+    /// How many members and workers may be out of service at once. Without it, this process takes no part in the
+    /// permits.
     pub bounds: Option<Bounds>,
     /// The site of each of `peers`, if sites can be taken over.
     pub sites: Option<SitesToWatch>,
@@ -42,8 +43,8 @@
 pub struct SitesToWatch {
     /// The site of each peer.
     pub map: SiteMap,
-    /// A site counts as lost once none of its members was live for this long. It may be short, as a site wrongly taken for
-    /// lost is only out of use for a while.
+    /// A site counts as lost once none of its members was live for this long. It may be short, as a site wrongly
+    /// taken for lost is only out of use for a while.
     pub lost_after_us: Micros,
 }
 
@@ -58,8 +59,8 @@
     /// The default of `round_trip`: datagrams on the platform take up to 33 ms each way.
     pub const ROUND_TRIP: Micros = 70_000;
 
-    /// A hash of the fleet's name, by which members of another fleet are ignored. It leaves out the size of the fleet, as a
-    /// new list reaches the members one after another.
+    /// A hash of the fleet's name, by which members of another fleet are ignored. It leaves out the size of the
+    /// fleet, as a new list reaches the members one after another.
     pub(crate) fn fleet_hash(&self) -> u32 {
         crc32fast::hash(self.name.as_bytes())
     }
--- a/crates/peers/src/connection.rs
+++ b/crates/peers/src/connection.rs
@@ -1,5 +1,6 @@
-//! State machine of one connection to a peer, free of I/O: the identity of the other end, its liveness, and the frames. Input:
-//! bytes and times; output: handshakes, pings, frames, or the error that ends the connection. Memory is bounded by one frame.
+//! State machine of one connection to a peer, free of I/O: the identity of the other end, its liveness, and the
+//! frames. Input: bytes and times; output: handshakes, pings, frames, or the error that ends the connection. Memory
+//! is bounded by one frame.
 
 use crate::error::ConnectionError;
 use crate::frame::{Frame, FrameDecoder};
@@ -17,7 +18,8 @@
     pub receive_timeout: Micros,
     /// A connection with a ping unanswered for this time is ended, even if other frames were received.
     pub pong_timeout: Micros,
-    /// The end that opened a connection closes it when no frame of a channel other than 0 was sent or received for this time.
+    /// The end that opened a connection closes it when no frame of a channel other than 0 was sent or received for
+    /// this time.
     pub idle_timeout: Micros,
     /// Longest time until a connection is established, and then until the handshake of the other end is received.
     pub handshake_timeout: Micros,
@@ -228,8 +230,8 @@
             return Ok(None);
         }
         self.next_ping = now + timeouts.ping_interval;
-        // An unanswered ping is sent again. On a throttled connection its answer waits behind queued data for a long time, and
-        // the other end, which may receive nothing but pings, would otherwise run into its receive timeout.
+        // An unanswered ping is sent again. On a throttled connection its answer waits behind queued data for a long
+        // time, and the other end, which may receive nothing but pings, would otherwise run into its receive timeout.
         let (tag, _) = *self.pending_ping.get_or_insert_with(|| {
             self.ping_count = self.ping_count.wrapping_add(1);
             (self.ping_count, now)
@@ -247,8 +249,8 @@
         self.next_ping.min(idle).min(self.last_received + timeouts.receive_timeout)
     }
 
-    /// Restarts the timeouts after this process itself stalled: the data at the socket was not read meanwhile, so neither the
-    /// time without data nor the age of the pending ping says anything about the peer.
+    /// Restarts the timeouts after this process itself stalled: the data at the socket was not read meanwhile, so
+    /// neither the time without data nor the age of the pending ping says anything about the peer.
     pub fn reset_after_stall(&mut self, now: Micros) {
         (self.last_received, self.pending_ping) = (now, None);
         if self.remote.is_none() {
--- a/crates/peers/src/connections.rs
+++ b/crates/peers/src/connections.rs
@@ -1,8 +1,9 @@
 //! Persistent connections to peers. A connection is opened when there is something to send; both ends send on it.
 //!
-//! Frames arrive whole, and in order within one connection. A frame accepted for sending may still be lost with its connection,
-//! which [`ConnectionEvent::Down`] reports; a sender that needs delivery numbers its messages. Bounds: one connection in each
-//! direction per peer, as many connections without a handshake as there are peers plus 16, and the configured unsent bytes.
+//! Frames arrive whole, and in order within one connection. A frame accepted for sending may still be lost with its
+//! connection, which [`ConnectionEvent::Down`] reports; a sender that needs delivery numbers its messages. Bounds:
+//! one connection in each direction per peer, as many connections without a handshake as there are peers plus 16, and
+//! the configured unsent bytes.
 
 use crate::config::ConnectionConfig;
 use crate::connection::{Incoming, LocalIdentity, PeerConnection};
@@ -22,8 +23,8 @@
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// A connection with at most this many unsent bytes is closed after they are written; with more it is aborted, to free the
-/// memory at once. Pongs may exceed the limit of unsent bytes by as much.
+/// A connection with at most this many unsent bytes is closed after they are written; with more it is aborted, to
+/// free the memory at once. Pongs may exceed the limit of unsent bytes by as much.
 const ORDERLY_CLOSE_BYTES: usize = 64 << 10;
 
 /// The connections of one process to its peers; see the module's documentation.
@@ -76,14 +77,16 @@
         self.connections.contains_key(&conn)
     }
 
-    /// The start time of a peer with an established connection, which identifies its process; `None` without a connection.
+    /// The start time of a peer with an established connection, which identifies its process; `None` without a
+    /// connection.
     pub fn connected_start_ms(&self, member: MemberId) -> Option<u64> {
         let active = self.peers.get(usize::from(member))?.active?;
         self.connections.get(&active)?.remote().map(|(_, start_ms)| start_ms)
     }
 
-    /// The latest round trip time on the active connection and its age, in microseconds; `None` without a connection. If the
-    /// pending ping has been unanswered for longer than that time, the age of the ping is returned instead, as a lower bound.
+    /// The latest round trip time on the active connection and its age, in microseconds; `None` without a connection.
+    /// If the pending ping has been unanswered for longer than that time, the age of the ping is returned instead, as
+    /// a lower bound.
     pub fn rtt(&self, member: MemberId, now: Micros) -> Option<(Micros, Micros)> {
         let peer = self.peers.get(usize::from(member))?;
         let (rtt, measured_at) = peer.rtt?;
@@ -123,8 +126,8 @@
     /// Sends a frame on the active connection, or queues it until a connection is established.
     ///
     /// # Errors
-    /// [`ConnectionError::Length`], [`ConnectionError::UnknownPeer`] or [`ConnectionError::QueueFull`]; no part of the frame is
-    /// sent then.
+    /// [`ConnectionError::Length`], [`ConnectionError::UnknownPeer`] or [`ConnectionError::QueueFull`]; no part of
+    /// the frame is sent then.
     pub fn send(
         &mut self,
         io: &mut Io,
@@ -292,8 +295,8 @@
             let next_attempt = if peer.outbound.is_none() { peer.next_attempt } else { Micros::MAX };
             next_attempt.min(peer.queued_since + self.config.queue_timeout)
         });
-        // With connections, run at least once per ping interval: the times between runs show whether this process stalled
-        // rather than a peer.
+        // With connections, run at least once per ping interval: the times between runs show whether this process
+        // stalled rather than a peer.
         let stall_check = if self.connections.is_empty() {
             Micros::MAX
         } else {
@@ -315,8 +318,8 @@
         });
     }
 
-    /// Applies a new list of peers. Peers keep their numbers, those past the end of the list are removed. The local number must
-    /// be within the list.
+    /// Applies a new list of peers. Peers keep their numbers, those past the end of the list are removed. The local
+    /// number must be within the list.
     pub(crate) fn update_peers(
         &mut self,
         io: &mut Io,
@@ -471,8 +474,8 @@
         }
     }
 
-    /// Closes a connection. The reason is sent first if the other end completed its handshake and little data is unsent before
-    /// it; otherwise the connection is aborted.
+    /// Closes a connection. The reason is sent first if the other end completed its handshake and little data is
+    /// unsent before it; otherwise the connection is aborted.
     fn close(&self, io: &mut Io, conn: ConnId, connection: &PeerConnection, error: ConnectionError) {
         let bye = Bye::of(error).filter(|_| connection.remote().is_some());
         match bye.filter(|_| error == ConnectionError::Stopped || io.unsent(conn) <= ORDERLY_CLOSE_BYTES) {
@@ -484,8 +487,8 @@
         }
     }
 
-    /// Removes a connection that this process ends or that ended: logs and counts the reason, schedules a new attempt, and
-    /// switches to the other connection of the peer if there is one.
+    /// Removes a connection that this process ends or that ended: logs and counts the reason, schedules a new
+    /// attempt, and switches to the other connection of the peer if there is one.
     fn end_connection(
         &mut self,
         io: &mut Io,
@@ -515,7 +518,8 @@
         peer.counters.count_end(error);
         if peer.outbound == Some(conn) {
             peer.outbound = None;
-            // After a connection that lasted, the backoff starts again at its minimum; after failed attempts it keeps growing.
+            // After a connection that lasted, the backoff starts again at its minimum; after failed attempts it keeps
+            // growing.
             if connection.established_for(now) >= self.config.backoff.1 {
                 peer.backoff = self.config.backoff.0;
             }
--- a/crates/peers/src/counts.rs
+++ b/crates/peers/src/counts.rs
@@ -23,8 +23,8 @@
     pub unknown_channel: u64,
     /// Connections that the other end closed or that broke: the network path was cut or the process ended.
     pub disconnected: u64,
-    /// Established connections ended because nothing was received or the other end did not read: the network path or the
-    /// process stalled.
+    /// Established connections ended because nothing was received or the other end did not read: the network path or
+    /// the process stalled.
     pub stalled: u64,
     /// Connections that could not be established, or were refused.
     pub connect_failed: u64,
--- a/crates/peers/src/endpoint.rs
+++ b/crates/peers/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! The endpoint of a control thread on its event loop: the datagram transport (membership and permits) together with the
-//! connections to peers. Input: I/O events and times; output: [`EndpointEvent`]s.
+//! The endpoint of a control thread on its event loop: the datagram transport (membership and permits) together with
+//! the connections to peers. Input: I/O events and times; output: [`EndpointEvent`]s.
 
 use crate::config::{ConnectionConfig, PeerConfig};
 use crate::connection::LocalIdentity;
@@ -83,8 +83,8 @@
         self.listen_address
     }
 
-    /// Start time of this process, in milliseconds since the beginning of 2026, as sent in its handshakes. It does not change
-    /// while the process runs.
+    /// Start time of this process, in milliseconds since the beginning of 2026, as sent in its handshakes. It does
+    /// not change while the process runs.
     pub fn start_ms(&self) -> u64 {
         self.start_ms
     }
@@ -197,8 +197,8 @@
         self.events()
     }
 
-    /// Announces the end of this process and closes its connections. Data already sent to them is written as long as the loop
-    /// runs.
+    /// Announces the end of this process and closes its connections. Data already sent to them is written as long as
+    /// the loop runs.
     pub fn stop(&mut self, io: &mut Io, now: Micros) -> Vec<EndpointEvent> {
         self.transport.stop(io, now, &mut self.transport_events);
         self.connections.stop(io);
--- a/crates/peers/src/error.rs
+++ b/crates/peers/src/error.rs
@@ -1,5 +1,5 @@
-//! Errors of opening the transport and of connections. Each text names the remedy; docs/operators/sites-errors.md lists the
-//! errors by name. An operator-visible name that differs from the variant is kept by a `strum` attribute.
+//! Errors of opening the transport and of connections. Each text names the remedy; docs/operators/sites-errors.md
+//! lists the errors by name. An operator-visible name that differs from the variant is kept by a `strum` attribute.
 
 use basaltward_membership::MemberId;
 use basaltward_net::NetError;
@@ -83,8 +83,8 @@
     #[error("nothing received within the timeout: the other process or the network path stalled; check both")]
     #[strum(serialize = "Silent")]
     ReceiveTimeout,
-    /// The other end does not read: a ping was not answered within the pong timeout though something was received, or too many
-    /// answers to its own pings are unsent.
+    /// The other end does not read: a ping was not answered within the pong timeout though something was received, or
+    /// too many answers to its own pings are unsent.
     #[error("the other end does not read what is sent: check its load and the bandwidth of the network path")]
     #[strum(serialize = "Unread")]
     NotReading,
--- a/crates/peers/src/event.rs
+++ b/crates/peers/src/event.rs
@@ -54,7 +54,8 @@
 /// An event from the connections to peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConnectionEvent {
-    /// A connection to the peer is established. The second field is the peer's start time, which identifies its process.
+    /// A connection to the peer is established. The second field is the peer's start time, which identifies its
+    /// process.
     Up(MemberId, u64),
     /// Frames sent to the peer and not yet answered may be lost: its connection ended or could not be established in
     /// time. If another connection to it is established, `Up` follows.
--- a/crates/peers/src/frame.rs
+++ b/crates/peers/src/frame.rs
@@ -1,6 +1,6 @@
-//! Frames between peers: length (u32, little-endian) of the bytes that the checksum covers, checksum (CRC-32), channel,
-//! payload. The decoder accepts bytes split at any position and returns whole frames or an error. A length beyond the bound is
-//! rejected before any of the frame is buffered.
+//! Frames between peers: length (u32, little-endian) of the bytes that the checksum covers, checksum (CRC-32),
+//! channel, payload. The decoder accepts bytes split at any position and returns whole frames or an error. A length
+//! beyond the bound is rejected before any of the frame is buffered.
 
 use crate::error::ConnectionError;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -59,12 +59,12 @@
         }
     }
 
-    /// The next frame, or `None` until all of its bytes are there. After an error no further frame can be decoded, as the
-    /// start of the next one is unknown.
+    /// The next frame, or `None` until all of its bytes are there. After an error no further frame can be decoded, as
+    /// the start of the next one is unknown.
     ///
     /// # Errors
-    /// [`ConnectionError::Length`] if the length is zero or beyond the bound, [`ConnectionError::Checksum`] if the checksum
-    /// does not match.
+    /// [`ConnectionError::Length`] if the length is zero or beyond the bound, [`ConnectionError::Checksum`] if the
+    /// checksum does not match.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, ConnectionError> {
         let Some(length) = self.buffered.first_chunk().map(|bytes| u32::from_le_bytes(*bytes) as usize)
         else {
--- a/crates/peers/src/handshake.rs
+++ b/crates/peers/src/handshake.rs
@@ -1,5 +1,5 @@
-//! Control messages on channel 0, by which the two ends of a connection identify themselves, check that the other end is alive,
-//! and give the reason for closing. Each message is one frame, encoded with postcard.
+//! Control messages on channel 0, by which the two ends of a connection identify themselves, check that the other end
+//! is alive, and give the reason for closing. Each message is one frame, encoded with postcard.
 
 use crate::error::ConnectionError;
 use basaltward_membership::MemberId;
@@ -8,8 +8,8 @@
 /// Format of the frames and of the messages in this module. A handshake of any other format is rejected.
 const FORMAT: u8 = 1;
 
-/// The first frame that each end sends. The address of a connection does not identify a peer, as there may be relays between
-/// the two.
+/// The first frame that each end sends. The address of a connection does not identify a peer, as there may be relays
+/// between the two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handshake {
     format: u8,
@@ -52,8 +52,8 @@
 }
 
 impl Bye {
-    /// The reason to send when this process ends a connection with this error, or `None` if the other end or the network
-    /// already ended it.
+    /// The reason to send when this process ends a connection with this error, or `None` if the other end or the
+    /// network already ended it.
     pub fn of(error: ConnectionError) -> Option<Self> {
         match error {
             ConnectionError::Closed
@@ -96,8 +96,8 @@
     /// Decodes a message.
     ///
     /// # Errors
-    /// [`ConnectionError::Format`] for a handshake of another format, [`ConnectionError::Control`] for bytes that are no
-    /// message.
+    /// [`ConnectionError::Format`] for a handshake of another format, [`ConnectionError::Control`] for bytes that are
+    /// no message.
     pub fn read(bytes: &[u8]) -> Result<Self, ConnectionError> {
         // All formats have the format number at the same position of a handshake.
         if let [0, format, ..] = bytes
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,6 +1,6 @@
-//! Transport between the processes (peers) of one fleet, for a program with an event loop. Membership and permits use datagrams
-//! on one UDP socket. Larger messages are sent as frames over persistent TCP connections, which are opened when there is
-//! something to send.
+//! Transport between the processes (peers) of one fleet, for a program with an event loop. Membership and permits use
+//! datagrams on one UDP socket. Larger messages are sent as frames over persistent TCP connections, which are opened
+//! when there is something to send.
 //!
 //! The crate transports and counts. The meaning of frames and the reaction to membership changes are up to its users.
 #![warn(missing_docs)]
--- a/crates/peers/src/log_limiter.rs
+++ b/crates/peers/src/log_limiter.rs
@@ -14,8 +14,8 @@
 }
 
 impl LogLimiter {
-    /// Whether a line may be written now. When a new window begins, it logs how many lines the previous one suppressed,
-    /// with `topic` as the message.
+    /// Whether a line may be written now. When a new window begins, it logs how many lines the previous one
+    /// suppressed, with `topic` as the message.
     pub fn allows(&mut self, now: Micros, topic: &str) -> bool {
         if now >= self.window.0 + 1_000_000 {
             if self.window.2 > 0 {
--- a/crates/peers/src/operator_client.rs
+++ b/crates/peers/src/operator_client.rs
@@ -1,5 +1,5 @@
-//! Operator client: queries a scheduler for its membership or sends it a command about permits. Calls block and retry a bounded
-//! number of times.
+//! Operator client: queries a scheduler for its membership or sends it a command about permits. Calls block and retry
+//! a bounded number of times.
 
 use basaltward_membership::{MAX_DATAGRAM_BYTES, MemberId, MemberStatus, StatusRequest, StatusResponse};
 use basaltward_permits::{OperatorCommand, OperatorReply, OperatorRequest, OperatorResponse};
@@ -14,8 +14,8 @@
 /// Attempts to send an operator command. Together they take longer than a leader is given to answer.
 const PERMIT_TRIES: u32 = 9;
 
-/// Sends a command about permits to the scheduler at `address`, repeating the same request until it is answered, for at most
-/// as long as an answer would be valid.
+/// Sends a command about permits to the scheduler at `address`, repeating the same request until it is answered, for
+/// at most as long as an answer would be valid.
 ///
 /// # Errors
 /// An I/O error of the socket, or [`ErrorKind::TimedOut`] if there is no answer.
@@ -40,8 +40,8 @@
     ))
 }
 
-/// Fetches the membership of the scheduler at `address`, page by page. The result is the last page with the members of all
-/// pages.
+/// Fetches the membership of the scheduler at `address`, page by page. The result is the last page with the members
+/// of all pages.
 ///
 /// # Errors
 /// An I/O error of the socket, or [`ErrorKind::TimedOut`] if there is no answer.
--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -1,5 +1,5 @@
-//! State of one peer: its connections, the frames queued for a connection, the reconnect backoff, and measurements. Times are
-//! microseconds.
+//! State of one peer: its connections, the frames queued for a connection, the reconnect backoff, and measurements.
+//! Times are microseconds.
 
 use crate::counts::ConnectionCounters;
 use basaltward_net::{ConnId, Micros};
@@ -12,7 +12,8 @@
     pub outbound: Option<ConnId>,
     /// The connection that the peer opened, once its handshake was received.
     pub inbound: Option<ConnId>,
-    /// The connection that frames are sent on. It does not change while it is established, so that frames keep their order.
+    /// The connection that frames are sent on. It does not change while it is established, so that frames keep their
+    /// order.
     pub active: Option<ConnId>,
     /// The peer's start time in its latest handshake; identifies its process.
     pub start_ms: Option<u64>,
@@ -35,8 +36,8 @@
         Self { backoff, ..Self::default() }
     }
 
-    /// Delays the next attempt by half the backoff plus a random part of the other half, which `draw` picks, and doubles the
-    /// backoff up to `max`.
+    /// Delays the next attempt by half the backoff plus a random part of the other half, which `draw` picks, and
+    /// doubles the backoff up to `max`.
     pub fn schedule_retry(&mut self, now: Micros, max: Micros, draw: impl FnOnce(Micros) -> Micros) {
         let backoff = self.backoff;
         self.next_attempt = now + backoff / 2 + draw(backoff / 2);
--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -1,6 +1,6 @@
-//! Runs the permits node of this process on its event loop, tracks which workers are drained, and answers operators. Input:
-//! datagrams, updates of the list of workers, requests; output: datagrams and events. Bound: the last 64 requests of operators
-//! are retained.
+//! Runs the permits node of this process on its event loop, tracks which workers are drained, and answers operators.
+//! Input: datagrams, updates of the list of workers, requests; output: datagrams and events. Bound: the last 64
+//! requests of operators are retained.
 
 use crate::clock::{COUNTERS_INTERVAL, PublishInterval, since_2026_ms};
 use crate::config::{PeerConfig, SitesToWatch};
@@ -25,8 +25,8 @@
 const MAX_PENDING_REQUESTS: usize = 64;
 /// Interval at which the number of calls in flight on drained workers is published.
 const DRAIN_REPORT_INTERVAL: PublishInterval = PublishInterval { min_us: 1_000_000, per_member_us: 100_000 };
-/// A process that starts uses no worker until it has learned which ones are drained, but for no longer than this: with no
-/// member there to answer, it serves.
+/// A process that starts uses no worker until it has learned which ones are drained, but for no longer than this:
+/// with no member there to answer, it serves.
 const LEARNING_TIMEOUT_US: Micros = 500_000;
 /// Interval between requests for the permit state while learning.
 const LEARNING_RETRY_US: Micros = 50_000;
@@ -163,8 +163,8 @@
         });
     }
 
-    /// Runs the timers that are due, among them the publishing of the calls in flight on drained workers, which `in_flight`
-    /// counts by worker names.
+    /// Runs the timers that are due, among them the publishing of the calls in flight on drained workers, which
+    /// `in_flight` counts by worker names.
     pub fn wake(
         &mut self,
         membership: &mut Membership,
@@ -210,7 +210,8 @@
         }
     }
 
-    /// Handles a request of an operator. A repeated request is not submitted again, but gets the answer if there is one.
+    /// Handles a request of an operator. A repeated request is not submitted again, but gets the answer if there is
+    /// one.
     pub fn handle_operator_request(
         &mut self,
         membership: &Membership,
@@ -252,8 +253,8 @@
         self.pending.push_back(PendingRequest { from, operator_tag: request.tag, node_tag, answer: None });
     }
 
-    /// Number of members that may still have calls in flight on drained workers: those that did not publish a count of zero since
-    /// they know the latest permit state, and were not gone for longer than any call lasts.
+    /// Number of members that may still have calls in flight on drained workers: those that did not publish a count
+    /// of zero since they know the latest permit state, and were not gone for longer than any call lasts.
     fn members_not_clear(&self, membership: &Membership, now: Micros) -> usize {
         let at = self.node.known().map_or((0, 0), |state| (state.epoch.ms, u64::from(state.version)));
         let not_clear = |(number, member): (usize, &basaltward_membership::Member)| {
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -1,5 +1,5 @@
-//! Datagram transport of peers on the event loop: passes datagrams between one UDP socket and the membership, the permits and
-//! operators. Bound: 64 datagrams are received per turn of the loop.
+//! Datagram transport of peers on the event loop: passes datagrams between one UDP socket and the membership, the
+//! permits and operators. Bound: 64 datagrams are received per turn of the loop.
 
 use crate::clock::{COUNTERS_INTERVAL, since_2026_ms};
 use crate::config::PeerConfig;
@@ -161,8 +161,8 @@
         self.process_outputs(io, now, events);
     }
 
-    /// Runs the timers that are due. `in_flight` returns the number of calls that this process has in flight on the named
-    /// workers.
+    /// Runs the timers that are due. `in_flight` returns the number of calls that this process has in flight on the
+    /// named workers.
     pub fn wake(
         &mut self,
         io: &mut Io,
@@ -201,7 +201,8 @@
         self.permits.as_ref().and_then(PermitService::permit_state)
     }
 
-    /// Observations of the sites and their gateways in the membership; empty if this process takes no part in the permits.
+    /// Observations of the sites and their gateways in the membership; empty if this process takes no part in the
+    /// permits.
     pub fn site_observations(&self, now: Micros) -> Observations {
         self.permits
             .as_ref()
@@ -214,8 +215,8 @@
         self.permits.is_some()
     }
 
-    /// Submits a permit request. [`Event::Answered`] with the returned number follows. `None` if this process takes no part in
-    /// the permits.
+    /// Submits a permit request. [`Event::Answered`] with the returned number follows. `None` if this process takes
+    /// no part in the permits.
     pub fn submit(&mut self, now: Micros, request: PermitRequest) -> Option<u32> {
         self.permits.as_mut().map(|permits| permits.submit(&self.membership, now, request))
     }
@@ -225,7 +226,8 @@
         self.permits.iter_mut().for_each(|permits| permits.update_workers(now, complete, workers));
     }
 
-    /// Whether a worker must not get new calls, because it is drained or because it is not known yet which workers are.
+    /// Whether a worker must not get new calls, because it is drained or because it is not known yet which workers
+    /// are.
     pub fn is_blocked(&self, worker: &str) -> bool {
         self.permits.as_ref().is_some_and(|permits| permits.is_blocked(worker))
     }
--- a/crates/peers/src/workers.rs
+++ b/crates/peers/src/workers.rs
@@ -1,5 +1,5 @@
-//! The workers as the permits see them. A removed worker still counts as out of service for five minutes, and for as long as it
-//! is drained.
+//! The workers as the permits see them. A removed worker still counts as out of service for five minutes, and for as
+//! long as it is drained.
 
 use basaltward_net::Micros;
 use basaltward_permits::{Observation, Observations, Subject, mark};
--- a/crates/peers/tests/links/network.rs
+++ b/crates/peers/tests/links/network.rs
@@ -1,4 +1,4 @@
-//! Some peers with a loop each, turned by one thread, so that time passes for them as a test says.
+//! A network of peers, each with its own event loop, run by one thread on a simulated clock.
 
 use crate::relay::Relay;
 use basaltward_net::{Happened, Io, IoLimits, Micros};
@@ -11,38 +11,41 @@
 
 const S: Micros = 1_000_000;
 
+/// One peer with the events that it has reported.
 pub struct Peer {
     pub io: Io,
     pub endpoint: PeerEndpoint,
     pub events: Vec<EndpointEvent>,
-    /// It does not turn: stopped by a signal, or held up.
+    /// Its loop does not run, as if the process were stopped by a signal or blocked.
     pub stalled: bool,
     pub config: EndpointConfig,
 }
 
+/// Peers connected through relays.
 pub struct TestNetwork {
+    /// The simulated time.
     pub now: Micros,
     pub peers: Vec<Peer>,
-    /// A relay before each, where there is one.
+    /// The relay in front of each peer.
     pub relays: Vec<Relay>,
-    /// Those before lives that are no more.
-    past: Vec<Relay>,
+    /// Relays in front of earlier incarnations of restarted peers.
+    previous_relays: Vec<Relay>,
 }
 
 impl Peer {
     fn new(config: EndpointConfig, now: Micros) -> Self {
-        let mut io = Io::new(IoLimits::default()).expect("a loop");
-        let endpoint = PeerEndpoint::open(config.clone(), &mut io, now).expect("it opens");
+        let mut io = Io::new(IoLimits::default()).expect("an event loop");
+        let endpoint = PeerEndpoint::open(config.clone(), &mut io, now).expect("an endpoint");
         Self { io, endpoint, events: Vec::new(), stalled: false, config }
     }
 
     fn poll(&mut self, now: Micros) {
-        // What is due goes before what has come: a loop that stood still has not looked at its sockets yet.
+        // Timers run before I/O: after a stall, a loop finds its timers due before it has read its sockets.
         if self.endpoint.next_due() <= now {
             self.events.extend(self.endpoint.wake(&mut self.io, now));
         }
         let mut happened = Vec::new();
-        self.io.turn(Some(0), &mut happened).expect("a turn");
+        self.io.turn(Some(0), &mut happened).expect("a turn of the loop");
         for happened in happened {
             assert!(!matches!(happened, Happened::Signal(_)));
             self.events.extend(self.endpoint.handle_event(&mut self.io, now, &happened));
@@ -50,10 +53,10 @@
         self.io.forget_ended();
     }
 
-    /// Payloads that came from a peer, in their order.
+    /// Payloads of the frames received from a peer, in order.
     pub fn received_from(&self, from: u16) -> Vec<Vec<u8>> {
         let payload = |event: &EndpointEvent| match event {
-            EndpointEvent::Connection(ConnectionEvent::Frame(of, _, bytes)) if *of == from => {
+            EndpointEvent::Connection(ConnectionEvent::Frame(sender, _, bytes)) if *sender == from => {
                 Some(bytes.to_vec())
             }
             _ => None,
@@ -61,10 +64,11 @@
         self.events.iter().filter_map(payload).collect()
     }
 
+    /// How often a connection event was reported.
     pub fn event_count(&self, event: &ConnectionEvent) -> usize {
         self.events
             .iter()
-            .filter(|seen| matches!(seen, EndpointEvent::Connection(link) if link == event))
+            .filter(|reported| matches!(reported, EndpointEvent::Connection(reported) if reported == event))
             .count()
     }
 
@@ -75,7 +79,7 @@
 
 pub fn config(own: u16, size: usize) -> EndpointConfig {
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    // No address yet: datagrams that come there before the list is known are nobody's.
+    // A placeholder until the addresses are known; no peer receives what is sent there.
     let nowhere = vec![SocketAddr::from(([127, 0, 0, 1], 9)); size];
     let transport = PeerConfig {
         sites: None,
@@ -114,30 +118,30 @@
         };
         let peers: Vec<_> = (0..size as u16).map(peer).collect();
         let relays = peers.iter().map(|peer| Relay::new(peer.endpoint.listen_address())).collect();
-        let mut network = Self { now, peers, relays, past: Vec::new() };
+        let mut network = Self { now, peers, relays, previous_relays: Vec::new() };
         network.update_peer_lists();
         network
     }
 
-    /// Tells all where all are: connections go through the relays.
+    /// Gives every peer the addresses of all; connections go through the relays.
     fn update_peer_lists(&mut self) {
         let peers: Vec<_> = self.peers.iter_mut().map(|peer| peer.endpoint.transport().address()).collect();
-        let links: Vec<_> = self.relays.iter().map(Relay::address).collect();
+        let connections: Vec<_> = self.relays.iter().map(Relay::address).collect();
         for peer in &mut self.peers {
             peer.config.transport.peers = peers.clone();
-            let told = (&peer.config.transport, links.clone());
-            peer.endpoint.update_peers(&mut peer.io, self.now, told).expect("the list is good");
+            let lists = (&peer.config.transport, connections.clone());
+            peer.endpoint.update_peers(&mut peer.io, self.now, lists).expect("valid lists");
         }
     }
 
-    /// A peer dies, and another life of it begins.
-    pub fn restart(&mut self, of: usize) {
-        // Lives are told apart by milliseconds.
-        while basaltward_peers::since_2026_ms() <= self.peers[of].endpoint.start_ms() {}
-        let config = config(of as u16, self.peers.len());
-        self.peers[of] = Peer::new(config, self.now);
-        let relay = Relay::new(self.peers[of].endpoint.listen_address());
-        self.past.push(std::mem::replace(&mut self.relays[of], relay));
+    /// Ends a peer without notice and starts a new incarnation of it.
+    pub fn restart(&mut self, peer: usize) {
+        // Incarnations differ in their start time in milliseconds.
+        while basaltward_peers::since_2026_ms() <= self.peers[peer].endpoint.start_ms() {}
+        let config = config(peer as u16, self.peers.len());
+        self.peers[peer] = Peer::new(config, self.now);
+        let relay = Relay::new(self.peers[peer].endpoint.listen_address());
+        self.previous_relays.push(std::mem::replace(&mut self.relays[peer], relay));
         self.update_peer_lists();
     }
 
@@ -149,21 +153,21 @@
         for peer in self.peers.iter_mut().filter(|peer| !peer.stalled) {
             peer.poll(self.now);
         }
-        self.relays.iter_mut().chain(&mut self.past).for_each(|relay| relay.poll(self.now));
+        self.relays.iter_mut().chain(&mut self.previous_relays).for_each(|relay| relay.poll(self.now));
     }
 
-    /// Turns until something is so, in no time of theirs.
-    pub fn run_until(&mut self, what: &str, so: impl Fn(&mut Self) -> bool) {
-        let end = Instant::now() + Duration::from_secs(20);
-        while !so(self) {
-            assert!(Instant::now() < end, "never: {what}");
+    /// Runs the network until a condition holds, without advancing the simulated time.
+    pub fn run_until(&mut self, description: &str, condition: impl Fn(&mut Self) -> bool) {
+        let deadline = Instant::now() + Duration::from_secs(20);
+        while !condition(self) {
+            assert!(Instant::now() < deadline, "never happened: {description}");
             self.poll();
         }
     }
 
-    /// Time passes, in steps that no loop takes for standing still.
-    pub fn advance(&mut self, span: Micros) {
-        let end = self.now + span;
+    /// Advances the simulated time, in steps that are too short to count as a stall of a loop.
+    pub fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += 50_000;
             for _ in 0..3 {
@@ -172,13 +176,18 @@
         }
     }
 
-    /// Time passes until something is so; gives how much.
-    pub fn advance_until(&mut self, most: Micros, what: &str, so: impl Fn(&Self) -> bool) -> Micros {
-        let began = self.now;
-        while !so(self) {
-            assert!(self.now < began + most, "not in {most}: {what}");
+    /// Advances the simulated time until a condition holds, for at most `max`; returns how long it took.
+    pub fn advance_until(
+        &mut self,
+        max: Micros,
+        description: &str,
+        condition: impl Fn(&Self) -> bool,
+    ) -> Micros {
+        let start = self.now;
+        while !condition(self) {
+            assert!(self.now < start + max, "not within {max} us: {description}");
             self.advance(50_000);
         }
-        self.now - began
+        self.now - start
     }
 }
