--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -112,7 +112,7 @@
         }))
     }
 
-    /// Injects a fault, see [`PermitNode::plant`].
+    /// Injects a fault into the permits node.
     pub fn inject_fault(&mut self, fault: Fault, now: Micros) {
         self.node.plant(fault, now);
     }
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -100,7 +100,7 @@
         self.membership.inject_fault(rule);
     }
 
-    /// Injects a fault into the permits, see [`basaltward_permits::PermitNode::plant`].
+    /// Injects a fault into the permits, if this process takes part in them.
     pub fn inject_permit_fault(&mut self, fault: Fault, now: Micros) {
         self.permits.iter_mut().for_each(|permits| permits.inject_fault(fault, now));
     }
--- a/crates/peers/src/workers.rs
+++ b/crates/peers/src/workers.rs
@@ -32,7 +32,7 @@
     pub state: WorkerState,
 }
 
-/// All workers that count, by mark.
+/// All workers that count, by the mark of their name.
 #[derive(Default)]
 pub(crate) struct Workers {
     /// Each with the time since when it has been in its state.
