--- a/crates/peers/src/connections.rs
+++ b/crates/peers/src/connections.rs
@@ -173,7 +173,7 @@
         self.check_stall(now);
         self.connections.insert(conn, PeerConnection::new(None, self.decoder(), now));
         self.unidentified.push_back(conn);
-        // All peers may connect at once, so the oldest connection without a handshake is dropped for a new one.
+        // The limit lets all peers connect at once. Beyond it, the oldest connection without a handshake is dropped.
         if self.unidentified.len() > self.peers.len() + 16
             && let Some(oldest) = self.unidentified.front().copied()
         {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// An outbound connection was established; connections of others are ignored.
+    /// An outbound connection was established; connections that are not to or from a peer are ignored.
     pub fn connected(&mut self, io: &mut Io, now: Micros, conn: ConnId) {
         self.check_stall(now);
         let Some(connection) = self.connections.get_mut(&conn) else { return };
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Bytes were received on a connection; connections of others are ignored.
+    /// Bytes were received on a connection; connections that are not to or from a peer are ignored.
     pub fn received(&mut self, io: &mut Io, now: Micros, conn: ConnId, out: &mut Vec<ConnectionEvent>) {
         self.check_stall(now);
         let Some(connection) = self.connections.get_mut(&conn) else { return };
@@ -238,7 +238,7 @@
         }
     }
 
-    /// A connection ended; connections of others are ignored.
+    /// A connection ended; connections that are not to or from a peer are ignored.
     pub fn ended(
         &mut self,
         io: &mut Io,
