--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -249,13 +249,13 @@
     /// Injects a fault into its view, see [`basaltward_membership::Membership::inject_fault`].
     #[doc(hidden)]
     pub fn inject_view_fault(&mut self, newer: basaltward_membership::OverrideRule) {
-        self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant(newer));
+        self.fleet.iter_mut().for_each(|fleet| fleet.transport.inject_fault(newer));
     }
 
     /// Injects a fault into its permit node, see [`basaltward_permits::PermitNode::inject`].
     #[doc(hidden)]
     pub fn inject_permit_fault(&mut self, fault: basaltward_permits::Fault) {
-        self.fleet.iter_mut().for_each(|fleet| fleet.transport.plant_agreed(fault, monotonic()));
+        self.fleet.iter_mut().for_each(|fleet| fleet.transport.inject_permit_fault(fault, monotonic()));
     }
 
     /// Makes the next `times` system calls of this kind fail with this error.
@@ -500,7 +500,7 @@
                 for (worker, function, copies) in reports {
                     self.notify_engine(now, Input::CopiesReported(worker, function, copies));
                 }
-                self.with_peers(now, |transport, io, events| transport.data(io, now, events));
+                self.with_peers(now, |transport, io, events| transport.receive(io, now, events));
                 self.apply_drain_changes(now);
             }
             IoEvent::Woken => {
@@ -663,7 +663,7 @@
                     Answer::Refused(..) => 1,
                     Answer::Failed(_) => 2,
                 };
-                fleet.iter_mut().for_each(|fleet| fleet.transport.answered(outcome));
+                fleet.iter_mut().for_each(|fleet| fleet.transport.count_call(outcome));
                 recorder.answered(now, &request, &answer, (attempts, worker.as_ref()));
                 None
             }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -6,7 +6,7 @@
 use basaltward_bulletin::{Roster, Target, TargetState};
 use basaltward_membership::MemberId;
 use basaltward_net::{Io, Micros};
-use basaltward_peers::{Event, PeerConfig, PeerError, PeerTransport, Stands, Worker};
+use basaltward_peers::{Event, PeerConfig, PeerError, PeerTransport, Worker, WorkerState};
 use std::collections::HashMap;
 
 /// The peers of a scheduler.
@@ -53,7 +53,7 @@
     /// Applies the list of members and the operators of a new configuration.
     pub fn reread(&mut self, config: &NodeConfig) {
         if let Some(fleet) = &config.fleet {
-            self.transport.reread(&peer_config(config, fleet));
+            self.transport.update_peers(&peer_config(config, fleet));
         }
     }
 
@@ -67,11 +67,11 @@
         act(&mut self.transport, &mut self.events);
         for event in std::mem::take(&mut self.events) {
             match event {
-                Event::Believed { of, incarnation, state } => {
+                Event::MemberChanged { member: of, incarnation, state } => {
                     recorder.view_changed(now, of, incarnation, state)
                 }
                 Event::Agreed(known) => recorder.permits_changed(now, &known),
-                Event::Held(names) => {
+                Event::DrainsChanged(names) => {
                     let targets = names.iter().filter_map(|name| self.targets.get(name));
                     let targets = targets.map(|target| self.with_drain(target)).collect();
                     self.drain_changes.push(Roster { all: false, targets });
@@ -84,16 +84,16 @@
 
     /// Applies the bulletin's roster and returns it for the module, with drained workers marked as leaving.
     pub fn apply_roster(&mut self, now: Micros, roster: &Roster) -> Roster {
-        if !self.transport.agrees() {
+        if !self.transport.has_permits() {
             return roster.clone();
         }
         let workers: Vec<_> = roster.targets.iter().map(|target| self.worker(target)).collect();
-        self.transport.told(now, roster.all, &workers);
+        self.transport.update_workers(now, roster.all, &workers);
         if roster.all {
             self.targets.values_mut().for_each(|target| target.state = TargetState::Gone);
         }
         self.targets.extend(roster.targets.iter().map(|target| (target.uid.clone(), target.clone())));
-        self.targets.retain(|name, _| self.transport.knows(name));
+        self.targets.retain(|name, _| self.transport.is_known(name));
         Roster { all: roster.all, targets: roster.targets.iter().map(|t| self.with_drain(t)).collect() }
     }
 
@@ -105,15 +105,15 @@
     fn worker(&self, target: &Target) -> Worker {
         let zone = self.zones.iter().position(|zone| *zone == target.az).unwrap_or(self.zones.len());
         let stands = match target.state {
-            TargetState::Ready => Stands::Ready,
-            TargetState::Terminating => Stands::Leaving,
-            TargetState::Gone => Stands::Gone,
+            TargetState::Ready => WorkerState::Ready,
+            TargetState::Terminating => WorkerState::Leaving,
+            TargetState::Gone => WorkerState::Gone,
         };
-        Worker { name: target.uid.clone(), zone: zone as u8, boot_ms: target.boot_ms, stands }
+        Worker { name: target.uid.clone(), zone: zone as u8, boot_ms: target.boot_ms, state: stands }
     }
 
     fn with_drain(&self, target: &Target) -> Target {
-        let drained = target.state == TargetState::Ready && self.transport.holds(&target.uid);
+        let drained = target.state == TargetState::Ready && self.transport.is_blocked(&target.uid);
         let state = if drained { TargetState::Terminating } else { target.state };
         Target { state, ..target.clone() }
     }
--- a/crates/peers/src/config.rs
+++ b/crates/peers/src/config.rs
@@ -1,77 +1,79 @@
-//! What a program is told of its peers, and its checks: addresses, figures of the membership and the permits, bounds of
-//! connections. Times are microseconds.
+//! Configuration of the transport between peers and its validation: addresses, settings of the membership and the
+//! permits, limits of connections. Times are microseconds.
 
 use crate::connection::ConnectionTimeouts;
 use crate::error::PeerError;
-use crate::frame::OVERHEAD;
+use crate::frame::FRAME_OVERHEAD;
 use basaltward_membership::{MemberId, Membership, MembershipSettings, Micros, SiteMap};
 use basaltward_permits::{Bounds, Observations, PermitSettings, observe_sites};
 use std::net::{IpAddr, SocketAddr};
 
-/// What a program is told of its peers.
+/// Configuration of the datagrams between peers: membership and permits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerConfig {
-    /// Names the fleet: datagrams and connections of another are refused.
+    /// Name of the fleet. Datagrams and connections of another fleet are rejected.
     pub name: String,
-    /// Where datagrams of the others come.
+    /// Address that datagrams of the other peers are received on.
     pub listen: SocketAddr,
-    /// Where each is reached and comes from, by number, our own included.
+    /// Address that each peer sends from and receives on, by number, the local one included.
     pub peers: Vec<SocketAddr>,
-    /// Our number in `peers`.
+    /// The local number, an index of `peers`.
     pub own: MemberId,
-    /// For choices.
+    /// Seed of random choices.
     pub seed: u64,
-    /// From where operators may ask.
+    /// Addresses that operators may send requests from.
     pub operators: Vec<IpAddr>,
-    /// The zone of each of `peers`, as a number; those that are not told stand in the first.
+    /// Zone of each of `peers`, as a number; a peer without an entry is in zone 0.
     pub zones: Vec<u8>,
-    /// How many may be out at once, where the fleet agrees on that; without, we have no part in what is agreed.
+    /// How many members and workers may be out of service at once. Without it, this process takes no part in the
+    /// permits.
     pub bounds: Option<Bounds>,
-    /// Which of `peers` stands at which site, where sites may be taken over.
+    /// The site of each of `peers`, if sites can be taken over.
     pub sites: Option<SitesToWatch>,
-    /// The version that this configuration and its program are, by its operators' name.
+    /// Version of this configuration and program, as the operators name it.
     pub version: String,
-    /// Longest way of a datagram there and back that is not lost.
+    /// Longest round trip time of a datagram that is not lost.
     pub round_trip: Micros,
-    /// Bytes of datagrams in a second, where that is more than the view's usual budget.
+    /// Budget of datagram bytes per second, used if greater than the default of the membership.
     pub bytes_per_s: u64,
 }
 
-/// Sites that may be taken over.
+/// Sites that can be taken over by others when they are lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SitesToWatch {
     /// The site of each peer.
     pub map: SiteMap,
-    /// For how long nothing of a site was live when it counts as lost. That may be short: a site taken for lost wrongly is
-    /// out of use for a while, and no more.
+    /// A site counts as lost once none of its members was live for this long. It may be short, as a site wrongly
+    /// taken for lost is only out of use for a while.
     pub lost_after_us: Micros,
 }
 
 impl SitesToWatch {
-    /// What a membership shows of them and their gateways.
+    /// Observations of the sites and their gateways in a membership.
     pub(crate) fn observe(&self, membership: &Membership, now: Micros) -> Observations {
         observe_sites(membership, &self.map, self.lost_after_us, now)
     }
 }
 
 impl PeerConfig {
-    /// The usual longest way: the platform's datagrams take up to 33 ms each way.
+    /// The default of `round_trip`: datagrams on the platform take up to 33 ms each way.
     pub const ROUND_TRIP: Micros = 70_000;
 
-    /// A hash of the fleet's name: members of another are not heeded. Not of its size, as a new list reaches
-    /// members one after another.
-    pub(crate) fn tag(&self) -> u32 {
+    /// A hash of the fleet's name, by which members of another fleet are ignored. It leaves out the size of the
+    /// fleet, as a new list reaches the members one after another.
+    pub(crate) fn fleet_hash(&self) -> u32 {
         crc32fast::hash(self.name.as_bytes())
     }
 
-    /// Figures of the view.
-    pub(crate) fn membership(&self, start: u64) -> Result<MembershipSettings, PeerError> {
-        let size = MemberId::try_from(self.peers.len()).map_err(|_| PeerError::Many(self.peers.len()))?;
-        let usual = MembershipSettings::new(size, self.own, start, self.seed);
-        // A period holds a question there and back, then one through others.
+    /// Settings of the membership for a process with this start time.
+    pub(crate) fn membership_settings(&self, start_ms: u64) -> Result<MembershipSettings, PeerError> {
+        let size =
+            MemberId::try_from(self.peers.len()).map_err(|_| PeerError::TooManyPeers(self.peers.len()))?;
+        let usual = MembershipSettings::new(size, self.own, start_ms, self.seed);
+        // A period covers a direct probe with its answer, then an indirect one through other members.
         let period = usual.period.max(self.round_trip * 3);
         let settings = MembershipSettings {
-            fleet: (self.tag() >> 16) as u16,
+            fleet: (self.fleet_hash() >> 16) as u16,
             round_trip: self.round_trip,
             period,
             bytes_per_s: usual.bytes_per_s.max(self.bytes_per_s),
@@ -81,8 +83,12 @@
         Ok(settings)
     }
 
-    /// Figures of what is agreed, in one life.
-    pub(crate) fn permits(&self, membership: &MembershipSettings, life: u32) -> Option<PermitSettings> {
+    /// Settings of the permits, if this process takes part in them. `life` identifies the run of this process.
+    pub(crate) fn permit_settings(
+        &self,
+        membership: &MembershipSettings,
+        life: u32,
+    ) -> Option<PermitSettings> {
         let usual = PermitSettings::new(membership.size, membership.own, life, membership.seed);
         let settle = membership.settling_time();
         let times = basaltward_permits::Times { learning: usual.times.silence + settle, ..usual.times };
@@ -90,51 +96,63 @@
     }
 }
 
-/// What links are told.
+/// Configuration of the connections between peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionConfig {
-    /// Where each peer takes connections, by number, our own included.
+    /// Address that each peer accepts connections on, by number, the local one included.
     pub peers: Vec<SocketAddr>,
-    /// Longest payload of a frame.
-    pub frame_bytes: usize,
-    /// Most bytes that wait to be sent to one peer.
-    pub unsent_bytes: usize,
-    /// Between two attempts to reach a peer: at first, and at most.
-    pub pause: (Micros, Micros),
-    /// What waits for a connection waits for so long at most.
-    pub patience: Micros,
-    /// Times of each.
-    pub times: ConnectionTimeouts,
+    /// Most bytes of the payload of a frame.
+    pub max_frame_bytes: usize,
+    /// Most unsent bytes for one peer; further frames are rejected.
+    pub max_unsent_bytes: usize,
+    /// Delay between two attempts to connect to a peer: the first one, and the longest.
+    pub backoff: (Micros, Micros),
+    /// Frames queued for a connection are discarded after this time.
+    pub queue_timeout: Micros,
+    /// Intervals and timeouts of each connection.
+    pub timeouts: ConnectionTimeouts,
 }
 
 impl ConnectionConfig {
-    /// The usual figures: frames up to 256 KiB, 4 MiB unsent.
+    /// The defaults: frames up to 256 KiB, 4 MiB unsent, a backoff of 100 ms to 5 s, a queue timeout of 4 s.
     pub fn new(peers: Vec<SocketAddr>) -> Self {
         Self {
             peers,
-            frame_bytes: 256 << 10,
-            unsent_bytes: 4 << 20,
-            pause: (100_000, 5_000_000),
-            patience: 4_000_000,
-            times: ConnectionTimeouts::default(),
+            max_frame_bytes: 256 << 10,
+            max_unsent_bytes: 4 << 20,
+            backoff: (100_000, 5_000_000),
+            queue_timeout: 4_000_000,
+            timeouts: ConnectionTimeouts::default(),
         }
     }
 
-    /// Checks them.
+    /// Validates the limits and timeouts against one another.
+    ///
+    /// # Errors
+    /// [`PeerError::Connections`] with a description of the first value that is too small.
     pub(crate) fn check(&self) -> Result<(), PeerError> {
-        let ConnectionTimeouts { ping, silence, unread, idle, handshake } = self.times;
-        let figures = [
-            ("a peer's unsent bytes", self.unsent_bytes >= self.frame_bytes + OVERHEAD),
-            ("the time between questions", ping > 0),
-            // A loop that has not looked for two of them counts as having stood still.
-            ("the time of silence", silence >= ping * 3),
-            ("the time without an answer", unread >= silence),
-            ("the time unused", idle >= silence),
-            ("the time for a handshake", handshake > 0),
-            ("the pause before another attempt", self.pause.0 > 1 && self.pause.1 >= self.pause.0),
-            ("the patience for a connection", self.patience > 0),
+        let ConnectionTimeouts {
+            ping_interval,
+            receive_timeout,
+            pong_timeout,
+            idle_timeout,
+            handshake_timeout,
+        } = self.timeouts;
+        let checks = [
+            (
+                "the limit of unsent bytes of a peer",
+                self.max_unsent_bytes >= self.max_frame_bytes + FRAME_OVERHEAD,
+            ),
+            ("the ping interval", ping_interval > 0),
+            // A loop that did not run for two ping intervals counts as stalled, so a receive timeout needs three.
+            ("the receive timeout", receive_timeout >= ping_interval * 3),
+            ("the pong timeout", pong_timeout >= receive_timeout),
+            ("the idle timeout", idle_timeout >= receive_timeout),
+            ("the handshake timeout", handshake_timeout > 0),
+            ("the reconnect backoff", self.backoff.0 > 1 && self.backoff.1 >= self.backoff.0),
+            ("the timeout of frames queued for a connection", self.queue_timeout > 0),
         ];
-        match figures.iter().find(|(_, good)| !good) {
+        match checks.iter().find(|(_, valid)| !valid) {
             Some((name, _)) => Err(PeerError::Connections(name)),
             None => Ok(()),
         }
--- a/crates/peers/src/counts.rs
+++ b/crates/peers/src/counts.rs
@@ -1,46 +1,54 @@
-//! Counters of the connections to one peer; they only grow.
+//! Counters of the connections to one peer. They only grow.
 
 use crate::error::ConnectionError;
 
-/// What was counted of the links to one peer.
+/// Counters of the connections to one peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionCounters {
-    /// Connections that frames went on.
-    pub ups: u64,
-    /// Frames taken to be sent, and their bytes with what the wire adds.
-    pub sent: u64,
-    /// See `sent`.
+    /// Connections that were used to send frames.
+    pub established: u64,
+    /// Frames accepted for sending.
+    pub sent_frames: u64,
+    /// Bytes of the frames accepted for sending, frame headers included.
     pub sent_bytes: u64,
-    /// Frames that came, and their bytes.
-    pub came: u64,
-    /// See `came`.
-    pub came_bytes: u64,
-    /// Frames that were not taken, as too much was unsent.
-    pub refused: u64,
-    /// Times that what waited for a connection was given up.
-    pub given_up: u64,
-    /// Frames of no channel that we know.
-    pub strange: u64,
-    /// Connections that the other end closed or that broke: the link was cut, or the process ended.
-    pub cut: u64,
-    /// Connections that stood and on which nothing came, or nothing was read: the link or the process stood still.
+    /// Frames received.
+    pub received_frames: u64,
+    /// Bytes of the frames received, frame headers included.
+    pub received_bytes: u64,
+    /// Frames rejected because too many bytes were unsent.
+    pub rejected: u64,
+    /// Times that the frames queued for a connection were discarded.
+    pub queue_discards: u64,
+    /// Frames received on a channel that this version does not have.
+    pub unknown_channel: u64,
+    /// Connections that the other end closed or that broke: the network path was cut or the process ended.
+    pub disconnected: u64,
+    /// Established connections ended because nothing was received or the other end did not read: the network path or
+    /// the process stalled.
     pub stalled: u64,
-    /// Connections that could not be made, or were refused.
-    pub unreached: u64,
-    /// Connections ended over a frame or a hello that can't be used.
-    pub spoilt: u64,
-    /// Connections ended as unused, or as another took their place.
-    pub put_by: u64,
+    /// Connections that could not be established, or were refused.
+    pub connect_failed: u64,
+    /// Connections ended because of an invalid frame or handshake.
+    pub protocol_errors: u64,
+    /// Connections ended because they were idle or replaced, or because one of the two processes stopped.
+    pub closed_in_order: u64,
 }
 
 impl ConnectionCounters {
-    pub(crate) fn end(&mut self, why: ConnectionError) {
-        let count = match why {
-            ConnectionError::Closed | ConnectionError::Reset | ConnectionError::Cut(_) => &mut self.cut,
-            ConnectionError::Silent | ConnectionError::Unread | ConnectionError::Deaf => &mut self.stalled,
-            ConnectionError::Unreached | ConnectionError::Refused => &mut self.unreached,
-            ConnectionError::Idle | ConnectionError::Replaced | ConnectionError::Stopped => &mut self.put_by,
-            _ => &mut self.spoilt,
+    /// Counts the end of a connection under its cause.
+    pub(crate) fn count_end(&mut self, error: ConnectionError) {
+        let count = match error {
+            ConnectionError::Closed | ConnectionError::Reset | ConnectionError::Truncated(_) => {
+                &mut self.disconnected
+            }
+            ConnectionError::ReceiveTimeout | ConnectionError::NotReading | ConnectionError::NotReceiving => {
+                &mut self.stalled
+            }
+            ConnectionError::ConnectFailed | ConnectionError::Refused => &mut self.connect_failed,
+            ConnectionError::Idle | ConnectionError::Replaced | ConnectionError::Stopped => {
+                &mut self.closed_in_order
+            }
+            _ => &mut self.protocol_errors,
         };
         *count += 1;
     }
--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -1,6 +1,6 @@
-//! What the fleet agrees on, on the loop: the permits node of this process, the workers that are drained, and what operators
-//! ask for. Input: datagrams, workers as they are told, requests; output: datagrams and events. Bound: 64 requests of operators
-//! are remembered.
+//! Runs the permits node of this process on its event loop, tracks which workers are drained, and answers operators.
+//! Input: datagrams, updates of the list of workers, requests; output: datagrams and events. Bound: the last 64
+//! requests of operators are retained.
 
 use crate::clock::{COUNTERS_INTERVAL, PublishInterval, since_2026_ms};
 use crate::config::{PeerConfig, SitesToWatch};
@@ -21,176 +21,198 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// Operators' requests remembered; the oldest go.
+/// Most requests of operators retained, to answer repeated ones; the oldest are dropped.
 const MAX_PENDING_REQUESTS: usize = 64;
-/// What we have in hand for drained workers is published so often.
-const IN_HAND_INTERVAL: PublishInterval = PublishInterval { least_us: 1_000_000, each_us: 100_000 };
-/// Whoever starts uses no worker until it has heard what is drained, but for no longer than this: with nobody there to
-/// tell, it serves.
-const LEARN_US: Micros = 500_000;
-/// It asks this often what is drained.
-const LEARN_AGAIN_US: Micros = 50_000;
-/// A member that has been gone for so long has nothing in hand any more: no call lasts so long.
-const CLEAR_US: Micros = 60_000_000;
+/// Interval at which the number of calls in flight on drained workers is published.
+const DRAIN_REPORT_INTERVAL: PublishInterval = PublishInterval { min_us: 1_000_000, per_member_us: 100_000 };
+/// A process that starts uses no worker until it has learned which ones are drained, but for no longer than this:
+/// with no member there to answer, it serves.
+const LEARNING_TIMEOUT_US: Micros = 500_000;
+/// Interval between requests for the permit state while learning.
+const LEARNING_RETRY_US: Micros = 50_000;
+/// A member that has been gone for this long has no calls in flight: no call lasts longer.
+const GONE_MEMBER_CLEAR_US: Micros = 60_000_000;
 
-/// Workers wait for what is drained.
+/// The phase after the start in which workers are blocked until it is known which ones are drained.
 #[derive(Clone, Copy)]
 struct Learning {
-    /// At most until then.
-    until: Micros,
-    /// When it is asked for again.
-    ask_again_at: Micros,
+    /// When the phase ends at the latest.
+    deadline: Micros,
+    /// When the permit state is requested next.
+    next_request: Micros,
 }
 
-/// A request of an operator.
+/// A permit request of an operator.
 struct PendingRequest {
     from: SocketAddr,
-    their_tag: u32,
-    /// Of our question to the leader.
-    our_tag: u32,
+    /// Number of the request at the operator.
+    operator_tag: u32,
+    /// Number of the request at the local node.
+    node_tag: u32,
     answer: Option<PermitResult>,
 }
 
-/// See the module's page.
+/// The permits node of this process with the workers that it observes.
 pub struct PermitService {
     node: PermitNode,
     workers: Workers,
     drained: BTreeSet<u32>,
     pending: VecDeque<PendingRequest>,
-    tell: Micros,
+    /// When the calls in flight on drained workers are published next.
+    next_drain_report: Micros,
     learning: Option<Learning>,
     started: Micros,
     /// Zones of the schedulers, by number.
-    peers_zones: Vec<u8>,
+    peer_zones: Vec<u8>,
     sites: Option<SitesToWatch>,
-    /// The mark of the version that we run, and when it is told next.
-    runs: u32,
-    tell_runs: Micros,
-    /// The latest that is recorded.
-    noted: Option<(Epoch, u32)>,
-    /// Workers no longer wait.
-    released: bool,
-    out: Vec<Output>,
+    /// Mark of the version of this process.
+    version_mark: u32,
+    /// When the version is published next.
+    next_version_report: Micros,
+    /// Epoch and version of the latest permit state reported as an event.
+    last_reported: Option<(Epoch, u32)>,
+    /// The learning phase has ended, which is not reported as an event yet.
+    learning_ended: bool,
+    outputs: Vec<Output>,
 }
 
 impl PermitService {
-    /// A member's part in a fleet of this view, where the configuration asks for one.
+    /// The permits service of a member with these membership settings, or `None` if the configuration has no bounds.
+    ///
+    /// # Errors
+    /// If the settings of the permits are invalid.
     pub fn new(
-        fleet: &MembershipSettings,
+        membership: &MembershipSettings,
         config: &PeerConfig,
         now: Micros,
     ) -> Result<Option<Self>, PeerError> {
-        let life =
-            [fleet.start, fleet.seed, u64::from(std::process::id()), now].map(u64::to_le_bytes).concat();
-        let Some(settings) = config.permits(fleet, crc32fast::hash(&life)) else { return Ok(None) };
+        let life = [membership.start, membership.seed, u64::from(std::process::id()), now];
+        let life = life.map(u64::to_le_bytes).concat();
+        let Some(settings) = config.permit_settings(membership, crc32fast::hash(&life)) else {
+            return Ok(None);
+        };
         let node = PermitNode::new(settings, now)?;
-        let learning = Learning { until: now + LEARN_US, ask_again_at: now };
-        let learning = (fleet.size > 1).then_some(learning);
+        let learning = Learning { deadline: now + LEARNING_TIMEOUT_US, next_request: now };
+        let learning = (membership.size > 1).then_some(learning);
         Ok(Some(Self {
             node,
             workers: Workers::default(),
             drained: BTreeSet::new(),
             pending: VecDeque::new(),
-            tell: now,
+            next_drain_report: now,
             learning,
             started: now,
-            noted: None,
-            runs: name_hash(&config.version),
-            peers_zones: config.zones.clone(),
+            last_reported: None,
+            version_mark: name_hash(&config.version),
+            peer_zones: config.zones.clone(),
             sites: config.sites.clone(),
-            tell_runs: now,
-            released: false,
-            out: Vec::new(),
+            next_version_report: now,
+            learning_ended: false,
+            outputs: Vec::new(),
         }))
     }
 
-    /// See [`PermitNode::inject`].
-    pub fn plant(&mut self, fault: Fault, now: Micros) {
+    /// Injects a fault into the permits node.
+    pub fn inject_fault(&mut self, fault: Fault, now: Micros) {
         self.node.inject(fault, now);
     }
 
-    /// A new configuration.
-    pub fn reread(&mut self, bounds: Bounds, zones: &[u8]) {
+    /// Applies new bounds and zones.
+    pub fn update_config(&mut self, bounds: Bounds, zones: &[u8]) {
         self.node.set_bounds(bounds);
-        self.peers_zones = zones.to_vec();
+        self.peer_zones = zones.to_vec();
     }
 
+    /// When [`PermitService::wake`] is due next.
     pub fn next_due(&self) -> Micros {
-        let tell = if self.drained.is_empty() { Micros::MAX } else { self.tell };
-        let learns = self.learning.map_or(Micros::MAX, |learning| learning.ask_again_at);
-        self.node.next_due().min(tell).min(learns).min(self.tell_runs)
+        let drain_report = if self.drained.is_empty() { Micros::MAX } else { self.next_drain_report };
+        let learning = self.learning.map_or(Micros::MAX, |learning| learning.next_request);
+        self.node.next_due().min(drain_report).min(learning).min(self.next_version_report)
     }
 
-    /// What the view shows of sites and their gateways.
-    pub fn sites(&self, membership: &Membership, now: Micros) -> Observations {
-        self.sites.iter().flat_map(|to_watch| to_watch.observe(membership, now)).collect()
+    /// Observations of the sites and their gateways in the membership.
+    pub fn site_observations(&self, membership: &Membership, now: Micros) -> Observations {
+        self.sites.iter().flat_map(|sites| sites.observe(membership, now)).collect()
     }
 
-    fn act(
+    /// Calls the permits node with an observer of the membership, the workers and the sites.
+    fn with_node(
         &mut self,
         membership: &Membership,
-        act: impl FnOnce(&mut PermitNode, &MembershipObserver, &mut Vec<Output>),
+        call: impl FnOnce(&mut PermitNode, &MembershipObserver, &mut Vec<Output>),
     ) {
-        let (known, to_watch) = (&self.workers, &self.sites);
+        let (workers, sites) = (&self.workers, &self.sites);
         let workers = move |now| {
-            let mut observations = known.observations(now);
-            observations.extend(to_watch.iter().flat_map(|to_watch| to_watch.observe(membership, now)));
+            let mut observations = workers.observations(now);
+            observations.extend(sites.iter().flat_map(|sites| sites.observe(membership, now)));
             observations
         };
         let observer = MembershipObserver {
             membership,
-            zones: &self.peers_zones,
+            zones: &self.peer_zones,
             workers: &workers,
             wall_ms: since_2026_ms(),
         };
-        act(&mut self.node, &observer, &mut self.out);
+        call(&mut self.node, &observer, &mut self.outputs);
     }
 
-    /// A datagram of another member.
+    /// Handles a datagram of another member.
     pub fn handle(&mut self, membership: &Membership, now: Micros, from: MemberId, bytes: &[u8]) {
-        self.act(membership, |node, observer, out| {
+        self.with_node(membership, |node, observer, out| {
             node.handle(now, from, bytes, observer, out);
         });
     }
 
-    /// Does what is due; tells what we have in hand for drained workers.
-    pub fn wake(&mut self, membership: &mut Membership, now: Micros, in_hand: impl FnOnce(&[&str]) -> usize) {
+    /// Runs the timers that are due, among them the publishing of the calls in flight on drained workers, which
+    /// `in_flight` counts by worker names.
+    pub fn wake(
+        &mut self,
+        membership: &mut Membership,
+        now: Micros,
+        in_flight: impl FnOnce(&[&str]) -> usize,
+    ) {
         if self.node.next_due() <= now {
-            self.act(membership, |node, observer, out| node.wake(now, observer, out));
+            self.with_node(membership, |node, observer, out| node.wake(now, observer, out));
         }
-        if let Some(Learning { until, ask_again_at }) = self.learning
-            && now >= ask_again_at
+        if let Some(Learning { deadline, next_request }) = self.learning
+            && now >= next_request
         {
-            if now < until && !self.node.has_received_state() {
-                self.learning = Some(Learning { until, ask_again_at: now + LEARN_AGAIN_US });
-                self.node.query_voters(&mut self.out);
+            if now < deadline && !self.node.has_received_state() {
+                self.learning = Some(Learning { deadline, next_request: now + LEARNING_RETRY_US });
+                self.node.query_voters(&mut self.outputs);
             } else {
                 self.learning = None;
-                self.released = true;
+                self.learning_ended = true;
             }
         }
-        if now >= self.tell_runs {
-            let interval = COUNTERS_INTERVAL.among(membership.members().len());
-            self.tell_runs = now + interval;
-            membership.publish_fact(now, VERSION_KEY, &encode_counters(&[self.runs.into()]), interval * 4);
+        if now >= self.next_version_report {
+            let interval = COUNTERS_INTERVAL.for_members(membership.members().len());
+            self.next_version_report = now + interval;
+            membership.publish_fact(
+                now,
+                VERSION_KEY,
+                &encode_counters(&[self.version_mark.into()]),
+                interval * 4,
+            );
         }
-        if !self.drained.is_empty() && now >= self.tell {
-            let interval = IN_HAND_INTERVAL.among(membership.members().len());
-            self.tell = now + interval;
-            let names = self.drained.iter().filter_map(|tag| Some(self.workers.get(*tag)?.name.as_str()));
-            let held = in_hand(&names.collect::<Vec<_>>());
-            let at = self.node.known().map_or((0, 0), |known| (known.epoch.ms, known.version));
+        if !self.drained.is_empty() && now >= self.next_drain_report {
+            let interval = DRAIN_REPORT_INTERVAL.for_members(membership.members().len());
+            self.next_drain_report = now + interval;
+            let names = self.drained.iter().filter_map(|mark| Some(self.workers.get(*mark)?.name.as_str()));
+            let calls = in_flight(&names.collect::<Vec<_>>());
+            let at = self.node.known().map_or((0, 0), |state| (state.epoch.ms, state.version));
             membership.publish_fact(
                 now,
                 DRAINS_KEY,
-                &encode_counters(&[at.0, at.1.into(), held as u64]),
+                &encode_counters(&[at.0, at.1.into(), calls as u64]),
                 interval * 4,
             );
         }
     }
 
-    /// A request of an operator.
-    pub fn asked(
+    /// Handles a request of an operator. A repeated request is not submitted again, but gets the answer if there is
+    /// one.
+    pub fn handle_operator_request(
         &mut self,
         membership: &Membership,
         now: Micros,
@@ -199,20 +221,20 @@
         io: &mut Io,
         socket: usize,
     ) {
-        let mut reply = |told| {
-            io.send_to(socket, from, &OperatorResponse { tag: request.tag, reply: told }.write());
+        let mut reply = |reply| {
+            io.send_to(socket, from, &OperatorResponse { tag: request.tag, reply }.write());
         };
         let permit_request = match request.command {
             OperatorCommand::Halt => {
-                let halt = self.node.halt_all(&mut self.out);
-                info!(count = halt.count, %from, "halted by an operator");
+                let halt = self.node.halt_all(&mut self.outputs);
+                info!(count = halt.count, %from, "permits halted by an operator");
                 return reply(OperatorReply::Halted(halt));
             }
             OperatorCommand::Status => return reply(OperatorReply::Status(self.status(membership, now))),
             OperatorCommand::Request(permit_request) => permit_request,
         };
         let same = |pending_request: &&PendingRequest| {
-            pending_request.from == from && pending_request.their_tag == request.tag
+            pending_request.from == from && pending_request.operator_tag == request.tag
         };
         if let Some(pending_request) = self.pending.iter().find(same) {
             if let Some(answer) = pending_request.answer {
@@ -223,85 +245,90 @@
         if self.pending.len() == MAX_PENDING_REQUESTS {
             self.pending.pop_front();
         }
-        let mut our_tag = 0;
-        self.act(membership, |node, observer, out| our_tag = node.submit(now, permit_request, observer, out));
-        info!(%from, request = ?permit_request, "asked by an operator");
-        self.pending.push_back(PendingRequest { from, their_tag: request.tag, our_tag, answer: None });
+        let mut node_tag = 0;
+        self.with_node(membership, |node, observer, out| {
+            node_tag = node.submit(now, permit_request, observer, out)
+        });
+        info!(%from, request = ?permit_request, "permit request of an operator");
+        self.pending.push_back(PendingRequest { from, operator_tag: request.tag, node_tag, answer: None });
     }
 
-    /// Members that may still have calls in hand for drained workers: who has not said since it knew of the latest
-    /// that it has none, and has not been gone for so long that none can last.
-    fn unclear(&self, membership: &Membership, now: Micros) -> usize {
-        let at = self.node.known().map_or((0, 0), |known| (known.epoch.ms, u64::from(known.version)));
-        let unclear = |(of, entry): (usize, &basaltward_membership::Member)| {
-            let told = membership
-                .fact(now, of as MemberId, DRAINS_KEY)
+    /// Number of members that may still have calls in flight on drained workers: those that did not publish a count
+    /// of zero since they know the latest permit state, and were not gone for longer than any call lasts.
+    fn members_not_clear(&self, membership: &Membership, now: Micros) -> usize {
+        let at = self.node.known().map_or((0, 0), |state| (state.epoch.ms, u64::from(state.version)));
+        let not_clear = |(number, member): (usize, &basaltward_membership::Member)| {
+            let counters = membership
+                .fact(now, number as MemberId, DRAINS_KEY)
                 .and_then(basaltward_membership::decode_counters);
-            let clear = told.is_some_and(|told| matches!(told[..], [ms, v, 0] if (ms, v) >= at));
-            let ended = match entry.state {
+            let clear = counters
+                .is_some_and(|counters| matches!(counters[..], [ms, version, 0] if (ms, version) >= at));
+            let ended = match member.state {
                 MemberState::Stopped => true,
-                MemberState::Gone => now >= entry.state_since + CLEAR_US,
-                // Never there, as far as we can have heard.
-                MemberState::Unknown => now >= self.started + CLEAR_US,
+                MemberState::Gone => now >= member.state_since + GONE_MEMBER_CLEAR_US,
+                // Never seen since this process started.
+                MemberState::Unknown => now >= self.started + GONE_MEMBER_CLEAR_US,
                 _ => false,
             };
             !clear && !ended
         };
-        membership.members().iter().enumerate().filter(|one| unclear(*one)).count()
+        membership.members().iter().enumerate().filter(|member| not_clear(*member)).count()
     }
 
     fn status(&self, membership: &Membership, now: Micros) -> PermitStatus {
-        let known = &self.workers;
-        let workers = move |now| known.observations(now);
+        let workers = &self.workers;
+        let workers = move |now| workers.observations(now);
         let observer =
-            MembershipObserver { membership, zones: &self.peers_zones, workers: &workers, wall_ms: 0 };
+            MembershipObserver { membership, zones: &self.peer_zones, workers: &workers, wall_ms: 0 };
         let all = self.node.out_of_service(now, &observer);
         let of_workers = all.iter().filter(|of| matches!(of, Subject::Worker(_))).count();
-        let known = self.node.known();
+        let state = self.node.known();
         PermitStatus {
             own: membership.own(),
             leader: self.node.leader(),
-            at: known.map(|known| known.position()),
+            at: state.map(|state| state.position()),
             halt: self.node.halt(),
             out: ((all.len() - of_workers) as u16, of_workers as u16),
-            unclear: if self.drained.is_empty() { 0 } else { self.unclear(membership, now) as u16 },
-            plan: known.and_then(|known| known.value.plan).map(|plan| {
+            unclear: if self.drained.is_empty() { 0 } else { self.members_not_clear(membership, now) as u16 },
+            plan: state.and_then(|state| state.value.plan).map(|plan| {
                 let done = on_target_version(&plan, &observer.observations(now));
                 (plan, done as u16)
             }),
-            permits: known.map(|known| known.value.permits.clone()).unwrap_or_default(),
+            permits: state.map(|state| state.value.permits.clone()).unwrap_or_default(),
         }
     }
 
-    /// The latest that is agreed, as far as we know.
-    pub fn known(&self) -> Option<&Stored<PermitState>> {
+    /// The latest permit state known to this process.
+    pub fn permit_state(&self) -> Option<&Stored<PermitState>> {
         self.node.known()
     }
 
-    /// A request of this program itself.
+    /// Submits a request of this process itself; returns its number.
     pub fn submit(&mut self, membership: &Membership, now: Micros, permit_request: PermitRequest) -> u32 {
         let mut tag = 0;
-        self.act(membership, |node, observer, out| tag = node.submit(now, permit_request, observer, out));
+        self.with_node(membership, |node, observer, out| {
+            tag = node.submit(now, permit_request, observer, out)
+        });
         tag
     }
 
-    /// Workers that are told.
-    pub fn told(&mut self, now: Micros, whole: bool, workers: &[Worker]) {
-        self.workers.told(now, whole, workers, &self.drained);
+    /// Updates the list of workers, see [`PeerTransport::update_workers`](crate::PeerTransport::update_workers).
+    pub fn update_workers(&mut self, now: Micros, complete: bool, workers: &[Worker]) {
+        self.workers.update(now, complete, workers, &self.drained);
     }
 
-    /// See [`PeerTransport::holds`](crate::PeerTransport::holds).
-    pub fn holds(&self, worker: &str) -> bool {
+    /// Whether a worker is blocked, see [`PeerTransport::is_blocked`](crate::PeerTransport::is_blocked).
+    pub fn is_blocked(&self, worker: &str) -> bool {
         self.learning.is_some() || self.drained.contains(&name_hash(worker))
     }
 
-    /// See [`PeerTransport::knows`](crate::PeerTransport::knows).
-    pub fn knows(&self, worker: &str) -> bool {
+    /// Whether a worker counts, see [`PeerTransport::is_known`](crate::PeerTransport::is_known).
+    pub fn is_known(&self, worker: &str) -> bool {
         self.workers.get(name_hash(worker)).is_some()
     }
 
-    /// Sends what is to be sent, answers operators, and tells what is new.
-    pub fn carry_out(
+    /// Sends the outputs of the node, answers operators, and reports events.
+    pub fn process_outputs(
         &mut self,
         io: &mut Io,
         now: Micros,
@@ -309,7 +336,7 @@
         events: &mut Vec<Event>,
     ) {
         let mut changed = false;
-        for output in std::mem::take(&mut self.out) {
+        for output in std::mem::take(&mut self.outputs) {
             match output {
                 Output::Send { to, bytes } => {
                     debug_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
@@ -319,14 +346,14 @@
                 }
                 Output::Changed => changed = true,
                 Output::Answered { tag, answer } => {
-                    match self.pending.iter_mut().find(|pending_request| pending_request.our_tag == tag) {
+                    match self.pending.iter_mut().find(|pending_request| pending_request.node_tag == tag) {
                         Some(pending_request) if pending_request.answer.is_none() => {
                             pending_request.answer = Some(answer);
-                            let told = OperatorReply::Answer(answer);
+                            let reply = OperatorReply::Answer(answer);
                             io.send_to(
                                 socket,
                                 pending_request.from,
-                                &OperatorResponse { tag: pending_request.their_tag, reply: told }.write(),
+                                &OperatorResponse { tag: pending_request.operator_tag, reply }.write(),
                             );
                         }
                         Some(_) => {}
@@ -335,41 +362,43 @@
                 }
             }
         }
-        let released = std::mem::take(&mut self.released);
-        let held = if changed || released { self.changed(now, events) } else { Vec::new() };
-        let held = if released { self.workers.names() } else { held };
-        if !held.is_empty() {
-            events.push(Event::Held(held));
+        let learning_ended = std::mem::take(&mut self.learning_ended);
+        let workers =
+            if changed || learning_ended { self.apply_permit_state(now, events) } else { Vec::new() };
+        let workers = if learning_ended { self.workers.names() } else { workers };
+        if !workers.is_empty() {
+            events.push(Event::DrainsChanged(workers));
         }
     }
 
-    /// Takes over what is agreed; gives the workers whose drain began or ended by it.
-    fn changed(&mut self, now: Micros, events: &mut Vec<Event>) -> Vec<String> {
+    /// Applies the latest permit state; returns the names of workers whose drain began or ended by it.
+    fn apply_permit_state(&mut self, now: Micros, events: &mut Vec<Event>) -> Vec<String> {
         let Halt { on, count } = self.node.halt();
-        let Some(known) = self.node.known() else { return Vec::new() };
-        if self.noted < Some(known.position()) {
-            self.noted = Some(known.position());
-            events.push(Event::Agreed(known.clone()));
+        let Some(state) = self.node.known() else { return Vec::new() };
+        if self.last_reported < Some(state.position()) {
+            self.last_reported = Some(state.position());
+            events.push(Event::Agreed(state.clone()));
         }
         info!(
-            by = known.epoch.by,
-            version = known.version,
-            permits = known.value.permits.len(),
+            by = state.epoch.by,
+            version = state.version,
+            permits = state.value.permits.len(),
             on,
             count,
             "agreed"
         );
-        let drained: BTreeSet<u32> = self.workers.tags().filter(|tag| known.value.is_drained(*tag)).collect();
+        let drained: BTreeSet<u32> =
+            self.workers.marks().filter(|mark| state.value.is_drained(*mark)).collect();
         let before = std::mem::replace(&mut self.drained, drained);
-        // Whoever asks hears soon how much is in hand.
-        self.tell = now;
-        let other = before.symmetric_difference(&self.drained);
-        other.filter_map(|tag| Some(self.workers.get(*tag)?.name.clone())).collect()
+        // Publish the calls in flight at once, so that operators see the progress of a new drain soon.
+        self.next_drain_report = now;
+        let changed = before.symmetric_difference(&self.drained);
+        changed.filter_map(|mark| Some(self.workers.get(*mark)?.name.clone())).collect()
     }
 
-    /// No leader can be reached, as far as whoever asks need know.
-    pub fn none(io: &mut Io, socket: usize, from: SocketAddr, tag: u32) {
-        let told = OperatorReply::Answer(Err(Denied::NoLeader));
-        io.send_to(socket, from, &OperatorResponse { tag, reply: told }.write());
+    /// Answers an operator that no leader can be reached; used where this process takes no part in the permits.
+    pub fn reply_no_leader(io: &mut Io, socket: usize, from: SocketAddr, tag: u32) {
+        let reply = OperatorReply::Answer(Err(Denied::NoLeader));
+        io.send_to(socket, from, &OperatorResponse { tag, reply }.write());
     }
 }
