--- a/crates/rules/src/record.rs
+++ b/crates/rules/src/record.rs
@@ -21,8 +21,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// When.
+    #[serde(rename = "t")]
     pub t: Micros,
     /// A client, a scheduler (one loop of a gateway) or a worker.
+    #[serde(rename = "by")]
     pub by: String,
     /// What.
     #[serde(flatten)]
@@ -34,8 +36,10 @@
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum What {
     /// A client has sent a whole event.
+    #[serde(rename = "asked")]
     Asked {
         /// Names this try, once over all clients.
+        #[serde(rename = "tried")]
         tried: u64,
         /// The event's name.
         event: String,
@@ -51,6 +55,7 @@
     /// A client has read a whole answer.
     Answered {
         /// The try.
+        #[serde(rename = "tried")]
         tried: u64,
         /// Which answer.
         answer: Final,
@@ -58,13 +63,17 @@
         status: u16,
     },
     /// A client has left before an answer came.
+    #[serde(rename = "left")]
     Left {
         /// The try.
+        #[serde(rename = "tried")]
         tried: u64,
     },
     /// The connection ended under a client, or brought bytes that were no answer.
+    #[serde(rename = "cut")]
     Cut {
         /// The try.
+        #[serde(rename = "tried")]
         tried: u64,
     },
     /// A scheduler begins to listen.
@@ -94,6 +103,7 @@
         us: Micros,
     },
     /// A scheduler has given a client's final answer to its connection.
+    #[serde(rename = "gave")]
     Gave {
         /// The event's name.
         event: String,
@@ -101,6 +111,7 @@
         status: u16,
     },
     /// A scheduler has taken a call.
+    #[serde(rename = "taken")]
     Taken {
         /// The event's name.
         event: String,
@@ -113,22 +124,27 @@
         to: String,
     },
     /// A scheduler has answered a call as failed whose event another one sees to that it could not reach.
+    #[serde(rename = "unowned")]
     Unowned {
         /// The event's name.
         event: String,
     },
     /// A scheduler believes something else of one of the fleet.
+    #[serde(rename = "believed")]
     Believed {
         /// Of whom, by number.
+        #[serde(rename = "of")]
         of: u16,
         /// When that one's life began, in milliseconds since the beginning of 2026.
         start: u64,
         /// How often it has refuted since.
+        #[serde(rename = "bump")]
         bump: u32,
         /// `up`, `suspect`, `leaving`, `gone` or `stopped`.
         state: String,
     },
     /// A scheduler has heard of something later that the fleet agrees on.
+    #[serde(rename = "agreed")]
     Agreed {
         /// The leader's epoch: when it was drawn, in milliseconds since the beginning of 2026, and by whom.
         epoch: (u64, u16),
@@ -138,6 +154,7 @@
         permits: Vec<String>,
     },
     /// A scheduler was told of a worker's state.
+    #[serde(rename = "told")]
     Told {
         /// The worker.
         worker: String,
@@ -170,6 +187,7 @@
         count: u32,
     },
     /// A worker has started.
+    #[serde(rename = "born")]
     Born {
         /// Work that it does when warm, in microseconds of work a microsecond.
         capacity: f64,
@@ -198,5 +216,6 @@
         attempt: String,
     },
     /// A worker fell over while cold.
+    #[serde(rename = "fell")]
     Fell,
 }
