--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -3,7 +3,7 @@
 use basaltward_config::read;
 use basaltward_net::Micros;
 use basaltward_play::{Bed, rule_settings};
-use basaltward_rules::{Final, Record, Recorder, What, check};
+use basaltward_rules::{FinalAnswer, Record, Recorder, What, check};
 use basaltward_standins::{Clients, Plan, Retries, WorkerSpec};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -86,7 +86,7 @@
     let mut told = Told::default();
     for record in records {
         match &record.what {
-            What::Asked { tried, event, .. } => {
+            What::RequestSent { tried, event, .. } => {
                 asked.insert(*tried, (record.t, event));
                 if !first.contains_key(event.as_str()) {
                     first.insert(event, record.t);
@@ -96,11 +96,11 @@
             What::Answered { tried, answer, .. } if (from..until).contains(&record.t) => {
                 let Some((at, event)) = asked.get(tried) else { continue };
                 match answer {
-                    Final::Served => {
+                    FinalAnswer::Served => {
                         told.served += 1;
                         told.times.push(record.t - first.get(event).unwrap_or(at));
                     }
-                    Final::Refused => {
+                    FinalAnswer::Refused => {
                         told.refused += 1;
                         told.refusals.push(record.t - at);
                     }
@@ -119,11 +119,11 @@
     let mut events: HashMap<&str, (Micros, bool)> = HashMap::new();
     for record in records {
         match &record.what {
-            What::Asked { tried, event, .. } => {
+            What::RequestSent { tried, event, .. } => {
                 tries.insert(*tried, event);
                 events.entry(event).or_insert((record.t, false));
             }
-            What::Answered { tried, answer: Final::Served, .. } => {
+            What::Answered { tried, answer: FinalAnswer::Served, .. } => {
                 let event = tries.get(tried).and_then(|event| events.get_mut(event));
                 event.into_iter().for_each(|(_, served)| *served = true);
             }
@@ -170,7 +170,7 @@
         let rules = rule_settings(&bed.config, &bed.roster.entries);
         bed.stop()?;
         let records = recorder.take();
-        let asked = |r: &&Record| matches!(r.what, What::Asked { .. });
+        let asked = |r: &&Record| matches!(r.what, What::RequestSent { .. });
         let start = records.iter().find(asked).map_or(0, |r| r.t);
         let span = (load.seconds * 1e6) as Micros;
         let (from, until) = (start + WARM_US + (span as f64 * SETTLE) as Micros, start + WARM_US + span);
@@ -239,13 +239,13 @@
         let rules = rule_settings(&bed.config, &bed.roster.entries);
         bed.stop()?;
         let records = recorder.take();
-        let asked = |r: &&Record| matches!(r.what, What::Asked { .. });
+        let asked = |r: &&Record| matches!(r.what, What::RequestSent { .. });
         let start = records.iter().find(asked).map_or(0, |r| r.t);
         let span = start + WARM_US..start + until;
         let of = |name: &str| -> Vec<Record> {
             let mut tries = std::collections::HashSet::new();
             let mine = records.iter().filter(|r| match &r.what {
-                What::Asked { tried, tenant, .. } => tenant == name && tries.insert(*tried),
+                What::RequestSent { tried, tenant, .. } => tenant == name && tries.insert(*tried),
                 What::Answered { tried, .. } => tries.contains(tried),
                 _ => false,
             });
--- a/crates/cli/tests/agreed.rs
+++ b/crates/cli/tests/agreed.rs
@@ -83,7 +83,7 @@
 /// How many calls a worker has begun so far.
 fn ran(bed: &Bed, worker: &str) -> usize {
     let mut count = 0;
-    bed.recorder.wait(Duration::ZERO, |all| {
+    bed.recorder.wait_until(Duration::ZERO, |all| {
         count = all.iter().filter(|r| r.by == worker && matches!(r.what, What::Ran { .. })).count();
         true
     });
@@ -122,7 +122,7 @@
     done(&bed, other, &["drain", "s-4", "--wait", "60"]);
     let (verdict, records) = finished(bed);
     assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
-    let leaving = |r: &&Record| matches!(&r.what, What::Told { worker, state } if worker == "s-3" && state == "leaving");
+    let leaving = |r: &&Record| matches!(&r.what, What::WorkerState { worker, state } if worker == "s-3" && state == "leaving");
     assert!(records.iter().filter(leaving).count() >= 5, "the module of each heard of it");
 }
 
@@ -241,7 +241,7 @@
     });
     let (verdict, records) = finished(bed);
     assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
-    let agreed = records.iter().filter(|r| matches!(r.what, What::Agreed { .. })).count();
+    let agreed = records.iter().filter(|r| matches!(r.what, What::PermitsUpdated { .. })).count();
     assert!(agreed > 40, "{agreed}");
 }
 
--- a/crates/cli/tests/stalls.rs
+++ b/crates/cli/tests/stalls.rs
@@ -62,7 +62,7 @@
     /// Which worker has a call, and from which port it came.
     fn holder(&self, id: &str) -> (&LineWorker, u16) {
         let mut found = None;
-        let came = self.recorder.wait(PATIENCE, |all| {
+        let came = self.recorder.wait_until(PATIENCE, |all| {
             found = all.iter().find_map(|record| match &record.what {
                 What::Arrived { event, attempt, .. } if event == id => {
                     let at = usize::from(record.by == "s-1");
--- a/crates/cli/tests/trial.rs
+++ b/crates/cli/tests/trial.rs
@@ -24,7 +24,7 @@
 fn ran(bed: &Bed, count: usize) {
     let calls = |r: &basaltward_rules::Record| matches!(r.what, basaltward_rules::What::Ran { .. });
     let enough = |all: &[_]| all.iter().filter(|r| calls(r)).count() >= count;
-    assert!(bed.recorder.wait(Duration::from_secs(20), enough), "{count} calls run");
+    assert!(bed.recorder.wait_until(Duration::from_secs(20), enough), "{count} calls run");
 }
 
 #[test]
@@ -54,7 +54,7 @@
     // Behind the bed's back.
     let pid = bed.schedulers[1].pid().and_then(|pid| Pid::from_raw(pid as i32)).expect("it runs");
     kill_process(pid, Signal::KILL).expect("killed");
-    let now = bed.recorder.wait(Duration::from_millis(300), |_| false);
+    let now = bed.recorder.wait_until(Duration::from_millis(300), |_| false);
     assert!(!now);
     let (_, verdict) = finished(bed);
     assert_eq!(verdict.fleet, [Fleet::Crashed("n1".into())]);
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -328,7 +328,7 @@
     ) {
         let told = format!("{state:?}").to_lowercase();
         info!(scheduler = self.name, member = of, state = told, "peer");
-        let what = What::Believed { of, start: life.start, bump: life.bump, state: told };
+        let what = What::MemberState { of, start: life.start, bump: life.bump, state: told };
         self.recorder.put(now, &self.name, what);
     }
 
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -241,7 +241,7 @@
         if !self.given.is_empty() {
             let now = monotonic();
             for (event, status) in self.given.drain(..) {
-                self.recorder.put(now, &self.name, What::Gave { event, status });
+                self.recorder.put(now, &self.name, What::AnswerSent { event, status });
             }
         }
     }
@@ -358,7 +358,7 @@
                     sites.attempt_ended(now, id, &end);
                     sites.kept.iter_mut().for_each(|kept| kept.attempt_ended(id, &end));
                 }
-                if self.recorder.is_on() {
+                if self.recorder.is_enabled() {
                     let (attempt, code) = (attempt_name(&self.prefix, id), format!("{:?}", end.code));
                     self.recorder.put(now, &self.name, What::Ended { attempt, code });
                 }
@@ -483,15 +483,15 @@
         let Some((waiting, status, free)) = self.front.answer(&mut self.io, now, waiter, answer) else {
             return;
         };
-        if unowned && self.recorder.is_on() {
-            self.recorder.put(now, &self.name, What::Unowned { event: event_name(&waiting.event) });
+        if unowned && self.recorder.is_enabled() {
+            self.recorder.put(now, &self.name, What::OwnerUnreachable { event: event_name(&waiting.event) });
         }
         if let Some(conn) = free
             && self.io.input(conn).is_some_and(|input| !input.is_empty())
         {
             self.front.came(now, conn);
         }
-        if self.recorder.is_on() {
+        if self.recorder.is_enabled() {
             self.given.push((event_name(&waiting.event), status));
         }
         let how = match path {
--- a/crates/gateway/src/scheduler/calls.rs
+++ b/crates/gateway/src/scheduler/calls.rs
@@ -81,9 +81,9 @@
     }
 
     pub(super) fn begin(&mut self, now: Micros, call: NewCall<Event>) {
-        if self.recorder.is_on() {
+        if self.recorder.is_enabled() {
             let event = event_name(&call.payload);
-            self.recorder.put(now, &self.name, What::Taken { event });
+            self.recorder.put(now, &self.name, What::Accepted { event });
         }
         self.tell(now, Input::Call(call));
     }
--- a/crates/gateway/src/scheduler/notes.rs
+++ b/crates/gateway/src/scheduler/notes.rs
@@ -15,7 +15,7 @@
             if let Some((id, _)) = &sent.attempt {
                 self.engine.mark_written(*id);
             }
-            if !self.recorder.is_on() {
+            if !self.recorder.is_enabled() {
                 continue;
             }
             let worker = sent.worker.to_string();
@@ -59,9 +59,9 @@
                 continue;
             }
             info!(scheduler = self.name, %worker, ?state, "worker");
-            if self.recorder.is_on() {
+            if self.recorder.is_enabled() {
                 let state = format!("{state:?}").to_lowercase();
-                self.recorder.put(now, &self.name, What::Told { worker: worker.to_string(), state });
+                self.recorder.put(now, &self.name, What::WorkerState { worker: worker.to_string(), state });
             }
             if state == State::Gone {
                 self.states.remove(&worker);
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -55,15 +55,15 @@
         life: Incarnation,
         is: basaltward_membership::MemberState,
     ) {
-        if self.recorder.is_on() {
+        if self.recorder.is_enabled() {
             let state = format!("{is:?}").to_lowercase();
-            self.put(now, What::Believed { of, start: life.start, bump: life.bump, state });
+            self.put(now, What::MemberState { of, start: life.start, bump: life.bump, state });
         }
     }
 
     /// The fleet has agreed on a later state of the permits.
     pub fn permits_changed(&self, now: Micros, known: &Stored<PermitState>) {
-        if self.recorder.is_on() {
+        if self.recorder.is_enabled() {
             let permit = |permit: &Permit| match permit.subject {
                 Subject::Scheduler(of) => format!("scheduler {of} {}", permit.number),
                 Subject::Worker(of) => format!("worker {of:08x} {}", permit.number),
@@ -72,19 +72,19 @@
             };
             let permits = known.value.permits.iter().map(permit).collect();
             let (epoch, version) = ((known.epoch.ms, known.epoch.by), known.version);
-            self.put(now, What::Agreed { epoch, version, permits });
+            self.put(now, What::PermitsUpdated { epoch, version, permits });
         }
     }
 
     pub fn request_accepted(&self, now: Micros, id: &str) {
-        if self.recorder.is_on() {
-            self.put(now, What::Taken { event: id.into() });
+        if self.recorder.is_enabled() {
+            self.put(now, What::Accepted { event: id.into() });
         }
     }
 
     /// An id is used on a connection only once, so id and port identify an attempt; the worker sees the same pair.
     pub fn job_written(&mut self, now: Micros, io: &mut Io, written: &Written) {
-        if !self.recorder.is_on() {
+        if !self.recorder.is_enabled() {
             return;
         }
         let worker = written.worker.to_string();
@@ -154,7 +154,7 @@
             took_us = now.saturating_sub(request.arrived),
             "call"
         );
-        if self.recorder.is_on() {
+        if self.recorder.is_enabled() {
             self.unflushed_answers.push((format!("{:016x}", request.request), status));
         }
     }
@@ -166,18 +166,18 @@
         }
         let now = monotonic();
         for (event, status) in std::mem::take(&mut self.unflushed_answers) {
-            self.put(now, What::Gave { event, status });
+            self.put(now, What::AnswerSent { event, status });
         }
     }
 
     pub fn members_changed(&mut self, now: Micros, kind: MembersKind, members: &[Member]) {
-        if !self.recorder.is_on() {
+        if !self.recorder.is_enabled() {
             return;
         }
         if kind == MembersKind::Whole {
             let listed: BTreeSet<_> = members.iter().map(|m| m.worker.clone()).collect();
             for worker in self.known.difference(&listed) {
-                self.put(now, What::Told { worker: worker.to_string(), state: "gone".into() });
+                self.put(now, What::WorkerState { worker: worker.to_string(), state: "gone".into() });
             }
             self.known = listed;
         }
@@ -188,7 +188,7 @@
                 State::Gone => "gone",
             };
             self.known.insert(member.worker.clone());
-            self.put(now, What::Told { worker: member.worker.to_string(), state: state.into() });
+            self.put(now, What::WorkerState { worker: member.worker.to_string(), state: state.into() });
         }
     }
 }
--- a/crates/node/tests/clocks.rs
+++ b/crates/node/tests/clocks.rs
@@ -98,8 +98,8 @@
     let boot = wall + case.told / 1_000;
     board.tell(&entry(WARM).replace("\"boot_ms\":0", &format!("\"boot_ms\":{boot}")));
     let cold = format!("s-{WARM}");
-    let heard = |what: &What| matches!(what, What::Told { worker, .. } if *worker == cold);
-    assert!(recorder.wait(PATIENCE, |all| all.iter().any(|r| heard(&r.what))), "never told");
+    let heard = |what: &What| matches!(what, What::WorkerState { worker, .. } if *worker == cold);
+    assert!(recorder.wait_until(PATIENCE, |all| all.iter().any(|r| heard(&r.what))), "never told");
     std::thread::sleep(ALONE);
     lost.store(true, Ordering::SeqCst);
     let until = monotonic() + AFTER.as_micros() as Micros;
--- a/crates/node/tests/sockets/answers.rs
+++ b/crates/node/tests/sockets/answers.rs
@@ -127,7 +127,7 @@
     let asked = bed.submit(&mut client, &first);
     bed.wait(|what| matches!(what, What::Ran { event, .. } if *event == first.id));
     client.revoke(asked.seqid).expect("sent");
-    bed.recorder.put(basaltward_net::monotonic(), "client", What::Left { tried: asked.tried });
+    bed.recorder.put(basaltward_net::monotonic(), "client", What::ClientLeft { tried: asked.tried });
     let asked = bed.submit(&mut client, &second);
     assert_eq!(bed.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
     assert!(bed.workers[0].lines().contains(&format!("drop {}", first.id)));
--- a/crates/node/tests/sockets/common.rs
+++ b/crates/node/tests/sockets/common.rs
@@ -2,7 +2,9 @@
 
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::{Control, Node};
-use basaltward_rules::{Breach, ClassRule, Final, Record, Recorder, RepeatRule, RuleSettings, What, check};
+use basaltward_rules::{
+    Breach, ClassRule, FinalAnswer, Record, Recorder, RepeatRule, RuleSettings, What, check,
+};
 use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
 use rustix::net::sockopt::set_socket_linger;
 use std::collections::{BTreeMap, HashMap};
@@ -126,7 +128,7 @@
         self.recorder.put(
             now,
             "client",
-            What::Asked {
+            What::RequestSent {
                 tried: self.tried,
                 event: call.id.clone(),
                 class: call.class.into(),
@@ -144,9 +146,9 @@
         let (seqid, reply) = client.read().expect("a reply")?;
         let asked = open.iter().find(|a| a.seqid == seqid).expect("an answer to what is open");
         let (answer, status) = match &reply {
-            FrontReply::Served(_) => (Final::Served, 200),
-            FrontReply::Rejected(_) => (Final::Refused, 503),
-            FrontReply::Crashed | FrontReply::Exception => (Final::Failed, 500),
+            FrontReply::Served(_) => (FinalAnswer::Served, 200),
+            FrontReply::Rejected(_) => (FinalAnswer::Refused, 503),
+            FrontReply::Crashed | FrontReply::Exception => (FinalAnswer::Failed, 500),
         };
         self.recorder.put(monotonic(), "client", What::Answered { tried: asked.tried, answer, status });
         Some((seqid, reply))
@@ -161,7 +163,7 @@
 
     /// Waits until what was recorded holds what is looked for.
     pub fn wait(&self, mut holds: impl FnMut(&What) -> bool) {
-        let found = self.recorder.wait(PATIENCE, |all| all.iter().any(|r| holds(&r.what)));
+        let found = self.recorder.wait_until(PATIENCE, |all| all.iter().any(|r| holds(&r.what)));
         assert!(found, "never recorded");
     }
 
@@ -281,7 +283,8 @@
         let one = Call { body: vec![b'x'; 16 << 10], ..call(1_000 + asked, "view") };
         bed.submit(client, &one);
         let ran = |what: &What| matches!(what, What::Ran { event, .. } if *event == one.id);
-        let came = bed.recorder.wait(Duration::from_millis(700), |all| all.iter().any(|r| ran(&r.what)));
+        let came =
+            bed.recorder.wait_until(Duration::from_millis(700), |all| all.iter().any(|r| ran(&r.what)));
         stuck = if came { 0 } else { stuck + 1 };
         if stuck == 3 {
             return asked as usize;
--- a/crates/node/tests/sockets/fleet.rs
+++ b/crates/node/tests/sockets/fleet.rs
@@ -11,13 +11,12 @@
 
 /// Waits until the scheduler was told that a worker has this state.
 fn told(bed: &Bed, uid: &str, wanted: &str) {
-    bed.wait(|what| matches!(what, What::Told { worker, state } if worker == uid && state == wanted));
+    bed.wait(|what| matches!(what, What::WorkerState { worker, state } if worker == uid && state == wanted));
 }
 
 /// What was written to a worker after the scheduler was told of its state.
 fn written_after<'a>(records: &'a [Record], uid: &str, wanted: &str) -> Vec<&'a Record> {
-    let told =
-        |r: &&Record| matches!(&r.what, What::Told { worker, state } if worker == uid && state == wanted);
+    let told = |r: &&Record| matches!(&r.what, What::WorkerState { worker, state } if worker == uid && state == wanted);
     let to = |r: &&Record| match &r.what {
         What::Sent { worker, .. } | What::Ordered { worker, .. } => worker == uid,
         _ => false,
--- a/crates/node/tests/sockets/late.rs
+++ b/crates/node/tests/sockets/late.rs
@@ -146,7 +146,7 @@
     let second = Call { body: b"another body".to_vec(), ..first.clone() };
     let asked = bed.submit(&mut client, &second);
     let sent = |record: &Record| matches!(&record.what, What::Sent { event, .. } if *event == first.id);
-    let twice = bed.recorder.wait(PATIENCE, |all| {
+    let twice = bed.recorder.wait_until(PATIENCE, |all| {
         *came.lock().expect("sound") = ports(all);
         all.iter().filter(|record| sent(record)).count() == 2
     });
@@ -166,7 +166,7 @@
         let asked: Vec<_> = calls.iter().map(|c| bed.submit(&mut client, c)).collect();
         let told = read_all(&bed, &mut client, &asked);
         calls.iter().zip(&asked).for_each(|(call, asked)| assert_eq!(told[&asked.seqid], served(call)));
-        if bed.recorder.wait(Duration::ZERO, used) {
+        if bed.recorder.wait_until(Duration::ZERO, used) {
             break;
         }
         assert!(Instant::now() < until, "never used again");
--- a/crates/node/tests/sockets/late_sends.rs
+++ b/crates/node/tests/sockets/late_sends.rs
@@ -58,7 +58,7 @@
         LineWorker::start("s-1", bed.recorder.clone(), move |exec| script(1, exec)).expect("a worker");
     other.plug().expect("plugged");
     bed.board.tell(&target("s-1", other.address(), "Ready"));
-    bed.wait(|what| matches!(what, What::Told { worker, .. } if worker == "s-1"));
+    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "s-1"));
     let id = "f000000000000001";
     submit(&mut client, id);
     bed.wait(|what| matches!(what, What::Arrived { event, .. } if event == id));
--- a/crates/node/tests/sockets/link.rs
+++ b/crates/node/tests/sockets/link.rs
@@ -62,7 +62,7 @@
     let at = bed.workers[0].address();
     let others: Vec<_> = (1..4).map(|n| target(&format!("t-{n}"), at, "Terminating")).collect();
     bed.board.tell(&others.join(","));
-    bed.wait(|what| matches!(what, What::Told { worker, .. } if worker == "t-3"));
+    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "t-3"));
 }
 
 /// The scheduler has done all that was sent to it before.
@@ -74,7 +74,7 @@
 /// The requests given to connections so far, in order.
 fn sent(bed: &Bed) -> Vec<String> {
     let mut ids = Vec::new();
-    bed.recorder.wait(Duration::ZERO, |all| {
+    bed.recorder.wait_until(Duration::ZERO, |all| {
         ids = all
             .iter()
             .filter_map(|r| if let What::Sent { event, .. } = &r.what { Some(event.clone()) } else { None })
@@ -101,7 +101,7 @@
         let at = number as usize % 2;
         let call = Call { timeout_ms: timeout_ms[at], ..big(number, "extract") };
         let asked = bed.submit(&mut clients[at], &call);
-        bed.wait(|what| matches!(what, What::Taken { event } if *event == call.id));
+        bed.wait(|what| matches!(what, What::Accepted { event } if *event == call.id));
         all.push((at, call, asked));
     }
     quiet(bed);
@@ -112,7 +112,7 @@
 /// When each request came whole to a worker.
 fn arrivals(bed: &Bed) -> BTreeMap<String, Vec<Micros>> {
     let mut came: BTreeMap<_, Vec<_>> = BTreeMap::new();
-    bed.recorder.wait(Duration::ZERO, |all| {
+    bed.recorder.wait_until(Duration::ZERO, |all| {
         came.clear();
         for record in all {
             if let What::Arrived { event, .. } = &record.what {
@@ -138,7 +138,7 @@
 /// The attempts that have ended so far.
 fn ended(bed: &Bed) -> BTreeMap<String, String> {
     let mut ended = BTreeMap::new();
-    bed.recorder.wait(Duration::ZERO, |all| {
+    bed.recorder.wait_until(Duration::ZERO, |all| {
         ended = ends(all);
         true
     });
@@ -180,11 +180,11 @@
     let (gone, stay): (Vec<_>, Vec<_>) = all.iter().partition(|(at, ..)| *at == 0);
     let other = LineWorker::start("s-1", bed.recorder.clone(), Exec::serve).expect("a worker");
     bed.board.tell(&target("s-1", other.address(), "Ready"));
-    bed.wait(|what| matches!(what, What::Told { worker, .. } if worker == "s-1"));
+    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "s-1"));
     let [first, mut second] = clients;
     let _kept = leave(&bed, first, &gone);
     let out: Vec<_> = gone.iter().filter(|(_, call, _)| given.contains(&call.id)).collect();
-    let over = bed.recorder.wait(PATIENCE, |all| {
+    let over = bed.recorder.wait_until(PATIENCE, |all| {
         let ended = ends(all);
         out.iter().all(|(_, call, _)| ended.contains_key(&call.id))
     });
@@ -219,7 +219,7 @@
 
 fn left(bed: &Bed, calls: &[&(usize, Call, Asked)]) {
     for (_, _, asked) in calls {
-        bed.recorder.put(monotonic(), "client", What::Left { tried: asked.tried });
+        bed.recorder.put(monotonic(), "client", What::ClientLeft { tried: asked.tried });
     }
 }
 
@@ -260,7 +260,9 @@
     let given = sent(&bed);
     let other = LineWorker::start("s-1", bed.recorder.clone(), Exec::serve).expect("a worker");
     tell(&bed, other.address());
-    bed.wait(|what| matches!(what, What::Told { worker, state } if worker == "s-0" && state != "active"));
+    bed.wait(
+        |what| matches!(what, What::WorkerState { worker, state } if worker == "s-0" && state != "active"),
+    );
     quiet(&bed);
     let moot: Vec<_> = ended(&bed).into_iter().filter(|(_, code)| code == "Moot").map(|(id, _)| id).collect();
     go.send(()).expect("it waits");
@@ -310,7 +312,7 @@
     let calls: Vec<_> = (0..16).map(|number| big(number, "extract")).collect();
     let asked: Vec<_> = calls.iter().map(|call| bed.submit(&mut client, call)).collect();
     for call in &calls {
-        bed.wait(|what| matches!(what, What::Taken { event } if *event == call.id));
+        bed.wait(|what| matches!(what, What::Accepted { event } if *event == call.id));
     }
     quiet(&bed);
     assert!(sent(&bed).len() == 8, "it stood already");
@@ -331,7 +333,7 @@
     // The worker is left alone for a while after so many breaks: another one serves the rest.
     let other = LineWorker::start("s-1", bed.recorder.clone(), Exec::serve).expect("a worker");
     bed.board.tell(&target("s-1", other.address(), "Ready"));
-    bed.wait(|what| matches!(what, What::Told { worker, .. } if worker == "s-1"));
+    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "s-1"));
     bed.workers[0].reset_all();
     quiet(&bed);
     go.send(()).expect("it waits");
--- a/crates/node/tests/sockets/picked.rs
+++ b/crates/node/tests/sockets/picked.rs
@@ -96,7 +96,7 @@
         What::Arrived { event, attempt, .. } if event == id => attempt.rsplit_once('@')?.1.parse().ok(),
         _ => None,
     };
-    assert!(bed.recorder.wait(PATIENCE, |all| {
+    assert!(bed.recorder.wait_until(PATIENCE, |all| {
         port = all.iter().find_map(came).unwrap_or_default();
         port > 0
     }));
@@ -118,7 +118,7 @@
         let one = Call { timeout_ms: 8_000, ..call(2, "extract") };
         let mut seqid = 0;
         // The scheduler stands still at its next record, that the call was taken, for as long as this looks.
-        bed.recorder.wait(PATIENCE, |_| {
+        bed.recorder.wait_until(PATIENCE, |_| {
             seqid = send(&mut client, &one);
             until(|| {
                 let all = sockets(from);
@@ -204,7 +204,7 @@
     let old = port_of(&bed, &held.id);
     let at = bed.workers[0].address();
     bed.board.tell(&format!("{},{}", target("s-0", at, "Gone"), target("s-9", at, "Ready")));
-    bed.wait(|what| matches!(what, What::Told { worker, .. } if worker == "s-9"));
+    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "s-9"));
     let next = call(3, "extract");
     assert_eq!(bed.call(&next), served(&next));
     assert_ne!(port_of(&bed, &next.id), old);
--- a/crates/node/tests/sockets/pieces.rs
+++ b/crates/node/tests/sockets/pieces.rs
@@ -210,7 +210,7 @@
 /// From which port a call came to its worker.
 fn port(bed: &Bed, one: &Call) -> u16 {
     let mut port = None;
-    let came = bed.recorder.wait(PATIENCE, |all| {
+    let came = bed.recorder.wait_until(PATIENCE, |all| {
         port = all.iter().rev().find_map(|record| match &record.what {
             What::Arrived { event, attempt, .. } if *event == one.id => {
                 attempt.rsplit_once('@').and_then(|(_, port)| port.parse().ok())
--- a/crates/node/tests/sockets/reload.rs
+++ b/crates/node/tests/sockets/reload.rs
@@ -14,7 +14,7 @@
 const WAVE: u64 = 16;
 
 fn told(bed: &Bed, uid: &str, wanted: &str) {
-    bed.wait(|what| matches!(what, What::Told { worker, state } if worker == uid && state == wanted));
+    bed.wait(|what| matches!(what, What::WorkerState { worker, state } if worker == uid && state == wanted));
 }
 
 /// Sends calls of both classes and reads none of the answers yet.
@@ -126,7 +126,7 @@
     bed.board.stall(&target(&uid, at, "Gone"));
     let began = monotonic();
     let is_told = |all: &[Record]| heard(all, &uid, "gone") < Micros::MAX;
-    while !bed.recorder.wait(Duration::ZERO, is_told) && monotonic() < began + SILENT {
+    while !bed.recorder.wait_until(Duration::ZERO, is_told) && monotonic() < began + SILENT {
         calls.go(&mut bed, 1);
     }
     calls.go(&mut bed, 60);
--- a/crates/node/tests/sockets/untold.rs
+++ b/crates/node/tests/sockets/untold.rs
@@ -30,8 +30,7 @@
 }
 
 pub fn heard(records: &[Record], uid: &str, wanted: &str) -> Micros {
-    let told =
-        |r: &&Record| matches!(&r.what, What::Told { worker, state } if worker == uid && state == wanted);
+    let told = |r: &&Record| matches!(&r.what, What::WorkerState { worker, state } if worker == uid && state == wanted);
     records.iter().find(told).map_or(Micros::MAX, |r| r.t)
 }
 
@@ -88,7 +87,9 @@
     calls.until(&mut bed, began + 1_200 * MS);
     bed.board.up().expect("its port is free");
     let up = monotonic();
-    bed.wait(|what| matches!(what, What::Told { worker, state } if *worker == uid && state == "leaving"));
+    bed.wait(
+        |what| matches!(what, What::WorkerState { worker, state } if *worker == uid && state == "leaving"),
+    );
     calls.go(&mut bed, 60);
     let records = bed.finish();
     let known = heard(&records, &uid, "leaving");
@@ -106,7 +107,7 @@
     bed.board.hush();
     let began = tell(&bed, most, "Gone");
     let told = |all: &[Record]| heard(all, &uid, "gone") < Micros::MAX;
-    while !bed.recorder.wait(Duration::ZERO, told) && monotonic() < began + SILENT {
+    while !bed.recorder.wait_until(Duration::ZERO, told) && monotonic() < began + SILENT {
         calls.go(&mut bed, 1);
     }
     calls.go(&mut bed, 60);
@@ -125,7 +126,9 @@
     let at = bed.workers[most].address();
     tell(&bed, most, "Ready");
     tell(&bed, most, "Terminating");
-    bed.wait(|what| matches!(what, What::Told { worker, state } if *worker == uid && state == "leaving"));
+    bed.wait(
+        |what| matches!(what, What::WorkerState { worker, state } if *worker == uid && state == "leaving"),
+    );
     let told = monotonic();
     let ready = target(&uid, at, "Ready");
     let again = |no: u64, all: bool| {
@@ -137,12 +140,14 @@
     }
     // A later event is read in its turn: all before it has been.
     bed.board.tell(&target("s-9", at, "Gone"));
-    bed.wait(|what| matches!(what, What::Told { worker, .. } if worker == "s-9"));
+    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "s-9"));
     calls.go(&mut bed, 30);
     let back = monotonic();
     // The same under a new number does bring it back, and the look finds it.
     bed.board.tell(&ready);
-    bed.wait(|what| matches!(what, What::Told { worker, state } if *worker == uid && state == "active"));
+    bed.wait(
+        |what| matches!(what, What::WorkerState { worker, state } if *worker == uid && state == "active"),
+    );
     calls.until(&mut bed, back + 300 * MS);
     let records = bed.finish();
     let before: Vec<_> = records.iter().filter(|r| r.t <= back).cloned().collect();
--- a/crates/node/tests/sockets/watch.rs
+++ b/crates/node/tests/sockets/watch.rs
@@ -26,13 +26,12 @@
 }
 
 fn told(bed: &Bed, uid: &str, wanted: &str) {
-    bed.wait(|what| matches!(what, What::Told { worker, state } if worker == uid && state == wanted));
+    bed.wait(|what| matches!(what, What::WorkerState { worker, state } if worker == uid && state == wanted));
 }
 
 /// How often a worker's state was told.
 fn count(records: &[Record], uid: &str, wanted: &str) -> usize {
-    let told =
-        |r: &&Record| matches!(&r.what, What::Told { worker, state } if worker == uid && state == wanted);
+    let told = |r: &&Record| matches!(&r.what, What::WorkerState { worker, state } if worker == uid && state == wanted);
     records.iter().filter(told).count()
 }
 
@@ -92,8 +91,9 @@
     }
     assert_eq!((new.asked(), new.standing()), (vec!["after 1".to_owned()], 1));
     let records = bed.finish();
-    let old =
-        records.iter().any(|r| matches!(&r.what, What::Told { worker, .. } if worker.starts_with("old")));
+    let old = records
+        .iter()
+        .any(|r| matches!(&r.what, What::WorkerState { worker, .. } if worker.starts_with("old")));
     assert!(!old, "the old one was heard");
     assert_eq!(check(&records, &rules()), []);
 }
@@ -198,8 +198,9 @@
             call_is_served(&mut bed, number);
         }
         let records = bed.finish();
-        let since =
-            records.iter().position(|r| matches!(r.what, What::Told { ref worker, .. } if worker == "s-9"));
+        let since = records
+            .iter()
+            .position(|r| matches!(r.what, What::WorkerState { ref worker, .. } if worker == "s-9"));
         let sent: Vec<_> = records[since.expect("told")..]
             .iter()
             .filter_map(
@@ -245,7 +246,8 @@
         call_is_served(&mut bed, number);
     }
     let records = bed.finish();
-    let since = records.iter().position(|r| matches!(&r.what, What::Told { worker, .. } if worker == "s-8"));
+    let since =
+        records.iter().position(|r| matches!(&r.what, What::WorkerState { worker, .. } if worker == "s-8"));
     let sent = records[since.expect("told")..].iter();
     let sent: Vec<_> = sent
         .filter_map(|r| if let What::Sent { worker, .. } = &r.what { Some(worker.as_str()) } else { None })
--- a/crates/play/tests/common/mod.rs
+++ b/crates/play/tests/common/mod.rs
@@ -110,7 +110,7 @@
 pub fn wait_running(bed: &Bed, id: &str) -> usize {
     let name = format!("/clients#{id}");
     let mut by = String::new();
-    let found = bed.recorder.wait(LONG, |records| {
+    let found = bed.recorder.wait_until(LONG, |records| {
         let ran = records.iter().rev().find(|r| matches!(&r.what, What::Ran { event, .. } if *event == name));
         by = ran.map(|r| r.by.clone()).unwrap_or_default();
         ran.is_some()
@@ -123,9 +123,8 @@
 /// Waits until the gateway was told this state of a worker.
 pub fn wait_told(bed: &Bed, worker: usize, wanted: &str) {
     let address = bed.fleet.addresses()[worker].to_string();
-    let told =
-        |r: &Record| matches!(&r.what, What::Told { worker, state } if *worker == address && state == wanted);
-    assert!(bed.recorder.wait(LONG, |records| records.iter().any(told)), "never told {wanted}");
+    let told = |r: &Record| matches!(&r.what, What::WorkerState { worker, state } if *worker == address && state == wanted);
+    assert!(bed.recorder.wait_until(LONG, |records| records.iter().any(told)), "never told {wanted}");
 }
 
 /// Stops a bed and judges what crossed its sockets. Plain clients leave no records of their own: the rules
--- a/crates/play/tests/hard_cases.rs
+++ b/crates/play/tests/hard_cases.rs
@@ -63,7 +63,8 @@
     assert_eq!(client.answer().map(|a| a.status), Some(200));
     let address = bed.fleet.addresses()[worker].to_string();
     let (records, breaches) = judge(bed);
-    let told = records.iter().position(|r| matches!(&r.what, What::Told { state, .. } if state == "leaving"));
+    let told =
+        records.iter().position(|r| matches!(&r.what, What::WorkerState { state, .. } if state == "leaving"));
     let after = &records[told.expect("told")..];
     let to_it =
         |r: &&basaltward_rules::Record| matches!(&r.what, What::Sent { worker, .. } if *worker == address);
@@ -204,7 +205,7 @@
     assert_eq!(client.answer().map(|a| a.status), Some(400));
     assert!(client.answer().is_none(), "closed after it");
     let (records, _) = judge(bed);
-    assert!(!records.iter().any(|r| matches!(r.what, What::Taken { .. } | What::Arrived { .. })));
+    assert!(!records.iter().any(|r| matches!(r.what, What::Accepted { .. } | What::Arrived { .. })));
 }
 
 #[test]
@@ -235,8 +236,8 @@
     // The call may find the restarted worker before the roster tells of it, and gets the answer miss.
     bed.fleet.fault(0, Fault::Kill);
     bed.fleet.fault(0, Fault::Restart);
-    let born = |r: &basaltward_rules::Record| matches!(r.what, What::Born { warm: false, .. });
-    assert!(bed.recorder.wait(LONG, |records| records.iter().any(born)));
+    let born = |r: &basaltward_rules::Record| matches!(r.what, What::WorkerStarted { warm: false, .. });
+    assert!(bed.recorder.wait_until(LONG, |records| records.iter().any(born)));
     let wall = basaltward_net::Clock::read().wall();
     bed.roster.restarted(0, wall).expect("listed");
     assert_eq!(status(to, "view", "after"), 200);
@@ -341,7 +342,7 @@
     }
     assert_eq!(status(to, "view", "other"), 200);
     let (records, _) = judge(bed);
-    let taken = records.iter().filter(|r| matches!(r.what, What::Taken { .. })).count();
+    let taken = records.iter().filter(|r| matches!(r.what, What::Accepted { .. })).count();
     assert!(refused && taken < sent, "took {taken} of {sent}");
 }
 
--- a/crates/play/tests/loops.rs
+++ b/crates/play/tests/loops.rs
@@ -50,8 +50,11 @@
         assert_eq!(run(&bed, plans).served, 32, "{function}");
         let (records, breaches) = judge(bed);
         assert_eq!((runs(&records, "e"), breaches), (1, Vec::new()), "{function}");
-        assert!(loops_that(&records, |w| matches!(w, What::Gave { .. })) > 1, "all connections met one loop");
-        assert_eq!(loops_that(&records, |w| matches!(w, What::Taken { .. })), 1);
+        assert!(
+            loops_that(&records, |w| matches!(w, What::AnswerSent { .. })) > 1,
+            "all connections met one loop"
+        );
+        assert_eq!(loops_that(&records, |w| matches!(w, What::Accepted { .. })), 1);
     }
 }
 
@@ -105,7 +108,7 @@
     let places: Vec<_> = (0..48).filter_map(|id| told.find(&format!("\"id\":\"b{id}\""))).collect();
     assert!(places.len() == 48 && places.is_sorted(), "in the order asked");
     let (records, breaches) = judge(bed);
-    assert_eq!((loops_that(&records, |w| matches!(w, What::Taken { .. })), breaches), (4, Vec::new()));
+    assert_eq!((loops_that(&records, |w| matches!(w, What::Accepted { .. })), breaches), (4, Vec::new()));
 }
 
 #[test]
--- a/crates/play/tests/sites.rs
+++ b/crates/play/tests/sites.rs
@@ -104,5 +104,5 @@
     }
     assert!(began.elapsed() < Duration::from_secs(2), "calls waited for it: {:?}", began.elapsed());
     let (records, breaches) = judge(bed);
-    assert!(breaches.is_empty() && records.iter().any(|r| matches!(r.what, What::Gave { .. })));
+    assert!(breaches.is_empty() && records.iter().any(|r| matches!(r.what, What::AnswerSent { .. })));
 }
--- a/crates/rules/src/answers.rs
+++ b/crates/rules/src/answers.rs
@@ -29,7 +29,7 @@
     let mut given = Given { answers: BTreeMap::new(), stalls: BTreeMap::new() };
     for record in records {
         match &record.what {
-            What::Gave { event, .. } => {
+            What::AnswerSent { event, .. } => {
                 given.answers.entry(event).or_default().push((record.t, &record.by));
             }
             What::Stalled { us } => given.stalls.entry(&record.by).or_default().push((record.t, *us)),
@@ -83,7 +83,7 @@
     let mut late = Late::default();
     for record in records {
         match &record.what {
-            What::Asked { tried, event, to, deadline, .. } => {
+            What::RequestSent { tried, event, to, deadline, .. } => {
                 asked.insert(*tried, (record.t, event, to, *deadline));
             }
             What::Answered { tried, .. } => {
@@ -122,7 +122,7 @@
     for record in records {
         let t = record.t;
         match &record.what {
-            What::Asked { tried, event, to, deadline, .. } => {
+            What::RequestSent { tried, event, to, deadline, .. } => {
                 let (deadline, ended, answers) = (*deadline, None, 0);
                 asked.insert(*tried, Asked { t, event, to, deadline, ended, answers });
             }
@@ -141,20 +141,20 @@
                     ask.ended = Some(t);
                 }
             },
-            What::Left { tried } => {
+            What::ClientLeft { tried } => {
                 if let Some(ask) = asked.get_mut(tried) {
                     ask.ended = Some(t);
                     ask.answers += 1;
                 }
             }
-            What::Cut { tried } => {
+            What::ConnectionLost { tried } => {
                 if let Some(ask) = asked.get_mut(tried) {
                     ask.ended = Some(t);
                 }
             }
             What::Stopping => ends.push((&record.by, t, false)),
             What::Down { killed: true } => ends.push((&record.by, t, true)),
-            What::Taken { event } => taken.entry(event).or_default().push((t, &record.by)),
+            What::Accepted { event } => taken.entry(event).or_default().push((t, &record.by)),
             _ => {}
         }
     }
--- a/crates/rules/src/effects.rs
+++ b/crates/rules/src/effects.rs
@@ -2,7 +2,7 @@
 
 use crate::answers::CROSSING_US;
 use crate::check::{Breach, ClassRule, RepeatRule, RuleSettings, schedulers};
-use crate::record::{Final, Micros, Record, What};
+use crate::record::{FinalAnswer, Micros, Record, What};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Codes that prove that an attempt never ran.
@@ -41,12 +41,14 @@
     };
     for record in records {
         let t = record.t;
-        if let What::Left { tried } | What::Cut { tried } | What::Answered { tried, .. } = &record.what {
+        if let What::ClientLeft { tried } | What::ConnectionLost { tried } | What::Answered { tried, .. } =
+            &record.what
+        {
             let tries = asked.get(tried).and_then(|(event, _)| open.get_mut(event));
             tries.into_iter().for_each(|n| *n = n.saturating_sub(1));
         }
         match &record.what {
-            What::Asked { tried, event, class: name, to, .. } => {
+            What::RequestSent { tried, event, class: name, to, .. } => {
                 asked.insert(*tried, (event, to));
                 *open.entry(event).or_default() += 1;
                 if let Some(rule) = settings.classes.get(name) {
@@ -79,13 +81,13 @@
                 all.push((t, &record.by, attempt));
                 ran_attempts.insert(attempt);
             }
-            What::Unowned { event } => {
+            What::OwnerUnreachable { event } => {
                 unowned.insert(event);
             }
-            What::Left { tried } | What::Cut { tried } => {
+            What::ClientLeft { tried } | What::ConnectionLost { tried } => {
                 left.extend(asked.get(tried).map(|(event, _)| (*event, t)));
             }
-            What::Answered { tried, answer: Final::Failed, .. } => {
+            What::Answered { tried, answer: FinalAnswer::Failed, .. } => {
                 let Some((event, to)) = asked.get(tried) else { continue };
                 // Not for clients of one call that wait for it with others: it may still run. One who has
                 // just left may still count as waiting at the gateway.
@@ -136,7 +138,7 @@
                 }
                 all.push((t, attempt, worker));
             }
-            What::Answered { tried, answer: Final::Refused, .. } => {
+            What::Answered { tried, answer: FinalAnswer::Refused, .. } => {
                 let Some((event, to)) = asked.get(tried) else { continue };
                 let free = match repeat_of(&class, event) {
                     RepeatRule::Safe => true,
--- a/crates/rules/src/record.rs
+++ b/crates/rules/src/record.rs
@@ -6,7 +6,7 @@
 /// How a call was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Final {
+pub enum FinalAnswer {
     /// The reply event.
     Served,
     /// Turned away: trying again is harmless.
@@ -37,7 +37,7 @@
 pub enum What {
     /// A client has sent a whole event.
     #[serde(rename = "asked")]
-    Asked {
+    RequestSent {
         /// Names this try, once over all clients.
         #[serde(rename = "tried")]
         tried: u64,
@@ -58,20 +58,20 @@
         #[serde(rename = "tried")]
         tried: u64,
         /// Which answer.
-        answer: Final,
+        answer: FinalAnswer,
         /// Its HTTP status.
         status: u16,
     },
     /// A client has left before an answer came.
     #[serde(rename = "left")]
-    Left {
+    ClientLeft {
         /// The try.
         #[serde(rename = "tried")]
         tried: u64,
     },
     /// The connection ended under a client, or brought bytes that were no answer.
     #[serde(rename = "cut")]
-    Cut {
+    ConnectionLost {
         /// The try.
         #[serde(rename = "tried")]
         tried: u64,
@@ -104,7 +104,7 @@
     },
     /// A scheduler has given a client's final answer to its connection.
     #[serde(rename = "gave")]
-    Gave {
+    AnswerSent {
         /// The event's name.
         event: String,
         /// The HTTP status.
@@ -112,7 +112,7 @@
     },
     /// A scheduler has taken a call.
     #[serde(rename = "taken")]
-    Taken {
+    Accepted {
         /// The event's name.
         event: String,
     },
@@ -125,13 +125,13 @@
     },
     /// A scheduler has answered a call as failed whose event another one sees to that it could not reach.
     #[serde(rename = "unowned")]
-    Unowned {
+    OwnerUnreachable {
         /// The event's name.
         event: String,
     },
     /// A scheduler believes something else of one of the fleet.
     #[serde(rename = "believed")]
-    Believed {
+    MemberState {
         /// Of whom, by number.
         #[serde(rename = "of")]
         of: u16,
@@ -145,7 +145,7 @@
     },
     /// A scheduler has heard of something later that the fleet agrees on.
     #[serde(rename = "agreed")]
-    Agreed {
+    PermitsUpdated {
         /// The leader's epoch: when it was drawn, in milliseconds since the beginning of 2026, and by whom.
         epoch: (u64, u16),
         /// The leader's count.
@@ -155,7 +155,7 @@
     },
     /// A scheduler was told of a worker's state.
     #[serde(rename = "told")]
-    Told {
+    WorkerState {
         /// The worker.
         worker: String,
         /// `active`, `leaving` or `gone`.
@@ -188,7 +188,7 @@
     },
     /// A worker has started.
     #[serde(rename = "born")]
-    Born {
+    WorkerStarted {
         /// Work that it does when warm, in microseconds of work a microsecond.
         capacity: f64,
         /// Long warm, not started just now.
@@ -217,5 +217,5 @@
     },
     /// A worker fell over while cold.
     #[serde(rename = "fell")]
-    Fell,
+    WorkerCollapsed,
 }
--- a/crates/rules/src/recorder.rs
+++ b/crates/rules/src/recorder.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether anything is kept; lets callers spare the work of naming things.
-    pub fn is_on(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         !matches!(self.sink, Sink::None)
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Waits until the records kept in memory fulfil a condition; false where they don't within the time.
-    pub fn wait(&self, within: Duration, mut fulfilled: impl FnMut(&[Record]) -> bool) -> bool {
+    pub fn wait_until(&self, within: Duration, mut fulfilled: impl FnMut(&[Record]) -> bool) -> bool {
         let Sink::Memory(memory) = &self.sink else { return false };
         let Ok(all) = memory.all.lock() else { return false };
         memory.waiting.fetch_add(1, Ordering::SeqCst);
--- a/crates/rules/src/workers.rs
+++ b/crates/rules/src/workers.rs
@@ -10,11 +10,11 @@
     let mut breaches = Vec::new();
     for record in records {
         let (worker, what) = match &record.what {
-            What::Told { worker, state } if state == "active" => {
+            What::WorkerState { worker, state } if state == "active" => {
                 told.remove(&(&record.by, worker));
                 continue;
             }
-            What::Told { worker, .. } => {
+            What::WorkerState { worker, .. } => {
                 told.entry((&record.by, worker)).or_insert(record.t);
                 continue;
             }
@@ -58,14 +58,14 @@
     let mut breaches = Vec::new();
     for record in records {
         match &record.what {
-            What::Born { capacity, warm: false } => {
+            What::WorkerStarted { capacity, warm: false } => {
                 let life = Life { born: record.t, capacity: *capacity, arrived: VecDeque::new() };
                 lives.insert(&record.by, life);
             }
-            What::Born { .. } => {
+            What::WorkerStarted { .. } => {
                 lives.remove(record.by.as_str());
             }
-            What::Fell => {
+            What::WorkerCollapsed => {
                 let what = format!("{} fell over while cold", record.by);
                 breaches.push(Breach { rule: 4, t: record.t, what });
             }
@@ -106,7 +106,7 @@
     for record in records {
         let (orders, taken) = counts.entry(&record.by).or_default();
         match &record.what {
-            What::Taken { .. } => taken.push_back(record.t),
+            What::Accepted { .. } => taken.push_back(record.t),
             What::Down { .. } => (orders.clear(), taken.clear()).1,
             What::Ordered { count, .. } if *count > 0 => {
                 orders.push_back(record.t);
--- a/crates/rules/tests/planted.rs
+++ b/crates/rules/tests/planted.rs
@@ -34,11 +34,11 @@
     record(
         ms,
         "clients",
-        What::Asked { tried, event, class, tenant: "t".into(), to, deadline: (ms + 100) * MS },
+        What::RequestSent { tried, event, class, tenant: "t".into(), to, deadline: (ms + 100) * MS },
     )
 }
 
-fn answered(ms: Micros, tried: u64, answer: Final) -> Record {
+fn answered(ms: Micros, tried: u64, answer: FinalAnswer) -> Record {
     record(ms, "clients", What::Answered { tried, answer, status: 0 })
 }
 
@@ -57,11 +57,11 @@
 }
 
 fn taken(ms: Micros, event: u64) -> Record {
-    record(ms, "g/0", What::Taken { event: format!("e{event}") })
+    record(ms, "g/0", What::Accepted { event: format!("e{event}") })
 }
 
 fn told(ms: Micros, state: &str) -> Record {
-    record(ms, "g/0", What::Told { worker: "w1".into(), state: state.into() })
+    record(ms, "g/0", What::WorkerState { worker: "w1".into(), state: state.into() })
 }
 
 fn ordered(ms: Micros, count: u32) -> Record {
@@ -69,7 +69,7 @@
 }
 
 fn born(ms: Micros) -> Record {
-    record(ms, "w1", What::Born { capacity: 1.0, warm: false })
+    record(ms, "w1", What::WorkerStarted { capacity: 1.0, warm: false })
 }
 
 fn arrived(ms: Micros, work: Micros) -> Record {
@@ -90,30 +90,30 @@
 #[test]
 fn rule_1_one_answer_in_time() {
     let (cut, left) = (
-        |ms| record(ms, "clients", What::Cut { tried: 1 }),
-        |ms| record(ms, "clients", What::Left { tried: 1 }),
+        |ms| record(ms, "clients", What::ConnectionLost { tried: 1 }),
+        |ms| record(ms, "clients", What::ClientLeft { tried: 1 }),
     );
     let stopping = |ms| record(ms, "g/0", What::Stopping);
     let kept = [
-        vec![up(), asked(1, 1, "safe"), answered(101, 1, Final::Served)],
+        vec![up(), asked(1, 1, "safe"), answered(101, 1, FinalAnswer::Served)],
         vec![up(), asked(1, 1, "safe"), left(50)],
         vec![up(), asked(1, 1, "safe"), taken(2, 1), cut(5), down(6, true)],
         vec![up(), asked(1, 1, "safe"), stopping(2), cut(5)],
     ];
     let planted = [
-        vec![up(), asked(1, 1, "safe"), answered(102, 1, Final::Served)],
+        vec![up(), asked(1, 1, "safe"), answered(102, 1, FinalAnswer::Served)],
         vec![
             up(),
             asked(1, 1, "safe"),
             sent(2, 1, 0, "w1"),
-            answered(50, 1, Final::Failed),
-            answered(60, 1, Final::Served),
+            answered(50, 1, FinalAnswer::Failed),
+            answered(60, 1, FinalAnswer::Served),
         ],
-        vec![up(), asked(1, 1, "safe"), left(50), answered(60, 1, Final::Served)],
+        vec![up(), asked(1, 1, "safe"), left(50), answered(60, 1, FinalAnswer::Served)],
         vec![up(), asked(1, 1, "safe")],
         vec![up(), asked(1, 1, "safe"), taken(2, 1), cut(5)],
         vec![up(), asked(1, 1, "safe"), taken(2, 1), stopping(3), cut(5)],
-        vec![up(), answered(5, 9, Final::Served)],
+        vec![up(), answered(5, 9, FinalAnswer::Served)],
     ];
     for (index, records) in kept.into_iter().enumerate() {
         assert_eq!(broken(records), [0u8; 0], "kept {index}");
@@ -125,8 +125,8 @@
 
 #[test]
 fn an_answer_written_in_time_and_read_late_is_the_clients_own_delay() {
-    let gave = |ms| record(ms, "g/0", What::Gave { event: "e1".into(), status: 0 });
-    let day = |at| vec![up(), asked(1, 1, "safe"), gave(at), answered(140, 1, Final::Served)];
+    let gave = |ms| record(ms, "g/0", What::AnswerSent { event: "e1".into(), status: 0 });
+    let day = |at| vec![up(), asked(1, 1, "safe"), gave(at), answered(140, 1, FinalAnswer::Served)];
     let told = |records: Vec<Record>| (late(&records), broken(records));
     assert_eq!(told(day(100)), (Late { read: 1, stalled: 0 }, vec![]));
     assert_eq!(told(day(102)), (Late::default(), vec![1]));
@@ -144,26 +144,26 @@
 
 #[test]
 fn rule_2_a_failure_means_that_something_was_sent() {
-    let failed = || answered(90, 1, Final::Failed);
+    let failed = || answered(90, 1, FinalAnswer::Failed);
     let again = |ms| {
         let Record { t, by, what } = asked(ms, 2, "safe");
-        let What::Asked { tried, class, tenant, to, deadline, .. } = what else { unreachable!() };
-        Record { t, by, what: What::Asked { tried, event: "e1".into(), class, tenant, to, deadline } }
+        let What::RequestSent { tried, class, tenant, to, deadline, .. } = what else { unreachable!() };
+        Record { t, by, what: What::RequestSent { tried, event: "e1".into(), class, tenant, to, deadline } }
     };
     assert_eq!(broken(vec![up(), asked(1, 1, "safe"), failed()]), [2]);
     assert_eq!(broken(vec![up(), asked(1, 1, "safe"), sent(2, 1, 0, "w1"), failed()]), [0u8; 0]);
     // Another client waits for the same call, which may still run.
-    let joined = vec![up(), asked(1, 1, "safe"), again(50), failed(), answered(95, 2, Final::Served)];
+    let joined = vec![up(), asked(1, 1, "safe"), again(50), failed(), answered(95, 2, FinalAnswer::Served)];
     assert_eq!(broken(joined), [0u8; 0]);
 }
 
 #[test]
 fn rule_2_who_does_not_see_to_an_event_need_not_know_whether_it_was_sent() {
-    let unowned = record(4, "g/0", What::Unowned { event: "e1".into() });
+    let unowned = record(4, "g/0", What::OwnerUnreachable { event: "e1".into() });
     let failed = |more: Vec<Record>| {
         let mut records = vec![up(), asked(1, 1, "unsafe")];
         records.extend(more);
-        records.push(answered(5, 1, Final::Failed));
+        records.push(answered(5, 1, FinalAnswer::Failed));
         broken(records)
     };
     assert_eq!((failed(vec![unowned]), failed(Vec::new())), (Vec::new(), vec![2]));
@@ -176,14 +176,14 @@
         r
     };
     let both = vec![up(), asked(1, 1, "unsafe"), sent(2, 1, 0, "w1"), by_other(sent(3, 1, 1, "w2"))];
-    let both = [both, vec![answered(90, 1, Final::Failed)]].concat();
+    let both = [both, vec![answered(90, 1, FinalAnswer::Failed)]].concat();
     assert_eq!(broken(both), [2]);
 }
 
 #[test]
 fn rule_2_no_effect_twice() {
     let open = |class| vec![up(), asked(1, 1, class), sent(2, 1, 0, "w1")];
-    let end = || answered(90, 1, Final::Failed);
+    let end = || answered(90, 1, FinalAnswer::Failed);
     let with = |class, more: Vec<Record>| [open(class), more, vec![end()]].concat();
     let kept = [
         with("safe", vec![ran(3, "w1", 1, 0), sent(4, 1, 1, "w2"), ran(5, "w2", 1, 1)]),
@@ -199,7 +199,7 @@
             asked(1, 1, class),
             sent(2, 1, 0, "w1"),
             ran(3, "w1", 1, 0),
-            answered(9, 1, Final::Refused),
+            answered(9, 1, FinalAnswer::Refused),
         ]
     };
     let planted = [
@@ -245,7 +245,7 @@
     assert_eq!(broken(with(8, 10)), [4]);
     let warm = std::iter::once(born(0)).chain(burst(1_200, 50, 10)).collect();
     assert_eq!(broken(warm), [0u8; 0]);
-    assert_eq!(broken(vec![record(1, "w1", What::Fell)]), [4]);
+    assert_eq!(broken(vec![record(1, "w1", What::WorkerCollapsed)]), [4]);
 }
 
 #[test]
@@ -260,13 +260,13 @@
     let late = vec![
         up(),
         asked(0, 1, "safe"),
-        answered(10, 1, Final::Served),
+        answered(10, 1, FinalAnswer::Served),
         asked(1, 2, "safe"),
-        answered(50, 2, Final::Refused),
+        answered(50, 2, FinalAnswer::Refused),
         record(
             600,
             "clients",
-            What::Asked {
+            What::RequestSent {
                 tried: 3,
                 event: "e2".into(),
                 class: "safe".into(),
@@ -275,7 +275,7 @@
                 deadline: 700 * MS,
             },
         ),
-        answered(650, 3, Final::Served),
+        answered(650, 3, FinalAnswer::Served),
     ];
     let told = service(&late, &settings());
     assert!((told.whole - 1.3 / 2.0).abs() < 1e-9 && (told.figure - 1.3 / 2.0).abs() < 1e-9);
@@ -286,7 +286,7 @@
     let path = std::env::temp_dir().join(format!("basaltward-records-{}.jsonl", std::process::id()));
     let (recorder, writer) = Recorder::file(&path).expect("a file");
     recorder.put(5, "g/0", What::Down { killed: true });
-    recorder.put(3, "w1", What::Born { capacity: 1.5, warm: false });
+    recorder.put(3, "w1", What::WorkerStarted { capacity: 1.5, warm: false });
     drop(recorder);
     writer.join().expect("no panic").expect("written");
     assert_eq!(read(&path).expect("readable"), [born_at(3), Record { t: 5, ..down(0, true) }]);
@@ -294,5 +294,5 @@
 }
 
 fn born_at(t: Micros) -> Record {
-    Record { t, by: "w1".into(), what: What::Born { capacity: 1.5, warm: false } }
+    Record { t, by: "w1".into(), what: What::WorkerStarted { capacity: 1.5, warm: false } }
 }
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -2,7 +2,7 @@
 
 use basaltward_http::{Body, Decoded, HeadWriter, Limits, Method, Response, ResponseDecoder};
 use basaltward_net::{ConnId, Happened, Io, IoLimits, Micros, NetError, monotonic};
-use basaltward_rules::{Final, Recorder, What};
+use basaltward_rules::{FinalAnswer, Recorder, What};
 use basaltward_timers::Timers;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -98,7 +98,7 @@
 struct Progress {
     tries: u32,
     first: Option<Micros>,
-    last: Option<Final>,
+    last: Option<FinalAnswer>,
     done: bool,
 }
 
@@ -191,9 +191,9 @@
         self.tally.events = self.plans.len();
         for progress in &self.progress {
             match progress.last {
-                Some(Final::Served) => self.tally.served += 1,
-                Some(Final::Refused) => self.tally.refused += 1,
-                Some(Final::Failed | Final::Rejected) => self.tally.failed += 1,
+                Some(FinalAnswer::Served) => self.tally.served += 1,
+                Some(FinalAnswer::Refused) => self.tally.refused += 1,
+                Some(FinalAnswer::Failed | FinalAnswer::Rejected) => self.tally.failed += 1,
                 None => self.tally.unanswered += 1,
             }
         }
@@ -258,8 +258,8 @@
         let head = head.maybe("ce-workus", plan.work.map(|w| w.to_string()));
         head.body(Body::Whole(&vec![b'x'; plan.payload]));
         self.tally.tries += 1;
-        if self.recorder.is_on() {
-            let what = What::Asked {
+        if self.recorder.is_enabled() {
+            let what = What::RequestSent {
                 tried: id,
                 event: format!("/clients#{}", plan.id),
                 class: plan.class.clone(),
@@ -303,24 +303,24 @@
     fn answered(&mut self, now: Micros, id: u64, response: &Response) {
         let Some(trial) = self.trials.remove(&id) else { return };
         let answer = match response.status {
-            200 => Final::Served,
-            503 => Final::Refused,
-            500 | 504 => Final::Failed,
-            _ => Final::Rejected,
+            200 => FinalAnswer::Served,
+            503 => FinalAnswer::Refused,
+            500 | 504 => FinalAnswer::Failed,
+            _ => FinalAnswer::Rejected,
         };
         *self.tally.statuses.entry(response.status).or_default() += 1;
-        if self.recorder.is_on() {
+        if self.recorder.is_enabled() {
             let what = What::Answered { tried: id, answer, status: response.status };
             self.recorder.put(now, "clients", what);
         }
         let (plan, progress) = (&self.plans[trial.plan], &mut self.progress[trial.plan]);
         progress.last = Some(answer);
-        if answer == Final::Served {
+        if answer == FinalAnswer::Served {
             self.tally.latencies.push(now - progress.first.unwrap_or(now));
         }
         // 502: whoever sees to the event can't be reached, and tells its repeats apart.
-        let harmless = answer == Final::Refused || response.status == 502;
-        let repeat = harmless || answer == Final::Failed && plan.retries.after_failure;
+        let harmless = answer == FinalAnswer::Refused || response.status == 502;
+        let repeat = harmless || answer == FinalAnswer::Failed && plan.retries.after_failure;
         let again = response.headers.get("retry-after").and_then(|told| told.parse::<Micros>().ok());
         let again = again.filter(|_| plan.retries.honour).map(|seconds| seconds * 1_000_000);
         let wait = again.unwrap_or(plan.retries.wait);
@@ -342,7 +342,7 @@
         let Some(trial) = self.trials.remove(&id) else { return };
         self.io.abort(trial.conn);
         self.conns.remove(&trial.conn);
-        self.recorder.put(now, "clients", What::Left { tried: id });
+        self.recorder.put(now, "clients", What::ClientLeft { tried: id });
         self.next_or_done(now, trial.plan, true, 0);
     }
 
@@ -361,7 +361,7 @@
         let Some(id) = known.trial else { return };
         let Some(trial) = self.trials.remove(&id) else { return };
         if trial.asked {
-            self.recorder.put(now, "clients", What::Cut { tried: id });
+            self.recorder.put(now, "clients", What::ConnectionLost { tried: id });
         }
         // Not connected: never sent, so any class may try again.
         let repeat = !known.ready || self.plans[trial.plan].retries.after_failure;
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -181,7 +181,11 @@
     fn run(mut self, commands: &Receiver<Command>) -> Result<(), NetError> {
         for server in &self.servers {
             let (capacity, warm) = (server.model.capacity(), true);
-            self.recorder.put(monotonic(), &server.address.to_string(), What::Born { capacity, warm });
+            self.recorder.put(
+                monotonic(),
+                &server.address.to_string(),
+                What::WorkerStarted { capacity, warm },
+            );
         }
         let mut happened = Vec::new();
         loop {
@@ -276,7 +280,7 @@
                 server.model = Worker::new(index, server.spec.clone(), Some(now));
                 (server.silent, server.garbage, server.too_long, server.reset_at) =
                     (false, false, false, None);
-                let what = What::Born { capacity: server.model.capacity(), warm: false };
+                let what = What::WorkerStarted { capacity: server.model.capacity(), warm: false };
                 self.recorder.put(now, &server.address.to_string(), what);
             }
             Fault::StoreSlow(_) => {}
@@ -360,7 +364,7 @@
                     attempt: attempt.clone(),
                     window: number("basaltward-window-ms").map(|ms| ms as Micros * 1_000),
                 };
-                if self.recorder.is_on() {
+                if self.recorder.is_enabled() {
                     let (work, attempt) = (server.model.work_of(&call), attempt.clone());
                     let what = What::Arrived { event, attempt, work };
                     self.recorder.put(now, &server.address.to_string(), what);
@@ -392,11 +396,11 @@
             let by = || self.servers[index].address.to_string();
             match reply {
                 Reply::Ran { event, attempt } => {
-                    if self.recorder.is_on() {
+                    if self.recorder.is_enabled() {
                         self.recorder.put(now, &by(), What::Ran { event, attempt });
                     }
                 }
-                Reply::Fell => self.recorder.put(now, &by(), What::Fell),
+                Reply::Fell => self.recorder.put(now, &by(), What::WorkerCollapsed),
                 answer => answers.push(answer),
             }
         }
@@ -437,7 +441,7 @@
 
     fn note_dropped(&self, now: Micros, token: u64) {
         let Some(conn) = self.by_token.get(&token).and_then(|conn| self.conns.get(conn)) else { return };
-        if let Some(pending) = conn.token.as_ref().filter(|_| self.recorder.is_on()) {
+        if let Some(pending) = conn.token.as_ref().filter(|_| self.recorder.is_enabled()) {
             let what = What::Dropped { attempt: pending.attempt.clone() };
             self.recorder.put(now, &self.servers[conn.server].address.to_string(), what);
         }
--- a/crates/standins/src/line_worker.rs
+++ b/crates/standins/src/line_worker.rs
@@ -134,7 +134,7 @@
     ) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        recorder.put(monotonic(), name, What::Born { capacity: 1.0, warm: true });
+        recorder.put(monotonic(), name, What::WorkerStarted { capacity: 1.0, warm: true });
         let shared = Arc::new(Shared {
             name: name.into(),
             who: Box::new(who),
--- a/crates/trial/src/checker.rs
+++ b/crates/trial/src/checker.rs
@@ -5,7 +5,7 @@
 use crate::way::{Party, Way};
 use crate::ways::Ways;
 use basaltward_net::Micros;
-use basaltward_rules::{Breach, ClassRule, Final, Record, RepeatRule, RuleSettings, What, check};
+use basaltward_rules::{Breach, ClassRule, FinalAnswer, Record, RepeatRule, RuleSettings, What, check};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::SocketAddr;
@@ -112,9 +112,9 @@
     verdict.excused = excused;
     for record in &records {
         match &record.what {
-            What::Asked { .. } => verdict.calls.0 += 1,
-            What::Answered { answer: Final::Served, .. } => verdict.calls.1 += 1,
-            What::Answered { answer: Final::Refused, .. } => verdict.calls.2 += 1,
+            What::RequestSent { .. } => verdict.calls.0 += 1,
+            What::Answered { answer: FinalAnswer::Served, .. } => verdict.calls.1 += 1,
+            What::Answered { answer: FinalAnswer::Refused, .. } => verdict.calls.2 += 1,
             What::Answered { .. } => verdict.calls.3 += 1,
             _ => {}
         }
@@ -146,7 +146,7 @@
     for Record { by, what, .. } in records {
         match what {
             What::Up { .. } => known.retain(|(who, _), _| who != by),
-            What::Believed { of, start, bump, .. } => {
+            What::MemberState { of, start, bump, .. } => {
                 let held = known.entry((by, *of)).or_default();
                 if (*start, *bump) < *held {
                     found.insert(Fleet::RanBack(by.clone(), *of));
@@ -169,7 +169,7 @@
     ];
     let mut known: BTreeMap<((u64, u16), u32), &Vec<String>> = BTreeMap::new();
     for Record { what, .. } in records {
-        let What::Agreed { epoch, version, permits } = what else { continue };
+        let What::PermitsUpdated { epoch, version, permits } = what else { continue };
         if *known.entry((*epoch, *version)).or_insert(permits) != permits {
             found.insert(Fleet::Forked(*epoch, *version));
         }
@@ -222,13 +222,13 @@
 fn excuse(records: &[Record], spells: &BTreeMap<String, Vec<(Micros, Micros)>>) -> (Vec<Record>, u64) {
     let mut ended = BTreeMap::new();
     for record in records {
-        if let What::Answered { tried, .. } | What::Cut { tried } = &record.what {
+        if let What::Answered { tried, .. } | What::ConnectionLost { tried } = &record.what {
             ended.entry(*tried).or_insert(record);
         }
     }
     let mut touched = BTreeMap::new();
     for record in records {
-        let What::Asked { tried, to, deadline, .. } = &record.what else { continue };
+        let What::RequestSent { tried, to, deadline, .. } = &record.what else { continue };
         let end = ended.get(tried);
         let in_time = |r: &&Record| matches!(r.what, What::Answered { .. }) && r.t <= *deadline;
         if end.is_some_and(in_time) {
@@ -241,12 +241,12 @@
         }
     }
     let kept = |record: &&Record| match &record.what {
-        What::Answered { tried, .. } | What::Cut { tried } => !touched.contains_key(tried),
+        What::Answered { tried, .. } | What::ConnectionLost { tried } => !touched.contains_key(tried),
         _ => true,
     };
     let mut all: Vec<_> = records.iter().filter(kept).cloned().collect();
     let left = touched.iter().map(|(tried, deadline)| {
-        let (t, what) = (*deadline, What::Left { tried: *tried });
+        let (t, what) = (*deadline, What::ClientLeft { tried: *tried });
         Record { t, by: "client".into(), what }
     });
     all.extend(left);
--- a/crates/trial/src/clients.rs
+++ b/crates/trial/src/clients.rs
@@ -2,7 +2,7 @@
 //! time. Everything that they see is recorded.
 
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::{Final, Recorder, What};
+use basaltward_rules::{FinalAnswer, Recorder, What};
 use basaltward_standins::{FrontClient, FrontReply};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -105,22 +105,23 @@
         ];
         let deadline = monotonic() + patience * 1_000 + SLACK_US;
         let (class, to) = (class.to_owned(), self.to.1.to_string());
-        let asked = What::Asked { tried, event: event.clone(), class, tenant: String::new(), to, deadline };
+        let asked =
+            What::RequestSent { tried, event: event.clone(), class, tenant: String::new(), to, deadline };
         self.put(asked);
         let told = client.submit(&fields, event.as_bytes()).and_then(|_| client.read());
         match told {
             Ok(Some((_, reply))) => {
                 let (answer, status) = match &reply {
-                    FrontReply::Served(_) => (Final::Served, 200),
-                    FrontReply::Rejected(_) => (Final::Refused, 503),
-                    FrontReply::Crashed | FrontReply::Exception => (Final::Failed, 500),
+                    FrontReply::Served(_) => (FinalAnswer::Served, 200),
+                    FrontReply::Rejected(_) => (FinalAnswer::Refused, 503),
+                    FrontReply::Crashed | FrontReply::Exception => (FinalAnswer::Failed, 500),
                 };
                 self.put(What::Answered { tried, answer, status });
                 true
             }
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => false,
             Ok(None) | Err(_) => {
-                self.put(What::Cut { tried });
+                self.put(What::ConnectionLost { tried });
                 false
             }
         }
--- a/crates/trial/src/site_bed.rs
+++ b/crates/trial/src/site_bed.rs
@@ -376,7 +376,7 @@
         };
         name(&mut record.by);
         match &mut record.what {
-            What::Told { worker, .. } | What::Sent { worker, .. } | What::Ordered { worker, .. } => {
+            What::WorkerState { worker, .. } | What::Sent { worker, .. } | What::Ordered { worker, .. } => {
                 name(worker)
             }
             _ => {}
--- a/crates/trial/src/site_checker.rs
+++ b/crates/trial/src/site_checker.rs
@@ -8,7 +8,7 @@
 use crate::way::Party;
 use basaltward_net::Micros;
 use basaltward_play::rule_settings;
-use basaltward_rules::{Final, Record, RepeatRule, RuleSettings, What};
+use basaltward_rules::{FinalAnswer, Record, RepeatRule, RuleSettings, What};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What became of the calls asked at one site.
@@ -90,7 +90,7 @@
             bed.listens.iter().enumerate().map(|(i, at)| (at.to_string(), i)).collect();
         let (mut first, mut at) = (BTreeMap::new(), BTreeSet::new());
         for record in records {
-            let What::Asked { event, class, to, .. } = &record.what else { continue };
+            let What::RequestSent { event, class, to, .. } = &record.what else { continue };
             if let Some(gateway) = gateways.get(to) {
                 first.entry(event.as_str()).or_insert((class.as_str(), *gateway));
                 at.insert((event.as_str(), *gateway));
@@ -107,7 +107,7 @@
     let mut found = BTreeSet::new();
     for record in records {
         match &record.what {
-            What::Born { .. } => drop(born.insert(&record.by, record.t)),
+            What::WorkerStarted { .. } => drop(born.insert(&record.by, record.t)),
             What::Ran { event, .. } => {
                 let repeat = asked.first.get(event.as_str()).and_then(|(class, _)| rules.classes.get(*class));
                 let here: &str = &record.by;
@@ -156,7 +156,7 @@
     let (mut tries, mut refused) = (BTreeMap::new(), BTreeSet::new());
     for Record { t, by, what } in records {
         match what {
-            What::Asked { tried, event, to, .. } => {
+            What::RequestSent { tried, event, to, .. } => {
                 let Some(gateway) = asked.gateways.get(to) else { continue };
                 let again = refused.contains(event);
                 tries.insert(*tried, (*t, of[*gateway], event, again));
@@ -166,20 +166,20 @@
             What::Answered { tried, answer, .. } => {
                 let Some((began, site, event, again)) = tries.get(tried) else { continue };
                 let site = &mut sites[*site];
-                site.again.1 += u64::from(*again && *answer != Final::Refused);
+                site.again.1 += u64::from(*again && *answer != FinalAnswer::Refused);
                 match answer {
-                    Final::Served => {
+                    FinalAnswer::Served => {
                         site.served += 1;
                         site.latencies.push(t - began);
                         let second = (t.saturating_sub(bed.began) / 1_000_000) as usize;
                         site.seconds.resize(site.seconds.len().max(second + 1), 0);
                         site.seconds[second] += 1;
                     }
-                    Final::Refused => {
+                    FinalAnswer::Refused => {
                         site.refused += 1;
                         refused.insert(*event);
                     }
-                    Final::Failed | Final::Rejected => site.failed += 1,
+                    FinalAnswer::Failed | FinalAnswer::Rejected => site.failed += 1,
                 }
             }
             What::Ran { event, .. } => {
@@ -251,7 +251,7 @@
         let found = |class: &'static str, records: &[Record]| twice(records, &rules(), &asked(class)).len();
         assert_eq!((found("safe", &both), found("keyed", &both), found("unsafe", &both)), (0, 1, 1));
         // A worker that was started anew has lost its keys: that is the bed's doing, but excuses no unsafe event.
-        let born = ("s-0", What::Born { capacity: 1.0, warm: true });
+        let born = ("s-0", What::WorkerStarted { capacity: 1.0, warm: true });
         let anew = records(&[born.clone(), ran("s-0"), born.clone(), ran("s-0")]);
         assert_eq!((found("keyed", &anew), found("unsafe", &anew)), (0, 1));
         let same_life = records(&[born, ran("s-0"), ran("s-0")]);
