--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -3,7 +3,7 @@
 use basaltward_config::read;
 use basaltward_net::Micros;
 use basaltward_play::{Bed, rule_settings};
-use basaltward_rules::{FinalAnswer, Record, Recorder, What, check};
+use basaltward_rules::{FinalAnswer, Observation, Record, Recorder, check};
 use basaltward_standins::{Clients, Plan, Retries, WorkerSpec};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -85,24 +85,26 @@
     let mut first: HashMap<&str, Micros> = HashMap::new();
     let mut told = Told::default();
     for record in records {
-        match &record.what {
-            What::RequestSent { tried, event, .. } => {
-                asked.insert(*tried, (record.t, event));
+        match &record.observation {
+            Observation::RequestSent { request_id: tried, event, .. } => {
+                asked.insert(*tried, (record.time, event));
                 if !first.contains_key(event.as_str()) {
-                    first.insert(event, record.t);
-                    told.offered += usize::from((from..until).contains(&record.t));
+                    first.insert(event, record.time);
+                    told.offered += usize::from((from..until).contains(&record.time));
                 }
             }
-            What::Answered { tried, answer, .. } if (from..until).contains(&record.t) => {
+            Observation::Answered { request_id: tried, answer, .. }
+                if (from..until).contains(&record.time) =>
+            {
                 let Some((at, event)) = asked.get(tried) else { continue };
                 match answer {
                     FinalAnswer::Served => {
                         told.served += 1;
-                        told.times.push(record.t - first.get(event).unwrap_or(at));
+                        told.times.push(record.time - first.get(event).unwrap_or(at));
                     }
                     FinalAnswer::Refused => {
                         told.refused += 1;
-                        told.refusals.push(record.t - at);
+                        told.refusals.push(record.time - at);
                     }
                     _ => told.failed += 1,
                 }
@@ -118,12 +120,12 @@
     let mut tries: HashMap<u64, &str> = HashMap::new();
     let mut events: HashMap<&str, (Micros, bool)> = HashMap::new();
     for record in records {
-        match &record.what {
-            What::RequestSent { tried, event, .. } => {
+        match &record.observation {
+            Observation::RequestSent { request_id: tried, event, .. } => {
                 tries.insert(*tried, event);
-                events.entry(event).or_insert((record.t, false));
+                events.entry(event).or_insert((record.time, false));
             }
-            What::Answered { tried, answer: FinalAnswer::Served, .. } => {
+            Observation::Answered { request_id: tried, answer: FinalAnswer::Served, .. } => {
                 let event = tries.get(tried).and_then(|event| events.get_mut(event));
                 event.into_iter().for_each(|(_, served)| *served = true);
             }
@@ -170,14 +172,14 @@
         let rules = rule_settings(&bed.config, &bed.roster.entries);
         bed.stop()?;
         let records = recorder.take();
-        let asked = |r: &&Record| matches!(r.what, What::RequestSent { .. });
-        let start = records.iter().find(asked).map_or(0, |r| r.t);
+        let asked = |r: &&Record| matches!(r.observation, Observation::RequestSent { .. });
+        let start = records.iter().find(asked).map_or(0, |r| r.time);
         let span = (load.seconds * 1e6) as Micros;
         let (from, until) = (start + WARM_US + (span as f64 * SETTLE) as Micros, start + WARM_US + span);
         let mut told = count(&records, from, until);
         let after = |from: Micros, until: Micros| format!("{:.2}", share(&records, from, until));
-        let lag = records.iter().filter_map(|r| match r.what {
-            What::Lagged { turn, waited, .. } => Some(turn.max(waited)),
+        let lag = records.iter().filter_map(|r| match r.observation {
+            Observation::Lagged { turn, waited, .. } => Some(turn.max(waited)),
             _ => None,
         });
         let lag = lag.max().map_or("< 5".into(), |us| format!("{:.1}", us as f64 / 1e3));
@@ -239,14 +241,16 @@
         let rules = rule_settings(&bed.config, &bed.roster.entries);
         bed.stop()?;
         let records = recorder.take();
-        let asked = |r: &&Record| matches!(r.what, What::RequestSent { .. });
-        let start = records.iter().find(asked).map_or(0, |r| r.t);
+        let asked = |r: &&Record| matches!(r.observation, Observation::RequestSent { .. });
+        let start = records.iter().find(asked).map_or(0, |r| r.time);
         let span = start + WARM_US..start + until;
         let of = |name: &str| -> Vec<Record> {
             let mut tries = std::collections::HashSet::new();
-            let mine = records.iter().filter(|r| match &r.what {
-                What::RequestSent { tried, tenant, .. } => tenant == name && tries.insert(*tried),
-                What::Answered { tried, .. } => tries.contains(tried),
+            let mine = records.iter().filter(|r| match &r.observation {
+                Observation::RequestSent { request_id: tried, tenant, .. } => {
+                    tenant == name && tries.insert(*tried)
+                }
+                Observation::Answered { request_id: tried, .. } => tries.contains(tried),
                 _ => false,
             });
             mine.cloned().collect()
--- a/crates/cli/src/play.rs
+++ b/crates/cli/src/play.rs
@@ -32,7 +32,7 @@
         let all = read(path).map_err(|error| Failed::Input(format!("{}: {error}", path.display())))?;
         records.extend(all);
     }
-    records.sort_by_key(|record| record.t);
+    records.sort_by_key(|record| record.time);
     println!("{} records", records.len());
     let rules = rule_settings(&config, &[]);
     report::verdict(&records, &check(&records, &rules), &service(&records, &rules))
--- a/crates/cli/tests/agreed.rs
+++ b/crates/cli/tests/agreed.rs
@@ -1,6 +1,6 @@
 //! Drains, releases and halts between processes, with calls in flight and parts that fail.
 use basaltward_permits::{Bounds, Limit};
-use basaltward_rules::{Record, What};
+use basaltward_rules::{Observation, Record};
 use basaltward_trial::{Bed, BedSpec, Fleet, Verdict, judge};
 use std::path::Path;
 use std::process::{Command, Output};
@@ -84,7 +84,10 @@
 fn ran(bed: &Bed, worker: &str) -> usize {
     let mut count = 0;
     bed.recorder.wait_until(Duration::ZERO, |all| {
-        count = all.iter().filter(|r| r.by == worker && matches!(r.what, What::Ran { .. })).count();
+        count = all
+            .iter()
+            .filter(|r| r.observer == worker && matches!(r.observation, Observation::Ran { .. }))
+            .count();
         true
     });
     count
@@ -122,7 +125,7 @@
     done(&bed, other, &["drain", "s-4", "--wait", "60"]);
     let (verdict, records) = finished(bed);
     assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
-    let leaving = |r: &&Record| matches!(&r.what, What::WorkerState { worker, state } if worker == "s-3" && state == "leaving");
+    let leaving = |r: &&Record| matches!(&r.observation, Observation::WorkerState { worker, state } if worker == "s-3" && state == "leaving");
     assert!(records.iter().filter(leaving).count() >= 5, "the module of each heard of it");
 }
 
@@ -241,7 +244,8 @@
     });
     let (verdict, records) = finished(bed);
     assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
-    let agreed = records.iter().filter(|r| matches!(r.what, What::PermitsUpdated { .. })).count();
+    let agreed =
+        records.iter().filter(|r| matches!(r.observation, Observation::PermitsUpdated { .. })).count();
     assert!(agreed > 40, "{agreed}");
 }
 
--- a/crates/cli/tests/stalls.rs
+++ b/crates/cli/tests/stalls.rs
@@ -5,7 +5,7 @@
 mod process;
 
 use basaltward_net::monotonic;
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use basaltward_standins::{Board, Exec, FrontClient, FrontReply, LineWorker, answer};
 use common::{Call, Limits, PATIENCE, WAYS, call, delivered, leave, send, target, text};
 use process::{end, file, freeze, signal, start, thaw};
@@ -63,9 +63,9 @@
     fn holder(&self, id: &str) -> (&LineWorker, u16) {
         let mut found = None;
         let came = self.recorder.wait_until(PATIENCE, |all| {
-            found = all.iter().find_map(|record| match &record.what {
-                What::Arrived { event, attempt, .. } if event == id => {
-                    let at = usize::from(record.by == "s-1");
+            found = all.iter().find_map(|record| match &record.observation {
+                Observation::Arrived { event, attempt, .. } if event == id => {
+                    let at = usize::from(record.observer == "s-1");
                     Some((&self.workers[at], attempt.rsplit_once('@')?.1.parse().ok()?))
                 }
                 _ => None,
--- a/crates/cli/tests/trial.rs
+++ b/crates/cli/tests/trial.rs
@@ -22,7 +22,8 @@
 
 /// Waits until workers have begun so many calls.
 fn ran(bed: &Bed, count: usize) {
-    let calls = |r: &basaltward_rules::Record| matches!(r.what, basaltward_rules::What::Ran { .. });
+    let calls =
+        |r: &basaltward_rules::Record| matches!(r.observation, basaltward_rules::Observation::Ran { .. });
     let enough = |all: &[_]| all.iter().filter(|r| calls(r)).count() >= count;
     assert!(bed.recorder.wait_until(Duration::from_secs(20), enough), "{count} calls run");
 }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -15,7 +15,7 @@
 use basaltward_pending::{End, Fate, Input, Output, Pending, PendingSettings, Step, taken};
 use basaltward_permits::{Denied, PermitRequest};
 use basaltward_route::{FunctionTold, Route, RouteSettings};
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use basaltward_shed::{ClassOf, Shed, ShedSettings};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -328,7 +328,8 @@
     ) {
         let told = format!("{state:?}").to_lowercase();
         info!(scheduler = self.name, member = of, state = told, "peer");
-        let what = What::MemberState { of, start: life.start, bump: life.bump, state: told };
+        let what =
+            Observation::MemberState { member: of, start: life.start, refutations: life.bump, state: told };
         self.recorder.put(now, &self.name, what);
     }
 
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -18,7 +18,7 @@
 };
 use basaltward_net::{Clock, ConnId, Happened, Io, NetError, monotonic, thread_time};
 use basaltward_roster::{Names, RosterFile, Source};
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -133,7 +133,7 @@
     /// Where the system fails the loop itself.
     pub fn run(mut self) -> Result<(), NetError> {
         let address = self.address.to_string();
-        self.recorder.put(monotonic(), &self.name, What::Up { address });
+        self.recorder.put(monotonic(), &self.name, Observation::Up { address });
         let mut happened = Vec::new();
         loop {
             let now = monotonic();
@@ -151,7 +151,7 @@
             }
             match self.orders.wanted.load(Ordering::Relaxed) {
                 KILL => {
-                    self.recorder.put(monotonic(), &self.name, What::Down { killed: true });
+                    self.recorder.put(monotonic(), &self.name, Observation::Down { killed: true });
                     return Ok(());
                 }
                 STOP if !self.stopping => self.stop(now),
@@ -166,7 +166,7 @@
                 && self.io.is_settled()
                 && self.mail.rest()
             {
-                self.recorder.put(monotonic(), &self.name, What::Down { killed: false });
+                self.recorder.put(monotonic(), &self.name, Observation::Down { killed: false });
                 info!(scheduler = self.name, "stopped");
                 return Ok(());
             }
@@ -226,11 +226,11 @@
         let TurnReport { began, stalled, lag } = self.pace.end_turn(now, thread_time());
         self.engine.record_lateness(now, began);
         if let Some(us) = stalled {
-            self.recorder.put(now, &self.name, What::Stalled { us });
+            self.recorder.put(now, &self.name, Observation::Stalled { us });
         }
         if let Some(Lag { longest_turn: turn, longest_wait: waited, stalled }) = lag {
             warn!(scheduler = self.name, turn_us = turn, waited_us = waited, stalled_us = stalled, "late");
-            self.recorder.put(now, &self.name, What::Lagged { turn, waited, stalled });
+            self.recorder.put(now, &self.name, Observation::Lagged { turn, waited, stalled });
         }
     }
 
@@ -241,7 +241,7 @@
         if !self.given.is_empty() {
             let now = monotonic();
             for (event, status) in self.given.drain(..) {
-                self.recorder.put(now, &self.name, What::AnswerSent { event, status });
+                self.recorder.put(now, &self.name, Observation::AnswerSent { event, status });
             }
         }
     }
@@ -249,7 +249,7 @@
     fn stop(&mut self, now: Micros) {
         info!(scheduler = self.name, in_hand = self.engine.calls_in_flight(), "stopping");
         self.stopping = true;
-        self.recorder.put(now, &self.name, What::Stopping);
+        self.recorder.put(now, &self.name, Observation::Stopping);
         self.io.stop_all_listening();
         self.front.stop(&mut self.io);
         self.tell(now, Input::Stop);
@@ -360,7 +360,7 @@
                 }
                 if self.recorder.is_enabled() {
                     let (attempt, code) = (attempt_name(&self.prefix, id), format!("{:?}", end.code));
-                    self.recorder.put(now, &self.name, What::Ended { attempt, code });
+                    self.recorder.put(now, &self.name, Observation::Ended { attempt, code });
                 }
                 Input::AttemptEnded(id, end)
             }
@@ -484,7 +484,11 @@
             return;
         };
         if unowned && self.recorder.is_enabled() {
-            self.recorder.put(now, &self.name, What::OwnerUnreachable { event: event_name(&waiting.event) });
+            self.recorder.put(
+                now,
+                &self.name,
+                Observation::OwnerUnreachable { event: event_name(&waiting.event) },
+            );
         }
         if let Some(conn) = free
             && self.io.input(conn).is_some_and(|input| !input.is_empty())
--- a/crates/gateway/src/scheduler/calls.rs
+++ b/crates/gateway/src/scheduler/calls.rs
@@ -11,7 +11,7 @@
 use basaltward_cloudevents::Event;
 use basaltward_engine::{AnswerOrigin, AttemptEnd, Input, NewCall, UntakenAnswer, WaiterId};
 use basaltward_net::ConnId;
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use tracing::warn;
 
 impl Scheduler {
@@ -23,7 +23,7 @@
             Arrival::Home(call) => self.home_call(now, call),
             Arrival::Away(to) => {
                 let (event, to) = (event_name(&event), sites.name(to).to_owned());
-                self.recorder.put(now, &self.name, What::HandedOver { event, to });
+                self.recorder.put(now, &self.name, Observation::HandedOver { event, to });
             }
             Arrival::Answered(answer) => self.give(now, (waiter, answer), (0, None, AnswerOrigin::Direct)),
         }
@@ -83,7 +83,7 @@
     pub(super) fn begin(&mut self, now: Micros, call: NewCall<Event>) {
         if self.recorder.is_enabled() {
             let event = event_name(&call.payload);
-            self.recorder.put(now, &self.name, What::Accepted { event });
+            self.recorder.put(now, &self.name, Observation::Accepted { event });
         }
         self.tell(now, Input::Call(call));
     }
--- a/crates/gateway/src/scheduler/notes.rs
+++ b/crates/gateway/src/scheduler/notes.rs
@@ -5,7 +5,7 @@
 use basaltward::{MembersKind, Micros, WorkerId};
 use basaltward_engine::Input;
 use basaltward_roster::{News, Source, place};
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use tracing::{info, warn};
 
 impl Scheduler {
@@ -22,10 +22,10 @@
             if let Some((id, identity)) = sent.attempt {
                 let (event, attempt) =
                     (format!("{}#{}", identity.source, identity.id), attempt_name(&self.prefix, id));
-                self.recorder.put(now, &self.name, What::Sent { event, attempt, worker });
+                self.recorder.put(now, &self.name, Observation::Sent { event, attempt, worker });
             } else if let Some((function, count)) = sent.order {
                 let function = function.name.to_string();
-                self.recorder.put(now, &self.name, What::Ordered { worker, function, count });
+                self.recorder.put(now, &self.name, Observation::Ordered { worker, function, count });
             }
         }
     }
@@ -61,7 +61,11 @@
             info!(scheduler = self.name, %worker, ?state, "worker");
             if self.recorder.is_enabled() {
                 let state = format!("{state:?}").to_lowercase();
-                self.recorder.put(now, &self.name, What::WorkerState { worker: worker.to_string(), state });
+                self.recorder.put(
+                    now,
+                    &self.name,
+                    Observation::WorkerState { worker: worker.to_string(), state },
+                );
             }
             if state == State::Gone {
                 self.states.remove(&worker);
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -8,7 +8,7 @@
 use basaltward_membership::{Incarnation, MemberId};
 use basaltward_net::{Io, monotonic};
 use basaltward_permits::{Permit, PermitState, Stored, Subject};
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use std::collections::{BTreeSet, HashMap};
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -31,20 +31,20 @@
         Self { name: name.into(), recorder, attempt_names, unflushed_answers, known }
     }
 
-    fn put(&self, now: Micros, what: What) {
+    fn put(&self, now: Micros, what: Observation) {
         self.recorder.put(now, &self.name, what);
     }
 
     pub fn up(&self, now: Micros, address: SocketAddr) {
-        self.put(now, What::Up { address: address.to_string() });
+        self.put(now, Observation::Up { address: address.to_string() });
     }
 
     pub fn stopping(&self, now: Micros) {
-        self.put(now, What::Stopping);
+        self.put(now, Observation::Stopping);
     }
 
     pub fn down(&self, now: Micros) {
-        self.put(now, What::Down { killed: false });
+        self.put(now, Observation::Down { killed: false });
     }
 
     /// The fleet's view has changed.
@@ -57,7 +57,10 @@
     ) {
         if self.recorder.is_enabled() {
             let state = format!("{is:?}").to_lowercase();
-            self.put(now, What::MemberState { of, start: life.start, bump: life.bump, state });
+            self.put(
+                now,
+                Observation::MemberState { member: of, start: life.start, refutations: life.bump, state },
+            );
         }
     }
 
@@ -72,13 +75,13 @@
             };
             let permits = known.value.permits.iter().map(permit).collect();
             let (epoch, version) = ((known.epoch.ms, known.epoch.by), known.version);
-            self.put(now, What::PermitsUpdated { epoch, version, permits });
+            self.put(now, Observation::PermitsUpdated { epoch, version, permits });
         }
     }
 
     pub fn request_accepted(&self, now: Micros, id: &str) {
         if self.recorder.is_enabled() {
-            self.put(now, What::Accepted { event: id.into() });
+            self.put(now, Observation::Accepted { event: id.into() });
         }
     }
 
@@ -93,10 +96,10 @@
                 let port = io.local_address(written.conn).map_or(0, |a| a.port());
                 let attempt = format!("{}:{}@{port}", self.name, payload.id);
                 self.attempt_names.insert(*id, attempt.clone());
-                self.put(now, What::Sent { event: payload.id.clone(), attempt, worker });
+                self.put(now, Observation::Sent { event: payload.id.clone(), attempt, worker });
             }
             WrittenJob::Order(function, count) => {
-                self.put(now, What::Ordered { worker, function: function.to_string(), count: *count });
+                self.put(now, Observation::Ordered { worker, function: function.to_string(), count: *count });
             }
         }
     }
@@ -125,7 +128,7 @@
             "attempt"
         );
         if let Some(attempt) = self.attempt_names.remove(&id) {
-            self.put(now, What::Ended { attempt, code: format!("{code:?}") });
+            self.put(now, Observation::Ended { attempt, code: format!("{code:?}") });
         }
     }
 
@@ -166,7 +169,7 @@
         }
         let now = monotonic();
         for (event, status) in std::mem::take(&mut self.unflushed_answers) {
-            self.put(now, What::AnswerSent { event, status });
+            self.put(now, Observation::AnswerSent { event, status });
         }
     }
 
@@ -177,7 +180,7 @@
         if kind == MembersKind::Whole {
             let listed: BTreeSet<_> = members.iter().map(|m| m.worker.clone()).collect();
             for worker in self.known.difference(&listed) {
-                self.put(now, What::WorkerState { worker: worker.to_string(), state: "gone".into() });
+                self.put(now, Observation::WorkerState { worker: worker.to_string(), state: "gone".into() });
             }
             self.known = listed;
         }
@@ -188,7 +191,10 @@
                 State::Gone => "gone",
             };
             self.known.insert(member.worker.clone());
-            self.put(now, What::WorkerState { worker: member.worker.to_string(), state: state.into() });
+            self.put(
+                now,
+                Observation::WorkerState { worker: member.worker.to_string(), state: state.into() },
+            );
         }
     }
 }
--- a/crates/node/tests/clocks.rs
+++ b/crates/node/tests/clocks.rs
@@ -6,7 +6,7 @@
 
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::Node;
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use basaltward_standins::{Act, Board, Exec, FrontClient, LineWorker, answer};
 use common::{Limits, PATIENCE, call, send, target, text};
 use std::sync::Arc;
@@ -98,8 +98,9 @@
     let boot = wall + case.told / 1_000;
     board.tell(&entry(WARM).replace("\"boot_ms\":0", &format!("\"boot_ms\":{boot}")));
     let cold = format!("s-{WARM}");
-    let heard = |what: &What| matches!(what, What::WorkerState { worker, .. } if *worker == cold);
-    assert!(recorder.wait_until(PATIENCE, |all| all.iter().any(|r| heard(&r.what))), "never told");
+    let heard =
+        |what: &Observation| matches!(what, Observation::WorkerState { worker, .. } if *worker == cold);
+    assert!(recorder.wait_until(PATIENCE, |all| all.iter().any(|r| heard(&r.observation))), "never told");
     std::thread::sleep(ALONE);
     lost.store(true, Ordering::SeqCst);
     let until = monotonic() + AFTER.as_micros() as Micros;
@@ -110,8 +111,8 @@
     control.stop();
     runs.join().expect("it ended well");
     let _ = std::fs::remove_file(&config);
-    let sent = recorder.take().into_iter().filter_map(|record| match record.what {
-        What::Sent { worker, .. } if worker == cold => Some(record.t),
+    let sent = recorder.take().into_iter().filter_map(|record| match record.observation {
+        Observation::Sent { worker, .. } if worker == cold => Some(record.time),
         _ => None,
     });
     let capacity = 1.0 / GAP.as_secs_f64() / WARM as f64;
--- a/crates/node/tests/cold_fleet.rs
+++ b/crates/node/tests/cold_fleet.rs
@@ -9,7 +9,7 @@
 
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::{Control, Node};
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use basaltward_standins::{Act, Board, Exec, FrontClient, LineWorker, answer};
 use common::{Limits, PATIENCE, call, send, target, text};
 use std::collections::VecDeque;
@@ -212,8 +212,8 @@
     schedulers.iter().for_each(|one| one.control.stop());
     drop(schedulers);
     let cold = format!("s-{WARM}");
-    let sent = fleet.recorder.take().into_iter().filter_map(|record| match record.what {
-        What::Sent { worker, .. } if worker == cold => Some(record.t),
+    let sent = fleet.recorder.take().into_iter().filter_map(|record| match record.observation {
+        Observation::Sent { worker, .. } if worker == cold => Some(record.time),
         _ => None,
     });
     let mut sent: Vec<_> = sent.collect();
@@ -259,8 +259,8 @@
     schedulers.iter().for_each(|one| one.control.stop());
     drop(schedulers);
     let cold = format!("s-{WARM}");
-    let sent = fleet.recorder.take().into_iter().filter_map(|record| match record.what {
-        What::Sent { worker, .. } if worker == cold && record.t > start => Some(record.t),
+    let sent = fleet.recorder.take().into_iter().filter_map(|record| match record.observation {
+        Observation::Sent { worker, .. } if worker == cold && record.time > start => Some(record.time),
         _ => None,
     });
     let mut sent: Vec<_> = sent.collect();
--- a/crates/node/tests/sockets/answers.rs
+++ b/crates/node/tests/sockets/answers.rs
@@ -1,7 +1,7 @@
 //! What a call gets, and what is proven of it, whatever becomes of its worker.
 
 use crate::common::*;
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, FrontReply, answer};
 use std::time::Duration;
 
@@ -125,9 +125,13 @@
     let mut client = bed.client();
     let (first, second) = (call(1, "extract"), call(2, "view"));
     let asked = bed.submit(&mut client, &first);
-    bed.wait(|what| matches!(what, What::Ran { event, .. } if *event == first.id));
+    bed.wait(|what| matches!(what, Observation::Ran { event, .. } if *event == first.id));
     client.revoke(asked.seqid).expect("sent");
-    bed.recorder.put(basaltward_net::monotonic(), "client", What::ClientLeft { tried: asked.tried });
+    bed.recorder.put(
+        basaltward_net::monotonic(),
+        "client",
+        Observation::ClientLeft { request_id: asked.tried },
+    );
     let asked = bed.submit(&mut client, &second);
     assert_eq!(bed.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
     assert!(bed.workers[0].lines().contains(&format!("drop {}", first.id)));
--- a/crates/node/tests/sockets/clients.rs
+++ b/crates/node/tests/sockets/clients.rs
@@ -90,7 +90,7 @@
     // An id that is open, from another connection and with another body.
     let (mut first, mut second) = (bed.client(), bed.client());
     first.submit(&fields("", None), b"mine").expect("sent");
-    bed.wait(|what| matches!(what, basaltward_rules::What::Accepted { .. }));
+    bed.wait(|what| matches!(what, basaltward_rules::Observation::Accepted { .. }));
     second.submit(&fields("", None), b"another").expect("sent");
     assert_eq!(second.read().expect("told"), Some((1, FrontReply::Crashed)));
     // The same number again.
--- a/crates/node/tests/sockets/common.rs
+++ b/crates/node/tests/sockets/common.rs
@@ -3,7 +3,7 @@
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::{Control, Node};
 use basaltward_rules::{
-    Breach, ClassRule, FinalAnswer, Record, Recorder, RepeatRule, RuleSettings, What, check,
+    Breach, ClassRule, FinalAnswer, Observation, Record, Recorder, RepeatRule, RuleSettings, check,
 };
 use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
 use rustix::net::sockopt::set_socket_linger;
@@ -128,8 +128,8 @@
         self.recorder.put(
             now,
             "client",
-            What::RequestSent {
-                tried: self.tried,
+            Observation::RequestSent {
+                request_id: self.tried,
                 event: call.id.clone(),
                 class: call.class.into(),
                 tenant: String::new(),
@@ -150,7 +150,11 @@
             FrontReply::Rejected(_) => (FinalAnswer::Refused, 503),
             FrontReply::Crashed | FrontReply::Exception => (FinalAnswer::Failed, 500),
         };
-        self.recorder.put(monotonic(), "client", What::Answered { tried: asked.tried, answer, status });
+        self.recorder.put(
+            monotonic(),
+            "client",
+            Observation::Answered { request_id: asked.tried, answer, status },
+        );
         Some((seqid, reply))
     }
 
@@ -162,8 +166,8 @@
     }
 
     /// Waits until what was recorded holds what is looked for.
-    pub fn wait(&self, mut holds: impl FnMut(&What) -> bool) {
-        let found = self.recorder.wait_until(PATIENCE, |all| all.iter().any(|r| holds(&r.what)));
+    pub fn wait(&self, mut holds: impl FnMut(&Observation) -> bool) {
+        let found = self.recorder.wait_until(PATIENCE, |all| all.iter().any(|r| holds(&r.observation)));
         assert!(found, "never recorded");
     }
 
@@ -282,9 +286,10 @@
     for asked in 1..2_000 {
         let one = Call { body: vec![b'x'; 16 << 10], ..call(1_000 + asked, "view") };
         bed.submit(client, &one);
-        let ran = |what: &What| matches!(what, What::Ran { event, .. } if *event == one.id);
-        let came =
-            bed.recorder.wait_until(Duration::from_millis(700), |all| all.iter().any(|r| ran(&r.what)));
+        let ran = |what: &Observation| matches!(what, Observation::Ran { event, .. } if *event == one.id);
+        let came = bed
+            .recorder
+            .wait_until(Duration::from_millis(700), |all| all.iter().any(|r| ran(&r.observation)));
         stuck = if came { 0 } else { stuck + 1 };
         if stuck == 3 {
             return asked as usize;
--- a/crates/node/tests/sockets/fleet.rs
+++ b/crates/node/tests/sockets/fleet.rs
@@ -1,7 +1,7 @@
 //! Workers that come, drain and go, the bulletin that tells it, new configurations and planned restarts.
 
 use crate::common::*;
-use basaltward_rules::{Record, What, check};
+use basaltward_rules::{Observation, Record, check};
 use basaltward_standins::{Act, Board, Exec, FrontReply, LineWorker};
 use std::time::Duration;
 
@@ -11,14 +11,16 @@
 
 /// Waits until the scheduler was told that a worker has this state.
 fn told(bed: &Bed, uid: &str, wanted: &str) {
-    bed.wait(|what| matches!(what, What::WorkerState { worker, state } if worker == uid && state == wanted));
+    bed.wait(
+        |what| matches!(what, Observation::WorkerState { worker, state } if worker == uid && state == wanted),
+    );
 }
 
 /// What was written to a worker after the scheduler was told of its state.
 fn written_after<'a>(records: &'a [Record], uid: &str, wanted: &str) -> Vec<&'a Record> {
-    let told = |r: &&Record| matches!(&r.what, What::WorkerState { worker, state } if worker == uid && state == wanted);
-    let to = |r: &&Record| match &r.what {
-        What::Sent { worker, .. } | What::Ordered { worker, .. } => worker == uid,
+    let told = |r: &&Record| matches!(&r.observation, Observation::WorkerState { worker, state } if worker == uid && state == wanted);
+    let to = |r: &&Record| match &r.observation {
+        Observation::Sent { worker, .. } | Observation::Ordered { worker, .. } => worker == uid,
         _ => false,
     };
     records.iter().skip_while(|r| !told(r)).filter(to).collect()
@@ -112,11 +114,11 @@
     let mut bed = Bed::new(Limits::default(), 2, script);
     let mut kept = bed.client();
     let first = bed.submit(&mut kept, &call(1, "extract"));
-    bed.wait(|what| matches!(what, What::Sent { .. }));
+    bed.wait(|what| matches!(what, Observation::Sent { .. }));
     bed.control.stop();
     bed.control.reload();
     bed.control.stop();
-    bed.wait(|what| matches!(what, What::Stopping));
+    bed.wait(|what| matches!(what, Observation::Stopping));
     assert!(matches!(bed.read(&mut kept, &[&first]), Some((_, FrontReply::Served(_)))));
     // On the open connection and on new ones, as for some tenths of a second they come.
     for number in 2..4 {
@@ -142,7 +144,7 @@
         assert!(matches!(bed.call(&call(number, "view")), FrontReply::Served(_)));
     }
     bed.control.stop();
-    bed.wait(|what| matches!(what, What::Stopping));
+    bed.wait(|what| matches!(what, Observation::Stopping));
     let crowd: Vec<_> = (0..40).map(|_| bed.client()).collect();
     let asked = bed.submit(&mut kept, &call(100, "extract"));
     assert!(matches!(bed.read(&mut kept, &[&asked]), Some((_, FrontReply::Served(_)))));
--- a/crates/node/tests/sockets/forgotten.rs
+++ b/crates/node/tests/sockets/forgotten.rs
@@ -2,7 +2,7 @@
 //! it later.
 
 use crate::common::*;
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, FrontReply};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -30,8 +30,8 @@
     // The next one has a connection that stands.
     serves(&mut bed);
     let records = bed.finish();
-    let came = |what: &What| matches!(what, What::Arrived { event, .. } if *event == one.id);
-    let times = records.iter().filter(|record| came(&record.what)).count();
+    let came = |what: &Observation| matches!(what, Observation::Arrived { event, .. } if *event == one.id);
+    let times = records.iter().filter(|record| came(&record.observation)).count();
     assert_eq!(basaltward_rules::check(&records, &rules()), []);
     (told, times)
 }
--- a/crates/node/tests/sockets/gone.rs
+++ b/crates/node/tests/sockets/gone.rs
@@ -2,7 +2,7 @@
 //! out is given up. What a stall of the process does to their order is in the program's own tests.
 
 use crate::common::*;
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, LineWorker, answer};
 use rustix::net::sockopt::set_socket_recv_buffer_size;
 use std::time::Instant;
@@ -17,7 +17,7 @@
 }
 
 fn ran(bed: &Bed, call: &Call) {
-    bed.wait(|what| matches!(what, What::Ran { event, .. } if *event == call.id));
+    bed.wait(|what| matches!(what, Observation::Ran { event, .. } if *event == call.id));
 }
 
 fn execs(bed: &Bed, call: &Call) -> usize {
@@ -49,14 +49,14 @@
         let calls: Vec<_> = (0..32).map(|n| held(n, "extract")).collect();
         let asked: Vec<_> = calls.iter().map(|one| bed.submit(&mut client, one).seqid).collect();
         ran(&bed, &calls[0]);
-        bed.wait(|what| matches!(what, What::Accepted { event } if *event == calls[31].id));
+        bed.wait(|what| matches!(what, Observation::Accepted { event } if *event == calls[31].id));
         let left = leave(client, &asked[..1], way);
         dropped(&bed, &calls[0]);
         if let Some(mut client) = left.filter(|_| way == "revoke") {
             // One more than may be open would end the connection.
             let next = held(100, "extract");
             bed.submit(&mut client, &next);
-            bed.wait(|what| matches!(what, What::Accepted { event } if *event == next.id));
+            bed.wait(|what| matches!(what, Observation::Accepted { event } if *event == next.id));
         }
         bed.control.stop();
     }
@@ -144,7 +144,7 @@
         let (one, stays) = (held(1, "extract"), Call { timeout_ms: 60_000, ..call(2, "extract") });
         let asked = bed.submit(&mut client, &one);
         let waits = bed.submit(&mut other, &stays);
-        bed.wait(|what| matches!(what, What::Accepted { event } if *event == stays.id));
+        bed.wait(|what| matches!(what, Observation::Accepted { event } if *event == stays.id));
         let left = leave(client, &[asked.seqid], way);
         other.heartbeat().and_then(|_| other.read()).expect("alive");
         bed.workers[0].unplug();
--- a/crates/node/tests/sockets/late.rs
+++ b/crates/node/tests/sockets/late.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use basaltward_net::monotonic;
-use basaltward_rules::{Record, What};
+use basaltward_rules::{Observation, Record};
 use basaltward_standins::{Act, Exec, FrontReply, LineWorker, answer};
 use std::sync::mpsc;
 use std::sync::{Arc, Mutex};
@@ -119,8 +119,10 @@
 
 /// From which ports the attempts of each request came, in order.
 fn ports(records: &[Record]) -> Vec<u16> {
-    let port = |record: &Record| match &record.what {
-        What::Arrived { attempt, .. } => attempt.rsplit_once('@').and_then(|(_, port)| port.parse().ok()),
+    let port = |record: &Record| match &record.observation {
+        Observation::Arrived { attempt, .. } => {
+            attempt.rsplit_once('@').and_then(|(_, port)| port.parse().ok())
+        }
         _ => None,
     };
     records.iter().filter_map(port).collect()
@@ -145,7 +147,7 @@
     assert_eq!(bed.read(&mut client, &[&asked]), Some((asked.seqid, served(&first))));
     let second = Call { body: b"another body".to_vec(), ..first.clone() };
     let asked = bed.submit(&mut client, &second);
-    let sent = |record: &Record| matches!(&record.what, What::Sent { event, .. } if *event == first.id);
+    let sent = |record: &Record| matches!(&record.observation, Observation::Sent { event, .. } if *event == first.id);
     let twice = bed.recorder.wait_until(PATIENCE, |all| {
         *came.lock().expect("sound") = ports(all);
         all.iter().filter(|record| sent(record)).count() == 2
--- a/crates/node/tests/sockets/late_sends.rs
+++ b/crates/node/tests/sockets/late_sends.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use basaltward_net::Micros;
-use basaltward_rules::{Record, What};
+use basaltward_rules::{Observation, Record};
 use basaltward_standins::{Act, Exec, LineWorker, answer};
 use std::time::{Duration, Instant};
 
@@ -19,8 +19,8 @@
 
 /// When each attempt of a request came whole to a worker.
 fn arrivals(records: &[Record], id: &str) -> Vec<Micros> {
-    let of = |what: &What| matches!(what, What::Arrived { event, .. } if event == id);
-    records.iter().filter(|record| of(&record.what)).map(|record| record.t).collect()
+    let of = |what: &Observation| matches!(what, Observation::Arrived { event, .. } if event == id);
+    records.iter().filter(|record| of(&record.observation)).map(|record| record.time).collect()
 }
 
 #[test]
@@ -58,10 +58,10 @@
         LineWorker::start("s-1", bed.recorder.clone(), move |exec| script(1, exec)).expect("a worker");
     other.plug().expect("plugged");
     bed.board.tell(&target("s-1", other.address(), "Ready"));
-    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "s-1"));
+    bed.wait(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-1"));
     let id = "f000000000000001";
     submit(&mut client, id);
-    bed.wait(|what| matches!(what, What::Arrived { event, .. } if event == id));
+    bed.wait(|what| matches!(what, Observation::Arrived { event, .. } if event == id));
     std::thread::sleep(Duration::from_millis(1_400));
     other.unplug();
     client.read().expect("a reply").expect("an answer");
--- a/crates/node/tests/sockets/late_work.rs
+++ b/crates/node/tests/sockets/late_work.rs
@@ -2,7 +2,7 @@
 //! its worker does not read. Once the lease of its worker is over, no byte of it may leave before the worker was asked.
 
 use crate::common::*;
-use basaltward_rules::{Record, What, check};
+use basaltward_rules::{Observation, Record, check};
 use basaltward_standins::{Exec, LineWorker};
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
@@ -30,8 +30,8 @@
 
 /// Attempts that were given to a connection and taken back before a byte had left.
 fn taken_back(records: &[Record]) -> usize {
-    let moot = |what: &What| matches!(what, What::Ended { code, .. } if code == "Moot");
-    records.iter().filter(|record| moot(&record.what)).count()
+    let moot = |what: &Observation| matches!(what, Observation::Ended { code, .. } if code == "Moot");
+    records.iter().filter(|record| moot(&record.observation)).count()
 }
 
 fn wait_until(at: Instant) {
@@ -48,7 +48,7 @@
     other.plug().expect("plugged");
     let drains = target("s-0", bed.workers[0].address(), "Terminating");
     bed.board.tell(&format!("{},{drains}", target("s-1", other.address(), "Ready")));
-    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "s-1"));
+    bed.wait(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-1"));
     let silent = silence(&bed);
     // The list's last word was up to a second before its silence.
     wait_until(silent + Duration::from_millis(3_600));
@@ -84,7 +84,7 @@
     let at = bed.workers[0].address();
     let others: Vec<_> = (1..4).map(|n| target(&format!("t-{n}"), at, "Terminating")).collect();
     bed.board.tell(&others.join(","));
-    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "t-3"));
+    bed.wait(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "t-3"));
     serves(&mut bed);
     let silent = silence(&bed);
     // A call that its worker is busy with, and behind it more than the sockets take.
--- a/crates/node/tests/sockets/limits.rs
+++ b/crates/node/tests/sockets/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, FrontClient, FrontReply};
 use basaltward_thrift::write;
 use bytes::BytesMut;
@@ -70,7 +70,7 @@
     let open = |number: u64| Call { id: format!("f{number:015x}"), ..call(0, "view") };
     let asked: Vec<_> = (0..OPEN as u64).map(|number| send(&mut client, &open(number))).collect();
     for number in 0..OPEN as u64 {
-        bed.wait(|what| matches!(what, What::Accepted { event } if *event == open(number).id));
+        bed.wait(|what| matches!(what, Observation::Accepted { event } if *event == open(number).id));
     }
     let next = Call { function: "00000000000000f0".into(), ..call(77, "view") };
     let timeout = next.timeout_ms.to_string();
--- a/crates/node/tests/sockets/link.rs
+++ b/crates/node/tests/sockets/link.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::{Record, What};
+use basaltward_rules::{Observation, Record};
 use basaltward_standins::{Exec, FrontClient, FrontReply, LineWorker};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
     let at = bed.workers[0].address();
     let others: Vec<_> = (1..4).map(|n| target(&format!("t-{n}"), at, "Terminating")).collect();
     bed.board.tell(&others.join(","));
-    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "t-3"));
+    bed.wait(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "t-3"));
 }
 
 /// The scheduler has done all that was sent to it before.
@@ -77,7 +77,9 @@
     bed.recorder.wait_until(Duration::ZERO, |all| {
         ids = all
             .iter()
-            .filter_map(|r| if let What::Sent { event, .. } = &r.what { Some(event.clone()) } else { None })
+            .filter_map(|r| {
+                if let Observation::Sent { event, .. } = &r.observation { Some(event.clone()) } else { None }
+            })
             .collect();
         true
     });
@@ -86,8 +88,8 @@
 
 /// How the first attempt of each request has ended.
 fn ends(all: &[Record]) -> BTreeMap<String, String> {
-    let end = |record: &Record| match &record.what {
-        What::Ended { attempt, code } => Some((attempt[3..19].to_owned(), code.clone())),
+    let end = |record: &Record| match &record.observation {
+        Observation::Ended { attempt, code } => Some((attempt[3..19].to_owned(), code.clone())),
         _ => None,
     };
     // Of several attempts of one request the first: from the last to the first, each takes the place of those after.
@@ -101,7 +103,7 @@
         let at = number as usize % 2;
         let call = Call { timeout_ms: timeout_ms[at], ..big(number, "extract") };
         let asked = bed.submit(&mut clients[at], &call);
-        bed.wait(|what| matches!(what, What::Accepted { event } if *event == call.id));
+        bed.wait(|what| matches!(what, Observation::Accepted { event } if *event == call.id));
         all.push((at, call, asked));
     }
     quiet(bed);
@@ -115,8 +117,8 @@
     bed.recorder.wait_until(Duration::ZERO, |all| {
         came.clear();
         for record in all {
-            if let What::Arrived { event, .. } = &record.what {
-                came.entry(event.clone()).or_default().push(record.t);
+            if let Observation::Arrived { event, .. } = &record.observation {
+                came.entry(event.clone()).or_default().push(record.time);
             }
         }
         true
@@ -180,7 +182,7 @@
     let (gone, stay): (Vec<_>, Vec<_>) = all.iter().partition(|(at, ..)| *at == 0);
     let other = LineWorker::start("s-1", bed.recorder.clone(), Exec::serve).expect("a worker");
     bed.board.tell(&target("s-1", other.address(), "Ready"));
-    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "s-1"));
+    bed.wait(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-1"));
     let [first, mut second] = clients;
     let _kept = leave(&bed, first, &gone);
     let out: Vec<_> = gone.iter().filter(|(_, call, _)| given.contains(&call.id)).collect();
@@ -219,7 +221,7 @@
 
 fn left(bed: &Bed, calls: &[&(usize, Call, Asked)]) {
     for (_, _, asked) in calls {
-        bed.recorder.put(monotonic(), "client", What::ClientLeft { tried: asked.tried });
+        bed.recorder.put(monotonic(), "client", Observation::ClientLeft { request_id: asked.tried });
     }
 }
 
@@ -261,7 +263,7 @@
     let other = LineWorker::start("s-1", bed.recorder.clone(), Exec::serve).expect("a worker");
     tell(&bed, other.address());
     bed.wait(
-        |what| matches!(what, What::WorkerState { worker, state } if worker == "s-0" && state != "active"),
+        |what| matches!(what, Observation::WorkerState { worker, state } if worker == "s-0" && state != "active"),
     );
     quiet(&bed);
     let moot: Vec<_> = ended(&bed).into_iter().filter(|(_, code)| code == "Moot").map(|(id, _)| id).collect();
@@ -312,7 +314,7 @@
     let calls: Vec<_> = (0..16).map(|number| big(number, "extract")).collect();
     let asked: Vec<_> = calls.iter().map(|call| bed.submit(&mut client, call)).collect();
     for call in &calls {
-        bed.wait(|what| matches!(what, What::Accepted { event } if *event == call.id));
+        bed.wait(|what| matches!(what, Observation::Accepted { event } if *event == call.id));
     }
     quiet(&bed);
     assert!(sent(&bed).len() == 8, "it stood already");
@@ -333,7 +335,7 @@
     // The worker is left alone for a while after so many breaks: another one serves the rest.
     let other = LineWorker::start("s-1", bed.recorder.clone(), Exec::serve).expect("a worker");
     bed.board.tell(&target("s-1", other.address(), "Ready"));
-    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "s-1"));
+    bed.wait(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-1"));
     bed.workers[0].reset_all();
     quiet(&bed);
     go.send(()).expect("it waits");
--- a/crates/node/tests/sockets/local_failures.rs
+++ b/crates/node/tests/sockets/local_failures.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use basaltward_net::{Errno, Micros, SystemCall, monotonic};
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Exec, FrontReply};
 
 /// What the failures may cost a call, on a loaded machine too: before long a worker would be taken for gone.
@@ -24,7 +24,9 @@
             assert!(took < MOMENT, "{error:?}: served after {took} us");
         }
         let records = bed.finish();
-        let failed = records.iter().filter(|r| matches!(&r.what, What::Ended { code, .. } if code != "Ok"));
+        let failed = records
+            .iter()
+            .filter(|r| matches!(&r.observation, Observation::Ended { code, .. } if code != "Ok"));
         assert_eq!(failed.count(), 0, "{error:?}");
     }
 }
--- a/crates/node/tests/sockets/picked.rs
+++ b/crates/node/tests/sockets/picked.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use crate::link::{big, quiet, served, warm};
-use basaltward_rules::{Record, What};
+use basaltward_rules::{Observation, Record};
 use basaltward_standins::{Act, Exec, FrontReply, LineWorker, answer};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::os::fd::AsRawFd;
@@ -29,7 +29,7 @@
     let mut client = bed.client();
     let first = Call { body: b"held".to_vec(), ..call(2, "extract") };
     let asked = bed.submit(&mut client, &first);
-    bed.wait(|what| matches!(what, What::Ran { event, .. } if *event == first.id));
+    bed.wait(|what| matches!(what, Observation::Ran { event, .. } if *event == first.id));
     let port = port_of(&bed, &first.id);
     client.revoke(asked.seqid).expect("sent");
     let dropped = format!("drop {}", first.id);
@@ -92,8 +92,10 @@
 /// The port from which a request came to its worker.
 fn port_of(bed: &Bed, id: &str) -> u16 {
     let mut port = 0;
-    let came = |record: &Record| match &record.what {
-        What::Arrived { event, attempt, .. } if event == id => attempt.rsplit_once('@')?.1.parse().ok(),
+    let came = |record: &Record| match &record.observation {
+        Observation::Arrived { event, attempt, .. } if event == id => {
+            attempt.rsplit_once('@')?.1.parse().ok()
+        }
         _ => None,
     };
     assert!(bed.recorder.wait_until(PATIENCE, |all| {
@@ -204,7 +206,7 @@
     let old = port_of(&bed, &held.id);
     let at = bed.workers[0].address();
     bed.board.tell(&format!("{},{}", target("s-0", at, "Gone"), target("s-9", at, "Ready")));
-    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "s-9"));
+    bed.wait(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-9"));
     let next = call(3, "extract");
     assert_eq!(bed.call(&next), served(&next));
     assert_ne!(port_of(&bed, &next.id), old);
@@ -263,7 +265,7 @@
     let mut client = bed.client();
     let held = Call { body: b"held".to_vec(), timeout_ms: 8_000, ..call(2, "view") };
     let open = bed.submit(&mut client, &held);
-    bed.wait(|what| matches!(what, What::Ran { event, .. } if *event == held.id));
+    bed.wait(|what| matches!(what, Observation::Ran { event, .. } if *event == held.id));
     fill_descriptors();
     // Others than those in hand: what went wrong here must not be held against their worker either.
     for number in 3..9 {
--- a/crates/node/tests/sockets/pieces.rs
+++ b/crates/node/tests/sockets/pieces.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, FrontClient, FrontReply, answer};
 use basaltward_thrift::write;
 use bytes::BytesMut;
@@ -77,7 +77,7 @@
     let mut client = hold.client();
     let (first, second) = (call(1, "extract"), call(2, "extract"));
     client.raw(&frame(1, &first)).expect("sent");
-    hold.wait(|what| matches!(what, What::Arrived { .. }));
+    hold.wait(|what| matches!(what, Observation::Arrived { .. }));
     let mut revoke = BytesMut::new();
     write::revoke(&mut revoke, 2, 1);
     one_by_one(&mut client, &revoke);
@@ -211,8 +211,8 @@
 fn port(bed: &Bed, one: &Call) -> u16 {
     let mut port = None;
     let came = bed.recorder.wait_until(PATIENCE, |all| {
-        port = all.iter().rev().find_map(|record| match &record.what {
-            What::Arrived { event, attempt, .. } if *event == one.id => {
+        port = all.iter().rev().find_map(|record| match &record.observation {
+            Observation::Arrived { event, attempt, .. } if *event == one.id => {
                 attempt.rsplit_once('@').and_then(|(_, port)| port.parse().ok())
             }
             _ => None,
--- a/crates/node/tests/sockets/ready.rs
+++ b/crates/node/tests/sockets/ready.rs
@@ -58,7 +58,7 @@
         let at = bed.workers[0].address();
         bed.board.tell(&target("s-9", closed(), "Terminating"));
         bed.wait(
-            |what| matches!(what, basaltward_rules::What::WorkerState { worker, .. } if worker == "s-9"),
+            |what| matches!(what, basaltward_rules::Observation::WorkerState { worker, .. } if worker == "s-9"),
         );
         assert!(!is_ready(&mut front), "{what}: it can serve nobody yet");
         tell(&bed.board, &target("s-0", at, "Ready"));
--- a/crates/node/tests/sockets/reload.rs
+++ b/crates/node/tests/sockets/reload.rs
@@ -4,7 +4,7 @@
 use crate::common::*;
 use crate::untold::{Calls, FUNCTIONS, LATE, MS, SILENT, after, bed, heard};
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::{Record, What, check};
+use basaltward_rules::{Observation, Record, check};
 use basaltward_standins::{Board, FrontReply, LineWorker};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -14,7 +14,9 @@
 const WAVE: u64 = 16;
 
 fn told(bed: &Bed, uid: &str, wanted: &str) {
-    bed.wait(|what| matches!(what, What::WorkerState { worker, state } if worker == uid && state == wanted));
+    bed.wait(
+        |what| matches!(what, Observation::WorkerState { worker, state } if worker == uid && state == wanted),
+    );
 }
 
 /// Sends calls of both classes and reads none of the answers yet.
@@ -146,7 +148,7 @@
 ) -> (BTreeMap<String, &'a str>, BTreeSet<&'a str>) {
     let (mut homes, mut ports) = (BTreeMap::new(), BTreeSet::new());
     for record in records {
-        if let What::Sent { event, worker, attempt } = &record.what {
+        if let Observation::Sent { event, worker, attempt } = &record.observation {
             homes.insert(calls[event].clone(), worker.as_str());
             if worker == of {
                 ports.extend(attempt.rsplit_once('@').map(|(_, port)| port));
@@ -199,8 +201,8 @@
     go(&mut bed, &mut functions, 0..10);
     let records = bed.finish();
     assert_eq!(after(&records, "s-0", heard(&records, "s-0", "gone")), Vec::<String>::new());
-    let (before, since) = records.split_at(records.partition_point(|record| record.t < whole));
-    let since = &since[..since.partition_point(|record| record.t < alone)];
+    let (before, since) = records.split_at(records.partition_point(|record| record.time < whole));
+    let since = &since[..since.partition_point(|record| record.time < alone)];
     let ((homes_before, ports_before), (homes_since, ports_since)) =
         (homes(before, "s-0", &functions), homes(since, "s-0", &functions));
     for uid in ["s-1", "s-2"] {
--- a/crates/node/tests/sockets/restart.rs
+++ b/crates/node/tests/sockets/restart.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, FrontClient, FrontReply};
 use basaltward_thrift::{
     ClientRequest as Question, FrameLimits, ServerReply, next_frame, read_request, write,
@@ -164,9 +164,9 @@
 /// When the scheduler was told to stop, and when it ended.
 fn ended(bed: &mut Bed) -> (Micros, Micros) {
     let (mut stopping, mut down) = (0, 0);
-    bed.finish().iter().for_each(|record| match record.what {
-        What::Stopping => stopping = record.t,
-        What::Down { killed: false } => down = record.t,
+    bed.finish().iter().for_each(|record| match record.observation {
+        Observation::Stopping => stopping = record.time,
+        Observation::Down { killed: false } => down = record.time,
         _ => {}
     });
     (stopping, down)
@@ -335,7 +335,7 @@
     let mut before = bed.client();
     let long = |number| Call { timeout_ms: LONG_MS, ..call(number, "extract") };
     let asked: Vec<_> = (1..=8).map(|number| bed.submit(&mut before, &long(number))).collect();
-    bed.wait(|what| matches!(what, What::Sent { .. }));
+    bed.wait(|what| matches!(what, Observation::Sent { .. }));
     let plan = |what, at, timeout_ms| Plan { what, opens: 0, sends: vec![(at, 0)], timeout_ms };
     let plans = [
         plan("in the window, longer than SIGKILL waits", 100 * MS, LONG_MS),
--- a/crates/node/tests/sockets/shutdown.rs
+++ b/crates/node/tests/sockets/shutdown.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, FrontClient, FrontReply};
 use std::time::{Duration, Instant};
 
@@ -21,9 +21,9 @@
 /// When the scheduler was told to stop, and when it ended.
 fn ended(bed: &mut Bed) -> (Micros, Micros) {
     let (mut stopping, mut down) = (Vec::new(), 0);
-    bed.finish().iter().for_each(|record| match record.what {
-        What::Stopping => stopping.push(record.t),
-        What::Down { killed: false } => down = record.t,
+    bed.finish().iter().for_each(|record| match record.observation {
+        Observation::Stopping => stopping.push(record.time),
+        Observation::Down { killed: false } => down = record.time,
         _ => {}
     });
     assert_eq!(stopping.len(), 1, "a second word counts for nothing");
--- a/crates/node/tests/sockets/untold.rs
+++ b/crates/node/tests/sockets/untold.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::{Record, What, check};
+use basaltward_rules::{Observation, Record, check};
 use basaltward_standins::FrontReply;
 use std::time::Duration;
 
@@ -19,19 +19,19 @@
 /// What went to a worker after a change of it counted as told, the grace over. What comes there may have been sent
 /// before and wait for its reader.
 pub fn after(records: &[Record], uid: &str, told: Micros) -> Vec<String> {
-    let from = |record: &Record| match &record.what {
-        What::Sent { worker, .. } if worker == uid => Some(told + GRACE),
-        What::Ordered { worker, count, .. } if worker == uid && *count > 0 => Some(told + GRACE),
-        What::Arrived { .. } if record.by == uid => Some(told + GRACE + LATE),
+    let from = |record: &Record| match &record.observation {
+        Observation::Sent { worker, .. } if worker == uid => Some(told + GRACE),
+        Observation::Ordered { worker, count, .. } if worker == uid && *count > 0 => Some(told + GRACE),
+        Observation::Arrived { .. } if record.observer == uid => Some(told + GRACE + LATE),
         _ => None,
     };
-    let late = records.iter().filter(|record| from(record).is_some_and(|from| record.t > from));
-    late.map(|r| format!("{:?} at {} us", r.what, r.t - told)).collect()
+    let late = records.iter().filter(|record| from(record).is_some_and(|from| record.time > from));
+    late.map(|r| format!("{:?} at {} us", r.observation, r.time - told)).collect()
 }
 
 pub fn heard(records: &[Record], uid: &str, wanted: &str) -> Micros {
-    let told = |r: &&Record| matches!(&r.what, What::WorkerState { worker, state } if worker == uid && state == wanted);
-    records.iter().find(told).map_or(Micros::MAX, |r| r.t)
+    let told = |r: &&Record| matches!(&r.observation, Observation::WorkerState { worker, state } if worker == uid && state == wanted);
+    records.iter().find(told).map_or(Micros::MAX, |r| r.time)
 }
 
 /// Enough that there are orders to load at any time.
@@ -88,7 +88,7 @@
     bed.board.up().expect("its port is free");
     let up = monotonic();
     bed.wait(
-        |what| matches!(what, What::WorkerState { worker, state } if *worker == uid && state == "leaving"),
+        |what| matches!(what, Observation::WorkerState { worker, state } if *worker == uid && state == "leaving"),
     );
     calls.go(&mut bed, 60);
     let records = bed.finish();
@@ -127,7 +127,7 @@
     tell(&bed, most, "Ready");
     tell(&bed, most, "Terminating");
     bed.wait(
-        |what| matches!(what, What::WorkerState { worker, state } if *worker == uid && state == "leaving"),
+        |what| matches!(what, Observation::WorkerState { worker, state } if *worker == uid && state == "leaving"),
     );
     let told = monotonic();
     let ready = target(&uid, at, "Ready");
@@ -140,17 +140,17 @@
     }
     // A later event is read in its turn: all before it has been.
     bed.board.tell(&target("s-9", at, "Gone"));
-    bed.wait(|what| matches!(what, What::WorkerState { worker, .. } if worker == "s-9"));
+    bed.wait(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-9"));
     calls.go(&mut bed, 30);
     let back = monotonic();
     // The same under a new number does bring it back, and the look finds it.
     bed.board.tell(&ready);
     bed.wait(
-        |what| matches!(what, What::WorkerState { worker, state } if *worker == uid && state == "active"),
+        |what| matches!(what, Observation::WorkerState { worker, state } if *worker == uid && state == "active"),
     );
     calls.until(&mut bed, back + 300 * MS);
     let records = bed.finish();
-    let before: Vec<_> = records.iter().filter(|r| r.t <= back).cloned().collect();
+    let before: Vec<_> = records.iter().filter(|r| r.time <= back).cloned().collect();
     assert_eq!(after(&before, &uid, told), Vec::<String>::new());
     assert!(!after(&records, &uid, told).is_empty());
     assert_eq!(check(&records, &rules()), []);
--- a/crates/node/tests/sockets/watch.rs
+++ b/crates/node/tests/sockets/watch.rs
@@ -1,7 +1,7 @@
 //! What crosses on the watch of the list of workers, and while the configuration is read again.
 
 use crate::common::*;
-use basaltward_rules::{Record, What, check};
+use basaltward_rules::{Observation, Record, check};
 use basaltward_standins::{Act, Board, Exec, FrontReply, answer};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -26,12 +26,14 @@
 }
 
 fn told(bed: &Bed, uid: &str, wanted: &str) {
-    bed.wait(|what| matches!(what, What::WorkerState { worker, state } if worker == uid && state == wanted));
+    bed.wait(
+        |what| matches!(what, Observation::WorkerState { worker, state } if worker == uid && state == wanted),
+    );
 }
 
 /// How often a worker's state was told.
 fn count(records: &[Record], uid: &str, wanted: &str) -> usize {
-    let told = |r: &&Record| matches!(&r.what, What::WorkerState { worker, state } if worker == uid && state == wanted);
+    let told = |r: &&Record| matches!(&r.observation, Observation::WorkerState { worker, state } if worker == uid && state == wanted);
     records.iter().filter(told).count()
 }
 
@@ -91,9 +93,9 @@
     }
     assert_eq!((new.asked(), new.standing()), (vec!["after 1".to_owned()], 1));
     let records = bed.finish();
-    let old = records
-        .iter()
-        .any(|r| matches!(&r.what, What::WorkerState { worker, .. } if worker.starts_with("old")));
+    let old = records.iter().any(
+        |r| matches!(&r.observation, Observation::WorkerState { worker, .. } if worker.starts_with("old")),
+    );
     assert!(!old, "the old one was heard");
     assert_eq!(check(&records, &rules()), []);
 }
@@ -182,7 +184,7 @@
         wait_until("asked", || bed.board.standing() == 1);
         let mut client = bed.client();
         let asked = bed.submit(&mut client, &call(1, "extract"));
-        bed.wait(|what| matches!(what, What::Arrived { .. }));
+        bed.wait(|what| matches!(what, Observation::Arrived { .. }));
         let (gone, ready) = (target("s-0", at, "Gone"), target("s-9", at, "Ready"));
         match together {
             0 => bed.board.tell(&format!("{gone},{ready}")),
@@ -198,20 +200,24 @@
             call_is_served(&mut bed, number);
         }
         let records = bed.finish();
-        let since = records
-            .iter()
-            .position(|r| matches!(r.what, What::WorkerState { ref worker, .. } if worker == "s-9"));
+        let since = records.iter().position(
+            |r| matches!(r.observation, Observation::WorkerState { ref worker, .. } if worker == "s-9"),
+        );
         let sent: Vec<_> = records[since.expect("told")..]
             .iter()
-            .filter_map(
-                |r| if let What::Sent { worker, .. } = &r.what { Some(worker.as_str()) } else { None },
-            )
+            .filter_map(|r| {
+                if let Observation::Sent { worker, .. } = &r.observation {
+                    Some(worker.as_str())
+                } else {
+                    None
+                }
+            })
             .collect();
         assert_eq!(sent, vec!["s-9"; 10], "{together}");
         // No connection that the old one had carries anything of the new one.
         let ports = |uid: &str| -> Vec<String> {
-            let of = |r: &Record| match &r.what {
-                What::Sent { worker, attempt, .. } if worker == uid => {
+            let of = |r: &Record| match &r.observation {
+                Observation::Sent { worker, attempt, .. } if worker == uid => {
                     attempt.rsplit_once('@').map(|(_, port)| port.to_owned())
                 }
                 _ => None,
@@ -246,11 +252,14 @@
         call_is_served(&mut bed, number);
     }
     let records = bed.finish();
-    let since =
-        records.iter().position(|r| matches!(&r.what, What::WorkerState { worker, .. } if worker == "s-8"));
+    let since = records
+        .iter()
+        .position(|r| matches!(&r.observation, Observation::WorkerState { worker, .. } if worker == "s-8"));
     let sent = records[since.expect("told")..].iter();
     let sent: Vec<_> = sent
-        .filter_map(|r| if let What::Sent { worker, .. } = &r.what { Some(worker.as_str()) } else { None })
+        .filter_map(|r| {
+            if let Observation::Sent { worker, .. } = &r.observation { Some(worker.as_str()) } else { None }
+        })
         .collect();
     assert_eq!(sent, vec![format!("s-{}", 1 - most); 20]);
     assert_eq!(check(&records, &rules()), []);
--- a/crates/node/tests/sockets/withdrawn.rs
+++ b/crates/node/tests/sockets/withdrawn.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec};
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     let timeout_ms = if way == "deadline" { 800 } else { 8_000 };
     let one = Call { timeout_ms, body: vec![7; BODY], ..call(7 << 40, "extract") };
     let asked = bed.submit(&mut client, &one);
-    bed.wait(|what| matches!(what, What::Sent { event, .. } if *event == one.id));
+    bed.wait(|what| matches!(what, Observation::Sent { event, .. } if *event == one.id));
     // A connection is doubted once it has been silent for as long as connecting may take.
     std::thread::sleep(Duration::from_millis(300));
     let left = match way {
@@ -45,8 +45,8 @@
         }
     };
     std::thread::sleep(DEAF);
-    let came = |what: &What| matches!(what, What::Arrived { event, .. } if *event == one.id);
-    let at = bed.finish().iter().find(|record| came(&record.what)).map(|record| record.t);
+    let came = |what: &Observation| matches!(what, Observation::Arrived { event, .. } if *event == one.id);
+    let at = bed.finish().iter().find(|record| came(&record.observation)).map(|record| record.time);
     (left, at)
 }
 
--- a/crates/play/tests/common/mod.rs
+++ b/crates/play/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use basaltward_config::Config;
 use basaltward_http::{Decoded, Limits, Method, Response, ResponseDecoder};
 use basaltward_play::{Bed, rule_settings};
-use basaltward_rules::{Breach, Record, Recorder, What, check};
+use basaltward_rules::{Breach, Observation, Record, Recorder, check};
 use basaltward_standins::WorkerSpec;
 use bytes::BytesMut;
 use std::io::{Read, Write};
@@ -103,7 +103,10 @@
 /// How often an event has run.
 pub fn runs(records: &[Record], id: &str) -> usize {
     let name = format!("/clients#{id}");
-    records.iter().filter(|r| matches!(&r.what, What::Ran { event, .. } if *event == name)).count()
+    records
+        .iter()
+        .filter(|r| matches!(&r.observation, Observation::Ran { event, .. } if *event == name))
+        .count()
 }
 
 /// Waits until an event has begun to run; gives the worker's position.
@@ -111,8 +114,11 @@
     let name = format!("/clients#{id}");
     let mut by = String::new();
     let found = bed.recorder.wait_until(LONG, |records| {
-        let ran = records.iter().rev().find(|r| matches!(&r.what, What::Ran { event, .. } if *event == name));
-        by = ran.map(|r| r.by.clone()).unwrap_or_default();
+        let ran = records
+            .iter()
+            .rev()
+            .find(|r| matches!(&r.observation, Observation::Ran { event, .. } if *event == name));
+        by = ran.map(|r| r.observer.clone()).unwrap_or_default();
         ran.is_some()
     });
     assert!(found, "{id} never ran");
@@ -123,7 +129,7 @@
 /// Waits until the gateway was told this state of a worker.
 pub fn wait_told(bed: &Bed, worker: usize, wanted: &str) {
     let address = bed.fleet.addresses()[worker].to_string();
-    let told = |r: &Record| matches!(&r.what, What::WorkerState { worker, state } if *worker == address && state == wanted);
+    let told = |r: &Record| matches!(&r.observation, Observation::WorkerState { worker, state } if *worker == address && state == wanted);
     assert!(bed.recorder.wait_until(LONG, |records| records.iter().any(told)), "never told {wanted}");
 }
 
--- a/crates/play/tests/hard_cases.rs
+++ b/crates/play/tests/hard_cases.rs
@@ -3,7 +3,7 @@
 
 use basaltward::State;
 use basaltward_play::{Bed, rule_settings};
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use basaltward_standins::{Clients, Fault, Plan, Retries, WorkerSpec};
 use common::*;
 
@@ -63,11 +63,11 @@
     assert_eq!(client.answer().map(|a| a.status), Some(200));
     let address = bed.fleet.addresses()[worker].to_string();
     let (records, breaches) = judge(bed);
-    let told =
-        records.iter().position(|r| matches!(&r.what, What::WorkerState { state, .. } if state == "leaving"));
+    let told = records
+        .iter()
+        .position(|r| matches!(&r.observation, Observation::WorkerState { state, .. } if state == "leaving"));
     let after = &records[told.expect("told")..];
-    let to_it =
-        |r: &&basaltward_rules::Record| matches!(&r.what, What::Sent { worker, .. } if *worker == address);
+    let to_it = |r: &&basaltward_rules::Record| matches!(&r.observation, Observation::Sent { worker, .. } if *worker == address);
     assert_eq!((after.iter().filter(to_it).count(), breaches), (0, Vec::new()));
 }
 
@@ -205,7 +205,11 @@
     assert_eq!(client.answer().map(|a| a.status), Some(400));
     assert!(client.answer().is_none(), "closed after it");
     let (records, _) = judge(bed);
-    assert!(!records.iter().any(|r| matches!(r.what, What::Accepted { .. } | What::Arrived { .. })));
+    assert!(
+        !records
+            .iter()
+            .any(|r| matches!(r.observation, Observation::Accepted { .. } | Observation::Arrived { .. }))
+    );
 }
 
 #[test]
@@ -236,14 +240,18 @@
     // The call may find the restarted worker before the roster tells of it, and gets the answer miss.
     bed.fleet.fault(0, Fault::Kill);
     bed.fleet.fault(0, Fault::Restart);
-    let born = |r: &basaltward_rules::Record| matches!(r.what, What::WorkerStarted { warm: false, .. });
+    let born = |r: &basaltward_rules::Record| {
+        matches!(r.observation, Observation::WorkerStarted { warm: false, .. })
+    };
     assert!(bed.recorder.wait_until(LONG, |records| records.iter().any(born)));
     let wall = basaltward_net::Clock::read().wall();
     bed.roster.restarted(0, wall).expect("listed");
     assert_eq!(status(to, "view", "after"), 200);
     let (records, breaches) = judge(bed);
     let at = records.iter().position(born).expect("born");
-    let loaded = records[at..].iter().any(|r| matches!(&r.what, What::Ordered { count, .. } if *count > 0));
+    let loaded = records[at..]
+        .iter()
+        .any(|r| matches!(&r.observation, Observation::Ordered { count, .. } if *count > 0));
     assert_eq!((loaded, breaches), (true, Vec::new()));
 }
 
@@ -289,8 +297,8 @@
         let (records, breaches) = judge(bed);
         let codes: Vec<_> = records
             .iter()
-            .filter_map(|r| match &r.what {
-                What::Ended { code, .. } => Some(code.as_str()),
+            .filter_map(|r| match &r.observation {
+                Observation::Ended { code, .. } => Some(code.as_str()),
                 _ => None,
             })
             .collect();
@@ -314,8 +322,7 @@
     }
     let (records, breaches) = judge(bed);
     let codes = |code: &str| {
-        let same =
-            |r: &&basaltward_rules::Record| matches!(&r.what, What::Ended { code: c, .. } if c == code);
+        let same = |r: &&basaltward_rules::Record| matches!(&r.observation, Observation::Ended { code: c, .. } if c == code);
         records.iter().filter(same).count()
     };
     assert_eq!((codes("Ok"), codes("ConnectFailed"), breaches), (40, 0, Vec::new()));
@@ -342,7 +349,7 @@
     }
     assert_eq!(status(to, "view", "other"), 200);
     let (records, _) = judge(bed);
-    let taken = records.iter().filter(|r| matches!(r.what, What::Accepted { .. })).count();
+    let taken = records.iter().filter(|r| matches!(r.observation, Observation::Accepted { .. })).count();
     assert!(refused && taken < sent, "took {taken} of {sent}");
 }
 
--- a/crates/play/tests/loops.rs
+++ b/crates/play/tests/loops.rs
@@ -4,7 +4,7 @@
 use basaltward_config::Config;
 use basaltward_gateway::Loops;
 use basaltward_play::Bed;
-use basaltward_rules::{Record, Recorder, What};
+use basaltward_rules::{Observation, Record, Recorder};
 use basaltward_standins::{Clients, Plan, Retries, Tally};
 use common::*;
 use std::collections::BTreeSet;
@@ -37,8 +37,8 @@
 }
 
 /// Loops that did this.
-fn loops_that(records: &[Record], did: impl Fn(&What) -> bool) -> usize {
-    records.iter().filter(|r| did(&r.what)).map(|r| r.by.as_str()).collect::<BTreeSet<_>>().len()
+fn loops_that(records: &[Record], did: impl Fn(&Observation) -> bool) -> usize {
+    records.iter().filter(|r| did(&r.observation)).map(|r| r.observer.as_str()).collect::<BTreeSet<_>>().len()
 }
 
 #[test]
@@ -51,10 +51,10 @@
         let (records, breaches) = judge(bed);
         assert_eq!((runs(&records, "e"), breaches), (1, Vec::new()), "{function}");
         assert!(
-            loops_that(&records, |w| matches!(w, What::AnswerSent { .. })) > 1,
+            loops_that(&records, |w| matches!(w, Observation::AnswerSent { .. })) > 1,
             "all connections met one loop"
         );
-        assert_eq!(loops_that(&records, |w| matches!(w, What::Accepted { .. })), 1);
+        assert_eq!(loops_that(&records, |w| matches!(w, Observation::Accepted { .. })), 1);
     }
 }
 
@@ -108,7 +108,10 @@
     let places: Vec<_> = (0..48).filter_map(|id| told.find(&format!("\"id\":\"b{id}\""))).collect();
     assert!(places.len() == 48 && places.is_sorted(), "in the order asked");
     let (records, breaches) = judge(bed);
-    assert_eq!((loops_that(&records, |w| matches!(w, What::Accepted { .. })), breaches), (4, Vec::new()));
+    assert_eq!(
+        (loops_that(&records, |w| matches!(w, Observation::Accepted { .. })), breaches),
+        (4, Vec::new())
+    );
 }
 
 #[test]
@@ -126,7 +129,7 @@
     assert!(clients.iter_mut().all(|client| client.answer().is_some_and(|a| a.status == 200)));
     let (records, breaches) = judge(bed);
     assert_eq!(breaches, []);
-    assert_eq!(loops_that(&records, |w| matches!(w, What::Down { killed: false })), 4);
+    assert_eq!(loops_that(&records, |w| matches!(w, Observation::Down { killed: false })), 4);
 }
 
 #[test]
--- a/crates/play/tests/sites.rs
+++ b/crates/play/tests/sites.rs
@@ -3,7 +3,7 @@
 
 use basaltward_config::{Config, JournalConfig, KeptConfig, SitePeerConfig, SitesConfig, Unheld};
 use basaltward_play::Bed;
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use common::*;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
@@ -104,5 +104,8 @@
     }
     assert!(began.elapsed() < Duration::from_secs(2), "calls waited for it: {:?}", began.elapsed());
     let (records, breaches) = judge(bed);
-    assert!(breaches.is_empty() && records.iter().any(|r| matches!(r.what, What::AnswerSent { .. })));
+    assert!(
+        breaches.is_empty()
+            && records.iter().any(|r| matches!(r.observation, Observation::AnswerSent { .. }))
+    );
 }
--- a/crates/rules/src/answers.rs
+++ b/crates/rules/src/answers.rs
@@ -1,7 +1,7 @@
 //! Rule 1: one final answer, in time.
 
 use crate::check::{Breach, schedulers};
-use crate::record::{Micros, Record, What};
+use crate::record::{Micros, Observation, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A client whose event crosses the end of a gateway may see a broken connection that is nobody's fault.
@@ -28,11 +28,13 @@
 fn given(records: &[Record]) -> Given<'_> {
     let mut given = Given { answers: BTreeMap::new(), stalls: BTreeMap::new() };
     for record in records {
-        match &record.what {
-            What::AnswerSent { event, .. } => {
-                given.answers.entry(event).or_default().push((record.t, &record.by));
+        match &record.observation {
+            Observation::AnswerSent { event, .. } => {
+                given.answers.entry(event).or_default().push((record.time, &record.observer));
+            }
+            Observation::Stalled { us } => {
+                given.stalls.entry(&record.observer).or_default().push((record.time, *us))
             }
-            What::Stalled { us } => given.stalls.entry(&record.by).or_default().push((record.t, *us)),
             _ => {}
         }
     }
@@ -82,12 +84,12 @@
     let mut asked: BTreeMap<u64, (Micros, &str, &str, Micros)> = BTreeMap::new();
     let mut late = Late::default();
     for record in records {
-        match &record.what {
-            What::RequestSent { tried, event, to, deadline, .. } => {
-                asked.insert(*tried, (record.t, event, to, *deadline));
+        match &record.observation {
+            Observation::RequestSent { request_id: tried, event, to, deadline, .. } => {
+                asked.insert(*tried, (record.time, event, to, *deadline));
             }
-            What::Answered { tried, .. } => {
-                let known = asked.get(tried).filter(|(.., deadline)| record.t > *deadline);
+            Observation::Answered { request_id: tried, .. } => {
+                let known = asked.get(tried).filter(|(.., deadline)| record.time > *deadline);
                 let Some((t, event, to, deadline)) = known else { continue };
                 match given.excuse(&at, (event, to), *t, *deadline) {
                     Some(Excuse::ReadLate) => late.read += 1,
@@ -120,13 +122,13 @@
     let mut breaches = Vec::new();
     let mut breach = |t, what: String| breaches.push(Breach { rule: 1, t, what });
     for record in records {
-        let t = record.t;
-        match &record.what {
-            What::RequestSent { tried, event, to, deadline, .. } => {
+        let t = record.time;
+        match &record.observation {
+            Observation::RequestSent { request_id: tried, event, to, deadline, .. } => {
                 let (deadline, ended, answers) = (*deadline, None, 0);
                 asked.insert(*tried, Asked { t, event, to, deadline, ended, answers });
             }
-            What::Answered { tried, status, .. } => match asked.get_mut(tried) {
+            Observation::Answered { request_id: tried, status, .. } => match asked.get_mut(tried) {
                 None => breach(t, format!("an answer ({status}) to try {tried}, which was never made")),
                 Some(ask) => {
                     ask.answers += 1;
@@ -141,20 +143,20 @@
                     ask.ended = Some(t);
                 }
             },
-            What::ClientLeft { tried } => {
+            Observation::ClientLeft { request_id: tried } => {
                 if let Some(ask) = asked.get_mut(tried) {
                     ask.ended = Some(t);
                     ask.answers += 1;
                 }
             }
-            What::ConnectionLost { tried } => {
+            Observation::ConnectionLost { request_id: tried } => {
                 if let Some(ask) = asked.get_mut(tried) {
                     ask.ended = Some(t);
                 }
             }
-            What::Stopping => ends.push((&record.by, t, false)),
-            What::Down { killed: true } => ends.push((&record.by, t, true)),
-            What::Accepted { event } => taken.entry(event).or_default().push((t, &record.by)),
+            Observation::Stopping => ends.push((&record.observer, t, false)),
+            Observation::Down { killed: true } => ends.push((&record.observer, t, true)),
+            Observation::Accepted { event } => taken.entry(event).or_default().push((t, &record.observer)),
             _ => {}
         }
     }
--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -2,7 +2,7 @@
 
 use crate::answers::answers;
 use crate::effects::effects;
-use crate::record::{Micros, Record, What};
+use crate::record::{Micros, Observation, Record};
 use crate::workers::{cold, drains, loads};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -96,8 +96,8 @@
 pub(crate) fn schedulers(records: &[Record]) -> BTreeMap<&str, BTreeSet<&str>> {
     let mut all: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
     for record in records {
-        if let What::Up { address } = &record.what {
-            all.entry(address).or_default().insert(&record.by);
+        if let Observation::Up { address } = &record.observation {
+            all.entry(address).or_default().insert(&record.observer);
         }
     }
     all
--- a/crates/rules/src/effects.rs
+++ b/crates/rules/src/effects.rs
@@ -2,7 +2,7 @@
 
 use crate::answers::CROSSING_US;
 use crate::check::{Breach, ClassRule, RepeatRule, RuleSettings, schedulers};
-use crate::record::{FinalAnswer, Micros, Record, What};
+use crate::record::{FinalAnswer, Micros, Observation, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Codes that prove that an attempt never ran.
@@ -40,25 +40,26 @@
         class.get(event).map_or(RepeatRule::Safe, |c| c.repeat)
     };
     for record in records {
-        let t = record.t;
-        if let What::ClientLeft { tried } | What::ConnectionLost { tried } | What::Answered { tried, .. } =
-            &record.what
+        let t = record.time;
+        if let Observation::ClientLeft { request_id: tried }
+        | Observation::ConnectionLost { request_id: tried }
+        | Observation::Answered { request_id: tried, .. } = &record.observation
         {
             let tries = asked.get(tried).and_then(|(event, _)| open.get_mut(event));
             tries.into_iter().for_each(|n| *n = n.saturating_sub(1));
         }
-        match &record.what {
-            What::RequestSent { tried, event, class: name, to, .. } => {
+        match &record.observation {
+            Observation::RequestSent { request_id: tried, event, class: name, to, .. } => {
                 asked.insert(*tried, (event, to));
                 *open.entry(event).or_default() += 1;
                 if let Some(rule) = settings.classes.get(name) {
                     class.insert(event, *rule);
                 }
             }
-            What::Arrived { attempt, .. } => {
+            Observation::Arrived { attempt, .. } => {
                 arrived.insert(attempt, t);
             }
-            What::Ran { event, attempt } => {
+            Observation::Ran { event, attempt } => {
                 let all = ran.entry(event).or_default();
                 match repeat_of(&class, event) {
                     RepeatRule::Unsafe if !all.is_empty() => {
@@ -66,28 +67,29 @@
                     }
                     RepeatRule::Keyed { window, all: every } => {
                         let group = |worker: &str| settings.groups.get(worker);
-                        let shares = |worker: &str| every || group(worker) == group(&record.by);
+                        let shares = |worker: &str| every || group(worker) == group(&record.observer);
                         let within = |(ran, _, first): &&(Micros, &str, &str)| {
                             t < arrived.get(first).unwrap_or(ran) + window
                         };
                         let before = all.iter().filter(|(_, worker, _)| shares(worker)).find(within);
                         if let Some((_, worker, first)) = before {
-                            let by = &record.by;
+                            let by = &record.observer;
                             breach(t, format!("{event}: keyed, {first} ran at {worker}, {attempt} at {by}"));
                         }
                     }
                     _ => {}
                 }
-                all.push((t, &record.by, attempt));
+                all.push((t, &record.observer, attempt));
                 ran_attempts.insert(attempt);
             }
-            What::OwnerUnreachable { event } => {
+            Observation::OwnerUnreachable { event } => {
                 unowned.insert(event);
             }
-            What::ClientLeft { tried } | What::ConnectionLost { tried } => {
+            Observation::ClientLeft { request_id: tried }
+            | Observation::ConnectionLost { request_id: tried } => {
                 left.extend(asked.get(tried).map(|(event, _)| (*event, t)));
             }
-            What::Answered { tried, answer: FinalAnswer::Failed, .. } => {
+            Observation::Answered { request_id: tried, answer: FinalAnswer::Failed, .. } => {
                 let Some((event, to)) = asked.get(tried) else { continue };
                 // Not for clients of one call that wait for it with others: it may still run. One who has
                 // just left may still count as waiting at the gateway.
@@ -99,15 +101,15 @@
                 }
             }
             // What has left for another gateway may have been sent by it, whether that is known or not.
-            What::HandedOver { event, .. } => {
+            Observation::HandedOver { event, .. } => {
                 begun.insert(event);
             }
-            What::Ended { attempt, code } if NEVER_RAN.contains(&code.as_str()) => {
+            Observation::Ended { attempt, code } if NEVER_RAN.contains(&code.as_str()) => {
                 proven.insert(attempt, t);
             }
-            What::Sent { event, attempt, worker } => {
+            Observation::Sent { event, attempt, worker } => {
                 begun.insert(event);
-                let all = sent.entry((gateway(&record.by), event)).or_default();
+                let all = sent.entry((gateway(&record.observer), event)).or_default();
                 let maybe = all.iter().filter(|(_, earlier, _)| !proven.contains_key(earlier));
                 match repeat_of(&class, event) {
                     RepeatRule::Safe => {}
@@ -138,7 +140,7 @@
                 }
                 all.push((t, attempt, worker));
             }
-            What::Answered { tried, answer: FinalAnswer::Refused, .. } => {
+            Observation::Answered { request_id: tried, answer: FinalAnswer::Refused, .. } => {
                 let Some((event, to)) = asked.get(tried) else { continue };
                 let free = match repeat_of(&class, event) {
                     RepeatRule::Safe => true,
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -12,6 +12,6 @@
 
 pub use answers::{Late, late};
 pub use check::{Breach, ClassRule, RepeatRule, RuleSettings, check};
-pub use record::{FinalAnswer, Micros, Record, What};
+pub use record::{FinalAnswer, Micros, Observation, Record};
 pub use recorder::{Recorder, read};
 pub use service::{Service, service};
--- a/crates/rules/src/record.rs
+++ b/crates/rules/src/record.rs
@@ -22,25 +22,25 @@
 pub struct Record {
     /// When.
     #[serde(rename = "t")]
-    pub t: Micros,
+    pub time: Micros,
     /// A client, a scheduler (one loop of a gateway) or a worker.
     #[serde(rename = "by")]
-    pub by: String,
+    pub observer: String,
     /// What.
     #[serde(flatten)]
-    pub what: What,
+    pub observation: Observation,
 }
 
 /// What was seen.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum What {
+pub enum Observation {
     /// A client has sent a whole event.
     #[serde(rename = "asked")]
     RequestSent {
         /// Names this try, once over all clients.
         #[serde(rename = "tried")]
-        tried: u64,
+        request_id: u64,
         /// The event's name.
         event: String,
         /// Its class.
@@ -56,7 +56,7 @@
     Answered {
         /// The try.
         #[serde(rename = "tried")]
-        tried: u64,
+        request_id: u64,
         /// Which answer.
         answer: FinalAnswer,
         /// Its HTTP status.
@@ -67,14 +67,14 @@
     ClientLeft {
         /// The try.
         #[serde(rename = "tried")]
-        tried: u64,
+        request_id: u64,
     },
     /// The connection ended under a client, or brought bytes that were no answer.
     #[serde(rename = "cut")]
     ConnectionLost {
         /// The try.
         #[serde(rename = "tried")]
-        tried: u64,
+        request_id: u64,
     },
     /// A scheduler begins to listen.
     Up {
@@ -134,12 +134,12 @@
     MemberState {
         /// Of whom, by number.
         #[serde(rename = "of")]
-        of: u16,
+        member: u16,
         /// When that one's life began, in milliseconds since the beginning of 2026.
         start: u64,
         /// How often it has refuted since.
         #[serde(rename = "bump")]
-        bump: u32,
+        refutations: u32,
         /// `up`, `suspect`, `leaving`, `gone` or `stopped`.
         state: String,
     },
--- a/crates/rules/src/recorder.rs
+++ b/crates/rules/src/recorder.rs
@@ -1,4 +1,4 @@
-use crate::record::{Micros, Record, What};
+use crate::record::{Micros, Observation, Record};
 use crossbeam_queue::SegQueue;
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
@@ -73,8 +73,8 @@
     }
 
     /// Keeps one record.
-    pub fn put(&self, t: Micros, by: &str, what: What) {
-        let record = || Record { t, by: by.to_owned(), what };
+    pub fn put(&self, t: Micros, by: &str, what: Observation) {
+        let record = || Record { time: t, observer: by.to_owned(), observation: what };
         match &self.sink {
             Sink::None => {}
             Sink::Memory(memory) => {
@@ -116,7 +116,7 @@
         let Sink::Memory(memory) = &self.sink else { return Vec::new() };
         let mut all = memory.all.lock().map(|mut all| std::mem::take(&mut *all)).unwrap_or_default();
         memory.gather(&mut all);
-        all.sort_by_key(|record| record.t);
+        all.sort_by_key(|record| record.time);
         all
     }
 }
@@ -144,6 +144,6 @@
         let wrong = |e| io::Error::new(io::ErrorKind::InvalidData, format!("line {}: {e}", number + 1));
         all.push(serde_json::from_str(&line?).map_err(wrong)?);
     }
-    all.sort_by_key(|record: &Record| record.t);
+    all.sort_by_key(|record: &Record| record.time);
     Ok(all)
 }
--- a/crates/rules/src/service.rs
+++ b/crates/rules/src/service.rs
@@ -1,7 +1,7 @@
 //! The service figure: worth answered in time over worth asked, a client's further tries with its first.
 
 use crate::check::RuleSettings;
-use crate::record::{FinalAnswer, Micros, Record, What};
+use crate::record::{FinalAnswer, Micros, Observation, Record};
 use std::collections::BTreeMap;
 
 /// Span of the windows of which the worst counts.
@@ -32,16 +32,16 @@
     let mut events: BTreeMap<&str, Asked> = BTreeMap::new();
     let mut tries: BTreeMap<u64, &str> = BTreeMap::new();
     for record in records {
-        match &record.what {
-            What::RequestSent { tried, event, class, tenant, .. } => {
+        match &record.observation {
+            Observation::RequestSent { request_id: tried, event, class, tenant, .. } => {
                 tries.insert(*tried, event);
-                let asked = Asked { first: record.t, tenant, class, served: None };
+                let asked = Asked { first: record.time, tenant, class, served: None };
                 events.entry(event).or_insert(asked);
             }
-            What::Answered { tried, answer: FinalAnswer::Served, .. } => {
+            Observation::Answered { request_id: tried, answer: FinalAnswer::Served, .. } => {
                 let asked = tries.get(tried).and_then(|event| events.get_mut(event));
                 if let Some(asked) = asked {
-                    asked.served.get_or_insert(record.t);
+                    asked.served.get_or_insert(record.time);
                 }
             }
             _ => {}
--- a/crates/rules/src/workers.rs
+++ b/crates/rules/src/workers.rs
@@ -1,7 +1,7 @@
 //! Rules 3 to 5: draining, cold and loading workers.
 
 use crate::check::{Breach, RuleSettings};
-use crate::record::{Micros, Record, What};
+use crate::record::{Micros, Observation, Record};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Rule 3: nothing new to a draining or gone worker past the grace.
@@ -9,30 +9,31 @@
     let mut told: BTreeMap<(&str, &str), Micros> = BTreeMap::new();
     let mut breaches = Vec::new();
     for record in records {
-        let (worker, what) = match &record.what {
-            What::WorkerState { worker, state } if state == "active" => {
-                told.remove(&(&record.by, worker));
+        let (worker, what) = match &record.observation {
+            Observation::WorkerState { worker, state } if state == "active" => {
+                told.remove(&(&record.observer, worker));
                 continue;
             }
-            What::WorkerState { worker, .. } => {
-                told.entry((&record.by, worker)).or_insert(record.t);
+            Observation::WorkerState { worker, .. } => {
+                told.entry((&record.observer, worker)).or_insert(record.time);
                 continue;
             }
-            What::Down { .. } => {
-                told.retain(|(by, _), _| *by != record.by);
+            Observation::Down { .. } => {
+                told.retain(|(by, _), _| *by != record.observer);
                 continue;
             }
-            What::Sent { worker, event, .. } => (worker, format!("call {event}")),
-            What::Ordered { worker, function, count } if *count > 0 => {
+            Observation::Sent { worker, event, .. } => (worker, format!("call {event}")),
+            Observation::Ordered { worker, function, count } if *count > 0 => {
                 (worker, format!("order of {function}"))
             }
             _ => continue,
         };
-        if let Some(since) = told.get(&(record.by.as_str(), worker.as_str())) {
-            let after = record.t - since;
+        if let Some(since) = told.get(&(record.observer.as_str(), worker.as_str())) {
+            let after = record.time - since;
             if after > settings.drain_grace {
-                let what = format!("{}: {what} to {worker}, {after} us after its drain was told", record.by);
-                breaches.push(Breach { rule: 3, t: record.t, what });
+                let what =
+                    format!("{}: {what} to {worker}, {after} us after its drain was told", record.observer);
+                breaches.push(Breach { rule: 3, t: record.time, what });
             }
         }
     }
@@ -57,26 +58,26 @@
     let mut lives: BTreeMap<&str, Life> = BTreeMap::new();
     let mut breaches = Vec::new();
     for record in records {
-        match &record.what {
-            What::WorkerStarted { capacity, warm: false } => {
-                let life = Life { born: record.t, capacity: *capacity, arrived: VecDeque::new() };
-                lives.insert(&record.by, life);
+        match &record.observation {
+            Observation::WorkerStarted { capacity, warm: false } => {
+                let life = Life { born: record.time, capacity: *capacity, arrived: VecDeque::new() };
+                lives.insert(&record.observer, life);
             }
-            What::WorkerStarted { .. } => {
-                lives.remove(record.by.as_str());
+            Observation::WorkerStarted { .. } => {
+                lives.remove(record.observer.as_str());
             }
-            What::WorkerCollapsed => {
-                let what = format!("{} fell over while cold", record.by);
-                breaches.push(Breach { rule: 4, t: record.t, what });
+            Observation::WorkerCollapsed => {
+                let what = format!("{} fell over while cold", record.observer);
+                breaches.push(Breach { rule: 4, t: record.time, what });
             }
-            What::Arrived { work, .. } => {
-                let Some(life) = lives.get_mut(record.by.as_str()) else { continue };
-                let age = (record.t - life.born) as f64;
+            Observation::Arrived { work, .. } => {
+                let Some(life) = lives.get_mut(record.observer.as_str()) else { continue };
+                let age = (record.time - life.born) as f64;
                 if age > settings.warm_within as f64 {
                     continue;
                 }
-                life.arrived.push_back((record.t, *work as f64));
-                while life.arrived.front().is_some_and(|(t, _)| t + settings.fall < record.t) {
+                life.arrived.push_back((record.time, *work as f64));
+                while life.arrived.front().is_some_and(|(t, _)| t + settings.fall < record.time) {
                     life.arrived.pop_front();
                 }
                 let sent: f64 = life.arrived.iter().map(|(_, work)| work).sum();
@@ -86,8 +87,8 @@
                 let can = life.capacity * (done(age) - done(from) + short);
                 if sent > settings.tip_multiple * can + *work as f64 {
                     let ratio = sent / can.max(1.0);
-                    let what = format!("{} was sent {ratio:.1} times what it could do", record.by);
-                    breaches.push(Breach { rule: 4, t: record.t, what });
+                    let what = format!("{} was sent {ratio:.1} times what it could do", record.observer);
+                    breaches.push(Breach { rule: 4, t: record.time, what });
                 }
             }
             _ => {}
@@ -104,13 +105,13 @@
         return breaches;
     }
     for record in records {
-        let (orders, taken) = counts.entry(&record.by).or_default();
-        match &record.what {
-            What::Accepted { .. } => taken.push_back(record.t),
-            What::Down { .. } => (orders.clear(), taken.clear()).1,
-            What::Ordered { count, .. } if *count > 0 => {
-                orders.push_back(record.t);
-                let old = |t: &Micros| t + settings.load_window < record.t;
+        let (orders, taken) = counts.entry(&record.observer).or_default();
+        match &record.observation {
+            Observation::Accepted { .. } => taken.push_back(record.time),
+            Observation::Down { .. } => (orders.clear(), taken.clear()).1,
+            Observation::Ordered { count, .. } if *count > 0 => {
+                orders.push_back(record.time);
+                let old = |t: &Micros| t + settings.load_window < record.time;
                 while orders.front().is_some_and(old) {
                     orders.pop_front();
                 }
@@ -119,8 +120,8 @@
                 }
                 let most = settings.load_free + settings.load_share * taken.len() as f64;
                 if orders.len() as f64 > most {
-                    let what = format!("{}: {} orders, {most:.1} allowed", record.by, orders.len());
-                    breaches.push(Breach { rule: 5, t: record.t, what });
+                    let what = format!("{}: {} orders, {most:.1} allowed", record.observer, orders.len());
+                    breaches.push(Breach { rule: 5, t: record.time, what });
                 }
             }
             _ => {}
--- a/crates/rules/tests/planted.rs
+++ b/crates/rules/tests/planted.rs
@@ -21,12 +21,12 @@
     }
 }
 
-fn record(ms: Micros, by: &str, what: What) -> Record {
-    Record { t: ms * MS, by: by.into(), what }
+fn record(ms: Micros, by: &str, what: Observation) -> Record {
+    Record { time: ms * MS, observer: by.into(), observation: what }
 }
 
 fn up() -> Record {
-    record(0, "g/0", What::Up { address: "a:1".into() })
+    record(0, "g/0", Observation::Up { address: "a:1".into() })
 }
 
 fn asked(ms: Micros, tried: u64, class: &str) -> Record {
@@ -34,50 +34,57 @@
     record(
         ms,
         "clients",
-        What::RequestSent { tried, event, class, tenant: "t".into(), to, deadline: (ms + 100) * MS },
+        Observation::RequestSent {
+            request_id: tried,
+            event,
+            class,
+            tenant: "t".into(),
+            to,
+            deadline: (ms + 100) * MS,
+        },
     )
 }
 
 fn answered(ms: Micros, tried: u64, answer: FinalAnswer) -> Record {
-    record(ms, "clients", What::Answered { tried, answer, status: 0 })
+    record(ms, "clients", Observation::Answered { request_id: tried, answer, status: 0 })
 }
 
 fn sent(ms: Micros, event: u64, number: u64, worker: &str) -> Record {
     let (event, attempt) = (format!("e{event}"), format!("g/0:{event}.{number}"));
-    record(ms, "g/0", What::Sent { event, attempt, worker: worker.into() })
+    record(ms, "g/0", Observation::Sent { event, attempt, worker: worker.into() })
 }
 
 fn ended(ms: Micros, event: u64, number: u64, code: &str) -> Record {
-    record(ms, "g/0", What::Ended { attempt: format!("g/0:{event}.{number}"), code: code.into() })
+    record(ms, "g/0", Observation::Ended { attempt: format!("g/0:{event}.{number}"), code: code.into() })
 }
 
 fn ran(ms: Micros, worker: &str, event: u64, number: u64) -> Record {
     let (event, attempt) = (format!("e{event}"), format!("g/0:{event}.{number}"));
-    record(ms, worker, What::Ran { event, attempt })
+    record(ms, worker, Observation::Ran { event, attempt })
 }
 
 fn taken(ms: Micros, event: u64) -> Record {
-    record(ms, "g/0", What::Accepted { event: format!("e{event}") })
+    record(ms, "g/0", Observation::Accepted { event: format!("e{event}") })
 }
 
 fn told(ms: Micros, state: &str) -> Record {
-    record(ms, "g/0", What::WorkerState { worker: "w1".into(), state: state.into() })
+    record(ms, "g/0", Observation::WorkerState { worker: "w1".into(), state: state.into() })
 }
 
 fn ordered(ms: Micros, count: u32) -> Record {
-    record(ms, "g/0", What::Ordered { worker: "w1".into(), function: "f".into(), count })
+    record(ms, "g/0", Observation::Ordered { worker: "w1".into(), function: "f".into(), count })
 }
 
 fn born(ms: Micros) -> Record {
-    record(ms, "w1", What::WorkerStarted { capacity: 1.0, warm: false })
+    record(ms, "w1", Observation::WorkerStarted { capacity: 1.0, warm: false })
 }
 
 fn arrived(ms: Micros, work: Micros) -> Record {
-    record(ms, "w1", What::Arrived { event: "e".into(), attempt: "x".into(), work: work * MS })
+    record(ms, "w1", Observation::Arrived { event: "e".into(), attempt: "x".into(), work: work * MS })
 }
 
 fn down(ms: Micros, killed: bool) -> Record {
-    record(ms, "g/0", What::Down { killed })
+    record(ms, "g/0", Observation::Down { killed })
 }
 
 /// The rules broken by these records, each once.
@@ -90,10 +97,10 @@
 #[test]
 fn rule_1_one_answer_in_time() {
     let (cut, left) = (
-        |ms| record(ms, "clients", What::ConnectionLost { tried: 1 }),
-        |ms| record(ms, "clients", What::ClientLeft { tried: 1 }),
+        |ms| record(ms, "clients", Observation::ConnectionLost { request_id: 1 }),
+        |ms| record(ms, "clients", Observation::ClientLeft { request_id: 1 }),
     );
-    let stopping = |ms| record(ms, "g/0", What::Stopping);
+    let stopping = |ms| record(ms, "g/0", Observation::Stopping);
     let kept = [
         vec![up(), asked(1, 1, "safe"), answered(101, 1, FinalAnswer::Served)],
         vec![up(), asked(1, 1, "safe"), left(50)],
@@ -125,16 +132,16 @@
 
 #[test]
 fn an_answer_written_in_time_and_read_late_is_the_clients_own_delay() {
-    let gave = |ms| record(ms, "g/0", What::AnswerSent { event: "e1".into(), status: 0 });
+    let gave = |ms| record(ms, "g/0", Observation::AnswerSent { event: "e1".into(), status: 0 });
     let day = |at| vec![up(), asked(1, 1, "safe"), gave(at), answered(140, 1, FinalAnswer::Served)];
     let told = |records: Vec<Record>| (late(&records), broken(records));
     assert_eq!(told(day(100)), (Late { read: 1, stalled: 0 }, vec![]));
     assert_eq!(told(day(102)), (Late::default(), vec![1]));
     // The machine had stopped the gateway for longer than the answer was late, or for less, or long before.
-    let stalled = |ms, us| record(ms, "g/0", What::Stalled { us });
+    let stalled = |ms, us| record(ms, "g/0", Observation::Stalled { us });
     let with = |stall| [day(110), vec![stall]].concat();
     let by_time = |mut records: Vec<Record>| {
-        records.sort_by_key(|r| r.t);
+        records.sort_by_key(|r| r.time);
         told(records)
     };
     assert_eq!(by_time(with(stalled(109, 9 * MS))), (Late { read: 0, stalled: 1 }, vec![]));
@@ -146,9 +153,22 @@
 fn rule_2_a_failure_means_that_something_was_sent() {
     let failed = || answered(90, 1, FinalAnswer::Failed);
     let again = |ms| {
-        let Record { t, by, what } = asked(ms, 2, "safe");
-        let What::RequestSent { tried, class, tenant, to, deadline, .. } = what else { unreachable!() };
-        Record { t, by, what: What::RequestSent { tried, event: "e1".into(), class, tenant, to, deadline } }
+        let Record { time: t, observer: by, observation: what } = asked(ms, 2, "safe");
+        let Observation::RequestSent { request_id: tried, class, tenant, to, deadline, .. } = what else {
+            unreachable!()
+        };
+        Record {
+            time: t,
+            observer: by,
+            observation: Observation::RequestSent {
+                request_id: tried,
+                event: "e1".into(),
+                class,
+                tenant,
+                to,
+                deadline,
+            },
+        }
     };
     assert_eq!(broken(vec![up(), asked(1, 1, "safe"), failed()]), [2]);
     assert_eq!(broken(vec![up(), asked(1, 1, "safe"), sent(2, 1, 0, "w1"), failed()]), [0u8; 0]);
@@ -159,7 +179,7 @@
 
 #[test]
 fn rule_2_who_does_not_see_to_an_event_need_not_know_whether_it_was_sent() {
-    let unowned = record(4, "g/0", What::OwnerUnreachable { event: "e1".into() });
+    let unowned = record(4, "g/0", Observation::OwnerUnreachable { event: "e1".into() });
     let failed = |more: Vec<Record>| {
         let mut records = vec![up(), asked(1, 1, "unsafe")];
         records.extend(more);
@@ -172,7 +192,7 @@
 #[test]
 fn rule_2_the_loops_of_a_gateway_are_one() {
     let by_other = |mut r: Record| {
-        r.by = "g/1".into();
+        r.observer = "g/1".into();
         r
     };
     let both = vec![up(), asked(1, 1, "unsafe"), sent(2, 1, 0, "w1"), by_other(sent(3, 1, 1, "w2"))];
@@ -215,11 +235,11 @@
     ];
     assert_eq!(broken(refused("safe")), [0u8; 0]);
     for (index, mut records) in kept.into_iter().enumerate() {
-        records.sort_by_key(|r| r.t);
+        records.sort_by_key(|r| r.time);
         assert_eq!(broken(records), [0u8; 0], "kept {index}");
     }
     for (index, mut records) in planted.into_iter().enumerate() {
-        records.sort_by_key(|r| r.t);
+        records.sort_by_key(|r| r.time);
         assert!(broken(records).contains(&2), "planted {index}");
     }
 }
@@ -245,7 +265,7 @@
     assert_eq!(broken(with(8, 10)), [4]);
     let warm = std::iter::once(born(0)).chain(burst(1_200, 50, 10)).collect();
     assert_eq!(broken(warm), [0u8; 0]);
-    assert_eq!(broken(vec![record(1, "w1", What::WorkerCollapsed)]), [4]);
+    assert_eq!(broken(vec![record(1, "w1", Observation::WorkerCollapsed)]), [4]);
 }
 
 #[test]
@@ -266,8 +286,8 @@
         record(
             600,
             "clients",
-            What::RequestSent {
-                tried: 3,
+            Observation::RequestSent {
+                request_id: 3,
                 event: "e2".into(),
                 class: "safe".into(),
                 tenant: "t".into(),
@@ -285,14 +305,18 @@
 fn records_survive_a_file() {
     let path = std::env::temp_dir().join(format!("basaltward-records-{}.jsonl", std::process::id()));
     let (recorder, writer) = Recorder::file(&path).expect("a file");
-    recorder.put(5, "g/0", What::Down { killed: true });
-    recorder.put(3, "w1", What::WorkerStarted { capacity: 1.5, warm: false });
+    recorder.put(5, "g/0", Observation::Down { killed: true });
+    recorder.put(3, "w1", Observation::WorkerStarted { capacity: 1.5, warm: false });
     drop(recorder);
     writer.join().expect("no panic").expect("written");
-    assert_eq!(read(&path).expect("readable"), [born_at(3), Record { t: 5, ..down(0, true) }]);
+    assert_eq!(read(&path).expect("readable"), [born_at(3), Record { time: 5, ..down(0, true) }]);
     std::fs::remove_file(path).expect("removed");
 }
 
 fn born_at(t: Micros) -> Record {
-    Record { t, by: "w1".into(), what: What::WorkerStarted { capacity: 1.5, warm: false } }
+    Record {
+        time: t,
+        observer: "w1".into(),
+        observation: Observation::WorkerStarted { capacity: 1.5, warm: false },
+    }
 }
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -2,7 +2,7 @@
 
 use basaltward_http::{Body, Decoded, HeadWriter, Limits, Method, Response, ResponseDecoder};
 use basaltward_net::{ConnId, Happened, Io, IoLimits, Micros, NetError, monotonic};
-use basaltward_rules::{FinalAnswer, Recorder, What};
+use basaltward_rules::{FinalAnswer, Observation, Recorder};
 use basaltward_timers::Timers;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -259,8 +259,8 @@
         head.body(Body::Whole(&vec![b'x'; plan.payload]));
         self.tally.tries += 1;
         if self.recorder.is_enabled() {
-            let what = What::RequestSent {
-                tried: id,
+            let what = Observation::RequestSent {
+                request_id: id,
                 event: format!("/clients#{}", plan.id),
                 class: plan.class.clone(),
                 tenant: plan.tenant.clone(),
@@ -310,7 +310,7 @@
         };
         *self.tally.statuses.entry(response.status).or_default() += 1;
         if self.recorder.is_enabled() {
-            let what = What::Answered { tried: id, answer, status: response.status };
+            let what = Observation::Answered { request_id: id, answer, status: response.status };
             self.recorder.put(now, "clients", what);
         }
         let (plan, progress) = (&self.plans[trial.plan], &mut self.progress[trial.plan]);
@@ -342,7 +342,7 @@
         let Some(trial) = self.trials.remove(&id) else { return };
         self.io.abort(trial.conn);
         self.conns.remove(&trial.conn);
-        self.recorder.put(now, "clients", What::ClientLeft { tried: id });
+        self.recorder.put(now, "clients", Observation::ClientLeft { request_id: id });
         self.next_or_done(now, trial.plan, true, 0);
     }
 
@@ -361,7 +361,7 @@
         let Some(id) = known.trial else { return };
         let Some(trial) = self.trials.remove(&id) else { return };
         if trial.asked {
-            self.recorder.put(now, "clients", What::ConnectionLost { tried: id });
+            self.recorder.put(now, "clients", Observation::ConnectionLost { request_id: id });
         }
         // Not connected: never sent, so any class may try again.
         let repeat = !known.ready || self.plans[trial.plan].retries.after_failure;
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::store::{Store, StoreSpec};
 use basaltward_http::{Body, Decoded, HeadWriter, Limits, Method, Request, RequestDecoder};
 use basaltward_net::{ConnId, Happened, Io, IoLimits, Micros, NetError, Waker, bind, monotonic};
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -184,7 +184,7 @@
             self.recorder.put(
                 monotonic(),
                 &server.address.to_string(),
-                What::WorkerStarted { capacity, warm },
+                Observation::WorkerStarted { capacity, warm },
             );
         }
         let mut happened = Vec::new();
@@ -280,7 +280,7 @@
                 server.model = Worker::new(index, server.spec.clone(), Some(now));
                 (server.silent, server.garbage, server.too_long, server.reset_at) =
                     (false, false, false, None);
-                let what = What::WorkerStarted { capacity: server.model.capacity(), warm: false };
+                let what = Observation::WorkerStarted { capacity: server.model.capacity(), warm: false };
                 self.recorder.put(now, &server.address.to_string(), what);
             }
             Fault::StoreSlow(_) => {}
@@ -366,7 +366,7 @@
                 };
                 if self.recorder.is_enabled() {
                     let (work, attempt) = (server.model.work_of(&call), attempt.clone());
-                    let what = What::Arrived { event, attempt, work };
+                    let what = Observation::Arrived { event, attempt, work };
                     self.recorder.put(now, &server.address.to_string(), what);
                 }
                 known.token = Some(Pending { token, payload: Some((request.body.clone(), kind)), attempt });
@@ -397,10 +397,10 @@
             match reply {
                 Reply::Ran { event, attempt } => {
                     if self.recorder.is_enabled() {
-                        self.recorder.put(now, &by(), What::Ran { event, attempt });
+                        self.recorder.put(now, &by(), Observation::Ran { event, attempt });
                     }
                 }
-                Reply::Fell => self.recorder.put(now, &by(), What::WorkerCollapsed),
+                Reply::Fell => self.recorder.put(now, &by(), Observation::WorkerCollapsed),
                 answer => answers.push(answer),
             }
         }
@@ -442,7 +442,7 @@
     fn note_dropped(&self, now: Micros, token: u64) {
         let Some(conn) = self.by_token.get(&token).and_then(|conn| self.conns.get(conn)) else { return };
         if let Some(pending) = conn.token.as_ref().filter(|_| self.recorder.is_enabled()) {
-            let what = What::Dropped { attempt: pending.attempt.clone() };
+            let what = Observation::Dropped { attempt: pending.attempt.clone() };
             self.recorder.put(now, &self.servers[conn.server].address.to_string(), what);
         }
     }
--- a/crates/standins/src/line_worker.rs
+++ b/crates/standins/src/line_worker.rs
@@ -1,7 +1,7 @@
 //! A worker that speaks the platform's line protocol and does with each request what a script says.
 
 use basaltward_net::monotonic;
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -134,7 +134,7 @@
     ) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        recorder.put(monotonic(), name, What::WorkerStarted { capacity: 1.0, warm: true });
+        recorder.put(monotonic(), name, Observation::WorkerStarted { capacity: 1.0, warm: true });
         let shared = Arc::new(Shared {
             name: name.into(),
             who: Box::new(who),
@@ -361,10 +361,10 @@
     fn act(&self, exec: &Exec, from: SocketAddr, mut stream: &TcpStream) -> io::Result<bool> {
         let attempt = || format!("{}:{}@{}", (self.who)(from), exec.id, from.port());
         let put = |what| self.recorder.put(monotonic(), &self.name, what);
-        put(What::Arrived { event: exec.id.clone(), attempt: attempt(), work: 1 });
+        put(Observation::Arrived { event: exec.id.clone(), attempt: attempt(), work: 1 });
         for act in (self.script)(exec) {
             match act {
-                Act::Run => put(What::Ran { event: exec.id.clone(), attempt: attempt() }),
+                Act::Run => put(Observation::Ran { event: exec.id.clone(), attempt: attempt() }),
                 Act::Write(bytes) => stream.write_all(&bytes)?,
                 Act::Wait(span) => std::thread::sleep(span),
                 Act::Reset => {
--- a/crates/trial/src/bed.rs
+++ b/crates/trial/src/bed.rs
@@ -12,7 +12,7 @@
 use basaltward_net::{Micros, NetError, monotonic};
 use basaltward_peers::ask_view;
 use basaltward_permits::Bounds;
-use basaltward_rules::{Record, Recorder, What};
+use basaltward_rules::{Observation, Record, Recorder};
 use basaltward_standins::{Act, Board, Exec, LineWorker};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -179,7 +179,7 @@
         Ok(bed)
     }
 
-    fn put(&self, i: usize, what: What) {
+    fn put(&self, i: usize, what: Observation) {
         self.recorder.put(monotonic(), &name(i), what);
     }
 
@@ -195,7 +195,7 @@
     pub fn kill(&mut self, i: usize) {
         self.schedulers[i].kill();
         // It could not say so itself.
-        self.put(i, What::Down { killed: true });
+        self.put(i, Observation::Down { killed: true });
     }
 
     /// Sends SIGTERM to a scheduler and waits for its end.
@@ -354,7 +354,7 @@
         for i in 0..self.schedulers.len() {
             records.extend(whole(&self.workspace.file(&format!("n{i}.records")))?);
         }
-        records.sort_by_key(|record| record.t);
+        records.sort_by_key(|record| record.time);
         Ok(records)
     }
 }
--- a/crates/trial/src/checker.rs
+++ b/crates/trial/src/checker.rs
@@ -5,7 +5,9 @@
 use crate::way::{Party, Way};
 use crate::ways::Ways;
 use basaltward_net::Micros;
-use basaltward_rules::{Breach, ClassRule, FinalAnswer, Record, RepeatRule, RuleSettings, What, check};
+use basaltward_rules::{
+    Breach, ClassRule, FinalAnswer, Observation, Record, RepeatRule, RuleSettings, check,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::SocketAddr;
@@ -111,11 +113,11 @@
     let (records, excused) = excuse(records, &spells(fronts, ways));
     verdict.excused = excused;
     for record in &records {
-        match &record.what {
-            What::RequestSent { .. } => verdict.calls.0 += 1,
-            What::Answered { answer: FinalAnswer::Served, .. } => verdict.calls.1 += 1,
-            What::Answered { answer: FinalAnswer::Refused, .. } => verdict.calls.2 += 1,
-            What::Answered { .. } => verdict.calls.3 += 1,
+        match &record.observation {
+            Observation::RequestSent { .. } => verdict.calls.0 += 1,
+            Observation::Answered { answer: FinalAnswer::Served, .. } => verdict.calls.1 += 1,
+            Observation::Answered { answer: FinalAnswer::Refused, .. } => verdict.calls.2 += 1,
+            Observation::Answered { .. } => verdict.calls.3 += 1,
             _ => {}
         }
     }
@@ -143,10 +145,10 @@
 fn ran_back(records: &[Record]) -> BTreeSet<Fleet> {
     let mut known: BTreeMap<(&str, u16), (u64, u32)> = BTreeMap::new();
     let mut found = BTreeSet::new();
-    for Record { by, what, .. } in records {
+    for Record { observer: by, observation: what, .. } in records {
         match what {
-            What::Up { .. } => known.retain(|(who, _), _| who != by),
-            What::MemberState { of, start, bump, .. } => {
+            Observation::Up { .. } => known.retain(|(who, _), _| who != by),
+            Observation::MemberState { member: of, start, refutations: bump, .. } => {
                 let held = known.entry((by, *of)).or_default();
                 if (*start, *bump) < *held {
                     found.insert(Fleet::RanBack(by.clone(), *of));
@@ -168,8 +170,8 @@
         ("workers", "worker ", bounds.workers.of(bed.workers.len())),
     ];
     let mut known: BTreeMap<((u64, u16), u32), &Vec<String>> = BTreeMap::new();
-    for Record { what, .. } in records {
-        let What::PermitsUpdated { epoch, version, permits } = what else { continue };
+    for Record { observation: what, .. } in records {
+        let Observation::PermitsUpdated { epoch, version, permits } = what else { continue };
         if *known.entry((*epoch, *version)).or_insert(permits) != permits {
             found.insert(Fleet::Forked(*epoch, *version));
         }
@@ -222,35 +224,41 @@
 fn excuse(records: &[Record], spells: &BTreeMap<String, Vec<(Micros, Micros)>>) -> (Vec<Record>, u64) {
     let mut ended = BTreeMap::new();
     for record in records {
-        if let What::Answered { tried, .. } | What::ConnectionLost { tried } = &record.what {
+        if let Observation::Answered { request_id: tried, .. }
+        | Observation::ConnectionLost { request_id: tried } = &record.observation
+        {
             ended.entry(*tried).or_insert(record);
         }
     }
     let mut touched = BTreeMap::new();
     for record in records {
-        let What::RequestSent { tried, to, deadline, .. } = &record.what else { continue };
+        let Observation::RequestSent { request_id: tried, to, deadline, .. } = &record.observation else {
+            continue;
+        };
         let end = ended.get(tried);
-        let in_time = |r: &&Record| matches!(r.what, What::Answered { .. }) && r.t <= *deadline;
+        let in_time =
+            |r: &&Record| matches!(r.observation, Observation::Answered { .. }) && r.time <= *deadline;
         if end.is_some_and(in_time) {
             continue;
         }
-        let until = end.map_or(*deadline, |r| r.t);
+        let until = end.map_or(*deadline, |r| r.time);
         let here = spells.get(to).map(Vec::as_slice).unwrap_or_default();
-        if here.iter().any(|(from, to)| *from <= until && record.t <= *to) {
+        if here.iter().any(|(from, to)| *from <= until && record.time <= *to) {
             touched.insert(*tried, *deadline);
         }
     }
-    let kept = |record: &&Record| match &record.what {
-        What::Answered { tried, .. } | What::ConnectionLost { tried } => !touched.contains_key(tried),
+    let kept = |record: &&Record| match &record.observation {
+        Observation::Answered { request_id: tried, .. }
+        | Observation::ConnectionLost { request_id: tried } => !touched.contains_key(tried),
         _ => true,
     };
     let mut all: Vec<_> = records.iter().filter(kept).cloned().collect();
     let left = touched.iter().map(|(tried, deadline)| {
-        let (t, what) = (*deadline, What::ClientLeft { tried: *tried });
-        Record { t, by: "client".into(), what }
+        let (t, what) = (*deadline, Observation::ClientLeft { request_id: *tried });
+        Record { time: t, observer: "client".into(), observation: what }
     });
     all.extend(left);
-    all.sort_by_key(|record| record.t);
+    all.sort_by_key(|record| record.time);
     (all, touched.len() as u64)
 }
 
--- a/crates/trial/src/clients.rs
+++ b/crates/trial/src/clients.rs
@@ -2,7 +2,7 @@
 //! time. Everything that they see is recorded.
 
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::{FinalAnswer, Recorder, What};
+use basaltward_rules::{FinalAnswer, Observation, Recorder};
 use basaltward_standins::{FrontClient, FrontReply};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -87,7 +87,7 @@
         }
     }
 
-    fn put(&self, what: What) {
+    fn put(&self, what: Observation) {
         self.recorder.put(monotonic(), "client", what);
     }
 
@@ -105,8 +105,14 @@
         ];
         let deadline = monotonic() + patience * 1_000 + SLACK_US;
         let (class, to) = (class.to_owned(), self.to.1.to_string());
-        let asked =
-            What::RequestSent { tried, event: event.clone(), class, tenant: String::new(), to, deadline };
+        let asked = Observation::RequestSent {
+            request_id: tried,
+            event: event.clone(),
+            class,
+            tenant: String::new(),
+            to,
+            deadline,
+        };
         self.put(asked);
         let told = client.submit(&fields, event.as_bytes()).and_then(|_| client.read());
         match told {
@@ -116,12 +122,12 @@
                     FrontReply::Rejected(_) => (FinalAnswer::Refused, 503),
                     FrontReply::Crashed | FrontReply::Exception => (FinalAnswer::Failed, 500),
                 };
-                self.put(What::Answered { tried, answer, status });
+                self.put(Observation::Answered { request_id: tried, answer, status });
                 true
             }
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => false,
             Ok(None) | Err(_) => {
-                self.put(What::ConnectionLost { tried });
+                self.put(Observation::ConnectionLost { request_id: tried });
                 false
             }
         }
--- a/crates/trial/src/kept_checker.rs
+++ b/crates/trial/src/kept_checker.rs
@@ -4,7 +4,7 @@
 use crate::checker::Fleet;
 use basaltward_net::{Clock, Micros};
 use basaltward_pending::{Glance, Key, Outcome, Source, Step};
-use basaltward_rules::{Record, What};
+use basaltward_rules::{Observation, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is pending is closed by its deadline, or by this much later: heirs wait for leases and permits.
@@ -95,11 +95,11 @@
             }
         }
     }
-    let ran = records.iter().filter_map(|record| match &record.what {
-        What::Ran { event, .. } => Some(event.as_str()),
+    let ran = records.iter().filter_map(|record| match &record.observation {
+        Observation::Ran { event, .. } => Some(event.as_str()),
         _ => None,
     });
-    let (ran, last) = (ran.collect::<BTreeSet<_>>(), records.last().map_or(0, |record| record.t));
+    let (ran, last) = (ran.collect::<BTreeSet<_>>(), records.last().map_or(0, |record| record.time));
     let (mut count, mut counts, mut wrong) = (0, BTreeMap::<String, u64>::new(), Vec::new());
     for event in events.values().filter(|event| event.acknowledged) {
         count += 1;
@@ -141,8 +141,8 @@
 
     fn ran() -> Vec<Record> {
         let (event, attempt) = ("s#1".to_owned(), "n0/0:1".to_owned());
-        let record = |t, what| Record { t, by: "s-0".into(), what };
-        vec![record(1, What::Ran { event, attempt }), record(u64::MAX, What::Stopping)]
+        let record = |t, what| Record { time: t, observer: "s-0".into(), observation: what };
+        vec![record(1, Observation::Ran { event, attempt }), record(u64::MAX, Observation::Stopping)]
     }
 
     /// What is wrong with an event that is accepted at 0, held by 1, and after which this is told by 0.
--- a/crates/trial/src/site_bed.rs
+++ b/crates/trial/src/site_bed.rs
@@ -15,7 +15,7 @@
 use basaltward_membership::StatusResponse;
 use basaltward_net::{Micros, NetError, monotonic};
 use basaltward_peers::ask_view;
-use basaltward_rules::{Record, Recorder, What};
+use basaltward_rules::{Observation, Record, Recorder};
 use basaltward_standins::{Clients, Tally};
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -243,7 +243,7 @@
         self.shut(who, true);
         for i in self.meant(who).0 {
             // It could not say so itself. It has one loop.
-            self.recorder.put(monotonic(), &format!("n{i}/0"), What::Down { killed: true });
+            self.recorder.put(monotonic(), &format!("n{i}/0"), Observation::Down { killed: true });
         }
     }
 
@@ -364,7 +364,7 @@
             all.extend(whole(&records(&self.workspace, party))?);
         }
         all.iter_mut().for_each(|record| self.name_workers(record));
-        all.sort_by_key(|record| record.t);
+        all.sort_by_key(|record| record.time);
         Ok((all, tally))
     }
 
@@ -374,11 +374,11 @@
                 told.clone_from(name);
             }
         };
-        name(&mut record.by);
-        match &mut record.what {
-            What::WorkerState { worker, .. } | What::Sent { worker, .. } | What::Ordered { worker, .. } => {
-                name(worker)
-            }
+        name(&mut record.observer);
+        match &mut record.observation {
+            Observation::WorkerState { worker, .. }
+            | Observation::Sent { worker, .. }
+            | Observation::Ordered { worker, .. } => name(worker),
             _ => {}
         }
     }
--- a/crates/trial/src/site_checker.rs
+++ b/crates/trial/src/site_checker.rs
@@ -8,7 +8,7 @@
 use crate::way::Party;
 use basaltward_net::Micros;
 use basaltward_play::rule_settings;
-use basaltward_rules::{FinalAnswer, Record, RepeatRule, RuleSettings, What};
+use basaltward_rules::{FinalAnswer, Observation, Record, RepeatRule, RuleSettings};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What became of the calls asked at one site.
@@ -90,7 +90,7 @@
             bed.listens.iter().enumerate().map(|(i, at)| (at.to_string(), i)).collect();
         let (mut first, mut at) = (BTreeMap::new(), BTreeSet::new());
         for record in records {
-            let What::RequestSent { event, class, to, .. } = &record.what else { continue };
+            let Observation::RequestSent { event, class, to, .. } = &record.observation else { continue };
             if let Some(gateway) = gateways.get(to) {
                 first.entry(event.as_str()).or_insert((class.as_str(), *gateway));
                 at.insert((event.as_str(), *gateway));
@@ -106,11 +106,11 @@
     let (mut ran, mut born) = (BTreeMap::<&str, Vec<(Micros, &str)>>::new(), BTreeMap::<&str, Micros>::new());
     let mut found = BTreeSet::new();
     for record in records {
-        match &record.what {
-            What::WorkerStarted { .. } => drop(born.insert(&record.by, record.t)),
-            What::Ran { event, .. } => {
+        match &record.observation {
+            Observation::WorkerStarted { .. } => drop(born.insert(&record.observer, record.time)),
+            Observation::Ran { event, .. } => {
                 let repeat = asked.first.get(event.as_str()).and_then(|(class, _)| rules.classes.get(*class));
-                let here: &str = &record.by;
+                let here: &str = &record.observer;
                 let all = ran.entry(event).or_default();
                 let lost = |(t, by): &&(Micros, &str)| *by == here && born.get(here).is_some_and(|b| t < b);
                 let counts = match repeat.map(|class| class.repeat) {
@@ -118,7 +118,7 @@
                     Some(RepeatRule::Keyed { .. }) => all.iter().filter(|ran| !lost(ran)).count(),
                     Some(RepeatRule::Safe) | None => 0,
                 };
-                all.push((record.t, here));
+                all.push((record.time, here));
                 if counts > 0 {
                     found.insert(event.as_str());
                 }
@@ -154,16 +154,16 @@
     let workers: BTreeMap<_, _> =
         at.iter().enumerate().map(|(w, s)| (Party::Worker(w).to_string(), *s)).collect();
     let (mut tries, mut refused) = (BTreeMap::new(), BTreeSet::new());
-    for Record { t, by, what } in records {
+    for Record { time: t, observer: by, observation: what } in records {
         match what {
-            What::RequestSent { tried, event, to, .. } => {
+            Observation::RequestSent { request_id: tried, event, to, .. } => {
                 let Some(gateway) = asked.gateways.get(to) else { continue };
                 let again = refused.contains(event);
                 tries.insert(*tried, (*t, of[*gateway], event, again));
                 sites[of[*gateway]].asked += 1;
                 sites[of[*gateway]].again.0 += u64::from(again);
             }
-            What::Answered { tried, answer, .. } => {
+            Observation::Answered { request_id: tried, answer, .. } => {
                 let Some((began, site, event, again)) = tries.get(tried) else { continue };
                 let site = &mut sites[*site];
                 site.again.1 += u64::from(*again && *answer != FinalAnswer::Refused);
@@ -182,7 +182,7 @@
                     FinalAnswer::Failed | FinalAnswer::Rejected => site.failed += 1,
                 }
             }
-            What::Ran { event, .. } => {
+            Observation::Ran { event, .. } => {
                 if let Some(((_, gateway), at)) = asked.first.get(event.as_str()).zip(workers.get(by)) {
                     let there = (0..of.len()).any(|i| of[i] == *at && asked.at.contains(&(event, i)));
                     let asked_at = if there { *at } else { of[*gateway] };
@@ -207,17 +207,17 @@
     use crate::way::Way;
     use basaltward_rules::ClassRule;
 
-    fn records(told: &[(&str, What)]) -> Vec<Record> {
-        let record = |(t, (by, what)): (usize, &(&str, What))| Record {
-            t: t as Micros,
-            by: (*by).into(),
-            what: what.clone(),
+    fn records(told: &[(&str, Observation)]) -> Vec<Record> {
+        let record = |(t, (by, what)): (usize, &(&str, Observation))| Record {
+            time: t as Micros,
+            observer: (*by).into(),
+            observation: what.clone(),
         };
         told.iter().enumerate().map(record).collect()
     }
 
-    fn ran(at: &str) -> (&str, What) {
-        (at, What::Ran { event: "e".into(), attempt: "n0/0:1".into() })
+    fn ran(at: &str) -> (&str, Observation) {
+        (at, Observation::Ran { event: "e".into(), attempt: "n0/0:1".into() })
     }
 
     fn asked(class: &'static str) -> Asked<'static> {
@@ -251,7 +251,7 @@
         let found = |class: &'static str, records: &[Record]| twice(records, &rules(), &asked(class)).len();
         assert_eq!((found("safe", &both), found("keyed", &both), found("unsafe", &both)), (0, 1, 1));
         // A worker that was started anew has lost its keys: that is the bed's doing, but excuses no unsafe event.
-        let born = ("s-0", What::WorkerStarted { capacity: 1.0, warm: true });
+        let born = ("s-0", Observation::WorkerStarted { capacity: 1.0, warm: true });
         let anew = records(&[born.clone(), ran("s-0"), born.clone(), ran("s-0")]);
         assert_eq!((found("keyed", &anew), found("unsafe", &anew)), (0, 1));
         let same_life = records(&[born, ran("s-0"), ran("s-0")]);
