--- a/crates/cli/src/play.rs
+++ b/crates/cli/src/play.rs
@@ -2,7 +2,7 @@
 use crate::serve::settings;
 use crate::{Failed, records, report};
 use basaltward_play::{load, play, rule_settings};
-use basaltward_rules::{check, read, service};
+use basaltward_rules::{check, read_records, service};
 
 /// Plays a scripted day and judges it.
 pub fn run(options: &Play) -> Result<(), Failed> {
@@ -29,7 +29,8 @@
     let config = settings(&options.config)?;
     let mut records = Vec::new();
     for path in &options.records {
-        let all = read(path).map_err(|error| Failed::Input(format!("{}: {error}", path.display())))?;
+        let all =
+            read_records(path).map_err(|error| Failed::Input(format!("{}: {error}", path.display())))?;
         records.extend(all);
     }
     records.sort_by_key(|record| record.time);
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,7 +1,7 @@
 //! What a run came to, in a few lines.
 
 use crate::Failed;
-use basaltward_rules::{Breach, Record, Service, late};
+use basaltward_rules::{Breach, Record, Service, late_answers};
 use basaltward_standins::Tally;
 
 /// Breaches printed of each rule.
@@ -26,14 +26,20 @@
 pub fn verdict(records: &[Record], breaches: &[Breach], service: &Service) -> Result<(), Failed> {
     println!(
         "service {:.3}: whole run {:.3}, worst ten seconds {:.3}, worst tenant {:.3}",
-        service.figure, service.whole, service.window, service.tenant
+        service.score, service.whole_run, service.worst_window, service.worst_tenant
     );
-    let late = late(records);
-    if late.read > 0 {
-        println!("{} answers were written in time and read after it: the clients were late", late.read);
+    let late = late_answers(records);
+    if late.delayed_at_client > 0 {
+        println!(
+            "{} answers were written in time and read after it: the clients were late",
+            late.delayed_at_client
+        );
     }
-    if late.stalled > 0 {
-        println!("{} answers were late by less than the machine had stopped their gateway", late.stalled);
+    if late.gateway_stalled > 0 {
+        println!(
+            "{} answers were late by less than the machine had stopped their gateway",
+            late.gateway_stalled
+        );
     }
     if breaches.is_empty() {
         println!("the five rules: kept");
--- a/crates/cli/tests/trial.rs
+++ b/crates/cli/tests/trial.rs
@@ -73,7 +73,7 @@
     ran(&bed, 20);
     let (_, verdict) = finished(bed);
     assert!(
-        verdict.rules.iter().any(|b| b.rule == 2 && b.what.contains("ran 2 times")),
+        verdict.rules.iter().any(|b| b.rule == 2 && b.message.contains("ran 2 times")),
         "{:?}",
         verdict.rules
     );
--- a/crates/rules/src/answers.rs
+++ b/crates/rules/src/answers.rs
@@ -69,20 +69,20 @@
 
 /// Answers read after their deadline that break no rule, told apart by why.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Late {
+pub struct LateAnswers {
     /// The gateway had written them in time: on one machine the bytes then lay at the client, whose own loop
     /// was late.
-    pub read: usize,
+    pub delayed_at_client: usize,
     /// The machine had stopped the gateway for longer than they were late. No program can answer while it is
     /// stopped; margins make it rare.
-    pub stalled: usize,
+    pub gateway_stalled: usize,
 }
 
 /// Counts answers read late that break no rule.
-pub fn late(records: &[Record]) -> Late {
+pub fn late_answers(records: &[Record]) -> LateAnswers {
     let (at, given) = (schedulers(records), given(records));
     let mut asked: BTreeMap<u64, (Micros, &str, &str, Micros)> = BTreeMap::new();
-    let mut late = Late::default();
+    let mut late = LateAnswers::default();
     for record in records {
         match &record.observation {
             Observation::RequestSent { request_id: tried, event, to, deadline, .. } => {
@@ -92,8 +92,8 @@
                 let known = asked.get(tried).filter(|(.., deadline)| record.time > *deadline);
                 let Some((t, event, to, deadline)) = known else { continue };
                 match given.excuse(&at, (event, to), *t, *deadline) {
-                    Some(Excuse::ReadLate) => late.read += 1,
-                    Some(Excuse::Stalled) => late.stalled += 1,
+                    Some(Excuse::ReadLate) => late.delayed_at_client += 1,
+                    Some(Excuse::Stalled) => late.gateway_stalled += 1,
                     None => {}
                 }
             }
@@ -120,7 +120,7 @@
     let mut taken: BTreeMap<&str, Vec<(Micros, &str)>> = BTreeMap::new();
     let mut asked: BTreeMap<u64, Asked> = BTreeMap::new();
     let mut breaches = Vec::new();
-    let mut breach = |t, what: String| breaches.push(Breach { rule: 1, t, what });
+    let mut breach = |t, what: String| breaches.push(Breach { rule: 1, time: t, message: what });
     for record in records {
         let t = record.time;
         match &record.observation {
--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -68,16 +68,16 @@
     /// Which, from 1 to 5.
     pub rule: u8,
     /// When.
-    pub t: Micros,
+    pub time: Micros,
     /// What happened.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = ["one answer in time", "no effect twice", "drains", "cold workers", "ration of loads"];
         let name = name.get(usize::from(self.rule).wrapping_sub(1)).unwrap_or(&"?");
-        write!(f, "rule {} ({name}) at {} us: {}", self.rule, self.t, self.what)
+        write!(f, "rule {} ({name}) at {} us: {}", self.rule, self.time, self.message)
     }
 }
 
@@ -88,7 +88,7 @@
     breaches.extend(drains(records, settings));
     breaches.extend(cold(records, settings));
     breaches.extend(loads(records, settings));
-    breaches.sort_by_key(|breach| (breach.t, breach.rule));
+    breaches.sort_by_key(|breach| (breach.time, breach.rule));
     breaches
 }
 
--- a/crates/rules/src/effects.rs
+++ b/crates/rules/src/effects.rs
@@ -35,7 +35,7 @@
     let mut unowned: BTreeSet<&str> = BTreeSet::new();
     let mut proven: BTreeMap<&str, Micros> = BTreeMap::new();
     let mut breaches = Vec::new();
-    let mut breach = |t, what: String| breaches.push(Breach { rule: 2, t, what });
+    let mut breach = |t, what: String| breaches.push(Breach { rule: 2, time: t, message: what });
     let repeat_of = |class: &BTreeMap<&str, ClassRule>, event: &str| {
         class.get(event).map_or(RepeatRule::Safe, |c| c.repeat)
     };
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -10,8 +10,8 @@
 mod service;
 mod workers;
 
-pub use answers::{Late, late};
+pub use answers::{LateAnswers, late_answers};
 pub use check::{Breach, ClassRule, RepeatRule, RuleSettings, check};
 pub use record::{FinalAnswer, Micros, Observation, Record};
-pub use recorder::{Recorder, read};
+pub use recorder::{Recorder, read_records};
 pub use service::{Service, service};
--- a/crates/rules/src/recorder.rs
+++ b/crates/rules/src/recorder.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Records waiting for the writer, past which they are lost and counted: the loop never waits for a disk.
-const QUEUE: usize = 1 << 16;
+const QUEUE_CAPACITY: usize = 1 << 16;
 
 #[derive(Clone)]
 enum Sink {
@@ -60,7 +60,7 @@
     /// # Errors
     /// Where the file can't be made.
     pub fn file(path: &Path) -> io::Result<(Self, JoinHandle<io::Result<()>>)> {
-        let (send, receive) = sync_channel(QUEUE);
+        let (send, receive) = sync_channel(QUEUE_CAPACITY);
         let file = File::options().create(true).append(true).open(path)?;
         let writer =
             std::thread::Builder::new().name("records".into()).spawn(move || write(file, receive))?;
@@ -138,7 +138,7 @@
 ///
 /// # Errors
 /// Where the file can't be read or a line is no record; the error names the line.
-pub fn read(path: &Path) -> io::Result<Vec<Record>> {
+pub fn read_records(path: &Path) -> io::Result<Vec<Record>> {
     let mut all = Vec::new();
     for (number, line) in BufReader::new(File::open(path)?).lines().enumerate() {
         let wrong = |e| io::Error::new(io::ErrorKind::InvalidData, format!("line {}: {e}", number + 1));
--- a/crates/rules/src/service.rs
+++ b/crates/rules/src/service.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Service {
     /// 60% the whole run, 30% the worst ten seconds, 10% the worst-served tenant.
-    pub figure: f64,
+    pub score: f64,
     /// Over the whole run.
-    pub whole: f64,
+    pub whole_run: f64,
     /// Over the worst ten seconds.
-    pub window: f64,
+    pub worst_window: f64,
     /// Of the worst-served tenant.
-    pub tenant: f64,
+    pub worst_tenant: f64,
 }
 
 struct Asked<'a> {
@@ -68,5 +68,10 @@
     let worst = |shares: &mut dyn Iterator<Item = f64>| shares.fold(1.0, f64::min);
     let (whole, window, tenant) =
         (share(&all), worst(&mut windows.values().map(share)), worst(&mut tenants.values().map(share)));
-    Service { figure: 0.6 * whole + 0.3 * window + 0.1 * tenant, whole, window, tenant }
+    Service {
+        score: 0.6 * whole + 0.3 * window + 0.1 * tenant,
+        whole_run: whole,
+        worst_window: window,
+        worst_tenant: tenant,
+    }
 }
--- a/crates/rules/src/workers.rs
+++ b/crates/rules/src/workers.rs
@@ -33,7 +33,7 @@
             if after > settings.drain_grace {
                 let what =
                     format!("{}: {what} to {worker}, {after} us after its drain was told", record.observer);
-                breaches.push(Breach { rule: 3, t: record.time, what });
+                breaches.push(Breach { rule: 3, time: record.time, message: what });
             }
         }
     }
@@ -68,7 +68,7 @@
             }
             Observation::WorkerCollapsed => {
                 let what = format!("{} fell over while cold", record.observer);
-                breaches.push(Breach { rule: 4, t: record.time, what });
+                breaches.push(Breach { rule: 4, time: record.time, message: what });
             }
             Observation::Arrived { work, .. } => {
                 let Some(life) = lives.get_mut(record.observer.as_str()) else { continue };
@@ -88,7 +88,7 @@
                 if sent > settings.tip_multiple * can + *work as f64 {
                     let ratio = sent / can.max(1.0);
                     let what = format!("{} was sent {ratio:.1} times what it could do", record.observer);
-                    breaches.push(Breach { rule: 4, t: record.time, what });
+                    breaches.push(Breach { rule: 4, time: record.time, message: what });
                 }
             }
             _ => {}
@@ -121,7 +121,7 @@
                 let most = settings.load_free + settings.load_share * taken.len() as f64;
                 if orders.len() as f64 > most {
                     let what = format!("{}: {} orders, {most:.1} allowed", record.observer, orders.len());
-                    breaches.push(Breach { rule: 5, t: record.time, what });
+                    breaches.push(Breach { rule: 5, time: record.time, message: what });
                 }
             }
             _ => {}
--- a/crates/rules/tests/planted.rs
+++ b/crates/rules/tests/planted.rs
@@ -134,9 +134,9 @@
 fn an_answer_written_in_time_and_read_late_is_the_clients_own_delay() {
     let gave = |ms| record(ms, "g/0", Observation::AnswerSent { event: "e1".into(), status: 0 });
     let day = |at| vec![up(), asked(1, 1, "safe"), gave(at), answered(140, 1, FinalAnswer::Served)];
-    let told = |records: Vec<Record>| (late(&records), broken(records));
-    assert_eq!(told(day(100)), (Late { read: 1, stalled: 0 }, vec![]));
-    assert_eq!(told(day(102)), (Late::default(), vec![1]));
+    let told = |records: Vec<Record>| (late_answers(&records), broken(records));
+    assert_eq!(told(day(100)), (LateAnswers { delayed_at_client: 1, gateway_stalled: 0 }, vec![]));
+    assert_eq!(told(day(102)), (LateAnswers::default(), vec![1]));
     // The machine had stopped the gateway for longer than the answer was late, or for less, or long before.
     let stalled = |ms, us| record(ms, "g/0", Observation::Stalled { us });
     let with = |stall| [day(110), vec![stall]].concat();
@@ -144,9 +144,12 @@
         records.sort_by_key(|r| r.time);
         told(records)
     };
-    assert_eq!(by_time(with(stalled(109, 9 * MS))), (Late { read: 0, stalled: 1 }, vec![]));
-    assert_eq!(by_time(with(stalled(109, 8 * MS))), (Late::default(), vec![1]));
-    assert_eq!(by_time(with(stalled(90, 50 * MS))), (Late::default(), vec![1]));
+    assert_eq!(
+        by_time(with(stalled(109, 9 * MS))),
+        (LateAnswers { delayed_at_client: 0, gateway_stalled: 1 }, vec![])
+    );
+    assert_eq!(by_time(with(stalled(109, 8 * MS))), (LateAnswers::default(), vec![1]));
+    assert_eq!(by_time(with(stalled(90, 50 * MS))), (LateAnswers::default(), vec![1]));
 }
 
 #[test]
@@ -298,7 +301,7 @@
         answered(650, 3, FinalAnswer::Served),
     ];
     let told = service(&late, &settings());
-    assert!((told.whole - 1.3 / 2.0).abs() < 1e-9 && (told.figure - 1.3 / 2.0).abs() < 1e-9);
+    assert!((told.whole_run - 1.3 / 2.0).abs() < 1e-9 && (told.score - 1.3 / 2.0).abs() < 1e-9);
 }
 
 #[test]
@@ -309,7 +312,7 @@
     recorder.put(3, "w1", Observation::WorkerStarted { capacity: 1.5, warm: false });
     drop(recorder);
     writer.join().expect("no panic").expect("written");
-    assert_eq!(read(&path).expect("readable"), [born_at(3), Record { time: 5, ..down(0, true) }]);
+    assert_eq!(read_records(&path).expect("readable"), [born_at(3), Record { time: 5, ..down(0, true) }]);
     std::fs::remove_file(path).expect("removed");
 }
 
--- a/crates/trial/src/workspace.rs
+++ b/crates/trial/src/workspace.rs
@@ -1,6 +1,6 @@
 //! The workspace of a bed: a folder that goes with it, and loopback addresses that no other bed has.
 
-use basaltward_rules::{Record, read};
+use basaltward_rules::{Record, read_records};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -65,5 +65,5 @@
         let good: Vec<_> = text.lines().filter(|line| !torn(line)).collect();
         std::fs::write(path, good.join("\n"))?;
     }
-    read(path)
+    read_records(path)
 }
