--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use error::{ConfigError, Fault};
 pub use settings::*;
-pub use sites::{JournalConfig, KeptConfig, SitePeerConfig, SitesConfig, Unheld};
+pub use sites::{JournalConfig, ReplicationConfig, SitePeerConfig, SitesConfig, UnreplicatedPolicy};
 
 /// The schema that settings are checked by.
 pub const SCHEMA: &str = include_str!("../basaltward.xsd");
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -1,5 +1,5 @@
 use crate::sites::{kept, sites};
-use crate::xml::{Node, checked};
+use crate::xml::{Element, parse_validated};
 use crate::{
     Config, ConfigError, Fault, FrontConfig, FunctionConfig, LinkConfig, MarginConfig, RepeatsConfig, SCHEMA,
 };
@@ -17,15 +17,15 @@
 pub fn read(text: &str, path: &Path) -> Result<Config, ConfigError> {
     let folder = path.parent().unwrap_or(Path::new(""));
     let told = path.display().to_string();
-    checked(text, &told, SCHEMA, |root, faults| config(root, folder, faults))
+    parse_validated(text, &told, SCHEMA, |root, faults| config(root, folder, faults))
 }
 
 /// Attributes of an element that may be absent, with a default for each.
-struct Part<'a>(Option<Node<'a>>);
+struct Part<'a>(Option<Element<'a>>);
 
 impl Part<'_> {
     fn number<T: std::str::FromStr>(&self, name: &str, absent: T, faults: &mut Faults) -> T {
-        self.0.and_then(|n| n.value(name, faults)).unwrap_or(absent)
+        self.0.and_then(|n| n.parse_attribute(name, faults)).unwrap_or(absent)
     }
 
     /// Milliseconds, as microseconds.
@@ -34,7 +34,7 @@
     }
 
     fn flag(&self, name: &str, absent: bool) -> bool {
-        self.0.and_then(|n| n.flag(name)).unwrap_or(absent)
+        self.0.and_then(|n| n.bool_attribute(name)).unwrap_or(absent)
     }
 }
 
@@ -42,15 +42,15 @@
     (millis * 1_000.0).round() as Micros
 }
 
-fn span(node: &Node, name: &str, faults: &mut Faults) -> Option<Micros> {
-    node.value::<f64>(name, faults).map(micros)
+fn span(node: &Element, name: &str, faults: &mut Faults) -> Option<Micros> {
+    node.parse_attribute::<f64>(name, faults).map(micros)
 }
 
 /// The names of a list's elements, each at most once.
-fn names(list: Option<Node>, element: &str, faults: &mut Faults) -> Vec<String> {
+fn names(list: Option<Element>, element: &str, faults: &mut Faults) -> Vec<String> {
     let mut names: Vec<String> = Vec::new();
     for node in list.map(|l| l.children(element)).unwrap_or_default() {
-        let name = node.text("name").unwrap_or_default().to_owned();
+        let name = node.attribute("name").unwrap_or_default().to_owned();
         if names.contains(&name) {
             faults.push(node.fault(format!("{element} {name:?} stands twice")));
         }
@@ -59,34 +59,34 @@
     names
 }
 
-fn position(node: &Node, attribute: &str, names: &[String], faults: &mut Faults) -> usize {
-    let told = node.text(attribute).unwrap_or_default();
+fn position(node: &Element, attribute: &str, names: &[String], faults: &mut Faults) -> usize {
+    let told = node.attribute(attribute).unwrap_or_default();
     names.iter().position(|n| n == told).unwrap_or_else(|| {
         faults.push(node.fault(format!("{attribute} {told:?} is not among {}", names.join(", "))));
         0
     })
 }
 
-fn class(node: &Node, faults: &mut Faults) -> Class {
+fn class(node: &Element, faults: &mut Faults) -> Class {
     let aim = span(node, "aim-ms", faults).unwrap_or(0);
     let deadline = span(node, "deadline-ms", faults).unwrap_or(0);
     if deadline < aim {
         faults.push(node.fault("deadline-ms must not be below aim-ms"));
     }
     let window = span(node, "window-ms", faults);
-    let group = match node.text("group") {
+    let group = match node.attribute("group") {
         Some("zone") => Group::Zone,
         Some("cell") => Group::Cell,
         _ => Group::All,
     };
-    let repeat = match (node.text("repeat"), window) {
+    let repeat = match (node.attribute("repeat"), window) {
         (Some("keyed"), Some(window)) => Repeat::Keyed { group, window },
         (Some("keyed"), None) => {
             faults.push(node.fault("a keyed class needs window-ms: how long workers drop repeats"));
             Repeat::Unsafe
         }
         (told, window) => {
-            if window.is_some() || node.text("group").is_some() {
+            if window.is_some() || node.attribute("group").is_some() {
                 faults.push(node.fault("window-ms and group are for keyed classes only"));
             }
             if told == Some("safe") { Repeat::Safe } else { Repeat::Unsafe }
@@ -100,23 +100,23 @@
     }
 }
 
-fn function(node: &Node, classes: &[String], largest: f64, faults: &mut Faults) -> FunctionConfig {
-    let memory_mb = node.value("memory-mb", faults).unwrap_or(1.0);
+fn function(node: &Element, classes: &[String], largest: f64, faults: &mut Faults) -> FunctionConfig {
+    let memory_mb = node.parse_attribute("memory-mb", faults).unwrap_or(1.0);
     if memory_mb > largest {
         faults.push(
             node.fault(format!("a copy of {memory_mb} MB fits no kind of worker: the largest has {largest}")),
         );
     }
     FunctionConfig {
-        name: node.text("name").unwrap_or_default().into(),
+        name: node.attribute("name").unwrap_or_default().into(),
         class: position(node, "class", classes, faults),
         memory_mb,
-        lanes: node.value("lanes", faults).unwrap_or(1),
+        lanes: node.parse_attribute("lanes", faults).unwrap_or(1),
         load: span(node, "load-ms", faults),
     }
 }
 
-fn config(root: Node, folder: &Path, faults: &mut Faults) -> Config {
+fn config(root: Element, folder: &Path, faults: &mut Faults) -> Config {
     let part = |name: &str| Part(root.child(name));
     let (gateway, roster, workers) = (part("gateway"), part("roster"), part("workers"));
     let zones = names(root.child("zones"), "zone", faults);
@@ -126,7 +126,7 @@
     names(root.child("functions"), "function", faults);
     let list = |list: &str, element: &str| root.child(list).map(|l| l.children(element)).unwrap_or_default();
     let memory: Vec<f64> =
-        list("kinds", "kind").iter().map(|k| k.value("memory-mb", faults).unwrap_or(1.0)).collect();
+        list("kinds", "kind").iter().map(|k| k.parse_attribute("memory-mb", faults).unwrap_or(1.0)).collect();
     let told: Vec<Class> = list("classes", "class").iter().map(|c| class(c, faults)).collect();
     let kept: Vec<_> = list("classes", "class").iter().map(|c| kept(c, faults)).collect();
     let largest = memory.iter().copied().fold(0.0, f64::max);
@@ -134,11 +134,13 @@
         list("functions", "function").iter().map(|f| function(f, &classes, largest, faults)).collect();
 
     let mut module = Settings::new(told, memory);
-    module.tenant_quotas =
-        list("tenants", "tenant").iter().map(|t| t.value("quota-per-s", faults).unwrap_or(0.0)).collect();
+    module.tenant_quotas = list("tenants", "tenant")
+        .iter()
+        .map(|t| t.parse_attribute("quota-per-s", faults).unwrap_or(0.0))
+        .collect();
     module.over_share_worth = part("tenants").number("over-share-worth", 1.0, faults);
     module.report_names = REPORT.map(str::to_owned).to_vec();
-    module.zone = match gateway.0.filter(|g| g.text("zone").is_some()) {
+    module.zone = match gateway.0.filter(|g| g.attribute("zone").is_some()) {
         Some(node) => position(&node, "zone", &zones, faults),
         None => 0,
     };
@@ -188,7 +190,7 @@
     }
     let margin = part("margin");
     let name =
-        gateway.0.and_then(|g| g.text("name")).map_or_else(|| format!("gateway-{index}"), str::to_owned);
+        gateway.0.and_then(|g| g.attribute("name")).map_or_else(|| format!("gateway-{index}"), str::to_owned);
     let sites = root.child("sites").and_then(|node| sites(&node, &name, faults));
     let keeps = list("classes", "class").into_iter().zip(&kept).find(|(_, kept)| kept.is_some());
     if let (Some((node, _)), None) = (keeps, root.child("sites")) {
@@ -247,6 +249,6 @@
     }
 }
 
-fn file(node: Option<Node>, name: &str, folder: &Path) -> Option<PathBuf> {
-    node?.text(name).map(|told| folder.join(told))
+fn file(node: Option<Element>, name: &str, folder: &Path) -> Option<PathBuf> {
+    node?.attribute(name).map(|told| folder.join(told))
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-use crate::sites::{KeptConfig, SitesConfig};
+use crate::sites::{ReplicationConfig, SitesConfig};
 use basaltward::{FunctionId, Micros, Settings};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -110,7 +110,7 @@
     /// Names of the classes, by position.
     pub classes: Vec<String>,
     /// How each class keeps its events, by position; none where it does not.
-    pub kept: Vec<Option<KeptConfig>>,
+    pub kept: Vec<Option<ReplicationConfig>>,
     /// Names of tenants, by position; empty without tenants.
     pub tenants: Vec<String>,
     /// The functions.
--- a/crates/config/src/xml.rs
+++ b/crates/config/src/xml.rs
@@ -13,11 +13,11 @@
 ///
 /// # Errors
 /// All faults, in the order of lines.
-pub fn checked<T>(
+pub fn parse_validated<T>(
     text: &str,
     path: &str,
     schema: &str,
-    take: impl FnOnce(Node, &mut Vec<Fault>) -> T,
+    take: impl FnOnce(Element, &mut Vec<Fault>) -> T,
 ) -> Result<T, ConfigError> {
     let broken = |error: XmlError| ConfigError::Schema(error.to_string());
     let schema = uppsala::parse(schema).map_err(broken)?;
@@ -33,10 +33,10 @@
         })
         .collect();
     if let (false, Some(root)) = (faults.is_empty(), document.document_element()) {
-        renamed(Node { document: &document, id: root }, &mut faults);
+        renamed(Element { document: &document, id: root }, &mut faults);
     }
     if let (true, Some(root)) = (faults.is_empty(), document.document_element()) {
-        let taken = take(Node { document: &document, id: root }, &mut faults);
+        let taken = take(Element { document: &document, id: root }, &mut faults);
         if faults.is_empty() {
             return Ok(taken);
         }
@@ -48,7 +48,7 @@
 }
 
 /// Adds a fault for each element below this one that stands under its old name, in place of the schema's of that place.
-fn renamed(node: Node, faults: &mut Vec<Fault>) {
+fn renamed(node: Element, faults: &mut Vec<Fault>) {
     for child in node.elements() {
         let name = child.name();
         if let Some((_, new)) = RENAMED.iter().find(|(old, _)| *old == name) {
@@ -91,41 +91,42 @@
 
 /// An element.
 #[derive(Clone, Copy)]
-pub struct Node<'a> {
+pub struct Element<'a> {
     document: &'a Document<'a>,
     id: NodeId,
 }
 
-impl<'a> Node<'a> {
+impl<'a> Element<'a> {
     /// Its name without prefix.
     pub fn name(&self) -> String {
         self.document.element(self.id).map(|e| e.name.local_name.to_string()).unwrap_or_default()
     }
 
     /// Its child elements of this name.
-    pub fn children(&self, name: &str) -> Vec<Node<'a>> {
+    pub fn children(&self, name: &str) -> Vec<Element<'a>> {
         self.elements().into_iter().filter(|n| n.name() == name).collect()
     }
 
     /// All child elements.
-    pub fn elements(&self) -> Vec<Node<'a>> {
-        let all = self.document.children(self.id).into_iter().map(|id| Node { document: self.document, id });
+    pub fn elements(&self) -> Vec<Element<'a>> {
+        let all =
+            self.document.children(self.id).into_iter().map(|id| Element { document: self.document, id });
         all.filter(|n| n.document.element(n.id).is_some()).collect()
     }
 
     /// The first child element of this name.
-    pub fn child(&self, name: &str) -> Option<Node<'a>> {
+    pub fn child(&self, name: &str) -> Option<Element<'a>> {
         self.children(name).into_iter().next()
     }
 
     /// An attribute's text.
-    pub fn text(&self, name: &str) -> Option<&'a str> {
+    pub fn attribute(&self, name: &str) -> Option<&'a str> {
         self.document.get_attribute(self.id, name)
     }
 
     /// An attribute as a type; `None` where it is absent. The schema has checked its form.
-    pub fn value<T: FromStr>(&self, name: &str, faults: &mut Vec<Fault>) -> Option<T> {
-        let text = self.text(name)?.trim();
+    pub fn parse_attribute<T: FromStr>(&self, name: &str, faults: &mut Vec<Fault>) -> Option<T> {
+        let text = self.attribute(name)?.trim();
         let value = text.parse().ok();
         if value.is_none() {
             faults.push(self.fault(format!("{name}: {text:?} is out of range")));
@@ -134,8 +135,8 @@
     }
 
     /// An attribute as a truth value.
-    pub fn flag(&self, name: &str) -> Option<bool> {
-        self.text(name).map(|text| matches!(text.trim(), "true" | "1"))
+    pub fn bool_attribute(&self, name: &str) -> Option<bool> {
+        self.attribute(name).map(|text| matches!(text.trim(), "true" | "1"))
     }
 
     /// A fault at this element.
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,6 +1,6 @@
 //! Settings as files: good ones with their defaults, bad ones with the place of each fault.
 use basaltward::{Group, Repeat};
-use basaltward_config::{ConfigError, Fault, KeptConfig, Unheld, read};
+use basaltward_config::{ConfigError, Fault, ReplicationConfig, UnreplicatedPolicy, read};
 use std::path::Path;
 
 const GOOD: &str = r#"<basaltward xmlns="urn:basaltward:config:1">
@@ -77,10 +77,14 @@
 #[test]
 fn sites_name_every_gateway_once_and_ourselves_among_them() {
     let config = read(&with_sites(), Path::new("x.xml")).expect("good");
-    let kept = KeptConfig { holders: 2, unheld: Unheld::GoOn, owed: false };
+    let kept = ReplicationConfig {
+        holders: 2,
+        unreplicated: UnreplicatedPolicy::Continue,
+        finish_without_client: false,
+    };
     assert_eq!(config.kept, [Some(kept), None]);
     let sites = config.sites.expect("told");
-    assert_eq!((sites.own, sites.names.len(), sites.peers.len()), (1, 2, 3));
+    assert_eq!((sites.own_index, sites.site_names.len(), sites.peers.len()), (1, 2, 3));
     assert_eq!((sites.peers[2].site, sites.journal.lease, sites.hand_over), (1, 2_000_000, true));
     let cases = [
         ("name=\"l1\"", "name=\"l0\"", 15, "peer \"l0\" stands twice"),
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -76,7 +76,7 @@
 
 /// Which gateway stands where, by the settings.
 fn places(sites: &SitesConfig) -> Option<SiteMap> {
-    SiteMap::new(sites.peers.iter().map(|peer| peer.site).collect(), sites.own)
+    SiteMap::new(sites.peers.iter().map(|peer| peer.site).collect(), sites.own_index)
 }
 
 /// Figures of the door, the same at all gateways.
@@ -104,7 +104,7 @@
     let kinds = &config.module.family.kind_memory_mb;
     let worker_mb = kinds.iter().sum::<f64>() / kinds.len().max(1) as f64;
     let functions = config.functions.iter().map(function).collect();
-    let usual = RouteSettings::new(places(sites)?, functions, worker_mb as u32, u64::from(sites.own));
+    let usual = RouteSettings::new(places(sites)?, functions, worker_mb as u32, u64::from(sites.own_index));
     Some(RouteSettings { keep: config.module.family.keep, loops: config.threads as u16, ..usual })
 }
 
@@ -115,11 +115,11 @@
         transport: PeerConfig {
             sites: places(sites).map(|map| SitesToWatch { map, lost_after_us: LOST_US }),
             name: sites.fleet.clone(),
-            listen: sites.listen,
-            peers: peers.iter().map(|peer| peer.tell).collect(),
-            own: sites.own,
+            listen: sites.datagram_listen,
+            peers: peers.iter().map(|peer| peer.datagram_address).collect(),
+            own: sites.own_index,
             seed,
-            operators: sites.operators.clone(),
+            operators: sites.operator_hosts.clone(),
             zones: peers.iter().map(|peer| peer.site).collect(),
             bounds: config.kept.iter().any(Option::is_some).then(Default::default),
             version: String::new(),
@@ -127,7 +127,7 @@
             bytes_per_s: BYTES_PER_S,
         },
         listen: sites.journal_listen,
-        connections: ConnectionConfig::new(peers.iter().map(|peer| peer.journal).collect()),
+        connections: ConnectionConfig::new(peers.iter().map(|peer| peer.journal_address).collect()),
     }
 }
 
@@ -154,10 +154,15 @@
         let holders = config.kept.iter().map(|kept| kept.map_or(0, |kept| kept.holders.min(255) as u8));
         let places = places(sites).ok_or(GatewayError::Sites)?;
         let pending = PendingSettings {
-            bytes: sites.journal.bytes,
-            entry_bytes: sites.journal.entry_bytes,
+            bytes: sites.journal.max_bytes,
+            entry_bytes: sites.journal.max_entry_bytes,
             lease: sites.journal.lease,
-            ..PendingSettings::new(places.clone(), endpoint.life(), holders.collect(), u64::from(sites.own))
+            ..PendingSettings::new(
+                places.clone(),
+                endpoint.life(),
+                holders.collect(),
+                u64::from(sites.own_index),
+            )
         };
         let windows = config.module.classes.iter().map(|class| match class.repeat {
             Repeat::Keyed { window, .. } => window,
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -7,7 +7,7 @@
 use crate::worker_wire::Reply;
 use basaltward::{Group, Micros, Repeat};
 use basaltward_cloudevents::{Attribute, Event, from_json, to_json};
-use basaltward_config::{KeptConfig, Unheld};
+use basaltward_config::{ReplicationConfig, UnreplicatedPolicy};
 use basaltward_engine::{Answer, AttemptEnd, AttemptId, Failure, Identity, NewCall, Refusal, WaiterId};
 use basaltward_pending::{Accepted, Again, Key, Outcome, Step};
 use basaltward_timers::Timers;
@@ -90,7 +90,7 @@
 
 /// See the module's page.
 pub struct KeptEvents {
-    classes: Vec<(Option<KeptConfig>, Repeat)>,
+    classes: Vec<(Option<ReplicationConfig>, Repeat)>,
     entry_bytes: usize,
     events: HashMap<Key, Kept>,
     /// Attempts that wait to leave.
@@ -120,7 +120,7 @@
 impl KeptEvents {
     /// None yet; nothing where no class keeps its events.
     pub fn new(
-        classes: Vec<(Option<KeptConfig>, Repeat)>,
+        classes: Vec<(Option<ReplicationConfig>, Repeat)>,
         entry_bytes: usize,
         most_ended: usize,
     ) -> Option<Self> {
@@ -149,8 +149,9 @@
         self.due.next_due().into_iter().chain(self.stale.next_due()).min()
     }
 
-    fn refusal(class: &KeptConfig) -> Option<Answer<Reply>> {
-        (class.unheld == Unheld::Refuse).then_some(Answer::Refused(Refusal::NotReplicated, None))
+    fn refusal(class: &ReplicationConfig) -> Option<Answer<Reply>> {
+        (class.unreplicated == UnreplicatedPolicy::Refuse)
+            .then_some(Answer::Refused(Refusal::NotReplicated, None))
     }
 
     /// A call that this loop owns. `wall` is the wall clock in milliseconds.
@@ -201,7 +202,7 @@
             tenant: call.identity.tenant as u16,
             function: call.function.name.to_string(),
             again: again(repeat),
-            owed: kept.owed,
+            owed: kept.finish_without_client,
             deadline: wall + deadline.saturating_sub(now) / 1_000,
             event,
         }));
@@ -441,8 +442,8 @@
 
     const S: Micros = 1_000_000;
 
-    fn events(unheld: Unheld, repeat: Repeat) -> KeptEvents {
-        let kept = KeptConfig { holders: 1, unheld, owed: false };
+    fn events(unheld: UnreplicatedPolicy, repeat: Repeat) -> KeptEvents {
+        let kept = ReplicationConfig { holders: 1, unreplicated: unheld, finish_without_client: false };
         KeptEvents::new(vec![(Some(kept), repeat), (None, Repeat::Safe)], 1_000, 2).expect("a class keeps")
     }
 
@@ -474,7 +475,7 @@
 
     #[test]
     fn a_call_and_its_repeats_go_on_once_it_is_held_and_each_step_is_told_once() {
-        let mut kept = events(Unheld::Refuse, Repeat::Unsafe);
+        let mut kept = events(UnreplicatedPolicy::Refuse, Repeat::Unsafe);
         assert!(matches!(kept.accept((0, 0), call(1, "a", 0)), Accept::Waits));
         assert!(matches!(kept.accept((0, 0), call(2, "a", 0)), Accept::Waits));
         assert!(matches!(kept.accept((0, 0), call(3, "b", 1)), Accept::Go(_)), "its class keeps nothing");
@@ -494,7 +495,7 @@
 
     #[test]
     fn what_is_not_held_in_time_is_refused_or_goes_on_and_says_so() {
-        let mut kept = events(Unheld::Refuse, Repeat::Safe);
+        let mut kept = events(UnreplicatedPolicy::Refuse, Repeat::Safe);
         kept.accept((0, 0), call(1, "a", 0));
         assert!(kept.wake(2 * S - 1).is_empty());
         let then = kept.wake(2 * S);
@@ -502,7 +503,7 @@
         assert!(matches!(&then[..], [Then::Answer(WaiterId(1), answer)] if *answer == unkept));
         assert!(matches!(kept.steps.back(), Some(Step::Ended { outcome: Outcome::Refused, .. })));
 
-        let mut kept = events(Unheld::GoOn, Repeat::Safe);
+        let mut kept = events(UnreplicatedPolicy::Continue, Repeat::Safe);
         kept.accept((0, 0), call(1, "a", 0));
         assert_eq!(went(kept.held(key("a"), false)), [1]);
         let start = kept.start((0, S), attempt(0), &call(1, "a", 0).identity, "w");
@@ -516,7 +517,7 @@
 
     #[test]
     fn an_attempt_that_never_left_is_known_not_to_have_run() {
-        let mut kept = events(Unheld::Refuse, Repeat::Unsafe);
+        let mut kept = events(UnreplicatedPolicy::Refuse, Repeat::Unsafe);
         kept.accept((0, 0), call(1, "a", 0));
         kept.held(key("a"), true);
         let identity = call(1, "a", 0).identity;
@@ -543,7 +544,7 @@
 
     #[test]
     fn a_repeat_of_an_event_that_heirs_ended_is_told_how_and_old_ends_are_forgotten() {
-        let mut kept = events(Unheld::Refuse, Repeat::Unsafe);
+        let mut kept = events(UnreplicatedPolicy::Refuse, Repeat::Unsafe);
         for (id, outcome) in [("x", Outcome::Refused), ("a", Outcome::Failed), ("b", Outcome::Failed)] {
             kept.told(key(id), outcome, &[], 0);
         }
@@ -557,7 +558,7 @@
 
     #[test]
     fn what_others_see_to_does_not_leave_any_more_and_is_forgotten_after_its_time() {
-        let mut kept = events(Unheld::Refuse, Repeat::Unsafe);
+        let mut kept = events(UnreplicatedPolicy::Refuse, Repeat::Unsafe);
         kept.accept((0, 0), call(1, "a", 0));
         kept.held(key("a"), true);
         let identity = call(1, "a", 0).identity;
@@ -576,7 +577,7 @@
 
     #[test]
     fn a_control_thread_that_stands_still_bounds_what_waits() {
-        let mut kept = events(Unheld::Refuse, Repeat::Safe);
+        let mut kept = events(UnreplicatedPolicy::Refuse, Repeat::Safe);
         let mut waits =
             |n: usize| matches!(kept.accept((0, 0), call(n as u64, &n.to_string(), 0)), Accept::Waits);
         assert_eq!((0..MOST_STEPS + 100).filter(|n| waits(*n)).count(), MOST_STEPS);
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -130,10 +130,11 @@
         let sites = Arc::new(config.sites.clone()?);
         let link =
             LinkConfig { response_bytes: config.front.body_bytes.max(1 << 20), ..config.links.clone() };
-        let front = |peer: &basaltward_config::SitePeerConfig| peer.front.to_string().as_str().into();
-        let seed = u64::from(sites.own) << 32 | u64::from(thread);
+        let front =
+            |peer: &basaltward_config::SitePeerConfig| peer.client_address.to_string().as_str().into();
+        let seed = u64::from(sites.own_index) << 32 | u64::from(thread);
         let classes = config.kept.iter().copied().zip(config.module.classes.iter().map(|class| class.repeat));
-        let kept = KeptEvents::new(classes.collect(), sites.journal.entry_bytes, config.repeats.guards);
+        let kept = KeptEvents::new(classes.collect(), sites.journal.max_entry_bytes, config.repeats.guards);
         let positions = config.functions.iter().zip(0..).map(|(f, at)| (f.name.clone(), at));
         Some(Self {
             links: Links::new(config.name.clone(), link, Vec::new()),
@@ -283,7 +284,7 @@
             return Some(Owned::Nobody);
         };
         Some(match owner(Key(digest(&call.identity)), &owners.taken) {
-            Some(of) if of != self.config.own => Owned::By(of),
+            Some(of) if of != self.config.own_index => Owned::By(of),
             Some(_) if owners.ready => Owned::Here,
             _ => Owned::Nobody,
         })
--- a/crates/play/src/script.rs
+++ b/crates/play/src/script.rs
@@ -1,4 +1,4 @@
-use basaltward_config::xml::{Node, checked};
+use basaltward_config::xml::{Element, parse_validated};
 use basaltward_config::{Config, ConfigError, Fault};
 use basaltward_net::Micros;
 use basaltward_standins::{Retries, WorkerSpec};
@@ -84,24 +84,26 @@
         std::fs::read_to_string(path).map_err(|source| ConfigError::File { path: told.clone(), source })?;
     let folder = path.parent().unwrap_or(Path::new(""));
     // The schema first, then the settings that the script names, then what needs both.
-    let named = checked(&text, &told, SCHEMA, |root, _| root.text("config").unwrap_or_default().to_owned())?;
+    let named = parse_validated(&text, &told, SCHEMA, |root, _| {
+        root.attribute("config").unwrap_or_default().to_owned()
+    })?;
     let config = basaltward_config::load(&folder.join(named))?;
-    checked(&text, &told, SCHEMA, |root, faults| script(root, config, faults))
+    parse_validated(&text, &told, SCHEMA, |root, faults| script(root, config, faults))
 }
 
 fn micros(millis: f64) -> Micros {
     (millis * 1e3).round() as Micros
 }
 
-fn script(root: Node, mut config: Config, faults: &mut Vec<Fault>) -> Script {
+fn script(root: Element, mut config: Config, faults: &mut Vec<Fault>) -> Script {
     let part = |name: &str| root.child(name).unwrap_or(root);
     let (workers, clients) = (part("workers"), part("clients"));
-    let number = |node: &Node, name: &str, absent: f64, faults: &mut Vec<Fault>| {
-        node.value::<f64>(name, faults).unwrap_or(absent)
+    let number = |node: &Element, name: &str, absent: f64, faults: &mut Vec<Fault>| {
+        node.parse_attribute::<f64>(name, faults).unwrap_or(absent)
     };
     let count = number(&workers, "count", 1.0, faults) as usize;
     let gateways = number(&part("gateways"), "count", 1.0, faults) as u32;
-    config.threads = part("gateways").value("threads", faults).unwrap_or(config.threads);
+    config.threads = part("gateways").parse_attribute("threads", faults).unwrap_or(config.threads);
     let work = micros(number(&clients, "work-ms", 20.0, faults));
     let usual = WorkerSpec::default();
     let rules = &config.module.rules;
@@ -115,7 +117,7 @@
         ),
         keep: micros(number(&workers, "keep-ms", 10_000.0, faults)),
         queue: number(&workers, "queue", 32.0, faults) as usize,
-        forgets: workers.value("forgets-keys", faults).unwrap_or(false),
+        forgets: workers.parse_attribute("forgets-keys", faults).unwrap_or(false),
         load_on_miss: config.module.family.load_on_miss,
         cold_from: rules.cold_from,
         warm_within: rules.warm_within,
@@ -152,13 +154,13 @@
     }
 }
 
-fn step(node: &Node, workers: usize, gateways: usize, faults: &mut Vec<Fault>) -> Option<Step> {
+fn step(node: &Element, workers: usize, gateways: usize, faults: &mut Vec<Fault>) -> Option<Step> {
     use basaltward_standins::Fault as Does;
-    let at = micros(node.value("ms", faults)?);
-    let told = node.text("do").unwrap_or_default();
-    let span = node.value::<f64>("for-ms", faults).map(micros);
+    let at = micros(node.parse_attribute("ms", faults)?);
+    let told = node.attribute("do").unwrap_or_default();
+    let span = node.parse_attribute::<f64>("for-ms", faults).map(micros);
     let mut position = |attribute: &str, count: usize| {
-        let position = node.value::<usize>(attribute, faults);
+        let position = node.parse_attribute::<usize>(attribute, faults);
         if position.is_none_or(|p| p >= count) {
             faults
                 .push(node.fault(format!("{told} needs {attribute} from 0 to {}", count.saturating_sub(1))));
@@ -175,15 +177,17 @@
             Act::Gateway(position("gateway", gateways)?, span.unwrap_or(500_000), told == "kill-gateway")
         }
         "empty-roster" => Act::EmptyRoster(span.unwrap_or(1_000_000)),
-        "surge" => Act::Surge(node.value("times", faults).unwrap_or(2.0), span.unwrap_or(3_000_000)),
+        "surge" => {
+            Act::Surge(node.parse_attribute("times", faults).unwrap_or(2.0), span.unwrap_or(3_000_000))
+        }
         "early-leavers" => Act::EarlyLeavers {
-            share: node.value("share", faults).unwrap_or(0.5),
-            leave: micros(node.value("leave-ms", faults).unwrap_or(100.0)),
-            repeats: node.value("repeats", faults).unwrap_or(10),
+            share: node.parse_attribute("share", faults).unwrap_or(0.5),
+            leave: micros(node.parse_attribute("leave-ms", faults).unwrap_or(100.0)),
+            repeats: node.parse_attribute("repeats", faults).unwrap_or(10),
             span: span.unwrap_or(3_000_000),
         },
         "store" => {
-            let times = node.value("times", faults).unwrap_or(5.0);
+            let times = node.parse_attribute("times", faults).unwrap_or(5.0);
             let end = (span.unwrap_or(5_000_000), Does::StoreSlow(1.0));
             Act::Worker(0, Does::StoreSlow(times), Some(end))
         }
@@ -191,11 +195,12 @@
             let worker = worker()?;
             let (begin, end) = match told {
                 "silent" => (Does::Silent(true), Does::Silent(false)),
-                "slow" => (Does::Slow(node.value("times", faults).unwrap_or(5.0)), Does::Slow(1.0)),
+                "slow" => (Does::Slow(node.parse_attribute("times", faults).unwrap_or(5.0)), Does::Slow(1.0)),
                 "garbage" => (Does::Garbage(true), Does::Garbage(false)),
-                "reset" => {
-                    (Does::ResetAt(Some(node.value("byte", faults).unwrap_or(0))), Does::ResetAt(None))
-                }
+                "reset" => (
+                    Does::ResetAt(Some(node.parse_attribute("byte", faults).unwrap_or(0))),
+                    Does::ResetAt(None),
+                ),
                 "too-long" => (Does::TooLong(true), Does::TooLong(false)),
                 _ => (Does::CloseAfter(true), Does::CloseAfter(false)),
             };
--- a/crates/play/tests/sites.rs
+++ b/crates/play/tests/sites.rs
@@ -1,7 +1,9 @@
 //! Gateways of two sites in one process: kept events wait for the other site, and the control thread holds nobody up.
 mod common;
 
-use basaltward_config::{Config, JournalConfig, KeptConfig, SitePeerConfig, SitesConfig, Unheld};
+use basaltward_config::{
+    Config, JournalConfig, ReplicationConfig, SitePeerConfig, SitesConfig, UnreplicatedPolicy,
+};
 use basaltward_play::Bed;
 use basaltward_rules::{Observation, Recorder};
 use common::*;
@@ -16,34 +18,34 @@
 }
 
 /// Settings of each of so many sites of one gateway; all classes are kept by one neighbour.
-fn sites(count: u8, unheld: Unheld, host: u8) -> Vec<Config> {
+fn sites(count: u8, unheld: UnreplicatedPolicy, host: u8) -> Vec<Config> {
     let address = |_: u8| reserve(host);
     let peer = |site: u8| SitePeerConfig {
         name: format!("g{site}"),
         site,
-        tell: address(site),
-        front: address(site),
-        journal: address(site),
+        datagram_address: address(site),
+        client_address: address(site),
+        journal_address: address(site),
     };
     let peers: Vec<_> = (0..count).map(peer).collect();
     let one = |own: u8| {
         let us = &peers[usize::from(own)];
         let sites = SitesConfig {
             fleet: "test".into(),
-            listen: us.tell,
-            journal_listen: us.journal,
-            operators: Vec::new(),
-            own: own.into(),
-            names: (0..count).map(|site| format!("s{site}")).collect(),
+            datagram_listen: us.datagram_address,
+            journal_listen: us.journal_address,
+            operator_hosts: Vec::new(),
+            own_index: own.into(),
+            site_names: (0..count).map(|site| format!("s{site}")).collect(),
             peers: peers.clone(),
             hand_over: true,
             shed: true,
-            journal: JournalConfig { bytes: 1 << 20, entry_bytes: 8 << 10, lease: 2_000_000 },
+            journal: JournalConfig { max_bytes: 1 << 20, max_entry_bytes: 8 << 10, lease: 2_000_000 },
         };
-        let kept = Some(KeptConfig { holders: 1, unheld, owed: false });
+        let kept = Some(ReplicationConfig { holders: 1, unreplicated: unheld, finish_without_client: false });
         Config {
             name: us.name.clone(),
-            listen: us.front,
+            listen: us.client_address,
             kept: vec![kept; 3],
             sites: Some(sites),
             ..config()
@@ -72,7 +74,7 @@
 
 #[test]
 fn kept_events_are_served_once_another_site_holds_them_and_refused_without_one() {
-    let configs = sites(2, Unheld::Refuse, 1);
+    let configs = sites(2, UnreplicatedPolicy::Refuse, 1);
     let recorder = Recorder::memory();
     let near = start(&configs[0], &recorder);
     let to = near.addresses[0];
@@ -93,7 +95,7 @@
 
 #[test]
 fn a_control_thread_that_stands_still_harms_no_call_of_other_classes() {
-    let configs = sites(1, Unheld::GoOn, 2);
+    let configs = sites(1, UnreplicatedPolicy::Continue, 2);
     let bed = start(&Config { kept: vec![None; 3], ..configs[0].clone() }, &Recorder::memory());
     let to = bed.addresses[0];
     assert_eq!(status(to, "view", "before"), 200);
--- a/crates/roster/src/file.rs
+++ b/crates/roster/src/file.rs
@@ -1,6 +1,6 @@
 use crate::{Entry, Names, News, Source};
 use basaltward::{Micros, State};
-use basaltward_config::xml::{Node, checked};
+use basaltward_config::xml::{Element, parse_validated};
 use basaltward_config::{ConfigError, Fault};
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -72,7 +72,7 @@
 }
 
 fn read(text: &str, path: &Path, names: &Names) -> Result<Vec<Entry>, ConfigError> {
-    checked(text, &path.display().to_string(), SCHEMA, |root, faults| {
+    parse_validated(text, &path.display().to_string(), SCHEMA, |root, faults| {
         let mut addresses = BTreeSet::new();
         let mut entries = Vec::new();
         for node in root.children("worker") {
@@ -89,8 +89,8 @@
     })
 }
 
-fn entry(node: &Node, names: &Names, faults: &mut Vec<Fault>) -> Entry {
-    let mut position = |attribute: &str, names: &[String]| match node.text(attribute) {
+fn entry(node: &Element, names: &Names, faults: &mut Vec<Fault>) -> Entry {
+    let mut position = |attribute: &str, names: &[String]| match node.attribute(attribute) {
         None => 0,
         Some(told) => names.iter().position(|n| n == told).unwrap_or_else(|| {
             faults.push(node.fault(format!("{attribute} {told:?} is not among {}", names.join(", "))));
@@ -99,17 +99,17 @@
     };
     let (kind, zone) = (position("kind", &names.kinds), position("zone", &names.zones));
     Entry {
-        address: node.text("address").unwrap_or_default().to_owned(),
-        state: match node.text("state") {
+        address: node.attribute("address").unwrap_or_default().to_owned(),
+        state: match node.attribute("state") {
             Some("leaving") => State::Leaving,
             Some("gone") => State::Gone,
             _ => State::Active,
         },
-        started: node.value::<u64>("started-ms", faults).map(|ms| ms.saturating_mul(1_000)),
+        started: node.parse_attribute::<u64>("started-ms", faults).map(|ms| ms.saturating_mul(1_000)),
         kind,
         zone,
-        cell: node.value("cell", faults).unwrap_or(0),
-        size: node.value("size", faults).unwrap_or(1.0),
+        cell: node.parse_attribute("cell", faults).unwrap_or(0),
+        size: node.parse_attribute("size", faults).unwrap_or(1.0),
     }
 }
 
--- a/crates/trial/src/hollow/script.rs
+++ b/crates/trial/src/hollow/script.rs
@@ -3,7 +3,7 @@
 use super::conditions::{Conditions, Cut, Delays};
 use super::topology::Topology;
 use basaltward_config::Fault;
-use basaltward_config::xml::Node;
+use basaltward_config::xml::Element;
 use basaltward_net::{Micros, monotonic};
 use std::path::{Path, PathBuf};
 
@@ -105,14 +105,14 @@
 }
 
 /// Reads the element `hollow`, which the schema has checked.
-pub(crate) fn hollow(part: Node, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> HollowScript {
+pub(crate) fn hollow(part: Element, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> HollowScript {
     let spec = spec(part, program, seed, faults);
     let steps = part.children("step").into_iter().filter_map(|node| step(node, &spec, faults)).collect();
     HollowScript { spec, steps }
 }
 
-fn spec(part: Node, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> HollowSpec {
-    let mut number = |name: &str, absent: usize| part.value(name, faults).unwrap_or(absent);
+fn spec(part: Element, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> HollowSpec {
+    let mut number = |name: &str, absent: usize| part.parse_attribute(name, faults).unwrap_or(absent);
     let (count, real) = (number("count", 1), number("real", 0));
     let topology =
         Topology { members: count + real, zones: number("zones", 1), regions: number("regions", 1) };
@@ -121,7 +121,7 @@
     let start_us = number("start-ms", 0) as Micros * 1_000;
     let pace = number("pace", 1) as u64;
     let usual = Delays::default();
-    let mut share = |name: &str, absent: f64| part.value(name, faults).unwrap_or(absent);
+    let mut share = |name: &str, absent: f64| part.parse_attribute(name, faults).unwrap_or(absent);
     let mut delay = |name: &str, absent: Micros| (share(name, absent as f64 / 1e3) * 1e3) as Micros;
     let delays = Delays {
         zone_us: delay("zone-ms", usual.zone_us),
@@ -149,7 +149,7 @@
         count,
         real,
         conditions,
-        permits: part.flag("permits").unwrap_or_default(),
+        permits: part.bool_attribute("permits").unwrap_or_default(),
         calls_per_s,
         start_us,
         settle_us,
@@ -159,11 +159,11 @@
     }
 }
 
-fn step(node: Node, spec: &HollowSpec, faults: &mut Vec<Fault>) -> Option<HollowStep> {
+fn step(node: Element, spec: &HollowSpec, faults: &mut Vec<Fault>) -> Option<HollowStep> {
     let Topology { zones, regions, .. } = spec.conditions.topology;
-    let lasts = node.value::<Micros>("for-ms", faults).map(|ms| ms * 1_000);
+    let lasts = node.parse_attribute::<Micros>("for-ms", faults).map(|ms| ms * 1_000);
     let below = |name: &str, bound: usize, faults: &mut Vec<Fault>| {
-        let told = node.value::<usize>(name, faults)?;
+        let told = node.parse_attribute::<usize>(name, faults)?;
         if told >= bound {
             faults.push(node.fault(format!("{name}: from 0 to {}", bound.saturating_sub(1))));
         }
@@ -171,15 +171,15 @@
     };
     let zone = below("zone", zones, faults);
     let region = below("region", regions, faults);
-    let members = node.value::<usize>("members", faults);
+    let members = node.parse_attribute::<usize>("members", faults);
     let before = faults.len();
-    let act = match (node.text("do").unwrap_or_default(), zone, region, members, lasts) {
+    let act = match (node.attribute("do").unwrap_or_default(), zone, region, members, lasts) {
         ("quiet", None, None, None, Some(span)) => {
-            let after = node.value::<Micros>("after-ms", faults).unwrap_or_default() * 1_000;
+            let after = node.parse_attribute::<Micros>("after-ms", faults).unwrap_or_default() * 1_000;
             HollowAct::Quiet { after, span }
         }
         ("loss", None, None, None, None) => {
-            let mut share = |name: &str| node.value::<f64>(name, faults).unwrap_or(0.0);
+            let mut share = |name: &str| node.parse_attribute::<f64>(name, faults).unwrap_or(0.0);
             HollowAct::Loss { lost: share("lost"), doubled: share("doubled") }
         }
         ("start", None, None, None, None) => HollowAct::Start,
--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -5,7 +5,7 @@
 use crate::hollow::{HollowScript, hollow};
 use crate::site_script::{SitesScript, sites};
 use crate::way::{Party, Stream, Way};
-use basaltward_config::xml::{Node, checked};
+use basaltward_config::xml::{Element, parse_validated};
 use basaltward_config::{ConfigError, Fault};
 use basaltward_net::{Micros, monotonic};
 use std::path::Path;
@@ -75,8 +75,8 @@
     let told = path.display().to_string();
     let text =
         std::fs::read_to_string(path).map_err(|source| ConfigError::File { path: told.clone(), source })?;
-    checked(&text, &told, SCHEMA, |root, faults| {
-        let seed = seed.or_else(|| root.value("seed", faults)).unwrap_or(1);
+    parse_validated(&text, &told, SCHEMA, |root, faults| {
+        let seed = seed.or_else(|| root.parse_attribute("seed", faults)).unwrap_or(1);
         match (root.child("sites"), root.child("hollow")) {
             (Some(_), _) => Told::Sites(sites(root, program, seed, faults)),
             (None, Some(part)) => Told::Hollow(hollow(part, program, seed, faults)),
@@ -85,9 +85,9 @@
     })
 }
 
-fn script(root: Node, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> Script {
+fn script(root: Element, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> Script {
     let part = root.child("fleet").unwrap_or(root);
-    let mut number = |name: &str, absent: u64| part.value::<u64>(name, faults).unwrap_or(absent);
+    let mut number = |name: &str, absent: u64| part.parse_attribute::<u64>(name, faults).unwrap_or(absent);
     let fleet = BedSpec {
         program: program.into(),
         schedulers: number("schedulers", 1) as usize,
@@ -109,7 +109,7 @@
 }
 
 struct Reader<'a> {
-    node: Node<'a>,
+    node: Element<'a>,
     index: u64,
     fleet: &'a BedSpec,
 }
@@ -117,7 +117,7 @@
 impl Reader<'_> {
     /// A told number below `count`, or one drawn by the seed and the step's place in the script.
     fn who(&self, name: &str, count: usize, faults: &mut Vec<Fault>) -> Option<usize> {
-        let told = self.node.text(name);
+        let told = self.node.attribute(name);
         if told == Some("any") {
             return Some(Bed::draw(self.fleet.seed, self.index, count));
         }
@@ -130,7 +130,7 @@
     }
 
     fn group(&self, faults: &mut Vec<Fault>) -> Option<Vec<usize>> {
-        let told = self.node.text("group").unwrap_or_default();
+        let told = self.node.attribute("group").unwrap_or_default();
         let group: Vec<usize> = told.split_whitespace().filter_map(|n| n.parse().ok()).collect();
         let good = !group.is_empty() && group.iter().all(|n| *n < self.fleet.schedulers);
         if !good {
@@ -141,9 +141,12 @@
     }
 
     fn loss(&self, faults: &mut Vec<Fault>) -> Loss {
-        let share = |name: &str, faults: &mut Vec<Fault>| self.node.value::<f64>(name, faults).unwrap_or(0.0);
+        let share = |name: &str, faults: &mut Vec<Fault>| {
+            self.node.parse_attribute::<f64>(name, faults).unwrap_or(0.0)
+        };
         let usual = Loss::default();
-        let late = self.node.value::<u64>("late-ms", faults).map_or(usual.delay_range.1, |ms| ms * 1_000);
+        let late =
+            self.node.parse_attribute::<u64>("late-ms", faults).map_or(usual.delay_range.1, |ms| ms * 1_000);
         Loss {
             loss_rate: share("lost", faults),
             duplicate_rate: share("doubled", faults),
@@ -153,9 +156,9 @@
 
     /// The step, and its end where it has one.
     fn step(&self, faults: &mut Vec<Fault>, steps: &mut Vec<Step>) {
-        let at = self.node.value::<u64>("ms", faults).unwrap_or(0) * 1_000;
-        let lasts = self.node.value::<u64>("for-ms", faults).map(|ms| ms * 1_000);
-        let told = self.node.text("do").unwrap_or_default();
+        let at = self.node.parse_attribute::<u64>("ms", faults).unwrap_or(0) * 1_000;
+        let lasts = self.node.parse_attribute::<u64>("for-ms", faults).map(|ms| ms * 1_000);
+        let told = self.node.attribute("do").unwrap_or_default();
         let schedulers = self.fleet.schedulers;
         let way = |to, scheduler| Way { from: Party::Scheduler(scheduler), to };
         let worker = |stream: Stream, faults: &mut Vec<Fault>| {
--- a/crates/trial/src/site_script.rs
+++ b/crates/trial/src/site_script.rs
@@ -4,7 +4,7 @@
 use crate::site_bed::{SiteBed, Who};
 use crate::site_spec::{CLASSES, LoadSpec, SiteLink, SiteSpec, SitesSpec};
 use basaltward_config::Fault;
-use basaltward_config::xml::Node;
+use basaltward_config::xml::Element;
 use basaltward_net::{Micros, monotonic};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -54,15 +54,15 @@
 }
 
 /// Reads a script's `sites`.
-pub(crate) fn sites(root: Node, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> SitesScript {
+pub(crate) fn sites(root: Element, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> SitesScript {
     let own = root.child("sites").unwrap_or(root);
-    let number = |node: &Node, name: &str, absent: u64, faults: &mut Vec<Fault>| {
-        node.value::<u64>(name, faults).unwrap_or(absent)
+    let number = |node: &Element, name: &str, absent: u64, faults: &mut Vec<Fault>| {
+        node.parse_attribute::<u64>(name, faults).unwrap_or(absent)
     };
     let mut told = Vec::new();
     for node in own.children("site") {
         told.push(SiteSpec {
-            name: node.text("name").unwrap_or_default().into(),
+            name: node.attribute("name").unwrap_or_default().into(),
             gateways: number(&node, "gateways", 1, faults) as usize,
             workers: number(&node, "workers", 1, faults) as usize,
             cores: number(&node, "cores", 4, faults) as u32,
@@ -78,8 +78,11 @@
         faults.push(own.fault(format!("holders must be below the number of gateways, {gateways}")));
     }
     let span = number(&own, "ms", 1_000, faults) * 1_000;
-    let tenant = |node: &Node, faults: &mut Vec<Fault>| {
-        (node.text("name").unwrap_or_default().to_owned(), node.value("quota-per-s", faults).unwrap_or(1.0))
+    let tenant = |node: &Element, faults: &mut Vec<Fault>| {
+        (
+            node.attribute("name").unwrap_or_default().to_owned(),
+            node.parse_attribute("quota-per-s", faults).unwrap_or(1.0),
+        )
     };
     let tenants = own.children("tenant").iter().map(|node| tenant(node, faults)).collect();
     let spec = SitesSpec {
@@ -89,7 +92,7 @@
         work_ms: number(&own, "work-ms", 20, faults),
         load_ms: number(&own, "load-ms", 500, faults),
         holders,
-        alone: own.flag("alone").unwrap_or(false),
+        alone: own.bool_attribute("alone").unwrap_or(false),
         tenants,
         links: BTreeMap::new(),
         loads: Vec::new(),
@@ -122,8 +125,8 @@
 
 impl Reader {
     /// The site that an attribute names.
-    fn site(&self, node: Node, name: &str, faults: &mut Vec<Fault>) -> Option<usize> {
-        let told = node.text(name)?;
+    fn site(&self, node: Element, name: &str, faults: &mut Vec<Fault>) -> Option<usize> {
+        let told = node.attribute(name)?;
         let site = self.spec.sites.iter().position(|site| site.name == told);
         if site.is_none() {
             faults.push(node.fault(format!("{name}: no site is named {told:?}")));
@@ -132,9 +135,10 @@
     }
 
     /// Ordered pairs of sites that `site` and `to` name, both ways: without them, all.
-    fn pairs(&self, node: Node, faults: &mut Vec<Fault>) -> Vec<(usize, usize)> {
+    fn pairs(&self, node: Element, faults: &mut Vec<Fault>) -> Vec<(usize, usize)> {
         let (site, to) = (self.site(node, "site", faults), self.site(node, "to", faults));
-        let one_way = node.text("do") == Some("one-way") || node.flag("one-way").unwrap_or(false);
+        let one_way =
+            node.attribute("do") == Some("one-way") || node.bool_attribute("one-way").unwrap_or(false);
         if one_way && (site.is_none() || to.is_none()) {
             faults.push(node.fault("one way alone needs site and to"));
         }
@@ -145,36 +149,37 @@
     }
 
     /// A link as an element tells it, on top of what it is else.
-    fn link(&self, node: Node, usual: SiteLink, faults: &mut Vec<Fault>) -> SiteLink {
+    fn link(&self, node: Element, usual: SiteLink, faults: &mut Vec<Fault>) -> SiteLink {
         let micros = |ms: f64| (ms * 1_000.0) as Micros;
         let (least, most) = usual.late;
-        let delay = node.value("delay-ms", faults).map_or(least, micros);
-        let jitter = node.value("jitter-ms", faults).map_or(most - least, micros);
+        let delay = node.parse_attribute("delay-ms", faults).map_or(least, micros);
+        let jitter = node.parse_attribute("jitter-ms", faults).map_or(most - least, micros);
         SiteLink {
             late: (delay, delay + jitter),
-            lost: node.value("lost", faults).unwrap_or(usual.lost),
-            doubled: node.value("doubled", faults).unwrap_or(usual.doubled),
-            rate: node.value("bytes-per-s", faults).or(usual.rate),
+            lost: node.parse_attribute("lost", faults).unwrap_or(usual.lost),
+            doubled: node.parse_attribute("doubled", faults).unwrap_or(usual.doubled),
+            rate: node.parse_attribute("bytes-per-s", faults).or(usual.rate),
             ..usual
         }
     }
 
-    fn load(&self, node: Node, faults: &mut Vec<Fault>) -> Option<LoadSpec> {
+    fn load(&self, node: Element, faults: &mut Vec<Fault>) -> Option<LoadSpec> {
         let site = self.site(node, "site", faults)?;
-        let class = node.text("class").map(|told| CLASSES.iter().position(|(name, _)| *name == told));
+        let class = node.attribute("class").map(|told| CLASSES.iter().position(|(name, _)| *name == told));
         if class == Some(None) {
             faults.push(node.fault("class is view, note or extract"));
         }
-        let mut millis = |name: &str| node.value::<u64>(name, faults).map(|ms| ms * 1_000);
+        let mut millis = |name: &str| node.parse_attribute::<u64>(name, faults).map(|ms| ms * 1_000);
         let span = millis("from-ms").unwrap_or(0)..millis("until-ms").unwrap_or(self.span);
         let patience = millis("patience-ms").unwrap_or(2_500_000);
-        let first = node.value::<usize>("first-function", faults).unwrap_or(0);
-        let count =
-            node.value::<usize>("functions", faults).unwrap_or(self.spec.functions.saturating_sub(first));
+        let first = node.parse_attribute::<usize>("first-function", faults).unwrap_or(0);
+        let count = node
+            .parse_attribute::<usize>("functions", faults)
+            .unwrap_or(self.spec.functions.saturating_sub(first));
         if count == 0 || first + count > self.spec.functions {
             faults.push(node.fault(format!("functions end past the last of {}", self.spec.functions)));
         }
-        let tenant = node.text("tenant").unwrap_or_default().to_owned();
+        let tenant = node.attribute("tenant").unwrap_or_default().to_owned();
         if !tenant.is_empty() && !self.spec.tenants.iter().any(|(name, _)| *name == tenant) {
             faults.push(node.fault(format!("no tenant is named {tenant:?}")));
         }
@@ -182,26 +187,26 @@
             site,
             class: class.flatten(),
             functions: first..first + count.max(1),
-            rate: node.value("rate", faults).unwrap_or(10.0),
+            rate: node.parse_attribute("rate", faults).unwrap_or(10.0),
             span,
             patience,
-            repeats: node.value("repeats", faults).unwrap_or(0.0),
-            retries: node.value("retries", faults).unwrap_or(0),
-            honour: node.flag("honour").unwrap_or(true),
-            insists: node.flag("insists").unwrap_or(false),
+            repeats: node.parse_attribute("repeats", faults).unwrap_or(0.0),
+            retries: node.parse_attribute("retries", faults).unwrap_or(0),
+            honour: node.bool_attribute("honour").unwrap_or(true),
+            insists: node.bool_attribute("insists").unwrap_or(false),
             tenant,
         })
     }
 
     /// Whom `site`, and `gateway` or `worker` by its number there, name; `any` is drawn.
-    fn who(&self, node: Node, index: u64, faults: &mut Vec<Fault>) -> Option<Who> {
+    fn who(&self, node: Element, index: u64, faults: &mut Vec<Fault>) -> Option<Who> {
         let Some(site) = self.site(node, "site", faults) else {
             faults.push(node.fault("this act needs site"));
             return None;
         };
         let told = self.spec.sites.get(site)?;
         let mut one = |name: &str, count: usize| {
-            let text = node.text(name)?;
+            let text = node.attribute(name)?;
             let number = match text {
                 "any" => Some(Bed::draw(self.spec.seed, index, count)),
                 text => text.parse().ok().filter(|n| *n < count),
@@ -222,14 +227,14 @@
     }
 
     /// A step, and its end where it has one.
-    fn step(&mut self, node: Node, index: u64, faults: &mut Vec<Fault>) {
-        let at = node.value::<u64>("ms", faults).unwrap_or(0) * 1_000;
-        let lasts = node.value::<u64>("for-ms", faults).map(|ms| ms * 1_000);
+    fn step(&mut self, node: Element, index: u64, faults: &mut Vec<Fault>) {
+        let at = node.parse_attribute::<u64>("ms", faults).unwrap_or(0) * 1_000;
+        let lasts = node.parse_attribute::<u64>("for-ms", faults).map(|ms| ms * 1_000);
         let add = |steps: &mut Vec<SiteStep>, act: SiteAct, end: Option<SiteAct>| {
             steps.push(SiteStep { at, act });
             steps.extend(lasts.zip(end).map(|(lasts, act)| SiteStep { at: at + lasts, act }));
         };
-        let what = node.text("do").unwrap_or_default();
+        let what = node.attribute("do").unwrap_or_default();
         match what {
             "kill" | "stop" | "start" | "stall" => {
                 let Some(who) = self.who(node, index, faults) else { return };
