--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -159,9 +159,9 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for multiple in &load.multiples {
         let mut config = read(CONFIG, Path::new("demo.xml"))?;
-        config.front.connections = config.front.connections.max(load.idle + 10_000);
+        config.client_limits.connections = config.client_limits.connections.max(load.idle + 10_000);
         // Room for all that is served within the time that it is remembered, or guards would be the limit.
-        config.repeats.guards = (capacity * 15.0) as usize;
+        config.repeats.guards_per_tenant = (capacity * 15.0) as usize;
         let recorder = Recorder::memory();
         let bed = Bed::start(&config, 1, vec![spec.clone(); WORKERS], recorder.clone())?;
         let idle = (0..load.idle).map(|_| TcpStream::connect(bed.addresses[0]));
@@ -223,7 +223,7 @@
     for multiple in &load.multiples {
         let mut config = read(CONFIG, Path::new("demo.xml"))?;
         config.tenants = ["a", "b", "third"].map(String::from).into();
-        config.module.tenant_quotas = vec![quota; 3];
+        config.controller.tenant_quotas = vec![quota; 3];
         let recorder = Recorder::memory();
         let bed = Bed::start(&config, 1, vec![spec.clone(); WORKERS], recorder.clone())?;
         let mut rng = StdRng::seed_from_u64(load.seed);
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -30,7 +30,7 @@
         config.classes.len(),
         config.tenants.len(),
         config.threads,
-        config.count * config.threads
+        config.gateway_count * config.threads
     );
     Ok(())
 }
@@ -38,7 +38,7 @@
 /// Runs a gateway until it is told to stop.
 pub fn run(options: &Serve) -> Result<(), Failed> {
     let config = settings(&options.config)?;
-    let records = Records::open(config.records.as_deref())?;
+    let records = Records::open(config.records_file.as_deref())?;
     let gateway = Gateway::start(&config, &records.recorder)?;
     println!("listening on {}", gateway.address());
     info!(name = config.name, address = %gateway.address(), loops = config.threads, "serving");
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -1,7 +1,7 @@
 use crate::sites::{kept, sites};
 use crate::xml::{Element, parse_validated};
 use crate::{
-    Config, ConfigError, Fault, FrontConfig, FunctionConfig, LinkConfig, MarginConfig, RepeatsConfig, SCHEMA,
+    ClientLimits, Config, ConfigError, Fault, FunctionConfig, LinkConfig, MarginConfig, RepeatsConfig, SCHEMA,
 };
 use basaltward::{Class, Group, Micros, Repeat, Settings};
 use std::path::{Path, PathBuf};
@@ -112,7 +112,7 @@
         class: position(node, "class", classes, faults),
         memory_mb,
         lanes: node.parse_attribute("lanes", faults).unwrap_or(1),
-        load: span(node, "load-ms", faults),
+        load_time: span(node, "load-ms", faults),
     }
 }
 
@@ -198,53 +198,53 @@
     }
     Config {
         name,
-        index,
-        count,
+        gateway_index: index,
+        gateway_count: count,
         threads: gateway.number("threads", 1, faults),
         listen: part("listen").number("address", ([127, 0, 0, 1], 0).into(), faults),
-        roster: file(roster.0, "file", folder).unwrap_or_default(),
-        roster_check: roster.millis("check-ms", 200.0, faults),
+        roster_file: file(roster.0, "file", folder).unwrap_or_default(),
+        roster_check_interval: roster.millis("check-ms", 200.0, faults),
         zones,
-        kinds,
+        worker_kinds: kinds,
         classes,
-        kept,
+        replication: kept,
         tenants,
         functions,
-        module,
+        controller: module,
         drain_grace: rules.millis("drain-grace-ms", 2_000.0, faults),
         links: LinkConfig {
             connections: workers.number("connections", 64, faults),
             connect_timeout: workers.millis("connect-timeout-ms", 250.0, faults),
-            idle: workers.millis("idle-ms", 5_000.0, faults),
+            idle_timeout: workers.millis("idle-ms", 5_000.0, faults),
             response_bytes: workers.number("response-bytes", 4 << 20, faults),
         },
-        front: FrontConfig {
+        client_limits: ClientLimits {
             connections: front.number("connections", 10_000, faults),
             calls: front.number("calls", 20_000, faults),
             waiters: front.number("waiters", 256, faults),
-            batch: front.number("batch", 64, faults),
+            batch_events: front.number("batch", 64, faults),
             line_bytes: front.number("line-bytes", 8 << 10, faults),
             head_bytes: front.number("head-bytes", 16 << 10, faults),
-            fields: front.number("fields", 100, faults),
+            header_fields: front.number("fields", 100, faults),
             body_bytes: front.number("body-bytes", 1 << 20, faults),
             unsent_bytes: front.number("unsent-bytes", 1 << 20, faults),
-            head: front.millis("head-ms", 5_000.0, faults),
-            body: front.millis("body-ms", 10_000.0, faults),
-            idle: front.millis("idle-ms", 60_000.0, faults),
+            head_timeout: front.millis("head-ms", 5_000.0, faults),
+            body_timeout: front.millis("body-ms", 10_000.0, faults),
+            idle_timeout: front.millis("idle-ms", 60_000.0, faults),
         },
         repeats: RepeatsConfig {
-            remember,
-            answers: repeats.number("answers-per-tenant", 4_096, faults),
-            guards: repeats.number("guards-per-tenant", 16_384, faults),
-            bytes: repeats.number("bytes-per-tenant", 16 << 20, faults),
+            retention: remember,
+            answers_per_tenant: repeats.number("answers-per-tenant", 4_096, faults),
+            guards_per_tenant: repeats.number("guards-per-tenant", 16_384, faults),
+            bytes_per_tenant: repeats.number("bytes-per-tenant", 16 << 20, faults),
             linger: repeats.millis("linger-ms", 1_000.0, faults),
         },
         margin: MarginConfig {
             share: margin.number("share", 0.02, faults),
-            least: margin.millis("least-ms", 2.0, faults),
-            most: margin.millis("most-ms", 25.0, faults),
+            min: margin.millis("least-ms", 2.0, faults),
+            max: margin.millis("most-ms", 25.0, faults),
         },
-        records: file(root.child("records"), "file", folder),
+        records_file: file(root.child("records"), "file", folder),
         sites,
     }
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -15,7 +15,7 @@
     /// Calls that one copy runs at once.
     pub lanes: u32,
     /// How long a load usually takes.
-    pub load: Option<Micros>,
+    pub load_time: Option<Micros>,
 }
 
 /// How connections to workers are used.
@@ -26,14 +26,14 @@
     /// A connection not established by then has failed.
     pub connect_timeout: Micros,
     /// A connection unused for longer is closed here; below the workers' own limit.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// Longest answer taken from a worker, in bytes.
     pub response_bytes: usize,
 }
 
 /// Bounds on clients' connections.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FrontConfig {
+pub struct ClientLimits {
     /// Most connections of one loop.
     pub connections: usize,
     /// Most calls in hand of one loop.
@@ -41,36 +41,36 @@
     /// Most connections that wait for one call.
     pub waiters: usize,
     /// Most events of a batch.
-    pub batch: usize,
+    pub batch_events: usize,
     /// Longest request line, in bytes.
     pub line_bytes: usize,
     /// Longest head of a request, in bytes.
     pub head_bytes: usize,
     /// Most header fields.
-    pub fields: usize,
+    pub header_fields: usize,
     /// Longest body, in bytes.
     pub body_bytes: usize,
     /// Answers not yet read by a client, in bytes, past which none of its requests is taken.
     pub unsent_bytes: usize,
     /// How long a head may take to arrive.
-    pub head: Micros,
+    pub head_timeout: Micros,
     /// How long a body may take to arrive.
-    pub body: Micros,
+    pub body_timeout: Micros,
     /// How long a connection may be idle.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
 }
 
 /// What is remembered of events that have ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RepeatsConfig {
     /// For how long.
-    pub remember: Micros,
+    pub retention: Micros,
     /// Most safe events of a tenant.
-    pub answers: usize,
+    pub answers_per_tenant: usize,
     /// Most keyed and unsafe events of a tenant.
-    pub guards: usize,
+    pub guards_per_tenant: usize,
     /// Most bytes of a tenant's answers.
-    pub bytes: usize,
+    pub bytes_per_tenant: usize,
     /// How long a call goes on after its last client left.
     pub linger: Micros,
 }
@@ -81,9 +81,9 @@
     /// Part of the patience.
     pub share: f64,
     /// At least this.
-    pub least: Micros,
+    pub min: Micros,
     /// At most this.
-    pub most: Micros,
+    pub max: Micros,
 }
 
 /// Settings of one gateway.
@@ -92,53 +92,53 @@
     /// Its name in logs and records.
     pub name: String,
     /// Its number among all gateways, from 0.
-    pub index: u32,
+    pub gateway_index: u32,
     /// How many gateways there are.
-    pub count: u32,
+    pub gateway_count: u32,
     /// Loops, each a scheduler of its own.
     pub threads: u32,
     /// Where it listens.
     pub listen: SocketAddr,
     /// The file that lists the workers.
-    pub roster: PathBuf,
+    pub roster_file: PathBuf,
     /// How often that is looked at.
-    pub roster_check: Micros,
+    pub roster_check_interval: Micros,
     /// Names of zones, by position.
     pub zones: Vec<String>,
     /// Names of the kinds of worker, by position.
-    pub kinds: Vec<String>,
+    pub worker_kinds: Vec<String>,
     /// Names of the classes, by position.
     pub classes: Vec<String>,
     /// How each class keeps its events, by position; none where it does not.
-    pub kept: Vec<Option<ReplicationConfig>>,
+    pub replication: Vec<Option<ReplicationConfig>>,
     /// Names of tenants, by position; empty without tenants.
     pub tenants: Vec<String>,
     /// The functions.
     pub functions: Vec<FunctionConfig>,
     /// What the module is told; `schedulers` and `self_index` are those of the first loop.
-    pub module: Settings,
+    pub controller: Settings,
     /// After a drain was told, nothing new goes to the worker once this has passed.
     pub drain_grace: Micros,
     /// Connections to workers.
     pub links: LinkConfig,
     /// Connections of clients.
-    pub front: FrontConfig,
+    pub client_limits: ClientLimits,
     /// Memory of repeats.
     pub repeats: RepeatsConfig,
     /// The answer's margin.
     pub margin: MarginConfig,
     /// Where records are written, if anywhere.
-    pub records: Option<PathBuf>,
+    pub records_file: Option<PathBuf>,
     /// Sites that stand in for one another, if any.
     pub sites: Option<SitesConfig>,
 }
 
 impl Config {
     /// The module's settings for one loop of this gateway: its number among all schedulers.
-    pub fn module_of(&self, thread: u32) -> Settings {
-        let mut settings = self.module.clone();
-        settings.schedulers = self.count * self.threads;
-        settings.self_index = self.index * self.threads + thread;
+    pub fn controller_settings(&self, thread: u32) -> Settings {
+        let mut settings = self.controller.clone();
+        settings.schedulers = self.gateway_count * self.threads;
+        settings.self_index = self.gateway_index * self.threads + thread;
         settings
     }
 }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -25,10 +25,10 @@
 #[test]
 fn a_small_file_gets_defaults_and_numbers_of_its_own_for_each_loop() {
     let config = read(GOOD, Path::new("etc/x.xml")).expect("good");
-    assert_eq!(config.roster, Path::new("etc/roster.xml"));
-    assert_eq!(config.module.classes[1].repeat, Repeat::Keyed { group: Group::Zone, window: 3_000_000 });
-    assert_eq!((config.functions[0].class, config.functions[0].load), (1, Some(700_500)));
-    let second = config.module_of(1);
+    assert_eq!(config.roster_file, Path::new("etc/roster.xml"));
+    assert_eq!(config.controller.classes[1].repeat, Repeat::Keyed { group: Group::Zone, window: 3_000_000 });
+    assert_eq!((config.functions[0].class, config.functions[0].load_time), (1, Some(700_500)));
+    let second = config.controller_settings(1);
     assert_eq!((second.schedulers, second.self_index), (6, 3));
 }
 
@@ -82,7 +82,7 @@
         unreplicated: UnreplicatedPolicy::Continue,
         finish_without_client: false,
     };
-    assert_eq!(config.kept, [Some(kept), None]);
+    assert_eq!(config.replication, [Some(kept), None]);
     let sites = config.sites.expect("told");
     assert_eq!((sites.own_index, sites.site_names.len(), sites.peers.len()), (1, 2, 3));
     assert_eq!((sites.peers[2].site, sites.journal.lease, sites.hand_over), (1, 2_000_000, true));
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -83,29 +83,29 @@
 pub fn shed_settings(config: &Config, sites: &SitesConfig) -> Option<ShedSettings> {
     let class =
         |class: &basaltward::Class| ClassOf { worth: class.worth, aim: class.aim, deadline: class.deadline };
-    let classes = config.module.classes.iter().map(class).collect();
-    let usual = ShedSettings::new(classes, config.module.tenant_quotas.clone(), places(sites)?);
+    let classes = config.controller.classes.iter().map(class).collect();
+    let usual = ShedSettings::new(classes, config.controller.tenant_quotas.clone(), places(sites)?);
     Some(ShedSettings {
-        over_share_worth: config.module.over_share_worth,
+        over_share_worth: config.controller.over_share_worth,
         loops: config.threads as usize,
         ..usual
     })
 }
 
 fn route_settings(config: &Config, sites: &SitesConfig) -> Option<RouteSettings> {
-    let classes = &config.module.classes;
+    let classes = &config.controller.classes;
     let function = |f: &basaltward_config::FunctionConfig| FunctionTold {
         memory_mb: f.memory_mb.ceil().max(1.0) as u32,
         lanes: f.lanes,
-        load: f.load,
+        load: f.load_time,
         aim: classes[f.class].aim,
         deadline: classes[f.class].deadline,
     };
-    let kinds = &config.module.family.kind_memory_mb;
+    let kinds = &config.controller.family.kind_memory_mb;
     let worker_mb = kinds.iter().sum::<f64>() / kinds.len().max(1) as f64;
     let functions = config.functions.iter().map(function).collect();
     let usual = RouteSettings::new(places(sites)?, functions, worker_mb as u32, u64::from(sites.own_index));
-    Some(RouteSettings { keep: config.module.family.keep, loops: config.threads as u16, ..usual })
+    Some(RouteSettings { keep: config.controller.family.keep, loops: config.threads as u16, ..usual })
 }
 
 fn endpoint_config(config: &Config, sites: &SitesConfig) -> EndpointConfig {
@@ -121,7 +121,7 @@
             seed,
             operators: sites.operator_hosts.clone(),
             zones: peers.iter().map(|peer| peer.site).collect(),
-            bounds: config.kept.iter().any(Option::is_some).then(Default::default),
+            bounds: config.replication.iter().any(Option::is_some).then(Default::default),
             version: String::new(),
             round_trip: ROUND_TRIP_US,
             bytes_per_s: BYTES_PER_S,
@@ -151,7 +151,8 @@
         let shed = shed_settings(config, sites).ok_or(GatewayError::Sites)?;
         let shed_stands = shed.stands;
         let shed = Shed::new(now, shed)?;
-        let holders = config.kept.iter().map(|kept| kept.map_or(0, |kept| kept.holders.min(255) as u8));
+        let holders =
+            config.replication.iter().map(|kept| kept.map_or(0, |kept| kept.holders.min(255) as u8));
         let places = places(sites).ok_or(GatewayError::Sites)?;
         let pending = PendingSettings {
             bytes: sites.journal.max_bytes,
@@ -164,11 +165,11 @@
                 u64::from(sites.own_index),
             )
         };
-        let windows = config.module.classes.iter().map(|class| match class.repeat {
+        let windows = config.controller.classes.iter().map(|class| match class.repeat {
             Repeat::Keyed { window, .. } => window,
             _ => 0,
         });
-        let remember = windows.fold(config.repeats.remember, Micros::max);
+        let remember = windows.fold(config.repeats.retention, Micros::max);
         Ok(Self {
             name: format!("{}/control", config.name),
             io,
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -125,29 +125,29 @@
 impl Front {
     /// A front without clients.
     pub fn new(config: &Config, thread: usize) -> Self {
-        let front = &config.front;
+        let front = &config.client_limits;
         let function = |f: &basaltward_config::FunctionConfig| Function {
             name: f.name.clone(),
             class: f.class,
             memory_mb: f.memory_mb,
             lanes: f.lanes,
-            load_time: f.load,
+            load_time: f.load_time,
         };
-        let deadline = |c: usize| config.module.classes[c].deadline;
+        let deadline = |c: usize| config.controller.classes[c].deadline;
         let functions = config.functions.iter();
         let functions = functions.map(|f| (f.name.to_string(), (Arc::new(function(f)), deadline(f.class))));
         Self {
             limits: Limits {
                 line: front.line_bytes,
                 head: front.head_bytes,
-                fields: front.fields,
+                fields: front.header_fields,
                 body: front.body_bytes,
             },
-            most_batch: front.batch,
+            most_batch: front.batch_events,
             unsent: front.unsent_bytes,
-            spans: (front.head, front.body, front.idle),
+            spans: (front.head_timeout, front.body_timeout, front.idle_timeout),
             functions: functions.collect(),
-            repeats: config.module.classes.iter().map(|c| c.repeat).collect(),
+            repeats: config.controller.classes.iter().map(|c| c.repeat).collect(),
             tenants: config.tenants.clone(),
             clients: HashMap::new(),
             thread,
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -155,7 +155,9 @@
         let fresh = !matches!(&job, Job::Attempt { repeat: Repeat::Unsafe | Repeat::Keyed { .. }, .. });
         while let Some(conn) = self.links.get_mut(worker).and_then(|l| l.idle.pop()) {
             let age = self.conns.get(&conn).map_or(Micros::MAX, |c| now.saturating_sub(c.since));
-            if age <= self.config.idle.min(if fresh { Micros::MAX } else { FRESH_US }) && !io.is_stale(conn) {
+            if age <= self.config.idle_timeout.min(if fresh { Micros::MAX } else { FRESH_US })
+                && !io.is_stale(conn)
+            {
                 return self.write(io, now, conn, job);
             }
             self.discard(io, conn);
@@ -330,7 +332,7 @@
             if let Some(link) = self.links.get_mut(&known.worker) {
                 link.idle.push(conn);
             }
-            self.arm(conn, now + self.config.idle);
+            self.arm(conn, now + self.config.idle_timeout);
         } else {
             self.discard(io, conn);
         }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -98,14 +98,14 @@
         for _ in 1..config.threads {
             listeners.push(bind(address, true)?);
         }
-        let limits = IoLimits { connections: config.front.connections, ..IoLimits::default() };
+        let limits = IoLimits { connections: config.client_limits.connections, ..IoLimits::default() };
         let ios = listeners.iter().map(|_| Io::new(limits)).collect::<Result<Vec<_>, _>>()?;
         let wakers: Vec<_> = ios.iter().map(Io::waker).collect();
-        let windows = config.module.classes.iter().map(|class| match class.repeat {
+        let windows = config.controller.classes.iter().map(|class| match class.repeat {
             Repeat::Keyed { window, .. } => window,
             _ => 0,
         });
-        let span = windows.fold(config.repeats.remember, u64::max) + SLACK_US;
+        let span = windows.fold(config.repeats.retention, u64::max) + SLACK_US;
         let mail = match loops {
             Loops::Joined => Mail::join(&wakers, span),
             Loops::Apart => {
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -70,18 +70,18 @@
 fn engine_settings(config: &Config, thread: u32) -> EngineSettings {
     let (repeats, margin, loops) = (&config.repeats, &config.margin, config.threads as usize);
     EngineSettings {
-        controller: config.module_of(thread),
-        max_in_flight: config.front.calls,
-        max_waiters: config.front.waiters,
+        controller: config.controller_settings(thread),
+        max_in_flight: config.client_limits.calls,
+        max_waiters: config.client_limits.waiters,
         linger: repeats.linger,
         // Each loop owns its part of a tenant's events.
         repeats: RepeatLimits {
-            retention: repeats.remember,
-            max_answers: repeats.answers.div_ceil(loops),
-            max_guards: repeats.guards.div_ceil(loops),
-            max_bytes: repeats.bytes.div_ceil(loops),
+            retention: repeats.retention,
+            max_answers: repeats.answers_per_tenant.div_ceil(loops),
+            max_guards: repeats.guards_per_tenant.div_ceil(loops),
+            max_bytes: repeats.bytes_per_tenant.div_ceil(loops),
         },
-        margin: MarginSettings { share: margin.share, min: margin.least, max: margin.most },
+        margin: MarginSettings { share: margin.share, min: margin.min, max: margin.max },
     }
 }
 
@@ -101,7 +101,7 @@
         let links =
             Links::new(prefix.clone(), config.links.clone(), settings.controller.report_names.clone());
         let (_, address) = io.listen(listener)?;
-        let names = Names { kinds: config.kinds.clone(), zones: config.zones.clone() };
+        let names = Names { kinds: config.worker_kinds.clone(), zones: config.zones.clone() };
         let seed = u64::from(settings.controller.self_index);
         Ok(Self {
             name,
@@ -112,11 +112,11 @@
             front: Front::new(config, mail.me()),
             links,
             mail,
-            handed: Handoffs::new(config.front.calls),
+            handed: Handoffs::new(config.client_limits.calls),
             sites,
             letters: Vec::new(),
             pace: LoopPacer::default(),
-            roster: RosterFile::new(config.roster.clone(), names, config.roster_check),
+            roster: RosterFile::new(config.roster_file.clone(), names, config.roster_check_interval),
             clock: Clock::read(),
             states: BTreeMap::new(),
             recorder,
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -128,21 +128,31 @@
         now: Micros,
     ) -> Option<Self> {
         let sites = Arc::new(config.sites.clone()?);
-        let link =
-            LinkConfig { response_bytes: config.front.body_bytes.max(1 << 20), ..config.links.clone() };
+        let link = LinkConfig {
+            response_bytes: config.client_limits.body_bytes.max(1 << 20),
+            ..config.links.clone()
+        };
         let front =
             |peer: &basaltward_config::SitePeerConfig| peer.client_address.to_string().as_str().into();
         let seed = u64::from(sites.own_index) << 32 | u64::from(thread);
-        let classes = config.kept.iter().copied().zip(config.module.classes.iter().map(|class| class.repeat));
-        let kept = KeptEvents::new(classes.collect(), sites.journal.max_entry_bytes, config.repeats.guards);
+        let classes = config
+            .replication
+            .iter()
+            .copied()
+            .zip(config.controller.classes.iter().map(|class| class.repeat));
+        let kept = KeptEvents::new(
+            classes.collect(),
+            sites.journal.max_entry_bytes,
+            config.repeats.guards_per_tenant,
+        );
         let positions = config.functions.iter().zip(0..).map(|(f, at)| (f.name.clone(), at));
         Some(Self {
             links: Links::new(config.name.clone(), link, Vec::new()),
             fronts: sites.peers.iter().map(front).collect(),
             router: Router::new(shed.places.clone(), seed),
             door: Door::new(now, shed.clone(), thread as usize),
-            aims: config.module.classes.iter().map(|class| class.aim).collect(),
-            repeats: config.module.classes.iter().map(|class| class.repeat).collect(),
+            aims: config.controller.classes.iter().map(|class| class.aim).collect(),
+            repeats: config.controller.classes.iter().map(|class| class.repeat).collect(),
             positions: positions.collect(),
             config: sites,
             tables,
--- a/crates/play/src/bed.rs
+++ b/crates/play/src/bed.rs
@@ -166,15 +166,15 @@
     ) -> Result<Self, BedError> {
         let folder = Folder::new()?;
         let config = Config {
-            roster: folder.path().join("roster.xml"),
+            roster_file: folder.path().join("roster.xml"),
             // Other sites have to know the address before.
             listen: config.sites.as_ref().map_or(([127, 0, 0, 1], 0).into(), |_| config.listen),
-            count: gateways,
+            gateway_count: gateways,
             ..config.clone()
         };
         let fleet = Fleet::start(specs, &[], StoreSpec::default(), recorder.clone())?;
-        let names = Names { kinds: config.kinds.clone(), zones: config.zones.clone() };
-        let roster = Roster::new(config.roster.clone(), names, fleet.addresses())?;
+        let names = Names { kinds: config.worker_kinds.clone(), zones: config.zones.clone() };
+        let roster = Roster::new(config.roster_file.clone(), names, fleet.addresses())?;
         let mut bed = Self {
             config,
             fleet,
@@ -199,7 +199,7 @@
     /// Where it can't start.
     pub fn start_gateway(&mut self, index: usize) -> Result<(), BedError> {
         let config = Config {
-            index: index as u32,
+            gateway_index: index as u32,
             name: format!("gateway-{index}"),
             listen: self.addresses[index],
             ..self.config.clone()
@@ -242,11 +242,14 @@
         let rule = ClassRule { repeat, aim: class.aim, worth: class.worth, late_worth: class.late_worth };
         (name.clone(), rule)
     };
-    let cells =
-        config.module.classes.iter().any(|c| matches!(c.repeat, Repeat::Keyed { group: Group::Cell, .. }));
-    let (family, rules) = (&config.module.family, &config.module.rules);
+    let cells = config
+        .controller
+        .classes
+        .iter()
+        .any(|c| matches!(c.repeat, Repeat::Keyed { group: Group::Cell, .. }));
+    let (family, rules) = (&config.controller.family, &config.controller.rules);
     RuleSettings {
-        classes: config.classes.iter().zip(&config.module.classes).map(class).collect(),
+        classes: config.classes.iter().zip(&config.controller.classes).map(class).collect(),
         groups: roster
             .iter()
             .map(|e| (e.address.clone(), if cells { e.cell } else { e.zone as u64 }))
--- a/crates/play/src/calls.rs
+++ b/crates/play/src/calls.rs
@@ -16,7 +16,7 @@
     let config = &script.config;
     let popularity = Zipf::new(config.functions.len() as f64, script.skew).ok();
     let work = Gamma::new(4.0, script.work as f64 / 4.0).ok();
-    let quotas = &config.module.tenant_quotas;
+    let quotas = &config.controller.tenant_quotas;
     let tenants = WeightedIndex::new(quotas.iter().copied()).ok();
     let mut at = 0.0;
     loop {
@@ -27,7 +27,7 @@
         }
         let rank = popularity.map_or(1.0, |zipf| zipf.sample(&mut rng));
         let function = &config.functions[(rank as usize).clamp(1, config.functions.len()) - 1];
-        let class = &config.module.classes[function.class];
+        let class = &config.controller.classes[function.class];
         let share = rng.random_range(script.least_patience.min(1.0)..=1.0);
         let tenant = tenants.as_ref().map(|t| t.sample(&mut rng)).and_then(|t| config.tenants.get(t));
         plans.push(Plan {
--- a/crates/play/src/script.rs
+++ b/crates/play/src/script.rs
@@ -106,10 +106,10 @@
     config.threads = part("gateways").parse_attribute("threads", faults).unwrap_or(config.threads);
     let work = micros(number(&clients, "work-ms", 20.0, faults));
     let usual = WorkerSpec::default();
-    let rules = &config.module.rules;
+    let rules = &config.controller.rules;
     let spec = WorkerSpec {
         cores: number(&workers, "cores", 4.0, faults) as u32,
-        memory_mb: config.module.family.kind_memory_mb.first().copied().unwrap_or(usual.memory_mb),
+        memory_mb: config.controller.family.kind_memory_mb.first().copied().unwrap_or(usual.memory_mb),
         work,
         load: (
             micros(number(&workers, "fetch-ms", 300.0, faults)),
@@ -118,7 +118,7 @@
         keep: micros(number(&workers, "keep-ms", 10_000.0, faults)),
         queue: number(&workers, "queue", 32.0, faults) as usize,
         forgets: workers.parse_attribute("forgets-keys", faults).unwrap_or(false),
-        load_on_miss: config.module.family.load_on_miss,
+        load_on_miss: config.controller.family.load_on_miss,
         cold_from: rules.cold_from,
         warm_within: rules.warm_within,
         tip_multiple: rules.tip_multiple,
--- a/crates/play/tests/hard_cases.rs
+++ b/crates/play/tests/hard_cases.rs
@@ -113,7 +113,7 @@
 #[test]
 fn half_a_body_ends_with_408_and_disturbs_nobody() {
     let mut config = config();
-    (config.front.head, config.front.body) = (100_000, 100_000);
+    (config.client_limits.head_timeout, config.client_limits.body_timeout) = (100_000, 100_000);
     let bed = bed(&config, 1);
     let mut stalled = Client::new(bed.addresses[0]);
     let whole = event("view", "half", "", "0123456789");
@@ -233,7 +233,7 @@
 fn a_worker_restarted_under_its_address_is_known_to_be_empty() {
     let mut config = config();
     // Warm at once: the cold budget, which alone would hold calls back here, is not what this looks at.
-    config.module.rules.warm_within = 1_000;
+    config.controller.rules.warm_within = 1_000;
     let mut bed = bed(&config, 1);
     let to = bed.addresses[0];
     assert_eq!(status(to, "view", "before"), 200);
@@ -259,7 +259,7 @@
 fn a_gateway_that_forgets_what_ran_is_caught_by_the_checker() {
     // The guard left out: an unsafe event's record is dropped at once, which the settings' check refuses.
     let mut config = config();
-    config.repeats.remember = 0;
+    config.repeats.retention = 0;
     let bed = Bed::start(&config, 1, vec![worker()], Recorder::memory()).expect("a bed");
     let to = bed.addresses[0];
     let rules = rule_settings(&bed.config, &bed.roster.entries);
@@ -331,7 +331,7 @@
 #[test]
 fn a_client_that_does_not_read_is_not_read_from() {
     let mut config = config();
-    (config.front.unsent_bytes, config.front.idle) = (50_000, 400_000);
+    (config.client_limits.unsent_bytes, config.client_limits.idle_timeout) = (50_000, 400_000);
     let bed = bed(&config, 1);
     let to = bed.addresses[0];
     let payload = "y".repeat(9_000);
@@ -356,7 +356,7 @@
 #[test]
 fn idle_connections_end_and_those_past_the_limit_wait_their_turn() {
     let mut config = config();
-    (config.front.idle, config.front.connections) = (50_000, 2);
+    (config.client_limits.idle_timeout, config.client_limits.connections) = (50_000, 2);
     let bed = bed(&config, 1);
     let to = bed.addresses[0];
     let mut clients: Vec<_> = (0..6).map(|_| Client::new(to)).collect();
--- a/crates/play/tests/loops.rs
+++ b/crates/play/tests/loops.rs
@@ -161,7 +161,7 @@
 #[test]
 fn a_tenants_bound_on_guards_is_shared_among_the_loops() {
     let mut config = four();
-    config.repeats.guards = 8;
+    config.repeats.guards_per_tenant = 8;
     let bed = bed(&config, 3);
     let tally = run(&bed, (0..64).map(|id| plan(2, &format!("g{id}"))).collect());
     assert_eq!((tally.served, tally.refused), (8, 56));
--- a/crates/play/tests/sites.rs
+++ b/crates/play/tests/sites.rs
@@ -46,7 +46,7 @@
         Config {
             name: us.name.clone(),
             listen: us.client_address,
-            kept: vec![kept; 3],
+            replication: vec![kept; 3],
             sites: Some(sites),
             ..config()
         }
@@ -96,7 +96,7 @@
 #[test]
 fn a_control_thread_that_stands_still_harms_no_call_of_other_classes() {
     let configs = sites(1, UnreplicatedPolicy::Continue, 2);
-    let bed = start(&Config { kept: vec![None; 3], ..configs[0].clone() }, &Recorder::memory());
+    let bed = start(&Config { replication: vec![None; 3], ..configs[0].clone() }, &Recorder::memory());
     let to = bed.addresses[0];
     assert_eq!(status(to, "view", "before"), 200);
     bed.gateways[0].iter().for_each(|gateway| gateway.stall_control(Duration::from_secs(3)));
