--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -179,7 +179,7 @@
         let mut told = count(&records, from, until);
         let after = |from: Micros, until: Micros| format!("{:.2}", share(&records, from, until));
         let lag = records.iter().filter_map(|r| match r.observation {
-            Observation::Lagged { turn, waited, .. } => Some(turn.max(waited)),
+            Observation::Lagged { longest_turn: turn, longest_wait: waited, .. } => Some(turn.max(waited)),
             _ => None,
         });
         let lag = lag.max().map_or("< 5".into(), |us| format!("{:.1}", us as f64 / 1e3));
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -230,7 +230,11 @@
         }
         if let Some(Lag { longest_turn: turn, longest_wait: waited, stalled }) = lag {
             warn!(scheduler = self.name, turn_us = turn, waited_us = waited, stalled_us = stalled, "late");
-            self.recorder.put(now, &self.name, Observation::Lagged { turn, waited, stalled });
+            self.recorder.put(
+                now,
+                &self.name,
+                Observation::Lagged { longest_turn: turn, longest_wait: waited, stalled },
+            );
         }
     }
 
--- a/crates/rules/src/record.rs
+++ b/crates/rules/src/record.rs
@@ -91,9 +91,11 @@
     /// A scheduler was late; the worst of about a second.
     Lagged {
         /// Its longest turn, in microseconds.
-        turn: Micros,
+        #[serde(rename = "turn")]
+        longest_turn: Micros,
         /// The longest that a request that was read waited for its turn.
-        waited: Micros,
+        #[serde(rename = "waited")]
+        longest_wait: Micros,
         /// Time in which it had work but no processor.
         stalled: Micros,
     },
