--- a/crates/rules/src/answers.rs
+++ b/crates/rules/src/answers.rs
@@ -1,97 +1,103 @@
 //! Rule 1: one final answer, in time.
 
-use crate::check::{Breach, schedulers};
+use crate::check::{Breach, schedulers_by_address};
 use crate::record::{Micros, Observation, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A client whose event crosses the end of a gateway may see a broken connection that is nobody's fault.
-pub(crate) const CROSSING_US: Micros = 1_000_000;
+/// What a client and a gateway do within this time of each other may have raced. In particular a request that
+/// overlaps the end of its gateway may lose its connection without a breach.
+pub(crate) const RACE_TOLERANCE_US: Micros = 1_000_000;
 
-/// A stall counts for answers written this long after it at most: what was due meanwhile is done first.
-const AFTER_US: Micros = 10_000;
+/// A stall excuses answers written at most this long after it: the scheduler first does the work that came due
+/// meanwhile.
+const STALL_TOLERANCE_US: Micros = 10_000;
 
-/// When gateways gave the answers of each event to the system, and when the machine had stopped them.
-struct Given<'a> {
+/// When the gateways wrote their answers, and when they were stalled.
+struct GatewayLog<'a> {
+    /// By event: when an answer was written, and by which scheduler.
     answers: BTreeMap<&'a str, Vec<(Micros, &'a str)>>,
+    /// By scheduler: when a stall ended, and its length.
     stalls: BTreeMap<&'a str, Vec<(Micros, Micros)>>,
 }
 
-/// Why an answer that was read late breaks no rule.
+/// Why an answer that was read after its deadline breaks no rule.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Excuse {
-    /// Its bytes lay at the client in time.
+    /// It was written in time and the client read it late.
     ReadLate,
-    /// The machine had stopped its gateway, and without that it would have been in time.
+    /// Its scheduler was stalled, and would have written it in time otherwise.
     Stalled,
 }
 
-fn given(records: &[Record]) -> Given<'_> {
-    let mut given = Given { answers: BTreeMap::new(), stalls: BTreeMap::new() };
+fn gateway_log(records: &[Record]) -> GatewayLog<'_> {
+    let mut log = GatewayLog { answers: BTreeMap::new(), stalls: BTreeMap::new() };
     for record in records {
         match &record.observation {
             Observation::AnswerSent { event, .. } => {
-                given.answers.entry(event).or_default().push((record.time, &record.observer));
+                log.answers.entry(event).or_default().push((record.time, &record.observer));
             }
             Observation::Stalled { us } => {
-                given.stalls.entry(&record.observer).or_default().push((record.time, *us))
+                log.stalls.entry(&record.observer).or_default().push((record.time, *us))
             }
             _ => {}
         }
     }
-    given
+    log
 }
 
-impl Given<'_> {
-    /// Why an answer to this event, asked at `from` and due by `until`, was not read in time.
+impl GatewayLog<'_> {
+    /// Why the answer to a request for `event`, sent to address `to` at `sent` and due by `deadline`, was read late.
     fn excuse(
         &self,
-        at: &BTreeMap<&str, BTreeSet<&str>>,
+        schedulers: &BTreeMap<&str, BTreeSet<&str>>,
         (event, to): (&str, &str),
-        from: Micros,
-        until: Micros,
+        sent: Micros,
+        deadline: Micros,
     ) -> Option<Excuse> {
-        let here = |by: &str| at.get(to).is_some_and(|all| all.contains(by));
-        let answers = self.answers.get(event)?.iter().filter(|(t, by)| *t >= from && here(by));
-        if answers.clone().any(|(t, _)| *t <= until) {
+        let listens_there = |by: &str| schedulers.get(to).is_some_and(|all| all.contains(by));
+        let answers = self.answers.get(event)?.iter().filter(|(t, by)| *t >= sent && listens_there(by));
+        if answers.clone().any(|(t, _)| *t <= deadline) {
             return Some(Excuse::ReadLate);
         }
         let stalled = |t: Micros, by: &str| {
             let stalls = self.stalls.get(by).into_iter().flatten();
             stalls
-                .filter(|(end, _)| (t.saturating_sub(AFTER_US)..=t + AFTER_US).contains(end))
-                .map(|s| s.1)
+                .filter(|(end, _)| {
+                    (t.saturating_sub(STALL_TOLERANCE_US)..=t + STALL_TOLERANCE_US).contains(end)
+                })
+                .map(|stall| stall.1)
                 .sum()
         };
-        let excused = |(t, by): &(Micros, &str)| t.saturating_sub(stalled(*t, by)) <= until;
+        let excused = |(t, by): &(Micros, &str)| t.saturating_sub(stalled(*t, by)) <= deadline;
         answers.clone().any(excused).then_some(Excuse::Stalled)
     }
 }
 
-/// Answers read after their deadline that break no rule, told apart by why.
+/// Number of answers that clients read after the deadline without a breach, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LateAnswers {
-    /// The gateway had written them in time: on one machine the bytes then lay at the client, whose own loop
-    /// was late.
+    /// The gateway had written them in time. With both on one machine the bytes were then available to the client,
+    /// whose own event loop was late.
     pub delayed_at_client: usize,
-    /// The machine had stopped the gateway for longer than they were late. No program can answer while it is
-    /// stopped; margins make it rare.
+    /// The gateway got no processor for longer than they were late. No program can answer while it is stopped;
+    /// the margins before a deadline make this rare.
     pub gateway_stalled: usize,
 }
 
-/// Counts answers read late that break no rule.
+/// Counts the answers that were read late without a breach. The records must be ordered by time.
 pub fn late_answers(records: &[Record]) -> LateAnswers {
-    let (at, given) = (schedulers(records), given(records));
-    let mut asked: BTreeMap<u64, (Micros, &str, &str, Micros)> = BTreeMap::new();
+    let (schedulers, log) = (schedulers_by_address(records), gateway_log(records));
+    let mut requests: BTreeMap<u64, (Micros, &str, &str, Micros)> = BTreeMap::new();
     let mut late = LateAnswers::default();
     for record in records {
         match &record.observation {
-            Observation::RequestSent { request_id: tried, event, to, deadline, .. } => {
-                asked.insert(*tried, (record.time, event, to, *deadline));
+            Observation::RequestSent { request_id, event, to, deadline, .. } => {
+                requests.insert(*request_id, (record.time, event, to, *deadline));
             }
-            Observation::Answered { request_id: tried, .. } => {
-                let known = asked.get(tried).filter(|(.., deadline)| record.time > *deadline);
-                let Some((t, event, to, deadline)) = known else { continue };
-                match given.excuse(&at, (event, to), *t, *deadline) {
+            Observation::Answered { request_id, .. } => {
+                let overdue = requests.get(request_id).filter(|(.., deadline)| record.time > *deadline);
+                let Some((sent, event, to, deadline)) = overdue else { continue };
+                match log.excuse(&schedulers, (event, to), *sent, *deadline) {
                     Some(Excuse::ReadLate) => late.delayed_at_client += 1,
                     Some(Excuse::Stalled) => late.gateway_stalled += 1,
                     None => {}
@@ -105,75 +111,92 @@
 
 /// Rule 1: every event sent to a running gateway gets exactly one answer before its client's deadline.
 pub(crate) fn answers(records: &[Record]) -> Vec<Breach> {
-    struct Asked<'a> {
-        t: Micros,
+    struct Request<'a> {
+        sent: Micros,
         event: &'a str,
         to: &'a str,
         deadline: Micros,
+        /// When it was answered, abandoned or lost its connection.
         ended: Option<Micros>,
+        /// Answers read. A client that leaves counts as one, so that a later answer is a breach.
         answers: u32,
     }
-    let at = schedulers(records);
-    let given = given(records);
-    // When gateways ended, and whether what they had taken was lost with them.
+    let schedulers = schedulers_by_address(records);
+    let log = gateway_log(records);
+    // When schedulers ended, and whether the calls that they had accepted were lost with them.
     let mut ends: Vec<(&str, Micros, bool)> = Vec::new();
-    let mut taken: BTreeMap<&str, Vec<(Micros, &str)>> = BTreeMap::new();
-    let mut asked: BTreeMap<u64, Asked> = BTreeMap::new();
+    let mut accepted: BTreeMap<&str, Vec<(Micros, &str)>> = BTreeMap::new();
+    let mut requests: BTreeMap<u64, Request> = BTreeMap::new();
     let mut breaches = Vec::new();
-    let mut breach = |t, what: String| breaches.push(Breach { rule: 1, time: t, message: what });
+    let mut breach = |time, message: String| breaches.push(Breach { rule: 1, time, message });
     for record in records {
         let t = record.time;
         match &record.observation {
-            Observation::RequestSent { request_id: tried, event, to, deadline, .. } => {
+            Observation::RequestSent { request_id, event, to, deadline, .. } => {
                 let (deadline, ended, answers) = (*deadline, None, 0);
-                asked.insert(*tried, Asked { t, event, to, deadline, ended, answers });
+                requests.insert(*request_id, Request { sent: t, event, to, deadline, ended, answers });
             }
-            Observation::Answered { request_id: tried, status, .. } => match asked.get_mut(tried) {
-                None => breach(t, format!("an answer ({status}) to try {tried}, which was never made")),
-                Some(ask) => {
-                    ask.answers += 1;
-                    if ask.ended.is_some() || ask.answers > 1 {
-                        breach(t, format!("{}: another answer ({status}) after the final one", ask.event));
-                    } else if t > ask.deadline
-                        && given.excuse(&at, (ask.event, ask.to), ask.t, ask.deadline).is_none()
+            Observation::Answered { request_id, status, .. } => match requests.get_mut(request_id) {
+                None => {
+                    breach(t, format!("an answer ({status}) to request {request_id}, which was never sent"))
+                }
+                Some(request) => {
+                    request.answers += 1;
+                    if request.ended.is_some() || request.answers > 1 {
+                        breach(
+                            t,
+                            format!("{}: another answer ({status}) after the final one", request.event),
+                        );
+                    } else if t > request.deadline
+                        && log
+                            .excuse(&schedulers, (request.event, request.to), request.sent, request.deadline)
+                            .is_none()
                     {
-                        let late = t - ask.deadline;
-                        breach(t, format!("{}: answered ({status}) {late} us after its deadline", ask.event));
+                        let late = t - request.deadline;
+                        breach(
+                            t,
+                            format!("{}: answered ({status}) {late} us after its deadline", request.event),
+                        );
                     }
-                    ask.ended = Some(t);
+                    request.ended = Some(t);
                 }
             },
-            Observation::ClientLeft { request_id: tried } => {
-                if let Some(ask) = asked.get_mut(tried) {
-                    ask.ended = Some(t);
-                    ask.answers += 1;
+            Observation::ClientLeft { request_id } => {
+                if let Some(request) = requests.get_mut(request_id) {
+                    request.ended = Some(t);
+                    request.answers += 1;
                 }
             }
-            Observation::ConnectionLost { request_id: tried } => {
-                if let Some(ask) = asked.get_mut(tried) {
-                    ask.ended = Some(t);
+            Observation::ConnectionLost { request_id } => {
+                if let Some(request) = requests.get_mut(request_id) {
+                    request.ended = Some(t);
                 }
             }
             Observation::Stopping => ends.push((&record.observer, t, false)),
             Observation::Down { killed: true } => ends.push((&record.observer, t, true)),
-            Observation::Accepted { event } => taken.entry(event).or_default().push((t, &record.observer)),
+            Observation::Accepted { event } => accepted.entry(event).or_default().push((t, &record.observer)),
             _ => {}
         }
     }
     let none = BTreeSet::new();
-    for ask in asked.values().filter(|ask| ask.answers == 0) {
-        let end = ask.ended.unwrap_or(ask.deadline);
-        let here = at.get(ask.to).unwrap_or(&none);
-        let was_taken = taken.get(ask.event).is_some_and(|all| {
-            all.iter().any(|(t, by)| here.contains(by) && (ask.t..=end + CROSSING_US).contains(t))
+    for request in requests.values().filter(|request| request.answers == 0) {
+        let end = request.ended.unwrap_or(request.deadline);
+        let at_address = schedulers.get(request.to).unwrap_or(&none);
+        let was_accepted = accepted.get(request.event).is_some_and(|all| {
+            all.iter().any(|(t, by)| {
+                at_address.contains(by) && (request.sent..=end + RACE_TOLERANCE_US).contains(t)
+            })
         });
+        // A scheduler that stops in order answers what it has accepted; a killed one can't.
         let excused = ends.iter().any(|(by, t, killed)| {
-            let crossing = (ask.t.saturating_sub(CROSSING_US)..=end + CROSSING_US).contains(t);
-            here.contains(by) && crossing && (*killed || !was_taken)
+            let overlaps =
+                (request.sent.saturating_sub(RACE_TOLERANCE_US)..=end + RACE_TOLERANCE_US).contains(t);
+            at_address.contains(by) && overlaps && (*killed || !was_accepted)
         });
         if !excused {
-            let how = if ask.ended.is_some() { "its connection ended" } else { "nothing came" };
-            breach(end, format!("{}: no answer, {how}", ask.event));
+            let cause =
+                if request.ended.is_some() { "the connection ended" } else { "none arrived by the deadline" };
+            breach(end, format!("{}: no answer, {cause}", request.event));
         }
     }
     breaches
--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -1,4 +1,4 @@
-//! The five rules, judged from records alone.
+//! Checks the five rules from records alone.
 
 use crate::answers::answers;
 use crate::effects::effects;
@@ -7,81 +7,82 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What a class allows, as far as the rules go.
+/// Whether calls of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatRule {
-    /// May be repeated and refused freely.
+    /// May run any number of times, and may be refused after a run.
     Safe,
-    /// Repeats are dropped for the window, by workers that share a group number in
-    /// [`RuleSettings::groups`]; without one by all.
+    /// Workers drop repeats within a window. Workers with the same number in [`RuleSettings::groups`] share the
+    /// remembered keys, as do those without a number.
     Keyed {
-        /// How long.
+        /// How long keys are remembered.
         window: Micros,
-        /// Every worker drops them.
+        /// Whether all workers share the remembered keys, whatever their group.
         all: bool,
     },
     /// Must never run twice.
     Unsafe,
 }
 
-/// A class.
+/// The rules for a class of calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassRule {
-    /// What it allows.
+    /// Whether its calls may run more than once.
     pub repeat: RepeatRule,
-    /// An answer within this earns the full worth.
+    /// Target time: an answer within it earns the full value.
     pub aim: Micros,
-    /// Worth of an answer in time.
+    /// Value of an answer within the target time.
     pub worth: f64,
-    /// Share of it that a late one earns.
+    /// Share of that value that a later answer earns.
     pub late_worth: f64,
 }
 
-/// Figures of the rules.
+/// Parameters of the rules. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleSettings {
     /// Classes by name.
     pub classes: BTreeMap<String, ClassRule>,
-    /// Groups of workers that share a memory of keys, by worker.
+    /// The group of each worker; the workers of a group share the remembered keys.
     pub groups: BTreeMap<String, u64>,
-    /// After a drain was told, nothing new may be sent once this has passed.
+    /// How long after it learned of a drain a scheduler may still send new calls and orders to the worker.
     pub drain_grace: Micros,
-    /// Window of the ration of load orders; 0 without one.
+    /// Window of the limit on load orders; 0 for no limit.
     pub load_window: Micros,
-    /// Orders free in it.
+    /// Orders allowed in the window whatever the number of calls.
     pub load_free: f64,
-    /// Further ones for each call taken in it.
+    /// Further orders allowed for each call accepted in the window.
     pub load_share: f64,
-    /// A started worker has this share of its capacity ...
+    /// Share of its capacity that a worker has when it starts.
     pub cold_from: f64,
-    /// ... and all of it after this.
+    /// Time after its start at which a worker has its full capacity.
     pub warm_within: Micros,
-    /// It may be sent this multiple of what it can do ...
+    /// Most work that may be sent to a cold worker, as a multiple of what it can do.
     pub tip_multiple: f64,
-    /// ... in any span of this length.
+    /// Length of the sliding window over which that multiple is checked.
     pub fall: Micros,
 }
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Which, from 1 to 5.
+    /// Number of the rule, from 1 to 5.
     pub rule: u8,
-    /// When.
+    /// When it was broken.
     pub time: Micros,
-    /// What happened.
+    /// Description of the breach.
     pub message: String,
 }
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let name = ["one answer in time", "no effect twice", "drains", "cold workers", "ration of loads"];
+        let name =
+            ["one answer in time", "no effect twice", "drains", "cold workers", "limit on load orders"];
         let name = name.get(usize::from(self.rule).wrapping_sub(1)).unwrap_or(&"?");
         write!(f, "rule {} ({name}) at {} us: {}", self.rule, self.time, self.message)
     }
 }
 
-/// All breaches that the records show; they must be ordered by time.
+/// All breaches of the five rules, ordered by time. The records must be ordered by time.
 pub fn check(records: &[Record], settings: &RuleSettings) -> Vec<Breach> {
     let mut breaches = answers(records);
     breaches.extend(effects(records, settings));
@@ -92,8 +93,8 @@
     breaches
 }
 
-/// Which schedulers listened at an address.
-pub(crate) fn schedulers(records: &[Record]) -> BTreeMap<&str, BTreeSet<&str>> {
+/// The schedulers that listened on each address.
+pub(crate) fn schedulers_by_address(records: &[Record]) -> BTreeMap<&str, BTreeSet<&str>> {
     let mut all: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
     for record in records {
         if let Observation::Up { address } = &record.observation {
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,5 +1,5 @@
-//! Records of what crossed the sockets, and the checker that holds them to the five rules. It knows the
-//! rules and the records, and nothing of the engine.
+//! Records of what clients, schedulers and workers observed at their sockets, and a checker of the five rules of
+//! the service. The checker uses only the records and the rules, and does not depend on the engine.
 #![warn(missing_docs)]
 
 mod answers;
--- a/crates/rules/src/record.rs
+++ b/crates/rules/src/record.rs
@@ -3,108 +3,108 @@
 /// A time on the machine's monotonic clock, in microseconds.
 pub type Micros = u64;
 
-/// How a call was answered.
+/// The final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinalAnswer {
-    /// The reply event.
+    /// The reply event of the function.
     Served,
-    /// Turned away: trying again is harmless.
+    /// Refused without an effect: a retry is safe.
     Refused,
-    /// Failed: nothing is promised.
+    /// Failed: the call may or may not have run.
     Failed,
-    /// Not taken at all: bad input.
+    /// Invalid input, not accepted at all.
     Rejected,
 }
 
-/// One thing that crossed a socket, with who saw it and when.
+/// One observation, with its time and its observer. Stored as one line of JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When.
+    /// When it was observed.
     #[serde(rename = "t")]
     pub time: Micros,
-    /// A client, a scheduler (one loop of a gateway) or a worker.
+    /// The observer: a client, a scheduler (one event loop of a gateway) or a worker.
     #[serde(rename = "by")]
     pub observer: String,
-    /// What.
+    /// What was observed.
     #[serde(flatten)]
     pub observation: Observation,
 }
 
-/// What was seen.
+/// What a client, scheduler or worker observed. The `rename` attributes keep the names of the stored format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Observation {
-    /// A client has sent a whole event.
+    /// A client has sent a complete request.
     #[serde(rename = "asked")]
     RequestSent {
-        /// Names this try, once over all clients.
+        /// Identifies this request, unique over all clients. A repeat of the event has a new one.
         #[serde(rename = "tried")]
         request_id: u64,
         /// The event's name.
         event: String,
-        /// Its class.
+        /// The event's class.
         class: String,
-        /// Its tenant.
+        /// The event's tenant.
         tenant: String,
         /// The gateway's address.
         to: String,
-        /// When the client gives up.
+        /// When the client stops waiting.
         deadline: Micros,
     },
-    /// A client has read a whole answer.
+    /// A client has read a complete answer.
     Answered {
-        /// The try.
+        /// The request.
         #[serde(rename = "tried")]
         request_id: u64,
-        /// Which answer.
+        /// The answer.
         answer: FinalAnswer,
-        /// Its HTTP status.
+        /// The HTTP status.
         status: u16,
     },
-    /// A client has left before an answer came.
+    /// A client has closed its connection before an answer came.
     #[serde(rename = "left")]
     ClientLeft {
-        /// The try.
+        /// The request.
         #[serde(rename = "tried")]
         request_id: u64,
     },
-    /// The connection ended under a client, or brought bytes that were no answer.
+    /// The peer closed a client's connection, or sent bytes that are not a valid answer.
     #[serde(rename = "cut")]
     ConnectionLost {
-        /// The try.
+        /// The request.
         #[serde(rename = "tried")]
         request_id: u64,
     },
-    /// A scheduler begins to listen.
+    /// A scheduler has started to listen.
     Up {
-        /// Where.
+        /// The address that it listens on.
         address: String,
     },
-    /// A scheduler accepts no more and finishes what it has.
+    /// A scheduler accepts no more calls and finishes those in flight.
     Stopping,
-    /// A scheduler has ended. What one held that was killed is the clients' to repeat.
+    /// A scheduler has ended. Clients must repeat the calls that a killed one had accepted.
     Down {
-        /// It was killed, not stopped.
+        /// Whether it was killed rather than stopped.
         killed: bool,
     },
-    /// A scheduler was late; the worst of about a second.
+    /// A scheduler ran late. The values are the worst of about one second.
     Lagged {
-        /// Its longest turn, in microseconds.
+        /// The longest turn of its event loop, in microseconds.
         #[serde(rename = "turn")]
         longest_turn: Micros,
-        /// The longest that a request that was read waited for its turn.
+        /// The longest time that a request waited between being read and being processed, in microseconds.
         #[serde(rename = "waited")]
         longest_wait: Micros,
-        /// Time in which it had work but no processor.
+        /// Time in which it had work but no processor, in microseconds.
         stalled: Micros,
     },
-    /// The machine had stopped a scheduler that had work, for so long until now.
+    /// A scheduler with work to do got no processor time until now.
     Stalled {
-        /// In microseconds.
+        /// Length of the stall, in microseconds.
         us: Micros,
     },
-    /// A scheduler has given a client's final answer to its connection.
+    /// A scheduler has written a client's final answer to its connection.
     #[serde(rename = "gave")]
     AnswerSent {
         /// The event's name.
@@ -112,50 +112,50 @@
         /// The HTTP status.
         status: u16,
     },
-    /// A scheduler has taken a call.
+    /// A scheduler has accepted a call.
     #[serde(rename = "taken")]
     Accepted {
         /// The event's name.
         event: String,
     },
-    /// A scheduler has handed a call to a gateway of another site.
+    /// A scheduler has handed a call over to a gateway of another site.
     HandedOver {
         /// The event's name.
         event: String,
         /// That gateway's name.
         to: String,
     },
-    /// A scheduler has answered a call as failed whose event another one sees to that it could not reach.
+    /// A scheduler has answered a call as failed because it could not reach the scheduler that owns the event.
     #[serde(rename = "unowned")]
     OwnerUnreachable {
         /// The event's name.
         event: String,
     },
-    /// A scheduler believes something else of one of the fleet.
+    /// A scheduler's view of a member of the fleet has changed.
     #[serde(rename = "believed")]
     MemberState {
-        /// Of whom, by number.
+        /// The member's number.
         #[serde(rename = "of")]
         member: u16,
-        /// When that one's life began, in milliseconds since the beginning of 2026.
+        /// When the member's current life began, in milliseconds since the beginning of 2026.
         start: u64,
-        /// How often it has refuted since.
+        /// How often the member has refuted a suspicion since then.
         #[serde(rename = "bump")]
         refutations: u32,
         /// `up`, `suspect`, `leaving`, `gone` or `stopped`.
         state: String,
     },
-    /// A scheduler has heard of something later that the fleet agrees on.
+    /// A scheduler has received a newer version of the state that the fleet agrees on.
     #[serde(rename = "agreed")]
     PermitsUpdated {
-        /// The leader's epoch: when it was drawn, in milliseconds since the beginning of 2026, and by whom.
+        /// The leader's epoch: when it was drawn, in milliseconds since the beginning of 2026, and by which member.
         epoch: (u64, u16),
-        /// The leader's count.
+        /// The version within that epoch, counted by the leader.
         version: u32,
-        /// Who may be out, by kind and number or mark, with the number of the permit.
+        /// The permits held: kind, then number or mark of the holder, then number of the permit.
         permits: Vec<String>,
     },
-    /// A scheduler was told of a worker's state.
+    /// A scheduler has received a worker's state from its list of workers.
     #[serde(rename = "told")]
     WorkerState {
         /// The worker.
@@ -163,11 +163,11 @@
         /// `active`, `leaving` or `gone`.
         state: String,
     },
-    /// A scheduler has given a call's bytes to a connection.
+    /// A scheduler has handed a call's bytes to a connection.
     Sent {
         /// The event's name.
         event: String,
-        /// Names the attempt.
+        /// The attempt's name.
         attempt: String,
         /// The worker.
         worker: String,
@@ -176,48 +176,48 @@
     Ended {
         /// The attempt.
         attempt: String,
-        /// Its code.
+        /// The result code.
         code: String,
     },
-    /// A scheduler has sent an order to load.
+    /// A scheduler has sent an order to load copies.
     Ordered {
         /// The worker.
         worker: String,
         /// The function.
         function: String,
-        /// Copies to be held.
+        /// Number of copies that the worker should hold.
         count: u32,
     },
     /// A worker has started.
     #[serde(rename = "born")]
     WorkerStarted {
-        /// Work that it does when warm, in microseconds of work a microsecond.
+        /// Work done per microsecond once warm, in microseconds.
         capacity: f64,
-        /// Long warm, not started just now.
+        /// Whether it has been warm for long, rather than just started.
         warm: bool,
     },
-    /// A call has reached a worker, whether it runs or not.
+    /// A call has reached a worker, whether or not it will run.
     Arrived {
         /// The event's name.
         event: String,
         /// The attempt.
         attempt: String,
-        /// Its work, in microseconds.
+        /// The call's work, in microseconds.
         work: Micros,
     },
-    /// A worker has begun to run a call: its effect happens.
+    /// A worker has begun to run a call: its effect happens now.
     Ran {
         /// The event's name.
         event: String,
         /// The attempt.
         attempt: String,
     },
-    /// A worker has dropped a repeat, or turned a call away unseen.
+    /// A worker has dropped a repeat, or turned a call away without processing it.
     Dropped {
         /// The attempt.
         attempt: String,
     },
-    /// A worker fell over while cold.
+    /// A worker collapsed from overload while cold.
     #[serde(rename = "fell")]
     WorkerCollapsed,
 }
--- a/crates/rules/src/recorder.rs
+++ b/crates/rules/src/recorder.rs
@@ -9,7 +9,8 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Records waiting for the writer, past which they are lost and counted: the loop never waits for a disk.
+/// Most records queued for the writer thread. Further ones are dropped and counted: an event loop must never wait
+/// for a disk.
 const QUEUE_CAPACITY: usize = 1 << 16;
 
 #[derive(Clone)]
@@ -19,24 +20,24 @@
     Thread(SyncSender<Record>),
 }
 
-/// Records come by a queue without a lock: under one, all loops of a run stood still at the same moment for
-/// some 30 ms whenever a vector of records had to be moved.
+/// Records kept in memory. They arrive through a lock-free queue: with a vector behind a lock, all event loops of a
+/// run stalled at the same time for some 30 ms whenever the vector was reallocated.
 #[derive(Default)]
 struct Memory {
-    coming: SegQueue<Record>,
+    queue: SegQueue<Record>,
     all: Mutex<Vec<Record>>,
     changed: Condvar,
-    /// Who waits for a change: without any there is nobody to be woken, and no system call.
+    /// Number of threads that wait for a change. While it is 0, `put` skips the notification and its system call.
     waiting: AtomicUsize,
 }
 
 impl Memory {
     fn gather(&self, all: &mut Vec<Record>) {
-        all.extend(std::iter::from_fn(|| self.coming.pop()));
+        all.extend(std::iter::from_fn(|| self.queue.pop()));
     }
 }
 
-/// Takes records from any number of threads.
+/// Collects records from any number of threads. Clones share one destination.
 #[derive(Clone)]
 pub struct Recorder {
     sink: Sink,
@@ -44,21 +45,21 @@
 }
 
 impl Recorder {
-    /// Keeps nothing.
+    /// Discards all records.
     pub fn none() -> Self {
         Self { sink: Sink::None, lost: Arc::default() }
     }
 
-    /// Keeps all in memory, until [`Recorder::take`].
+    /// Keeps all records in memory until [`Recorder::take`].
     pub fn memory() -> Self {
         Self { sink: Sink::Memory(Arc::default()), lost: Arc::default() }
     }
 
-    /// Writes JSON lines to a file from a thread of its own, which ends once all clones of the recorder are
-    /// gone.
+    /// Appends JSON lines to a file from a thread of its own, which ends once all clones of the recorder are
+    /// dropped.
     ///
     /// # Errors
-    /// Where the file can't be made.
+    /// If the file can't be opened or the thread can't be started.
     pub fn file(path: &Path) -> io::Result<(Self, JoinHandle<io::Result<()>>)> {
         let (send, receive) = sync_channel(QUEUE_CAPACITY);
         let file = File::options().create(true).append(true).open(path)?;
@@ -67,20 +68,20 @@
         Ok((Self { sink: Sink::Thread(send), lost: Arc::default() }, writer))
     }
 
-    /// Whether anything is kept; lets callers spare the work of naming things.
+    /// Whether records are kept. Callers use it to skip the work of building records.
     pub fn is_enabled(&self) -> bool {
         !matches!(self.sink, Sink::None)
     }
 
-    /// Keeps one record.
+    /// Adds a record. Never blocks on a disk: if the writer's queue is full, the record is dropped and counted.
     pub fn put(&self, t: Micros, by: &str, what: Observation) {
         let record = || Record { time: t, observer: by.to_owned(), observation: what };
         match &self.sink {
             Sink::None => {}
             Sink::Memory(memory) => {
-                memory.coming.push(record());
+                memory.queue.push(record());
                 if memory.waiting.load(Ordering::SeqCst) > 0 {
-                    // Under the lock, or who waits could miss it between its look and its sleep.
+                    // Notified under the lock, so that a waiter can't miss it between its check and its sleep.
                     let _all = memory.all.lock();
                     memory.changed.notify_all();
                 }
@@ -93,25 +94,26 @@
         }
     }
 
-    /// Records that found no room. The checker can't judge a set that lacks some.
+    /// Number of records dropped because the queue was full. The checker can't judge an incomplete set of records.
     pub fn lost(&self) -> u64 {
         self.lost.lock().map_or(0, |lost| *lost)
     }
 
-    /// Waits until the records kept in memory fulfil a condition; false where they don't within the time.
-    pub fn wait_until(&self, within: Duration, mut fulfilled: impl FnMut(&[Record]) -> bool) -> bool {
+    /// Waits until the records kept in memory fulfil a condition. Returns false on a timeout, and if this recorder
+    /// does not keep its records in memory.
+    pub fn wait_until(&self, timeout: Duration, mut fulfilled: impl FnMut(&[Record]) -> bool) -> bool {
         let Sink::Memory(memory) = &self.sink else { return false };
         let Ok(all) = memory.all.lock() else { return false };
         memory.waiting.fetch_add(1, Ordering::SeqCst);
-        let waited = memory.changed.wait_timeout_while(all, within, |all| {
+        let waited = memory.changed.wait_timeout_while(all, timeout, |all| {
             memory.gather(all);
             !fulfilled(all)
         });
         memory.waiting.fetch_sub(1, Ordering::SeqCst);
-        waited.is_ok_and(|(_, timeout)| !timeout.timed_out())
+        waited.is_ok_and(|(_, result)| !result.timed_out())
     }
 
-    /// Takes what is kept in memory, by time.
+    /// Removes and returns the records kept in memory, ordered by time.
     pub fn take(&self) -> Vec<Record> {
         let Sink::Memory(memory) = &self.sink else { return Vec::new() };
         let mut all = memory.all.lock().map(|mut all| std::mem::take(&mut *all)).unwrap_or_default();
@@ -124,7 +126,7 @@
 fn write(file: File, receive: Receiver<Record>) -> io::Result<()> {
     let mut out = BufWriter::new(file);
     while let Ok(first) = receive.recv() {
-        // What has queued up is written together, then flushed: a killed process loses little.
+        // Flushed after each batch of queued records, so that a killed process loses little.
         for record in std::iter::once(first).chain(receive.try_iter()) {
             serde_json::to_writer(&mut out, &record)?;
             out.write_all(b"\n")?;
@@ -134,15 +136,15 @@
     Ok(())
 }
 
-/// Reads records from a file of JSON lines, by time.
+/// Reads records from a file of JSON lines, ordered by time.
 ///
 /// # Errors
-/// Where the file can't be read or a line is no record; the error names the line.
+/// If the file can't be read or a line is not a valid record; the error names the line.
 pub fn read_records(path: &Path) -> io::Result<Vec<Record>> {
     let mut all = Vec::new();
     for (number, line) in BufReader::new(File::open(path)?).lines().enumerate() {
-        let wrong = |e| io::Error::new(io::ErrorKind::InvalidData, format!("line {}: {e}", number + 1));
-        all.push(serde_json::from_str(&line?).map_err(wrong)?);
+        let invalid = |e| io::Error::new(io::ErrorKind::InvalidData, format!("line {}: {e}", number + 1));
+        all.push(serde_json::from_str(&line?).map_err(invalid)?);
     }
     all.sort_by_key(|record: &Record| record.time);
     Ok(all)
--- a/crates/rules/src/service.rs
+++ b/crates/rules/src/service.rs
@@ -1,68 +1,69 @@
-//! The service figure: worth answered in time over worth asked, a client's further tries with its first.
+//! The service score: value of the events served in time, over the value of all events sent. A client's retries
+//! count together with its first request.
 
 use crate::check::RuleSettings;
 use crate::record::{FinalAnswer, Micros, Observation, Record};
 use std::collections::BTreeMap;
 
-/// Span of the windows of which the worst counts.
+/// Length of the windows, of which the worst enters the score.
 const WINDOW_US: Micros = 10_000_000;
 
-/// Service, each from 0 to 1.
+/// The service score and its parts, each from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Service {
-    /// 60% the whole run, 30% the worst ten seconds, 10% the worst-served tenant.
+    /// Weighted sum: 60% the whole run, 30% the worst ten seconds, 10% the worst-served tenant.
     pub score: f64,
-    /// Over the whole run.
+    /// Share of the value served over the whole run.
     pub whole_run: f64,
-    /// Over the worst ten seconds.
+    /// The same over the worst ten seconds.
     pub worst_window: f64,
-    /// Of the worst-served tenant.
+    /// The same for the worst-served tenant.
     pub worst_tenant: f64,
 }
 
-struct Asked<'a> {
-    first: Micros,
+struct EventService<'a> {
+    first_sent: Micros,
     tenant: &'a str,
     class: &'a str,
-    served: Option<Micros>,
+    served_at: Option<Micros>,
 }
 
-/// Service from the clients' records.
+/// Computes the service score from the clients' records, which must be ordered by time.
 pub fn service(records: &[Record], settings: &RuleSettings) -> Service {
-    let mut events: BTreeMap<&str, Asked> = BTreeMap::new();
-    let mut tries: BTreeMap<u64, &str> = BTreeMap::new();
+    let mut events: BTreeMap<&str, EventService> = BTreeMap::new();
+    let mut requests: BTreeMap<u64, &str> = BTreeMap::new();
     for record in records {
         match &record.observation {
-            Observation::RequestSent { request_id: tried, event, class, tenant, .. } => {
-                tries.insert(*tried, event);
-                let asked = Asked { first: record.time, tenant, class, served: None };
-                events.entry(event).or_insert(asked);
+            Observation::RequestSent { request_id, event, class, tenant, .. } => {
+                requests.insert(*request_id, event);
+                let sent = EventService { first_sent: record.time, tenant, class, served_at: None };
+                events.entry(event).or_insert(sent);
             }
-            Observation::Answered { request_id: tried, answer: FinalAnswer::Served, .. } => {
-                let asked = tries.get(tried).and_then(|event| events.get_mut(event));
-                if let Some(asked) = asked {
-                    asked.served.get_or_insert(record.time);
+            Observation::Answered { request_id, answer: FinalAnswer::Served, .. } => {
+                let event = requests.get(request_id).and_then(|event| events.get_mut(event));
+                if let Some(event) = event {
+                    event.served_at.get_or_insert(record.time);
                 }
             }
             _ => {}
         }
     }
     let (mut all, mut windows, mut tenants) = ((0.0, 0.0), BTreeMap::new(), BTreeMap::new());
-    let start = events.values().map(|a| a.first).min().unwrap_or(0);
-    for asked in events.values() {
-        let Some(class) = settings.classes.get(asked.class) else { continue };
-        let got = match asked.served {
-            Some(t) if t <= asked.first + class.aim => class.worth,
+    let start = events.values().map(|event| event.first_sent).min().unwrap_or(0);
+    for event in events.values() {
+        let Some(class) = settings.classes.get(event.class) else { continue };
+        let earned = match event.served_at {
+            Some(t) if t <= event.first_sent + class.aim => class.worth,
             Some(_) => class.worth * class.late_worth,
             None => 0.0,
         };
-        // Windows overlap by half: a bad spell is not split between two.
-        let half = (asked.first - start) / (WINDOW_US / 2);
-        let add = |sum: &mut (f64, f64)| *sum = (sum.0 + got, sum.1 + class.worth);
+        // Windows overlap by half, so that one of them covers most of a short outage.
+        let half = (event.first_sent - start) / (WINDOW_US / 2);
+        let add = |sum: &mut (f64, f64)| *sum = (sum.0 + earned, sum.1 + class.worth);
         add(&mut all);
         add(windows.entry(half).or_default());
         add(windows.entry(half + 1).or_default());
-        add(tenants.entry(asked.tenant).or_default());
+        add(tenants.entry(event.tenant).or_default());
     }
     let share = |sum: &(f64, f64)| if sum.1 > 0.0 { sum.0 / sum.1 } else { 1.0 };
     let worst = |shares: &mut dyn Iterator<Item = f64>| shares.fold(1.0, f64::min);
