--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,12 +1,12 @@
 use std::fmt;
 use thiserror::Error;
 
-/// One thing wrong in a file.
+/// An error at one place of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Its line, from 1; 0 where it concerns the whole file.
+    /// Its line, from 1; 0 if the place is unknown.
     pub line: usize,
-    /// Its column, from 1.
+    /// Its column, from 1; 0 if the place is unknown.
     pub column: usize,
     /// What is wrong and what was expected.
     pub message: String,
@@ -18,27 +18,27 @@
     }
 }
 
-/// Why a file can't be used.
+/// Why a settings file can't be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{path}: {source}")]
     File {
-        /// Which.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// The error of the system.
         source: std::io::Error,
     },
-    /// It is not what the schema says, or contradicts itself.
+    /// The file is not well-formed, does not conform to the schema, or contradicts itself.
     #[error("{}", list(path, faults))]
     Faults {
-        /// Which file.
+        /// Path of the file.
         path: String,
-        /// What is wrong in it, in the order of lines.
+        /// The faults, ordered by line.
         faults: Vec<Fault>,
     },
-    /// The schema that ships with the program is broken.
-    #[error("the built-in schema can't be used: {0}")]
+    /// The schema that is built into the program is invalid.
+    #[error("the built-in schema is invalid: {0}")]
     Schema(String),
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings of the program: an XML file checked by the schema `basaltward.xsd`, then for what a schema can't
-//! say. Every fault names its line and column and what was expected.
+//! Settings of the program: an XML file that is validated against the schema `basaltward.xsd`, then checked for what
+//! a schema can't express. Every fault names its line and column and what was expected.
 #![warn(missing_docs)]
 
 mod error;
@@ -12,13 +12,14 @@
 pub use settings::*;
 pub use sites::{JournalConfig, ReplicationConfig, SitePeerConfig, SitesConfig, UnreplicatedPolicy};
 
-/// The schema that settings are checked by.
+/// The XML schema that settings are validated against.
 pub const SCHEMA: &str = include_str!("../basaltward.xsd");
 
-/// Reads settings from text; `path` is for messages, and relative files in it start at its folder.
+/// Reads settings from text. `path` is the file's path: it appears in messages, and relative file names in the
+/// settings are resolved against its folder.
 ///
 /// # Errors
-/// All faults found, by the schema or beyond it.
+/// All faults found by the schema or, if there are none, by the further checks.
 pub fn read(text: &str, path: &std::path::Path) -> Result<Config, ConfigError> {
     parse::read(text, path)
 }
@@ -26,9 +27,9 @@
 /// Reads settings from a file.
 ///
 /// # Errors
-/// As [`read`], and where the file can't be read.
+/// As for [`read`], and if the file can't be read.
 pub fn load(path: &std::path::Path) -> Result<Config, ConfigError> {
-    let told = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|source| ConfigError::File { path: told, source })?;
+    let shown = path.display().to_string();
+    let text = std::fs::read_to_string(path).map_err(|source| ConfigError::File { path: shown, source })?;
     read(&text, path)
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -3,138 +3,139 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A function that may be called.
+/// A function that clients may call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FunctionConfig {
     /// Its name.
     pub name: FunctionId,
-    /// Its class, a position in the module's settings.
+    /// Its class, an index into [`Config::classes`].
     pub class: usize,
     /// Memory of one copy, MB.
     pub memory_mb: f64,
-    /// Calls that one copy runs at once.
+    /// Number of calls that one copy runs concurrently.
     pub lanes: u32,
-    /// How long a load usually takes.
+    /// Usual time to load a copy, in microseconds, if configured.
     pub load_time: Option<Micros>,
 }
 
-/// How connections to workers are used.
+/// Settings of connections to workers. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkConfig {
-    /// Most connections to one worker.
+    /// Maximum number of connections to one worker.
     pub connections: usize,
-    /// A connection not established by then has failed.
+    /// Time after which a connection that is not established has failed.
     pub connect_timeout: Micros,
-    /// A connection unused for longer is closed here; below the workers' own limit.
+    /// Time after which the gateway closes an unused connection. Should be below the workers' own limit.
     pub idle_timeout: Micros,
-    /// Longest answer taken from a worker, in bytes.
+    /// Maximum length of a worker's response, in bytes.
     pub response_bytes: usize,
 }
 
-/// Bounds on clients' connections.
+/// Limits on clients' connections and requests. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientLimits {
-    /// Most connections of one loop.
+    /// Maximum number of connections of one event loop.
     pub connections: usize,
-    /// Most calls in hand of one loop.
+    /// Maximum number of calls in flight in one event loop.
     pub calls: usize,
-    /// Most connections that wait for one call.
+    /// Maximum number of connections that wait for the same call.
     pub waiters: usize,
-    /// Most events of a batch.
+    /// Maximum number of events in a batch.
     pub batch_events: usize,
-    /// Longest request line, in bytes.
+    /// Maximum length of a request line, in bytes.
     pub line_bytes: usize,
-    /// Longest head of a request, in bytes.
+    /// Maximum length of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Most header fields.
+    /// Maximum number of header fields.
     pub header_fields: usize,
-    /// Longest body, in bytes.
+    /// Maximum length of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Answers not yet read by a client, in bytes, past which none of its requests is taken.
+    /// Bytes of answers that a client has not read yet, above which no further request of it is accepted.
     pub unsent_bytes: usize,
-    /// How long a head may take to arrive.
+    /// Maximum time for a request's head to arrive.
     pub head_timeout: Micros,
-    /// How long a body may take to arrive.
+    /// Maximum time for a request's body to arrive.
     pub body_timeout: Micros,
-    /// How long a connection may be idle.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: Micros,
 }
 
-/// What is remembered of events that have ended.
+/// What is remembered of events that have ended, to recognise repeats. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RepeatsConfig {
-    /// For how long.
+    /// How long it is remembered.
     pub retention: Micros,
-    /// Most safe events of a tenant.
+    /// Maximum number of safe events remembered for a tenant.
     pub answers_per_tenant: usize,
-    /// Most keyed and unsafe events of a tenant.
+    /// Maximum number of keyed and unsafe events remembered for a tenant.
     pub guards_per_tenant: usize,
-    /// Most bytes of a tenant's answers.
+    /// Maximum size of the answers remembered for a tenant, in bytes.
     pub bytes_per_tenant: usize,
-    /// How long a call goes on after its last client left.
+    /// How long a call continues after its last client has left.
     pub linger: Micros,
 }
 
-/// How much of a client's patience is kept back.
+/// The margin before a client's deadline that is reserved for delivering the answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MarginConfig {
-    /// Part of the patience.
+    /// Its share of the time that the client waits.
     pub share: f64,
-    /// At least this.
+    /// Its lower bound, in microseconds.
     pub min: Micros,
-    /// At most this.
+    /// Its upper bound, in microseconds.
     pub max: Micros,
 }
 
 /// Settings of one gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Its name in logs and records.
+    /// Name of the gateway in logs and records.
     pub name: String,
-    /// Its number among all gateways, from 0.
+    /// Number of this gateway among all gateways, from 0.
     pub gateway_index: u32,
-    /// How many gateways there are.
+    /// Number of gateways.
     pub gateway_count: u32,
-    /// Loops, each a scheduler of its own.
+    /// Number of event loops. Each is a scheduler of its own.
     pub threads: u32,
-    /// Where it listens.
+    /// The address on which it listens for clients.
     pub listen: SocketAddr,
     /// The file that lists the workers.
     pub roster_file: PathBuf,
-    /// How often that is looked at.
+    /// Interval at which that file is checked for changes, in microseconds.
     pub roster_check_interval: Micros,
-    /// Names of zones, by position.
+    /// Names of the zones; an index into it identifies a zone.
     pub zones: Vec<String>,
-    /// Names of the kinds of worker, by position.
+    /// Names of the kinds of worker; an index into it identifies a kind.
     pub worker_kinds: Vec<String>,
-    /// Names of the classes, by position.
+    /// Names of the classes; an index into it identifies a class.
     pub classes: Vec<String>,
-    /// How each class keeps its events, by position; none where it does not.
+    /// How the events of each class are replicated, by class index; `None` if they are not.
     pub replication: Vec<Option<ReplicationConfig>>,
-    /// Names of tenants, by position; empty without tenants.
+    /// Names of the tenants; an index into it identifies a tenant. Empty if no tenants are configured.
     pub tenants: Vec<String>,
     /// The functions.
     pub functions: Vec<FunctionConfig>,
-    /// What the module is told; `schedulers` and `self_index` are those of the first loop.
+    /// Settings of the controller. `schedulers` and `self_index` are left at their defaults here;
+    /// [`Config::controller_settings`] sets them.
     pub controller: Settings,
-    /// After a drain was told, nothing new goes to the worker once this has passed.
+    /// How long after the gateway learned of a drain new calls may still go to the worker, in microseconds.
     pub drain_grace: Micros,
-    /// Connections to workers.
+    /// Settings of connections to workers.
     pub links: LinkConfig,
-    /// Connections of clients.
+    /// Limits on clients.
     pub client_limits: ClientLimits,
-    /// Memory of repeats.
+    /// What is remembered of ended events.
     pub repeats: RepeatsConfig,
-    /// The answer's margin.
+    /// The margin reserved for delivering an answer.
     pub margin: MarginConfig,
-    /// Where records are written, if anywhere.
+    /// The file that records are written to, if any.
     pub records_file: Option<PathBuf>,
-    /// Sites that stand in for one another, if any.
+    /// The sites that back one another up, if configured.
     pub sites: Option<SitesConfig>,
 }
 
 impl Config {
-    /// The module's settings for one loop of this gateway: its number among all schedulers.
+    /// The controller's settings for one event loop of this gateway, with its number among all schedulers.
     pub fn controller_settings(&self, thread: u32) -> Settings {
         let mut settings = self.controller.clone();
         settings.schedulers = self.gateway_count * self.threads;
--- a/crates/config/src/sites.rs
+++ b/crates/config/src/sites.rs
@@ -1,83 +1,83 @@
-//! Settings of sites: which gateways stand in for one another, where each is reached, what is kept.
+//! Settings of sites that back one another up: their gateways and addresses, and which events are replicated.
 
 use crate::Fault;
 use crate::xml::Element;
 use basaltward::Micros;
 use std::net::{IpAddr, SocketAddr};
 
-/// What is done with a kept event that no neighbour can hold.
+/// What happens to an event that should be replicated but that no gateway of another site can hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreplicatedPolicy {
-    /// It is refused: nothing of it has run.
+    /// It is refused without having run.
     Refuse,
-    /// It goes on, and its answer says that it was not kept.
+    /// It is processed, and its answer says that it was not replicated.
     Continue,
 }
 
-/// How events of a class are kept.
+/// How the events of a class are replicated to other sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicationConfig {
-    /// Neighbours that hold an entry before its event goes on.
+    /// Number of gateways that must hold an event's entry before the event is processed.
     pub holders: usize,
-    /// What is done where they can't be reached.
+    /// What happens if they can't be reached.
     pub unreplicated: UnreplicatedPolicy,
-    /// Safe events are done though their clients are gone.
+    /// Whether safe events are finished even after their clients have left.
     pub finish_without_client: bool,
 }
 
-/// One of all gateways.
+/// One of the gateways of all sites.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SitePeerConfig {
-    /// Its name: that of its own `gateway` element.
+    /// Its name, as in the `gateway` element of its own settings.
     pub name: String,
-    /// Its site, a position in [`SitesConfig::names`].
+    /// Its site, an index into [`SitesConfig::site_names`].
     pub site: u8,
-    /// Where its datagrams are taken.
+    /// The address to which its peers send datagrams.
     pub datagram_address: SocketAddr,
-    /// Where it serves clients.
+    /// The address on which it serves clients.
     pub client_address: SocketAddr,
-    /// Where it takes connections of peers.
+    /// The address to which its peers connect.
     pub journal_address: SocketAddr,
 }
 
-/// Bounds on what is held for other gateways.
+/// Limits on the journals that a gateway holds for other gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JournalConfig {
-    /// Bytes held, all journals together.
+    /// Maximum size of all journals together, in bytes.
     pub max_bytes: usize,
-    /// Longest event or answer that is kept, in bytes.
+    /// Maximum length of an event or answer that is replicated, in bytes.
     pub max_entry_bytes: usize,
-    /// A lease under which unsafe events are sent.
+    /// Length of the lease that a gateway must hold to send unsafe events, in microseconds.
     pub lease: Micros,
 }
 
-/// Sites that stand in for one another, as one gateway is told of them. All are told the same lists.
+/// The sites that back one another up, as configured for one gateway. The lists are the same on all gateways.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SitesConfig {
-    /// Names the fleet of all sites.
+    /// Name of the fleet that all sites form.
     pub fleet: String,
-    /// Where our datagrams are taken.
+    /// The local address for datagrams from peers.
     pub datagram_listen: SocketAddr,
-    /// Where we take connections of peers.
+    /// The local address for connections from peers.
     pub journal_listen: SocketAddr,
-    /// Hosts from which operators may ask.
+    /// Hosts from which operators may connect.
     pub operator_hosts: Vec<IpAddr>,
-    /// Our number among the peers.
+    /// Index of this gateway in [`SitesConfig::peers`].
     pub own_index: u16,
-    /// Names of the sites, by position.
+    /// Names of the sites; an index into it identifies a site.
     pub site_names: Vec<String>,
-    /// All gateways of all sites, in the order of the file, ourselves among them.
+    /// All gateways of all sites, this one included, in the order of the file.
     pub peers: Vec<SitePeerConfig>,
-    /// Calls may be handed to another site.
+    /// Whether calls may be handed over to another site.
     pub hand_over: bool,
-    /// Overload is answered by all as one.
+    /// Whether the gateways shed load together during overload.
     pub shed: bool,
-    /// Bounds on what is held.
+    /// Limits on the journals.
     pub journal: JournalConfig,
 }
 
-/// How a class keeps its events, if it does.
-pub fn kept(node: &Element, faults: &mut Vec<Fault>) -> Option<ReplicationConfig> {
+/// Reads how the events of a class are replicated; `None` if they are not.
+pub fn replication(node: &Element, faults: &mut Vec<Fault>) -> Option<ReplicationConfig> {
     let holders = node.parse_attribute("holders", faults);
     if node.attribute("pending") != Some("kept") {
         if ["holders", "unheld", "owed"].iter().any(|name| node.attribute(name).is_some()) {
@@ -85,75 +85,83 @@
         }
         return None;
     }
-    let unheld = if node.attribute("unheld") == Some("go-on") {
+    let unreplicated = if node.attribute("unheld") == Some("go-on") {
         UnreplicatedPolicy::Continue
     } else {
         UnreplicatedPolicy::Refuse
     };
     Some(ReplicationConfig {
         holders: holders.unwrap_or(1),
-        unreplicated: unheld,
+        unreplicated,
         finish_without_client: node.bool_attribute("owed").unwrap_or(false),
     })
 }
 
-/// The sites that the gateway of this name is told of.
-pub fn sites(node: &Element, own: &str, faults: &mut Vec<Fault>) -> Option<SitesConfig> {
-    let (mut names, mut peers) = (Vec::new(), Vec::<SitePeerConfig>::new());
+/// Reads the sites, for the gateway with the name `own_name`; `None` if required attributes are invalid.
+pub fn sites(node: &Element, own_name: &str, faults: &mut Vec<Fault>) -> Option<SitesConfig> {
+    let (mut site_names, mut peers) = (Vec::new(), Vec::<SitePeerConfig>::new());
     for site in node.children("site") {
         let name = site.attribute("name").unwrap_or_default().to_owned();
-        if names.contains(&name) {
-            faults.push(site.fault(format!("site {name:?} stands twice")));
+        if site_names.contains(&name) {
+            faults.push(site.fault(format!("duplicate site {name:?}")));
         }
         for peer in site.children("peer") {
-            let mut at = |what: &str| {
-                peer.parse_attribute::<SocketAddr>(what, faults).unwrap_or_else(|| ([127, 0, 0, 1], 0).into())
+            let mut address = |attribute: &str| {
+                peer.parse_attribute::<SocketAddr>(attribute, faults)
+                    .unwrap_or_else(|| ([127, 0, 0, 1], 0).into())
             };
-            let (tell, front, journal) = (at("tell"), at("front"), at("journal"));
+            let (datagram_address, client_address, journal_address) =
+                (address("tell"), address("front"), address("journal"));
             let name = peer.attribute("name").unwrap_or_default().to_owned();
-            if peers.iter().any(|known| known.name == name) {
-                faults.push(peer.fault(format!("peer {name:?} stands twice")));
+            if peers.iter().any(|other| other.name == name) {
+                faults.push(peer.fault(format!("duplicate peer {name:?}")));
             }
-            if peers.iter().any(|known| known.datagram_address == tell) {
-                faults.push(peer.fault(format!("{tell} is another peer's: datagrams are told apart by it")));
+            if peers.iter().any(|other| other.datagram_address == datagram_address) {
+                faults.push(peer.fault(format!(
+                    "{datagram_address} is another peer's address: peers are told apart by the source of a datagram"
+                )));
             }
             peers.push(SitePeerConfig {
                 name,
-                site: names.len() as u8,
-                datagram_address: tell,
-                client_address: front,
-                journal_address: journal,
+                site: site_names.len() as u8,
+                datagram_address,
+                client_address,
+                journal_address,
             });
         }
-        names.push(name);
+        site_names.push(name);
     }
-    let position = peers.iter().position(|peer| peer.name == own);
-    if position.is_none() {
-        faults.push(node.fault(format!("no peer is named {own:?}, as the gateway element names us")));
+    let own_index = peers.iter().position(|peer| peer.name == own_name);
+    if own_index.is_none() {
+        faults.push(node.fault(format!(
+            "no peer is named {own_name:?}, the name of this gateway in the gateway element"
+        )));
     }
-    let mut address = |what: &str| node.parse_attribute::<SocketAddr>(what, faults);
-    let (listen, journal_listen) = (address("listen")?, address("journal-listen")?);
+    let mut address = |attribute: &str| node.parse_attribute::<SocketAddr>(attribute, faults);
+    let (datagram_listen, journal_listen) = (address("listen")?, address("journal-listen")?);
     let operators = node.attribute("operators").unwrap_or_default().split_whitespace();
-    let operators: Vec<Option<IpAddr>> = operators.map(|told| told.parse().ok()).collect();
+    let operators: Vec<Option<IpAddr>> = operators.map(|host| host.parse().ok()).collect();
     if operators.contains(&None) {
-        faults.push(node.fault("operators holds addresses of hosts, with blanks between"));
+        faults.push(node.fault("operators must be a list of IP addresses of hosts, separated by spaces"));
     }
-    let millis = |told: Option<f64>, absent: f64| (told.unwrap_or(absent) * 1_000.0) as Micros;
+    let micros = |millis: Option<f64>, default: f64| (millis.unwrap_or(default) * 1_000.0) as Micros;
     let journal = JournalConfig {
         max_bytes: node.parse_attribute("journal-bytes", faults).unwrap_or(64 << 20),
         max_entry_bytes: node.parse_attribute("entry-bytes", faults).unwrap_or(64 << 10),
-        lease: millis(node.parse_attribute("lease-ms", faults), 3_000.0),
+        lease: micros(node.parse_attribute("lease-ms", faults), 3_000.0),
     };
     if journal.lease < 500_000 {
-        faults.push(node.fault("lease-ms below 500 ends before it can be renewed over a slow link"));
+        faults.push(
+            node.fault("lease-ms below 500: the lease could expire before it is renewed over a slow link"),
+        );
     }
     Some(SitesConfig {
         fleet: node.attribute("fleet").unwrap_or_default().to_owned(),
-        datagram_listen: listen,
+        datagram_listen,
         journal_listen,
         operator_hosts: operators.into_iter().flatten().collect(),
-        own_index: position? as u16,
-        site_names: names,
+        own_index: own_index? as u16,
+        site_names,
         peers,
         hand_over: node.bool_attribute("hand-over").unwrap_or(true),
         shed: node.bool_attribute("shed").unwrap_or(true),
--- a/crates/config/src/xml.rs
+++ b/crates/config/src/xml.rs
@@ -1,67 +1,73 @@
-//! XML documents checked by a schema, and typed attributes with a place to point at.
+//! XML documents validated against a schema, and access to their attributes with faults that name the line and column.
 
 use crate::{ConfigError, Fault};
 use std::str::FromStr;
 use uppsala::{Document, NodeId, XmlError, XsdValidator};
 
-/// Elements that have another name now: the old, the new.
-const RENAMED: [(&str, &str); 1] = [("fellow", "peer")];
-/// Faults listed for one file at most.
-const MOST_FAULTS: usize = 20;
+/// Elements that were renamed: old name, new name.
+const RENAMED_ELEMENTS: [(&str, &str); 1] = [("fellow", "peer")];
+/// Most faults reported for one file.
+const MAX_FAULTS: usize = 20;
 
-/// Parses a document, checks it by a schema and hands its root to `take`, which may add faults of its own.
+/// Parses a document, validates it against a schema and passes its root to `convert`, which may add faults. `path` is
+/// only used in errors.
 ///
 /// # Errors
-/// All faults, in the order of lines.
+/// The faults, ordered by line, at most 20; or [`ConfigError::Schema`] if the schema itself is invalid.
 pub fn parse_validated<T>(
     text: &str,
     path: &str,
     schema: &str,
-    take: impl FnOnce(Element, &mut Vec<Fault>) -> T,
+    convert: impl FnOnce(Element, &mut Vec<Fault>) -> T,
 ) -> Result<T, ConfigError> {
-    let broken = |error: XmlError| ConfigError::Schema(error.to_string());
-    let schema = uppsala::parse(schema).map_err(broken)?;
-    let validator = XsdValidator::from_schema(&schema).map_err(broken)?;
-    let wrong = |faults| ConfigError::Faults { path: path.to_owned(), faults };
-    let document = uppsala::parse(text).map_err(|error| wrong(vec![not_well_formed(error)]))?;
+    let schema_error = |error: XmlError| ConfigError::Schema(error.to_string());
+    let schema = uppsala::parse(schema).map_err(schema_error)?;
+    let validator = XsdValidator::from_schema(&schema).map_err(schema_error)?;
+    let invalid = |faults| ConfigError::Faults { path: path.to_owned(), faults };
+    let document = uppsala::parse(text).map_err(|error| invalid(vec![not_well_formed(error)]))?;
     let found = validator.validate(&document);
     let mut faults: Vec<_> = found
         .into_iter()
         .map(|e| {
             let (line, column) = (e.line.unwrap_or(0), e.column.unwrap_or(0));
-            Fault { line, column, message: format!("{}{}", place(text, line, column, &e.message), e.message) }
+            Fault {
+                line,
+                column,
+                message: format!("{}{}", describe_place(text, line, column, &e.message), e.message),
+            }
         })
         .collect();
     if let (false, Some(root)) = (faults.is_empty(), document.document_element()) {
-        renamed(Element { document: &document, id: root }, &mut faults);
+        report_renamed(Element { document: &document, id: root }, &mut faults);
     }
     if let (true, Some(root)) = (faults.is_empty(), document.document_element()) {
-        let taken = take(Element { document: &document, id: root }, &mut faults);
+        let converted = convert(Element { document: &document, id: root }, &mut faults);
         if faults.is_empty() {
-            return Ok(taken);
+            return Ok(converted);
         }
     }
     faults.sort_by_key(|fault| (fault.line, fault.column));
     faults.dedup();
-    faults.truncate(MOST_FAULTS);
-    Err(wrong(faults))
+    faults.truncate(MAX_FAULTS);
+    Err(invalid(faults))
 }
 
-/// Adds a fault for each element below this one that stands under its old name, in place of the schema's of that place.
-fn renamed(node: Element, faults: &mut Vec<Fault>) {
+/// Adds a fault for each element below this one that has an old name. It replaces the schema's faults at that place.
+fn report_renamed(node: Element, faults: &mut Vec<Fault>) {
     for child in node.elements() {
         let name = child.name();
-        if let Some((_, new)) = RENAMED.iter().find(|(old, _)| *old == name) {
-            let fault = child.fault(format!("<{name}>: this element is called `{new}` now: rename it"));
-            faults.retain(|known| (known.line, known.column) != (fault.line, fault.column));
+        if let Some((_, new)) = RENAMED_ELEMENTS.iter().find(|(old, _)| *old == name) {
+            let fault = child.fault(format!("<{name}>: this element was renamed to `{new}`"));
+            faults.retain(|other| (other.line, other.column) != (fault.line, fault.column));
             faults.push(fault);
         }
-        renamed(child, faults);
+        report_renamed(child, faults);
     }
 }
 
-/// The element at a place, and its attribute whose value the message quotes: the validator names neither.
-fn place(text: &str, line: usize, column: usize, message: &str) -> String {
+/// A prefix for a fault's message: the element at the place, and its attribute whose value the message quotes. The
+/// validator names neither.
+fn describe_place(text: &str, line: usize, column: usize, message: &str) -> String {
     let tag = || {
         let line = text.lines().nth(line.checked_sub(1)?)?;
         let tag = line.get(column.checked_sub(1)?..)?.strip_prefix('<')?;
@@ -89,7 +95,7 @@
     Fault { line, column, message: format!("not well-formed XML: {message}") }
 }
 
-/// An element.
+/// An element of a document.
 #[derive(Clone, Copy)]
 pub struct Element<'a> {
     document: &'a Document<'a>,
@@ -97,34 +103,35 @@
 }
 
 impl<'a> Element<'a> {
-    /// Its name without prefix.
+    /// Its name without a namespace prefix.
     pub fn name(&self) -> String {
         self.document.element(self.id).map(|e| e.name.local_name.to_string()).unwrap_or_default()
     }
 
-    /// Its child elements of this name.
+    /// Its child elements with this name.
     pub fn children(&self, name: &str) -> Vec<Element<'a>> {
         self.elements().into_iter().filter(|n| n.name() == name).collect()
     }
 
-    /// All child elements.
+    /// All its child elements.
     pub fn elements(&self) -> Vec<Element<'a>> {
         let all =
             self.document.children(self.id).into_iter().map(|id| Element { document: self.document, id });
         all.filter(|n| n.document.element(n.id).is_some()).collect()
     }
 
-    /// The first child element of this name.
+    /// Its first child element with this name.
     pub fn child(&self, name: &str) -> Option<Element<'a>> {
         self.children(name).into_iter().next()
     }
 
-    /// An attribute's text.
+    /// The text of an attribute; `None` if it is absent.
     pub fn attribute(&self, name: &str) -> Option<&'a str> {
         self.document.get_attribute(self.id, name)
     }
 
-    /// An attribute as a type; `None` where it is absent. The schema has checked its form.
+    /// Parses an attribute; `None` if it is absent. The schema has checked its syntax, so a value that can't be
+    /// parsed is reported as out of range.
     pub fn parse_attribute<T: FromStr>(&self, name: &str, faults: &mut Vec<Fault>) -> Option<T> {
         let text = self.attribute(name)?.trim();
         let value = text.parse().ok();
@@ -134,12 +141,12 @@
         value
     }
 
-    /// An attribute as a truth value.
+    /// An attribute as a Boolean; `None` if it is absent.
     pub fn bool_attribute(&self, name: &str) -> Option<bool> {
         self.attribute(name).map(|text| matches!(text.trim(), "true" | "1"))
     }
 
-    /// A fault at this element.
+    /// Creates a fault at this element's place.
     pub fn fault(&self, message: impl Into<String>) -> Fault {
         let (line, column) = (self.document.node_line(self.id), self.document.node_column(self.id));
         Fault { line, column, message: message.into() }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,4 +1,4 @@
-//! Settings as files: good ones with their defaults, bad ones with the place of each fault.
+//! Valid settings files get their defaults; invalid ones report the place of each fault.
 use basaltward::{Group, Repeat};
 use basaltward_config::{ConfigError, Fault, ReplicationConfig, UnreplicatedPolicy, read};
 use std::path::Path;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_small_file_gets_defaults_and_numbers_of_its_own_for_each_loop() {
+fn a_small_file_gets_defaults_and_a_scheduler_number_for_each_event_loop() {
     let config = read(GOOD, Path::new("etc/x.xml")).expect("good");
     assert_eq!(config.roster_file, Path::new("etc/roster.xml"));
     assert_eq!(config.controller.classes[1].repeat, Repeat::Keyed { group: Group::Zone, window: 3_000_000 });
@@ -43,7 +43,7 @@
         ((" window-ms=\"3000\"", ""), 8, "needs window-ms"),
         (("class=\"note\"", "class=\"nota\""), 10, "\"nota\" is not among view, note"),
         (("memory-mb=\"400\"", "memory-mb=\"40000\""), 10, "fits no kind"),
-        (("name=\"note\"", "name=\"view\""), 8, "stands twice"),
+        (("name=\"note\"", "name=\"view\""), 8, "duplicate class \"view\""),
         (("index=\"1\"", "index=\"3\""), 2, "must be below count"),
         (
             ("</functions>", "</functions><repeats remember-ms=\"2999\"/>"),
@@ -52,10 +52,10 @@
         ),
         (("</classes>", ""), 11, "not well-formed"),
     ];
-    for ((from, to), line, said) in cases {
+    for ((from, to), line, expected) in cases {
         let found = faults(&GOOD.replacen(from, to, 1));
-        let fits = |f: &&Fault| f.line == line && f.message.contains(said);
-        assert!(found.iter().any(|f| fits(&f)), "{to:?}: line {line} with {said:?} not in {found:#?}");
+        let fits = |f: &&Fault| f.line == line && f.message.contains(expected);
+        assert!(found.iter().any(|f| fits(&f)), "{to:?}: line {line} with {expected:?} not in {found:#?}");
     }
 }
 
@@ -69,39 +69,41 @@
 </basaltward>"#;
 
 fn with_sites() -> String {
-    let kept = r#"repeat="safe" pending="kept" holders="2" unheld="go-on""#;
+    let replicated = r#"repeat="safe" pending="kept" holders="2" unheld="go-on""#;
     let named = GOOD.replace("<gateway index", "<gateway name=\"l0\" index");
-    named.replace("repeat=\"safe\"", kept).replace("</basaltward>", SITES)
+    named.replace("repeat=\"safe\"", replicated).replace("</basaltward>", SITES)
 }
 
 #[test]
-fn sites_name_every_gateway_once_and_ourselves_among_them() {
+fn sites_name_every_gateway_once_including_this_one() {
     let config = read(&with_sites(), Path::new("x.xml")).expect("good");
-    let kept = ReplicationConfig {
+    let replication = ReplicationConfig {
         holders: 2,
         unreplicated: UnreplicatedPolicy::Continue,
         finish_without_client: false,
     };
-    assert_eq!(config.replication, [Some(kept), None]);
-    let sites = config.sites.expect("told");
+    assert_eq!(config.replication, [Some(replication), None]);
+    let sites = config.sites.expect("sites are configured");
     assert_eq!((sites.own_index, sites.site_names.len(), sites.peers.len()), (1, 2, 3));
     assert_eq!((sites.peers[2].site, sites.journal.lease, sites.hand_over), (1, 2_000_000, true));
     let cases = [
-        ("name=\"l1\"", "name=\"l0\"", 15, "peer \"l0\" stands twice"),
-        ("<peer name=\"c0\"", "<fellow name=\"c0\"", 12, "called `peer` now"),
-        ("name=\"lima\"", "name=\"cusco\"", 13, "site \"cusco\" stands twice"),
+        ("name=\"l1\"", "name=\"l0\"", 15, "duplicate peer \"l0\""),
+        ("<peer name=\"c0\"", "<fellow name=\"c0\"", 12, "renamed to `peer`"),
+        ("name=\"lima\"", "name=\"cusco\"", 13, "duplicate site \"cusco\""),
         ("127.0.0.1:7003", "127.0.0.1:7002", 15, "another peer's"),
         ("gateway name=\"l0\"", "gateway name=\"x\"", 11, "no peer is named \"x\""),
         ("lease-ms=\"2000\"", "lease-ms=\"20\"", 11, "lease-ms below 500"),
-        ("operators=\"127.0.0.1\"", "operators=\"host\"", 11, "addresses of hosts"),
+        ("operators=\"127.0.0.1\"", "operators=\"host\"", 11, "IP addresses of hosts"),
         ("pending=\"kept\"", "pending=\"none\"", 7, "are for classes with"),
         ("front=\"127.0.0.1:8081\"", "front=\"here\"", 14, "here"),
     ];
-    for (from, to, line, said) in cases {
+    for (from, to, line, expected) in cases {
         let found = faults(&with_sites().replacen(from, to, 1));
-        let fits = |f: &&Fault| f.line == line && f.message.contains(said);
-        assert!(found.iter().any(|f| fits(&f)), "{to:?}: line {line} with {said:?} not in {found:#?}");
+        let fits = |f: &&Fault| f.line == line && f.message.contains(expected);
+        assert!(found.iter().any(|f| fits(&f)), "{to:?}: line {line} with {expected:?} not in {found:#?}");
     }
-    let alone = GOOD.replace("repeat=\"safe\"", "repeat=\"safe\" pending=\"kept\"");
-    assert!(faults(&alone).iter().any(|f| f.line == 7 && f.message.contains("needs a sites element")));
+    let without_sites = GOOD.replace("repeat=\"safe\"", "repeat=\"safe\" pending=\"kept\"");
+    assert!(
+        faults(&without_sites).iter().any(|f| f.line == 7 && f.message.contains("needs a sites element"))
+    );
 }
