--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -50,7 +50,7 @@
 /// The names of a list's elements. Adds a fault for each duplicate.
 fn unique_names(list: Option<Element>, element: &str, faults: &mut Faults) -> Vec<String> {
     let mut names: Vec<String> = Vec::new();
-    for node in list.map(|l| l.children(element)).unwrap_or_default() {
+    for node in list.map(|l| l.children_named(element)).unwrap_or_default() {
         let name = node.attribute("name").unwrap_or_default().to_owned();
         if names.contains(&name) {
             faults.push(node.fault(format!("duplicate {element} {name:?}")));
@@ -129,7 +129,8 @@
     let classes = unique_names(root.child("classes"), "class", faults);
     let tenants = unique_names(root.child("tenants"), "tenant", faults);
     unique_names(root.child("functions"), "function", faults);
-    let list = |list: &str, element: &str| root.child(list).map(|l| l.children(element)).unwrap_or_default();
+    let list =
+        |list: &str, element: &str| root.child(list).map(|l| l.children_named(element)).unwrap_or_default();
     let kind_memory_mb: Vec<f64> =
         list("kinds", "kind").iter().map(|k| k.parse_attribute("memory-mb", faults).unwrap_or(1.0)).collect();
     let class_settings: Vec<Class> = list("classes", "class").iter().map(|c| class(c, faults)).collect();
--- a/crates/config/src/sites.rs
+++ b/crates/config/src/sites.rs
@@ -100,12 +100,12 @@
 /// Reads the sites, for the gateway with the name `own_name`; `None` if required attributes are invalid.
 pub fn sites(node: &Element, own_name: &str, faults: &mut Vec<Fault>) -> Option<SitesConfig> {
     let (mut site_names, mut peers) = (Vec::new(), Vec::<SitePeerConfig>::new());
-    for site in node.children("site") {
+    for site in node.children_named("site") {
         let name = site.attribute("name").unwrap_or_default().to_owned();
         if site_names.contains(&name) {
             faults.push(site.fault(format!("duplicate site {name:?}")));
         }
-        for peer in site.children("peer") {
+        for peer in site.children_named("peer") {
             let mut address = |attribute: &str| {
                 peer.parse_attribute::<SocketAddr>(attribute, faults)
                     .unwrap_or_else(|| ([127, 0, 0, 1], 0).into())
--- a/crates/config/src/xml.rs
+++ b/crates/config/src/xml.rs
@@ -54,7 +54,7 @@
 
 /// Adds a fault for each element below this one that has an old name. It replaces the schema's faults at that place.
 fn report_renamed(node: Element, faults: &mut Vec<Fault>) {
-    for child in node.elements() {
+    for child in node.child_elements() {
         let name = child.name();
         if let Some((_, new)) = RENAMED_ELEMENTS.iter().find(|(old, _)| *old == name) {
             let fault = child.fault(format!("<{name}>: this element was renamed to `{new}`"));
@@ -109,12 +109,12 @@
     }
 
     /// Its child elements with this name.
-    pub fn children(&self, name: &str) -> Vec<Element<'a>> {
-        self.elements().into_iter().filter(|n| n.name() == name).collect()
+    pub fn children_named(&self, name: &str) -> Vec<Element<'a>> {
+        self.child_elements().into_iter().filter(|n| n.name() == name).collect()
     }
 
     /// All its child elements.
-    pub fn elements(&self) -> Vec<Element<'a>> {
+    pub fn child_elements(&self) -> Vec<Element<'a>> {
         let all =
             self.document.children(self.id).into_iter().map(|id| Element { document: self.document, id });
         all.filter(|n| n.document.element(n.id).is_some()).collect()
@@ -122,7 +122,7 @@
 
     /// Its first child element with this name.
     pub fn child(&self, name: &str) -> Option<Element<'a>> {
-        self.children(name).into_iter().next()
+        self.children_named(name).into_iter().next()
     }
 
     /// The text of an attribute; `None` if it is absent.
--- a/crates/node/tests/sockets/common.rs
+++ b/crates/node/tests/sockets/common.rs
@@ -229,7 +229,7 @@
 }
 
 pub fn rules() -> RuleSettings {
-    let class = |repeat| ClassRule { repeat, aim: 1_000 * MS, worth: 1.0, late_worth: 0.0 };
+    let class = |repeat| ClassRule { repeat, aim: 1_000 * MS, value: 1.0, late_share: 0.0 };
     let classes = [("view", RepeatRule::Safe), ("extract", RepeatRule::Unsafe)];
     RuleSettings {
         classes: classes.map(|(name, repeat)| (name.to_owned(), class(repeat))).into(),
@@ -238,10 +238,10 @@
         load_window: 0,
         load_free: 0.0,
         load_share: 0.0,
-        cold_from: 0.2,
-        warm_within: 16_000 * MS,
-        tip_multiple: 4.0,
-        fall: 1_500 * MS,
+        initial_capacity_share: 0.2,
+        warm_up_time: 16_000 * MS,
+        overload_multiple: 4.0,
+        overload_window: 1_500 * MS,
     }
 }
 
--- a/crates/play/src/bed.rs
+++ b/crates/play/src/bed.rs
@@ -239,7 +239,7 @@
             Repeat::Unsafe => RepeatRule::Unsafe,
             Repeat::Keyed { group, window } => RepeatRule::Keyed { window, all: group == Group::All },
         };
-        let rule = ClassRule { repeat, aim: class.aim, worth: class.worth, late_worth: class.late_worth };
+        let rule = ClassRule { repeat, aim: class.aim, value: class.worth, late_share: class.late_worth };
         (name.clone(), rule)
     };
     let cells = config
@@ -258,9 +258,9 @@
         load_window: family.load_window,
         load_free: family.load_free,
         load_share: family.load_share,
-        cold_from: rules.cold_from,
-        warm_within: rules.warm_within,
-        tip_multiple: rules.tip_multiple,
-        fall: rules.fall,
+        initial_capacity_share: rules.cold_from,
+        warm_up_time: rules.warm_within,
+        overload_multiple: rules.tip_multiple,
+        overload_window: rules.fall,
     }
 }
--- a/crates/play/src/script.rs
+++ b/crates/play/src/script.rs
@@ -129,7 +129,7 @@
     let specs =
         (0..count).map(|index| WorkerSpec { speed: if index < slow { 0.75 } else { 1.0 }, ..spec.clone() });
     let mut steps: Vec<Step> = Vec::new();
-    for node in root.children("at") {
+    for node in root.children_named("at") {
         steps.extend(step(&node, count, gateways as usize, faults));
     }
     steps.sort_by_key(|step| step.at);
--- a/crates/roster/src/file.rs
+++ b/crates/roster/src/file.rs
@@ -75,7 +75,7 @@
     parse_validated(text, &path.display().to_string(), SCHEMA, |root, faults| {
         let mut addresses = BTreeSet::new();
         let mut entries = Vec::new();
-        for node in root.children("worker") {
+        for node in root.children_named("worker") {
             let entry = entry(&node, names, faults);
             if entry.address.parse::<std::net::SocketAddr>().is_err() {
                 faults.push(node.fault(format!("address {:?} is not IP:port", entry.address)));
--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -32,9 +32,9 @@
     /// Target time: an answer within it earns the full value.
     pub aim: Micros,
     /// Value of an answer within the target time.
-    pub worth: f64,
+    pub value: f64,
     /// Share of that value that a later answer earns.
-    pub late_worth: f64,
+    pub late_share: f64,
 }
 
 /// Parameters of the rules. Times are in microseconds.
@@ -53,13 +53,13 @@
     /// Further orders allowed for each call accepted in the window.
     pub load_share: f64,
     /// Share of its capacity that a worker has when it starts.
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// Time after its start at which a worker has its full capacity.
-    pub warm_within: Micros,
+    pub warm_up_time: Micros,
     /// Most work that may be sent to a cold worker, as a multiple of what it can do.
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// Length of the sliding window over which that multiple is checked.
-    pub fall: Micros,
+    pub overload_window: Micros,
 }
 
 /// A broken rule.
--- a/crates/rules/src/service.rs
+++ b/crates/rules/src/service.rs
@@ -53,13 +53,13 @@
     for event in events.values() {
         let Some(class) = settings.classes.get(event.class) else { continue };
         let earned = match event.served_at {
-            Some(t) if t <= event.first_sent + class.aim => class.worth,
-            Some(_) => class.worth * class.late_worth,
+            Some(t) if t <= event.first_sent + class.aim => class.value,
+            Some(_) => class.value * class.late_share,
             None => 0.0,
         };
         // Windows overlap by half, so that one of them covers most of a short outage.
         let half = (event.first_sent - start) / (WINDOW_US / 2);
-        let add = |sum: &mut (f64, f64)| *sum = (sum.0 + earned, sum.1 + class.worth);
+        let add = |sum: &mut (f64, f64)| *sum = (sum.0 + earned, sum.1 + class.value);
         add(&mut all);
         add(windows.entry(half).or_default());
         add(windows.entry(half + 1).or_default());
--- a/crates/rules/src/workers.rs
+++ b/crates/rules/src/workers.rs
@@ -53,12 +53,12 @@
         arrived: VecDeque<(Micros, f64)>,
     }
     // Work that a cold worker can do from its start to an age, in microseconds per unit of its capacity. Capacity
-    // grows linearly from `cold_from` to 1 until `warm_within`.
+    // grows linearly from `initial_capacity_share` to 1 during `warm_up_time`.
     let work_until = |age: f64| {
-        let within = settings.warm_within.max(1) as f64;
+        let within = settings.warm_up_time.max(1) as f64;
         let cold = age.min(within);
-        let while_cold =
-            settings.cold_from * cold + (1.0 - settings.cold_from) * cold * cold / (2.0 * within);
+        let while_cold = settings.initial_capacity_share * cold
+            + (1.0 - settings.initial_capacity_share) * cold * cold / (2.0 * within);
         while_cold + (age - cold)
     };
     let mut cold_workers: BTreeMap<&str, ColdWorker> = BTreeMap::new();
@@ -80,20 +80,22 @@
             Observation::Arrived { work, .. } => {
                 let Some(worker) = cold_workers.get_mut(record.observer.as_str()) else { continue };
                 let age = (record.time - worker.started) as f64;
-                if age > settings.warm_within as f64 {
+                if age > settings.warm_up_time as f64 {
                     continue;
                 }
                 worker.arrived.push_back((record.time, *work as f64));
-                while worker.arrived.front().is_some_and(|(t, _)| t + settings.fall < record.time) {
+                while worker.arrived.front().is_some_and(|(t, _)| t + settings.overload_window < record.time)
+                {
                     worker.arrived.pop_front();
                 }
                 let sent: f64 = worker.arrived.iter().map(|(_, work)| work).sum();
                 // A window that begins before the start counts at full length, with the worker's initial capacity:
                 // the worker was idle in that part.
-                let from = (age - settings.fall as f64).max(0.0);
-                let before_start = (settings.fall as f64 - age).max(0.0) * settings.cold_from;
+                let from = (age - settings.overload_window as f64).max(0.0);
+                let before_start =
+                    (settings.overload_window as f64 - age).max(0.0) * settings.initial_capacity_share;
                 let possible = worker.capacity * (work_until(age) - work_until(from) + before_start);
-                if sent > settings.tip_multiple * possible + *work as f64 {
+                if sent > settings.overload_multiple * possible + *work as f64 {
                     let ratio = sent / possible.max(1.0);
                     let message =
                         format!("{} was sent {ratio:.1} times the work that it could do", record.observer);
--- a/crates/rules/tests/five_rules.rs
+++ b/crates/rules/tests/five_rules.rs
@@ -4,7 +4,7 @@
 const MS: Micros = 1_000;
 
 fn settings() -> RuleSettings {
-    let class = |repeat| ClassRule { repeat, aim: 500 * MS, worth: 1.0, late_worth: 0.3 };
+    let class = |repeat| ClassRule { repeat, aim: 500 * MS, value: 1.0, late_share: 0.3 };
     let keyed = RepeatRule::Keyed { window: 100 * MS, all: false };
     let classes = [("safe", RepeatRule::Safe), ("keyed", keyed), ("unsafe", RepeatRule::Unsafe)];
     RuleSettings {
@@ -14,10 +14,10 @@
         load_window: 1_000 * MS,
         load_free: 1.0,
         load_share: 0.5,
-        cold_from: 0.2,
-        warm_within: 1_000 * MS,
-        tip_multiple: 2.0,
-        fall: 100 * MS,
+        initial_capacity_share: 0.2,
+        warm_up_time: 1_000 * MS,
+        overload_multiple: 2.0,
+        overload_window: 100 * MS,
     }
 }
 
--- a/crates/trial/src/checker.rs
+++ b/crates/trial/src/checker.rs
@@ -266,7 +266,7 @@
 fn rules() -> RuleSettings {
     let class = |(name, _, repeat): &(&str, u64, &str)| {
         let repeat = if *repeat == "unsafe" { RepeatRule::Unsafe } else { RepeatRule::Safe };
-        ((*name).to_owned(), ClassRule { repeat, aim: 1_000_000, worth: 1.0, late_worth: 0.0 })
+        ((*name).to_owned(), ClassRule { repeat, aim: 1_000_000, value: 1.0, late_share: 0.0 })
     };
     RuleSettings {
         classes: CLASSES.iter().map(class).collect(),
@@ -276,9 +276,9 @@
         load_window: 0,
         load_free: 0.0,
         load_share: 0.0,
-        cold_from: 0.2,
-        warm_within: 16_000_000,
-        tip_multiple: 4.0,
-        fall: 1_500_000,
+        initial_capacity_share: 0.2,
+        warm_up_time: 16_000_000,
+        overload_multiple: 4.0,
+        overload_window: 1_500_000,
     }
 }
--- a/crates/trial/src/hollow/script.rs
+++ b/crates/trial/src/hollow/script.rs
@@ -107,7 +107,8 @@
 /// Reads the element `hollow`, which the schema has checked.
 pub(crate) fn hollow(part: Element, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> HollowScript {
     let spec = spec(part, program, seed, faults);
-    let steps = part.children("step").into_iter().filter_map(|node| step(node, &spec, faults)).collect();
+    let steps =
+        part.children_named("step").into_iter().filter_map(|node| step(node, &spec, faults)).collect();
     HollowScript { spec, steps }
 }
 
--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -99,7 +99,7 @@
     };
     let span = number("ms", 1_000) * 1_000;
     let mut steps = Vec::new();
-    for (index, node) in root.children("at").into_iter().enumerate() {
+    for (index, node) in root.children_named("at").into_iter().enumerate() {
         let read = Reader { node, index: index as u64, fleet: &fleet };
         read.step(faults, &mut steps);
     }
--- a/crates/trial/src/site_checker.rs
+++ b/crates/trial/src/site_checker.rs
@@ -229,7 +229,7 @@
         let keyed = RepeatRule::Keyed { window: 9, all: false };
         let all = [("safe", RepeatRule::Safe), ("keyed", keyed), ("unsafe", RepeatRule::Unsafe)];
         let class = |(name, repeat): (&str, RepeatRule)| {
-            (name.to_owned(), ClassRule { repeat, aim: 1, worth: 1.0, late_worth: 0.0 })
+            (name.to_owned(), ClassRule { repeat, aim: 1, value: 1.0, late_share: 0.0 })
         };
         RuleSettings {
             classes: all.into_iter().map(class).collect(),
@@ -238,10 +238,10 @@
             load_window: 0,
             load_free: 0.0,
             load_share: 0.0,
-            cold_from: 0.2,
-            warm_within: 1,
-            tip_multiple: 3.0,
-            fall: 1,
+            initial_capacity_share: 0.2,
+            warm_up_time: 1,
+            overload_multiple: 3.0,
+            overload_window: 1,
         }
     }
 
--- a/crates/trial/src/site_script.rs
+++ b/crates/trial/src/site_script.rs
@@ -60,7 +60,7 @@
         node.parse_attribute::<u64>(name, faults).unwrap_or(absent)
     };
     let mut told = Vec::new();
-    for node in own.children("site") {
+    for node in own.children_named("site") {
         told.push(SiteSpec {
             name: node.attribute("name").unwrap_or_default().into(),
             gateways: number(&node, "gateways", 1, faults) as usize,
@@ -84,7 +84,7 @@
             node.parse_attribute("quota-per-s", faults).unwrap_or(1.0),
         )
     };
-    let tenants = own.children("tenant").iter().map(|node| tenant(node, faults)).collect();
+    let tenants = own.children_named("tenant").iter().map(|node| tenant(node, faults)).collect();
     let spec = SitesSpec {
         program: program.into(),
         sites: told,
@@ -100,16 +100,16 @@
         seed,
     };
     let mut read = Reader { spec, span, steps: Vec::new() };
-    for node in own.children("link") {
+    for node in own.children_named("link") {
         let link = read.link(node, SiteLink::default(), faults);
         let pairs = read.pairs(node, faults);
         read.spec.links.extend(pairs.into_iter().map(|pair| (pair, link)));
     }
-    for node in own.children("load") {
+    for node in own.children_named("load") {
         let load = read.load(node, faults);
         read.spec.loads.extend(load);
     }
-    for (index, node) in own.children("at").into_iter().enumerate() {
+    for (index, node) in own.children_named("at").into_iter().enumerate() {
         read.step(node, index as u64, faults);
     }
     // Stable: of two at one time the one written first goes first.
