--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -69,6 +69,7 @@
     })
 }
 
+/// Reads the controller's settings of a class.
 fn class(node: &Element, faults: &mut Faults) -> Class {
     let aim = micros(node, "aim-ms", faults).unwrap_or(0);
     let deadline = micros(node, "deadline-ms", faults).unwrap_or(0);
@@ -121,6 +122,7 @@
     }
 }
 
+/// Converts a document that conforms to the schema. Adds a fault for each value that the schema can't check.
 fn config(root: Element, folder: &Path, faults: &mut Faults) -> Config {
     let optional = |name: &str| OptionalElement(root.child(name));
     let (gateway, roster, workers) = (optional("gateway"), optional("roster"), optional("workers"));
--- a/crates/config/src/sites.rs
+++ b/crates/config/src/sites.rs
@@ -118,7 +118,7 @@
             }
             if peers.iter().any(|other| other.datagram_address == datagram_address) {
                 faults.push(peer.fault(format!(
-                    "{datagram_address} is another peer's address: peers are told apart by the source of a datagram"
+                    "{datagram_address} is another peer's address: datagrams are attributed to peers by it"
                 )));
             }
             peers.push(SitePeerConfig {
--- a/crates/rules/src/recorder.rs
+++ b/crates/rules/src/recorder.rs
@@ -32,6 +32,7 @@
 }
 
 impl Memory {
+    /// Moves the queued records to the end of `all`.
     fn gather(&self, all: &mut Vec<Record>) {
         all.extend(std::iter::from_fn(|| self.queue.pop()));
     }
@@ -74,8 +75,8 @@
     }
 
     /// Adds a record. Never blocks on a disk: if the writer's queue is full, the record is dropped and counted.
-    pub fn put(&self, t: Micros, by: &str, what: Observation) {
-        let record = || Record { time: t, observer: by.to_owned(), observation: what };
+    pub fn put(&self, time: Micros, observer: &str, observation: Observation) {
+        let record = || Record { time, observer: observer.to_owned(), observation };
         match &self.sink {
             Sink::None => {}
             Sink::Memory(memory) => {
@@ -123,6 +124,7 @@
     }
 }
 
+/// Writes records as JSON lines until all senders are dropped.
 fn write(file: File, receive: Receiver<Record>) -> io::Result<()> {
     let mut out = BufWriter::new(file);
     while let Ok(first) = receive.recv() {
