--- a/crates/cli/tests/stalls.rs
+++ b/crates/cli/tests/stalls.rs
@@ -5,7 +5,7 @@
 mod process;
 
 use basaltward_net::monotonic;
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use basaltward_standins::{Board, Exec, FrontClient, FrontReply, LineWorker, answer};
 use common::{
     ABANDON_METHODS, Call, Limits, TEST_TIMEOUT, abandon, bulletin_entry, call, config_json, send,
@@ -65,10 +65,10 @@
     /// Which worker has a call, and from which port it came.
     fn holder(&self, id: &str) -> (&LineWorker, u16) {
         let mut found = None;
-        let came = self.recorder.wait(TEST_TIMEOUT, |all| {
-            found = all.iter().find_map(|record| match &record.what {
-                What::Arrived { event, attempt, .. } if event == id => {
-                    let at = usize::from(record.by == "s-1");
+        let came = self.recorder.wait_until(TEST_TIMEOUT, |all| {
+            found = all.iter().find_map(|record| match &record.observation {
+                Observation::Arrived { event, attempt, .. } if event == id => {
+                    let at = usize::from(record.observer == "s-1");
                     Some((&self.workers[at], attempt.rsplit_once('@')?.1.parse().ok()?))
                 }
                 _ => None,
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -15,7 +15,7 @@
 use basaltward_pending::{End, Fate, Input, Output, Pending, PendingSettings, Step, taken};
 use basaltward_permits::{Denied, PermitRequest};
 use basaltward_route::{FunctionTold, Route, RouteSettings};
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use basaltward_shed::{ClassOf, Shed, ShedSettings};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -76,36 +76,36 @@
 
 /// Which gateway stands where, by the settings.
 fn places(sites: &SitesConfig) -> Option<SiteMap> {
-    SiteMap::new(sites.peers.iter().map(|peer| peer.site).collect(), sites.own)
+    SiteMap::new(sites.peers.iter().map(|peer| peer.site).collect(), sites.own_index)
 }
 
 /// Figures of the door, the same at all gateways.
 pub fn shed_settings(config: &Config, sites: &SitesConfig) -> Option<ShedSettings> {
     let class =
         |class: &basaltward::Class| ClassOf { worth: class.value, aim: class.aim, deadline: class.deadline };
-    let classes = config.module.classes.iter().map(class).collect();
-    let usual = ShedSettings::new(classes, config.module.tenant_quotas.clone(), places(sites)?);
+    let classes = config.controller.classes.iter().map(class).collect();
+    let usual = ShedSettings::new(classes, config.controller.tenant_quotas.clone(), places(sites)?);
     Some(ShedSettings {
-        over_share_worth: config.module.over_share_value,
+        over_share_worth: config.controller.over_share_value,
         loops: config.threads as usize,
         ..usual
     })
 }
 
 fn route_settings(config: &Config, sites: &SitesConfig) -> Option<RouteSettings> {
-    let classes = &config.module.classes;
+    let classes = &config.controller.classes;
     let function = |f: &basaltward_config::FunctionConfig| FunctionTold {
         memory_mb: f.memory_mb.ceil().max(1.0) as u32,
         lanes: f.lanes,
-        load: f.load,
+        load: f.load_time,
         aim: classes[f.class].aim,
         deadline: classes[f.class].deadline,
     };
-    let kinds = &config.module.copies.kind_memory_mb;
+    let kinds = &config.controller.copies.kind_memory_mb;
     let worker_mb = kinds.iter().sum::<f64>() / kinds.len().max(1) as f64;
     let functions = config.functions.iter().map(function).collect();
-    let usual = RouteSettings::new(places(sites)?, functions, worker_mb as u32, u64::from(sites.own));
-    Some(RouteSettings { keep: config.module.copies.keep_alive, loops: config.threads as u16, ..usual })
+    let usual = RouteSettings::new(places(sites)?, functions, worker_mb as u32, u64::from(sites.own_index));
+    Some(RouteSettings { keep: config.controller.copies.keep_alive, loops: config.threads as u16, ..usual })
 }
 
 fn endpoint_config(config: &Config, sites: &SitesConfig) -> EndpointConfig {
@@ -115,19 +115,19 @@
         transport: PeerConfig {
             sites: places(sites).map(|map| SitesToWatch { map, lost_after_us: LOST_US }),
             name: sites.fleet.clone(),
-            listen: sites.listen,
-            peers: peers.iter().map(|peer| peer.tell).collect(),
-            own: sites.own,
+            listen: sites.datagram_listen,
+            peers: peers.iter().map(|peer| peer.datagram_address).collect(),
+            own: sites.own_index,
             seed,
-            operators: sites.operators.clone(),
+            operators: sites.operator_hosts.clone(),
             zones: peers.iter().map(|peer| peer.site).collect(),
-            bounds: config.kept.iter().any(Option::is_some).then(Default::default),
+            bounds: config.replication.iter().any(Option::is_some).then(Default::default),
             version: String::new(),
             round_trip: ROUND_TRIP_US,
             bytes_per_s: BYTES_PER_S,
         },
         listen: sites.journal_listen,
-        connections: ConnectionConfig::new(peers.iter().map(|peer| peer.journal).collect()),
+        connections: ConnectionConfig::new(peers.iter().map(|peer| peer.journal_address).collect()),
     }
 }
 
@@ -151,24 +151,25 @@
         let shed = shed_settings(config, sites).ok_or(GatewayError::Sites)?;
         let shed_stands = shed.stands;
         let shed = Shed::new(now, shed)?;
-        let holders = config.kept.iter().map(|kept| kept.map_or(0, |kept| kept.holders.min(255) as u8));
+        let holders =
+            config.replication.iter().map(|kept| kept.map_or(0, |kept| kept.holders.min(255) as u8));
         let places = places(sites).ok_or(GatewayError::Sites)?;
         let pending = PendingSettings {
-            bytes: sites.journal.bytes,
-            entry_bytes: sites.journal.entry_bytes,
+            bytes: sites.journal.max_bytes,
+            entry_bytes: sites.journal.max_entry_bytes,
             lease: sites.journal.lease,
             ..PendingSettings::new(
                 places.clone(),
                 endpoint.start_ms(),
                 holders.collect(),
-                u64::from(sites.own),
+                u64::from(sites.own_index),
             )
         };
-        let windows = config.module.classes.iter().map(|class| match class.repeat {
+        let windows = config.controller.classes.iter().map(|class| match class.repeat {
             Repeat::Keyed { window, .. } => window,
             _ => 0,
         });
-        let remember = windows.fold(config.repeats.remember, Micros::max);
+        let remember = windows.fold(config.repeats.retention, Micros::max);
         Ok(Self {
             name: format!("{}/control", config.name),
             io,
@@ -333,7 +334,8 @@
     ) {
         let told = format!("{state:?}").to_lowercase();
         info!(scheduler = self.name, member = of, state = told, "peer");
-        let what = What::Believed { of, start: life.start, bump: life.bump, state: told };
+        let what =
+            Observation::MemberState { member: of, start: life.start, refutations: life.bump, state: told };
         self.recorder.put(now, &self.name, what);
     }
 
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -18,7 +18,7 @@
 };
 use basaltward_net::{Clock, ConnId, Io, IoEvent, NetError, monotonic, thread_time};
 use basaltward_roster::{Names, RosterFile, Source};
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -70,18 +70,18 @@
 fn engine_settings(config: &Config, thread: u32) -> EngineSettings {
     let (repeats, margin, loops) = (&config.repeats, &config.margin, config.threads as usize);
     EngineSettings {
-        controller: config.module_of(thread),
-        max_in_flight: config.front.calls,
-        max_waiters: config.front.waiters,
+        controller: config.controller_settings(thread),
+        max_in_flight: config.client_limits.calls,
+        max_waiters: config.client_limits.waiters,
         linger: repeats.linger,
         // Each loop owns its part of a tenant's events.
         repeats: RepeatLimits {
-            retention: repeats.remember,
-            max_answers: repeats.answers.div_ceil(loops),
-            max_guards: repeats.guards.div_ceil(loops),
-            max_bytes: repeats.bytes.div_ceil(loops),
+            retention: repeats.retention,
+            max_answers: repeats.answers_per_tenant.div_ceil(loops),
+            max_guards: repeats.guards_per_tenant.div_ceil(loops),
+            max_bytes: repeats.bytes_per_tenant.div_ceil(loops),
         },
-        margin: MarginSettings { share: margin.share, min: margin.least, max: margin.most },
+        margin: MarginSettings { share: margin.share, min: margin.min, max: margin.max },
     }
 }
 
@@ -101,7 +101,7 @@
         let links =
             Links::new(prefix.clone(), config.links.clone(), settings.controller.report_names.clone());
         let (_, address) = io.listen(listener)?;
-        let names = Names { kinds: config.kinds.clone(), zones: config.zones.clone() };
+        let names = Names { kinds: config.worker_kinds.clone(), zones: config.zones.clone() };
         let seed = u64::from(settings.controller.self_index);
         Ok(Self {
             name,
@@ -112,11 +112,11 @@
             front: Front::new(config, mail.me()),
             links,
             mail,
-            handed: Handoffs::new(config.front.calls),
+            handed: Handoffs::new(config.client_limits.calls),
             sites,
             letters: Vec::new(),
             pace: LoopPacer::default(),
-            roster: RosterFile::new(config.roster.clone(), names, config.roster_check),
+            roster: RosterFile::new(config.roster_file.clone(), names, config.roster_check_interval),
             clock: Clock::read(),
             states: BTreeMap::new(),
             recorder,
@@ -133,7 +133,7 @@
     /// Where the system fails the loop itself.
     pub fn run(mut self) -> Result<(), NetError> {
         let address = self.address.to_string();
-        self.recorder.put(monotonic(), &self.name, What::Up { address });
+        self.recorder.put(monotonic(), &self.name, Observation::Up { address });
         let mut happened = Vec::new();
         loop {
             let now = monotonic();
@@ -151,7 +151,7 @@
             }
             match self.orders.wanted.load(Ordering::Relaxed) {
                 KILL => {
-                    self.recorder.put(monotonic(), &self.name, What::Down { killed: true });
+                    self.recorder.put(monotonic(), &self.name, Observation::Down { killed: true });
                     return Ok(());
                 }
                 STOP if !self.stopping => self.stop(now),
@@ -166,7 +166,7 @@
                 && self.io.is_flushed()
                 && self.mail.rest()
             {
-                self.recorder.put(monotonic(), &self.name, What::Down { killed: false });
+                self.recorder.put(monotonic(), &self.name, Observation::Down { killed: false });
                 info!(scheduler = self.name, "stopped");
                 return Ok(());
             }
@@ -226,11 +226,15 @@
         let TurnReport { began, stalled, lag } = self.pace.end_turn(now, thread_time());
         self.engine.record_lateness(now, began);
         if let Some(us) = stalled {
-            self.recorder.put(now, &self.name, What::Stalled { us });
+            self.recorder.put(now, &self.name, Observation::Stalled { us });
         }
         if let Some(Lag { longest_turn: turn, longest_wait: waited, stalled }) = lag {
             warn!(scheduler = self.name, turn_us = turn, waited_us = waited, stalled_us = stalled, "late");
-            self.recorder.put(now, &self.name, What::Lagged { turn, waited, stalled });
+            self.recorder.put(
+                now,
+                &self.name,
+                Observation::Lagged { longest_turn: turn, longest_wait: waited, stalled },
+            );
         }
     }
 
@@ -241,7 +245,7 @@
         if !self.given.is_empty() {
             let now = monotonic();
             for (event, status) in self.given.drain(..) {
-                self.recorder.put(now, &self.name, What::Gave { event, status });
+                self.recorder.put(now, &self.name, Observation::AnswerSent { event, status });
             }
         }
     }
@@ -249,7 +253,7 @@
     fn stop(&mut self, now: Micros) {
         info!(scheduler = self.name, in_hand = self.engine.calls_in_flight(), "stopping");
         self.stopping = true;
-        self.recorder.put(now, &self.name, What::Stopping);
+        self.recorder.put(now, &self.name, Observation::Stopping);
         self.io.stop_all_listening();
         self.front.stop(&mut self.io);
         self.tell(now, Input::Stop);
@@ -358,9 +362,9 @@
                     sites.attempt_ended(now, id, &end);
                     sites.kept.iter_mut().for_each(|kept| kept.attempt_ended(id, &end));
                 }
-                if self.recorder.is_on() {
+                if self.recorder.is_enabled() {
                     let (attempt, code) = (attempt_name(&self.prefix, id), format!("{:?}", end.code));
-                    self.recorder.put(now, &self.name, What::Ended { attempt, code });
+                    self.recorder.put(now, &self.name, Observation::Ended { attempt, code });
                 }
                 Input::AttemptEnded(id, end)
             }
@@ -483,15 +487,19 @@
         let Some((waiting, status, free)) = self.front.answer(&mut self.io, now, waiter, answer) else {
             return;
         };
-        if unowned && self.recorder.is_on() {
-            self.recorder.put(now, &self.name, What::Unowned { event: event_name(&waiting.event) });
+        if unowned && self.recorder.is_enabled() {
+            self.recorder.put(
+                now,
+                &self.name,
+                Observation::OwnerUnreachable { event: event_name(&waiting.event) },
+            );
         }
         if let Some(conn) = free
             && self.io.input(conn).is_some_and(|input| !input.is_empty())
         {
             self.front.came(now, conn);
         }
-        if self.recorder.is_on() {
+        if self.recorder.is_enabled() {
             self.given.push((event_name(&waiting.event), status));
         }
         let how = match path {
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -8,7 +8,7 @@
 use basaltward_membership::{Incarnation, MemberId};
 use basaltward_net::{Io, monotonic};
 use basaltward_permits::{Permit, PermitState, Stored, Subject};
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use std::collections::{BTreeSet, HashMap};
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -31,20 +31,20 @@
         Self { name: name.into(), recorder, attempt_names, unflushed_answers, known }
     }
 
-    fn put(&self, now: Micros, what: What) {
+    fn put(&self, now: Micros, what: Observation) {
         self.recorder.put(now, &self.name, what);
     }
 
     pub fn up(&self, now: Micros, address: SocketAddr) {
-        self.put(now, What::Up { address: address.to_string() });
+        self.put(now, Observation::Up { address: address.to_string() });
     }
 
     pub fn stopping(&self, now: Micros) {
-        self.put(now, What::Stopping);
+        self.put(now, Observation::Stopping);
     }
 
     pub fn down(&self, now: Micros) {
-        self.put(now, What::Down { killed: false });
+        self.put(now, Observation::Down { killed: false });
     }
 
     /// The fleet's view has changed.
@@ -55,15 +55,18 @@
         life: Incarnation,
         is: basaltward_membership::MemberState,
     ) {
-        if self.recorder.is_on() {
+        if self.recorder.is_enabled() {
             let state = format!("{is:?}").to_lowercase();
-            self.put(now, What::Believed { of, start: life.start, bump: life.bump, state });
+            self.put(
+                now,
+                Observation::MemberState { member: of, start: life.start, refutations: life.bump, state },
+            );
         }
     }
 
     /// The fleet has agreed on a later state of the permits.
     pub fn permits_changed(&self, now: Micros, known: &Stored<PermitState>) {
-        if self.recorder.is_on() {
+        if self.recorder.is_enabled() {
             let permit = |permit: &Permit| match permit.subject {
                 Subject::Scheduler(of) => format!("scheduler {of} {}", permit.number),
                 Subject::Worker(of) => format!("worker {of:08x} {}", permit.number),
@@ -72,19 +75,19 @@
             };
             let permits = known.value.permits.iter().map(permit).collect();
             let (epoch, version) = ((known.epoch.ms, known.epoch.by), known.version);
-            self.put(now, What::Agreed { epoch, version, permits });
+            self.put(now, Observation::PermitsUpdated { epoch, version, permits });
         }
     }
 
     pub fn request_accepted(&self, now: Micros, id: &str) {
-        if self.recorder.is_on() {
-            self.put(now, What::Taken { event: id.into() });
+        if self.recorder.is_enabled() {
+            self.put(now, Observation::Accepted { event: id.into() });
         }
     }
 
     /// An id is used on a connection only once, so id and port identify an attempt; the worker sees the same pair.
     pub fn job_written(&mut self, now: Micros, io: &mut Io, written: &Written) {
-        if !self.recorder.is_on() {
+        if !self.recorder.is_enabled() {
             return;
         }
         let worker = written.worker.to_string();
@@ -93,10 +96,10 @@
                 let port = io.local_address(written.conn).map_or(0, |a| a.port());
                 let attempt = format!("{}:{}@{port}", self.name, payload.id);
                 self.attempt_names.insert(*id, attempt.clone());
-                self.put(now, What::Sent { event: payload.id.clone(), attempt, worker });
+                self.put(now, Observation::Sent { event: payload.id.clone(), attempt, worker });
             }
             WrittenJob::Order(function, count) => {
-                self.put(now, What::Ordered { worker, function: function.to_string(), count: *count });
+                self.put(now, Observation::Ordered { worker, function: function.to_string(), count: *count });
             }
         }
     }
@@ -125,7 +128,7 @@
         "attempt"
         );
         if let Some(attempt) = self.attempt_names.remove(&id) {
-            self.put(now, What::Ended { attempt, code: format!("{code:?}") });
+            self.put(now, Observation::Ended { attempt, code: format!("{code:?}") });
         }
     }
 
@@ -154,7 +157,7 @@
         took_us = now.saturating_sub(request.arrived),
         "call"
         );
-        if self.recorder.is_on() {
+        if self.recorder.is_enabled() {
             self.unflushed_answers.push((format!("{:016x}", request.request), status));
         }
     }
@@ -166,18 +169,18 @@
         }
         let now = monotonic();
         for (event, status) in std::mem::take(&mut self.unflushed_answers) {
-            self.put(now, What::Gave { event, status });
+            self.put(now, Observation::AnswerSent { event, status });
         }
     }
 
     pub fn members_changed(&mut self, now: Micros, kind: MembersKind, members: &[Member]) {
-        if !self.recorder.is_on() {
+        if !self.recorder.is_enabled() {
             return;
         }
         if kind == MembersKind::Whole {
             let listed: BTreeSet<_> = members.iter().map(|m| m.worker.clone()).collect();
             for worker in self.known.difference(&listed) {
-                self.put(now, What::Told { worker: worker.to_string(), state: "gone".into() });
+                self.put(now, Observation::WorkerState { worker: worker.to_string(), state: "gone".into() });
             }
             self.known = listed;
         }
@@ -188,7 +191,10 @@
                 WorkerState::Gone => "gone",
             };
             self.known.insert(member.worker.clone());
-            self.put(now, What::Told { worker: member.worker.to_string(), state: state.into() });
+            self.put(
+                now,
+                Observation::WorkerState { worker: member.worker.to_string(), state: state.into() },
+            );
         }
     }
 }
--- a/crates/node/tests/sockets/answers.rs
+++ b/crates/node/tests/sockets/answers.rs
@@ -1,7 +1,7 @@
 //! What a client receives for a call, whatever happens at its worker.
 
 use crate::common::*;
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, FrontReply, answer};
 use std::time::Duration;
 
@@ -131,9 +131,13 @@
     let mut client = harness.client();
     let (first, second) = (call(1, "extract"), call(2, "view"));
     let asked = harness.submit(&mut client, &first);
-    harness.wait_for(|what| matches!(what, What::Ran { event, .. } if *event == first.id));
+    harness.wait_for(|what| matches!(what, Observation::Ran { event, .. } if *event == first.id));
     client.revoke(asked.seqid).expect("bytes sent");
-    harness.recorder.put(basaltward_net::monotonic(), "client", What::Left { tried: asked.try_no });
+    harness.recorder.put(
+        basaltward_net::monotonic(),
+        "client",
+        Observation::ClientLeft { request_id: asked.try_no },
+    );
     let asked = harness.submit(&mut client, &second);
     assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
     assert!(harness.workers[0].lines().contains(&format!("drop {}", first.id)));
--- a/crates/node/tests/sockets/bulletin_outage.rs
+++ b/crates/node/tests/sockets/bulletin_outage.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::{Record, What, check};
+use basaltward_rules::{Observation, Record, check};
 use basaltward_standins::FrontReply;
 use std::time::Duration;
 
@@ -20,20 +20,19 @@
 /// What went to a worker after a change of its state took effect and the grace passed. Arrivals get some more time:
 /// they may have been sent before and wait to be read.
 pub fn sent_after(records: &[Record], uid: &str, since: Micros) -> Vec<String> {
-    let from = |record: &Record| match &record.what {
-        What::Sent { worker, .. } if worker == uid => Some(since + GRACE),
-        What::Ordered { worker, count, .. } if worker == uid && *count > 0 => Some(since + GRACE),
-        What::Arrived { .. } if record.by == uid => Some(since + GRACE + LATE),
+    let from = |record: &Record| match &record.observation {
+        Observation::Sent { worker, .. } if worker == uid => Some(since + GRACE),
+        Observation::Ordered { worker, count, .. } if worker == uid && *count > 0 => Some(since + GRACE),
+        Observation::Arrived { .. } if record.observer == uid => Some(since + GRACE + LATE),
         _ => None,
     };
-    let late = records.iter().filter(|record| from(record).is_some_and(|from| record.t > from));
-    late.map(|r| format!("{:?} at {} us", r.what, r.t - since)).collect()
+    let late = records.iter().filter(|record| from(record).is_some_and(|from| record.time > from));
+    late.map(|r| format!("{:?} at {} us", r.observation, r.time - since)).collect()
 }
 
 pub fn state_received(records: &[Record], uid: &str, expected: &str) -> Micros {
-    let reported =
-        |r: &&Record| matches!(&r.what, What::Told { worker, state } if worker == uid && state == expected);
-    records.iter().find(reported).map_or(Micros::MAX, |r| r.t)
+    let reported = |r: &&Record| matches!(&r.observation, Observation::WorkerState { worker, state } if worker == uid && state == expected);
+    records.iter().find(reported).map_or(Micros::MAX, |r| r.time)
 }
 
 /// Enough functions that there are load orders at any time.
@@ -90,8 +89,8 @@
     harness.board.up().expect("bulletin listens again");
     let up = monotonic();
     harness.wait_for(
-        |what| matches!(what, What::Told { worker, state } if *worker == uid && state == "leaving"),
-    );
+|what| matches!(what, Observation::WorkerState { worker, state } if *worker == uid && state == "leaving"),
+);
     calls.send(&mut harness, 60);
     let records = harness.finish();
     let received = state_received(&records, &uid, "leaving");
@@ -113,7 +112,7 @@
     harness.board.hush();
     let began = announce(&harness, busiest, "Gone");
     let reported = |all: &[Record]| state_received(all, &uid, "gone") < Micros::MAX;
-    while !harness.recorder.wait(Duration::ZERO, reported) && monotonic() < began + SILENCE_LIMIT {
+    while !harness.recorder.wait_until(Duration::ZERO, reported) && monotonic() < began + SILENCE_LIMIT {
         calls.send(&mut harness, 1);
     }
     calls.send(&mut harness, 60);
@@ -133,8 +132,8 @@
     announce(&harness, busiest, "Ready");
     announce(&harness, busiest, "Terminating");
     harness.wait_for(
-        |what| matches!(what, What::Told { worker, state } if *worker == uid && state == "leaving"),
-    );
+|what| matches!(what, Observation::WorkerState { worker, state } if *worker == uid && state == "leaving"),
+);
     let drained_at = monotonic();
     let ready = bulletin_entry(&uid, at, "Ready");
     let replay = |no: u64, all: bool| {
@@ -146,16 +145,18 @@
     }
     // A later event is processed in order: everything before it has been read.
     harness.board.tell(&bulletin_entry("s-9", at, "Gone"));
-    harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-9"));
+    harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-9"));
     calls.send(&mut harness, 30);
     let back = monotonic();
     // The same entry under a new event number does reactivate the worker, and the check finds its calls.
     harness.board.tell(&ready);
     harness
-        .wait_for(|what| matches!(what, What::Told { worker, state } if *worker == uid && state == "active"));
+.wait_for(
+|what| matches!(what, Observation::WorkerState { worker, state } if *worker == uid && state == "active"),
+);
     calls.send_until(&mut harness, back + 300 * MS);
     let records = harness.finish();
-    let before: Vec<_> = records.iter().filter(|r| r.t <= back).cloned().collect();
+    let before: Vec<_> = records.iter().filter(|r| r.time <= back).cloned().collect();
     assert_eq!(sent_after(&before, &uid, drained_at), Vec::<String>::new());
     assert!(!sent_after(&records, &uid, drained_at).is_empty());
     assert_eq!(check(&records, &rule_settings()), []);
--- a/crates/node/tests/sockets/client_disconnects.rs
+++ b/crates/node/tests/sockets/client_disconnects.rs
@@ -3,7 +3,7 @@
 //! process.
 
 use crate::common::*;
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, LineWorker, answer};
 use rustix::net::sockopt::set_socket_recv_buffer_size;
 use std::time::Instant;
@@ -18,7 +18,7 @@
 }
 
 fn wait_until_run(harness: &Harness, call: &Call) {
-    harness.wait_for(|what| matches!(what, What::Ran { event, .. } if *event == call.id));
+    harness.wait_for(|what| matches!(what, Observation::Ran { event, .. } if *event == call.id));
 }
 
 fn execs(harness: &Harness, call: &Call) -> usize {
@@ -50,14 +50,14 @@
         let calls: Vec<_> = (0..32).map(|n| held_call(n, "extract")).collect();
         let asked: Vec<_> = calls.iter().map(|one| harness.submit(&mut client, one).seqid).collect();
         wait_until_run(&harness, &calls[0]);
-        harness.wait_for(|what| matches!(what, What::Taken { event } if *event == calls[31].id));
+        harness.wait_for(|what| matches!(what, Observation::Accepted { event } if *event == calls[31].id));
         let remaining = abandon(client, &asked[..1], method);
         wait_until_dropped(&harness, &calls[0]);
         if let Some(mut client) = remaining.filter(|_| method == "revoke") {
             // One more than may be open would close the connection.
             let next = held_call(100, "extract");
             harness.submit(&mut client, &next);
-            harness.wait_for(|what| matches!(what, What::Taken { event } if *event == next.id));
+            harness.wait_for(|what| matches!(what, Observation::Accepted { event } if *event == next.id));
         }
         harness.control.stop();
     }
@@ -145,7 +145,7 @@
         let (one, second) = (held_call(1, "extract"), Call { timeout_ms: 60_000, ..call(2, "extract") });
         let asked = harness.submit(&mut client, &one);
         let waits = harness.submit(&mut other, &second);
-        harness.wait_for(|what| matches!(what, What::Taken { event } if *event == second.id));
+        harness.wait_for(|what| matches!(what, Observation::Accepted { event } if *event == second.id));
         let remaining = abandon(client, &[asked.seqid], method);
         other.heartbeat().and_then(|_| other.read()).expect("heartbeat answered");
         harness.workers[0].unplug();
--- a/crates/node/tests/sockets/common.rs
+++ b/crates/node/tests/sockets/common.rs
@@ -3,7 +3,9 @@
 
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::{Control, Node};
-use basaltward_rules::{Breach, ClassRule, Final, Record, Recorder, RepeatRule, RuleSettings, What, check};
+use basaltward_rules::{
+    Breach, ClassRule, FinalAnswer, Observation, Record, Recorder, RepeatRule, RuleSettings, check,
+};
 use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
 use rustix::net::sockopt::set_socket_linger;
 use std::collections::{BTreeMap, HashMap};
@@ -128,8 +130,8 @@
         self.recorder.put(
             now,
             "client",
-            What::Asked {
-                tried: self.try_no,
+            Observation::RequestSent {
+                request_id: self.try_no,
                 event: call.id.clone(),
                 class: call.class.into(),
                 tenant: String::new(),
@@ -146,11 +148,15 @@
         let (seqid, reply) = client.read().expect("reply read")?;
         let asked = open.iter().find(|a| a.seqid == seqid).expect("a reply to an open request");
         let (answer, status) = match &reply {
-            FrontReply::Served(_) => (Final::Served, 200),
-            FrontReply::Rejected(_) => (Final::Refused, 503),
-            FrontReply::Crashed | FrontReply::Exception => (Final::Failed, 500),
+            FrontReply::Served(_) => (FinalAnswer::Served, 200),
+            FrontReply::Rejected(_) => (FinalAnswer::Refused, 503),
+            FrontReply::Crashed | FrontReply::Exception => (FinalAnswer::Failed, 500),
         };
-        self.recorder.put(monotonic(), "client", What::Answered { tried: asked.try_no, answer, status });
+        self.recorder.put(
+            monotonic(),
+            "client",
+            Observation::Answered { request_id: asked.try_no, answer, status },
+        );
         Some((seqid, reply))
     }
 
@@ -162,8 +168,8 @@
     }
 
     /// Waits until the recorder holds an event that matches; panics after [`TEST_TIMEOUT`].
-    pub fn wait_for(&self, mut holds: impl FnMut(&What) -> bool) {
-        let found = self.recorder.wait(TEST_TIMEOUT, |all| all.iter().any(|r| holds(&r.what)));
+    pub fn wait_for(&self, mut holds: impl FnMut(&Observation) -> bool) {
+        let found = self.recorder.wait_until(TEST_TIMEOUT, |all| all.iter().any(|r| holds(&r.observation)));
         assert!(found, "the expected event was never recorded");
     }
 
@@ -225,7 +231,7 @@
 }
 
 pub fn rule_settings() -> RuleSettings {
-    let class = |repeat| ClassRule { repeat, aim: 1_000 * MS, worth: 1.0, late_worth: 0.0 };
+    let class = |repeat| ClassRule { repeat, aim: 1_000 * MS, value: 1.0, late_share: 0.0 };
     let classes = [("view", RepeatRule::Safe), ("extract", RepeatRule::Unsafe)];
     RuleSettings {
         classes: classes.map(|(name, repeat)| (name.to_owned(), class(repeat))).into(),
@@ -234,10 +240,10 @@
         load_window: 0,
         load_free: 0.0,
         load_share: 0.0,
-        cold_from: 0.2,
-        warm_within: 16_000 * MS,
-        tip_multiple: 4.0,
-        fall: 1_500 * MS,
+        initial_capacity_share: 0.2,
+        warm_up_time: 16_000 * MS,
+        overload_multiple: 4.0,
+        overload_window: 1_500 * MS,
     }
 }
 
@@ -286,10 +292,11 @@
     for asked in 1..2_000 {
         let one = Call { body: vec![b'x'; 16 << 10], ..call(1_000 + asked, "view") };
         harness.submit(client, &one);
-        let matches_call = |what: &What| matches!(what, What::Ran { event, .. } if *event == one.id);
+        let matches_call =
+            |what: &Observation| matches!(what, Observation::Ran { event, .. } if *event == one.id);
         let ran = harness
             .recorder
-            .wait(Duration::from_millis(700), |all| all.iter().any(|r| matches_call(&r.what)));
+            .wait_until(Duration::from_millis(700), |all| all.iter().any(|r| matches_call(&r.observation)));
         unserved = if ran { 0 } else { unserved + 1 };
         if unserved == 3 {
             return asked as usize;
--- a/crates/node/tests/sockets/connection_races.rs
+++ b/crates/node/tests/sockets/connection_races.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use crate::unsent_requests::{large_call, load_copies, served, wait_until_processed};
-use basaltward_rules::{Record, What};
+use basaltward_rules::{Observation, Record};
 use basaltward_standins::{Act, Exec, FrontReply, LineWorker, answer};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::os::fd::AsRawFd;
@@ -30,7 +30,7 @@
     let mut client = harness.client();
     let first = Call { body: b"held".to_vec(), ..call(2, "extract") };
     let asked = harness.submit(&mut client, &first);
-    harness.wait_for(|what| matches!(what, What::Ran { event, .. } if *event == first.id));
+    harness.wait_for(|what| matches!(what, Observation::Ran { event, .. } if *event == first.id));
     let port = port_of(&harness, &first.id);
     client.revoke(asked.seqid).expect("bytes sent");
     let dropped = format!("drop {}", first.id);
@@ -94,11 +94,13 @@
 /// The source port of a request at its worker.
 fn port_of(harness: &Harness, id: &str) -> u16 {
     let mut port = 0;
-    let source = |record: &Record| match &record.what {
-        What::Arrived { event, attempt, .. } if event == id => attempt.rsplit_once('@')?.1.parse().ok(),
+    let source = |record: &Record| match &record.observation {
+        Observation::Arrived { event, attempt, .. } if event == id => {
+            attempt.rsplit_once('@')?.1.parse().ok()
+        }
         _ => None,
     };
-    assert!(harness.recorder.wait(TEST_TIMEOUT, |all| {
+    assert!(harness.recorder.wait_until(TEST_TIMEOUT, |all| {
         port = all.iter().find_map(source).unwrap_or_default();
         port > 0
     }));
@@ -120,7 +122,7 @@
         let one = Call { timeout_ms: 8_000, ..call(2, "extract") };
         let mut seqid = 0;
         // The scheduler blocks on its next record, that the call was taken, while this closure runs.
-        harness.recorder.wait(TEST_TIMEOUT, |_| {
+        harness.recorder.wait_until(TEST_TIMEOUT, |_| {
             seqid = send(&mut client, &one);
             wait_until(|| {
                 let all = sockets(from);
@@ -210,7 +212,7 @@
         bulletin_entry("s-0", at, "Gone"),
         bulletin_entry("s-9", at, "Ready")
     ));
-    harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-9"));
+    harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-9"));
     let next = call(3, "extract");
     assert_eq!(harness.call(&next), served(&next));
     assert_ne!(port_of(&harness, &next.id), old);
@@ -269,7 +271,7 @@
     let mut client = harness.client();
     let held = Call { body: b"held".to_vec(), timeout_ms: 8_000, ..call(2, "view") };
     let open = harness.submit(&mut client, &held);
-    harness.wait_for(|what| matches!(what, What::Ran { event, .. } if *event == held.id));
+    harness.wait_for(|what| matches!(what, Observation::Ran { event, .. } if *event == held.id));
     exhaust_descriptors();
     // New calls, beside those in flight: the failure on this machine must not be held against their worker either.
     for number in 3..9 {
--- a/crates/node/tests/sockets/delayed_sends.rs
+++ b/crates/node/tests/sockets/delayed_sends.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use basaltward_net::Micros;
-use basaltward_rules::{Record, What};
+use basaltward_rules::{Observation, Record};
 use basaltward_standins::{Act, Exec, LineWorker, answer};
 use std::time::{Duration, Instant};
 
@@ -19,8 +19,8 @@
 
 /// When each attempt of a request arrived complete at a worker.
 fn arrivals(records: &[Record], id: &str) -> Vec<Micros> {
-    let of = |what: &What| matches!(what, What::Arrived { event, .. } if event == id);
-    records.iter().filter(|record| of(&record.what)).map(|record| record.t).collect()
+    let of = |what: &Observation| matches!(what, Observation::Arrived { event, .. } if event == id);
+    records.iter().filter(|record| of(&record.observation)).map(|record| record.time).collect()
 }
 
 #[test]
@@ -60,10 +60,10 @@
         .expect("worker started");
     other.plug().expect("accept queue blocked");
     harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
-    harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-1"));
+    harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-1"));
     let id = "f000000000000001";
     submit(&mut client, id);
-    harness.wait_for(|what| matches!(what, What::Arrived { event, .. } if event == id));
+    harness.wait_for(|what| matches!(what, Observation::Arrived { event, .. } if event == id));
     std::thread::sleep(Duration::from_millis(1_400));
     other.unplug();
     client.read().expect("reply read").expect("a reply before the connection closes");
--- a/crates/node/tests/sockets/fleet_changes.rs
+++ b/crates/node/tests/sockets/fleet_changes.rs
@@ -2,7 +2,7 @@
 //! planned restarts.
 
 use crate::common::*;
-use basaltward_rules::{Record, What, check};
+use basaltward_rules::{Observation, Record, check};
 use basaltward_standins::{Act, Board, Exec, FrontReply, LineWorker};
 use std::time::Duration;
 
@@ -13,15 +13,16 @@
 /// Waits until the scheduler has learned that a worker has this state.
 fn wait_for_state(harness: &Harness, uid: &str, expected: &str) {
     harness
-        .wait_for(|what| matches!(what, What::Told { worker, state } if worker == uid && state == expected));
+.wait_for(
+|what| matches!(what, Observation::WorkerState { worker, state } if worker == uid && state == expected),
+);
 }
 
 /// What was written to a worker after the scheduler learned of its state.
 fn written_after<'a>(records: &'a [Record], uid: &str, expected: &str) -> Vec<&'a Record> {
-    let reported =
-        |r: &&Record| matches!(&r.what, What::Told { worker, state } if worker == uid && state == expected);
-    let to = |r: &&Record| match &r.what {
-        What::Sent { worker, .. } | What::Ordered { worker, .. } => worker == uid,
+    let reported = |r: &&Record| matches!(&r.observation, Observation::WorkerState { worker, state } if worker == uid && state == expected);
+    let to = |r: &&Record| match &r.observation {
+        Observation::Sent { worker, .. } | Observation::Ordered { worker, .. } => worker == uid,
         _ => false,
     };
     records.iter().skip_while(|r| !reported(r)).filter(to).collect()
@@ -119,11 +120,11 @@
     let mut harness = Harness::new(Limits::default(), 2, script);
     let mut idle = harness.client();
     let first = harness.submit(&mut idle, &call(1, "extract"));
-    harness.wait_for(|what| matches!(what, What::Sent { .. }));
+    harness.wait_for(|what| matches!(what, Observation::Sent { .. }));
     harness.control.stop();
     harness.control.reload();
     harness.control.stop();
-    harness.wait_for(|what| matches!(what, What::Stopping));
+    harness.wait_for(|what| matches!(what, Observation::Stopping));
     assert!(matches!(harness.read(&mut idle, &[&first]), Some((_, FrontReply::Served(_)))));
     // On the open connection and on new ones: both keep arriving for some tenths of a second.
     for number in 2..4 {
@@ -149,7 +150,7 @@
         assert!(matches!(harness.call(&call(number, "view")), FrontReply::Served(_)));
     }
     harness.control.stop();
-    harness.wait_for(|what| matches!(what, What::Stopping));
+    harness.wait_for(|what| matches!(what, Observation::Stopping));
     let new_clients: Vec<_> = (0..40).map(|_| harness.client()).collect();
     let asked = harness.submit(&mut idle, &call(100, "extract"));
     assert!(matches!(harness.read(&mut idle, &[&asked]), Some((_, FrontReply::Served(_)))));
--- a/crates/node/tests/sockets/fragmentation.rs
+++ b/crates/node/tests/sockets/fragmentation.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, FrontClient, FrontReply, answer};
 use basaltward_thrift::write;
 use bytes::BytesMut;
@@ -80,7 +80,7 @@
     let mut client = holding.client();
     let (first, second) = (call(1, "extract"), call(2, "extract"));
     client.raw(&frame(1, &first)).expect("bytes sent");
-    holding.wait_for(|what| matches!(what, What::Arrived { .. }));
+    holding.wait_for(|what| matches!(what, Observation::Arrived { .. }));
     let mut revoke = BytesMut::new();
     write::revoke(&mut revoke, 2, 1);
     send_byte_by_byte(&mut client, &revoke);
@@ -219,9 +219,9 @@
 /// The source port of a call at its worker.
 fn source_port(harness: &Harness, one: &Call) -> u16 {
     let mut port = None;
-    let arrived = harness.recorder.wait(TEST_TIMEOUT, |all| {
-        port = all.iter().rev().find_map(|record| match &record.what {
-            What::Arrived { event, attempt, .. } if *event == one.id => {
+    let arrived = harness.recorder.wait_until(TEST_TIMEOUT, |all| {
+        port = all.iter().rev().find_map(|record| match &record.observation {
+            Observation::Arrived { event, attempt, .. } if *event == one.id => {
                 attempt.rsplit_once('@').and_then(|(_, port)| port.parse().ok())
             }
             _ => None,
--- a/crates/node/tests/sockets/half_open_connections.rs
+++ b/crates/node/tests/sockets/half_open_connections.rs
@@ -2,7 +2,7 @@
 //! nothing on it, and resets it later.
 
 use crate::common::*;
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, FrontReply};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -31,8 +31,8 @@
     // The next call gets a working connection.
     wait_until_served(&mut harness);
     let records = harness.finish();
-    let arrived = |what: &What| matches!(what, What::Arrived { event, .. } if *event == one.id);
-    let arrivals = records.iter().filter(|record| arrived(&record.what)).count();
+    let arrived = |what: &Observation| matches!(what, Observation::Arrived { event, .. } if *event == one.id);
+    let arrivals = records.iter().filter(|record| arrived(&record.observation)).count();
     assert_eq!(basaltward_rules::check(&records, &rule_settings()), []);
     (reply, arrivals)
 }
--- a/crates/node/tests/sockets/invalid_requests.rs
+++ b/crates/node/tests/sockets/invalid_requests.rs
@@ -96,7 +96,7 @@
     // An id that is already open, from another connection and with another body.
     let (mut first, mut second) = (harness.client(), harness.client());
     first.submit(&fields("", None), b"mine").expect("bytes sent");
-    harness.wait_for(|what| matches!(what, basaltward_rules::What::Taken { .. }));
+    harness.wait_for(|what| matches!(what, basaltward_rules::Observation::Accepted { .. }));
     second.submit(&fields("", None), b"another").expect("bytes sent");
     assert_eq!(second.read().expect("reply read"), Some((1, FrontReply::Crashed)));
     // The same sequence id twice.
--- a/crates/node/tests/sockets/lease_expiry.rs
+++ b/crates/node/tests/sockets/lease_expiry.rs
@@ -3,7 +3,7 @@
 //! probed.
 
 use crate::common::*;
-use basaltward_rules::{Record, What, check};
+use basaltward_rules::{Observation, Record, check};
 use basaltward_standins::{Exec, LineWorker};
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
@@ -32,8 +32,8 @@
 
 /// Attempts that were withdrawn from a connection before any byte had left.
 fn withdrawn(records: &[Record]) -> usize {
-    let moot = |what: &What| matches!(what, What::Ended { code, .. } if code == "Moot");
-    records.iter().filter(|record| moot(&record.what)).count()
+    let moot = |what: &Observation| matches!(what, Observation::Ended { code, .. } if code == "Moot");
+    records.iter().filter(|record| moot(&record.observation)).count()
 }
 
 fn wait_until(at: Instant) {
@@ -50,7 +50,7 @@
     other.plug().expect("accept queue blocked");
     let drains = bulletin_entry("s-0", harness.workers[0].address(), "Terminating");
     harness.board.tell(&format!("{},{drains}", bulletin_entry("s-1", other.address(), "Ready")));
-    harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-1"));
+    harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-1"));
     let silent = silence_bulletin(&harness);
     // The last confirmation of the list came up to a second before the silence.
     wait_until(silent + Duration::from_millis(3_600));
@@ -86,7 +86,7 @@
     let at = harness.workers[0].address();
     let others: Vec<_> = (1..4).map(|n| bulletin_entry(&format!("t-{n}"), at, "Terminating")).collect();
     harness.board.tell(&others.join(","));
-    harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "t-3"));
+    harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "t-3"));
     wait_until_served(&mut harness);
     let silent = silence_bulletin(&harness);
     // A call that keeps its worker busy, and behind it more than the sockets take.
--- a/crates/node/tests/sockets/limits.rs
+++ b/crates/node/tests/sockets/limits.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, FrontClient, FrontReply};
 use basaltward_thrift::write;
 use bytes::BytesMut;
@@ -72,7 +72,7 @@
     let open = |number: u64| Call { id: format!("f{number:015x}"), ..call(0, "view") };
     let asked: Vec<_> = (0..MAX_OPEN as u64).map(|number| send(&mut client, &open(number))).collect();
     for number in 0..MAX_OPEN as u64 {
-        harness.wait_for(|what| matches!(what, What::Taken { event } if *event == open(number).id));
+        harness.wait_for(|what| matches!(what, Observation::Accepted { event } if *event == open(number).id));
     }
     let next = Call { function: "00000000000000f0".into(), ..call(77, "view") };
     let timeout = next.timeout_ms.to_string();
--- a/crates/node/tests/sockets/local_connect_errors.rs
+++ b/crates/node/tests/sockets/local_connect_errors.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use basaltward_net::{Errno, Micros, SystemCall, monotonic};
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Exec, FrontReply};
 
 /// Upper bound on the delay that the failures add to a call, also on a loaded machine: soon after it a worker would
@@ -25,7 +25,9 @@
             assert!(took < MAX_DELAY, "{error:?}: served after {took} us");
         }
         let records = harness.finish();
-        let failed = records.iter().filter(|r| matches!(&r.what, What::Ended { code, .. } if code != "Ok"));
+        let failed = records
+            .iter()
+            .filter(|r| matches!(&r.observation, Observation::Ended { code, .. } if code != "Ok"));
         assert_eq!(failed.count(), 0, "{error:?}");
     }
 }
--- a/crates/node/tests/sockets/planned_restart.rs
+++ b/crates/node/tests/sockets/planned_restart.rs
@@ -4,7 +4,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, FrontClient, FrontReply};
 use basaltward_thrift::{
     ClientRequest as Request, FrameLimits, ServerReply, next_frame, read_request, write,
@@ -173,9 +173,9 @@
 /// When the scheduler was asked to stop, and when it ended.
 fn ended(harness: &mut Harness) -> (Micros, Micros) {
     let (mut stopping, mut down) = (0, 0);
-    harness.finish().iter().for_each(|record| match record.what {
-        What::Stopping => stopping = record.t,
-        What::Down { killed: false } => down = record.t,
+    harness.finish().iter().for_each(|record| match record.observation {
+        Observation::Stopping => stopping = record.time,
+        Observation::Down { killed: false } => down = record.time,
         _ => {}
     });
     (stopping, down)
@@ -357,7 +357,7 @@
     let mut before = harness.client();
     let long = |number| Call { timeout_ms: LONG_MS, ..call(number, "extract") };
     let asked: Vec<_> = (1..=8).map(|number| harness.submit(&mut before, &long(number))).collect();
-    harness.wait_for(|what| matches!(what, What::Sent { .. }));
+    harness.wait_for(|what| matches!(what, Observation::Sent { .. }));
     let plan = |what, at, timeout_ms| Plan { what, opens: 0, sends: vec![(at, 0)], timeout_ms };
     let plans = [
         plan("in the window, longer than SIGKILL waits", 100 * MS, LONG_MS),
--- a/crates/node/tests/sockets/readiness.rs
+++ b/crates/node/tests/sockets/readiness.rs
@@ -58,7 +58,9 @@
         let at = harness.workers[0].address();
         harness.board.tell(&bulletin_entry("s-9", unused_address(), "Terminating"));
         harness
-            .wait_for(|what| matches!(what, basaltward_rules::What::Told { worker, .. } if worker == "s-9"));
+.wait_for(
+|what| matches!(what, basaltward_rules::Observation::WorkerState { worker, .. } if worker == "s-9"),
+);
         assert!(!is_ready(&mut front), "{what}: ready although the only worker drains");
         announce(&harness.board, &bulletin_entry("s-0", at, "Ready"));
         wait_until_ready(&mut front);
--- a/crates/node/tests/sockets/reload.rs
+++ b/crates/node/tests/sockets/reload.rs
@@ -5,7 +5,7 @@
 };
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::{Record, What, check};
+use basaltward_rules::{Observation, Record, check};
 use basaltward_standins::{Board, FrontReply, LineWorker};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -16,7 +16,9 @@
 
 fn wait_for_state(harness: &Harness, uid: &str, expected: &str) {
     harness
-        .wait_for(|what| matches!(what, What::Told { worker, state } if worker == uid && state == expected));
+.wait_for(
+|what| matches!(what, Observation::WorkerState { worker, state } if worker == uid && state == expected),
+);
 }
 
 /// Sends calls of both classes without reading the answers.
@@ -133,7 +135,7 @@
     harness.board.stall(&bulletin_entry(&uid, at, "Gone"));
     let began = monotonic();
     let received = |all: &[Record]| state_received(all, &uid, "gone") < Micros::MAX;
-    while !harness.recorder.wait(Duration::ZERO, received) && monotonic() < began + SILENCE_LIMIT {
+    while !harness.recorder.wait_until(Duration::ZERO, received) && monotonic() < began + SILENCE_LIMIT {
         calls.send(&mut harness, 1);
     }
     calls.send(&mut harness, 60);
@@ -153,7 +155,7 @@
 ) -> (BTreeMap<String, &'a str>, BTreeSet<&'a str>) {
     let (mut homes, mut ports) = (BTreeMap::new(), BTreeSet::new());
     for record in records {
-        if let What::Sent { event, worker, attempt } = &record.what {
+        if let Observation::Sent { event, worker, attempt } = &record.observation {
             homes.insert(calls[event].clone(), worker.as_str());
             if worker == of {
                 ports.extend(attempt.rsplit_once('@').map(|(_, port)| port));
@@ -210,8 +212,8 @@
     send_calls(&mut harness, &mut functions, 0..10);
     let records = harness.finish();
     assert_eq!(sent_after(&records, "s-0", state_received(&records, "s-0", "gone")), Vec::<String>::new());
-    let (before, since) = records.split_at(records.partition_point(|record| record.t < full_list_at));
-    let since = &since[..since.partition_point(|record| record.t < alone_at)];
+    let (before, since) = records.split_at(records.partition_point(|record| record.time < full_list_at));
+    let since = &since[..since.partition_point(|record| record.time < alone_at)];
     let ((homes_before, ports_before), (homes_since, ports_since)) =
         (placement(before, "s-0", &functions), placement(since, "s-0", &functions));
     for uid in ["s-1", "s-2"] {
--- a/crates/node/tests/sockets/shutdown.rs
+++ b/crates/node/tests/sockets/shutdown.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec, FrontClient, FrontReply};
 use std::time::{Duration, Instant};
 
@@ -22,9 +22,9 @@
 /// When the scheduler was asked to stop, and when it ended.
 fn ended(harness: &mut Harness) -> (Micros, Micros) {
     let (mut stopping, mut down) = (Vec::new(), 0);
-    harness.finish().iter().for_each(|record| match record.what {
-        What::Stopping => stopping.push(record.t),
-        What::Down { killed: false } => down = record.t,
+    harness.finish().iter().for_each(|record| match record.observation {
+        Observation::Stopping => stopping.push(record.time),
+        Observation::Down { killed: false } => down = record.time,
         _ => {}
     });
     assert_eq!(stopping.len(), 1, "a second stop request must have no effect");
--- a/crates/node/tests/sockets/slow_workers.rs
+++ b/crates/node/tests/sockets/slow_workers.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use basaltward_net::monotonic;
-use basaltward_rules::{Record, What};
+use basaltward_rules::{Observation, Record};
 use basaltward_standins::{Act, Exec, FrontReply, LineWorker, answer};
 use std::sync::mpsc;
 use std::sync::{Arc, Mutex};
@@ -121,8 +121,10 @@
 
 /// The source ports of the attempts, in order of arrival.
 fn ports(records: &[Record]) -> Vec<u16> {
-    let port = |record: &Record| match &record.what {
-        What::Arrived { attempt, .. } => attempt.rsplit_once('@').and_then(|(_, port)| port.parse().ok()),
+    let port = |record: &Record| match &record.observation {
+        Observation::Arrived { attempt, .. } => {
+            attempt.rsplit_once('@').and_then(|(_, port)| port.parse().ok())
+        }
         _ => None,
     };
     records.iter().filter_map(port).collect()
@@ -147,8 +149,8 @@
     assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&first))));
     let second = Call { body: b"another body".to_vec(), ..first.clone() };
     let asked = harness.submit(&mut client, &second);
-    let sent = |record: &Record| matches!(&record.what, What::Sent { event, .. } if *event == first.id);
-    let twice = harness.recorder.wait(TEST_TIMEOUT, |all| {
+    let sent = |record: &Record| matches!(&record.observation, Observation::Sent { event, .. } if *event == first.id);
+    let twice = harness.recorder.wait_until(TEST_TIMEOUT, |all| {
         *attempt_ports.lock().expect("lock not poisoned") = ports(all);
         all.iter().filter(|record| sent(record)).count() == 2
     });
@@ -169,7 +171,7 @@
         let asked: Vec<_> = calls.iter().map(|c| harness.submit(&mut client, c)).collect();
         let replies = read_all(&harness, &mut client, &asked);
         calls.iter().zip(&asked).for_each(|(call, asked)| assert_eq!(replies[&asked.seqid], served(call)));
-        if harness.recorder.wait(Duration::ZERO, used) {
+        if harness.recorder.wait_until(Duration::ZERO, used) {
             break;
         }
         assert!(Instant::now() < until, "the connection was never used again");
--- a/crates/node/tests/sockets/unread_requests.rs
+++ b/crates/node/tests/sockets/unread_requests.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::What;
+use basaltward_rules::Observation;
 use basaltward_standins::{Act, Exec};
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     let timeout_ms = if method == "deadline" { 800 } else { 8_000 };
     let one = Call { timeout_ms, body: vec![7; BODY_SIZE], ..call(7 << 40, "extract") };
     let asked = harness.submit(&mut client, &one);
-    harness.wait_for(|what| matches!(what, What::Sent { event, .. } if *event == one.id));
+    harness.wait_for(|what| matches!(what, Observation::Sent { event, .. } if *event == one.id));
     // A connection counts as suspect once it has been silent for the connect timeout.
     std::thread::sleep(Duration::from_millis(300));
     let left = match method {
@@ -48,8 +48,8 @@
         }
     };
     std::thread::sleep(UNREAD_PERIOD);
-    let arrived = |what: &What| matches!(what, What::Arrived { event, .. } if *event == one.id);
-    let at = harness.finish().iter().find(|record| arrived(&record.what)).map(|record| record.t);
+    let arrived = |what: &Observation| matches!(what, Observation::Arrived { event, .. } if *event == one.id);
+    let at = harness.finish().iter().find(|record| arrived(&record.observation)).map(|record| record.time);
     (left, at)
 }
 
--- a/crates/node/tests/sockets/unsent_requests.rs
+++ b/crates/node/tests/sockets/unsent_requests.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use basaltward_net::{Micros, monotonic};
-use basaltward_rules::{Record, What};
+use basaltward_rules::{Observation, Record};
 use basaltward_standins::{Exec, FrontClient, FrontReply, LineWorker};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
     let at = harness.workers[0].address();
     let others: Vec<_> = (1..4).map(|n| bulletin_entry(&format!("t-{n}"), at, "Terminating")).collect();
     harness.board.tell(&others.join(","));
-    harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "t-3"));
+    harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "t-3"));
 }
 
 /// Waits until the scheduler has processed everything sent to it before.
@@ -75,10 +75,12 @@
 /// The requests given to connections so far, in order.
 fn sent(harness: &Harness) -> Vec<String> {
     let mut ids = Vec::new();
-    harness.recorder.wait(Duration::ZERO, |all| {
+    harness.recorder.wait_until(Duration::ZERO, |all| {
         ids = all
             .iter()
-            .filter_map(|r| if let What::Sent { event, .. } = &r.what { Some(event.clone()) } else { None })
+            .filter_map(|r| {
+                if let Observation::Sent { event, .. } = &r.observation { Some(event.clone()) } else { None }
+            })
             .collect();
         true
     });
@@ -87,8 +89,8 @@
 
 /// How the first attempt of each request ended.
 fn ends(all: &[Record]) -> BTreeMap<String, String> {
-    let end = |record: &Record| match &record.what {
-        What::Ended { attempt, code } => Some((attempt[3..19].to_owned(), code.clone())),
+    let end = |record: &Record| match &record.observation {
+        Observation::Ended { attempt, code } => Some((attempt[3..19].to_owned(), code.clone())),
         _ => None,
     };
     // Collecting from last to first lets the first attempt of a request replace later ones.
@@ -106,7 +108,7 @@
         let at = number as usize % 2;
         let call = Call { timeout_ms: timeout_ms[at], ..large_call(number, "extract") };
         let asked = harness.submit(&mut clients[at], &call);
-        harness.wait_for(|what| matches!(what, What::Taken { event } if *event == call.id));
+        harness.wait_for(|what| matches!(what, Observation::Accepted { event } if *event == call.id));
         all.push((at, call, asked));
     }
     wait_until_processed(harness);
@@ -117,11 +119,11 @@
 /// When each request arrived complete at a worker.
 fn arrivals(harness: &Harness) -> BTreeMap<String, Vec<Micros>> {
     let mut arrived: BTreeMap<_, Vec<_>> = BTreeMap::new();
-    harness.recorder.wait(Duration::ZERO, |all| {
+    harness.recorder.wait_until(Duration::ZERO, |all| {
         arrived.clear();
         for record in all {
-            if let What::Arrived { event, .. } = &record.what {
-                arrived.entry(event.clone()).or_default().push(record.t);
+            if let Observation::Arrived { event, .. } = &record.observation {
+                arrived.entry(event.clone()).or_default().push(record.time);
             }
         }
         true
@@ -143,7 +145,7 @@
 /// The attempts that have ended so far.
 fn ended(harness: &Harness) -> BTreeMap<String, String> {
     let mut ended = BTreeMap::new();
-    harness.recorder.wait(Duration::ZERO, |all| {
+    harness.recorder.wait_until(Duration::ZERO, |all| {
         ended = ends(all);
         true
     });
@@ -185,11 +187,11 @@
     let (gone, remaining): (Vec<_>, Vec<_>) = all.iter().partition(|(at, ..)| *at == 0);
     let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
     harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
-    harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-1"));
+    harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-1"));
     let [first, mut second] = clients;
     let _remaining_client = leave(&harness, first, &gone);
     let in_flight: Vec<_> = gone.iter().filter(|(_, call, _)| given.contains(&call.id)).collect();
-    let all_ended = harness.recorder.wait(TEST_TIMEOUT, |all| {
+    let all_ended = harness.recorder.wait_until(TEST_TIMEOUT, |all| {
         let ended = ends(all);
         in_flight.iter().all(|(_, call, _)| ended.contains_key(&call.id))
     });
@@ -224,7 +226,7 @@
 
 fn record_leaving(harness: &Harness, calls: &[&(usize, Call, Submitted)]) {
     for (_, _, asked) in calls {
-        harness.recorder.put(monotonic(), "client", What::Left { tried: asked.try_no });
+        harness.recorder.put(monotonic(), "client", Observation::ClientLeft { request_id: asked.try_no });
     }
 }
 
@@ -266,8 +268,8 @@
     let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
     update_list(&harness, other.address());
     harness.wait_for(
-        |what| matches!(what, What::Told { worker, state } if worker == "s-0" && state != "active"),
-    );
+|what| matches!(what, Observation::WorkerState { worker, state } if worker == "s-0" && state != "active"),
+);
     wait_until_processed(&harness);
     let moot: Vec<_> =
         ended(&harness).into_iter().filter(|(_, code)| code == "Moot").map(|(id, _)| id).collect();
@@ -319,7 +321,7 @@
     let calls: Vec<_> = (0..16).map(|number| large_call(number, "extract")).collect();
     let asked: Vec<_> = calls.iter().map(|call| harness.submit(&mut client, call)).collect();
     for call in &calls {
-        harness.wait_for(|what| matches!(what, What::Taken { event } if *event == call.id));
+        harness.wait_for(|what| matches!(what, Observation::Accepted { event } if *event == call.id));
     }
     wait_until_processed(&harness);
     assert!(sent(&harness).len() == 8, "the connection was established already");
@@ -340,7 +342,7 @@
     // The worker is avoided for a while after so many failures: another one serves the rest.
     let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
     harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
-    harness.wait_for(|what| matches!(what, What::Told { worker, .. } if worker == "s-1"));
+    harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-1"));
     harness.workers[0].reset_all();
     wait_until_processed(&harness);
     go.send(()).expect("receiver alive");
--- a/crates/node/tests/sockets/watch.rs
+++ b/crates/node/tests/sockets/watch.rs
@@ -1,7 +1,7 @@
 //! Event ordering on the watch of the worker list, also while the configuration is reloaded.
 
 use crate::common::*;
-use basaltward_rules::{Record, What, check};
+use basaltward_rules::{Observation, Record, check};
 use basaltward_standins::{Act, Board, Exec, FrontReply, answer};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -28,13 +28,14 @@
 
 fn wait_for_state(harness: &Harness, uid: &str, expected: &str) {
     harness
-        .wait_for(|what| matches!(what, What::Told { worker, state } if worker == uid && state == expected));
+.wait_for(
+|what| matches!(what, Observation::WorkerState { worker, state } if worker == uid && state == expected),
+);
 }
 
 /// How often a worker's state was reported.
 fn count(records: &[Record], uid: &str, expected: &str) -> usize {
-    let reported =
-        |r: &&Record| matches!(&r.what, What::Told { worker, state } if worker == uid && state == expected);
+    let reported = |r: &&Record| matches!(&r.observation, Observation::WorkerState { worker, state } if worker == uid && state == expected);
     records.iter().filter(reported).count()
 }
 
@@ -94,8 +95,9 @@
     }
     assert_eq!((new.asked(), new.standing()), (vec!["after 1".to_owned()], 1));
     let records = harness.finish();
-    let old =
-        records.iter().any(|r| matches!(&r.what, What::Told { worker, .. } if worker.starts_with("old")));
+    let old = records.iter().any(
+        |r| matches!(&r.observation, Observation::WorkerState { worker, .. } if worker.starts_with("old")),
+    );
     assert!(!old, "an event of the old bulletin was applied");
     assert_eq!(check(&records, &rule_settings()), []);
 }
@@ -184,7 +186,7 @@
         wait_until("the bulletin is queried", || harness.board.standing() == 1);
         let mut client = harness.client();
         let asked = harness.submit(&mut client, &call(1, "extract"));
-        harness.wait_for(|what| matches!(what, What::Arrived { .. }));
+        harness.wait_for(|what| matches!(what, Observation::Arrived { .. }));
         let (gone, ready) = (bulletin_entry("s-0", at, "Gone"), bulletin_entry("s-9", at, "Ready"));
         match variant {
             0 => harness.board.tell(&format!("{gone},{ready}")),
@@ -200,19 +202,24 @@
             expect_call_served(&mut harness, number);
         }
         let records = harness.finish();
-        let since =
-            records.iter().position(|r| matches!(r.what, What::Told { ref worker, .. } if worker == "s-9"));
+        let since = records.iter().position(
+            |r| matches!(r.observation, Observation::WorkerState { ref worker, .. } if worker == "s-9"),
+        );
         let sent: Vec<_> = records[since.expect("state reported")..]
             .iter()
-            .filter_map(
-                |r| if let What::Sent { worker, .. } = &r.what { Some(worker.as_str()) } else { None },
-            )
+            .filter_map(|r| {
+                if let Observation::Sent { worker, .. } = &r.observation {
+                    Some(worker.as_str())
+                } else {
+                    None
+                }
+            })
             .collect();
         assert_eq!(sent, vec!["s-9"; 10], "{variant}");
         // No connection of the old worker carries anything for the new one.
         let ports = |uid: &str| -> Vec<String> {
-            let of = |r: &Record| match &r.what {
-                What::Sent { worker, attempt, .. } if worker == uid => {
+            let of = |r: &Record| match &r.observation {
+                Observation::Sent { worker, attempt, .. } if worker == uid => {
                     attempt.rsplit_once('@').map(|(_, port)| port.to_owned())
                 }
                 _ => None,
@@ -248,10 +255,14 @@
         expect_call_served(&mut harness, number);
     }
     let records = harness.finish();
-    let since = records.iter().position(|r| matches!(&r.what, What::Told { worker, .. } if worker == "s-8"));
+    let since = records
+        .iter()
+        .position(|r| matches!(&r.observation, Observation::WorkerState { worker, .. } if worker == "s-8"));
     let sent = records[since.expect("state reported")..].iter();
     let sent: Vec<_> = sent
-        .filter_map(|r| if let What::Sent { worker, .. } = &r.what { Some(worker.as_str()) } else { None })
+        .filter_map(|r| {
+            if let Observation::Sent { worker, .. } = &r.observation { Some(worker.as_str()) } else { None }
+        })
         .collect();
     assert_eq!(sent, vec![format!("s-{}", 1 - busiest); 20]);
     assert_eq!(check(&records, &rule_settings()), []);
--- a/crates/node/tests/wall_clock_steps.rs
+++ b/crates/node/tests/wall_clock_steps.rs
@@ -7,7 +7,7 @@
 
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::Node;
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use basaltward_standins::{Act, Board, Exec, FrontClient, LineWorker, answer};
 use common::{Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send};
 use std::sync::Arc;
@@ -103,9 +103,10 @@
     let boot = wall + case.reported_offset / 1_000;
     board.tell(&entry(WARM).replace("\"boot_ms\":0", &format!("\"boot_ms\":{boot}")));
     let cold = format!("s-{WARM}");
-    let announced = |what: &What| matches!(what, What::Told { worker, .. } if *worker == cold);
+    let announced =
+        |what: &Observation| matches!(what, Observation::WorkerState { worker, .. } if *worker == cold);
     assert!(
-        recorder.wait(TEST_TIMEOUT, |all| all.iter().any(|r| announced(&r.what))),
+        recorder.wait_until(TEST_TIMEOUT, |all| all.iter().any(|r| announced(&r.observation))),
         "the scheduler never recorded the cold worker"
     );
     std::thread::sleep(BEFORE_REJECTION);
@@ -118,8 +119,8 @@
     control.stop();
     thread.join().expect("scheduler thread ended");
     let _ = std::fs::remove_file(&config);
-    let sent = recorder.take().into_iter().filter_map(|record| match record.what {
-        What::Sent { worker, .. } if worker == cold => Some(record.t),
+    let sent = recorder.take().into_iter().filter_map(|record| match record.observation {
+        Observation::Sent { worker, .. } if worker == cold => Some(record.time),
         _ => None,
     });
     let capacity = 1.0 / GAP.as_secs_f64() / WARM as f64;
--- a/crates/play/tests/hard_cases.rs
+++ b/crates/play/tests/hard_cases.rs
@@ -3,7 +3,7 @@
 
 use basaltward::WorkerState;
 use basaltward_play::{Bed, rule_settings};
-use basaltward_rules::{Recorder, What};
+use basaltward_rules::{Observation, Recorder};
 use basaltward_standins::{Clients, Fault, Plan, Retries, WorkerSpec};
 use common::*;
 
@@ -63,10 +63,11 @@
     assert_eq!(client.answer().map(|a| a.status), Some(200));
     let address = bed.fleet.addresses()[worker].to_string();
     let (records, breaches) = judge(bed);
-    let told = records.iter().position(|r| matches!(&r.what, What::Told { state, .. } if state == "leaving"));
+    let told = records
+        .iter()
+        .position(|r| matches!(&r.observation, Observation::WorkerState { state, .. } if state == "leaving"));
     let after = &records[told.expect("told")..];
-    let to_it =
-        |r: &&basaltward_rules::Record| matches!(&r.what, What::Sent { worker, .. } if *worker == address);
+    let to_it = |r: &&basaltward_rules::Record| matches!(&r.observation, Observation::Sent { worker, .. } if *worker == address);
     assert_eq!((after.iter().filter(to_it).count(), breaches), (0, Vec::new()));
 }
 
@@ -112,7 +113,7 @@
 #[test]
 fn half_a_body_ends_with_408_and_disturbs_nobody() {
     let mut config = config();
-    (config.front.head, config.front.body) = (100_000, 100_000);
+    (config.client_limits.head_timeout, config.client_limits.body_timeout) = (100_000, 100_000);
     let bed = bed(&config, 1);
     let mut stalled = Client::new(bed.addresses[0]);
     let whole = event("view", "half", "", "0123456789");
@@ -204,7 +205,11 @@
     assert_eq!(client.answer().map(|a| a.status), Some(400));
     assert!(client.answer().is_none(), "closed after it");
     let (records, _) = judge(bed);
-    assert!(!records.iter().any(|r| matches!(r.what, What::Taken { .. } | What::Arrived { .. })));
+    assert!(
+        !records
+            .iter()
+            .any(|r| matches!(r.observation, Observation::Accepted { .. } | Observation::Arrived { .. }))
+    );
 }
 
 #[test]
@@ -228,21 +233,25 @@
 fn a_worker_restarted_under_its_address_is_known_to_be_empty() {
     let mut config = config();
     // Warm at once: the cold budget, which alone would hold calls back here, is not what this looks at.
-    config.module.rules.warm_within = 1_000;
+    config.controller.rules.warm_within = 1_000;
     let mut bed = bed(&config, 1);
     let to = bed.addresses[0];
     assert_eq!(status(to, "view", "before"), 200);
     // The call may find the restarted worker before the roster tells of it, and gets the answer miss.
     bed.fleet.fault(0, Fault::Kill);
     bed.fleet.fault(0, Fault::Restart);
-    let born = |r: &basaltward_rules::Record| matches!(r.what, What::Born { warm: false, .. });
-    assert!(bed.recorder.wait(LONG, |records| records.iter().any(born)));
+    let born = |r: &basaltward_rules::Record| {
+        matches!(r.observation, Observation::WorkerStarted { warm: false, .. })
+    };
+    assert!(bed.recorder.wait_until(LONG, |records| records.iter().any(born)));
     let wall = basaltward_net::Clock::read().wall();
     bed.roster.restarted(0, wall).expect("listed");
     assert_eq!(status(to, "view", "after"), 200);
     let (records, breaches) = judge(bed);
     let at = records.iter().position(born).expect("born");
-    let loaded = records[at..].iter().any(|r| matches!(&r.what, What::Ordered { count, .. } if *count > 0));
+    let loaded = records[at..]
+        .iter()
+        .any(|r| matches!(&r.observation, Observation::Ordered { count, .. } if *count > 0));
     assert_eq!((loaded, breaches), (true, Vec::new()));
 }
 
@@ -250,7 +259,7 @@
 fn a_gateway_that_forgets_what_ran_is_caught_by_the_checker() {
     // The guard left out: an unsafe event's record is dropped at once, which the settings' check refuses.
     let mut config = config();
-    config.repeats.remember = 0;
+    config.repeats.retention = 0;
     let bed = Bed::start(&config, 1, vec![worker()], Recorder::memory()).expect("a bed");
     let to = bed.addresses[0];
     let rules = rule_settings(&bed.config, &bed.roster.entries);
@@ -288,8 +297,8 @@
         let (records, breaches) = judge(bed);
         let codes: Vec<_> = records
             .iter()
-            .filter_map(|r| match &r.what {
-                What::Ended { code, .. } => Some(code.as_str()),
+            .filter_map(|r| match &r.observation {
+                Observation::Ended { code, .. } => Some(code.as_str()),
                 _ => None,
             })
             .collect();
@@ -313,8 +322,7 @@
     }
     let (records, breaches) = judge(bed);
     let codes = |code: &str| {
-        let same =
-            |r: &&basaltward_rules::Record| matches!(&r.what, What::Ended { code: c, .. } if c == code);
+        let same = |r: &&basaltward_rules::Record| matches!(&r.observation, Observation::Ended { code: c, .. } if c == code);
         records.iter().filter(same).count()
     };
     assert_eq!((codes("Ok"), codes("ConnectFailed"), breaches), (40, 0, Vec::new()));
@@ -323,7 +331,7 @@
 #[test]
 fn a_client_that_does_not_read_is_not_read_from() {
     let mut config = config();
-    (config.front.unsent_bytes, config.front.idle) = (50_000, 400_000);
+    (config.client_limits.unsent_bytes, config.client_limits.idle_timeout) = (50_000, 400_000);
     let bed = bed(&config, 1);
     let to = bed.addresses[0];
     let payload = "y".repeat(9_000);
@@ -341,14 +349,14 @@
     }
     assert_eq!(status(to, "view", "other"), 200);
     let (records, _) = judge(bed);
-    let taken = records.iter().filter(|r| matches!(r.what, What::Taken { .. })).count();
+    let taken = records.iter().filter(|r| matches!(r.observation, Observation::Accepted { .. })).count();
     assert!(refused && taken < sent, "took {taken} of {sent}");
 }
 
 #[test]
 fn idle_connections_end_and_those_past_the_limit_wait_their_turn() {
     let mut config = config();
-    (config.front.idle, config.front.connections) = (50_000, 2);
+    (config.client_limits.idle_timeout, config.client_limits.connections) = (50_000, 2);
     let bed = bed(&config, 1);
     let to = bed.addresses[0];
     let mut clients: Vec<_> = (0..6).map(|_| Client::new(to)).collect();
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,5 +1,5 @@
-//! Records of what crossed the sockets, and the checker that holds them to the five rules. It knows the
-//! rules and the records, and nothing of the engine.
+//! Records of what clients, schedulers and workers observed at their sockets, and a checker of the five rules of
+//! the service. The checker uses only the records and the rules, and does not depend on the engine.
 #![warn(missing_docs)]
 
 mod answers;
@@ -10,8 +10,8 @@
 mod service;
 mod workers;
 
-pub use answers::{Late, late};
+pub use answers::{LateAnswers, late_answers};
 pub use check::{Breach, ClassRule, RepeatRule, RuleSettings, check};
-pub use record::{Final, Micros, Record, What};
-pub use recorder::{Recorder, read};
+pub use record::{FinalAnswer, Micros, Observation, Record};
+pub use recorder::{Recorder, read_records};
 pub use service::{Service, service};
--- a/crates/trial/src/bed.rs
+++ b/crates/trial/src/bed.rs
@@ -12,7 +12,7 @@
 use basaltward_net::{Micros, NetError, monotonic};
 use basaltward_peers::fetch_membership;
 use basaltward_permits::Bounds;
-use basaltward_rules::{Record, Recorder, What};
+use basaltward_rules::{Observation, Record, Recorder};
 use basaltward_standins::{Act, Board, Exec, LineWorker};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -179,7 +179,7 @@
         Ok(bed)
     }
 
-    fn put(&self, i: usize, what: What) {
+    fn put(&self, i: usize, what: Observation) {
         self.recorder.put(monotonic(), &name(i), what);
     }
 
@@ -195,7 +195,7 @@
     pub fn kill(&mut self, i: usize) {
         self.schedulers[i].kill();
         // It could not say so itself.
-        self.put(i, What::Down { killed: true });
+        self.put(i, Observation::Down { killed: true });
     }
 
     /// Sends SIGTERM to a scheduler and waits for its end.
@@ -354,7 +354,7 @@
         for i in 0..self.schedulers.len() {
             records.extend(whole(&self.workspace.file(&format!("n{i}.records")))?);
         }
-        records.sort_by_key(|record| record.t);
+        records.sort_by_key(|record| record.time);
         Ok(records)
     }
 }
@@ -376,7 +376,7 @@
 /// One entry of the bulletin.
 pub(crate) fn target(uid: &str, at: SocketAddr, state: &str) -> serde_json::Value {
     json!({"uid": uid, "endpoint": at.to_string(), "az": "east", "model": "std", "pod_group": 0,
-        "state": state, "capacity_hint": 1, "boot_ms": 0})
+"state": state, "capacity_hint": 1, "boot_ms": 0})
 }
 
 pub(crate) fn configuration(
@@ -393,23 +393,23 @@
         fleet["permits"] = json!({"bounds": bounds});
     }
     json!({
-        "name": name(number), "listen": text(&listen), "seed": format!("{:x}", spec.seed),
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
-        "peer_listen": text(&peer_listen), "peers": peers.iter().map(text).collect::<Vec<_>>(),
-        "fleet": fleet,
-        "bulletin": text(&bulletin),
-        "known": {"no": 1, "items": [{"no": 1, "roster": {"rev": 1, "all": true, "targets": targets}}]},
-        "settings": {
-            "dcs": ["east"], "models": ["std"], "discovery": "push",
-            "familyInfo": {"loadControl": true, "machineMb": [8000.0], "missMode": "load",
-                "orderLimitUs": 4_000_000, "staysLoadedUs": 10_000_000},
-            "limits": {"cancel": true, "connectTimeoutUs": 250_000, "idleCloseUs": 30_000_000,
-                "maxRetryAfterUs": 1_000_000, "retryAfter": true, "secondCopies": false, "sendCap": 5,
-                "streamsPerConn": 32},
-            "replicasOfMe": spec.schedulers, "selfIndex": number, "report": {"names": ["backlog"]},
-            "roundUs": 1_000, "requestClasses": CLASSES.iter().map(class).collect::<Vec<_>>(),
-            "rules": {"answerSlackUs": 5_000, "coldFrom": 0.2, "fallUs": 1_500_000, "tipMultiple": 4.0,
-                "warmWithinUs": 16_000_000},
-        },
+    "name": name(number), "listen": text(&listen), "seed": format!("{:x}", spec.seed),
+    "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
+    "peer_listen": text(&peer_listen), "peers": peers.iter().map(text).collect::<Vec<_>>(),
+    "fleet": fleet,
+    "bulletin": text(&bulletin),
+    "known": {"no": 1, "items": [{"no": 1, "roster": {"rev": 1, "all": true, "targets": targets}}]},
+    "settings": {
+    "dcs": ["east"], "models": ["std"], "discovery": "push",
+    "familyInfo": {"loadControl": true, "machineMb": [8000.0], "missMode": "load",
+    "orderLimitUs": 4_000_000, "staysLoadedUs": 10_000_000},
+    "limits": {"cancel": true, "connectTimeoutUs": 250_000, "idleCloseUs": 30_000_000,
+    "maxRetryAfterUs": 1_000_000, "retryAfter": true, "secondCopies": false, "sendCap": 5,
+    "streamsPerConn": 32},
+    "replicasOfMe": spec.schedulers, "selfIndex": number, "report": {"names": ["backlog"]},
+    "roundUs": 1_000, "requestClasses": CLASSES.iter().map(class).collect::<Vec<_>>(),
+    "rules": {"answerSlackUs": 5_000, "coldFrom": 0.2, "fallUs": 1_500_000, "tipMultiple": 4.0,
+    "warmWithinUs": 16_000_000},
+    },
     })
 }
--- a/crates/trial/src/checker.rs
+++ b/crates/trial/src/checker.rs
@@ -5,7 +5,9 @@
 use crate::way::{Party, Way};
 use crate::ways::Ways;
 use basaltward_net::Micros;
-use basaltward_rules::{Breach, ClassRule, Final, Record, RepeatRule, RuleSettings, What, check};
+use basaltward_rules::{
+    Breach, ClassRule, FinalAnswer, Observation, Record, RepeatRule, RuleSettings, check,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::SocketAddr;
@@ -111,11 +113,11 @@
     let (records, excused) = excuse(records, &spells(fronts, ways));
     verdict.excused = excused;
     for record in &records {
-        match &record.what {
-            What::Asked { .. } => verdict.calls.0 += 1,
-            What::Answered { answer: Final::Served, .. } => verdict.calls.1 += 1,
-            What::Answered { answer: Final::Refused, .. } => verdict.calls.2 += 1,
-            What::Answered { .. } => verdict.calls.3 += 1,
+        match &record.observation {
+            Observation::RequestSent { .. } => verdict.calls.0 += 1,
+            Observation::Answered { answer: FinalAnswer::Served, .. } => verdict.calls.1 += 1,
+            Observation::Answered { answer: FinalAnswer::Refused, .. } => verdict.calls.2 += 1,
+            Observation::Answered { .. } => verdict.calls.3 += 1,
             _ => {}
         }
     }
@@ -143,10 +145,10 @@
 fn ran_back(records: &[Record]) -> BTreeSet<Fleet> {
     let mut known: BTreeMap<(&str, u16), (u64, u32)> = BTreeMap::new();
     let mut found = BTreeSet::new();
-    for Record { by, what, .. } in records {
+    for Record { observer: by, observation: what, .. } in records {
         match what {
-            What::Up { .. } => known.retain(|(who, _), _| who != by),
-            What::Believed { of, start, bump, .. } => {
+            Observation::Up { .. } => known.retain(|(who, _), _| who != by),
+            Observation::MemberState { member: of, start, refutations: bump, .. } => {
                 let held = known.entry((by, *of)).or_default();
                 if (*start, *bump) < *held {
                     found.insert(Fleet::RanBack(by.clone(), *of));
@@ -168,8 +170,8 @@
         ("workers", "worker ", bounds.workers.to_count(bed.workers.len())),
     ];
     let mut known: BTreeMap<((u64, u16), u32), &Vec<String>> = BTreeMap::new();
-    for Record { what, .. } in records {
-        let What::Agreed { epoch, version, permits } = what else { continue };
+    for Record { observation: what, .. } in records {
+        let Observation::PermitsUpdated { epoch, version, permits } = what else { continue };
         if *known.entry((*epoch, *version)).or_insert(permits) != permits {
             found.insert(Fleet::Forked(*epoch, *version));
         }
@@ -222,35 +224,41 @@
 fn excuse(records: &[Record], spells: &BTreeMap<String, Vec<(Micros, Micros)>>) -> (Vec<Record>, u64) {
     let mut ended = BTreeMap::new();
     for record in records {
-        if let What::Answered { tried, .. } | What::Cut { tried } = &record.what {
+        if let Observation::Answered { request_id: tried, .. }
+        | Observation::ConnectionLost { request_id: tried } = &record.observation
+        {
             ended.entry(*tried).or_insert(record);
         }
     }
     let mut touched = BTreeMap::new();
     for record in records {
-        let What::Asked { tried, to, deadline, .. } = &record.what else { continue };
+        let Observation::RequestSent { request_id: tried, to, deadline, .. } = &record.observation else {
+            continue;
+        };
         let end = ended.get(tried);
-        let in_time = |r: &&Record| matches!(r.what, What::Answered { .. }) && r.t <= *deadline;
+        let in_time =
+            |r: &&Record| matches!(r.observation, Observation::Answered { .. }) && r.time <= *deadline;
         if end.is_some_and(in_time) {
             continue;
         }
-        let until = end.map_or(*deadline, |r| r.t);
+        let until = end.map_or(*deadline, |r| r.time);
         let here = spells.get(to).map(Vec::as_slice).unwrap_or_default();
-        if here.iter().any(|(from, to)| *from <= until && record.t <= *to) {
+        if here.iter().any(|(from, to)| *from <= until && record.time <= *to) {
             touched.insert(*tried, *deadline);
         }
     }
-    let kept = |record: &&Record| match &record.what {
-        What::Answered { tried, .. } | What::Cut { tried } => !touched.contains_key(tried),
+    let kept = |record: &&Record| match &record.observation {
+        Observation::Answered { request_id: tried, .. }
+        | Observation::ConnectionLost { request_id: tried } => !touched.contains_key(tried),
         _ => true,
     };
     let mut all: Vec<_> = records.iter().filter(kept).cloned().collect();
     let left = touched.iter().map(|(tried, deadline)| {
-        let (t, what) = (*deadline, What::Left { tried: *tried });
-        Record { t, by: "client".into(), what }
+        let (t, what) = (*deadline, Observation::ClientLeft { request_id: *tried });
+        Record { time: t, observer: "client".into(), observation: what }
     });
     all.extend(left);
-    all.sort_by_key(|record| record.t);
+    all.sort_by_key(|record| record.time);
     (all, touched.len() as u64)
 }
 
@@ -258,7 +266,7 @@
 fn rules() -> RuleSettings {
     let class = |(name, _, repeat): &(&str, u64, &str)| {
         let repeat = if *repeat == "unsafe" { RepeatRule::Unsafe } else { RepeatRule::Safe };
-        ((*name).to_owned(), ClassRule { repeat, aim: 1_000_000, worth: 1.0, late_worth: 0.0 })
+        ((*name).to_owned(), ClassRule { repeat, aim: 1_000_000, value: 1.0, late_share: 0.0 })
     };
     RuleSettings {
         classes: CLASSES.iter().map(class).collect(),
@@ -268,9 +276,9 @@
         load_window: 0,
         load_free: 0.0,
         load_share: 0.0,
-        cold_from: 0.2,
-        warm_within: 16_000_000,
-        tip_multiple: 4.0,
-        fall: 1_500_000,
+        initial_capacity_share: 0.2,
+        warm_up_time: 16_000_000,
+        overload_multiple: 4.0,
+        overload_window: 1_500_000,
     }
 }
