--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -3,7 +3,7 @@
 
 use crate::run::GatewayError;
 use crate::scheduler::{RUN, STOP};
-use crate::tables::{COUNT_US, ControlEnd, Fact, Owners, Tables, Word};
+use crate::tables::{ControlEnd, ControlMessage, LoopReport, Owners, REPORT_INTERVAL_US, Tables};
 use basaltward::{Micros, Repeat};
 use basaltward_config::{Config, SitesConfig};
 use basaltward_membership::{MemberId, MemberState, SHED_KEYS, SiteMap};
@@ -23,20 +23,20 @@
 use tracing::{info, warn};
 
 /// All is done: nobody needs the control thread any more.
-pub const END: u8 = 3;
+pub const EXIT: u8 = 3;
 /// What is seen of sites and agreed on them is looked at anew after this at the latest.
-const SEE_US: Micros = 500_000;
+const SITE_REFRESH_US: Micros = 500_000;
 /// Whose events are holds for so long: four times what passes until it is told anew.
-const OWNERS_US: Micros = 2_000_000;
+const OWNERS_VALID_US: Micros = 2_000_000;
 /// Words that wait for a loop: past this the oldest go, which its timers make up for.
-const MOST_WORDS: usize = 16_384;
+const MAX_QUEUED_MESSAGES: usize = 16_384;
 /// Datagrams between sites take so long there and back at most, by which silence is told from distance.
-const ROUND_TRIP_US: Micros = 100_000;
+const MAX_ROUND_TRIP_US: Micros = 100_000;
 /// Datagrams between gateways: figures of load that half of a fleet of eight hears after 2 s at the view's usual 1,000
 /// bytes a second are there within 0.5 s at this.
-const BYTES_PER_S: u64 = 16_000;
+const GOSSIP_BYTES_PER_S: u64 = 16_000;
 /// A site of which nothing was live for so long counts as lost, as far as the view goes.
-const LOST_US: Micros = 1_000_000;
+const SITE_LOST_AFTER_US: Micros = 1_000_000;
 
 /// See the module's page.
 pub struct Control {
@@ -45,37 +45,37 @@
     endpoint: PeerEndpoint,
     route: Route,
     shed: Shed,
-    shed_stands: Micros,
+    shed_fact_lifetime: Micros,
     pending: Pending,
     hand_over: bool,
     loops: Vec<ControlEnd>,
-    words: Vec<VecDeque<Word>>,
+    queued: Vec<VecDeque<ControlMessage>>,
     tables: Arc<Tables>,
     live: Vec<bool>,
     peer_count: MemberId,
     /// When the way to each was measured that the choice of sites was told last.
-    measured: Vec<Micros>,
-    wanted: Arc<AtomicU8>,
+    last_rtt_at: Vec<Micros>,
+    command: Arc<AtomicU8>,
     stall: Arc<AtomicU64>,
     recorder: Recorder,
     leaving: bool,
     /// Requests of ours that have no answer yet, by number.
-    requests: BTreeMap<u32, PermitRequest>,
-    places: SiteMap,
+    permit_requests: BTreeMap<u32, PermitRequest>,
+    site_map: SiteMap,
     /// We were taken over and return.
-    returns: bool,
+    reclaimed: bool,
     /// When events that are ours are taken.
-    ready: Micros,
+    accepts_from: Micros,
     /// For how long events are remembered.
-    remember: Micros,
+    retention: Micros,
     /// When pending is told what is seen and agreed next.
-    see: Micros,
+    next_site_refresh: Micros,
     /// When facts are read next, though nobody wakes us.
-    look: Micros,
+    next_poll: Micros,
 }
 
 /// Which gateway stands where, by the settings.
-fn places(sites: &SitesConfig) -> Option<SiteMap> {
+fn site_map(sites: &SitesConfig) -> Option<SiteMap> {
     SiteMap::new(sites.peers.iter().map(|peer| peer.site).collect(), sites.own)
 }
 
@@ -84,7 +84,7 @@
     let class =
         |class: &basaltward::Class| ClassOf { worth: class.value, aim: class.aim, deadline: class.deadline };
     let classes = config.module.classes.iter().map(class).collect();
-    let usual = ShedSettings::new(classes, config.module.tenant_quotas.clone(), places(sites)?);
+    let usual = ShedSettings::new(classes, config.module.tenant_quotas.clone(), site_map(sites)?);
     Some(ShedSettings {
         over_share_worth: config.module.over_share_value,
         loops: config.threads as usize,
@@ -104,7 +104,7 @@
     let kinds = &config.module.copies.kind_memory_mb;
     let worker_mb = kinds.iter().sum::<f64>() / kinds.len().max(1) as f64;
     let functions = config.functions.iter().map(function).collect();
-    let usual = RouteSettings::new(places(sites)?, functions, worker_mb as u32, u64::from(sites.own));
+    let usual = RouteSettings::new(site_map(sites)?, functions, worker_mb as u32, u64::from(sites.own));
     Some(RouteSettings { keep: config.module.copies.keep_alive, loops: config.threads as u16, ..usual })
 }
 
@@ -113,7 +113,7 @@
     let seed = Clock::read().wall() ^ u64::from(std::process::id()) << 40;
     EndpointConfig {
         transport: PeerConfig {
-            sites: places(sites).map(|map| SitesToWatch { map, lost_after_us: LOST_US }),
+            sites: site_map(sites).map(|map| SitesToWatch { map, lost_after_us: SITE_LOST_AFTER_US }),
             name: sites.fleet.clone(),
             listen: sites.listen,
             peers: peers.iter().map(|peer| peer.tell).collect(),
@@ -123,8 +123,8 @@
             zones: peers.iter().map(|peer| peer.site).collect(),
             bounds: config.kept.iter().any(Option::is_some).then(Default::default),
             version: String::new(),
-            round_trip: ROUND_TRIP_US,
-            bytes_per_s: BYTES_PER_S,
+            round_trip: MAX_ROUND_TRIP_US,
+            bytes_per_s: GOSSIP_BYTES_PER_S,
         },
         listen: sites.journal_listen,
         connections: ConnectionConfig::new(peers.iter().map(|peer| peer.journal).collect()),
@@ -146,13 +146,13 @@
     ) -> Result<Self, GatewayError> {
         let now = monotonic();
         let endpoint = PeerEndpoint::open(endpoint_config(config, sites), &mut io, now)?;
-        let route = route_settings(config, sites).ok_or(GatewayError::Sites)?;
+        let route = route_settings(config, sites).ok_or(GatewayError::NotAPeer)?;
         let route = Route::new(route, now)?;
-        let shed = shed_settings(config, sites).ok_or(GatewayError::Sites)?;
+        let shed = shed_settings(config, sites).ok_or(GatewayError::NotAPeer)?;
         let shed_stands = shed.stands;
         let shed = Shed::new(now, shed)?;
         let holders = config.kept.iter().map(|kept| kept.map_or(0, |kept| kept.holders.min(255) as u8));
-        let places = places(sites).ok_or(GatewayError::Sites)?;
+        let places = site_map(sites).ok_or(GatewayError::NotAPeer)?;
         let pending = PendingSettings {
             bytes: sites.journal.bytes,
             entry_bytes: sites.journal.entry_bytes,
@@ -170,26 +170,26 @@
             endpoint,
             route,
             shed,
-            shed_stands,
+            shed_fact_lifetime: shed_stands,
             pending: Pending::new(pending, now),
             hand_over: sites.hand_over,
-            words: loops.iter().map(|_| VecDeque::new()).collect(),
+            queued: loops.iter().map(|_| VecDeque::new()).collect(),
             loops,
             tables,
             live: Vec::new(),
             peer_count: sites.peers.len() as MemberId,
-            measured: vec![0; sites.peers.len()],
-            wanted,
+            last_rtt_at: vec![0; sites.peers.len()],
+            command: wanted,
             stall,
             recorder,
             leaving: false,
-            requests: BTreeMap::new(),
-            see: now,
-            places: places.clone(),
-            returns: false,
-            ready: now,
-            remember,
-            look: now,
+            permit_requests: BTreeMap::new(),
+            next_site_refresh: now,
+            site_map: places.clone(),
+            reclaimed: false,
+            accepts_from: now,
+            retention: remember,
+            next_poll: now,
         })
     }
 
@@ -201,31 +201,31 @@
         let mut happened = Vec::new();
         loop {
             let now = monotonic();
-            self.facts(now);
+            self.read_loops(now);
             let events = self.endpoint.wake(&mut self.io, now);
-            self.heard(now, events);
-            self.rooms(now);
-            self.tell();
-            let due = self.endpoint.next_due().min(self.pending.next_due()).min(self.look);
+            self.handle_events(now, events);
+            self.run_due(now);
+            self.flush_messages();
+            let due = self.endpoint.next_due().min(self.pending.next_due()).min(self.next_poll);
             self.io.turn(Some(due.saturating_sub(monotonic())), &mut happened)?;
             let now = monotonic();
             for happened in happened.drain(..) {
                 let events = self.endpoint.data(&mut self.io, now, &happened);
-                self.heard(now, events);
+                self.handle_events(now, events);
             }
             self.io.free_ended();
             let stall = self.stall.swap(0, Ordering::Relaxed);
             if stall > 0 {
                 std::thread::sleep(std::time::Duration::from_micros(stall));
             }
-            match self.wanted.load(Ordering::Relaxed) {
+            match self.command.load(Ordering::Relaxed) {
                 RUN => {}
                 STOP if !std::mem::replace(&mut self.leaving, true) => {
                     let events = self.endpoint.leave(&mut self.io, monotonic());
-                    self.heard(now, events);
+                    self.handle_events(now, events);
                 }
                 STOP => {}
-                END => {
+                EXIT => {
                     self.endpoint.stop(&mut self.io, monotonic());
                     self.io.turn(Some(0), &mut happened)?;
                     return Ok(());
@@ -236,14 +236,14 @@
     }
 
     /// What the loops have counted, and the steps of their kept events.
-    fn facts(&mut self, now: Micros) {
+    fn read_loops(&mut self, now: Micros) {
         let (own, mut out) = (self.endpoint.membership().own(), Vec::new());
         for (number, end) in self.loops.iter_mut().enumerate() {
-            while let Ok(fact) = end.facts.pop() {
+            while let Ok(fact) = end.reports.pop() {
                 match fact {
-                    Fact::Routed(counts) => self.route.counted(now, number as u16, &counts),
-                    Fact::Handed(handed) => self.route.handed(now, &handed),
-                    Fact::Asked(counts) => self.shed.counted(now, number, &counts),
+                    LoopReport::Calls(counts) => self.route.counted(now, number as u16, &counts),
+                    LoopReport::HandedOver(handed) => self.route.handed(now, &handed),
+                    LoopReport::Admission(counts) => self.shed.counted(now, number, &counts),
                 }
             }
             while let Ok(step) = end.steps.pop() {
@@ -255,27 +255,29 @@
                     _ => None,
                 };
                 let (key, word) = match fate {
-                    Some((key, Fate::Ended(outcome, answer))) => (key, Word::Told(key, outcome, answer)),
-                    Some((key, Fate::By(by))) if by != own => (key, Word::Elsewhere(key)),
-                    Some((key, Fate::Open)) => (key, Word::Elsewhere(key)),
+                    Some((key, Fate::Ended(outcome, answer))) => {
+                        (key, ControlMessage::EndedElsewhere(key, outcome, answer))
+                    }
+                    Some((key, Fate::By(by))) if by != own => (key, ControlMessage::OwnedElsewhere(key)),
+                    Some((key, Fate::Open)) => (key, ControlMessage::OwnedElsewhere(key)),
                     Some(_) | None => {
                         self.pending.handle(now, wall_ms(), Input::Step(step), &mut out);
                         continue;
                     }
                 };
                 self.pending.handle(now, wall_ms(), Input::Repeated(key), &mut out);
-                self.words[number].push_back(word);
+                self.queued[number].push_back(word);
             }
         }
         self.carry_out(now, out);
     }
 
-    fn heard(&mut self, now: Micros, events: Vec<EndpointEvent>) {
+    fn handle_events(&mut self, now: Micros, events: Vec<EndpointEvent>) {
         let mut out = Vec::new();
         for event in events {
             let input = match event {
                 EndpointEvent::Transport(Event::Believed { of, incarnation, state }) => {
-                    self.believed(now, of, incarnation, state);
+                    self.member_changed(now, of, incarnation, state);
                     continue;
                 }
                 EndpointEvent::Connection(ConnectionEvent::Frame(from, Channel::Pending, bytes)) => {
@@ -296,9 +298,9 @@
                     Input::LinkDown { of }
                 }
                 EndpointEvent::Transport(Event::Answered { tag, answer }) => {
-                    match (self.requests.remove(&tag), answer) {
+                    match (self.permit_requests.remove(&tag), answer) {
                         (Some(PermitRequest::Reclaim(subject)), Ok(permit)) => {
-                            self.returns |= permit > 0;
+                            self.reclaimed |= permit > 0;
                             Input::Home { subject, permit }
                         }
                         (
@@ -309,7 +311,7 @@
                     }
                 }
                 EndpointEvent::Transport(Event::Agreed(_)) => {
-                    self.see = now;
+                    self.next_site_refresh = now;
                     continue;
                 }
                 EndpointEvent::Transport(_) | EndpointEvent::Connection(_) => continue,
@@ -319,7 +321,7 @@
         self.carry_out(now, out);
     }
 
-    fn believed(
+    fn member_changed(
         &self,
         now: Micros,
         of: MemberId,
@@ -333,21 +335,21 @@
     }
 
     /// Does what is due in the rooms, and swaps the tables.
-    fn rooms(&mut self, now: Micros) {
-        self.look = self.look.max(now.saturating_sub(COUNT_US));
-        if now >= self.look {
-            self.look = now + COUNT_US;
-            self.look_who_lives(now);
+    fn run_due(&mut self, now: Micros) {
+        self.next_poll = self.next_poll.max(now.saturating_sub(REPORT_INTERVAL_US));
+        if now >= self.next_poll {
+            self.next_poll = now + REPORT_INTERVAL_US;
+            self.update_live_members(now);
         }
         if self.hand_over && self.route.next_due() <= now {
-            self.renew_route(now);
+            self.update_route(now);
         }
         if self.shed.next_due() <= now {
-            self.renew_shed(now);
+            self.update_shed(now);
         }
-        if now >= self.see {
-            self.see = now + SEE_US;
-            self.renew_owners(now);
+        if now >= self.next_site_refresh {
+            self.next_site_refresh = now + SITE_REFRESH_US;
+            self.update_owners(now);
         }
         if self.pending.next_due() <= now {
             let mut out = Vec::new();
@@ -357,14 +359,14 @@
     }
 
     /// Tells the rooms who lives, where that has changed.
-    fn look_who_lives(&mut self, now: Micros) {
+    fn update_live_members(&mut self, now: Micros) {
         let members = self.endpoint.membership().members();
         let own = usize::from(self.endpoint.membership().own());
         let live: Vec<_> = members.iter().enumerate().map(|(of, e)| of == own || e.state.is_live()).collect();
         if live != self.live {
             self.live = live;
             self.route.live(&self.live);
-            self.see = now;
+            self.next_site_refresh = now;
             let mut out = Vec::new();
             self.pending.handle(now, wall_ms(), Input::Live(self.live.clone()), &mut out);
             self.carry_out(now, out);
@@ -372,11 +374,11 @@
     }
 
     /// Tells the choice of sites what was measured, sends what it tells others, and swaps its table.
-    fn renew_route(&mut self, now: Micros) {
+    fn update_route(&mut self, now: Micros) {
         for of in 0..self.peer_count {
             // Each measurement once: told again and again it would count as many.
             if let Some((rtt, age)) = self.endpoint.connections().rtt(of, now)
-                && let Some(told) = self.measured.get_mut(usize::from(of))
+                && let Some(told) = self.last_rtt_at.get_mut(usize::from(of))
                 && now.saturating_sub(age) > *told
             {
                 *told = now.saturating_sub(age);
@@ -391,7 +393,7 @@
     }
 
     /// Tells admission what peers have published, publishes what it tells, and swaps its table.
-    fn renew_shed(&mut self, now: Micros) {
+    fn update_shed(&mut self, now: Micros) {
         for of in 0..self.peer_count {
             for key in SHED_KEYS {
                 if let Some(value) = self.endpoint.fact(now, of, key).map(<[u8]>::to_vec) {
@@ -400,20 +402,20 @@
             }
         }
         for (key, value) in self.shed.tell(now) {
-            self.endpoint.publish_fact(now, key, &value, self.shed_stands);
+            self.endpoint.publish_fact(now, key, &value, self.shed_fact_lifetime);
         }
         self.tables.shed.store(Some(Arc::new(self.shed.table(now, &self.live))));
     }
 
     /// Tells the journals what is seen of sites and what is agreed, and swaps the table of owners.
-    fn renew_owners(&mut self, now: Micros) {
+    fn update_owners(&mut self, now: Micros) {
         let observations = self.endpoint.transport().sites(now);
         let permit_state = self.endpoint.agreed().map(|known| known.value.clone()).unwrap_or_default();
         let mut out = Vec::new();
-        let taken = taken(&permit_state, &self.places);
+        let taken = taken(&permit_state, &self.site_map);
         self.pending.handle(now, wall_ms(), Input::Seen { observations, permit_state }, &mut out);
-        let ready = self.pending.takes() && now >= self.ready;
-        let owners = Owners { until: now + OWNERS_US, taken, ready };
+        let ready = self.pending.takes() && now >= self.accepts_from;
+        let owners = Owners { valid_until: now + OWNERS_VALID_US, taken_over: taken, accepts: ready };
         self.tables.owners.store(Some(Arc::new(owners)));
         self.carry_out(now, out);
     }
@@ -425,33 +427,39 @@
                     // What is not acknowledged is sent again.
                     let _ = self.endpoint.send(&mut self.io, now, to, (Channel::Pending, &bytes));
                 }
-                Output::Held { key } => self.say(|| Word::Held(key, true)),
+                Output::Held { key } => self.broadcast(|| ControlMessage::Replicated(key, true)),
                 Output::Unheld { key, why } => {
                     info!(scheduler = self.name, %why, "not kept");
-                    self.say(|| Word::Held(key, false));
+                    self.broadcast(|| ControlMessage::Replicated(key, false));
+                }
+                Output::May { key, attempt, until } => {
+                    self.broadcast(|| ControlMessage::SendDecision(key, attempt, Some(until)))
                 }
-                Output::May { key, attempt, until } => self.say(|| Word::May(key, attempt, Some(until))),
                 Output::MayNot { key, attempt, why } => {
                     info!(scheduler = self.name, %why, "not sent");
-                    self.say(|| Word::May(key, attempt, None));
+                    self.broadcast(|| ControlMessage::SendDecision(key, attempt, None));
                 }
                 Output::Noted(fault) => warn!(scheduler = self.name, %fault, "journal"),
                 // The member asks on by itself until it has an answer.
-                Output::Ask(request) if self.requests.values().any(|asked| *asked == request) => {}
+                Output::Ask(request) if self.permit_requests.values().any(|asked| *asked == request) => {}
                 Output::Ask(request) => {
                     info!(scheduler = self.name, ?request, "asked of the voters");
                     if let Some(tag) = self.endpoint.submit(now, request) {
-                        self.requests.insert(tag, request);
+                        self.permit_requests.insert(tag, request);
                     }
                 }
                 Output::Takes => {
                     // Others took our events until they heard of our return. Whoever repeats one of those within the time
                     // that it is remembered must not find us, who know nothing of it.
-                    let waits = if std::mem::take(&mut self.returns) { self.remember + OWNERS_US } else { 0 };
-                    (self.ready, self.see) = (now + waits, now);
+                    let waits = if std::mem::take(&mut self.reclaimed) {
+                        self.retention + OWNERS_VALID_US
+                    } else {
+                        0
+                    };
+                    (self.accepts_from, self.next_site_refresh) = (now + waits, now);
                     info!(scheduler = self.name, after_us = waits, "takes kept events");
                 }
-                Output::Lost { key } => self.say(|| Word::Lost(key)),
+                Output::Lost { key } => self.broadcast(|| ControlMessage::TakenOver(key)),
                 Output::Run { pending, end, .. } => {
                     info!(
                         scheduler = self.name,
@@ -461,8 +469,8 @@
                     );
                     let before = if let End::SameKey { before } = end { before } else { u64::MAX };
                     let at = (pending.key.0 % self.loops.len().max(1) as u128) as usize;
-                    if let Some(words) = self.words.get_mut(at) {
-                        words.push_back(Word::Run(Box::new(pending), before));
+                    if let Some(words) = self.queued.get_mut(at) {
+                        words.push_back(ControlMessage::RunForLostSite(Box::new(pending), before));
                     }
                 }
                 Output::Told { key, end, outcome, answer } => {
@@ -472,7 +480,7 @@
                         ?end,
                         "ended for a lost gateway"
                     );
-                    self.say(|| Word::Told(key, outcome, answer.clone()));
+                    self.broadcast(|| ControlMessage::EndedElsewhere(key, outcome, answer.clone()));
                 }
                 Output::Gone(gone) => warn!(scheduler = self.name, %gone, "journal of a lost gateway"),
             }
@@ -480,24 +488,24 @@
     }
 
     /// Tells all loops: the one that has the event heeds it.
-    fn say(&mut self, word: impl Fn() -> Word) {
-        self.words.iter_mut().for_each(|words| words.push_back(word()));
+    fn broadcast(&mut self, word: impl Fn() -> ControlMessage) {
+        self.queued.iter_mut().for_each(|words| words.push_back(word()));
     }
 
     /// Gives the loops what waits for them.
-    fn tell(&mut self) {
-        for (end, words) in self.loops.iter_mut().zip(&mut self.words) {
+    fn flush_messages(&mut self) {
+        for (end, words) in self.loops.iter_mut().zip(&mut self.queued) {
             let before = words.len();
             while let Some(word) = words.pop_front() {
-                if let Err(rtrb::PushError::Full(word)) = end.words.push(word) {
+                if let Err(rtrb::PushError::Full(word)) = end.messages.push(word) {
                     words.push_front(word);
                     break;
                 }
             }
             if words.len() < before {
-                end.waker.wake();
+                end.loop_waker.wake();
             }
-            while words.len() > MOST_WORDS {
+            while words.len() > MAX_QUEUED_MESSAGES {
                 words.pop_front();
             }
         }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -37,47 +37,49 @@
 }
 
 /// A waiter's id: the loop's number, a running number, the slot.
-const SLOT: u64 = (1 << 24) - 1;
-const THREAD: u32 = 56;
+const SLOT_MASK: u64 = (1 << 24) - 1;
+const THREAD_SHIFT: u32 = 56;
 
 fn waiter_id(thread: usize, given: u64, slot: usize) -> WaiterId {
-    WaiterId((thread as u64) << THREAD | (given << 24) & ((1 << THREAD) - 1) | slot as u64 & SLOT)
+    WaiterId(
+        (thread as u64) << THREAD_SHIFT | (given << 24) & ((1 << THREAD_SHIFT) - 1) | slot as u64 & SLOT_MASK,
+    )
 }
 
 /// The number of the loop at which someone waits.
-pub fn thread_of(waiter: WaiterId) -> usize {
-    (waiter.0 >> THREAD) as usize
+pub fn loop_of_waiter(waiter: WaiterId) -> usize {
+    (waiter.0 >> THREAD_SHIFT) as usize
 }
 
 /// What one event of a request came to, with the event.
-type Answered = (Result<Reply, Problem>, Arc<Event>);
+type EventAnswer = (Result<Reply, Problem>, Arc<Event>);
 
 /// A request whose answers are awaited.
-struct Busy {
+struct RequestInProgress {
     mode: Mode,
     keep_alive: bool,
     /// Answers still missing.
-    missing: usize,
-    answers: Vec<Option<Answered>>,
+    missing_answers: usize,
+    answers: Vec<Option<EventAnswer>>,
     waiters: Vec<WaiterId>,
 }
 
 struct Client {
     decoder: RequestDecoder,
-    busy: Option<Busy>,
+    in_progress: Option<RequestInProgress>,
     /// It stands among those whose input is to be looked at.
-    ready: bool,
+    is_queued: bool,
     /// When the first byte of the request now arriving came.
-    began: Option<Micros>,
+    request_began: Option<Micros>,
     /// When patience with the peer ends: for the head, the body, or while idle.
-    until: Micros,
+    expires_at: Micros,
     /// The timer that is set for it. It is moved only to an earlier time: one that comes too early is set
     /// anew, so that a connection has a few timers and not one for each of its requests.
-    armed: Micros,
+    timer_at: Micros,
 }
 
 /// Who waits, and for which event; the log line of a call is made of it.
-pub struct Waiting {
+pub struct Waiter {
     /// Its whole id: an answer to one who had this slot before is not taken for its own.
     id: WaiterId,
     conn: ConnId,
@@ -93,19 +95,19 @@
 }
 
 /// Where a client's request leads.
-pub enum Asked {
+pub enum NextRequest {
     /// Calls for the engine.
     Calls(Vec<NewCall<Event>>),
     /// Answered already.
-    Answered,
+    AnsweredDirectly,
 }
 
 /// The front of one loop.
 pub struct Front {
     limits: Limits,
-    most_batch: usize,
-    unsent: usize,
-    spans: (Micros, Micros, Micros),
+    max_batch: usize,
+    max_unsent: usize,
+    timeouts: (Micros, Micros, Micros),
     /// Every function that may be called, with its class's deadline.
     functions: BTreeMap<String, (Arc<Function>, Micros)>,
     /// What each class allows.
@@ -114,9 +116,9 @@
     clients: HashMap<ConnId, Client>,
     /// This loop's number among those of the gateway; part of each waiter's id.
     thread: usize,
-    given: u64,
-    waiting: Slab<Waiting>,
-    due: Timers<ConnId>,
+    waiters_created: u64,
+    waiters: Slab<Waiter>,
+    timers: Timers<ConnId>,
     /// Connections whose input is to be looked at, with when it came: each at most once.
     ready: VecDeque<(Micros, ConnId)>,
     stopping: bool,
@@ -143,17 +145,17 @@
                 fields: front.fields,
                 body: front.body_bytes,
             },
-            most_batch: front.batch,
-            unsent: front.unsent_bytes,
-            spans: (front.head, front.body, front.idle),
+            max_batch: front.batch,
+            max_unsent: front.unsent_bytes,
+            timeouts: (front.head, front.body, front.idle),
             functions: functions.collect(),
             repeats: config.module.classes.iter().map(|c| c.repeat).collect(),
             tenants: config.tenants.clone(),
             clients: HashMap::new(),
             thread,
-            given: 0,
-            waiting: Slab::new(),
-            due: Timers::default(),
+            waiters_created: 0,
+            waiters: Slab::new(),
+            timers: Timers::default(),
             ready: VecDeque::new(),
             stopping: false,
         }
@@ -161,7 +163,7 @@
 
     /// When [`Front::wake`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.next_due()
+        self.timers.next_due()
     }
 
     /// Clients connected.
@@ -170,62 +172,69 @@
     }
 
     /// A client has connected.
-    pub fn accepted(&mut self, now: Micros, conn: ConnId) {
-        let until = now + self.spans.2;
+    pub fn client_connected(&mut self, now: Micros, conn: ConnId) {
+        let until = now + self.timeouts.2;
         let decoder = RequestDecoder::new(self.limits);
-        let client = Client { decoder, busy: None, ready: false, began: None, until, armed: Micros::MAX };
+        let client = Client {
+            decoder,
+            in_progress: None,
+            is_queued: false,
+            request_began: None,
+            expires_at: until,
+            timer_at: Micros::MAX,
+        };
         self.clients.insert(conn, client);
-        self.arm(conn, until);
+        self.set_timeout(conn, until);
     }
 
     /// Patience with a connection's peer ends at this time, until told otherwise.
-    fn arm(&mut self, conn: ConnId, until: Micros) {
+    fn set_timeout(&mut self, conn: ConnId, until: Micros) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        client.until = until;
-        if until < client.armed {
-            client.armed = until;
-            self.due.set(until, conn);
+        client.expires_at = until;
+        if until < client.timer_at {
+            client.timer_at = until;
+            self.timers.set(until, conn);
         }
     }
 
     /// A client's connection has ended: who waited on it.
-    pub fn ended(&mut self, conn: ConnId) -> Vec<WaiterId> {
-        let busy = self.clients.remove(&conn).and_then(|c| c.busy);
+    pub fn client_disconnected(&mut self, conn: ConnId) -> Vec<WaiterId> {
+        let busy = self.clients.remove(&conn).and_then(|c| c.in_progress);
         let waiters = busy.map(|b| b.waiters).unwrap_or_default();
-        waiters.into_iter().filter(|w| self.take(*w).is_some()).collect()
+        waiters.into_iter().filter(|w| self.take_waiter(*w).is_some()).collect()
     }
 
     /// Bytes have come, or may have while the connection was busy: it is looked at in its turn.
-    pub fn came(&mut self, now: Micros, conn: ConnId) {
+    pub fn input_arrived(&mut self, now: Micros, conn: ConnId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        if client.busy.is_none() {
+        if client.in_progress.is_none() {
             // The request's time runs from here, also while it waits to be looked at.
-            client.began.get_or_insert(now);
+            client.request_began.get_or_insert(now);
         }
-        if !std::mem::replace(&mut client.ready, true) {
+        if !std::mem::replace(&mut client.is_queued, true) {
             self.ready.push_back((now, conn));
         }
     }
 
     /// Since when the oldest input waits to be looked at.
-    pub fn oldest(&self) -> Option<Micros> {
+    pub fn oldest_input(&self) -> Option<Micros> {
         self.ready.front().map(|(came, _)| *came)
     }
 
     /// Takes the connection that waited longest to be looked at.
-    pub fn pop_ready(&mut self) -> Option<ConnId> {
+    pub fn pop_queued(&mut self) -> Option<ConnId> {
         let (_, conn) = self.ready.pop_front()?;
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.ready = false;
+            client.is_queued = false;
         }
         Some(conn)
     }
 
     /// Takes the next request of a connection, if it is all there and the one before is answered.
-    pub fn next_request(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<Asked> {
+    pub fn next_request(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<NextRequest> {
         let unsent = io.unsent(conn);
         let client = self.clients.get_mut(&conn)?;
-        if client.busy.is_some() || unsent > self.unsent {
+        if client.in_progress.is_some() || unsent > self.max_unsent {
             return None;
         }
         let input = io.input(conn)?;
@@ -234,17 +243,17 @@
         match decoded {
             Ok(Decoded::Message(request)) => {
                 io.release_input(conn);
-                let began = client.began.take().unwrap_or(now);
+                let began = client.request_began.take().unwrap_or(now);
                 Some(self.request(io, now, conn, &request, began))
             }
             Ok(told) => {
                 if !within {
-                    client.began = None;
+                    client.request_began = None;
                 } else {
                     // Past the head the body has a time of its own, on top.
-                    let began = *client.began.get_or_insert(now);
-                    let until = began + self.spans.0 + if within_body { self.spans.1 } else { 0 };
-                    self.arm(conn, until);
+                    let began = *client.request_began.get_or_insert(now);
+                    let until = began + self.timeouts.0 + if within_body { self.timeouts.1 } else { 0 };
+                    self.set_timeout(conn, until);
                 }
                 io.pause(conn, false);
                 if let (Decoded::Continue, Some(out)) = (told, io.output(conn)) {
@@ -269,30 +278,38 @@
         io.close(conn);
     }
 
-    fn request(&mut self, io: &mut Io, now: Micros, conn: ConnId, request: &Request, began: Micros) -> Asked {
+    fn request(
+        &mut self,
+        io: &mut Io,
+        now: Micros,
+        conn: ConnId,
+        request: &Request,
+        began: Micros,
+    ) -> NextRequest {
         let keep_alive = request.keep_alive() && !self.stopping;
         match self.calls(conn, request, began) {
             Ok((mode, calls)) => {
                 let waiters: Vec<_> = calls.iter().map(|c| c.waiter).collect();
                 let answers = calls.iter().map(|_| None).collect();
-                let busy = Busy { mode, keep_alive, missing: calls.len(), answers, waiters };
+                let busy =
+                    RequestInProgress { mode, keep_alive, missing_answers: calls.len(), answers, waiters };
                 let empty = calls.is_empty();
                 if let Some(client) = self.clients.get_mut(&conn) {
-                    client.busy = Some(busy);
-                    client.until = Micros::MAX;
+                    client.in_progress = Some(busy);
+                    client.expires_at = Micros::MAX;
                 }
                 if empty {
                     self.write_answer(io, now, conn);
-                    return Asked::Answered;
+                    return NextRequest::AnsweredDirectly;
                 }
-                Asked::Calls(calls)
+                NextRequest::Calls(calls)
             }
             Err(problem) => {
                 if let Some(out) = io.output(conn) {
                     write_problem(out, &problem, keep_alive, request.method == Method::Head);
                 }
-                self.idle(io, now, conn, keep_alive);
-                Asked::Answered
+                self.await_next_request(io, now, conn, keep_alive);
+                NextRequest::AnsweredDirectly
             }
         }
     }
@@ -313,7 +330,7 @@
         if request.method != Method::Post {
             return Err(Problem::rejected(405, "calls are made with POST"));
         }
-        let read = read(&request.headers, request.body.clone(), self.most_batch);
+        let read = read(&request.headers, request.body.clone(), self.max_batch);
         let (mode, incoming) = read.map_err(|error| Problem::rejected(error.status(), error.to_string()))?;
         let events = match incoming {
             Incoming::One(event) => vec![event],
@@ -339,10 +356,10 @@
         for (index, call) in calls.iter_mut().enumerate() {
             let (event, function) = (call.payload.clone(), call.function.clone());
             let repeat = self.repeat_of(&function);
-            self.given += 1;
-            let id = waiter_id(self.thread, self.given, self.waiting.vacant_key());
+            self.waiters_created += 1;
+            let id = waiter_id(self.thread, self.waiters_created, self.waiters.vacant_key());
             call.waiter = id;
-            self.waiting.insert(Waiting { id, conn, index, event, function, repeat, began });
+            self.waiters.insert(Waiter { id, conn, index, event, function, repeat, began });
         }
         Ok((answer, calls))
     }
@@ -382,7 +399,11 @@
 
     /// A kept event of a lost site as a call that no client waits for; nothing where its function is not known here or
     /// its event can't be read.
-    pub fn owed(&mut self, pending: &Accepted, (now, wall): (Micros, u64)) -> Option<NewCall<Event>> {
+    pub fn call_of_lost_site(
+        &mut self,
+        pending: &Accepted,
+        (now, wall): (Micros, u64),
+    ) -> Option<NewCall<Event>> {
         let event = from_json(&pending.event).ok()?;
         let (function, _) = self.functions.get(pending.function.as_str())?;
         let identity = Identity {
@@ -391,17 +412,17 @@
             source: event.source.as_str().into(),
             id: event.id.as_str().into(),
         };
-        self.given += 1;
+        self.waiters_created += 1;
         // No client has the last slot.
-        let waiter = waiter_id(self.thread, self.given, SLOT as usize);
+        let waiter = waiter_id(self.thread, self.waiters_created, SLOT_MASK as usize);
         let deadline = now + pending.deadline.saturating_sub(wall) * 1_000;
         Some(NewCall { waiter, identity, function: function.clone(), deadline, payload: Arc::new(event) })
     }
 
-    fn take(&mut self, waiter: WaiterId) -> Option<Waiting> {
-        let slot = (waiter.0 & SLOT) as usize;
-        self.waiting.get(slot).filter(|w| w.id == waiter)?;
-        self.waiting.try_remove(slot)
+    fn take_waiter(&mut self, waiter: WaiterId) -> Option<Waiter> {
+        let slot = (waiter.0 & SLOT_MASK) as usize;
+        self.waiters.get(slot).filter(|w| w.id == waiter)?;
+        self.waiters.try_remove(slot)
     }
 
     /// What the class of a function allows.
@@ -422,8 +443,8 @@
         now: Micros,
         waiter: WaiterId,
         answer: Answer<Reply>,
-    ) -> Option<(Waiting, u16, Option<ConnId>)> {
-        let waiting = self.take(waiter)?;
+    ) -> Option<(Waiter, u16, Option<ConnId>)> {
+        let waiting = self.take_waiter(waiter)?;
         let conn = waiting.conn;
         let answer = match answer {
             Answer::Served(reply) => Ok(reply),
@@ -431,10 +452,10 @@
             Answer::Failed(why) => Err(Problem::failed(why, waiting.repeat)),
         };
         let status = answer.as_ref().map_or_else(|p| p.status, |_| 200);
-        let busy = self.clients.get_mut(&conn).and_then(|c| c.busy.as_mut())?;
-        busy.missing -= 1;
+        let busy = self.clients.get_mut(&conn).and_then(|c| c.in_progress.as_mut())?;
+        busy.missing_answers -= 1;
         busy.answers[waiting.index] = Some((answer, waiting.event.clone()));
-        let whole = busy.missing == 0;
+        let whole = busy.missing_answers == 0;
         if whole {
             self.write_answer(io, now, conn);
         }
@@ -443,7 +464,7 @@
 
     /// Writes the answer of a request whose every event has one.
     fn write_answer(&mut self, io: &mut Io, now: Micros, conn: ConnId) {
-        let Some(busy) = self.clients.get_mut(&conn).and_then(|c| c.busy.take()) else { return };
+        let Some(busy) = self.clients.get_mut(&conn).and_then(|c| c.in_progress.take()) else { return };
         let keep_alive = busy.keep_alive && !self.stopping;
         if let Some(out) = io.output(conn) {
             let mut answers = busy.answers.into_iter().flatten();
@@ -454,31 +475,31 @@
                 (_, None) => {}
             }
         }
-        self.idle(io, now, conn, keep_alive);
+        self.await_next_request(io, now, conn, keep_alive);
     }
 
-    fn idle(&mut self, io: &mut Io, now: Micros, conn: ConnId, keep_alive: bool) {
+    fn await_next_request(&mut self, io: &mut Io, now: Micros, conn: ConnId, keep_alive: bool) {
         if !keep_alive {
             self.clients.remove(&conn);
             return io.close(conn);
         }
-        self.arm(conn, now + self.spans.2);
+        self.set_timeout(conn, now + self.timeouts.2);
         io.pause(conn, false);
     }
 
     /// Ends connections whose patience is over: idle ones silently, slow senders with 408.
     pub fn wake(&mut self, io: &mut Io, now: Micros) {
-        while let Some((at, conn)) = self.due.pop_due(now) {
-            let Some(client) = self.clients.get_mut(&conn).filter(|c| c.armed == at) else { continue };
-            client.armed = Micros::MAX;
-            if client.busy.is_some() || client.until > now {
-                let until = client.until;
-                if client.busy.is_none() {
-                    self.arm(conn, until);
+        while let Some((at, conn)) = self.timers.pop_due(now) {
+            let Some(client) = self.clients.get_mut(&conn).filter(|c| c.timer_at == at) else { continue };
+            client.timer_at = Micros::MAX;
+            if client.in_progress.is_some() || client.expires_at > now {
+                let until = client.expires_at;
+                if client.in_progress.is_none() {
+                    self.set_timeout(conn, until);
                 }
                 continue;
             }
-            if client.began.is_some() {
+            if client.request_began.is_some() {
                 let problem = Problem::rejected(408, "the request did not arrive in time");
                 self.refuse_connection(io, conn, &problem);
             } else if io.unsent(conn) > 0 {
@@ -495,7 +516,7 @@
     /// From now on each connection ends with its answer; idle ones end at once.
     pub fn stop(&mut self, io: &mut Io) {
         self.stopping = true;
-        let idle = |c: &Client| c.busy.is_none() && c.began.is_none();
+        let idle = |c: &Client| c.in_progress.is_none() && c.request_began.is_none();
         let idle: Vec<_> = self.clients.iter().filter(|(_, c)| idle(c)).map(|(id, _)| *id).collect();
         for conn in idle {
             self.clients.remove(&conn);
@@ -504,7 +525,7 @@
     }
 }
 
-fn connection(head: HeadWriter, keep_alive: bool) -> HeadWriter {
+fn connection_field(head: HeadWriter, keep_alive: bool) -> HeadWriter {
     if keep_alive { head } else { head.field("Connection", "close") }
 }
 
@@ -517,11 +538,11 @@
     };
     let head = if problem.status == 405 { head.field("Allow", "POST") } else { head };
     let body = if head_only { Body::Length(body.len()) } else { Body::Whole(&body) };
-    connection(head, keep_alive).body(body);
+    connection_field(head, keep_alive).body(body);
 }
 
 fn write_reply(out: &mut BytesMut, event: &Event, mode: Mode, keep_alive: bool) {
-    let head = connection(HeadWriter::response(out, 200), keep_alive);
+    let head = connection_field(HeadWriter::response(out, 200), keep_alive);
     match mode {
         Mode::Binary => write_binary_fields(event, head).body(Body::Whole(&event.data)),
         _ => {
@@ -533,7 +554,7 @@
 }
 
 /// Each event's answer as an event of the batch, in the order asked; problems as events that hold them.
-fn write_batch(out: &mut BytesMut, answers: impl Iterator<Item = Answered>, keep_alive: bool) {
+fn write_batch(out: &mut BytesMut, answers: impl Iterator<Item = EventAnswer>, keep_alive: bool) {
     let mut body = vec![b'['];
     for (index, (answer, asked)) in answers.enumerate() {
         if index > 0 {
@@ -555,5 +576,5 @@
     }
     body.push(b']');
     let head = HeadWriter::response(out, 200).field("Content-Type", BATCH);
-    connection(head, keep_alive).body(Body::Whole(&body));
+    connection_field(head, keep_alive).body(Body::Whole(&body));
 }
--- a/crates/gateway/src/hand_wire.rs
+++ b/crates/gateway/src/hand_wire.rs
@@ -9,7 +9,7 @@
 use bytes::BytesMut;
 
 /// What the neighbour keeps back for its answer's way and ours: it is told a patience less by this.
-const WAY_US: Micros = 5_000;
+const ANSWER_RESERVE_US: Micros = 5_000;
 
 /// Writes the call. The patience is what is left of the client's; the neighbour is told that this is a hop, so that it
 /// goes no further, and by whom.
@@ -17,7 +17,7 @@
     let told = |name: &str| [extensions::TIMEOUT, extensions::HOPS, extensions::HANDED_BY].contains(&name);
     let mut event = event.clone();
     event.extensions.retain(|(name, _)| !told(name));
-    let patience = (left.saturating_sub(WAY_US) / 1_000).max(1);
+    let patience = (left.saturating_sub(ANSWER_RESERVE_US) / 1_000).max(1);
     let event = event
         .with(extensions::TIMEOUT, Attribute::Text(patience.to_string()))
         .with(extensions::HOPS, Attribute::Integer(1))
@@ -28,7 +28,7 @@
 }
 
 /// What a whole response says. By a front's own page 503 is a refusal: nothing of the call has run.
-pub fn end(response: &Response, event: &Event) -> AttemptEnd<Reply> {
+pub fn attempt_end(response: &Response, event: &Event) -> AttemptEnd<Reply> {
     match response.status {
         200 => AttemptEnd { reply: Some(reply(response, event)), ..AttemptEnd::from_code(Code::Ok) },
         503 => AttemptEnd::from_code(Code::Full),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -16,5 +16,5 @@
 mod worker_wire;
 
 pub use front::extensions;
-pub use run::{Gateway, GatewayError, Loops};
+pub use run::{Gateway, GatewayError, LoopMode};
 pub use worker_wire::{Reply, fields};
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -15,7 +15,7 @@
 
 /// An unsafe or keyed call goes only on a connection used this lately: an older one may be closed by the
 /// worker at this very moment, and the call then counts as one that may have run.
-const FRESH_US: Micros = 1_000_000;
+const MAX_IDLE_BEFORE_UNSAFE_US: Micros = 1_000_000;
 
 /// What a connection is used for.
 pub enum Job {
@@ -35,13 +35,13 @@
     /// A probe.
     Probe(OrderId),
     /// Idle copies are to go; nobody waits for the answer.
-    Drop(String),
+    Release(String),
     /// A call that another site's gateway is to answer by then.
-    Hand { waiter: WaiterId, event: Arc<Event>, function: Arc<Function>, until: Micros },
+    HandOver { waiter: WaiterId, event: Arc<Event>, function: Arc<Function>, until: Micros },
 }
 
 /// How a job ended.
-pub enum Done {
+pub enum JobEnd {
     /// An attempt.
     Attempt(AttemptId, AttemptEnd<Reply>),
     /// An order or a question: copies standing.
@@ -49,22 +49,22 @@
     /// A probe.
     Probe(OrderId, Code, Vec<f64>),
     /// A call that was handed over.
-    Handed(WaiterId, AttemptEnd<Reply>),
+    HandedOver(WaiterId, AttemptEnd<Reply>),
     /// Something nobody waits for.
-    Nothing,
+    Ignored,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-enum Name {
+enum JobKey {
     Attempt(AttemptId),
     Order(OrderId),
-    Handed(WaiterId),
+    HandedOver(WaiterId),
 }
 
 enum Stage {
     Connecting,
     /// The job's bytes are with the socket.
-    Waiting,
+    AwaitingResponse,
     Idle,
 }
 
@@ -73,11 +73,11 @@
     decoder: ResponseDecoder,
     stage: Stage,
     job: Option<Job>,
-    since: Micros,
+    stage_since: Micros,
     /// When this stage ends by itself: connecting, waiting for an attempt's answer, or idle.
-    until: Micros,
+    stage_ends: Micros,
     /// The timer that is set for it; moved only to an earlier time, and set anew when it comes too early.
-    armed: Micros,
+    timer_at: Micros,
 }
 
 #[derive(Default)]
@@ -103,32 +103,32 @@
     prefix: String,
     config: LinkConfig,
     limits: Limits,
-    report: Vec<String>,
+    report_names: Vec<String>,
     links: HashMap<WorkerId, Link>,
     conns: HashMap<ConnId, LinkConn>,
-    jobs: HashMap<Name, ConnId>,
-    due: Timers<ConnId>,
+    jobs: HashMap<JobKey, ConnId>,
+    timers: Timers<ConnId>,
     /// Jobs whose bytes have been given to a connection since this was last taken.
     pub sent: Vec<Sent>,
 }
 
-fn name(job: &Job) -> Option<Name> {
+fn job_key(job: &Job) -> Option<JobKey> {
     match job {
-        Job::Attempt { id, .. } => Some(Name::Attempt(*id)),
-        Job::Order { id, .. } | Job::Probe(id) => Some(Name::Order(*id)),
-        Job::Hand { waiter, .. } => Some(Name::Handed(*waiter)),
-        Job::Drop(_) => None,
+        Job::Attempt { id, .. } => Some(JobKey::Attempt(*id)),
+        Job::Order { id, .. } | Job::Probe(id) => Some(JobKey::Order(*id)),
+        Job::HandOver { waiter, .. } => Some(JobKey::HandedOver(*waiter)),
+        Job::Release(_) => None,
     }
 }
 
 /// The end of a job that got no whole response.
-fn cut(job: Job, code: Code) -> Done {
+fn end_without_response(job: Job, code: Code) -> JobEnd {
     match job {
-        Job::Attempt { id, .. } => Done::Attempt(id, AttemptEnd::from_code(code)),
-        Job::Order { id, .. } => Done::Order(id, code, 0),
-        Job::Probe(id) => Done::Probe(id, code, Vec::new()),
-        Job::Hand { waiter, .. } => Done::Handed(waiter, AttemptEnd::from_code(code)),
-        Job::Drop(_) => Done::Nothing,
+        Job::Attempt { id, .. } => JobEnd::Attempt(id, AttemptEnd::from_code(code)),
+        Job::Order { id, .. } => JobEnd::Order(id, code, 0),
+        Job::Probe(id) => JobEnd::Probe(id, code, Vec::new()),
+        Job::HandOver { waiter, .. } => JobEnd::HandedOver(waiter, AttemptEnd::from_code(code)),
+        Job::Release(_) => JobEnd::Ignored,
     }
 }
 
@@ -137,12 +137,22 @@
     pub fn new(prefix: String, config: LinkConfig, report: Vec<String>) -> Self {
         let limits = Limits { body: config.response_bytes, ..Limits::default() };
         let (links, conns, jobs) = (HashMap::new(), HashMap::new(), HashMap::new());
-        Self { prefix, config, limits, report, links, conns, jobs, due: Timers::default(), sent: Vec::new() }
+        Self {
+            prefix,
+            config,
+            limits,
+            report_names: report,
+            links,
+            conns,
+            jobs,
+            timers: Timers::default(),
+            sent: Vec::new(),
+        }
     }
 
     /// When [`Links::wake`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.next_due()
+        self.timers.next_due()
     }
 
     /// Whether this connection is one to a worker.
@@ -151,53 +161,58 @@
     }
 
     /// Begins a job, on an idle connection or a new one. Gives its end at once where no byte can leave.
-    pub fn start(&mut self, io: &mut Io, now: Micros, worker: &WorkerId, job: Job) -> Option<Done> {
+    pub fn start(&mut self, io: &mut Io, now: Micros, worker: &WorkerId, job: Job) -> Option<JobEnd> {
         let fresh = !matches!(&job, Job::Attempt { repeat: Repeat::Unsafe | Repeat::Keyed { .. }, .. });
         while let Some(conn) = self.links.get_mut(worker).and_then(|l| l.idle.pop()) {
-            let age = self.conns.get(&conn).map_or(Micros::MAX, |c| now.saturating_sub(c.since));
-            if age <= self.config.idle.min(if fresh { Micros::MAX } else { FRESH_US }) && !io.is_stale(conn) {
+            let age = self.conns.get(&conn).map_or(Micros::MAX, |c| now.saturating_sub(c.stage_since));
+            if age <= self.config.idle.min(if fresh { Micros::MAX } else { MAX_IDLE_BEFORE_UNSAFE_US })
+                && !io.is_stale(conn)
+            {
                 return self.write(io, now, conn, job);
             }
             self.discard(io, conn);
         }
         let link = self.links.entry(worker.clone()).or_default();
         if link.open >= self.config.connections {
-            return Some(cut(job, Code::Full));
+            return Some(end_without_response(job, Code::Full));
         }
         let address = worker.as_str().parse::<SocketAddr>().ok();
         let Some(conn) = address.and_then(|address| io.connect(address).ok()) else {
-            return Some(cut(job, Code::ConnectFailed));
+            return Some(end_without_response(job, Code::ConnectFailed));
         };
         link.open += 1;
-        if let Some(name) = name(&job) {
+        if let Some(name) = job_key(&job) {
             self.jobs.insert(name, conn);
         }
         let decoder = ResponseDecoder::new(self.limits);
         let (worker, stage, job) = (worker.clone(), Stage::Connecting, Some(job));
         let (until, armed) = (Micros::MAX, Micros::MAX);
-        self.conns.insert(conn, LinkConn { worker, decoder, stage, job, since: now, until, armed });
-        self.arm(conn, now + self.config.connect_timeout);
+        self.conns.insert(
+            conn,
+            LinkConn { worker, decoder, stage, job, stage_since: now, stage_ends: until, timer_at: armed },
+        );
+        self.set_timeout(conn, now + self.config.connect_timeout);
         None
     }
 
-    fn arm(&mut self, conn: ConnId, until: Micros) {
+    fn set_timeout(&mut self, conn: ConnId, until: Micros) {
         let Some(known) = self.conns.get_mut(&conn) else { return };
-        known.until = until;
-        if until < known.armed {
-            known.armed = until;
-            self.due.set(until, conn);
+        known.stage_ends = until;
+        if until < known.timer_at {
+            known.timer_at = until;
+            self.timers.set(until, conn);
         }
     }
 
     /// Writes a job's bytes; gives its end where they may not leave any more.
-    fn write(&mut self, io: &mut Io, now: Micros, conn: ConnId, job: Job) -> Option<Done> {
+    fn write(&mut self, io: &mut Io, now: Micros, conn: ConnId, job: Job) -> Option<JobEnd> {
         // The clock is read here and not taken from the turn: whoever was stopped in between finds its lease over.
         if let Job::Attempt { lease, .. } = &job
             && *lease < Micros::MAX
             && monotonic() >= *lease
         {
             self.discard(io, conn);
-            return Some(cut(job, Code::Moot));
+            return Some(end_without_response(job, Code::Moot));
         }
         let (known, out) = self.conns.get_mut(&conn).zip(io.output(conn))?;
         let host = known.worker.as_str();
@@ -216,50 +231,50 @@
                 sent.order = (*count > 0).then(|| (function.clone(), *count));
             }
             Job::Probe(_) => worker_wire::probe(out, host),
-            Job::Drop(function) => worker_wire::drop_idle(out, host, function),
-            Job::Hand { event, function, until, .. } => {
+            Job::Release(function) => worker_wire::release(out, host, function),
+            Job::HandOver { event, function, until, .. } => {
                 hand_wire::call(out, host, event, function, until.saturating_sub(now), &self.prefix);
                 ends = (*until).max(now + 1);
             }
         }
-        if let Some(name) = name(&job) {
+        if let Some(name) = job_key(&job) {
             self.jobs.insert(name, conn);
         }
-        (known.stage, known.job, known.since) = (Stage::Waiting, Some(job), now);
+        (known.stage, known.job, known.stage_since) = (Stage::AwaitingResponse, Some(job), now);
         self.sent.push(sent);
-        self.arm(conn, ends);
+        self.set_timeout(conn, ends);
         None
     }
 
     /// Calls an attempt or an order off: its connection is closed, which tells the worker.
-    pub fn abort_attempt(&mut self, io: &mut Io, id: AttemptId) -> Option<Done> {
-        self.abort(io, Name::Attempt(id), Code::Cancelled)
+    pub fn abort_attempt(&mut self, io: &mut Io, id: AttemptId) -> Option<JobEnd> {
+        self.abort(io, JobKey::Attempt(id), Code::Cancelled)
     }
 
     /// See [`Links::abort_attempt`].
-    pub fn abort_handed(&mut self, io: &mut Io, waiter: WaiterId) {
-        self.abort(io, Name::Handed(waiter), Code::Cancelled);
+    pub fn abort_handed_over(&mut self, io: &mut Io, waiter: WaiterId) {
+        self.abort(io, JobKey::HandedOver(waiter), Code::Cancelled);
     }
 
     /// See [`Links::abort_attempt`].
     pub fn abort_order(&mut self, io: &mut Io, id: OrderId) {
-        self.abort(io, Name::Order(id), Code::Cancelled);
+        self.abort(io, JobKey::Order(id), Code::Cancelled);
     }
 
-    fn abort(&mut self, io: &mut Io, name: Name, code: Code) -> Option<Done> {
+    fn abort(&mut self, io: &mut Io, name: JobKey, code: Code) -> Option<JobEnd> {
         let conn = *self.jobs.get(&name)?;
         // Without a byte sent the call is known not to have run.
         let unsent = matches!(self.conns.get(&conn)?.stage, Stage::Connecting);
-        self.discard(io, conn).map(|job| cut(job, if unsent { Code::Moot } else { code }))
+        self.discard(io, conn).map(|job| end_without_response(job, if unsent { Code::Moot } else { code }))
     }
 
     /// Ends a connection; gives the job that was on it.
     fn discard(&mut self, io: &mut Io, conn: ConnId) -> Option<Job> {
         io.abort(conn);
-        self.forget(conn)
+        self.remove(conn)
     }
 
-    fn forget(&mut self, conn: ConnId) -> Option<Job> {
+    fn remove(&mut self, conn: ConnId) -> Option<Job> {
         let known = self.conns.remove(&conn)?;
         if let Some(link) = self.links.get_mut(&known.worker) {
             link.open -= 1;
@@ -269,20 +284,20 @@
             }
         }
         let job = known.job?;
-        if let Some(name) = name(&job) {
+        if let Some(name) = job_key(&job) {
             self.jobs.remove(&name);
         }
         Some(job)
     }
 
     /// A connection stands.
-    pub fn connected(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<Done> {
+    pub fn connected(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<JobEnd> {
         let job = self.conns.get_mut(&conn).and_then(|c| c.job.take())?;
         self.write(io, now, conn, job)
     }
 
     /// Bytes have come.
-    pub fn data(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<Done> {
+    pub fn data(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<JobEnd> {
         let known = self.conns.get_mut(&conn)?;
         let method = match &known.job {
             // Bytes that answer nothing: the connection can't be trusted.
@@ -290,9 +305,9 @@
                 self.discard(io, conn);
                 return None;
             }
-            Some(Job::Attempt { .. } | Job::Hand { .. }) => Method::Post,
+            Some(Job::Attempt { .. } | Job::HandOver { .. }) => Method::Post,
             Some(Job::Order { count, .. }) if *count > 0 => Method::Put,
-            Some(Job::Drop(_)) => Method::Delete,
+            Some(Job::Release(_)) => Method::Delete,
             Some(_) => Method::Get,
         };
         let input = io.input(conn)?;
@@ -308,7 +323,7 @@
                 None
             }
             // Not an answer by the protocol, or longer than is taken: nothing is proven.
-            Err(_) => self.discard(io, conn).map(|job| cut(job, Code::Error)),
+            Err(_) => self.discard(io, conn).map(|job| end_without_response(job, Code::Error)),
         }
     }
 
@@ -319,71 +334,73 @@
         conn: ConnId,
         told: Response,
         reusable: bool,
-    ) -> Option<Done> {
+    ) -> Option<JobEnd> {
         let known = self.conns.get_mut(&conn)?;
         let job = known.job.take()?;
-        if let Some(name) = name(&job) {
+        if let Some(name) = job_key(&job) {
             self.jobs.remove(&name);
         }
-        (known.stage, known.since) = (Stage::Idle, now);
+        (known.stage, known.stage_since) = (Stage::Idle, now);
         if reusable {
             if let Some(link) = self.links.get_mut(&known.worker) {
                 link.idle.push(conn);
             }
-            self.arm(conn, now + self.config.idle);
+            self.set_timeout(conn, now + self.config.idle);
         } else {
             self.discard(io, conn);
         }
         Some(match job {
             Job::Attempt { id, event, .. } => {
-                Done::Attempt(id, worker_wire::attempt_end(told, &event, &self.report))
+                JobEnd::Attempt(id, worker_wire::attempt_end(told, &event, &self.report_names))
             }
             Job::Order { id, .. } => {
                 let copies = told.headers.get(worker_wire::fields::COPIES).and_then(|t| t.parse().ok());
                 match (worker_wire::code(&told), copies) {
-                    (Code::Ok, None) => Done::Order(id, Code::Unknown, 0),
-                    (code, copies) => Done::Order(id, code, copies.unwrap_or(0)),
+                    (Code::Ok, None) => JobEnd::Order(id, Code::Unknown, 0),
+                    (code, copies) => JobEnd::Order(id, code, copies.unwrap_or(0)),
                 }
             }
             Job::Probe(id) => {
-                Done::Probe(id, worker_wire::code(&told), worker_wire::report(&told, &self.report))
+                JobEnd::Probe(id, worker_wire::code(&told), worker_wire::report(&told, &self.report_names))
+            }
+            Job::HandOver { waiter, event, .. } => {
+                JobEnd::HandedOver(waiter, hand_wire::attempt_end(&told, &event))
             }
-            Job::Hand { waiter, event, .. } => Done::Handed(waiter, hand_wire::end(&told, &event)),
-            Job::Drop(_) => Done::Nothing,
+            Job::Release(_) => JobEnd::Ignored,
         })
     }
 
     /// A connection has ended, by the worker or on the way.
-    pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, how: EndReason) -> Option<Done> {
+    pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, how: EndReason) -> Option<JobEnd> {
         let known = self.conns.get_mut(&conn)?;
         // A response may run until its connection's end.
         let input = io.input(conn).filter(|_| how == EndReason::Closed);
         if let Some(Ok(response)) = input.map(|input| known.decoder.end(input)) {
             return self.finish(io, now, conn, response, false);
         }
-        let sent = matches!(known.stage, Stage::Waiting);
+        let sent = matches!(known.stage, Stage::AwaitingResponse);
         let code = if sent { Code::Reset } else { Code::ConnectFailed };
-        self.forget(conn).map(|job| cut(job, code))
+        self.remove(conn).map(|job| end_without_response(job, code))
     }
 
     /// Takes what is due by `now`: connections that do not stand, attempts out of time, idle ones.
-    pub fn wake(&mut self, io: &mut Io, now: Micros, done: &mut Vec<Done>) {
-        while let Some((at, conn)) = self.due.pop_due(now) {
-            let Some(known) = self.conns.get_mut(&conn).filter(|c| c.armed == at) else { continue };
-            known.armed = Micros::MAX;
-            let until = known.until;
+    pub fn wake(&mut self, io: &mut Io, now: Micros, done: &mut Vec<JobEnd>) {
+        while let Some((at, conn)) = self.timers.pop_due(now) {
+            let Some(known) = self.conns.get_mut(&conn).filter(|c| c.timer_at == at) else { continue };
+            known.timer_at = Micros::MAX;
+            let until = known.stage_ends;
             if until > now {
                 if until < Micros::MAX {
-                    self.arm(conn, until);
+                    self.set_timeout(conn, until);
                 }
                 continue;
             }
             let code = match known.stage {
                 Stage::Connecting => Code::ConnectFailed,
-                Stage::Waiting => Code::Timeout,
+                Stage::AwaitingResponse => Code::Timeout,
                 Stage::Idle => Code::Moot,
             };
-            done.extend(self.discard(io, conn).map(|job| cut(job, code)));
+            done.extend(self.discard(io, conn).map(|job| end_without_response(job, code)));
         }
     }
 }
--- a/crates/gateway/src/mail.rs
+++ b/crates/gateway/src/mail.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
 /// Messages that a ring holds; further ones wait with their sender.
-const RING: usize = 1_024;
+const RING_CAPACITY: usize = 1_024;
 
 /// From one loop to another.
 pub enum Message {
@@ -21,46 +21,46 @@
         waiter: WaiterId,
         identity: Identity,
         function: Arc<Function>,
-        by: Micros,
+        deadline: Micros,
         payload: Arc<Event>,
         claim: Claim,
     },
     /// A client of the sender has left.
-    Left(WaiterId),
+    ClientLeft(WaiterId),
     /// The final answer for a client of the reader.
     Answer {
         waiter: WaiterId,
         answer: Answer<Reply>,
         attempts: u32,
         worker: Option<WorkerId>,
-        path: AnswerOrigin,
+        origin: AnswerOrigin,
     },
 }
 
 struct Peer {
-    out: Producer<Message>,
+    outbox: Producer<Message>,
     /// What found no room, oldest first. Bounded by the calls that are out between the two.
-    waiting: VecDeque<Message>,
+    overflow: VecDeque<Message>,
     inbox: Consumer<Message>,
     waker: Waker,
     /// The peer was woken and has not looked yet.
-    woken: Arc<AtomicBool>,
-    touched: bool,
+    wake_pending: Arc<AtomicBool>,
+    needs_flush: bool,
 }
 
 /// One loop's end of the rings to and from all others.
-pub struct Mail {
+pub struct LoopChannels {
     me: usize,
     peers: Vec<Option<Peer>>,
     woken: Arc<AtomicBool>,
     /// Loops that may still have something for others.
-    busy: Arc<AtomicUsize>,
-    rested: bool,
-    owners: RandomState,
+    active_loops: Arc<AtomicUsize>,
+    is_idle: bool,
+    owner_hasher: RandomState,
     seen: Arc<SeenEvents>,
 }
 
-impl Mail {
+impl LoopChannels {
     /// The ends of all loops, by number; `wakers` are theirs. Events are known to each other's loops for at
     /// least `span`.
     pub fn join(wakers: &[Waker], span: Micros) -> Vec<Self> {
@@ -70,7 +70,7 @@
         let woken: Vec<Arc<AtomicBool>> = wakers.iter().map(|_| Arc::default()).collect();
         // By reader, then writer.
         let mut rings: Vec<Vec<_>> =
-            (0..count).map(|_| (0..count).map(|_| Some(RingBuffer::new(RING))).collect()).collect();
+            (0..count).map(|_| (0..count).map(|_| Some(RingBuffer::new(RING_CAPACITY))).collect()).collect();
         let mut outs: Vec<Vec<_>> = (0..count).map(|_| Vec::new()).collect();
         let mut inboxes: Vec<Vec<_>> = (0..count).map(|_| Vec::new()).collect();
         for (reader, rings) in rings.iter_mut().enumerate() {
@@ -86,15 +86,22 @@
             let ends = outs.into_iter().zip(inboxes).enumerate();
             let peer = |(other, (out, inbox)): (usize, (Option<_>, Option<_>))| {
                 let (waiting, waker, woken) = (VecDeque::new(), wakers[other].clone(), woken[other].clone());
-                Some(Peer { out: out?, waiting, inbox: inbox?, waker, woken, touched: false })
+                Some(Peer {
+                    outbox: out?,
+                    overflow: waiting,
+                    inbox: inbox?,
+                    waker,
+                    wake_pending: woken,
+                    needs_flush: false,
+                })
             };
             Self {
                 me,
                 peers: ends.map(peer).collect(),
                 woken: woken[me].clone(),
-                busy: busy.clone(),
-                rested: false,
-                owners: owners.clone(),
+                active_loops: busy.clone(),
+                is_idle: false,
+                owner_hasher: owners.clone(),
                 seen: seen.clone(),
             }
         };
@@ -102,41 +109,41 @@
     }
 
     /// This loop's number.
-    pub fn me(&self) -> usize {
+    pub fn index(&self) -> usize {
         self.me
     }
 
     /// The loop that owns an event, with the hash that says so; nothing where there is one loop only. The hash
     /// has a key of this process: no client can choose its loop.
     pub fn owner(&self, identity: &Identity) -> Option<(usize, u64)> {
-        let hash = (self.peers.len() > 1).then(|| self.owners.hash_one(identity))?;
+        let hash = (self.peers.len() > 1).then(|| self.owner_hasher.hash_one(identity))?;
         Some(((hash % self.peers.len() as u64) as usize, hash))
     }
 
     /// Takes note of a keyed or unsafe event, by its hash; true where some loop may have heard of it before.
-    pub fn mark(&self, now: Micros, hash: u64) -> bool {
+    pub fn record_seen(&self, now: Micros, hash: u64) -> bool {
         self.seen.record(now, hash)
     }
 
     /// Gives a loop a message; false where that loop has ended.
     pub fn send(&mut self, to: usize, message: Message) -> bool {
         let Some(Some(peer)) = self.peers.get_mut(to) else { return false };
-        if peer.out.is_abandoned() {
+        if peer.outbox.is_abandoned() {
             return false;
         }
-        peer.touched = true;
-        peer.waiting.push_back(message);
+        peer.needs_flush = true;
+        peer.overflow.push_back(message);
         peer.push();
         true
     }
 
     /// Wakes the loops that got something.
     pub fn flush(&mut self) {
-        for peer in self.peers.iter_mut().flatten().filter(|peer| peer.touched) {
+        for peer in self.peers.iter_mut().flatten().filter(|peer| peer.needs_flush) {
             peer.push();
             // With messages left over it stays touched, so that the next turn pushes on.
-            peer.touched = !peer.waiting.is_empty() && !peer.out.is_abandoned();
-            if !peer.woken.swap(true, Ordering::AcqRel) {
+            peer.needs_flush = !peer.overflow.is_empty() && !peer.outbox.is_abandoned();
+            if !peer.wake_pending.swap(true, Ordering::AcqRel) {
                 peer.waker.wake();
             }
         }
@@ -144,7 +151,7 @@
 
     /// Whether messages wait for room in a ring.
     pub fn is_behind(&self) -> bool {
-        self.peers.iter().flatten().any(|peer| peer.touched)
+        self.peers.iter().flatten().any(|peer| peer.needs_flush)
     }
 
     /// Takes what has come. The others wake this loop again from here on.
@@ -158,27 +165,29 @@
     }
 
     /// This loop has no clients left and awaits nothing: gives whether that holds for all, who may then end.
-    pub fn rest(&mut self) -> bool {
-        if !std::mem::replace(&mut self.rested, true) && self.busy.fetch_sub(1, Ordering::AcqRel) == 1 {
+    pub fn finish(&mut self) -> bool {
+        if !std::mem::replace(&mut self.is_idle, true)
+            && self.active_loops.fetch_sub(1, Ordering::AcqRel) == 1
+        {
             self.peers.iter().flatten().for_each(|peer| peer.waker.wake());
         }
-        self.busy.load(Ordering::Acquire) == 0
+        self.active_loops.load(Ordering::Acquire) == 0
     }
 }
 
 impl Peer {
     fn push(&mut self) {
-        while let Some(message) = self.waiting.pop_front() {
-            if let Err(rtrb::PushError::Full(message)) = self.out.push(message) {
-                return self.waiting.push_front(message);
+        while let Some(message) = self.overflow.pop_front() {
+            if let Err(rtrb::PushError::Full(message)) = self.outbox.push(message) {
+                return self.overflow.push_front(message);
             }
         }
     }
 }
 
-impl Drop for Mail {
+impl Drop for LoopChannels {
     /// A loop that ends, however it does, holds no other back.
     fn drop(&mut self) {
-        self.rest();
+        self.finish();
     }
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,8 +1,8 @@
-use crate::control::{Control, END, shed_settings};
-use crate::mail::Mail;
-use crate::scheduler::{KILL, Orders, RUN, STOP, Scheduler};
+use crate::control::{Control, EXIT, shed_settings};
+use crate::mail::LoopChannels;
+use crate::scheduler::{Controls, KILL, RUN, STOP, Scheduler};
 use crate::sites::Sites;
-use crate::tables::{Tables, rings};
+use crate::tables::{Tables, control_rings};
 use basaltward::{Micros, Repeat, SettingsError};
 use basaltward_config::Config;
 use basaltward_net::{Io, IoLimits, NetError, Waker, bind, monotonic};
@@ -40,30 +40,30 @@
     Shed(#[from] ShedError),
     /// We are not among the peers.
     #[error("sites: our number is not among the peers; name this gateway as one of them")]
-    Sites,
+    NotAPeer,
     /// A loop has panicked.
     #[error("a loop has panicked")]
     Panicked,
 }
 
 /// A loop may turn to the next span of known events this late.
-const SLACK_US: u64 = 1_000_000;
+const RECORD_SLACK_US: u64 = 1_000_000;
 
 /// What the loops of a gateway know of one another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loops {
+pub enum LoopMode {
     /// Each event has one owner among them.
-    Joined,
+    Coordinated,
     /// Nothing: an event runs once for each loop that hears of it. For measurements of what joining costs, and
     /// to show that the checker sees it.
-    Apart,
+    Independent,
 }
 
 /// A gateway whose loops run on threads of their own.
 pub struct Gateway {
     address: SocketAddr,
     threads: Vec<(Waker, JoinHandle<Result<(), NetError>>)>,
-    wanted: Arc<AtomicU8>,
+    command: Arc<AtomicU8>,
     stalls: Vec<Arc<AtomicU64>>,
     control: Option<ControlThread>,
 }
@@ -72,7 +72,7 @@
 struct ControlThread {
     waker: Waker,
     thread: JoinHandle<Result<(), NetError>>,
-    wanted: Arc<AtomicU8>,
+    command: Arc<AtomicU8>,
     stall: Arc<AtomicU64>,
 }
 
@@ -83,14 +83,18 @@
     /// # Errors
     /// Where the address, a descriptor or a thread can't be had.
     pub fn start(config: &Config, recorder: &Recorder) -> Result<Self, GatewayError> {
-        Self::start_as(config, recorder, Loops::Joined)
+        Self::start_with_mode(config, recorder, LoopMode::Coordinated)
     }
 
     /// As [`Gateway::start`], with what its loops know of one another.
     ///
     /// # Errors
     /// As [`Gateway::start`].
-    pub fn start_as(config: &Config, recorder: &Recorder, loops: Loops) -> Result<Self, GatewayError> {
+    pub fn start_with_mode(
+        config: &Config,
+        recorder: &Recorder,
+        loops: LoopMode,
+    ) -> Result<Self, GatewayError> {
         let wanted = Arc::new(AtomicU8::new(RUN));
         let first = bind(config.listen, config.threads > 1)?;
         let address = first.local_addr().map_err(NetError::from)?;
@@ -105,19 +109,20 @@
             Repeat::Keyed { window, .. } => window,
             _ => 0,
         });
-        let span = windows.fold(config.repeats.remember, u64::max) + SLACK_US;
+        let span = windows.fold(config.repeats.remember, u64::max) + RECORD_SLACK_US;
         let mail = match loops {
-            Loops::Joined => Mail::join(&wakers, span),
-            Loops::Apart => {
-                wakers.iter().flat_map(|waker| Mail::join(std::slice::from_ref(waker), span)).collect()
-            }
+            LoopMode::Coordinated => LoopChannels::join(&wakers, span),
+            LoopMode::Independent => wakers
+                .iter()
+                .flat_map(|waker| LoopChannels::join(std::slice::from_ref(waker), span))
+                .collect(),
         };
         let (control, mut sites) = Self::control(config, &wakers, span, recorder)?;
         let (mut threads, mut stalls) = (Vec::new(), Vec::new());
         let ends = listeners.into_iter().zip(ios.into_iter().zip(mail)).zip(wakers);
         for (thread, ((listener, end), waker)) in ends.enumerate() {
-            let orders = Orders { wanted: wanted.clone(), stall: Arc::default() };
-            stalls.push(orders.stall.clone());
+            let orders = Controls { command: wanted.clone(), stall_us: Arc::default() };
+            stalls.push(orders.stall_us.clone());
             let scheduler = Scheduler::new(
                 config,
                 thread as u32,
@@ -129,7 +134,7 @@
             let name = format!("{}-{thread}", config.name);
             threads.push((waker, std::thread::Builder::new().name(name).spawn(move || scheduler.run())?));
         }
-        Ok(Self { address, threads, wanted, stalls, control })
+        Ok(Self { address, threads, command: wanted, stalls, control })
     }
 
     /// The control thread and each loop's part in the sites, where the settings name some.
@@ -142,10 +147,10 @@
         let Some(sites) = &config.sites else { return Ok((None, Vec::new().into_iter())) };
         let io = Io::new(IoLimits::default())?;
         let (waker, tables) = (io.waker(), Arc::new(Tables::new(span)));
-        let shed = shed_settings(config, sites).ok_or(GatewayError::Sites)?;
+        let shed = shed_settings(config, sites).ok_or(GatewayError::NotAPeer)?;
         let (mut ours, mut theirs) = (Vec::new(), Vec::new());
         for (thread, loop_waker) in wakers.iter().enumerate() {
-            let (end, control) = rings(waker.clone(), loop_waker.clone());
+            let (end, control) = control_rings(waker.clone(), loop_waker.clone());
             ours.push(control);
             let part = Sites::new(config, &shed, thread as u32, (tables.clone(), end), monotonic());
             theirs.extend(part);
@@ -155,7 +160,7 @@
         let control = Control::open(config, sites, io, (ours, tables), flags, recorder.clone())?;
         let name = format!("{}-control", config.name);
         let thread = std::thread::Builder::new().name(name).spawn(move || control.run())?;
-        Ok((Some(ControlThread { waker, thread, wanted, stall }), theirs.into_iter()))
+        Ok((Some(ControlThread { waker, thread, command: wanted, stall }), theirs.into_iter()))
     }
 
     /// Where it listens.
@@ -163,20 +168,20 @@
         self.address
     }
 
-    fn want(&self, what: u8) {
-        self.wanted.store(what, Ordering::Relaxed);
+    fn send_command(&self, what: u8) {
+        self.command.store(what, Ordering::Relaxed);
         self.threads.iter().for_each(|(waker, _)| waker.wake());
-        self.control.iter().for_each(|control| control.want(what));
+        self.control.iter().for_each(|control| control.send_command(what));
     }
 
     /// Has it accept no more, finish what is in hand within its deadlines, and end.
     pub fn stop(&self) {
-        self.want(STOP);
+        self.send_command(STOP);
     }
 
     /// Has it end at once, as a killed process would: connections break, calls in hand get no answer.
     pub fn kill(&self) {
-        self.want(KILL);
+        self.send_command(KILL);
     }
 
     /// Has a loop do nothing for so long, as if the machine had stopped its thread: a fault for tests and
@@ -213,7 +218,7 @@
             thread.join().map_err(|_| GatewayError::Panicked)??;
         }
         if let Some(control) = self.control {
-            control.want(END);
+            control.send_command(EXIT);
             control.thread.join().map_err(|_| GatewayError::Panicked)??;
         }
         Ok(())
@@ -221,8 +226,8 @@
 }
 
 impl ControlThread {
-    fn want(&self, what: u8) {
-        self.wanted.store(what, Ordering::Relaxed);
+    fn send_command(&self, what: u8) {
+        self.command.store(what, Ordering::Relaxed);
         self.waker.wake();
     }
 }
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -3,10 +3,10 @@
 mod calls;
 mod notes;
 
-use crate::front::{Asked, Front, thread_of};
-use crate::kept::Start;
-use crate::links::{Done, Job, Links, attempt_name};
-use crate::mail::{Mail, Message};
+use crate::front::{Front, NextRequest, loop_of_waiter};
+use crate::kept::SendDecision;
+use crate::links::{Job, JobEnd, Links, attempt_name};
+use crate::mail::{LoopChannels, Message};
 use crate::sites::Sites;
 use crate::worker_wire::Reply;
 use basaltward::{Code, Micros, WorkerId};
@@ -33,11 +33,11 @@
 pub const KILL: u8 = 2;
 
 /// What a loop is told from outside.
-pub struct Orders {
+pub struct Controls {
     /// One of [`RUN`], [`STOP`] and [`KILL`].
-    pub wanted: Arc<AtomicU8>,
+    pub command: Arc<AtomicU8>,
     /// Do nothing for so many microseconds, once.
-    pub stall: Arc<AtomicU64>,
+    pub stall_us: Arc<AtomicU64>,
 }
 
 /// One loop with all it owns.
@@ -50,21 +50,21 @@
     front: Front,
     links: Links,
     /// What the loops say to each other, and the calls of this one's clients that others own.
-    mail: Mail,
-    handed: Handoffs,
+    channels: LoopChannels,
+    handoffs: Handoffs,
     /// This loop's part in the sites, where there are some.
     sites: Option<Sites>,
-    letters: Vec<Message>,
-    pace: LoopPacer,
+    messages: Vec<Message>,
+    pacer: LoopPacer,
     roster: RosterFile,
     clock: Clock,
-    states: BTreeMap<WorkerId, basaltward::WorkerState>,
+    worker_states: BTreeMap<WorkerId, basaltward::WorkerState>,
     recorder: Recorder,
-    orders: Orders,
+    controls: Controls,
     stopping: bool,
     outputs: Vec<Output<Event, Reply>>,
     /// Answers put out since the last write, kept only for records.
-    given: Vec<(String, u16)>,
+    unrecorded_answers: Vec<(String, u16)>,
 }
 
 fn engine_settings(config: &Config, thread: u32) -> EngineSettings {
@@ -90,10 +90,10 @@
     pub fn new(
         config: &Config,
         thread: u32,
-        (mut io, mail): (Io, Mail),
+        (mut io, mail): (Io, LoopChannels),
         (listener, sites): (TcpListener, Option<Sites>),
         recorder: Recorder,
-        orders: Orders,
+        orders: Controls,
     ) -> Result<Self, crate::GatewayError> {
         let settings = engine_settings(config, thread);
         let name = format!("{}/{thread}", config.name);
@@ -109,21 +109,21 @@
             address,
             io,
             engine: Engine::new(settings, seed)?,
-            front: Front::new(config, mail.me()),
+            front: Front::new(config, mail.index()),
             links,
-            mail,
-            handed: Handoffs::new(config.front.calls),
+            channels: mail,
+            handoffs: Handoffs::new(config.front.calls),
             sites,
-            letters: Vec::new(),
-            pace: LoopPacer::default(),
+            messages: Vec::new(),
+            pacer: LoopPacer::default(),
             roster: RosterFile::new(config.roster.clone(), names, config.roster_check),
             clock: Clock::read(),
-            states: BTreeMap::new(),
+            worker_states: BTreeMap::new(),
             recorder,
-            orders,
+            controls: orders,
             stopping: false,
             outputs: Vec::new(),
-            given: Vec::new(),
+            unrecorded_answers: Vec::new(),
         })
     }
 
@@ -138,18 +138,19 @@
         loop {
             let now = monotonic();
             self.poll_roster(now);
-            self.io
-                .pause_accepting(!self.pace.should_accept(self.front.oldest().map_or(0, |came| now - came)));
-            let wait = self.wait(now);
+            self.io.pause_accepting(
+                !self.pacer.should_accept(self.front.oldest_input().map_or(0, |came| now - came)),
+            );
+            let wait = self.idle_time(now);
             self.io.turn(Some(wait), &mut happened)?;
             self.turn((now, now + wait), &mut happened);
             self.io.free_ended();
             let now = monotonic();
-            let stall = self.orders.stall.swap(0, Ordering::Relaxed);
+            let stall = self.controls.stall_us.swap(0, Ordering::Relaxed);
             if stall > 0 {
                 std::thread::sleep(std::time::Duration::from_micros(stall));
             }
-            match self.orders.wanted.load(Ordering::Relaxed) {
+            match self.controls.command.load(Ordering::Relaxed) {
                 KILL => {
                     self.recorder.put(monotonic(), &self.name, What::Down { killed: true });
                     return Ok(());
@@ -160,11 +161,11 @@
             if self.stopping
                 && self.engine.calls_in_flight() == 0
                 && self.front.clients() == 0
-                && self.handed.is_empty()
+                && self.handoffs.is_empty()
                 && self.sites.as_ref().is_none_or(Sites::is_empty)
-                && !self.mail.is_behind()
+                && !self.channels.is_behind()
                 && self.io.is_flushed()
-                && self.mail.rest()
+                && self.channels.finish()
             {
                 self.recorder.put(monotonic(), &self.name, What::Down { killed: false });
                 info!(scheduler = self.name, "stopped");
@@ -174,12 +175,12 @@
     }
 
     /// How long there is nothing to do unless something happens.
-    fn wait(&self, now: Micros) -> Micros {
-        let handed = self.handed.next_due(self.engine.lateness(now));
+    fn idle_time(&self, now: Micros) -> Micros {
+        let handed = self.handoffs.next_due(self.engine.lateness(now));
         let sites = self.sites.as_ref().map(Sites::next_due);
         let due = [self.engine.next_due(now), self.front.next_due(), self.links.next_due(), handed, sites];
         let due = due.into_iter().flatten().chain([self.roster.next_due()]).min().unwrap_or(now);
-        let at_once = self.front.oldest().is_some() || self.mail.is_behind();
+        let at_once = self.front.oldest_input().is_some() || self.channels.is_behind();
         if at_once { 0 } else { due.saturating_sub(now) }
     }
 
@@ -187,43 +188,43 @@
     fn turn(&mut self, (since, due): (Micros, Micros), happened: &mut Vec<IoEvent>) {
         let mut now = monotonic();
         let began = now;
-        self.pace.begin_turn(since, due, now);
+        self.pacer.begin_turn(since, due, now);
         // What is written in between may bring further ends.
         let mut later = Vec::new();
         for happened in happened.drain(..) {
             if let IoEvent::Data(conn) | IoEvent::Drained(conn) = happened
                 && !self.links.owns(conn)
-                && !self.owns_peer(conn)
+                && !self.is_peer_connection(conn)
             {
-                self.front.came(began, conn);
+                self.front.input_arrived(began, conn);
                 continue;
             }
-            self.take(now, happened);
+            self.handle_io(now, happened);
             now = monotonic();
-            if self.pace.should_check_timers(now) {
+            if self.pacer.should_check_timers(now) {
                 self.wake(now);
             }
             // At once: a call that waits to be written may meet the end of the kept connection that was found
             // sound for it.
             self.flush(&mut later);
         }
-        self.read_mail(now);
-        self.read_words(now);
+        self.read_messages(now);
+        self.read_control(now);
         self.wake(now);
         self.flush(&mut later);
-        while let Some(came) = self.front.oldest() {
+        while let Some(came) = self.front.oldest_input() {
             let now = monotonic();
-            if !self.pace.may_begin(now, came) {
+            if !self.pacer.may_begin(now, came) {
                 break;
             }
-            if let Some(conn) = self.front.pop_ready() {
-                self.requests(now, conn);
+            if let Some(conn) = self.front.pop_queued() {
+                self.take_requests(now, conn);
                 self.flush(&mut later);
             }
         }
         *happened = later;
         let now = monotonic();
-        let TurnReport { began, stalled, lag } = self.pace.end_turn(now, thread_time());
+        let TurnReport { began, stalled, lag } = self.pacer.end_turn(now, thread_time());
         self.engine.record_lateness(now, began);
         if let Some(us) = stalled {
             self.recorder.put(now, &self.name, What::Stalled { us });
@@ -237,10 +238,10 @@
     /// Writes what there is to write. An answer counts as given once its bytes are with the system.
     fn flush(&mut self, happened: &mut Vec<IoEvent>) {
         self.io.flush(happened);
-        self.mail.flush();
-        if !self.given.is_empty() {
+        self.channels.flush();
+        if !self.unrecorded_answers.is_empty() {
             let now = monotonic();
-            for (event, status) in self.given.drain(..) {
+            for (event, status) in self.unrecorded_answers.drain(..) {
                 self.recorder.put(now, &self.name, What::Gave { event, status });
             }
         }
@@ -252,46 +253,46 @@
         self.recorder.put(now, &self.name, What::Stopping);
         self.io.stop_all_listening();
         self.front.stop(&mut self.io);
-        self.tell(now, Input::Stop);
+        self.engine_input(now, Input::Stop);
     }
 
-    fn take(&mut self, now: Micros, happened: IoEvent) {
+    fn handle_io(&mut self, now: Micros, happened: IoEvent) {
         match happened {
-            IoEvent::Accepted { conn, .. } => self.front.accepted(now, conn),
-            IoEvent::Connected(conn) if self.owns_peer(conn) => {
+            IoEvent::Accepted { conn, .. } => self.front.client_connected(now, conn),
+            IoEvent::Connected(conn) if self.is_peer_connection(conn) => {
                 let done = self.sites.as_mut().and_then(|sites| sites.connected(&mut self.io, now, conn));
-                self.came_back(now, done);
+                self.remote_job_ended(now, done);
             }
-            IoEvent::Data(conn) if self.owns_peer(conn) => {
+            IoEvent::Data(conn) if self.is_peer_connection(conn) => {
                 let done = self.sites.as_mut().and_then(|sites| sites.data(&mut self.io, now, conn));
-                self.came_back(now, done);
+                self.remote_job_ended(now, done);
             }
-            IoEvent::Ended(conn, how) if self.owns_peer(conn) => {
+            IoEvent::Ended(conn, how) if self.is_peer_connection(conn) => {
                 let done = self.sites.as_mut().and_then(|sites| sites.ended(&mut self.io, now, conn, how));
-                self.came_back(now, done);
+                self.remote_job_ended(now, done);
             }
             IoEvent::Connected(conn) => {
                 let done = self.links.connected(&mut self.io, now, conn);
-                self.note_sent(now);
-                self.done(now, done);
+                self.record_sent(now);
+                self.job_ended(now, done);
             }
             IoEvent::Data(conn) if self.links.owns(conn) => {
                 let done = self.links.data(&mut self.io, now, conn);
-                self.done(now, done);
+                self.job_ended(now, done);
             }
-            IoEvent::Data(conn) | IoEvent::Drained(conn) => self.front.came(now, conn),
+            IoEvent::Data(conn) | IoEvent::Drained(conn) => self.front.input_arrived(now, conn),
             IoEvent::Ended(conn, how) if self.links.owns(conn) => {
                 let done = self.links.ended(&mut self.io, now, conn, how);
-                self.done(now, done);
+                self.job_ended(now, done);
             }
             IoEvent::Ended(conn, _) => {
-                for waiter in self.front.ended(conn) {
-                    if self.sites.as_mut().is_some_and(|sites| sites.left(&mut self.io, now, waiter)) {
+                for waiter in self.front.client_disconnected(conn) {
+                    if self.sites.as_mut().is_some_and(|sites| sites.client_left(&mut self.io, now, waiter)) {
                         continue;
                     }
-                    match self.handed.client_left(waiter) {
-                        Some(owner) => drop(self.mail.send(owner, Message::Left(waiter))),
-                        None => self.left(now, waiter),
+                    match self.handoffs.client_left(waiter) {
+                        Some(owner) => drop(self.channels.send(owner, Message::ClientLeft(waiter))),
+                        None => self.client_left(now, waiter),
                     }
                 }
             }
@@ -305,17 +306,17 @@
             let mut done = Vec::new();
             self.links.wake(&mut self.io, now, &mut done);
             for done in done {
-                self.done(now, Some(done));
+                self.job_ended(now, Some(done));
             }
             self.sites.iter_mut().for_each(|sites| sites.lateness = self.engine.lateness(now));
-            let then = self.sites.as_mut().map(|sites| sites.kept_due(now)).unwrap_or_default();
-            self.then(now, then);
+            let then = self.sites.as_mut().map(|sites| sites.wake_replicated(now)).unwrap_or_default();
+            self.perform_actions(now, then);
             let back = self.sites.as_mut().map(|sites| sites.wake(&mut self.io, now));
-            back.into_iter().flatten().for_each(|done| self.came_back(now, Some(done)));
+            back.into_iter().flatten().for_each(|done| self.remote_job_ended(now, Some(done)));
             self.front.wake(&mut self.io, now);
-            while let Some((waiter, answer, owner)) = self.handed.expire(now, self.engine.lateness(now)) {
-                self.mail.send(owner, Message::Left(waiter));
-                self.give(now, (waiter, answer), (0, None, AnswerOrigin::Direct));
+            while let Some((waiter, answer, owner)) = self.handoffs.expire(now, self.engine.lateness(now)) {
+                self.channels.send(owner, Message::ClientLeft(waiter));
+                self.answer_client(now, (waiter, answer), (0, None, AnswerOrigin::Direct));
             }
             let mut outputs = std::mem::take(&mut self.outputs);
             self.engine.wake(now, &mut outputs);
@@ -328,35 +329,35 @@
     }
 
     /// Takes requests from a connection as long as there are whole ones and it is free.
-    fn requests(&mut self, now: Micros, conn: ConnId) {
+    fn take_requests(&mut self, now: Micros, conn: ConnId) {
         while let Some(asked) = self.front.next_request(&mut self.io, now, conn) {
-            let Asked::Calls(calls) = asked else { continue };
+            let NextRequest::Calls(calls) = asked else { continue };
             for call in calls {
-                self.call(now, call);
+                self.new_call(now, call);
             }
         }
     }
 
-    fn tell(&mut self, now: Micros, input: Input<Event, Reply>) {
+    fn engine_input(&mut self, now: Micros, input: Input<Event, Reply>) {
         let mut outputs = std::mem::take(&mut self.outputs);
         self.engine.handle(now, input, &mut outputs);
         self.carry_out(now, outputs);
     }
 
-    fn done(&mut self, now: Micros, done: Option<Done>) {
-        if let Some(input) = done.and_then(|done| self.ended(now, done)) {
-            self.tell(now, input);
+    fn job_ended(&mut self, now: Micros, done: Option<JobEnd>) {
+        if let Some(input) = done.and_then(|done| self.engine_input_of(now, done)) {
+            self.engine_input(now, input);
         }
     }
 
     /// How a job ended, as the engine is told it.
-    fn ended(&mut self, now: Micros, done: Done) -> Option<Input<Event, Reply>> {
+    fn engine_input_of(&mut self, now: Micros, done: JobEnd) -> Option<Input<Event, Reply>> {
         Some(match done {
-            Done::Nothing => return None,
-            Done::Attempt(id, end) => {
+            JobEnd::Ignored => return None,
+            JobEnd::Attempt(id, end) => {
                 if let Some(sites) = &mut self.sites {
                     sites.attempt_ended(now, id, &end);
-                    sites.kept.iter_mut().for_each(|kept| kept.attempt_ended(id, &end));
+                    sites.replicated.iter_mut().for_each(|kept| kept.attempt_ended(id, &end));
                 }
                 if self.recorder.is_on() {
                     let (attempt, code) = (attempt_name(&self.prefix, id), format!("{:?}", end.code));
@@ -364,10 +365,10 @@
                 }
                 Input::AttemptEnded(id, end)
             }
-            Done::Order(id, code, count) => Input::OrderAnswered(id, code, count),
-            Done::Probe(id, code, report) => Input::ProbeAnswered(id, code, report),
+            JobEnd::Order(id, code, count) => Input::OrderAnswered(id, code, count),
+            JobEnd::Probe(id, code, report) => Input::ProbeAnswered(id, code, report),
             // Links to workers carry none.
-            Done::Handed(..) => return None,
+            JobEnd::HandedOver(..) => return None,
         })
     }
 
@@ -376,10 +377,10 @@
         let mut queue: VecDeque<_> = outputs.drain(..).collect();
         self.outputs = outputs;
         while let Some(output) = queue.pop_front() {
-            let done = self.output(now, output);
+            let done = self.perform(now, output);
             // Before the engine is told anything else: what was written may run.
-            self.note_sent(now);
-            if let Some(input) = done.and_then(|done| self.ended(now, done)) {
+            self.record_sent(now);
+            if let Some(input) = done.and_then(|done| self.engine_input_of(now, done)) {
                 let mut more = std::mem::take(&mut self.outputs);
                 self.engine.handle(now, input, &mut more);
                 queue.extend(more.drain(..));
@@ -388,44 +389,47 @@
         }
     }
 
-    fn output(&mut self, now: Micros, output: Output<Event, Reply>) -> Option<Done> {
+    fn perform(&mut self, now: Micros, output: Output<Event, Reply>) -> Option<JobEnd> {
         let Self { io, links, front, .. } = self;
         match output {
             Output::Answer { waiter, answer, attempts, worker, origin: path } => {
-                let kept = self.sites.as_mut().and_then(|sites| sites.kept.as_mut());
+                let kept = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut());
                 let answer = match kept {
                     Some(kept) => kept.answered(waiter, answer),
                     None => answer,
                 };
-                self.deliver(now, waiter, answer, (attempts, worker, path));
+                self.route_answer(now, waiter, answer, (attempts, worker, path));
                 None
             }
             Output::Start { attempt, worker, identity, function, payload, until } => {
                 let repeat = front.repeat_of(&function);
-                self.sites.iter_mut().for_each(|sites| sites.started(now, attempt, &function.name));
-                let kept = self.sites.as_mut().and_then(|sites| sites.kept.as_mut());
-                let start = kept.map_or(Start::Leaves, |kept| {
-                    kept.start((wall_ms(), until), attempt, &identity, worker.as_str())
+                self.sites.iter_mut().for_each(|sites| sites.attempt_started(now, attempt, &function.name));
+                let kept = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut());
+                let start = kept.map_or(SendDecision::Now, |kept| {
+                    kept.decide_send((wall_ms(), until), attempt, &identity, worker.as_str())
                 });
                 let lease = Micros::MAX;
                 let job =
                     Job::Attempt { id: attempt, event: payload, function, repeat, until, identity, lease };
                 match (start, &mut self.sites) {
-                    (Start::Waits, Some(sites)) => {
+                    (SendDecision::Waits, Some(sites)) => {
                         sites.park(attempt, worker, job);
                         None
                     }
-                    (Start::Stays, _) => Some(Done::Attempt(attempt, AttemptEnd::from_code(Code::Moot))),
+                    (SendDecision::Never, _) => {
+                        Some(JobEnd::Attempt(attempt, AttemptEnd::from_code(Code::Moot)))
+                    }
                     _ => links.start(io, now, &worker, job),
                 }
             }
             Output::Abort(attempt) => {
                 let sites = self.sites.as_mut();
                 let parked = sites.is_some_and(|sites| {
-                    sites.unpark(attempt).is_some() && sites.kept.as_mut().is_some_and(|k| k.abort(attempt))
+                    sites.unpark(attempt).is_some()
+                        && sites.replicated.as_mut().is_some_and(|k| k.abort(attempt))
                 });
                 match parked {
-                    true => Some(Done::Attempt(attempt, AttemptEnd::from_code(Code::Moot))),
+                    true => Some(JobEnd::Attempt(attempt, AttemptEnd::from_code(Code::Moot))),
                     false => links.abort_attempt(io, attempt),
                 }
             }
@@ -439,7 +443,7 @@
                 None
             }
             Output::Release(worker, function) => {
-                links.start(io, now, &worker, Job::Drop(function.to_string()));
+                links.start(io, now, &worker, Job::Release(function.to_string()));
                 None
             }
             // The file tells every change by itself.
@@ -448,23 +452,25 @@
     }
 
     /// Gives a client of this loop, or of another one, its final answer.
-    fn deliver(
+    fn route_answer(
         &mut self,
         now: Micros,
         waiter: WaiterId,
         answer: Answer<Reply>,
         (attempts, worker, path): (u32, Option<WorkerId>, AnswerOrigin),
     ) {
-        match thread_of(waiter) {
-            here if here == self.mail.me() => self.give(now, (waiter, answer), (attempts, worker, path)),
+        match loop_of_waiter(waiter) {
+            here if here == self.channels.index() => {
+                self.answer_client(now, (waiter, answer), (attempts, worker, path))
+            }
             there => {
-                self.mail.send(there, Message::Answer { waiter, answer, attempts, worker, path });
+                self.channels.send(there, Message::Answer { waiter, answer, attempts, worker, origin: path });
             }
         }
     }
 
     /// Gives a client of this loop its final answer.
-    fn give(
+    fn answer_client(
         &mut self,
         now: Micros,
         (waiter, answer): (WaiterId, Answer<Reply>),
@@ -476,7 +482,7 @@
             Answer::Failed(_) => "failed",
         };
         let answer = match &mut self.sites {
-            Some(sites) => sites.gave(now, waiter, answer),
+            Some(sites) => sites.answer_ready(now, waiter, answer),
             None => answer,
         };
         let unowned = matches!(answer, Answer::Failed(Failure::OwnerUnreachable));
@@ -489,10 +495,10 @@
         if let Some(conn) = free
             && self.io.input(conn).is_some_and(|input| !input.is_empty())
         {
-            self.front.came(now, conn);
+            self.front.input_arrived(now, conn);
         }
         if self.recorder.is_on() {
-            self.given.push((event_name(&waiting.event), status));
+            self.unrecorded_answers.push((event_name(&waiting.event), status));
         }
         let how = match path {
             AnswerOrigin::First => "first",
--- a/crates/gateway/src/scheduler/notes.rs
+++ b/crates/gateway/src/scheduler/notes.rs
@@ -10,7 +10,7 @@
 
 impl Scheduler {
     /// What has been given to connections since: the engine learns it at once, the records where they are on.
-    pub(super) fn note_sent(&mut self, now: Micros) {
+    pub(super) fn record_sent(&mut self, now: Micros) {
         for sent in self.links.sent.drain(..) {
             if let Some((id, _)) = &sent.attempt {
                 self.engine.mark_written(*id);
@@ -42,21 +42,23 @@
         };
         let members: Vec<_> =
             entries.iter().map(|e| to_member(e, |wall| self.clock.to_monotonic(wall))).collect();
-        self.note_states(now, kind, &members);
-        self.tell(now, Input::Members(kind, members));
+        self.record_states(now, kind, &members);
+        self.engine_input(now, Input::Members(kind, members));
     }
 
     /// Logs and records the changes that a list brings; decides nothing.
-    pub(super) fn note_states(&mut self, now: Micros, kind: MembersKind, members: &[basaltward::Member]) {
+    pub(super) fn record_states(&mut self, now: Micros, kind: MembersKind, members: &[basaltward::Member]) {
         use basaltward::WorkerState;
         let mut changes: Vec<(WorkerId, WorkerState)> = Vec::new();
         if kind == MembersKind::Whole {
             let listed = |w: &WorkerId| members.iter().any(|m| m.worker == *w);
-            changes.extend(self.states.keys().filter(|w| !listed(w)).map(|w| (w.clone(), WorkerState::Gone)));
+            changes.extend(
+                self.worker_states.keys().filter(|w| !listed(w)).map(|w| (w.clone(), WorkerState::Gone)),
+            );
         }
         changes.extend(members.iter().map(|m| (m.worker.clone(), m.state)));
         for (worker, state) in changes {
-            if self.states.get(&worker) == Some(&state) {
+            if self.worker_states.get(&worker) == Some(&state) {
                 continue;
             }
             info!(scheduler = self.name, %worker, ?state, "worker");
@@ -65,12 +67,12 @@
                 self.recorder.put(now, &self.name, What::Told { worker: worker.to_string(), state });
             }
             if state == WorkerState::Gone {
-                self.states.remove(&worker);
+                self.worker_states.remove(&worker);
             } else {
-                self.states.insert(worker, state);
+                self.worker_states.insert(worker, state);
             }
         }
-        let used = self.states.values().filter(|state| **state == WorkerState::Active).count();
-        self.sites.iter_mut().for_each(|sites| sites.workers(used));
+        let used = self.worker_states.values().filter(|state| **state == WorkerState::Active).count();
+        self.sites.iter_mut().for_each(|sites| sites.set_active_workers(used));
     }
 }
--- a/crates/gateway/src/worker_wire.rs
+++ b/crates/gateway/src/worker_wire.rs
@@ -55,7 +55,7 @@
         }
     };
     let head = head.shown(fields::PATIENCE, told.patience_ms);
-    let head = write_binary_fields(event, needs(head, function));
+    let head = write_binary_fields(event, function_fields(head, function));
     head.body(Body::Whole(&event.data));
 }
 
@@ -69,7 +69,7 @@
     pub patience_ms: u64,
 }
 
-fn needs<'a>(head: HeadWriter<'a>, function: &Function) -> HeadWriter<'a> {
+fn function_fields<'a>(head: HeadWriter<'a>, function: &Function) -> HeadWriter<'a> {
     head.shown(fields::MEMORY, function.memory_mb).shown(fields::LANES, function.lanes)
 }
 
@@ -80,13 +80,13 @@
         0 => HeadWriter::request(out, "GET", &target, host).body(Body::None),
         _ => {
             let target = format!("{target}?count={count}");
-            needs(HeadWriter::request(out, "PUT", &target, host), function).body(Body::Empty);
+            function_fields(HeadWriter::request(out, "PUT", &target, host), function).body(Body::Empty);
         }
     }
 }
 
 /// Has idle copies unloaded.
-pub fn drop_idle(out: &mut BytesMut, host: &str, function: &str) {
+pub fn release(out: &mut BytesMut, host: &str, function: &str) {
     let target = format!("/functions/{function}/copies");
     HeadWriter::request(out, "DELETE", &target, host).body(Body::None);
 }
--- a/crates/play/src/bed.rs
+++ b/crates/play/src/bed.rs
@@ -2,7 +2,7 @@
 
 use basaltward::{Group, Repeat, WorkerState};
 use basaltward_config::Config;
-use basaltward_gateway::{Gateway, GatewayError, Loops};
+use basaltward_gateway::{Gateway, GatewayError, LoopMode};
 use basaltward_net::Clock;
 use basaltward_roster::{Entry, Names, write};
 use basaltward_rules::{ClassRule, Recorder, RepeatRule, RuleSettings};
@@ -135,7 +135,7 @@
     /// What crossed the sockets.
     pub recorder: Recorder,
     /// What the loops of a gateway know of one another.
-    loops: Loops,
+    loops: LoopMode,
     _folder: Folder,
 }
 
@@ -150,7 +150,7 @@
         specs: Vec<WorkerSpec>,
         recorder: Recorder,
     ) -> Result<Self, BedError> {
-        Self::start_as(config, gateways, specs, recorder, Loops::Joined)
+        Self::start_as(config, gateways, specs, recorder, LoopMode::Coordinated)
     }
 
     /// As [`Bed::start`], with what the loops of each gateway know of one another.
@@ -162,7 +162,7 @@
         gateways: u32,
         specs: Vec<WorkerSpec>,
         recorder: Recorder,
-        loops: Loops,
+        loops: LoopMode,
     ) -> Result<Self, BedError> {
         let folder = Folder::new()?;
         let config = Config {
@@ -204,7 +204,7 @@
             listen: self.addresses[index],
             ..self.config.clone()
         };
-        let gateway = Gateway::start_as(&config, &self.recorder, self.loops)?;
+        let gateway = Gateway::start_with_mode(&config, &self.recorder, self.loops)?;
         self.addresses[index] = gateway.address();
         self.gateways[index] = Some(gateway);
         Ok(())
--- a/crates/play/tests/loops.rs
+++ b/crates/play/tests/loops.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use basaltward_config::Config;
-use basaltward_gateway::Loops;
+use basaltward_gateway::LoopMode;
 use basaltward_play::Bed;
 use basaltward_rules::{Record, Recorder, What};
 use basaltward_standins::{Clients, Plan, Retries, Tally};
@@ -57,7 +57,8 @@
 
 #[test]
 fn loops_that_know_nothing_of_each_other_are_caught() {
-    let bed = Bed::start_as(&four(), 1, vec![worker(); 3], Recorder::memory(), Loops::Apart).expect("a bed");
+    let bed = Bed::start_as(&four(), 1, vec![worker(); 3], Recorder::memory(), LoopMode::Independent)
+        .expect("a bed");
     run(&bed, (0..32).map(|_| Plan { work: Some(150_000), ..plan(2, "e") }).collect());
     let (records, breaches) = judge(bed);
     assert!(runs(&records, "e") > 1 && breaches.iter().all(|b| b.rule == 2) && !breaches.is_empty());
