--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,13 +2,13 @@
 //! by one loop for each thread. Nothing here decides about a call.
 #![warn(missing_docs)]
 
+mod channels;
 mod control;
 mod front;
-mod hand_wire;
-mod kept;
+mod handover_wire;
 mod links;
-mod mail;
 mod problem;
+mod replicated;
 mod run;
 mod scheduler;
 mod sites;
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -1,6 +1,6 @@
 //! Connections to the workers: a pool for each, one job on a connection at a time.
 
-use crate::hand_wire;
+use crate::handover_wire;
 use crate::worker_wire::{self, Reply};
 use basaltward::{Code, Micros, Repeat, WorkerId};
 use basaltward_cloudevents::Event;
@@ -233,7 +233,7 @@
             Job::Probe(_) => worker_wire::probe(out, host),
             Job::Release(function) => worker_wire::release(out, host, function),
             Job::HandOver { event, function, until, .. } => {
-                hand_wire::call(out, host, event, function, until.saturating_sub(now), &self.prefix);
+                handover_wire::call(out, host, event, function, until.saturating_sub(now), &self.prefix);
                 ends = (*until).max(now + 1);
             }
         }
@@ -364,7 +364,7 @@
                 JobEnd::Probe(id, worker_wire::code(&told), worker_wire::report(&told, &self.report_names))
             }
             Job::HandOver { waiter, event, .. } => {
-                JobEnd::HandedOver(waiter, hand_wire::attempt_end(&told, &event))
+                JobEnd::HandedOver(waiter, handover_wire::attempt_end(&told, &event))
             }
             Job::Release(_) => JobEnd::Ignored,
         })
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,5 +1,5 @@
+use crate::channels::LoopChannels;
 use crate::control::{Control, EXIT, shed_settings};
-use crate::mail::LoopChannels;
 use crate::scheduler::{Controls, KILL, RUN, STOP, Scheduler};
 use crate::sites::Sites;
 use crate::tables::{Tables, control_rings};
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -1,12 +1,12 @@
 //! One loop: clients, engine and workers joined. It carries bytes and messages between them.
 
 mod calls;
-mod notes;
+mod records;
 
+use crate::channels::{LoopChannels, Message};
 use crate::front::{Front, NextRequest, loop_of_waiter};
-use crate::kept::SendDecision;
 use crate::links::{Job, JobEnd, Links, attempt_name};
-use crate::mail::{LoopChannels, Message};
+use crate::replicated::SendDecision;
 use crate::sites::Sites;
 use crate::worker_wire::Reply;
 use basaltward::{Code, Micros, WorkerId};
--- a/crates/gateway/src/scheduler/calls.rs
+++ b/crates/gateway/src/scheduler/calls.rs
@@ -2,9 +2,9 @@
 //! held by neighbours, begun.
 
 use super::{Scheduler, event_name, wall_ms};
-use crate::kept::{AcceptOutcome, Action};
+use crate::channels::Message;
 use crate::links::{Job, JobEnd};
-use crate::mail::Message;
+use crate::replicated::{AcceptOutcome, Action};
 use crate::sites::{Arrival, HandOverResult, Sites};
 use crate::tables::ControlMessage;
 use basaltward::{Code, Micros, Repeat};
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -1,8 +1,8 @@
 //! One loop's part in the sites: what is turned away at the door, which calls are handed to another site and how those
 //! end. What is decided follows from the tables of the control thread; a table past its end is not heeded.
 
-use crate::kept::{Action, ReplicatedEvents};
 use crate::links::{Job, JobEnd, Links};
+use crate::replicated::{Action, ReplicatedEvents};
 use crate::tables::{ControlMessage, LoopEnd, LoopReport, REPORT_INTERVAL_US, Tables};
 use crate::worker_wire::Reply;
 use basaltward::{Code, FunctionId, Micros, Repeat, WorkerId};
