--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,5 +1,6 @@
-//! The control thread: the view of all sites, the links between them and the rooms that decide by them, apart from the
-//! loops that serve. It hears what loops count and gives them whole tables; no loop ever waits for it.
+//! The control thread: cluster membership, the links to gateways of other sites, and the subsystems that decide on
+//! routing, admission and replication, kept off the loops that serve calls. It receives counts from the loops and
+//! publishes whole tables to them; no loop ever waits for it.
 
 use crate::run::GatewayError;
 use crate::scheduler::{RUN, STOP};
@@ -22,23 +23,23 @@
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 use tracing::{info, warn};
 
-/// All is done: nobody needs the control thread any more.
+/// Command: the loops have ended; stop the control thread.
 pub const EXIT: u8 = 3;
-/// What is seen of sites and agreed on them is looked at anew after this at the latest.
+/// Longest interval between two updates from observed site states and the agreed state.
 const SITE_REFRESH_US: Micros = 500_000;
-/// Whose events are holds for so long: four times what passes until it is told anew.
+/// Validity of the owners table: four times the interval at which it is published ([`SITE_REFRESH_US`]).
 const OWNERS_VALID_US: Micros = 2_000_000;
-/// Words that wait for a loop: past this the oldest go, which its timers make up for.
+/// Maximum messages queued for a loop. Beyond it the oldest are dropped; the loop's timers make up for lost ones.
 const MAX_QUEUED_MESSAGES: usize = 16_384;
-/// Datagrams between sites take so long there and back at most, by which silence is told from distance.
+/// Maximum round-trip time of datagrams between sites; a longer silence is taken as a failure, not as distance.
 const MAX_ROUND_TRIP_US: Micros = 100_000;
-/// Datagrams between gateways: figures of load that half of a fleet of eight hears after 2 s at the view's usual 1,000
-/// bytes a second are there within 0.5 s at this.
+/// Gossip bandwidth between gateways. At the membership default of 1,000 bytes/s, half of a fleet of eight received load
+/// figures only after 2 s; at this rate they arrive within 0.5 s.
 const GOSSIP_BYTES_PER_S: u64 = 16_000;
-/// A site of which nothing was live for so long counts as lost, as far as the view goes.
+/// The membership view counts a site as lost after none of its members was live for this time.
 const SITE_LOST_AFTER_US: Micros = 1_000_000;
 
-/// See the module's page.
+/// State of the control thread.
 pub struct Control {
     name: String,
     io: Io,
@@ -53,42 +54,42 @@
     tables: Arc<Tables>,
     live: Vec<bool>,
     peer_count: MemberId,
-    /// When the way to each was measured that the choice of sites was told last.
+    /// Time of the last round-trip measurement passed to routing, by peer.
     last_rtt_at: Vec<Micros>,
     command: Arc<AtomicU8>,
     stall: Arc<AtomicU64>,
     recorder: Recorder,
     leaving: bool,
-    /// Requests of ours that have no answer yet, by number.
+    /// Submitted permit requests without an answer, by tag.
     permit_requests: BTreeMap<u32, PermitRequest>,
     site_map: SiteMap,
-    /// We were taken over and return.
+    /// This gateway was taken over by others and has reclaimed its events.
     reclaimed: bool,
-    /// When events that are ours are taken.
+    /// This gateway accepts the events that it owns from this time on.
     accepts_from: Micros,
-    /// For how long events are remembered.
+    /// How long events are remembered.
     retention: Micros,
-    /// When pending is told what is seen and agreed next.
+    /// Time of the next update from observed site states and the agreed state.
     next_site_refresh: Micros,
-    /// When facts are read next, though nobody wakes us.
+    /// Time of the next read of the loops' reports, if nothing wakes this thread earlier.
     next_poll: Micros,
 }
 
-/// Which gateway stands where, by the settings.
+/// The site of each gateway, by the settings.
 fn site_map(sites: &SitesConfig) -> Option<SiteMap> {
     SiteMap::new(sites.peers.iter().map(|peer| peer.site).collect(), sites.own)
 }
 
-/// Figures of the door, the same at all gateways.
+/// Settings of admission, which must be the same at all gateways; `None` if this gateway is not among the peers.
 pub fn shed_settings(config: &Config, sites: &SitesConfig) -> Option<ShedSettings> {
     let class =
         |class: &basaltward::Class| ClassOf { worth: class.value, aim: class.aim, deadline: class.deadline };
     let classes = config.module.classes.iter().map(class).collect();
-    let usual = ShedSettings::new(classes, config.module.tenant_quotas.clone(), site_map(sites)?);
+    let defaults = ShedSettings::new(classes, config.module.tenant_quotas.clone(), site_map(sites)?);
     Some(ShedSettings {
         over_share_worth: config.module.over_share_value,
         loops: config.threads as usize,
-        ..usual
+        ..defaults
     })
 }
 
@@ -104,8 +105,8 @@
     let kinds = &config.module.copies.kind_memory_mb;
     let worker_mb = kinds.iter().sum::<f64>() / kinds.len().max(1) as f64;
     let functions = config.functions.iter().map(function).collect();
-    let usual = RouteSettings::new(site_map(sites)?, functions, worker_mb as u32, u64::from(sites.own));
-    Some(RouteSettings { keep: config.module.copies.keep_alive, loops: config.threads as u16, ..usual })
+    let defaults = RouteSettings::new(site_map(sites)?, functions, worker_mb as u32, u64::from(sites.own));
+    Some(RouteSettings { keep: config.module.copies.keep_alive, loops: config.threads as u16, ..defaults })
 }
 
 fn endpoint_config(config: &Config, sites: &SitesConfig) -> EndpointConfig {
@@ -132,16 +133,16 @@
 }
 
 impl Control {
-    /// Opens its sockets. `loops` are its ends of their rings.
+    /// Opens the sockets. `loops` are the control thread's ends of the rings, by loop.
     ///
     /// # Errors
-    /// Where an address can't be had or the settings can't be used.
+    /// If an address can't be bound or the settings are not usable.
     pub fn open(
         config: &Config,
         sites: &SitesConfig,
         mut io: Io,
         (loops, tables): (Vec<ControlEnd>, Arc<Tables>),
-        (wanted, stall): (Arc<AtomicU8>, Arc<AtomicU64>),
+        (command, stall): (Arc<AtomicU8>, Arc<AtomicU64>),
         recorder: Recorder,
     ) -> Result<Self, GatewayError> {
         let now = monotonic();
@@ -149,28 +150,28 @@
         let route = route_settings(config, sites).ok_or(GatewayError::NotAPeer)?;
         let route = Route::new(route, now)?;
         let shed = shed_settings(config, sites).ok_or(GatewayError::NotAPeer)?;
-        let shed_stands = shed.stands;
+        let shed_fact_lifetime = shed.stands;
         let shed = Shed::new(now, shed)?;
         let holders = config.kept.iter().map(|kept| kept.map_or(0, |kept| kept.holders.min(255) as u8));
-        let places = site_map(sites).ok_or(GatewayError::NotAPeer)?;
+        let site_map = site_map(sites).ok_or(GatewayError::NotAPeer)?;
         let pending = PendingSettings {
             bytes: sites.journal.bytes,
             entry_bytes: sites.journal.entry_bytes,
             lease: sites.journal.lease,
-            ..PendingSettings::new(places.clone(), endpoint.life(), holders.collect(), u64::from(sites.own))
+            ..PendingSettings::new(site_map.clone(), endpoint.life(), holders.collect(), u64::from(sites.own))
         };
         let windows = config.module.classes.iter().map(|class| match class.repeat {
             Repeat::Keyed { window, .. } => window,
             _ => 0,
         });
-        let remember = windows.fold(config.repeats.remember, Micros::max);
+        let retention = windows.fold(config.repeats.remember, Micros::max);
         Ok(Self {
             name: format!("{}/control", config.name),
             io,
             endpoint,
             route,
             shed,
-            shed_fact_lifetime: shed_stands,
+            shed_fact_lifetime,
             pending: Pending::new(pending, now),
             hand_over: sites.hand_over,
             queued: loops.iter().map(|_| VecDeque::new()).collect(),
@@ -179,16 +180,16 @@
             live: Vec::new(),
             peer_count: sites.peers.len() as MemberId,
             last_rtt_at: vec![0; sites.peers.len()],
-            command: wanted,
+            command,
             stall,
             recorder,
             leaving: false,
             permit_requests: BTreeMap::new(),
             next_site_refresh: now,
-            site_map: places.clone(),
+            site_map,
             reclaimed: false,
             accepts_from: now,
-            retention: remember,
+            retention,
             next_poll: now,
         })
     }
@@ -196,9 +197,9 @@
     /// Runs until the loops have ended.
     ///
     /// # Errors
-    /// Where the system fails it.
+    /// If a system call of its I/O fails.
     pub fn run(mut self) -> Result<(), NetError> {
-        let mut happened = Vec::new();
+        let mut io_events = Vec::new();
         loop {
             let now = monotonic();
             self.read_loops(now);
@@ -207,10 +208,10 @@
             self.run_due(now);
             self.flush_messages();
             let due = self.endpoint.next_due().min(self.pending.next_due()).min(self.next_poll);
-            self.io.turn(Some(due.saturating_sub(monotonic())), &mut happened)?;
+            self.io.turn(Some(due.saturating_sub(monotonic())), &mut io_events)?;
             let now = monotonic();
-            for happened in happened.drain(..) {
-                let events = self.endpoint.data(&mut self.io, now, &happened);
+            for event in io_events.drain(..) {
+                let events = self.endpoint.data(&mut self.io, now, &event);
                 self.handle_events(now, events);
             }
             self.io.free_ended();
@@ -227,7 +228,7 @@
                 STOP => {}
                 EXIT => {
                     self.endpoint.stop(&mut self.io, monotonic());
-                    self.io.turn(Some(0), &mut happened)?;
+                    self.io.turn(Some(0), &mut io_events)?;
                     return Ok(());
                 }
                 _ => return Ok(()),
@@ -235,26 +236,26 @@
         }
     }
 
-    /// What the loops have counted, and the steps of their kept events.
+    /// Reads the loops' reports and the journal steps of their replicated events.
     fn read_loops(&mut self, now: Micros) {
         let (own, mut out) = (self.endpoint.membership().own(), Vec::new());
         for (number, end) in self.loops.iter_mut().enumerate() {
-            while let Ok(fact) = end.reports.pop() {
-                match fact {
+            while let Ok(report) = end.reports.pop() {
+                match report {
                     LoopReport::Calls(counts) => self.route.counted(now, number as u16, &counts),
                     LoopReport::HandedOver(handed) => self.route.handed(now, &handed),
                     LoopReport::Admission(counts) => self.shed.counted(now, number, &counts),
                 }
             }
             while let Ok(step) = end.steps.pop() {
-                // An event that was a lost gateway's is not begun anew while heirs see to it.
+                // An event of a lost gateway is not started again while the gateways that took it over handle it.
                 let fate = match &step {
                     Step::Accepted(accepted) => {
                         self.pending.fate(accepted.key).map(|fate| (accepted.key, fate))
                     }
                     _ => None,
                 };
-                let (key, word) = match fate {
+                let (key, message) = match fate {
                     Some((key, Fate::Ended(outcome, answer))) => {
                         (key, ControlMessage::EndedElsewhere(key, outcome, answer))
                     }
@@ -266,7 +267,7 @@
                     }
                 };
                 self.pending.handle(now, wall_ms(), Input::Repeated(key), &mut out);
-                self.queued[number].push_back(word);
+                self.queued[number].push_back(message);
             }
         }
         self.carry_out(now, out);
@@ -285,7 +286,7 @@
                 }
                 EndpointEvent::Connection(ConnectionEvent::Frame(from, Channel::Route, bytes)) => {
                     if let Err(error) = self.route.frame(now, from, &bytes) {
-                        warn!(scheduler = self.name, from, %error, "frame of another site not taken");
+                        warn!(scheduler = self.name, from, %error, "routing frame of another site rejected");
                     }
                     continue;
                 }
@@ -325,16 +326,16 @@
         &self,
         now: Micros,
         of: MemberId,
-        life: basaltward_membership::Incarnation,
+        incarnation: basaltward_membership::Incarnation,
         state: MemberState,
     ) {
-        let told = format!("{state:?}").to_lowercase();
-        info!(scheduler = self.name, member = of, state = told, "peer");
-        let what = What::Believed { of, start: life.start, bump: life.bump, state: told };
+        let state = format!("{state:?}").to_lowercase();
+        info!(scheduler = self.name, member = of, state, "peer");
+        let what = What::Believed { of, start: incarnation.start, bump: incarnation.bump, state };
         self.recorder.put(now, &self.name, what);
     }
 
-    /// Does what is due in the rooms, and swaps the tables.
+    /// Runs the timers that are due in each subsystem, and publishes the tables.
     fn run_due(&mut self, now: Micros) {
         self.next_poll = self.next_poll.max(now.saturating_sub(REPORT_INTERVAL_US));
         if now >= self.next_poll {
@@ -358,7 +359,7 @@
         }
     }
 
-    /// Tells the rooms who lives, where that has changed.
+    /// Passes the set of live members to the subsystems if it has changed.
     fn update_live_members(&mut self, now: Micros) {
         let members = self.endpoint.membership().members();
         let own = usize::from(self.endpoint.membership().own());
@@ -373,26 +374,26 @@
         }
     }
 
-    /// Tells the choice of sites what was measured, sends what it tells others, and swaps its table.
+    /// Passes new round-trip times to routing, sends its frames to other sites, and publishes its table.
     fn update_route(&mut self, now: Micros) {
         for of in 0..self.peer_count {
-            // Each measurement once: told again and again it would count as many.
+            // Each measurement is passed on once: repeated, it would count as several.
             if let Some((rtt, age)) = self.endpoint.connections().rtt(of, now)
-                && let Some(told) = self.last_rtt_at.get_mut(usize::from(of))
-                && now.saturating_sub(age) > *told
+                && let Some(last) = self.last_rtt_at.get_mut(usize::from(of))
+                && now.saturating_sub(age) > *last
             {
-                *told = now.saturating_sub(age);
+                *last = now.saturating_sub(age);
                 self.route.link(now, of, rtt);
             }
         }
         for (to, frame) in self.route.tell(now) {
-            // Told anew with the next: what finds no room now is old by then.
+            // A frame that can't be queued is not retried: the next one carries newer values.
             let _ = self.endpoint.send(&mut self.io, now, to, (Channel::Route, &frame));
         }
         self.tables.route.store(Some(Arc::new(self.route.table(now))));
     }
 
-    /// Tells admission what peers have published, publishes what it tells, and swaps its table.
+    /// Passes the load that peers have published to admission, publishes its own, and publishes its table.
     fn update_shed(&mut self, now: Micros) {
         for of in 0..self.peer_count {
             for key in SHED_KEYS {
@@ -407,15 +408,15 @@
         self.tables.shed.store(Some(Arc::new(self.shed.table(now, &self.live))));
     }
 
-    /// Tells the journals what is seen of sites and what is agreed, and swaps the table of owners.
+    /// Passes observed site states and the agreed state to the journals, and publishes the owners table.
     fn update_owners(&mut self, now: Micros) {
         let observations = self.endpoint.transport().sites(now);
         let permit_state = self.endpoint.agreed().map(|known| known.value.clone()).unwrap_or_default();
         let mut out = Vec::new();
-        let taken = taken(&permit_state, &self.site_map);
+        let taken_over = taken(&permit_state, &self.site_map);
         self.pending.handle(now, wall_ms(), Input::Seen { observations, permit_state }, &mut out);
-        let ready = self.pending.takes() && now >= self.accepts_from;
-        let owners = Owners { valid_until: now + OWNERS_VALID_US, taken_over: taken, accepts: ready };
+        let accepts = self.pending.takes() && now >= self.accepts_from;
+        let owners = Owners { valid_until: now + OWNERS_VALID_US, taken_over, accepts };
         self.tables.owners.store(Some(Arc::new(owners)));
         self.carry_out(now, out);
     }
@@ -424,40 +425,41 @@
         for output in out {
             match output {
                 Output::Send { to, bytes } => {
-                    // What is not acknowledged is sent again.
+                    // Unacknowledged data is sent again.
                     let _ = self.endpoint.send(&mut self.io, now, to, (Channel::Pending, &bytes));
                 }
                 Output::Held { key } => self.broadcast(|| ControlMessage::Replicated(key, true)),
                 Output::Unheld { key, why } => {
-                    info!(scheduler = self.name, %why, "not kept");
+                    info!(scheduler = self.name, %why, "event not replicated");
                     self.broadcast(|| ControlMessage::Replicated(key, false));
                 }
                 Output::May { key, attempt, until } => {
                     self.broadcast(|| ControlMessage::SendDecision(key, attempt, Some(until)))
                 }
                 Output::MayNot { key, attempt, why } => {
-                    info!(scheduler = self.name, %why, "not sent");
+                    info!(scheduler = self.name, %why, "attempt not sent");
                     self.broadcast(|| ControlMessage::SendDecision(key, attempt, None));
                 }
-                Output::Noted(fault) => warn!(scheduler = self.name, %fault, "journal"),
-                // The member asks on by itself until it has an answer.
-                Output::Ask(request) if self.permit_requests.values().any(|asked| *asked == request) => {}
+                Output::Noted(fault) => warn!(scheduler = self.name, %fault, "journal fault"),
+                // The endpoint repeats a submitted request by itself until it has an answer.
+                Output::Ask(request)
+                    if self.permit_requests.values().any(|submitted| *submitted == request) => {}
                 Output::Ask(request) => {
-                    info!(scheduler = self.name, ?request, "asked of the voters");
+                    info!(scheduler = self.name, ?request, "permit request submitted");
                     if let Some(tag) = self.endpoint.submit(now, request) {
                         self.permit_requests.insert(tag, request);
                     }
                 }
                 Output::Takes => {
-                    // Others took our events until they heard of our return. Whoever repeats one of those within the time
-                    // that it is remembered must not find us, who know nothing of it.
-                    let waits = if std::mem::take(&mut self.reclaimed) {
+                    // Other gateways accepted events of this gateway until they learned of its return. A repeat of one of
+                    // those must not be accepted here while it is remembered there, as this gateway has no record of it.
+                    let wait = if std::mem::take(&mut self.reclaimed) {
                         self.retention + OWNERS_VALID_US
                     } else {
                         0
                     };
-                    (self.accepts_from, self.next_site_refresh) = (now + waits, now);
-                    info!(scheduler = self.name, after_us = waits, "takes kept events");
+                    (self.accepts_from, self.next_site_refresh) = (now + wait, now);
+                    info!(scheduler = self.name, after_us = wait, "accepting replicated events");
                 }
                 Output::Lost { key } => self.broadcast(|| ControlMessage::TakenOver(key)),
                 Output::Run { pending, end, .. } => {
@@ -465,12 +467,12 @@
                         scheduler = self.name,
                         key = format!("{:x}", pending.key.0),
                         ?end,
-                        "done for a lost gateway"
+                        "running an event of a lost gateway"
                     );
                     let before = if let End::SameKey { before } = end { before } else { u64::MAX };
-                    let at = (pending.key.0 % self.loops.len().max(1) as u128) as usize;
-                    if let Some(words) = self.queued.get_mut(at) {
-                        words.push_back(ControlMessage::RunForLostSite(Box::new(pending), before));
+                    let loop_index = (pending.key.0 % self.loops.len().max(1) as u128) as usize;
+                    if let Some(messages) = self.queued.get_mut(loop_index) {
+                        messages.push_back(ControlMessage::RunForLostSite(Box::new(pending), before));
                     }
                 }
                 Output::Told { key, end, outcome, answer } => {
@@ -478,40 +480,43 @@
                         scheduler = self.name,
                         key = format!("{:x}", key.0),
                         ?end,
-                        "ended for a lost gateway"
+                        "event of a lost gateway has ended"
                     );
                     self.broadcast(|| ControlMessage::EndedElsewhere(key, outcome, answer.clone()));
                 }
-                Output::Gone(gone) => warn!(scheduler = self.name, %gone, "journal of a lost gateway"),
+                Output::Gone(gone) => {
+                    warn!(scheduler = self.name, %gone, "journal of a lost gateway is incomplete")
+                }
             }
         }
     }
 
-    /// Tells all loops: the one that has the event heeds it.
-    fn broadcast(&mut self, word: impl Fn() -> ControlMessage) {
-        self.queued.iter_mut().for_each(|words| words.push_back(word()));
+    /// Sends a message to all loops; those without the event ignore it.
+    fn broadcast(&mut self, message: impl Fn() -> ControlMessage) {
+        self.queued.iter_mut().for_each(|messages| messages.push_back(message()));
     }
 
-    /// Gives the loops what waits for them.
+    /// Moves queued messages into the loops' rings.
     fn flush_messages(&mut self) {
-        for (end, words) in self.loops.iter_mut().zip(&mut self.queued) {
-            let before = words.len();
-            while let Some(word) = words.pop_front() {
-                if let Err(rtrb::PushError::Full(word)) = end.messages.push(word) {
-                    words.push_front(word);
+        for (end, messages) in self.loops.iter_mut().zip(&mut self.queued) {
+            let before = messages.len();
+            while let Some(message) = messages.pop_front() {
+                if let Err(rtrb::PushError::Full(message)) = end.messages.push(message) {
+                    messages.push_front(message);
                     break;
                 }
             }
-            if words.len() < before {
+            if messages.len() < before {
                 end.loop_waker.wake();
             }
-            while words.len() > MAX_QUEUED_MESSAGES {
-                words.pop_front();
+            while messages.len() > MAX_QUEUED_MESSAGES {
+                messages.pop_front();
             }
         }
     }
 }
 
+/// The wall clock, in milliseconds since 1970.
 fn wall_ms() -> u64 {
     Clock::read().wall() / 1_000
 }
--- a/crates/gateway/src/tables.rs
+++ b/crates/gateway/src/tables.rs
@@ -1,5 +1,5 @@
-//! What passes between the control thread and the loops: whole tables one way, bounded rings both ways. Neither waits
-//! for the other.
+//! Shared state between the control thread and the loops: the control thread publishes whole tables, and bounded rings
+//! carry messages in both directions. Neither side blocks on the other.
 
 use arc_swap::ArcSwapOption;
 use basaltward::Micros;
@@ -9,117 +9,117 @@
 use rtrb::{Consumer, Producer, PushError, RingBuffer};
 use std::collections::VecDeque;
 
-/// Messages that a ring holds.
+/// Capacity of a ring, in messages.
 const RING_CAPACITY: usize = 4_096;
 
-/// The newest table of each room, if it ever made one.
+/// The latest table of each subsystem of the control thread; empty until it has published one.
 pub struct Tables {
-    /// Where calls go.
+    /// Routing of calls between sites.
     pub route: ArcSwapOption<basaltward_route::Table>,
-    /// What is taken.
+    /// Admission of calls.
     pub shed: ArcSwapOption<basaltward_shed::Table>,
-    /// Whose kept events are.
+    /// Ownership of replicated events.
     pub owners: ArcSwapOption<Owners>,
-    /// Events that were taken lately and may not run twice, by any loop.
+    /// Recently admitted events of keyed and unsafe classes, from all loops.
     pub admitted: SeenEvents,
 }
 
 impl Tables {
-    /// None yet; what was taken is known for at least `span`.
-    pub fn new(span: Micros) -> Self {
+    /// Empty tables; admitted events are remembered for at least `retention`.
+    pub fn new(retention: Micros) -> Self {
         let (route, shed, owners) = (ArcSwapOption::empty(), ArcSwapOption::empty(), ArcSwapOption::empty());
-        Self { route, shed, owners, admitted: SeenEvents::new(span) }
+        Self { route, shed, owners, admitted: SeenEvents::new(retention) }
     }
 }
 
-/// Whose kept events are, by what is agreed.
+/// Ownership of replicated events, from the state that the voters have agreed on.
 pub struct Owners {
-    /// Until when it holds.
+    /// The table must not be used from this time on.
     pub valid_until: Micros,
-    /// Gateways that were taken over, by number.
+    /// Whether each gateway has been taken over, by member number.
     pub taken_over: Vec<bool>,
-    /// Whether we take events that are ours.
+    /// Whether this gateway accepts the events that it owns.
     pub accepts: bool,
 }
 
-/// From a loop to the control thread.
+/// A message from a loop to the control thread.
 pub enum LoopReport {
-    /// Calls by function.
+    /// Counts of calls by function, for routing.
     Calls(basaltward_route::Counts),
-    /// How a call ended that was handed over.
+    /// The end of a call that was handed over to another site.
     HandedOver(basaltward_route::Handed),
-    /// Calls by class and tenant.
+    /// Counts of calls by class and tenant, for admission.
     Admission(basaltward_shed::Counts),
 }
 
-/// From the control thread to a loop, on kept events.
+/// A message from the control thread to a loop about a replicated event.
 pub enum ControlMessage {
-    /// Gateways of other sites hold it, or not.
+    /// Whether gateways of other sites have stored the journal entry of the event.
     Replicated(Key, bool),
-    /// An attempt may leave before this time of the machine's clock, or not at all.
+    /// The attempt of this number may be sent before this time of the monotonic clock; with `None` it must not be sent.
     SendDecision(Key, u32, Option<Micros>),
-    /// An event of a lost site is to be done, sent before this wall time in milliseconds.
+    /// Run this event of a lost site; no attempt of it may be sent at or after this wall-clock time in milliseconds.
     RunForLostSite(Box<Accepted>, u64),
-    /// What was pending here is others' now: no byte of it leaves any more.
+    /// Other gateways have taken over this pending event: no further byte of it may be sent.
     TakenOver(Key),
-    /// Another gateway sees to an event of this name: it is not begun here.
+    /// Another gateway is responsible for an event with this key: it must not be started here.
     OwnedElsewhere(Key),
-    /// An event of a lost site has ended so, with this answer.
+    /// An event of a lost site has ended at another gateway, with this outcome and answer.
     EndedElsewhere(Key, Outcome, Vec<u8>),
 }
 
-/// A loop's end: facts that find no room wait here, the newest counts at the back; past this many the oldest go, as
-/// counts and ends of calls are samples.
+/// A loop's sending side for reports. Reports that do not fit into the ring wait in `overflow`, oldest first. Beyond
+/// [`RING_CAPACITY`] waiting reports the oldest are dropped, which is acceptable because reports are samples.
 pub struct ReportSender {
     ring: Producer<LoopReport>,
     overflow: VecDeque<LoopReport>,
-    /// Facts that were let go.
+    /// Number of reports dropped.
     dropped: u64,
 }
 
-/// A loop's end of its rings.
+/// A loop's ends of its rings.
 pub struct LoopEnd {
-    /// What it counted.
+    /// Counts and ends of calls, to the control thread.
     pub reports: ReportSender,
-    /// Steps of its kept events: none is ever dropped.
+    /// Journal steps of replicated events, to the control thread; steps are never dropped.
     pub steps: Producer<Step>,
-    /// What it is told.
+    /// Messages from the control thread.
     pub messages: Consumer<ControlMessage>,
     /// Wakes the control thread.
     pub control_waker: Waker,
 }
 
-/// The control thread's end.
+/// The control thread's ends of the rings of one loop.
 pub struct ControlEnd {
-    /// What the loop counted.
+    /// Counts and ends of calls, from the loop.
     pub reports: Consumer<LoopReport>,
-    /// Steps of its kept events.
+    /// Journal steps of replicated events, from the loop.
     pub steps: Consumer<Step>,
-    /// What it is told.
+    /// Messages to the loop.
     pub messages: Producer<ControlMessage>,
     /// Wakes the loop.
     pub loop_waker: Waker,
 }
 
-/// The ends of the rings between the control thread and a loop.
-pub fn control_rings(control: Waker, waker: Waker) -> (LoopEnd, ControlEnd) {
-    let (ring, facts) = RingBuffer::new(RING_CAPACITY);
+/// Creates the rings between the control thread and a loop, with the wakers of both.
+pub fn control_rings(control_waker: Waker, loop_waker: Waker) -> (LoopEnd, ControlEnd) {
+    let (ring, reports) = RingBuffer::new(RING_CAPACITY);
     let (to_control, steps) = RingBuffer::new(RING_CAPACITY);
-    let (words, to_loop) = RingBuffer::new(RING_CAPACITY);
-    let facts_end = ReportSender { ring, overflow: VecDeque::new(), dropped: 0 };
+    let (messages, to_loop) = RingBuffer::new(RING_CAPACITY);
+    let sender = ReportSender { ring, overflow: VecDeque::new(), dropped: 0 };
     (
-        LoopEnd { reports: facts_end, steps: to_control, messages: to_loop, control_waker: control },
-        ControlEnd { reports: facts, steps, messages: words, loop_waker: waker },
+        LoopEnd { reports: sender, steps: to_control, messages: to_loop, control_waker },
+        ControlEnd { reports, steps, messages, loop_waker },
     )
 }
 
 impl ReportSender {
-    /// Tells a fact.
-    pub fn send(&mut self, fact: LoopReport) {
-        self.overflow.push_back(fact);
-        while let Some(fact) = self.overflow.pop_front() {
-            if let Err(PushError::Full(fact)) = self.ring.push(fact) {
-                self.overflow.push_front(fact);
+    /// Queues a report and moves as many as fit into the ring.
+    pub fn send(&mut self, report: LoopReport) {
+        self.overflow.push_back(report);
+        while let Some(report) = self.overflow.pop_front() {
+            if let Err(PushError::Full(report)) = self.ring.push(report) {
+                self.overflow.push_front(report);
                 break;
             }
         }
@@ -129,13 +129,13 @@
         }
     }
 
-    /// Facts that were let go, as the control thread stood still for too long.
+    /// Number of reports dropped because the control thread did not read them in time.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 }
 
-/// A loop tells its counts so often.
+/// Interval between two reports of a loop's counts.
 pub const REPORT_INTERVAL_US: Micros = 100_000;
 
 #[cfg(test)]
@@ -144,19 +144,23 @@
     use basaltward_net::{Io, IoLimits};
 
     #[test]
-    fn a_control_thread_that_stands_still_costs_old_facts_and_bounded_memory() {
-        let waker = Io::new(IoLimits::default()).expect("a loop").waker();
+    fn reports_to_a_stalled_control_thread_are_bounded_and_the_oldest_are_dropped() {
+        let waker = Io::new(IoLimits::default()).expect("create an I/O loop").waker();
         let (LoopEnd { mut reports, .. }, ControlEnd { reports: mut control, .. }) =
             control_rings(waker.clone(), waker);
-        let fact = |in_hand| LoopReport::Calls(basaltward_route::Counts { in_hand, ..Default::default() });
-        (0..3 * RING_CAPACITY as u32).for_each(|n| reports.send(fact(n)));
+        let report = |in_hand| LoopReport::Calls(basaltward_route::Counts { in_hand, ..Default::default() });
+        (0..3 * RING_CAPACITY as u32).for_each(|n| reports.send(report(n)));
         assert_eq!(reports.dropped(), RING_CAPACITY as u64);
         let mut take = || match control.pop() {
             Ok(LoopReport::Calls(counts)) => Some(counts.in_hand),
             _ => None,
         };
         assert_eq!((0..RING_CAPACITY).filter_map(|_| take()).last(), Some(RING_CAPACITY as u32 - 1));
-        reports.send(fact(9));
-        assert_eq!(take(), Some(2 * RING_CAPACITY as u32), "those told first among what waited are gone");
+        reports.send(report(9));
+        assert_eq!(
+            take(),
+            Some(2 * RING_CAPACITY as u32),
+            "the oldest waiting reports were not dropped first"
+        );
     }
 }
