--- a/crates/gateway/src/replicated.rs
+++ b/crates/gateway/src/replicated.rs
@@ -1,6 +1,7 @@
-//! One loop's part in kept events: a call of a kept class goes to the engine once its entry is held by gateways of other
-//! sites, an attempt leaves once that is held too and, where it must not run twice, under a lease. Free of I/O: calls,
-//! attempts and words of the control thread in, what may go on out.
+//! One loop's replicated events, which are the events of classes with a `kept` setting. A call of such a class goes to
+//! the engine once gateways of other sites have stored its journal entry. Each of its attempts is sent once the entry of
+//! that attempt is stored too and, if the event must not run twice, under a lease. Free of I/O: calls, attempts and
+//! messages of the control thread go in, the actions that follow come out.
 
 use crate::front::extensions::KEPT;
 use crate::sites::digest;
@@ -14,58 +15,58 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// An entry that is not held by then, as a share of what is left of the client's time, counts as not held.
+/// Divisor of the client's remaining time: an entry not replicated within that part of it counts as not replicated.
 const REPLICATION_TIME_SHARE: Micros = 4;
-/// Steps that wait for the control thread; with more, as it stands still, no new event is written.
+/// Maximum journal steps queued for the control thread. Beyond it, when that thread is stalled, no new event is journaled.
 const MAX_QUEUED_STEPS: usize = 4_096;
-/// A repeat of an event that another gateway sees to is to come again after this.
+/// Retry delay reported to a client that repeats an event for which another gateway is responsible.
 const OWNED_ELSEWHERE_RETRY_US: Micros = 1_000_000;
-/// An event that its deadline has passed by so much is closed, if nothing else did.
+/// An event that nothing else has closed is closed this long after its deadline.
 const CLOSE_AFTER_US: Micros = 1_000_000;
 
-/// What becomes of a call of a kept class.
+/// Result of accepting a call.
 pub enum AcceptOutcome {
-    /// It goes on.
+    /// The call goes to the engine.
     Proceed(NewCall<Event>),
-    /// It waits for its entry.
+    /// The call waits until its journal entry is replicated.
     Waiting,
-    /// It is answered at once.
+    /// The client is answered at once.
     Answer(WaiterId, Answer<Reply>),
 }
 
-/// What follows for the loop.
+/// An action for the loop to carry out.
 pub enum Action {
-    /// A call goes on.
+    /// Pass a call to the engine.
     Proceed(NewCall<Event>),
-    /// A client is answered.
+    /// Answer a client.
     Answer(WaiterId, Answer<Reply>),
-    /// An attempt may leave before this time.
+    /// Send an attempt, but only before this time.
     Send(AttemptId, Micros),
-    /// An attempt does not leave: it never ran.
+    /// Don't send an attempt: it never ran.
     Withhold(AttemptId),
 }
 
-/// Whether an attempt leaves.
+/// Whether an attempt may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendDecision {
     /// At once.
     Now,
-    /// Once it is known to be held.
-    Waits,
+    /// Once its journal entry is replicated.
+    Wait,
     /// Not at all.
     Never,
 }
 
 enum State {
-    /// For its entry: calls that wait.
+    /// The entry is not stored elsewhere yet; these calls wait for it.
     AwaitingReplica(Vec<NewCall<Event>>),
-    /// It is held, and in the engine.
+    /// The entry is replicated, and the calls are in the engine.
     Replicated,
-    /// It goes on though nobody holds it, as its class says.
+    /// The calls proceed without a replica, as the class allows.
     Unreplicated,
-    /// Others see to it, as we were taken for lost.
+    /// Other gateways have taken it over because they considered this one lost.
     TakenOver,
-    /// It has ended, and repeats are answered by the engine, or by this where another gateway ended it.
+    /// It has ended. The engine answers repeats, unless another gateway ended it: then this outcome does.
     Ended(Option<(Outcome, Option<Reply>)>),
 }
 
@@ -73,56 +74,58 @@
     state: State,
     class: usize,
     deadline: Micros,
-    /// Attempts so far.
+    /// Number of attempts so far.
     attempts: u32,
-    /// One of them may have run.
+    /// At least one attempt may have run.
     may_have_run: bool,
-    /// Nobody holds it.
+    /// No other gateway has stored it.
     unreplicated: bool,
-    /// When its entry counts as not held.
+    /// From this time on an unconfirmed entry counts as not replicated.
     replicate_by: Micros,
 }
 
 struct ParkedAttempt {
     key: Key,
+    /// Number of the attempt within its event.
     attempt: u32,
 }
 
-/// See the module's page.
+/// The replicated events of one loop.
 pub struct ReplicatedEvents {
     classes: Vec<(Option<KeptConfig>, Repeat)>,
     entry_bytes: usize,
     events: HashMap<Key, TrackedEvent>,
-    /// Attempts that wait to leave.
+    /// Attempts held back until their entry is replicated.
     parked: HashMap<AttemptId, ParkedAttempt>,
-    /// Attempts that are out.
+    /// Attempts that may have been sent and have not ended.
     in_flight: HashMap<AttemptId, Key>,
     waiters: HashMap<WaiterId, Key>,
     event_timers: Timers<Key>,
-    /// When a parked attempt is of no more use.
+    /// Expiry of parked attempts.
     attempt_timers: Timers<AttemptId>,
-    /// Ended, oldest first, up to a bound.
+    /// Ended events, oldest first, at most `max_ended`.
     ended: VecDeque<Key>,
     max_ended: usize,
-    /// For the control thread, in order.
+    /// Journal steps for the control thread, in order.
     pub steps: VecDeque<Step>,
 }
 
+/// Whether another gateway may run an event of this class again.
 fn rerun_rule(repeat: Repeat) -> Again {
     match repeat {
         Repeat::Safe => Again::Safe,
-        // Workers of another site share no memory of keys but where all do.
+        // Workers of different sites share seen keys only if the group is all workers.
         Repeat::Keyed { group: Group::All, window } => Again::Keyed { window },
         Repeat::Keyed { .. } | Repeat::Unsafe => Again::Unsafe,
     }
 }
 
 impl ReplicatedEvents {
-    /// None yet; nothing where no class keeps its events.
+    /// No events yet; `None` if no class is replicated. At most `max_ended` ended events are remembered.
     pub fn new(
         classes: Vec<(Option<KeptConfig>, Repeat)>,
         entry_bytes: usize,
-        most_ended: usize,
+        max_ended: usize,
     ) -> Option<Self> {
         classes.iter().any(|(kept, _)| kept.is_some()).then(|| Self {
             classes,
@@ -134,13 +137,13 @@
             event_timers: Timers::default(),
             attempt_timers: Timers::default(),
             ended: VecDeque::new(),
-            max_ended: most_ended,
+            max_ended,
             steps: VecDeque::new(),
         })
     }
 
-    /// Whether a class keeps its events.
-    pub fn is_replicated(&self, class: usize) -> bool {
+    /// Whether events of this class are replicated.
+    pub fn is_replicated_class(&self, class: usize) -> bool {
         self.classes.get(class).is_some_and(|(kept, _)| kept.is_some())
     }
 
@@ -149,11 +152,12 @@
         self.event_timers.next_due().into_iter().chain(self.attempt_timers.next_due()).min()
     }
 
+    /// The refusal of an event that could not be replicated, if the class demands one.
     fn refusal(class: &KeptConfig) -> Option<Answer<Reply>> {
         (class.unheld == Unheld::Refuse).then_some(Answer::Refused(Refusal::NotReplicated, None))
     }
 
-    /// A call that this loop owns. `wall` is the wall clock in milliseconds.
+    /// Accepts a call that this loop owns. `wall` is the wall clock in milliseconds.
     pub fn accept(&mut self, (now, wall): (Micros, u64), call: NewCall<Event>) -> AcceptOutcome {
         let class = call.function.class;
         let Some((Some(kept), repeat)) = self.classes.get(class).copied() else {
@@ -185,15 +189,15 @@
         }
         let mut event = Vec::new();
         to_json(&call.payload, &mut event);
-        let long = event.len() + call.function.name.as_str().len() > self.entry_bytes;
-        let waits = !long && self.steps.len() < MAX_QUEUED_STEPS;
-        if let Some(answer) = Self::refusal(&kept).filter(|_| !waits) {
+        let too_long = event.len() + call.function.name.as_str().len() > self.entry_bytes;
+        let replicate = !too_long && self.steps.len() < MAX_QUEUED_STEPS;
+        if let Some(answer) = Self::refusal(&kept).filter(|_| !replicate) {
             return AcceptOutcome::Answer(call.waiter, answer);
         }
         let deadline = call.deadline;
-        let until = now + deadline.saturating_sub(now) / REPLICATION_TIME_SHARE;
-        let state = if waits { State::AwaitingReplica(Vec::new()) } else { State::Unreplicated };
-        self.event_timers.set(if waits { until } else { deadline + CLOSE_AFTER_US }, key);
+        let replicate_by = now + deadline.saturating_sub(now) / REPLICATION_TIME_SHARE;
+        let state = if replicate { State::AwaitingReplica(Vec::new()) } else { State::Unreplicated };
+        self.event_timers.set(if replicate { replicate_by } else { deadline + CLOSE_AFTER_US }, key);
         self.events.insert(
             key,
             TrackedEvent {
@@ -202,11 +206,11 @@
                 deadline,
                 attempts: 0,
                 may_have_run: false,
-                unreplicated: !waits,
-                replicate_by: until,
+                unreplicated: !replicate,
+                replicate_by,
             },
         );
-        if !waits {
+        if !replicate {
             self.waiters.insert(call.waiter, key);
             return AcceptOutcome::Proceed(call);
         }
@@ -226,25 +230,27 @@
         AcceptOutcome::Waiting
     }
 
-    /// Gateways of other sites hold an event's entry, or do not.
-    pub fn replicated(&mut self, key: Key, held: bool) -> Vec<Action> {
+    /// Gateways of other sites have stored an event's entry, or could not. Returns what follows for the waiting calls.
+    pub fn replication_result(&mut self, key: Key, replicated: bool) -> Vec<Action> {
         let Some(event) = self.events.get_mut(&key) else { return Vec::new() };
         let State::AwaitingReplica(calls) = &mut event.state else { return Vec::new() };
         let calls = std::mem::take(calls);
-        let answer = self.classes[event.class].0.and_then(|kept| Self::refusal(&kept)).filter(|_| !held);
+        let answer =
+            self.classes[event.class].0.and_then(|kept| Self::refusal(&kept)).filter(|_| !replicated);
         if let Some(answer) = answer {
             self.end(key, Outcome::Refused, Vec::new());
             self.events.remove(&key);
             return calls.into_iter().map(|call| Action::Answer(call.waiter, answer.clone())).collect();
         }
-        event.state = if held { State::Replicated } else { State::Unreplicated };
-        event.unreplicated = !held;
+        event.state = if replicated { State::Replicated } else { State::Unreplicated };
+        event.unreplicated = !replicated;
         self.event_timers.set(event.deadline + CLOSE_AFTER_US, key);
         self.waiters.extend(calls.iter().map(|call| (call.waiter, key)));
         calls.into_iter().map(Action::Proceed).collect()
     }
 
-    /// An attempt is to go to a worker, and is of no more use after `until`.
+    /// Decides whether an attempt may be sent to a worker now. The attempt is useless after `until`; `wall` is the wall
+    /// clock in milliseconds.
     pub fn decide_send(
         &mut self,
         (wall, until): (u64, Micros),
@@ -254,7 +260,7 @@
     ) -> SendDecision {
         let key = Key(digest(identity));
         let Some(event) = self.events.get_mut(&key) else { return SendDecision::Now };
-        let free = self.classes[event.class].1 == Repeat::Safe;
+        let is_safe = self.classes[event.class].1 == Repeat::Safe;
         match event.state {
             State::Replicated => {
                 let number = event.attempts;
@@ -262,30 +268,30 @@
                 self.parked.insert(attempt, ParkedAttempt { key, attempt: number });
                 self.attempt_timers.set(until, attempt);
                 self.steps.push_back(Step::Sending { key, attempt: number, worker: worker.into(), at: wall });
-                SendDecision::Waits
+                SendDecision::Wait
             }
             State::Unreplicated => {
                 event.attempts += 1;
                 self.in_flight.insert(attempt, key);
                 SendDecision::Now
             }
-            State::Ended(_) if free => SendDecision::Now,
+            State::Ended(_) if is_safe => SendDecision::Now,
             State::Ended(_) | State::TakenOver | State::AwaitingReplica(_) => SendDecision::Never,
         }
     }
 
-    /// What was pending here is others' now: gives what had not left.
+    /// Other gateways have taken over an event: no further attempt of it is sent from here.
     pub fn taken_over(&mut self, key: Key) -> Vec<Action> {
-        let mut then = self.replicated(key, false);
+        let mut actions = self.replication_result(key, false);
         if let Some(event) = self.events.get_mut(&key).filter(|e| !matches!(e.state, State::Ended(_))) {
             event.state = State::TakenOver;
         }
         let parked: Vec<_> = self.parked.iter().filter(|(_, p)| p.key == key).map(|(id, _)| *id).collect();
-        then.extend(parked.into_iter().filter(|id| self.abort(*id)).map(Action::Withhold));
-        then
+        actions.extend(parked.into_iter().filter(|id| self.abort(*id)).map(Action::Withhold));
+        actions
     }
 
-    /// Another gateway sees to an event of this name: those who wait for it here come again later.
+    /// Another gateway is responsible for an event with this key: clients waiting here are asked to retry later.
     pub fn owned_elsewhere(&mut self, key: Key) -> Vec<Action> {
         if !matches!(self.events.get(&key), Some(TrackedEvent { state: State::AwaitingReplica(_), .. })) {
             return Vec::new();
@@ -302,11 +308,11 @@
         calls.into_iter().map(refused).collect()
     }
 
-    /// An attempt may leave before `until`, or may not.
+    /// A parked attempt may be sent before `until`, or not at all.
     pub fn lease_decided(&mut self, key: Key, number: u32, until: Option<Micros>) -> Option<Action> {
-        let named =
+        let is_meant =
             |(_, parked): &(&AttemptId, &ParkedAttempt)| (parked.key, parked.attempt) == (key, number);
-        let attempt = *self.parked.iter().find(named)?.0;
+        let attempt = *self.parked.iter().find(is_meant)?.0;
         self.parked.remove(&attempt);
         Some(match until {
             Some(until) => {
@@ -317,12 +323,12 @@
         })
     }
 
-    /// An attempt is called off: true where it had not left.
+    /// Cancels an attempt; returns true if it was still parked, so that it never ran.
     pub fn abort(&mut self, attempt: AttemptId) -> bool {
         self.parked.remove(&attempt).is_some()
     }
 
-    /// An attempt has ended.
+    /// An attempt that was sent has ended.
     pub fn attempt_ended(&mut self, attempt: AttemptId, end: &AttemptEnd<Reply>) {
         let Some(key) = self.in_flight.remove(&attempt) else { return };
         let Some(event) = self.events.get_mut(&key) else { return };
@@ -335,26 +341,27 @@
         }
     }
 
-    /// The engine's answer to a client, as it is given: one that nobody held says so.
+    /// Records the engine's answer to a client and returns the answer to send: the reply to an unreplicated event carries
+    /// `kept` = false.
     pub fn answered(&mut self, waiter: WaiterId, answer: Answer<Reply>) -> Answer<Reply> {
         let Some(key) = self.waiters.remove(&waiter) else { return answer };
         let Some(event) = self.events.get(&key) else { return answer };
-        let (bare, unsafe_ran) =
+        let (unreplicated, unsafe_may_have_run) =
             (event.unreplicated, event.may_have_run && self.classes[event.class].1 == Repeat::Unsafe);
         match answer {
-            // Its end was written when the attempt ended.
-            Answer::Served(reply) if bare => {
-                let told = Attribute::Boolean(false);
-                return Answer::Served(Reply(Arc::new(Event::clone(&reply.0).with(KEPT, told))));
+            // The end was journaled when the attempt ended.
+            Answer::Served(reply) if unreplicated => {
+                let kept = Attribute::Boolean(false);
+                return Answer::Served(Reply(Arc::new(Event::clone(&reply.0).with(KEPT, kept))));
             }
             Answer::Served(_) => {}
-            Answer::Refused(..) if !unsafe_ran => self.end(key, Outcome::Refused, Vec::new()),
+            Answer::Refused(..) if !unsafe_may_have_run => self.end(key, Outcome::Refused, Vec::new()),
             Answer::Refused(..) | Answer::Failed(_) => self.end(key, Outcome::Failed, Vec::new()),
         }
         answer
     }
 
-    /// A client has left. One whose call waits for its entry takes it along where no other waits with it.
+    /// A client has disconnected. If its call still waits for replication and is the only one, the event is dropped.
     pub fn client_left(&mut self, waiter: WaiterId) {
         if self.waiters.remove(&waiter).is_some() {
             return;
@@ -376,11 +383,12 @@
         }
     }
 
-    /// An event of a lost site was ended by its heirs: repeats are told so, those that wait here at once.
+    /// An event of a lost site was ended by the gateways that took it over. Repeats get that outcome; those already
+    /// waiting here are answered at once.
     pub fn ended_elsewhere(&mut self, key: Key, outcome: Outcome, answer: &[u8], now: Micros) -> Vec<Action> {
         let reply = from_json(answer).ok().map(|event| Reply(Arc::new(event)));
         let state = State::Ended(Some((outcome, reply)));
-        let known = TrackedEvent {
+        let ended = TrackedEvent {
             state,
             class: 0,
             deadline: now,
@@ -394,21 +402,22 @@
             Some(State::AwaitingReplica(calls)) => std::mem::take(calls),
             Some(State::Replicated | State::Unreplicated) => return Vec::new(),
         };
-        self.events.insert(key, known);
+        self.events.insert(key, ended);
         self.evict_oldest(key);
-        let again: Vec<_> = calls.into_iter().map(|call| self.accept((now, 0), call)).collect();
-        let answers = again.into_iter().filter_map(|accept| match accept {
+        let outcomes: Vec<_> = calls.into_iter().map(|call| self.accept((now, 0), call)).collect();
+        let answers = outcomes.into_iter().filter_map(|outcome| match outcome {
             AcceptOutcome::Answer(waiter, answer) => Some(Action::Answer(waiter, answer)),
             AcceptOutcome::Proceed(_) | AcceptOutcome::Waiting => None,
         });
         answers.collect()
     }
 
-    /// An event of a lost site that was to be done here can't be: its journal is told.
+    /// An event of a lost site can't be run here: journals it as refused.
     pub fn abandon(&mut self, key: Key) {
         self.steps.push_back(Step::Ended { key, outcome: Outcome::Refused, answer: Vec::new() });
     }
 
+    /// Marks an event as ended and journals its end if its entry is in the journal.
     fn end(&mut self, key: Key, outcome: Outcome, answer: Vec<u8>) {
         let Some(event) = self.events.get_mut(&key) else { return };
         match event.state {
@@ -422,6 +431,7 @@
         self.evict_oldest(key);
     }
 
+    /// Adds an ended event and forgets the oldest ones beyond the limit.
     fn evict_oldest(&mut self, key: Key) {
         self.ended.push_back(key);
         while self.ended.len() > self.max_ended {
@@ -432,20 +442,20 @@
         }
     }
 
-    /// Entries that were not held in time, and events that nothing else closed.
+    /// Runs due timers: expired attempts, entries not replicated in time, and events that nothing else closed.
     pub fn wake(&mut self, now: Micros) -> Vec<Action> {
-        let mut then = Vec::new();
+        let mut actions = Vec::new();
         while let Some((_, attempt)) = self.attempt_timers.pop_due(now) {
-            then.extend(self.abort(attempt).then_some(Action::Withhold(attempt)));
+            actions.extend(self.abort(attempt).then_some(Action::Withhold(attempt)));
         }
         while let Some((_, key)) = self.event_timers.pop_due(now) {
             let Some(event) = self.events.get(&key) else { continue };
             match event.state {
-                // A timer of an earlier call of this name may come first.
+                // A timer of an earlier event with this key may fire first.
                 State::AwaitingReplica(_) if now >= event.replicate_by => {
-                    then.extend(self.replicated(key, false))
+                    actions.extend(self.replication_result(key, false))
                 }
-                // Whoever sees to it has closed it by now.
+                // The gateways that took it over have closed it by now.
                 State::TakenOver if now >= event.deadline + CLOSE_AFTER_US => {
                     self.events.entry(key).and_modify(|event| {
                         event.state = State::Ended(Some((Outcome::Failed, None)));
@@ -459,7 +469,7 @@
                 _ => {}
             }
         }
-        then
+        actions
     }
 }
 
@@ -471,10 +481,10 @@
 
     const S: Micros = 1_000_000;
 
-    fn events(unheld: Unheld, repeat: Repeat) -> ReplicatedEvents {
+    fn new_events(unheld: Unheld, repeat: Repeat) -> ReplicatedEvents {
         let kept = KeptConfig { holders: 1, unheld, owed: false };
         ReplicatedEvents::new(vec![(Some(kept), repeat), (None, Repeat::Safe)], 1_000, 2)
-            .expect("a class keeps")
+            .expect("a replicated class")
     }
 
     fn call(waiter: u64, id: &str, class: usize) -> NewCall<Event> {
@@ -492,9 +502,10 @@
         AttemptId { request: RequestId(7), number }
     }
 
-    fn went(then: Vec<Action>) -> Vec<u64> {
-        then.iter()
-            .filter_map(|t| if let Action::Proceed(call) = t { Some(call.waiter.0) } else { None })
+    fn proceeding(actions: Vec<Action>) -> Vec<u64> {
+        actions
+            .iter()
+            .filter_map(|action| if let Action::Proceed(call) = action { Some(call.waiter.0) } else { None })
             .collect()
     }
 
@@ -506,117 +517,126 @@
     }
 
     #[test]
-    fn a_call_and_its_repeats_go_on_once_it_is_held_and_each_step_is_told_once() {
-        let mut kept = events(Unheld::Refuse, Repeat::Unsafe);
-        assert!(matches!(kept.accept((0, 0), call(1, "a", 0)), AcceptOutcome::Waiting));
-        assert!(matches!(kept.accept((0, 0), call(2, "a", 0)), AcceptOutcome::Waiting));
+    fn calls_proceed_once_their_entry_is_replicated_and_each_step_is_journaled_once() {
+        let mut events = new_events(Unheld::Refuse, Repeat::Unsafe);
+        assert!(matches!(events.accept((0, 0), call(1, "a", 0)), AcceptOutcome::Waiting));
+        assert!(matches!(events.accept((0, 0), call(2, "a", 0)), AcceptOutcome::Waiting));
         assert!(
-            matches!(kept.accept((0, 0), call(3, "b", 1)), AcceptOutcome::Proceed(_)),
-            "its class keeps nothing"
+            matches!(events.accept((0, 0), call(3, "b", 1)), AcceptOutcome::Proceed(_)),
+            "its class is not replicated"
+        );
+        assert_eq!(events.steps.len(), 1);
+        assert_eq!(proceeding(events.replication_result(key("a"), true)), [1, 2]);
+        assert!(
+            proceeding(events.replication_result(key("a"), true)).is_empty(),
+            "a repeated confirmation released calls again"
         );
-        assert_eq!(kept.steps.len(), 1);
-        assert_eq!(went(kept.replicated(key("a"), true)), [1, 2]);
-        assert!(went(kept.replicated(key("a"), true)).is_empty(), "told twice");
         let identity = call(1, "a", 0).identity;
-        let start = kept.decide_send((5, 8 * S), attempt(0), &identity, "w");
-        assert_eq!(start, SendDecision::Waits, "left before it was known to be held");
-        assert!(kept.lease_decided(key("a"), 1, Some(S)).is_none(), "the word for another attempt");
+        let decision = events.decide_send((5, 8 * S), attempt(0), &identity, "w");
+        assert_eq!(decision, SendDecision::Wait, "sent before its entry was replicated");
+        assert!(events.lease_decided(key("a"), 1, Some(S)).is_none(), "a lease of another attempt was used");
         assert!(
-            matches!(kept.lease_decided(key("a"), 0, Some(S)), Some(Action::Send(id, S)) if id == attempt(0))
+            matches!(events.lease_decided(key("a"), 0, Some(S)), Some(Action::Send(id, S)) if id == attempt(0))
         );
-        kept.attempt_ended(attempt(0), &served());
-        kept.attempt_ended(attempt(0), &served());
-        let ended = kept.steps.iter().filter(|step| matches!(step, Step::Ended { .. })).count();
-        assert_eq!((kept.steps.len(), ended), (3, 1));
+        events.attempt_ended(attempt(0), &served());
+        events.attempt_ended(attempt(0), &served());
+        let ended = events.steps.iter().filter(|step| matches!(step, Step::Ended { .. })).count();
+        assert_eq!((events.steps.len(), ended), (3, 1));
     }
 
     #[test]
-    fn what_is_not_held_in_time_is_refused_or_goes_on_and_says_so() {
-        let mut kept = events(Unheld::Refuse, Repeat::Safe);
-        kept.accept((0, 0), call(1, "a", 0));
-        assert!(kept.wake(2 * S - 1).is_empty());
-        let then = kept.wake(2 * S);
-        let unkept = Answer::Refused(Refusal::NotReplicated, None);
-        assert!(matches!(&then[..], [Action::Answer(WaiterId(1), answer)] if *answer == unkept));
-        assert!(matches!(kept.steps.back(), Some(Step::Ended { outcome: Outcome::Refused, .. })));
-
-        let mut kept = events(Unheld::GoOn, Repeat::Safe);
-        kept.accept((0, 0), call(1, "a", 0));
-        assert_eq!(went(kept.replicated(key("a"), false)), [1]);
-        let start = kept.decide_send((0, S), attempt(0), &call(1, "a", 0).identity, "w");
-        assert_eq!(start, SendDecision::Now, "it waits for nobody");
+    fn unreplicated_events_are_refused_or_proceed_with_a_marked_reply() {
+        let mut events = new_events(Unheld::Refuse, Repeat::Safe);
+        events.accept((0, 0), call(1, "a", 0));
+        assert!(events.wake(2 * S - 1).is_empty());
+        let actions = events.wake(2 * S);
+        let refusal = Answer::Refused(Refusal::NotReplicated, None);
+        assert!(matches!(&actions[..], [Action::Answer(WaiterId(1), answer)] if *answer == refusal));
+        assert!(matches!(events.steps.back(), Some(Step::Ended { outcome: Outcome::Refused, .. })));
+
+        let mut events = new_events(Unheld::GoOn, Repeat::Safe);
+        events.accept((0, 0), call(1, "a", 0));
+        assert_eq!(proceeding(events.replication_result(key("a"), false)), [1]);
+        let decision = events.decide_send((0, S), attempt(0), &call(1, "a", 0).identity, "w");
+        assert_eq!(decision, SendDecision::Now, "an unreplicated event must not wait");
         let Some(reply) = served().reply else { return };
-        let Answer::Served(told) = kept.answered(WaiterId(1), Answer::Served(reply)) else {
-            panic!("served")
+        let Answer::Served(reply) = events.answered(WaiterId(1), Answer::Served(reply)) else {
+            panic!("the answer is not a reply")
         };
-        assert_eq!(told.0.extension(KEPT), Some(&Attribute::Boolean(false)));
+        assert_eq!(reply.0.extension(KEPT), Some(&Attribute::Boolean(false)));
     }
 
     #[test]
-    fn an_attempt_that_never_left_is_known_not_to_have_run() {
-        let mut kept = events(Unheld::Refuse, Repeat::Unsafe);
-        kept.accept((0, 0), call(1, "a", 0));
-        kept.replicated(key("a"), true);
+    fn attempts_that_were_never_sent_are_known_not_to_have_run() {
+        let mut events = new_events(Unheld::Refuse, Repeat::Unsafe);
+        events.accept((0, 0), call(1, "a", 0));
+        events.replication_result(key("a"), true);
         let identity = call(1, "a", 0).identity;
-        kept.decide_send((0, 3 * S), attempt(0), &identity, "w");
-        assert!(matches!(kept.lease_decided(key("a"), 0, None), Some(Action::Withhold(_))), "no lease");
-        kept.decide_send((0, 3 * S), attempt(1), &identity, "w");
+        events.decide_send((0, 3 * S), attempt(0), &identity, "w");
+        assert!(matches!(events.lease_decided(key("a"), 0, None), Some(Action::Withhold(_))), "no lease");
+        events.decide_send((0, 3 * S), attempt(1), &identity, "w");
+        assert!(
+            matches!(events.wake(3 * S)[..], [Action::Withhold(id)] if id == attempt(1)),
+            "the control thread did not answer in time"
+        );
+        events.decide_send((0, 3 * S), attempt(2), &identity, "w");
         assert!(
-            matches!(kept.wake(3 * S)[..], [Action::Withhold(id)] if id == attempt(1)),
-            "the control thread is silent"
+            events.abort(attempt(2)) && events.lease_decided(key("a"), 2, Some(S)).is_none(),
+            "cancelled before it was sent"
         );
-        kept.decide_send((0, 3 * S), attempt(2), &identity, "w");
-        assert!(kept.abort(attempt(2)) && kept.lease_decided(key("a"), 2, Some(S)).is_none(), "called off");
-        kept.answered(WaiterId(1), Answer::Refused(Refusal::NotStarted, None));
-        assert!(matches!(kept.steps.back(), Some(Step::Ended { outcome: Outcome::Refused, .. })));
-        // Where one may have run, a refusal by the engine is not told to heirs as one.
-        kept.accept((0, 0), call(2, "b", 0));
-        kept.replicated(key("b"), true);
-        kept.decide_send((0, 3 * S), attempt(3), &call(2, "b", 0).identity, "w");
-        kept.lease_decided(key("b"), 0, Some(S));
-        kept.attempt_ended(attempt(3), &AttemptEnd::from_code(Code::Reset));
-        kept.answered(WaiterId(2), Answer::Failed(Failure::MayHaveRun));
-        assert!(matches!(kept.steps.back(), Some(Step::Ended { outcome: Outcome::Failed, .. })));
+        events.answered(WaiterId(1), Answer::Refused(Refusal::NotStarted, None));
+        assert!(matches!(events.steps.back(), Some(Step::Ended { outcome: Outcome::Refused, .. })));
+        // Once an attempt may have run, a refusal by the engine is not journaled as one.
+        events.accept((0, 0), call(2, "b", 0));
+        events.replication_result(key("b"), true);
+        events.decide_send((0, 3 * S), attempt(3), &call(2, "b", 0).identity, "w");
+        events.lease_decided(key("b"), 0, Some(S));
+        events.attempt_ended(attempt(3), &AttemptEnd::from_code(Code::Reset));
+        events.answered(WaiterId(2), Answer::Failed(Failure::MayHaveRun));
+        assert!(matches!(events.steps.back(), Some(Step::Ended { outcome: Outcome::Failed, .. })));
     }
 
     #[test]
-    fn a_repeat_of_an_event_that_heirs_ended_is_told_how_and_old_ends_are_forgotten() {
-        let mut kept = events(Unheld::Refuse, Repeat::Unsafe);
+    fn repeats_of_events_ended_elsewhere_get_their_outcome_until_evicted() {
+        let mut events = new_events(Unheld::Refuse, Repeat::Unsafe);
         for (id, outcome) in [("x", Outcome::Refused), ("a", Outcome::Failed), ("b", Outcome::Failed)] {
-            kept.ended_elsewhere(key(id), outcome, &[], 0);
+            events.ended_elsewhere(key(id), outcome, &[], 0);
         }
-        let answer = |kept: &mut ReplicatedEvents, id| match kept.accept((0, 0), call(9, id, 0)) {
+        let answer = |events: &mut ReplicatedEvents, id| match events.accept((0, 0), call(9, id, 0)) {
             AcceptOutcome::Answer(_, answer) => Some(answer),
             _ => None,
         };
-        assert_eq!(answer(&mut kept, "a"), Some(Answer::Failed(Failure::MayHaveRun)));
-        assert_eq!(answer(&mut kept, "x"), None, "past the bound");
+        assert_eq!(answer(&mut events, "a"), Some(Answer::Failed(Failure::MayHaveRun)));
+        assert_eq!(answer(&mut events, "x"), None, "remembered beyond the limit");
     }
 
     #[test]
-    fn what_others_see_to_does_not_leave_any_more_and_is_forgotten_after_its_time() {
-        let mut kept = events(Unheld::Refuse, Repeat::Unsafe);
-        kept.accept((0, 0), call(1, "a", 0));
-        kept.replicated(key("a"), true);
+    fn events_taken_over_are_not_sent_any_more_and_are_evicted_later() {
+        let mut events = new_events(Unheld::Refuse, Repeat::Unsafe);
+        events.accept((0, 0), call(1, "a", 0));
+        events.replication_result(key("a"), true);
         let identity = call(1, "a", 0).identity;
-        kept.decide_send((0, 3 * S), attempt(0), &identity, "w");
-        assert!(matches!(kept.taken_over(key("a"))[..], [Action::Withhold(id)] if id == attempt(0)));
-        assert_eq!(kept.decide_send((0, 3 * S), attempt(1), &identity, "w"), SendDecision::Never);
+        events.decide_send((0, 3 * S), attempt(0), &identity, "w");
+        assert!(matches!(events.taken_over(key("a"))[..], [Action::Withhold(id)] if id == attempt(0)));
+        assert_eq!(events.decide_send((0, 3 * S), attempt(1), &identity, "w"), SendDecision::Never);
         let failed = |accept| matches!(accept, AcceptOutcome::Answer(_, Answer::Failed(Failure::MayHaveRun)));
-        assert!(failed(kept.accept((0, 0), call(2, "a", 0))));
-        kept.wake(8 * S + CLOSE_AFTER_US);
-        assert!(failed(kept.accept((9 * S, 0), call(3, "a", 0))));
+        assert!(failed(events.accept((0, 0), call(2, "a", 0))));
+        events.wake(8 * S + CLOSE_AFTER_US);
+        assert!(failed(events.accept((9 * S, 0), call(3, "a", 0))));
         for id in ["b", "c"] {
-            assert!(kept.ended_elsewhere(key(id), Outcome::Failed, &[], 9 * S).is_empty());
+            assert!(events.ended_elsewhere(key(id), Outcome::Failed, &[], 9 * S).is_empty());
         }
-        assert!(matches!(kept.accept((9 * S, 0), call(4, "a", 0)), AcceptOutcome::Waiting), "past the bound");
+        assert!(
+            matches!(events.accept((9 * S, 0), call(4, "a", 0)), AcceptOutcome::Waiting),
+            "remembered beyond the limit"
+        );
     }
 
     #[test]
-    fn a_control_thread_that_stands_still_bounds_what_waits() {
-        let mut kept = events(Unheld::Refuse, Repeat::Safe);
+    fn a_stalled_control_thread_bounds_the_waiting_events() {
+        let mut events = new_events(Unheld::Refuse, Repeat::Safe);
         let mut waits = |n: usize| {
-            matches!(kept.accept((0, 0), call(n as u64, &n.to_string(), 0)), AcceptOutcome::Waiting)
+            matches!(events.accept((0, 0), call(n as u64, &n.to_string(), 0)), AcceptOutcome::Waiting)
         };
         assert_eq!((0..MAX_QUEUED_STEPS + 100).filter(|n| waits(*n)).count(), MAX_QUEUED_STEPS);
     }
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -412,7 +412,7 @@
                 let job =
                     Job::Attempt { id: attempt, event: payload, function, repeat, until, identity, lease };
                 match (start, &mut self.sites) {
-                    (SendDecision::Waits, Some(sites)) => {
+                    (SendDecision::Wait, Some(sites)) => {
                         sites.park(attempt, worker, job);
                         None
                     }
--- a/crates/gateway/src/scheduler/calls.rs
+++ b/crates/gateway/src/scheduler/calls.rs
@@ -128,7 +128,7 @@
         for word in self.sites.as_mut().map(Sites::exchange_control).unwrap_or_default() {
             let Some(kept) = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut()) else { return };
             let then = match word {
-                ControlMessage::Replicated(key, held) => kept.replicated(key, held),
+                ControlMessage::Replicated(key, held) => kept.replication_result(key, held),
                 ControlMessage::SendDecision(key, number, until) => {
                     kept.lease_decided(key, number, until).into_iter().collect()
                 }
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -277,7 +277,7 @@
     /// Whose a call is, where its event has one owner over all sites: one of a kept class that may not simply run again.
     fn event_owner(&self, now: Micros, call: &NewCall<Event>) -> Option<EventOwner> {
         let class = call.function.class;
-        if self.repeats[class] == Repeat::Safe || !self.replicated.as_ref()?.is_replicated(class) {
+        if self.repeats[class] == Repeat::Safe || !self.replicated.as_ref()?.is_replicated_class(class) {
             return None;
         }
         let owners = self.tables.owners.load();
