--- a/crates/gateway/src/channels.rs
+++ b/crates/gateway/src/channels.rs
@@ -1,4 +1,5 @@
-//! What the loops of one gateway say to each other: a ring for each pair, one writer and one reader, no lock.
+//! Message channels between the loops of one gateway: a single-producer single-consumer ring for each ordered pair of
+//! loops, without locks.
 
 use crate::worker_wire::Reply;
 use basaltward::{Micros, WorkerId};
@@ -11,12 +12,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// Messages that a ring holds; further ones wait with their sender.
+/// Capacity of a ring, in messages; further messages wait at their sender.
 const RING_CAPACITY: usize = 1_024;
 
-/// From one loop to another.
+/// A message from one loop to another.
 pub enum Message {
-    /// A call that the reader owns; `by` is when its answer is due at the sender.
+    /// A call whose event the receiver owns; its answer is due at the sender by `deadline`.
     Call {
         waiter: WaiterId,
         identity: Identity,
@@ -25,9 +26,9 @@
         payload: Arc<Event>,
         claim: Claim,
     },
-    /// A client of the sender has left.
+    /// A client of the sender has disconnected.
     ClientLeft(WaiterId),
-    /// The final answer for a client of the reader.
+    /// The final answer for a client of the receiver.
     Answer {
         waiter: WaiterId,
         answer: Answer<Reply>,
@@ -39,36 +40,38 @@
 
 struct Peer {
     outbox: Producer<Message>,
-    /// What found no room, oldest first. Bounded by the calls that are out between the two.
+    /// Messages that did not fit into the ring, oldest first. Bounded by the calls in flight between the two loops.
     overflow: VecDeque<Message>,
     inbox: Consumer<Message>,
     waker: Waker,
-    /// The peer was woken and has not looked yet.
+    /// The peer has been woken and has not read its messages yet.
     wake_pending: Arc<AtomicBool>,
+    /// Messages were sent to the peer since the last flush, or are still waiting.
     needs_flush: bool,
 }
 
-/// One loop's end of the rings to and from all others.
+/// One loop's ends of the rings to and from all other loops.
 pub struct LoopChannels {
-    me: usize,
+    index: usize,
     peers: Vec<Option<Peer>>,
     woken: Arc<AtomicBool>,
-    /// Loops that may still have something for others.
+    /// Number of loops that may still send messages to others.
     active_loops: Arc<AtomicUsize>,
+    /// This loop has been subtracted from `active_loops`.
     is_idle: bool,
     owner_hasher: RandomState,
     seen: Arc<SeenEvents>,
 }
 
 impl LoopChannels {
-    /// The ends of all loops, by number; `wakers` are theirs. Events are known to each other's loops for at
-    /// least `span`.
-    pub fn join(wakers: &[Waker], span: Micros) -> Vec<Self> {
+    /// Creates the channels of all loops, by loop index; `wakers` are the loops' wakers. Events recorded by any loop are
+    /// remembered for at least `retention`.
+    pub fn join(wakers: &[Waker], retention: Micros) -> Vec<Self> {
         let count = wakers.len();
-        let (owners, seen) = (RandomState::new(), Arc::new(SeenEvents::new(span)));
+        let (owners, seen) = (RandomState::new(), Arc::new(SeenEvents::new(retention)));
         let busy = Arc::new(AtomicUsize::new(count));
         let woken: Vec<Arc<AtomicBool>> = wakers.iter().map(|_| Arc::default()).collect();
-        // By reader, then writer.
+        // Indexed by reader, then by writer.
         let mut rings: Vec<Vec<_>> =
             (0..count).map(|_| (0..count).map(|_| Some(RingBuffer::new(RING_CAPACITY))).collect()).collect();
         let mut outs: Vec<Vec<_>> = (0..count).map(|_| Vec::new()).collect();
@@ -82,7 +85,7 @@
             }
         }
         let ends = outs.into_iter().zip(inboxes).enumerate();
-        let end = |(me, (outs, inboxes)): (usize, (Vec<Option<_>>, Vec<Option<_>>))| {
+        let end = |(index, (outs, inboxes)): (usize, (Vec<Option<_>>, Vec<Option<_>>))| {
             let ends = outs.into_iter().zip(inboxes).enumerate();
             let peer = |(other, (out, inbox)): (usize, (Option<_>, Option<_>))| {
                 let (waiting, waker, woken) = (VecDeque::new(), wakers[other].clone(), woken[other].clone());
@@ -96,9 +99,9 @@
                 })
             };
             Self {
-                me,
+                index,
                 peers: ends.map(peer).collect(),
-                woken: woken[me].clone(),
+                woken: woken[index].clone(),
                 active_loops: busy.clone(),
                 is_idle: false,
                 owner_hasher: owners.clone(),
@@ -108,24 +111,24 @@
         ends.map(end).collect()
     }
 
-    /// This loop's number.
+    /// This loop's index.
     pub fn index(&self) -> usize {
-        self.me
+        self.index
     }
 
-    /// The loop that owns an event, with the hash that says so; nothing where there is one loop only. The hash
-    /// has a key of this process: no client can choose its loop.
+    /// The loop that owns an event and the hash that determines it; `None` if there is only one loop. The hash is keyed
+    /// with a random key of this process, so clients can't choose their loop.
     pub fn owner(&self, identity: &Identity) -> Option<(usize, u64)> {
         let hash = (self.peers.len() > 1).then(|| self.owner_hasher.hash_one(identity))?;
         Some(((hash % self.peers.len() as u64) as usize, hash))
     }
 
-    /// Takes note of a keyed or unsafe event, by its hash; true where some loop may have heard of it before.
+    /// Records a keyed or unsafe event by its hash; returns true if some loop may have recorded it before.
     pub fn record_seen(&self, now: Micros, hash: u64) -> bool {
         self.seen.record(now, hash)
     }
 
-    /// Gives a loop a message; false where that loop has ended.
+    /// Sends a message to a loop; returns false if that loop has ended.
     pub fn send(&mut self, to: usize, message: Message) -> bool {
         let Some(Some(peer)) = self.peers.get_mut(to) else { return false };
         if peer.outbox.is_abandoned() {
@@ -137,11 +140,11 @@
         true
     }
 
-    /// Wakes the loops that got something.
+    /// Pushes waiting messages and wakes the loops that have received some.
     pub fn flush(&mut self) {
         for peer in self.peers.iter_mut().flatten().filter(|peer| peer.needs_flush) {
             peer.push();
-            // With messages left over it stays touched, so that the next turn pushes on.
+            // Messages left over are pushed in the next turn.
             peer.needs_flush = !peer.overflow.is_empty() && !peer.outbox.is_abandoned();
             if !peer.wake_pending.swap(true, Ordering::AcqRel) {
                 peer.waker.wake();
@@ -149,12 +152,12 @@
         }
     }
 
-    /// Whether messages wait for room in a ring.
+    /// Whether messages still have to be flushed.
     pub fn is_behind(&self) -> bool {
         self.peers.iter().flatten().any(|peer| peer.needs_flush)
     }
 
-    /// Takes what has come. The others wake this loop again from here on.
+    /// Reads all messages. Later ones wake this loop again.
     pub fn receive(&mut self, out: &mut Vec<Message>) {
         if !self.woken.swap(false, Ordering::AcqRel) {
             return;
@@ -164,7 +167,8 @@
         }
     }
 
-    /// This loop has no clients left and awaits nothing: gives whether that holds for all, who may then end.
+    /// Marks this loop as finished: it has no clients left and awaits nothing. Returns true once all loops have finished,
+    /// which may then end.
     pub fn finish(&mut self) -> bool {
         if !std::mem::replace(&mut self.is_idle, true)
             && self.active_loops.fetch_sub(1, Ordering::AcqRel) == 1
@@ -186,7 +190,7 @@
 }
 
 impl Drop for LoopChannels {
-    /// A loop that ends, however it does, holds no other back.
+    /// A loop that ends for any reason, panics included, must not keep the others waiting.
     fn drop(&mut self) {
         self.finish();
     }
--- a/crates/gateway/src/handover_wire.rs
+++ b/crates/gateway/src/handover_wire.rs
@@ -1,4 +1,4 @@
-//! A call handed to another site's gateway: a CloudEvent to its front as any client sends one.
+//! Calls handed over to a gateway of another site: an HTTP request with a CloudEvent, as any client sends it.
 
 use crate::front::extensions;
 use crate::worker_wire::{Reply, reply};
@@ -8,18 +8,19 @@
 use basaltward_http::{Body, HeadWriter, Response};
 use bytes::BytesMut;
 
-/// What the neighbour keeps back for its answer's way and ours: it is told a patience less by this.
+/// Time reserved for the answer's path back; the timeout sent to the other gateway is shorter by this.
 const ANSWER_RESERVE_US: Micros = 5_000;
 
-/// Writes the call. The patience is what is left of the client's; the neighbour is told that this is a hop, so that it
-/// goes no further, and by whom.
+/// Writes the request. Its timeout comes from `left`, the client's remaining time. The `hops` extension keeps the other
+/// gateway from handing the call over again, and `handedby` names this gateway, `by`.
 pub fn call(out: &mut BytesMut, host: &str, event: &Event, function: &Function, left: Micros, by: &str) {
-    let told = |name: &str| [extensions::TIMEOUT, extensions::HOPS, extensions::HANDED_BY].contains(&name);
+    let is_set_here =
+        |name: &str| [extensions::TIMEOUT, extensions::HOPS, extensions::HANDED_BY].contains(&name);
     let mut event = event.clone();
-    event.extensions.retain(|(name, _)| !told(name));
-    let patience = (left.saturating_sub(ANSWER_RESERVE_US) / 1_000).max(1);
+    event.extensions.retain(|(name, _)| !is_set_here(name));
+    let timeout_ms = (left.saturating_sub(ANSWER_RESERVE_US) / 1_000).max(1);
     let event = event
-        .with(extensions::TIMEOUT, Attribute::Text(patience.to_string()))
+        .with(extensions::TIMEOUT, Attribute::Text(timeout_ms.to_string()))
         .with(extensions::HOPS, Attribute::Integer(1))
         .with(extensions::HANDED_BY, Attribute::Text(by.to_owned()));
     let target = ["/functions/", function.name.as_str()].concat();
@@ -27,14 +28,14 @@
     write_binary_fields(&event, head).body(Body::Whole(&event.data));
 }
 
-/// What a whole response says. By a front's own page 503 is a refusal: nothing of the call has run.
+/// The end of the call for a complete response. A gateway answers 503 for a refusal: nothing of the call has run.
 pub fn attempt_end(response: &Response, event: &Event) -> AttemptEnd<Reply> {
     match response.status {
         200 => AttemptEnd { reply: Some(reply(response, event)), ..AttemptEnd::from_code(Code::Ok) },
         503 => AttemptEnd::from_code(Code::Full),
-        // Not known there: its list of functions is another one. Nothing has run.
+        // The other gateway doesn't know the function, as its settings differ. Nothing has run.
         400..=499 => AttemptEnd::from_code(Code::Miss),
-        // A whole answer that says that it failed, which none that breaks off says.
+        // A complete response that reports a failure; a broken connection never yields this code.
         _ => AttemptEnd::from_code(Code::Unknown),
     }
 }
@@ -44,7 +45,7 @@
     use super::*;
 
     #[test]
-    fn the_neighbour_is_told_what_is_left_and_that_it_is_a_hop_whatever_the_client_said() {
+    fn the_remaining_time_and_the_hop_replace_the_extensions_of_the_client() {
         let event = Event::new("1", "/s", "t")
             .with(extensions::HOPS, Attribute::Integer(0))
             .with(extensions::TIMEOUT, Attribute::Text("9000".into()))
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,6 @@
-//! The running gateway: a CloudEvents front, the engine with the controller, and links to the workers, joined
-//! by one loop for each thread. Nothing here decides about a call.
+//! The HTTP gateway: accepts CloudEvents, passes them as calls to the scheduling engine, and carries out the engine's
+//! decisions on connections to workers. One loop runs on each thread; a control thread handles the links to gateways of
+//! other sites. Scheduling decisions are made in the engine, not here.
 #![warn(missing_docs)]
 
 mod channels;
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -1,4 +1,5 @@
-//! Connections to the workers: a pool for each, one job on a connection at a time.
+//! HTTP connections to workers and to gateways of other sites: a pool for each address, one job on a connection at a
+//! time.
 
 use crate::handover_wire;
 use crate::worker_wire::{self, Reply};
@@ -13,13 +14,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// An unsafe or keyed call goes only on a connection used this lately: an older one may be closed by the
-/// worker at this very moment, and the call then counts as one that may have run.
+/// Maximum idle time of a connection that is reused for an unsafe or keyed call. The worker may be closing a connection
+/// that has been idle for longer, and a call written to it would then count as one that may have run.
 const MAX_IDLE_BEFORE_UNSAFE_US: Micros = 1_000_000;
 
-/// What a connection is used for.
+/// A job for a connection.
 pub enum Job {
-    /// A call.
+    /// An attempt of a call at a worker.
     Attempt {
         id: AttemptId,
         event: Arc<Event>,
@@ -27,30 +28,30 @@
         repeat: Repeat,
         until: Micros,
         identity: Arc<Identity>,
-        /// Its first byte leaves before this time, or none does.
+        /// The lease: the attempt must not be written at or after this time.
         lease: Micros,
     },
-    /// An order, or a question where `count` is 0.
+    /// An order to load `count` copies, or a query for the number of loaded copies if `count` is 0.
     Order { id: OrderId, function: Arc<Function>, count: u32 },
     /// A probe.
     Probe(OrderId),
-    /// Idle copies are to go; nobody waits for the answer.
+    /// A release of the idle copies of a function; the response is ignored.
     Release(String),
-    /// A call that another site's gateway is to answer by then.
+    /// A call handed over to a gateway of another site, which must answer before `until`.
     HandOver { waiter: WaiterId, event: Arc<Event>, function: Arc<Function>, until: Micros },
 }
 
 /// How a job ended.
 pub enum JobEnd {
-    /// An attempt.
+    /// The end of an attempt.
     Attempt(AttemptId, AttemptEnd<Reply>),
-    /// An order or a question: copies standing.
+    /// The end of an order or a query, with the number of loaded copies.
     Order(OrderId, Code, u32),
-    /// A probe.
+    /// The end of a probe, with the values of the load report.
     Probe(OrderId, Code, Vec<f64>),
-    /// A call that was handed over.
+    /// The end of a call that was handed over.
     HandedOver(WaiterId, AttemptEnd<Reply>),
-    /// Something nobody waits for.
+    /// The end of a job whose result is not used.
     Ignored,
 }
 
@@ -63,7 +64,7 @@
 
 enum Stage {
     Connecting,
-    /// The job's bytes are with the socket.
+    /// The job's bytes have been handed to the socket.
     AwaitingResponse,
     Idle,
 }
@@ -74,32 +75,34 @@
     stage: Stage,
     job: Option<Job>,
     stage_since: Micros,
-    /// When this stage ends by itself: connecting, waiting for an attempt's answer, or idle.
+    /// Timeout of this stage: connecting, waiting for a response, or idle.
     stage_ends: Micros,
-    /// The timer that is set for it; moved only to an earlier time, and set anew when it comes too early.
+    /// Time of the timer that is set. It is only moved to an earlier time; a timer that fires before `stage_ends` is set
+    /// again.
     timer_at: Micros,
 }
 
 #[derive(Default)]
 struct Link {
-    /// Most lately used last.
+    /// Idle connections, the most recently used last.
     idle: Vec<ConnId>,
+    /// Number of open connections, busy ones included.
     open: usize,
 }
 
-/// What the loop is told when bytes of a job leave, for its records.
+/// A job whose bytes have been handed to a connection, for the loop's records.
 pub struct Sent {
     /// The worker.
     pub worker: WorkerId,
-    /// The attempt with its event, or nothing.
+    /// The attempt and its event, if the job is one.
     pub attempt: Option<(AttemptId, Arc<Identity>)>,
-    /// An order to load with its function, or nothing.
+    /// The function and the number of copies, if the job is an order to load.
     pub order: Option<(Arc<Function>, u32)>,
 }
 
 /// All links of one loop.
 pub struct Links {
-    /// Begins each attempt's name: attempts are numbered by each scheduler for itself, at each start anew.
+    /// Prefix of attempt names. It makes them unique, as each scheduler numbers its attempts from its own start.
     prefix: String,
     config: LinkConfig,
     limits: Limits,
@@ -108,10 +111,11 @@
     conns: HashMap<ConnId, LinkConn>,
     jobs: HashMap<JobKey, ConnId>,
     timers: Timers<ConnId>,
-    /// Jobs whose bytes have been given to a connection since this was last taken.
+    /// Jobs handed to a connection since this list was last drained.
     pub sent: Vec<Sent>,
 }
 
+/// The key by which a job can be cancelled; `None` for releases.
 fn job_key(job: &Job) -> Option<JobKey> {
     match job {
         Job::Attempt { id, .. } => Some(JobKey::Attempt(*id)),
@@ -121,7 +125,7 @@
     }
 }
 
-/// The end of a job that got no whole response.
+/// The end of a job without a complete response.
 fn end_without_response(job: Job, code: Code) -> JobEnd {
     match job {
         Job::Attempt { id, .. } => JobEnd::Attempt(id, AttemptEnd::from_code(code)),
@@ -133,15 +137,15 @@
 }
 
 impl Links {
-    /// Links without connections; `report` names the values of load reports.
-    pub fn new(prefix: String, config: LinkConfig, report: Vec<String>) -> Self {
+    /// Links without connections; `report_names` are the names of the values of load reports.
+    pub fn new(prefix: String, config: LinkConfig, report_names: Vec<String>) -> Self {
         let limits = Limits { body: config.response_bytes, ..Limits::default() };
         let (links, conns, jobs) = (HashMap::new(), HashMap::new(), HashMap::new());
         Self {
             prefix,
             config,
             limits,
-            report_names: report,
+            report_names,
             links,
             conns,
             jobs,
@@ -155,17 +159,17 @@
         self.timers.next_due()
     }
 
-    /// Whether this connection is one to a worker.
+    /// Whether this connection is one of these links.
     pub fn owns(&self, conn: ConnId) -> bool {
         self.conns.contains_key(&conn)
     }
 
-    /// Begins a job, on an idle connection or a new one. Gives its end at once where no byte can leave.
+    /// Starts a job on an idle connection or a new one. Returns its end if nothing could be sent.
     pub fn start(&mut self, io: &mut Io, now: Micros, worker: &WorkerId, job: Job) -> Option<JobEnd> {
-        let fresh = !matches!(&job, Job::Attempt { repeat: Repeat::Unsafe | Repeat::Keyed { .. }, .. });
+        let may_repeat = !matches!(&job, Job::Attempt { repeat: Repeat::Unsafe | Repeat::Keyed { .. }, .. });
         while let Some(conn) = self.links.get_mut(worker).and_then(|l| l.idle.pop()) {
             let age = self.conns.get(&conn).map_or(Micros::MAX, |c| now.saturating_sub(c.stage_since));
-            if age <= self.config.idle.min(if fresh { Micros::MAX } else { MAX_IDLE_BEFORE_UNSAFE_US })
+            if age <= self.config.idle.min(if may_repeat { Micros::MAX } else { MAX_IDLE_BEFORE_UNSAFE_US })
                 && !io.is_stale(conn)
             {
                 return self.write(io, now, conn, job);
@@ -195,18 +199,20 @@
         None
     }
 
+    /// Sets the timeout of a connection's stage.
     fn set_timeout(&mut self, conn: ConnId, until: Micros) {
-        let Some(known) = self.conns.get_mut(&conn) else { return };
-        known.stage_ends = until;
-        if until < known.timer_at {
-            known.timer_at = until;
+        let Some(connection) = self.conns.get_mut(&conn) else { return };
+        connection.stage_ends = until;
+        if until < connection.timer_at {
+            connection.timer_at = until;
             self.timers.set(until, conn);
         }
     }
 
-    /// Writes a job's bytes; gives its end where they may not leave any more.
+    /// Writes a job's bytes. Returns its end if its lease has expired.
     fn write(&mut self, io: &mut Io, now: Micros, conn: ConnId, job: Job) -> Option<JobEnd> {
-        // The clock is read here and not taken from the turn: whoever was stopped in between finds its lease over.
+        // Reads the clock instead of using the time of the turn: if the process was suspended in between, the lease may
+        // have expired.
         if let Job::Attempt { lease, .. } = &job
             && *lease < Micros::MAX
             && monotonic() >= *lease
@@ -214,16 +220,17 @@
             self.discard(io, conn);
             return Some(end_without_response(job, Code::Moot));
         }
-        let (known, out) = self.conns.get_mut(&conn).zip(io.output(conn))?;
-        let host = known.worker.as_str();
-        let mut ends = Micros::MAX;
-        let mut sent = Sent { worker: known.worker.clone(), attempt: None, order: None };
+        let (connection, out) = self.conns.get_mut(&conn).zip(io.output(conn))?;
+        let host = connection.worker.as_str();
+        let mut timeout_at = Micros::MAX;
+        let mut sent = Sent { worker: connection.worker.clone(), attempt: None, order: None };
         match &job {
             Job::Attempt { id, event, function, repeat, until, identity, .. } => {
                 let patience_ms = until.saturating_sub(now) / 1_000;
-                let told = worker_wire::Attempt { host, name: attempt_name(&self.prefix, *id), patience_ms };
-                worker_wire::call(out, event, function, *repeat, &told);
-                ends = (*until).max(now + 1);
+                let fields =
+                    worker_wire::Attempt { host, name: attempt_name(&self.prefix, *id), patience_ms };
+                worker_wire::call(out, event, function, *repeat, &fields);
+                timeout_at = (*until).max(now + 1);
                 sent.attempt = Some((*id, identity.clone()));
             }
             Job::Order { function, count, .. } => {
@@ -234,73 +241,75 @@
             Job::Release(function) => worker_wire::release(out, host, function),
             Job::HandOver { event, function, until, .. } => {
                 handover_wire::call(out, host, event, function, until.saturating_sub(now), &self.prefix);
-                ends = (*until).max(now + 1);
+                timeout_at = (*until).max(now + 1);
             }
         }
         if let Some(name) = job_key(&job) {
             self.jobs.insert(name, conn);
         }
-        (known.stage, known.job, known.stage_since) = (Stage::AwaitingResponse, Some(job), now);
+        (connection.stage, connection.job, connection.stage_since) =
+            (Stage::AwaitingResponse, Some(job), now);
         self.sent.push(sent);
-        self.set_timeout(conn, ends);
+        self.set_timeout(conn, timeout_at);
         None
     }
 
-    /// Calls an attempt or an order off: its connection is closed, which tells the worker.
+    /// Cancels an attempt by closing its connection, which notifies the worker. Returns its end if it was running.
     pub fn abort_attempt(&mut self, io: &mut Io, id: AttemptId) -> Option<JobEnd> {
         self.abort(io, JobKey::Attempt(id), Code::Cancelled)
     }
 
-    /// See [`Links::abort_attempt`].
+    /// Cancels a handed-over call like [`Links::abort_attempt`].
     pub fn abort_handed_over(&mut self, io: &mut Io, waiter: WaiterId) {
         self.abort(io, JobKey::HandedOver(waiter), Code::Cancelled);
     }
 
-    /// See [`Links::abort_attempt`].
+    /// Cancels an order, a query or a probe like [`Links::abort_attempt`].
     pub fn abort_order(&mut self, io: &mut Io, id: OrderId) {
         self.abort(io, JobKey::Order(id), Code::Cancelled);
     }
 
     fn abort(&mut self, io: &mut Io, name: JobKey, code: Code) -> Option<JobEnd> {
         let conn = *self.jobs.get(&name)?;
-        // Without a byte sent the call is known not to have run.
+        // If no byte was sent, the call is known not to have run.
         let unsent = matches!(self.conns.get(&conn)?.stage, Stage::Connecting);
         self.discard(io, conn).map(|job| end_without_response(job, if unsent { Code::Moot } else { code }))
     }
 
-    /// Ends a connection; gives the job that was on it.
+    /// Closes a connection and returns the job that was on it.
     fn discard(&mut self, io: &mut Io, conn: ConnId) -> Option<Job> {
         io.abort(conn);
         self.remove(conn)
     }
 
+    /// Removes a closed connection and returns the job that was on it.
     fn remove(&mut self, conn: ConnId) -> Option<Job> {
-        let known = self.conns.remove(&conn)?;
-        if let Some(link) = self.links.get_mut(&known.worker) {
+        let connection = self.conns.remove(&conn)?;
+        if let Some(link) = self.links.get_mut(&connection.worker) {
             link.open -= 1;
             link.idle.retain(|c| *c != conn);
             if link.open == 0 {
-                self.links.remove(&known.worker);
+                self.links.remove(&connection.worker);
             }
         }
-        let job = known.job?;
+        let job = connection.job?;
         if let Some(name) = job_key(&job) {
             self.jobs.remove(&name);
         }
         Some(job)
     }
 
-    /// A connection stands.
+    /// A connection is established.
     pub fn connected(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<JobEnd> {
         let job = self.conns.get_mut(&conn).and_then(|c| c.job.take())?;
         self.write(io, now, conn, job)
     }
 
-    /// Bytes have come.
+    /// Bytes have arrived on a connection.
     pub fn data(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<JobEnd> {
-        let known = self.conns.get_mut(&conn)?;
-        let method = match &known.job {
-            // Bytes that answer nothing: the connection can't be trusted.
+        let connection = self.conns.get_mut(&conn)?;
+        let method = match &connection.job {
+            // Bytes without a request: the connection can't be trusted.
             None => {
                 self.discard(io, conn);
                 return None;
@@ -311,18 +320,18 @@
             Some(_) => Method::Get,
         };
         let input = io.input(conn)?;
-        match known.decoder.decode(input, method) {
+        match connection.decoder.decode(input, method) {
             Ok(Decoded::Message(response)) => {
-                let left = !input.is_empty();
+                let surplus = !input.is_empty();
                 io.release_input(conn);
-                let reusable = response.keep_alive() && !left;
+                let reusable = response.keep_alive() && !surplus;
                 self.finish(io, now, conn, response, reusable)
             }
             Ok(_) => {
                 io.pause(conn, false);
                 None
             }
-            // Not an answer by the protocol, or longer than is taken: nothing is proven.
+            // Not a valid response, or one beyond the size limit: it does not show whether the job ran.
             Err(_) => self.discard(io, conn).map(|job| end_without_response(job, Code::Error)),
         }
     }
@@ -332,17 +341,17 @@
         io: &mut Io,
         now: Micros,
         conn: ConnId,
-        told: Response,
+        response: Response,
         reusable: bool,
     ) -> Option<JobEnd> {
-        let known = self.conns.get_mut(&conn)?;
-        let job = known.job.take()?;
+        let connection = self.conns.get_mut(&conn)?;
+        let job = connection.job.take()?;
         if let Some(name) = job_key(&job) {
             self.jobs.remove(&name);
         }
-        (known.stage, known.stage_since) = (Stage::Idle, now);
+        (connection.stage, connection.stage_since) = (Stage::Idle, now);
         if reusable {
-            if let Some(link) = self.links.get_mut(&known.worker) {
+            if let Some(link) = self.links.get_mut(&connection.worker) {
                 link.idle.push(conn);
             }
             self.set_timeout(conn, now + self.config.idle);
@@ -351,51 +360,54 @@
         }
         Some(match job {
             Job::Attempt { id, event, .. } => {
-                JobEnd::Attempt(id, worker_wire::attempt_end(told, &event, &self.report_names))
+                JobEnd::Attempt(id, worker_wire::attempt_end(response, &event, &self.report_names))
             }
             Job::Order { id, .. } => {
-                let copies = told.headers.get(worker_wire::fields::COPIES).and_then(|t| t.parse().ok());
-                match (worker_wire::code(&told), copies) {
+                let copies = response.headers.get(worker_wire::fields::COPIES).and_then(|t| t.parse().ok());
+                match (worker_wire::code(&response), copies) {
                     (Code::Ok, None) => JobEnd::Order(id, Code::Unknown, 0),
                     (code, copies) => JobEnd::Order(id, code, copies.unwrap_or(0)),
                 }
             }
-            Job::Probe(id) => {
-                JobEnd::Probe(id, worker_wire::code(&told), worker_wire::report(&told, &self.report_names))
-            }
+            Job::Probe(id) => JobEnd::Probe(
+                id,
+                worker_wire::code(&response),
+                worker_wire::report(&response, &self.report_names),
+            ),
             Job::HandOver { waiter, event, .. } => {
-                JobEnd::HandedOver(waiter, handover_wire::attempt_end(&told, &event))
+                JobEnd::HandedOver(waiter, handover_wire::attempt_end(&response, &event))
             }
             Job::Release(_) => JobEnd::Ignored,
         })
     }
 
-    /// A connection has ended, by the worker or on the way.
+    /// A connection has ended, closed by the peer or broken.
     pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, how: EndReason) -> Option<JobEnd> {
-        let known = self.conns.get_mut(&conn)?;
-        // A response may run until its connection's end.
+        let connection = self.conns.get_mut(&conn)?;
+        // A response may be delimited by the end of its connection.
         let input = io.input(conn).filter(|_| how == EndReason::Closed);
-        if let Some(Ok(response)) = input.map(|input| known.decoder.end(input)) {
+        if let Some(Ok(response)) = input.map(|input| connection.decoder.end(input)) {
             return self.finish(io, now, conn, response, false);
         }
-        let sent = matches!(known.stage, Stage::AwaitingResponse);
+        let sent = matches!(connection.stage, Stage::AwaitingResponse);
         let code = if sent { Code::Reset } else { Code::ConnectFailed };
         self.remove(conn).map(|job| end_without_response(job, code))
     }
 
-    /// Takes what is due by `now`: connections that do not stand, attempts out of time, idle ones.
+    /// Closes connections whose timeout has passed: while connecting, while waiting for a response, or while idle. The
+    /// ends of their jobs go into `done`.
     pub fn wake(&mut self, io: &mut Io, now: Micros, done: &mut Vec<JobEnd>) {
         while let Some((at, conn)) = self.timers.pop_due(now) {
-            let Some(known) = self.conns.get_mut(&conn).filter(|c| c.timer_at == at) else { continue };
-            known.timer_at = Micros::MAX;
-            let until = known.stage_ends;
+            let Some(connection) = self.conns.get_mut(&conn).filter(|c| c.timer_at == at) else { continue };
+            connection.timer_at = Micros::MAX;
+            let until = connection.stage_ends;
             if until > now {
                 if until < Micros::MAX {
                     self.set_timeout(conn, until);
                 }
                 continue;
             }
-            let code = match known.stage {
+            let code = match connection.stage {
                 Stage::Connecting => Code::ConnectFailed,
                 Stage::AwaitingResponse => Code::Timeout,
                 Stage::Idle => Code::Moot,
@@ -405,7 +417,7 @@
     }
 }
 
-/// An attempt's name on the wire and in records.
+/// The name of an attempt on the wire and in records.
 pub fn attempt_name(prefix: &str, id: AttemptId) -> String {
     format!("{prefix}.{}.{}", id.request.0, id.number)
 }
--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -1,31 +1,31 @@
-//! Answers that are not a reply: `application/problem+json` (RFC 9457) with `outcome` and `retryable`.
+//! Error responses: `application/problem+json` (RFC 9457) with the members `outcome` and `retryable`.
 
 use basaltward::{Micros, Repeat};
 use basaltward_engine::{Failure, Refusal};
 use serde_json::json;
 
-/// What a client is told in place of a reply.
+/// The problem that a client gets instead of a reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// HTTP status.
     pub status: u16,
     /// `rejected`, `refused` or `failed`.
     pub outcome: &'static str,
-    /// Whether sending the same event again is harmless.
+    /// Whether the client may safely send the same event again.
     pub retryable: bool,
     /// Seconds for `Retry-After`.
     pub retry_after: Option<u64>,
-    /// What happened and what to do.
+    /// What happened and what the client can do.
     pub detail: String,
 }
 
 impl Problem {
-    /// Bad input: nothing has changed.
+    /// An invalid request; it had no effect.
     pub fn rejected(status: u16, detail: impl Into<String>) -> Self {
         Self { status, outcome: "rejected", retryable: false, retry_after: None, detail: detail.into() }
     }
 
-    /// A refusal.
+    /// A refusal, with the time after which a retry is welcome.
     pub fn refused(why: Refusal, wait: Option<Micros>) -> Self {
         let detail = match why {
             Refusal::Overload => {
@@ -45,7 +45,7 @@
         Self { status: 503, outcome: "refused", retryable: true, retry_after, detail: detail.into() }
     }
 
-    /// A failure; a repeat is harmless only where the class is safe.
+    /// A failure. It is retryable only for safe classes, or if the owner of the event could not be reached.
     pub fn failed(why: Failure, repeat: Repeat) -> Self {
         let (status, detail) = match why {
             Failure::Deadline => (504, "no answer came before the call's deadline; it may have run"),
@@ -56,7 +56,7 @@
             ),
             Failure::MayHaveRun => (500, "this event was sent before and may have run; it is not run again"),
         };
-        // Whoever sees to an event tells its repeats apart.
+        // The owner of an event recognises repeats of it.
         let retryable = repeat == Repeat::Safe || why == Failure::OwnerUnreachable;
         Self { status, outcome: "failed", retryable, retry_after: None, detail: detail.into() }
     }
@@ -80,13 +80,13 @@
     use super::*;
 
     #[test]
-    fn what_may_be_sent_again_follows_from_outcome_and_class() {
-        let told = Problem::refused(Refusal::Overload, Some(1_200_000));
-        assert_eq!((told.status, told.retryable, told.retry_after), (503, true, Some(2)));
+    fn retryable_follows_from_the_outcome_and_the_class() {
+        let problem = Problem::refused(Refusal::Overload, Some(1_200_000));
+        assert_eq!((problem.status, problem.retryable, problem.retry_after), (503, true, Some(2)));
         let keyed = Repeat::Keyed { group: basaltward::Group::All, window: 1 };
         for (repeat, retryable) in [(Repeat::Safe, true), (keyed, false), (Repeat::Unsafe, false)] {
-            let told = Problem::failed(Failure::Deadline, repeat);
-            assert_eq!((told.status, told.retryable), (504, retryable));
+            let problem = Problem::failed(Failure::Deadline, repeat);
+            assert_eq!((problem.status, problem.retryable), (504, retryable));
         }
         let body = String::from_utf8(Problem::rejected(400, "a \"b\"").body()).expect("text");
         assert!(body.contains(r#""outcome":"rejected""#) && body.contains(r#""detail":"a \"b\"""#), "{body}");
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,3 +1,5 @@
+//! The gateway's threads: starts a loop for each thread and the control thread, and stops them.
+
 use crate::channels::LoopChannels;
 use crate::control::{Control, EXIT, shed_settings};
 use crate::scheduler::{Controls, KILL, RUN, STOP, Scheduler};
@@ -17,49 +19,49 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a gateway can't start or had to end.
+/// Errors that keep a gateway from starting or end it.
 #[derive(Debug, Error)]
 pub enum GatewayError {
-    /// The system refused something.
+    /// A system call failed.
     #[error(transparent)]
     Net(#[from] NetError),
-    /// The module can't decide by the settings.
+    /// The scheduling module rejected the settings.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// A thread can't be started.
     #[error("thread: {0}")]
     Thread(#[from] std::io::Error),
-    /// The sites' sockets.
+    /// The sockets between sites could not be opened.
     #[error("sites: {0}")]
     Peers(#[from] PeerError),
-    /// The choice of sites.
+    /// Routing between sites rejected its settings.
     #[error("sites: {0}")]
     Route(#[from] RouteError),
-    /// The door.
+    /// Admission rejected its settings.
     #[error("sites: {0}")]
     Shed(#[from] ShedError),
-    /// We are not among the peers.
-    #[error("sites: our number is not among the peers; name this gateway as one of them")]
+    /// This gateway is not among the configured peers.
+    #[error("sites: this gateway's own number is not among the peers; list this gateway as one of them")]
     NotAPeer,
-    /// A loop has panicked.
+    /// A loop or the control thread has panicked.
     #[error("a loop has panicked")]
     Panicked,
 }
 
-/// A loop may turn to the next span of known events this late.
+/// Added to the retention of seen events, as a loop may move on to its next period this late.
 const RECORD_SLACK_US: u64 = 1_000_000;
 
-/// What the loops of a gateway know of one another.
+/// Whether the loops of a gateway share ownership of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoopMode {
-    /// Each event has one owner among them.
+    /// Each event is owned by one loop.
     Coordinated,
-    /// Nothing: an event runs once for each loop that hears of it. For measurements of what joining costs, and
-    /// to show that the checker sees it.
+    /// No coordination: an event runs once for each loop that receives it. For measuring the cost of coordination, and for
+    /// showing that the checker detects its absence.
     Independent,
 }
 
-/// A gateway whose loops run on threads of their own.
+/// A running gateway, each of whose loops has its own thread.
 pub struct Gateway {
     address: SocketAddr,
     threads: Vec<(Waker, JoinHandle<Result<(), NetError>>)>,
@@ -68,7 +70,7 @@
     control: Option<ControlThread>,
 }
 
-/// The thread beside the loops, where there are sites.
+/// The control thread, which exists if the settings name sites.
 struct ControlThread {
     waker: Waker,
     thread: JoinHandle<Result<(), NetError>>,
@@ -81,21 +83,21 @@
     /// for all loops.
     ///
     /// # Errors
-    /// Where the address, a descriptor or a thread can't be had.
+    /// If the address can't be bound, a descriptor or thread can't be created, or the settings are not usable.
     pub fn start(config: &Config, recorder: &Recorder) -> Result<Self, GatewayError> {
         Self::start_with_mode(config, recorder, LoopMode::Coordinated)
     }
 
-    /// As [`Gateway::start`], with what its loops know of one another.
+    /// Like [`Gateway::start`], with the given coordination of the loops.
     ///
     /// # Errors
     /// As [`Gateway::start`].
     pub fn start_with_mode(
         config: &Config,
         recorder: &Recorder,
-        loops: LoopMode,
+        mode: LoopMode,
     ) -> Result<Self, GatewayError> {
-        let wanted = Arc::new(AtomicU8::new(RUN));
+        let command = Arc::new(AtomicU8::new(RUN));
         let first = bind(config.listen, config.threads > 1)?;
         let address = first.local_addr().map_err(NetError::from)?;
         let mut listeners = vec![first];
@@ -109,83 +111,84 @@
             Repeat::Keyed { window, .. } => window,
             _ => 0,
         });
-        let span = windows.fold(config.repeats.remember, u64::max) + RECORD_SLACK_US;
-        let mail = match loops {
-            LoopMode::Coordinated => LoopChannels::join(&wakers, span),
+        let retention = windows.fold(config.repeats.remember, u64::max) + RECORD_SLACK_US;
+        let channels = match mode {
+            LoopMode::Coordinated => LoopChannels::join(&wakers, retention),
             LoopMode::Independent => wakers
                 .iter()
-                .flat_map(|waker| LoopChannels::join(std::slice::from_ref(waker), span))
+                .flat_map(|waker| LoopChannels::join(std::slice::from_ref(waker), retention))
                 .collect(),
         };
-        let (control, mut sites) = Self::control(config, &wakers, span, recorder)?;
+        let (control, mut sites) = Self::start_control(config, &wakers, retention, recorder)?;
         let (mut threads, mut stalls) = (Vec::new(), Vec::new());
-        let ends = listeners.into_iter().zip(ios.into_iter().zip(mail)).zip(wakers);
+        let ends = listeners.into_iter().zip(ios.into_iter().zip(channels)).zip(wakers);
         for (thread, ((listener, end), waker)) in ends.enumerate() {
-            let orders = Controls { command: wanted.clone(), stall_us: Arc::default() };
-            stalls.push(orders.stall_us.clone());
+            let controls = Controls { command: command.clone(), stall_us: Arc::default() };
+            stalls.push(controls.stall_us.clone());
             let scheduler = Scheduler::new(
                 config,
                 thread as u32,
                 end,
                 (listener, sites.next()),
                 recorder.clone(),
-                orders,
+                controls,
             )?;
             let name = format!("{}-{thread}", config.name);
             threads.push((waker, std::thread::Builder::new().name(name).spawn(move || scheduler.run())?));
         }
-        Ok(Self { address, threads, command: wanted, stalls, control })
+        Ok(Self { address, threads, command, stalls, control })
     }
 
-    /// The control thread and each loop's part in the sites, where the settings name some.
-    fn control(
+    /// Starts the control thread and creates each loop's state of calls at other sites, if the settings name sites.
+    fn start_control(
         config: &Config,
         wakers: &[Waker],
-        span: Micros,
+        retention: Micros,
         recorder: &Recorder,
     ) -> Result<(Option<ControlThread>, std::vec::IntoIter<Sites>), GatewayError> {
         let Some(sites) = &config.sites else { return Ok((None, Vec::new().into_iter())) };
         let io = Io::new(IoLimits::default())?;
-        let (waker, tables) = (io.waker(), Arc::new(Tables::new(span)));
+        let (waker, tables) = (io.waker(), Arc::new(Tables::new(retention)));
         let shed = shed_settings(config, sites).ok_or(GatewayError::NotAPeer)?;
-        let (mut ours, mut theirs) = (Vec::new(), Vec::new());
+        let (mut control_ends, mut loop_sites) = (Vec::new(), Vec::new());
         for (thread, loop_waker) in wakers.iter().enumerate() {
             let (end, control) = control_rings(waker.clone(), loop_waker.clone());
-            ours.push(control);
+            control_ends.push(control);
             let part = Sites::new(config, &shed, thread as u32, (tables.clone(), end), monotonic());
-            theirs.extend(part);
+            loop_sites.extend(part);
         }
-        let (wanted, stall) = (Arc::new(AtomicU8::new(RUN)), Arc::<AtomicU64>::default());
-        let flags = (wanted.clone(), stall.clone());
-        let control = Control::open(config, sites, io, (ours, tables), flags, recorder.clone())?;
+        let (command, stall) = (Arc::new(AtomicU8::new(RUN)), Arc::<AtomicU64>::default());
+        let flags = (command.clone(), stall.clone());
+        let control = Control::open(config, sites, io, (control_ends, tables), flags, recorder.clone())?;
         let name = format!("{}-control", config.name);
         let thread = std::thread::Builder::new().name(name).spawn(move || control.run())?;
-        Ok((Some(ControlThread { waker, thread, command: wanted, stall }), theirs.into_iter()))
+        Ok((Some(ControlThread { waker, thread, command, stall }), loop_sites.into_iter()))
     }
 
-    /// Where it listens.
+    /// The address of the listeners.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    fn send_command(&self, what: u8) {
-        self.command.store(what, Ordering::Relaxed);
+    fn send_command(&self, command: u8) {
+        self.command.store(command, Ordering::Relaxed);
         self.threads.iter().for_each(|(waker, _)| waker.wake());
-        self.control.iter().for_each(|control| control.send_command(what));
+        self.control.iter().for_each(|control| control.send_command(command));
     }
 
-    /// Has it accept no more, finish what is in hand within its deadlines, and end.
+    /// Stops the gateway gracefully: it accepts no more connections, finishes the calls in flight within their deadlines,
+    /// and ends.
     pub fn stop(&self) {
         self.send_command(STOP);
     }
 
-    /// Has it end at once, as a killed process would: connections break, calls in hand get no answer.
+    /// Ends the gateway at once, as a killed process would: connections break, and calls in flight get no answer.
     pub fn kill(&self) {
         self.send_command(KILL);
     }
 
-    /// Has a loop do nothing for so long, as if the machine had stopped its thread: a fault for tests and
-    /// scripted days. It has begun when this returns.
+    /// Suspends a loop for `span`, as if the machine had stopped its thread: a fault for tests and scripted scenarios.
+    /// The suspension has begun when this returns.
     pub fn stall(&self, thread: usize, span: Duration) {
         if let (Some(stall), Some((waker, thread))) = (self.stalls.get(thread), self.threads.get(thread)) {
             stall.store(span.as_micros() as u64, Ordering::Relaxed);
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Has the control thread do nothing for so long: a fault for tests. Calls are served meanwhile.
+    /// Suspends the control thread for `span`: a fault for tests. Calls are served meanwhile.
     pub fn stall_control(&self, span: Duration) {
         if let Some(control) = &self.control {
             control.stall.store(span.as_micros() as u64, Ordering::Relaxed);
@@ -204,15 +207,15 @@
         }
     }
 
-    /// Whether all its loops have ended.
+    /// Whether all loops have ended.
     pub fn is_finished(&self) -> bool {
         self.threads.iter().all(|(_, thread)| thread.is_finished())
     }
 
-    /// Waits for its loops to end.
+    /// Waits for the loops to end, then stops the control thread.
     ///
     /// # Errors
-    /// What ended the first loop that failed.
+    /// The error of the first thread that failed.
     pub fn join(self) -> Result<(), GatewayError> {
         for (_, thread) in self.threads {
             thread.join().map_err(|_| GatewayError::Panicked)??;
@@ -226,8 +229,8 @@
 }
 
 impl ControlThread {
-    fn send_command(&self, what: u8) {
-        self.command.store(what, Ordering::Relaxed);
+    fn send_command(&self, command: u8) {
+        self.command.store(command, Ordering::Relaxed);
         self.waker.wake();
     }
 }
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -1,5 +1,5 @@
-//! One loop's part in the sites: what is turned away at the door, which calls are handed to another site and how those
-//! end. What is decided follows from the tables of the control thread; a table past its end is not heeded.
+//! One loop's part in a deployment of several sites: which calls are shed on admission, which are handed over to another
+//! site, and how those end. Decisions follow the tables of the control thread; an expired table is not used.
 
 use crate::links::{Job, JobEnd, Links};
 use crate::replicated::{Action, ReplicatedEvents};
@@ -19,48 +19,49 @@
 use tracing::warn;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// What is kept back of a client's time where its call is at the owner of its event, for the answer's way.
+/// Time reserved for the answer's path back when a call is at the owner of its event; the owner must answer earlier by
+/// this.
 const ANSWER_RESERVE_US: Micros = 8_000;
-/// Whoever comes to an owner that does not take events yet is to come again after this.
+/// Retry delay reported to a client if the owner of its event does not accept events yet.
 const OWNER_NOT_READY_RETRY_US: Micros = 1_000_000;
 
-/// What becomes of a call that has come back.
+/// What follows from the end of a handed-over call.
 pub enum HandOverResult {
-    /// It is answered.
+    /// The client is answered.
     Answer(WaiterId, Answer<Reply>),
-    /// It is tried here.
+    /// The call is run at this site.
     RunLocally(NewCall<Event>),
 }
 
-/// What becomes of a call that has come.
+/// What follows from the arrival of a call.
 pub enum Arrival {
-    /// It is answered here.
+    /// The call is handled at this site.
     Local(NewCall<Event>),
-    /// It went to this gateway of another site.
+    /// The call was handed over to this gateway of another site.
     HandedOver(MemberId),
-    /// It is answered at once.
+    /// The client is answered at once.
     Answered(Answer<Reply>),
 }
 
-/// Whose a call is.
+/// The gateway that owns an event.
 enum EventOwner {
     Local,
     Member(MemberId),
-    /// It can't be known, or the owner does not take events yet.
+    /// The owner can't be determined, or it does not accept events yet.
     Unknown,
 }
 
-/// A call that another site has, until it ends there or comes home.
+/// A call handed over to another site, until it ends there or is run at this site.
 struct RemoteCall {
     call: NewCall<Event>,
     function: u32,
     to: MemberId,
     began: Micros,
-    /// It has gone to the owner of its event, and is not tried here whatever comes.
+    /// It was sent to the owner of its event, so it is never run here, whatever its result.
     to_owner: bool,
 }
 
-/// A call that is answered here.
+/// A call handled at this site.
 struct LocalCall {
     function: u32,
     class: usize,
@@ -69,17 +70,17 @@
     arrived_at: Micros,
 }
 
-/// See the module's page.
+/// A loop's state of calls at this and other sites.
 pub struct Sites {
     config: Arc<SitesConfig>,
     tables: Arc<Tables>,
     rings: LoopEnd,
-    /// Events of kept classes, where there are any.
+    /// Replicated events, if any class is replicated.
     pub replicated: Option<ReplicatedEvents>,
-    /// Attempts that wait until they are held.
+    /// Jobs of attempts that wait until their journal entry is replicated.
     parked_jobs: HashMap<AttemptId, (WorkerId, Job)>,
     links: Links,
-    /// Their fronts, by number.
+    /// Addresses of the gateways' HTTP listeners, by member number.
     fronts: Vec<WorkerId>,
     router: Router,
     door: Door,
@@ -88,24 +89,24 @@
     function_indexes: HashMap<FunctionId, u32>,
     remote_calls: HashMap<WaiterId, RemoteCall>,
     local_calls: HashMap<WaiterId, LocalCall>,
-    /// Attempts that are out, with their function and when they began.
+    /// Attempts in flight, with the index of their function and their start.
     attempts: HashMap<AttemptId, (u32, Micros)>,
-    /// What a run of a function takes where nothing waits, by position: the shortest of late.
+    /// Time that a run takes without queueing, by function index: the shortest recent one.
     run_times: HashMap<u32, Micros>,
     wait_estimates: Waits,
     counts: BTreeMap<u32, Counted>,
     reported_at: Micros,
     active_workers: u32,
-    /// Facts that were let go, as last told.
+    /// Number of dropped reports at the last warning.
     dropped_reports: u64,
-    /// How late this loop lately was, which comes off the time of whoever waits for another gateway.
+    /// Recent lateness of this loop, which is subtracted from the time that another gateway gets for a call.
     pub lateness: Micros,
 }
 
-/// A digest of an event's name that is the same at all gateways.
+/// Digest of an event's identity, the same at all gateways.
 pub fn digest(identity: &Identity) -> u128 {
     let mut hash = Xxh3Default::new();
-    // Lengths keep two names apart whose parts join to the same bytes.
+    // Hashes the lengths too: identities whose parts concatenate to the same bytes must differ.
     for part in [identity.function.as_str(), &identity.source, &identity.id] {
         hash.update(&(part.len() as u64).to_le_bytes());
         hash.update(part.as_bytes());
@@ -114,12 +115,13 @@
     hash.digest128()
 }
 
+/// Whether a gateway of another site has handed this event over.
 fn was_handed_over(event: &Event) -> bool {
-    event.extension(crate::front::extensions::HOPS).is_some_and(|told| told.to_string() != "0")
+    event.extension(crate::front::extensions::HOPS).is_some_and(|hops| hops.to_string() != "0")
 }
 
 impl Sites {
-    /// A loop's part, where the settings name sites.
+    /// State without calls; `None` if the settings name no sites.
     pub fn new(
         config: &Config,
         shed: &ShedSettings,
@@ -133,8 +135,9 @@
         let front = |peer: &basaltward_config::SitePeerConfig| peer.front.to_string().as_str().into();
         let seed = u64::from(sites.own) << 32 | u64::from(thread);
         let classes = config.kept.iter().copied().zip(config.module.classes.iter().map(|class| class.repeat));
-        let kept = ReplicatedEvents::new(classes.collect(), sites.journal.entry_bytes, config.repeats.guards);
-        let positions = config.functions.iter().zip(0..).map(|(f, at)| (f.name.clone(), at));
+        let replicated =
+            ReplicatedEvents::new(classes.collect(), sites.journal.entry_bytes, config.repeats.guards);
+        let function_indexes = config.functions.iter().zip(0..).map(|(f, index)| (f.name.clone(), index));
         Some(Self {
             links: Links::new(config.name.clone(), link, Vec::new()),
             fronts: sites.peers.iter().map(front).collect(),
@@ -142,11 +145,11 @@
             door: Door::new(now, shed.clone(), thread as usize),
             aims: config.module.classes.iter().map(|class| class.aim).collect(),
             repeats: config.module.classes.iter().map(|class| class.repeat).collect(),
-            function_indexes: positions.collect(),
+            function_indexes: function_indexes.collect(),
             config: sites,
             tables,
             rings,
-            replicated: kept,
+            replicated,
             parked_jobs: HashMap::new(),
             remote_calls: HashMap::new(),
             local_calls: HashMap::new(),
@@ -163,12 +166,12 @@
 
     /// When [`Sites::wake`] is due next.
     pub fn next_due(&self) -> Micros {
-        let kept = self.replicated.as_ref().and_then(ReplicatedEvents::next_due);
-        let due = self.links.next_due().into_iter().chain(kept).min();
+        let replicated = self.replicated.as_ref().and_then(ReplicatedEvents::next_due);
+        let due = self.links.next_due().into_iter().chain(replicated).min();
         due.unwrap_or(Micros::MAX).min(self.reported_at + REPORT_INTERVAL_US)
     }
 
-    /// Whether no call of ours is at another site.
+    /// Whether no call of this loop is at another site.
     pub fn is_empty(&self) -> bool {
         self.remote_calls.is_empty()
     }
@@ -183,81 +186,83 @@
         self.config.peers.get(usize::from(of)).map_or("", |peer| &peer.name)
     }
 
+    /// The counts of a function since the last report.
     fn counted(&mut self, function: u32) -> &mut Counted {
         self.counts.entry(function).or_insert(Counted { function, ..Counted::default() })
     }
 
-    /// A call has come from a client, or from another site.
+    /// Routes a call that arrived from a client or from another site.
     pub fn call_arrived(&mut self, io: &mut Io, now: Micros, call: NewCall<Event>) -> Arrival {
         let Some(&function) = self.function_indexes.get(&call.function.name) else {
             return Arrival::Local(call);
         };
         let class = call.function.class;
-        let handed = was_handed_over(&call.payload);
-        if !handed {
+        let handed_over = was_handed_over(&call.payload);
+        if !handed_over {
             self.counted(function).calls += 1;
         }
         match self.event_owner(now, &call) {
             Some(EventOwner::Unknown) => return Arrival::Answered(Answer::Failed(Failure::OwnerUnreachable)),
-            Some(EventOwner::Member(_)) if handed => {
+            Some(EventOwner::Member(_)) if handed_over => {
                 return Arrival::Answered(Answer::Failed(Failure::OwnerUnreachable));
             }
-            // Its owner has the door: nobody else knows whether it is in hand.
+            // Admission is left to the owner: only it knows whether the event is already in flight.
             Some(EventOwner::Member(owner)) => {
                 let until = call.deadline.saturating_sub(ANSWER_RESERVE_US + self.lateness);
                 return self.hand_over(io, now, call, (function, owner), (until, true));
             }
             Some(EventOwner::Local) | None => {}
         }
-        // What may not simply run again stays with the gateway that knows its repeats.
-        let may_leave = self.config.hand_over && self.repeats[class] == Repeat::Safe && !handed;
+        // A keyed or unsafe call stays with the gateway that recognises its repeats.
+        let may_leave = self.config.hand_over && self.repeats[class] == Repeat::Safe && !handed_over;
         if may_leave {
             let left = call.deadline.saturating_sub(now);
             let table = self.tables.route.load();
-            let there = self.router.choose(now, table.as_deref(), function, left, handed);
-            if let Where::There { peer, .. } = there {
+            let target = self.router.choose(now, table.as_deref(), function, left, handed_over);
+            if let Where::There { peer, .. } = target {
                 let row = table.as_ref().and_then(|t| t.rows.get(function as usize));
                 let until = home_by(now, call.deadline, row.map_or(0, |row| row.here));
                 return self.hand_over(io, now, call, (function, peer), (until, false));
             }
         }
-        match self.admit_local(now, function, &call, handed) {
+        match self.admit_local(now, function, &call, handed_over) {
             Ok(()) => Arrival::Local(call),
             Err(answer) => Arrival::Answered(answer),
         }
     }
 
-    /// The door stands where a call is to be worked: one that was handed over meets that of the other site first.
+    /// Admits a call at this site. Admission takes place where a call is run: one that was handed over is subject to the
+    /// admission of the other site first.
     fn admit_local(
         &mut self,
         now: Micros,
         function: u32,
         call: &NewCall<Event>,
-        handed: bool,
+        handed_over: bool,
     ) -> Result<(), Answer<Reply>> {
-        if let Some(wait) = self.shed_retry_after(now, call, handed) {
-            return Err(Answer::Refused(Refusal::Overload, Some(wait)));
+        if let Some(retry_after) = self.shed_retry_after(now, call, handed_over) {
+            return Err(Answer::Refused(Refusal::Overload, Some(retry_after)));
         }
         self.track_local(now, function, call);
         Ok(())
     }
 
-    /// How long a call is to stay away, where the door turns it away. A repeat of an event that may be in hand or have run
-    /// is never turned away: that would say that it has not.
-    fn shed_retry_after(&mut self, now: Micros, call: &NewCall<Event>, handed: bool) -> Option<Micros> {
+    /// The retry delay of a call that is shed, `None` if it is admitted. A repeat of an event that may be in flight or have
+    /// run is never shed, because the refusal would claim that it has not run.
+    fn shed_retry_after(&mut self, now: Micros, call: &NewCall<Event>, handed_over: bool) -> Option<Micros> {
         if !self.config.shed {
             return None;
         }
         let (class, tenant) = (call.function.class, call.identity.tenant);
         let (hash, guarded) = (digest(&call.identity) as u64, self.repeats[class] != Repeat::Safe);
-        let asked = match handed {
+        let kind = match handed_over {
             _ if guarded && self.tables.admitted.may_contain(hash) => Asked::Owed,
             true => Asked::HandedOver,
             false => Asked::First,
         };
         let table = self.tables.shed.load();
-        match self.door.ask(now, table.as_deref(), class, tenant, asked, hash) {
-            Verdict::Shed(wait) => Some(wait),
+        match self.door.ask(now, table.as_deref(), class, tenant, kind, hash) {
+            Verdict::Shed(retry_after) => Some(retry_after),
             Verdict::Take => {
                 if guarded {
                     self.tables.admitted.record(now, hash);
@@ -267,6 +272,7 @@
         }
     }
 
+    /// Adds a call to those in flight at this site.
     fn track_local(&mut self, now: Micros, function: u32, call: &NewCall<Event>) {
         let (class, tenant) = (call.function.class, call.identity.tenant);
         self.counted(function).in_hand += 1;
@@ -274,7 +280,7 @@
         self.local_calls.insert(call.waiter, LocalCall { function, class, tenant, hash, arrived_at: now });
     }
 
-    /// Whose a call is, where its event has one owner over all sites: one of a kept class that may not simply run again.
+    /// The owner of a call's event. Only keyed and unsafe events of replicated classes have a single owner over all sites.
     fn event_owner(&self, now: Micros, call: &NewCall<Event>) -> Option<EventOwner> {
         let class = call.function.class;
         if self.repeats[class] == Repeat::Safe || !self.replicated.as_ref()?.is_replicated_class(class) {
@@ -291,6 +297,7 @@
         })
     }
 
+    /// Hands a call over to a gateway of another site, which must answer before `until`.
     fn hand_over(
         &mut self,
         io: &mut Io,
@@ -305,10 +312,10 @@
             function: call.function.clone(),
             until,
         };
-        let Some(front) = self.fronts.get(usize::from(to)).cloned() else { return Arrival::Local(call) };
+        let Some(address) = self.fronts.get(usize::from(to)).cloned() else { return Arrival::Local(call) };
         let waiter = call.waiter;
         self.remote_calls.insert(waiter, RemoteCall { call, function, to, began: now, to_owner: owned });
-        match self.links.start(io, now, &front, job) {
+        match self.links.start(io, now, &address, job) {
             Some(JobEnd::HandedOver(waiter, end)) => match self.handed_over_ended(now, waiter, end) {
                 Some(HandOverResult::RunLocally(call)) => Arrival::Local(call),
                 Some(HandOverResult::Answer(_, answer)) => Arrival::Answered(answer),
@@ -318,7 +325,7 @@
         }
     }
 
-    /// A call has ended at another gateway.
+    /// A handed-over call has ended at the other gateway, or could not be sent.
     fn handed_over_ended(
         &mut self,
         now: Micros,
@@ -331,7 +338,7 @@
                 waiter,
                 match end.reply {
                     Some(reply) => Answer::Served(reply),
-                    // The owner's own word; of one that was not reached nothing is known, as this may be a repeat.
+                    // The owner itself refused it. If the owner was not reached, nothing is known, as this may be a repeat.
                     None if matches!(code, Code::Full | Code::Miss) => {
                         Answer::Refused(Refusal::NotReplicated, Some(OWNER_NOT_READY_RETRY_US))
                     }
@@ -341,15 +348,15 @@
             ));
         }
         let took = now.saturating_sub(began);
-        let how = match end.code {
+        let handed_end = match end.code {
             Code::Ok => HandedEnd::Served,
             Code::Full | Code::Miss => HandedEnd::Refused,
             Code::ConnectFailed => HandedEnd::Unreached,
             _ => HandedEnd::Lost,
         };
-        let told = Handed { function, to, took, end: how };
-        self.router.ended(now, &told);
-        self.rings.reports.send(LoopReport::HandedOver(told));
+        let handed = Handed { function, to, took, end: handed_end };
+        self.router.ended(now, &handed);
+        self.rings.reports.send(LoopReport::HandedOver(handed));
         Some(match end.reply {
             Some(reply) => HandOverResult::Answer(waiter, Answer::Served(reply)),
             None => match self.admit_local(now, function, &call, false) {
@@ -359,7 +366,7 @@
         })
     }
 
-    /// Takes a link's end of a job.
+    /// Handles the end of a job on a connection to another site.
     pub fn job_ended(&mut self, now: Micros, done: JobEnd) -> Option<HandOverResult> {
         match done {
             JobEnd::HandedOver(waiter, end) => self.handed_over_ended(now, waiter, end),
@@ -374,17 +381,17 @@
         done
     }
 
-    /// Holds a job back until its attempt may leave.
+    /// Parks the job of an attempt until the attempt may be sent.
     pub fn park(&mut self, attempt: AttemptId, worker: WorkerId, job: Job) {
         self.parked_jobs.insert(attempt, (worker, job));
     }
 
-    /// A job that was held back.
+    /// Takes the parked job of an attempt.
     pub fn unpark(&mut self, attempt: AttemptId) -> Option<(WorkerId, Job)> {
         self.parked_jobs.remove(&attempt)
     }
 
-    /// Gives the control thread the steps that it has room for, and takes its words.
+    /// Sends the control thread as many journal steps as its ring has capacity for, and returns its messages.
     pub fn exchange_control(&mut self) -> Vec<ControlMessage> {
         if let Some(kept) = &mut self.replicated {
             let before = kept.steps.len();
@@ -401,7 +408,7 @@
         std::iter::from_fn(|| self.rings.messages.pop().ok()).collect()
     }
 
-    /// What is due of kept events.
+    /// Runs the due timers of replicated events.
     pub fn wake_replicated(&mut self, now: Micros) -> Vec<Action> {
         self.replicated.as_mut().map(|kept| kept.wake(now)).unwrap_or_default()
     }
@@ -416,7 +423,8 @@
         self.links.ended(io, now, conn, how)
     }
 
-    /// A client has left: true where its call was at another site, which is told by the connection's end.
+    /// A client has disconnected. Returns true if its call was at another site, which is notified by closing the
+    /// connection.
     pub fn client_left(&mut self, io: &mut Io, now: Micros, waiter: WaiterId) -> bool {
         self.local_call_ended(waiter, Some(Ended::Failed));
         let Some(RemoteCall { function, to, began, to_owner: owned, .. }) = self.remote_calls.remove(&waiter)
@@ -427,13 +435,14 @@
         if owned {
             return true;
         }
-        // Nothing is known of it: counted as lost it would speak against a site that did nothing wrong.
+        // The result is unknown. Counted as lost, it would lower the rating of a site that did nothing wrong.
         let took = now.saturating_sub(began);
         self.router.ended(now, &Handed { function, to, took, end: HandedEnd::Refused });
         true
     }
 
-    /// A call that was answered here has its answer: gives it as the client is to have it.
+    /// A call handled at this site has its answer. Returns the answer for the client, in which a refusal may have a longer
+    /// retry delay.
     pub fn answer_ready(&mut self, now: Micros, waiter: WaiterId, answer: Answer<Reply>) -> Answer<Reply> {
         let Some(home) = self.local_calls.get(&waiter) else { return answer };
         let took = now.saturating_sub(home.arrived_at);
@@ -442,7 +451,7 @@
         if matches!(answer, Answer::Served(_)) {
             let counted = self.counted(function);
             (counted.served, counted.took) = (counted.served + 1, counted.took + took);
-            // All queues on the way are a wait, those at workers too.
+            // The wait includes every queue of the call's path, those at workers too.
             let waited = took.saturating_sub(self.run_times.get(&function).copied().unwrap_or(took));
             let waited = self.wait_estimates.answered(now, function, now - took, waited);
             let in_aim = took <= self.aims[class];
@@ -451,7 +460,7 @@
                 Some(if in_aim { Ended::Served(waited) } else { Ended::Late(waited) }),
             );
         } else if let (Answer::Refused(Refusal::Overload, wait), true) = (&mut answer, self.config.shed) {
-            // Those that are refused after the door would all come back at once.
+            // Without a delay all calls refused after admission would be retried at once.
             let table = self.tables.shed.load();
             let later = self.door.refused(now, table.as_deref(), class, tenant, hash);
             *wait = Some(wait.unwrap_or(0).max(later));
@@ -462,7 +471,7 @@
         answer
     }
 
-    /// A call is no longer in hand; how it ended, where the door has not counted it yet.
+    /// A call is no longer in flight here. `ended` is its end unless admission has counted it already.
     fn local_call_ended(&mut self, waiter: WaiterId, ended: Option<Ended>) {
         let Some(home) = self.local_calls.remove(&waiter) else { return };
         let counted = self.counted(home.function);
@@ -472,10 +481,10 @@
         }
     }
 
-    /// An attempt goes to a worker.
+    /// An attempt is about to be sent to a worker.
     pub fn attempt_started(&mut self, now: Micros, attempt: AttemptId, function: &FunctionId) {
-        if let Some(at) = self.function_indexes.get(function) {
-            self.attempts.insert(attempt, (*at, now));
+        if let Some(index) = self.function_indexes.get(function) {
+            self.attempts.insert(attempt, (*index, now));
         }
     }
 
@@ -486,17 +495,17 @@
             self.counted(function).warm += 1;
             let (took, run) =
                 (now.saturating_sub(began), self.run_times.entry(function).or_insert(Micros::MAX));
-            // A hundredth up with each: what takes longer from now on is believed in time.
+            // Grows by a hundredth with each run, so that the value follows runs that have become longer.
             *run = run.saturating_add(*run / 100).min(took);
         }
     }
 
-    /// So many workers are in use.
+    /// Sets the number of active workers.
     pub fn set_active_workers(&mut self, count: usize) {
         self.active_workers = count as u32;
     }
 
-    /// Does what is due; gives the ends of jobs.
+    /// Runs due timers and sends the reports to the control thread when they are due. Returns the ends of timed-out jobs.
     pub fn wake(&mut self, io: &mut Io, now: Micros) -> Vec<JobEnd> {
         let mut done = Vec::new();
         self.links.wake(io, now, &mut done);
@@ -504,7 +513,7 @@
             let span = now - std::mem::replace(&mut self.reported_at, now);
             let in_hand = self.local_calls.len() as u32;
             let by: Vec<_> = self.counts.values().copied().collect();
-            // What is in hand stays counted; the rest is of this span.
+            // The calls in flight carry over; all other counts restart.
             self.counts.retain(|_, counted| {
                 *counted =
                     Counted { function: counted.function, in_hand: counted.in_hand, ..Counted::default() };
@@ -517,9 +526,9 @@
                 workers: self.active_workers,
             }));
             self.rings.reports.send(LoopReport::Admission(self.door.take(now, in_hand)));
-            let lost = self.rings.reports.dropped();
-            if std::mem::replace(&mut self.dropped_reports, lost) < lost {
-                warn!(lost, "the control thread stands still: counts are let go");
+            let dropped = self.rings.reports.dropped();
+            if std::mem::replace(&mut self.dropped_reports, dropped) < dropped {
+                warn!(lost = dropped, "control thread is stalled: reports of counts were dropped");
             }
         }
         done
