--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! The CloudEvents front: clients' connections, their requests turned into calls, answers written back.
+//! The CloudEvents front end: manages clients' connections, turns their requests into calls, and writes the answers.
 
 use crate::problem::Problem;
 use crate::worker_wire::Reply;
@@ -18,69 +18,74 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-/// Extension attributes that the gateway reads.
+/// CloudEvents extension attributes that the gateway reads or sets.
 pub mod extensions {
-    /// The client's remaining patience in milliseconds, bounded by the class's deadline.
+    /// The time in milliseconds for which the client waits, limited by the class's deadline.
     pub const TIMEOUT: &str = "timeoutms";
     /// The tenant's name.
     pub const TENANT: &str = "tenant";
-    /// How often a call was handed from one site to another: 1 at most.
+    /// How often a call was handed over from one site to another: at most 1.
     pub const HOPS: &str = "hops";
-    /// The gateway that handed it over.
+    /// The gateway that handed the call over.
     pub const HANDED_BY: &str = "handedby";
-    /// On a reply: `false` where its class keeps events and nobody could hold this one.
+    /// On a reply: `false` if events of its class are replicated and this one could not be.
     pub const KEPT: &str = "kept";
     /// In a batch of answers: `served`, `refused` or `failed`.
     pub const OUTCOME: &str = "outcome";
-    /// In a batch of answers: the HTTP status that the event alone would have got.
+    /// In a batch of answers: the HTTP status that the event would have got on its own.
     pub const STATUS: &str = "status";
 }
 
-/// A waiter's id: the loop's number, a running number, the slot.
+/// A waiter's id consists of the loop's index (8 bits), a sequence number (32 bits) and the slot (24 bits). This masks the
+/// slot.
 const SLOT_MASK: u64 = (1 << 24) - 1;
+/// Position of the loop's index in a waiter's id.
 const THREAD_SHIFT: u32 = 56;
 
-fn waiter_id(thread: usize, given: u64, slot: usize) -> WaiterId {
+fn waiter_id(thread: usize, sequence: u64, slot: usize) -> WaiterId {
     WaiterId(
-        (thread as u64) << THREAD_SHIFT | (given << 24) & ((1 << THREAD_SHIFT) - 1) | slot as u64 & SLOT_MASK,
+        (thread as u64) << THREAD_SHIFT
+            | (sequence << 24) & ((1 << THREAD_SHIFT) - 1)
+            | slot as u64 & SLOT_MASK,
     )
 }
 
-/// The number of the loop at which someone waits.
+/// The index of the loop at which a client waits.
 pub fn loop_of_waiter(waiter: WaiterId) -> usize {
     (waiter.0 >> THREAD_SHIFT) as usize
 }
 
-/// What one event of a request came to, with the event.
+/// The answer to one event of a request, with the event.
 type EventAnswer = (Result<Reply, Problem>, Arc<Event>);
 
-/// A request whose answers are awaited.
+/// A request that waits for the answers to its events.
 struct RequestInProgress {
     mode: Mode,
     keep_alive: bool,
-    /// Answers still missing.
+    /// Number of events without an answer.
     missing_answers: usize,
     answers: Vec<Option<EventAnswer>>,
     waiters: Vec<WaiterId>,
 }
 
+/// A client's connection.
 struct Client {
     decoder: RequestDecoder,
     in_progress: Option<RequestInProgress>,
-    /// It stands among those whose input is to be looked at.
+    /// The connection is in the queue of those with unread input.
     is_queued: bool,
-    /// When the first byte of the request now arriving came.
+    /// Arrival of the first byte of the request that is being received.
     request_began: Option<Micros>,
-    /// When patience with the peer ends: for the head, the body, or while idle.
+    /// Timeout of the connection: for the request head, the body, or while idle.
     expires_at: Micros,
-    /// The timer that is set for it. It is moved only to an earlier time: one that comes too early is set
-    /// anew, so that a connection has a few timers and not one for each of its requests.
+    /// Time of the timer that is set. It is only moved to an earlier time; a timer that fires before `expires_at` is set
+    /// again, so that a connection has a few timers instead of one for each request.
     timer_at: Micros,
 }
 
-/// Who waits, and for which event; the log line of a call is made of it.
+/// A client's wait for the answer to one event, with the data for the log line of the call.
 pub struct Waiter {
-    /// Its whole id: an answer to one who had this slot before is not taken for its own.
+    /// The whole id, by which an answer to a previous waiter of the same slot is rejected.
     id: WaiterId,
     conn: ConnId,
     index: usize,
@@ -88,44 +93,45 @@
     pub event: Arc<Event>,
     /// Its function.
     pub function: Arc<Function>,
-    /// What its class allows.
+    /// Whether calls of its class may run again.
     repeat: Repeat,
-    /// When its request began to arrive.
+    /// Arrival of the first byte of its request.
     pub began: Micros,
 }
 
-/// Where a client's request leads.
+/// The result of reading a client's request.
 pub enum NextRequest {
     /// Calls for the engine.
     Calls(Vec<NewCall<Event>>),
-    /// Answered already.
+    /// The request has been answered already.
     AnsweredDirectly,
 }
 
-/// The front of one loop.
+/// The front end of one loop.
 pub struct Front {
     limits: Limits,
     max_batch: usize,
     max_unsent: usize,
+    /// Timeouts of the request head, of the body in addition, and of an idle connection.
     timeouts: (Micros, Micros, Micros),
     /// Every function that may be called, with its class's deadline.
     functions: BTreeMap<String, (Arc<Function>, Micros)>,
-    /// What each class allows.
+    /// Whether calls may run again, by class.
     repeats: Vec<Repeat>,
     tenants: Vec<String>,
     clients: HashMap<ConnId, Client>,
-    /// This loop's number among those of the gateway; part of each waiter's id.
+    /// This loop's index; part of each waiter's id.
     thread: usize,
     waiters_created: u64,
     waiters: Slab<Waiter>,
     timers: Timers<ConnId>,
-    /// Connections whose input is to be looked at, with when it came: each at most once.
+    /// Connections with unread input and its time of arrival, each connection at most once.
     ready: VecDeque<(Micros, ConnId)>,
     stopping: bool,
 }
 
 impl Front {
-    /// A front without clients.
+    /// A front end without clients.
     pub fn new(config: &Config, thread: usize) -> Self {
         let front = &config.front;
         let function = |f: &basaltward_config::FunctionConfig| Function {
@@ -166,7 +172,7 @@
         self.timers.next_due()
     }
 
-    /// Clients connected.
+    /// Number of connected clients.
     pub fn clients(&self) -> usize {
         self.clients.len()
     }
@@ -187,7 +193,7 @@
         self.set_timeout(conn, until);
     }
 
-    /// Patience with a connection's peer ends at this time, until told otherwise.
+    /// Sets the timeout of a connection.
     fn set_timeout(&mut self, conn: ConnId, until: Micros) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.expires_at = until;
@@ -197,18 +203,18 @@
         }
     }
 
-    /// A client's connection has ended: who waited on it.
+    /// A client's connection has ended. Returns the waiters on it.
     pub fn client_disconnected(&mut self, conn: ConnId) -> Vec<WaiterId> {
-        let busy = self.clients.remove(&conn).and_then(|c| c.in_progress);
-        let waiters = busy.map(|b| b.waiters).unwrap_or_default();
+        let request = self.clients.remove(&conn).and_then(|c| c.in_progress);
+        let waiters = request.map(|r| r.waiters).unwrap_or_default();
         waiters.into_iter().filter(|w| self.take_waiter(*w).is_some()).collect()
     }
 
-    /// Bytes have come, or may have while the connection was busy: it is looked at in its turn.
+    /// Bytes have arrived, or may have arrived while a request was in progress: queues the connection for reading.
     pub fn input_arrived(&mut self, now: Micros, conn: ConnId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         if client.in_progress.is_none() {
-            // The request's time runs from here, also while it waits to be looked at.
+            // The request's time runs from here, also while the connection is queued.
             client.request_began.get_or_insert(now);
         }
         if !std::mem::replace(&mut client.is_queued, true) {
@@ -216,12 +222,12 @@
         }
     }
 
-    /// Since when the oldest input waits to be looked at.
+    /// Arrival of the oldest unread input.
     pub fn oldest_input(&self) -> Option<Micros> {
-        self.ready.front().map(|(came, _)| *came)
+        self.ready.front().map(|(arrived, _)| *arrived)
     }
 
-    /// Takes the connection that waited longest to be looked at.
+    /// Takes the connection that has been queued longest.
     pub fn pop_queued(&mut self) -> Option<ConnId> {
         let (_, conn) = self.ready.pop_front()?;
         if let Some(client) = self.clients.get_mut(&conn) {
@@ -230,7 +236,7 @@
         Some(conn)
     }
 
-    /// Takes the next request of a connection, if it is all there and the one before is answered.
+    /// Takes the next request of a connection if it has arrived completely and the previous one is answered.
     pub fn next_request(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<NextRequest> {
         let unsent = io.unsent(conn);
         let client = self.clients.get_mut(&conn)?;
@@ -246,17 +252,17 @@
                 let began = client.request_began.take().unwrap_or(now);
                 Some(self.request(io, now, conn, &request, began))
             }
-            Ok(told) => {
+            Ok(decoded) => {
                 if !within {
                     client.request_began = None;
                 } else {
-                    // Past the head the body has a time of its own, on top.
+                    // After the head, the body gets its own timeout in addition.
                     let began = *client.request_began.get_or_insert(now);
                     let until = began + self.timeouts.0 + if within_body { self.timeouts.1 } else { 0 };
                     self.set_timeout(conn, until);
                 }
                 io.pause(conn, false);
-                if let (Decoded::Continue, Some(out)) = (told, io.output(conn)) {
+                if let (Decoded::Continue, Some(out)) = (decoded, io.output(conn)) {
                     HeadWriter::response(out, 100).body(Body::None);
                 }
                 None
@@ -269,7 +275,7 @@
         }
     }
 
-    /// Answers with a problem and closes: what follows on the connection can't be read.
+    /// Answers with a problem and closes the connection, because its further input can't be parsed.
     fn refuse_connection(&mut self, io: &mut Io, conn: ConnId, problem: &Problem) {
         if let Some(out) = io.output(conn) {
             write_problem(out, problem, false, false);
@@ -278,6 +284,7 @@
         io.close(conn);
     }
 
+    /// Turns a request into calls, or answers it.
     fn request(
         &mut self,
         io: &mut Io,
@@ -291,14 +298,14 @@
             Ok((mode, calls)) => {
                 let waiters: Vec<_> = calls.iter().map(|c| c.waiter).collect();
                 let answers = calls.iter().map(|_| None).collect();
-                let busy =
+                let in_progress =
                     RequestInProgress { mode, keep_alive, missing_answers: calls.len(), answers, waiters };
-                let empty = calls.is_empty();
+                let is_empty = calls.is_empty();
                 if let Some(client) = self.clients.get_mut(&conn) {
-                    client.in_progress = Some(busy);
+                    client.in_progress = Some(in_progress);
                     client.expires_at = Micros::MAX;
                 }
-                if empty {
+                if is_empty {
                     self.write_answer(io, now, conn);
                     return NextRequest::AnsweredDirectly;
                 }
@@ -314,7 +321,7 @@
         }
     }
 
-    /// The events of a request as calls, all or none.
+    /// The events of a request as calls: all of them, or a problem if one is invalid.
     fn calls(
         &mut self,
         conn: ConnId,
@@ -322,7 +329,7 @@
         began: Micros,
     ) -> Result<(Mode, Vec<NewCall<Event>>), Problem> {
         let path = request.target().split('?').next().unwrap_or_default();
-        let named = match path.strip_prefix("/functions/") {
+        let path_function = match path.strip_prefix("/functions/") {
             Some(name) if !name.is_empty() && !name.contains('/') => Some(name),
             _ if path == "/" => None,
             _ => return Err(Problem::rejected(404, "no such path: POST to /functions/NAME or to /")),
@@ -336,12 +343,12 @@
             Incoming::One(event) => vec![event],
             Incoming::Batch(events) => events,
         };
-        let many = mode == Mode::Batch;
+        let is_batch = mode == Mode::Batch;
         let mut calls = Vec::with_capacity(events.len());
         for (index, event) in events.into_iter().enumerate() {
-            match self.one_call(event, named, began) {
+            match self.one_call(event, path_function, began) {
                 Ok(call) => calls.push(call),
-                Err(problem) if many => {
+                Err(problem) if is_batch => {
                     let detail =
                         format!("event {index} of the batch, of which none was taken: {}", problem.detail);
                     return Err(Problem { detail, ..problem });
@@ -351,7 +358,7 @@
         }
         let answer = match (mode, accepted_mode(&request.headers)) {
             (Mode::Batch, _) => Mode::Batch,
-            (mode, told) => told.unwrap_or(mode),
+            (mode, accepted) => accepted.unwrap_or(mode),
         };
         for (index, call) in calls.iter_mut().enumerate() {
             let (event, function) = (call.payload.clone(), call.function.clone());
@@ -364,16 +371,22 @@
         Ok((answer, calls))
     }
 
-    fn one_call(&self, event: Event, named: Option<&str>, began: Micros) -> Result<NewCall<Event>, Problem> {
-        let Some(name) = named.or(event.subject.as_deref()) else {
+    /// An event as a call of the function in the path or, without one, in its subject.
+    fn one_call(
+        &self,
+        event: Event,
+        path_function: Option<&str>,
+        began: Micros,
+    ) -> Result<NewCall<Event>, Problem> {
+        let Some(name) = path_function.or(event.subject.as_deref()) else {
             return Err(Problem::rejected(400, "name the function in the path or in the event's subject"));
         };
         let Some((function, deadline)) = self.functions.get(name) else {
             return Err(Problem::rejected(404, format!("function {name:?} is not known here")));
         };
-        let patience = match event.extension(extensions::TIMEOUT) {
+        let timeout = match event.extension(extensions::TIMEOUT) {
             None => *deadline,
-            Some(told) => match told.to_string().parse::<u64>() {
+            Some(value) => match value.to_string().parse::<u64>() {
                 Ok(ms) if ms > 0 => ms.saturating_mul(1_000).min(*deadline),
                 _ => return Err(Problem::rejected(400, "timeoutms must be a whole number above 0")),
             },
@@ -381,10 +394,10 @@
         let tenant = match (event.extension(extensions::TENANT), self.tenants.is_empty()) {
             (_, true) => 0,
             (None, false) => return Err(Problem::rejected(400, "the extension tenant is required here")),
-            (Some(told), false) => {
-                let told = if let Attribute::Text(text) = told { text.as_str() } else { "" };
-                let known = self.tenants.iter().position(|t| t == told);
-                known.ok_or_else(|| Problem::rejected(400, format!("tenant {told:?} is not known here")))?
+            (Some(value), false) => {
+                let name = if let Attribute::Text(text) = value { text.as_str() } else { "" };
+                let index = self.tenants.iter().position(|t| t == name);
+                index.ok_or_else(|| Problem::rejected(400, format!("tenant {name:?} is not known here")))?
             }
         };
         let identity = Identity {
@@ -393,12 +406,12 @@
             source: event.source.as_str().into(),
             id: event.id.as_str().into(),
         };
-        let (deadline, payload) = (began + patience, Arc::new(event));
+        let (deadline, payload) = (began + timeout, Arc::new(event));
         Ok(NewCall { waiter: WaiterId(0), identity, function: function.clone(), deadline, payload })
     }
 
-    /// A kept event of a lost site as a call that no client waits for; nothing where its function is not known here or
-    /// its event can't be read.
+    /// A replicated event of a lost site as a call without a waiting client. `None` if the function is not configured here or
+    /// the event can't be parsed. `wall` is the wall clock in milliseconds.
     pub fn call_of_lost_site(
         &mut self,
         pending: &Accepted,
@@ -413,30 +426,31 @@
             id: event.id.as_str().into(),
         };
         self.waiters_created += 1;
-        // No client has the last slot.
+        // The last slot is never given to a client.
         let waiter = waiter_id(self.thread, self.waiters_created, SLOT_MASK as usize);
         let deadline = now + pending.deadline.saturating_sub(wall) * 1_000;
         Some(NewCall { waiter, identity, function: function.clone(), deadline, payload: Arc::new(event) })
     }
 
+    /// Removes a waiter, unless its slot belongs to another one by now.
     fn take_waiter(&mut self, waiter: WaiterId) -> Option<Waiter> {
         let slot = (waiter.0 & SLOT_MASK) as usize;
         self.waiters.get(slot).filter(|w| w.id == waiter)?;
         self.waiters.try_remove(slot)
     }
 
-    /// What the class of a function allows.
+    /// Whether calls of a function may run again, by its class.
     pub fn repeat_of(&self, function: &Function) -> Repeat {
         self.repeats[function.class]
     }
 
-    /// The function of this name, where one may be called.
+    /// The function of this name, if it is configured.
     pub fn function(&self, name: &str) -> Option<&Arc<Function>> {
         self.functions.get(name).map(|(function, _)| function)
     }
 
-    /// Takes the engine's final answer for one event. Gives what the log line needs, and whether the
-    /// connection is free for its next request.
+    /// Handles the engine's final answer to one event. Returns the waiter and the HTTP status for the log line and, if this
+    /// was the request's last answer, the connection, which is free for its next request.
     pub fn answer(
         &mut self,
         io: &mut Io,
@@ -444,31 +458,31 @@
         waiter: WaiterId,
         answer: Answer<Reply>,
     ) -> Option<(Waiter, u16, Option<ConnId>)> {
-        let waiting = self.take_waiter(waiter)?;
-        let conn = waiting.conn;
+        let waiter = self.take_waiter(waiter)?;
+        let conn = waiter.conn;
         let answer = match answer {
             Answer::Served(reply) => Ok(reply),
             Answer::Refused(why, wait) => Err(Problem::refused(why, wait)),
-            Answer::Failed(why) => Err(Problem::failed(why, waiting.repeat)),
+            Answer::Failed(why) => Err(Problem::failed(why, waiter.repeat)),
         };
         let status = answer.as_ref().map_or_else(|p| p.status, |_| 200);
-        let busy = self.clients.get_mut(&conn).and_then(|c| c.in_progress.as_mut())?;
-        busy.missing_answers -= 1;
-        busy.answers[waiting.index] = Some((answer, waiting.event.clone()));
-        let whole = busy.missing_answers == 0;
-        if whole {
+        let request = self.clients.get_mut(&conn).and_then(|c| c.in_progress.as_mut())?;
+        request.missing_answers -= 1;
+        request.answers[waiter.index] = Some((answer, waiter.event.clone()));
+        let complete = request.missing_answers == 0;
+        if complete {
             self.write_answer(io, now, conn);
         }
-        Some((waiting, status, whole.then_some(conn)))
+        Some((waiter, status, complete.then_some(conn)))
     }
 
-    /// Writes the answer of a request whose every event has one.
+    /// Writes the response to a request whose events are all answered.
     fn write_answer(&mut self, io: &mut Io, now: Micros, conn: ConnId) {
-        let Some(busy) = self.clients.get_mut(&conn).and_then(|c| c.in_progress.take()) else { return };
-        let keep_alive = busy.keep_alive && !self.stopping;
+        let Some(request) = self.clients.get_mut(&conn).and_then(|c| c.in_progress.take()) else { return };
+        let keep_alive = request.keep_alive && !self.stopping;
         if let Some(out) = io.output(conn) {
-            let mut answers = busy.answers.into_iter().flatten();
-            match (busy.mode, answers.next()) {
+            let mut answers = request.answers.into_iter().flatten();
+            match (request.mode, answers.next()) {
                 (Mode::Batch, first) => write_batch(out, first.into_iter().chain(answers), keep_alive),
                 (mode, Some((Ok(reply), _))) => write_reply(out, &reply.0, mode, keep_alive),
                 (_, Some((Err(problem), _))) => write_problem(out, &problem, keep_alive, false),
@@ -478,6 +492,7 @@
         self.await_next_request(io, now, conn, keep_alive);
     }
 
+    /// Waits for the next request of a connection, or closes it if it is not kept alive.
     fn await_next_request(&mut self, io: &mut Io, now: Micros, conn: ConnId, keep_alive: bool) {
         if !keep_alive {
             self.clients.remove(&conn);
@@ -487,7 +502,7 @@
         io.pause(conn, false);
     }
 
-    /// Ends connections whose patience is over: idle ones silently, slow senders with 408.
+    /// Closes connections whose timeout has passed: idle ones without a response, slow senders with status 408.
     pub fn wake(&mut self, io: &mut Io, now: Micros) {
         while let Some((at, conn)) = self.timers.pop_due(now) {
             let Some(client) = self.clients.get_mut(&conn).filter(|c| c.timer_at == at) else { continue };
@@ -503,7 +518,7 @@
                 let problem = Problem::rejected(408, "the request did not arrive in time");
                 self.refuse_connection(io, conn, &problem);
             } else if io.unsent(conn) > 0 {
-                // It does not read its answer.
+                // The client does not read its response.
                 self.clients.remove(&conn);
                 io.abort(conn);
             } else {
@@ -513,7 +528,7 @@
         }
     }
 
-    /// From now on each connection ends with its answer; idle ones end at once.
+    /// From now on each connection is closed after its response, and idle ones at once.
     pub fn stop(&mut self, io: &mut Io) {
         self.stopping = true;
         let idle = |c: &Client| c.in_progress.is_none() && c.request_began.is_none();
@@ -525,6 +540,7 @@
     }
 }
 
+/// Adds `Connection: close` unless the connection is kept alive.
 fn connection_field(head: HeadWriter, keep_alive: bool) -> HeadWriter {
     if keep_alive { head } else { head.field("Connection", "close") }
 }
@@ -553,17 +569,17 @@
     }
 }
 
-/// Each event's answer as an event of the batch, in the order asked; problems as events that hold them.
+/// Writes the answers to a batch as a batch of events in the order of the request; problems are wrapped in events.
 fn write_batch(out: &mut BytesMut, answers: impl Iterator<Item = EventAnswer>, keep_alive: bool) {
     let mut body = vec![b'['];
-    for (index, (answer, asked)) in answers.enumerate() {
+    for (index, (answer, request)) in answers.enumerate() {
         if index > 0 {
             body.push(b',');
         }
         let (event, outcome, status) = match answer {
             Ok(reply) => (Event::clone(&reply.0), "served", 200),
             Err(problem) => {
-                let mut event = Event::new(&*asked.id, &*asked.source, "basaltward.problem");
+                let mut event = Event::new(&*request.id, &*request.source, "basaltward.problem");
                 event.content_type = Some("application/problem+json".into());
                 event.data = problem.body().into();
                 (event, problem.outcome, i32::from(problem.status))
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -1,4 +1,5 @@
-//! One loop: clients, engine and workers joined. It carries bytes and messages between them.
+//! One scheduler loop, which connects clients, the scheduling engine and workers. It carries bytes and messages between
+//! them and makes no scheduling decisions.
 
 mod calls;
 mod records;
@@ -25,22 +26,22 @@
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 use tracing::{info, warn};
 
-/// What other threads want of a loop.
+/// Command to a loop: keep running.
 pub const RUN: u8 = 0;
-/// Finish what is in hand, then leave.
+/// Command to a loop: finish the calls in flight, then end.
 pub const STOP: u8 = 1;
-/// Leave at once, as a killed process would.
+/// Command to a loop: end at once, as a killed process would.
 pub const KILL: u8 = 2;
 
-/// What a loop is told from outside.
+/// Controls of a loop for other threads.
 pub struct Controls {
     /// One of [`RUN`], [`STOP`] and [`KILL`].
     pub command: Arc<AtomicU8>,
-    /// Do nothing for so many microseconds, once.
+    /// Suspend the loop once for this many microseconds; reset to 0 when the suspension begins.
     pub stall_us: Arc<AtomicU64>,
 }
 
-/// One loop with all it owns.
+/// One scheduler loop and its state.
 pub struct Scheduler {
     name: String,
     prefix: String,
@@ -49,11 +50,12 @@
     engine: Engine<Event, Reply>,
     front: Front,
     links: Links,
-    /// What the loops say to each other, and the calls of this one's clients that others own.
     channels: LoopChannels,
+    /// Calls of this loop's clients whose events another loop owns.
     handoffs: Handoffs,
-    /// This loop's part in the sites, where there are some.
+    /// State of calls at this and other sites, if the settings name sites.
     sites: Option<Sites>,
+    /// Buffer for messages of other loops, kept to reuse its memory.
     messages: Vec<Message>,
     pacer: LoopPacer,
     roster: RosterFile,
@@ -62,8 +64,9 @@
     recorder: Recorder,
     controls: Controls,
     stopping: bool,
+    /// Buffer for outputs of the engine, kept to reuse its memory.
     outputs: Vec<Output<Event, Reply>>,
-    /// Answers put out since the last write, kept only for records.
+    /// Answers written since the last flush, as event name and HTTP status; filled only while recording is on.
     unrecorded_answers: Vec<(String, u16)>,
 }
 
@@ -74,7 +77,7 @@
         max_in_flight: config.front.calls,
         max_waiters: config.front.waiters,
         linger: repeats.linger,
-        // Each loop owns its part of a tenant's events.
+        // Each loop owns a share of a tenant's events, so the limits are divided by the number of loops.
         repeats: RepeatLimits {
             retention: repeats.remember,
             max_answers: repeats.answers.div_ceil(loops),
@@ -86,14 +89,14 @@
 }
 
 impl Scheduler {
-    /// A loop that listens but does not run yet.
+    /// Creates a loop that listens but does not run yet.
     pub fn new(
         config: &Config,
         thread: u32,
-        (mut io, mail): (Io, LoopChannels),
+        (mut io, channels): (Io, LoopChannels),
         (listener, sites): (TcpListener, Option<Sites>),
         recorder: Recorder,
-        orders: Controls,
+        controls: Controls,
     ) -> Result<Self, crate::GatewayError> {
         let settings = engine_settings(config, thread);
         let name = format!("{}/{thread}", config.name);
@@ -109,9 +112,9 @@
             address,
             io,
             engine: Engine::new(settings, seed)?,
-            front: Front::new(config, mail.index()),
+            front: Front::new(config, channels.index()),
             links,
-            channels: mail,
+            channels,
             handoffs: Handoffs::new(config.front.calls),
             sites,
             messages: Vec::new(),
@@ -120,30 +123,30 @@
             clock: Clock::read(),
             worker_states: BTreeMap::new(),
             recorder,
-            controls: orders,
+            controls,
             stopping: false,
             outputs: Vec::new(),
             unrecorded_answers: Vec::new(),
         })
     }
 
-    /// Runs until it is told to leave.
+    /// Runs until a command ends the loop.
     ///
     /// # Errors
-    /// Where the system fails the loop itself.
+    /// If polling for I/O fails.
     pub fn run(mut self) -> Result<(), NetError> {
         let address = self.address.to_string();
         self.recorder.put(monotonic(), &self.name, What::Up { address });
-        let mut happened = Vec::new();
+        let mut io_events = Vec::new();
         loop {
             let now = monotonic();
             self.poll_roster(now);
             self.io.pause_accepting(
-                !self.pacer.should_accept(self.front.oldest_input().map_or(0, |came| now - came)),
+                !self.pacer.should_accept(self.front.oldest_input().map_or(0, |arrived| now - arrived)),
             );
             let wait = self.idle_time(now);
-            self.io.turn(Some(wait), &mut happened)?;
-            self.turn((now, now + wait), &mut happened);
+            self.io.turn(Some(wait), &mut io_events)?;
+            self.turn((now, now + wait), &mut io_events);
             self.io.free_ended();
             let now = monotonic();
             let stall = self.controls.stall_us.swap(0, Ordering::Relaxed);
@@ -174,47 +177,48 @@
         }
     }
 
-    /// How long there is nothing to do unless something happens.
+    /// Time to wait for I/O: until the next timer is due, or 0 if there is work already.
     fn idle_time(&self, now: Micros) -> Micros {
-        let handed = self.handoffs.next_due(self.engine.lateness(now));
+        let handoffs = self.handoffs.next_due(self.engine.lateness(now));
         let sites = self.sites.as_ref().map(Sites::next_due);
-        let due = [self.engine.next_due(now), self.front.next_due(), self.links.next_due(), handed, sites];
+        let due = [self.engine.next_due(now), self.front.next_due(), self.links.next_due(), handoffs, sites];
         let due = due.into_iter().flatten().chain([self.roster.next_due()]).min().unwrap_or(now);
-        let at_once = self.front.oldest_input().is_some() || self.channels.is_behind();
-        if at_once { 0 } else { due.saturating_sub(now) }
+        let has_work = self.front.oldest_input().is_some() || self.channels.is_behind();
+        if has_work { 0 } else { due.saturating_sub(now) }
     }
 
-    /// One turn: what has ended and what is due, then what is new as far as its time goes.
-    fn turn(&mut self, (since, due): (Micros, Micros), happened: &mut Vec<IoEvent>) {
+    /// One turn of the loop: first handles ended jobs and due timers, then starts new requests as long as the turn's time
+    /// allows. `since` and `due` are the begin and the planned end of the wait before it.
+    fn turn(&mut self, (since, due): (Micros, Micros), io_events: &mut Vec<IoEvent>) {
         let mut now = monotonic();
         let began = now;
         self.pacer.begin_turn(since, due, now);
-        // What is written in between may bring further ends.
+        // Flushing in between may produce further I/O events, which are handled in the next turn.
         let mut later = Vec::new();
-        for happened in happened.drain(..) {
-            if let IoEvent::Data(conn) | IoEvent::Drained(conn) = happened
+        for event in io_events.drain(..) {
+            if let IoEvent::Data(conn) | IoEvent::Drained(conn) = event
                 && !self.links.owns(conn)
                 && !self.is_peer_connection(conn)
             {
                 self.front.input_arrived(began, conn);
                 continue;
             }
-            self.handle_io(now, happened);
+            self.handle_io(now, event);
             now = monotonic();
             if self.pacer.should_check_timers(now) {
                 self.wake(now);
             }
-            // At once: a call that waits to be written may meet the end of the kept connection that was found
-            // sound for it.
+            // Flushes at once: a call whose write is delayed could meet the close of the keep-alive connection that was
+            // checked for it.
             self.flush(&mut later);
         }
         self.read_messages(now);
         self.read_control(now);
         self.wake(now);
         self.flush(&mut later);
-        while let Some(came) = self.front.oldest_input() {
+        while let Some(arrived) = self.front.oldest_input() {
             let now = monotonic();
-            if !self.pacer.may_begin(now, came) {
+            if !self.pacer.may_begin(now, arrived) {
                 break;
             }
             if let Some(conn) = self.front.pop_queued() {
@@ -222,7 +226,7 @@
                 self.flush(&mut later);
             }
         }
-        *happened = later;
+        *io_events = later;
         let now = monotonic();
         let TurnReport { began, stalled, lag } = self.pacer.end_turn(now, thread_time());
         self.engine.record_lateness(now, began);
@@ -235,9 +239,9 @@
         }
     }
 
-    /// Writes what there is to write. An answer counts as given once its bytes are with the system.
-    fn flush(&mut self, happened: &mut Vec<IoEvent>) {
-        self.io.flush(happened);
+    /// Flushes output buffers and messages. An answer is recorded once its bytes have been handed to the operating system.
+    fn flush(&mut self, io_events: &mut Vec<IoEvent>) {
+        self.io.flush(io_events);
         self.channels.flush();
         if !self.unrecorded_answers.is_empty() {
             let now = monotonic();
@@ -247,6 +251,7 @@
         }
     }
 
+    /// Begins a graceful stop.
     fn stop(&mut self, now: Micros) {
         info!(scheduler = self.name, in_hand = self.engine.calls_in_flight(), "stopping");
         self.stopping = true;
@@ -256,34 +261,35 @@
         self.engine_input(now, Input::Stop);
     }
 
-    fn handle_io(&mut self, now: Micros, happened: IoEvent) {
-        match happened {
+    /// Handles an I/O event.
+    fn handle_io(&mut self, now: Micros, event: IoEvent) {
+        match event {
             IoEvent::Accepted { conn, .. } => self.front.client_connected(now, conn),
             IoEvent::Connected(conn) if self.is_peer_connection(conn) => {
-                let done = self.sites.as_mut().and_then(|sites| sites.connected(&mut self.io, now, conn));
-                self.remote_job_ended(now, done);
+                let end = self.sites.as_mut().and_then(|sites| sites.connected(&mut self.io, now, conn));
+                self.remote_job_ended(now, end);
             }
             IoEvent::Data(conn) if self.is_peer_connection(conn) => {
-                let done = self.sites.as_mut().and_then(|sites| sites.data(&mut self.io, now, conn));
-                self.remote_job_ended(now, done);
+                let end = self.sites.as_mut().and_then(|sites| sites.data(&mut self.io, now, conn));
+                self.remote_job_ended(now, end);
             }
             IoEvent::Ended(conn, how) if self.is_peer_connection(conn) => {
-                let done = self.sites.as_mut().and_then(|sites| sites.ended(&mut self.io, now, conn, how));
-                self.remote_job_ended(now, done);
+                let end = self.sites.as_mut().and_then(|sites| sites.ended(&mut self.io, now, conn, how));
+                self.remote_job_ended(now, end);
             }
             IoEvent::Connected(conn) => {
-                let done = self.links.connected(&mut self.io, now, conn);
+                let end = self.links.connected(&mut self.io, now, conn);
                 self.record_sent(now);
-                self.job_ended(now, done);
+                self.job_ended(now, end);
             }
             IoEvent::Data(conn) if self.links.owns(conn) => {
-                let done = self.links.data(&mut self.io, now, conn);
-                self.job_ended(now, done);
+                let end = self.links.data(&mut self.io, now, conn);
+                self.job_ended(now, end);
             }
             IoEvent::Data(conn) | IoEvent::Drained(conn) => self.front.input_arrived(now, conn),
             IoEvent::Ended(conn, how) if self.links.owns(conn) => {
-                let done = self.links.ended(&mut self.io, now, conn, how);
-                self.job_ended(now, done);
+                let end = self.links.ended(&mut self.io, now, conn, how);
+                self.job_ended(now, end);
             }
             IoEvent::Ended(conn, _) => {
                 for waiter in self.front.client_disconnected(conn) {
@@ -300,19 +306,20 @@
         }
     }
 
-    /// Does all that is due. A link's own time-out goes before the call's: it tells the module more.
+    /// Runs all due timers. The timeout of a connection comes before that of its call, because it gives the scheduling
+    /// module more information.
     fn wake(&mut self, mut now: Micros) {
         loop {
-            let mut done = Vec::new();
-            self.links.wake(&mut self.io, now, &mut done);
-            for done in done {
-                self.job_ended(now, Some(done));
+            let mut ends = Vec::new();
+            self.links.wake(&mut self.io, now, &mut ends);
+            for end in ends {
+                self.job_ended(now, Some(end));
             }
             self.sites.iter_mut().for_each(|sites| sites.lateness = self.engine.lateness(now));
-            let then = self.sites.as_mut().map(|sites| sites.wake_replicated(now)).unwrap_or_default();
-            self.perform_actions(now, then);
-            let back = self.sites.as_mut().map(|sites| sites.wake(&mut self.io, now));
-            back.into_iter().flatten().for_each(|done| self.remote_job_ended(now, Some(done)));
+            let actions = self.sites.as_mut().map(|sites| sites.wake_replicated(now)).unwrap_or_default();
+            self.perform_actions(now, actions);
+            let ends = self.sites.as_mut().map(|sites| sites.wake(&mut self.io, now));
+            ends.into_iter().flatten().for_each(|end| self.remote_job_ended(now, Some(end)));
             self.front.wake(&mut self.io, now);
             while let Some((waiter, answer, owner)) = self.handoffs.expire(now, self.engine.lateness(now)) {
                 self.channels.send(owner, Message::ClientLeft(waiter));
@@ -328,36 +335,38 @@
         }
     }
 
-    /// Takes requests from a connection as long as there are whole ones and it is free.
+    /// Starts the requests of a connection as long as complete ones have arrived and none is in progress.
     fn take_requests(&mut self, now: Micros, conn: ConnId) {
-        while let Some(asked) = self.front.next_request(&mut self.io, now, conn) {
-            let NextRequest::Calls(calls) = asked else { continue };
+        while let Some(request) = self.front.next_request(&mut self.io, now, conn) {
+            let NextRequest::Calls(calls) = request else { continue };
             for call in calls {
                 self.new_call(now, call);
             }
         }
     }
 
+    /// Passes an input to the engine and carries out its outputs.
     fn engine_input(&mut self, now: Micros, input: Input<Event, Reply>) {
         let mut outputs = std::mem::take(&mut self.outputs);
         self.engine.handle(now, input, &mut outputs);
         self.carry_out(now, outputs);
     }
 
-    fn job_ended(&mut self, now: Micros, done: Option<JobEnd>) {
-        if let Some(input) = done.and_then(|done| self.engine_input_of(now, done)) {
+    /// Passes the end of a job at a worker to the engine.
+    fn job_ended(&mut self, now: Micros, end: Option<JobEnd>) {
+        if let Some(input) = end.and_then(|end| self.engine_input_of(now, end)) {
             self.engine_input(now, input);
         }
     }
 
-    /// How a job ended, as the engine is told it.
-    fn engine_input_of(&mut self, now: Micros, done: JobEnd) -> Option<Input<Event, Reply>> {
-        Some(match done {
+    /// The end of a job as an input of the engine, `None` if the engine does not need it. Records ends of attempts.
+    fn engine_input_of(&mut self, now: Micros, end: JobEnd) -> Option<Input<Event, Reply>> {
+        Some(match end {
             JobEnd::Ignored => return None,
             JobEnd::Attempt(id, end) => {
                 if let Some(sites) = &mut self.sites {
                     sites.attempt_ended(now, id, &end);
-                    sites.replicated.iter_mut().for_each(|kept| kept.attempt_ended(id, &end));
+                    sites.replicated.iter_mut().for_each(|events| events.attempt_ended(id, &end));
                 }
                 if self.recorder.is_on() {
                     let (attempt, code) = (attempt_name(&self.prefix, id), format!("{:?}", end.code));
@@ -367,20 +376,20 @@
             }
             JobEnd::Order(id, code, count) => Input::OrderAnswered(id, code, count),
             JobEnd::Probe(id, code, report) => Input::ProbeAnswered(id, code, report),
-            // Links to workers carry none.
+            // Connections to workers carry no calls handed over to other sites.
             JobEnd::HandedOver(..) => return None,
         })
     }
 
-    /// Carries out what the engine wants, and what follows from that, until there is no more.
+    /// Carries out the engine's outputs, and those that follow from them, until there are none.
     fn carry_out(&mut self, now: Micros, mut outputs: Vec<Output<Event, Reply>>) {
         let mut queue: VecDeque<_> = outputs.drain(..).collect();
         self.outputs = outputs;
         while let Some(output) = queue.pop_front() {
-            let done = self.perform(now, output);
-            // Before the engine is told anything else: what was written may run.
+            let end = self.perform(now, output);
+            // Must precede any further input of the engine: an attempt that was written may run.
             self.record_sent(now);
-            if let Some(input) = done.and_then(|done| self.engine_input_of(now, done)) {
+            if let Some(input) = end.and_then(|end| self.engine_input_of(now, end)) {
                 let mut more = std::mem::take(&mut self.outputs);
                 self.engine.handle(now, input, &mut more);
                 queue.extend(more.drain(..));
@@ -389,29 +398,30 @@
         }
     }
 
+    /// Carries out one output of the engine. Returns the end of a job that ended at once.
     fn perform(&mut self, now: Micros, output: Output<Event, Reply>) -> Option<JobEnd> {
         let Self { io, links, front, .. } = self;
         match output {
-            Output::Answer { waiter, answer, attempts, worker, origin: path } => {
-                let kept = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut());
-                let answer = match kept {
-                    Some(kept) => kept.answered(waiter, answer),
+            Output::Answer { waiter, answer, attempts, worker, origin } => {
+                let replicated = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut());
+                let answer = match replicated {
+                    Some(replicated) => replicated.answered(waiter, answer),
                     None => answer,
                 };
-                self.route_answer(now, waiter, answer, (attempts, worker, path));
+                self.route_answer(now, waiter, answer, (attempts, worker, origin));
                 None
             }
             Output::Start { attempt, worker, identity, function, payload, until } => {
                 let repeat = front.repeat_of(&function);
                 self.sites.iter_mut().for_each(|sites| sites.attempt_started(now, attempt, &function.name));
-                let kept = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut());
-                let start = kept.map_or(SendDecision::Now, |kept| {
-                    kept.decide_send((wall_ms(), until), attempt, &identity, worker.as_str())
+                let replicated = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut());
+                let decision = replicated.map_or(SendDecision::Now, |replicated| {
+                    replicated.decide_send((wall_ms(), until), attempt, &identity, worker.as_str())
                 });
                 let lease = Micros::MAX;
                 let job =
                     Job::Attempt { id: attempt, event: payload, function, repeat, until, identity, lease };
-                match (start, &mut self.sites) {
+                match (decision, &mut self.sites) {
                     (SendDecision::Wait, Some(sites)) => {
                         sites.park(attempt, worker, job);
                         None
@@ -426,7 +436,7 @@
                 let sites = self.sites.as_mut();
                 let parked = sites.is_some_and(|sites| {
                     sites.unpark(attempt).is_some()
-                        && sites.replicated.as_mut().is_some_and(|k| k.abort(attempt))
+                        && sites.replicated.as_mut().is_some_and(|events| events.abort(attempt))
                 });
                 match parked {
                     true => Some(JobEnd::Attempt(attempt, AttemptEnd::from_code(Code::Moot))),
@@ -446,35 +456,35 @@
                 links.start(io, now, &worker, Job::Release(function.to_string()));
                 None
             }
-            // The file tells every change by itself.
+            // The roster file is polled, which detects every change.
             Output::RequestWorkerList => None,
         }
     }
 
-    /// Gives a client of this loop, or of another one, its final answer.
+    /// Routes the final answer to a client of this loop or of another one.
     fn route_answer(
         &mut self,
         now: Micros,
         waiter: WaiterId,
         answer: Answer<Reply>,
-        (attempts, worker, path): (u32, Option<WorkerId>, AnswerOrigin),
+        (attempts, worker, origin): (u32, Option<WorkerId>, AnswerOrigin),
     ) {
         match loop_of_waiter(waiter) {
-            here if here == self.channels.index() => {
-                self.answer_client(now, (waiter, answer), (attempts, worker, path))
+            index if index == self.channels.index() => {
+                self.answer_client(now, (waiter, answer), (attempts, worker, origin))
             }
-            there => {
-                self.channels.send(there, Message::Answer { waiter, answer, attempts, worker, origin: path });
+            index => {
+                self.channels.send(index, Message::Answer { waiter, answer, attempts, worker, origin });
             }
         }
     }
 
-    /// Gives a client of this loop its final answer.
+    /// Answers a client of this loop.
     fn answer_client(
         &mut self,
         now: Micros,
         (waiter, answer): (WaiterId, Answer<Reply>),
-        (attempts, worker, path): (u32, Option<WorkerId>, AnswerOrigin),
+        (attempts, worker, origin): (u32, Option<WorkerId>, AnswerOrigin),
     ) {
         let outcome = match &answer {
             Answer::Served(_) => "served",
@@ -485,22 +495,22 @@
             Some(sites) => sites.answer_ready(now, waiter, answer),
             None => answer,
         };
-        let unowned = matches!(answer, Answer::Failed(Failure::OwnerUnreachable));
-        let Some((waiting, status, free)) = self.front.answer(&mut self.io, now, waiter, answer) else {
+        let owner_unreachable = matches!(answer, Answer::Failed(Failure::OwnerUnreachable));
+        let Some((waiter, status, free_conn)) = self.front.answer(&mut self.io, now, waiter, answer) else {
             return;
         };
-        if unowned && self.recorder.is_on() {
-            self.recorder.put(now, &self.name, What::Unowned { event: event_name(&waiting.event) });
+        if owner_unreachable && self.recorder.is_on() {
+            self.recorder.put(now, &self.name, What::Unowned { event: event_name(&waiter.event) });
         }
-        if let Some(conn) = free
+        if let Some(conn) = free_conn
             && self.io.input(conn).is_some_and(|input| !input.is_empty())
         {
             self.front.input_arrived(now, conn);
         }
         if self.recorder.is_on() {
-            self.unrecorded_answers.push((event_name(&waiting.event), status));
+            self.unrecorded_answers.push((event_name(&waiter.event), status));
         }
-        let how = match path {
+        let how = match origin {
             AnswerOrigin::First => "first",
             AnswerOrigin::Joined => "joined",
             AnswerOrigin::Direct => "direct",
@@ -508,15 +518,15 @@
         info!(
         target: "basaltward::call",
         scheduler = self.name,
-        id = waiting.event.id,
-        source = waiting.event.source,
-        function = %waiting.function.name,
+        id = waiter.event.id,
+        source = waiter.event.source,
+        function = %waiter.function.name,
         outcome,
         status,
         attempts,
         worker = worker.as_ref().map(WorkerId::as_str),
         how,
-        took_us = now.saturating_sub(waiting.began),
+        took_us = now.saturating_sub(waiter.began),
         "call"
         );
     }
@@ -527,7 +537,7 @@
     Clock::read().wall() / 1_000
 }
 
-/// An event's name in records.
+/// The name of an event in records.
 fn event_name(event: &Event) -> String {
     format!("{}#{}", event.source, event.id)
 }
--- a/crates/gateway/src/scheduler/calls.rs
+++ b/crates/gateway/src/scheduler/calls.rs
@@ -1,5 +1,5 @@
-//! The way of a call through a loop: turned away at the door, handed to another site, to the loop that owns its event,
-//! held by neighbours, begun.
+//! The path of a call through a loop: it is shed on admission or handed over to another site; otherwise it is passed to
+//! the loop that owns its event, replicated if its class demands it, and passed to the engine.
 
 use super::{Scheduler, event_name, wall_ms};
 use crate::channels::Message;
@@ -15,7 +15,7 @@
 use tracing::warn;
 
 impl Scheduler {
-    /// A call of this loop's clients: turned away, handed to another site, or answered here.
+    /// Handles a new call of this loop's clients: it is shed, handed over to another site, or handled at this site.
     pub(super) fn new_call(&mut self, now: Micros, call: NewCall<Event>) {
         let Some(sites) = &mut self.sites else { return self.local_call(now, call) };
         let (waiter, event) = (call.waiter, call.payload.clone());
@@ -31,10 +31,10 @@
         }
     }
 
-    /// What has ended at another site: its reply, or a call that is tried here in what is left of its time.
-    pub(super) fn remote_job_ended(&mut self, now: Micros, done: Option<JobEnd>) {
-        let back = done.and_then(|done| self.sites.as_mut()?.job_ended(now, done));
-        match back {
+    /// Handles the end of a job at another site: answers the client, or runs the call here in its remaining time.
+    pub(super) fn remote_job_ended(&mut self, now: Micros, end: Option<JobEnd>) {
+        let result = end.and_then(|end| self.sites.as_mut()?.job_ended(now, end));
+        match result {
             Some(HandOverResult::Answer(waiter, answer)) => {
                 self.answer_client(now, (waiter, answer), (1, None, AnswerOrigin::First))
             }
@@ -43,40 +43,40 @@
         }
     }
 
+    /// Whether this connection is one to another site.
     pub(super) fn is_peer_connection(&self, conn: ConnId) -> bool {
         self.sites.as_ref().is_some_and(|sites| sites.owns(conn))
     }
 
-    /// A call that is answered at this site goes to the loop that owns its event.
+    /// Passes a call handled at this site to the loop that owns its event.
     pub(super) fn local_call(&mut self, now: Micros, call: NewCall<Event>) {
         let Some((owner, hash)) = self.channels.owner(&call.identity) else {
             return self.owned_call(now, call);
         };
         let repeat = self.front.repeat_of(&call.function);
-        let known = repeat != Repeat::Safe && self.channels.record_seen(now, hash);
+        let seen_before = repeat != Repeat::Safe && self.channels.record_seen(now, hash);
         if owner == self.channels.index() {
             return self.owned_call(now, call);
         }
         let NewCall { waiter, identity, function, deadline, payload } = call;
-        let unheard = UntakenAnswer::for_event(repeat, known);
+        let untaken = UntakenAnswer::for_event(repeat, seen_before);
         let lateness = self.engine.lateness(now);
-        let handed = self.handoffs.hand_over((now, lateness), waiter, owner, deadline, unheard);
-        let sent = handed.is_some_and(|(claim, by)| {
-            self.channels
-                .send(owner, Message::Call { waiter, identity, function, deadline: by, payload, claim })
+        let handoff = self.handoffs.hand_over((now, lateness), waiter, owner, deadline, untaken);
+        let sent = handoff.is_some_and(|(claim, deadline)| {
+            self.channels.send(owner, Message::Call { waiter, identity, function, deadline, payload, claim })
         });
         if !sent {
             self.handoffs.answered(waiter);
-            self.answer_client(now, (waiter, unheard.answer()), (0, None, AnswerOrigin::Direct));
+            self.answer_client(now, (waiter, untaken.answer()), (0, None, AnswerOrigin::Direct));
         }
     }
 
-    /// A call that this loop owns: one of a kept class waits until other sites hold it.
+    /// Handles a call that this loop owns. A call of a replicated class waits until other sites have stored its entry.
     pub(super) fn owned_call(&mut self, now: Micros, call: NewCall<Event>) {
-        let Some(kept) = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut()) else {
+        let Some(replicated) = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut()) else {
             return self.start_call(now, call);
         };
-        match kept.accept((now, wall_ms()), call) {
+        match replicated.accept((now, wall_ms()), call) {
             AcceptOutcome::Proceed(call) => self.start_call(now, call),
             AcceptOutcome::Waiting => {}
             AcceptOutcome::Answer(waiter, answer) => {
@@ -85,6 +85,7 @@
         }
     }
 
+    /// Passes a call to the engine.
     pub(super) fn start_call(&mut self, now: Micros, call: NewCall<Event>) {
         if self.recorder.is_on() {
             let event = event_name(&call.payload);
@@ -93,15 +94,15 @@
         self.engine_input(now, Input::Call(call));
     }
 
-    /// What other loops have said.
+    /// Handles the messages of other loops.
     pub(super) fn read_messages(&mut self, now: Micros) {
-        let mut letters = std::mem::take(&mut self.messages);
-        self.channels.receive(&mut letters);
-        for letter in letters.drain(..) {
-            match letter {
-                Message::Call { waiter, identity, function, deadline: by, payload, claim } => {
+        let mut messages = std::mem::take(&mut self.messages);
+        self.channels.receive(&mut messages);
+        for message in messages.drain(..) {
+            match message {
+                Message::Call { waiter, identity, function, deadline, payload, claim } => {
                     if claim.take() {
-                        self.owned_call(now, NewCall { waiter, identity, function, deadline: by, payload });
+                        self.owned_call(now, NewCall { waiter, identity, function, deadline, payload });
                     }
                 }
                 Message::ClientLeft(waiter) => self.client_left(now, waiter),
@@ -112,60 +113,63 @@
                 }
             }
         }
-        self.messages = letters;
+        self.messages = messages;
     }
 
-    /// A client of a call that this loop owns has left.
+    /// The client of a call that this loop owns has disconnected.
     pub(super) fn client_left(&mut self, now: Micros, waiter: WaiterId) {
-        if let Some(kept) = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut()) {
-            kept.client_left(waiter);
+        if let Some(replicated) = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut()) {
+            replicated.client_left(waiter);
         }
         self.engine_input(now, Input::ClientLeft(waiter));
     }
 
-    /// What the control thread says of kept events, once it has our steps.
+    /// Sends journal steps to the control thread and handles its messages about replicated events.
     pub(super) fn read_control(&mut self, now: Micros) {
-        for word in self.sites.as_mut().map(Sites::exchange_control).unwrap_or_default() {
-            let Some(kept) = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut()) else { return };
-            let then = match word {
-                ControlMessage::Replicated(key, held) => kept.replication_result(key, held),
+        for message in self.sites.as_mut().map(Sites::exchange_control).unwrap_or_default() {
+            let Some(replicated) = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut()) else {
+                return;
+            };
+            let actions = match message {
+                ControlMessage::Replicated(key, stored) => replicated.replication_result(key, stored),
                 ControlMessage::SendDecision(key, number, until) => {
-                    kept.lease_decided(key, number, until).into_iter().collect()
+                    replicated.lease_decided(key, number, until).into_iter().collect()
                 }
                 ControlMessage::EndedElsewhere(key, outcome, answer) => {
-                    kept.ended_elsewhere(key, outcome, &answer, now)
+                    replicated.ended_elsewhere(key, outcome, &answer, now)
                 }
-                ControlMessage::TakenOver(key) => kept.taken_over(key),
-                ControlMessage::OwnedElsewhere(key) => kept.owned_elsewhere(key),
+                ControlMessage::TakenOver(key) => replicated.taken_over(key),
+                ControlMessage::OwnedElsewhere(key) => replicated.owned_elsewhere(key),
                 ControlMessage::RunForLostSite(pending, before) => {
                     let key = pending.key;
                     let Some(mut call) = self.front.call_of_lost_site(&pending, (now, wall_ms())) else {
                         warn!(
                             scheduler = self.name,
                             function = pending.function,
-                            "of a lost site, not known here"
+                            "event of a lost site not run: unknown function or invalid event"
                         );
-                        kept.abandon(key);
+                        replicated.abandon(key);
                         continue;
                     };
                     call.deadline =
                         call.deadline.min(now + before.saturating_sub(wall_ms()).saturating_mul(1_000));
-                    // As one that was accepted here: steps and all.
-                    match kept.accept((now, wall_ms()), call) {
+                    // Handled like an event accepted here, journal steps included.
+                    match replicated.accept((now, wall_ms()), call) {
                         AcceptOutcome::Proceed(call) => self.start_call(now, call),
                         AcceptOutcome::Waiting => {}
-                        AcceptOutcome::Answer(..) => kept.abandon(key),
+                        AcceptOutcome::Answer(..) => replicated.abandon(key),
                     }
                     continue;
                 }
             };
-            self.perform_actions(now, then);
+            self.perform_actions(now, actions);
         }
     }
 
-    pub(super) fn perform_actions(&mut self, now: Micros, then: Vec<Action>) {
-        for then in then {
-            match then {
+    /// Carries out actions for replicated events.
+    pub(super) fn perform_actions(&mut self, now: Micros, actions: Vec<Action>) {
+        for action in actions {
+            match action {
                 Action::Proceed(call) => self.start_call(now, call),
                 Action::Answer(waiter, answer) => {
                     self.route_answer(now, waiter, answer, (0, None, AnswerOrigin::Direct))
@@ -180,9 +184,9 @@
                         if let Job::Attempt { lease, .. } = &mut job {
                             *lease = until;
                         }
-                        let done = self.links.start(&mut self.io, now, &worker, job);
+                        let end = self.links.start(&mut self.io, now, &worker, job);
                         self.record_sent(now);
-                        self.job_ended(now, done);
+                        self.job_ended(now, end);
                     }
                 }
             }
--- a/crates/gateway/src/scheduler/records.rs
+++ b/crates/gateway/src/scheduler/records.rs
@@ -1,4 +1,4 @@
-//! What a loop records and logs of its links and its list of workers.
+//! Records and log lines of a loop about sent jobs and its list of workers.
 
 use super::Scheduler;
 use crate::links::attempt_name;
@@ -9,7 +9,7 @@
 use tracing::{info, warn};
 
 impl Scheduler {
-    /// What has been given to connections since: the engine learns it at once, the records where they are on.
+    /// Reports the jobs handed to connections since the last call: to the engine always, to the recorder if it is on.
     pub(super) fn record_sent(&mut self, now: Micros) {
         for sent in self.links.sent.drain(..) {
             if let Some((id, _)) = &sent.attempt {
@@ -30,13 +30,17 @@
         }
     }
 
+    /// Reads the roster file if it is due and passes a new list of workers to the engine.
     pub(super) fn poll_roster(&mut self, now: Micros) {
         let (kind, entries) = match self.roster.poll(now) {
             None => return,
             Some(RosterUpdate::Full(entries)) => (MembersKind::Whole, entries),
             Some(RosterUpdate::Changes(entries)) => (MembersKind::Changes, entries),
             Some(RosterUpdate::Failed(why)) => {
-                warn!(scheduler = self.name, why, "roster can't be used; the previous list stands");
+                warn!(
+                    scheduler = self.name,
+                    why, "roster is not usable; keeping the previous list of workers"
+                );
                 (MembersKind::Failed, Vec::new())
             }
         };
@@ -46,7 +50,7 @@
         self.engine_input(now, Input::Members(kind, members));
     }
 
-    /// Logs and records the changes that a list brings; decides nothing.
+    /// Logs and records the changes of worker states in a new list.
     pub(super) fn record_states(&mut self, now: Micros, kind: MembersKind, members: &[basaltward::Member]) {
         use basaltward::WorkerState;
         let mut changes: Vec<(WorkerId, WorkerState)> = Vec::new();
@@ -72,7 +76,7 @@
                 self.worker_states.insert(worker, state);
             }
         }
-        let used = self.worker_states.values().filter(|state| **state == WorkerState::Active).count();
-        self.sites.iter_mut().for_each(|sites| sites.set_active_workers(used));
+        let active = self.worker_states.values().filter(|state| **state == WorkerState::Active).count();
+        self.sites.iter_mut().for_each(|sites| sites.set_active_workers(active));
     }
 }
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -304,7 +304,7 @@
         now: Micros,
         call: NewCall<Event>,
         (function, to): (u32, MemberId),
-        (until, owned): (Micros, bool),
+        (until, to_owner): (Micros, bool),
     ) -> Arrival {
         let job = Job::HandOver {
             waiter: call.waiter,
@@ -314,7 +314,7 @@
         };
         let Some(address) = self.fronts.get(usize::from(to)).cloned() else { return Arrival::Local(call) };
         let waiter = call.waiter;
-        self.remote_calls.insert(waiter, RemoteCall { call, function, to, began: now, to_owner: owned });
+        self.remote_calls.insert(waiter, RemoteCall { call, function, to, began: now, to_owner });
         match self.links.start(io, now, &address, job) {
             Some(JobEnd::HandedOver(waiter, end)) => match self.handed_over_ended(now, waiter, end) {
                 Some(HandOverResult::RunLocally(call)) => Arrival::Local(call),
@@ -332,8 +332,8 @@
         waiter: WaiterId,
         end: AttemptEnd<Reply>,
     ) -> Option<HandOverResult> {
-        let RemoteCall { call, function, to, began, to_owner: owned } = self.remote_calls.remove(&waiter)?;
-        if let (true, code) = (owned, end.code) {
+        let RemoteCall { call, function, to, began, to_owner } = self.remote_calls.remove(&waiter)?;
+        if let (true, code) = (to_owner, end.code) {
             return Some(HandOverResult::Answer(
                 waiter,
                 match end.reply {
@@ -367,8 +367,8 @@
     }
 
     /// Handles the end of a job on a connection to another site.
-    pub fn job_ended(&mut self, now: Micros, done: JobEnd) -> Option<HandOverResult> {
-        match done {
+    pub fn job_ended(&mut self, now: Micros, end: JobEnd) -> Option<HandOverResult> {
+        match end {
             JobEnd::HandedOver(waiter, end) => self.handed_over_ended(now, waiter, end),
             _ => None,
         }
@@ -376,9 +376,9 @@
 
     /// See [`Links::connected`].
     pub fn connected(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<JobEnd> {
-        let done = self.links.connected(io, now, conn);
+        let end = self.links.connected(io, now, conn);
         self.links.sent.clear();
-        done
+        end
     }
 
     /// Parks the job of an attempt until the attempt may be sent.
@@ -393,15 +393,15 @@
 
     /// Sends the control thread as many journal steps as its ring has capacity for, and returns its messages.
     pub fn exchange_control(&mut self) -> Vec<ControlMessage> {
-        if let Some(kept) = &mut self.replicated {
-            let before = kept.steps.len();
-            while let Some(step) = kept.steps.pop_front() {
+        if let Some(replicated) = &mut self.replicated {
+            let before = replicated.steps.len();
+            while let Some(step) = replicated.steps.pop_front() {
                 if let Err(rtrb::PushError::Full(step)) = self.rings.steps.push(step) {
-                    kept.steps.push_front(step);
+                    replicated.steps.push_front(step);
                     break;
                 }
             }
-            if kept.steps.len() < before {
+            if replicated.steps.len() < before {
                 self.rings.control_waker.wake();
             }
         }
@@ -410,7 +410,7 @@
 
     /// Runs the due timers of replicated events.
     pub fn wake_replicated(&mut self, now: Micros) -> Vec<Action> {
-        self.replicated.as_mut().map(|kept| kept.wake(now)).unwrap_or_default()
+        self.replicated.as_mut().map(|replicated| replicated.wake(now)).unwrap_or_default()
     }
 
     /// See [`Links::data`].
@@ -427,12 +427,11 @@
     /// connection.
     pub fn client_left(&mut self, io: &mut Io, now: Micros, waiter: WaiterId) -> bool {
         self.local_call_ended(waiter, Some(Ended::Failed));
-        let Some(RemoteCall { function, to, began, to_owner: owned, .. }) = self.remote_calls.remove(&waiter)
-        else {
+        let Some(RemoteCall { function, to, began, to_owner, .. }) = self.remote_calls.remove(&waiter) else {
             return false;
         };
         self.links.abort_handed_over(io, waiter);
-        if owned {
+        if to_owner {
             return true;
         }
         // The result is unknown. Counted as lost, it would lower the rating of a site that did nothing wrong.
@@ -507,8 +506,8 @@
 
     /// Runs due timers and sends the reports to the control thread when they are due. Returns the ends of timed-out jobs.
     pub fn wake(&mut self, io: &mut Io, now: Micros) -> Vec<JobEnd> {
-        let mut done = Vec::new();
-        self.links.wake(io, now, &mut done);
+        let mut ends = Vec::new();
+        self.links.wake(io, now, &mut ends);
         if now >= self.reported_at + REPORT_INTERVAL_US {
             let span = now - std::mem::replace(&mut self.reported_at, now);
             let in_hand = self.local_calls.len() as u32;
@@ -531,6 +530,6 @@
                 warn!(lost = dropped, "control thread is stalled: reports of counts were dropped");
             }
         }
-        done
+        ends
     }
 }
