--- a/crates/gateway/src/channels.rs
+++ b/crates/gateway/src/channels.rs
@@ -38,6 +38,7 @@
     },
 }
 
+/// The rings to and from one other loop.
 struct Peer {
     outbox: Producer<Message>,
     /// Messages that did not fit into the ring, oldest first. Bounded by the calls in flight between the two loops.
@@ -54,44 +55,47 @@
 pub struct LoopChannels {
     index: usize,
     peers: Vec<Option<Peer>>,
+    /// This loop has been woken and has not read its messages yet.
     woken: Arc<AtomicBool>,
     /// Number of loops that may still send messages to others.
     active_loops: Arc<AtomicUsize>,
     /// This loop has been subtracted from `active_loops`.
-    is_idle: bool,
+    is_finished: bool,
+    /// Hashes events to the loops that own them, in the same way in all loops.
     owner_hasher: RandomState,
+    /// Recently recorded keyed and unsafe events of all loops.
     seen: Arc<SeenEvents>,
 }
 
 impl LoopChannels {
-    /// Creates the channels of all loops, by loop index; `wakers` are the loops' wakers. Events recorded by any loop are
-    /// remembered for at least `retention`.
-    pub fn join(wakers: &[Waker], retention: Micros) -> Vec<Self> {
+    /// Creates the channels of all loops, by loop index; `wakers` are the loops' wakers. Events recorded by any loop
+    /// are remembered for at least `retention`.
+    pub fn connect(wakers: &[Waker], retention: Micros) -> Vec<Self> {
         let count = wakers.len();
-        let (owners, seen) = (RandomState::new(), Arc::new(SeenEvents::new(retention)));
-        let busy = Arc::new(AtomicUsize::new(count));
+        let (owner_hasher, seen) = (RandomState::new(), Arc::new(SeenEvents::new(retention)));
+        let active_loops = Arc::new(AtomicUsize::new(count));
         let woken: Vec<Arc<AtomicBool>> = wakers.iter().map(|_| Arc::default()).collect();
         // Indexed by reader, then by writer.
         let mut rings: Vec<Vec<_>> =
             (0..count).map(|_| (0..count).map(|_| Some(RingBuffer::new(RING_CAPACITY))).collect()).collect();
-        let mut outs: Vec<Vec<_>> = (0..count).map(|_| Vec::new()).collect();
+        let mut outboxes: Vec<Vec<_>> = (0..count).map(|_| Vec::new()).collect();
         let mut inboxes: Vec<Vec<_>> = (0..count).map(|_| Vec::new()).collect();
         for (reader, rings) in rings.iter_mut().enumerate() {
             for (writer, ring) in rings.iter_mut().enumerate() {
                 let ring = ring.take().filter(|_| reader != writer);
-                let (out, inbox) = ring.unzip();
-                outs[writer].push(out);
+                let (outbox, inbox) = ring.unzip();
+                outboxes[writer].push(outbox);
                 inboxes[reader].push(inbox);
             }
         }
-        let ends = outs.into_iter().zip(inboxes).enumerate();
-        let end = |(index, (outs, inboxes)): (usize, (Vec<Option<_>>, Vec<Option<_>>))| {
-            let ends = outs.into_iter().zip(inboxes).enumerate();
-            let peer = |(other, (out, inbox)): (usize, (Option<_>, Option<_>))| {
-                let (waiting, waker, woken) = (VecDeque::new(), wakers[other].clone(), woken[other].clone());
+        let ends = outboxes.into_iter().zip(inboxes).enumerate();
+        let end = |(index, (outboxes, inboxes)): (usize, (Vec<Option<_>>, Vec<Option<_>>))| {
+            let ends = outboxes.into_iter().zip(inboxes).enumerate();
+            let peer = |(other, (outbox, inbox)): (usize, (Option<_>, Option<_>))| {
+                let (overflow, waker, woken) = (VecDeque::new(), wakers[other].clone(), woken[other].clone());
                 Some(Peer {
-                    outbox: out?,
-                    overflow: waiting,
+                    outbox: outbox?,
+                    overflow,
                     inbox: inbox?,
                     waker,
                     wake_pending: woken,
@@ -102,9 +106,9 @@
                 index,
                 peers: ends.map(peer).collect(),
                 woken: woken[index].clone(),
-                active_loops: busy.clone(),
-                is_idle: false,
-                owner_hasher: owners.clone(),
+                active_loops: active_loops.clone(),
+                is_finished: false,
+                owner_hasher: owner_hasher.clone(),
                 seen: seen.clone(),
             }
         };
@@ -167,10 +171,10 @@
         }
     }
 
-    /// Marks this loop as finished: it has no clients left and awaits nothing. Returns true once all loops have finished,
-    /// which may then end.
-    pub fn finish(&mut self) -> bool {
-        if !std::mem::replace(&mut self.is_idle, true)
+    /// Marks this loop as finished: it has no clients left and awaits nothing. Returns whether all loops are finished;
+    /// only then may a loop end.
+    pub fn mark_finished(&mut self) -> bool {
+        if !std::mem::replace(&mut self.is_finished, true)
             && self.active_loops.fetch_sub(1, Ordering::AcqRel) == 1
         {
             self.peers.iter().flatten().for_each(|peer| peer.waker.wake());
@@ -180,6 +184,7 @@
 }
 
 impl Peer {
+    /// Moves as many waiting messages as fit into the ring.
     fn push(&mut self) {
         while let Some(message) = self.overflow.pop_front() {
             if let Err(rtrb::PushError::Full(message)) = self.outbox.push(message) {
@@ -192,6 +197,6 @@
 impl Drop for LoopChannels {
     /// A loop that ends for any reason, panics included, must not keep the others waiting.
     fn drop(&mut self) {
-        self.finish();
+        self.mark_finished();
     }
 }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -33,8 +33,8 @@
 const MAX_QUEUED_MESSAGES: usize = 16_384;
 /// Maximum round-trip time of datagrams between sites; a longer silence is taken as a failure, not as distance.
 const MAX_ROUND_TRIP_US: Micros = 100_000;
-/// Gossip bandwidth between gateways. At the membership default of 1,000 bytes/s, half of a fleet of eight received load
-/// figures only after 2 s; at this rate they arrive within 0.5 s.
+/// Gossip bandwidth between gateways. At the membership default of 1,000 bytes/s, half of a fleet of eight received
+/// load figures only after 2 s; at this rate they arrive within 0.5 s.
 const GOSSIP_BYTES_PER_S: u64 = 16_000;
 /// The membership view counts a site as lost after none of its members was live for this time.
 const SITE_LOST_AFTER_US: Micros = 1_000_000;
@@ -238,7 +238,7 @@
 
     /// Reads the loops' reports and the journal steps of their replicated events.
     fn read_loops(&mut self, now: Micros) {
-        let (own, mut out) = (self.endpoint.membership().own(), Vec::new());
+        let (own, mut outputs) = (self.endpoint.membership().own(), Vec::new());
         for (number, end) in self.loops.iter_mut().enumerate() {
             while let Ok(report) = end.reports.pop() {
                 match report {
@@ -249,32 +249,32 @@
             }
             while let Ok(step) = end.steps.pop() {
                 // An event of a lost gateway is not started again while the gateways that took it over handle it.
-                let fate = match &step {
+                let status = match &step {
                     Step::Accepted(accepted) => {
-                        self.pending.fate(accepted.key).map(|fate| (accepted.key, fate))
+                        self.pending.fate(accepted.key).map(|status| (accepted.key, status))
                     }
                     _ => None,
                 };
-                let (key, message) = match fate {
+                let (key, message) = match status {
                     Some((key, Fate::Ended(outcome, answer))) => {
                         (key, ControlMessage::EndedElsewhere(key, outcome, answer))
                     }
                     Some((key, Fate::By(by))) if by != own => (key, ControlMessage::OwnedElsewhere(key)),
                     Some((key, Fate::Open)) => (key, ControlMessage::OwnedElsewhere(key)),
                     Some(_) | None => {
-                        self.pending.handle(now, wall_ms(), Input::Step(step), &mut out);
+                        self.pending.handle(now, wall_ms(), Input::Step(step), &mut outputs);
                         continue;
                     }
                 };
-                self.pending.handle(now, wall_ms(), Input::Repeated(key), &mut out);
+                self.pending.handle(now, wall_ms(), Input::Repeated(key), &mut outputs);
                 self.queued[number].push_back(message);
             }
         }
-        self.carry_out(now, out);
+        self.carry_out(now, outputs);
     }
 
     fn handle_events(&mut self, now: Micros, events: Vec<EndpointEvent>) {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         for event in events {
             let input = match event {
                 EndpointEvent::Transport(Event::Believed { of, incarnation, state }) => {
@@ -317,9 +317,9 @@
                 }
                 EndpointEvent::Transport(_) | EndpointEvent::Connection(_) => continue,
             };
-            self.pending.handle(now, wall_ms(), input, &mut out);
+            self.pending.handle(now, wall_ms(), input, &mut outputs);
         }
-        self.carry_out(now, out);
+        self.carry_out(now, outputs);
     }
 
     fn member_changed(
@@ -353,9 +353,9 @@
             self.update_owners(now);
         }
         if self.pending.next_due() <= now {
-            let mut out = Vec::new();
-            self.pending.wake(now, wall_ms(), &mut out);
-            self.carry_out(now, out);
+            let mut outputs = Vec::new();
+            self.pending.wake(now, wall_ms(), &mut outputs);
+            self.carry_out(now, outputs);
         }
     }
 
@@ -368,9 +368,9 @@
             self.live = live;
             self.route.live(&self.live);
             self.next_site_refresh = now;
-            let mut out = Vec::new();
-            self.pending.handle(now, wall_ms(), Input::Live(self.live.clone()), &mut out);
-            self.carry_out(now, out);
+            let mut outputs = Vec::new();
+            self.pending.handle(now, wall_ms(), Input::Live(self.live.clone()), &mut outputs);
+            self.carry_out(now, outputs);
         }
     }
 
@@ -412,17 +412,17 @@
     fn update_owners(&mut self, now: Micros) {
         let observations = self.endpoint.transport().sites(now);
         let permit_state = self.endpoint.agreed().map(|known| known.value.clone()).unwrap_or_default();
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         let taken_over = taken(&permit_state, &self.site_map);
-        self.pending.handle(now, wall_ms(), Input::Seen { observations, permit_state }, &mut out);
+        self.pending.handle(now, wall_ms(), Input::Seen { observations, permit_state }, &mut outputs);
         let accepts = self.pending.takes() && now >= self.accepts_from;
         let owners = Owners { valid_until: now + OWNERS_VALID_US, taken_over, accepts };
         self.tables.owners.store(Some(Arc::new(owners)));
-        self.carry_out(now, out);
+        self.carry_out(now, outputs);
     }
 
-    fn carry_out(&mut self, now: Micros, out: Vec<Output>) {
-        for output in out {
+    fn carry_out(&mut self, now: Micros, outputs: Vec<Output>) {
+        for output in outputs {
             match output {
                 Output::Send { to, bytes } => {
                     // Unacknowledged data is sent again.
@@ -451,8 +451,9 @@
                     }
                 }
                 Output::Takes => {
-                    // Other gateways accepted events of this gateway until they learned of its return. A repeat of one of
-                    // those must not be accepted here while it is remembered there, as this gateway has no record of it.
+                    // Other gateways accepted events of this gateway until they learned of its return. A repeat of
+                    // one of those must not be accepted here while it is remembered there, as this gateway has no
+                    // record of it.
                     let wait = if std::mem::take(&mut self.reclaimed) {
                         self.retention + OWNERS_VALID_US
                     } else {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -36,8 +36,8 @@
     pub const STATUS: &str = "status";
 }
 
-/// A waiter's id consists of the loop's index (8 bits), a sequence number (32 bits) and the slot (24 bits). This masks the
-/// slot.
+/// A waiter's id consists of the loop's index (8 bits), a sequence number (32 bits) and the slot (24 bits). This
+/// masks the slot.
 const SLOT_MASK: u64 = (1 << 24) - 1;
 /// Position of the loop's index in a waiter's id.
 const THREAD_SHIFT: u32 = 56;
@@ -60,6 +60,7 @@
 
 /// A request that waits for the answers to its events.
 struct RequestInProgress {
+    /// Encoding of the response.
     mode: Mode,
     keep_alive: bool,
     /// Number of events without an answer.
@@ -78,8 +79,8 @@
     request_began: Option<Micros>,
     /// Timeout of the connection: for the request head, the body, or while idle.
     expires_at: Micros,
-    /// Time of the timer that is set. It is only moved to an earlier time; a timer that fires before `expires_at` is set
-    /// again, so that a connection has a few timers instead of one for each request.
+    /// Time of the timer that is set. It is only moved to an earlier time; a timer that fires before `expires_at` is
+    /// set again, so that a connection has a few timers instead of one for each request.
     timer_at: Micros,
 }
 
@@ -88,6 +89,7 @@
     /// The whole id, by which an answer to a previous waiter of the same slot is rejected.
     id: WaiterId,
     conn: ConnId,
+    /// Position of the event in its request.
     index: usize,
     /// The event.
     pub event: Arc<Event>,
@@ -111,6 +113,7 @@
 pub struct Front {
     limits: Limits,
     max_batch: usize,
+    /// No further request is read while more than this many bytes of responses are unsent.
     max_unsent: usize,
     /// Timeouts of the request head, of the body in addition, and of an idle connection.
     timeouts: (Micros, Micros, Micros),
@@ -410,8 +413,8 @@
         Ok(NewCall { waiter: WaiterId(0), identity, function: function.clone(), deadline, payload })
     }
 
-    /// A replicated event of a lost site as a call without a waiting client. `None` if the function is not configured here or
-    /// the event can't be parsed. `wall` is the wall clock in milliseconds.
+    /// A replicated event of a lost site as a call without a waiting client. `None` if the function is not configured
+    /// here or the event can't be parsed. `wall` is the wall clock in milliseconds.
     pub fn call_of_lost_site(
         &mut self,
         pending: &Accepted,
@@ -449,8 +452,8 @@
         self.functions.get(name).map(|(function, _)| function)
     }
 
-    /// Handles the engine's final answer to one event. Returns the waiter and the HTTP status for the log line and, if this
-    /// was the request's last answer, the connection, which is free for its next request.
+    /// Handles the engine's final answer to one event. Returns the waiter and the HTTP status for the log line and,
+    /// if this was the request's last answer, the connection, which is free for its next request.
     pub fn answer(
         &mut self,
         io: &mut Io,
@@ -528,7 +531,7 @@
         }
     }
 
-    /// From now on each connection is closed after its response, and idle ones at once.
+    /// Begins a graceful stop: each connection is closed after its response, and idle ones at once.
     pub fn stop(&mut self, io: &mut Io) {
         self.stopping = true;
         let idle = |c: &Client| c.in_progress.is_none() && c.request_began.is_none();
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -55,6 +55,7 @@
     Ignored,
 }
 
+/// Identifies a job that can be cancelled.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 enum JobKey {
     Attempt(AttemptId),
@@ -62,6 +63,7 @@
     HandedOver(WaiterId),
 }
 
+/// The stage of a connection.
 enum Stage {
     Connecting,
     /// The job's bytes have been handed to the socket.
@@ -69,19 +71,23 @@
     Idle,
 }
 
+/// One connection.
 struct LinkConn {
+    /// Address of the worker, or of the gateway of another site.
     worker: WorkerId,
     decoder: ResponseDecoder,
     stage: Stage,
     job: Option<Job>,
+    /// When a job was written last or a response received, or when connecting began.
     stage_since: Micros,
     /// Timeout of this stage: connecting, waiting for a response, or idle.
     stage_ends: Micros,
-    /// Time of the timer that is set. It is only moved to an earlier time; a timer that fires before `stage_ends` is set
-    /// again.
+    /// Time of the timer that is set. It is only moved to an earlier time; a timer that fires before `stage_ends` is
+    /// set again.
     timer_at: Micros,
 }
 
+/// The connections to one address.
 #[derive(Default)]
 struct Link {
     /// Idle connections, the most recently used last.
@@ -100,9 +106,11 @@
     pub order: Option<(Arc<Function>, u32)>,
 }
 
-/// All links of one loop.
+/// Connections of one loop, pooled by address. One instance serves the workers, another one the gateways of other
+/// sites.
 pub struct Links {
-    /// Prefix of attempt names. It makes them unique, as each scheduler numbers its attempts from its own start.
+    /// Prefix of attempt names. It makes them unique, because each scheduler numbers its attempts on its own and
+    /// restarts the numbers when it starts. Handed-over calls carry it as the name of this gateway.
     prefix: String,
     config: LinkConfig,
     limits: Limits,
@@ -185,16 +193,14 @@
             return Some(end_without_response(job, Code::ConnectFailed));
         };
         link.open += 1;
-        if let Some(name) = job_key(&job) {
-            self.jobs.insert(name, conn);
+        if let Some(key) = job_key(&job) {
+            self.jobs.insert(key, conn);
         }
         let decoder = ResponseDecoder::new(self.limits);
         let (worker, stage, job) = (worker.clone(), Stage::Connecting, Some(job));
-        let (until, armed) = (Micros::MAX, Micros::MAX);
-        self.conns.insert(
-            conn,
-            LinkConn { worker, decoder, stage, job, stage_since: now, stage_ends: until, timer_at: armed },
-        );
+        let (stage_ends, timer_at) = (Micros::MAX, Micros::MAX);
+        self.conns
+            .insert(conn, LinkConn { worker, decoder, stage, job, stage_since: now, stage_ends, timer_at });
         self.set_timeout(conn, now + self.config.connect_timeout);
         None
     }
@@ -244,8 +250,8 @@
                 timeout_at = (*until).max(now + 1);
             }
         }
-        if let Some(name) = job_key(&job) {
-            self.jobs.insert(name, conn);
+        if let Some(key) = job_key(&job) {
+            self.jobs.insert(key, conn);
         }
         (connection.stage, connection.job, connection.stage_since) =
             (Stage::AwaitingResponse, Some(job), now);
@@ -269,8 +275,9 @@
         self.abort(io, JobKey::Order(id), Code::Cancelled);
     }
 
-    fn abort(&mut self, io: &mut Io, name: JobKey, code: Code) -> Option<JobEnd> {
-        let conn = *self.jobs.get(&name)?;
+    /// Cancels a job by closing its connection; returns its end if it was running.
+    fn abort(&mut self, io: &mut Io, key: JobKey, code: Code) -> Option<JobEnd> {
+        let conn = *self.jobs.get(&key)?;
         // If no byte was sent, the call is known not to have run.
         let unsent = matches!(self.conns.get(&conn)?.stage, Stage::Connecting);
         self.discard(io, conn).map(|job| end_without_response(job, if unsent { Code::Moot } else { code }))
@@ -293,19 +300,19 @@
             }
         }
         let job = connection.job?;
-        if let Some(name) = job_key(&job) {
-            self.jobs.remove(&name);
+        if let Some(key) = job_key(&job) {
+            self.jobs.remove(&key);
         }
         Some(job)
     }
 
-    /// A connection is established.
+    /// A connection is established: writes its job. Returns the end of the job if it could not be written.
     pub fn connected(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<JobEnd> {
         let job = self.conns.get_mut(&conn).and_then(|c| c.job.take())?;
         self.write(io, now, conn, job)
     }
 
-    /// Bytes have arrived on a connection.
+    /// Bytes have arrived on a connection. Returns the end of its job if the response is complete or invalid.
     pub fn data(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<JobEnd> {
         let connection = self.conns.get_mut(&conn)?;
         let method = match &connection.job {
@@ -336,6 +343,7 @@
         }
     }
 
+    /// Ends a job with its response, and keeps the connection open if it is reusable.
     fn finish(
         &mut self,
         io: &mut Io,
@@ -346,8 +354,8 @@
     ) -> Option<JobEnd> {
         let connection = self.conns.get_mut(&conn)?;
         let job = connection.job.take()?;
-        if let Some(name) = job_key(&job) {
-            self.jobs.remove(&name);
+        if let Some(key) = job_key(&job) {
+            self.jobs.remove(&key);
         }
         (connection.stage, connection.stage_since) = (Stage::Idle, now);
         if reusable {
@@ -381,7 +389,7 @@
         })
     }
 
-    /// A connection has ended, closed by the peer or broken.
+    /// A connection has ended, closed by the peer or broken. Returns the end of its job.
     pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, how: EndReason) -> Option<JobEnd> {
         let connection = self.conns.get_mut(&conn)?;
         // A response may be delimited by the end of its connection.
@@ -395,8 +403,8 @@
     }
 
     /// Closes connections whose timeout has passed: while connecting, while waiting for a response, or while idle. The
-    /// ends of their jobs go into `done`.
-    pub fn wake(&mut self, io: &mut Io, now: Micros, done: &mut Vec<JobEnd>) {
+    /// ends of their jobs are added to `ends`.
+    pub fn wake(&mut self, io: &mut Io, now: Micros, ends: &mut Vec<JobEnd>) {
         while let Some((at, conn)) = self.timers.pop_due(now) {
             let Some(connection) = self.conns.get_mut(&conn).filter(|c| c.timer_at == at) else { continue };
             connection.timer_at = Micros::MAX;
@@ -412,7 +420,7 @@
                 Stage::AwaitingResponse => Code::Timeout,
                 Stage::Idle => Code::Moot,
             };
-            done.extend(self.discard(io, conn).map(|job| end_without_response(job, code)));
+            ends.extend(self.discard(io, conn).map(|job| end_without_response(job, code)));
         }
     }
 }
--- a/crates/gateway/src/replicated.rs
+++ b/crates/gateway/src/replicated.rs
@@ -1,7 +1,7 @@
-//! One loop's replicated events, which are the events of classes with a `kept` setting. A call of such a class goes to
-//! the engine once gateways of other sites have stored its journal entry. Each of its attempts is sent once the entry of
-//! that attempt is stored too and, if the event must not run twice, under a lease. Free of I/O: calls, attempts and
-//! messages of the control thread go in, the actions that follow come out.
+//! One loop's replicated events, which are the events of classes that have a [`KeptConfig`]. A call of such a class
+//! goes to the engine once gateways of other sites have stored its journal entry. Each of its attempts is sent once
+//! the entry of that attempt is stored too and, if the event must not run twice, under a lease. Free of I/O: calls,
+//! attempts and messages of the control thread go in, the actions that follow come out.
 
 use crate::front::extensions::KEPT;
 use crate::sites::digest;
@@ -16,8 +16,9 @@
 use std::sync::Arc;
 
 /// Divisor of the client's remaining time: an entry not replicated within that part of it counts as not replicated.
-const REPLICATION_TIME_SHARE: Micros = 4;
-/// Maximum journal steps queued for the control thread. Beyond it, when that thread is stalled, no new event is journaled.
+const REPLICATION_TIME_DIVISOR: Micros = 4;
+/// Maximum journal steps queued for the control thread. Beyond it, when that thread is stalled, no new event is
+/// journaled.
 const MAX_QUEUED_STEPS: usize = 4_096;
 /// Retry delay reported to a client that repeats an event for which another gateway is responsible.
 const OWNED_ELSEWHERE_RETRY_US: Micros = 1_000_000;
@@ -57,9 +58,10 @@
     Never,
 }
 
+/// The state of a replicated event.
 enum State {
     /// The entry is not stored elsewhere yet; these calls wait for it.
-    AwaitingReplica(Vec<NewCall<Event>>),
+    AwaitingReplication(Vec<NewCall<Event>>),
     /// The entry is replicated, and the calls are in the engine.
     Replicated,
     /// The calls proceed without a replica, as the class allows.
@@ -70,6 +72,7 @@
     Ended(Option<(Outcome, Option<Reply>)>),
 }
 
+/// A replicated event, from its acceptance until it is evicted.
 struct TrackedEvent {
     state: State,
     class: usize,
@@ -84,6 +87,7 @@
     replicate_by: Micros,
 }
 
+/// An attempt held back until it may be sent.
 struct ParkedAttempt {
     key: Key,
     /// Number of the attempt within its event.
@@ -93,13 +97,16 @@
 /// The replicated events of one loop.
 pub struct ReplicatedEvents {
     classes: Vec<(Option<KeptConfig>, Repeat)>,
+    /// Maximum size of an entry; larger events and answers are not journaled.
     entry_bytes: usize,
     events: HashMap<Key, TrackedEvent>,
     /// Attempts held back until their entry is replicated.
     parked: HashMap<AttemptId, ParkedAttempt>,
     /// Attempts that may have been sent and have not ended.
     in_flight: HashMap<AttemptId, Key>,
+    /// The events of waiting clients whose calls are in the engine.
     waiters: HashMap<WaiterId, Key>,
+    /// Replication timeouts of waiting events, and closing times of the others.
     event_timers: Timers<Key>,
     /// Expiry of parked attempts.
     attempt_timers: Timers<AttemptId>,
@@ -166,7 +173,7 @@
         let key = Key(digest(&call.identity));
         if let Some(event) = self.events.get_mut(&key) {
             match &mut event.state {
-                State::AwaitingReplica(calls) => {
+                State::AwaitingReplication(calls) => {
                     calls.push(call);
                     return AcceptOutcome::Waiting;
                 }
@@ -195,8 +202,8 @@
             return AcceptOutcome::Answer(call.waiter, answer);
         }
         let deadline = call.deadline;
-        let replicate_by = now + deadline.saturating_sub(now) / REPLICATION_TIME_SHARE;
-        let state = if replicate { State::AwaitingReplica(Vec::new()) } else { State::Unreplicated };
+        let replicate_by = now + deadline.saturating_sub(now) / REPLICATION_TIME_DIVISOR;
+        let state = if replicate { State::AwaitingReplication(Vec::new()) } else { State::Unreplicated };
         self.event_timers.set(if replicate { replicate_by } else { deadline + CLOSE_AFTER_US }, key);
         self.events.insert(
             key,
@@ -224,7 +231,8 @@
             deadline: wall + deadline.saturating_sub(now) / 1_000,
             event,
         }));
-        if let Some(TrackedEvent { state: State::AwaitingReplica(calls), .. }) = self.events.get_mut(&key) {
+        if let Some(TrackedEvent { state: State::AwaitingReplication(calls), .. }) = self.events.get_mut(&key)
+        {
             calls.push(call);
         }
         AcceptOutcome::Waiting
@@ -233,7 +241,7 @@
     /// Gateways of other sites have stored an event's entry, or could not. Returns what follows for the waiting calls.
     pub fn replication_result(&mut self, key: Key, replicated: bool) -> Vec<Action> {
         let Some(event) = self.events.get_mut(&key) else { return Vec::new() };
-        let State::AwaitingReplica(calls) = &mut event.state else { return Vec::new() };
+        let State::AwaitingReplication(calls) = &mut event.state else { return Vec::new() };
         let calls = std::mem::take(calls);
         let answer =
             self.classes[event.class].0.and_then(|kept| Self::refusal(&kept)).filter(|_| !replicated);
@@ -276,7 +284,7 @@
                 SendDecision::Now
             }
             State::Ended(_) if is_safe => SendDecision::Now,
-            State::Ended(_) | State::TakenOver | State::AwaitingReplica(_) => SendDecision::Never,
+            State::Ended(_) | State::TakenOver | State::AwaitingReplication(_) => SendDecision::Never,
         }
     }
 
@@ -293,10 +301,11 @@
 
     /// Another gateway is responsible for an event with this key: clients waiting here are asked to retry later.
     pub fn owned_elsewhere(&mut self, key: Key) -> Vec<Action> {
-        if !matches!(self.events.get(&key), Some(TrackedEvent { state: State::AwaitingReplica(_), .. })) {
+        if !matches!(self.events.get(&key), Some(TrackedEvent { state: State::AwaitingReplication(_), .. })) {
             return Vec::new();
         }
-        let Some(TrackedEvent { state: State::AwaitingReplica(calls), .. }) = self.events.remove(&key) else {
+        let Some(TrackedEvent { state: State::AwaitingReplication(calls), .. }) = self.events.remove(&key)
+        else {
             return Vec::new();
         };
         let refused = |call: NewCall<Event>| {
@@ -341,8 +350,8 @@
         }
     }
 
-    /// Records the engine's answer to a client and returns the answer to send: the reply to an unreplicated event carries
-    /// `kept` = false.
+    /// Records the engine's answer to a client and returns the answer to send: the reply to an unreplicated event
+    /// carries `kept` = false.
     pub fn answered(&mut self, waiter: WaiterId, answer: Answer<Reply>) -> Answer<Reply> {
         let Some(key) = self.waiters.remove(&waiter) else { return answer };
         let Some(event) = self.events.get(&key) else { return answer };
@@ -368,7 +377,7 @@
         }
         let mut empty = None;
         for (key, event) in &mut self.events {
-            if let State::AwaitingReplica(calls) = &mut event.state {
+            if let State::AwaitingReplication(calls) = &mut event.state {
                 let before = calls.len();
                 calls.retain(|call| call.waiter != waiter);
                 if calls.len() < before {
@@ -399,7 +408,7 @@
         };
         let calls = match self.events.get_mut(&key).map(|event| &mut event.state) {
             None | Some(State::Ended(_) | State::TakenOver) => Vec::new(),
-            Some(State::AwaitingReplica(calls)) => std::mem::take(calls),
+            Some(State::AwaitingReplication(calls)) => std::mem::take(calls),
             Some(State::Replicated | State::Unreplicated) => return Vec::new(),
         };
         self.events.insert(key, ended);
@@ -423,7 +432,7 @@
         match event.state {
             State::Ended(_) => return,
             State::Unreplicated | State::TakenOver => {}
-            State::Replicated | State::AwaitingReplica(_) => {
+            State::Replicated | State::AwaitingReplication(_) => {
                 self.steps.push_back(Step::Ended { key, outcome, answer });
             }
         }
@@ -452,7 +461,7 @@
             let Some(event) = self.events.get(&key) else { continue };
             match event.state {
                 // A timer of an earlier event with this key may fire first.
-                State::AwaitingReplica(_) if now >= event.replicate_by => {
+                State::AwaitingReplication(_) if now >= event.replicate_by => {
                     actions.extend(self.replication_result(key, false))
                 }
                 // The gateways that took it over have closed it by now.
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -51,13 +51,13 @@
 /// Added to the retention of seen events, as a loop may move on to its next period this late.
 const RECORD_SLACK_US: u64 = 1_000_000;
 
-/// Whether the loops of a gateway share ownership of events.
+/// How the loops of a gateway coordinate on events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoopMode {
-    /// Each event is owned by one loop.
+    /// Each event is owned by one loop, which recognises repeats of it.
     Coordinated,
-    /// No coordination: an event runs once for each loop that receives it. For measuring the cost of coordination, and for
-    /// showing that the checker detects its absence.
+    /// No coordination: an event runs once for each loop that receives it. For measuring the cost of coordination,
+    /// and for showing that the checker detects its absence.
     Independent,
 }
 
@@ -79,8 +79,8 @@
 }
 
 impl Gateway {
-    /// Binds the listeners and starts a loop for each thread. With port 0 the system chooses one, the same
-    /// for all loops.
+    /// Binds the listeners and starts a loop for each thread. With port 0 the system chooses a port, the same for all
+    /// loops.
     ///
     /// # Errors
     /// If the address can't be bound, a descriptor or thread can't be created, or the settings are not usable.
@@ -113,10 +113,10 @@
         });
         let retention = windows.fold(config.repeats.remember, u64::max) + RECORD_SLACK_US;
         let channels = match mode {
-            LoopMode::Coordinated => LoopChannels::join(&wakers, retention),
+            LoopMode::Coordinated => LoopChannels::connect(&wakers, retention),
             LoopMode::Independent => wakers
                 .iter()
-                .flat_map(|waker| LoopChannels::join(std::slice::from_ref(waker), retention))
+                .flat_map(|waker| LoopChannels::connect(std::slice::from_ref(waker), retention))
                 .collect(),
         };
         let (control, mut sites) = Self::start_control(config, &wakers, retention, recorder)?;
@@ -170,14 +170,15 @@
         self.address
     }
 
+    /// Sends a command to all loops and the control thread.
     fn send_command(&self, command: u8) {
         self.command.store(command, Ordering::Relaxed);
         self.threads.iter().for_each(|(waker, _)| waker.wake());
         self.control.iter().for_each(|control| control.send_command(command));
     }
 
-    /// Stops the gateway gracefully: it accepts no more connections, finishes the calls in flight within their deadlines,
-    /// and ends.
+    /// Stops the gateway gracefully: it accepts no more connections, finishes the calls in flight within their
+    /// deadlines, and ends.
     pub fn stop(&self) {
         self.send_command(STOP);
     }
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -44,6 +44,7 @@
 /// One scheduler loop and its state.
 pub struct Scheduler {
     name: String,
+    /// Prefix of attempt names, unique to this start of the loop.
     prefix: String,
     address: std::net::SocketAddr,
     io: Io,
@@ -168,7 +169,7 @@
                 && self.sites.as_ref().is_none_or(Sites::is_empty)
                 && !self.channels.is_behind()
                 && self.io.is_flushed()
-                && self.channels.finish()
+                && self.channels.mark_finished()
             {
                 self.recorder.put(monotonic(), &self.name, What::Down { killed: false });
                 info!(scheduler = self.name, "stopped");
@@ -187,8 +188,8 @@
         if has_work { 0 } else { due.saturating_sub(now) }
     }
 
-    /// One turn of the loop: first handles ended jobs and due timers, then starts new requests as long as the turn's time
-    /// allows. `since` and `due` are the begin and the planned end of the wait before it.
+    /// One turn of the loop: first handles ended jobs and due timers, then starts new requests as long as the turn's
+    /// time allows. `since` and `due` are the start and the planned end of the wait before it.
     fn turn(&mut self, (since, due): (Micros, Micros), io_events: &mut Vec<IoEvent>) {
         let mut now = monotonic();
         let began = now;
@@ -239,7 +240,8 @@
         }
     }
 
-    /// Flushes output buffers and messages. An answer is recorded once its bytes have been handed to the operating system.
+    /// Flushes output buffers and messages. An answer is recorded once its bytes have been handed to the operating
+    /// system.
     fn flush(&mut self, io_events: &mut Vec<IoEvent>) {
         self.io.flush(io_events);
         self.channels.flush();
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -1,5 +1,5 @@
-//! One loop's part in a deployment of several sites: which calls are shed on admission, which are handed over to another
-//! site, and how those end. Decisions follow the tables of the control thread; an expired table is not used.
+//! One loop's part in a deployment of several sites: which calls are shed on admission, which are handed over to
+//! another site, and how those end. Decisions follow the tables of the control thread; an expired table is not used.
 
 use crate::links::{Job, JobEnd, Links};
 use crate::replicated::{Action, ReplicatedEvents};
@@ -66,6 +66,7 @@
     function: u32,
     class: usize,
     tenant: usize,
+    /// Digest of its event's identity, shortened.
     hash: u64,
     arrived_at: Micros,
 }
@@ -79,13 +80,17 @@
     pub replicated: Option<ReplicatedEvents>,
     /// Jobs of attempts that wait until their journal entry is replicated.
     parked_jobs: HashMap<AttemptId, (WorkerId, Job)>,
+    /// Connections to gateways of other sites.
     links: Links,
     /// Addresses of the gateways' HTTP listeners, by member number.
-    fronts: Vec<WorkerId>,
+    gateway_addresses: Vec<WorkerId>,
     router: Router,
-    door: Door,
+    admission: Door,
+    /// Target time of each class, in microseconds.
     aims: Vec<Micros>,
+    /// Whether calls may run again, by class.
     repeats: Vec<Repeat>,
+    /// Index of each function in the settings.
     function_indexes: HashMap<FunctionId, u32>,
     remote_calls: HashMap<WaiterId, RemoteCall>,
     local_calls: HashMap<WaiterId, LocalCall>,
@@ -94,7 +99,9 @@
     /// Time that a run takes without queueing, by function index: the shortest recent one.
     run_times: HashMap<u32, Micros>,
     wait_estimates: Waits,
+    /// Counts since the last report, by function index.
     counts: BTreeMap<u32, Counted>,
+    /// Time of the last report.
     reported_at: Micros,
     active_workers: u32,
     /// Number of dropped reports at the last warning.
@@ -132,7 +139,7 @@
         let sites = Arc::new(config.sites.clone()?);
         let link =
             LinkConfig { response_bytes: config.front.body_bytes.max(1 << 20), ..config.links.clone() };
-        let front = |peer: &basaltward_config::SitePeerConfig| peer.front.to_string().as_str().into();
+        let address = |peer: &basaltward_config::SitePeerConfig| peer.front.to_string().as_str().into();
         let seed = u64::from(sites.own) << 32 | u64::from(thread);
         let classes = config.kept.iter().copied().zip(config.module.classes.iter().map(|class| class.repeat));
         let replicated =
@@ -140,9 +147,9 @@
         let function_indexes = config.functions.iter().zip(0..).map(|(f, index)| (f.name.clone(), index));
         Some(Self {
             links: Links::new(config.name.clone(), link, Vec::new()),
-            fronts: sites.peers.iter().map(front).collect(),
+            gateway_addresses: sites.peers.iter().map(address).collect(),
             router: Router::new(shed.places.clone(), seed),
-            door: Door::new(now, shed.clone(), thread as usize),
+            admission: Door::new(now, shed.clone(), thread as usize),
             aims: config.module.classes.iter().map(|class| class.aim).collect(),
             repeats: config.module.classes.iter().map(|class| class.repeat).collect(),
             function_indexes: function_indexes.collect(),
@@ -214,11 +221,11 @@
             Some(EventOwner::Local) | None => {}
         }
         // A keyed or unsafe call stays with the gateway that recognises its repeats.
-        let may_leave = self.config.hand_over && self.repeats[class] == Repeat::Safe && !handed_over;
-        if may_leave {
-            let left = call.deadline.saturating_sub(now);
+        let may_hand_over = self.config.hand_over && self.repeats[class] == Repeat::Safe && !handed_over;
+        if may_hand_over {
+            let remaining = call.deadline.saturating_sub(now);
             let table = self.tables.route.load();
-            let target = self.router.choose(now, table.as_deref(), function, left, handed_over);
+            let target = self.router.choose(now, table.as_deref(), function, remaining, handed_over);
             if let Where::There { peer, .. } = target {
                 let row = table.as_ref().and_then(|t| t.rows.get(function as usize));
                 let until = home_by(now, call.deadline, row.map_or(0, |row| row.here));
@@ -231,8 +238,8 @@
         }
     }
 
-    /// Admits a call at this site. Admission takes place where a call is run: one that was handed over is subject to the
-    /// admission of the other site first.
+    /// Admits a call at this site. Admission takes place where a call is run: one that was handed over is subject to
+    /// the admission of the other site first.
     fn admit_local(
         &mut self,
         now: Micros,
@@ -247,8 +254,8 @@
         Ok(())
     }
 
-    /// The retry delay of a call that is shed, `None` if it is admitted. A repeat of an event that may be in flight or have
-    /// run is never shed, because the refusal would claim that it has not run.
+    /// The retry delay of a call that is shed, `None` if it is admitted. A repeat of an event that may be in flight
+    /// or have run is never shed, because the refusal would claim that it has not run.
     fn shed_retry_after(&mut self, now: Micros, call: &NewCall<Event>, handed_over: bool) -> Option<Micros> {
         if !self.config.shed {
             return None;
@@ -261,7 +268,7 @@
             false => Asked::First,
         };
         let table = self.tables.shed.load();
-        match self.door.ask(now, table.as_deref(), class, tenant, kind, hash) {
+        match self.admission.ask(now, table.as_deref(), class, tenant, kind, hash) {
             Verdict::Shed(retry_after) => Some(retry_after),
             Verdict::Take => {
                 if guarded {
@@ -280,7 +287,8 @@
         self.local_calls.insert(call.waiter, LocalCall { function, class, tenant, hash, arrived_at: now });
     }
 
-    /// The owner of a call's event. Only keyed and unsafe events of replicated classes have a single owner over all sites.
+    /// The owner of a call's event. Only keyed and unsafe events of replicated classes have a single owner over all
+    /// sites.
     fn event_owner(&self, now: Micros, call: &NewCall<Event>) -> Option<EventOwner> {
         let class = call.function.class;
         if self.repeats[class] == Repeat::Safe || !self.replicated.as_ref()?.is_replicated_class(class) {
@@ -312,7 +320,9 @@
             function: call.function.clone(),
             until,
         };
-        let Some(address) = self.fronts.get(usize::from(to)).cloned() else { return Arrival::Local(call) };
+        let Some(address) = self.gateway_addresses.get(usize::from(to)).cloned() else {
+            return Arrival::Local(call);
+        };
         let waiter = call.waiter;
         self.remote_calls.insert(waiter, RemoteCall { call, function, to, began: now, to_owner });
         match self.links.start(io, now, &address, job) {
@@ -338,7 +348,8 @@
                 waiter,
                 match end.reply {
                     Some(reply) => Answer::Served(reply),
-                    // The owner itself refused it. If the owner was not reached, nothing is known, as this may be a repeat.
+                    // The owner itself refused it. If the owner was not reached, nothing is known, as this may be a
+                    // repeat.
                     None if matches!(code, Code::Full | Code::Miss) => {
                         Answer::Refused(Refusal::NotReplicated, Some(OWNER_NOT_READY_RETRY_US))
                     }
@@ -374,7 +385,7 @@
         }
     }
 
-    /// See [`Links::connected`].
+    /// See [`Links::connected`]. Sent jobs are not recorded here.
     pub fn connected(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<JobEnd> {
         let end = self.links.connected(io, now, conn);
         self.links.sent.clear();
@@ -440,12 +451,12 @@
         true
     }
 
-    /// A call handled at this site has its answer. Returns the answer for the client, in which a refusal may have a longer
-    /// retry delay.
+    /// A call handled at this site has its answer. Returns the answer for the client, in which a refusal may have a
+    /// longer retry delay.
     pub fn answer_ready(&mut self, now: Micros, waiter: WaiterId, answer: Answer<Reply>) -> Answer<Reply> {
-        let Some(home) = self.local_calls.get(&waiter) else { return answer };
-        let took = now.saturating_sub(home.arrived_at);
-        let (function, class, tenant, hash) = (home.function, home.class, home.tenant, home.hash);
+        let Some(local) = self.local_calls.get(&waiter) else { return answer };
+        let took = now.saturating_sub(local.arrived_at);
+        let (function, class, tenant, hash) = (local.function, local.class, local.tenant, local.hash);
         let mut answer = answer;
         if matches!(answer, Answer::Served(_)) {
             let counted = self.counted(function);
@@ -461,7 +472,7 @@
         } else if let (Answer::Refused(Refusal::Overload, wait), true) = (&mut answer, self.config.shed) {
             // Without a delay all calls refused after admission would be retried at once.
             let table = self.tables.shed.load();
-            let later = self.door.refused(now, table.as_deref(), class, tenant, hash);
+            let later = self.admission.refused(now, table.as_deref(), class, tenant, hash);
             *wait = Some(wait.unwrap_or(0).max(later));
             self.local_call_ended(waiter, None);
         } else {
@@ -472,11 +483,11 @@
 
     /// A call is no longer in flight here. `ended` is its end unless admission has counted it already.
     fn local_call_ended(&mut self, waiter: WaiterId, ended: Option<Ended>) {
-        let Some(home) = self.local_calls.remove(&waiter) else { return };
-        let counted = self.counted(home.function);
+        let Some(local) = self.local_calls.remove(&waiter) else { return };
+        let counted = self.counted(local.function);
         counted.in_hand = counted.in_hand.saturating_sub(1);
         if let Some(ended) = ended {
-            self.door.counted(home.class, home.tenant, ended);
+            self.admission.counted(local.class, local.tenant, ended);
         }
     }
 
@@ -504,7 +515,8 @@
         self.active_workers = count as u32;
     }
 
-    /// Runs due timers and sends the reports to the control thread when they are due. Returns the ends of timed-out jobs.
+    /// Runs due timers and sends the reports to the control thread when they are due. Returns the ends of timed-out
+    /// jobs.
     pub fn wake(&mut self, io: &mut Io, now: Micros) -> Vec<JobEnd> {
         let mut ends = Vec::new();
         self.links.wake(io, now, &mut ends);
@@ -524,7 +536,7 @@
                 in_hand,
                 workers: self.active_workers,
             }));
-            self.rings.reports.send(LoopReport::Admission(self.door.take(now, in_hand)));
+            self.rings.reports.send(LoopReport::Admission(self.admission.take(now, in_hand)));
             let dropped = self.rings.reports.dropped();
             if std::mem::replace(&mut self.dropped_reports, dropped) < dropped {
                 warn!(lost = dropped, "control thread is stalled: reports of counts were dropped");
