--- a/crates/gateway/src/replicated.rs
+++ b/crates/gateway/src/replicated.rs
@@ -154,7 +154,7 @@
         self.classes.get(class).is_some_and(|(kept, _)| kept.is_some())
     }
 
-    /// When [`KeptEvents::wake`] is due next.
+    /// When [`ReplicatedEvents::wake`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
         self.event_timers.next_due().into_iter().chain(self.attempt_timers.next_due()).min()
     }
