--- a/crates/gateway/src/scheduler/calls.rs
+++ b/crates/gateway/src/scheduler/calls.rs
@@ -106,9 +106,9 @@
                     }
                 }
                 Message::ClientLeft(waiter) => self.client_left(now, waiter),
-                Message::Answer { waiter, answer, attempts, worker, origin: path } => {
+                Message::Answer { waiter, answer, attempts, worker, origin } => {
                     if self.handoffs.answered(waiter) {
-                        self.answer_client(now, (waiter, answer), (attempts, worker, path));
+                        self.answer_client(now, (waiter, answer), (attempts, worker, origin));
                     }
                 }
             }
