--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,9 +1,10 @@
-//! The control thread: the view of all sites, the links between them and the rooms that decide by them, apart from the
-//! loops that serve. It hears what loops count and gives them whole tables; no loop ever waits for it.
+//! The control thread: cluster membership, the links to gateways of other sites, and the subsystems that decide on
+//! routing, admission and replication, kept off the loops that serve calls. It receives counts from the loops and
+//! publishes whole tables to them; no loop ever waits for it.
 
 use crate::run::GatewayError;
 use crate::scheduler::{RUN, STOP};
-use crate::tables::{COUNT_US, ControlEnd, Fact, Owners, Tables, Word};
+use crate::tables::{ControlEnd, ControlMessage, LoopReport, Owners, REPORT_INTERVAL_US, Tables};
 use basaltward::{Micros, Repeat};
 use basaltward_config::{Config, SitesConfig};
 use basaltward_membership::{MemberId, MemberState, SHED_KEYS, SiteMap};
@@ -22,73 +23,73 @@
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 use tracing::{info, warn};
 
-/// All is done: nobody needs the control thread any more.
-pub const END: u8 = 3;
-/// What is seen of sites and agreed on them is looked at anew after this at the latest.
-const SEE_US: Micros = 500_000;
-/// Whose events are holds for so long: four times what passes until it is told anew.
-const OWNERS_US: Micros = 2_000_000;
-/// Words that wait for a loop: past this the oldest go, which its timers make up for.
-const MOST_WORDS: usize = 16_384;
-/// Datagrams between sites take so long there and back at most, by which silence is told from distance.
-const ROUND_TRIP_US: Micros = 100_000;
-/// Datagrams between gateways: figures of load that half of a fleet of eight hears after 2 s at the view's usual 1,000
-/// bytes a second are there within 0.5 s at this.
-const BYTES_PER_S: u64 = 16_000;
-/// A site of which nothing was live for so long counts as lost, as far as the view goes.
-const LOST_US: Micros = 1_000_000;
+/// Command: the loops have ended; stop the control thread.
+pub const EXIT: u8 = 3;
+/// Longest interval between two updates from observed site states and the agreed state.
+const SITE_REFRESH_US: Micros = 500_000;
+/// Validity of the owners table: four times the interval at which it is published ([`SITE_REFRESH_US`]).
+const OWNERS_VALID_US: Micros = 2_000_000;
+/// Maximum messages queued for a loop. Beyond it the oldest are dropped; the loop's timers make up for lost ones.
+const MAX_QUEUED_MESSAGES: usize = 16_384;
+/// Maximum round-trip time of datagrams between sites; a longer silence is taken as a failure, not as distance.
+const MAX_ROUND_TRIP_US: Micros = 100_000;
+/// Gossip bandwidth between gateways. At the membership default of 1,000 bytes/s, half of a fleet of eight received
+/// load figures only after 2 s; at this rate they arrive within 0.5 s.
+const GOSSIP_BYTES_PER_S: u64 = 16_000;
+/// The membership view counts a site as lost after none of its members was live for this time.
+const SITE_LOST_AFTER_US: Micros = 1_000_000;
 
-/// See the module's page.
+/// State of the control thread.
 pub struct Control {
     name: String,
     io: Io,
     endpoint: PeerEndpoint,
     route: Route,
     shed: Shed,
-    shed_stands: Micros,
+    shed_fact_lifetime: Micros,
     pending: Pending,
     hand_over: bool,
     loops: Vec<ControlEnd>,
-    words: Vec<VecDeque<Word>>,
+    queued: Vec<VecDeque<ControlMessage>>,
     tables: Arc<Tables>,
     live: Vec<bool>,
     peer_count: MemberId,
-    /// When the way to each was measured that the choice of sites was told last.
-    measured: Vec<Micros>,
-    wanted: Arc<AtomicU8>,
+    /// Time of the last round-trip measurement passed to routing, by peer.
+    last_rtt_at: Vec<Micros>,
+    command: Arc<AtomicU8>,
     stall: Arc<AtomicU64>,
     recorder: Recorder,
     leaving: bool,
-    /// Requests of ours that have no answer yet, by number.
-    requests: BTreeMap<u32, PermitRequest>,
-    places: SiteMap,
-    /// We were taken over and return.
-    returns: bool,
-    /// When events that are ours are taken.
-    ready: Micros,
-    /// For how long events are remembered.
-    remember: Micros,
-    /// When pending is told what is seen and agreed next.
-    see: Micros,
-    /// When facts are read next, though nobody wakes us.
-    look: Micros,
+    /// Submitted permit requests without an answer, by tag.
+    permit_requests: BTreeMap<u32, PermitRequest>,
+    site_map: SiteMap,
+    /// This gateway was taken over by others and has reclaimed its events.
+    reclaimed: bool,
+    /// This gateway accepts the events that it owns from this time on.
+    accepts_from: Micros,
+    /// How long events are remembered.
+    retention: Micros,
+    /// Time of the next update from observed site states and the agreed state.
+    next_site_refresh: Micros,
+    /// Time of the next read of the loops' reports, if nothing wakes this thread earlier.
+    next_poll: Micros,
 }
 
-/// Which gateway stands where, by the settings.
-fn places(sites: &SitesConfig) -> Option<SiteMap> {
+/// The site of each gateway, by the settings.
+fn site_map(sites: &SitesConfig) -> Option<SiteMap> {
     SiteMap::new(sites.peers.iter().map(|peer| peer.site).collect(), sites.own_index)
 }
 
-/// Figures of the door, the same at all gateways.
+/// Settings of admission, which must be the same at all gateways; `None` if this gateway is not among the peers.
 pub fn shed_settings(config: &Config, sites: &SitesConfig) -> Option<ShedSettings> {
     let class =
         |class: &basaltward::Class| ClassOf { worth: class.value, aim: class.aim, deadline: class.deadline };
     let classes = config.controller.classes.iter().map(class).collect();
-    let usual = ShedSettings::new(classes, config.controller.tenant_quotas.clone(), places(sites)?);
+    let defaults = ShedSettings::new(classes, config.controller.tenant_quotas.clone(), site_map(sites)?);
     Some(ShedSettings {
         over_share_worth: config.controller.over_share_value,
         loops: config.threads as usize,
-        ..usual
+        ..defaults
     })
 }
 
@@ -104,8 +105,13 @@
     let kinds = &config.controller.copies.kind_memory_mb;
     let worker_mb = kinds.iter().sum::<f64>() / kinds.len().max(1) as f64;
     let functions = config.functions.iter().map(function).collect();
-    let usual = RouteSettings::new(places(sites)?, functions, worker_mb as u32, u64::from(sites.own_index));
-    Some(RouteSettings { keep: config.controller.copies.keep_alive, loops: config.threads as u16, ..usual })
+    let defaults =
+        RouteSettings::new(site_map(sites)?, functions, worker_mb as u32, u64::from(sites.own_index));
+    Some(RouteSettings {
+        keep: config.controller.copies.keep_alive,
+        loops: config.threads as u16,
+        ..defaults
+    })
 }
 
 fn endpoint_config(config: &Config, sites: &SitesConfig) -> EndpointConfig {
@@ -113,7 +119,7 @@
     let seed = Clock::read().wall() ^ u64::from(std::process::id()) << 40;
     EndpointConfig {
         transport: PeerConfig {
-            sites: places(sites).map(|map| SitesToWatch { map, lost_after_us: LOST_US }),
+            sites: site_map(sites).map(|map| SitesToWatch { map, lost_after_us: SITE_LOST_AFTER_US }),
             name: sites.fleet.clone(),
             listen: sites.datagram_listen,
             peers: peers.iter().map(|peer| peer.datagram_address).collect(),
@@ -123,8 +129,8 @@
             zones: peers.iter().map(|peer| peer.site).collect(),
             bounds: config.replication.iter().any(Option::is_some).then(Default::default),
             version: String::new(),
-            round_trip: ROUND_TRIP_US,
-            bytes_per_s: BYTES_PER_S,
+            round_trip: MAX_ROUND_TRIP_US,
+            bytes_per_s: GOSSIP_BYTES_PER_S,
         },
         listen: sites.journal_listen,
         connections: ConnectionConfig::new(peers.iter().map(|peer| peer.journal_address).collect()),
@@ -132,34 +138,34 @@
 }
 
 impl Control {
-    /// Opens its sockets. `loops` are its ends of their rings.
+    /// Opens the sockets. `loops` are the control thread's ends of the rings, by loop.
     ///
     /// # Errors
-    /// Where an address can't be had or the settings can't be used.
+    /// If an address can't be bound or the settings are not usable.
     pub fn open(
         config: &Config,
         sites: &SitesConfig,
         mut io: Io,
         (loops, tables): (Vec<ControlEnd>, Arc<Tables>),
-        (wanted, stall): (Arc<AtomicU8>, Arc<AtomicU64>),
+        (command, stall): (Arc<AtomicU8>, Arc<AtomicU64>),
         recorder: Recorder,
     ) -> Result<Self, GatewayError> {
         let now = monotonic();
         let endpoint = PeerEndpoint::open(endpoint_config(config, sites), &mut io, now)?;
-        let route = route_settings(config, sites).ok_or(GatewayError::Sites)?;
+        let route = route_settings(config, sites).ok_or(GatewayError::NotAPeer)?;
         let route = Route::new(route, now)?;
-        let shed = shed_settings(config, sites).ok_or(GatewayError::Sites)?;
-        let shed_stands = shed.stands;
+        let shed = shed_settings(config, sites).ok_or(GatewayError::NotAPeer)?;
+        let shed_fact_lifetime = shed.stands;
         let shed = Shed::new(now, shed)?;
         let holders =
             config.replication.iter().map(|kept| kept.map_or(0, |kept| kept.holders.min(255) as u8));
-        let places = places(sites).ok_or(GatewayError::Sites)?;
+        let site_map = site_map(sites).ok_or(GatewayError::NotAPeer)?;
         let pending = PendingSettings {
             bytes: sites.journal.max_bytes,
             entry_bytes: sites.journal.max_entry_bytes,
             lease: sites.journal.lease,
             ..PendingSettings::new(
-                places.clone(),
+                site_map.clone(),
                 endpoint.start_ms(),
                 holders.collect(),
                 u64::from(sites.own_index),
@@ -169,71 +175,71 @@
             Repeat::Keyed { window, .. } => window,
             _ => 0,
         });
-        let remember = windows.fold(config.repeats.retention, Micros::max);
+        let retention = windows.fold(config.repeats.retention, Micros::max);
         Ok(Self {
             name: format!("{}/control", config.name),
             io,
             endpoint,
             route,
             shed,
-            shed_stands,
+            shed_fact_lifetime,
             pending: Pending::new(pending, now),
             hand_over: sites.hand_over,
-            words: loops.iter().map(|_| VecDeque::new()).collect(),
+            queued: loops.iter().map(|_| VecDeque::new()).collect(),
             loops,
             tables,
             live: Vec::new(),
             peer_count: sites.peers.len() as MemberId,
-            measured: vec![0; sites.peers.len()],
-            wanted,
+            last_rtt_at: vec![0; sites.peers.len()],
+            command,
             stall,
             recorder,
             leaving: false,
-            requests: BTreeMap::new(),
-            see: now,
-            places: places.clone(),
-            returns: false,
-            ready: now,
-            remember,
-            look: now,
+            permit_requests: BTreeMap::new(),
+            next_site_refresh: now,
+            site_map,
+            reclaimed: false,
+            accepts_from: now,
+            retention,
+            next_poll: now,
         })
     }
 
     /// Runs until the loops have ended.
     ///
     /// # Errors
-    /// Where the system fails it.
+    /// If a system call of its I/O fails.
     pub fn run(mut self) -> Result<(), NetError> {
-        let mut happened = Vec::new();
+        let mut io_events = Vec::new();
         loop {
             let now = monotonic();
-            self.facts(now);
+            self.read_loops(now);
             let events = self.endpoint.wake(&mut self.io, now);
-            self.heard(now, events);
-            self.rooms(now);
-            self.tell();
-            let due = self.endpoint.next_due().min(self.pending.next_due()).min(self.look);
-            self.io.turn(Some(due.saturating_sub(monotonic())), &mut happened)?;
+            self.handle_events(now, events);
+            self.run_due(now);
+            self.flush_messages();
+            let due = self.endpoint.next_due().min(self.pending.next_due()).min(self.next_poll);
+            self.io.turn(Some(due.saturating_sub(monotonic())), &mut io_events)?;
             let now = monotonic();
-            for happened in happened.drain(..) {
-                let events = self.endpoint.handle_event(&mut self.io, now, &happened);
-                self.heard(now, events);
+            for event in io_events.drain(..) {
+                let events = self.endpoint.handle_event(&mut self.io, now, &event);
+                self.handle_events(now, events);
             }
             self.io.free_ended();
             let stall = self.stall.swap(0, Ordering::Relaxed);
             if stall > 0 {
                 std::thread::sleep(std::time::Duration::from_micros(stall));
             }
-            match self.wanted.load(Ordering::Relaxed) {
+            match self.command.load(Ordering::Relaxed) {
                 RUN => {}
                 STOP if !std::mem::replace(&mut self.leaving, true) => {
                     let events = self.endpoint.leave(&mut self.io, monotonic());
-                    self.heard(now, events);
+                    self.handle_events(now, events);
                 }
                 STOP => {}
-                END => {
+                EXIT => {
                     self.endpoint.stop(&mut self.io, monotonic());
-                    self.io.turn(Some(0), &mut happened)?;
+                    self.io.turn(Some(0), &mut io_events)?;
                     return Ok(());
                 }
                 _ => return Ok(()),
@@ -241,47 +247,49 @@
         }
     }
 
-    /// What the loops have counted, and the steps of their kept events.
-    fn facts(&mut self, now: Micros) {
-        let (own, mut out) = (self.endpoint.membership().own(), Vec::new());
+    /// Reads the loops' reports and the journal steps of their replicated events.
+    fn read_loops(&mut self, now: Micros) {
+        let (own, mut outputs) = (self.endpoint.membership().own(), Vec::new());
         for (number, end) in self.loops.iter_mut().enumerate() {
-            while let Ok(fact) = end.facts.pop() {
-                match fact {
-                    Fact::Routed(counts) => self.route.counted(now, number as u16, &counts),
-                    Fact::Handed(handed) => self.route.handed(now, &handed),
-                    Fact::Asked(counts) => self.shed.counted(now, number, &counts),
+            while let Ok(report) = end.reports.pop() {
+                match report {
+                    LoopReport::Calls(counts) => self.route.counted(now, number as u16, &counts),
+                    LoopReport::HandedOver(handed) => self.route.handed(now, &handed),
+                    LoopReport::Admission(counts) => self.shed.counted(now, number, &counts),
                 }
             }
             while let Ok(step) = end.steps.pop() {
-                // An event that was a lost gateway's is not begun anew while heirs see to it.
-                let fate = match &step {
+                // An event of a lost gateway is not started again while the gateways that took it over handle it.
+                let status = match &step {
                     Step::Accepted(accepted) => {
-                        self.pending.fate(accepted.key).map(|fate| (accepted.key, fate))
+                        self.pending.fate(accepted.key).map(|status| (accepted.key, status))
                     }
                     _ => None,
                 };
-                let (key, word) = match fate {
-                    Some((key, Fate::Ended(outcome, answer))) => (key, Word::Told(key, outcome, answer)),
-                    Some((key, Fate::By(by))) if by != own => (key, Word::Elsewhere(key)),
-                    Some((key, Fate::Open)) => (key, Word::Elsewhere(key)),
+                let (key, message) = match status {
+                    Some((key, Fate::Ended(outcome, answer))) => {
+                        (key, ControlMessage::EndedElsewhere(key, outcome, answer))
+                    }
+                    Some((key, Fate::By(by))) if by != own => (key, ControlMessage::OwnedElsewhere(key)),
+                    Some((key, Fate::Open)) => (key, ControlMessage::OwnedElsewhere(key)),
                     Some(_) | None => {
-                        self.pending.handle(now, wall_ms(), Input::Step(step), &mut out);
+                        self.pending.handle(now, wall_ms(), Input::Step(step), &mut outputs);
                         continue;
                     }
                 };
-                self.pending.handle(now, wall_ms(), Input::Repeated(key), &mut out);
-                self.words[number].push_back(word);
+                self.pending.handle(now, wall_ms(), Input::Repeated(key), &mut outputs);
+                self.queued[number].push_back(message);
             }
         }
-        self.carry_out(now, out);
+        self.carry_out(now, outputs);
     }
 
-    fn heard(&mut self, now: Micros, events: Vec<EndpointEvent>) {
-        let mut out = Vec::new();
+    fn handle_events(&mut self, now: Micros, events: Vec<EndpointEvent>) {
+        let mut outputs = Vec::new();
         for event in events {
             let input = match event {
                 EndpointEvent::Transport(Event::MemberChanged { member: of, incarnation, state }) => {
-                    self.believed(now, of, incarnation, state);
+                    self.member_changed(now, of, incarnation, state);
                     continue;
                 }
                 EndpointEvent::Connection(ConnectionEvent::Frame(from, Channel::Pending, bytes)) => {
@@ -289,7 +297,7 @@
                 }
                 EndpointEvent::Connection(ConnectionEvent::Frame(from, Channel::Route, bytes)) => {
                     if let Err(error) = self.route.frame(now, from, &bytes) {
-                        warn!(scheduler = self.name, from, %error, "frame of another site not taken");
+                        warn!(scheduler = self.name, from, %error, "routing frame of another site rejected");
                     }
                     continue;
                 }
@@ -302,9 +310,9 @@
                     Input::LinkDown { of }
                 }
                 EndpointEvent::Transport(Event::Answered { tag, answer }) => {
-                    match (self.requests.remove(&tag), answer) {
+                    match (self.permit_requests.remove(&tag), answer) {
                         (Some(PermitRequest::Reclaim(subject)), Ok(permit)) => {
-                            self.returns |= permit > 0;
+                            self.reclaimed |= permit > 0;
                             Input::Home { subject, permit }
                         }
                         (
@@ -315,90 +323,94 @@
                     }
                 }
                 EndpointEvent::Transport(Event::Agreed(_)) => {
-                    self.see = now;
+                    self.next_site_refresh = now;
                     continue;
                 }
                 EndpointEvent::Transport(_) | EndpointEvent::Connection(_) => continue,
             };
-            self.pending.handle(now, wall_ms(), input, &mut out);
+            self.pending.handle(now, wall_ms(), input, &mut outputs);
         }
-        self.carry_out(now, out);
+        self.carry_out(now, outputs);
     }
 
-    fn believed(
+    fn member_changed(
         &self,
         now: Micros,
         of: MemberId,
-        life: basaltward_membership::Incarnation,
+        incarnation: basaltward_membership::Incarnation,
         state: MemberState,
     ) {
-        let told = format!("{state:?}").to_lowercase();
-        info!(scheduler = self.name, member = of, state = told, "peer");
-        let what =
-            Observation::MemberState { member: of, start: life.start, refutations: life.bump, state: told };
+        let state = format!("{state:?}").to_lowercase();
+        info!(scheduler = self.name, member = of, state, "peer");
+        let what = Observation::MemberState {
+            member: of,
+            start: incarnation.start,
+            refutations: incarnation.bump,
+            state,
+        };
         self.recorder.put(now, &self.name, what);
     }
 
-    /// Does what is due in the rooms, and swaps the tables.
-    fn rooms(&mut self, now: Micros) {
-        self.look = self.look.max(now.saturating_sub(COUNT_US));
-        if now >= self.look {
-            self.look = now + COUNT_US;
-            self.look_who_lives(now);
+    /// Runs the timers that are due in each subsystem, and publishes the tables.
+    fn run_due(&mut self, now: Micros) {
+        self.next_poll = self.next_poll.max(now.saturating_sub(REPORT_INTERVAL_US));
+        if now >= self.next_poll {
+            self.next_poll = now + REPORT_INTERVAL_US;
+            self.update_live_members(now);
         }
         if self.hand_over && self.route.next_due() <= now {
-            self.renew_route(now);
+            self.update_route(now);
         }
         if self.shed.next_due() <= now {
-            self.renew_shed(now);
+            self.update_shed(now);
         }
-        if now >= self.see {
-            self.see = now + SEE_US;
-            self.renew_owners(now);
+        if now >= self.next_site_refresh {
+            self.next_site_refresh = now + SITE_REFRESH_US;
+            self.update_owners(now);
         }
         if self.pending.next_due() <= now {
-            let mut out = Vec::new();
-            self.pending.wake(now, wall_ms(), &mut out);
-            self.carry_out(now, out);
+            let mut outputs = Vec::new();
+            self.pending.wake(now, wall_ms(), &mut outputs);
+            self.carry_out(now, outputs);
         }
     }
 
-    /// Tells the rooms who lives, where that has changed.
-    fn look_who_lives(&mut self, now: Micros) {
+    /// Passes the set of live members to the subsystems if it has changed.
+    fn update_live_members(&mut self, now: Micros) {
         let members = self.endpoint.membership().members();
         let own = usize::from(self.endpoint.membership().own());
         let live: Vec<_> = members.iter().enumerate().map(|(of, e)| of == own || e.state.is_live()).collect();
         if live != self.live {
             self.live = live;
             self.route.live(&self.live);
-            self.see = now;
-            let mut out = Vec::new();
-            self.pending.handle(now, wall_ms(), Input::Live(self.live.clone()), &mut out);
-            self.carry_out(now, out);
+            self.next_site_refresh = now;
+            let mut outputs = Vec::new();
+            self.pending.handle(now, wall_ms(), Input::Live(self.live.clone()), &mut outputs);
+            self.carry_out(now, outputs);
         }
     }
 
-    /// Tells the choice of sites what was measured, sends what it tells others, and swaps its table.
-    fn renew_route(&mut self, now: Micros) {
+    /// Passes new round-trip times to routing, sends its frames to other sites, and publishes its table.
+    fn update_route(&mut self, now: Micros) {
         for of in 0..self.peer_count {
-            // Each measurement once: told again and again it would count as many.
+            // Each measurement is passed on once: repeated, it would count as several.
             if let Some((rtt, age)) = self.endpoint.connections().rtt(of, now)
-                && let Some(told) = self.measured.get_mut(usize::from(of))
-                && now.saturating_sub(age) > *told
+                && let Some(last) = self.last_rtt_at.get_mut(usize::from(of))
+                && now.saturating_sub(age) > *last
             {
-                *told = now.saturating_sub(age);
+                *last = now.saturating_sub(age);
                 self.route.link(now, of, rtt);
             }
         }
         for (to, frame) in self.route.tell(now) {
-            // Told anew with the next: what finds no room now is old by then.
+            // A frame that can't be queued is not retried: the next one carries newer values.
             let _ = self.endpoint.send(&mut self.io, now, to, (Channel::Route, &frame));
         }
         self.tables.route.store(Some(Arc::new(self.route.table(now))));
     }
 
-    /// Tells admission what peers have published, publishes what it tells, and swaps its table.
-    fn renew_shed(&mut self, now: Micros) {
+    /// Passes the load that peers have published to admission, publishes its own, and publishes its table.
+    fn update_shed(&mut self, now: Micros) {
         for of in 0..self.peer_count {
             for key in SHED_KEYS {
                 if let Some(value) = self.endpoint.fact(now, of, key).map(<[u8]>::to_vec) {
@@ -407,69 +419,77 @@
             }
         }
         for (key, value) in self.shed.tell(now) {
-            self.endpoint.publish_fact(now, key, &value, self.shed_stands);
+            self.endpoint.publish_fact(now, key, &value, self.shed_fact_lifetime);
         }
         self.tables.shed.store(Some(Arc::new(self.shed.table(now, &self.live))));
     }
 
-    /// Tells the journals what is seen of sites and what is agreed, and swaps the table of owners.
-    fn renew_owners(&mut self, now: Micros) {
+    /// Passes observed site states and the agreed state to the journals, and publishes the owners table.
+    fn update_owners(&mut self, now: Micros) {
         let observations = self.endpoint.transport().site_observations(now);
         let permit_state = self.endpoint.permit_state().map(|known| known.value.clone()).unwrap_or_default();
-        let mut out = Vec::new();
-        let taken = taken(&permit_state, &self.places);
-        self.pending.handle(now, wall_ms(), Input::Seen { observations, permit_state }, &mut out);
-        let ready = self.pending.takes() && now >= self.ready;
-        let owners = Owners { until: now + OWNERS_US, taken, ready };
+        let mut outputs = Vec::new();
+        let taken_over = taken(&permit_state, &self.site_map);
+        self.pending.handle(now, wall_ms(), Input::Seen { observations, permit_state }, &mut outputs);
+        let accepts = self.pending.takes() && now >= self.accepts_from;
+        let owners = Owners { valid_until: now + OWNERS_VALID_US, taken_over, accepts };
         self.tables.owners.store(Some(Arc::new(owners)));
-        self.carry_out(now, out);
+        self.carry_out(now, outputs);
     }
 
-    fn carry_out(&mut self, now: Micros, out: Vec<Output>) {
-        for output in out {
+    fn carry_out(&mut self, now: Micros, outputs: Vec<Output>) {
+        for output in outputs {
             match output {
                 Output::Send { to, bytes } => {
-                    // What is not acknowledged is sent again.
+                    // Unacknowledged data is sent again.
                     let _ = self.endpoint.send(&mut self.io, now, to, (Channel::Pending, &bytes));
                 }
-                Output::Held { key } => self.say(|| Word::Held(key, true)),
+                Output::Held { key } => self.broadcast(|| ControlMessage::Replicated(key, true)),
                 Output::Unheld { key, why } => {
-                    info!(scheduler = self.name, %why, "not kept");
-                    self.say(|| Word::Held(key, false));
+                    info!(scheduler = self.name, %why, "event not replicated");
+                    self.broadcast(|| ControlMessage::Replicated(key, false));
+                }
+                Output::May { key, attempt, until } => {
+                    self.broadcast(|| ControlMessage::SendDecision(key, attempt, Some(until)))
                 }
-                Output::May { key, attempt, until } => self.say(|| Word::May(key, attempt, Some(until))),
                 Output::MayNot { key, attempt, why } => {
-                    info!(scheduler = self.name, %why, "not sent");
-                    self.say(|| Word::May(key, attempt, None));
+                    info!(scheduler = self.name, %why, "attempt not sent");
+                    self.broadcast(|| ControlMessage::SendDecision(key, attempt, None));
                 }
-                Output::Noted(fault) => warn!(scheduler = self.name, %fault, "journal"),
-                // The member asks on by itself until it has an answer.
-                Output::Ask(request) if self.requests.values().any(|asked| *asked == request) => {}
+                Output::Noted(fault) => warn!(scheduler = self.name, %fault, "journal fault"),
+                // The endpoint repeats a submitted request by itself until it has an answer.
+                Output::Ask(request)
+                    if self.permit_requests.values().any(|submitted| *submitted == request) => {}
                 Output::Ask(request) => {
-                    info!(scheduler = self.name, ?request, "asked of the voters");
+                    info!(scheduler = self.name, ?request, "permit request submitted");
                     if let Some(tag) = self.endpoint.submit(now, request) {
-                        self.requests.insert(tag, request);
+                        self.permit_requests.insert(tag, request);
                     }
                 }
                 Output::Takes => {
-                    // Others took our events until they heard of our return. Whoever repeats one of those within the time
-                    // that it is remembered must not find us, who know nothing of it.
-                    let waits = if std::mem::take(&mut self.returns) { self.remember + OWNERS_US } else { 0 };
-                    (self.ready, self.see) = (now + waits, now);
-                    info!(scheduler = self.name, after_us = waits, "takes kept events");
+                    // Other gateways accepted events of this gateway until they learned of its return. A repeat of
+                    // one of those must not be accepted here while it is remembered there, as this gateway has no
+                    // record of it.
+                    let wait = if std::mem::take(&mut self.reclaimed) {
+                        self.retention + OWNERS_VALID_US
+                    } else {
+                        0
+                    };
+                    (self.accepts_from, self.next_site_refresh) = (now + wait, now);
+                    info!(scheduler = self.name, after_us = wait, "accepting replicated events");
                 }
-                Output::Lost { key } => self.say(|| Word::Lost(key)),
+                Output::Lost { key } => self.broadcast(|| ControlMessage::TakenOver(key)),
                 Output::Run { pending, end, .. } => {
                     info!(
                         scheduler = self.name,
                         key = format!("{:x}", pending.key.0),
                         ?end,
-                        "done for a lost gateway"
+                        "running an event of a lost gateway"
                     );
                     let before = if let End::SameKey { before } = end { before } else { u64::MAX };
-                    let at = (pending.key.0 % self.loops.len().max(1) as u128) as usize;
-                    if let Some(words) = self.words.get_mut(at) {
-                        words.push_back(Word::Run(Box::new(pending), before));
+                    let loop_index = (pending.key.0 % self.loops.len().max(1) as u128) as usize;
+                    if let Some(messages) = self.queued.get_mut(loop_index) {
+                        messages.push_back(ControlMessage::RunForLostSite(Box::new(pending), before));
                     }
                 }
                 Output::Told { key, end, outcome, answer } => {
@@ -477,40 +497,43 @@
                         scheduler = self.name,
                         key = format!("{:x}", key.0),
                         ?end,
-                        "ended for a lost gateway"
+                        "event of a lost gateway has ended"
                     );
-                    self.say(|| Word::Told(key, outcome, answer.clone()));
+                    self.broadcast(|| ControlMessage::EndedElsewhere(key, outcome, answer.clone()));
+                }
+                Output::Gone(gone) => {
+                    warn!(scheduler = self.name, %gone, "journal of a lost gateway is incomplete")
                 }
-                Output::Gone(gone) => warn!(scheduler = self.name, %gone, "journal of a lost gateway"),
             }
         }
     }
 
-    /// Tells all loops: the one that has the event heeds it.
-    fn say(&mut self, word: impl Fn() -> Word) {
-        self.words.iter_mut().for_each(|words| words.push_back(word()));
+    /// Sends a message to all loops; those without the event ignore it.
+    fn broadcast(&mut self, message: impl Fn() -> ControlMessage) {
+        self.queued.iter_mut().for_each(|messages| messages.push_back(message()));
     }
 
-    /// Gives the loops what waits for them.
-    fn tell(&mut self) {
-        for (end, words) in self.loops.iter_mut().zip(&mut self.words) {
-            let before = words.len();
-            while let Some(word) = words.pop_front() {
-                if let Err(rtrb::PushError::Full(word)) = end.words.push(word) {
-                    words.push_front(word);
+    /// Moves queued messages into the loops' rings.
+    fn flush_messages(&mut self) {
+        for (end, messages) in self.loops.iter_mut().zip(&mut self.queued) {
+            let before = messages.len();
+            while let Some(message) = messages.pop_front() {
+                if let Err(rtrb::PushError::Full(message)) = end.messages.push(message) {
+                    messages.push_front(message);
                     break;
                 }
             }
-            if words.len() < before {
-                end.waker.wake();
+            if messages.len() < before {
+                end.loop_waker.wake();
             }
-            while words.len() > MOST_WORDS {
-                words.pop_front();
+            while messages.len() > MAX_QUEUED_MESSAGES {
+                messages.pop_front();
             }
         }
     }
 }
 
+/// The wall clock, in milliseconds since 1970.
 fn wall_ms() -> u64 {
     Clock::read().wall() / 1_000
 }
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -1,6 +1,7 @@
-//! Connections to the workers: a pool for each, one job on a connection at a time.
+//! HTTP connections to workers and to gateways of other sites: a pool for each address, one job on a connection at a
+//! time.
 
-use crate::hand_wire;
+use crate::handover_wire;
 use crate::worker_wire::{self, Reply};
 use basaltward::{Code, Micros, Repeat, WorkerId};
 use basaltward_cloudevents::Event;
@@ -13,13 +14,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// An unsafe or keyed call goes only on a connection used this lately: an older one may be closed by the
-/// worker at this very moment, and the call then counts as one that may have run.
-const FRESH_US: Micros = 1_000_000;
+/// Maximum idle time of a connection that is reused for an unsafe or keyed call. The worker may be closing a connection
+/// that has been idle for longer, and a call written to it would then count as one that may have run.
+const MAX_IDLE_BEFORE_UNSAFE_US: Micros = 1_000_000;
 
-/// What a connection is used for.
+/// A job for a connection.
 pub enum Job {
-    /// A call.
+    /// An attempt of a call at a worker.
     Attempt {
         id: AttemptId,
         event: Arc<Event>,
@@ -27,135 +28,161 @@
         repeat: Repeat,
         until: Micros,
         identity: Arc<Identity>,
-        /// Its first byte leaves before this time, or none does.
+        /// The lease: the attempt must not be written at or after this time.
         lease: Micros,
     },
-    /// An order, or a question where `count` is 0.
+    /// An order to load `count` copies, or a query for the number of loaded copies if `count` is 0.
     Order { id: OrderId, function: Arc<Function>, count: u32 },
     /// A probe.
     Probe(OrderId),
-    /// Idle copies are to go; nobody waits for the answer.
-    Drop(String),
-    /// A call that another site's gateway is to answer by then.
-    Hand { waiter: WaiterId, event: Arc<Event>, function: Arc<Function>, until: Micros },
+    /// A release of the idle copies of a function; the response is ignored.
+    Release(String),
+    /// A call handed over to a gateway of another site, which must answer before `until`.
+    HandOver { waiter: WaiterId, event: Arc<Event>, function: Arc<Function>, until: Micros },
 }
 
 /// How a job ended.
-pub enum Done {
-    /// An attempt.
+pub enum JobEnd {
+    /// The end of an attempt.
     Attempt(AttemptId, AttemptEnd<Reply>),
-    /// An order or a question: copies standing.
+    /// The end of an order or a query, with the number of loaded copies.
     Order(OrderId, Code, u32),
-    /// A probe.
+    /// The end of a probe, with the values of the load report.
     Probe(OrderId, Code, Vec<f64>),
-    /// A call that was handed over.
-    Handed(WaiterId, AttemptEnd<Reply>),
-    /// Something nobody waits for.
-    Nothing,
+    /// The end of a call that was handed over.
+    HandedOver(WaiterId, AttemptEnd<Reply>),
+    /// The end of a job whose result is not used.
+    Ignored,
 }
 
+/// Identifies a job that can be cancelled.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-enum Name {
+enum JobKey {
     Attempt(AttemptId),
     Order(OrderId),
-    Handed(WaiterId),
+    HandedOver(WaiterId),
 }
 
+/// The stage of a connection.
 enum Stage {
     Connecting,
-    /// The job's bytes are with the socket.
-    Waiting,
+    /// The job's bytes have been handed to the socket.
+    AwaitingResponse,
     Idle,
 }
 
+/// One connection.
 struct LinkConn {
+    /// Address of the worker, or of the gateway of another site.
     worker: WorkerId,
     decoder: ResponseDecoder,
     stage: Stage,
     job: Option<Job>,
-    since: Micros,
-    /// When this stage ends by itself: connecting, waiting for an attempt's answer, or idle.
-    until: Micros,
-    /// The timer that is set for it; moved only to an earlier time, and set anew when it comes too early.
-    armed: Micros,
+    /// When a job was written last or a response received, or when connecting began.
+    stage_since: Micros,
+    /// Timeout of this stage: connecting, waiting for a response, or idle.
+    stage_ends: Micros,
+    /// Time of the timer that is set. It is only moved to an earlier time; a timer that fires before `stage_ends` is
+    /// set again.
+    timer_at: Micros,
 }
 
+/// The connections to one address.
 #[derive(Default)]
 struct Link {
-    /// Most lately used last.
+    /// Idle connections, the most recently used last.
     idle: Vec<ConnId>,
+    /// Number of open connections, busy ones included.
     open: usize,
 }
 
-/// What the loop is told when bytes of a job leave, for its records.
+/// A job whose bytes have been handed to a connection, for the loop's records.
 pub struct Sent {
     /// The worker.
     pub worker: WorkerId,
-    /// The attempt with its event, or nothing.
+    /// The attempt and its event, if the job is one.
     pub attempt: Option<(AttemptId, Arc<Identity>)>,
-    /// An order to load with its function, or nothing.
+    /// The function and the number of copies, if the job is an order to load.
     pub order: Option<(Arc<Function>, u32)>,
 }
 
-/// All links of one loop.
+/// Connections of one loop, pooled by address. One instance serves the workers, another one the gateways of other
+/// sites.
 pub struct Links {
-    /// Begins each attempt's name: attempts are numbered by each scheduler for itself, at each start anew.
+    /// Prefix of attempt names. It makes them unique, because each scheduler numbers its attempts on its own and
+    /// restarts the numbers when it starts. Handed-over calls carry it as the name of this gateway.
     prefix: String,
     config: LinkConfig,
     limits: Limits,
-    report: Vec<String>,
+    report_names: Vec<String>,
     links: HashMap<WorkerId, Link>,
     conns: HashMap<ConnId, LinkConn>,
-    jobs: HashMap<Name, ConnId>,
-    due: Timers<ConnId>,
-    /// Jobs whose bytes have been given to a connection since this was last taken.
+    jobs: HashMap<JobKey, ConnId>,
+    timers: Timers<ConnId>,
+    /// Jobs handed to a connection since this list was last drained.
     pub sent: Vec<Sent>,
 }
 
-fn name(job: &Job) -> Option<Name> {
+/// The key by which a job can be cancelled; `None` for releases.
+fn job_key(job: &Job) -> Option<JobKey> {
     match job {
-        Job::Attempt { id, .. } => Some(Name::Attempt(*id)),
-        Job::Order { id, .. } | Job::Probe(id) => Some(Name::Order(*id)),
-        Job::Hand { waiter, .. } => Some(Name::Handed(*waiter)),
-        Job::Drop(_) => None,
+        Job::Attempt { id, .. } => Some(JobKey::Attempt(*id)),
+        Job::Order { id, .. } | Job::Probe(id) => Some(JobKey::Order(*id)),
+        Job::HandOver { waiter, .. } => Some(JobKey::HandedOver(*waiter)),
+        Job::Release(_) => None,
     }
 }
 
-/// The end of a job that got no whole response.
-fn cut(job: Job, code: Code) -> Done {
+/// The end of a job without a complete response.
+fn end_without_response(job: Job, code: Code) -> JobEnd {
     match job {
-        Job::Attempt { id, .. } => Done::Attempt(id, AttemptEnd::from_code(code)),
-        Job::Order { id, .. } => Done::Order(id, code, 0),
-        Job::Probe(id) => Done::Probe(id, code, Vec::new()),
-        Job::Hand { waiter, .. } => Done::Handed(waiter, AttemptEnd::from_code(code)),
-        Job::Drop(_) => Done::Nothing,
+        Job::Attempt { id, .. } => JobEnd::Attempt(id, AttemptEnd::from_code(code)),
+        Job::Order { id, .. } => JobEnd::Order(id, code, 0),
+        Job::Probe(id) => JobEnd::Probe(id, code, Vec::new()),
+        Job::HandOver { waiter, .. } => JobEnd::HandedOver(waiter, AttemptEnd::from_code(code)),
+        Job::Release(_) => JobEnd::Ignored,
     }
 }
 
 impl Links {
-    /// Links without connections; `report` names the values of load reports.
-    pub fn new(prefix: String, config: LinkConfig, report: Vec<String>) -> Self {
+    /// Links without connections; `report_names` are the names of the values of load reports.
+    pub fn new(prefix: String, config: LinkConfig, report_names: Vec<String>) -> Self {
         let limits = Limits { body: config.response_bytes, ..Limits::default() };
         let (links, conns, jobs) = (HashMap::new(), HashMap::new(), HashMap::new());
-        Self { prefix, config, limits, report, links, conns, jobs, due: Timers::default(), sent: Vec::new() }
+        Self {
+            prefix,
+            config,
+            limits,
+            report_names,
+            links,
+            conns,
+            jobs,
+            timers: Timers::default(),
+            sent: Vec::new(),
+        }
     }
 
     /// When [`Links::wake`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.next_due()
+        self.timers.next_due()
     }
 
-    /// Whether this connection is one to a worker.
+    /// Whether this connection is one of these links.
     pub fn owns(&self, conn: ConnId) -> bool {
         self.conns.contains_key(&conn)
     }
 
-    /// Begins a job, on an idle connection or a new one. Gives its end at once where no byte can leave.
-    pub fn start(&mut self, io: &mut Io, now: Micros, worker: &WorkerId, job: Job) -> Option<Done> {
-        let fresh = !matches!(&job, Job::Attempt { repeat: Repeat::Unsafe | Repeat::Keyed { .. }, .. });
+    /// Starts a job on an idle connection or a new one. Returns its end if nothing could be sent.
+    pub fn start(&mut self, io: &mut Io, now: Micros, worker: &WorkerId, job: Job) -> Option<JobEnd> {
+        let may_repeat = !matches!(&job, Job::Attempt { repeat: Repeat::Unsafe | Repeat::Keyed { .. }, .. });
         while let Some(conn) = self.links.get_mut(worker).and_then(|l| l.idle.pop()) {
-            let age = self.conns.get(&conn).map_or(Micros::MAX, |c| now.saturating_sub(c.since));
-            if age <= self.config.idle_timeout.min(if fresh { Micros::MAX } else { FRESH_US })
+            let age = self.conns.get(&conn).map_or(Micros::MAX, |c| now.saturating_sub(c.stage_since));
+            if age
+                <= self.config.idle_timeout.min(if may_repeat {
+                    Micros::MAX
+                } else {
+                    MAX_IDLE_BEFORE_UNSAFE_US
+                })
                 && !io.is_stale(conn)
             {
                 return self.write(io, now, conn, job);
@@ -164,53 +191,57 @@
         }
         let link = self.links.entry(worker.clone()).or_default();
         if link.open >= self.config.connections {
-            return Some(cut(job, Code::Full));
+            return Some(end_without_response(job, Code::Full));
         }
         let address = worker.as_str().parse::<SocketAddr>().ok();
         let Some(conn) = address.and_then(|address| io.connect(address).ok()) else {
-            return Some(cut(job, Code::ConnectFailed));
+            return Some(end_without_response(job, Code::ConnectFailed));
         };
         link.open += 1;
-        if let Some(name) = name(&job) {
-            self.jobs.insert(name, conn);
+        if let Some(key) = job_key(&job) {
+            self.jobs.insert(key, conn);
         }
         let decoder = ResponseDecoder::new(self.limits);
         let (worker, stage, job) = (worker.clone(), Stage::Connecting, Some(job));
-        let (until, armed) = (Micros::MAX, Micros::MAX);
-        self.conns.insert(conn, LinkConn { worker, decoder, stage, job, since: now, until, armed });
-        self.arm(conn, now + self.config.connect_timeout);
+        let (stage_ends, timer_at) = (Micros::MAX, Micros::MAX);
+        self.conns
+            .insert(conn, LinkConn { worker, decoder, stage, job, stage_since: now, stage_ends, timer_at });
+        self.set_timeout(conn, now + self.config.connect_timeout);
         None
     }
 
-    fn arm(&mut self, conn: ConnId, until: Micros) {
-        let Some(known) = self.conns.get_mut(&conn) else { return };
-        known.until = until;
-        if until < known.armed {
-            known.armed = until;
-            self.due.set(until, conn);
+    /// Sets the timeout of a connection's stage.
+    fn set_timeout(&mut self, conn: ConnId, until: Micros) {
+        let Some(connection) = self.conns.get_mut(&conn) else { return };
+        connection.stage_ends = until;
+        if until < connection.timer_at {
+            connection.timer_at = until;
+            self.timers.set(until, conn);
         }
     }
 
-    /// Writes a job's bytes; gives its end where they may not leave any more.
-    fn write(&mut self, io: &mut Io, now: Micros, conn: ConnId, job: Job) -> Option<Done> {
-        // The clock is read here and not taken from the turn: whoever was stopped in between finds its lease over.
+    /// Writes a job's bytes. Returns its end if its lease has expired.
+    fn write(&mut self, io: &mut Io, now: Micros, conn: ConnId, job: Job) -> Option<JobEnd> {
+        // Reads the clock instead of using the time of the turn: if the process was suspended in between, the lease may
+        // have expired.
         if let Job::Attempt { lease, .. } = &job
             && *lease < Micros::MAX
             && monotonic() >= *lease
         {
             self.discard(io, conn);
-            return Some(cut(job, Code::Moot));
+            return Some(end_without_response(job, Code::Moot));
         }
-        let (known, out) = self.conns.get_mut(&conn).zip(io.output(conn))?;
-        let host = known.worker.as_str();
-        let mut ends = Micros::MAX;
-        let mut sent = Sent { worker: known.worker.clone(), attempt: None, order: None };
+        let (connection, out) = self.conns.get_mut(&conn).zip(io.output(conn))?;
+        let host = connection.worker.as_str();
+        let mut timeout_at = Micros::MAX;
+        let mut sent = Sent { worker: connection.worker.clone(), attempt: None, order: None };
         match &job {
             Job::Attempt { id, event, function, repeat, until, identity, .. } => {
                 let patience_ms = until.saturating_sub(now) / 1_000;
-                let told = worker_wire::Attempt { host, name: attempt_name(&self.prefix, *id), patience_ms };
-                worker_wire::call(out, event, function, *repeat, &told);
-                ends = (*until).max(now + 1);
+                let fields =
+                    worker_wire::Attempt { host, name: attempt_name(&self.prefix, *id), patience_ms };
+                worker_wire::call(out, event, function, *repeat, &fields);
+                timeout_at = (*until).max(now + 1);
                 sent.attempt = Some((*id, identity.clone()));
             }
             Job::Order { function, count, .. } => {
@@ -218,179 +249,188 @@
                 sent.order = (*count > 0).then(|| (function.clone(), *count));
             }
             Job::Probe(_) => worker_wire::probe(out, host),
-            Job::Drop(function) => worker_wire::drop_idle(out, host, function),
-            Job::Hand { event, function, until, .. } => {
-                hand_wire::call(out, host, event, function, until.saturating_sub(now), &self.prefix);
-                ends = (*until).max(now + 1);
+            Job::Release(function) => worker_wire::release(out, host, function),
+            Job::HandOver { event, function, until, .. } => {
+                handover_wire::call(out, host, event, function, until.saturating_sub(now), &self.prefix);
+                timeout_at = (*until).max(now + 1);
             }
         }
-        if let Some(name) = name(&job) {
-            self.jobs.insert(name, conn);
+        if let Some(key) = job_key(&job) {
+            self.jobs.insert(key, conn);
         }
-        (known.stage, known.job, known.since) = (Stage::Waiting, Some(job), now);
+        (connection.stage, connection.job, connection.stage_since) =
+            (Stage::AwaitingResponse, Some(job), now);
         self.sent.push(sent);
-        self.arm(conn, ends);
+        self.set_timeout(conn, timeout_at);
         None
     }
 
-    /// Calls an attempt or an order off: its connection is closed, which tells the worker.
-    pub fn abort_attempt(&mut self, io: &mut Io, id: AttemptId) -> Option<Done> {
-        self.abort(io, Name::Attempt(id), Code::Cancelled)
+    /// Cancels an attempt by closing its connection, which notifies the worker. Returns its end if it was running.
+    pub fn abort_attempt(&mut self, io: &mut Io, id: AttemptId) -> Option<JobEnd> {
+        self.abort(io, JobKey::Attempt(id), Code::Cancelled)
     }
 
-    /// See [`Links::abort_attempt`].
-    pub fn abort_handed(&mut self, io: &mut Io, waiter: WaiterId) {
-        self.abort(io, Name::Handed(waiter), Code::Cancelled);
+    /// Cancels a handed-over call like [`Links::abort_attempt`].
+    pub fn abort_handed_over(&mut self, io: &mut Io, waiter: WaiterId) {
+        self.abort(io, JobKey::HandedOver(waiter), Code::Cancelled);
     }
 
-    /// See [`Links::abort_attempt`].
+    /// Cancels an order, a query or a probe like [`Links::abort_attempt`].
     pub fn abort_order(&mut self, io: &mut Io, id: OrderId) {
-        self.abort(io, Name::Order(id), Code::Cancelled);
+        self.abort(io, JobKey::Order(id), Code::Cancelled);
     }
 
-    fn abort(&mut self, io: &mut Io, name: Name, code: Code) -> Option<Done> {
-        let conn = *self.jobs.get(&name)?;
-        // Without a byte sent the call is known not to have run.
+    /// Cancels a job by closing its connection; returns its end if it was running.
+    fn abort(&mut self, io: &mut Io, key: JobKey, code: Code) -> Option<JobEnd> {
+        let conn = *self.jobs.get(&key)?;
+        // If no byte was sent, the call is known not to have run.
         let unsent = matches!(self.conns.get(&conn)?.stage, Stage::Connecting);
-        self.discard(io, conn).map(|job| cut(job, if unsent { Code::Moot } else { code }))
+        self.discard(io, conn).map(|job| end_without_response(job, if unsent { Code::Moot } else { code }))
     }
 
-    /// Ends a connection; gives the job that was on it.
+    /// Closes a connection and returns the job that was on it.
     fn discard(&mut self, io: &mut Io, conn: ConnId) -> Option<Job> {
         io.abort(conn);
-        self.forget(conn)
+        self.remove(conn)
     }
 
-    fn forget(&mut self, conn: ConnId) -> Option<Job> {
-        let known = self.conns.remove(&conn)?;
-        if let Some(link) = self.links.get_mut(&known.worker) {
+    /// Removes a closed connection and returns the job that was on it.
+    fn remove(&mut self, conn: ConnId) -> Option<Job> {
+        let connection = self.conns.remove(&conn)?;
+        if let Some(link) = self.links.get_mut(&connection.worker) {
             link.open -= 1;
             link.idle.retain(|c| *c != conn);
             if link.open == 0 {
-                self.links.remove(&known.worker);
+                self.links.remove(&connection.worker);
             }
         }
-        let job = known.job?;
-        if let Some(name) = name(&job) {
-            self.jobs.remove(&name);
+        let job = connection.job?;
+        if let Some(key) = job_key(&job) {
+            self.jobs.remove(&key);
         }
         Some(job)
     }
 
-    /// A connection stands.
-    pub fn connected(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<Done> {
+    /// A connection is established: writes its job. Returns the end of the job if it could not be written.
+    pub fn connected(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<JobEnd> {
         let job = self.conns.get_mut(&conn).and_then(|c| c.job.take())?;
         self.write(io, now, conn, job)
     }
 
-    /// Bytes have come.
-    pub fn data(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<Done> {
-        let known = self.conns.get_mut(&conn)?;
-        let method = match &known.job {
-            // Bytes that answer nothing: the connection can't be trusted.
+    /// Bytes have arrived on a connection. Returns the end of its job if the response is complete or invalid.
+    pub fn data(&mut self, io: &mut Io, now: Micros, conn: ConnId) -> Option<JobEnd> {
+        let connection = self.conns.get_mut(&conn)?;
+        let method = match &connection.job {
+            // Bytes without a request: the connection can't be trusted.
             None => {
                 self.discard(io, conn);
                 return None;
             }
-            Some(Job::Attempt { .. } | Job::Hand { .. }) => Method::Post,
+            Some(Job::Attempt { .. } | Job::HandOver { .. }) => Method::Post,
             Some(Job::Order { count, .. }) if *count > 0 => Method::Put,
-            Some(Job::Drop(_)) => Method::Delete,
+            Some(Job::Release(_)) => Method::Delete,
             Some(_) => Method::Get,
         };
         let input = io.input(conn)?;
-        match known.decoder.decode(input, method) {
+        match connection.decoder.decode(input, method) {
             Ok(Decoded::Message(response)) => {
-                let left = !input.is_empty();
+                let surplus = !input.is_empty();
                 io.release_input(conn);
-                let reusable = response.keep_alive() && !left;
+                let reusable = response.keep_alive() && !surplus;
                 self.finish(io, now, conn, response, reusable)
             }
             Ok(_) => {
                 io.pause(conn, false);
                 None
             }
-            // Not an answer by the protocol, or longer than is taken: nothing is proven.
-            Err(_) => self.discard(io, conn).map(|job| cut(job, Code::Error)),
+            // Not a valid response, or one beyond the size limit: it does not show whether the job ran.
+            Err(_) => self.discard(io, conn).map(|job| end_without_response(job, Code::Error)),
         }
     }
 
+    /// Ends a job with its response, and keeps the connection open if it is reusable.
     fn finish(
         &mut self,
         io: &mut Io,
         now: Micros,
         conn: ConnId,
-        told: Response,
+        response: Response,
         reusable: bool,
-    ) -> Option<Done> {
-        let known = self.conns.get_mut(&conn)?;
-        let job = known.job.take()?;
-        if let Some(name) = name(&job) {
-            self.jobs.remove(&name);
+    ) -> Option<JobEnd> {
+        let connection = self.conns.get_mut(&conn)?;
+        let job = connection.job.take()?;
+        if let Some(key) = job_key(&job) {
+            self.jobs.remove(&key);
         }
-        (known.stage, known.since) = (Stage::Idle, now);
+        (connection.stage, connection.stage_since) = (Stage::Idle, now);
         if reusable {
-            if let Some(link) = self.links.get_mut(&known.worker) {
+            if let Some(link) = self.links.get_mut(&connection.worker) {
                 link.idle.push(conn);
             }
-            self.arm(conn, now + self.config.idle_timeout);
+            self.set_timeout(conn, now + self.config.idle_timeout);
         } else {
             self.discard(io, conn);
         }
         Some(match job {
             Job::Attempt { id, event, .. } => {
-                Done::Attempt(id, worker_wire::attempt_end(told, &event, &self.report))
+                JobEnd::Attempt(id, worker_wire::attempt_end(response, &event, &self.report_names))
             }
             Job::Order { id, .. } => {
-                let copies = told.headers.get(worker_wire::fields::COPIES).and_then(|t| t.parse().ok());
-                match (worker_wire::code(&told), copies) {
-                    (Code::Ok, None) => Done::Order(id, Code::Unknown, 0),
-                    (code, copies) => Done::Order(id, code, copies.unwrap_or(0)),
+                let copies = response.headers.get(worker_wire::fields::COPIES).and_then(|t| t.parse().ok());
+                match (worker_wire::code(&response), copies) {
+                    (Code::Ok, None) => JobEnd::Order(id, Code::Unknown, 0),
+                    (code, copies) => JobEnd::Order(id, code, copies.unwrap_or(0)),
                 }
             }
-            Job::Probe(id) => {
-                Done::Probe(id, worker_wire::code(&told), worker_wire::report(&told, &self.report))
+            Job::Probe(id) => JobEnd::Probe(
+                id,
+                worker_wire::code(&response),
+                worker_wire::report(&response, &self.report_names),
+            ),
+            Job::HandOver { waiter, event, .. } => {
+                JobEnd::HandedOver(waiter, handover_wire::attempt_end(&response, &event))
             }
-            Job::Hand { waiter, event, .. } => Done::Handed(waiter, hand_wire::end(&told, &event)),
-            Job::Drop(_) => Done::Nothing,
+            Job::Release(_) => JobEnd::Ignored,
         })
     }
 
-    /// A connection has ended, by the worker or on the way.
-    pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, how: EndReason) -> Option<Done> {
-        let known = self.conns.get_mut(&conn)?;
-        // A response may run until its connection's end.
+    /// A connection has ended, closed by the peer or broken. Returns the end of its job.
+    pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, how: EndReason) -> Option<JobEnd> {
+        let connection = self.conns.get_mut(&conn)?;
+        // A response may be delimited by the end of its connection.
         let input = io.input(conn).filter(|_| how == EndReason::Closed);
-        if let Some(Ok(response)) = input.map(|input| known.decoder.end(input)) {
+        if let Some(Ok(response)) = input.map(|input| connection.decoder.end(input)) {
             return self.finish(io, now, conn, response, false);
         }
-        let sent = matches!(known.stage, Stage::Waiting);
+        let sent = matches!(connection.stage, Stage::AwaitingResponse);
         let code = if sent { Code::Reset } else { Code::ConnectFailed };
-        self.forget(conn).map(|job| cut(job, code))
+        self.remove(conn).map(|job| end_without_response(job, code))
     }
 
-    /// Takes what is due by `now`: connections that do not stand, attempts out of time, idle ones.
-    pub fn wake(&mut self, io: &mut Io, now: Micros, done: &mut Vec<Done>) {
-        while let Some((at, conn)) = self.due.pop_due(now) {
-            let Some(known) = self.conns.get_mut(&conn).filter(|c| c.armed == at) else { continue };
-            known.armed = Micros::MAX;
-            let until = known.until;
+    /// Closes connections whose timeout has passed: while connecting, while waiting for a response, or while idle. The
+    /// ends of their jobs are added to `ends`.
+    pub fn wake(&mut self, io: &mut Io, now: Micros, ends: &mut Vec<JobEnd>) {
+        while let Some((at, conn)) = self.timers.pop_due(now) {
+            let Some(connection) = self.conns.get_mut(&conn).filter(|c| c.timer_at == at) else { continue };
+            connection.timer_at = Micros::MAX;
+            let until = connection.stage_ends;
             if until > now {
                 if until < Micros::MAX {
-                    self.arm(conn, until);
+                    self.set_timeout(conn, until);
                 }
                 continue;
             }
-            let code = match known.stage {
+            let code = match connection.stage {
                 Stage::Connecting => Code::ConnectFailed,
-                Stage::Waiting => Code::Timeout,
+                Stage::AwaitingResponse => Code::Timeout,
                 Stage::Idle => Code::Moot,
             };
-            done.extend(self.discard(io, conn).map(|job| cut(job, code)));
+            ends.extend(self.discard(io, conn).map(|job| end_without_response(job, code)));
         }
     }
 }
 
-/// An attempt's name on the wire and in records.
+/// The name of an attempt on the wire and in records.
 pub fn attempt_name(prefix: &str, id: AttemptId) -> String {
     format!("{prefix}.{}.{}", id.request.0, id.number)
 }
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -1,12 +1,13 @@
-//! One loop: clients, engine and workers joined. It carries bytes and messages between them.
+//! One scheduler loop, which connects clients, the scheduling engine and workers. It carries bytes and messages between
+//! them and makes no scheduling decisions.
 
 mod calls;
-mod notes;
+mod records;
 
-use crate::front::{Asked, Front, thread_of};
-use crate::kept::Start;
-use crate::links::{Done, Job, Links, attempt_name};
-use crate::mail::{Mail, Message};
+use crate::channels::{LoopChannels, Message};
+use crate::front::{Front, NextRequest, loop_of_waiter};
+use crate::links::{Job, JobEnd, Links, attempt_name};
+use crate::replicated::SendDecision;
 use crate::sites::Sites;
 use crate::worker_wire::Reply;
 use basaltward::{Code, Micros, WorkerId};
@@ -25,46 +26,49 @@
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 use tracing::{info, warn};
 
-/// What other threads want of a loop.
+/// Command to a loop: keep running.
 pub const RUN: u8 = 0;
-/// Finish what is in hand, then leave.
+/// Command to a loop: finish the calls in flight, then end.
 pub const STOP: u8 = 1;
-/// Leave at once, as a killed process would.
+/// Command to a loop: end at once, as a killed process would.
 pub const KILL: u8 = 2;
 
-/// What a loop is told from outside.
-pub struct Orders {
+/// Controls of a loop for other threads.
+pub struct Controls {
     /// One of [`RUN`], [`STOP`] and [`KILL`].
-    pub wanted: Arc<AtomicU8>,
-    /// Do nothing for so many microseconds, once.
-    pub stall: Arc<AtomicU64>,
+    pub command: Arc<AtomicU8>,
+    /// Suspend the loop once for this many microseconds; reset to 0 when the suspension begins.
+    pub stall_us: Arc<AtomicU64>,
 }
 
-/// One loop with all it owns.
+/// One scheduler loop and its state.
 pub struct Scheduler {
     name: String,
+    /// Prefix of attempt names, unique to this start of the loop.
     prefix: String,
     address: std::net::SocketAddr,
     io: Io,
     engine: Engine<Event, Reply>,
     front: Front,
     links: Links,
-    /// What the loops say to each other, and the calls of this one's clients that others own.
-    mail: Mail,
-    handed: Handoffs,
-    /// This loop's part in the sites, where there are some.
+    channels: LoopChannels,
+    /// Calls of this loop's clients whose events another loop owns.
+    handoffs: Handoffs,
+    /// State of calls at this and other sites, if the settings name sites.
     sites: Option<Sites>,
-    letters: Vec<Message>,
-    pace: LoopPacer,
+    /// Buffer for messages of other loops, kept to reuse its memory.
+    messages: Vec<Message>,
+    pacer: LoopPacer,
     roster: RosterFile,
     clock: Clock,
-    states: BTreeMap<WorkerId, basaltward::WorkerState>,
+    worker_states: BTreeMap<WorkerId, basaltward::WorkerState>,
     recorder: Recorder,
-    orders: Orders,
+    controls: Controls,
     stopping: bool,
+    /// Buffer for outputs of the engine, kept to reuse its memory.
     outputs: Vec<Output<Event, Reply>>,
-    /// Answers put out since the last write, kept only for records.
-    given: Vec<(String, u16)>,
+    /// Answers written since the last flush, as event name and HTTP status; filled only while recording is on.
+    unrecorded_answers: Vec<(String, u16)>,
 }
 
 fn engine_settings(config: &Config, thread: u32) -> EngineSettings {
@@ -74,7 +78,7 @@
         max_in_flight: config.client_limits.calls,
         max_waiters: config.client_limits.waiters,
         linger: repeats.linger,
-        // Each loop owns its part of a tenant's events.
+        // Each loop owns a share of a tenant's events, so the limits are divided by the number of loops.
         repeats: RepeatLimits {
             retention: repeats.retention,
             max_answers: repeats.answers_per_tenant.div_ceil(loops),
@@ -86,14 +90,14 @@
 }
 
 impl Scheduler {
-    /// A loop that listens but does not run yet.
+    /// Creates a loop that listens but does not run yet.
     pub fn new(
         config: &Config,
         thread: u32,
-        (mut io, mail): (Io, Mail),
+        (mut io, channels): (Io, LoopChannels),
         (listener, sites): (TcpListener, Option<Sites>),
         recorder: Recorder,
-        orders: Orders,
+        controls: Controls,
     ) -> Result<Self, crate::GatewayError> {
         let settings = engine_settings(config, thread);
         let name = format!("{}/{thread}", config.name);
@@ -109,47 +113,48 @@
             address,
             io,
             engine: Engine::new(settings, seed)?,
-            front: Front::new(config, mail.me()),
+            front: Front::new(config, channels.index()),
             links,
-            mail,
-            handed: Handoffs::new(config.client_limits.calls),
+            channels,
+            handoffs: Handoffs::new(config.client_limits.calls),
             sites,
-            letters: Vec::new(),
-            pace: LoopPacer::default(),
+            messages: Vec::new(),
+            pacer: LoopPacer::default(),
             roster: RosterFile::new(config.roster_file.clone(), names, config.roster_check_interval),
             clock: Clock::read(),
-            states: BTreeMap::new(),
+            worker_states: BTreeMap::new(),
             recorder,
-            orders,
+            controls,
             stopping: false,
             outputs: Vec::new(),
-            given: Vec::new(),
+            unrecorded_answers: Vec::new(),
         })
     }
 
-    /// Runs until it is told to leave.
+    /// Runs until a command ends the loop.
     ///
     /// # Errors
-    /// Where the system fails the loop itself.
+    /// If polling for I/O fails.
     pub fn run(mut self) -> Result<(), NetError> {
         let address = self.address.to_string();
         self.recorder.put(monotonic(), &self.name, Observation::Up { address });
-        let mut happened = Vec::new();
+        let mut io_events = Vec::new();
         loop {
             let now = monotonic();
             self.poll_roster(now);
-            self.io
-                .pause_accepting(!self.pace.should_accept(self.front.oldest().map_or(0, |came| now - came)));
-            let wait = self.wait(now);
-            self.io.turn(Some(wait), &mut happened)?;
-            self.turn((now, now + wait), &mut happened);
+            self.io.pause_accepting(
+                !self.pacer.should_accept(self.front.oldest_input().map_or(0, |arrived| now - arrived)),
+            );
+            let wait = self.idle_time(now);
+            self.io.turn(Some(wait), &mut io_events)?;
+            self.turn((now, now + wait), &mut io_events);
             self.io.free_ended();
             let now = monotonic();
-            let stall = self.orders.stall.swap(0, Ordering::Relaxed);
+            let stall = self.controls.stall_us.swap(0, Ordering::Relaxed);
             if stall > 0 {
                 std::thread::sleep(std::time::Duration::from_micros(stall));
             }
-            match self.orders.wanted.load(Ordering::Relaxed) {
+            match self.controls.command.load(Ordering::Relaxed) {
                 KILL => {
                     self.recorder.put(monotonic(), &self.name, Observation::Down { killed: true });
                     return Ok(());
@@ -160,11 +165,11 @@
             if self.stopping
                 && self.engine.calls_in_flight() == 0
                 && self.front.clients() == 0
-                && self.handed.is_empty()
+                && self.handoffs.is_empty()
                 && self.sites.as_ref().is_none_or(Sites::is_empty)
-                && !self.mail.is_behind()
+                && !self.channels.is_behind()
                 && self.io.is_flushed()
-                && self.mail.rest()
+                && self.channels.mark_finished()
             {
                 self.recorder.put(monotonic(), &self.name, Observation::Down { killed: false });
                 info!(scheduler = self.name, "stopped");
@@ -173,57 +178,58 @@
         }
     }
 
-    /// How long there is nothing to do unless something happens.
-    fn wait(&self, now: Micros) -> Micros {
-        let handed = self.handed.next_due(self.engine.lateness(now));
+    /// Time to wait for I/O: until the next timer is due, or 0 if there is work already.
+    fn idle_time(&self, now: Micros) -> Micros {
+        let handoffs = self.handoffs.next_due(self.engine.lateness(now));
         let sites = self.sites.as_ref().map(Sites::next_due);
-        let due = [self.engine.next_due(now), self.front.next_due(), self.links.next_due(), handed, sites];
+        let due = [self.engine.next_due(now), self.front.next_due(), self.links.next_due(), handoffs, sites];
         let due = due.into_iter().flatten().chain([self.roster.next_due()]).min().unwrap_or(now);
-        let at_once = self.front.oldest().is_some() || self.mail.is_behind();
-        if at_once { 0 } else { due.saturating_sub(now) }
+        let has_work = self.front.oldest_input().is_some() || self.channels.is_behind();
+        if has_work { 0 } else { due.saturating_sub(now) }
     }
 
-    /// One turn: what has ended and what is due, then what is new as far as its time goes.
-    fn turn(&mut self, (since, due): (Micros, Micros), happened: &mut Vec<IoEvent>) {
+    /// One turn of the loop: first handles ended jobs and due timers, then starts new requests as long as the turn's
+    /// time allows. `since` and `due` are the start and the planned end of the wait before it.
+    fn turn(&mut self, (since, due): (Micros, Micros), io_events: &mut Vec<IoEvent>) {
         let mut now = monotonic();
         let began = now;
-        self.pace.begin_turn(since, due, now);
-        // What is written in between may bring further ends.
+        self.pacer.begin_turn(since, due, now);
+        // Flushing in between may produce further I/O events, which are handled in the next turn.
         let mut later = Vec::new();
-        for happened in happened.drain(..) {
-            if let IoEvent::Data(conn) | IoEvent::Drained(conn) = happened
+        for event in io_events.drain(..) {
+            if let IoEvent::Data(conn) | IoEvent::Drained(conn) = event
                 && !self.links.owns(conn)
-                && !self.owns_peer(conn)
+                && !self.is_peer_connection(conn)
             {
-                self.front.came(began, conn);
+                self.front.input_arrived(began, conn);
                 continue;
             }
-            self.take(now, happened);
+            self.handle_io(now, event);
             now = monotonic();
-            if self.pace.should_check_timers(now) {
+            if self.pacer.should_check_timers(now) {
                 self.wake(now);
             }
-            // At once: a call that waits to be written may meet the end of the kept connection that was found
-            // sound for it.
+            // Flushes at once: a call whose write is delayed could meet the close of the keep-alive connection that was
+            // checked for it.
             self.flush(&mut later);
         }
-        self.read_mail(now);
-        self.read_words(now);
+        self.read_messages(now);
+        self.read_control(now);
         self.wake(now);
         self.flush(&mut later);
-        while let Some(came) = self.front.oldest() {
+        while let Some(arrived) = self.front.oldest_input() {
             let now = monotonic();
-            if !self.pace.may_begin(now, came) {
+            if !self.pacer.may_begin(now, arrived) {
                 break;
             }
-            if let Some(conn) = self.front.pop_ready() {
-                self.requests(now, conn);
+            if let Some(conn) = self.front.pop_queued() {
+                self.take_requests(now, conn);
                 self.flush(&mut later);
             }
         }
-        *happened = later;
+        *io_events = later;
         let now = monotonic();
-        let TurnReport { began, stalled, lag } = self.pace.end_turn(now, thread_time());
+        let TurnReport { began, stalled, lag } = self.pacer.end_turn(now, thread_time());
         self.engine.record_lateness(now, began);
         if let Some(us) = stalled {
             self.recorder.put(now, &self.name, Observation::Stalled { us });
@@ -238,64 +244,67 @@
         }
     }
 
-    /// Writes what there is to write. An answer counts as given once its bytes are with the system.
-    fn flush(&mut self, happened: &mut Vec<IoEvent>) {
-        self.io.flush(happened);
-        self.mail.flush();
-        if !self.given.is_empty() {
+    /// Flushes output buffers and messages. An answer is recorded once its bytes have been handed to the operating
+    /// system.
+    fn flush(&mut self, io_events: &mut Vec<IoEvent>) {
+        self.io.flush(io_events);
+        self.channels.flush();
+        if !self.unrecorded_answers.is_empty() {
             let now = monotonic();
-            for (event, status) in self.given.drain(..) {
+            for (event, status) in self.unrecorded_answers.drain(..) {
                 self.recorder.put(now, &self.name, Observation::AnswerSent { event, status });
             }
         }
     }
 
+    /// Begins a graceful stop.
     fn stop(&mut self, now: Micros) {
         info!(scheduler = self.name, in_hand = self.engine.calls_in_flight(), "stopping");
         self.stopping = true;
         self.recorder.put(now, &self.name, Observation::Stopping);
         self.io.stop_all_listening();
         self.front.stop(&mut self.io);
-        self.tell(now, Input::Stop);
+        self.engine_input(now, Input::Stop);
     }
 
-    fn take(&mut self, now: Micros, happened: IoEvent) {
-        match happened {
-            IoEvent::Accepted { conn, .. } => self.front.accepted(now, conn),
-            IoEvent::Connected(conn) if self.owns_peer(conn) => {
-                let done = self.sites.as_mut().and_then(|sites| sites.connected(&mut self.io, now, conn));
-                self.came_back(now, done);
+    /// Handles an I/O event.
+    fn handle_io(&mut self, now: Micros, event: IoEvent) {
+        match event {
+            IoEvent::Accepted { conn, .. } => self.front.client_connected(now, conn),
+            IoEvent::Connected(conn) if self.is_peer_connection(conn) => {
+                let end = self.sites.as_mut().and_then(|sites| sites.connected(&mut self.io, now, conn));
+                self.remote_job_ended(now, end);
             }
-            IoEvent::Data(conn) if self.owns_peer(conn) => {
-                let done = self.sites.as_mut().and_then(|sites| sites.data(&mut self.io, now, conn));
-                self.came_back(now, done);
+            IoEvent::Data(conn) if self.is_peer_connection(conn) => {
+                let end = self.sites.as_mut().and_then(|sites| sites.data(&mut self.io, now, conn));
+                self.remote_job_ended(now, end);
             }
-            IoEvent::Ended(conn, how) if self.owns_peer(conn) => {
-                let done = self.sites.as_mut().and_then(|sites| sites.ended(&mut self.io, now, conn, how));
-                self.came_back(now, done);
+            IoEvent::Ended(conn, how) if self.is_peer_connection(conn) => {
+                let end = self.sites.as_mut().and_then(|sites| sites.ended(&mut self.io, now, conn, how));
+                self.remote_job_ended(now, end);
             }
             IoEvent::Connected(conn) => {
-                let done = self.links.connected(&mut self.io, now, conn);
-                self.note_sent(now);
-                self.done(now, done);
+                let end = self.links.connected(&mut self.io, now, conn);
+                self.record_sent(now);
+                self.job_ended(now, end);
             }
             IoEvent::Data(conn) if self.links.owns(conn) => {
-                let done = self.links.data(&mut self.io, now, conn);
-                self.done(now, done);
+                let end = self.links.data(&mut self.io, now, conn);
+                self.job_ended(now, end);
             }
-            IoEvent::Data(conn) | IoEvent::Drained(conn) => self.front.came(now, conn),
+            IoEvent::Data(conn) | IoEvent::Drained(conn) => self.front.input_arrived(now, conn),
             IoEvent::Ended(conn, how) if self.links.owns(conn) => {
-                let done = self.links.ended(&mut self.io, now, conn, how);
-                self.done(now, done);
+                let end = self.links.ended(&mut self.io, now, conn, how);
+                self.job_ended(now, end);
             }
             IoEvent::Ended(conn, _) => {
-                for waiter in self.front.ended(conn) {
-                    if self.sites.as_mut().is_some_and(|sites| sites.left(&mut self.io, now, waiter)) {
+                for waiter in self.front.client_disconnected(conn) {
+                    if self.sites.as_mut().is_some_and(|sites| sites.client_left(&mut self.io, now, waiter)) {
                         continue;
                     }
-                    match self.handed.client_left(waiter) {
-                        Some(owner) => drop(self.mail.send(owner, Message::Left(waiter))),
-                        None => self.left(now, waiter),
+                    match self.handoffs.client_left(waiter) {
+                        Some(owner) => drop(self.channels.send(owner, Message::ClientLeft(waiter))),
+                        None => self.client_left(now, waiter),
                     }
                 }
             }
@@ -303,23 +312,24 @@
         }
     }
 
-    /// Does all that is due. A link's own time-out goes before the call's: it tells the module more.
+    /// Runs all due timers. The timeout of a connection comes before that of its call, because it gives the scheduling
+    /// module more information.
     fn wake(&mut self, mut now: Micros) {
         loop {
-            let mut done = Vec::new();
-            self.links.wake(&mut self.io, now, &mut done);
-            for done in done {
-                self.done(now, Some(done));
+            let mut ends = Vec::new();
+            self.links.wake(&mut self.io, now, &mut ends);
+            for end in ends {
+                self.job_ended(now, Some(end));
             }
             self.sites.iter_mut().for_each(|sites| sites.lateness = self.engine.lateness(now));
-            let then = self.sites.as_mut().map(|sites| sites.kept_due(now)).unwrap_or_default();
-            self.then(now, then);
-            let back = self.sites.as_mut().map(|sites| sites.wake(&mut self.io, now));
-            back.into_iter().flatten().for_each(|done| self.came_back(now, Some(done)));
+            let actions = self.sites.as_mut().map(|sites| sites.wake_replicated(now)).unwrap_or_default();
+            self.perform_actions(now, actions);
+            let ends = self.sites.as_mut().map(|sites| sites.wake(&mut self.io, now));
+            ends.into_iter().flatten().for_each(|end| self.remote_job_ended(now, Some(end)));
             self.front.wake(&mut self.io, now);
-            while let Some((waiter, answer, owner)) = self.handed.expire(now, self.engine.lateness(now)) {
-                self.mail.send(owner, Message::Left(waiter));
-                self.give(now, (waiter, answer), (0, None, AnswerOrigin::Direct));
+            while let Some((waiter, answer, owner)) = self.handoffs.expire(now, self.engine.lateness(now)) {
+                self.channels.send(owner, Message::ClientLeft(waiter));
+                self.answer_client(now, (waiter, answer), (0, None, AnswerOrigin::Direct));
             }
             let mut outputs = std::mem::take(&mut self.outputs);
             self.engine.wake(now, &mut outputs);
@@ -331,36 +341,38 @@
         }
     }
 
-    /// Takes requests from a connection as long as there are whole ones and it is free.
-    fn requests(&mut self, now: Micros, conn: ConnId) {
-        while let Some(asked) = self.front.next_request(&mut self.io, now, conn) {
-            let Asked::Calls(calls) = asked else { continue };
+    /// Starts the requests of a connection as long as complete ones have arrived and none is in progress.
+    fn take_requests(&mut self, now: Micros, conn: ConnId) {
+        while let Some(request) = self.front.next_request(&mut self.io, now, conn) {
+            let NextRequest::Calls(calls) = request else { continue };
             for call in calls {
-                self.call(now, call);
+                self.new_call(now, call);
             }
         }
     }
 
-    fn tell(&mut self, now: Micros, input: Input<Event, Reply>) {
+    /// Passes an input to the engine and carries out its outputs.
+    fn engine_input(&mut self, now: Micros, input: Input<Event, Reply>) {
         let mut outputs = std::mem::take(&mut self.outputs);
         self.engine.handle(now, input, &mut outputs);
         self.carry_out(now, outputs);
     }
 
-    fn done(&mut self, now: Micros, done: Option<Done>) {
-        if let Some(input) = done.and_then(|done| self.ended(now, done)) {
-            self.tell(now, input);
+    /// Passes the end of a job at a worker to the engine.
+    fn job_ended(&mut self, now: Micros, end: Option<JobEnd>) {
+        if let Some(input) = end.and_then(|end| self.engine_input_of(now, end)) {
+            self.engine_input(now, input);
         }
     }
 
-    /// How a job ended, as the engine is told it.
-    fn ended(&mut self, now: Micros, done: Done) -> Option<Input<Event, Reply>> {
-        Some(match done {
-            Done::Nothing => return None,
-            Done::Attempt(id, end) => {
+    /// The end of a job as an input of the engine, `None` if the engine does not need it. Records ends of attempts.
+    fn engine_input_of(&mut self, now: Micros, end: JobEnd) -> Option<Input<Event, Reply>> {
+        Some(match end {
+            JobEnd::Ignored => return None,
+            JobEnd::Attempt(id, end) => {
                 if let Some(sites) = &mut self.sites {
                     sites.attempt_ended(now, id, &end);
-                    sites.kept.iter_mut().for_each(|kept| kept.attempt_ended(id, &end));
+                    sites.replicated.iter_mut().for_each(|events| events.attempt_ended(id, &end));
                 }
                 if self.recorder.is_enabled() {
                     let (attempt, code) = (attempt_name(&self.prefix, id), format!("{:?}", end.code));
@@ -368,22 +380,22 @@
                 }
                 Input::AttemptEnded(id, end)
             }
-            Done::Order(id, code, count) => Input::OrderAnswered(id, code, count),
-            Done::Probe(id, code, report) => Input::ProbeAnswered(id, code, report),
-            // Links to workers carry none.
-            Done::Handed(..) => return None,
+            JobEnd::Order(id, code, count) => Input::OrderAnswered(id, code, count),
+            JobEnd::Probe(id, code, report) => Input::ProbeAnswered(id, code, report),
+            // Connections to workers carry no calls handed over to other sites.
+            JobEnd::HandedOver(..) => return None,
         })
     }
 
-    /// Carries out what the engine wants, and what follows from that, until there is no more.
+    /// Carries out the engine's outputs, and those that follow from them, until there are none.
     fn carry_out(&mut self, now: Micros, mut outputs: Vec<Output<Event, Reply>>) {
         let mut queue: VecDeque<_> = outputs.drain(..).collect();
         self.outputs = outputs;
         while let Some(output) = queue.pop_front() {
-            let done = self.output(now, output);
-            // Before the engine is told anything else: what was written may run.
-            self.note_sent(now);
-            if let Some(input) = done.and_then(|done| self.ended(now, done)) {
+            let end = self.perform(now, output);
+            // Must precede any further input of the engine: an attempt that was written may run.
+            self.record_sent(now);
+            if let Some(input) = end.and_then(|end| self.engine_input_of(now, end)) {
                 let mut more = std::mem::take(&mut self.outputs);
                 self.engine.handle(now, input, &mut more);
                 queue.extend(more.drain(..));
@@ -392,44 +404,48 @@
         }
     }
 
-    fn output(&mut self, now: Micros, output: Output<Event, Reply>) -> Option<Done> {
+    /// Carries out one output of the engine. Returns the end of a job that ended at once.
+    fn perform(&mut self, now: Micros, output: Output<Event, Reply>) -> Option<JobEnd> {
         let Self { io, links, front, .. } = self;
         match output {
-            Output::Answer { waiter, answer, attempts, worker, origin: path } => {
-                let kept = self.sites.as_mut().and_then(|sites| sites.kept.as_mut());
-                let answer = match kept {
-                    Some(kept) => kept.answered(waiter, answer),
+            Output::Answer { waiter, answer, attempts, worker, origin } => {
+                let replicated = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut());
+                let answer = match replicated {
+                    Some(replicated) => replicated.answered(waiter, answer),
                     None => answer,
                 };
-                self.deliver(now, waiter, answer, (attempts, worker, path));
+                self.route_answer(now, waiter, answer, (attempts, worker, origin));
                 None
             }
             Output::Start { attempt, worker, identity, function, payload, until } => {
                 let repeat = front.repeat_of(&function);
-                self.sites.iter_mut().for_each(|sites| sites.started(now, attempt, &function.name));
-                let kept = self.sites.as_mut().and_then(|sites| sites.kept.as_mut());
-                let start = kept.map_or(Start::Leaves, |kept| {
-                    kept.start((wall_ms(), until), attempt, &identity, worker.as_str())
+                self.sites.iter_mut().for_each(|sites| sites.attempt_started(now, attempt, &function.name));
+                let replicated = self.sites.as_mut().and_then(|sites| sites.replicated.as_mut());
+                let decision = replicated.map_or(SendDecision::Now, |replicated| {
+                    replicated.decide_send((wall_ms(), until), attempt, &identity, worker.as_str())
                 });
                 let lease = Micros::MAX;
                 let job =
                     Job::Attempt { id: attempt, event: payload, function, repeat, until, identity, lease };
-                match (start, &mut self.sites) {
-                    (Start::Waits, Some(sites)) => {
+                match (decision, &mut self.sites) {
+                    (SendDecision::Wait, Some(sites)) => {
                         sites.park(attempt, worker, job);
                         None
                     }
-                    (Start::Stays, _) => Some(Done::Attempt(attempt, AttemptEnd::from_code(Code::Moot))),
+                    (SendDecision::Never, _) => {
+                        Some(JobEnd::Attempt(attempt, AttemptEnd::from_code(Code::Moot)))
+                    }
                     _ => links.start(io, now, &worker, job),
                 }
             }
             Output::Abort(attempt) => {
                 let sites = self.sites.as_mut();
                 let parked = sites.is_some_and(|sites| {
-                    sites.unpark(attempt).is_some() && sites.kept.as_mut().is_some_and(|k| k.abort(attempt))
+                    sites.unpark(attempt).is_some()
+                        && sites.replicated.as_mut().is_some_and(|events| events.abort(attempt))
                 });
                 match parked {
-                    true => Some(Done::Attempt(attempt, AttemptEnd::from_code(Code::Moot))),
+                    true => Some(JobEnd::Attempt(attempt, AttemptEnd::from_code(Code::Moot))),
                     false => links.abort_attempt(io, attempt),
                 }
             }
@@ -443,36 +459,38 @@
                 None
             }
             Output::Release(worker, function) => {
-                links.start(io, now, &worker, Job::Drop(function.to_string()));
+                links.start(io, now, &worker, Job::Release(function.to_string()));
                 None
             }
-            // The file tells every change by itself.
+            // The roster file is polled, which detects every change.
             Output::RequestWorkerList => None,
         }
     }
 
-    /// Gives a client of this loop, or of another one, its final answer.
-    fn deliver(
+    /// Routes the final answer to a client of this loop or of another one.
+    fn route_answer(
         &mut self,
         now: Micros,
         waiter: WaiterId,
         answer: Answer<Reply>,
-        (attempts, worker, path): (u32, Option<WorkerId>, AnswerOrigin),
+        (attempts, worker, origin): (u32, Option<WorkerId>, AnswerOrigin),
     ) {
-        match thread_of(waiter) {
-            here if here == self.mail.me() => self.give(now, (waiter, answer), (attempts, worker, path)),
-            there => {
-                self.mail.send(there, Message::Answer { waiter, answer, attempts, worker, path });
+        match loop_of_waiter(waiter) {
+            index if index == self.channels.index() => {
+                self.answer_client(now, (waiter, answer), (attempts, worker, origin))
+            }
+            index => {
+                self.channels.send(index, Message::Answer { waiter, answer, attempts, worker, origin });
             }
         }
     }
 
-    /// Gives a client of this loop its final answer.
-    fn give(
+    /// Answers a client of this loop.
+    fn answer_client(
         &mut self,
         now: Micros,
         (waiter, answer): (WaiterId, Answer<Reply>),
-        (attempts, worker, path): (u32, Option<WorkerId>, AnswerOrigin),
+        (attempts, worker, origin): (u32, Option<WorkerId>, AnswerOrigin),
     ) {
         let outcome = match &answer {
             Answer::Served(_) => "served",
@@ -480,29 +498,29 @@
             Answer::Failed(_) => "failed",
         };
         let answer = match &mut self.sites {
-            Some(sites) => sites.gave(now, waiter, answer),
+            Some(sites) => sites.answer_ready(now, waiter, answer),
             None => answer,
         };
-        let unowned = matches!(answer, Answer::Failed(Failure::OwnerUnreachable));
-        let Some((waiting, status, free)) = self.front.answer(&mut self.io, now, waiter, answer) else {
+        let owner_unreachable = matches!(answer, Answer::Failed(Failure::OwnerUnreachable));
+        let Some((waiter, status, free_conn)) = self.front.answer(&mut self.io, now, waiter, answer) else {
             return;
         };
-        if unowned && self.recorder.is_enabled() {
+        if owner_unreachable && self.recorder.is_enabled() {
             self.recorder.put(
                 now,
                 &self.name,
-                Observation::OwnerUnreachable { event: event_name(&waiting.event) },
+                Observation::OwnerUnreachable { event: event_name(&waiter.event) },
             );
         }
-        if let Some(conn) = free
+        if let Some(conn) = free_conn
             && self.io.input(conn).is_some_and(|input| !input.is_empty())
         {
-            self.front.came(now, conn);
+            self.front.input_arrived(now, conn);
         }
         if self.recorder.is_enabled() {
-            self.given.push((event_name(&waiting.event), status));
+            self.unrecorded_answers.push((event_name(&waiter.event), status));
         }
-        let how = match path {
+        let how = match origin {
             AnswerOrigin::First => "first",
             AnswerOrigin::Joined => "joined",
             AnswerOrigin::Direct => "direct",
@@ -510,15 +528,15 @@
         info!(
         target: "basaltward::call",
         scheduler = self.name,
-        id = waiting.event.id,
-        source = waiting.event.source,
-        function = %waiting.function.name,
+        id = waiter.event.id,
+        source = waiter.event.source,
+        function = %waiter.function.name,
         outcome,
         status,
         attempts,
         worker = worker.as_ref().map(WorkerId::as_str),
         how,
-        took_us = now.saturating_sub(waiting.began),
+        took_us = now.saturating_sub(waiter.began),
         "call"
         );
     }
@@ -529,7 +547,7 @@
     Clock::read().wall() / 1_000
 }
 
-/// An event's name in records.
+/// The name of an event in records.
 fn event_name(event: &Event) -> String {
     format!("{}#{}", event.source, event.id)
 }
--- a/crates/gateway/src/scheduler/notes.rs
+++ b/crates/gateway/src/scheduler/records.rs
@@ -1,4 +1,4 @@
-//! What a loop records and logs of its links and its list of workers.
+//! Records and log lines of a loop about sent jobs and its list of workers.
 
 use super::Scheduler;
 use crate::links::attempt_name;
@@ -9,8 +9,8 @@
 use tracing::{info, warn};
 
 impl Scheduler {
-    /// What has been given to connections since: the engine learns it at once, the records where they are on.
-    pub(super) fn note_sent(&mut self, now: Micros) {
+    /// Reports the jobs handed to connections since the last call: to the engine always, to the recorder if it is on.
+    pub(super) fn record_sent(&mut self, now: Micros) {
         for sent in self.links.sent.drain(..) {
             if let Some((id, _)) = &sent.attempt {
                 self.engine.mark_written(*id);
@@ -30,33 +30,39 @@
         }
     }
 
+    /// Reads the roster file if it is due and passes a new list of workers to the engine.
     pub(super) fn poll_roster(&mut self, now: Micros) {
         let (kind, entries) = match self.roster.poll(now) {
             None => return,
             Some(RosterUpdate::Full(entries)) => (MembersKind::Whole, entries),
             Some(RosterUpdate::Changes(entries)) => (MembersKind::Changes, entries),
             Some(RosterUpdate::Failed(why)) => {
-                warn!(scheduler = self.name, why, "roster can't be used; the previous list stands");
+                warn!(
+                    scheduler = self.name,
+                    why, "roster is not usable; keeping the previous list of workers"
+                );
                 (MembersKind::Failed, Vec::new())
             }
         };
         let members: Vec<_> =
             entries.iter().map(|e| to_member(e, |wall| self.clock.to_monotonic(wall))).collect();
-        self.note_states(now, kind, &members);
-        self.tell(now, Input::Members(kind, members));
+        self.record_states(now, kind, &members);
+        self.engine_input(now, Input::Members(kind, members));
     }
 
-    /// Logs and records the changes that a list brings; decides nothing.
-    pub(super) fn note_states(&mut self, now: Micros, kind: MembersKind, members: &[basaltward::Member]) {
+    /// Logs and records the changes of worker states in a new list.
+    pub(super) fn record_states(&mut self, now: Micros, kind: MembersKind, members: &[basaltward::Member]) {
         use basaltward::WorkerState;
         let mut changes: Vec<(WorkerId, WorkerState)> = Vec::new();
         if kind == MembersKind::Whole {
             let listed = |w: &WorkerId| members.iter().any(|m| m.worker == *w);
-            changes.extend(self.states.keys().filter(|w| !listed(w)).map(|w| (w.clone(), WorkerState::Gone)));
+            changes.extend(
+                self.worker_states.keys().filter(|w| !listed(w)).map(|w| (w.clone(), WorkerState::Gone)),
+            );
         }
         changes.extend(members.iter().map(|m| (m.worker.clone(), m.state)));
         for (worker, state) in changes {
-            if self.states.get(&worker) == Some(&state) {
+            if self.worker_states.get(&worker) == Some(&state) {
                 continue;
             }
             info!(scheduler = self.name, %worker, ?state, "worker");
@@ -69,12 +75,12 @@
                 );
             }
             if state == WorkerState::Gone {
-                self.states.remove(&worker);
+                self.worker_states.remove(&worker);
             } else {
-                self.states.insert(worker, state);
+                self.worker_states.insert(worker, state);
             }
         }
-        let used = self.states.values().filter(|state| **state == WorkerState::Active).count();
-        self.sites.iter_mut().for_each(|sites| sites.workers(used));
+        let active = self.worker_states.values().filter(|state| **state == WorkerState::Active).count();
+        self.sites.iter_mut().for_each(|sites| sites.set_active_workers(active));
     }
 }
--- a/crates/play/tests/loops.rs
+++ b/crates/play/tests/loops.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use basaltward_config::Config;
-use basaltward_gateway::Loops;
+use basaltward_gateway::LoopMode;
 use basaltward_play::Bed;
 use basaltward_rules::{Observation, Record, Recorder};
 use basaltward_standins::{Clients, Plan, Retries, Tally};
@@ -60,7 +60,8 @@
 
 #[test]
 fn loops_that_know_nothing_of_each_other_are_caught() {
-    let bed = Bed::start_as(&four(), 1, vec![worker(); 3], Recorder::memory(), Loops::Apart).expect("a bed");
+    let bed = Bed::start_as(&four(), 1, vec![worker(); 3], Recorder::memory(), LoopMode::Independent)
+        .expect("a bed");
     run(&bed, (0..32).map(|_| Plan { work: Some(150_000), ..plan(2, "e") }).collect());
     let (records, breaches) = judge(bed);
     assert!(runs(&records, "e") > 1 && breaches.iter().all(|b| b.rule == 2) && !breaches.is_empty());
@@ -99,9 +100,9 @@
     let body = format!("[{}]", (0..48).map(one).collect::<Vec<_>>().join(","));
     let mut client = Client::new(bed.addresses[0]);
     client.send(&format!(
-        "POST / HTTP/1.1\r\nHost: h\r\nContent-Type: application/cloudevents-batch+json\r\nContent-Length: {}\r\n\r\n{body}",
-        body.len()
-    ));
+"POST / HTTP/1.1\r\nHost: h\r\nContent-Type: application/cloudevents-batch+json\r\nContent-Length: {}\r\n\r\n{body}",
+body.len()
+));
     let answer = client.answer().expect("an answer");
     let told = String::from_utf8_lossy(&answer.body).into_owned();
     assert_eq!((answer.status, told.matches("\"outcome\":\"served\"").count()), (200, 48), "{told}");
