--- a/crates/shed/tests/hard_cases.rs
+++ b/crates/admission/tests/hard_cases.rs
@@ -1,7 +1,7 @@
 //! What sites under overload go through, in virtual time, over many seeds. Other seeds:
-//! `SHED_SEEDS=0..1000 cargo test --release -p basaltward-shed`.
+//! `SHED_SEEDS=0..1000 cargo test --release -p basaltward-admission`.
+use basaltward_admission::{Act, Bed, ClassOf, DoorFault, Fault, Second, Stream, World};
 use basaltward_membership::{MemberId, Micros};
-use basaltward_shed::{Act, Bed, ClassOf, DoorFault, Fault, Second, Stream, World};
 use std::collections::BTreeMap;
 
 const S: Micros = 1_000_000;
--- a/crates/bench/src/capacity/measure.rs
+++ b/crates/bench/src/capacity/measure.rs
@@ -6,6 +6,7 @@
 use crate::module::{Driver, Load};
 use crate::{pending, route};
 use basaltward::{Member, MembersKind};
+use basaltward_admission::{ClassOf, Count, Counts, Shed, ShedSettings};
 use basaltward_bulletin::Target;
 use basaltward_membership::{
     LinkFaults, MemberId, MembershipSettings, Micros, Site, SiteMap, VirtualCluster,
@@ -16,7 +17,6 @@
     VirtualFleet, grant_permit,
 };
 use basaltward_route::{FunctionTold, Route, RouteSettings};
-use basaltward_shed::{ClassOf, Count, Counts, Shed, ShedSettings};
 use clap::ValueEnum;
 use std::error::Error;
 use std::hint::black_box;
--- a/crates/bench/src/shed.rs
+++ b/crates/bench/src/shed.rs
@@ -1,8 +1,8 @@
 //! Overload answered by four sites as one beside each gateway for itself, in virtual time, on the same seeds: goodput
 //! at multiples of what the workers can do, the time to come back, and tenants beside one at ten times its quota.
 
+use basaltward_admission::{Act, Bed, Second, Stream, World};
 use basaltward_membership::{LinkFaults, MembershipSettings, Micros, SHED_KEYS, Site, VirtualCluster};
-use basaltward_shed::{Act, Bed, Second, Stream, World};
 use std::error::Error;
 
 const S: Micros = 1_000_000;
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -1,9 +1,9 @@
 //! Every error of the rooms of sites stands on the operators' page, and nothing else does.
 
+use basaltward_admission::ShedError;
 use basaltward_peers::{ConnectionError, PeerError};
 use basaltward_pending::{Fault, Refused, Unkept, Why, WireError};
 use basaltward_route::RouteError;
-use basaltward_shed::ShedError;
 use std::collections::BTreeSet;
 use strum::VariantNames;
 
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -5,6 +5,7 @@
 use crate::scheduler::{RUN, STOP};
 use crate::tables::{COUNT_US, ControlEnd, Fact, Owners, Tables, Word};
 use basaltward::{Micros, Repeat};
+use basaltward_admission::{ClassOf, Shed, ShedSettings};
 use basaltward_config::{Config, SitesConfig};
 use basaltward_membership::{MemberId, MemberState, SHED_KEYS, SiteMap};
 use basaltward_net::{Clock, Io, NetError, monotonic};
@@ -16,7 +17,6 @@
 use basaltward_permits::{Denied, PermitRequest};
 use basaltward_route::{FunctionTold, Route, RouteSettings};
 use basaltward_rules::{Recorder, What};
-use basaltward_shed::{ClassOf, Shed, ShedSettings};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
