--- a/crates/admission/src/shed.rs
+++ b/crates/admission/src/controller.rs
@@ -1,12 +1,12 @@
 //! What the control thread of a gateway makes of all counts and facts.
 
 use crate::capacity::{Capacity, Seen};
-use crate::fill::{Demand, admitted, within};
-use crate::heard::Peer;
-use crate::retries::{Carries, part};
+use crate::peer_load::Peer;
+use crate::retry_budget::{Carries, part};
 use crate::settings::{ShedError, ShedSettings};
 use crate::table::{Share, Table};
 use crate::types::Counts;
+use crate::water_filling::{Demand, admitted, within};
 use crate::wire::{self, Head, Load, PAGES};
 use basaltward_membership::{MemberId, Micros, SHED_KEYS};
 
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -4,28 +4,28 @@
 #![warn(missing_docs)]
 
 mod capacity;
-mod door;
-mod fill;
-mod heard;
-mod retries;
-mod seen;
+mod controller;
+mod limiter;
+mod peer_load;
+mod retry_budget;
+mod scheduled_retries;
 mod settings;
-mod shed;
+mod simulation;
 mod table;
 mod types;
-mod waits;
+mod wait_estimator;
+mod water_filling;
 mod wire;
-mod world;
 
-pub use door::Door;
 #[doc(hidden)]
-pub use door::DoorFault;
+pub use controller::Fault;
+pub use controller::Shed;
+pub use limiter::Door;
+#[doc(hidden)]
+pub use limiter::DoorFault;
 pub use settings::{ClassOf, ShedError, ShedSettings};
 #[doc(hidden)]
-pub use shed::Fault;
-pub use shed::Shed;
+pub use simulation::{Act, Bed, Second, Stream, World};
 pub use table::{Share, Table};
 pub use types::{Asked, Count, Counts, Ended, Verdict};
-pub use waits::Waits;
-#[doc(hidden)]
-pub use world::{Act, Bed, Second, Stream, World};
+pub use wait_estimator::Waits;
--- a/crates/admission/src/door.rs
+++ b/crates/admission/src/limiter.rs
@@ -4,7 +4,7 @@
 //! kept for those who come then, each at a time of its own: so they don't return as a wave, and find room. Where they
 //! don't come their room is used by others.
 
-use crate::seen::Seen;
+use crate::scheduled_retries::Seen;
 use crate::settings::ShedSettings;
 use crate::table::{Share, Table};
 use crate::types::{Asked, Count, Counts, Ended, Verdict};
--- a/crates/admission/src/world.rs
+++ b/crates/admission/src/simulation.rs
@@ -2,9 +2,9 @@
 //! One seed, one history. Each gateway has its queue as the engine has: by worth, refused early where those ahead take
 //! it past its aim. Without doors that is how each gateway sheds for itself.
 
-use crate::door::{Door, DoorFault};
+use crate::controller::{Fault, Shed};
+use crate::limiter::{Door, DoorFault};
 use crate::settings::{ClassOf, ShedSettings};
-use crate::shed::{Fault, Shed};
 use crate::table::Table;
 use crate::types::{Asked, Ended, Verdict};
 use basaltward_membership::{MemberId, Micros, Site, SiteMap};
