--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -38,15 +38,19 @@
 pub enum ShedError {
     /// There is no class.
     #[error("no class of calls is configured: give at least one")]
+    #[strum(serialize = "NoClass")]
     NoClass,
     /// There are more pairs of class and tenant than facts can name.
     #[error("{0} pairs of class and tenant: at most 16383 can be told apart, so merge classes or tenants")]
+    #[strum(serialize = "Cells")]
     Cells(usize),
     /// A class's worth or times can't be used.
     #[error("class {0}: worth has to be a number of 0 or more, aim and deadline above 0")]
+    #[strum(serialize = "Class")]
     Class(usize),
     /// A figure is out of its range.
     #[error("{0} is out of its range: see the settings of sites")]
+    #[strum(serialize = "Figure")]
     Figure(&'static str),
 }
 
