--- a/crates/admission/src/capacity.rs
+++ b/crates/admission/src/capacity.rs
@@ -3,17 +3,17 @@
 use basaltward_membership::Micros;
 
 /// The wait's pull on what is taken at once: by so much at no wait, or at twice the wait wanted.
-const AT_ONCE: f64 = 0.2;
+const ADMISSION_GAIN: f64 = 0.2;
 /// Its pull on what is believed, a second: slow against the time that a wait takes to follow what is taken, or the two
 /// would swing.
-const SLOWLY: f64 = 0.15;
+const ESTIMATE_GAIN: f64 = 0.15;
 /// As long as there is no wait at all, and calls are turned away: the workers can do more than is believed.
-const FREELY: f64 = 0.8;
+const NO_WAIT_GAIN: f64 = 0.8;
 /// No wait is taken for none after so long.
-const SURE: Micros = 500_000;
+const NO_WAIT_CONFIRMATION: Micros = 500_000;
 /// What peers believe moves our belief by at most this, a second: less than a wait does that is two thirds too long,
 /// so that no word leads the wait further astray.
-const PEERS: f64 = 0.1;
+const MAX_PEER_CHANGE: f64 = 0.1;
 
 /// What was seen over one step.
 #[derive(Clone, Copy, Debug)]
@@ -32,18 +32,18 @@
 
 /// What is believed of our site.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Capacity {
+pub struct CapacityEstimator {
     believed: Option<f64>,
     wait: f64,
-    wanted: f64,
+    target_wait: f64,
     /// For how long there has been no wait to speak of.
     free: Micros,
 }
 
-impl Capacity {
+impl CapacityEstimator {
     /// Nothing yet; calls are to be held at this wait.
     pub fn new(wanted: Micros) -> Self {
-        Self { believed: None, wait: 0.0, wanted: wanted as f64, free: 0 }
+        Self { believed: None, wait: 0.0, target_wait: wanted as f64, free: 0 }
     }
 
     /// Calls a second that the site can do.
@@ -57,13 +57,13 @@
     }
 
     /// How far the wait is from the one wanted: 1 for none, below 0 past it.
-    fn off(&self) -> f64 {
-        (1.0 - self.wait / self.wanted).clamp(-2.0, 1.0)
+    fn wait_error(&self) -> f64 {
+        (1.0 - self.wait / self.target_wait).clamp(-2.0, 1.0)
     }
 
     /// Calls a second to be taken now: the wait is led back at once, whatever is believed.
     pub fn admitted(&self) -> Option<f64> {
-        self.believed.map(|believed| believed * (1.0 + AT_ONCE * self.off()))
+        self.believed.map(|believed| believed * (1.0 + ADMISSION_GAIN * self.wait_error()))
     }
 
     /// Learns from one step.
@@ -71,16 +71,17 @@
         let seconds = seen.span as f64 / 1e6;
         let weight = 1.0 - (-seconds / 0.1).exp();
         self.wait += weight * (seen.wait.unwrap_or_default() as f64 - self.wait);
-        let off = self.off();
+        let off = self.wait_error();
         let Some(believed) = &mut self.believed else {
             // What was answered says what a site can do only once calls wait.
-            let known = self.wait >= self.wanted && seen.answered > 0.0;
+            let known = self.wait >= self.target_wait && seen.answered > 0.0;
             self.believed = known.then_some(seen.answered).or(seen.peers.map(|told| told.max(seen.answered)));
             return;
         };
         self.free = if off > 0.75 { self.free + seen.span } else { 0 };
         if off < 0.5 || seen.shed {
-            *believed *= 1.0 + if self.free > SURE { FREELY } else { SLOWLY } * off * seconds;
+            *believed *= 1.0
+                + if self.free > NO_WAIT_CONFIRMATION { NO_WAIT_GAIN } else { ESTIMATE_GAIN } * off * seconds;
         }
         if off <= -1.0 {
             let down = seen.answered.clamp(*believed * 0.5, *believed);
@@ -88,7 +89,7 @@
         }
         *believed = believed.max(seen.answered * if off > 0.0 { 1.0 } else { 0.9 });
         if let Some(peers) = seen.peers {
-            let most = PEERS * seconds;
+            let most = MAX_PEER_CHANGE * seconds;
             *believed *= 1.0 + ((peers / *believed - 1.0) * seconds).clamp(-most, most);
         }
         *believed = believed.max(0.5);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -17,15 +17,15 @@
 mod water_filling;
 mod wire;
 
+pub use controller::AdmissionController;
 #[doc(hidden)]
-pub use controller::Fault;
-pub use controller::Shed;
-pub use limiter::Door;
+pub use controller::ControllerFault;
 #[doc(hidden)]
-pub use limiter::DoorFault;
-pub use settings::{ClassOf, ShedError, ShedSettings};
+pub use limiter::LimiterFault;
+pub use limiter::LoopLimiter;
+pub use settings::{AdmissionError, AdmissionSettings, ClassSettings};
 #[doc(hidden)]
-pub use simulation::{Act, Bed, Second, Stream, World};
-pub use table::{Share, Table};
-pub use types::{Asked, Count, Counts, Ended, Verdict};
-pub use wait_estimator::Waits;
+pub use simulation::{Action, ArrivalStream, SecondStats, Simulation, SimulationConfig};
+pub use table::{Share, ShareTable};
+pub use types::{AttemptKind, CallOutcome, CellCounts, Decision, LoopCounts};
+pub use wait_estimator::WaitEstimator;
--- a/crates/admission/src/limiter.rs
+++ b/crates/admission/src/limiter.rs
@@ -5,37 +5,37 @@
 //! don't come their room is used by others.
 
 use crate::scheduled_retries::Seen;
-use crate::settings::ShedSettings;
-use crate::table::{Share, Table};
-use crate::types::{Asked, Count, Counts, Ended, Verdict};
+use crate::settings::AdmissionSettings;
+use crate::table::{Share, ShareTable};
+use crate::types::{AttemptKind, CallOutcome, CellCounts, Decision, LoopCounts};
 use basaltward_membership::Micros;
 
 /// Of a pair's rate so much is promised to those turned away.
-const PROMISED: f64 = 0.5;
+const RESERVED_SHARE: f64 = 0.5;
 /// Promises are kept though nothing is left, up to so many seconds of the pair's rate.
-const OWED: f64 = 1.0;
+const MAX_DEBT_SECONDS: f64 = 1.0;
 /// Who is a little early has come at its time.
-const EARLY: Micros = 50_000;
+const EARLY_TOLERANCE: Micros = 50_000;
 /// Calls that may come at once after a quiet time, in seconds of their rate; of a slow pair more, up to a few, as they
 /// don't come evenly.
-const BURST: f64 = 0.05;
-const SLOW_BURST: f64 = 0.5;
-const FEW: f64 = 6.0;
+const BURST_SECONDS: f64 = 0.05;
+const SLOW_BURST_SECONDS: f64 = 0.5;
+const MAX_SLOW_BURST_CALLS: f64 = 6.0;
 /// Retries that may come at once, in seconds of their rate.
-const RETRY_BURST: f64 = 0.1;
+const RETRY_BURST_SECONDS: f64 = 0.1;
 /// Shortest and longest time told. Past the longest no room is promised.
-const SOONEST: Micros = 250_000;
-const LATEST: Micros = 120_000_000;
+const MIN_RETRY_DELAY: Micros = 250_000;
+const MAX_RETRY_DELAY: Micros = 120_000_000;
 /// How fast it is learnt how many come back at the time told, and how few are reckoned with at least.
-const LEARN: f64 = 0.005;
-const FEWEST: f64 = 0.05;
+const RETURN_SHARE_GAIN: f64 = 0.005;
+const MIN_RETURN_SHARE: f64 = 0.05;
 
 /// Faults that tests plant.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DoorFault {
+pub enum LimiterFault {
     /// A table past its time is taken for a fresh one.
-    StaleForFresh,
+    IgnoresTableExpiry,
 }
 
 /// Calls that may be taken of one pair.
@@ -44,7 +44,7 @@
     calls: f64,
     retries: f64,
     /// From when on room can be promised.
-    free: Micros,
+    next_retry_at: Micros,
     /// Until when it is filled.
     at: Micros,
     /// Answered a second.
@@ -52,109 +52,110 @@
 }
 
 /// The door of one loop.
-pub struct Door {
-    settings: ShedSettings,
+pub struct LoopLimiter {
+    settings: AdmissionSettings,
     loop_no: usize,
-    counts: Vec<Count>,
-    since: Micros,
+    counts: Vec<CellCounts>,
+    counted_since: Micros,
     buckets: Vec<Bucket>,
     spare: f64,
     at: Micros,
-    seen: Seen,
+    scheduled: Seen,
     /// Of those turned away so many come at the time told.
-    come_back: f64,
-    fault: Option<DoorFault>,
+    return_share: f64,
+    fault: Option<LimiterFault>,
 }
 
-impl Door {
+impl LoopLimiter {
     /// A door that takes everything until it is given a table.
-    pub fn new(now: Micros, settings: ShedSettings, loop_no: usize) -> Self {
-        let cells = settings.cells();
+    pub fn new(now: Micros, settings: AdmissionSettings, loop_no: usize) -> Self {
+        let cells = settings.cell_count();
         Self {
             settings,
             loop_no,
-            counts: vec![Count::default(); cells],
-            since: now,
+            counts: vec![CellCounts::default(); cells],
+            counted_since: now,
             buckets: vec![Bucket { at: now, ..Bucket::default() }; cells],
             spare: 0.0,
             at: now,
-            seen: Seen::default(),
-            come_back: 1.0,
+            scheduled: Seen::default(),
+            return_share: 1.0,
             fault: None,
         }
     }
 
     /// Plants a fault.
     #[doc(hidden)]
-    pub fn plant(&mut self, fault: DoorFault) {
+    pub fn inject_fault(&mut self, fault: LimiterFault) {
         self.fault = Some(fault);
     }
 
     /// Whether a call is taken. Each call is asked for once, where it is to be worked; `key_hash` is that of its
     /// identity.
-    pub fn ask(
+    pub fn admit(
         &mut self,
         now: Micros,
-        table: Option<&Table>,
+        table: Option<&ShareTable>,
         class: usize,
         tenant: usize,
-        asked: Asked,
+        asked: AttemptKind,
         key_hash: u64,
-    ) -> Verdict {
+    ) -> Decision {
         let cell = self.settings.cell(class, tenant);
-        let told = self.seen.told(key_hash);
-        let asked = if asked == Asked::First && told.is_some() { Asked::Retry } else { asked };
+        let told = self.scheduled.told(key_hash);
+        let asked = if asked == AttemptKind::First && told.is_some() { AttemptKind::Retry } else { asked };
         let count = &mut self.counts[cell];
         match asked {
-            Asked::First => count.first += 1,
-            Asked::Retry => count.retries += 1,
-            Asked::HandedOver => count.handed += 1,
-            Asked::Owed => {}
+            AttemptKind::First => count.first_attempts += 1,
+            AttemptKind::Retry => count.retries += 1,
+            AttemptKind::HandedOver => count.handed_over += 1,
+            AttemptKind::Exempt => {}
         }
-        let stale_for_fresh = self.fault == Some(DoorFault::StaleForFresh);
-        let share = table.and_then(|table| table.share(if stale_for_fresh { 0 } else { now }, self.loop_no));
+        let stale_for_fresh = self.fault == Some(LimiterFault::IgnoresTableExpiry);
+        let share =
+            table.and_then(|table| table.share_at(if stale_for_fresh { 0 } else { now }, self.loop_no));
         let Some(share) = share else {
-            self.seen.remove(key_hash);
-            return Verdict::Take;
+            self.scheduled.remove(key_hash);
+            return Decision::Admit;
         };
         self.refill(now, share, cell);
         let rate = share.rates[cell];
-        let promised = told.is_some_and(|at| now + EARLY >= at)
-            || asked == Asked::Retry && told.is_none() && self.seen.in_place(now, cell);
+        let promised = told.is_some_and(|at| now + EARLY_TOLERANCE >= at)
+            || asked == AttemptKind::Retry && told.is_none() && self.scheduled.substitute_due(now, cell);
         let taken = match asked {
-            Asked::Owed => self.owe(cell, rate, f64::INFINITY),
-            Asked::HandedOver => self.owe(cell, rate, OWED / 4.0),
-            Asked::First => self.draw(cell),
-            Asked::Retry if promised => self.owe(cell, rate, OWED),
-            Asked::Retry => self.buckets[cell].retries >= 1.0 && self.draw(cell),
+            AttemptKind::Exempt => self.draw_with_debt(cell, rate, f64::INFINITY),
+            AttemptKind::HandedOver => self.draw_with_debt(cell, rate, MAX_DEBT_SECONDS / 4.0),
+            AttemptKind::First => self.draw(cell),
+            AttemptKind::Retry if promised => self.draw_with_debt(cell, rate, MAX_DEBT_SECONDS),
+            AttemptKind::Retry => self.buckets[cell].retries >= 1.0 && self.draw(cell),
         };
         if !taken {
-            return self.turn_away(now, (cell, rate), told.filter(|_| !promised), key_hash);
+            return self.shed_call(now, (cell, rate), told.filter(|_| !promised), key_hash);
         }
-        self.seen.remove(key_hash);
+        self.scheduled.remove(key_hash);
         if promised {
-            self.counts[cell].booked += 1;
-            self.come_back += LEARN * (1.0 - self.come_back);
-        } else if asked == Asked::Retry {
-            self.counts[cell].budgeted += 1;
+            self.counts[cell].reserved_retries += 1;
+            self.return_share += RETURN_SHARE_GAIN * (1.0 - self.return_share);
+        } else if asked == AttemptKind::Retry {
+            self.counts[cell].budgeted_retries += 1;
             self.buckets[cell].retries -= 1.0;
         }
-        Verdict::Take
+        Decision::Admit
     }
 
     /// Fills what a call of this pair may be taken from.
     fn refill(&mut self, now: Micros, share: &Share, cell: usize) {
         let since = |at: &mut Micros| now.saturating_sub(std::mem::replace(at, now)) as f64 / 1e6;
         let bucket = &mut self.buckets[cell];
-        let (rate, retries) = (share.rates[cell].max(share.trickle), share.retries[cell]);
+        let (rate, retries) = (share.rates[cell].max(share.min_rate), share.retry_rates[cell]);
         let seconds = since(&mut bucket.at);
-        bucket.calls =
-            (bucket.calls + rate * seconds).min((rate * BURST).max((rate * SLOW_BURST).min(FEW)).max(1.0));
-        bucket.retries = (bucket.retries + retries * seconds).min((retries * RETRY_BURST).max(1.0));
+        bucket.calls = (bucket.calls + rate * seconds)
+            .min((rate * BURST_SECONDS).max((rate * SLOW_BURST_SECONDS).min(MAX_SLOW_BURST_CALLS)).max(1.0));
+        bucket.retries = (bucket.retries + retries * seconds).min((retries * RETRY_BURST_SECONDS).max(1.0));
         let seconds = since(&mut self.at);
-        self.spare = (self.spare + share.spare * seconds).min((share.spare * BURST).max(1.0));
-        let missed = self.seen.expire(now);
-        self.come_back *= (1.0 - LEARN).powf(missed as f64);
+        self.spare = (self.spare + share.spare * seconds).min((share.spare * BURST_SECONDS).max(1.0));
+        let missed = self.scheduled.expire(now);
+        self.return_share *= (1.0 - RETURN_SHARE_GAIN).powf(missed as f64);
     }
 
     /// Takes one by its own rate, or by what all may use.
@@ -167,49 +168,49 @@
     }
 
     /// Takes one though nothing may be left: what is owed is paid off by what would come next.
-    fn owe(&mut self, cell: usize, rate: f64, most: f64) -> bool {
+    fn draw_with_debt(&mut self, cell: usize, rate: f64, most: f64) -> bool {
         let bucket = &mut self.buckets[cell].calls;
         // What is owed is owed where no rate is left as well, of which no bound can be made.
         let taken = *bucket >= 1.0 || most.is_infinite() || *bucket > -(rate * most);
         *bucket -= if taken { 1.0 } else { 0.0 };
-        *bucket = bucket.max(-(rate * OWED + 1.0));
+        *bucket = bucket.max(-(rate * MAX_DEBT_SECONDS + 1.0));
         taken
     }
 
-    fn turn_away(
+    fn shed_call(
         &mut self,
         now: Micros,
         (cell, rate): (usize, f64),
         told: Option<Micros>,
         key_hash: u64,
-    ) -> Verdict {
+    ) -> Decision {
         self.counts[cell].shed += 1;
         // Who came too early keeps its time.
         if let Some(at) = told {
-            return Verdict::Shed((at.max(now + SOONEST) - now).min(LATEST));
+            return Decision::Shed((at.max(now + MIN_RETRY_DELAY) - now).min(MAX_RETRY_DELAY));
         }
-        Verdict::Shed(self.promise(now, (cell, rate), key_hash))
+        Decision::Shed(self.schedule_retry(now, (cell, rate), key_hash))
     }
 
     /// The next time at which there is room for who is turned away now.
-    fn promise(&mut self, now: Micros, (cell, rate): (usize, f64), key_hash: u64) -> Micros {
+    fn schedule_retry(&mut self, now: Micros, (cell, rate): (usize, f64), key_hash: u64) -> Micros {
         let bucket = &mut self.buckets[cell];
-        let at = bucket.free.max(now + SOONEST);
-        let step = 1e6 * self.come_back.max(FEWEST) / (rate * PROMISED).max(0.01);
-        bucket.free = (at + step as Micros).min(now + LATEST * 2);
-        if at - now <= LATEST {
-            self.seen.put(key_hash, at, cell);
+        let at = bucket.next_retry_at.max(now + MIN_RETRY_DELAY);
+        let step = 1e6 * self.return_share.max(MIN_RETURN_SHARE) / (rate * RESERVED_SHARE).max(0.01);
+        bucket.next_retry_at = (at + step as Micros).min(now + MAX_RETRY_DELAY * 2);
+        if at - now <= MAX_RETRY_DELAY {
+            self.scheduled.schedule(key_hash, at, cell);
             return at - now;
         }
         // No room can be promised: the times told are spread all the same.
-        LATEST + key_hash % LATEST
+        MAX_RETRY_DELAY + key_hash % MAX_RETRY_DELAY
     }
 
     /// A call that was taken has been refused after the door, and nothing of it has run: when it is to come again.
-    pub fn refused(
+    pub fn record_refusal(
         &mut self,
         now: Micros,
-        table: Option<&Table>,
+        table: Option<&ShareTable>,
         class: usize,
         tenant: usize,
         key_hash: u64,
@@ -217,63 +218,68 @@
         let cell = self.settings.cell(class, tenant);
         self.counts[cell].refused += 1;
         // Without a share there is only what was answered to go by.
-        let share = table.and_then(|table| table.share(now, self.loop_no));
+        let share = table.and_then(|table| table.share_at(now, self.loop_no));
         let rate = share.map_or(self.buckets[cell].answered, |share| share.rates[cell]);
-        self.promise(now, (cell, rate), key_hash)
+        self.schedule_retry(now, (cell, rate), key_hash)
     }
 
     /// A call that was taken has ended otherwise.
-    pub fn counted(&mut self, class: usize, tenant: usize, ended: Ended) {
+    pub fn record_outcome(&mut self, class: usize, tenant: usize, ended: CallOutcome) {
         let count = &mut self.counts[self.settings.cell(class, tenant)];
         match ended {
-            Ended::Served(waited) => {
+            CallOutcome::Served(waited) => {
                 count.served += 1;
-                count.waited += waited;
+                count.total_wait += waited;
             }
-            Ended::Late(waited) => {
+            CallOutcome::Late(waited) => {
                 count.late += 1;
-                count.waited += waited;
+                count.total_wait += waited;
             }
-            Ended::Failed => count.ended += 1,
+            CallOutcome::Failed => count.failed += 1,
         }
     }
 
     /// What was counted since the last time, for the control thread.
-    pub fn take(&mut self, now: Micros, in_hand: u32) -> Counts {
-        let span = now.saturating_sub(std::mem::replace(&mut self.since, now));
+    pub fn take_counts(&mut self, now: Micros, in_hand: u32) -> LoopCounts {
+        let span = now.saturating_sub(std::mem::replace(&mut self.counted_since, now));
         let weight = 1.0 - (-(span as f64) / 1e6).exp();
         for (bucket, count) in self.buckets.iter_mut().zip(&self.counts) {
             let rate = f64::from(count.answered()) * 1e6 / span.max(1) as f64;
             bucket.answered += weight * (rate - bucket.answered);
         }
-        let by = std::mem::replace(&mut self.counts, vec![Count::default(); self.settings.cells()]);
-        Counts { span, by, in_hand }
+        let by = std::mem::replace(&mut self.counts, vec![CellCounts::default(); self.settings.cell_count()]);
+        LoopCounts { span, by_cell: by, in_flight: in_hand }
     }
 
     /// Events turned away that are known.
-    pub fn known(&self) -> usize {
-        self.seen.len()
+    pub fn scheduled_retry_count(&self) -> usize {
+        self.scheduled.len()
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::settings::ClassOf;
+    use crate::settings::ClassSettings;
     use crate::table::Share;
     use basaltward_membership::SiteMap;
 
     #[test]
     fn what_is_owed_is_taken_where_a_class_has_no_share_at_all() {
         let places = SiteMap::new(vec![0], 0).expect("in the list");
-        let class = ClassOf { worth: 1.0, aim: 1_000_000, deadline: 2_000_000 };
-        let settings = ShedSettings::new(vec![class], Vec::new(), places);
-        let share = Share { rates: vec![0.0], spare: 0.0, trickle: 0.0, retries: vec![0.0] };
+        let class = ClassSettings { value: 1.0, aim: 1_000_000, deadline: 2_000_000 };
+        let settings = AdmissionSettings::new(vec![class], Vec::new(), places);
+        let share = Share { rates: vec![0.0], spare: 0.0, min_rate: 0.0, retry_rates: vec![0.0] };
         let shares = Some(vec![share]);
-        let table = Table { number: 1, until: Micros::MAX, shares: shares.clone(), alone: shares };
-        let mut door = Door::new(0, settings, 0);
-        let mut ask = |now, asked| door.ask(now, Some(&table), 0, 0, asked, now);
-        assert!((1..200).all(|now| ask(now, Asked::Owed) == Verdict::Take));
-        assert!(matches!(ask(300, Asked::First), Verdict::Shed(_)));
+        let table = ShareTable {
+            version: 1,
+            valid_until: Micros::MAX,
+            shares: shares.clone(),
+            fallback_shares: shares,
+        };
+        let mut door = LoopLimiter::new(0, settings, 0);
+        let mut ask = |now, asked| door.admit(now, Some(&table), 0, 0, asked, now);
+        assert!((1..200).all(|now| ask(now, AttemptKind::Exempt) == Decision::Admit));
+        assert!(matches!(ask(300, AttemptKind::First), Decision::Shed(_)));
     }
 }
--- a/crates/admission/src/table.rs
+++ b/crates/admission/src/table.rs
@@ -8,28 +8,28 @@
     /// For any of them, beyond its own.
     pub spare: f64,
     /// Of each of them at least this, that a pair whose share is nothing is seen at all.
-    pub trickle: f64,
+    pub min_rate: f64,
     /// Retries that nobody asked for, by class, then tenant.
-    pub retries: Vec<f64>,
+    pub retry_rates: Vec<f64>,
 }
 
 /// What this gateway may take, whole, as the control thread last worked it out.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Table {
+pub struct ShareTable {
     /// Counts up: a later table has a greater one.
-    pub number: u64,
+    pub version: u64,
     /// Past this time the own share alone holds.
-    pub until: Micros,
+    pub valid_until: Micros,
     /// The share of each loop; none while our site's capacity is not known: then all is taken.
     pub shares: Option<Vec<Share>>,
     /// The share of each loop past `until`: an even part of our site among all that are configured there.
-    pub alone: Option<Vec<Share>>,
+    pub fallback_shares: Option<Vec<Share>>,
 }
 
-impl Table {
+impl ShareTable {
     /// What a loop goes by at this time.
-    pub fn share(&self, now: Micros, loop_no: usize) -> Option<&Share> {
-        let shares = if now < self.until { &self.shares } else { &self.alone };
+    pub fn share_at(&self, now: Micros, loop_no: usize) -> Option<&Share> {
+        let shares = if now < self.valid_until { &self.shares } else { &self.fallback_shares };
         shares.as_ref()?.get(loop_no)
     }
 }
--- a/crates/admission/src/types.rs
+++ b/crates/admission/src/types.rs
@@ -2,7 +2,7 @@
 
 /// What a call is to the door.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Asked {
+pub enum AttemptKind {
     /// Its client's first try, or a try that its client does not mark: the door tells from its memory.
     First,
     /// A try after another one, by its client's mark: paid for by the budget of retries.
@@ -10,14 +10,14 @@
     /// Handed over by another site: counted there as what it is, a try more here.
     HandedOver,
     /// An event that the fleet owes an answer: never shed.
-    Owed,
+    Exempt,
 }
 
 /// What the door says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// Take it.
-    Take,
+    Admit,
     /// Turn it away: nothing of it has run, and it is to come again after this time.
     Shed(Micros),
 }
@@ -25,7 +25,7 @@
 /// How a call that the door took has ended. What it waited is the time from its coming until its work began, at the
 /// gateway and in its worker's queue as far as the worker tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum CallOutcome {
     /// Answered within its aim, after this wait.
     Served(Micros),
     /// Answered later than its aim, after this wait.
@@ -36,17 +36,17 @@
 
 /// Calls of one class and tenant at one loop since it counted last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct CellCounts {
     /// First tries that came.
-    pub first: u32,
+    pub first_attempts: u32,
     /// Further tries that came.
     pub retries: u32,
     /// Further tries that were taken by the budget of retries.
-    pub budgeted: u32,
+    pub budgeted_retries: u32,
     /// Further tries that came at the time they had been told, and were taken.
-    pub booked: u32,
+    pub reserved_retries: u32,
     /// Calls that other sites handed over.
-    pub handed: u32,
+    pub handed_over: u32,
     /// Answered served within their aim.
     pub served: u32,
     /// Answered later than their aim.
@@ -56,15 +56,15 @@
     /// Refused after the door: nothing of it had run.
     pub refused: u32,
     /// Failed after the door.
-    pub ended: u32,
+    pub failed: u32,
     /// What those answered had waited, all together.
-    pub waited: Micros,
+    pub total_wait: Micros,
 }
 
-impl Count {
+impl CellCounts {
     /// All that came.
-    pub fn came(&self) -> u32 {
-        self.first + self.retries + self.handed
+    pub fn arrivals(&self) -> u32 {
+        self.first_attempts + self.retries + self.handed_over
     }
 
     /// All that was answered.
@@ -75,11 +75,11 @@
 
 /// What a loop counted over a span.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct LoopCounts {
     /// The span.
     pub span: Micros,
     /// By class, then tenant: `classes * tenants` places; one tenant where none are configured.
-    pub by: Vec<Count>,
+    pub by_cell: Vec<CellCounts>,
     /// Calls in hand at its end.
-    pub in_hand: u32,
+    pub in_flight: u32,
 }
--- a/crates/admission/src/wire.rs
+++ b/crates/admission/src/wire.rs
@@ -4,15 +4,15 @@
 use basaltward_membership::{MAX_FACT_BYTES, Micros, SHED_KEYS};
 
 /// The form of facts, in the two upper bits of their first byte; the others count tellings.
-const FORM: u8 = 1;
+const FORMAT: u8 = 1;
 /// Pages of pairs.
 pub const PAGES: usize = (SHED_KEYS.end - SHED_KEYS.start - 1) as usize;
 
 /// A gateway's load as a whole.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Head {
+pub struct LoadSummary {
     /// Of the settings: who has others can't be counted with.
-    pub mark: u16,
+    pub settings_hash: u16,
     /// What its site can do, calls a second; 0 for not known.
     pub capacity: f64,
     /// Calls a second that it answers.
@@ -20,76 +20,88 @@
     /// What calls wait there.
     pub wait: Micros,
     /// Calls a second of pairs that no page has room for.
-    pub rest: f64,
+    pub unlisted: f64,
 }
 
 /// What comes of one pair, calls a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct CellLoad {
     /// All that comes.
-    pub came: f64,
+    pub arrivals: f64,
     /// First tries.
-    pub first: f64,
+    pub first_attempts: f64,
     /// Retries taken by the budget.
     pub retries: f64,
 }
 
 /// A rate as one byte.
-pub fn code(rate: f64) -> u8 {
+pub fn encode_rate(rate: f64) -> u8 {
     if rate < 0.24 { 0 } else { ((rate * 4.0).log2() * 12.0 + 1.0).round().clamp(1.0, 255.0) as u8 }
 }
 
 /// The rate that a byte stands for.
-pub fn rate(code: u8) -> f64 {
+pub fn decode_rate(code: u8) -> f64 {
     if code == 0 { 0.0 } else { 0.25 * (f64::from(code - 1) / 12.0).exp2() }
 }
 
 fn first_byte(count: u8) -> u8 {
-    FORM << 6 | count & 63
+    FORMAT << 6 | count & 63
 }
 
 /// The head as a fact.
-pub fn head(head: &Head, count: u8) -> Vec<u8> {
-    let [low, high] = head.mark.to_le_bytes();
-    let wait = code(head.wait as f64 / 1e3);
-    vec![first_byte(count), low, high, code(head.capacity), code(head.answered), wait, code(head.rest)]
+pub fn encode_summary(head: &LoadSummary, count: u8) -> Vec<u8> {
+    let [low, high] = head.settings_hash.to_le_bytes();
+    let wait = encode_rate(head.wait as f64 / 1e3);
+    vec![
+        first_byte(count),
+        low,
+        high,
+        encode_rate(head.capacity),
+        encode_rate(head.answered),
+        wait,
+        encode_rate(head.unlisted),
+    ]
 }
 
 /// What a fact of the head says; none where it can't be read.
-pub fn read_head(value: &[u8]) -> Option<Head> {
+pub fn decode_summary(value: &[u8]) -> Option<LoadSummary> {
     let [first, low, high, capacity, answered, wait, rest] = *value else { return None };
-    (first >> 6 == FORM).then(|| Head {
-        mark: u16::from_le_bytes([low, high]),
-        capacity: rate(capacity),
-        answered: rate(answered),
-        wait: (rate(wait) * 1e3) as Micros,
-        rest: rate(rest),
+    (first >> 6 == FORMAT).then(|| LoadSummary {
+        settings_hash: u16::from_le_bytes([low, high]),
+        capacity: decode_rate(capacity),
+        answered: decode_rate(answered),
+        wait: (decode_rate(wait) * 1e3) as Micros,
+        unlisted: decode_rate(rest),
     })
 }
 
 /// The greatest of the pairs on pages, with what found no room.
-pub fn pages(mut loads: Vec<(usize, Load)>, count: u8) -> (Vec<Vec<u8>>, f64) {
-    loads.sort_by(|(a, x), (b, y)| y.came.total_cmp(&x.came).then(a.cmp(b)));
+pub fn encode_pages(mut loads: Vec<(usize, CellLoad)>, count: u8) -> (Vec<Vec<u8>>, f64) {
+    loads.sort_by(|(a, x), (b, y)| y.arrivals.total_cmp(&x.arrivals).then(a.cmp(b)));
     let (mut pages, mut rest) = (vec![vec![first_byte(count)]; PAGES], 0.0);
     // Four or five bytes each: the index in one or two, then three rates.
-    for (cell, load) in loads.into_iter().filter(|(_, load)| code(load.came) > 0) {
+    for (cell, load) in loads.into_iter().filter(|(_, load)| encode_rate(load.arrivals) > 0) {
         let low = (cell & 0x7f) as u8;
         let index = if cell < 0x80 { vec![low] } else { vec![low | 0x80, (cell >> 7) as u8] };
         match pages.iter_mut().find(|page| page.len() + index.len() + 3 <= MAX_FACT_BYTES) {
             Some(page) => {
                 page.extend(index);
-                page.extend([code(load.came), code(load.first), code(load.retries)]);
+                page.extend([
+                    encode_rate(load.arrivals),
+                    encode_rate(load.first_attempts),
+                    encode_rate(load.retries),
+                ]);
             }
-            None => rest += load.came,
+            None => rest += load.arrivals,
         }
     }
     (pages, rest)
 }
 
 /// The pairs on a page, those below `cells`; none where it can't be read.
-pub fn read_page(value: &[u8], cells: usize) -> Option<Vec<(usize, Load)>> {
+pub fn decode_page(value: &[u8], cells: usize) -> Option<Vec<(usize, CellLoad)>> {
     let (first, mut left) = value.split_first()?;
-    let mut loads: Vec<(usize, Load)> = Vec::new();
+    let mut loads: Vec<(usize, CellLoad)> = Vec::new();
     while let Some((low, after)) = left.split_first() {
         let (cell, after) = match (low & 0x80, after.split_first()) {
             (0, _) => (usize::from(*low), after),
@@ -97,25 +109,27 @@
             _ => return None,
         };
         let (rates, after) = after.split_first_chunk::<3>()?;
-        let [came, first, retries] = rates.map(rate);
+        let [came, first, retries] = rates.map(decode_rate);
         if cell >= cells || loads.iter().any(|(known, _)| *known == cell) {
             return None;
         }
-        loads.push((cell, Load { came, first, retries }));
+        loads.push((cell, CellLoad { arrivals: came, first_attempts: first, retries }));
         left = after;
     }
-    (first >> 6 == FORM).then_some(loads)
+    (first >> 6 == FORMAT).then_some(loads)
 }
 
 /// A fact with other figures in it, as a liar tells them.
 pub fn lie(key: u8, value: &mut [u8], capacity: f64, came: f64) {
     if key == SHED_KEYS.start {
-        value[3] = code(capacity);
-        value[4] = code(capacity);
+        value[3] = encode_rate(capacity);
+        value[4] = encode_rate(capacity);
     } else if let Some(first) = value.first_chunk::<1>().copied() {
-        let cells = read_page(value, usize::MAX).unwrap_or_default();
-        let lies = cells.into_iter().map(|(cell, _)| (cell, Load { came, first: came, retries: 0.0 }));
-        let (told, _) = pages(lies.collect(), first[0]);
+        let cells = decode_page(value, usize::MAX).unwrap_or_default();
+        let lies = cells
+            .into_iter()
+            .map(|(cell, _)| (cell, CellLoad { arrivals: came, first_attempts: came, retries: 0.0 }));
+        let (told, _) = encode_pages(lies.collect(), first[0]);
         let len = value.len().min(told[0].len());
         value[..len].copy_from_slice(&told[0][..len]);
     }
@@ -130,17 +144,17 @@
     #[test]
     fn what_is_told_is_read_within_three_parts_of_a_hundred() {
         for told in [0.3, 1.0, 17.0, 999.0, 54_321.0, 400_000.0] {
-            let read = rate(code(told));
+            let read = decode_rate(encode_rate(told));
             assert!((read / told - 1.0).abs() < 0.03, "{told} as {read}");
         }
-        let load = |came: f64| Load { came, first: came / 2.0, retries: 1.0 };
+        let load = |came: f64| CellLoad { arrivals: came, first_attempts: came / 2.0, retries: 1.0 };
         let loads: Vec<_> = (0..60).map(|at| (at * 5, load(10.0 + at as f64))).collect();
-        let (told, rest) = pages(loads.clone(), 7);
+        let (told, rest) = encode_pages(loads.clone(), 7);
         assert!(told.iter().all(|page| page.len() <= MAX_FACT_BYTES));
-        let read: Vec<_> = told.iter().flat_map(|page| read_page(page, 300).expect("readable")).collect();
+        let read: Vec<_> = told.iter().flat_map(|page| decode_page(page, 300).expect("readable")).collect();
         assert!(read.len() >= 24 && read.iter().all(|(cell, _)| *cell >= 5 * 30), "the greatest are told");
-        let sum: f64 = read.iter().map(|(_, load)| load.came).sum::<f64>() + rest;
-        let all: f64 = loads.iter().map(|(_, load)| load.came).sum();
+        let sum: f64 = read.iter().map(|(_, load)| load.arrivals).sum::<f64>() + rest;
+        let all: f64 = loads.iter().map(|(_, load)| load.arrivals).sum();
         assert!((sum / all - 1.0).abs() < 0.02, "{sum} of {all}");
     }
 
@@ -151,11 +165,11 @@
             let mut value: Vec<u8> =
                 (0..rng.random_range(0..=MAX_FACT_BYTES)).map(|_| rng.random()).collect();
             if let (Some(first), true) = (value.first_mut(), rng.random()) {
-                *first = FORM << 6;
+                *first = FORMAT << 6;
             }
-            let read = read_page(&value, 200).unwrap_or_default();
-            assert!(read.iter().all(|(cell, load)| *cell < 200 && load.came.is_finite()));
-            read_head(&value);
+            let read = decode_page(&value, 200).unwrap_or_default();
+            assert!(read.iter().all(|(cell, load)| *cell < 200 && load.arrivals.is_finite()));
+            decode_summary(&value);
         }
     }
 }
--- a/crates/bench/src/capacity/measure.rs
+++ b/crates/bench/src/capacity/measure.rs
@@ -6,7 +6,7 @@
 use crate::module::{Driver, Load};
 use crate::{pending, route};
 use basaltward::{Member, MembersKind};
-use basaltward_admission::{ClassOf, Count, Counts, Shed, ShedSettings};
+use basaltward_admission::{AdmissionController, AdmissionSettings, CellCounts, ClassSettings, LoopCounts};
 use basaltward_bulletin::Target;
 use basaltward_membership::{
     LinkFaults, MemberId, MembershipSettings, Micros, Site, SiteMap, VirtualCluster,
@@ -356,28 +356,28 @@
     Ok(SiteMap::new(sites, own).ok_or("no such gateway")?)
 }
 
-fn door(gateways: MemberId, own: MemberId, pairs: usize) -> Measured<Shed> {
-    let class = ClassOf { worth: 1.0, aim: 400_000, deadline: 3 * S };
-    let settings = ShedSettings::new(vec![class], vec![100.0; pairs], places(gateways, own)?);
-    Ok(Shed::new(0, settings)?)
+fn door(gateways: MemberId, own: MemberId, pairs: usize) -> Measured<AdmissionController> {
+    let class = ClassSettings { value: 1.0, aim: 400_000, deadline: 3 * S };
+    let settings = AdmissionSettings::new(vec![class], vec![100.0; pairs], places(gateways, own)?);
+    Ok(AdmissionController::new(0, settings)?)
 }
 
-fn counts(pairs: usize, tick: u64) -> Counts {
+fn counts(pairs: usize, tick: u64) -> LoopCounts {
     let count = |pair: usize| {
         let first = 1 + ((pair as u64 * 7 + tick * 13) % 40) as u32;
-        Count { first, served: first, waited: 1_000, ..Count::default() }
+        CellCounts { first_attempts: first, served: first, total_wait: 1_000, ..CellCounts::default() }
     };
-    Counts { span: S / 2, by: (0..pairs).map(count).collect(), in_hand: 4 }
+    LoopCounts { span: S / 2, by_cell: (0..pairs).map(count).collect(), in_flight: 4 }
 }
 
 /// One gateway that has heard the load of all others.
-fn fellows(size: MemberId, pairs: usize) -> Measured<Shed> {
+fn fellows(size: MemberId, pairs: usize) -> Measured<AdmissionController> {
     let mut teller = door(size, 1, pairs)?;
     teller.counted(S, 0, &counts(pairs, 1));
     let facts = teller.tell(S);
     let mut hearer = door(size, 0, pairs)?;
     for from in 1..size {
-        facts.iter().for_each(|(key, value)| hearer.heard(S, from, *key, value));
+        facts.iter().for_each(|(key, value)| hearer.receive_fact(S, from, *key, value));
     }
     Ok(hearer)
 }
--- a/crates/bench/src/shed.rs
+++ b/crates/bench/src/shed.rs
@@ -1,7 +1,7 @@
 //! Overload answered by four sites as one beside each gateway for itself, in virtual time, on the same seeds: goodput
 //! at multiples of what the workers can do, the time to come back, and tenants beside one at ten times its quota.
 
-use basaltward_admission::{Act, Bed, Second, Stream, World};
+use basaltward_admission::{Action, ArrivalStream, SecondStats, Simulation, SimulationConfig};
 use basaltward_membership::{LinkFaults, MembershipSettings, Micros, SHED_KEYS, Site, VirtualCluster};
 use std::error::Error;
 
@@ -10,25 +10,25 @@
 const QUIET: usize = 10;
 
 struct Ran {
-    seconds: Vec<Second>,
+    seconds: Vec<SecondStats>,
     capacity: f64,
 }
 
-fn ran(bed: &Bed, seed: u64, span: usize, acts: Vec<(Micros, Act)>) -> Ran {
-    let mut world = World::new(bed.clone(), seed, acts);
-    world.run(span as Micros * S);
-    world.seconds.resize_with(span, Second::default);
+fn ran(bed: &SimulationConfig, seed: u64, span: usize, acts: Vec<(Micros, Action)>) -> Ran {
+    let mut world = Simulation::new(bed.clone(), seed, acts);
+    world.run_until(span as Micros * S);
+    world.seconds.resize_with(span, SecondStats::default);
     Ran { seconds: world.seconds, capacity: bed.capacity() }
 }
 
-fn mean(seconds: &[Second], of: impl Fn(&Second) -> f64) -> f64 {
+fn mean(seconds: &[SecondStats], of: impl Fn(&SecondStats) -> f64) -> f64 {
     seconds.iter().map(of).sum::<f64>() / seconds.len().max(1) as f64
 }
 
 /// Both ways for each seed, joined as two texts.
-fn both(seeds: u64, bed: &Bed, measure: impl Fn(&Bed, u64) -> f64) -> String {
+fn both(seeds: u64, bed: &SimulationConfig, measure: impl Fn(&SimulationConfig, u64) -> f64) -> String {
     let of = |as_one: bool| {
-        let bed = Bed { as_one, ..bed.clone() };
+        let bed = SimulationConfig { shared_admission: as_one, ..bed.clone() };
         crate::spread((1..=seeds).map(|seed| measure(&bed, seed)).collect())
     };
     format!("{} | {}", of(true), of(false))
@@ -37,8 +37,8 @@
 /// Seconds after the load's end until goodput is whole for good: what comes, or what the workers can do, but for 5%.
 fn back(ran: &Ran, end: usize) -> f64 {
     // Over a second and the next, as the count of one second by itself scatters.
-    let whole = |pair: &[Second]| {
-        let came = mean(pair, |second| f64::from(second.first)).min(ran.capacity);
+    let whole = |pair: &[SecondStats]| {
+        let came = mean(pair, |second| f64::from(second.first_attempts)).min(ran.capacity);
         mean(pair, |second| f64::from(second.served)) >= 0.95 * came - 3.0 * came.sqrt() / 2f64.sqrt()
     };
     let last = ran.seconds[end..].windows(2).rposition(|pair| !whole(pair));
@@ -52,8 +52,11 @@
     );
     println!("goodput as a share of capacity, median (least to greatest)\nload | as one | each for itself");
     for &multiple in multiples {
-        let bed = Bed { load: vec![(0, 0.5), (QUIET as Micros * S, multiple)], ..Bed::new() };
-        let goodput = |bed: &Bed, seed| {
+        let bed = SimulationConfig {
+            load: vec![(0, 0.5), (QUIET as Micros * S, multiple)],
+            ..SimulationConfig::new()
+        };
+        let goodput = |bed: &SimulationConfig, seed| {
             let ran = ran(bed, seed, QUIET + 5 + seconds, Vec::new());
             mean(&ran.seconds[QUIET + 5..], |second| f64::from(second.served)) / ran.capacity
         };
@@ -64,11 +67,11 @@
     );
     let end = QUIET + 10;
     let load = vec![(0, 0.5), (QUIET as Micros * S, 5.0), (end as Micros * S, 0.8)];
-    let half = [0, 2, 4, 6].map(|of| ((QUIET as Micros + 5) * S, Act::Kill(of))).to_vec();
-    let split = vec![((QUIET as Micros + 5) * S, Act::Cut(vec![0, 1, 2, 3]))];
+    let half = [0, 2, 4, 6].map(|of| ((QUIET as Micros + 5) * S, Action::Kill(of))).to_vec();
+    let split = vec![((QUIET as Micros + 5) * S, Action::Partition(vec![0, 1, 2, 3]))];
     let cases = [("as is", Vec::new()), ("half of the gateways killed", half), ("the view split", split)];
     for (name, acts) in cases {
-        let bed = Bed { load: load.clone(), ..Bed::new() };
+        let bed = SimulationConfig { load: load.clone(), ..SimulationConfig::new() };
         println!(
             "{name} | {}",
             both(seeds, &bed, |bed, seed| back(&ran(bed, seed, end + 20, acts.clone()), end))
@@ -79,13 +82,15 @@
     );
     for (name, site) in [("at all sites", None), ("at one site", Some(0))] {
         let bed = tenants(site);
-        let served = |bed: &Bed, seed| {
+        let served = |bed: &SimulationConfig, seed| {
             let ran = ran(bed, seed, QUIET + 5 + seconds, Vec::new());
-            let sum = |of: fn(&Second) -> f64| mean(&ran.seconds[QUIET + 5..], of);
-            let first =
-                sum(|second| [0, 1].map(|t| f64::from(*second.first_of.get(&t).unwrap_or(&0))).iter().sum());
-            let good =
-                sum(|second| [0, 1].map(|t| f64::from(*second.served_of.get(&t).unwrap_or(&0))).iter().sum());
+            let sum = |of: fn(&SecondStats) -> f64| mean(&ran.seconds[QUIET + 5..], of);
+            let first = sum(|second| {
+                [0, 1].map(|t| f64::from(*second.first_attempts_by_tenant.get(&t).unwrap_or(&0))).iter().sum()
+            });
+            let good = sum(|second| {
+                [0, 1].map(|t| f64::from(*second.served_by_tenant.get(&t).unwrap_or(&0))).iter().sum()
+            });
             good / first
         };
         println!("{name} | {}", both(seeds, &bed, served));
@@ -137,15 +142,19 @@
 }
 
 /// Two tenants that ask for 80% of their quotas, and one at ten times its own, at all sites or at one.
-fn tenants(site: Option<Site>) -> Bed {
-    let third = Bed::new().capacity() / 3.0;
-    let stream = |tenant, rate| Stream { site: None, class: 0, tenant, rate, steady: true };
-    let hog = Stream { site, tenant: 2, rate: third, ..stream(2, third) };
-    Bed {
+fn tenants(site: Option<Site>) -> SimulationConfig {
+    let third = SimulationConfig::new().capacity() / 3.0;
+    let stream = |tenant, rate| ArrivalStream { site: None, class: 0, tenant, rate, ignores_load: true };
+    let hog = ArrivalStream { site, tenant: 2, rate: third, ..stream(2, third) };
+    SimulationConfig {
         quotas: vec![third; 3],
         over_share_worth: 0.1,
-        streams: vec![stream(0, third * 0.8), stream(1, third * 0.8), Stream { steady: false, ..hog }],
+        streams: vec![
+            stream(0, third * 0.8),
+            stream(1, third * 0.8),
+            ArrivalStream { ignores_load: false, ..hog },
+        ],
         load: vec![(0, 0.5), (QUIET as Micros * S, 10.0)],
-        ..Bed::new()
+        ..SimulationConfig::new()
     }
 }
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -1,6 +1,6 @@
 //! Every error of the rooms of sites stands on the operators' page, and nothing else does.
 
-use basaltward_admission::ShedError;
+use basaltward_admission::AdmissionError;
 use basaltward_peers::{ConnectionError, PeerError};
 use basaltward_pending::{Fault, Refused, Unkept, Why, WireError};
 use basaltward_route::RouteError;
@@ -37,7 +37,7 @@
         ),
         ("Leases and heirs", all(&[("Refused::", Refused::VARIANTS), ("", Why::VARIANTS)])),
         ("Choice of site", all(&[("", RouteError::VARIANTS)])),
-        ("The door", all(&[("", ShedError::VARIANTS)])),
+        ("The door", all(&[("", AdmissionError::VARIANTS)])),
     ];
     // Names of types, and of what crates/permits has.
     let others = ["PeerError", "WireError", "Gone", "Denied::InUse", "Denied::Bound"];
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -5,7 +5,7 @@
 use crate::scheduler::{RUN, STOP};
 use crate::tables::{COUNT_US, ControlEnd, Fact, Owners, Tables, Word};
 use basaltward::{Micros, Repeat};
-use basaltward_admission::{ClassOf, Shed, ShedSettings};
+use basaltward_admission::{AdmissionController, AdmissionSettings, ClassSettings};
 use basaltward_config::{Config, SitesConfig};
 use basaltward_membership::{MemberId, MemberState, SHED_KEYS, SiteMap};
 use basaltward_net::{Clock, Io, NetError, monotonic};
@@ -44,7 +44,7 @@
     io: Io,
     endpoint: PeerEndpoint,
     route: Route,
-    shed: Shed,
+    shed: AdmissionController,
     shed_stands: Micros,
     pending: Pending,
     hand_over: bool,
@@ -80,13 +80,16 @@
 }
 
 /// Figures of the door, the same at all gateways.
-pub fn shed_settings(config: &Config, sites: &SitesConfig) -> Option<ShedSettings> {
-    let class =
-        |class: &basaltward::Class| ClassOf { worth: class.value, aim: class.aim, deadline: class.deadline };
+pub fn shed_settings(config: &Config, sites: &SitesConfig) -> Option<AdmissionSettings> {
+    let class = |class: &basaltward::Class| ClassSettings {
+        value: class.value,
+        aim: class.aim,
+        deadline: class.deadline,
+    };
     let classes = config.module.classes.iter().map(class).collect();
-    let usual = ShedSettings::new(classes, config.module.tenant_quotas.clone(), places(sites)?);
-    Some(ShedSettings {
-        over_share_worth: config.module.over_share_value,
+    let usual = AdmissionSettings::new(classes, config.module.tenant_quotas.clone(), places(sites)?);
+    Some(AdmissionSettings {
+        over_share_value: config.module.over_share_value,
         loops: config.threads as usize,
         ..usual
     })
@@ -149,8 +152,8 @@
         let route = route_settings(config, sites).ok_or(GatewayError::Sites)?;
         let route = Route::new(route, now)?;
         let shed = shed_settings(config, sites).ok_or(GatewayError::Sites)?;
-        let shed_stands = shed.stands;
-        let shed = Shed::new(now, shed)?;
+        let shed_stands = shed.load_ttl;
+        let shed = AdmissionController::new(now, shed)?;
         let holders = config.kept.iter().map(|kept| kept.map_or(0, |kept| kept.holders.min(255) as u8));
         let places = places(sites).ok_or(GatewayError::Sites)?;
         let pending = PendingSettings {
@@ -395,7 +398,7 @@
         for of in 0..self.peer_count {
             for key in SHED_KEYS {
                 if let Some(value) = self.endpoint.fact(now, of, key).map(<[u8]>::to_vec) {
-                    self.shed.heard(now, of, key, &value);
+                    self.shed.receive_fact(now, of, key, &value);
                 }
             }
         }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -4,7 +4,7 @@
 use crate::sites::Sites;
 use crate::tables::{Tables, rings};
 use basaltward::{Micros, Repeat, SettingsError};
-use basaltward_admission::ShedError;
+use basaltward_admission::AdmissionError;
 use basaltward_config::Config;
 use basaltward_net::{Io, IoLimits, NetError, Waker, bind, monotonic};
 use basaltward_peers::PeerError;
@@ -37,7 +37,7 @@
     Route(#[from] RouteError),
     /// The door.
     #[error("sites: {0}")]
-    Shed(#[from] ShedError),
+    Shed(#[from] AdmissionError),
     /// We are not among the peers.
     #[error("sites: our number is not among the peers; name this gateway as one of them")]
     Sites,
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -6,7 +6,9 @@
 use crate::tables::{COUNT_US, Fact, LoopEnd, Tables, Word};
 use crate::worker_wire::Reply;
 use basaltward::{Code, FunctionId, Micros, Repeat, WorkerId};
-use basaltward_admission::{Asked, Door, Ended, ShedSettings, Verdict, Waits};
+use basaltward_admission::{
+    AdmissionSettings, AttemptKind, CallOutcome, Decision, LoopLimiter, WaitEstimator,
+};
 use basaltward_cloudevents::Event;
 use basaltward_config::{Config, LinkConfig, SitesConfig};
 use basaltward_engine::{Answer, AttemptEnd, AttemptId, Failure, Identity, NewCall, Refusal, WaiterId};
@@ -82,7 +84,7 @@
     /// Their fronts, by number.
     fronts: Vec<WorkerId>,
     router: Router,
-    door: Door,
+    door: LoopLimiter,
     aims: Vec<Micros>,
     repeats: Vec<Repeat>,
     positions: HashMap<FunctionId, u32>,
@@ -92,7 +94,7 @@
     out: HashMap<AttemptId, (u32, Micros)>,
     /// What a run of a function takes where nothing waits, by position: the shortest of late.
     runs: HashMap<u32, Micros>,
-    waits: Waits,
+    waits: WaitEstimator,
     counts: BTreeMap<u32, Counted>,
     since: Micros,
     workers: u32,
@@ -122,7 +124,7 @@
     /// A loop's part, where the settings name sites.
     pub fn new(
         config: &Config,
-        shed: &ShedSettings,
+        shed: &AdmissionSettings,
         thread: u32,
         (tables, rings): (Arc<Tables>, LoopEnd),
         now: Micros,
@@ -138,8 +140,8 @@
         Some(Self {
             links: Links::new(config.name.clone(), link, Vec::new()),
             fronts: sites.peers.iter().map(front).collect(),
-            router: Router::new(shed.places.clone(), seed),
-            door: Door::new(now, shed.clone(), thread as usize),
+            router: Router::new(shed.site_map.clone(), seed),
+            door: LoopLimiter::new(now, shed.clone(), thread as usize),
             aims: config.module.classes.iter().map(|class| class.aim).collect(),
             repeats: config.module.classes.iter().map(|class| class.repeat).collect(),
             positions: positions.collect(),
@@ -152,7 +154,7 @@
             home: HashMap::new(),
             out: HashMap::new(),
             runs: HashMap::new(),
-            waits: Waits::default(),
+            waits: WaitEstimator::default(),
             counts: BTreeMap::new(),
             since: now,
             workers: 0,
@@ -249,14 +251,14 @@
         let (class, tenant) = (call.function.class, call.identity.tenant);
         let (hash, guarded) = (digest(&call.identity) as u64, self.repeats[class] != Repeat::Safe);
         let asked = match handed {
-            _ if guarded && self.tables.begun.may_contain(hash) => Asked::Owed,
-            true => Asked::HandedOver,
-            false => Asked::First,
+            _ if guarded && self.tables.begun.may_contain(hash) => AttemptKind::Exempt,
+            true => AttemptKind::HandedOver,
+            false => AttemptKind::First,
         };
         let table = self.tables.shed.load();
-        match self.door.ask(now, table.as_deref(), class, tenant, asked, hash) {
-            Verdict::Shed(wait) => Some(wait),
-            Verdict::Take => {
+        match self.door.admit(now, table.as_deref(), class, tenant, asked, hash) {
+            Decision::Shed(wait) => Some(wait),
+            Decision::Admit => {
                 if guarded {
                     self.tables.begun.record(now, hash);
                 }
@@ -411,7 +413,7 @@
 
     /// A client has left: true where its call was at another site, which is told by the connection's end.
     pub fn left(&mut self, io: &mut Io, now: Micros, waiter: WaiterId) -> bool {
-        self.answered(waiter, Some(Ended::Failed));
+        self.answered(waiter, Some(CallOutcome::Failed));
         let Some(Away { function, to, began, owned, .. }) = self.away.remove(&waiter) else { return false };
         self.links.abort_handed(io, waiter);
         if owned {
@@ -434,28 +436,31 @@
             (counted.served, counted.took) = (counted.served + 1, counted.took + took);
             // All queues on the way are a wait, those at workers too.
             let waited = took.saturating_sub(self.runs.get(&function).copied().unwrap_or(took));
-            let waited = self.waits.answered(now, function, now - took, waited);
+            let waited = self.waits.record(now, function, now - took, waited);
             let in_aim = took <= self.aims[class];
-            self.answered(waiter, Some(if in_aim { Ended::Served(waited) } else { Ended::Late(waited) }));
+            self.answered(
+                waiter,
+                Some(if in_aim { CallOutcome::Served(waited) } else { CallOutcome::Late(waited) }),
+            );
         } else if let (Answer::Refused(Refusal::Overload, wait), true) = (&mut answer, self.config.shed) {
             // Those that are refused after the door would all come back at once.
             let table = self.tables.shed.load();
-            let later = self.door.refused(now, table.as_deref(), class, tenant, hash);
+            let later = self.door.record_refusal(now, table.as_deref(), class, tenant, hash);
             *wait = Some(wait.unwrap_or(0).max(later));
             self.answered(waiter, None);
         } else {
-            self.answered(waiter, Some(Ended::Failed));
+            self.answered(waiter, Some(CallOutcome::Failed));
         }
         answer
     }
 
     /// A call is no longer in hand; how it ended, where the door has not counted it yet.
-    fn answered(&mut self, waiter: WaiterId, ended: Option<Ended>) {
+    fn answered(&mut self, waiter: WaiterId, ended: Option<CallOutcome>) {
         let Some(home) = self.home.remove(&waiter) else { return };
         let counted = self.counted(home.function);
         counted.in_hand = counted.in_hand.saturating_sub(1);
         if let Some(ended) = ended {
-            self.door.counted(home.class, home.tenant, ended);
+            self.door.record_outcome(home.class, home.tenant, ended);
         }
     }
 
@@ -497,7 +502,7 @@
                 counted.in_hand > 0
             });
             self.rings.facts.tell(Fact::Routed(Counts { span, by, in_hand, workers: self.workers }));
-            self.rings.facts.tell(Fact::Asked(self.door.take(now, in_hand)));
+            self.rings.facts.tell(Fact::Asked(self.door.take_counts(now, in_hand)));
             let lost = self.rings.facts.lost();
             if std::mem::replace(&mut self.lost, lost) < lost {
                 warn!(lost, "the control thread stands still: counts are let go");
--- a/crates/gateway/src/tables.rs
+++ b/crates/gateway/src/tables.rs
@@ -17,7 +17,7 @@
     /// Where calls go.
     pub route: ArcSwapOption<basaltward_route::Table>,
     /// What is taken.
-    pub shed: ArcSwapOption<basaltward_admission::Table>,
+    pub shed: ArcSwapOption<basaltward_admission::ShareTable>,
     /// Whose kept events are.
     pub owners: ArcSwapOption<Owners>,
     /// Events that were taken lately and may not run twice, by any loop.
@@ -49,7 +49,7 @@
     /// How a call ended that was handed over.
     Handed(basaltward_route::Handed),
     /// Calls by class and tenant.
-    Asked(basaltward_admission::Counts),
+    Asked(basaltward_admission::LoopCounts),
 }
 
 /// From the control thread to a loop, on kept events.
