--- a/crates/admission/src/capacity.rs
+++ b/crates/admission/src/capacity.rs
@@ -47,7 +47,7 @@
     }
 
     /// Calls a second that the site can do.
-    pub fn believed(&self) -> Option<f64> {
+    pub fn estimate(&self) -> Option<f64> {
         self.believed
     }
 
@@ -62,12 +62,12 @@
     }
 
     /// Calls a second to be taken now: the wait is led back at once, whatever is believed.
-    pub fn admitted(&self) -> Option<f64> {
+    pub fn admission_rate(&self) -> Option<f64> {
         self.believed.map(|believed| believed * (1.0 + ADMISSION_GAIN * self.wait_error()))
     }
 
     /// Learns from one step.
-    pub fn learn(&mut self, seen: &Seen) {
+    pub fn update(&mut self, seen: &Seen) {
         let seconds = seen.span as f64 / 1e6;
         let weight = 1.0 - (-seconds / 0.1).exp();
         self.wait += weight * (seen.wait.unwrap_or_default() as f64 - self.wait);
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -133,12 +133,12 @@
     }
 
     /// Calls a second that our site is believed to do; none until calls have waited.
-    pub fn capacity(&self) -> Option<f64> {
-        self.capacity.believed()
+    pub fn estimated_capacity(&self) -> Option<f64> {
+        self.capacity.estimate()
     }
 
     /// What a loop has counted. Counts of another number of pairs, or of a loop that is not there, are dropped.
-    pub fn counted(&mut self, _now: Micros, loop_no: usize, counts: &LoopCounts) {
+    pub fn record_counts(&mut self, _now: Micros, loop_no: usize, counts: &LoopCounts) {
         let cells = self.settings.cell_count();
         let Some(loads) =
             self.loops.get_mut(loop_no).filter(|_| counts.by_cell.len() == cells && counts.span > 0)
@@ -170,7 +170,7 @@
         if let Some(peer) = self.peers.get_mut(usize::from(from))
             && from != self.settings.site_map.own()
         {
-            peer.take(now, key, value, cells);
+            peer.receive_fact(now, key, value, cells);
         }
     }
 
@@ -188,7 +188,7 @@
 
     /// Facts of ours that are due, to be told for [`ShedSettings::stands`]: those that have changed, and those that
     /// were told a while ago.
-    pub fn tell(&mut self, now: Micros) -> Vec<(u8, Vec<u8>)> {
+    pub fn take_due_facts(&mut self, now: Micros) -> Vec<(u8, Vec<u8>)> {
         if now < self.next_publish_at {
             return Vec::new();
         }
@@ -198,7 +198,7 @@
             wire::encode_pages(self.local_loads().into_iter().enumerate().collect(), self.publish_count);
         let head = LoadSummary {
             settings_hash: self.settings_hash,
-            capacity: self.capacity.believed().unwrap_or_default(),
+            capacity: self.capacity.estimate().unwrap_or_default(),
             answered: self.answered.iter().sum(),
             wait: self.capacity.wait(),
             unlisted: rest,
@@ -224,7 +224,7 @@
         let of = |(of, peer): (usize, &PeerLoad)| {
             let live = live.get(of).copied().unwrap_or_default();
             let within = if live { self.settings.load_ttl } else { DEPARTED_LOAD_TTL };
-            let head = *peer.head(now, within, self.settings_hash)?;
+            let head = *peer.summary(now, within, self.settings_hash)?;
             Some(ActivePeer {
                 member: of as MemberId,
                 live,
@@ -258,14 +258,14 @@
         let answered = own + beside().map(|f| f.head.answered.min(own * MAX_PEER_ANSWER_RATIO)).sum::<f64>();
         let believed: Vec<f64> = beside().map(|f| f.head.capacity).filter(|told| *told > 0.0).collect();
         // One peer by itself is not believed by who has not learnt yet: it may be a liar.
-        let alone = believed.len() == 1 && self.capacity.believed().is_none();
+        let alone = believed.len() == 1 && self.capacity.estimate().is_none();
         let peers = median(believed).filter(|_| !alone);
-        self.capacity.learn(&Seen { span, wait, answered, shed, peers });
+        self.capacity.update(&Seen { span, wait, answered, shed, peers });
     }
 
     /// The table that holds now, by who is believed to be living. One that has stood still for longer than facts are
     /// believed forgets what it was told, and what it counted meanwhile.
-    pub fn table(&mut self, now: Micros, live: &[bool]) -> ShareTable {
+    pub fn compute_table(&mut self, now: Micros, live: &[bool]) -> ShareTable {
         if now.saturating_sub(self.last_table_at) > self.settings.load_ttl {
             self.peers.iter_mut().for_each(|peer| *peer = PeerLoad::default());
             self.step = StepCounts::default();
@@ -276,7 +276,7 @@
         self.last_table_at = now;
         self.version += 1;
         let until = now + self.settings.load_ttl / 5;
-        let room = self.capacity.admitted().zip(self.capacity.believed());
+        let room = self.capacity.admission_rate().zip(self.capacity.estimate());
         let Some((room, believed)) = room else {
             return ShareTable {
                 version: self.version,
@@ -286,7 +286,7 @@
             };
         };
         let shares = Some(self.split_by_loop(self.shared_allocation(room, live, &peers)));
-        let alone = Some(self.split_by_loop(self.alone(believed)));
+        let alone = Some(self.split_by_loop(self.fallback_share(believed)));
         ShareTable { version: self.version, valid_until: until, shares, fallback_shares: alone }
     }
 
@@ -340,7 +340,7 @@
             rates: (0..cells).map(rate).collect(),
             spare: given.capacity / (ours.1 - silent) as f64,
             min_rate: 0.0,
-            retry_rates: (0..cells).map(|cell| self.retry_rates(cell, &own, peers)).collect(),
+            retry_rates: (0..cells).map(|cell| self.retry_rate(cell, &own, peers)).collect(),
         }
     }
 
@@ -353,7 +353,7 @@
         beside.filter(|of| !peers.iter().any(|peer| peer.member == *of)).count()
     }
 
-    fn retry_rates(&self, cell: usize, own: &[CellLoad], peers: &[ActivePeer]) -> f64 {
+    fn retry_rate(&self, cell: usize, own: &[CellLoad], peers: &[ActivePeer]) -> f64 {
         let others: Vec<GatewayLoad> =
             peers.iter().map(|f| GatewayLoad { load: f.loads[cell], lends: f.live }).collect();
         if self.fault == Some(ControllerFault::UndividedRetryBudget) {
@@ -376,7 +376,7 @@
     }
 
     /// Our share without anybody's word: an even part of our site among all that are configured there.
-    fn alone(&self, room: f64) -> Share {
+    fn fallback_share(&self, room: f64) -> Share {
         let (places, own) = (&self.settings.site_map, self.local_loads());
         let room = room / places.members_at(places.own_site()).count().max(1) as f64;
         let came: Vec<f64> = own.iter().map(|load| load.arrivals).collect();
--- a/crates/admission/src/limiter.rs
+++ b/crates/admission/src/limiter.rs
@@ -102,7 +102,7 @@
         key_hash: u64,
     ) -> Decision {
         let cell = self.settings.cell(class, tenant);
-        let told = self.scheduled.told(key_hash);
+        let told = self.scheduled.retry_at(key_hash);
         let asked = if asked == AttemptKind::First && told.is_some() { AttemptKind::Retry } else { asked };
         let count = &mut self.counts[cell];
         match asked {
--- a/crates/admission/src/peer_load.rs
+++ b/crates/admission/src/peer_load.rs
@@ -33,7 +33,7 @@
 
 impl PeerLoad {
     /// Takes a fact; what can't be read changes nothing.
-    pub fn take(&mut self, now: Micros, key: u8, value: &[u8], cells: usize) {
+    pub fn receive_fact(&mut self, now: Micros, key: u8, value: &[u8], cells: usize) {
         if key == SHED_KEYS.start {
             take(&mut self.head, now, value, decode_summary);
         } else if let Some(page) = key.checked_sub(SHED_KEYS.start + 1)
@@ -44,7 +44,7 @@
     }
 
     /// Its head, where that is younger than `within` and of settings like ours.
-    pub fn head(&self, now: Micros, within: Micros, mark: u16) -> Option<&LoadSummary> {
+    pub fn summary(&self, now: Micros, within: Micros, mark: u16) -> Option<&LoadSummary> {
         let told = self.head.as_ref()?;
         (now.saturating_sub(told.at) < within && told.content.settings_hash == mark).then_some(&told.content)
     }
--- a/crates/admission/src/scheduled_retries.rs
+++ b/crates/admission/src/scheduled_retries.rs
@@ -32,7 +32,7 @@
     }
 
     /// The time that an event was told; none where it is not known to have been turned away.
-    pub fn told(&self, key: u64) -> Option<Micros> {
+    pub fn retry_at(&self, key: u64) -> Option<Micros> {
         self.by_event.get(&key).map(|(at, _)| *at)
     }
 
@@ -80,9 +80,9 @@
         let mut seen = Seen::default();
         (0..MAX_EVENTS as u64 + 100).for_each(|key| seen.schedule(key, 1_000 + key, 0));
         assert_eq!((seen.len(), seen.by_time.len()), (MAX_EVENTS, MAX_EVENTS));
-        assert!(seen.told(0).is_some() && seen.told(MAX_EVENTS as u64 + 50).is_none());
+        assert!(seen.retry_at(0).is_some() && seen.retry_at(MAX_EVENTS as u64 + 50).is_none());
         seen.schedule(0, 7, 1);
-        assert_eq!((seen.told(0), seen.len()), (Some(7), MAX_EVENTS));
+        assert_eq!((seen.retry_at(0), seen.len()), (Some(7), MAX_EVENTS));
         assert!(!seen.substitute_due(6, 1) && seen.substitute_due(7, 1) && !seen.substitute_due(7, 1));
         assert_eq!(seen.expire(LATE_TOLERANCE + 1_011), 10, "1 to 10 were due first");
     }
--- a/crates/admission/src/simulation.rs
+++ b/crates/admission/src/simulation.rs
@@ -48,17 +48,17 @@
     /// Workers tell how long a call has waited in their queue.
     pub told: bool,
     /// Mean work of a call: half of it always, half drawn.
-    pub work: Micros,
+    pub mean_work: Micros,
     /// Classes.
     pub classes: Vec<ClassSettings>,
     /// Quotas of tenants.
     pub quotas: Vec<f64>,
     /// Worth past the quota.
-    pub over_share_worth: f64,
+    pub over_share_value: f64,
     /// What comes.
     pub streams: Vec<ArrivalStream>,
     /// From when on which load.
-    pub load: Vec<(Micros, f64)>,
+    pub load_steps: Vec<(Micros, f64)>,
     /// Share of clients that come again at the time told; the others come again at once, then slower.
     pub honour_share: f64,
     /// How long clients go on.
@@ -82,10 +82,10 @@
             workers: 10,
             worker_queue_depth: 2,
             told: true,
-            work: 50_000,
+            mean_work: 50_000,
             classes: vec![ClassSettings { value: 1.0, aim: 500_000, deadline: 2 * S }],
             quotas: Vec::new(),
-            over_share_worth: 1.0,
+            over_share_value: 1.0,
             streams: vec![ArrivalStream {
                 site: None,
                 class: 0,
@@ -93,7 +93,7 @@
                 rate: 800.0,
                 ignores_load: false,
             }],
-            load: vec![(0, 1.0)],
+            load_steps: vec![(0, 1.0)],
             honour_share: 0.5,
             patience: 5 * S,
             roaming_share: 0.5,
@@ -105,7 +105,7 @@
 
     /// Calls a second that all sites can do.
     pub fn capacity(&self) -> f64 {
-        f64::from(self.sites) * self.workers as f64 * 1e6 / self.work as f64
+        f64::from(self.sites) * self.workers as f64 * 1e6 / self.mean_work as f64
     }
 
     fn size(&self) -> MemberId {
@@ -171,7 +171,7 @@
 enum Event {
     Arrival(usize),
     Attempt(u64),
-    Done(Site, MemberId, u32, u64),
+    Completed(Site, MemberId, u32, u64),
     ControlStep(MemberId),
     Fact(MemberId, MemberId, u8, Vec<u8>),
     LivenessChange(MemberId, MemberId, bool),
@@ -273,7 +273,7 @@
         let sites = (0..self.config.size()).map(|at| (at / self.config.gateways) as Site).collect();
         let places = SiteMap::new(sites, of).unwrap_or_else(|| unreachable!("all are in the list"));
         let usual = AdmissionSettings::new(self.config.classes.clone(), self.config.quotas.clone(), places);
-        AdmissionSettings { over_share_value: self.config.over_share_worth, loops: 2, ..usual }
+        AdmissionSettings { over_share_value: self.config.over_share_value, loops: 2, ..usual }
     }
 
     fn gateway(&self, of: MemberId, life: u32) -> Gateway {
@@ -307,7 +307,7 @@
 
     /// What a gateway's control thread believes of its site.
     pub fn believed(&self, of: MemberId) -> Option<f64> {
-        self.gateways.get(usize::from(of))?.shed.capacity()
+        self.gateways.get(usize::from(of))?.shed.estimated_capacity()
     }
 
     fn schedule_event(&mut self, at: Micros, due: Event) {
@@ -326,7 +326,7 @@
     fn next_arrival(&mut self, stream: usize) {
         let of = self.config.streams[stream];
         let load =
-            self.config.load.iter().rev().find(|(from, _)| *from <= self.now).map_or(1.0, |(_, load)| *load);
+            self.config.load_steps.iter().rev().find(|(from, _)| *from <= self.now).map_or(1.0, |(_, load)| *load);
         let rate = of.rate * if of.ignores_load { 1.0 } else { load };
         let gap = -(1.0 - self.rng.random::<f64>()).ln() / rate.max(1e-3) * 1e6;
         self.schedule_event(self.now + gap as Micros + 1, Event::Arrival(stream));
@@ -342,7 +342,7 @@
             match due {
                 Event::Arrival(stream) => self.arrive(stream),
                 Event::Attempt(id) => self.attempt(id),
-                Event::Done(site, of, life, id) => self.complete(site, of, life, id),
+                Event::Completed(site, of, life, id) => self.complete(site, of, life, id),
                 Event::ControlStep(of) => self.control(of),
                 Event::Fact(to, from, key, value) => {
                     let gateway = &mut self.gateways[usize::from(to)];
@@ -515,7 +515,7 @@
             if gateway.within[tenant] >= 1.0 {
                 gateway.within[tenant] -= 1.0;
             } else {
-                worth *= self.config.over_share_worth;
+                worth *= self.config.over_share_value;
             }
         }
         let value = u64::MAX - (worth * 1e6) as u64;
@@ -582,12 +582,12 @@
             && let Some((of, life, id)) = self.queued[at].pop_front()
         {
             self.busy[at] += 1;
-            let half = self.config.work as f64 / 2.0;
+            let half = self.config.mean_work as f64 / 2.0;
             let drawn = -(1.0 - self.rng.random::<f64>()).ln() * half;
             if let Some(call) = self.calls.get_mut(&id).filter(|_| self.config.told) {
                 call.waited = self.now - call.came;
             }
-            self.schedule_event(self.now + (half + drawn) as Micros, Event::Done(site, of, life, id));
+            self.schedule_event(self.now + (half + drawn) as Micros, Event::Completed(site, of, life, id));
         }
     }
 
@@ -636,12 +636,12 @@
             let counts = door.take_counts(now, gateway.in_flight / loops);
             budgeted += counts.by_cell.iter().map(|count| count.budgeted_retries).sum::<u32>();
             booked += counts.by_cell.iter().map(|count| count.reserved_retries).sum::<u32>();
-            gateway.shed.counted(now, loop_no, &counts);
+            gateway.shed.record_counts(now, loop_no, &counts);
         }
-        gateway.table = Some(gateway.shed.table(now, &self.live[at]));
-        let mut facts = gateway.shed.tell(now);
+        gateway.table = Some(gateway.shed.compute_table(now, &self.live[at]));
+        let mut facts = gateway.shed.take_due_facts(now);
         if let Some((capacity, came)) = gateway.false_report_values {
-            facts.iter_mut().for_each(|(key, value)| crate::wire::lie(*key, value, capacity, came));
+            facts.iter_mut().for_each(|(key, value)| crate::wire::falsify(*key, value, capacity, came));
         }
         let second = self.second();
         second.budgeted_retries += budgeted;
--- a/crates/admission/src/wire.rs
+++ b/crates/admission/src/wire.rs
@@ -120,7 +120,7 @@
 }
 
 /// A fact with other figures in it, as a liar tells them.
-pub fn lie(key: u8, value: &mut [u8], capacity: f64, came: f64) {
+pub fn falsify(key: u8, value: &mut [u8], capacity: f64, came: f64) {
     if key == SHED_KEYS.start {
         value[3] = encode_rate(capacity);
         value[4] = encode_rate(capacity);
--- a/crates/admission/tests/hard_cases.rs
+++ b/crates/admission/tests/hard_cases.rs
@@ -24,7 +24,7 @@
 /// Two sites of two gateways, good for 200 calls a second each.
 fn bed(load: f64) -> SimulationConfig {
     let load = vec![(0, 0.5), (BEGINS as Micros * S, load)];
-    SimulationConfig { sites: 2, streams: vec![stream(0, 400.0)], load, ..SimulationConfig::new() }
+    SimulationConfig { sites: 2, streams: vec![stream(0, 400.0)], load_steps: load, ..SimulationConfig::new() }
 }
 
 fn ran(bed: &SimulationConfig, seed: u64, until: usize, acts: Vec<(usize, Action)>) -> Vec<SecondStats> {
@@ -82,7 +82,7 @@
 fn those_turned_away_come_back_in_no_wave() {
     for seed in seeds(1) {
         let mut bed = SimulationConfig { honour_share: 1.0, patience: 60 * S, ..bed(8.0) };
-        bed.load.push(((BEGINS as Micros + 2) * S, 0.3));
+        bed.load_steps.push(((BEGINS as Micros + 2) * S, 0.3));
         let seconds = ran(&bed, seed, BEGINS + 30, Vec::new());
         let (came, most) =
             (sum(&seconds, |s| s.scheduled_retries.0), seconds.iter().map(|s| s.scheduled_retries.0).max());
@@ -105,7 +105,7 @@
         for seed in seeds(1) {
             let mut bed = bed(5.0);
             let end = BEGINS + 10;
-            bed.load.push((end as Micros * S, 0.8));
+            bed.load_steps.push((end as Micros * S, 0.8));
             let seconds = ran(&bed, seed, end + 10, acts.clone());
             let under = goodput(&bed, &seconds[BEGINS + 2..end]);
             let after = goodput(&bed, &seconds[end + 2..]);
@@ -136,7 +136,7 @@
     let hog = ArrivalStream { site, ..stream(2, third) };
     SimulationConfig {
         quotas: vec![third; 3],
-        over_share_worth: 0.1,
+        over_share_value: 0.1,
         streams: vec![within(0), within(1), hog],
         ..bed(10.0)
     }
--- a/crates/bench/src/capacity/measure.rs
+++ b/crates/bench/src/capacity/measure.rs
@@ -373,8 +373,8 @@
 /// One gateway that has heard the load of all others.
 fn fellows(size: MemberId, pairs: usize) -> Measured<AdmissionController> {
     let mut teller = door(size, 1, pairs)?;
-    teller.counted(S, 0, &counts(pairs, 1));
-    let facts = teller.tell(S);
+    teller.record_counts(S, 0, &counts(pairs, 1));
+    let facts = teller.take_due_facts(S);
     let mut hearer = door(size, 0, pairs)?;
     for from in 1..size {
         facts.iter().for_each(|(key, value)| hearer.receive_fact(S, from, *key, value));
@@ -390,8 +390,8 @@
         let mut now = S;
         let us = best_us(20, || {
             now += 100_000;
-            one.counted(now, 0, &counts(12, now));
-            black_box(one.table(now, &live));
+            one.record_counts(now, 0, &counts(12, now));
+            black_box(one.compute_table(now, &live));
         });
         points.push(Point::new("admission_table_us", size.into(), us, "us"));
     }
@@ -401,8 +401,8 @@
         let ticks = 40;
         for tick in 0..ticks {
             let now = tick * S / 2;
-            one.counted(now, 0, &counts(pairs, tick));
-            let told = one.tell(now);
+            one.record_counts(now, 0, &counts(pairs, tick));
+            let told = one.take_due_facts(now);
             facts += told.len();
             bytes += told.iter().map(|(_, value)| value.len()).sum::<usize>();
         }
--- a/crates/bench/src/shed.rs
+++ b/crates/bench/src/shed.rs
@@ -53,7 +53,7 @@
     println!("goodput as a share of capacity, median (least to greatest)\nload | as one | each for itself");
     for &multiple in multiples {
         let bed = SimulationConfig {
-            load: vec![(0, 0.5), (QUIET as Micros * S, multiple)],
+            load_steps: vec![(0, 0.5), (QUIET as Micros * S, multiple)],
             ..SimulationConfig::new()
         };
         let goodput = |bed: &SimulationConfig, seed| {
@@ -71,7 +71,7 @@
     let split = vec![((QUIET as Micros + 5) * S, Action::Partition(vec![0, 1, 2, 3]))];
     let cases = [("as is", Vec::new()), ("half of the gateways killed", half), ("the view split", split)];
     for (name, acts) in cases {
-        let bed = SimulationConfig { load: load.clone(), ..SimulationConfig::new() };
+        let bed = SimulationConfig { load_steps: load.clone(), ..SimulationConfig::new() };
         println!(
             "{name} | {}",
             both(seeds, &bed, |bed, seed| back(&ran(bed, seed, end + 20, acts.clone()), end))
@@ -148,13 +148,13 @@
     let hog = ArrivalStream { site, tenant: 2, rate: third, ..stream(2, third) };
     SimulationConfig {
         quotas: vec![third; 3],
-        over_share_worth: 0.1,
+        over_share_value: 0.1,
         streams: vec![
             stream(0, third * 0.8),
             stream(1, third * 0.8),
             ArrivalStream { ignores_load: false, ..hog },
         ],
-        load: vec![(0, 0.5), (QUIET as Micros * S, 10.0)],
+        load_steps: vec![(0, 0.5), (QUIET as Micros * S, 10.0)],
         ..SimulationConfig::new()
     }
 }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -246,7 +246,7 @@
                 match fact {
                     Fact::Routed(counts) => self.route.counted(now, number as u16, &counts),
                     Fact::Handed(handed) => self.route.handed(now, &handed),
-                    Fact::Asked(counts) => self.shed.counted(now, number, &counts),
+                    Fact::Asked(counts) => self.shed.record_counts(now, number, &counts),
                 }
             }
             while let Ok(step) = end.steps.pop() {
@@ -402,10 +402,10 @@
                 }
             }
         }
-        for (key, value) in self.shed.tell(now) {
+        for (key, value) in self.shed.take_due_facts(now) {
             self.endpoint.publish_fact(now, key, &value, self.shed_stands);
         }
-        self.tables.shed.store(Some(Arc::new(self.shed.table(now, &self.live))));
+        self.tables.shed.store(Some(Arc::new(self.shed.compute_table(now, &self.live))));
     }
 
     /// Tells the journals what is seen of sites and what is agreed, and swaps the table of owners.
