--- a/crates/admission/src/simulation.rs
+++ b/crates/admission/src/simulation.rs
@@ -46,7 +46,7 @@
     /// Calls that queue at each worker, in the order in which they come.
     pub worker_queue_depth: usize,
     /// Workers tell how long a call has waited in their queue.
-    pub told: bool,
+    pub workers_report_waits: bool,
     /// Mean work of a call: half of it always, half drawn.
     pub mean_work: Micros,
     /// Classes.
@@ -81,7 +81,7 @@
             gateways: 2,
             workers: 10,
             worker_queue_depth: 2,
-            told: true,
+            workers_report_waits: true,
             mean_work: 50_000,
             classes: vec![ClassSettings { value: 1.0, aim: 500_000, deadline: 2 * S }],
             quotas: Vec::new(),
@@ -306,7 +306,7 @@
     }
 
     /// What a gateway's control thread believes of its site.
-    pub fn believed(&self, of: MemberId) -> Option<f64> {
+    pub fn estimated_capacity(&self, of: MemberId) -> Option<f64> {
         self.gateways.get(usize::from(of))?.shed.estimated_capacity()
     }
 
@@ -325,8 +325,13 @@
 
     fn next_arrival(&mut self, stream: usize) {
         let of = self.config.streams[stream];
-        let load =
-            self.config.load_steps.iter().rev().find(|(from, _)| *from <= self.now).map_or(1.0, |(_, load)| *load);
+        let load = self
+            .config
+            .load_steps
+            .iter()
+            .rev()
+            .find(|(from, _)| *from <= self.now)
+            .map_or(1.0, |(_, load)| *load);
         let rate = of.rate * if of.ignores_load { 1.0 } else { load };
         let gap = -(1.0 - self.rng.random::<f64>()).ln() / rate.max(1e-3) * 1e6;
         self.schedule_event(self.now + gap as Micros + 1, Event::Arrival(stream));
@@ -584,7 +589,7 @@
             self.busy[at] += 1;
             let half = self.config.mean_work as f64 / 2.0;
             let drawn = -(1.0 - self.rng.random::<f64>()).ln() * half;
-            if let Some(call) = self.calls.get_mut(&id).filter(|_| self.config.told) {
+            if let Some(call) = self.calls.get_mut(&id).filter(|_| self.config.workers_report_waits) {
                 call.waited = self.now - call.came;
             }
             self.schedule_event(self.now + (half + drawn) as Micros, Event::Completed(site, of, life, id));
--- a/crates/admission/tests/hard_cases.rs
+++ b/crates/admission/tests/hard_cases.rs
@@ -24,7 +24,12 @@
 /// Two sites of two gateways, good for 200 calls a second each.
 fn bed(load: f64) -> SimulationConfig {
     let load = vec![(0, 0.5), (BEGINS as Micros * S, load)];
-    SimulationConfig { sites: 2, streams: vec![stream(0, 400.0)], load_steps: load, ..SimulationConfig::new() }
+    SimulationConfig {
+        sites: 2,
+        streams: vec![stream(0, 400.0)],
+        load_steps: load,
+        ..SimulationConfig::new()
+    }
 }
 
 fn ran(bed: &SimulationConfig, seed: u64, until: usize, acts: Vec<(usize, Action)>) -> Vec<SecondStats> {
