--- a/crates/admission/src/capacity.rs
+++ b/crates/admission/src/capacity.rs
@@ -1,97 +1,100 @@
-//! What a site can do, learnt: what it answers while calls wait; it rises again by itself while none do.
+//! Estimates the capacity of a site: from the answer rate while calls queue, with a slow increase while none do.
 
 use basaltward_membership::Micros;
 
-/// The wait's pull on what is taken at once: by so much at no wait, or at twice the wait wanted.
+/// Proportional gain from the wait to the admitted rate: without a wait the rate is raised by this fraction of the
+/// estimate, at twice the target wait it is lowered by as much.
 const ADMISSION_GAIN: f64 = 0.2;
-/// Its pull on what is believed, a second: slow against the time that a wait takes to follow what is taken, or the two
-/// would swing.
+/// Gain from the wait to the estimate, per second. It must be slow compared with the time that the wait takes to follow
+/// the admitted rate, or the two would oscillate.
 const ESTIMATE_GAIN: f64 = 0.15;
-/// As long as there is no wait at all, and calls are turned away: the workers can do more than is believed.
+/// Gain per second while there is no wait at all: the workers can do more than the estimate says.
 const NO_WAIT_GAIN: f64 = 0.8;
-/// No wait is taken for none after so long.
+/// Time without a wait after which `NO_WAIT_GAIN` applies.
 const NO_WAIT_CONFIRMATION: Micros = 500_000;
-/// What peers believe moves our belief by at most this, a second: less than a wait does that is two thirds too long,
-/// so that no word leads the wait further astray.
+/// Largest relative change of the estimate per second by the estimates of peers. It is less than the change by a wait
+/// two thirds above its target, so that peers' reports cannot drive the wait further from its target.
 const MAX_PEER_CHANGE: f64 = 0.1;
 
-/// What was seen over one step.
+/// Measurements of one step.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
-    /// Its span.
+pub struct Observation {
+    /// Length of the step.
     pub span: Micros,
-    /// What calls waited here; none where none was begun.
+    /// Mean wait of calls here; `None` if no call was in flight or answered.
     pub wait: Option<Micros>,
-    /// Calls a second that the site answers, all its gateways together.
+    /// Calls per second that all gateways of the site answer together.
     pub answered: f64,
-    /// Something was turned away.
+    /// Calls were shed in this step.
     pub shed: bool,
-    /// Peers at our site believe this, the median of them.
-    pub peers: Option<f64>,
+    /// Median of the capacity estimates of the peers at this site.
+    pub peer_estimate: Option<f64>,
 }
 
-/// What is believed of our site.
+/// Capacity estimate of the local site.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CapacityEstimator {
-    believed: Option<f64>,
+    estimate: Option<f64>,
     wait: f64,
     target_wait: f64,
-    /// For how long there has been no wait to speak of.
-    free: Micros,
+    /// Time for which the wait has been close to zero.
+    no_wait_for: Micros,
 }
 
 impl CapacityEstimator {
-    /// Nothing yet; calls are to be held at this wait.
-    pub fn new(wanted: Micros) -> Self {
-        Self { believed: None, wait: 0.0, target_wait: wanted as f64, free: 0 }
+    /// An estimator without an estimate that steers the wait of calls towards `target_wait`.
+    pub fn new(target_wait: Micros) -> Self {
+        Self { estimate: None, wait: 0.0, target_wait: target_wait as f64, no_wait_for: 0 }
     }
 
-    /// Calls a second that the site can do.
+    /// Estimated capacity of the site in calls per second; `None` until calls have queued or peers reported estimates.
     pub fn estimate(&self) -> Option<f64> {
-        self.believed
+        self.estimate
     }
 
-    /// What calls wait here.
+    /// Smoothed wait of calls here.
     pub fn wait(&self) -> Micros {
         self.wait as Micros
     }
 
-    /// How far the wait is from the one wanted: 1 for none, below 0 past it.
+    /// Relative distance of the wait below its target: 1 without a wait, 0 at the target, down to -2 above it.
     fn wait_error(&self) -> f64 {
         (1.0 - self.wait / self.target_wait).clamp(-2.0, 1.0)
     }
 
-    /// Calls a second to be taken now: the wait is led back at once, whatever is believed.
+    /// Calls per second that the site should admit now: the estimate, corrected at once by the current wait.
     pub fn admission_rate(&self) -> Option<f64> {
-        self.believed.map(|believed| believed * (1.0 + ADMISSION_GAIN * self.wait_error()))
+        self.estimate.map(|estimate| estimate * (1.0 + ADMISSION_GAIN * self.wait_error()))
     }
 
-    /// Learns from one step.
-    pub fn update(&mut self, seen: &Seen) {
-        let seconds = seen.span as f64 / 1e6;
+    /// Updates the estimate by one step.
+    pub fn update(&mut self, observed: &Observation) {
+        let seconds = observed.span as f64 / 1e6;
         let weight = 1.0 - (-seconds / 0.1).exp();
-        self.wait += weight * (seen.wait.unwrap_or_default() as f64 - self.wait);
-        let off = self.wait_error();
-        let Some(believed) = &mut self.believed else {
-            // What was answered says what a site can do only once calls wait.
-            let known = self.wait >= self.target_wait && seen.answered > 0.0;
-            self.believed = known.then_some(seen.answered).or(seen.peers.map(|told| told.max(seen.answered)));
+        self.wait += weight * (observed.wait.unwrap_or_default() as f64 - self.wait);
+        let error = self.wait_error();
+        let Some(estimate) = &mut self.estimate else {
+            // The answer rate shows the capacity only once calls queue.
+            let saturated = self.wait >= self.target_wait && observed.answered > 0.0;
+            self.estimate = saturated
+                .then_some(observed.answered)
+                .or(observed.peer_estimate.map(|peers| peers.max(observed.answered)));
             return;
         };
-        self.free = if off > 0.75 { self.free + seen.span } else { 0 };
-        if off < 0.5 || seen.shed {
-            *believed *= 1.0
-                + if self.free > NO_WAIT_CONFIRMATION { NO_WAIT_GAIN } else { ESTIMATE_GAIN } * off * seconds;
+        self.no_wait_for = if error > 0.75 { self.no_wait_for + observed.span } else { 0 };
+        if error < 0.5 || observed.shed {
+            let gain = if self.no_wait_for > NO_WAIT_CONFIRMATION { NO_WAIT_GAIN } else { ESTIMATE_GAIN };
+            *estimate *= 1.0 + gain * error * seconds;
         }
-        if off <= -1.0 {
-            let down = seen.answered.clamp(*believed * 0.5, *believed);
-            *believed += (down - *believed) * (seconds * 2.0).min(1.0);
+        if error <= -1.0 {
+            let lowered = observed.answered.clamp(*estimate * 0.5, *estimate);
+            *estimate += (lowered - *estimate) * (seconds * 2.0).min(1.0);
         }
-        *believed = believed.max(seen.answered * if off > 0.0 { 1.0 } else { 0.9 });
-        if let Some(peers) = seen.peers {
-            let most = MAX_PEER_CHANGE * seconds;
-            *believed *= 1.0 + ((peers / *believed - 1.0) * seconds).clamp(-most, most);
+        *estimate = estimate.max(observed.answered * if error > 0.0 { 1.0 } else { 0.9 });
+        if let Some(peers) = observed.peer_estimate {
+            let max_change = MAX_PEER_CHANGE * seconds;
+            *estimate *= 1.0 + ((peers / *estimate - 1.0) * seconds).clamp(-max_change, max_change);
         }
-        *believed = believed.max(0.5);
+        *estimate = estimate.max(0.5);
     }
 }
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -1,6 +1,6 @@
 //! What the control thread of a gateway makes of all counts and facts.
 
-use crate::capacity::{CapacityEstimator, Seen};
+use crate::capacity::{CapacityEstimator, Observation};
 use crate::peer_load::PeerLoad;
 use crate::retry_budget::{GatewayLoad, gateway_budget};
 use crate::settings::{AdmissionError, AdmissionSettings};
@@ -260,7 +260,7 @@
         // One peer by itself is not believed by who has not learnt yet: it may be a liar.
         let alone = believed.len() == 1 && self.capacity.estimate().is_none();
         let peers = median(believed).filter(|_| !alone);
-        self.capacity.update(&Seen { span, wait, answered, shed, peers });
+        self.capacity.update(&Observation { span, wait, answered, shed, peer_estimate: peers });
     }
 
     /// The table that holds now, by who is believed to be living. One that has stood still for longer than facts are
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -1,67 +1,71 @@
+//! Settings of admission control and their validation.
+
 use basaltward_membership::{Micros, SiteMap};
 use thiserror::Error;
 
-/// A class of calls, as the door needs to know it.
+/// Properties of a call class that admission control uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Worth of one answer in time.
+    /// Value of one answer within the aim, 0 or more; classes of higher value are admitted first.
     pub value: f64,
-    /// An answer within this span is served.
+    /// Target time: an answer within this time counts as served.
     pub aim: Micros,
-    /// How long its clients wait in all.
+    /// Total time that clients wait for an answer, further attempts included.
     pub deadline: Micros,
 }
 
-/// Figures of what the fleet sheds. All gateways need the same, but for `places` and `loops`.
+/// Settings of admission control. All gateways must use the same values, except for the gateway's own position in
+/// `site_map` and for `loops`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionSettings {
-    /// Classes, in the order of the settings.
+    /// Call classes, in the order of the configuration.
     pub classes: Vec<ClassSettings>,
-    /// Calls a second within each tenant's share, over all gateways; empty without tenants.
+    /// Quota of each tenant in calls per second over all gateways; empty without tenants.
     pub quotas: Vec<f64>,
-    /// Worth of a call past its tenant's share, as a share of its class's.
+    /// Value of a call above its tenant's quota, as a fraction (0 to 1) of the value of its class.
     pub over_share_value: f64,
-    /// Which gateway stands at which site, ours among them.
+    /// Site of each gateway, this one included.
     pub site_map: SiteMap,
-    /// Traffic loops of this gateway.
+    /// Number of traffic loops of this gateway.
     pub loops: usize,
-    /// Retries that nobody asked for, as a share of first tries, over the fleet.
+    /// Fleet-wide budget of retries outside the scheduled retry times, as a fraction (0 to 1) of first attempts.
     pub retry_share: f64,
-    /// Our load is told so often.
+    /// Interval at which this gateway publishes its load; at least 50 ms.
     pub publish_interval: Micros,
-    /// Load that was told longer ago is not believed; a table holds for a fifth of it.
+    /// Age from which a peer's published load is ignored; at least four publish intervals. A share table is valid
+    /// for a fifth of it.
     pub load_ttl: Micros,
 }
 
-/// Why settings can't be used.
+/// Reason why settings are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, strum::VariantNames)]
 pub enum AdmissionError {
-    /// There is no class.
-    #[error("no class of calls is configured: give at least one")]
+    /// No call class is configured.
+    #[error("no call class is configured; configure at least one")]
     #[strum(serialize = "NoClass")]
     NoClasses,
-    /// There are more pairs of class and tenant than facts can name.
-    #[error("{0} pairs of class and tenant: at most 16383 can be told apart, so merge classes or tenants")]
+    /// More (class, tenant) pairs than published facts can index.
+    #[error("{0} pairs of class and tenant exceed the maximum of 16383; merge classes or tenants")]
     #[strum(serialize = "Cells")]
     TooManyCells(usize),
-    /// A class's worth or times can't be used.
-    #[error("class {0}: worth has to be a number of 0 or more, aim and deadline above 0")]
+    /// The value, aim or deadline of the class with this index is invalid.
+    #[error("class {0}: worth must be a finite number of at least 0, and aim and deadline must be above 0")]
     #[strum(serialize = "Class")]
     InvalidClass(usize),
-    /// A figure is out of its range.
-    #[error("{0} is out of its range: see the settings of sites")]
+    /// The named setting is out of its range.
+    #[error("{0} is out of range; see the settings of sites")]
     #[strum(serialize = "Figure")]
     OutOfRange(&'static str),
 }
 
 impl AdmissionSettings {
-    /// The usual figures.
-    pub fn new(classes: Vec<ClassSettings>, quotas: Vec<f64>, places: SiteMap) -> Self {
+    /// Settings with default values: retry budget 20%, publish interval 500 ms, load TTL 5 s.
+    pub fn new(classes: Vec<ClassSettings>, quotas: Vec<f64>, site_map: SiteMap) -> Self {
         Self {
             classes,
             quotas,
             over_share_value: 1.0,
-            site_map: places,
+            site_map,
             loops: 1,
             retry_share: 0.2,
             publish_interval: 500_000,
@@ -69,10 +73,10 @@
         }
     }
 
-    /// Checks them.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// Where they can't be used.
+    /// Returns the first setting found missing or out of range.
     pub fn validate(&self) -> Result<(), AdmissionError> {
         if self.classes.is_empty() {
             return Err(AdmissionError::NoClasses);
@@ -80,43 +84,43 @@
         if self.cell_count() >= 1 << 14 {
             return Err(AdmissionError::TooManyCells(self.cell_count()));
         }
-        let share = |figure: f64| (0.0..=1.0).contains(&figure);
-        let usable = |c: &ClassSettings| c.value.is_finite() && c.value >= 0.0 && c.aim > 0 && c.deadline > 0;
-        if let Some(class) = self.classes.iter().position(|class| !usable(class)) {
+        let is_fraction = |setting: f64| (0.0..=1.0).contains(&setting);
+        let valid = |c: &ClassSettings| c.value.is_finite() && c.value >= 0.0 && c.aim > 0 && c.deadline > 0;
+        if let Some(class) = self.classes.iter().position(|class| !valid(class)) {
             return Err(AdmissionError::InvalidClass(class));
         }
-        let figures = [
+        let checks = [
             ("quota of a tenant", self.quotas.iter().all(|quota| quota.is_finite() && *quota >= 0.0)),
-            ("over_share_worth", share(self.over_share_value)),
-            ("retry_share", share(self.retry_share)),
+            ("over_share_worth", is_fraction(self.over_share_value)),
+            ("retry_share", is_fraction(self.retry_share)),
             ("number of loops", self.loops > 0),
             ("tell", self.publish_interval >= 50_000),
             ("stands", self.load_ttl >= self.publish_interval * 4),
         ];
-        match figures.iter().find(|(_, usable)| !usable) {
+        match checks.iter().find(|(_, valid)| !valid) {
             Some((name, _)) => Err(AdmissionError::OutOfRange(name)),
             None => Ok(()),
         }
     }
 
-    /// Tenants, one where none are configured.
+    /// Number of tenants; 1 if none are configured.
     pub fn tenant_count(&self) -> usize {
         self.quotas.len().max(1)
     }
 
-    /// Pairs of class and tenant.
+    /// Number of cells. A cell is a (class, tenant) pair.
     pub fn cell_count(&self) -> usize {
         self.classes.len() * self.tenant_count()
     }
 
-    /// The pair of a class and a tenant; what is out of the list is taken for its last.
+    /// Cell index of a class and a tenant. An index out of range is mapped to the last class or tenant.
     pub fn cell(&self, class: usize, tenant: usize) -> usize {
         class.min(self.classes.len() - 1) * self.tenant_count() + tenant.min(self.tenant_count() - 1)
     }
 
-    /// The wait at which calls are held: a fifth of the shortest aim, 5 ms to 250 ms.
+    /// Queue wait that the capacity estimator steers towards: a fifth of the shortest aim, 5 ms to 250 ms.
     pub fn target_wait(&self) -> Micros {
-        let least = self.classes.iter().map(|class| class.aim).min().unwrap_or_default();
-        (least / 5).clamp(5_000, 250_000)
+        let shortest = self.classes.iter().map(|class| class.aim).min().unwrap_or_default();
+        (shortest / 5).clamp(5_000, 250_000)
     }
 }
--- a/crates/admission/src/table.rs
+++ b/crates/admission/src/table.rs
@@ -1,33 +1,36 @@
+//! Share tables: the rates that the control thread assigns to the traffic loops.
+
 use basaltward_membership::Micros;
 
-/// What one loop may take: calls a second.
+/// Rates at which one loop may admit calls, in calls per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Share {
-    /// By class, then tenant.
+    /// Admitted rate of each cell, by class, then tenant.
     pub rates: Vec<f64>,
-    /// For any of them, beyond its own.
+    /// Additional rate that all cells share.
     pub spare: f64,
-    /// Of each of them at least this, that a pair whose share is nothing is seen at all.
+    /// Lower bound of each cell's rate, so that some calls of a cell with a zero share still get through.
     pub min_rate: f64,
-    /// Retries that nobody asked for, by class, then tenant.
+    /// Budget of unscheduled retries of each cell, by class, then tenant.
     pub retry_rates: Vec<f64>,
 }
 
-/// What this gateway may take, whole, as the control thread last worked it out.
+/// Shares of all loops of this gateway, as last computed by the control thread.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShareTable {
-    /// Counts up: a later table has a greater one.
+    /// Version; increases with each table.
     pub version: u64,
-    /// Past this time the own share alone holds.
+    /// From this time on `fallback_shares` apply.
     pub valid_until: Micros,
-    /// The share of each loop; none while our site's capacity is not known: then all is taken.
+    /// Share of each loop; `None` while the capacity of the local site is unknown, which admits all calls.
     pub shares: Option<Vec<Share>>,
-    /// The share of each loop past `until`: an even part of our site among all that are configured there.
+    /// Share of each loop after `valid_until`: an even part of the local site's capacity among all gateways that are
+    /// configured there.
     pub fallback_shares: Option<Vec<Share>>,
 }
 
 impl ShareTable {
-    /// What a loop goes by at this time.
+    /// Share of a loop at this time; `None` if it admits all calls.
     pub fn share_at(&self, now: Micros, loop_no: usize) -> Option<&Share> {
         let shares = if now < self.valid_until { &self.shares } else { &self.fallback_shares };
         shares.as_ref()?.get(loop_no)
--- a/crates/admission/src/types.rs
+++ b/crates/admission/src/types.rs
@@ -1,85 +1,89 @@
+//! Attempts, decisions and counters that the traffic loops and the control thread exchange.
+
 use basaltward_membership::Micros;
 
-/// What a call is to the door.
+/// Kind of an attempt, which selects the budget that pays for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptKind {
-    /// Its client's first try, or a try that its client does not mark: the door tells from its memory.
+    /// First attempt, or an attempt that the client does not mark as a retry: the limiter recognizes a retry of a call
+    /// that it shed itself.
     First,
-    /// A try after another one, by its client's mark: paid for by the budget of retries.
+    /// Attempt that the client marks as a retry; counts against the retry budget.
     Retry,
-    /// Handed over by another site: counted there as what it is, a try more here.
+    /// Call handed over by another site, which has counted it as first attempt or retry.
     HandedOver,
-    /// An event that the fleet owes an answer: never shed.
+    /// Event that the fleet already accepted and must answer; never shed.
     Exempt,
 }
 
-/// What the door says.
+/// Result of an admission check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Take it.
+    /// Admit the call.
     Admit,
-    /// Turn it away: nothing of it has run, and it is to come again after this time.
+    /// Shed the call: nothing of it has run, and the client should retry after this delay.
     Shed(Micros),
 }
 
-/// How a call that the door took has ended. What it waited is the time from its coming until its work began, at the
-/// gateway and in its worker's queue as far as the worker tells.
+/// Outcome of an admitted call. The wait is the time from its arrival until its execution began: in the gateway's queue
+/// and, if the worker reports it, in the worker's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// Answered within its aim, after this wait.
     Served(Micros),
     /// Answered later than its aim, after this wait.
     Late(Micros),
-    /// Failed after the door; what was refused there is told by [`crate::Door::refused`].
+    /// Failed after admission. Calls refused after admission are recorded by [`crate::LoopLimiter::record_refusal`]
+    /// instead.
     Failed,
 }
 
-/// Calls of one class and tenant at one loop since it counted last.
+/// Counters of one cell at one loop since the counters were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CellCounts {
-    /// First tries that came.
+    /// First attempts received.
     pub first_attempts: u32,
-    /// Further tries that came.
+    /// Retries received.
     pub retries: u32,
-    /// Further tries that were taken by the budget of retries.
+    /// Retries admitted by the retry budget.
     pub budgeted_retries: u32,
-    /// Further tries that came at the time they had been told, and were taken.
+    /// Retries that arrived at their scheduled time and were admitted.
     pub reserved_retries: u32,
-    /// Calls that other sites handed over.
+    /// Calls handed over by other sites.
     pub handed_over: u32,
-    /// Answered served within their aim.
+    /// Calls answered within their aim.
     pub served: u32,
-    /// Answered later than their aim.
+    /// Calls answered after their aim.
     pub late: u32,
-    /// Turned away at the door.
+    /// Calls shed by the limiter.
     pub shed: u32,
-    /// Refused after the door: nothing of it had run.
+    /// Calls refused after admission, before any of their work ran.
     pub refused: u32,
-    /// Failed after the door.
+    /// Calls that failed after admission.
     pub failed: u32,
-    /// What those answered had waited, all together.
+    /// Sum of the waits of the answered calls.
     pub total_wait: Micros,
 }
 
 impl CellCounts {
-    /// All that came.
+    /// All calls received.
     pub fn arrivals(&self) -> u32 {
         self.first_attempts + self.retries + self.handed_over
     }
 
-    /// All that was answered.
+    /// All calls answered, in time or late.
     pub fn answered(&self) -> u32 {
         self.served + self.late
     }
 }
 
-/// What a loop counted over a span.
+/// Counters of one loop over a time span.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoopCounts {
-    /// The span.
+    /// Length of the span.
     pub span: Micros,
-    /// By class, then tenant: `classes * tenants` places; one tenant where none are configured.
+    /// Counters by class, then tenant: one for each cell of the settings.
     pub by_cell: Vec<CellCounts>,
-    /// Calls in hand at its end.
+    /// Calls in flight at the end of the span.
     pub in_flight: u32,
 }
