--- a/crates/admission/src/limiter.rs
+++ b/crates/admission/src/limiter.rs
@@ -4,7 +4,7 @@
 //! kept for those who come then, each at a time of its own: so they don't return as a wave, and find room. Where they
 //! don't come their room is used by others.
 
-use crate::scheduled_retries::Seen;
+use crate::scheduled_retries::ScheduledRetries;
 use crate::settings::AdmissionSettings;
 use crate::table::{Share, ShareTable};
 use crate::types::{AttemptKind, CallOutcome, CellCounts, Decision, LoopCounts};
@@ -60,7 +60,7 @@
     buckets: Vec<Bucket>,
     spare: f64,
     at: Micros,
-    scheduled: Seen,
+    scheduled: ScheduledRetries,
     /// Of those turned away so many come at the time told.
     return_share: f64,
     fault: Option<LimiterFault>,
@@ -78,7 +78,7 @@
             buckets: vec![Bucket { at: now, ..Bucket::default() }; cells],
             spare: 0.0,
             at: now,
-            scheduled: Seen::default(),
+            scheduled: ScheduledRetries::default(),
             return_share: 1.0,
             fault: None,
         }
