--- a/crates/admission/src/water_filling.rs
+++ b/crates/admission/src/water_filling.rs
@@ -160,13 +160,13 @@
         let mut rng = StdRng::seed_from_u64(3);
         for _ in 0..300 {
             let demand: Vec<f64> = (0..rng.random_range(1..8)).map(|_| rng.random_range(0.0..30.0)).collect();
-            let remaining = rng.random_range(1.0..100.0);
-            let steps = by_increments(&demand, remaining);
-            let filled = max_min_fill(std::slice::from_ref(&demand), &mut [remaining]);
+            let capacity = rng.random_range(1.0..100.0);
+            let steps = by_increments(&demand, capacity);
+            let filled = max_min_fill(std::slice::from_ref(&demand), &mut [capacity]);
             let max_error = filled[0].iter().zip(&steps).map(|(a, b)| (a - b).abs()).fold(0.0, f64::max);
             assert!(
                 max_error < 0.05,
-                "demand {demand:?}, capacity {remaining}: {filled:?}, by increments {steps:?}"
+                "demand {demand:?}, capacity {capacity}: {filled:?}, by increments {steps:?}"
             );
         }
     }
