--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,6 +1,9 @@
-//! What the fleet sheds, decided alike by all of its gateways: each tells coarsely what comes and what is served, by
-//! class and tenant; from what all tell each works out the same shares. A loop asks at its door, by a whole table that
-//! the control thread last made. Free of I/O: counts, facts and times in, facts and tables out.
+//! Admission control of the gateways: fair shares, retry budgets and load shedding.
+//!
+//! Each gateway publishes a coarse summary of its load, by class and tenant, and computes its own shares from the
+//! summaries of all gateways. All use the same rules, so their shares fit together. The control thread runs the
+//! [`AdmissionController`], which computes a [`ShareTable`]; each traffic loop admits or sheds calls by the latest table
+//! with its [`LoopLimiter`]. The crate does no I/O: counters, facts and times go in, facts and tables come out.
 #![warn(missing_docs)]
 
 mod capacity;
