--- a/crates/admission/src/wire.rs
+++ b/crates/admission/src/wire.rs
@@ -122,7 +122,7 @@
 }
 
 /// Overwrites a fact with false rates, for tests of peers that report false load.
-pub fn falsify(key: u8, value: &mut [u8], capacity: f64, came: f64) {
+pub fn falsify(key: u8, value: &mut [u8], capacity: f64, arrivals: f64) {
     if key == SHED_KEYS.start {
         value[3] = encode_rate(capacity);
         value[4] = encode_rate(capacity);
@@ -130,7 +130,7 @@
         let cells = decode_page(value, usize::MAX).unwrap_or_default();
         let false_loads = cells
             .into_iter()
-            .map(|(cell, _)| (cell, CellLoad { arrivals: came, first_attempts: came, retries: 0.0 }));
+            .map(|(cell, _)| (cell, CellLoad { arrivals, first_attempts: arrivals, retries: 0.0 }));
         let (encoded, _) = encode_pages(false_loads.collect(), first[0]);
         let len = value.len().min(encoded[0].len());
         value[..len].copy_from_slice(&encoded[0][..len]);
