--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -25,9 +25,9 @@
 const HEADROOM: f64 = 0.25;
 /// Fraction of a cell's share that is divided evenly among the loops, for calls that have just moved between loops.
 const EVEN_LOOP_SHARE: f64 = 0.05;
-/// Maximum of the minimum rate of a cell, in calls per second. The minimum rate lets a call through now and then in
+/// Upper limit of the minimum rate of a cell, in calls per second. The minimum rate lets a call through now and then in
 /// cells without a share.
-const MAX_MIN_RATE: f64 = 0.5;
+const MIN_RATE_CAP: f64 = 0.5;
 /// Fraction of the total rate that is divided among the minimum rates of all cells.
 const MIN_RATE_SHARE: f64 = 0.02;
 
@@ -428,7 +428,7 @@
             whole.iter().enumerate().map(loop_part).collect()
         };
         let total_rate = share.rates.iter().sum::<f64>() + share.spare;
-        let min_rate = MAX_MIN_RATE.min(total_rate * MIN_RATE_SHARE / share.rates.len() as f64) / loop_count;
+        let min_rate = MIN_RATE_CAP.min(total_rate * MIN_RATE_SHARE / share.rates.len() as f64) / loop_count;
         let share = |loop_no: usize| Share {
             rates: split(loop_no, &share.rates, |load| load.arrivals),
             spare: share.spare / loop_count,
--- a/crates/admission/src/limiter.rs
+++ b/crates/admission/src/limiter.rs
@@ -12,7 +12,8 @@
 
 /// Fraction of a cell's rate that is reserved for scheduled retries.
 const RESERVED_SHARE: f64 = 0.5;
-/// Scheduled retries are admitted from an empty bucket, up to a debt of this many seconds of the cell's rate.
+/// Scheduled retries are admitted from an empty bucket, up to a debt of this many seconds of the cell's rate;
+/// calls handed over by other sites, up to a quarter of it.
 const MAX_DEBT_SECONDS: f64 = 1.0;
 /// A retry that is early by up to this counts as on time.
 const EARLY_TOLERANCE: Micros = 50_000;
--- a/crates/admission/src/water_filling.rs
+++ b/crates/admission/src/water_filling.rs
@@ -26,12 +26,12 @@
     let mut order: Vec<usize> = (0..settings.classes.len()).collect();
     order.sort_by(|a, b| settings.classes[*b].value.total_cmp(&settings.classes[*a].value).then(a.cmp(b)));
     for (tenant, quota) in settings.quotas.iter().enumerate() {
-        let mut left = quota * quota_share;
+        let mut remaining = quota * quota_share;
         for class in &order {
             let cell = class * tenants + tenant;
-            let taken = totals[cell].min(left);
-            within[cell] = if totals[cell] > 0.0 { taken / totals[cell] } else { 1.0 };
-            left -= taken;
+            let used = totals[cell].min(remaining);
+            within[cell] = if totals[cell] > 0.0 { used / totals[cell] } else { 1.0 };
+            remaining -= used;
         }
     }
     within
@@ -42,6 +42,7 @@
 /// `within` is the fraction of each cell's calls that is within its tenant's quota.
 pub fn allocate(settings: &AdmissionSettings, sites: &[SiteDemand], within: &[f64]) -> Vec<SiteDemand> {
     let tenants = settings.tenant_count();
+    // Value, whether the calls are above their quota, and class.
     let mut levels: Vec<(f64, bool, usize)> = Vec::new();
     for (class, of) in settings.classes.iter().enumerate() {
         levels.push((of.value, false, class));
