--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -145,7 +145,8 @@
         self.capacity.estimate()
     }
 
-    /// Adds the counters of a loop. Counters with another number of cells, an empty span or an unknown loop are ignored.
+    /// Adds the counters of a loop. Counters with another number of cells, an empty span or an unknown loop are
+    /// ignored.
     pub fn record_counts(&mut self, _now: Micros, loop_no: usize, counts: &LoopCounts) {
         let cells = self.settings.cell_count();
         let Some(loads) =
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! Each gateway publishes a coarse summary of its load, by class and tenant, and computes its own shares from the
 //! summaries of all gateways. All use the same rules, so their shares fit together. The control thread runs the
-//! [`AdmissionController`], which computes a [`ShareTable`]; each traffic loop admits or sheds calls by the latest table
-//! with its [`LoopLimiter`]. The crate does no I/O: counters, facts and times go in, facts and tables come out.
+//! [`AdmissionController`], which computes a [`ShareTable`]; each traffic loop admits or sheds calls by the latest
+//! table with its [`LoopLimiter`]. The crate does no I/O: counters, facts and times go in, facts and tables come out.
 #![warn(missing_docs)]
 
 mod capacity;
--- a/crates/admission/src/limiter.rs
+++ b/crates/admission/src/limiter.rs
@@ -1,8 +1,8 @@
 //! Admission at one loop: token buckets with the rates of the latest share table from the control thread.
 //!
 //! Each cell, a (class, tenant) pair, has its own rate. A call that is shed gets a scheduled retry time. Half of the
-//! cell's rate is reserved for such retries, each at a time of its own, so that they find capacity and do not return as a
-//! wave. Capacity reserved for retries that do not come is used by other calls.
+//! cell's rate is reserved for such retries, each at a time of its own, so that they find capacity and do not return
+//! as a wave. Capacity reserved for retries that do not come is used by other calls.
 
 use crate::scheduled_retries::ScheduledRetries;
 use crate::settings::AdmissionSettings;
--- a/crates/admission/src/retry_budget.rs
+++ b/crates/admission/src/retry_budget.rs
@@ -22,8 +22,8 @@
     pub lends: bool,
 }
 
-/// Part of the budget of one cell for the gateway with load `own`, in retries per second. `budget_share` is the budget as
-/// a fraction of first attempts.
+/// Part of the budget of one cell for the gateway with load `own`, in retries per second. `budget_share` is the
+/// budget as a fraction of first attempts.
 pub fn gateway_budget(budget_share: f64, own: CellLoad, others: &[GatewayLoad]) -> f64 {
     let mut rates: Vec<f64> =
         others.iter().map(|other| other.load.first_attempts).chain([own.first_attempts]).collect();
--- a/crates/admission/src/scheduled_retries.rs
+++ b/crates/admission/src/scheduled_retries.rs
@@ -1,5 +1,5 @@
-//! Events that a limiter has shed, each with its scheduled retry time. The number is bounded: beyond the bound the event
-//! with the latest retry time is dropped.
+//! Events that a limiter has shed, each with its scheduled retry time. The number is bounded: beyond the bound the
+//! event with the latest retry time is dropped.
 
 use basaltward_membership::Micros;
 use std::collections::{BTreeSet, HashMap};
--- a/crates/admission/src/simulation.rs
+++ b/crates/admission/src/simulation.rs
@@ -1,9 +1,9 @@
 //! Simulation of the gateways of several sites in virtual time, with workers, clients that retry, and facts that are
 //! delayed or lost. The same seed gives the same run.
 //!
-//! Each gateway has a queue like that of the engine: ordered by value, and a call is refused early if the calls ahead of
-//! it would delay it beyond its aim. With shared admission switched off, this queue alone sheds load, at each gateway for
-//! itself.
+//! Each gateway has a queue like that of the engine: ordered by value, and a call is refused early if the calls ahead
+//! of it would delay it beyond its aim. With shared admission switched off, this queue alone sheds load, at each
+//! gateway for itself.
 
 use crate::controller::{AdmissionController, ControllerFault};
 use crate::limiter::{LimiterFault, LoopLimiter};
--- a/crates/admission/src/types.rs
+++ b/crates/admission/src/types.rs
@@ -10,7 +10,8 @@
     First,
     /// Attempt that the client marks as a retry; counts against the retry budget.
     Retry,
-    /// Call handed over by another site, where it is a first attempt or a retry; here it counts as an additional attempt.
+    /// Call handed over by another site, where it is a first attempt or a retry; here it counts as an additional
+    /// attempt.
     HandedOver,
     /// Event that the fleet already accepted and must answer; never shed.
     Exempt,
--- a/crates/admission/src/wait_estimator.rs
+++ b/crates/admission/src/wait_estimator.rs
@@ -1,7 +1,8 @@
 //! Estimates the wait of calls that is caused by overload.
 //!
-//! Calls that wait for their function to be loaded, while others do not wait, show nothing about the capacity of a site.
-//! A queue in front of all workers makes nearly all calls wait, so the estimate is a low quantile of the recent waits.
+//! Calls that wait for their function to be loaded, while others do not wait, show nothing about the capacity of a
+//! site. A queue in front of all workers makes nearly all calls wait, so the estimate is a low quantile of the recent
+//! waits.
 
 use basaltward_membership::Micros;
 use std::collections::{HashMap, VecDeque};
--- a/crates/admission/src/water_filling.rs
+++ b/crates/admission/src/water_filling.rs
@@ -1,8 +1,8 @@
 //! Divides the capacity of all sites among cells by value and max-min fairness.
 //!
-//! Calls are served in the order of their value: that of the class, which is reduced for calls above the tenant's quota;
-//! of equal values, calls within the quota come first. Within a class the shares of all tenants rise at the same rate
-//! (water filling) until a tenant's demand is met or the capacity is used up, over all sites at once.
+//! Calls are served in the order of their value: that of the class, which is reduced for calls above the tenant's
+//! quota; of equal values, calls within the quota come first. Within a class the shares of all tenants rise at the
+//! same rate (water filling) until a tenant's demand is met or the capacity is used up, over all sites at once.
 
 use crate::settings::AdmissionSettings;
 
@@ -18,8 +18,8 @@
 /// Maximum number of steps of one water filling. Each step ends when a cell's demand is met or a site is full.
 const MAX_STEPS: usize = 400;
 
-/// Fraction of each cell's calls that is within its tenant's quota, of which `quota_share` is counted. Classes of higher
-/// value use the quota first.
+/// Fraction of each cell's calls that is within its tenant's quota, of which `quota_share` is counted. Classes of
+/// higher value use the quota first.
 pub fn within_quota(settings: &AdmissionSettings, totals: &[f64], quota_share: f64) -> Vec<f64> {
     let tenants = settings.tenant_count();
     let mut within = vec![1.0; totals.len()];
@@ -70,8 +70,8 @@
     allocated
 }
 
-/// Raises the shares of all tenants at the same rate, each distributed over the sites with unmet demand in proportion to
-/// that demand.
+/// Raises the shares of all tenants at the same rate, each distributed over the sites with unmet demand in proportion
+/// to that demand.
 fn max_min_fill(demand: &[Vec<f64>], remaining: &mut [f64]) -> Vec<Vec<f64>> {
     const EPSILON: f64 = 1e-9;
     let tenants = demand.first().map_or(0, Vec::len);
--- a/crates/admission/src/wire.rs
+++ b/crates/admission/src/wire.rs
@@ -77,7 +77,8 @@
     })
 }
 
-/// Encodes the cells with the highest arrival rates as pages, and returns the arrival rate of the cells that did not fit.
+/// Encodes the cells with the highest arrival rates as pages, and returns the arrival rate of the cells that did not
+/// fit.
 pub fn encode_pages(mut loads: Vec<(usize, CellLoad)>, count: u8) -> (Vec<Vec<u8>>, f64) {
     loads.sort_by(|(a, x), (b, y)| y.arrivals.total_cmp(&x.arrivals).then(a.cmp(b)));
     let (mut pages, mut rest) = (vec![vec![first_byte(count)]; PAGES], 0.0);
--- a/crates/admission/tests/overload.rs
+++ b/crates/admission/tests/overload.rs
@@ -219,8 +219,8 @@
 }
 
 /// Largest ratio of admitted retries to the retry budget over all seconds; 1 is the budget. The budget of a second is
-/// based on the highest number of first attempts in it and the five seconds before, because peers may still use the load
-/// of that time.
+/// based on the highest number of first attempts in it and the five seconds before, because peers may still use the
+/// load of that time.
 fn budget_ratio(seconds: &[SecondStats]) -> f64 {
     let ratio = |at: usize| {
         let first =
