--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -6,6 +6,7 @@
 use crate::scheduler::{RUN, STOP};
 use crate::tables::{ControlEnd, ControlMessage, LoopReport, Owners, REPORT_INTERVAL_US, Tables};
 use basaltward::{Micros, Repeat};
+use basaltward_admission::{AdmissionController, AdmissionSettings, ClassSettings};
 use basaltward_config::{Config, SitesConfig};
 use basaltward_membership::{MemberId, MemberState, SHED_KEYS, SiteMap};
 use basaltward_net::{Clock, Io, NetError, monotonic};
@@ -17,7 +18,6 @@
 use basaltward_permits::{Denied, PermitRequest};
 use basaltward_route::{FunctionTold, Route, RouteSettings};
 use basaltward_rules::{Observation, Recorder};
-use basaltward_shed::{ClassOf, Shed, ShedSettings};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -45,7 +45,7 @@
     io: Io,
     endpoint: PeerEndpoint,
     route: Route,
-    shed: Shed,
+    shed: AdmissionController,
     shed_fact_lifetime: Micros,
     pending: Pending,
     hand_over: bool,
@@ -81,13 +81,16 @@
 }
 
 /// Settings of admission, which must be the same at all gateways; `None` if this gateway is not among the peers.
-pub fn shed_settings(config: &Config, sites: &SitesConfig) -> Option<ShedSettings> {
-    let class =
-        |class: &basaltward::Class| ClassOf { worth: class.value, aim: class.aim, deadline: class.deadline };
+pub fn shed_settings(config: &Config, sites: &SitesConfig) -> Option<AdmissionSettings> {
+    let class = |class: &basaltward::Class| ClassSettings {
+        value: class.value,
+        aim: class.aim,
+        deadline: class.deadline,
+    };
     let classes = config.controller.classes.iter().map(class).collect();
-    let defaults = ShedSettings::new(classes, config.controller.tenant_quotas.clone(), site_map(sites)?);
-    Some(ShedSettings {
-        over_share_worth: config.controller.over_share_value,
+    let defaults = AdmissionSettings::new(classes, config.controller.tenant_quotas.clone(), site_map(sites)?);
+    Some(AdmissionSettings {
+        over_share_value: config.controller.over_share_value,
         loops: config.threads as usize,
         ..defaults
     })
@@ -155,8 +158,8 @@
         let route = route_settings(config, sites).ok_or(GatewayError::NotAPeer)?;
         let route = Route::new(route, now)?;
         let shed = shed_settings(config, sites).ok_or(GatewayError::NotAPeer)?;
-        let shed_fact_lifetime = shed.stands;
-        let shed = Shed::new(now, shed)?;
+        let shed_fact_lifetime = shed.load_ttl;
+        let shed = AdmissionController::new(now, shed)?;
         let holders =
             config.replication.iter().map(|kept| kept.map_or(0, |kept| kept.holders.min(255) as u8));
         let site_map = site_map(sites).ok_or(GatewayError::NotAPeer)?;
@@ -255,7 +258,7 @@
                 match report {
                     LoopReport::Calls(counts) => self.route.counted(now, number as u16, &counts),
                     LoopReport::HandedOver(handed) => self.route.handed(now, &handed),
-                    LoopReport::Admission(counts) => self.shed.counted(now, number, &counts),
+                    LoopReport::Admission(counts) => self.shed.record_counts(now, number, &counts),
                 }
             }
             while let Ok(step) = end.steps.pop() {
@@ -414,14 +417,14 @@
         for of in 0..self.peer_count {
             for key in SHED_KEYS {
                 if let Some(value) = self.endpoint.fact(now, of, key).map(<[u8]>::to_vec) {
-                    self.shed.heard(now, of, key, &value);
+                    self.shed.receive_fact(now, of, key, &value);
                 }
             }
         }
-        for (key, value) in self.shed.tell(now) {
+        for (key, value) in self.shed.take_due_facts(now) {
             self.endpoint.publish_fact(now, key, &value, self.shed_fact_lifetime);
         }
-        self.tables.shed.store(Some(Arc::new(self.shed.table(now, &self.live))));
+        self.tables.shed.store(Some(Arc::new(self.shed.compute_table(now, &self.live))));
     }
 
     /// Passes observed site states and the agreed state to the journals, and publishes the owners table.
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -6,12 +6,12 @@
 use crate::sites::Sites;
 use crate::tables::{Tables, control_rings};
 use basaltward::{Micros, Repeat, SettingsError};
+use basaltward_admission::AdmissionError;
 use basaltward_config::Config;
 use basaltward_net::{Io, IoLimits, NetError, Waker, bind, monotonic};
 use basaltward_peers::PeerError;
 use basaltward_route::RouteError;
 use basaltward_rules::Recorder;
-use basaltward_shed::ShedError;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -39,7 +39,7 @@
     Route(#[from] RouteError),
     /// Admission rejected its settings.
     #[error("sites: {0}")]
-    Shed(#[from] ShedError),
+    Shed(#[from] AdmissionError),
     /// This gateway is not among the configured peers.
     #[error("sites: this gateway's own number is not among the peers; list this gateway as one of them")]
     NotAPeer,
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -6,6 +6,9 @@
 use crate::tables::{ControlMessage, LoopEnd, LoopReport, REPORT_INTERVAL_US, Tables};
 use crate::worker_wire::Reply;
 use basaltward::{Code, FunctionId, Micros, Repeat, WorkerId};
+use basaltward_admission::{
+    AdmissionSettings, AttemptKind, CallOutcome, Decision, LoopLimiter, WaitEstimator,
+};
 use basaltward_cloudevents::Event;
 use basaltward_config::{Config, LinkConfig, SitesConfig};
 use basaltward_engine::{Answer, AttemptEnd, AttemptId, Failure, Identity, NewCall, Refusal, WaiterId};
@@ -13,7 +16,6 @@
 use basaltward_net::{ConnId, EndReason, Io};
 use basaltward_pending::{Key, owner};
 use basaltward_route::{Counted, Counts, Handed, HandedEnd, Router, Where, home_by};
-use basaltward_shed::{Asked, Door, Ended, ShedSettings, Verdict, Waits};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use tracing::warn;
@@ -85,7 +87,7 @@
     /// Addresses of the gateways' HTTP listeners, by member number.
     gateway_addresses: Vec<WorkerId>,
     router: Router,
-    admission: Door,
+    admission: LoopLimiter,
     /// Target time of each class, in microseconds.
     aims: Vec<Micros>,
     /// Whether calls may run again, by class.
@@ -98,7 +100,7 @@
     attempts: HashMap<AttemptId, (u32, Micros)>,
     /// Time that a run takes without queueing, by function index: the shortest recent one.
     run_times: HashMap<u32, Micros>,
-    wait_estimates: Waits,
+    wait_estimates: WaitEstimator,
     /// Counts since the last report, by function index.
     counts: BTreeMap<u32, Counted>,
     /// Time of the last report.
@@ -131,7 +133,7 @@
     /// State without calls; `None` if the settings name no sites.
     pub fn new(
         config: &Config,
-        shed: &ShedSettings,
+        shed: &AdmissionSettings,
         thread: u32,
         (tables, rings): (Arc<Tables>, LoopEnd),
         now: Micros,
@@ -158,8 +160,8 @@
         Some(Self {
             links: Links::new(config.name.clone(), link, Vec::new()),
             gateway_addresses: sites.peers.iter().map(address).collect(),
-            router: Router::new(shed.places.clone(), seed),
-            admission: Door::new(now, shed.clone(), thread as usize),
+            router: Router::new(shed.site_map.clone(), seed),
+            admission: LoopLimiter::new(now, shed.clone(), thread as usize),
             aims: config.controller.classes.iter().map(|class| class.aim).collect(),
             repeats: config.controller.classes.iter().map(|class| class.repeat).collect(),
             function_indexes: function_indexes.collect(),
@@ -172,7 +174,7 @@
             local_calls: HashMap::new(),
             attempts: HashMap::new(),
             run_times: HashMap::new(),
-            wait_estimates: Waits::default(),
+            wait_estimates: WaitEstimator::default(),
             counts: BTreeMap::new(),
             reported_at: now,
             active_workers: 0,
@@ -273,14 +275,14 @@
         let (class, tenant) = (call.function.class, call.identity.tenant);
         let (hash, guarded) = (digest(&call.identity) as u64, self.repeats[class] != Repeat::Safe);
         let kind = match handed_over {
-            _ if guarded && self.tables.admitted.may_contain(hash) => Asked::Owed,
-            true => Asked::HandedOver,
-            false => Asked::First,
+            _ if guarded && self.tables.admitted.may_contain(hash) => AttemptKind::Exempt,
+            true => AttemptKind::HandedOver,
+            false => AttemptKind::First,
         };
         let table = self.tables.shed.load();
-        match self.admission.ask(now, table.as_deref(), class, tenant, kind, hash) {
-            Verdict::Shed(retry_after) => Some(retry_after),
-            Verdict::Take => {
+        match self.admission.admit(now, table.as_deref(), class, tenant, kind, hash) {
+            Decision::Shed(retry_after) => Some(retry_after),
+            Decision::Admit => {
                 if guarded {
                     self.tables.admitted.record(now, hash);
                 }
@@ -447,7 +449,7 @@
     /// A client has disconnected. Returns true if its call was at another site, which is notified by closing the
     /// connection.
     pub fn client_left(&mut self, io: &mut Io, now: Micros, waiter: WaiterId) -> bool {
-        self.local_call_ended(waiter, Some(Ended::Failed));
+        self.local_call_ended(waiter, Some(CallOutcome::Failed));
         let Some(RemoteCall { function, to, began, to_owner, .. }) = self.remote_calls.remove(&waiter) else {
             return false;
         };
@@ -473,31 +475,31 @@
             (counted.served, counted.took) = (counted.served + 1, counted.took + took);
             // The wait includes every queue of the call's path, those at workers too.
             let waited = took.saturating_sub(self.run_times.get(&function).copied().unwrap_or(took));
-            let waited = self.wait_estimates.answered(now, function, now - took, waited);
+            let waited = self.wait_estimates.record(now, function, now - took, waited);
             let in_aim = took <= self.aims[class];
             self.local_call_ended(
                 waiter,
-                Some(if in_aim { Ended::Served(waited) } else { Ended::Late(waited) }),
+                Some(if in_aim { CallOutcome::Served(waited) } else { CallOutcome::Late(waited) }),
             );
         } else if let (Answer::Refused(Refusal::Overload, wait), true) = (&mut answer, self.config.shed) {
             // Without a delay all calls refused after admission would be retried at once.
             let table = self.tables.shed.load();
-            let later = self.admission.refused(now, table.as_deref(), class, tenant, hash);
+            let later = self.admission.record_refusal(now, table.as_deref(), class, tenant, hash);
             *wait = Some(wait.unwrap_or(0).max(later));
             self.local_call_ended(waiter, None);
         } else {
-            self.local_call_ended(waiter, Some(Ended::Failed));
+            self.local_call_ended(waiter, Some(CallOutcome::Failed));
         }
         answer
     }
 
     /// A call is no longer in flight here. `ended` is its end unless admission has counted it already.
-    fn local_call_ended(&mut self, waiter: WaiterId, ended: Option<Ended>) {
+    fn local_call_ended(&mut self, waiter: WaiterId, ended: Option<CallOutcome>) {
         let Some(local) = self.local_calls.remove(&waiter) else { return };
         let counted = self.counted(local.function);
         counted.in_hand = counted.in_hand.saturating_sub(1);
         if let Some(ended) = ended {
-            self.admission.counted(local.class, local.tenant, ended);
+            self.admission.record_outcome(local.class, local.tenant, ended);
         }
     }
 
@@ -546,7 +548,7 @@
                 in_hand,
                 workers: self.active_workers,
             }));
-            self.rings.reports.send(LoopReport::Admission(self.admission.take(now, in_hand)));
+            self.rings.reports.send(LoopReport::Admission(self.admission.take_counts(now, in_hand)));
             let dropped = self.rings.reports.dropped();
             if std::mem::replace(&mut self.dropped_reports, dropped) < dropped {
                 warn!(lost = dropped, "control thread is stalled: reports of counts were dropped");
--- a/crates/gateway/src/tables.rs
+++ b/crates/gateway/src/tables.rs
@@ -17,7 +17,7 @@
     /// Routing of calls between sites.
     pub route: ArcSwapOption<basaltward_route::Table>,
     /// Admission of calls.
-    pub shed: ArcSwapOption<basaltward_shed::Table>,
+    pub shed: ArcSwapOption<basaltward_admission::ShareTable>,
     /// Ownership of replicated events.
     pub owners: ArcSwapOption<Owners>,
     /// Recently admitted events of keyed and unsafe classes, from all loops.
@@ -49,7 +49,7 @@
     /// The end of a call that was handed over to another site.
     HandedOver(basaltward_route::Handed),
     /// Counts of calls by class and tenant, for admission.
-    Admission(basaltward_shed::Counts),
+    Admission(basaltward_admission::LoopCounts),
 }
 
 /// A message from the control thread to a loop about a replicated event.
