--- a/crates/bench/src/capacity/measure.rs
+++ b/crates/bench/src/capacity/measure.rs
@@ -15,8 +15,8 @@
     Bounds, Observation, Observations, PermitNode as PermitMember, PermitSettings, PermitState, Subject,
     VirtualFleet, grant_permit,
 };
-use basaltward_route::{FunctionTold, Route, RouteSettings};
 use basaltward_shed::{ClassOf, Count, Counts, Shed, ShedSettings};
+use basaltward_site_routing::{FunctionTold, Route, RouteSettings};
 use clap::ValueEnum;
 use std::error::Error;
 use std::hint::black_box;
--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -7,7 +7,7 @@
 use super::points::{Points, Reading};
 use basaltward_membership::MembershipSettings;
 use basaltward_permits::{MAX_PERMITS, PermitSettings};
-use basaltward_route::FunctionTold;
+use basaltward_site_routing::FunctionTold;
 
 /// How a figure came to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/bench/src/route.rs
+++ b/crates/bench/src/route.rs
@@ -4,7 +4,7 @@
 mod days;
 pub mod grow;
 
-use basaltward_route::{Ended, Policy};
+use basaltward_site_routing::{Ended, Policy};
 use days::{DAYS, Day};
 use std::error::Error;
 use std::path::Path;
--- a/crates/bench/src/route/days.rs
+++ b/crates/bench/src/route/days.rs
@@ -1,7 +1,7 @@
 //! The five days, a minute each.
 
 use basaltward_membership::{Micros, Site};
-use basaltward_route::{FunctionTold, ModelFunction, Policy, RouteError, World, WorldSettings};
+use basaltward_site_routing::{FunctionTold, ModelFunction, Policy, RouteError, World, WorldSettings};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
--- a/crates/bench/src/route/grow.rs
+++ b/crates/bench/src/route/grow.rs
@@ -2,7 +2,7 @@
 
 use crate::plot::{Curve, Plot};
 use basaltward_membership::{MemberId, Micros, Site, SiteMap};
-use basaltward_route::{Counted, Counts, FunctionTold, Route, RouteSettings};
+use basaltward_site_routing::{Counted, Counts, FunctionTold, Route, RouteSettings};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::error::Error;
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -2,8 +2,8 @@
 
 use basaltward_peers::{ConnectionError, PeerError};
 use basaltward_pending::{Fault, Refused, Unkept, Why, WireError};
-use basaltward_route::RouteError;
 use basaltward_shed::ShedError;
+use basaltward_site_routing::RouteError;
 use std::collections::BTreeSet;
 use strum::VariantNames;
 
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -14,9 +14,9 @@
 };
 use basaltward_pending::{End, Fate, Input, Output, Pending, PendingSettings, Step, taken};
 use basaltward_permits::{Denied, PermitRequest};
-use basaltward_route::{FunctionTold, Route, RouteSettings};
 use basaltward_rules::{Recorder, What};
 use basaltward_shed::{ClassOf, Shed, ShedSettings};
+use basaltward_site_routing::{FunctionTold, Route, RouteSettings};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -12,8 +12,8 @@
 use basaltward_membership::MemberId;
 use basaltward_net::{ConnId, EndReason, Io};
 use basaltward_pending::{Key, owner};
-use basaltward_route::{Counted, Counts, Handed, HandedEnd, Router, Where, home_by};
 use basaltward_shed::{Asked, Door, Ended, ShedSettings, Verdict, Waits};
+use basaltward_site_routing::{Counted, Counts, Handed, HandedEnd, Router, Where, home_by};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use tracing::warn;
--- a/crates/route/tests/frames.rs
+++ b/crates/site-routing/tests/frames.rs
@@ -1,6 +1,6 @@
 //! What frames can and can't do: old ones, torn ones, ones that lie, and a router on its own.
 use basaltward_membership::{MemberId, Micros, SiteMap};
-use basaltward_route::{
+use basaltward_site_routing::{
     Counted, Counts, Fault, FunctionTold, Handed, HandedEnd, Route, RouteError, RouteSettings, Router, Row,
     Table, Way, Where,
 };
--- a/crates/route/tests/hard_cases.rs
+++ b/crates/site-routing/tests/hard_cases.rs
@@ -1,7 +1,7 @@
 //! What sites go through, in virtual time, over many seeds: links that slow, lose and are cut, sites that vanish, refuse
 //! and boast, control threads that stand still. Other seeds: `ROUTE_SEEDS=0..500 cargo test --release`.
 use basaltward_membership::{MemberId, Micros, Site};
-use basaltward_route::{Fault, FunctionTold, ModelFunction, Policy, World, WorldSettings};
+use basaltward_site_routing::{Fault, FunctionTold, ModelFunction, Policy, World, WorldSettings};
 use std::collections::BTreeMap;
 
 const S: Micros = 1_000_000;
@@ -68,7 +68,7 @@
     (each(&ours), each(&home), ours)
 }
 
-fn both(world: &mut World, a: Site, b: Site, change: impl Fn(&mut basaltward_route::Leg)) {
+fn both(world: &mut World, a: Site, b: Site, change: impl Fn(&mut basaltward_site_routing::Leg)) {
     world.leg(a, b, &change);
     world.leg(b, a, &change);
 }
@@ -136,7 +136,7 @@
                 load(world, 0, 200.0);
             }
         });
-        let late = |e: &&basaltward_route::Ended| e.site == 0 && (8 * S..20 * S).contains(&e.came);
+        let late = |e: &&basaltward_site_routing::Ended| e.site == 0 && (8 * S..20 * S).contains(&e.came);
         let all = world.ended.iter().filter(late).count();
         let refused = world.ended.iter().filter(late).filter(|e| e.hops > 0 && e.by == 0).count();
         assert!(refused * 20 < all, "seed {seed}: {refused} of {all} went to who refuses");
@@ -166,8 +166,9 @@
             }
         });
         let of = |from: u64, until: u64| {
-            let in_time =
-                move |e: &&basaltward_route::Ended| (from * S..until * S).contains(&e.came) && e.site == 0;
+            let in_time = move |e: &&basaltward_site_routing::Ended| {
+                (from * S..until * S).contains(&e.came) && e.site == 0
+            };
             world.ended.iter().filter(in_time).map(|e| e.hops).sum::<u32>()
         };
         assert!(of(6, 8) > 50, "seed {seed}: {}", of(6, 8));
