--- a/crates/site-routing/src/route.rs
+++ b/crates/site-routing/src/controller.rs
@@ -1,12 +1,12 @@
 //! The control thread's part: what is counted here and told by other sites, and the table that follows from it.
 
+use crate::counters::Tally;
 use crate::homes::Homes;
-use crate::plan::{Other, Plan, View, Worked};
+use crate::planner::{Other, Plan, View, Worked};
 use crate::settings::{RouteError, RouteSettings};
-use crate::site::{Site as Known, Usual};
-use crate::tally::Tally;
+use crate::site_stats::{Site as Known, Usual};
 use crate::types::{Counts, Fault, Handed, Row, Table, WAYS, Way};
-use crate::word::{Ends, Figure, Frame, Heard, Part, Rows, ToldRow, Word};
+use crate::wire::{Ends, Figure, Frame, Heard, Part, Rows, ToldRow, Word};
 use basaltward_membership::{MemberId, Micros, Site};
 use std::collections::{BTreeMap, VecDeque};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/site-routing/src/tally.rs
+++ b/crates/site-routing/src/counters.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::RouteSettings;
 use crate::types::{Counts, Handed, HandedEnd};
-use crate::word::{Ends, Figure, MOST_FIGURES, Part};
+use crate::wire::{Ends, Figure, MOST_FIGURES, Part};
 use basaltward_membership::{Micros, Site};
 use std::collections::BTreeMap;
 
--- a/crates/site-routing/src/homes.rs
+++ b/crates/site-routing/src/homes.rs
@@ -1,7 +1,7 @@
 //! Homes of functions, and how one moves: it is bid for in words that the other site acknowledges, so that two sites
 //! never take each other's function at once.
 
-use crate::word::Homed;
+use crate::wire::Homed;
 use basaltward_membership::{Micros, Site};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -4,23 +4,23 @@
 //! out.
 #![warn(missing_docs)]
 
-mod home;
+mod controller;
+mod counters;
+mod handover;
 mod homes;
-mod plan;
-mod route;
+mod planner;
 mod router;
 mod settings;
-mod site;
-mod tally;
+mod simulation;
+mod site_stats;
 mod types;
-mod word;
-mod world;
+mod wire;
 
-pub use home::home_by;
-pub use route::Route;
+pub use controller::Route;
+pub use handover::home_by;
 pub use router::Router;
 pub use settings::{FunctionTold, RouteError, RouteSettings};
+pub use simulation::{Ended, Leg, ModelFunction, Policy, World, WorldSettings};
 #[doc(hidden)]
 pub use types::Fault;
 pub use types::{Counted, Counts, Handed, HandedEnd, Row, Table, WAYS, Way, Where};
-pub use world::{Ended, Leg, ModelFunction, Policy, World, WorldSettings};
--- a/crates/site-routing/src/plan.rs
+++ b/crates/site-routing/src/planner.rs
@@ -2,9 +2,9 @@
 
 use crate::homes::{Homes, Said, rank};
 use crate::settings::RouteSettings;
-use crate::site::{Site as Known, Usual, load};
+use crate::site_stats::{Site as Known, Usual, load};
 use crate::types::WAYS;
-use crate::word::{Ends, ToldRow, ToldWay};
+use crate::wire::{Ends, ToldRow, ToldWay};
 use basaltward_membership::{Micros, Site};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/site-routing/src/world/mod.rs
+++ b/crates/site-routing/src/simulation/mod.rs
@@ -8,7 +8,7 @@
 pub use policy::Policy;
 pub use workers::ModelFunction;
 
-use crate::route::Route;
+use crate::controller::Route;
 use crate::router::Router;
 use crate::settings::{RouteError, RouteSettings};
 use crate::types::{Counted, Counts, Fault, Handed, HandedEnd, Table, Where};
--- a/crates/site-routing/src/site.rs
+++ b/crates/site-routing/src/site_stats.rs
@@ -2,7 +2,7 @@
 //! how much of its memory is in use.
 
 use crate::settings::RouteSettings;
-use crate::word::{Figure, Homed, MOST_FIGURES, Word};
+use crate::wire::{Figure, Homed, MOST_FIGURES, Word};
 use basaltward_membership::Micros;
 use std::collections::BTreeMap;
 
