--- a/crates/bench/src/capacity/measure.rs
+++ b/crates/bench/src/capacity/measure.rs
@@ -16,7 +16,7 @@
     VirtualFleet, grant_permit,
 };
 use basaltward_shed::{ClassOf, Count, Counts, Shed, ShedSettings};
-use basaltward_site_routing::{FunctionTold, Route, RouteSettings};
+use basaltward_site_routing::{FunctionSpec, RoutingController, RoutingSettings};
 use clap::ValueEnum;
 use std::error::Error;
 use std::hint::black_box;
@@ -455,10 +455,10 @@
 
 // ---- routing -----------------------------------------------------------------------------------------------
 
-fn router(functions: usize) -> Measured<Route> {
-    let told = FunctionTold { memory_mb: 256, lanes: 4, load: Some(800_000), aim: 400_000, deadline: 3 * S };
-    let settings = RouteSettings::new(places(70, 0)?, vec![told; functions], 16_384, 0);
-    Ok(Route::new(settings, 0)?)
+fn router(functions: usize) -> Measured<RoutingController> {
+    let told = FunctionSpec { memory_mb: 256, lanes: 4, load: Some(800_000), aim: 400_000, deadline: 3 * S };
+    let settings = RoutingSettings::new(places(70, 0)?, vec![told; functions], 16_384, 0);
+    Ok(RoutingController::new(settings, 0)?)
 }
 
 fn routing(extent: Extent) -> Measured<Vec<Point>> {
--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -7,7 +7,7 @@
 use super::points::{Points, Reading};
 use basaltward_membership::MembershipSettings;
 use basaltward_permits::{MAX_PERMITS, PermitSettings};
-use basaltward_site_routing::FunctionTold;
+use basaltward_site_routing::FunctionSpec;
 
 /// How a figure came to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -898,7 +898,7 @@
     fn configuration(&self) -> Section {
         let (role, plan, open) = (Role::Configuration, self.plan, self.open);
         let told = self.of_members("settle_kill_one_ms", 1e-3);
-        let state = plan.functions * (size_of::<FunctionTold>() + FUNCTION_NAME_BYTES) as f64;
+        let state = plan.functions * (size_of::<FunctionSpec>() + FUNCTION_NAME_BYTES) as f64;
         let needs = vec![
             self.need(
                 Resource::Time,
--- a/crates/bench/src/route/days.rs
+++ b/crates/bench/src/route/days.rs
@@ -1,7 +1,7 @@
 //! The five days, a minute each.
 
 use basaltward_membership::{Micros, Site};
-use basaltward_site_routing::{FunctionTold, ModelFunction, Policy, RouteError, World, WorldSettings};
+use basaltward_site_routing::{FunctionSpec, ModelFunction, Policy, RoutingError, World, WorldSettings};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -41,7 +41,7 @@
         let load = rng.random_range(500_000..1_500_000);
         let (aim, deadline) = (400_000, 3_000_000);
         let memory_mb = rng.random_range(2..=8) * 128;
-        let told = FunctionTold { memory_mb, lanes: 4, load: Some(load), aim, deadline };
+        let told = FunctionSpec { memory_mb, lanes: 4, load: Some(load), aim, deadline };
         ModelFunction { told, service, load }
     };
     (0..count).map(function).collect()
@@ -58,7 +58,7 @@
 }
 
 /// Plays a day.
-pub fn play(day: Day, policy: Policy, seed: u64) -> Result<World, RouteError> {
+pub fn play(day: Day, policy: Policy, seed: u64) -> Result<World, RoutingError> {
     let settings = WorldSettings {
         sites: SITES,
         gateways: 2,
--- a/crates/bench/src/route/grow.rs
+++ b/crates/bench/src/route/grow.rs
@@ -2,7 +2,7 @@
 
 use crate::plot::{Curve, Plot};
 use basaltward_membership::{MemberId, Micros, Site, SiteMap};
-use basaltward_site_routing::{Counted, Counts, FunctionTold, Route, RouteSettings};
+use basaltward_site_routing::{FunctionCounts, FunctionSpec, LoopCounts, RoutingController, RoutingSettings};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::error::Error;
@@ -31,7 +31,7 @@
     pub table: f64,
 }
 
-fn counts(rng: &mut StdRng) -> Counts {
+fn counts(rng: &mut StdRng) -> LoopCounts {
     let mut by = Vec::new();
     for function in 0..FUNCTIONS {
         let mean = 20.0 / f64::from(function + 1);
@@ -39,7 +39,7 @@
         if calls > 0 {
             let took = u64::from(calls) * 50_000;
             let in_hand = calls.div_ceil(5);
-            by.push(Counted {
+            by.push(FunctionCounts {
                 function,
                 calls,
                 served: calls,
@@ -49,20 +49,20 @@
             });
         }
     }
-    Counts { span: EVERY, in_hand: by.iter().map(|c| c.in_hand).sum(), by, workers: 20 }
+    LoopCounts { span: EVERY, in_hand: by.iter().map(|c| c.in_hand).sum(), by, workers: 20 }
 }
 
 /// Measures one size.
 pub fn measure(sites: Site, gateways: u16) -> Result<Grown, Box<dyn Error>> {
     let of: Vec<Site> = (0..gateways).map(|n| (n % u16::from(sites)) as Site).collect();
     let told =
-        FunctionTold { memory_mb: 256, lanes: 4, load: Some(800_000), aim: 400_000, deadline: 3_000_000 };
+        FunctionSpec { memory_mb: 256, lanes: 4, load: Some(800_000), aim: 400_000, deadline: 3_000_000 };
     let mut now = 10_000_000;
     let mut routes = Vec::new();
     for own in 0..gateways {
         let places = SiteMap::new(of.clone(), own).ok_or("no such gateway")?;
-        let settings = RouteSettings::new(places, vec![told; FUNCTIONS as usize], 16_384, u64::from(own));
-        let mut route = Route::new(settings, now)?;
+        let settings = RoutingSettings::new(places, vec![told; FUNCTIONS as usize], 16_384, u64::from(own));
+        let mut route = RoutingController::new(settings, now)?;
         route.live(&vec![true; usize::from(gateways)]);
         routes.push(route);
     }
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -3,7 +3,7 @@
 use basaltward_peers::{ConnectionError, PeerError};
 use basaltward_pending::{Fault, Refused, Unkept, Why, WireError};
 use basaltward_shed::ShedError;
-use basaltward_site_routing::RouteError;
+use basaltward_site_routing::RoutingError;
 use std::collections::BTreeSet;
 use strum::VariantNames;
 
@@ -36,7 +36,7 @@
             ]),
         ),
         ("Leases and heirs", all(&[("Refused::", Refused::VARIANTS), ("", Why::VARIANTS)])),
-        ("Choice of site", all(&[("", RouteError::VARIANTS)])),
+        ("Choice of site", all(&[("", RoutingError::VARIANTS)])),
         ("The door", all(&[("", ShedError::VARIANTS)])),
     ];
     // Names of types, and of what crates/permits has.
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -16,7 +16,7 @@
 use basaltward_permits::{Denied, PermitRequest};
 use basaltward_rules::{Recorder, What};
 use basaltward_shed::{ClassOf, Shed, ShedSettings};
-use basaltward_site_routing::{FunctionTold, Route, RouteSettings};
+use basaltward_site_routing::{FunctionSpec, RoutingController, RoutingSettings};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -43,7 +43,7 @@
     name: String,
     io: Io,
     endpoint: PeerEndpoint,
-    route: Route,
+    route: RoutingController,
     shed: Shed,
     shed_stands: Micros,
     pending: Pending,
@@ -92,9 +92,9 @@
     })
 }
 
-fn route_settings(config: &Config, sites: &SitesConfig) -> Option<RouteSettings> {
+fn route_settings(config: &Config, sites: &SitesConfig) -> Option<RoutingSettings> {
     let classes = &config.module.classes;
-    let function = |f: &basaltward_config::FunctionConfig| FunctionTold {
+    let function = |f: &basaltward_config::FunctionConfig| FunctionSpec {
         memory_mb: f.memory_mb.ceil().max(1.0) as u32,
         lanes: f.lanes,
         load: f.load,
@@ -104,8 +104,8 @@
     let kinds = &config.module.copies.kind_memory_mb;
     let worker_mb = kinds.iter().sum::<f64>() / kinds.len().max(1) as f64;
     let functions = config.functions.iter().map(function).collect();
-    let usual = RouteSettings::new(places(sites)?, functions, worker_mb as u32, u64::from(sites.own));
-    Some(RouteSettings { keep: config.module.copies.keep_alive, loops: config.threads as u16, ..usual })
+    let usual = RoutingSettings::new(places(sites)?, functions, worker_mb as u32, u64::from(sites.own));
+    Some(RoutingSettings { keep: config.module.copies.keep_alive, loops: config.threads as u16, ..usual })
 }
 
 fn endpoint_config(config: &Config, sites: &SitesConfig) -> EndpointConfig {
@@ -147,7 +147,7 @@
         let now = monotonic();
         let endpoint = PeerEndpoint::open(endpoint_config(config, sites), &mut io, now)?;
         let route = route_settings(config, sites).ok_or(GatewayError::Sites)?;
-        let route = Route::new(route, now)?;
+        let route = RoutingController::new(route, now)?;
         let shed = shed_settings(config, sites).ok_or(GatewayError::Sites)?;
         let shed_stands = shed.stands;
         let shed = Shed::new(now, shed)?;
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -9,7 +9,7 @@
 use basaltward_peers::PeerError;
 use basaltward_rules::Recorder;
 use basaltward_shed::ShedError;
-use basaltward_site_routing::RouteError;
+use basaltward_site_routing::RoutingError;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -34,7 +34,7 @@
     Peers(#[from] PeerError),
     /// The choice of sites.
     #[error("sites: {0}")]
-    Route(#[from] RouteError),
+    Route(#[from] RoutingError),
     /// The door.
     #[error("sites: {0}")]
     Shed(#[from] ShedError),
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -13,7 +13,9 @@
 use basaltward_net::{ConnId, EndReason, Io};
 use basaltward_pending::{Key, owner};
 use basaltward_shed::{Asked, Door, Ended, ShedSettings, Verdict, Waits};
-use basaltward_site_routing::{Counted, Counts, Handed, HandedEnd, Router, Where, home_by};
+use basaltward_site_routing::{
+    Destination, FunctionCounts, Handover, HandoverOutcome, LoopCounts, Router, home_by,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use tracing::warn;
@@ -93,7 +95,7 @@
     /// What a run of a function takes where nothing waits, by position: the shortest of late.
     runs: HashMap<u32, Micros>,
     waits: Waits,
-    counts: BTreeMap<u32, Counted>,
+    counts: BTreeMap<u32, FunctionCounts>,
     since: Micros,
     workers: u32,
     /// Facts that were let go, as last told.
@@ -183,8 +185,8 @@
         self.config.peers.get(usize::from(of)).map_or("", |peer| &peer.name)
     }
 
-    fn counted(&mut self, function: u32) -> &mut Counted {
-        self.counts.entry(function).or_insert(Counted { function, ..Counted::default() })
+    fn counted(&mut self, function: u32) -> &mut FunctionCounts {
+        self.counts.entry(function).or_insert(FunctionCounts { function, ..FunctionCounts::default() })
     }
 
     /// A call has come from a client, or from another site.
@@ -213,7 +215,7 @@
             let left = call.deadline.saturating_sub(now);
             let table = self.tables.route.load();
             let there = self.router.choose(now, table.as_deref(), function, left, handed);
-            if let Where::There { peer, .. } = there {
+            if let Destination::There { peer, .. } = there {
                 let row = table.as_ref().and_then(|t| t.rows.get(function as usize));
                 let until = home_by(now, call.deadline, row.map_or(0, |row| row.here));
                 return self.hand(io, now, call, (function, peer), (until, false));
@@ -335,12 +337,12 @@
         }
         let took = now.saturating_sub(began);
         let how = match end.code {
-            Code::Ok => HandedEnd::Served,
-            Code::Full | Code::Miss => HandedEnd::Refused,
-            Code::ConnectFailed => HandedEnd::Unreached,
-            _ => HandedEnd::Lost,
+            Code::Ok => HandoverOutcome::Served,
+            Code::Full | Code::Miss => HandoverOutcome::Refused,
+            Code::ConnectFailed => HandoverOutcome::Unreached,
+            _ => HandoverOutcome::Lost,
         };
-        let told = Handed { function, to, took, end: how };
+        let told = Handover { function, to, took, end: how };
         self.router.ended(now, &told);
         self.rings.facts.tell(Fact::Handed(told));
         Some(match end.reply {
@@ -419,7 +421,7 @@
         }
         // Nothing is known of it: counted as lost it would speak against a site that did nothing wrong.
         let took = now.saturating_sub(began);
-        self.router.ended(now, &Handed { function, to, took, end: HandedEnd::Refused });
+        self.router.ended(now, &Handover { function, to, took, end: HandoverOutcome::Refused });
         true
     }
 
@@ -492,11 +494,14 @@
             let by: Vec<_> = self.counts.values().copied().collect();
             // What is in hand stays counted; the rest is of this span.
             self.counts.retain(|_, counted| {
-                *counted =
-                    Counted { function: counted.function, in_hand: counted.in_hand, ..Counted::default() };
+                *counted = FunctionCounts {
+                    function: counted.function,
+                    in_hand: counted.in_hand,
+                    ..FunctionCounts::default()
+                };
                 counted.in_hand > 0
             });
-            self.rings.facts.tell(Fact::Routed(Counts { span, by, in_hand, workers: self.workers }));
+            self.rings.facts.tell(Fact::Routed(LoopCounts { span, by, in_hand, workers: self.workers }));
             self.rings.facts.tell(Fact::Asked(self.door.take(now, in_hand)));
             let lost = self.rings.facts.lost();
             if std::mem::replace(&mut self.lost, lost) < lost {
--- a/crates/gateway/src/tables.rs
+++ b/crates/gateway/src/tables.rs
@@ -15,7 +15,7 @@
 /// The newest table of each room, if it ever made one.
 pub struct Tables {
     /// Where calls go.
-    pub route: ArcSwapOption<basaltward_site_routing::Table>,
+    pub route: ArcSwapOption<basaltward_site_routing::RoutingTable>,
     /// What is taken.
     pub shed: ArcSwapOption<basaltward_shed::Table>,
     /// Whose kept events are.
@@ -45,9 +45,9 @@
 /// From a loop to the control thread.
 pub enum Fact {
     /// Calls by function.
-    Routed(basaltward_site_routing::Counts),
+    Routed(basaltward_site_routing::LoopCounts),
     /// How a call ended that was handed over.
-    Handed(basaltward_site_routing::Handed),
+    Handed(basaltward_site_routing::Handover),
     /// Calls by class and tenant.
     Asked(basaltward_shed::Counts),
 }
@@ -147,7 +147,8 @@
     fn a_control_thread_that_stands_still_costs_old_facts_and_bounded_memory() {
         let waker = Io::new(IoLimits::default()).expect("a loop").waker();
         let (LoopEnd { mut facts, .. }, ControlEnd { facts: mut control, .. }) = rings(waker.clone(), waker);
-        let fact = |in_hand| Fact::Routed(basaltward_site_routing::Counts { in_hand, ..Default::default() });
+        let fact =
+            |in_hand| Fact::Routed(basaltward_site_routing::LoopCounts { in_hand, ..Default::default() });
         (0..3 * RING as u32).for_each(|n| facts.tell(fact(n)));
         assert_eq!(facts.lost(), RING as u64);
         let mut take = || match control.pop() {
--- a/crates/site-routing/src/controller.rs
+++ b/crates/site-routing/src/controller.rs
@@ -3,9 +3,9 @@
 use crate::counters::Tally;
 use crate::homes::Homes;
 use crate::planner::{Other, Plan, View, Worked};
-use crate::settings::{RouteError, RouteSettings};
+use crate::settings::{RoutingError, RoutingSettings};
 use crate::site_stats::{Site as Known, Usual};
-use crate::types::{Counts, Fault, Handed, Row, Table, WAYS, Way};
+use crate::types::{Fault, Handover, LoopCounts, MAX_REMOTE_ROUTES, RemoteRoute, RoutingTable, Row};
 use crate::wire::{Ends, Figure, Frame, Heard, Part, Rows, ToldRow, Word};
 use basaltward_membership::{MemberId, Micros, Site};
 use std::collections::{BTreeMap, VecDeque};
@@ -25,8 +25,8 @@
 
 /// Works out where calls go.
 #[derive(Debug)]
-pub struct Route {
-    settings: RouteSettings,
+pub struct RoutingController {
+    settings: RoutingSettings,
     tally: Tally,
     live: Vec<bool>,
     links: BTreeMap<MemberId, Link>,
@@ -48,9 +48,9 @@
     fault: Option<Fault>,
 }
 
-impl Route {
+impl RoutingController {
     /// One gateway's, that knows nothing of other sites yet: all is answered here.
-    pub fn new(settings: RouteSettings, now: Micros) -> Result<Self, RouteError> {
+    pub fn new(settings: RoutingSettings, now: Micros) -> Result<Self, RoutingError> {
         settings.check()?;
         let places = &settings.places;
         Ok(Self {
@@ -76,27 +76,27 @@
     }
 
     /// What a loop counted. Calls in hand are those that run or wait at this site: none that was handed over to another.
-    pub fn counted(&mut self, now: Micros, loop_no: u16, counts: &Counts) {
+    pub fn counted(&mut self, now: Micros, loop_no: u16, counts: &LoopCounts) {
         self.tally.counted(now, loop_no, counts);
     }
 
     /// How a call ended that a loop handed over.
-    pub fn handed(&mut self, _now: Micros, handed: &Handed) {
+    pub fn handed(&mut self, _now: Micros, handed: &Handover) {
         if let Some(site) = self.settings.places.site_of(handed.to) {
             self.tally.handed(site, handed);
         }
     }
 
     /// A frame of a peer.
-    pub fn frame(&mut self, now: Micros, from: MemberId, bytes: &[u8]) -> Result<(), RouteError> {
-        let site = self.settings.places.site_of(from).ok_or(RouteError::Stranger(from))?;
+    pub fn frame(&mut self, now: Micros, from: MemberId, bytes: &[u8]) -> Result<(), RoutingError> {
+        let site = self.settings.places.site_of(from).ok_or(RoutingError::Stranger(from))?;
         let frame = Frame::read(from, bytes)?;
         let ours = site == self.settings.places.own_site();
         let number = match &frame {
             Frame::Part(part) if ours => part.number,
             Frame::Rows(rows) if ours => rows.number,
             Frame::Word(word) if !ours => word.number,
-            _ => return Err(RouteError::NotItsSite(from)),
+            _ => return Err(RoutingError::NotItsSite(from)),
         };
         // One that starts again counts from 1: what is old enough gives way to any.
         let last = self.heard.get(&from).copied().unwrap_or((0, 0));
@@ -181,7 +181,7 @@
     }
 
     /// Where calls go as of now.
-    pub fn table(&mut self, now: Micros) -> Table {
+    pub fn table(&mut self, now: Micros) -> RoutingTable {
         self.table += 1;
         let here = self.settings.places.own_site();
         let plain = Row { home: here, warm: true, ..Row::default() };
@@ -191,7 +191,7 @@
                 *row = Row { home: told.home, here: told.here, warm: told.warm, ways: self.ways(now, told) };
             }
         }
-        Table { number: self.table, until: self.rows_at + self.settings.hold, here, rows }
+        RoutingTable { number: self.table, until: self.rows_at + self.settings.hold, here, rows }
     }
 
     /// When [`Route::tell`] and [`Route::table`] are due next.
@@ -257,7 +257,7 @@
         links.filter(|link| now < link.at + SILENT).map(|link| link.rtt).min()
     }
 
-    fn ways(&self, now: Micros, told: &ToldRow) -> [Way; WAYS] {
+    fn ways(&self, now: Micros, told: &ToldRow) -> [RemoteRoute; MAX_REMOTE_ROUTES] {
         let heard = |of: &MemberId| self.links.get(of).is_none_or(|link| now < link.at + SILENT);
         let own = u64::from(self.settings.places.own());
         told.ways.each_ref().map(|way| {
@@ -265,7 +265,7 @@
             let weight = |of: &MemberId| xxh3_64_with_seed(&of.to_le_bytes(), key);
             let living = self.living(way.site).filter(heard);
             let peer = living.max_by_key(weight).filter(|_| way.room > 0);
-            peer.map_or(Way::default(), |peer| Way { peer, ..Way::from(way) })
+            peer.map_or(RemoteRoute::default(), |peer| RemoteRoute { peer, ..RemoteRoute::from(way) })
         })
     }
 
--- a/crates/site-routing/src/counters.rs
+++ b/crates/site-routing/src/counters.rs
@@ -1,7 +1,7 @@
 //! What this gateway's own loops counted, smoothed over half a second.
 
-use crate::settings::RouteSettings;
-use crate::types::{Counts, Handed, HandedEnd};
+use crate::settings::RoutingSettings;
+use crate::types::{Handover, HandoverOutcome, LoopCounts};
 use crate::wire::{Ends, Figure, MOST_FIGURES, Part};
 use basaltward_membership::{Micros, Site};
 use std::collections::BTreeMap;
@@ -43,7 +43,7 @@
 }
 
 impl Tally {
-    pub fn new(settings: &RouteSettings, now: Micros) -> Self {
+    pub fn new(settings: &RoutingSettings, now: Micros) -> Self {
         Self {
             functions: BTreeMap::new(),
             known: settings.functions.len() as u32,
@@ -55,7 +55,7 @@
         }
     }
 
-    pub fn counted(&mut self, now: Micros, loop_no: u16, counts: &Counts) {
+    pub fn counted(&mut self, now: Micros, loop_no: u16, counts: &LoopCounts) {
         self.workers.insert(loop_no, counts.workers);
         self.functions.values_mut().for_each(|f| f.in_hand.retain(|of, _| *of != loop_no));
         for c in counts.by.iter().filter(|c| c.function < self.known) {
@@ -75,15 +75,15 @@
         }
     }
 
-    pub fn handed(&mut self, to: Site, handed: &Handed) {
+    pub fn handed(&mut self, to: Site, handed: &Handover) {
         let (sums, _) = self.ends.entry(to).or_default();
         sums[match handed.end {
-            HandedEnd::Served => {
+            HandoverOutcome::Served => {
                 sums[3] += handed.took as f64;
                 0
             }
-            HandedEnd::Refused => 1,
-            HandedEnd::Unreached | HandedEnd::Lost => 2,
+            HandoverOutcome::Refused => 1,
+            HandoverOutcome::Unreached | HandoverOutcome::Lost => 2,
         }] += 1.0;
     }
 
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -16,11 +16,14 @@
 mod types;
 mod wire;
 
-pub use controller::Route;
+pub use controller::RoutingController;
 pub use handover::home_by;
 pub use router::Router;
-pub use settings::{FunctionTold, RouteError, RouteSettings};
+pub use settings::{FunctionSpec, RoutingError, RoutingSettings};
 pub use simulation::{Ended, Leg, ModelFunction, Policy, World, WorldSettings};
 #[doc(hidden)]
 pub use types::Fault;
-pub use types::{Counted, Counts, Handed, HandedEnd, Row, Table, WAYS, Way, Where};
+pub use types::{
+    Destination, FunctionCounts, Handover, HandoverOutcome, LoopCounts, MAX_REMOTE_ROUTES, RemoteRoute,
+    RoutingTable, Row,
+};
--- a/crates/site-routing/src/planner.rs
+++ b/crates/site-routing/src/planner.rs
@@ -1,9 +1,9 @@
 //! What a site's teller works out from all that is known: homes, what goes elsewhere, and how much of it.
 
 use crate::homes::{Homes, Said, rank};
-use crate::settings::RouteSettings;
+use crate::settings::RoutingSettings;
 use crate::site_stats::{Site as Known, Usual, load};
-use crate::types::WAYS;
+use crate::types::MAX_REMOTE_ROUTES;
 use crate::wire::{Ends, ToldRow, ToldWay};
 use basaltward_membership::{Micros, Site};
 use std::collections::{BTreeMap, BTreeSet};
@@ -100,7 +100,7 @@
 /// All that a working out looks at.
 pub(crate) struct View<'a> {
     pub now: Micros,
-    pub settings: &'a RouteSettings,
+    pub settings: &'a RoutingSettings,
     pub usual: &'a Usual,
     pub own: &'a Known,
     pub others: Vec<Other<'a>>,
@@ -325,7 +325,7 @@
                 let room = left.entry(other.site).or_default();
                 let taken = room.min(rest);
                 let spare = late && there < here;
-                if used == WAYS || (taken < 0.05 && !spare) {
+                if used == MAX_REMOTE_ROUTES || (taken < 0.05 && !spare) {
                     continue;
                 }
                 let held_ready = view.proven(other) * calls / came.max(1.0);
--- a/crates/site-routing/src/router.rs
+++ b/crates/site-routing/src/router.rs
@@ -1,6 +1,6 @@
 //! A loop's own part: it reads the newest table and counts at once what it sent by it.
 
-use crate::types::{Fault, Handed, HandedEnd, Table, Way, Where};
+use crate::types::{Destination, Fault, Handover, HandoverOutcome, RemoteRoute, RoutingTable};
 use basaltward_membership::{Micros, Site, SiteMap};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -58,17 +58,17 @@
     pub fn choose(
         &mut self,
         now: Micros,
-        table: Option<&Table>,
+        table: Option<&RoutingTable>,
         function: u32,
         patience: Micros,
         handed_already: bool,
-    ) -> Where {
+    ) -> Destination {
         let Some(table) =
             table.filter(|t| now < t.until && (!handed_already || self.fault == Some(Fault::Hops)))
         else {
-            return Where::Here;
+            return Destination::Here;
         };
-        let Some(row) = table.rows.get(function as usize) else { return Where::Here };
+        let Some(row) = table.rows.get(function as usize) else { return Destination::Here };
         if table.number != self.number {
             self.number = table.number;
             self.sent.clear();
@@ -84,28 +84,28 @@
         let spare = row.ways.iter().filter(|way| late && way.there <= patience);
         let way =
             drawn.into_iter().chain(spare).find(|way| self.takes(now, function, way, patience, row.here));
-        let Some(way) = way.copied() else { return Where::Here };
+        let Some(way) = way.copied() else { return Destination::Here };
         self.leaves(now, function, &way);
-        Where::There { site: way.site, peer: way.peer }
+        Destination::There { site: way.site, peer: way.peer }
     }
 
     /// A call that this loop handed over has ended.
-    pub fn ended(&mut self, now: Micros, handed: &Handed) {
+    pub fn ended(&mut self, now: Micros, handed: &Handover) {
         let site = self.places.site_of(handed.to);
         let Some(seen) = site.and_then(|site| self.seen.get_mut(usize::from(site))) else { return };
         seen.out = seen.out.saturating_sub(1);
-        let refused = f32::from(u8::from(handed.end == HandedEnd::Refused));
+        let refused = f32::from(u8::from(handed.end == HandoverOutcome::Refused));
         seen.refused += (refused - seen.refused) * 0.1;
         let bad = match handed.end {
-            HandedEnd::Served => {
+            HandoverOutcome::Served => {
                 (seen.quiet_since, seen.pause) = (now, 0);
                 return;
             }
-            HandedEnd::Refused => {
+            HandoverOutcome::Refused => {
                 seen.quiet_since = now;
                 seen.refused > REFUSED
             }
-            HandedEnd::Unreached | HandedEnd::Lost => true,
+            HandoverOutcome::Unreached | HandoverOutcome::Lost => true,
         };
         // Those that were out together end together: they are one sign, not many.
         if bad && now >= seen.shut {
@@ -120,7 +120,7 @@
         self.fault = Some(fault);
     }
 
-    fn takes(&self, now: Micros, function: u32, way: &Way, patience: Micros, here: Micros) -> bool {
+    fn takes(&self, now: Micros, function: u32, way: &RemoteRoute, patience: Micros, here: Micros) -> bool {
         let Some(seen) = self.seen.get(usize::from(way.site)) else { return false };
         let late = way.there > patience && here <= way.there;
         let silent =
@@ -131,7 +131,7 @@
         !late && !silent && now >= seen.shut && !probing && sent < way.room
     }
 
-    fn leaves(&mut self, now: Micros, function: u32, way: &Way) {
+    fn leaves(&mut self, now: Micros, function: u32, way: &RemoteRoute) {
         *self.sent.entry((function, way.site)).or_default() += 1;
         let Some(seen) = self.seen.get_mut(usize::from(way.site)) else { return };
         if seen.out == 0 {
--- a/crates/site-routing/src/settings.rs
+++ b/crates/site-routing/src/settings.rs
@@ -2,7 +2,7 @@
 
 /// What is told of a function, the same at all sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FunctionTold {
+pub struct FunctionSpec {
     /// Memory of a copy.
     pub memory_mb: u32,
     /// Calls that a copy takes at once.
@@ -17,11 +17,11 @@
 
 /// What a gateway is told of sites and functions.
 #[derive(Clone, Debug)]
-pub struct RouteSettings {
+pub struct RoutingSettings {
     /// Which gateway stands at which site.
     pub places: SiteMap,
     /// All functions, by position.
-    pub functions: Vec<FunctionTold>,
+    pub functions: Vec<FunctionSpec>,
     /// Memory of one worker.
     pub worker_mb: u32,
     /// Most workers that a site is believed to have, whatever it says.
@@ -40,9 +40,9 @@
     pub seed: u64,
 }
 
-impl RouteSettings {
+impl RoutingSettings {
     /// Settings by default values.
-    pub fn new(places: SiteMap, functions: Vec<FunctionTold>, worker_mb: u32, seed: u64) -> Self {
+    pub fn new(places: SiteMap, functions: Vec<FunctionSpec>, worker_mb: u32, seed: u64) -> Self {
         Self {
             places,
             functions,
@@ -57,21 +57,21 @@
         }
     }
 
-    pub(crate) fn check(&self) -> Result<(), RouteError> {
+    pub(crate) fn check(&self) -> Result<(), RoutingError> {
         let sites = self.places.sites();
         if sites.len() > usize::from(MOST_SITES) {
-            return Err(RouteError::Sites(sites.len()));
+            return Err(RoutingError::Sites(sites.len()));
         }
         if self.functions.len() > MOST_FUNCTIONS {
-            return Err(RouteError::Functions(self.functions.len()));
+            return Err(RoutingError::Functions(self.functions.len()));
         }
-        let bad = |f: &FunctionTold| f.memory_mb == 0 || f.lanes == 0 || f.deadline < f.aim;
+        let bad = |f: &FunctionSpec| f.memory_mb == 0 || f.lanes == 0 || f.deadline < f.aim;
         if let Some(at) = self.functions.iter().position(bad) {
-            return Err(RouteError::Function(at));
+            return Err(RoutingError::Function(at));
         }
         let spans = self.every >= 10_000 && self.hold >= 2 * self.every && self.keep > 0;
         if !spans || self.worker_mb == 0 || self.loops == 0 || self.workers_most == 0 {
-            return Err(RouteError::Spans);
+            return Err(RoutingError::Spans);
         }
         Ok(())
     }
@@ -86,7 +86,7 @@
 
 /// What is refused. Nothing is lost by it but the thing refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, strum::VariantNames)]
-pub enum RouteError {
+pub enum RoutingError {
     /// Too many sites.
     #[error("{0} sites are configured, 64 at most stand in for one another: split the fleet")]
     Sites(usize),
--- a/crates/site-routing/src/simulation/mod.rs
+++ b/crates/site-routing/src/simulation/mod.rs
@@ -8,10 +8,10 @@
 pub use policy::Policy;
 pub use workers::ModelFunction;
 
-use crate::controller::Route;
+use crate::controller::RoutingController;
 use crate::router::Router;
-use crate::settings::{RouteError, RouteSettings};
-use crate::types::{Counted, Counts, Fault, Handed, HandedEnd, Table, Where};
+use crate::settings::{RoutingError, RoutingSettings};
+use crate::types::{Destination, Fault, FunctionCounts, Handover, HandoverOutcome, LoopCounts, RoutingTable};
 use basaltward_membership::{MemberId, Micros, Site, SiteMap};
 use links::Links;
 use policy::Snapshot;
@@ -95,23 +95,23 @@
 }
 
 struct Gateway {
-    route: Route,
+    route: RoutingController,
     router: Router,
-    table: Option<Table>,
-    counts: BTreeMap<u32, Counted>,
+    table: Option<RoutingTable>,
+    counts: BTreeMap<u32, FunctionCounts>,
     /// Its control thread stands still.
     stalled: bool,
 }
 
 impl Gateway {
-    fn new(of: &WorldSettings, places: &SiteMap, own: MemberId, now: Micros) -> Result<Self, RouteError> {
+    fn new(of: &WorldSettings, places: &SiteMap, own: MemberId, now: Micros) -> Result<Self, RoutingError> {
         let sites: Vec<_> = (0..places.len() as MemberId).filter_map(|of| places.site_of(of)).collect();
-        let places = SiteMap::new(sites, own).ok_or(RouteError::Stranger(own))?;
+        let places = SiteMap::new(sites, own).ok_or(RoutingError::Stranger(own))?;
         let seed = of.seed ^ (u64::from(own) << 32);
         let told = of.functions.iter().map(|f| f.told).collect();
-        let settings = RouteSettings::new(places.clone(), told, of.worker_mb, seed);
+        let settings = RoutingSettings::new(places.clone(), told, of.worker_mb, seed);
         Ok(Self {
-            route: Route::new(RouteSettings { keep: KEEP, every: TICK, ..settings }, now)?,
+            route: RoutingController::new(RoutingSettings { keep: KEEP, every: TICK, ..settings }, now)?,
             router: Router::new(places, seed),
             table: None,
             counts: BTreeMap::new(),
@@ -161,11 +161,11 @@
 
 impl World {
     /// A world in which nobody calls yet.
-    pub fn new(settings: WorldSettings) -> Result<Self, RouteError> {
+    pub fn new(settings: WorldSettings) -> Result<Self, RoutingError> {
         let of: Vec<Site> = (0..u16::from(settings.sites) * settings.gateways)
             .map(|n| (n / settings.gateways) as Site)
             .collect();
-        let places = SiteMap::new(of, 0).ok_or(RouteError::Stranger(0))?;
+        let places = SiteMap::new(of, 0).ok_or(RoutingError::Stranger(0))?;
         let all = 0..places.len() as MemberId;
         let gateways = all.map(|own| Gateway::new(&settings, &places, own, BEGIN));
         let gateways = gateways.collect::<Result<_, _>>()?;
@@ -284,7 +284,7 @@
     }
 
     /// The table that a gateway's loop has.
-    pub fn table(&self, gateway: MemberId) -> Option<&Table> {
+    pub fn table(&self, gateway: MemberId) -> Option<&RoutingTable> {
         self.gateways.get(usize::from(gateway)).and_then(|g| g.table.as_ref())
     }
 
@@ -356,10 +356,11 @@
             }
             Due::Reach { call, attempt, at } => self.reach(call, attempt, at),
             Due::Back { call, attempt, end, by } => {
-                let end = [HandedEnd::Served, HandedEnd::Refused, HandedEnd::Lost][usize::from(end)];
+                let end = [HandoverOutcome::Served, HandoverOutcome::Refused, HandoverOutcome::Lost]
+                    [usize::from(end)];
                 self.back(call, attempt, end, by);
             }
-            Due::Overdue { call, attempt } => self.back(call, attempt, HandedEnd::Lost, 0),
+            Due::Overdue { call, attempt } => self.back(call, attempt, HandoverOutcome::Lost, 0),
             Due::Loaded { site, life } => {
                 if self.sites[usize::from(site)].life == life {
                     self.pump(site);
@@ -434,12 +435,12 @@
             by.iter_mut().for_each(|c| c.in_hand = 0);
         }
         gateway.counts.values_mut().for_each(|c| {
-            *c = Counted { function: c.function, in_hand: c.in_hand, ..Counted::default() };
+            *c = FunctionCounts { function: c.function, in_hand: c.in_hand, ..FunctionCounts::default() };
         });
         gateway.counts.retain(|_, c| c.in_hand > 0);
         let in_hand = by.iter().map(|c| c.in_hand).sum();
         let workers = state.workers.workers() * if state.boasts { 100 } else { 1 };
-        let counts = Counts { span: TICK, by, in_hand, workers };
+        let counts = LoopCounts { span: TICK, by, in_hand, workers };
         gateway.route.counted(now, 0, &counts);
         if self.settings.policy != Policy::Ours {
             return;
@@ -482,8 +483,8 @@
     fn place(&mut self, call: usize, at: MemberId, patience: Micros, handed: bool) {
         let function = self.calls[call].function;
         match self.choose(at, function, patience, handed) {
-            Where::Here => self.begin(call, at),
-            Where::There { site, peer } => {
+            Destination::Here => self.begin(call, at),
+            Destination::There { site, peer } => {
                 let c = &mut self.calls[call];
                 c.hops += 1;
                 (c.handed, c.attempt) = (Some((peer, self.now)), c.attempt + 1);
@@ -562,17 +563,17 @@
     }
 
     /// The answer of a call that was handed over, or none in time: it is done at home then.
-    fn back(&mut self, call: usize, attempt: u32, end: HandedEnd, by: Site) {
+    fn back(&mut self, call: usize, attempt: u32, end: HandoverOutcome, by: Site) {
         let c = self.calls[call];
         let Some((to, sent)) = c.handed.filter(|_| c.attempt == attempt && !c.ended) else { return };
-        let handed = Handed { function: c.function, to, took: self.now - sent, end };
+        let handed = Handover { function: c.function, to, took: self.now - sent, end };
         let gateway = &mut self.gateways[usize::from(c.gateway)];
         gateway.router.ended(self.now, &handed);
         gateway.route.handed(self.now, &handed);
         self.calls[call].handed = None;
         self.calls[call].attempt += 1;
         match end {
-            HandedEnd::Served => self.end(call, by, Some(self.now - c.came)),
+            HandoverOutcome::Served => self.end(call, by, Some(self.now - c.came)),
             _ => self.begin(call, c.gateway),
         }
     }
@@ -592,8 +593,8 @@
         self.ended.push(Ended { came, function, site, by, hops, took, worth });
     }
 
-    fn count(&mut self, at: MemberId, function: u32, change: impl FnOnce(&mut Counted)) {
+    fn count(&mut self, at: MemberId, function: u32, change: impl FnOnce(&mut FunctionCounts)) {
         let counts = &mut self.gateways[usize::from(at)].counts;
-        change(counts.entry(function).or_insert(Counted { function, ..Counted::default() }));
+        change(counts.entry(function).or_insert(FunctionCounts { function, ..FunctionCounts::default() }));
     }
 }
--- a/crates/site-routing/src/simulation/policy.rs
+++ b/crates/site-routing/src/simulation/policy.rs
@@ -1,7 +1,7 @@
 //! Ways to choose a site, ours and those it is measured against.
 
 use super::World;
-use crate::types::Where;
+use crate::types::Destination;
 use basaltward_membership::{MemberId, Micros, Site};
 use rand::RngExt;
 
@@ -52,7 +52,13 @@
         self.snapshot = self.sites.iter().map(of).collect();
     }
 
-    pub(super) fn choose(&mut self, at: MemberId, function: u32, patience: Micros, handed: bool) -> Where {
+    pub(super) fn choose(
+        &mut self,
+        at: MemberId,
+        function: u32,
+        patience: Micros,
+        handed: bool,
+    ) -> Destination {
         let here = self.site_of(at);
         if self.settings.policy == Policy::Ours {
             let gateway = &mut self.gateways[usize::from(at)];
@@ -60,10 +66,10 @@
         }
         let site = if handed { here } else { self.by_policy(here, function) };
         if site == here {
-            return Where::Here;
+            return Destination::Here;
         }
         let gateways = self.settings.gateways;
-        Where::There { site, peer: u16::from(site) * gateways + self.rng.random_range(0..gateways) }
+        Destination::There { site, peer: u16::from(site) * gateways + self.rng.random_range(0..gateways) }
     }
 
     fn by_policy(&mut self, here: Site, function: u32) -> Site {
--- a/crates/site-routing/src/simulation/workers.rs
+++ b/crates/site-routing/src/simulation/workers.rs
@@ -1,6 +1,6 @@
 //! Workers of a site, modelled: copies in memory, lanes, cores, loads, and calls that wait for them.
 
-use crate::settings::FunctionTold;
+use crate::settings::FunctionSpec;
 use basaltward_membership::{MemberId, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ModelFunction {
     /// What is told.
-    pub told: FunctionTold,
+    pub told: FunctionSpec,
     /// Mean time of a call in service.
     pub service: Micros,
     /// Time to load a copy.
--- a/crates/site-routing/src/site_stats.rs
+++ b/crates/site-routing/src/site_stats.rs
@@ -1,7 +1,7 @@
 //! What is known of a site, our own or another, and what follows from it: how much it does, how long calls wait there,
 //! how much of its memory is in use.
 
-use crate::settings::RouteSettings;
+use crate::settings::RoutingSettings;
 use crate::wire::{Figure, Homed, MOST_FIGURES, Word};
 use basaltward_membership::Micros;
 use std::collections::BTreeMap;
@@ -22,11 +22,11 @@
 pub(crate) struct Usual(Vec<f64>);
 
 impl Usual {
-    pub fn new(settings: &RouteSettings) -> Self {
+    pub fn new(settings: &RoutingSettings) -> Self {
         Self(vec![0.0; settings.functions.len()])
     }
 
-    pub fn of(&self, settings: &RouteSettings, function: u32) -> f64 {
+    pub fn of(&self, settings: &RoutingSettings, function: u32) -> f64 {
         match self.0.get(function as usize) {
             Some(usual) if *usual > 0.0 => *usual,
             _ => settings.functions.get(function as usize).map_or(0.0, |f| f.aim as f64 / 4.0),
@@ -34,7 +34,7 @@
     }
 
     /// Learns from a site's figures: quickly downward, slowly upward, not where calls wait.
-    pub fn learn(&mut self, settings: &RouteSettings, site: &Site) {
+    pub fn learn(&mut self, settings: &RoutingSettings, site: &Site) {
         let every = settings.every as f64 / 1e6;
         for figure in site.figures.values().filter(|f| f.served > 0 && f.took > 0) {
             let Some(usual) = self.0.get_mut(figure.function as usize) else { continue };
@@ -55,7 +55,7 @@
 }
 
 /// Time to load a copy.
-pub(crate) fn load(settings: &RouteSettings, function: u32) -> f64 {
+pub(crate) fn load(settings: &RoutingSettings, function: u32) -> f64 {
     let told = settings.functions.get(function as usize);
     told.map_or(0.0, |f| f.load.map_or(f.aim as f64 * LOAD_AIMS, |load| load as f64))
 }
@@ -84,7 +84,7 @@
 
 impl Site {
     /// By a word, of which no figure goes past what a site of this fleet can be.
-    pub fn told(settings: &RouteSettings, usual: &Usual, at: Micros, word: &Word) -> Self {
+    pub fn told(settings: &RoutingSettings, usual: &Usual, at: Micros, word: &Word) -> Self {
         let known = settings.functions.len();
         let of_us = |f: &&Figure| (f.function as usize) < known;
         let figures: BTreeMap<_, _> =
@@ -104,7 +104,7 @@
         site
     }
 
-    fn sum_up(&mut self, settings: &RouteSettings, usual: &Usual) {
+    fn sum_up(&mut self, settings: &RoutingSettings, usual: &Usual) {
         let (mut expected, mut work) = (0.0, 0.0);
         for (function, f) in &self.figures {
             let (served, time) = (f.served(), usual.of(settings, *function));
@@ -142,7 +142,7 @@
     }
 
     /// Time that a call of a function waits: by its own depth and rate, drawn to the site's where it has few calls.
-    pub fn wait(&self, settings: &RouteSettings, usual: &Usual, function: u32) -> f64 {
+    pub fn wait(&self, settings: &RoutingSettings, usual: &Usual, function: u32) -> f64 {
         let f = self.figure(function);
         let time = (usual.of(settings, function) + f.cold() * load(settings, function)) / 1e6;
         let expected = f.served() * time;
@@ -151,20 +151,20 @@
     }
 
     /// The pressure ratio with a further copy: memory in use, and the newcomer's, over what there is.
-    pub fn pressure(&self, settings: &RouteSettings, function: u32) -> f64 {
+    pub fn pressure(&self, settings: &RoutingSettings, function: u32) -> f64 {
         let mb = settings.functions.get(function as usize).map_or(0, |f| f.memory_mb);
         let all = self.workers * f64::from(settings.worker_mb);
         if all > 0.0 { (self.used_mb + f64::from(mb)) / all } else { f64::INFINITY }
     }
 
     /// What a load costs: dearer where it drives out what others use.
-    fn load_cost(&self, settings: &RouteSettings, function: u32) -> f64 {
+    fn load_cost(&self, settings: &RoutingSettings, function: u32) -> f64 {
         let over = ((self.pressure(settings, function) - FULL) / (1.0 - FULL)).clamp(0.0, 1.0);
         load(settings, function) * (1.0 + DRIVEN_OUT * over)
     }
 
     /// The chance that a copy stands and has a lane, as of now.
-    pub fn warm_now(&self, settings: &RouteSettings, function: u32) -> f64 {
+    pub fn warm_now(&self, settings: &RoutingSettings, function: u32) -> f64 {
         let f = self.figure(function);
         let lanes = settings.functions.get(function as usize).map_or(1, |told| told.lanes);
         let standing = f64::from(f.peak.div_ceil(lanes)) * f64::from(lanes);
@@ -176,7 +176,7 @@
     }
 
     /// What an answer costs as of now, the way aside.
-    pub fn cost_now(&self, settings: &RouteSettings, usual: &Usual, function: u32) -> f64 {
+    pub fn cost_now(&self, settings: &RoutingSettings, usual: &Usual, function: u32) -> f64 {
         let cold = 1.0 - self.warm_now(settings, function);
         self.wait(settings, usual, function)
             + usual.of(settings, function)
@@ -185,7 +185,7 @@
 
     /// What an answer would cost in the long run if `calls` a second were answered here, way and wait aside: copies stand
     /// by the chance that another call came within the time that idle ones are kept.
-    pub fn cost_placed(&self, settings: &RouteSettings, usual: &Usual, function: u32, calls: f64) -> f64 {
+    pub fn cost_placed(&self, settings: &RoutingSettings, usual: &Usual, function: u32, calls: f64) -> f64 {
         let cold = (-calls * settings.keep as f64 / 1e6).exp();
         usual.of(settings, function) + cold * self.load_cost(settings, function)
     }
--- a/crates/site-routing/src/types.rs
+++ b/crates/site-routing/src/types.rs
@@ -3,7 +3,7 @@
 /// What a loop counted of one function since it counted last. Functions are positions in the settings that all sites
 /// share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counted {
+pub struct FunctionCounts {
     /// Its position.
     pub function: u32,
     /// Calls that came, handed over or not; those that came from another site are not among them.
@@ -20,11 +20,11 @@
 
 /// What a loop counted over a span.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct LoopCounts {
     /// The span.
     pub span: Micros,
     /// Functions that were called, served or are in hand, each once.
-    pub by: Vec<Counted>,
+    pub by: Vec<FunctionCounts>,
     /// Calls in hand at its end, those of other sites among them.
     pub in_hand: u32,
     /// Workers in use, as this loop is told.
@@ -33,7 +33,7 @@
 
 /// Where a call is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Where {
+pub enum Destination {
     /// At this site.
     Here,
     /// By this gateway of another site.
@@ -47,7 +47,7 @@
 
 /// How a call that was handed over ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HandedEnd {
+pub enum HandoverOutcome {
     /// Served.
     Served,
     /// Turned away there: it never ran.
@@ -60,7 +60,7 @@
 
 /// A call that was handed over has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Handed {
+pub struct Handover {
     /// Its function.
     pub function: u32,
     /// The gateway it was handed to.
@@ -68,12 +68,12 @@
     /// From handing over to its end.
     pub took: Micros,
     /// How it ended.
-    pub end: HandedEnd,
+    pub end: HandoverOutcome,
 }
 
 /// Another site that may answer calls of a function.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Way {
+pub struct RemoteRoute {
     /// The site.
     pub site: Site,
     /// Its gateway that calls are handed to.
@@ -87,7 +87,7 @@
 }
 
 /// How many other sites are held ready for a function.
-pub const WAYS: usize = 2;
+pub const MAX_REMOTE_ROUTES: usize = 2;
 
 /// Where calls of a function go.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -99,12 +99,12 @@
     /// Whether a copy is thought to stand at its home.
     pub warm: bool,
     /// Other sites, the least cost first.
-    pub ways: [Way; WAYS],
+    pub ways: [RemoteRoute; MAX_REMOTE_ROUTES],
 }
 
 /// Where calls go: whole, numbered, and with an end.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Table {
+pub struct RoutingTable {
     /// Its number; a later one of the same gateway is higher.
     pub number: u64,
     /// Until when it holds.
--- a/crates/site-routing/src/wire.rs
+++ b/crates/site-routing/src/wire.rs
@@ -1,7 +1,7 @@
 //! What gateways tell each other. Figures are whole numbers: there is nothing in a frame that is not a value.
 
-use crate::settings::{FRAME, RouteError};
-use crate::types::{WAYS, Way};
+use crate::settings::{FRAME, RoutingError};
+use crate::types::{MAX_REMOTE_ROUTES, RemoteRoute};
 use basaltward_membership::{MemberId, Micros, Site};
 use serde::{Deserialize, Serialize};
 
@@ -145,7 +145,7 @@
     pub room: u16,
 }
 
-impl From<&ToldWay> for Way {
+impl From<&ToldWay> for RemoteRoute {
     fn from(told: &ToldWay) -> Self {
         Self { site: told.site, peer: 0, there: told.there, share: told.share, room: told.room }
     }
@@ -159,7 +159,7 @@
     pub stays: bool,
     pub here: Micros,
     pub warm: bool,
-    pub ways: [ToldWay; WAYS],
+    pub ways: [ToldWay; MAX_REMOTE_ROUTES],
 }
 
 /// What a site's teller has worked out, for the site's gateways.
@@ -185,13 +185,13 @@
     }
 
     /// What a peer's bytes say.
-    pub fn read(from: MemberId, bytes: &[u8]) -> Result<Self, RouteError> {
+    pub fn read(from: MemberId, bytes: &[u8]) -> Result<Self, RoutingError> {
         if bytes.len() > FRAME {
-            return Err(RouteError::TooLong { from, bytes: bytes.len() });
+            return Err(RoutingError::TooLong { from, bytes: bytes.len() });
         }
         match postcard::take_from_bytes(bytes) {
             Ok((frame, [])) => Ok(frame),
-            _ => Err(RouteError::Unreadable(from)),
+            _ => Err(RoutingError::Unreadable(from)),
         }
     }
 }
--- a/crates/site-routing/tests/failure_scenarios.rs
+++ b/crates/site-routing/tests/failure_scenarios.rs
@@ -1,7 +1,7 @@
 //! What sites go through, in virtual time, over many seeds: links that slow, lose and are cut, sites that vanish, refuse
 //! and boast, control threads that stand still. Other seeds: `ROUTE_SEEDS=0..500 cargo test --release`.
 use basaltward_membership::{MemberId, Micros, Site};
-use basaltward_site_routing::{Fault, FunctionTold, ModelFunction, Policy, World, WorldSettings};
+use basaltward_site_routing::{Fault, FunctionSpec, ModelFunction, Policy, World, WorldSettings};
 use std::collections::BTreeMap;
 
 const S: Micros = 1_000_000;
@@ -18,7 +18,7 @@
 
 /// Three sites of two gateways and three workers of two cores; what they do takes 40 ms.
 fn world(policy: Policy, seed: u64) -> World {
-    let told = FunctionTold { memory_mb: 512, lanes: 2, load: Some(800_000), aim: 400_000, deadline: 3 * S };
+    let told = FunctionSpec { memory_mb: 512, lanes: 2, load: Some(800_000), aim: 400_000, deadline: 3 * S };
     let functions = vec![ModelFunction { told, service: 40_000, load: 800_000 }; 12];
     let (sites, gateways, workers, cores) = (SITES, GATEWAYS, 3, 2);
     let settings = WorldSettings {
--- a/crates/site-routing/tests/frames.rs
+++ b/crates/site-routing/tests/frames.rs
@@ -1,8 +1,8 @@
 //! What frames can and can't do: old ones, torn ones, ones that lie, and a router on its own.
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use basaltward_site_routing::{
-    Counted, Counts, Fault, FunctionTold, Handed, HandedEnd, Route, RouteError, RouteSettings, Router, Row,
-    Table, Way, Where,
+    Destination, Fault, FunctionCounts, FunctionSpec, Handover, HandoverOutcome, LoopCounts, RemoteRoute,
+    Router, RoutingController, RoutingError, RoutingSettings, RoutingTable, Row,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -14,24 +14,24 @@
     SiteMap::new(vec![0, 1], own).expect("in the list")
 }
 
-fn route(own: MemberId) -> Route {
+fn route(own: MemberId) -> RoutingController {
     let told =
-        FunctionTold { memory_mb: 512, lanes: 2, load: Some(800_000), aim: 400_000, deadline: 3_000_000 };
-    let settings = RouteSettings::new(places(own), vec![told; 4], 8_192, 1);
-    let mut route = Route::new(settings, 10 * S).expect("settings");
+        FunctionSpec { memory_mb: 512, lanes: 2, load: Some(800_000), aim: 400_000, deadline: 3_000_000 };
+    let settings = RoutingSettings::new(places(own), vec![told; 4], 8_192, 1);
+    let mut route = RoutingController::new(settings, 10 * S).expect("settings");
     route.live(&[true, true]);
     route
 }
 
 /// A second's calls of function 0, served warm.
-fn served(calls: u32) -> Counts {
+fn served(calls: u32) -> LoopCounts {
     let took = u64::from(calls) * 40_000;
-    let by = vec![Counted { function: 0, calls, served: calls, took, warm: calls, in_hand: 0 }];
-    Counts { span: TELL, by, in_hand: 0, workers: 3 }
+    let by = vec![FunctionCounts { function: 0, calls, served: calls, took, warm: calls, in_hand: 0 }];
+    LoopCounts { span: TELL, by, in_hand: 0, workers: 3 }
 }
 
 /// Two sites that tell each other, B with a copy of function 0; the last frame of B and the time.
-fn told(a: &mut Route, b: &mut Route) -> (Vec<u8>, Micros) {
+fn told(a: &mut RoutingController, b: &mut RoutingController) -> (Vec<u8>, Micros) {
     let (mut now, mut last) = (10 * S, Vec::new());
     for _ in 0..8 {
         b.counted(now, 0, &served(5));
@@ -49,7 +49,7 @@
     (last, now)
 }
 
-fn goes_there(a: &mut Route, now: Micros) -> bool {
+fn goes_there(a: &mut RoutingController, now: Micros) -> bool {
     a.link(now, 1, 20_000);
     a.tell(now);
     a.table(now).rows[0].ways.iter().any(|way| way.share > 0)
@@ -87,39 +87,40 @@
 
 #[test]
 fn a_table_past_its_time_and_a_call_that_came_handed_over_are_answered_here() {
-    let way = Way { site: 1, peer: 1, there: 50_000, share: 65_535, room: 100 };
-    let row = Row { home: 1, here: 900_000, warm: true, ways: [way, Way::default()] };
-    let table = Table { number: 1, until: 5 * S, here: 0, rows: vec![row] };
+    let way = RemoteRoute { site: 1, peer: 1, there: 50_000, share: 65_535, room: 100 };
+    let row = Row { home: 1, here: 900_000, warm: true, ways: [way, RemoteRoute::default()] };
+    let table = RoutingTable { number: 1, until: 5 * S, here: 0, rows: vec![row] };
     let mut router = Router::new(places(0), 1);
     let mut choose = |now, handed| router.choose(now, Some(&table), 0, 3 * S, handed);
-    assert_eq!(choose(S, false), Where::There { site: 1, peer: 1 });
-    assert_eq!((choose(S, true), choose(5 * S, false)), (Where::Here, Where::Here));
+    assert_eq!(choose(S, false), Destination::There { site: 1, peer: 1 });
+    assert_eq!((choose(S, true), choose(5 * S, false)), (Destination::Here, Destination::Here));
     assert_eq!(
         router.choose(S, Some(&table), 7, 3 * S, false),
-        Where::Here,
+        Destination::Here,
         "a function that no row speaks of"
     );
     // All that it may send by this table, and then one that is lost: nothing more goes there for a while.
-    let sent = (0..200).filter(|_| router.choose(S, Some(&table), 0, 3 * S, false) != Where::Here).count();
+    let sent =
+        (0..200).filter(|_| router.choose(S, Some(&table), 0, 3 * S, false) != Destination::Here).count();
     assert_eq!(sent, 99);
-    let lost = Handed { function: 0, to: 1, took: S, end: HandedEnd::Lost };
+    let lost = Handover { function: 0, to: 1, took: S, end: HandoverOutcome::Lost };
     (0..100).for_each(|_| router.ended(2 * S, &lost));
-    let next = Table { number: 2, ..table };
-    assert_eq!(router.choose(2 * S, Some(&next), 0, 3 * S, false), Where::Here);
+    let next = RoutingTable { number: 2, ..table };
+    assert_eq!(router.choose(2 * S, Some(&next), 0, 3 * S, false), Destination::Here);
     let probe = |router: &mut Router| router.choose(2 * S + 150_000, Some(&next), 0, 3 * S, false);
-    assert_ne!(probe(&mut router), Where::Here, "one finds out");
-    assert_eq!(probe(&mut router), Where::Here, "and one alone");
+    assert_ne!(probe(&mut router), Destination::Here, "one finds out");
+    assert_eq!(probe(&mut router), Destination::Here, "and one alone");
 }
 
 #[test]
 fn torn_and_foreign_frames_are_errors_that_change_nothing() {
     let (mut a, mut b) = (route(0), route(1));
     let (word, now) = told(&mut a, &mut b);
-    assert_eq!(a.frame(now, 9, &word), Err(RouteError::Stranger(9)));
-    assert_eq!(a.frame(now, 0, &word), Err(RouteError::NotItsSite(0)));
-    assert_eq!(a.frame(now, 1, &[0; 70_000]), Err(RouteError::TooLong { from: 1, bytes: 70_000 }));
+    assert_eq!(a.frame(now, 9, &word), Err(RoutingError::Stranger(9)));
+    assert_eq!(a.frame(now, 0, &word), Err(RoutingError::NotItsSite(0)));
+    assert_eq!(a.frame(now, 1, &[0; 70_000]), Err(RoutingError::TooLong { from: 1, bytes: 70_000 }));
     for cut in 0..word.len() {
-        assert_eq!(a.frame(now, 1, &word[..cut]), Err(RouteError::Unreadable(1)), "cut at {cut}");
+        assert_eq!(a.frame(now, 1, &word[..cut]), Err(RoutingError::Unreadable(1)), "cut at {cut}");
     }
     assert!(goes_there(&mut a, now));
     let mut rng = StdRng::seed_from_u64(1);
@@ -139,9 +140,9 @@
 
 #[test]
 fn settings_that_do_not_go_together_are_refused() {
-    let told = FunctionTold { memory_mb: 1, lanes: 1, load: None, aim: 2, deadline: 1 };
-    let settings = RouteSettings::new(places(0), vec![told], 1, 1);
-    assert!(matches!(Route::new(settings.clone(), 0), Err(RouteError::Function(0))));
-    let settings = RouteSettings { functions: Vec::new(), hold: 1, ..settings };
-    assert!(matches!(Route::new(settings, 0), Err(RouteError::Spans)));
+    let told = FunctionSpec { memory_mb: 1, lanes: 1, load: None, aim: 2, deadline: 1 };
+    let settings = RoutingSettings::new(places(0), vec![told], 1, 1);
+    assert!(matches!(RoutingController::new(settings.clone(), 0), Err(RoutingError::Function(0))));
+    let settings = RoutingSettings { functions: Vec::new(), hold: 1, ..settings };
+    assert!(matches!(RoutingController::new(settings, 0), Err(RoutingError::Spans)));
 }
