--- a/crates/bench/src/capacity/measure.rs
+++ b/crates/bench/src/capacity/measure.rs
@@ -456,7 +456,8 @@
 // ---- routing -----------------------------------------------------------------------------------------------
 
 fn router(functions: usize) -> Measured<RoutingController> {
-    let told = FunctionSpec { memory_mb: 256, lanes: 4, load: Some(800_000), aim: 400_000, deadline: 3 * S };
+    let told =
+        FunctionSpec { memory_mb: 256, lanes: 4, load_time: Some(800_000), aim: 400_000, deadline: 3 * S };
     let settings = RoutingSettings::new(places(70, 0)?, vec![told; functions], 16_384, 0);
     Ok(RoutingController::new(settings, 0)?)
 }
--- a/crates/bench/src/route/days.rs
+++ b/crates/bench/src/route/days.rs
@@ -43,7 +43,7 @@
         let load = rng.random_range(500_000..1_500_000);
         let (aim, deadline) = (400_000, 3_000_000);
         let memory_mb = rng.random_range(2..=8) * 128;
-        let told = FunctionSpec { memory_mb, lanes: 4, load: Some(load), aim, deadline };
+        let told = FunctionSpec { memory_mb, lanes: 4, load_time: Some(load), aim, deadline };
         ModelFunction { told, service, load }
     };
     (0..count).map(function).collect()
--- a/crates/bench/src/route/grow.rs
+++ b/crates/bench/src/route/grow.rs
@@ -43,20 +43,25 @@
                 function,
                 calls,
                 served: calls,
-                took,
-                warm: calls - u32::from(calls == 1),
-                in_hand,
+                total_time: took,
+                warm_starts: calls - u32::from(calls == 1),
+                in_flight: in_hand,
             });
         }
     }
-    LoopCounts { span: EVERY, in_hand: by.iter().map(|c| c.in_hand).sum(), by, workers: 20 }
+    LoopCounts { span: EVERY, in_flight: by.iter().map(|c| c.in_flight).sum(), functions: by, workers: 20 }
 }
 
 /// Measures one size.
 pub fn measure(sites: Site, gateways: u16) -> Result<Grown, Box<dyn Error>> {
     let of: Vec<Site> = (0..gateways).map(|n| (n % u16::from(sites)) as Site).collect();
-    let told =
-        FunctionSpec { memory_mb: 256, lanes: 4, load: Some(800_000), aim: 400_000, deadline: 3_000_000 };
+    let told = FunctionSpec {
+        memory_mb: 256,
+        lanes: 4,
+        load_time: Some(800_000),
+        aim: 400_000,
+        deadline: 3_000_000,
+    };
     let mut now = 10_000_000;
     let mut routes = Vec::new();
     for own in 0..gateways {
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -97,7 +97,7 @@
     let function = |f: &basaltward_config::FunctionConfig| FunctionSpec {
         memory_mb: f.memory_mb.ceil().max(1.0) as u32,
         lanes: f.lanes,
-        load: f.load,
+        load_time: f.load,
         aim: classes[f.class].aim,
         deadline: classes[f.class].deadline,
     };
@@ -105,7 +105,11 @@
     let worker_mb = kinds.iter().sum::<f64>() / kinds.len().max(1) as f64;
     let functions = config.functions.iter().map(function).collect();
     let usual = RoutingSettings::new(places(sites)?, functions, worker_mb as u32, u64::from(sites.own));
-    Some(RoutingSettings { keep: config.module.copies.keep_alive, loops: config.threads as u16, ..usual })
+    Some(RoutingSettings {
+        keep_alive: config.module.copies.keep_alive,
+        loops: config.threads as u16,
+        ..usual
+    })
 }
 
 fn endpoint_config(config: &Config, sites: &SitesConfig) -> EndpointConfig {
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -217,7 +217,7 @@
             let there = self.router.choose(now, table.as_deref(), function, left, handed);
             if let Destination::Remote { peer, .. } = there {
                 let row = table.as_ref().and_then(|t| t.rows.get(function as usize));
-                let until = home_by(now, call.deadline, row.map_or(0, |row| row.here));
+                let until = home_by(now, call.deadline, row.map_or(0, |row| row.local_latency));
                 return self.hand(io, now, call, (function, peer), (until, false));
             }
         }
@@ -269,7 +269,7 @@
 
     fn keep(&mut self, now: Micros, function: u32, call: &NewCall<Event>) {
         let (class, tenant) = (call.function.class, call.identity.tenant);
-        self.counted(function).in_hand += 1;
+        self.counted(function).in_flight += 1;
         let hash = digest(&call.identity) as u64;
         self.home.insert(call.waiter, Home { function, class, tenant, hash, came: now });
     }
@@ -342,7 +342,7 @@
             Code::ConnectFailed => HandoverOutcome::Unreached,
             _ => HandoverOutcome::Lost,
         };
-        let told = Handover { function, to, took, end: how };
+        let told = Handover { function, to, duration: took, outcome: how };
         self.router.ended(now, &told);
         self.rings.facts.tell(Fact::Handed(told));
         Some(match end.reply {
@@ -421,7 +421,7 @@
         }
         // Nothing is known of it: counted as lost it would speak against a site that did nothing wrong.
         let took = now.saturating_sub(began);
-        self.router.ended(now, &Handover { function, to, took, end: HandoverOutcome::Refused });
+        self.router.ended(now, &Handover { function, to, duration: took, outcome: HandoverOutcome::Refused });
         true
     }
 
@@ -433,7 +433,7 @@
         let mut answer = answer;
         if matches!(answer, Answer::Served(_)) {
             let counted = self.counted(function);
-            (counted.served, counted.took) = (counted.served + 1, counted.took + took);
+            (counted.served, counted.total_time) = (counted.served + 1, counted.total_time + took);
             // All queues on the way are a wait, those at workers too.
             let waited = took.saturating_sub(self.runs.get(&function).copied().unwrap_or(took));
             let waited = self.waits.answered(now, function, now - took, waited);
@@ -455,7 +455,7 @@
     fn answered(&mut self, waiter: WaiterId, ended: Option<Ended>) {
         let Some(home) = self.home.remove(&waiter) else { return };
         let counted = self.counted(home.function);
-        counted.in_hand = counted.in_hand.saturating_sub(1);
+        counted.in_flight = counted.in_flight.saturating_sub(1);
         if let Some(ended) = ended {
             self.door.counted(home.class, home.tenant, ended);
         }
@@ -472,7 +472,7 @@
     pub fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: &AttemptEnd<Reply>) {
         let Some((function, began)) = self.out.remove(&attempt) else { return };
         if end.code == Code::Ok && end.copy == basaltward::CopyStatus::Loaded {
-            self.counted(function).warm += 1;
+            self.counted(function).warm_starts += 1;
             let (took, run) = (now.saturating_sub(began), self.runs.entry(function).or_insert(Micros::MAX));
             // A hundredth up with each: what takes longer from now on is believed in time.
             *run = run.saturating_add(*run / 100).min(took);
@@ -496,12 +496,17 @@
             self.counts.retain(|_, counted| {
                 *counted = FunctionCounts {
                     function: counted.function,
-                    in_hand: counted.in_hand,
+                    in_flight: counted.in_flight,
                     ..FunctionCounts::default()
                 };
-                counted.in_hand > 0
+                counted.in_flight > 0
             });
-            self.rings.facts.tell(Fact::Routed(LoopCounts { span, by, in_hand, workers: self.workers }));
+            self.rings.facts.tell(Fact::Routed(LoopCounts {
+                span,
+                functions: by,
+                in_flight: in_hand,
+                workers: self.workers,
+            }));
             self.rings.facts.tell(Fact::Asked(self.door.take(now, in_hand)));
             let lost = self.rings.facts.lost();
             if std::mem::replace(&mut self.lost, lost) < lost {
--- a/crates/gateway/src/tables.rs
+++ b/crates/gateway/src/tables.rs
@@ -147,12 +147,13 @@
     fn a_control_thread_that_stands_still_costs_old_facts_and_bounded_memory() {
         let waker = Io::new(IoLimits::default()).expect("a loop").waker();
         let (LoopEnd { mut facts, .. }, ControlEnd { facts: mut control, .. }) = rings(waker.clone(), waker);
-        let fact =
-            |in_hand| Fact::Routed(basaltward_site_routing::LoopCounts { in_hand, ..Default::default() });
+        let fact = |in_hand| {
+            Fact::Routed(basaltward_site_routing::LoopCounts { in_flight: in_hand, ..Default::default() })
+        };
         (0..3 * RING as u32).for_each(|n| facts.tell(fact(n)));
         assert_eq!(facts.lost(), RING as u64);
         let mut take = || match control.pop() {
-            Ok(Fact::Routed(counts)) => Some(counts.in_hand),
+            Ok(Fact::Routed(counts)) => Some(counts.in_flight),
             _ => None,
         };
         assert_eq!((0..RING).filter_map(|_| take()).last(), Some(RING as u32 - 1));
--- a/crates/site-routing/src/controller.rs
+++ b/crates/site-routing/src/controller.rs
@@ -52,7 +52,7 @@
     /// One gateway's, that knows nothing of other sites yet: all is answered here.
     pub fn new(settings: RoutingSettings, now: Micros) -> Result<Self, RoutingError> {
         settings.check()?;
-        let places = &settings.places;
+        let places = &settings.site_map;
         Ok(Self {
             tally: Tally::new(&settings, now),
             live: vec![false; places.len()],
@@ -63,13 +63,13 @@
             parts: BTreeMap::new(),
             sites: BTreeMap::new(),
             usual: Usual::new(&settings),
-            homes: Homes::new(places.own_site(), settings.stay),
+            homes: Homes::new(places.own_site(), settings.home_dwell),
             plan: Plan::default(),
             rows: Rows::default(),
             rows_by: places.own(),
             rows_at: now,
             table: 0,
-            due: now + settings.every,
+            due: now + settings.interval,
             fault: None,
             settings,
         })
@@ -82,16 +82,16 @@
 
     /// How a call ended that a loop handed over.
     pub fn handed(&mut self, _now: Micros, handed: &Handover) {
-        if let Some(site) = self.settings.places.site_of(handed.to) {
+        if let Some(site) = self.settings.site_map.site_of(handed.to) {
             self.tally.handed(site, handed);
         }
     }
 
     /// A frame of a peer.
     pub fn frame(&mut self, now: Micros, from: MemberId, bytes: &[u8]) -> Result<(), RoutingError> {
-        let site = self.settings.places.site_of(from).ok_or(RoutingError::Stranger(from))?;
+        let site = self.settings.site_map.site_of(from).ok_or(RoutingError::Stranger(from))?;
         let frame = Frame::read(from, bytes)?;
-        let ours = site == self.settings.places.own_site();
+        let ours = site == self.settings.site_map.own_site();
         let number = match &frame {
             Frame::Part(part) if ours => part.number,
             Frame::Rows(rows) if ours => rows.number,
@@ -100,7 +100,7 @@
         };
         // One that starts again counts from 1: what is old enough gives way to any.
         let last = self.heard.get(&from).copied().unwrap_or((0, 0));
-        if number <= last.0 && now < last.1 + self.settings.hold {
+        if number <= last.0 && now < last.1 + self.settings.valid_for {
             return Ok(());
         }
         self.heard.insert(from, (number, now));
@@ -110,16 +110,16 @@
             }
             Frame::Rows(rows) => {
                 let Some(at) = self.as_of(now, rows.heard) else { return Ok(()) };
-                if from == self.teller(site) || now > self.rows_at + self.settings.hold {
+                if from == self.teller(site) || now > self.rows_at + self.settings.valid_for {
                     (self.rows, self.rows_by, self.rows_at) = (rows, from, at);
                 }
             }
             Frame::Word(word) => {
                 let Some(at) = self.as_of(now, word.heard) else { return Ok(()) };
-                let stale = self.sites.get(&site).is_none_or(|k| k.age(now) > self.settings.hold);
+                let stale = self.sites.get(&site).is_none_or(|k| k.age(now) > self.settings.valid_for);
                 if from == self.teller(site) || stale {
                     let known = Known::told(&self.settings, &self.usual, at, &word);
-                    if now.saturating_sub(at) <= self.settings.hold {
+                    if now.saturating_sub(at) <= self.settings.valid_for {
                         self.homes.heard(now, site, &known.homes);
                     }
                     self.sites.insert(site, known);
@@ -146,13 +146,13 @@
 
     /// Frames that are due, each with who gets it.
     pub fn tell(&mut self, now: Micros) -> Vec<(MemberId, Vec<u8>)> {
-        self.due = now + self.settings.every;
+        self.due = now + self.settings.interval;
         self.number += 1;
         self.sent.push_back((self.number, now));
         if self.sent.len() > REMEMBERED {
             self.sent.pop_front();
         }
-        let (own, here) = (self.settings.places.own(), self.settings.places.own_site());
+        let (own, here) = (self.settings.site_map.own(), self.settings.site_map.own_site());
         let part = self.tally.part(now, self.number);
         let teller = self.teller(here);
         if teller != own {
@@ -161,10 +161,10 @@
         }
         self.take_over(now);
         self.parts.insert(own, (now, part));
-        self.parts.retain(|_, (at, _)| now <= *at + self.settings.hold);
+        self.parts.retain(|_, (at, _)| now <= *at + self.settings.valid_for);
         let (word, rows) = self.work(now);
         let mut frames = Vec::new();
-        let sites = self.settings.places.sites();
+        let sites = self.settings.site_map.sites();
         for site in sites.into_iter().filter(|site| *site != here) {
             let to = self.teller(site);
             if self.is_live(to) {
@@ -183,15 +183,25 @@
     /// Where calls go as of now.
     pub fn table(&mut self, now: Micros) -> RoutingTable {
         self.table += 1;
-        let here = self.settings.places.own_site();
-        let plain = Row { home: here, warm: true, ..Row::default() };
+        let here = self.settings.site_map.own_site();
+        let plain = Row { home: here, warm_at_home: true, ..Row::default() };
         let mut rows = vec![plain; self.settings.functions.len()];
         for told in &self.rows.rows {
             if let Some(row) = rows.get_mut(told.function as usize) {
-                *row = Row { home: told.home, here: told.here, warm: told.warm, ways: self.ways(now, told) };
+                *row = Row {
+                    home: told.home,
+                    local_latency: told.here,
+                    warm_at_home: told.warm,
+                    remote_routes: self.ways(now, told),
+                };
             }
         }
-        RoutingTable { number: self.table, until: self.rows_at + self.settings.hold, here, rows }
+        RoutingTable {
+            number: self.table,
+            valid_until: self.rows_at + self.settings.valid_for,
+            local_site: here,
+            rows,
+        }
     }
 
     /// When [`Route::tell`] and [`Route::table`] are due next.
@@ -206,11 +216,11 @@
     }
 
     fn is_live(&self, of: MemberId) -> bool {
-        of == self.settings.places.own() || self.live.get(usize::from(of)) == Some(&true)
+        of == self.settings.site_map.own() || self.live.get(usize::from(of)) == Some(&true)
     }
 
     fn living(&self, site: Site) -> impl Iterator<Item = MemberId> {
-        self.settings.places.members_at(site).filter(|of| self.is_live(*of))
+        self.settings.site_map.members_at(site).filter(|of| self.is_live(*of))
     }
 
     /// Who tells for a site: one of its living, by rendezvous.
@@ -221,14 +231,14 @@
 
     /// We tell from now on, where another did: what it had moved is where it was.
     fn take_over(&mut self, now: Micros) {
-        let own = self.settings.places.own();
+        let own = self.settings.site_map.own();
         if self.rows_by == own {
             return;
         }
         self.rows_by = own;
         self.homes.clear();
-        if now <= self.rows_at + self.settings.hold {
-            let here = self.settings.places.own_site();
+        if now <= self.rows_at + self.settings.valid_for {
+            let here = self.settings.site_map.own_site();
             for row in self.rows.rows.iter().filter(|row| row.home != here || row.stays) {
                 self.homes.adopt(now, row.function, row.home, row.stays);
             }
@@ -259,7 +269,7 @@
 
     fn ways(&self, now: Micros, told: &ToldRow) -> [RemoteRoute; MAX_REMOTE_ROUTES] {
         let heard = |of: &MemberId| self.links.get(of).is_none_or(|link| now < link.at + SILENT);
-        let own = u64::from(self.settings.places.own());
+        let own = u64::from(self.settings.site_map.own());
         told.ways.each_ref().map(|way| {
             let key = (u64::from(told.function) << 16) | own;
             let weight = |of: &MemberId| xxh3_64_with_seed(&of.to_le_bytes(), key);
@@ -270,7 +280,7 @@
     }
 
     fn work(&mut self, now: Micros) -> (Word, Rows) {
-        let (settings, here) = (&self.settings, self.settings.places.own_site());
+        let (settings, here) = (&self.settings, self.settings.site_map.own_site());
         let mut figures = BTreeMap::<u32, Figure>::new();
         let (mut workers, mut ends) = (0, BTreeMap::<Site, Ends>::new());
         for (_, part) in self.parts.values() {
@@ -288,9 +298,9 @@
         self.usual.learn(settings, &own);
         self.sites
             .values()
-            .filter(|k| k.age(now) < settings.hold)
+            .filter(|k| k.age(now) < settings.valid_for)
             .for_each(|k| self.usual.learn(settings, k));
-        let fresh = self.sites.iter().filter(|(_, known)| known.age(now) <= settings.hold);
+        let fresh = self.sites.iter().filter(|(_, known)| known.age(now) <= settings.valid_for);
         let others = fresh.filter_map(|(site, known)| {
             let way = self.way(now, *site)?;
             Some(Other::new(now, *site, known, way, ends.get(site).copied().unwrap_or_default()))
--- a/crates/site-routing/src/counters.rs
+++ b/crates/site-routing/src/counters.rs
@@ -49,7 +49,7 @@
             known: settings.functions.len() as u32,
             workers: BTreeMap::new(),
             ends: BTreeMap::new(),
-            keep: settings.keep,
+            keep: settings.keep_alive,
             half_began: now,
             told: now,
         }
@@ -58,16 +58,16 @@
     pub fn counted(&mut self, now: Micros, loop_no: u16, counts: &LoopCounts) {
         self.workers.insert(loop_no, counts.workers);
         self.functions.values_mut().for_each(|f| f.in_hand.retain(|of, _| *of != loop_no));
-        for c in counts.by.iter().filter(|c| c.function < self.known) {
+        for c in counts.functions.iter().filter(|c| c.function < self.known) {
             let f = self.functions.entry(c.function).or_default();
             if c.served > 0 {
                 f.served_at = Some(now);
             }
-            let cold = c.served.saturating_sub(c.warm);
-            let new = [f64::from(c.calls), f64::from(c.served), c.took as f64, f64::from(cold)];
+            let cold = c.served.saturating_sub(c.warm_starts);
+            let new = [f64::from(c.calls), f64::from(c.served), c.total_time as f64, f64::from(cold)];
             f.sums.iter_mut().zip(new).for_each(|(sum, new)| *sum += new);
-            if c.in_hand > 0 {
-                f.in_hand.insert(loop_no, c.in_hand);
+            if c.in_flight > 0 {
+                f.in_hand.insert(loop_no, c.in_flight);
             }
             // One that came and went within the span needed a lane as well.
             let at_once = f.in_hand.values().sum::<u32>().max(u32::from(c.served > 0));
@@ -77,9 +77,9 @@
 
     pub fn handed(&mut self, to: Site, handed: &Handover) {
         let (sums, _) = self.ends.entry(to).or_default();
-        sums[match handed.end {
+        sums[match handed.outcome {
             HandoverOutcome::Served => {
-                sums[3] += handed.took as f64;
+                sums[3] += handed.duration as f64;
                 0
             }
             HandoverOutcome::Refused => 1,
--- a/crates/site-routing/src/planner.rs
+++ b/crates/site-routing/src/planner.rs
@@ -113,7 +113,7 @@
 
 impl View<'_> {
     fn here(&self) -> Site {
-        self.settings.places.own_site()
+        self.settings.site_map.own_site()
     }
 
     /// What we think of a site's cost: told figures, drawn toward our own wait as they age, the way, and what is lost by
@@ -155,7 +155,7 @@
 
     fn way(&self, other: &Other, function: u32, share: f64, calls: f64) -> ToldWay {
         let loops = self.gateways.max(1) as f64 * f64::from(self.settings.loops);
-        let room = (2.0 * calls * self.settings.every as f64 / 1e6 / loops).ceil() + 1.0;
+        let room = (2.0 * calls * self.settings.interval as f64 / 1e6 / loops).ceil() + 1.0;
         ToldWay {
             site: other.site,
             there: self.there_now(other, function) as Micros,
@@ -278,8 +278,8 @@
                 let (calls, allowed) = (figure.came(), view.proven(other).max(1.0));
                 let share = if calls > allowed { allowed / calls } else { 1.0 };
                 // Where calls are many a copy here pays: one call a while stays, for which it is loaded.
-                let every = view.settings.every as f64 / 1e6;
-                let kept = figure.calls() * view.settings.keep as f64 / 1e6;
+                let every = view.settings.interval as f64 / 1e6;
+                let kept = figure.calls() * view.settings.keep_alive as f64 / 1e6;
                 let pays = other.way > load(view.settings, function) / kept.max(1.0);
                 let stays = home == here && figure.in_hand() < 0.5 && pays;
                 let share = if stays { share.min(1.0 - (0.25 / (calls * every)).min(0.5)) } else { share };
--- a/crates/site-routing/src/router.rs
+++ b/crates/site-routing/src/router.rs
@@ -63,8 +63,8 @@
         patience: Micros,
         handed_already: bool,
     ) -> Destination {
-        let Some(table) =
-            table.filter(|t| now < t.until && (!handed_already || self.fault == Some(Fault::UnboundedHops)))
+        let Some(table) = table
+            .filter(|t| now < t.valid_until && (!handed_already || self.fault == Some(Fault::UnboundedHops)))
         else {
             return Destination::Local;
         };
@@ -74,16 +74,18 @@
             self.sent.clear();
         }
         let mut draw = self.rng.random::<u16>();
-        let drawn = row.ways.iter().find(|way| {
+        let drawn = row.remote_routes.iter().find(|way| {
             let taken = draw < way.share;
             draw = draw.saturating_sub(way.share);
             taken
         });
         // Here it would be late: any that is in time and has room is better.
-        let late = row.here > patience;
-        let spare = row.ways.iter().filter(|way| late && way.there <= patience);
-        let way =
-            drawn.into_iter().chain(spare).find(|way| self.takes(now, function, way, patience, row.here));
+        let late = row.local_latency > patience;
+        let spare = row.remote_routes.iter().filter(|way| late && way.expected_latency <= patience);
+        let way = drawn
+            .into_iter()
+            .chain(spare)
+            .find(|way| self.takes(now, function, way, patience, row.local_latency));
         let Some(way) = way.copied() else { return Destination::Local };
         self.leaves(now, function, &way);
         Destination::Remote { site: way.site, peer: way.peer }
@@ -94,9 +96,9 @@
         let site = self.places.site_of(handed.to);
         let Some(seen) = site.and_then(|site| self.seen.get_mut(usize::from(site))) else { return };
         seen.out = seen.out.saturating_sub(1);
-        let refused = f32::from(u8::from(handed.end == HandoverOutcome::Refused));
+        let refused = f32::from(u8::from(handed.outcome == HandoverOutcome::Refused));
         seen.refused += (refused - seen.refused) * 0.1;
-        let bad = match handed.end {
+        let bad = match handed.outcome {
             HandoverOutcome::Served => {
                 (seen.quiet_since, seen.pause) = (now, 0);
                 return;
@@ -122,13 +124,13 @@
 
     fn takes(&self, now: Micros, function: u32, way: &RemoteRoute, patience: Micros, here: Micros) -> bool {
         let Some(seen) = self.seen.get(usize::from(way.site)) else { return false };
-        let late = way.there > patience && here <= way.there;
+        let late = way.expected_latency > patience && here <= way.expected_latency;
         let silent =
             seen.out > 0 && now.saturating_sub(seen.quiet_since) > (seen.expected * SILENT).max(SILENT_LEAST);
         let sent = self.sent.get(&(function, way.site)).copied().unwrap_or(0);
         // After a pause one goes there alone, until it has ended.
         let probing = seen.pause > 0 && seen.out > 0;
-        !late && !silent && now >= seen.shut && !probing && sent < way.room
+        !late && !silent && now >= seen.shut && !probing && sent < way.call_limit
     }
 
     fn leaves(&mut self, now: Micros, function: u32, way: &RemoteRoute) {
@@ -138,6 +140,6 @@
             seen.quiet_since = now;
         }
         seen.out += 1;
-        seen.expected = way.there;
+        seen.expected = way.expected_latency;
     }
 }
--- a/crates/site-routing/src/settings.rs
+++ b/crates/site-routing/src/settings.rs
@@ -8,7 +8,7 @@
     /// Calls that a copy takes at once.
     pub lanes: u32,
     /// Time to load a copy, where it is told.
-    pub load: Option<Micros>,
+    pub load_time: Option<Micros>,
     /// Time within which an answer is of full worth.
     pub aim: Micros,
     /// Time after which it is of none.
@@ -19,23 +19,23 @@
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
     /// Which gateway stands at which site.
-    pub places: SiteMap,
+    pub site_map: SiteMap,
     /// All functions, by position.
     pub functions: Vec<FunctionSpec>,
     /// Memory of one worker.
     pub worker_mb: u32,
     /// Most workers that a site is believed to have, whatever it says.
-    pub workers_most: u32,
+    pub max_site_workers: u32,
     /// How long an idle copy is kept.
-    pub keep: Micros,
+    pub keep_alive: Micros,
     /// Traffic loops of a gateway.
     pub loops: u16,
     /// How often figures and tables are told.
-    pub every: Micros,
+    pub interval: Micros,
     /// How long a table holds.
-    pub hold: Micros,
+    pub valid_for: Micros,
     /// How long a function stays where it was moved to, and how long two sites don't trade it.
-    pub stay: Micros,
+    pub home_dwell: Micros,
     /// What all draws follow from.
     pub seed: u64,
 }
@@ -44,21 +44,21 @@
     /// Settings by default values.
     pub fn new(places: SiteMap, functions: Vec<FunctionSpec>, worker_mb: u32, seed: u64) -> Self {
         Self {
-            places,
+            site_map: places,
             functions,
             worker_mb,
-            workers_most: 1_000,
-            keep: 10_000_000,
+            max_site_workers: 1_000,
+            keep_alive: 10_000_000,
             loops: 1,
-            every: 250_000,
-            hold: 2_000_000,
-            stay: 5_000_000,
+            interval: 250_000,
+            valid_for: 2_000_000,
+            home_dwell: 5_000_000,
             seed,
         }
     }
 
     pub(crate) fn check(&self) -> Result<(), RoutingError> {
-        let sites = self.places.sites();
+        let sites = self.site_map.sites();
         if sites.len() > usize::from(MOST_SITES) {
             return Err(RoutingError::Sites(sites.len()));
         }
@@ -69,8 +69,8 @@
         if let Some(at) = self.functions.iter().position(bad) {
             return Err(RoutingError::Function(at));
         }
-        let spans = self.every >= 10_000 && self.hold >= 2 * self.every && self.keep > 0;
-        if !spans || self.worker_mb == 0 || self.loops == 0 || self.workers_most == 0 {
+        let spans = self.interval >= 10_000 && self.valid_for >= 2 * self.interval && self.keep_alive > 0;
+        if !spans || self.worker_mb == 0 || self.loops == 0 || self.max_site_workers == 0 {
             return Err(RoutingError::Spans);
         }
         Ok(())
--- a/crates/site-routing/src/simulation/mod.rs
+++ b/crates/site-routing/src/simulation/mod.rs
@@ -116,7 +116,10 @@
         let told = of.functions.iter().map(|f| f.told).collect();
         let settings = RoutingSettings::new(places.clone(), told, of.worker_mb, seed);
         Ok(Self {
-            route: RoutingController::new(RoutingSettings { keep: KEEP, every: TICK, ..settings }, now)?,
+            route: RoutingController::new(
+                RoutingSettings { keep_alive: KEEP, interval: TICK, ..settings },
+                now,
+            )?,
             router: Router::new(places, seed),
             table: None,
             counts: BTreeMap::new(),
@@ -380,7 +383,7 @@
             }
             Due::Expired { site, life, job } => {
                 if self.sites[usize::from(site)].life == life {
-                    self.count(job.at, job.function, |c| c.in_hand = c.in_hand.saturating_sub(1));
+                    self.count(job.at, job.function, |c| c.in_flight = c.in_flight.saturating_sub(1));
                     if self.calls[job.call].attempt == job.attempt {
                         self.end(job.call, site, None);
                     }
@@ -437,15 +440,15 @@
         }
         let mut by: Vec<_> = gateway.counts.values().copied().collect();
         if state.boasts {
-            by.iter_mut().for_each(|c| c.in_hand = 0);
+            by.iter_mut().for_each(|c| c.in_flight = 0);
         }
         gateway.counts.values_mut().for_each(|c| {
-            *c = FunctionCounts { function: c.function, in_hand: c.in_hand, ..FunctionCounts::default() };
+            *c = FunctionCounts { function: c.function, in_flight: c.in_flight, ..FunctionCounts::default() };
         });
-        gateway.counts.retain(|_, c| c.in_hand > 0);
-        let in_hand = by.iter().map(|c| c.in_hand).sum();
+        gateway.counts.retain(|_, c| c.in_flight > 0);
+        let in_hand = by.iter().map(|c| c.in_flight).sum();
         let workers = state.workers.workers() * if state.boasts { 100 } else { 1 };
-        let counts = LoopCounts { span: TICK, by, in_hand, workers };
+        let counts = LoopCounts { span: TICK, functions: by, in_flight: in_hand, workers };
         gateway.route.counted(now, 0, &counts);
         if self.settings.policy != Policy::SiteRouting {
             return;
@@ -528,7 +531,7 @@
         if self.sites[usize::from(site)].workers.full(self.now, job.until) {
             return self.end(call, site, None);
         }
-        self.count(at, function, |c| c.in_hand += 1);
+        self.count(at, function, |c| c.in_flight += 1);
         let mut later = Vec::new();
         self.sites[usize::from(site)].workers.offer(self.now, job, &mut later);
         self.later(site, later);
@@ -555,8 +558,9 @@
     fn done(&mut self, site: Site, job: Job, warm: bool) {
         let (c, now) = (self.calls[job.call], self.now);
         self.count(job.at, job.function, |n| {
-            (n.served, n.took, n.warm) = (n.served + 1, n.took + now - job.came, n.warm + u32::from(warm));
-            n.in_hand = n.in_hand.saturating_sub(1);
+            (n.served, n.total_time, n.warm_starts) =
+                (n.served + 1, n.total_time + now - job.came, n.warm_starts + u32::from(warm));
+            n.in_flight = n.in_flight.saturating_sub(1);
         });
         match c.handed.is_some() {
             _ if c.attempt != job.attempt => {}
@@ -571,7 +575,7 @@
     fn back(&mut self, call: usize, attempt: u32, end: HandoverOutcome, by: Site) {
         let c = self.calls[call];
         let Some((to, sent)) = c.handed.filter(|_| c.attempt == attempt && !c.ended) else { return };
-        let handed = Handover { function: c.function, to, took: self.now - sent, end };
+        let handed = Handover { function: c.function, to, duration: self.now - sent, outcome: end };
         let gateway = &mut self.gateways[usize::from(c.gateway)];
         gateway.router.ended(self.now, &handed);
         gateway.route.handed(self.now, &handed);
--- a/crates/site-routing/src/site_stats.rs
+++ b/crates/site-routing/src/site_stats.rs
@@ -35,7 +35,7 @@
 
     /// Learns from a site's figures: quickly downward, slowly upward, not where calls wait.
     pub fn learn(&mut self, settings: &RoutingSettings, site: &Site) {
-        let every = settings.every as f64 / 1e6;
+        let every = settings.interval as f64 / 1e6;
         for figure in site.figures.values().filter(|f| f.served > 0 && f.took > 0) {
             let Some(usual) = self.0.get_mut(figure.function as usize) else { continue };
             let loading = figure.cold() * load(settings, figure.function);
@@ -57,7 +57,7 @@
 /// Time to load a copy.
 pub(crate) fn load(settings: &RoutingSettings, function: u32) -> f64 {
     let told = settings.functions.get(function as usize);
-    told.map_or(0.0, |f| f.load.map_or(f.aim as f64 * LOAD_AIMS, |load| load as f64))
+    told.map_or(0.0, |f| f.load_time.map_or(f.aim as f64 * LOAD_AIMS, |load| load as f64))
 }
 
 /// A site as it is known.
@@ -90,7 +90,7 @@
         let figures: BTreeMap<_, _> =
             word.by.iter().take(MOST_FIGURES).filter(of_us).map(|f| (f.function, *f)).collect();
         let homes = word.homes.iter().take(known).map(|h| (h.function, *h)).collect();
-        let workers = f64::from(word.workers.min(settings.workers_most));
+        let workers = f64::from(word.workers.min(settings.max_site_workers));
         let mut site = Self {
             at,
             heard: word.heard.map_or(0, |heard| heard.number),
@@ -186,7 +186,7 @@
     /// What an answer would cost in the long run if `calls` a second were answered here, way and wait aside: copies stand
     /// by the chance that another call came within the time that idle ones are kept.
     pub fn cost_placed(&self, settings: &RoutingSettings, usual: &Usual, function: u32, calls: f64) -> f64 {
-        let cold = (-calls * settings.keep as f64 / 1e6).exp();
+        let cold = (-calls * settings.keep_alive as f64 / 1e6).exp();
         usual.of(settings, function) + cold * self.load_cost(settings, function)
     }
 }
--- a/crates/site-routing/src/types.rs
+++ b/crates/site-routing/src/types.rs
@@ -11,11 +11,11 @@
     /// Calls of it served here.
     pub served: u32,
     /// From when those served were begun here until their answer, all together.
-    pub took: Micros,
+    pub total_time: Micros,
     /// Of those served, how many found a copy that stood.
-    pub warm: u32,
+    pub warm_starts: u32,
     /// Calls of it in hand here at the end of the span, those of other sites among them.
-    pub in_hand: u32,
+    pub in_flight: u32,
 }
 
 /// What a loop counted over a span.
@@ -24,9 +24,9 @@
     /// The span.
     pub span: Micros,
     /// Functions that were called, served or are in hand, each once.
-    pub by: Vec<FunctionCounts>,
+    pub functions: Vec<FunctionCounts>,
     /// Calls in hand at its end, those of other sites among them.
-    pub in_hand: u32,
+    pub in_flight: u32,
     /// Workers in use, as this loop is told.
     pub workers: u32,
 }
@@ -66,9 +66,9 @@
     /// The gateway it was handed to.
     pub to: MemberId,
     /// From handing over to its end.
-    pub took: Micros,
+    pub duration: Micros,
     /// How it ended.
-    pub end: HandoverOutcome,
+    pub outcome: HandoverOutcome,
 }
 
 /// Another site that may answer calls of a function.
@@ -79,11 +79,11 @@
     /// Its gateway that calls are handed to.
     pub peer: MemberId,
     /// Time that an answer from there is thought to take, link and all.
-    pub there: Micros,
+    pub expected_latency: Micros,
     /// Share of our calls that goes there, in 65,535ths; 0 where there is no such way.
     pub share: u16,
     /// Calls that one loop may send there while the table is the newest.
-    pub room: u16,
+    pub call_limit: u16,
 }
 
 /// How many other sites are held ready for a function.
@@ -95,11 +95,11 @@
     /// Its home, as our site sees it.
     pub home: Site,
     /// Time that an answer from here is thought to take.
-    pub here: Micros,
+    pub local_latency: Micros,
     /// Whether a copy is thought to stand at its home.
-    pub warm: bool,
+    pub warm_at_home: bool,
     /// Other sites, the least cost first.
-    pub ways: [RemoteRoute; MAX_REMOTE_ROUTES],
+    pub remote_routes: [RemoteRoute; MAX_REMOTE_ROUTES],
 }
 
 /// Where calls go: whole, numbered, and with an end.
@@ -108,9 +108,9 @@
     /// Its number; a later one of the same gateway is higher.
     pub number: u64,
     /// Until when it holds.
-    pub until: Micros,
+    pub valid_until: Micros,
     /// Site of the gateway.
-    pub here: Site,
+    pub local_site: Site,
     /// By position; what is not here is answered here.
     pub rows: Vec<Row>,
 }
--- a/crates/site-routing/src/wire.rs
+++ b/crates/site-routing/src/wire.rs
@@ -147,7 +147,13 @@
 
 impl From<&ToldWay> for RemoteRoute {
     fn from(told: &ToldWay) -> Self {
-        Self { site: told.site, peer: 0, there: told.there, share: told.share, room: told.room }
+        Self {
+            site: told.site,
+            peer: 0,
+            expected_latency: told.there,
+            share: told.share,
+            call_limit: told.room,
+        }
     }
 }
 
--- a/crates/site-routing/tests/failure_scenarios.rs
+++ b/crates/site-routing/tests/failure_scenarios.rs
@@ -18,7 +18,8 @@
 
 /// Three sites of two gateways and three workers of two cores; what they do takes 40 ms.
 fn world(policy: Policy, seed: u64) -> Simulation {
-    let told = FunctionSpec { memory_mb: 512, lanes: 2, load: Some(800_000), aim: 400_000, deadline: 3 * S };
+    let told =
+        FunctionSpec { memory_mb: 512, lanes: 2, load_time: Some(800_000), aim: 400_000, deadline: 3 * S };
     let functions = vec![ModelFunction { told, service: 40_000, load: 800_000 }; 12];
     let (sites, gateways, workers, cores) = (SITES, GATEWAYS, 3, 2);
     let settings = SimulationSettings {
--- a/crates/site-routing/tests/frames.rs
+++ b/crates/site-routing/tests/frames.rs
@@ -15,8 +15,13 @@
 }
 
 fn route(own: MemberId) -> RoutingController {
-    let told =
-        FunctionSpec { memory_mb: 512, lanes: 2, load: Some(800_000), aim: 400_000, deadline: 3_000_000 };
+    let told = FunctionSpec {
+        memory_mb: 512,
+        lanes: 2,
+        load_time: Some(800_000),
+        aim: 400_000,
+        deadline: 3_000_000,
+    };
     let settings = RoutingSettings::new(places(own), vec![told; 4], 8_192, 1);
     let mut route = RoutingController::new(settings, 10 * S).expect("settings");
     route.live(&[true, true]);
@@ -26,8 +31,15 @@
 /// A second's calls of function 0, served warm.
 fn served(calls: u32) -> LoopCounts {
     let took = u64::from(calls) * 40_000;
-    let by = vec![FunctionCounts { function: 0, calls, served: calls, took, warm: calls, in_hand: 0 }];
-    LoopCounts { span: TELL, by, in_hand: 0, workers: 3 }
+    let by = vec![FunctionCounts {
+        function: 0,
+        calls,
+        served: calls,
+        total_time: took,
+        warm_starts: calls,
+        in_flight: 0,
+    }];
+    LoopCounts { span: TELL, functions: by, in_flight: 0, workers: 3 }
 }
 
 /// Two sites that tell each other, B with a copy of function 0; the last frame of B and the time.
@@ -52,7 +64,7 @@
 fn goes_there(a: &mut RoutingController, now: Micros) -> bool {
     a.link(now, 1, 20_000);
     a.tell(now);
-    a.table(now).rows[0].ways.iter().any(|way| way.share > 0)
+    a.table(now).rows[0].remote_routes.iter().any(|way| way.share > 0)
 }
 
 #[test]
@@ -87,9 +99,14 @@
 
 #[test]
 fn a_table_past_its_time_and_a_call_that_came_handed_over_are_answered_here() {
-    let way = RemoteRoute { site: 1, peer: 1, there: 50_000, share: 65_535, room: 100 };
-    let row = Row { home: 1, here: 900_000, warm: true, ways: [way, RemoteRoute::default()] };
-    let table = RoutingTable { number: 1, until: 5 * S, here: 0, rows: vec![row] };
+    let way = RemoteRoute { site: 1, peer: 1, expected_latency: 50_000, share: 65_535, call_limit: 100 };
+    let row = Row {
+        home: 1,
+        local_latency: 900_000,
+        warm_at_home: true,
+        remote_routes: [way, RemoteRoute::default()],
+    };
+    let table = RoutingTable { number: 1, valid_until: 5 * S, local_site: 0, rows: vec![row] };
     let mut router = Router::new(places(0), 1);
     let mut choose = |now, handed| router.choose(now, Some(&table), 0, 3 * S, handed);
     assert_eq!(choose(S, false), Destination::Remote { site: 1, peer: 1 });
@@ -103,7 +120,7 @@
     let sent =
         (0..200).filter(|_| router.choose(S, Some(&table), 0, 3 * S, false) != Destination::Local).count();
     assert_eq!(sent, 99);
-    let lost = Handover { function: 0, to: 1, took: S, end: HandoverOutcome::Lost };
+    let lost = Handover { function: 0, to: 1, duration: S, outcome: HandoverOutcome::Lost };
     (0..100).for_each(|_| router.ended(2 * S, &lost));
     let next = RoutingTable { number: 2, ..table };
     assert_eq!(router.choose(2 * S, Some(&next), 0, 3 * S, false), Destination::Local);
@@ -134,15 +151,15 @@
         let _ = a.frame(now, 1, &changed);
     }
     a.tell(now);
-    let ways = a.table(now).rows.into_iter().flat_map(|row| row.ways);
-    assert!(ways.filter(|way| way.room > 0).all(|way| way.site == 1 && way.peer == 1));
+    let ways = a.table(now).rows.into_iter().flat_map(|row| row.remote_routes);
+    assert!(ways.filter(|way| way.call_limit > 0).all(|way| way.site == 1 && way.peer == 1));
 }
 
 #[test]
 fn settings_that_do_not_go_together_are_refused() {
-    let told = FunctionSpec { memory_mb: 1, lanes: 1, load: None, aim: 2, deadline: 1 };
+    let told = FunctionSpec { memory_mb: 1, lanes: 1, load_time: None, aim: 2, deadline: 1 };
     let settings = RoutingSettings::new(places(0), vec![told], 1, 1);
     assert!(matches!(RoutingController::new(settings.clone(), 0), Err(RoutingError::Function(0))));
-    let settings = RoutingSettings { functions: Vec::new(), hold: 1, ..settings };
+    let settings = RoutingSettings { functions: Vec::new(), valid_for: 1, ..settings };
     assert!(matches!(RoutingController::new(settings, 0), Err(RoutingError::Spans)));
 }
