--- a/crates/site-routing/src/controller.rs
+++ b/crates/site-routing/src/controller.rs
@@ -89,14 +89,14 @@
 
     /// A frame of a peer.
     pub fn frame(&mut self, now: Micros, from: MemberId, bytes: &[u8]) -> Result<(), RoutingError> {
-        let site = self.settings.site_map.site_of(from).ok_or(RoutingError::Stranger(from))?;
+        let site = self.settings.site_map.site_of(from).ok_or(RoutingError::UnknownGateway(from))?;
         let frame = Frame::read(from, bytes)?;
         let ours = site == self.settings.site_map.own_site();
         let number = match &frame {
             Frame::Part(part) if ours => part.number,
             Frame::Rows(rows) if ours => rows.number,
             Frame::Word(word) if !ours => word.number,
-            _ => return Err(RoutingError::NotItsSite(from)),
+            _ => return Err(RoutingError::WrongSite(from)),
         };
         // One that starts again counts from 1: what is old enough gives way to any.
         let last = self.heard.get(&from).copied().unwrap_or((0, 0));
--- a/crates/site-routing/src/settings.rs
+++ b/crates/site-routing/src/settings.rs
@@ -60,18 +60,18 @@
     pub(crate) fn check(&self) -> Result<(), RoutingError> {
         let sites = self.site_map.sites();
         if sites.len() > usize::from(MOST_SITES) {
-            return Err(RoutingError::Sites(sites.len()));
+            return Err(RoutingError::TooManySites(sites.len()));
         }
         if self.functions.len() > MOST_FUNCTIONS {
-            return Err(RoutingError::Functions(self.functions.len()));
+            return Err(RoutingError::TooManyFunctions(self.functions.len()));
         }
         let bad = |f: &FunctionSpec| f.memory_mb == 0 || f.lanes == 0 || f.deadline < f.aim;
         if let Some(at) = self.functions.iter().position(bad) {
-            return Err(RoutingError::Function(at));
+            return Err(RoutingError::InvalidFunction(at));
         }
         let spans = self.interval >= 10_000 && self.valid_for >= 2 * self.interval && self.keep_alive > 0;
         if !spans || self.worker_mb == 0 || self.loops == 0 || self.max_site_workers == 0 {
-            return Err(RoutingError::Spans);
+            return Err(RoutingError::InvalidSettings);
         }
         Ok(())
     }
@@ -89,19 +89,23 @@
 pub enum RoutingError {
     /// Too many sites.
     #[error("{0} sites are configured, 64 at most stand in for one another: split the fleet")]
-    Sites(usize),
+    #[strum(serialize = "Sites")]
+    TooManySites(usize),
     /// Too many functions.
     #[error("{0} functions are configured, 100,000 at most: split them over fleets")]
-    Functions(usize),
+    #[strum(serialize = "Functions")]
+    TooManyFunctions(usize),
     /// A function without memory or lanes, or with a deadline before its aim.
     #[error("function {0}: give it memory, lanes and a deadline not before its aim")]
-    Function(usize),
+    #[strum(serialize = "Function")]
+    InvalidFunction(usize),
     /// Spans that don't go together.
     #[error(
         "tables are told every 10 ms at the most often and hold for two tellings at least; worker memory, \
              workers, loops and the keep time are above nothing: correct the settings"
     )]
-    Spans,
+    #[strum(serialize = "Spans")]
+    InvalidSettings,
     /// A frame that is no frame of ours.
     #[error("gateway {0} sent a frame that can't be read: see that all gateways run the same release")]
     Unreadable(u16),
@@ -115,8 +119,10 @@
     },
     /// A frame about a site at which its sender doesn't stand.
     #[error("gateway {0} spoke for a site that is not its own: give all gateways the same list of sites")]
-    NotItsSite(u16),
+    #[strum(serialize = "NotItsSite")]
+    WrongSite(u16),
     /// A frame from none of the list.
     #[error("gateway {0} is not in the list: give all gateways the same list")]
-    Stranger(u16),
+    #[strum(serialize = "Stranger")]
+    UnknownGateway(u16),
 }
--- a/crates/site-routing/src/simulation/mod.rs
+++ b/crates/site-routing/src/simulation/mod.rs
@@ -111,7 +111,7 @@
         now: Micros,
     ) -> Result<Self, RoutingError> {
         let sites: Vec<_> = (0..places.len() as MemberId).filter_map(|of| places.site_of(of)).collect();
-        let places = SiteMap::new(sites, own).ok_or(RoutingError::Stranger(own))?;
+        let places = SiteMap::new(sites, own).ok_or(RoutingError::UnknownGateway(own))?;
         let seed = of.seed ^ (u64::from(own) << 32);
         let told = of.functions.iter().map(|f| f.told).collect();
         let settings = RoutingSettings::new(places.clone(), told, of.worker_mb, seed);
@@ -173,7 +173,7 @@
         let of: Vec<Site> = (0..u16::from(settings.sites) * settings.gateways)
             .map(|n| (n / settings.gateways) as Site)
             .collect();
-        let places = SiteMap::new(of, 0).ok_or(RoutingError::Stranger(0))?;
+        let places = SiteMap::new(of, 0).ok_or(RoutingError::UnknownGateway(0))?;
         let all = 0..places.len() as MemberId;
         let gateways = all.map(|own| Gateway::new(&settings, &places, own, BEGIN));
         let gateways = gateways.collect::<Result<_, _>>()?;
--- a/crates/site-routing/tests/frames.rs
+++ b/crates/site-routing/tests/frames.rs
@@ -133,8 +133,8 @@
 fn torn_and_foreign_frames_are_errors_that_change_nothing() {
     let (mut a, mut b) = (route(0), route(1));
     let (word, now) = told(&mut a, &mut b);
-    assert_eq!(a.frame(now, 9, &word), Err(RoutingError::Stranger(9)));
-    assert_eq!(a.frame(now, 0, &word), Err(RoutingError::NotItsSite(0)));
+    assert_eq!(a.frame(now, 9, &word), Err(RoutingError::UnknownGateway(9)));
+    assert_eq!(a.frame(now, 0, &word), Err(RoutingError::WrongSite(0)));
     assert_eq!(a.frame(now, 1, &[0; 70_000]), Err(RoutingError::TooLong { from: 1, bytes: 70_000 }));
     for cut in 0..word.len() {
         assert_eq!(a.frame(now, 1, &word[..cut]), Err(RoutingError::Unreadable(1)), "cut at {cut}");
@@ -159,7 +159,7 @@
 fn settings_that_do_not_go_together_are_refused() {
     let told = FunctionSpec { memory_mb: 1, lanes: 1, load_time: None, aim: 2, deadline: 1 };
     let settings = RoutingSettings::new(places(0), vec![told], 1, 1);
-    assert!(matches!(RoutingController::new(settings.clone(), 0), Err(RoutingError::Function(0))));
+    assert!(matches!(RoutingController::new(settings.clone(), 0), Err(RoutingError::InvalidFunction(0))));
     let settings = RoutingSettings { functions: Vec::new(), valid_for: 1, ..settings };
-    assert!(matches!(RoutingController::new(settings, 0), Err(RoutingError::Spans)));
+    assert!(matches!(RoutingController::new(settings, 0), Err(RoutingError::InvalidSettings)));
 }
