--- a/crates/bench/src/route/grow.rs
+++ b/crates/bench/src/route/grow.rs
@@ -78,9 +78,9 @@
         let settled = tick >= TICKS / 2;
         let mut frames = Vec::<(MemberId, MemberId, Vec<u8>)>::new();
         for (own, route) in routes.iter_mut().enumerate() {
-            route.counted(now, 0, &counts(&mut rng));
+            route.record_counts(now, 0, &counts(&mut rng));
             let began = Instant::now();
-            let told = route.tell(now);
+            let told = route.build_frames(now);
             let took = began.elapsed();
             let began = Instant::now();
             let table = route.table(now);
@@ -98,9 +98,9 @@
             longest = longest.max(bytes.len());
             let route = &mut routes[usize::from(to)];
             if of[usize::from(from)] != of[usize::from(to)] {
-                route.link(now + 20_000, from, 20_000);
+                route.record_rtt(now + 20_000, from, 20_000);
             }
-            route.frame(now + 20_000, from, &bytes)?;
+            route.receive_frame(now + 20_000, from, &bytes)?;
         }
         now += EVERY;
     }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -245,8 +245,8 @@
         for (number, end) in self.loops.iter_mut().enumerate() {
             while let Ok(fact) = end.facts.pop() {
                 match fact {
-                    Fact::Routed(counts) => self.route.counted(now, number as u16, &counts),
-                    Fact::Handed(handed) => self.route.handed(now, &handed),
+                    Fact::Routed(counts) => self.route.record_counts(now, number as u16, &counts),
+                    Fact::Handed(handed) => self.route.record_handover(now, &handed),
                     Fact::Asked(counts) => self.shed.counted(now, number, &counts),
                 }
             }
@@ -286,7 +286,7 @@
                     Input::Frame { from, bytes: bytes.to_vec() }
                 }
                 EndpointEvent::Connection(ConnectionEvent::Frame(from, Channel::Route, bytes)) => {
-                    if let Err(error) = self.route.frame(now, from, &bytes) {
+                    if let Err(error) = self.route.receive_frame(now, from, &bytes) {
                         warn!(scheduler = self.name, from, %error, "frame of another site not taken");
                     }
                     continue;
@@ -384,12 +384,12 @@
                 && now.saturating_sub(age) > *told
             {
                 *told = now.saturating_sub(age);
-                self.route.link(now, of, rtt);
+                self.route.record_rtt(now, of, rtt);
             }
         }
-        for (to, frame) in self.route.tell(now) {
+        for (to, receive_frame) in self.route.build_frames(now) {
             // Told anew with the next: what finds no room now is old by then.
-            let _ = self.endpoint.send(&mut self.io, now, to, (Channel::Route, &frame));
+            let _ = self.endpoint.send(&mut self.io, now, to, (Channel::Route, &receive_frame));
         }
         self.tables.route.store(Some(Arc::new(self.route.table(now))));
     }
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -14,7 +14,7 @@
 use basaltward_pending::{Key, owner};
 use basaltward_shed::{Asked, Door, Ended, ShedSettings, Verdict, Waits};
 use basaltward_site_routing::{
-    Destination, FunctionCounts, Handover, HandoverOutcome, LoopCounts, Router, home_by,
+    Destination, FunctionCounts, Handover, HandoverOutcome, LoopCounts, Router, handover_deadline,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -217,7 +217,7 @@
             let there = self.router.choose(now, table.as_deref(), function, left, handed);
             if let Destination::Remote { peer, .. } = there {
                 let row = table.as_ref().and_then(|t| t.rows.get(function as usize));
-                let until = home_by(now, call.deadline, row.map_or(0, |row| row.local_latency));
+                let until = handover_deadline(now, call.deadline, row.map_or(0, |row| row.local_latency));
                 return self.hand(io, now, call, (function, peer), (until, false));
             }
         }
@@ -343,7 +343,7 @@
             _ => HandoverOutcome::Lost,
         };
         let told = Handover { function, to, duration: took, outcome: how };
-        self.router.ended(now, &told);
+        self.router.handover_ended(now, &told);
         self.rings.facts.tell(Fact::Handed(told));
         Some(match end.reply {
             Some(reply) => Back::Answer(waiter, Answer::Served(reply)),
@@ -421,7 +421,10 @@
         }
         // Nothing is known of it: counted as lost it would speak against a site that did nothing wrong.
         let took = now.saturating_sub(began);
-        self.router.ended(now, &Handover { function, to, duration: took, outcome: HandoverOutcome::Refused });
+        self.router.handover_ended(
+            now,
+            &Handover { function, to, duration: took, outcome: HandoverOutcome::Refused },
+        );
         true
     }
 
--- a/crates/site-routing/src/controller.rs
+++ b/crates/site-routing/src/controller.rs
@@ -28,7 +28,7 @@
 pub struct RoutingController {
     settings: RoutingSettings,
     tally: Tally,
-    live: Vec<bool>,
+    set_live: Vec<bool>,
     links: BTreeMap<MemberId, Link>,
     /// Number of our last frames, and when they were told.
     number: u64,
@@ -43,7 +43,7 @@
     rows: Rows,
     rows_by: MemberId,
     rows_at: Micros,
-    table: u64,
+    build_table: u64,
     due: Micros,
     fault: Option<Fault>,
 }
@@ -55,7 +55,7 @@
         let places = &settings.site_map;
         Ok(Self {
             tally: Tally::new(&settings, now),
-            live: vec![false; places.len()],
+            set_live: vec![false; places.len()],
             links: BTreeMap::new(),
             number: 0,
             sent: VecDeque::new(),
@@ -68,7 +68,7 @@
             rows: Rows::default(),
             rows_by: places.own(),
             rows_at: now,
-            table: 0,
+            build_table: 0,
             due: now + settings.interval,
             fault: None,
             settings,
@@ -76,19 +76,19 @@
     }
 
     /// What a loop counted. Calls in hand are those that run or wait at this site: none that was handed over to another.
-    pub fn counted(&mut self, now: Micros, loop_no: u16, counts: &LoopCounts) {
+    pub fn record_counts(&mut self, now: Micros, loop_no: u16, counts: &LoopCounts) {
         self.tally.counted(now, loop_no, counts);
     }
 
     /// How a call ended that a loop handed over.
-    pub fn handed(&mut self, _now: Micros, handed: &Handover) {
+    pub fn record_handover(&mut self, _now: Micros, handed: &Handover) {
         if let Some(site) = self.settings.site_map.site_of(handed.to) {
             self.tally.handed(site, handed);
         }
     }
 
     /// A frame of a peer.
-    pub fn frame(&mut self, now: Micros, from: MemberId, bytes: &[u8]) -> Result<(), RoutingError> {
+    pub fn receive_frame(&mut self, now: Micros, from: MemberId, bytes: &[u8]) -> Result<(), RoutingError> {
         let site = self.settings.site_map.site_of(from).ok_or(RoutingError::UnknownGateway(from))?;
         let frame = Frame::read(from, bytes)?;
         let ours = site == self.settings.site_map.own_site();
@@ -130,7 +130,7 @@
     }
 
     /// Time there and back to a peer, as just measured.
-    pub fn link(&mut self, now: Micros, to: MemberId, rtt: Micros) {
+    pub fn record_rtt(&mut self, now: Micros, to: MemberId, rtt: Micros) {
         let link = self.links.entry(to).or_insert(Link { rtt, at: now });
         // Slower is believed at once by half, quicker slowly: one quick answer is no quick link.
         let rtt = if rtt > link.rtt { (rtt + link.rtt) / 2 } else { (rtt + 3 * link.rtt) / 4 };
@@ -139,13 +139,13 @@
 
     /// Which peers the view holds for living, by number.
     pub fn live(&mut self, live: &[bool]) {
-        let known = self.live.len().min(live.len());
-        self.live.fill(false);
-        self.live[..known].copy_from_slice(&live[..known]);
+        let known = self.set_live.len().min(live.len());
+        self.set_live.fill(false);
+        self.set_live[..known].copy_from_slice(&live[..known]);
     }
 
     /// Frames that are due, each with who gets it.
-    pub fn tell(&mut self, now: Micros) -> Vec<(MemberId, Vec<u8>)> {
+    pub fn build_frames(&mut self, now: Micros) -> Vec<(MemberId, Vec<u8>)> {
         self.due = now + self.settings.interval;
         self.number += 1;
         self.sent.push_back((self.number, now));
@@ -182,7 +182,7 @@
 
     /// Where calls go as of now.
     pub fn table(&mut self, now: Micros) -> RoutingTable {
-        self.table += 1;
+        self.build_table += 1;
         let here = self.settings.site_map.own_site();
         let plain = Row { home: here, warm_at_home: true, ..Row::default() };
         let mut rows = vec![plain; self.settings.functions.len()];
@@ -197,7 +197,7 @@
             }
         }
         RoutingTable {
-            number: self.table,
+            number: self.build_table,
             valid_until: self.rows_at + self.settings.valid_for,
             local_site: here,
             rows,
@@ -211,12 +211,12 @@
 
     /// Plants a fault, which the checkers have to find.
     #[doc(hidden)]
-    pub fn plant(&mut self, fault: Fault) {
+    pub fn inject_fault(&mut self, fault: Fault) {
         self.fault = Some(fault);
     }
 
     fn is_live(&self, of: MemberId) -> bool {
-        of == self.settings.site_map.own() || self.live.get(usize::from(of)) == Some(&true)
+        of == self.settings.site_map.own() || self.set_live.get(usize::from(of)) == Some(&true)
     }
 
     fn living(&self, site: Site) -> impl Iterator<Item = MemberId> {
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -17,7 +17,7 @@
 mod wire;
 
 pub use controller::RoutingController;
-pub use handover::home_by;
+pub use handover::handover_deadline;
 pub use router::Router;
 pub use settings::{FunctionSpec, RoutingError, RoutingSettings};
 pub use simulation::{CompletedCall, DirectedLink, ModelFunction, Policy, Simulation, SimulationSettings};
--- a/crates/site-routing/src/router.rs
+++ b/crates/site-routing/src/router.rs
@@ -92,7 +92,7 @@
     }
 
     /// A call that this loop handed over has ended.
-    pub fn ended(&mut self, now: Micros, handed: &Handover) {
+    pub fn handover_ended(&mut self, now: Micros, handed: &Handover) {
         let site = self.places.site_of(handed.to);
         let Some(seen) = site.and_then(|site| self.seen.get_mut(usize::from(site))) else { return };
         seen.out = seen.out.saturating_sub(1);
@@ -118,7 +118,7 @@
 
     /// Plants a fault, which the checkers have to find.
     #[doc(hidden)]
-    pub fn plant(&mut self, fault: Fault) {
+    pub fn inject_fault(&mut self, fault: Fault) {
         self.fault = Some(fault);
     }
 
--- a/crates/site-routing/src/simulation/mod.rs
+++ b/crates/site-routing/src/simulation/mod.rs
@@ -286,8 +286,8 @@
     #[doc(hidden)]
     pub fn plant(&mut self, fault: Fault) {
         self.gateways.iter_mut().for_each(|g| {
-            g.route.plant(fault);
-            g.router.plant(fault);
+            g.route.inject_fault(fault);
+            g.router.inject_fault(fault);
         });
     }
 
@@ -392,7 +392,7 @@
             Due::Frame { from, to, bytes } => {
                 if self.is_up(to) {
                     // What can't be read is an error of this world, seen by tests as a wrong choice.
-                    let read = self.gateways[usize::from(to)].route.frame(self.now, from, &bytes);
+                    let read = self.gateways[usize::from(to)].route.receive_frame(self.now, from, &bytes);
                     debug_assert!(read.is_ok(), "{read:?}");
                 }
             }
@@ -417,7 +417,7 @@
             }
             Due::Pong { from, of, sent } => {
                 let rtt = self.now - sent;
-                self.gateways[usize::from(from)].route.link(self.now, of, rtt);
+                self.gateways[usize::from(from)].route.record_rtt(self.now, of, rtt);
             }
             Due::Look => {
                 self.look();
@@ -449,11 +449,11 @@
         let in_hand = by.iter().map(|c| c.in_flight).sum();
         let workers = state.workers.workers() * if state.boasts { 100 } else { 1 };
         let counts = LoopCounts { span: TICK, functions: by, in_flight: in_hand, workers };
-        gateway.route.counted(now, 0, &counts);
+        gateway.route.record_counts(now, 0, &counts);
         if self.settings.policy != Policy::SiteRouting {
             return;
         }
-        let frames = gateway.route.tell(now);
+        let frames = gateway.route.build_frames(now);
         gateway.table = Some(gateway.route.table(now));
         for (to, bytes) in frames {
             self.bytes += bytes.len() as u64;
@@ -577,8 +577,8 @@
         let Some((to, sent)) = c.handed.filter(|_| c.attempt == attempt && !c.ended) else { return };
         let handed = Handover { function: c.function, to, duration: self.now - sent, outcome: end };
         let gateway = &mut self.gateways[usize::from(c.gateway)];
-        gateway.router.ended(self.now, &handed);
-        gateway.route.handed(self.now, &handed);
+        gateway.router.handover_ended(self.now, &handed);
+        gateway.route.record_handover(self.now, &handed);
         self.calls[call].handed = None;
         self.calls[call].attempt += 1;
         match end {
--- a/crates/site-routing/tests/frames.rs
+++ b/crates/site-routing/tests/frames.rs
@@ -46,14 +46,14 @@
 fn told(a: &mut RoutingController, b: &mut RoutingController) -> (Vec<u8>, Micros) {
     let (mut now, mut last) = (10 * S, Vec::new());
     for _ in 0..8 {
-        b.counted(now, 0, &served(5));
-        a.link(now, 1, 20_000);
-        for (to, bytes) in a.tell(now) {
+        b.record_counts(now, 0, &served(5));
+        a.record_rtt(now, 1, 20_000);
+        for (to, bytes) in a.build_frames(now) {
             assert_eq!(to, 1);
-            b.frame(now + 10_000, 0, &bytes).expect("a frame of ours");
+            b.receive_frame(now + 10_000, 0, &bytes).expect("a frame of ours");
         }
-        for (_, bytes) in b.tell(now + 20_000) {
-            a.frame(now + 30_000, 1, &bytes).expect("a frame of ours");
+        for (_, bytes) in b.build_frames(now + 20_000) {
+            a.receive_frame(now + 30_000, 1, &bytes).expect("a frame of ours");
             last = bytes;
         }
         now += TELL;
@@ -62,8 +62,8 @@
 }
 
 fn goes_there(a: &mut RoutingController, now: Micros) -> bool {
-    a.link(now, 1, 20_000);
-    a.tell(now);
+    a.record_rtt(now, 1, 20_000);
+    a.build_frames(now);
     a.table(now).rows[0].remote_routes.iter().any(|way| way.share > 0)
 }
 
@@ -78,16 +78,16 @@
 /// A frame that lay five seconds on its way, and with a way that is quick again.
 fn five_seconds_late(fault: Option<Fault>) -> bool {
     let (mut a, mut b) = (route(0), route(1));
-    fault.into_iter().for_each(|fault| a.plant(fault));
+    fault.into_iter().for_each(|fault| a.inject_fault(fault));
     let (_, mut now) = told(&mut a, &mut b);
-    b.counted(now, 0, &served(5));
-    let (_, late) = b.tell(now).pop().expect("a word for the other site");
+    b.record_counts(now, 0, &served(5));
+    let (_, late) = b.build_frames(now).pop().expect("a word for the other site");
     for _ in 0..20 {
-        a.tell(now);
+        a.build_frames(now);
         now += TELL;
     }
     assert!(!goes_there(&mut a, now), "nothing was heard for five seconds");
-    a.frame(now, 1, &late).expect("a frame of ours");
+    a.receive_frame(now, 1, &late).expect("a frame of ours");
     goes_there(&mut a, now)
 }
 
@@ -121,7 +121,7 @@
         (0..200).filter(|_| router.choose(S, Some(&table), 0, 3 * S, false) != Destination::Local).count();
     assert_eq!(sent, 99);
     let lost = Handover { function: 0, to: 1, duration: S, outcome: HandoverOutcome::Lost };
-    (0..100).for_each(|_| router.ended(2 * S, &lost));
+    (0..100).for_each(|_| router.handover_ended(2 * S, &lost));
     let next = RoutingTable { number: 2, ..table };
     assert_eq!(router.choose(2 * S, Some(&next), 0, 3 * S, false), Destination::Local);
     let probe = |router: &mut Router| router.choose(2 * S + 150_000, Some(&next), 0, 3 * S, false);
@@ -133,11 +133,11 @@
 fn torn_and_foreign_frames_are_errors_that_change_nothing() {
     let (mut a, mut b) = (route(0), route(1));
     let (word, now) = told(&mut a, &mut b);
-    assert_eq!(a.frame(now, 9, &word), Err(RoutingError::UnknownGateway(9)));
-    assert_eq!(a.frame(now, 0, &word), Err(RoutingError::WrongSite(0)));
-    assert_eq!(a.frame(now, 1, &[0; 70_000]), Err(RoutingError::TooLong { from: 1, bytes: 70_000 }));
+    assert_eq!(a.receive_frame(now, 9, &word), Err(RoutingError::UnknownGateway(9)));
+    assert_eq!(a.receive_frame(now, 0, &word), Err(RoutingError::WrongSite(0)));
+    assert_eq!(a.receive_frame(now, 1, &[0; 70_000]), Err(RoutingError::TooLong { from: 1, bytes: 70_000 }));
     for cut in 0..word.len() {
-        assert_eq!(a.frame(now, 1, &word[..cut]), Err(RoutingError::Unreadable(1)), "cut at {cut}");
+        assert_eq!(a.receive_frame(now, 1, &word[..cut]), Err(RoutingError::Unreadable(1)), "cut at {cut}");
     }
     assert!(goes_there(&mut a, now));
     let mut rng = StdRng::seed_from_u64(1);
@@ -148,9 +148,9 @@
             changed[at] = rng.random();
         }
         // Whatever it says, the figures stay whole: a table can be worked out and its ways lead to who lives.
-        let _ = a.frame(now, 1, &changed);
+        let _ = a.receive_frame(now, 1, &changed);
     }
-    a.tell(now);
+    a.build_frames(now);
     let ways = a.table(now).rows.into_iter().flat_map(|row| row.remote_routes);
     assert!(ways.filter(|way| way.call_limit > 0).all(|way| way.site == 1 && way.peer == 1));
 }
