--- a/crates/bench/src/route/grow.rs
+++ b/crates/bench/src/route/grow.rs
@@ -68,7 +68,7 @@
         let places = SiteMap::new(of.clone(), own).ok_or("no such gateway")?;
         let settings = RoutingSettings::new(places, vec![told; FUNCTIONS as usize], 16_384, u64::from(own));
         let mut route = RoutingController::new(settings, now)?;
-        route.live(&vec![true; usize::from(gateways)]);
+        route.set_live(&vec![true; usize::from(gateways)]);
         routes.push(route);
     }
     let mut rng = StdRng::seed_from_u64(1);
@@ -83,7 +83,7 @@
             let told = route.build_frames(now);
             let took = began.elapsed();
             let began = Instant::now();
-            let table = route.table(now);
+            let table = route.build_table(now);
             if settled {
                 tables.push(began.elapsed().as_nanos() as f64 / 1e3);
                 bytes[own] += told.iter().map(|(_, bytes)| bytes.len() as u64).sum::<u64>();
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -367,7 +367,7 @@
         let live: Vec<_> = members.iter().enumerate().map(|(of, e)| of == own || e.state.is_live()).collect();
         if live != self.live {
             self.live = live;
-            self.route.live(&self.live);
+            self.route.set_live(&self.live);
             self.see = now;
             let mut out = Vec::new();
             self.pending.handle(now, wall_ms(), Input::Live(self.live.clone()), &mut out);
@@ -391,7 +391,7 @@
             // Told anew with the next: what finds no room now is old by then.
             let _ = self.endpoint.send(&mut self.io, now, to, (Channel::Route, &receive_frame));
         }
-        self.tables.route.store(Some(Arc::new(self.route.table(now))));
+        self.tables.route.store(Some(Arc::new(self.route.build_table(now))));
     }
 
     /// Tells admission what peers have published, publishes what it tells, and swaps its table.
--- a/crates/site-routing/src/controller.rs
+++ b/crates/site-routing/src/controller.rs
@@ -28,7 +28,7 @@
 pub struct RoutingController {
     settings: RoutingSettings,
     tally: Tally,
-    set_live: Vec<bool>,
+    live_members: Vec<bool>,
     links: BTreeMap<MemberId, Link>,
     /// Number of our last frames, and when they were told.
     number: u64,
@@ -43,7 +43,7 @@
     rows: Rows,
     rows_by: MemberId,
     rows_at: Micros,
-    build_table: u64,
+    table_number: u64,
     due: Micros,
     fault: Option<Fault>,
 }
@@ -55,7 +55,7 @@
         let places = &settings.site_map;
         Ok(Self {
             tally: Tally::new(&settings, now),
-            set_live: vec![false; places.len()],
+            live_members: vec![false; places.len()],
             links: BTreeMap::new(),
             number: 0,
             sent: VecDeque::new(),
@@ -68,7 +68,7 @@
             rows: Rows::default(),
             rows_by: places.own(),
             rows_at: now,
-            build_table: 0,
+            table_number: 0,
             due: now + settings.interval,
             fault: None,
             settings,
@@ -138,10 +138,10 @@
     }
 
     /// Which peers the view holds for living, by number.
-    pub fn live(&mut self, live: &[bool]) {
-        let known = self.set_live.len().min(live.len());
-        self.set_live.fill(false);
-        self.set_live[..known].copy_from_slice(&live[..known]);
+    pub fn set_live(&mut self, live: &[bool]) {
+        let known = self.live_members.len().min(live.len());
+        self.live_members.fill(false);
+        self.live_members[..known].copy_from_slice(&live[..known]);
     }
 
     /// Frames that are due, each with who gets it.
@@ -181,8 +181,8 @@
     }
 
     /// Where calls go as of now.
-    pub fn table(&mut self, now: Micros) -> RoutingTable {
-        self.build_table += 1;
+    pub fn build_table(&mut self, now: Micros) -> RoutingTable {
+        self.table_number += 1;
         let here = self.settings.site_map.own_site();
         let plain = Row { home: here, warm_at_home: true, ..Row::default() };
         let mut rows = vec![plain; self.settings.functions.len()];
@@ -197,7 +197,7 @@
             }
         }
         RoutingTable {
-            number: self.build_table,
+            number: self.table_number,
             valid_until: self.rows_at + self.settings.valid_for,
             local_site: here,
             rows,
@@ -216,7 +216,7 @@
     }
 
     fn is_live(&self, of: MemberId) -> bool {
-        of == self.settings.site_map.own() || self.set_live.get(usize::from(of)) == Some(&true)
+        of == self.settings.site_map.own() || self.live_members.get(usize::from(of)) == Some(&true)
     }
 
     fn living(&self, site: Site) -> impl Iterator<Item = MemberId> {
--- a/crates/site-routing/src/simulation/mod.rs
+++ b/crates/site-routing/src/simulation/mod.rs
@@ -425,7 +425,7 @@
             }
             Due::Live => {
                 let live: Vec<_> = (0..self.gateways.len() as MemberId).map(|of| self.is_up(of)).collect();
-                self.gateways.iter_mut().for_each(|g| g.route.live(&live));
+                self.gateways.iter_mut().for_each(|g| g.route.set_live(&live));
             }
         }
     }
@@ -454,7 +454,7 @@
             return;
         }
         let frames = gateway.route.build_frames(now);
-        gateway.table = Some(gateway.route.table(now));
+        gateway.table = Some(gateway.route.build_table(now));
         for (to, bytes) in frames {
             self.bytes += bytes.len() as u64;
             let there = self.site_of(to);
--- a/crates/site-routing/tests/frames.rs
+++ b/crates/site-routing/tests/frames.rs
@@ -24,7 +24,7 @@
     };
     let settings = RoutingSettings::new(places(own), vec![told; 4], 8_192, 1);
     let mut route = RoutingController::new(settings, 10 * S).expect("settings");
-    route.live(&[true, true]);
+    route.set_live(&[true, true]);
     route
 }
 
@@ -64,7 +64,7 @@
 fn goes_there(a: &mut RoutingController, now: Micros) -> bool {
     a.record_rtt(now, 1, 20_000);
     a.build_frames(now);
-    a.table(now).rows[0].remote_routes.iter().any(|way| way.share > 0)
+    a.build_table(now).rows[0].remote_routes.iter().any(|way| way.share > 0)
 }
 
 #[test]
@@ -151,7 +151,7 @@
         let _ = a.receive_frame(now, 1, &changed);
     }
     a.build_frames(now);
-    let ways = a.table(now).rows.into_iter().flat_map(|row| row.remote_routes);
+    let ways = a.build_table(now).rows.into_iter().flat_map(|row| row.remote_routes);
     assert!(ways.filter(|way| way.call_limit > 0).all(|way| way.site == 1 && way.peer == 1));
 }
 
