--- a/crates/bench/src/route.rs
+++ b/crates/bench/src/route.rs
@@ -36,11 +36,11 @@
 
 /// Mean change of what a site does for others from one second to the next, against the mean of what it does.
 fn swing(ended: &[CompletedCall]) -> f64 {
-    let last = ended.iter().map(|e| e.came / 1_000_000).max().unwrap_or(0) as usize;
-    let sites = ended.iter().map(|e| usize::from(e.by)).max().unwrap_or(0) + 1;
+    let last = ended.iter().map(|e| e.arrived_at / 1_000_000).max().unwrap_or(0) as usize;
+    let sites = ended.iter().map(|e| usize::from(e.answered_by)).max().unwrap_or(0) + 1;
     let mut done = vec![vec![0.0; last + 1]; sites];
-    for e in ended.iter().filter(|e| e.by != e.site) {
-        done[usize::from(e.by)][(e.came / 1_000_000) as usize] += 1.0;
+    for e in ended.iter().filter(|e| e.answered_by != e.site) {
+        done[usize::from(e.answered_by)][(e.arrived_at / 1_000_000) as usize] += 1.0;
     }
     let changes: f64 = done.iter().flat_map(|s| s.windows(2).map(|w| f64::abs(w[1] - w[0]))).sum();
     let all: f64 = done.iter().flatten().sum();
@@ -51,15 +51,15 @@
     let (mut ended, mut loads, mut swings) = (Vec::new(), 0, 0.0);
     for seed in 1..=seeds {
         let world = days::play(day, policy, seed)?;
-        loads += world.loads();
-        swings += swing(&world.ended);
-        ended.extend(world.ended);
+        loads += world.loads_started();
+        swings += swing(&world.completed);
+        ended.extend(world.completed);
     }
-    let mut took: Vec<_> = ended.iter().map(|e| e.took.unwrap_or(u64::MAX)).collect();
+    let mut took: Vec<_> = ended.iter().map(|e| e.latency.unwrap_or(u64::MAX)).collect();
     took.sort_unstable();
     let all = ended.len().max(1) as f64;
     Ok(Sum {
-        worth: ended.iter().map(|e| e.worth).sum::<f64>() / all,
+        worth: ended.iter().map(|e| e.value).sum::<f64>() / all,
         p50: quantile(&took, 0.5),
         p99: quantile(&took, 0.99),
         handed: ended.iter().filter(|e| e.hops > 0).count() as f64 / all,
--- a/crates/bench/src/route/days.rs
+++ b/crates/bench/src/route/days.rs
@@ -44,7 +44,7 @@
         let (aim, deadline) = (400_000, 3_000_000);
         let memory_mb = rng.random_range(2..=8) * 128;
         let told = FunctionSpec { memory_mb, lanes: 4, load_time: Some(load), aim, deadline };
-        ModelFunction { told, service, load }
+        ModelFunction { spec: told, service_time: service, load_time: load }
     };
     (0..count).map(function).collect()
 }
@@ -55,7 +55,7 @@
     let all: f64 = (0..FUNCTIONS).map(weight).sum();
     for f in 0..FUNCTIONS {
         let rate = if weight(f) > 0.0 { calls * weight(f) / all } else { 0.08 };
-        world.rate(site, f, rate);
+        world.set_call_rate(site, f, rate);
     }
 }
 
@@ -68,7 +68,7 @@
         cores: 4,
         worker_mb: 16_384,
         functions: functions(FUNCTIONS, seed),
-        delay: 10_000,
+        link_delay: 10_000,
         policy,
         seed,
     };
@@ -82,7 +82,7 @@
     };
     (0..SITES).for_each(|site| load(&mut world, site, whole * base, day == Day::ColdStart));
     for second in 1..=END {
-        world.run(second * S);
+        world.run_until(second * S);
         match (day, second) {
             (Day::HotSpot, 5 | 20 | 35 | 50) => {
                 let hot = (second / 15) as Site % SITES;
@@ -93,11 +93,11 @@
             (Day::SlowLink, 10) => load(&mut world, 0, whole * 1.6, false),
             (Day::SlowLink, 20 | 40) => {
                 let delay = if second == 20 { 400_000 } else { 10_000 };
-                world.leg(0, 1, |leg| leg.delay = delay);
-                world.leg(1, 0, |leg| leg.delay = delay);
+                world.update_link(0, 1, |leg| leg.delay = delay);
+                world.update_link(1, 0, |leg| leg.delay = delay);
             }
-            (Day::SiteLost, 20) => world.power(2, false),
-            (Day::SiteLost, 40) => world.power(2, true),
+            (Day::SiteLost, 20) => world.set_site_up(2, false),
+            (Day::SiteLost, 40) => world.set_site_up(2, true),
             _ => {}
         }
     }
--- a/crates/site-routing/src/simulation/links.rs
+++ b/crates/site-routing/src/simulation/links.rs
@@ -12,7 +12,7 @@
     /// And up to this more.
     pub jitter: Micros,
     /// Share that is lost and sent again.
-    pub lost: f64,
+    pub loss: f64,
     /// Nothing comes through.
     pub cut: bool,
 }
@@ -35,7 +35,7 @@
             let apart = apart.min(sites - apart).max(1) as u64;
             let near = at / sites == at % sites;
             let delay = if near { 200 } else { delay * (1 + apart) / 2 };
-            DirectedLink { delay, jitter: delay / 10, lost: 0.0, cut: false }
+            DirectedLink { delay, jitter: delay / 10, loss: 0.0, cut: false }
         };
         Self { sites, legs: (0..sites * sites).map(leg).collect() }
     }
@@ -53,7 +53,7 @@
         let leg = self.leg(from, to);
         let mut late = leg.delay + rng.random_range(0..=leg.jitter);
         let mut again = AGAIN;
-        while leg.lost > 0.0 && rng.random_bool(leg.lost.min(0.9)) {
+        while leg.loss > 0.0 && rng.random_bool(leg.loss.min(0.9)) {
             late += again;
             again *= 2;
         }
--- a/crates/site-routing/src/simulation/mod.rs
+++ b/crates/site-routing/src/simulation/mod.rs
@@ -37,7 +37,7 @@
     /// All functions.
     pub functions: Vec<ModelFunction>,
     /// Time of a message between neighbouring sites.
-    pub delay: Micros,
+    pub link_delay: Micros,
     /// How sites are chosen.
     pub policy: Policy,
     /// What all draws follow from.
@@ -48,19 +48,19 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CompletedCall {
     /// When it came.
-    pub came: Micros,
+    pub arrived_at: Micros,
     /// Its function.
     pub function: u32,
     /// Where its client is.
     pub site: Site,
     /// Where it was answered last.
-    pub by: Site,
+    pub answered_by: Site,
     /// How often it crossed between sites in a row, as the longest chain.
     pub hops: u32,
     /// Time until its answer; none where it had none in time.
-    pub took: Option<Micros>,
+    pub latency: Option<Micros>,
     /// What it was worth: 1 within its aim, falling to 0 at its deadline.
-    pub worth: f64,
+    pub value: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -113,7 +113,7 @@
         let sites: Vec<_> = (0..places.len() as MemberId).filter_map(|of| places.site_of(of)).collect();
         let places = SiteMap::new(sites, own).ok_or(RoutingError::UnknownGateway(own))?;
         let seed = of.seed ^ (u64::from(own) << 32);
-        let told = of.functions.iter().map(|f| f.told).collect();
+        let told = of.functions.iter().map(|f| f.spec).collect();
         let settings = RoutingSettings::new(places.clone(), told, of.worker_mb, seed);
         Ok(Self {
             route: RoutingController::new(
@@ -143,9 +143,9 @@
     /// Its time.
     pub now: Micros,
     /// Calls that have ended, in order.
-    pub ended: Vec<CompletedCall>,
+    pub completed: Vec<CompletedCall>,
     /// Bytes told between gateways.
-    pub bytes: u64,
+    pub gossip_bytes: u64,
     places: SiteMap,
     rng: StdRng,
     links: Links,
@@ -192,11 +192,11 @@
         };
         let mut world = Self {
             now: BEGIN,
-            ended: Vec::new(),
-            bytes: 0,
+            completed: Vec::new(),
+            gossip_bytes: 0,
             places,
             rng: StdRng::seed_from_u64(settings.seed),
-            links: Links::new(settings.sites, settings.delay),
+            links: Links::new(settings.sites, settings.link_delay),
             sites: (0..settings.sites).map(site).collect(),
             gateways,
             calls: Vec::new(),
@@ -223,14 +223,14 @@
     }
 
     /// Clients of a site call a function so often in a second from now on.
-    pub fn rate(&mut self, site: Site, function: u32, calls: f64) {
+    pub fn set_call_rate(&mut self, site: Site, function: u32, calls: f64) {
         let (_, turn) = self.rates.get(&(site, function)).copied().unwrap_or_default();
         self.rates.insert((site, function), (calls, turn + 1));
         self.next_arrival(site, function);
     }
 
     /// One way between two sites, to be changed; what waited for it goes on.
-    pub fn leg(&mut self, from: Site, to: Site, change: impl FnOnce(&mut DirectedLink)) {
+    pub fn update_link(&mut self, from: Site, to: Site, change: impl FnOnce(&mut DirectedLink)) {
         change(self.links.leg_mut(from, to));
         if !self.links.leg(from, to).cut {
             let (free, held) =
@@ -242,7 +242,7 @@
     }
 
     /// A site vanishes with all that it has in hand, or comes back with nothing.
-    pub fn power(&mut self, site: Site, up: bool) {
+    pub fn set_site_up(&mut self, site: Site, up: bool) {
         let state = &mut self.sites[usize::from(site)];
         (state.up, state.life) = (up, state.life + 1);
         state.workers.clear();
@@ -263,28 +263,28 @@
     }
 
     /// All copies of a site that do nothing are gone.
-    pub fn cool(&mut self, site: Site) {
+    pub fn evict_idle_copies(&mut self, site: Site) {
         self.sites[usize::from(site)].workers.cool();
     }
 
     /// A site refuses what others hand over, whatever it says, or takes it again.
-    pub fn refuses(&mut self, site: Site, refuses: bool) {
+    pub fn set_refuses_handovers(&mut self, site: Site, refuses: bool) {
         self.sites[usize::from(site)].refuses = refuses;
     }
 
     /// A site says that it has a hundred times its workers and nothing in hand, or speaks the truth again.
-    pub fn boasts(&mut self, site: Site, boasts: bool) {
+    pub fn set_overstates_capacity(&mut self, site: Site, boasts: bool) {
         self.sites[usize::from(site)].boasts = boasts;
     }
 
     /// A gateway's control thread stands still, or goes on.
-    pub fn stall(&mut self, gateway: MemberId, stalled: bool) {
+    pub fn set_control_stalled(&mut self, gateway: MemberId, stalled: bool) {
         self.gateways[usize::from(gateway)].stalled = stalled;
     }
 
     /// Plants a fault in all gateways.
     #[doc(hidden)]
-    pub fn plant(&mut self, fault: Fault) {
+    pub fn inject_fault(&mut self, fault: Fault) {
         self.gateways.iter_mut().for_each(|g| {
             g.route.inject_fault(fault);
             g.router.inject_fault(fault);
@@ -297,24 +297,24 @@
     }
 
     /// Loads begun at all sites.
-    pub fn loads(&self) -> u64 {
+    pub fn loads_started(&self) -> u64 {
         self.sites.iter().map(|s| s.workers.loads).sum()
     }
 
     /// Calls that have not ended.
-    pub fn in_hand(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.calls.iter().filter(|c| !c.ended).count()
     }
 
     /// Calls in hand that were handed to a site.
-    pub fn handed_to(&self, site: Site) -> usize {
+    pub fn in_flight_at(&self, site: Site) -> usize {
         let to =
             |c: &&Call| !c.ended && c.handed.is_some_and(|(to, _)| self.places.site_of(to) == Some(site));
         self.calls.iter().filter(to).count()
     }
 
     /// Runs until then, counted from the world's beginning.
-    pub fn run(&mut self, until: Micros) {
+    pub fn run_until(&mut self, until: Micros) {
         let until = BEGIN + until;
         while let Some(Reverse((at, ..))) = self.queue.peek()
             && *at <= until
@@ -456,7 +456,7 @@
         let frames = gateway.route.build_frames(now);
         gateway.table = Some(gateway.route.build_table(now));
         for (to, bytes) in frames {
-            self.bytes += bytes.len() as u64;
+            self.gossip_bytes += bytes.len() as u64;
             let there = self.site_of(to);
             self.cross(here, there, Due::Frame { from: own, to, bytes });
         }
@@ -470,7 +470,7 @@
         };
         let gateways = self.settings.gateways;
         let gateway = u16::from(site) * gateways + self.rng.random_range(0..gateways);
-        let deadline = self.settings.functions[function as usize].told.deadline;
+        let deadline = self.settings.functions[function as usize].spec.deadline;
         let (came, until) = (self.now, self.now + deadline);
         let call = self.calls.len();
         self.calls.push(Call {
@@ -524,7 +524,7 @@
     fn begin(&mut self, call: usize, at: MemberId) {
         let site = self.site_of(at);
         let function = self.calls[call].function;
-        let mean = self.settings.functions[function as usize].service as f64;
+        let mean = self.settings.functions[function as usize].service_time as f64;
         let service = (mean * self.rng.random_range(0.4..1.6)) as Micros;
         let Call { until, attempt, .. } = self.calls[call];
         let job = Job { call, attempt, at, function, came: self.now, until, service };
@@ -592,14 +592,22 @@
         if std::mem::replace(&mut c.ended, true) {
             return;
         }
-        let told = self.settings.functions[c.function as usize].told;
+        let told = self.settings.functions[c.function as usize].spec;
         let took = took.filter(|took| *took <= told.deadline);
         let worth = took.map_or(0.0, |took| {
             let left = told.deadline.saturating_sub(took) as f64;
             (left / (told.deadline - told.aim).max(1) as f64).min(1.0)
         });
         let (came, function, site, hops) = (c.came - BEGIN, c.function, c.site, c.hops);
-        self.ended.push(CompletedCall { came, function, site, by, hops, took, worth });
+        self.completed.push(CompletedCall {
+            arrived_at: came,
+            function,
+            site,
+            answered_by: by,
+            hops,
+            latency: took,
+            value: worth,
+        });
     }
 
     fn count(&mut self, at: MemberId, function: u32, change: impl FnOnce(&mut FunctionCounts)) {
--- a/crates/site-routing/src/simulation/policy.rs
+++ b/crates/site-routing/src/simulation/policy.rs
@@ -94,8 +94,9 @@
             Policy::TwoRandom => {
                 let drawn = self.rng.random_range(sites);
                 let told = |site: Site| &self.snapshot[usize::from(site)];
-                let cost =
-                    |s: &Site| told(*s).estimates[f] + if *s == here { 0 } else { 2 * self.settings.delay };
+                let cost = |s: &Site| {
+                    told(*s).estimates[f] + if *s == here { 0 } else { 2 * self.settings.link_delay }
+                };
                 let both = [here, drawn].into_iter().filter(|s| told(*s).up);
                 both.min_by_key(cost).unwrap_or(here)
             }
--- a/crates/site-routing/src/simulation/workers.rs
+++ b/crates/site-routing/src/simulation/workers.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ModelFunction {
     /// What is told.
-    pub told: FunctionSpec,
+    pub spec: FunctionSpec,
     /// Mean time of a call in service.
-    pub service: Micros,
+    pub service_time: Micros,
     /// Time to load a copy.
-    pub load: Micros,
+    pub load_time: Micros,
 }
 
 /// A call at a site.
@@ -124,11 +124,11 @@
     pub fn estimate(&self, now: Micros, function: u32) -> Micros {
         let model = &self.functions[function as usize];
         let free = self.workers.iter().any(|w| w.running < self.cores);
-        let queue = if free { 0 } else { (self.waiting_work + model.service) / self.all_cores() };
+        let queue = if free { 0 } else { (self.waiting_work + model.service_time) / self.all_cores() };
         let copies = self.workers.iter().flat_map(|w| &w.copies).filter(|c| c.function == function);
         let ready =
-            copies.filter(|c| c.taken < model.told.lanes || !free).map(|c| c.ready.saturating_sub(now)).min();
-        queue.max(ready.unwrap_or(model.load)) + model.service
+            copies.filter(|c| c.taken < model.spec.lanes || !free).map(|c| c.ready.saturating_sub(now)).min();
+        queue.max(ready.unwrap_or(model.load_time)) + model.service_time
     }
 
     /// Whether a call that comes now would wait past its time.
@@ -185,7 +185,7 @@
 
     /// A lane of a standing copy at the worker with the most cores free.
     fn lane(&self, now: Micros, function: u32) -> Option<(usize, usize)> {
-        let lanes = self.functions[function as usize].told.lanes;
+        let lanes = self.functions[function as usize].spec.lanes;
         let open = self.workers.iter().enumerate().filter(|(_, w)| w.running < self.cores);
         let lane = |w: &Worker| {
             let fits = |c: &Copy| {
@@ -202,13 +202,13 @@
     fn load(&mut self, now: Micros, function: u32, later: &mut Vec<(Micros, Later)>) {
         let model = self.functions[function as usize];
         let all = self.workers.iter().flat_map(|w| &w.copies).filter(|c| c.function == function);
-        let coming = all.filter(|c| c.ready > now).count() * model.told.lanes as usize;
+        let coming = all.filter(|c| c.ready > now).count() * model.spec.lanes as usize;
         let wait = self.waiting.get(&function).map_or(0, VecDeque::len);
-        let (keep, mb) = (self.keep, |f: u32| self.functions[f as usize].told.memory_mb);
+        let (keep, mb) = (self.keep, |f: u32| self.functions[f as usize].spec.memory_mb);
         let idle = |c: &Copy| c.taken == 0 && c.idle_since.max(c.ready) + REST < now;
         let used = |w: &Worker| w.copies.iter().map(|c| mb(c.function)).sum::<u32>();
         let held = |w: &Worker| w.copies.iter().filter(|c| !idle(c)).map(|c| mb(c.function)).sum::<u32>();
-        let fits = |w: &Worker| w.running < self.cores && held(w) + model.told.memory_mb <= self.memory_mb;
+        let fits = |w: &Worker| w.running < self.cores && held(w) + model.spec.memory_mb <= self.memory_mb;
         if wait <= coming {
             return;
         }
@@ -224,12 +224,12 @@
         idle.sort_unstable();
         let mut out = Vec::new();
         for (since, number, of) in idle {
-            if now > since + keep || taken + model.told.memory_mb > self.memory_mb {
+            if now > since + keep || taken + model.spec.memory_mb > self.memory_mb {
                 taken -= mb(of);
                 out.push(number);
             }
         }
-        let (ready, number) = (now + model.load, self.copies);
+        let (ready, number) = (now + model.load_time, self.copies);
         self.copies += 1;
         self.loads += 1;
         let worker = &mut self.workers[at];
--- a/crates/site-routing/tests/failure_scenarios.rs
+++ b/crates/site-routing/tests/failure_scenarios.rs
@@ -20,7 +20,7 @@
 fn world(policy: Policy, seed: u64) -> Simulation {
     let told =
         FunctionSpec { memory_mb: 512, lanes: 2, load_time: Some(800_000), aim: 400_000, deadline: 3 * S };
-    let functions = vec![ModelFunction { told, service: 40_000, load: 800_000 }; 12];
+    let functions = vec![ModelFunction { spec: told, service_time: 40_000, load_time: 800_000 }; 12];
     let (sites, gateways, workers, cores) = (SITES, GATEWAYS, 3, 2);
     let settings = SimulationSettings {
         sites,
@@ -29,7 +29,7 @@
         cores,
         worker_mb: 8_192,
         functions,
-        delay: 10_000,
+        link_delay: 10_000,
         policy,
         seed,
     };
@@ -38,7 +38,7 @@
 
 /// All functions are called at a site, so often in a second altogether; it does 150.
 fn load(world: &mut Simulation, site: Site, calls: f64) {
-    (0..12).for_each(|f| world.rate(site, f, calls / 12.0));
+    (0..12).for_each(|f| world.set_call_rate(site, f, calls / 12.0));
 }
 
 /// Site 0 has twice what it can do from second 3 to 20, others a third.
@@ -46,7 +46,7 @@
     let mut world = world(policy, seed);
     (0..SITES).for_each(|site| load(&mut world, site, 50.0));
     for second in 1..=24 {
-        world.run(second * S);
+        world.run_until(second * S);
         match second {
             3 => load(&mut world, 0, 300.0),
             20 => (0..SITES).for_each(|site| load(&mut world, site, 0.0)),
@@ -54,18 +54,18 @@
         }
         script(&mut world, second);
     }
-    assert!(world.ended.iter().all(|e| e.hops <= 1), "seed {seed}: a call went on");
+    assert!(world.completed.iter().all(|e| e.hops <= 1), "seed {seed}: a call went on");
     world
 }
 
 fn worth(world: &Simulation) -> f64 {
-    world.ended.iter().map(|e| e.worth).sum::<f64>()
+    world.completed.iter().map(|e| e.value).sum::<f64>()
 }
 
 /// Plays a script by our choice and at home only; what each was worth a call.
 fn against_home(seed: u64, script: &dyn Fn(&mut Simulation, u64)) -> (f64, f64, Simulation) {
     let (ours, home) = (hot(Policy::SiteRouting, seed, script), hot(Policy::HomeOnly, seed, script));
-    let each = |world: &Simulation| worth(world) / world.ended.len() as f64;
+    let each = |world: &Simulation| worth(world) / world.completed.len() as f64;
     (each(&ours), each(&home), ours)
 }
 
@@ -75,8 +75,8 @@
     b: Site,
     change: impl Fn(&mut basaltward_site_routing::DirectedLink),
 ) {
-    world.leg(a, b, &change);
-    world.leg(b, a, &change);
+    world.update_link(a, b, &change);
+    world.update_link(b, a, &change);
 }
 
 type Script = fn(&mut Simulation, u64);
@@ -90,14 +90,14 @@
     }),
     ("a third lost", |world, second| {
         let lost = if (8..14).contains(&second) { 0.33 } else { 0.0 };
-        both(world, 0, 1, |leg| leg.lost = lost);
+        both(world, 0, 1, |leg| leg.loss = lost);
     }),
     ("all cut", |world, second| {
         let cut = (8..14).contains(&second);
         (1..SITES).for_each(|to| both(world, 0, to, |leg| leg.cut = cut));
     }),
-    ("cut there alone", |world, second| world.leg(0, 1, |leg| leg.cut = (8..14).contains(&second))),
-    ("cut back alone", |world, second| world.leg(1, 0, |leg| leg.cut = (8..14).contains(&second))),
+    ("cut there alone", |world, second| world.update_link(0, 1, |leg| leg.cut = (8..14).contains(&second))),
+    ("cut back alone", |world, second| world.update_link(1, 0, |leg| leg.cut = (8..14).contains(&second))),
 ];
 
 #[test]
@@ -105,7 +105,7 @@
     for seed in seeds(1) {
         for (name, script) in LINKS {
             let (ours, home, world) = against_home(seed, &script);
-            let handed = world.ended.iter().filter(|e| e.hops > 0).count();
+            let handed = world.completed.iter().filter(|e| e.hops > 0).count();
             println!("{name}, seed {seed}: {ours:.3} against {home:.3} at home, {handed} handed over");
             assert!(handed > 500, "{name}, seed {seed}: {handed} handed over");
             assert!(ours > home + 0.1, "{name}, seed {seed}: {ours:.3} against {home:.3} at home");
@@ -121,13 +121,14 @@
             (1..SITES).for_each(|to| both(world, 0, to, |leg| leg.cut = cut));
             if second == 13 {
                 // Whatever was handed over before the cut has come to an end by the calls' times, and no more went.
-                let out = world.handed_to(1) + world.handed_to(2);
+                let out = world.in_flight_at(1) + world.in_flight_at(2);
                 assert!(out <= 8, "seed {seed}: {out} are out over links that are cut");
             }
         });
-        assert_eq!(world.handed_to(1) + world.handed_to(2), 0, "seed {seed}");
-        assert_eq!(world.in_hand(), 0, "seed {seed}");
-        let after = world.ended.iter().filter(|e| e.site == 0 && (18 * S..20 * S).contains(&e.came));
+        assert_eq!(world.in_flight_at(1) + world.in_flight_at(2), 0, "seed {seed}");
+        assert_eq!(world.in_flight(), 0, "seed {seed}");
+        let after =
+            world.completed.iter().filter(|e| e.site == 0 && (18 * S..20 * S).contains(&e.arrived_at));
         let (all, handed) = after.fold((0, 0), |(all, handed), e| (all + 1, handed + e.hops));
         assert!(handed * 4 > all, "seed {seed}: {handed} of {all} handed over once healed");
     }
@@ -137,27 +138,29 @@
 fn a_site_that_refuses_or_boasts_is_not_believed_for_long() {
     for seed in seeds(1) {
         let (ours, home, world) = against_home(seed, &|world, second| {
-            world.refuses(1, true);
+            world.set_refuses_handovers(1, true);
             if second == 3 {
                 load(world, 0, 200.0);
             }
         });
-        let late =
-            |e: &&basaltward_site_routing::CompletedCall| e.site == 0 && (8 * S..20 * S).contains(&e.came);
-        let all = world.ended.iter().filter(late).count();
-        let refused = world.ended.iter().filter(late).filter(|e| e.hops > 0 && e.by == 0).count();
+        let late = |e: &&basaltward_site_routing::CompletedCall| {
+            e.site == 0 && (8 * S..20 * S).contains(&e.arrived_at)
+        };
+        let all = world.completed.iter().filter(late).count();
+        let refused =
+            world.completed.iter().filter(late).filter(|e| e.hops > 0 && e.answered_by == 0).count();
         assert!(refused * 20 < all, "seed {seed}: {refused} of {all} went to who refuses");
         assert!(ours > home + 0.05, "seed {seed}: {ours:.3} against {home:.3} at home");
         // One that says it can do all, and does just what its own clients ask: others' clients come to no harm by it.
         let boast: &dyn Fn(&mut Simulation, u64) = &|world, _| {
-            world.boasts(1, true);
+            world.set_overstates_capacity(1, true);
             load(world, 1, 150.0);
         };
         let (_, _, world) = against_home(seed, boast);
         let home = hot(Policy::HomeOnly, seed, boast);
         let of_others = |world: &Simulation| {
-            let others = world.ended.iter().filter(|e| e.site != 1);
-            others.clone().map(|e| e.worth).sum::<f64>() / others.count() as f64
+            let others = world.completed.iter().filter(|e| e.site != 1);
+            others.clone().map(|e| e.value).sum::<f64>() / others.count() as f64
         };
         let (ours, home) = (of_others(&world), of_others(&home));
         assert!(ours > home + 0.1, "seed {seed}: {ours:.3} against {home:.3} at home, beside a boaster");
@@ -169,18 +172,18 @@
     for seed in seeds(1) {
         let world = hot(Policy::SiteRouting, seed, &|world, second| {
             for gateway in 0..GATEWAYS {
-                world.stall(gateway, (8..28).contains(&second));
+                world.set_control_stalled(gateway, (8..28).contains(&second));
             }
         });
         let of = |from: u64, until: u64| {
             let in_time = move |e: &&basaltward_site_routing::CompletedCall| {
-                (from * S..until * S).contains(&e.came) && e.site == 0
+                (from * S..until * S).contains(&e.arrived_at) && e.site == 0
             };
-            world.ended.iter().filter(in_time).map(|e| e.hops).sum::<u32>()
+            world.completed.iter().filter(in_time).map(|e| e.hops).sum::<u32>()
         };
         assert!(of(6, 8) > 50, "seed {seed}: {}", of(6, 8));
         assert_eq!(of(11, 20), 0, "seed {seed}: by a table past its time");
-        assert_eq!(world.in_hand(), 0, "seed {seed}");
+        assert_eq!(world.in_flight(), 0, "seed {seed}");
     }
 }
 
@@ -188,12 +191,16 @@
 fn a_site_that_vanishes_and_comes_back_is_given_calls_again() {
     for seed in seeds(1) {
         let (ours, home, world) = against_home(seed, &|world, second| match second {
-            8 => world.power(1, false),
-            13 => world.power(1, true),
+            8 => world.set_site_up(1, false),
+            13 => world.set_site_up(1, true),
             _ => {}
         });
         assert!(ours > home, "seed {seed}: {ours:.3} against {home:.3} at home");
-        let again = world.ended.iter().filter(|e| e.came > 17 * S && e.site == 0 && e.by == 1).count();
+        let again = world
+            .completed
+            .iter()
+            .filter(|e| e.arrived_at > 17 * S && e.site == 0 && e.answered_by == 1)
+            .count();
         assert!(again > 50, "seed {seed}: {again} handed to it once it is back");
     }
 }
@@ -202,16 +209,16 @@
 /// found wrong with homes, and how often one moved.
 fn rare(seed: u64, fault: Option<Fault>) -> (Vec<String>, usize) {
     let mut world = world(Policy::SiteRouting, seed);
-    fault.into_iter().for_each(|fault| world.plant(fault));
+    fault.into_iter().for_each(|fault| world.inject_fault(fault));
     let (mut wrong, mut moves) = (Vec::new(), 0);
     for site in 0..SITES {
-        (0..12).for_each(|f| world.rate(site, f, 0.05 + 0.05 * f64::from(f)));
+        (0..12).for_each(|f| world.set_call_rate(site, f, 0.05 + 0.05 * f64::from(f)));
         let next = (site + 1) % SITES;
-        both(&mut world, site, next, |leg| (leg.lost, leg.jitter) = (0.05, 30_000));
+        both(&mut world, site, next, |leg| (leg.loss, leg.jitter) = (0.05, 30_000));
     }
     let mut homes = BTreeMap::<(MemberId, u32), (Site, Micros)>::new();
     for step in 1..=400 {
-        world.run(step * S / 10);
+        world.run_until(step * S / 10);
         let home = |of: MemberId, f: u32| world.table(of).map_or(0, |table| table.rows[f as usize].home);
         for f in 0..12 {
             for own in (0..u16::from(SITES) * GATEWAYS).filter(|own| world.table(*own).is_some()) {
@@ -256,13 +263,13 @@
 fn hops_without_a_bound_are_found() {
     let found = seeds(4).any(|seed| {
         let mut world = world(Policy::SiteRouting, seed);
-        world.plant(Fault::UnboundedHops);
+        world.inject_fault(Fault::UnboundedHops);
         for second in 1..=20 {
             let hot = (second / 4) as Site % SITES;
             (0..SITES).for_each(|site| load(&mut world, site, if site == hot { 30.0 } else { 250.0 }));
-            world.run(second * S);
+            world.run_until(second * S);
         }
-        world.ended.iter().any(|e| e.hops > 1)
+        world.completed.iter().any(|e| e.hops > 1)
     });
     assert!(found);
 }
