--- a/crates/site-routing/src/controller.rs
+++ b/crates/site-routing/src/controller.rs
@@ -1,12 +1,14 @@
 //! The control thread's part: what is counted here and told by other sites, and the table that follows from it.
 
-use crate::counters::Tally;
+use crate::counters::LocalCounters;
 use crate::homes::Homes;
-use crate::planner::{Other, Plan, View, Worked};
+use crate::planner::{PlanInput, PlanResult, Planner, RemoteSite};
 use crate::settings::{RoutingError, RoutingSettings};
-use crate::site_stats::{Site as Known, Usual};
+use crate::site_stats::{BaselineTimes, SiteStats as Known};
 use crate::types::{Fault, Handover, LoopCounts, MAX_REMOTE_ROUTES, RemoteRoute, RoutingTable, Row};
-use crate::wire::{Ends, Figure, Frame, Heard, Part, Rows, ToldRow, Word};
+use crate::wire::{
+    Acknowledgment, Frame, FunctionStats, GatewayReport, HandoverStats, PlannedRow, PlannedRows, SiteReport,
+};
 use basaltward_membership::{MemberId, Micros, Site};
 use std::collections::{BTreeMap, VecDeque};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -27,20 +29,20 @@
 #[derive(Debug)]
 pub struct RoutingController {
     settings: RoutingSettings,
-    tally: Tally,
+    tally: LocalCounters,
     live_members: Vec<bool>,
     links: BTreeMap<MemberId, Link>,
     /// Number of our last frames, and when they were told.
     number: u64,
     sent: VecDeque<(u64, Micros)>,
     heard: BTreeMap<MemberId, (u64, Micros)>,
-    parts: BTreeMap<MemberId, (Micros, Part)>,
+    parts: BTreeMap<MemberId, (Micros, GatewayReport)>,
     sites: BTreeMap<Site, Known>,
-    usual: Usual,
+    usual: BaselineTimes,
     homes: Homes,
-    plan: Plan,
+    plan: Planner,
     /// Rows in force, who worked them out, and as of when they are.
-    rows: Rows,
+    rows: PlannedRows,
     rows_by: MemberId,
     rows_at: Micros,
     table_number: u64,
@@ -54,7 +56,7 @@
         settings.check()?;
         let places = &settings.site_map;
         Ok(Self {
-            tally: Tally::new(&settings, now),
+            tally: LocalCounters::new(&settings, now),
             live_members: vec![false; places.len()],
             links: BTreeMap::new(),
             number: 0,
@@ -62,10 +64,10 @@
             heard: BTreeMap::new(),
             parts: BTreeMap::new(),
             sites: BTreeMap::new(),
-            usual: Usual::new(&settings),
+            usual: BaselineTimes::new(&settings),
             homes: Homes::new(places.own_site(), settings.home_dwell),
-            plan: Plan::default(),
-            rows: Rows::default(),
+            plan: Planner::default(),
+            rows: PlannedRows::default(),
             rows_by: places.own(),
             rows_at: now,
             table_number: 0,
@@ -90,12 +92,12 @@
     /// A frame of a peer.
     pub fn receive_frame(&mut self, now: Micros, from: MemberId, bytes: &[u8]) -> Result<(), RoutingError> {
         let site = self.settings.site_map.site_of(from).ok_or(RoutingError::UnknownGateway(from))?;
-        let frame = Frame::read(from, bytes)?;
+        let frame = Frame::decode(from, bytes)?;
         let ours = site == self.settings.site_map.own_site();
         let number = match &frame {
-            Frame::Part(part) if ours => part.number,
-            Frame::Rows(rows) if ours => rows.number,
-            Frame::Word(word) if !ours => word.number,
+            Frame::GatewayReport(part) if ours => part.number,
+            Frame::PlannedRows(rows) if ours => rows.number,
+            Frame::SiteReport(word) if !ours => word.number,
             _ => return Err(RoutingError::WrongSite(from)),
         };
         // One that starts again counts from 1: what is old enough gives way to any.
@@ -105,17 +107,17 @@
         }
         self.heard.insert(from, (number, now));
         match frame {
-            Frame::Part(part) => {
+            Frame::GatewayReport(part) => {
                 self.parts.insert(from, (now, part));
             }
-            Frame::Rows(rows) => {
-                let Some(at) = self.as_of(now, rows.heard) else { return Ok(()) };
+            Frame::PlannedRows(rows) => {
+                let Some(at) = self.as_of(now, rows.ack) else { return Ok(()) };
                 if from == self.teller(site) || now > self.rows_at + self.settings.valid_for {
                     (self.rows, self.rows_by, self.rows_at) = (rows, from, at);
                 }
             }
-            Frame::Word(word) => {
-                let Some(at) = self.as_of(now, word.heard) else { return Ok(()) };
+            Frame::SiteReport(word) => {
+                let Some(at) = self.as_of(now, word.ack) else { return Ok(()) };
                 let stale = self.sites.get(&site).is_none_or(|k| k.age(now) > self.settings.valid_for);
                 if from == self.teller(site) || stale {
                     let known = Known::told(&self.settings, &self.usual, at, &word);
@@ -157,7 +159,7 @@
         let teller = self.teller(here);
         if teller != own {
             self.parts.clear();
-            return Frame::Part(part).bytes().map(|bytes| (teller, bytes)).into_iter().collect();
+            return Frame::GatewayReport(part).encode().map(|bytes| (teller, bytes)).into_iter().collect();
         }
         self.take_over(now);
         self.parts.insert(own, (now, part));
@@ -168,13 +170,13 @@
         for site in sites.into_iter().filter(|site| *site != here) {
             let to = self.teller(site);
             if self.is_live(to) {
-                let word = Word { heard: self.heard_of(now, to), ..word.clone() };
-                frames.extend(Frame::Word(word).bytes().map(|bytes| (to, bytes)));
+                let word = SiteReport { ack: self.heard_of(now, to), ..word.clone() };
+                frames.extend(Frame::SiteReport(word).encode().map(|bytes| (to, bytes)));
             }
         }
         for to in self.living(here).filter(|to| *to != own).collect::<Vec<_>>() {
-            let rows = Rows { heard: self.heard_of(now, to), ..rows.clone() };
-            frames.extend(Frame::Rows(rows).bytes().map(|bytes| (to, bytes)));
+            let rows = PlannedRows { ack: self.heard_of(now, to), ..rows.clone() };
+            frames.extend(Frame::PlannedRows(rows).encode().map(|bytes| (to, bytes)));
         }
         (self.rows, self.rows_at) = (rows, now);
         frames
@@ -190,8 +192,8 @@
             if let Some(row) = rows.get_mut(told.function as usize) {
                 *row = Row {
                     home: told.home,
-                    local_latency: told.here,
-                    warm_at_home: told.warm,
+                    local_latency: told.local_latency,
+                    warm_at_home: told.warm_at_home,
                     remote_routes: self.ways(now, told),
                 };
             }
@@ -239,26 +241,26 @@
         self.homes.clear();
         if now <= self.rows_at + self.settings.valid_for {
             let here = self.settings.site_map.own_site();
-            for row in self.rows.rows.iter().filter(|row| row.home != here || row.stays) {
-                self.homes.adopt(now, row.function, row.home, row.stays);
+            for row in self.rows.rows.iter().filter(|row| row.home != here || row.dwelling) {
+                self.homes.adopt(now, row.function, row.home, row.dwelling);
             }
         }
     }
 
     /// As of when a frame is at the least: its sender had heard one of ours by then. None where it had not, or one that
     /// is long forgotten: nobody knows how old such a frame is.
-    fn as_of(&self, now: Micros, heard: Option<Heard>) -> Option<Micros> {
+    fn as_of(&self, now: Micros, heard: Option<Acknowledgment>) -> Option<Micros> {
         if self.fault == Some(Fault::IgnoreFrameAge) {
             return Some(now);
         }
         let heard = heard?;
         let sent = self.sent.iter().find(|(number, _)| *number == heard.number)?;
-        Some(sent.1.saturating_add(heard.held).min(now))
+        Some(sent.1.saturating_add(heard.held_for).min(now))
     }
 
-    fn heard_of(&self, now: Micros, of: MemberId) -> Option<Heard> {
+    fn heard_of(&self, now: Micros, of: MemberId) -> Option<Acknowledgment> {
         let (number, at) = self.heard.get(&of)?;
-        Some(Heard { number: *number, held: now.saturating_sub(*at) })
+        Some(Acknowledgment { number: *number, held_for: now.saturating_sub(*at) })
     }
 
     /// Time there and back to a site: the quickest way to one of its living that is not silent.
@@ -267,33 +269,40 @@
         links.filter(|link| now < link.at + SILENT).map(|link| link.rtt).min()
     }
 
-    fn ways(&self, now: Micros, told: &ToldRow) -> [RemoteRoute; MAX_REMOTE_ROUTES] {
+    fn ways(&self, now: Micros, told: &PlannedRow) -> [RemoteRoute; MAX_REMOTE_ROUTES] {
         let heard = |of: &MemberId| self.links.get(of).is_none_or(|link| now < link.at + SILENT);
         let own = u64::from(self.settings.site_map.own());
-        told.ways.each_ref().map(|way| {
+        told.remote_routes.each_ref().map(|way| {
             let key = (u64::from(told.function) << 16) | own;
             let weight = |of: &MemberId| xxh3_64_with_seed(&of.to_le_bytes(), key);
             let living = self.living(way.site).filter(heard);
-            let peer = living.max_by_key(weight).filter(|_| way.room > 0);
+            let peer = living.max_by_key(weight).filter(|_| way.call_limit > 0);
             peer.map_or(RemoteRoute::default(), |peer| RemoteRoute { peer, ..RemoteRoute::from(way) })
         })
     }
 
-    fn work(&mut self, now: Micros) -> (Word, Rows) {
+    fn work(&mut self, now: Micros) -> (SiteReport, PlannedRows) {
         let (settings, here) = (&self.settings, self.settings.site_map.own_site());
-        let mut figures = BTreeMap::<u32, Figure>::new();
-        let (mut workers, mut ends) = (0, BTreeMap::<Site, Ends>::new());
+        let mut figures = BTreeMap::<u32, FunctionStats>::new();
+        let (mut workers, mut ends) = (0, BTreeMap::<Site, HandoverStats>::new());
         for (_, part) in self.parts.values() {
             workers = workers.max(part.workers);
-            for f in &part.by {
+            for f in &part.functions {
                 figures.entry(f.function).and_modify(|sum| *sum = sum.and(f)).or_insert(*f);
             }
-            for e in &part.ends {
+            for e in &part.handovers {
                 ends.entry(e.site).and_modify(|sum| *sum = sum.and(e)).or_insert(*e);
             }
         }
         let by = figures.into_values().collect();
-        let mut word = Word { number: self.number, heard: None, workers, over: 0, by, homes: Vec::new() };
+        let mut word = SiteReport {
+            number: self.number,
+            ack: None,
+            workers,
+            excess: 0,
+            functions: by,
+            homes: Vec::new(),
+        };
         let own = Known::told(settings, &self.usual, now, &word);
         self.usual.learn(settings, &own);
         self.sites
@@ -303,9 +312,9 @@
         let fresh = self.sites.iter().filter(|(_, known)| known.age(now) <= settings.valid_for);
         let others = fresh.filter_map(|(site, known)| {
             let way = self.way(now, *site)?;
-            Some(Other::new(now, *site, known, way, ends.get(site).copied().unwrap_or_default()))
+            Some(RemoteSite::new(now, *site, known, way, ends.get(site).copied().unwrap_or_default()))
         });
-        let view = View {
+        let view = PlanInput {
             now,
             settings,
             usual: &self.usual,
@@ -315,9 +324,9 @@
             number: self.number,
             swings: self.fault == Some(Fault::NoHysteresis),
         };
-        let Worked { rows, over } = self.plan.work(&view, &mut self.homes);
-        word.over = (over * 1e3).min(f64::from(u32::MAX)) as u32;
+        let PlanResult { rows, over } = self.plan.work(&view, &mut self.homes);
+        word.excess = (over * 1e3).min(f64::from(u32::MAX)) as u32;
         word.homes = self.homes.told(now);
-        (word, Rows { number: self.number, heard: None, rows })
+        (word, PlannedRows { number: self.number, ack: None, rows })
     }
 }
--- a/crates/site-routing/src/counters.rs
+++ b/crates/site-routing/src/counters.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::RoutingSettings;
 use crate::types::{Handover, HandoverOutcome, LoopCounts};
-use crate::wire::{Ends, Figure, MOST_FIGURES, Part};
+use crate::wire::{FunctionStats, GatewayReport, HandoverStats, MOST_FIGURES};
 use basaltward_membership::{Micros, Site};
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 const SLOW: f64 = 20_000_000.0;
 
 #[derive(Clone, Debug, Default)]
-struct Function {
+struct FunctionCounters {
     /// Since the last telling: came, served, took, found no copy.
     sums: [f64; 4],
     /// A second's, smoothed, of the same.
@@ -30,8 +30,8 @@
 
 /// All that one gateway has counted.
 #[derive(Debug)]
-pub(crate) struct Tally {
-    functions: BTreeMap<u32, Function>,
+pub(crate) struct LocalCounters {
+    functions: BTreeMap<u32, FunctionCounters>,
     known: u32,
     /// Workers, by loop: each is told the same, or a part of the same.
     workers: BTreeMap<u16, u32>,
@@ -42,7 +42,7 @@
     told: Micros,
 }
 
-impl Tally {
+impl LocalCounters {
     pub fn new(settings: &RoutingSettings, now: Micros) -> Self {
         Self {
             functions: BTreeMap::new(),
@@ -88,7 +88,7 @@
     }
 
     /// What is told now. The smoothing goes on by it: it is called once a telling.
-    pub fn part(&mut self, now: Micros, number: u64) -> Part {
+    pub fn part(&mut self, now: Micros, number: u64) -> GatewayReport {
         let span = now.saturating_sub(self.told).max(1) as f64;
         let weight = 1.0 - (-span / SMOOTH).exp();
         let slowly = 1.0 - (-span / SLOW).exp();
@@ -114,15 +114,19 @@
             .retain(|_, f| f.peaks != [0, 0] || f.slow > 1e-3 || f.rates[1] > 1e-3 || !f.in_hand.is_empty());
         let keep = self.keep;
         let milli = |x: f64| (x * 1e3).clamp(0.0, f64::from(u32::MAX)) as u32;
-        let by = self.functions.iter().map(|(function, f)| Figure {
+        let by = self.functions.iter().map(|(function, f)| FunctionStats {
             function: *function,
             came: milli(f.rates[0]),
             calls: milli(f.slow),
             served: milli(f.rates[1]),
-            took: if f.rates[1] > 0.0 { (f.rates[2] / f.rates[1]) as u32 } else { 0 },
+            mean_time: if f.rates[1] > 0.0 { (f.rates[2] / f.rates[1]) as u32 } else { 0 },
             cold: if f.rates[1] > 0.0 { (f.rates[3] / f.rates[1] * 1e3) as u16 } else { 0 },
             in_hand: milli(f.smooth_in_hand),
-            peak: if f.served_at.is_some_and(|at| now <= at + keep) { f.peaks[0].max(f.peaks[1]) } else { 0 },
+            peak_in_flight: if f.served_at.is_some_and(|at| now <= at + keep) {
+                f.peaks[0].max(f.peaks[1])
+            } else {
+                0
+            },
         });
         let mut by: Vec<_> = by.collect();
         if by.len() > MOST_FIGURES {
@@ -133,9 +137,14 @@
             rates.iter_mut().zip(sums).for_each(|(rate, sum)| smooth(rate, sum));
             let took = if rates[0] > 0.0 { (rates[3] / rates[0]) as u32 } else { 0 };
             let [served, refused, lost, _] = rates.map(milli);
-            Ends { site: *site, served, refused, lost, took }
+            HandoverStats { site: *site, served, refused, lost, mean_time: took }
         });
         let ends = ends.collect();
-        Part { number, workers: self.workers.values().copied().max().unwrap_or(0), by, ends }
+        GatewayReport {
+            number,
+            workers: self.workers.values().copied().max().unwrap_or(0),
+            functions: by,
+            handovers: ends,
+        }
     }
 }
--- a/crates/site-routing/src/homes.rs
+++ b/crates/site-routing/src/homes.rs
@@ -1,7 +1,7 @@
 //! Homes of functions, and how one moves: it is bid for in words that the other site acknowledges, so that two sites
 //! never take each other's function at once.
 
-use crate::wire::Homed;
+use crate::wire::HomeStatus;
 use basaltward_membership::{Micros, Site};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -18,7 +18,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Home {
+struct HomeEntry {
     at: Site,
     /// Until when it stays there.
     stays: Micros,
@@ -27,8 +27,8 @@
 
 /// What another site says of a function, in a word that is fresh.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Said {
-    pub homed: Homed,
+pub(crate) struct PeerHomeStatus {
+    pub homed: HomeStatus,
     /// Number of our last word that it had heard.
     pub heard: u64,
 }
@@ -38,7 +38,7 @@
 pub(crate) struct Homes {
     here: Site,
     stay: Micros,
-    of: BTreeMap<u32, Home>,
+    of: BTreeMap<u32, HomeEntry>,
     /// Until when we don't take a function to a site that brought it to us.
     guests: BTreeMap<(u32, Site), Micros>,
 }
@@ -70,11 +70,11 @@
     }
 
     /// What our words say of homes.
-    pub fn told(&self, now: Micros) -> Vec<Homed> {
-        let told = self.of.iter().map(|(function, home)| Homed {
+    pub fn told(&self, now: Micros) -> Vec<HomeStatus> {
+        let told = self.of.iter().map(|(function, home)| HomeStatus {
             function: *function,
             home: home.at,
-            stays: now < home.stays,
+            dwelling: now < home.stays,
             bid: home.bid.map(|bid| bid.to),
         });
         told.collect()
@@ -82,7 +82,7 @@
 
     /// Another site was heard: who brings its calls to us is not gone to for a while, and of two that bid for each
     /// other the one goes on that bids up the order.
-    pub fn heard(&mut self, now: Micros, from: Site, homes: &BTreeMap<u32, Homed>) {
+    pub fn heard(&mut self, now: Micros, from: Site, homes: &BTreeMap<u32, HomeStatus>) {
         for homed in homes.values() {
             if homed.home == self.here || homed.bid == Some(self.here) {
                 self.guests.insert((homed.function, from), now + self.stay);
@@ -100,14 +100,14 @@
     /// Takes a function home at once: its home is out of reach, or no better any more.
     pub fn back(&mut self, now: Micros, function: u32) {
         if self.at(function) != self.here {
-            self.of.insert(function, Home { at: self.here, stays: now + self.stay, bid: None });
+            self.of.insert(function, HomeEntry { at: self.here, stays: now + self.stay, bid: None });
         }
     }
 
     /// What a site's former teller had moved; what we moved ourselves stays.
     pub fn adopt(&mut self, now: Micros, function: u32, at: Site, stays: bool) {
         let stays = if stays { now + self.stay } else { now };
-        self.of.insert(function, Home { at, stays, bid: None });
+        self.of.insert(function, HomeEntry { at, stays, bid: None });
     }
 
     /// Forgets all, for what another teller told.
@@ -116,10 +116,10 @@
     }
 
     /// Bids for a home at another site, or moves there once that is agreed to. `number` is that of our next word.
-    pub fn wish(&mut self, now: Micros, function: u32, to: Site, number: u64, said: &Said) {
+    pub fn wish(&mut self, now: Micros, function: u32, to: Site, number: u64, said: &PeerHomeStatus) {
         let guest = self.guests.get(&(function, to)).is_some_and(|until| now < *until);
-        let free = said.homed.home == to && !said.homed.stays && !guest;
-        let plain = Home { at: self.here, stays: 0, bid: None };
+        let free = said.homed.home == to && !said.homed.dwelling && !guest;
+        let plain = HomeEntry { at: self.here, stays: 0, bid: None };
         let (here, stay) = (self.here, self.stay);
         let home = self.of.entry(function).or_insert(plain);
         if !free || now < home.stays || home.at == to {
@@ -132,7 +132,7 @@
                 // Its own bid goes down the order and is for us: it lets it go when it hears of ours.
                 let yields = said.homed.bid == Some(here) && rank(function, here) < rank(function, to);
                 if said.heard >= bid.number && (said.homed.bid.is_none() || yields) {
-                    *home = Home { at: to, stays: now + stay, bid: None };
+                    *home = HomeEntry { at: to, stays: now + stay, bid: None };
                 }
             }
         }
--- a/crates/site-routing/src/planner.rs
+++ b/crates/site-routing/src/planner.rs
@@ -1,10 +1,10 @@
 //! What a site's teller works out from all that is known: homes, what goes elsewhere, and how much of it.
 
-use crate::homes::{Homes, Said, rank};
+use crate::homes::{Homes, PeerHomeStatus, rank};
 use crate::settings::RoutingSettings;
-use crate::site_stats::{Site as Known, Usual, load};
+use crate::site_stats::{BaselineTimes, SiteStats as Known, load};
 use crate::types::MAX_REMOTE_ROUTES;
-use crate::wire::{Ends, ToldRow, ToldWay};
+use crate::wire::{HandoverStats, PlannedRoute, PlannedRow};
 use basaltward_membership::{Micros, Site};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,13 +37,13 @@
 const STICKS: f64 = 50_000.0;
 
 /// Another site as a place for calls: it is up, its figures are fresh, and a gateway of it lives.
-pub(crate) struct Other<'a> {
+pub(crate) struct RemoteSite<'a> {
     pub site: Site,
     pub known: &'a Known,
     /// Time there and back.
     pub way: f64,
     /// How our calls ended there.
-    pub ends: Ends,
+    pub ends: HandoverStats,
     /// Weight of its figures by their age.
     weight: f64,
     refused: f64,
@@ -52,8 +52,8 @@
     longer: f64,
 }
 
-impl<'a> Other<'a> {
-    pub fn new(now: Micros, site: Site, known: &'a Known, way: Micros, ends: Ends) -> Self {
+impl<'a> RemoteSite<'a> {
+    pub fn new(now: Micros, site: Site, known: &'a Known, way: Micros, ends: HandoverStats) -> Self {
         let [served, refused, lost] = [ends.served, ends.refused, ends.lost].map(|x| f64::from(x) / 1e3);
         let all = served + refused + lost + PRIOR;
         let weight = (-(known.age(now) as f64) / FADE).exp();
@@ -61,7 +61,7 @@
         // By its word, with slack for a mix of functions that is not its own.
         let told = known.in_hand * 1e6 / known.served.max(0.1);
         let told = way + LONGER.0 * told.max(known.mean) + LONGER.1;
-        let longer = if served > 0.5 { (f64::from(ends.took) - told).max(0.0) } else { 0.0 };
+        let longer = if served > 0.5 { (f64::from(ends.mean_time) - told).max(0.0) } else { 0.0 };
         Self { site, known, way, ends, weight, refused: refused / all, lost: lost / all, longer }
     }
 
@@ -78,15 +78,15 @@
 
 /// What one working out gives.
 #[derive(Debug, Default)]
-pub(crate) struct Worked {
-    pub rows: Vec<ToldRow>,
+pub(crate) struct PlanResult {
+    pub rows: Vec<PlannedRow>,
     /// Work that we have above what we can do, in calls in service.
     pub over: f64,
 }
 
 /// What is kept from one working out to the next.
 #[derive(Debug, Default)]
-pub(crate) struct Plan {
+pub(crate) struct Planner {
     /// Calls in service that a worker bears: the most seen while calls waited; 0 until then.
     bear: f64,
     /// Calls a second handed to each site for want of room here.
@@ -98,12 +98,12 @@
 }
 
 /// All that a working out looks at.
-pub(crate) struct View<'a> {
+pub(crate) struct PlanInput<'a> {
     pub now: Micros,
     pub settings: &'a RoutingSettings,
-    pub usual: &'a Usual,
+    pub usual: &'a BaselineTimes,
     pub own: &'a Known,
-    pub others: Vec<Other<'a>>,
+    pub others: Vec<RemoteSite<'a>>,
     /// Gateways of our site, and the number of our next word.
     pub gateways: usize,
     pub number: u64,
@@ -111,14 +111,14 @@
     pub swings: bool,
 }
 
-impl View<'_> {
+impl PlanInput<'_> {
     fn here(&self) -> Site {
         self.settings.site_map.own_site()
     }
 
     /// What we think of a site's cost: told figures, drawn toward our own wait as they age, the way, and what is lost by
     /// calls that end badly there.
-    fn there(&self, other: &Other, function: u32, cost: f64) -> f64 {
+    fn there(&self, other: &RemoteSite, function: u32, cost: f64) -> f64 {
         let doubt = (1.0 - other.weight) * self.own.wait(self.settings, self.usual, function);
         let told = &self.settings.functions[function as usize];
         let lost = other.lost * (told.deadline as f64 / 2.0);
@@ -126,7 +126,7 @@
         cost + doubt + other.way + lost + refused + other.longer
     }
 
-    fn there_now(&self, other: &Other, function: u32) -> f64 {
+    fn there_now(&self, other: &RemoteSite, function: u32) -> f64 {
         self.there(other, function, other.known.cost_now(self.settings, self.usual, function))
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// Calls a second that a site may get of ours, by what it has proven.
-    fn proven(&self, other: &Other) -> f64 {
+    fn proven(&self, other: &RemoteSite) -> f64 {
         (FIRST.0.max(FIRST.1 * self.own.served) + DOUBLE * other.served()) * other.trust()
     }
 
@@ -144,39 +144,39 @@
         let mut calls = BTreeMap::new();
         for other in &self.others {
             let home = other.known.home(other.site, function).home;
-            *calls.entry(home).or_default() += other.known.figure(function).calls();
+            *calls.entry(home).or_default() += other.known.figure(function).slow_arrivals();
         }
         calls
     }
 
-    fn other(&self, site: Site) -> Option<&Other<'_>> {
+    fn other(&self, site: Site) -> Option<&RemoteSite<'_>> {
         self.others.iter().find(|other| other.site == site)
     }
 
-    fn way(&self, other: &Other, function: u32, share: f64, calls: f64) -> ToldWay {
+    fn way(&self, other: &RemoteSite, function: u32, share: f64, calls: f64) -> PlannedRoute {
         let loops = self.gateways.max(1) as f64 * f64::from(self.settings.loops);
         let room = (2.0 * calls * self.settings.interval as f64 / 1e6 / loops).ceil() + 1.0;
-        ToldWay {
+        PlannedRoute {
             site: other.site,
-            there: self.there_now(other, function) as Micros,
+            expected_latency: self.there_now(other, function) as Micros,
             share: (share.clamp(0.0, 1.0) * 65_535.0) as u16,
-            room: room.min(65_535.0) as u16,
+            call_limit: room.min(65_535.0) as u16,
         }
     }
 }
 
-impl Plan {
+impl Planner {
     /// Works out rows from a view; homes move by it.
-    pub fn work(&mut self, view: &View, homes: &mut Homes) -> Worked {
+    pub fn work(&mut self, view: &PlanInput, homes: &mut Homes) -> PlanResult {
         self.move_homes(view, homes);
         let over = self.over(view);
         let mut rows = BTreeMap::new();
         self.follow(view, homes, &mut rows);
         self.spill(view, homes, over, &mut rows);
-        Worked { rows: rows.into_values().collect(), over }
+        PlanResult { rows: rows.into_values().collect(), over }
     }
 
-    fn move_homes(&self, view: &View, homes: &mut Homes) {
+    fn move_homes(&self, view: &PlanInput, homes: &mut Homes) {
         let (now, here) = (view.now, view.here());
         let mut wished = BTreeMap::new();
         let mut functions: BTreeSet<_> = homes.entries().into_iter().collect();
@@ -189,14 +189,14 @@
             }
             let (gain, margin) = if view.swings { (1.0, 0.0) } else { (GAIN, MARGIN) };
             // A queue here is no reason to move a home: what can't be done here goes elsewhere call by call.
-            let (at_homes, ours) = (view.at_homes(function), view.own.figure(function).calls());
+            let (at_homes, ours) = (view.at_homes(function), view.own.figure(function).slow_arrivals());
             let placed = |known: &Known, site: Site| {
                 let calls = ours + at_homes.get(&site).copied().unwrap_or(0.0);
                 known.cost_placed(view.settings, view.usual, function, calls)
             };
             let cost_here = placed(view.own, here);
-            let wait = |o: &Other| o.known.wait(view.settings, view.usual, function);
-            let cost = |o: &Other| view.there(o, function, placed(o.known, o.site) + wait(o));
+            let wait = |o: &RemoteSite| o.known.wait(view.settings, view.usual, function);
+            let cost = |o: &RemoteSite| view.there(o, function, placed(o.known, o.site) + wait(o));
             let held = view.other(at).map_or(cost_here, cost);
             let better = |cost: f64| cost * gain + margin < held;
             if at != here && better(cost_here) && (view.swings || !homes.stays(now, function)) {
@@ -213,14 +213,15 @@
                 continue;
             }
             wished.insert(function, best.site);
-            let said = Said { homed: best.known.home(best.site, function), heard: best.known.heard };
+            let said =
+                PeerHomeStatus { homed: best.known.home(best.site, function), heard: best.known.heard };
             homes.wish(now, function, best.site, view.number, &said);
         }
         homes.rest(now, &wished);
     }
 
     /// Learns what a worker bears, and gives the work that is above what we can do.
-    fn over(&mut self, view: &View) -> f64 {
+    fn over(&mut self, view: &PlanInput) -> f64 {
         let own = view.own;
         if own.workers == 0.0 {
             return 0.0;
@@ -238,52 +239,52 @@
         let offered: f64 = own
             .figures
             .values()
-            .map(|f| f.came().max(f.served()) * view.usual.of(view.settings, f.function) / 1e6)
+            .map(|f| f.arrivals().max(f.served()) * view.usual.of(view.settings, f.function) / 1e6)
             .sum();
         let waiting = (own.in_hand - bears).max(0.0) * own.mean / 1e6;
         (offered + waiting / DRAIN - FILL.0 * bears).max(0.0)
     }
 
     /// Calls of functions whose home is elsewhere, and of those of which a copy stands elsewhere and none here.
-    fn follow(&mut self, view: &View, homes: &Homes, rows: &mut BTreeMap<u32, ToldRow>) {
+    fn follow(&mut self, view: &PlanInput, homes: &Homes, rows: &mut BTreeMap<u32, PlannedRow>) {
         let (here, now) = (view.here(), view.now);
         let mut functions: BTreeSet<_> = homes.entries().into_iter().collect();
         for known in view.others.iter().map(|o| o.known).chain([view.own]) {
-            functions.extend(known.figures.values().filter(|f| f.peak > 0).map(|f| f.function));
+            functions.extend(known.figures.values().filter(|f| f.peak_in_flight > 0).map(|f| f.function));
         }
         let mut followed = BTreeMap::new();
         for function in functions {
             let (home, here_now) = (homes.at(function), view.here_now(function));
             let cold = view.own.warm_now(view.settings, function) == 0.0;
-            let sticks = |o: &Other| {
+            let sticks = |o: &RemoteSite| {
                 let before = self.followed.get(&function) == Some(&o.site) || o.site == home;
                 view.there_now(o, function) / if before { GAIN } else { 1.0 }
             };
-            let warm = |o: &&Other| o.known.warm_now(view.settings, function) > 0.0;
+            let warm = |o: &&RemoteSite| o.known.warm_now(view.settings, function) > 0.0;
             let stands = view.others.iter().filter(warm).filter(|_| cold);
             let best = stands.min_by(|a, b| sticks(a).total_cmp(&sticks(b)));
             let best = best.filter(|o| sticks(o) * FOLLOW + MARGIN < here_now);
             let at_home = view.other(home).filter(|o| view.there_now(o, function) < here_now * GAIN + MARGIN);
             let to = if home == here { best } else { at_home.or(best) };
-            let mut row = ToldRow {
+            let mut row = PlannedRow {
                 function,
                 home,
-                stays: homes.stays(now, function),
-                here: here_now as Micros,
-                warm: view.other(home).map_or(!cold, |o| warm(&o)),
-                ..ToldRow::default()
+                dwelling: homes.stays(now, function),
+                local_latency: here_now as Micros,
+                warm_at_home: view.other(home).map_or(!cold, |o| warm(&o)),
+                ..PlannedRow::default()
             };
             if let Some(other) = to {
                 let figure = view.own.figure(function);
-                let (calls, allowed) = (figure.came(), view.proven(other).max(1.0));
+                let (calls, allowed) = (figure.arrivals(), view.proven(other).max(1.0));
                 let share = if calls > allowed { allowed / calls } else { 1.0 };
                 // Where calls are many a copy here pays: one call a while stays, for which it is loaded.
                 let every = view.settings.interval as f64 / 1e6;
-                let kept = figure.calls() * view.settings.keep_alive as f64 / 1e6;
+                let kept = figure.slow_arrivals() * view.settings.keep_alive as f64 / 1e6;
                 let pays = other.way > load(view.settings, function) / kept.max(1.0);
-                let stays = home == here && figure.in_hand() < 0.5 && pays;
+                let stays = home == here && figure.in_flight() < 0.5 && pays;
                 let share = if stays { share.min(1.0 - (0.25 / (calls * every)).min(0.5)) } else { share };
-                row.ways[0] = view.way(other, function, share, calls.min(allowed));
+                row.remote_routes[0] = view.way(other, function, share, calls.min(allowed));
                 followed.insert(function, other.site);
             }
             if to.is_some() || home != here {
@@ -294,7 +295,7 @@
     }
 
     /// What we can't do ourselves goes to sites in proportion to their room.
-    fn spill(&mut self, view: &View, homes: &Homes, over: f64, rows: &mut BTreeMap<u32, ToldRow>) {
+    fn spill(&mut self, view: &PlanInput, homes: &Homes, over: f64, rows: &mut BTreeMap<u32, PlannedRow>) {
         let mean = (view.own.mean / 1e6).max(1e-6);
         let mut left = self.give(view, over, mean);
         let mut spilt = BTreeSet::new();
@@ -316,11 +317,11 @@
             by_gain.push((first - here - sticks, figure, here, ways));
         }
         by_gain.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let came: f64 = by_gain.iter().map(|(_, figure, ..)| figure.came()).sum();
+        let came: f64 = by_gain.iter().map(|(_, figure, ..)| figure.arrivals()).sum();
         for (_, figure, here, ways) in by_gain {
-            let (function, calls) = (figure.function, figure.came());
+            let (function, calls) = (figure.function, figure.arrivals());
             let aim = view.settings.functions[function as usize].aim as f64;
-            let (mut row, mut rest, mut used) = (ToldRow::default(), calls, 0);
+            let (mut row, mut rest, mut used) = (PlannedRow::default(), calls, 0);
             for (there, other) in ways.into_iter().filter(|(there, _)| *there < here.max(aim)) {
                 let room = left.entry(other.site).or_default();
                 let taken = room.min(rest);
@@ -329,7 +330,7 @@
                     continue;
                 }
                 let held_ready = view.proven(other) * calls / came.max(1.0);
-                row.ways[used] = view.way(other, function, taken / calls, taken.max(held_ready));
+                row.remote_routes[used] = view.way(other, function, taken / calls, taken.max(held_ready));
                 (*room, rest, used) = (*room - taken, rest - taken, used + 1);
                 if taken > 0.0 {
                     spilt.insert(function);
@@ -339,7 +340,14 @@
                 let (home, stays) = (view.here(), homes.stays(view.now, function));
                 rows.insert(
                     function,
-                    ToldRow { function, home, stays, here: here as Micros, warm: true, ..row },
+                    PlannedRow {
+                        function,
+                        home,
+                        dwelling: stays,
+                        local_latency: here as Micros,
+                        warm_at_home: true,
+                        ..row
+                    },
                 );
             }
         }
@@ -348,8 +356,8 @@
 
     /// Calls a second for each site: its room, of which we take our part among those that have too much, in proportion
     /// to that of other sites, and no more than twice what it has served of ours.
-    fn give(&mut self, view: &View, over: f64, mean: f64) -> BTreeMap<Site, f64> {
-        let room = |o: &Other| {
+    fn give(&mut self, view: &PlanInput, over: f64, mean: f64) -> BTreeMap<Site, f64> {
+        let room = |o: &RemoteSite| {
             let ours = o.served() * mean;
             let workers = o.known.workers.min(LARGER * view.own.workers);
             let free = (FILL.1 * self.bear * workers - o.known.busy + ours).max(0.0);
--- a/crates/site-routing/src/router.rs
+++ b/crates/site-routing/src/router.rs
@@ -17,7 +17,7 @@
 
 /// What a loop has seen of a site itself.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct SiteHealth {
     /// Calls handed over that have not ended.
     out: u32,
     /// Since when there was nothing heard while some were out.
@@ -41,7 +41,7 @@
     number: u64,
     /// Sent since, by function and site.
     sent: HashMap<(u32, Site), u16>,
-    seen: Vec<Seen>,
+    seen: Vec<SiteHealth>,
     fault: Option<Fault>,
 }
 
@@ -50,7 +50,14 @@
     pub fn new(places: SiteMap, seed: u64) -> Self {
         let sites = places.sites().last().map_or(0, |last| usize::from(*last) + 1);
         let rng = StdRng::seed_from_u64(seed);
-        Self { places, rng, number: 0, sent: HashMap::new(), seen: vec![Seen::default(); sites], fault: None }
+        Self {
+            places,
+            rng,
+            number: 0,
+            sent: HashMap::new(),
+            seen: vec![SiteHealth::default(); sites],
+            fault: None,
+        }
     }
 
     /// Where a call with this patience left is answered. One that came handed over is answered here whatever a table
--- a/crates/site-routing/src/simulation/mod.rs
+++ b/crates/site-routing/src/simulation/mod.rs
@@ -19,7 +19,7 @@
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use workers::{Job, Later, Workers};
+use workers::{Job, WorkerEvent, Workers};
 
 /// What a world is made of.
 #[derive(Clone, Debug)]
@@ -78,7 +78,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Event {
     Arrival { site: Site, function: u32, turn: u32 },
     Reach { call: usize, attempt: u32, at: MemberId },
     Back { call: usize, attempt: u32, end: u8, by: Site },
@@ -153,10 +153,10 @@
     gateways: Vec<Gateway>,
     calls: Vec<Call>,
     rates: BTreeMap<(Site, u32), (f64, u32)>,
-    queue: BinaryHeap<Reverse<(Micros, u64, Due)>>,
+    queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     order: u64,
     /// Messages that wait for a cut to heal.
-    held: Vec<(Site, Site, Due)>,
+    held: Vec<(Site, Site, Event)>,
     snapshot: Vec<Snapshot>,
 }
 
@@ -209,11 +209,11 @@
         };
         for own in 0..world.gateways.len() as MemberId {
             let first = world.rng.random_range(0..TICK);
-            world.after(first, Due::Tick(own));
-            world.after(first / 2, Due::Ping { from: own });
+            world.after(first, Event::Tick(own));
+            world.after(first / 2, Event::Ping { from: own });
         }
-        world.after(0, Due::Live);
-        world.after(0, Due::Look);
+        world.after(0, Event::Live);
+        world.after(0, Event::Look);
         Ok(world)
     }
 
@@ -259,7 +259,7 @@
                 self.end(call, site, None);
             }
         }
-        self.after(PING, Due::Live);
+        self.after(PING, Event::Live);
     }
 
     /// All copies of a site that do nothing are gone.
@@ -326,12 +326,12 @@
         self.now = until;
     }
 
-    fn after(&mut self, late: Micros, due: Due) {
+    fn after(&mut self, late: Micros, due: Event) {
         self.order += 1;
         self.queue.push(Reverse((self.now + late, self.order, due)));
     }
 
-    fn cross(&mut self, from: Site, to: Site, due: Due) {
+    fn cross(&mut self, from: Site, to: Site, due: Event) {
         match self.links.late(&mut self.rng, from, to) {
             Some(late) => self.after(late, due),
             None => self.held.push((from, to, due)),
@@ -350,38 +350,38 @@
         let (rate, turn) = self.rates.get(&(site, function)).copied().unwrap_or_default();
         if rate > 0.0 {
             let gap = -(1.0 - self.rng.random::<f64>()).ln() / rate * 1e6;
-            self.after(gap as Micros, Due::Arrival { site, function, turn });
+            self.after(gap as Micros, Event::Arrival { site, function, turn });
         }
     }
 
-    fn due(&mut self, due: Due) {
+    fn due(&mut self, due: Event) {
         match due {
-            Due::Arrival { site, function, turn } => {
+            Event::Arrival { site, function, turn } => {
                 if self.rates.get(&(site, function)).is_some_and(|(_, now)| *now == turn) {
                     self.arrival(site, function);
                     self.next_arrival(site, function);
                 }
             }
-            Due::Reach { call, attempt, at } => self.reach(call, attempt, at),
-            Due::Back { call, attempt, end, by } => {
+            Event::Reach { call, attempt, at } => self.reach(call, attempt, at),
+            Event::Back { call, attempt, end, by } => {
                 let end = [HandoverOutcome::Served, HandoverOutcome::Refused, HandoverOutcome::Lost]
                     [usize::from(end)];
                 self.back(call, attempt, end, by);
             }
-            Due::Overdue { call, attempt } => self.back(call, attempt, HandoverOutcome::Lost, 0),
-            Due::Loaded { site, life } => {
+            Event::Overdue { call, attempt } => self.back(call, attempt, HandoverOutcome::Lost, 0),
+            Event::Loaded { site, life } => {
                 if self.sites[usize::from(site)].life == life {
                     self.pump(site);
                 }
             }
-            Due::Done { site, life, job, worker, copy, warm } => {
+            Event::Done { site, life, job, worker, copy, warm } => {
                 if self.sites[usize::from(site)].life == life {
                     self.sites[usize::from(site)].workers.done(self.now, worker, copy);
                     self.done(site, job, warm);
                     self.pump(site);
                 }
             }
-            Due::Expired { site, life, job } => {
+            Event::Expired { site, life, job } => {
                 if self.sites[usize::from(site)].life == life {
                     self.count(job.at, job.function, |c| c.in_flight = c.in_flight.saturating_sub(1));
                     if self.calls[job.call].attempt == job.attempt {
@@ -389,15 +389,15 @@
                     }
                 }
             }
-            Due::Frame { from, to, bytes } => {
+            Event::Frame { from, to, bytes } => {
                 if self.is_up(to) {
                     // What can't be read is an error of this world, seen by tests as a wrong choice.
                     let read = self.gateways[usize::from(to)].route.receive_frame(self.now, from, &bytes);
                     debug_assert!(read.is_ok(), "{read:?}");
                 }
             }
-            Due::Tick(own) => self.tick(own),
-            Due::Ping { from } => {
+            Event::Tick(own) => self.tick(own),
+            Event::Ping { from } => {
                 let here = self.site_of(from);
                 let others: Vec<_> =
                     (0..self.gateways.len() as MemberId).filter(|of| self.site_of(*of) != here).collect();
@@ -410,20 +410,20 @@
                     let back = self.links.late(&mut self.rng, there, here);
                     if let (Some(way), Some(back)) = (way, back) {
                         let sent = self.now;
-                        self.after(way + back, Due::Pong { from, of, sent });
+                        self.after(way + back, Event::Pong { from, of, sent });
                     }
                 }
-                self.after(PING, Due::Ping { from });
+                self.after(PING, Event::Ping { from });
             }
-            Due::Pong { from, of, sent } => {
+            Event::Pong { from, of, sent } => {
                 let rtt = self.now - sent;
                 self.gateways[usize::from(from)].route.record_rtt(self.now, of, rtt);
             }
-            Due::Look => {
+            Event::Look => {
                 self.look();
-                self.after(TICK, Due::Look);
+                self.after(TICK, Event::Look);
             }
-            Due::Live => {
+            Event::Live => {
                 let live: Vec<_> = (0..self.gateways.len() as MemberId).map(|of| self.is_up(of)).collect();
                 self.gateways.iter_mut().for_each(|g| g.route.set_live(&live));
             }
@@ -431,7 +431,7 @@
     }
 
     fn tick(&mut self, own: MemberId) {
-        self.after(TICK, Due::Tick(own));
+        self.after(TICK, Event::Tick(own));
         let (now, here) = (self.now, self.site_of(own));
         let state = &self.sites[usize::from(here)];
         let gateway = &mut self.gateways[usize::from(own)];
@@ -458,7 +458,7 @@
         for (to, bytes) in frames {
             self.gossip_bytes += bytes.len() as u64;
             let there = self.site_of(to);
-            self.cross(here, there, Due::Frame { from: own, to, bytes });
+            self.cross(here, there, Event::Frame { from: own, to, bytes });
         }
     }
 
@@ -498,10 +498,10 @@
                 (c.handed, c.attempt) = (Some((peer, self.now)), c.attempt + 1);
                 let attempt = c.attempt;
                 if !handed {
-                    self.after(patience / 2, Due::Overdue { call, attempt });
+                    self.after(patience / 2, Event::Overdue { call, attempt });
                 }
                 let here = self.site_of(at);
-                self.cross(here, site, Due::Reach { call, attempt, at: peer });
+                self.cross(here, site, Event::Reach { call, attempt, at: peer });
             }
         }
     }
@@ -513,7 +513,7 @@
         }
         let state = &self.sites[usize::from(there)];
         if state.refuses || state.workers.full(self.now, c.until) {
-            let back = Due::Back { call, attempt, end: 1, by: there };
+            let back = Event::Back { call, attempt, end: 1, by: there };
             return self.cross(there, c.site, back);
         }
         let patience = c.until.saturating_sub(self.now);
@@ -543,13 +543,15 @@
         self.later(site, later);
     }
 
-    fn later(&mut self, site: Site, later: Vec<(Micros, Later)>) {
+    fn later(&mut self, site: Site, later: Vec<(Micros, WorkerEvent)>) {
         let life = self.sites[usize::from(site)].life;
         for (at, later) in later {
             let due = match later {
-                Later::Loaded => Due::Loaded { site, life },
-                Later::Expired { job } => Due::Expired { site, life, job },
-                Later::Done { job, worker, copy, warm } => Due::Done { site, life, job, worker, copy, warm },
+                WorkerEvent::Loaded => Event::Loaded { site, life },
+                WorkerEvent::Expired { job } => Event::Expired { site, life, job },
+                WorkerEvent::Done { job, worker, copy, warm } => {
+                    Event::Done { site, life, job, worker, copy, warm }
+                }
             };
             self.after(at - self.now, due);
         }
@@ -565,7 +567,7 @@
         match c.handed.is_some() {
             _ if c.attempt != job.attempt => {}
             true => {
-                self.cross(site, c.site, Due::Back { call: job.call, attempt: c.attempt, end: 0, by: site })
+                self.cross(site, c.site, Event::Back { call: job.call, attempt: c.attempt, end: 0, by: site })
             }
             false => self.end(job.call, site, Some(now - c.came)),
         }
--- a/crates/site-routing/src/simulation/workers.rs
+++ b/crates/site-routing/src/simulation/workers.rs
@@ -50,7 +50,7 @@
 
 /// What is to be done later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Later {
+pub(crate) enum WorkerEvent {
     /// A copy is loaded.
     Loaded,
     /// A call is done; it found a copy that stood.
@@ -136,7 +136,7 @@
         now + self.waiting_work / self.all_cores() > until
     }
 
-    pub fn offer(&mut self, now: Micros, job: Job, later: &mut Vec<(Micros, Later)>) {
+    pub fn offer(&mut self, now: Micros, job: Job, later: &mut Vec<(Micros, WorkerEvent)>) {
         self.waiting_work += job.service;
         self.waiting.entry(job.function).or_default().push_back(job);
         self.pump(now, later);
@@ -153,7 +153,7 @@
     }
 
     /// Begins what can be begun, and loads what is wanted.
-    pub fn pump(&mut self, now: Micros, later: &mut Vec<(Micros, Later)>) {
+    pub fn pump(&mut self, now: Micros, later: &mut Vec<(Micros, WorkerEvent)>) {
         let mut heads: Vec<_> =
             self.waiting.iter().filter_map(|(f, jobs)| Some((jobs.front()?.came, *f))).collect();
         heads.sort_unstable();
@@ -169,10 +169,10 @@
                     let copy = &mut worker.copies[copy];
                     copy.taken += 1;
                     let warm = copy.ready <= job.came;
-                    let done = Later::Done { job, worker: at, copy: copy.number, warm };
+                    let done = WorkerEvent::Done { job, worker: at, copy: copy.number, warm };
                     later.push((now + job.service, done));
                 } else {
-                    later.push((now, Later::Expired { job }));
+                    later.push((now, WorkerEvent::Expired { job }));
                 }
                 self.waiting_work = self.waiting_work.saturating_sub(job.service);
                 if let Some(jobs) = self.waiting.get_mut(&function) {
@@ -199,7 +199,7 @@
     }
 
     /// Loads another copy where as many calls wait as those under way have lanes.
-    fn load(&mut self, now: Micros, function: u32, later: &mut Vec<(Micros, Later)>) {
+    fn load(&mut self, now: Micros, function: u32, later: &mut Vec<(Micros, WorkerEvent)>) {
         let model = self.functions[function as usize];
         let all = self.workers.iter().flat_map(|w| &w.copies).filter(|c| c.function == function);
         let coming = all.filter(|c| c.ready > now).count() * model.spec.lanes as usize;
@@ -235,6 +235,6 @@
         let worker = &mut self.workers[at];
         worker.copies.retain(|c| !out.contains(&c.number));
         worker.copies.push(Copy { number, function, ready, taken: 0, idle_since: ready });
-        later.push((ready, Later::Loaded));
+        later.push((ready, WorkerEvent::Loaded));
     }
 }
--- a/crates/site-routing/src/site_stats.rs
+++ b/crates/site-routing/src/site_stats.rs
@@ -2,7 +2,7 @@
 //! how much of its memory is in use.
 
 use crate::settings::RoutingSettings;
-use crate::wire::{Figure, Homed, MOST_FIGURES, Word};
+use crate::wire::{FunctionStats, HomeStatus, MOST_FIGURES, SiteReport};
 use basaltward_membership::Micros;
 use std::collections::BTreeMap;
 
@@ -19,9 +19,9 @@
 
 /// Usual times of functions, as all sites tell them: what is above them was waited.
 #[derive(Clone, Debug)]
-pub(crate) struct Usual(Vec<f64>);
+pub(crate) struct BaselineTimes(Vec<f64>);
 
-impl Usual {
+impl BaselineTimes {
     pub fn new(settings: &RoutingSettings) -> Self {
         Self(vec![0.0; settings.functions.len()])
     }
@@ -34,12 +34,12 @@
     }
 
     /// Learns from a site's figures: quickly downward, slowly upward, not where calls wait.
-    pub fn learn(&mut self, settings: &RoutingSettings, site: &Site) {
+    pub fn learn(&mut self, settings: &RoutingSettings, site: &SiteStats) {
         let every = settings.interval as f64 / 1e6;
-        for figure in site.figures.values().filter(|f| f.served > 0 && f.took > 0) {
+        for figure in site.figures.values().filter(|f| f.served > 0 && f.mean_time > 0) {
             let Some(usual) = self.0.get_mut(figure.function as usize) else { continue };
-            let loading = figure.cold() * load(settings, figure.function);
-            let sample = (f64::from(figure.took) - loading).max(f64::from(figure.took) * 0.1);
+            let loading = figure.cold_starts() * load(settings, figure.function);
+            let sample = (f64::from(figure.mean_time) - loading).max(f64::from(figure.mean_time) * 0.1);
             let calls = (figure.served() * every / 5.0).min(1.0);
             let up = if site.saturated() { 0.0 } else { 0.003 };
             let weight = if *usual == 0.0 {
@@ -62,15 +62,15 @@
 
 /// A site as it is known.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Site {
+pub(crate) struct SiteStats {
     /// The figures are as of then, or later.
     pub at: Micros,
     /// What it has heard of us: the number of our last word.
     pub heard: u64,
     pub workers: f64,
     pub over: f64,
-    pub figures: BTreeMap<u32, Figure>,
-    pub homes: BTreeMap<u32, Homed>,
+    pub figures: BTreeMap<u32, FunctionStats>,
+    pub homes: BTreeMap<u32, HomeStatus>,
     /// Calls served in a second, calls in hand, those of them in service.
     pub served: f64,
     pub in_hand: f64,
@@ -82,20 +82,20 @@
     pub used_mb: f64,
 }
 
-impl Site {
+impl SiteStats {
     /// By a word, of which no figure goes past what a site of this fleet can be.
-    pub fn told(settings: &RoutingSettings, usual: &Usual, at: Micros, word: &Word) -> Self {
+    pub fn told(settings: &RoutingSettings, usual: &BaselineTimes, at: Micros, word: &SiteReport) -> Self {
         let known = settings.functions.len();
-        let of_us = |f: &&Figure| (f.function as usize) < known;
+        let of_us = |f: &&FunctionStats| (f.function as usize) < known;
         let figures: BTreeMap<_, _> =
-            word.by.iter().take(MOST_FIGURES).filter(of_us).map(|f| (f.function, *f)).collect();
+            word.functions.iter().take(MOST_FIGURES).filter(of_us).map(|f| (f.function, *f)).collect();
         let homes = word.homes.iter().take(known).map(|h| (h.function, *h)).collect();
         let workers = f64::from(word.workers.min(settings.max_site_workers));
         let mut site = Self {
             at,
-            heard: word.heard.map_or(0, |heard| heard.number),
+            heard: word.ack.map_or(0, |heard| heard.number),
             workers,
-            over: f64::from(word.over) / 1e3,
+            over: f64::from(word.excess) / 1e3,
             figures,
             homes,
             ..Self::default()
@@ -104,17 +104,17 @@
         site
     }
 
-    fn sum_up(&mut self, settings: &RoutingSettings, usual: &Usual) {
+    fn sum_up(&mut self, settings: &RoutingSettings, usual: &BaselineTimes) {
         let (mut expected, mut work) = (0.0, 0.0);
         for (function, f) in &self.figures {
             let (served, time) = (f.served(), usual.of(settings, *function));
             self.served += served;
-            self.in_hand += f.in_hand();
+            self.in_hand += f.in_flight();
             work += served * time / 1e6;
-            expected += served * (time + f.cold() * load(settings, *function)) / 1e6;
+            expected += served * (time + f.cold_starts() * load(settings, *function)) / 1e6;
             let told = &settings.functions[*function as usize];
-            if f.peak > 0 {
-                self.used_mb += f64::from(f.peak.div_ceil(told.lanes)) * f64::from(told.memory_mb);
+            if f.peak_in_flight > 0 {
+                self.used_mb += f64::from(f.peak_in_flight.div_ceil(told.lanes)) * f64::from(told.memory_mb);
             }
         }
         self.busy = work.min(self.in_hand.max(work));
@@ -131,22 +131,22 @@
         now.saturating_sub(self.at)
     }
 
-    pub fn figure(&self, function: u32) -> Figure {
+    pub fn figure(&self, function: u32) -> FunctionStats {
         self.figures.get(&function).copied().unwrap_or_default()
     }
 
     /// Where a function's calls of this site are at home.
-    pub fn home(&self, own: basaltward_membership::Site, function: u32) -> Homed {
-        let plain = Homed { function, home: own, stays: false, bid: None };
+    pub fn home(&self, own: basaltward_membership::Site, function: u32) -> HomeStatus {
+        let plain = HomeStatus { function, home: own, dwelling: false, bid: None };
         self.homes.get(&function).copied().unwrap_or(plain)
     }
 
     /// Time that a call of a function waits: by its own depth and rate, drawn to the site's where it has few calls.
-    pub fn wait(&self, settings: &RoutingSettings, usual: &Usual, function: u32) -> f64 {
+    pub fn wait(&self, settings: &RoutingSettings, usual: &BaselineTimes, function: u32) -> f64 {
         let f = self.figure(function);
-        let time = (usual.of(settings, function) + f.cold() * load(settings, function)) / 1e6;
+        let time = (usual.of(settings, function) + f.cold_starts() * load(settings, function)) / 1e6;
         let expected = f.served() * time;
-        let own = (f.in_hand() - expected - expected.max(1.0).sqrt()).max(0.0);
+        let own = (f.in_flight() - expected - expected.max(1.0).sqrt()).max(0.0);
         ((own + OWN * self.queue / 1e6) * 1e6 / (f.served() + OWN)).max(0.0)
     }
 
@@ -167,16 +167,16 @@
     pub fn warm_now(&self, settings: &RoutingSettings, function: u32) -> f64 {
         let f = self.figure(function);
         let lanes = settings.functions.get(function as usize).map_or(1, |told| told.lanes);
-        let standing = f64::from(f.peak.div_ceil(lanes)) * f64::from(lanes);
-        match f.peak {
+        let standing = f64::from(f.peak_in_flight.div_ceil(lanes)) * f64::from(lanes);
+        match f.peak_in_flight {
             0 => 0.0,
-            _ if standing >= f.in_hand() + 1.0 => 1.0,
+            _ if standing >= f.in_flight() + 1.0 => 1.0,
             _ => 0.5,
         }
     }
 
     /// What an answer costs as of now, the way aside.
-    pub fn cost_now(&self, settings: &RoutingSettings, usual: &Usual, function: u32) -> f64 {
+    pub fn cost_now(&self, settings: &RoutingSettings, usual: &BaselineTimes, function: u32) -> f64 {
         let cold = 1.0 - self.warm_now(settings, function);
         self.wait(settings, usual, function)
             + usual.of(settings, function)
@@ -185,7 +185,13 @@
 
     /// What an answer would cost in the long run if `calls` a second were answered here, way and wait aside: copies stand
     /// by the chance that another call came within the time that idle ones are kept.
-    pub fn cost_placed(&self, settings: &RoutingSettings, usual: &Usual, function: u32, calls: f64) -> f64 {
+    pub fn cost_placed(
+        &self,
+        settings: &RoutingSettings,
+        usual: &BaselineTimes,
+        function: u32,
+        calls: f64,
+    ) -> f64 {
         let cold = (-calls * settings.keep_alive as f64 / 1e6).exp();
         usual.of(settings, function) + cold * self.load_cost(settings, function)
     }
--- a/crates/site-routing/src/wire.rs
+++ b/crates/site-routing/src/wire.rs
@@ -10,7 +10,7 @@
 
 /// A function at a gateway or at a site.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Figure {
+pub(crate) struct FunctionStats {
     /// Its position.
     pub function: u32,
     /// Calls of clients in 1,000 s.
@@ -20,21 +20,21 @@
     /// Calls served in 1,000 s.
     pub served: u32,
     /// Mean time of those served.
-    pub took: u32,
+    pub mean_time: u32,
     /// Of 1,000 served, how many found no copy.
     pub cold: u16,
     /// In hand, in thousandths, smoothed.
     pub in_hand: u32,
     /// Most in hand at once within the time that idle copies are kept; 0 where none was served in it.
-    pub peak: u32,
+    pub peak_in_flight: u32,
 }
 
-impl Figure {
-    pub fn came(&self) -> f64 {
+impl FunctionStats {
+    pub fn arrivals(&self) -> f64 {
         f64::from(self.came) / 1e3
     }
 
-    pub fn calls(&self) -> f64 {
+    pub fn slow_arrivals(&self) -> f64 {
         f64::from(self.calls) / 1e3
     }
 
@@ -42,11 +42,11 @@
         f64::from(self.served) / 1e3
     }
 
-    pub fn in_hand(&self) -> f64 {
+    pub fn in_flight(&self) -> f64 {
         f64::from(self.in_hand) / 1e3
     }
 
-    pub fn cold(&self) -> f64 {
+    pub fn cold_starts(&self) -> f64 {
         f64::from(self.cold).min(1e3) / 1e3
     }
 
@@ -61,37 +61,37 @@
             came: self.came.saturating_add(other.came),
             calls: self.calls.saturating_add(other.calls),
             served: self.served.saturating_add(other.served),
-            took: weigh(self.took.into(), other.took.into()) as u32,
+            mean_time: weigh(self.mean_time.into(), other.mean_time.into()) as u32,
             cold: weigh(self.cold.into(), other.cold.into()) as u16,
             in_hand: self.in_hand.saturating_add(other.in_hand),
-            peak: self.peak.saturating_add(other.peak),
+            peak_in_flight: self.peak_in_flight.saturating_add(other.peak_in_flight),
         }
     }
 }
 
 /// How calls that were handed to a site ended, in 1,000 s.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Ends {
+pub(crate) struct HandoverStats {
     pub site: Site,
     pub served: u32,
     pub refused: u32,
     /// Lost, or never reached it.
     pub lost: u32,
     /// Mean time of those served, the way included.
-    pub took: u32,
+    pub mean_time: u32,
 }
 
-impl Ends {
+impl HandoverStats {
     /// These and those of another gateway with the same site.
     pub fn and(self, other: &Self) -> Self {
-        let took = |e: &Self| u64::from(e.took) * u64::from(e.served);
+        let took = |e: &Self| u64::from(e.mean_time) * u64::from(e.served);
         let all = u64::from(self.served) + u64::from(other.served);
         Self {
             site: self.site,
             served: self.served.saturating_add(other.served),
             refused: self.refused.saturating_add(other.refused),
             lost: self.lost.saturating_add(other.lost),
-            took: (took(&self) + took(other)).checked_div(all).unwrap_or(0) as u32,
+            mean_time: (took(&self) + took(other)).checked_div(all).unwrap_or(0) as u32,
         }
     }
 }
@@ -99,99 +99,99 @@
 /// The last frame of the receiver that was heard, and how long before this one was written: the receiver's own clock
 /// bounds the age of what it gets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Heard {
+pub(crate) struct Acknowledgment {
     pub number: u64,
-    pub held: Micros,
+    pub held_for: Micros,
 }
 
 /// Where a function's calls of the telling site are at home, where that is not plainly at the site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Homed {
+pub(crate) struct HomeStatus {
     pub function: u32,
     pub home: Site,
     /// It moved of late, and stays.
-    pub stays: bool,
+    pub dwelling: bool,
     /// It would move there.
     pub bid: Option<Site>,
 }
 
 /// A gateway's own figures, for its site's teller.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Part {
+pub(crate) struct GatewayReport {
     pub number: u64,
     pub workers: u32,
-    pub by: Vec<Figure>,
-    pub ends: Vec<Ends>,
+    pub functions: Vec<FunctionStats>,
+    pub handovers: Vec<HandoverStats>,
 }
 
 /// A site's figures, for the tellers of other sites.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Word {
+pub(crate) struct SiteReport {
     pub number: u64,
-    pub heard: Option<Heard>,
+    pub ack: Option<Acknowledgment>,
     pub workers: u32,
     /// Work that it has above what it can do, in thousandths of calls in service.
-    pub over: u32,
-    pub by: Vec<Figure>,
-    pub homes: Vec<Homed>,
+    pub excess: u32,
+    pub functions: Vec<FunctionStats>,
+    pub homes: Vec<HomeStatus>,
 }
 
 /// A way of a row, as it crosses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ToldWay {
+pub(crate) struct PlannedRoute {
     pub site: Site,
-    pub there: Micros,
+    pub expected_latency: Micros,
     pub share: u16,
-    pub room: u16,
+    pub call_limit: u16,
 }
 
-impl From<&ToldWay> for RemoteRoute {
-    fn from(told: &ToldWay) -> Self {
+impl From<&PlannedRoute> for RemoteRoute {
+    fn from(told: &PlannedRoute) -> Self {
         Self {
             site: told.site,
             peer: 0,
-            expected_latency: told.there,
+            expected_latency: told.expected_latency,
             share: told.share,
-            call_limit: told.room,
+            call_limit: told.call_limit,
         }
     }
 }
 
 /// A row that is not plainly answered here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ToldRow {
+pub(crate) struct PlannedRow {
     pub function: u32,
     pub home: Site,
-    pub stays: bool,
-    pub here: Micros,
-    pub warm: bool,
-    pub ways: [ToldWay; MAX_REMOTE_ROUTES],
+    pub dwelling: bool,
+    pub local_latency: Micros,
+    pub warm_at_home: bool,
+    pub remote_routes: [PlannedRoute; MAX_REMOTE_ROUTES],
 }
 
 /// What a site's teller has worked out, for the site's gateways.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Rows {
+pub(crate) struct PlannedRows {
     pub number: u64,
-    pub heard: Option<Heard>,
-    pub rows: Vec<ToldRow>,
+    pub ack: Option<Acknowledgment>,
+    pub rows: Vec<PlannedRow>,
 }
 
 /// A frame between peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Frame {
-    Part(Part),
-    Word(Word),
-    Rows(Rows),
+    GatewayReport(GatewayReport),
+    SiteReport(SiteReport),
+    PlannedRows(PlannedRows),
 }
 
 impl Frame {
     /// Its bytes; none where it can't be written, which its bounds rule out.
-    pub fn bytes(&self) -> Option<Vec<u8>> {
+    pub fn encode(&self) -> Option<Vec<u8>> {
         postcard::to_allocvec(self).ok().filter(|bytes| bytes.len() <= FRAME)
     }
 
     /// What a peer's bytes say.
-    pub fn read(from: MemberId, bytes: &[u8]) -> Result<Self, RoutingError> {
+    pub fn decode(from: MemberId, bytes: &[u8]) -> Result<Self, RoutingError> {
         if bytes.len() > FRAME {
             return Err(RoutingError::TooLong { from, bytes: bytes.len() });
         }
