--- a/crates/site-routing/src/controller.rs
+++ b/crates/site-routing/src/controller.rs
@@ -120,9 +120,9 @@
                 let Some(at) = self.as_of(now, word.ack) else { return Ok(()) };
                 let stale = self.sites.get(&site).is_none_or(|k| k.age(now) > self.settings.valid_for);
                 if from == self.teller(site) || stale {
-                    let known = Known::told(&self.settings, &self.usual, at, &word);
+                    let known = Known::from_report(&self.settings, &self.usual, at, &word);
                     if now.saturating_sub(at) <= self.settings.valid_for {
-                        self.homes.heard(now, site, &known.homes);
+                        self.homes.handle_report(now, site, &known.homes);
                     }
                     self.sites.insert(site, known);
                 }
@@ -303,12 +303,12 @@
             functions: by,
             homes: Vec::new(),
         };
-        let own = Known::told(settings, &self.usual, now, &word);
-        self.usual.learn(settings, &own);
+        let own = Known::from_report(settings, &self.usual, now, &word);
+        self.usual.update(settings, &own);
         self.sites
             .values()
             .filter(|k| k.age(now) < settings.valid_for)
-            .for_each(|k| self.usual.learn(settings, k));
+            .for_each(|k| self.usual.update(settings, k));
         let fresh = self.sites.iter().filter(|(_, known)| known.age(now) <= settings.valid_for);
         let others = fresh.filter_map(|(site, known)| {
             let way = self.way(now, *site)?;
@@ -326,7 +326,7 @@
         };
         let PlanResult { rows, over } = self.plan.work(&view, &mut self.homes);
         word.excess = (over * 1e3).min(f64::from(u32::MAX)) as u32;
-        word.homes = self.homes.told(now);
+        word.homes = self.homes.statuses(now);
         (word, PlannedRows { number: self.number, ack: None, rows })
     }
 }
--- a/crates/site-routing/src/counters.rs
+++ b/crates/site-routing/src/counters.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::RoutingSettings;
 use crate::types::{Handover, HandoverOutcome, LoopCounts};
-use crate::wire::{FunctionStats, GatewayReport, HandoverStats, MOST_FIGURES};
+use crate::wire::{FunctionStats, GatewayReport, HandoverStats, MAX_FUNCTIONS_PER_REPORT};
 use basaltward_membership::{Micros, Site};
 use std::collections::BTreeMap;
 
@@ -116,12 +116,12 @@
         let milli = |x: f64| (x * 1e3).clamp(0.0, f64::from(u32::MAX)) as u32;
         let by = self.functions.iter().map(|(function, f)| FunctionStats {
             function: *function,
-            came: milli(f.rates[0]),
-            calls: milli(f.slow),
+            arrivals: milli(f.rates[0]),
+            slow_arrivals: milli(f.slow),
             served: milli(f.rates[1]),
             mean_time: if f.rates[1] > 0.0 { (f.rates[2] / f.rates[1]) as u32 } else { 0 },
-            cold: if f.rates[1] > 0.0 { (f.rates[3] / f.rates[1] * 1e3) as u16 } else { 0 },
-            in_hand: milli(f.smooth_in_hand),
+            cold_starts: if f.rates[1] > 0.0 { (f.rates[3] / f.rates[1] * 1e3) as u16 } else { 0 },
+            in_flight: milli(f.smooth_in_hand),
             peak_in_flight: if f.served_at.is_some_and(|at| now <= at + keep) {
                 f.peaks[0].max(f.peaks[1])
             } else {
@@ -129,9 +129,9 @@
             },
         });
         let mut by: Vec<_> = by.collect();
-        if by.len() > MOST_FIGURES {
-            by.sort_by_key(|f| std::cmp::Reverse(f.came.saturating_add(f.served)));
-            by.truncate(MOST_FIGURES);
+        if by.len() > MAX_FUNCTIONS_PER_REPORT {
+            by.sort_by_key(|f| std::cmp::Reverse(f.arrivals.saturating_add(f.served)));
+            by.truncate(MAX_FUNCTIONS_PER_REPORT);
         }
         let ends = self.ends.iter_mut().map(|(site, (sums, rates))| {
             rates.iter_mut().zip(sums).for_each(|(rate, sum)| smooth(rate, sum));
--- a/crates/site-routing/src/homes.rs
+++ b/crates/site-routing/src/homes.rs
@@ -13,34 +13,34 @@
 struct Bid {
     to: Site,
     /// Number of the first word that tells it.
-    number: u64,
+    first_report: u64,
     since: Micros,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct HomeEntry {
-    at: Site,
+    home: Site,
     /// Until when it stays there.
-    stays: Micros,
+    dwell_until: Micros,
     bid: Option<Bid>,
 }
 
 /// What another site says of a function, in a word that is fresh.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerHomeStatus {
-    pub homed: HomeStatus,
+    pub status: HomeStatus,
     /// Number of our last word that it had heard.
-    pub heard: u64,
+    pub acked: u64,
 }
 
 /// Our site's homes; a function without an entry is at home here.
 #[derive(Debug)]
 pub(crate) struct Homes {
-    here: Site,
-    stay: Micros,
-    of: BTreeMap<u32, HomeEntry>,
+    local_site: Site,
+    dwell: Micros,
+    entries: BTreeMap<u32, HomeEntry>,
     /// Until when we don't take a function to a site that brought it to us.
-    guests: BTreeMap<(u32, Site), Micros>,
+    incoming: BTreeMap<(u32, Site), Micros>,
 }
 
 /// The order of sites for a function, the same for all.
@@ -53,28 +53,28 @@
 
 impl Homes {
     pub fn new(here: Site, stay: Micros) -> Self {
-        Self { here, stay, of: BTreeMap::new(), guests: BTreeMap::new() }
+        Self { local_site: here, dwell: stay, entries: BTreeMap::new(), incoming: BTreeMap::new() }
     }
 
-    pub fn at(&self, function: u32) -> Site {
-        self.of.get(&function).map_or(self.here, |home| home.at)
+    pub fn home_of(&self, function: u32) -> Site {
+        self.entries.get(&function).map_or(self.local_site, |home| home.home)
     }
 
     /// Functions that have an entry.
-    pub fn entries(&self) -> Vec<u32> {
-        self.of.keys().copied().collect()
+    pub fn moved_functions(&self) -> Vec<u32> {
+        self.entries.keys().copied().collect()
     }
 
-    pub fn stays(&self, now: Micros, function: u32) -> bool {
-        self.of.get(&function).is_some_and(|home| now < home.stays)
+    pub fn is_dwelling(&self, now: Micros, function: u32) -> bool {
+        self.entries.get(&function).is_some_and(|home| now < home.dwell_until)
     }
 
     /// What our words say of homes.
-    pub fn told(&self, now: Micros) -> Vec<HomeStatus> {
-        let told = self.of.iter().map(|(function, home)| HomeStatus {
+    pub fn statuses(&self, now: Micros) -> Vec<HomeStatus> {
+        let told = self.entries.iter().map(|(function, home)| HomeStatus {
             function: *function,
-            home: home.at,
-            dwelling: now < home.stays,
+            home: home.home,
+            dwelling: now < home.dwell_until,
             bid: home.bid.map(|bid| bid.to),
         });
         told.collect()
@@ -82,69 +82,72 @@
 
     /// Another site was heard: who brings its calls to us is not gone to for a while, and of two that bid for each
     /// other the one goes on that bids up the order.
-    pub fn heard(&mut self, now: Micros, from: Site, homes: &BTreeMap<u32, HomeStatus>) {
+    pub fn handle_report(&mut self, now: Micros, from: Site, homes: &BTreeMap<u32, HomeStatus>) {
         for homed in homes.values() {
-            if homed.home == self.here || homed.bid == Some(self.here) {
-                self.guests.insert((homed.function, from), now + self.stay);
-                let down = |to: Site| rank(homed.function, self.here) > rank(homed.function, to);
-                if let Some(home) = self.of.get_mut(&homed.function)
+            if homed.home == self.local_site || homed.bid == Some(self.local_site) {
+                self.incoming.insert((homed.function, from), now + self.dwell);
+                let down = |to: Site| rank(homed.function, self.local_site) > rank(homed.function, to);
+                if let Some(home) = self.entries.get_mut(&homed.function)
                     && home.bid.is_some_and(|bid| down(bid.to))
                 {
                     home.bid = None;
                 }
             }
         }
-        self.guests.retain(|_, until| now < *until);
+        self.incoming.retain(|_, until| now < *until);
     }
 
     /// Takes a function home at once: its home is out of reach, or no better any more.
-    pub fn back(&mut self, now: Micros, function: u32) {
-        if self.at(function) != self.here {
-            self.of.insert(function, HomeEntry { at: self.here, stays: now + self.stay, bid: None });
+    pub fn move_back(&mut self, now: Micros, function: u32) {
+        if self.home_of(function) != self.local_site {
+            self.entries.insert(
+                function,
+                HomeEntry { home: self.local_site, dwell_until: now + self.dwell, bid: None },
+            );
         }
     }
 
     /// What a site's former teller had moved; what we moved ourselves stays.
     pub fn adopt(&mut self, now: Micros, function: u32, at: Site, stays: bool) {
-        let stays = if stays { now + self.stay } else { now };
-        self.of.insert(function, HomeEntry { at, stays, bid: None });
+        let stays = if stays { now + self.dwell } else { now };
+        self.entries.insert(function, HomeEntry { home: at, dwell_until: stays, bid: None });
     }
 
     /// Forgets all, for what another teller told.
     pub fn clear(&mut self) {
-        self.of.clear();
+        self.entries.clear();
     }
 
     /// Bids for a home at another site, or moves there once that is agreed to. `number` is that of our next word.
-    pub fn wish(&mut self, now: Micros, function: u32, to: Site, number: u64, said: &PeerHomeStatus) {
-        let guest = self.guests.get(&(function, to)).is_some_and(|until| now < *until);
-        let free = said.homed.home == to && !said.homed.dwelling && !guest;
-        let plain = HomeEntry { at: self.here, stays: 0, bid: None };
-        let (here, stay) = (self.here, self.stay);
-        let home = self.of.entry(function).or_insert(plain);
-        if !free || now < home.stays || home.at == to {
+    pub fn request_move(&mut self, now: Micros, function: u32, to: Site, number: u64, said: &PeerHomeStatus) {
+        let guest = self.incoming.get(&(function, to)).is_some_and(|until| now < *until);
+        let free = said.status.home == to && !said.status.dwelling && !guest;
+        let plain = HomeEntry { home: self.local_site, dwell_until: 0, bid: None };
+        let (here, stay) = (self.local_site, self.dwell);
+        let home = self.entries.entry(function).or_insert(plain);
+        if !free || now < home.dwell_until || home.home == to {
             home.bid = None;
             return;
         }
         match home.bid.filter(|bid| bid.to == to) {
-            None => home.bid = Some(Bid { to, number, since: now }),
+            None => home.bid = Some(Bid { to, first_report: number, since: now }),
             Some(bid) => {
                 // Its own bid goes down the order and is for us: it lets it go when it hears of ours.
-                let yields = said.homed.bid == Some(here) && rank(function, here) < rank(function, to);
-                if said.heard >= bid.number && (said.homed.bid.is_none() || yields) {
-                    *home = HomeEntry { at: to, stays: now + stay, bid: None };
+                let yields = said.status.bid == Some(here) && rank(function, here) < rank(function, to);
+                if said.acked >= bid.first_report && (said.status.bid.is_none() || yields) {
+                    *home = HomeEntry { home: to, dwell_until: now + stay, bid: None };
                 }
             }
         }
     }
 
     /// Nothing is wished for a function, or what was is not agreed to.
-    pub fn rest(&mut self, now: Micros, wished: &BTreeMap<u32, Site>) {
-        let here = self.here;
-        self.of.retain(|function, home| {
+    pub fn expire_bids(&mut self, now: Micros, wished: &BTreeMap<u32, Site>) {
+        let here = self.local_site;
+        self.entries.retain(|function, home| {
             let holds = |bid: &Bid| wished.get(function) == Some(&bid.to) && now < bid.since + BID;
             home.bid = home.bid.filter(holds);
-            home.at != here || now < home.stays || home.bid.is_some()
+            home.home != here || now < home.dwell_until || home.bid.is_some()
         });
     }
 }
--- a/crates/site-routing/src/planner.rs
+++ b/crates/site-routing/src/planner.rs
@@ -2,7 +2,7 @@
 
 use crate::homes::{Homes, PeerHomeStatus, rank};
 use crate::settings::RoutingSettings;
-use crate::site_stats::{BaselineTimes, SiteStats as Known, load};
+use crate::site_stats::{BaselineTimes, SiteStats as Known, load_time};
 use crate::types::MAX_REMOTE_ROUTES;
 use crate::wire::{HandoverStats, PlannedRoute, PlannedRow};
 use basaltward_membership::{Micros, Site};
@@ -59,8 +59,8 @@
         let weight = (-(known.age(now) as f64) / FADE).exp();
         let way = way as f64;
         // By its word, with slack for a mix of functions that is not its own.
-        let told = known.in_hand * 1e6 / known.served.max(0.1);
-        let told = way + LONGER.0 * told.max(known.mean) + LONGER.1;
+        let told = known.in_flight * 1e6 / known.served_rate.max(0.1);
+        let told = way + LONGER.0 * told.max(known.mean_time) + LONGER.1;
         let longer = if served > 0.5 { (f64::from(ends.mean_time) - told).max(0.0) } else { 0.0 };
         Self { site, known, way, ends, weight, refused: refused / all, lost: lost / all, longer }
     }
@@ -119,7 +119,7 @@
     /// What we think of a site's cost: told figures, drawn toward our own wait as they age, the way, and what is lost by
     /// calls that end badly there.
     fn there(&self, other: &RemoteSite, function: u32, cost: f64) -> f64 {
-        let doubt = (1.0 - other.weight) * self.own.wait(self.settings, self.usual, function);
+        let doubt = (1.0 - other.weight) * self.own.wait_time(self.settings, self.usual, function);
         let told = &self.settings.functions[function as usize];
         let lost = other.lost * (told.deadline as f64 / 2.0);
         let refused = other.refused * (other.way + self.here_now(function));
@@ -127,24 +127,24 @@
     }
 
     fn there_now(&self, other: &RemoteSite, function: u32) -> f64 {
-        self.there(other, function, other.known.cost_now(self.settings, self.usual, function))
+        self.there(other, function, other.known.current_cost(self.settings, self.usual, function))
     }
 
     fn here_now(&self, function: u32) -> f64 {
-        self.own.cost_now(self.settings, self.usual, function)
+        self.own.current_cost(self.settings, self.usual, function)
     }
 
     /// Calls a second that a site may get of ours, by what it has proven.
     fn proven(&self, other: &RemoteSite) -> f64 {
-        (FIRST.0.max(FIRST.1 * self.own.served) + DOUBLE * other.served()) * other.trust()
+        (FIRST.0.max(FIRST.1 * self.own.served_rate) + DOUBLE * other.served()) * other.trust()
     }
 
     /// Calls a second of a function by the site that they are at home at, ours aside.
     fn at_homes(&self, function: u32) -> BTreeMap<Site, f64> {
         let mut calls = BTreeMap::new();
         for other in &self.others {
-            let home = other.known.home(other.site, function).home;
-            *calls.entry(home).or_default() += other.known.figure(function).slow_arrivals();
+            let home = other.known.home_status(other.site, function).home;
+            *calls.entry(home).or_default() += other.known.function(function).slow_arrivals();
         }
         calls
     }
@@ -179,31 +179,31 @@
     fn move_homes(&self, view: &PlanInput, homes: &mut Homes) {
         let (now, here) = (view.now, view.here());
         let mut wished = BTreeMap::new();
-        let mut functions: BTreeSet<_> = homes.entries().into_iter().collect();
-        functions.extend(view.own.figures.values().filter(|f| f.calls > 0).map(|f| f.function));
+        let mut functions: BTreeSet<_> = homes.moved_functions().into_iter().collect();
+        functions.extend(view.own.functions.values().filter(|f| f.slow_arrivals > 0).map(|f| f.function));
         for function in functions {
-            let at = homes.at(function);
-            if at != here && view.other(at).is_none_or(|o| o.known.home(at, function).home != at) {
-                homes.back(now, function);
+            let at = homes.home_of(function);
+            if at != here && view.other(at).is_none_or(|o| o.known.home_status(at, function).home != at) {
+                homes.move_back(now, function);
                 continue;
             }
             let (gain, margin) = if view.swings { (1.0, 0.0) } else { (GAIN, MARGIN) };
             // A queue here is no reason to move a home: what can't be done here goes elsewhere call by call.
-            let (at_homes, ours) = (view.at_homes(function), view.own.figure(function).slow_arrivals());
+            let (at_homes, ours) = (view.at_homes(function), view.own.function(function).slow_arrivals());
             let placed = |known: &Known, site: Site| {
                 let calls = ours + at_homes.get(&site).copied().unwrap_or(0.0);
-                known.cost_placed(view.settings, view.usual, function, calls)
+                known.long_run_cost(view.settings, view.usual, function, calls)
             };
             let cost_here = placed(view.own, here);
-            let wait = |o: &RemoteSite| o.known.wait(view.settings, view.usual, function);
+            let wait = |o: &RemoteSite| o.known.wait_time(view.settings, view.usual, function);
             let cost = |o: &RemoteSite| view.there(o, function, placed(o.known, o.site) + wait(o));
             let held = view.other(at).map_or(cost_here, cost);
             let better = |cost: f64| cost * gain + margin < held;
-            if at != here && better(cost_here) && (view.swings || !homes.stays(now, function)) {
-                homes.back(now, function);
+            if at != here && better(cost_here) && (view.swings || !homes.is_dwelling(now, function)) {
+                homes.move_back(now, function);
                 continue;
             }
-            let open = view.others.iter().filter(|o| o.known.home(o.site, function).home == o.site);
+            let open = view.others.iter().filter(|o| o.known.home_status(o.site, function).home == o.site);
             let costs: Vec<_> = open.map(|o| (cost(o), o)).filter(|(cost, _)| better(*cost)).collect();
             let least = costs.iter().map(|(cost, _)| *cost).fold(f64::INFINITY, f64::min);
             let alike = costs.iter().filter(|(cost, _)| *cost <= least * ALIKE);
@@ -213,11 +213,13 @@
                 continue;
             }
             wished.insert(function, best.site);
-            let said =
-                PeerHomeStatus { homed: best.known.home(best.site, function), heard: best.known.heard };
-            homes.wish(now, function, best.site, view.number, &said);
+            let said = PeerHomeStatus {
+                status: best.known.home_status(best.site, function),
+                acked: best.known.acked_report,
+            };
+            homes.request_move(now, function, best.site, view.number, &said);
         }
-        homes.rest(now, &wished);
+        homes.expire_bids(now, &wished);
     }
 
     /// Learns what a worker bears, and gives the work that is above what we can do.
@@ -226,7 +228,7 @@
         if own.workers == 0.0 {
             return 0.0;
         }
-        let each = own.busy / own.workers;
+        let each = own.in_service / own.workers;
         self.bear = match self.bear {
             0.0 if !own.saturated() => return 0.0,
             bear if each > bear => each,
@@ -237,30 +239,30 @@
         };
         let bears = self.bear * own.workers;
         let offered: f64 = own
-            .figures
+            .functions
             .values()
-            .map(|f| f.arrivals().max(f.served()) * view.usual.of(view.settings, f.function) / 1e6)
+            .map(|f| f.arrivals().max(f.served()) * view.usual.get(view.settings, f.function) / 1e6)
             .sum();
-        let waiting = (own.in_hand - bears).max(0.0) * own.mean / 1e6;
+        let waiting = (own.in_flight - bears).max(0.0) * own.mean_time / 1e6;
         (offered + waiting / DRAIN - FILL.0 * bears).max(0.0)
     }
 
     /// Calls of functions whose home is elsewhere, and of those of which a copy stands elsewhere and none here.
     fn follow(&mut self, view: &PlanInput, homes: &Homes, rows: &mut BTreeMap<u32, PlannedRow>) {
         let (here, now) = (view.here(), view.now);
-        let mut functions: BTreeSet<_> = homes.entries().into_iter().collect();
+        let mut functions: BTreeSet<_> = homes.moved_functions().into_iter().collect();
         for known in view.others.iter().map(|o| o.known).chain([view.own]) {
-            functions.extend(known.figures.values().filter(|f| f.peak_in_flight > 0).map(|f| f.function));
+            functions.extend(known.functions.values().filter(|f| f.peak_in_flight > 0).map(|f| f.function));
         }
         let mut followed = BTreeMap::new();
         for function in functions {
-            let (home, here_now) = (homes.at(function), view.here_now(function));
-            let cold = view.own.warm_now(view.settings, function) == 0.0;
+            let (home, here_now) = (homes.home_of(function), view.here_now(function));
+            let cold = view.own.warm_probability(view.settings, function) == 0.0;
             let sticks = |o: &RemoteSite| {
                 let before = self.followed.get(&function) == Some(&o.site) || o.site == home;
                 view.there_now(o, function) / if before { GAIN } else { 1.0 }
             };
-            let warm = |o: &&RemoteSite| o.known.warm_now(view.settings, function) > 0.0;
+            let warm = |o: &&RemoteSite| o.known.warm_probability(view.settings, function) > 0.0;
             let stands = view.others.iter().filter(warm).filter(|_| cold);
             let best = stands.min_by(|a, b| sticks(a).total_cmp(&sticks(b)));
             let best = best.filter(|o| sticks(o) * FOLLOW + MARGIN < here_now);
@@ -269,19 +271,19 @@
             let mut row = PlannedRow {
                 function,
                 home,
-                dwelling: homes.stays(now, function),
+                dwelling: homes.is_dwelling(now, function),
                 local_latency: here_now as Micros,
                 warm_at_home: view.other(home).map_or(!cold, |o| warm(&o)),
                 ..PlannedRow::default()
             };
             if let Some(other) = to {
-                let figure = view.own.figure(function);
+                let figure = view.own.function(function);
                 let (calls, allowed) = (figure.arrivals(), view.proven(other).max(1.0));
                 let share = if calls > allowed { allowed / calls } else { 1.0 };
                 // Where calls are many a copy here pays: one call a while stays, for which it is loaded.
                 let every = view.settings.interval as f64 / 1e6;
                 let kept = figure.slow_arrivals() * view.settings.keep_alive as f64 / 1e6;
-                let pays = other.way > load(view.settings, function) / kept.max(1.0);
+                let pays = other.way > load_time(view.settings, function) / kept.max(1.0);
                 let stays = home == here && figure.in_flight() < 0.5 && pays;
                 let share = if stays { share.min(1.0 - (0.25 / (calls * every)).min(0.5)) } else { share };
                 row.remote_routes[0] = view.way(other, function, share, calls.min(allowed));
@@ -296,7 +298,7 @@
 
     /// What we can't do ourselves goes to sites in proportion to their room.
     fn spill(&mut self, view: &PlanInput, homes: &Homes, over: f64, rows: &mut BTreeMap<u32, PlannedRow>) {
-        let mean = (view.own.mean / 1e6).max(1e-6);
+        let mean = (view.own.mean_time / 1e6).max(1e-6);
         let mut left = self.give(view, over, mean);
         let mut spilt = BTreeSet::new();
         let late = view.own.saturated();
@@ -304,8 +306,8 @@
             self.spilt = spilt;
             return;
         }
-        let plain = |f: &u32| homes.at(*f) == view.here();
-        let ours = view.own.figures.values().filter(|f| f.came > 0 && plain(&f.function));
+        let plain = |f: &u32| homes.home_of(*f) == view.here();
+        let ours = view.own.functions.values().filter(|f| f.arrivals > 0 && plain(&f.function));
         let mut by_gain = Vec::new();
         for figure in ours.filter(|f| !rows.contains_key(&f.function)) {
             let function = figure.function;
@@ -337,7 +339,7 @@
                 }
             }
             if used > 0 {
-                let (home, stays) = (view.here(), homes.stays(view.now, function));
+                let (home, stays) = (view.here(), homes.is_dwelling(view.now, function));
                 rows.insert(
                     function,
                     PlannedRow {
@@ -360,9 +362,9 @@
         let room = |o: &RemoteSite| {
             let ours = o.served() * mean;
             let workers = o.known.workers.min(LARGER * view.own.workers);
-            let free = (FILL.1 * self.bear * workers - o.known.busy + ours).max(0.0);
+            let free = (FILL.1 * self.bear * workers - o.known.in_service + ours).max(0.0);
             let others: f64 =
-                view.others.iter().filter(|x| x.site != o.site).map(|x| x.known.over * x.weight).sum();
+                view.others.iter().filter(|x| x.site != o.site).map(|x| x.known.excess * x.weight).sum();
             let part = if over > 0.0 { over / (over + others) } else { 0.0 };
             if o.known.saturated() { ours * YIELD } else { (free * part * o.trust()).max(0.0) }
         };
--- a/crates/site-routing/src/settings.rs
+++ b/crates/site-routing/src/settings.rs
@@ -59,10 +59,10 @@
 
     pub(crate) fn check(&self) -> Result<(), RoutingError> {
         let sites = self.site_map.sites();
-        if sites.len() > usize::from(MOST_SITES) {
+        if sites.len() > usize::from(MAX_SITES) {
             return Err(RoutingError::TooManySites(sites.len()));
         }
-        if self.functions.len() > MOST_FUNCTIONS {
+        if self.functions.len() > MAX_FUNCTIONS {
             return Err(RoutingError::TooManyFunctions(self.functions.len()));
         }
         let bad = |f: &FunctionSpec| f.memory_mb == 0 || f.lanes == 0 || f.deadline < f.aim;
@@ -78,11 +78,11 @@
 }
 
 /// Most sites that stand in for one another.
-pub(crate) const MOST_SITES: u8 = 64;
+pub(crate) const MAX_SITES: u8 = 64;
 /// Bytes of a frame at most.
-pub(crate) const FRAME: usize = 65_536;
+pub(crate) const MAX_FRAME_BYTES: usize = 65_536;
 /// Most functions: a position is a number in a frame.
-const MOST_FUNCTIONS: usize = 100_000;
+const MAX_FUNCTIONS: usize = 100_000;
 
 /// What is refused. Nothing is lost by it but the thing refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, strum::VariantNames)]
--- a/crates/site-routing/src/wire.rs
+++ b/crates/site-routing/src/wire.rs
@@ -1,12 +1,12 @@
 //! What gateways tell each other. Figures are whole numbers: there is nothing in a frame that is not a value.
 
-use crate::settings::{FRAME, RoutingError};
+use crate::settings::{MAX_FRAME_BYTES, RoutingError};
 use crate::types::{MAX_REMOTE_ROUTES, RemoteRoute};
 use basaltward_membership::{MemberId, Micros, Site};
 use serde::{Deserialize, Serialize};
 
 /// Functions that a frame speaks of at most, those with the most calls first.
-pub(crate) const MOST_FIGURES: usize = 2_500;
+pub(crate) const MAX_FUNCTIONS_PER_REPORT: usize = 2_500;
 
 /// A function at a gateway or at a site.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -14,28 +14,28 @@
     /// Its position.
     pub function: u32,
     /// Calls of clients in 1,000 s.
-    pub came: u32,
+    pub arrivals: u32,
     /// The same over a longer span.
-    pub calls: u32,
+    pub slow_arrivals: u32,
     /// Calls served in 1,000 s.
     pub served: u32,
     /// Mean time of those served.
     pub mean_time: u32,
     /// Of 1,000 served, how many found no copy.
-    pub cold: u16,
+    pub cold_starts: u16,
     /// In hand, in thousandths, smoothed.
-    pub in_hand: u32,
+    pub in_flight: u32,
     /// Most in hand at once within the time that idle copies are kept; 0 where none was served in it.
     pub peak_in_flight: u32,
 }
 
 impl FunctionStats {
     pub fn arrivals(&self) -> f64 {
-        f64::from(self.came) / 1e3
+        f64::from(self.arrivals) / 1e3
     }
 
     pub fn slow_arrivals(&self) -> f64 {
-        f64::from(self.calls) / 1e3
+        f64::from(self.slow_arrivals) / 1e3
     }
 
     pub fn served(&self) -> f64 {
@@ -43,11 +43,11 @@
     }
 
     pub fn in_flight(&self) -> f64 {
-        f64::from(self.in_hand) / 1e3
+        f64::from(self.in_flight) / 1e3
     }
 
     pub fn cold_starts(&self) -> f64 {
-        f64::from(self.cold).min(1e3) / 1e3
+        f64::from(self.cold_starts).min(1e3) / 1e3
     }
 
     /// This one and another of the same function, at another gateway of the site.
@@ -58,12 +58,12 @@
         };
         Self {
             function: self.function,
-            came: self.came.saturating_add(other.came),
-            calls: self.calls.saturating_add(other.calls),
+            arrivals: self.arrivals.saturating_add(other.arrivals),
+            slow_arrivals: self.slow_arrivals.saturating_add(other.slow_arrivals),
             served: self.served.saturating_add(other.served),
             mean_time: weigh(self.mean_time.into(), other.mean_time.into()) as u32,
-            cold: weigh(self.cold.into(), other.cold.into()) as u16,
-            in_hand: self.in_hand.saturating_add(other.in_hand),
+            cold_starts: weigh(self.cold_starts.into(), other.cold_starts.into()) as u16,
+            in_flight: self.in_flight.saturating_add(other.in_flight),
             peak_in_flight: self.peak_in_flight.saturating_add(other.peak_in_flight),
         }
     }
@@ -187,12 +187,12 @@
 impl Frame {
     /// Its bytes; none where it can't be written, which its bounds rule out.
     pub fn encode(&self) -> Option<Vec<u8>> {
-        postcard::to_allocvec(self).ok().filter(|bytes| bytes.len() <= FRAME)
+        postcard::to_allocvec(self).ok().filter(|bytes| bytes.len() <= MAX_FRAME_BYTES)
     }
 
     /// What a peer's bytes say.
     pub fn decode(from: MemberId, bytes: &[u8]) -> Result<Self, RoutingError> {
-        if bytes.len() > FRAME {
+        if bytes.len() > MAX_FRAME_BYTES {
             return Err(RoutingError::TooLong { from, bytes: bytes.len() });
         }
         match postcard::take_from_bytes(bytes) {
