--- a/crates/site-routing/src/planner.rs
+++ b/crates/site-routing/src/planner.rs
@@ -9,70 +9,79 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A home is left once another is cheaper by this factor, and by this time besides.
-const GAIN: f64 = 1.6;
-const MARGIN: f64 = 5_000.0;
+const MOVE_GAIN: f64 = 1.6;
+const MOVE_MARGIN: f64 = 5_000.0;
 /// Homes within this factor of the cheapest are as good: the order that all sites share decides among them.
-const ALIKE: f64 = 1.25;
+const TIE_FACTOR: f64 = 1.25;
 /// A copy that stands elsewhere is gone to where that is cheaper by this factor.
-const FOLLOW: f64 = 1.25;
+const FOLLOW_GAIN: f64 = 1.25;
 /// Figures fade against our own state in this time.
-const FADE: f64 = 1_000_000.0;
+const STATS_FADE: f64 = 1_000_000.0;
 /// Calls a second that a site gets before it has served any of ours, and as a share of what we serve.
 const FIRST: (f64, f64) = (8.0, 0.25);
 /// A site of more workers than this multiple of ours counts as one of so many.
-const LARGER: f64 = 3.0;
+const MAX_SIZE_RATIO: f64 = 3.0;
 /// Beside these a site gets at most so many times what it has served of ours.
-const DOUBLE: f64 = 2.0;
+const GROWTH_FACTOR: f64 = 2.0;
 /// Shares of what a site can bear that we keep, and that we give to others' sites.
 const FILL: (f64, f64) = (0.95, 1.0);
 /// Calls a second that stand against the first refused or lost ones.
-const PRIOR: f64 = 2.0;
+const PRIOR_RATE: f64 = 2.0;
 /// What is left, each telling, of what went to a site where calls wait.
-const YIELD: f64 = 0.8;
+const SATURATED_DECAY: f64 = 0.8;
 /// Answers may take this multiple of what a site's word has them take, and this more, before it is doubted.
 const LONGER: (f64, f64) = (2.0, 100_000.0);
 /// What waits above what is in service is to be worked off in this time, in seconds.
-const DRAIN: f64 = 1.0;
+const BACKLOG_DRAIN_S: f64 = 1.0;
 /// By how much a function that goes elsewhere already comes before one that does not.
-const STICKS: f64 = 50_000.0;
+const SPILL_STICKINESS: f64 = 50_000.0;
 
 /// Another site as a place for calls: it is up, its figures are fresh, and a gateway of it lives.
 pub(crate) struct RemoteSite<'a> {
     pub site: Site,
-    pub known: &'a Known,
+    pub stats: &'a Known,
     /// Time there and back.
-    pub way: f64,
+    pub rtt: f64,
     /// How our calls ended there.
-    pub ends: HandoverStats,
+    pub handovers: HandoverStats,
     /// Weight of its figures by their age.
     weight: f64,
-    refused: f64,
-    lost: f64,
+    refused_share: f64,
+    lost_share: f64,
     /// How much longer answers take than its word has it.
-    longer: f64,
+    excess_latency: f64,
 }
 
 impl<'a> RemoteSite<'a> {
     pub fn new(now: Micros, site: Site, known: &'a Known, way: Micros, ends: HandoverStats) -> Self {
         let [served, refused, lost] = [ends.served, ends.refused, ends.lost].map(|x| f64::from(x) / 1e3);
-        let all = served + refused + lost + PRIOR;
-        let weight = (-(known.age(now) as f64) / FADE).exp();
+        let all = served + refused + lost + PRIOR_RATE;
+        let weight = (-(known.age(now) as f64) / STATS_FADE).exp();
         let way = way as f64;
         // By its word, with slack for a mix of functions that is not its own.
         let told = known.in_flight * 1e6 / known.served_rate.max(0.1);
         let told = way + LONGER.0 * told.max(known.mean_time) + LONGER.1;
         let longer = if served > 0.5 { (f64::from(ends.mean_time) - told).max(0.0) } else { 0.0 };
-        Self { site, known, way, ends, weight, refused: refused / all, lost: lost / all, longer }
+        Self {
+            site,
+            stats: known,
+            rtt: way,
+            handovers: ends,
+            weight,
+            refused_share: refused / all,
+            lost_share: lost / all,
+            excess_latency: longer,
+        }
     }
 
-    fn served(&self) -> f64 {
-        f64::from(self.ends.served) / 1e3
+    fn served_rate(&self) -> f64 {
+        f64::from(self.handovers.served) / 1e3
     }
 
     /// What its word is worth: by its age, and by what became of the calls it was trusted with.
     fn trust(&self) -> f64 {
-        let slow = LONGER.1 / (LONGER.1 + self.longer);
-        self.weight * (1.0 - self.refused).powi(2) * (1.0 - self.lost).powi(2) * slow
+        let slow = LONGER.1 / (LONGER.1 + self.excess_latency);
+        self.weight * (1.0 - self.refused_share).powi(2) * (1.0 - self.lost_share).powi(2) * slow
     }
 }
 
@@ -81,18 +90,18 @@
 pub(crate) struct PlanResult {
     pub rows: Vec<PlannedRow>,
     /// Work that we have above what we can do, in calls in service.
-    pub over: f64,
+    pub excess: f64,
 }
 
 /// What is kept from one working out to the next.
 #[derive(Debug, Default)]
 pub(crate) struct Planner {
     /// Calls in service that a worker bears: the most seen while calls waited; 0 until then.
-    bear: f64,
+    calls_per_worker: f64,
     /// Calls a second handed to each site for want of room here.
-    given: BTreeMap<Site, f64>,
+    spill_rates: BTreeMap<Site, f64>,
     /// Functions of which calls went elsewhere for want of room.
-    spilt: BTreeSet<u32>,
+    spilled: BTreeSet<u32>,
     /// Functions that follow a copy that stands elsewhere.
     followed: BTreeMap<u32, Site>,
 }
@@ -101,64 +110,64 @@
 pub(crate) struct PlanInput<'a> {
     pub now: Micros,
     pub settings: &'a RoutingSettings,
-    pub usual: &'a BaselineTimes,
-    pub own: &'a Known,
-    pub others: Vec<RemoteSite<'a>>,
+    pub baselines: &'a BaselineTimes,
+    pub local: &'a Known,
+    pub remotes: Vec<RemoteSite<'a>>,
     /// Gateways of our site, and the number of our next word.
     pub gateways: usize,
-    pub number: u64,
+    pub next_report: u64,
     /// No home is held by a threshold, and none is bid for.
-    pub swings: bool,
+    pub no_hysteresis: bool,
 }
 
 impl PlanInput<'_> {
-    fn here(&self) -> Site {
+    fn local_site(&self) -> Site {
         self.settings.site_map.own_site()
     }
 
     /// What we think of a site's cost: told figures, drawn toward our own wait as they age, the way, and what is lost by
     /// calls that end badly there.
-    fn there(&self, other: &RemoteSite, function: u32, cost: f64) -> f64 {
-        let doubt = (1.0 - other.weight) * self.own.wait_time(self.settings, self.usual, function);
+    fn remote_cost(&self, other: &RemoteSite, function: u32, cost: f64) -> f64 {
+        let doubt = (1.0 - other.weight) * self.local.wait_time(self.settings, self.baselines, function);
         let told = &self.settings.functions[function as usize];
-        let lost = other.lost * (told.deadline as f64 / 2.0);
-        let refused = other.refused * (other.way + self.here_now(function));
-        cost + doubt + other.way + lost + refused + other.longer
+        let lost = other.lost_share * (told.deadline as f64 / 2.0);
+        let refused = other.refused_share * (other.rtt + self.current_local_cost(function));
+        cost + doubt + other.rtt + lost + refused + other.excess_latency
     }
 
-    fn there_now(&self, other: &RemoteSite, function: u32) -> f64 {
-        self.there(other, function, other.known.current_cost(self.settings, self.usual, function))
+    fn current_remote_cost(&self, other: &RemoteSite, function: u32) -> f64 {
+        self.remote_cost(other, function, other.stats.current_cost(self.settings, self.baselines, function))
     }
 
-    fn here_now(&self, function: u32) -> f64 {
-        self.own.current_cost(self.settings, self.usual, function)
+    fn current_local_cost(&self, function: u32) -> f64 {
+        self.local.current_cost(self.settings, self.baselines, function)
     }
 
     /// Calls a second that a site may get of ours, by what it has proven.
-    fn proven(&self, other: &RemoteSite) -> f64 {
-        (FIRST.0.max(FIRST.1 * self.own.served_rate) + DOUBLE * other.served()) * other.trust()
+    fn rate_limit(&self, other: &RemoteSite) -> f64 {
+        (FIRST.0.max(FIRST.1 * self.local.served_rate) + GROWTH_FACTOR * other.served_rate()) * other.trust()
     }
 
     /// Calls a second of a function by the site that they are at home at, ours aside.
-    fn at_homes(&self, function: u32) -> BTreeMap<Site, f64> {
+    fn rates_by_home(&self, function: u32) -> BTreeMap<Site, f64> {
         let mut calls = BTreeMap::new();
-        for other in &self.others {
-            let home = other.known.home_status(other.site, function).home;
-            *calls.entry(home).or_default() += other.known.function(function).slow_arrivals();
+        for other in &self.remotes {
+            let home = other.stats.home_status(other.site, function).home;
+            *calls.entry(home).or_default() += other.stats.function(function).slow_arrivals();
         }
         calls
     }
 
-    fn other(&self, site: Site) -> Option<&RemoteSite<'_>> {
-        self.others.iter().find(|other| other.site == site)
+    fn remote(&self, site: Site) -> Option<&RemoteSite<'_>> {
+        self.remotes.iter().find(|other| other.site == site)
     }
 
-    fn way(&self, other: &RemoteSite, function: u32, share: f64, calls: f64) -> PlannedRoute {
+    fn planned_route(&self, other: &RemoteSite, function: u32, share: f64, calls: f64) -> PlannedRoute {
         let loops = self.gateways.max(1) as f64 * f64::from(self.settings.loops);
         let room = (2.0 * calls * self.settings.interval as f64 / 1e6 / loops).ceil() + 1.0;
         PlannedRoute {
             site: other.site,
-            expected_latency: self.there_now(other, function) as Micros,
+            expected_latency: self.current_remote_cost(other, function) as Micros,
             share: (share.clamp(0.0, 1.0) * 65_535.0) as u16,
             call_limit: room.min(65_535.0) as u16,
         }
@@ -167,126 +176,129 @@
 
 impl Planner {
     /// Works out rows from a view; homes move by it.
-    pub fn work(&mut self, view: &PlanInput, homes: &mut Homes) -> PlanResult {
+    pub fn plan(&mut self, view: &PlanInput, homes: &mut Homes) -> PlanResult {
         self.move_homes(view, homes);
-        let over = self.over(view);
+        let over = self.update_excess(view);
         let mut rows = BTreeMap::new();
-        self.follow(view, homes, &mut rows);
-        self.spill(view, homes, over, &mut rows);
-        PlanResult { rows: rows.into_values().collect(), over }
+        self.plan_handovers(view, homes, &mut rows);
+        self.plan_spill(view, homes, over, &mut rows);
+        PlanResult { rows: rows.into_values().collect(), excess: over }
     }
 
     fn move_homes(&self, view: &PlanInput, homes: &mut Homes) {
-        let (now, here) = (view.now, view.here());
+        let (now, here) = (view.now, view.local_site());
         let mut wished = BTreeMap::new();
         let mut functions: BTreeSet<_> = homes.moved_functions().into_iter().collect();
-        functions.extend(view.own.functions.values().filter(|f| f.slow_arrivals > 0).map(|f| f.function));
+        functions.extend(view.local.functions.values().filter(|f| f.slow_arrivals > 0).map(|f| f.function));
         for function in functions {
             let at = homes.home_of(function);
-            if at != here && view.other(at).is_none_or(|o| o.known.home_status(at, function).home != at) {
+            if at != here && view.remote(at).is_none_or(|o| o.stats.home_status(at, function).home != at) {
                 homes.move_back(now, function);
                 continue;
             }
-            let (gain, margin) = if view.swings { (1.0, 0.0) } else { (GAIN, MARGIN) };
+            let (gain, margin) = if view.no_hysteresis { (1.0, 0.0) } else { (MOVE_GAIN, MOVE_MARGIN) };
             // A queue here is no reason to move a home: what can't be done here goes elsewhere call by call.
-            let (at_homes, ours) = (view.at_homes(function), view.own.function(function).slow_arrivals());
+            let (at_homes, ours) =
+                (view.rates_by_home(function), view.local.function(function).slow_arrivals());
             let placed = |known: &Known, site: Site| {
                 let calls = ours + at_homes.get(&site).copied().unwrap_or(0.0);
-                known.long_run_cost(view.settings, view.usual, function, calls)
+                known.long_run_cost(view.settings, view.baselines, function, calls)
             };
-            let cost_here = placed(view.own, here);
-            let wait = |o: &RemoteSite| o.known.wait_time(view.settings, view.usual, function);
-            let cost = |o: &RemoteSite| view.there(o, function, placed(o.known, o.site) + wait(o));
-            let held = view.other(at).map_or(cost_here, cost);
+            let cost_here = placed(view.local, here);
+            let wait = |o: &RemoteSite| o.stats.wait_time(view.settings, view.baselines, function);
+            let cost = |o: &RemoteSite| view.remote_cost(o, function, placed(o.stats, o.site) + wait(o));
+            let held = view.remote(at).map_or(cost_here, cost);
             let better = |cost: f64| cost * gain + margin < held;
-            if at != here && better(cost_here) && (view.swings || !homes.is_dwelling(now, function)) {
+            if at != here && better(cost_here) && (view.no_hysteresis || !homes.is_dwelling(now, function)) {
                 homes.move_back(now, function);
                 continue;
             }
-            let open = view.others.iter().filter(|o| o.known.home_status(o.site, function).home == o.site);
+            let open = view.remotes.iter().filter(|o| o.stats.home_status(o.site, function).home == o.site);
             let costs: Vec<_> = open.map(|o| (cost(o), o)).filter(|(cost, _)| better(*cost)).collect();
             let least = costs.iter().map(|(cost, _)| *cost).fold(f64::INFINITY, f64::min);
-            let alike = costs.iter().filter(|(cost, _)| *cost <= least * ALIKE);
+            let alike = costs.iter().filter(|(cost, _)| *cost <= least * TIE_FACTOR);
             let Some((_, best)) = alike.max_by_key(|(_, o)| rank(function, o.site)) else { continue };
-            if view.swings {
+            if view.no_hysteresis {
                 homes.adopt(now, function, best.site, false);
                 continue;
             }
             wished.insert(function, best.site);
             let said = PeerHomeStatus {
-                status: best.known.home_status(best.site, function),
-                acked: best.known.acked_report,
+                status: best.stats.home_status(best.site, function),
+                acked: best.stats.acked_report,
             };
-            homes.request_move(now, function, best.site, view.number, &said);
+            homes.request_move(now, function, best.site, view.next_report, &said);
         }
         homes.expire_bids(now, &wished);
     }
 
     /// Learns what a worker bears, and gives the work that is above what we can do.
-    fn over(&mut self, view: &PlanInput) -> f64 {
-        let own = view.own;
+    fn update_excess(&mut self, view: &PlanInput) -> f64 {
+        let own = view.local;
         if own.workers == 0.0 {
             return 0.0;
         }
         let each = own.in_service / own.workers;
-        self.bear = match self.bear {
+        self.calls_per_worker = match self.calls_per_worker {
             0.0 if !own.saturated() => return 0.0,
             bear if each > bear => each,
             bear if own.saturated() => bear + (each - bear) * 0.1,
             // Perhaps it bears more: it is found out by keeping more, where some is given away.
-            bear if self.given.values().any(|calls| *calls > 1.0) => bear * 1.005,
+            bear if self.spill_rates.values().any(|calls| *calls > 1.0) => bear * 1.005,
             bear => bear,
         };
-        let bears = self.bear * own.workers;
+        let bears = self.calls_per_worker * own.workers;
         let offered: f64 = own
             .functions
             .values()
-            .map(|f| f.arrivals().max(f.served()) * view.usual.get(view.settings, f.function) / 1e6)
+            .map(|f| f.arrivals().max(f.served()) * view.baselines.get(view.settings, f.function) / 1e6)
             .sum();
         let waiting = (own.in_flight - bears).max(0.0) * own.mean_time / 1e6;
-        (offered + waiting / DRAIN - FILL.0 * bears).max(0.0)
+        (offered + waiting / BACKLOG_DRAIN_S - FILL.0 * bears).max(0.0)
     }
 
     /// Calls of functions whose home is elsewhere, and of those of which a copy stands elsewhere and none here.
-    fn follow(&mut self, view: &PlanInput, homes: &Homes, rows: &mut BTreeMap<u32, PlannedRow>) {
-        let (here, now) = (view.here(), view.now);
+    fn plan_handovers(&mut self, view: &PlanInput, homes: &Homes, rows: &mut BTreeMap<u32, PlannedRow>) {
+        let (here, now) = (view.local_site(), view.now);
         let mut functions: BTreeSet<_> = homes.moved_functions().into_iter().collect();
-        for known in view.others.iter().map(|o| o.known).chain([view.own]) {
+        for known in view.remotes.iter().map(|o| o.stats).chain([view.local]) {
             functions.extend(known.functions.values().filter(|f| f.peak_in_flight > 0).map(|f| f.function));
         }
         let mut followed = BTreeMap::new();
         for function in functions {
-            let (home, here_now) = (homes.home_of(function), view.here_now(function));
-            let cold = view.own.warm_probability(view.settings, function) == 0.0;
+            let (home, here_now) = (homes.home_of(function), view.current_local_cost(function));
+            let cold = view.local.warm_probability(view.settings, function) == 0.0;
             let sticks = |o: &RemoteSite| {
                 let before = self.followed.get(&function) == Some(&o.site) || o.site == home;
-                view.there_now(o, function) / if before { GAIN } else { 1.0 }
+                view.current_remote_cost(o, function) / if before { MOVE_GAIN } else { 1.0 }
             };
-            let warm = |o: &&RemoteSite| o.known.warm_probability(view.settings, function) > 0.0;
-            let stands = view.others.iter().filter(warm).filter(|_| cold);
+            let warm = |o: &&RemoteSite| o.stats.warm_probability(view.settings, function) > 0.0;
+            let stands = view.remotes.iter().filter(warm).filter(|_| cold);
             let best = stands.min_by(|a, b| sticks(a).total_cmp(&sticks(b)));
-            let best = best.filter(|o| sticks(o) * FOLLOW + MARGIN < here_now);
-            let at_home = view.other(home).filter(|o| view.there_now(o, function) < here_now * GAIN + MARGIN);
+            let best = best.filter(|o| sticks(o) * FOLLOW_GAIN + MOVE_MARGIN < here_now);
+            let at_home = view
+                .remote(home)
+                .filter(|o| view.current_remote_cost(o, function) < here_now * MOVE_GAIN + MOVE_MARGIN);
             let to = if home == here { best } else { at_home.or(best) };
             let mut row = PlannedRow {
                 function,
                 home,
                 dwelling: homes.is_dwelling(now, function),
                 local_latency: here_now as Micros,
-                warm_at_home: view.other(home).map_or(!cold, |o| warm(&o)),
+                warm_at_home: view.remote(home).map_or(!cold, |o| warm(&o)),
                 ..PlannedRow::default()
             };
             if let Some(other) = to {
-                let figure = view.own.function(function);
-                let (calls, allowed) = (figure.arrivals(), view.proven(other).max(1.0));
+                let figure = view.local.function(function);
+                let (calls, allowed) = (figure.arrivals(), view.rate_limit(other).max(1.0));
                 let share = if calls > allowed { allowed / calls } else { 1.0 };
                 // Where calls are many a copy here pays: one call a while stays, for which it is loaded.
                 let every = view.settings.interval as f64 / 1e6;
                 let kept = figure.slow_arrivals() * view.settings.keep_alive as f64 / 1e6;
-                let pays = other.way > load_time(view.settings, function) / kept.max(1.0);
+                let pays = other.rtt > load_time(view.settings, function) / kept.max(1.0);
                 let stays = home == here && figure.in_flight() < 0.5 && pays;
                 let share = if stays { share.min(1.0 - (0.25 / (calls * every)).min(0.5)) } else { share };
-                row.remote_routes[0] = view.way(other, function, share, calls.min(allowed));
+                row.remote_routes[0] = view.planned_route(other, function, share, calls.min(allowed));
                 followed.insert(function, other.site);
             }
             if to.is_some() || home != here {
@@ -297,25 +309,32 @@
     }
 
     /// What we can't do ourselves goes to sites in proportion to their room.
-    fn spill(&mut self, view: &PlanInput, homes: &Homes, over: f64, rows: &mut BTreeMap<u32, PlannedRow>) {
-        let mean = (view.own.mean_time / 1e6).max(1e-6);
-        let mut left = self.give(view, over, mean);
+    fn plan_spill(
+        &mut self,
+        view: &PlanInput,
+        homes: &Homes,
+        over: f64,
+        rows: &mut BTreeMap<u32, PlannedRow>,
+    ) {
+        let mean = (view.local.mean_time / 1e6).max(1e-6);
+        let mut left = self.allocate_spill(view, over, mean);
         let mut spilt = BTreeSet::new();
-        let late = view.own.saturated();
+        let late = view.local.saturated();
         if !late && left.values().all(|calls| *calls < 0.1) {
-            self.spilt = spilt;
+            self.spilled = spilt;
             return;
         }
-        let plain = |f: &u32| homes.home_of(*f) == view.here();
-        let ours = view.own.functions.values().filter(|f| f.arrivals > 0 && plain(&f.function));
+        let plain = |f: &u32| homes.home_of(*f) == view.local_site();
+        let ours = view.local.functions.values().filter(|f| f.arrivals > 0 && plain(&f.function));
         let mut by_gain = Vec::new();
         for figure in ours.filter(|f| !rows.contains_key(&f.function)) {
             let function = figure.function;
-            let here = view.here_now(function);
-            let mut ways: Vec<_> = view.others.iter().map(|o| (view.there_now(o, function), o)).collect();
+            let here = view.current_local_cost(function);
+            let mut ways: Vec<_> =
+                view.remotes.iter().map(|o| (view.current_remote_cost(o, function), o)).collect();
             ways.sort_by(|a, b| a.0.total_cmp(&b.0));
             let Some((first, _)) = ways.first() else { return };
-            let sticks = if self.spilt.contains(&function) { STICKS } else { 0.0 };
+            let sticks = if self.spilled.contains(&function) { SPILL_STICKINESS } else { 0.0 };
             by_gain.push((first - here - sticks, figure, here, ways));
         }
         by_gain.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -331,15 +350,16 @@
                 if used == MAX_REMOTE_ROUTES || (taken < 0.05 && !spare) {
                     continue;
                 }
-                let held_ready = view.proven(other) * calls / came.max(1.0);
-                row.remote_routes[used] = view.way(other, function, taken / calls, taken.max(held_ready));
+                let held_ready = view.rate_limit(other) * calls / came.max(1.0);
+                row.remote_routes[used] =
+                    view.planned_route(other, function, taken / calls, taken.max(held_ready));
                 (*room, rest, used) = (*room - taken, rest - taken, used + 1);
                 if taken > 0.0 {
                     spilt.insert(function);
                 }
             }
             if used > 0 {
-                let (home, stays) = (view.here(), homes.is_dwelling(view.now, function));
+                let (home, stays) = (view.local_site(), homes.is_dwelling(view.now, function));
                 rows.insert(
                     function,
                     PlannedRow {
@@ -353,32 +373,32 @@
                 );
             }
         }
-        self.spilt = spilt;
+        self.spilled = spilt;
     }
 
     /// Calls a second for each site: its room, of which we take our part among those that have too much, in proportion
     /// to that of other sites, and no more than twice what it has served of ours.
-    fn give(&mut self, view: &PlanInput, over: f64, mean: f64) -> BTreeMap<Site, f64> {
+    fn allocate_spill(&mut self, view: &PlanInput, over: f64, mean: f64) -> BTreeMap<Site, f64> {
         let room = |o: &RemoteSite| {
-            let ours = o.served() * mean;
-            let workers = o.known.workers.min(LARGER * view.own.workers);
-            let free = (FILL.1 * self.bear * workers - o.known.in_service + ours).max(0.0);
+            let ours = o.served_rate() * mean;
+            let workers = o.stats.workers.min(MAX_SIZE_RATIO * view.local.workers);
+            let free = (FILL.1 * self.calls_per_worker * workers - o.stats.in_service + ours).max(0.0);
             let others: f64 =
-                view.others.iter().filter(|x| x.site != o.site).map(|x| x.known.excess * x.weight).sum();
+                view.remotes.iter().filter(|x| x.site != o.site).map(|x| x.stats.excess * x.weight).sum();
             let part = if over > 0.0 { over / (over + others) } else { 0.0 };
-            if o.known.saturated() { ours * YIELD } else { (free * part * o.trust()).max(0.0) }
+            if o.stats.saturated() { ours * SATURATED_DECAY } else { (free * part * o.trust()).max(0.0) }
         };
-        let rooms: Vec<_> = view.others.iter().map(|o| (o, room(o))).collect();
+        let rooms: Vec<_> = view.remotes.iter().map(|o| (o, room(o))).collect();
         let all: f64 = rooms.iter().map(|(_, room)| room).sum();
         let given = rooms.into_iter().map(|(o, room)| {
             let fair = if all > 0.0 { room.min(over * room / all) } else { 0.0 };
-            let before = self.given.get(&o.site).copied().unwrap_or(0.0);
+            let before = self.spill_rates.get(&o.site).copied().unwrap_or(0.0);
             // More at once, as calls wait meanwhile; less by halves, as told figures lag behind what was given.
             let smooth = (fair / mean).max(f64::midpoint(fair / mean, before));
-            (o.site, smooth.min(view.proven(o)))
+            (o.site, smooth.min(view.rate_limit(o)))
         });
         let given: BTreeMap<_, _> = given.collect();
-        self.given.clone_from(&given);
+        self.spill_rates.clone_from(&given);
         given
     }
 }
