--- a/crates/site-routing/src/homes.rs
+++ b/crates/site-routing/src/homes.rs
@@ -1,18 +1,21 @@
-//! Homes of functions, and how one moves: it is bid for in words that the other site acknowledges, so that two sites
-//! never take each other's function at once.
+//! Home sites of functions, and the protocol by which a home moves.
+//!
+//! A site announces in its reports that it bids for a home at another site, and moves the function once the other site
+//! has acknowledged that report. So two sites never move the same function to each other at the same time.
 
 use crate::wire::HomeStatus;
 use basaltward_membership::{Micros, Site};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A bid that is not agreed to in this time is let go.
-const BID: Micros = 3_000_000;
+/// A bid that the other site has not agreed to within this time is withdrawn.
+const BID_TIMEOUT: Micros = 3_000_000;
 
+/// A pending request to move a function to another site.
 #[derive(Clone, Copy, Debug)]
 struct Bid {
     to: Site,
-    /// Number of the first word that tells it.
+    /// Number of the first report that announces the bid.
     first_report: u64,
     since: Micros,
 }
@@ -20,30 +23,31 @@
 #[derive(Clone, Copy, Debug)]
 struct HomeEntry {
     home: Site,
-    /// Until when it stays there.
+    /// The home doesn't move to another site before this time.
     dwell_until: Micros,
     bid: Option<Bid>,
 }
 
-/// What another site says of a function, in a word that is fresh.
+/// Home of a function at another site, from a recent report of that site.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerHomeStatus {
     pub status: HomeStatus,
-    /// Number of our last word that it had heard.
+    /// Number of the last local report that the other site had received.
     pub acked: u64,
 }
 
-/// Our site's homes; a function without an entry is at home here.
+/// Homes of the functions for calls of the local site; a function without an entry has its home here.
 #[derive(Debug)]
 pub(crate) struct Homes {
     local_site: Site,
     dwell: Micros,
     entries: BTreeMap<u32, HomeEntry>,
-    /// Until when we don't take a function to a site that brought it to us.
+    /// Sites that have, or want, their calls of a function served here; until this time the function does not move to
+    /// them.
     incoming: BTreeMap<(u32, Site), Micros>,
 }
 
-/// The order of sites for a function, the same for all.
+/// Rank of a site for a function by a hash, the same at all sites.
 pub(crate) fn rank(function: u32, site: Site) -> u64 {
     let mut key = [0; 5];
     key[..4].copy_from_slice(&function.to_le_bytes());
@@ -52,52 +56,53 @@
 }
 
 impl Homes {
-    pub fn new(here: Site, stay: Micros) -> Self {
-        Self { local_site: here, dwell: stay, entries: BTreeMap::new(), incoming: BTreeMap::new() }
+    pub fn new(local_site: Site, dwell: Micros) -> Self {
+        Self { local_site, dwell, entries: BTreeMap::new(), incoming: BTreeMap::new() }
     }
 
     pub fn home_of(&self, function: u32) -> Site {
-        self.entries.get(&function).map_or(self.local_site, |home| home.home)
+        self.entries.get(&function).map_or(self.local_site, |entry| entry.home)
     }
 
-    /// Functions that have an entry.
-    pub fn moved_functions(&self) -> Vec<u32> {
+    /// Functions that have an entry: they have moved, or a bid is pending.
+    pub fn tracked_functions(&self) -> Vec<u32> {
         self.entries.keys().copied().collect()
     }
 
     pub fn is_dwelling(&self, now: Micros, function: u32) -> bool {
-        self.entries.get(&function).is_some_and(|home| now < home.dwell_until)
+        self.entries.get(&function).is_some_and(|entry| now < entry.dwell_until)
     }
 
-    /// What our words say of homes.
+    /// The homes as local reports state them.
     pub fn statuses(&self, now: Micros) -> Vec<HomeStatus> {
-        let told = self.entries.iter().map(|(function, home)| HomeStatus {
+        let statuses = self.entries.iter().map(|(function, entry)| HomeStatus {
             function: *function,
-            home: home.home,
-            dwelling: now < home.dwell_until,
-            bid: home.bid.map(|bid| bid.to),
+            home: entry.home,
+            dwelling: now < entry.dwell_until,
+            bid: entry.bid.map(|bid| bid.to),
         });
-        told.collect()
+        statuses.collect()
     }
 
-    /// Another site was heard: who brings its calls to us is not gone to for a while, and of two that bid for each
-    /// other the one goes on that bids up the order.
+    /// Handles the homes in the report of another site. A function whose calls that site has, or wants, served here does
+    /// not move there for a while. If two sites bid for each other, the bid towards the higher rank survives.
     pub fn handle_report(&mut self, now: Micros, from: Site, homes: &BTreeMap<u32, HomeStatus>) {
-        for homed in homes.values() {
-            if homed.home == self.local_site || homed.bid == Some(self.local_site) {
-                self.incoming.insert((homed.function, from), now + self.dwell);
-                let down = |to: Site| rank(homed.function, self.local_site) > rank(homed.function, to);
-                if let Some(home) = self.entries.get_mut(&homed.function)
-                    && home.bid.is_some_and(|bid| down(bid.to))
+        for status in homes.values() {
+            if status.home == self.local_site || status.bid == Some(self.local_site) {
+                self.incoming.insert((status.function, from), now + self.dwell);
+                let lowers_rank =
+                    |to: Site| rank(status.function, self.local_site) > rank(status.function, to);
+                if let Some(entry) = self.entries.get_mut(&status.function)
+                    && entry.bid.is_some_and(|bid| lowers_rank(bid.to))
                 {
-                    home.bid = None;
+                    entry.bid = None;
                 }
             }
         }
         self.incoming.retain(|_, until| now < *until);
     }
 
-    /// Takes a function home at once: its home is out of reach, or no better any more.
+    /// Moves a function back to the local site without a bid: its home is unreachable or no longer cheaper.
     pub fn move_back(&mut self, now: Micros, function: u32) {
         if self.home_of(function) != self.local_site {
             self.entries.insert(
@@ -107,47 +112,57 @@
         }
     }
 
-    /// What a site's former teller had moved; what we moved ourselves stays.
-    pub fn adopt(&mut self, now: Micros, function: u32, at: Site, stays: bool) {
-        let stays = if stays { now + self.dwell } else { now };
-        self.entries.insert(function, HomeEntry { home: at, dwell_until: stays, bid: None });
+    /// Sets a home without a bid, such as one that the previous coordinator of the site had moved. It dwells there for
+    /// the full time if `dwelling`.
+    pub fn adopt(&mut self, now: Micros, function: u32, home: Site, dwelling: bool) {
+        let dwell_until = if dwelling { now + self.dwell } else { now };
+        self.entries.insert(function, HomeEntry { home, dwell_until, bid: None });
     }
 
-    /// Forgets all, for what another teller told.
+    /// Removes all homes, before those of another coordinator are adopted.
     pub fn clear(&mut self) {
         self.entries.clear();
     }
 
-    /// Bids for a home at another site, or moves there once that is agreed to. `number` is that of our next word.
-    pub fn request_move(&mut self, now: Micros, function: u32, to: Site, number: u64, said: &PeerHomeStatus) {
-        let guest = self.incoming.get(&(function, to)).is_some_and(|until| now < *until);
-        let free = said.status.home == to && !said.status.dwelling && !guest;
-        let plain = HomeEntry { home: self.local_site, dwell_until: 0, bid: None };
-        let (here, stay) = (self.local_site, self.dwell);
-        let home = self.entries.entry(function).or_insert(plain);
-        if !free || now < home.dwell_until || home.home == to {
-            home.bid = None;
+    /// Bids for a home at another site, or moves the function there if that site has agreed to the bid. `next_report` is
+    /// the number of the next local report, which will announce the bid.
+    pub fn request_move(
+        &mut self,
+        now: Micros,
+        function: u32,
+        to: Site,
+        next_report: u64,
+        peer: &PeerHomeStatus,
+    ) {
+        let incoming = self.incoming.get(&(function, to)).is_some_and(|until| now < *until);
+        let available = peer.status.home == to && !peer.status.dwelling && !incoming;
+        let at_local_site = HomeEntry { home: self.local_site, dwell_until: 0, bid: None };
+        let (local_site, dwell) = (self.local_site, self.dwell);
+        let entry = self.entries.entry(function).or_insert(at_local_site);
+        if !available || now < entry.dwell_until || entry.home == to {
+            entry.bid = None;
             return;
         }
-        match home.bid.filter(|bid| bid.to == to) {
-            None => home.bid = Some(Bid { to, first_report: number, since: now }),
+        match entry.bid.filter(|bid| bid.to == to) {
+            None => entry.bid = Some(Bid { to, first_report: next_report, since: now }),
             Some(bid) => {
-                // Its own bid goes down the order and is for us: it lets it go when it hears of ours.
-                let yields = said.status.bid == Some(here) && rank(function, here) < rank(function, to);
-                if said.acked >= bid.first_report && (said.status.bid.is_none() || yields) {
-                    *home = HomeEntry { home: to, dwell_until: now + stay, bid: None };
+                // The other site bids for this one, against the rank: it withdraws that bid when it receives ours.
+                let yields =
+                    peer.status.bid == Some(local_site) && rank(function, local_site) < rank(function, to);
+                if peer.acked >= bid.first_report && (peer.status.bid.is_none() || yields) {
+                    *entry = HomeEntry { home: to, dwell_until: now + dwell, bid: None };
                 }
             }
         }
     }
 
-    /// Nothing is wished for a function, or what was is not agreed to.
-    pub fn expire_bids(&mut self, now: Micros, wished: &BTreeMap<u32, Site>) {
-        let here = self.local_site;
-        self.entries.retain(|function, home| {
-            let holds = |bid: &Bid| wished.get(function) == Some(&bid.to) && now < bid.since + BID;
-            home.bid = home.bid.filter(holds);
-            home.home != here || now < home.dwell_until || home.bid.is_some()
+    /// Withdraws bids that timed out or whose function shall no longer move there, and removes entries that hold nothing.
+    pub fn expire_bids(&mut self, now: Micros, wanted: &BTreeMap<u32, Site>) {
+        let local_site = self.local_site;
+        self.entries.retain(|function, entry| {
+            let active = |bid: &Bid| wanted.get(function) == Some(&bid.to) && now < bid.since + BID_TIMEOUT;
+            entry.bid = entry.bid.filter(active);
+            entry.home != local_site || now < entry.dwell_until || entry.bid.is_some()
         });
     }
 }
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -1,7 +1,11 @@
-//! Which site answers a call: the pressure ratio one floor higher. By told tables of what each site has warm, how long its
-//! queue is and how far it is, each function has a cost at each site; a call is answered where that is least, and a
-//! function's home moves only past a threshold. Free of I/O: counts, frames of other sites and times in, frames and tables
-//! out.
+//! Routing of calls between sites.
+//!
+//! Gateways gossip what each site has: warm copies, queues, load and the function's home sites. From these reports and
+//! from measured round-trip times follows a cost for each function at each site. A call goes to the site with the least
+//! cost; the home of a function only moves when another site is cheaper by a threshold.
+//!
+//! The crate performs no I/O: call counts, received frames and the current time go in, frames to send and routing tables
+//! come out.
 #![warn(missing_docs)]
 
 mod controller;
--- a/crates/site-routing/src/planner.rs
+++ b/crates/site-routing/src/planner.rs
@@ -188,7 +188,7 @@
     fn move_homes(&self, view: &PlanInput, homes: &mut Homes) {
         let (now, here) = (view.now, view.local_site());
         let mut wished = BTreeMap::new();
-        let mut functions: BTreeSet<_> = homes.moved_functions().into_iter().collect();
+        let mut functions: BTreeSet<_> = homes.tracked_functions().into_iter().collect();
         functions.extend(view.local.functions.values().filter(|f| f.slow_arrivals > 0).map(|f| f.function));
         for function in functions {
             let at = homes.home_of(function);
@@ -260,7 +260,7 @@
     /// Calls of functions whose home is elsewhere, and of those of which a copy stands elsewhere and none here.
     fn plan_handovers(&mut self, view: &PlanInput, homes: &Homes, rows: &mut BTreeMap<u32, PlannedRow>) {
         let (here, now) = (view.local_site(), view.now);
-        let mut functions: BTreeSet<_> = homes.moved_functions().into_iter().collect();
+        let mut functions: BTreeSet<_> = homes.tracked_functions().into_iter().collect();
         for known in view.remotes.iter().map(|o| o.stats).chain([view.local]) {
             functions.extend(known.functions.values().filter(|f| f.peak_in_flight > 0).map(|f| f.function));
         }
--- a/crates/site-routing/src/settings.rs
+++ b/crates/site-routing/src/settings.rs
@@ -1,50 +1,51 @@
 use basaltward_membership::{Micros, SiteMap};
 
-/// What is told of a function, the same at all sites.
+/// Configuration of a function, the same at all sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FunctionSpec {
     /// Memory of a copy.
     pub memory_mb: u32,
-    /// Calls that a copy takes at once.
+    /// Calls that a copy serves concurrently.
     pub lanes: u32,
-    /// Time to load a copy, where it is told.
+    /// Time to load a copy, where configured; otherwise estimated from the aim.
     pub load_time: Option<Micros>,
-    /// Time within which an answer is of full worth.
+    /// Time within which an answer has its full value.
     pub aim: Micros,
-    /// Time after which it is of none.
+    /// Time after which an answer has no value; at least the aim.
     pub deadline: Micros,
 }
 
-/// What a gateway is told of sites and functions.
+/// Settings of site routing at one gateway.
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
-    /// Which gateway stands at which site.
+    /// The site of each gateway.
     pub site_map: SiteMap,
     /// All functions, by position.
     pub functions: Vec<FunctionSpec>,
     /// Memory of one worker.
     pub worker_mb: u32,
-    /// Most workers that a site is believed to have, whatever it says.
+    /// Upper bound on the number of workers taken from the report of a site.
     pub max_site_workers: u32,
-    /// How long an idle copy is kept.
+    /// Time for which an idle copy stays loaded.
     pub keep_alive: Micros,
     /// Traffic loops of a gateway.
     pub loops: u16,
-    /// How often figures and tables are told.
+    /// Interval of reports and tables; at least 10 ms.
     pub interval: Micros,
-    /// How long a table holds.
+    /// Time for which tables and reports are valid; at least two intervals.
     pub valid_for: Micros,
-    /// How long a function stays where it was moved to, and how long two sites don't trade it.
+    /// Minimum time for which a function stays at the home it moved to, and for which it does not move to a site that
+    /// has its own calls of the function served here.
     pub home_dwell: Micros,
-    /// What all draws follow from.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
 impl RoutingSettings {
-    /// Settings by default values.
-    pub fn new(places: SiteMap, functions: Vec<FunctionSpec>, worker_mb: u32, seed: u64) -> Self {
+    /// Settings with default values for everything else.
+    pub fn new(site_map: SiteMap, functions: Vec<FunctionSpec>, worker_mb: u32, seed: u64) -> Self {
         Self {
-            site_map: places,
+            site_map,
             functions,
             worker_mb,
             max_site_workers: 1_000,
@@ -65,64 +66,69 @@
         if self.functions.len() > MAX_FUNCTIONS {
             return Err(RoutingError::TooManyFunctions(self.functions.len()));
         }
-        let bad = |f: &FunctionSpec| f.memory_mb == 0 || f.lanes == 0 || f.deadline < f.aim;
-        if let Some(at) = self.functions.iter().position(bad) {
-            return Err(RoutingError::InvalidFunction(at));
+        let invalid = |f: &FunctionSpec| f.memory_mb == 0 || f.lanes == 0 || f.deadline < f.aim;
+        if let Some(position) = self.functions.iter().position(invalid) {
+            return Err(RoutingError::InvalidFunction(position));
         }
-        let spans = self.interval >= 10_000 && self.valid_for >= 2 * self.interval && self.keep_alive > 0;
-        if !spans || self.worker_mb == 0 || self.loops == 0 || self.max_site_workers == 0 {
+        let valid_times =
+            self.interval >= 10_000 && self.valid_for >= 2 * self.interval && self.keep_alive > 0;
+        if !valid_times || self.worker_mb == 0 || self.loops == 0 || self.max_site_workers == 0 {
             return Err(RoutingError::InvalidSettings);
         }
         Ok(())
     }
 }
 
-/// Most sites that stand in for one another.
+/// Most sites between which calls are handed over.
 pub(crate) const MAX_SITES: u8 = 64;
-/// Bytes of a frame at most.
+/// Most bytes of a frame.
 pub(crate) const MAX_FRAME_BYTES: usize = 65_536;
-/// Most functions: a position is a number in a frame.
+/// Most functions; frames name a function by its position in the list.
 const MAX_FUNCTIONS: usize = 100_000;
 
-/// What is refused. Nothing is lost by it but the thing refused.
+/// Invalid settings, or a received frame that was rejected. A rejected frame changes no state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, strum::VariantNames)]
 pub enum RoutingError {
-    /// Too many sites.
-    #[error("{0} sites are configured, 64 at most stand in for one another: split the fleet")]
+    /// More sites than allowed.
+    #[error("{0} sites are configured, the maximum is 64: split the fleet")]
     #[strum(serialize = "Sites")]
     TooManySites(usize),
-    /// Too many functions.
-    #[error("{0} functions are configured, 100,000 at most: split them over fleets")]
+    /// More functions than allowed.
+    #[error("{0} functions are configured, the maximum is 100,000: split them over several fleets")]
     #[strum(serialize = "Functions")]
     TooManyFunctions(usize),
-    /// A function without memory or lanes, or with a deadline before its aim.
-    #[error("function {0}: give it memory, lanes and a deadline not before its aim")]
+    /// A function without memory or lanes, or with a deadline before its aim; the value is its position.
+    #[error("function {0}: memory and lanes must be positive and the deadline not before the aim")]
     #[strum(serialize = "Function")]
     InvalidFunction(usize),
-    /// Spans that don't go together.
+    /// Times or counts that are out of range or inconsistent.
     #[error(
-        "tables are told every 10 ms at the most often and hold for two tellings at least; worker memory, \
-             workers, loops and the keep time are above nothing: correct the settings"
+        "the interval must be at least 10 ms and the validity at least two intervals; worker memory, workers, \
+             loops and the keep-alive time must be positive: correct the settings"
     )]
     #[strum(serialize = "Spans")]
     InvalidSettings,
-    /// A frame that is no frame of ours.
-    #[error("gateway {0} sent a frame that can't be read: see that all gateways run the same release")]
+    /// A frame that can't be decoded.
+    #[error("gateway {0} sent a frame that can't be decoded: run the same release at all gateways")]
     Unreadable(u16),
-    /// A frame past its bound.
-    #[error("gateway {from} sent {bytes} bytes where 65,536 are the most: see what runs under its address")]
+    /// A frame that exceeds the size limit.
+    #[error(
+        "gateway {from} sent a frame of {bytes} bytes, the maximum is 65,536: check what runs at its address"
+    )]
     TooLong {
-        /// Who sent it.
+        /// Sender.
         from: u16,
-        /// How many.
+        /// Size of the frame in bytes.
         bytes: usize,
     },
-    /// A frame about a site at which its sender doesn't stand.
-    #[error("gateway {0} spoke for a site that is not its own: give all gateways the same list of sites")]
+    /// A frame of a kind that its sender may not send, as it is not at the site in question.
+    #[error(
+        "gateway {0} reported for a site other than its own: configure the same list of sites at all gateways"
+    )]
     #[strum(serialize = "NotItsSite")]
     WrongSite(u16),
-    /// A frame from none of the list.
-    #[error("gateway {0} is not in the list: give all gateways the same list")]
+    /// A frame from a gateway that is not configured.
+    #[error("gateway {0} is not in the list of sites: configure the same list at all gateways")]
     #[strum(serialize = "Stranger")]
     UnknownGateway(u16),
 }
--- a/crates/site-routing/src/types.rs
+++ b/crates/site-routing/src/types.rs
@@ -1,128 +1,128 @@
 use basaltward_membership::{MemberId, Micros, Site};
 
-/// What a loop counted of one function since it counted last. Functions are positions in the settings that all sites
-/// share.
+/// Counts of one function at one traffic loop since its previous report. A function is given by its position in the
+/// list of functions, which is the same at all sites.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FunctionCounts {
-    /// Its position.
+    /// Position of the function.
     pub function: u32,
-    /// Calls that came, handed over or not; those that came from another site are not among them.
+    /// Calls from clients, whether handed over or not; calls from other sites are not included.
     pub calls: u32,
-    /// Calls of it served here.
+    /// Calls served at this site.
     pub served: u32,
-    /// From when those served were begun here until their answer, all together.
+    /// Sum of the times from the start of a served call at this site to its answer.
     pub total_time: Micros,
-    /// Of those served, how many found a copy that stood.
+    /// Served calls that found a loaded copy.
     pub warm_starts: u32,
-    /// Calls of it in hand here at the end of the span, those of other sites among them.
+    /// Calls in flight at this site at the end of the span, including those from other sites.
     pub in_flight: u32,
 }
 
-/// What a loop counted over a span.
+/// Counts of one traffic loop over a span.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoopCounts {
-    /// The span.
+    /// Length of the span.
     pub span: Micros,
-    /// Functions that were called, served or are in hand, each once.
+    /// Functions that were called or served, or that have calls in flight; at most one entry each.
     pub functions: Vec<FunctionCounts>,
-    /// Calls in hand at its end, those of other sites among them.
+    /// Calls in flight at the end of the span, including those from other sites.
     pub in_flight: u32,
-    /// Workers in use, as this loop is told.
+    /// Workers in use, by this loop's list of workers.
     pub workers: u32,
 }
 
-/// Where a call is answered.
+/// Where a call is to be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Destination {
     /// At this site.
     Local,
-    /// By this gateway of another site.
+    /// At another site, through one of its gateways.
     Remote {
         /// The site.
         site: Site,
-        /// The gateway.
+        /// The gateway that the call is handed to.
         peer: MemberId,
     },
 }
 
-/// How a call that was handed over ended.
+/// How a call ended that was handed over to another site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoverOutcome {
-    /// Served.
+    /// The other site answered it.
     Served,
-    /// Turned away there: it never ran.
+    /// The other site refused it; it did not run.
     Refused,
-    /// No connection came up: it never left.
+    /// No connection could be opened; it was not sent.
     Unreached,
-    /// No answer in its time, or a broken one.
+    /// The answer did not arrive in time, or was incomplete.
     Lost,
 }
 
-/// A call that was handed over has ended.
+/// A call that was handed over to another site and has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Handover {
-    /// Its function.
+    /// Position of its function.
     pub function: u32,
-    /// The gateway it was handed to.
+    /// The gateway that it was handed to.
     pub to: MemberId,
-    /// From handing over to its end.
+    /// Time from handing it over to its end.
     pub duration: Micros,
     /// How it ended.
     pub outcome: HandoverOutcome,
 }
 
-/// Another site that may answer calls of a function.
+/// Another site that may serve calls of a function.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RemoteRoute {
     /// The site.
     pub site: Site,
-    /// Its gateway that calls are handed to.
+    /// The gateway of that site that calls are handed to.
     pub peer: MemberId,
-    /// Time that an answer from there is thought to take, link and all.
+    /// Expected time to an answer from there, including the link.
     pub expected_latency: Micros,
-    /// Share of our calls that goes there, in 65,535ths; 0 where there is no such way.
+    /// Share of the calls that go there, in 65,535ths; 0 for an unused entry.
     pub share: u16,
-    /// Calls that one loop may send there while the table is the newest.
+    /// Most calls that one loop may send there by one table.
     pub call_limit: u16,
 }
 
-/// How many other sites are held ready for a function.
+/// Most other sites in the row of a function.
 pub const MAX_REMOTE_ROUTES: usize = 2;
 
-/// Where calls of a function go.
+/// Routing of the calls of one function.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Row {
-    /// Its home, as our site sees it.
+    /// Home of the function for calls of this site.
     pub home: Site,
-    /// Time that an answer from here is thought to take.
+    /// Expected time to an answer from this site.
     pub local_latency: Micros,
-    /// Whether a copy is thought to stand at its home.
+    /// Whether the home probably has a loaded copy.
     pub warm_at_home: bool,
-    /// Other sites, the least cost first.
+    /// Other sites, by ascending cost.
     pub remote_routes: [RemoteRoute; MAX_REMOTE_ROUTES],
 }
 
-/// Where calls go: whole, numbered, and with an end.
+/// Routing of all functions at one site, valid for a limited time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RoutingTable {
-    /// Its number; a later one of the same gateway is higher.
+    /// Number of the table, ascending per gateway.
     pub number: u64,
-    /// Until when it holds.
+    /// End of its validity; from then on all calls are served locally.
     pub valid_until: Micros,
-    /// Site of the gateway.
+    /// Site of the gateway that the table is for.
     pub local_site: Site,
-    /// By position; what is not here is answered here.
+    /// Rows by position of the function; calls of a function without a row are served locally.
     pub rows: Vec<Row>,
 }
 
-/// What a checker has to find where it is planted.
+/// Faults that tests inject to prove that their checks detect them.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A frame is taken for as old as its way is long, whatever it says.
+    /// A received frame counts as new, whatever its age.
     IgnoreFrameAge,
-    /// Homes move without a threshold, without staying and without asking.
+    /// Homes move without a cost threshold, a minimum dwell time or an agreement with the other site.
     NoHysteresis,
-    /// A call that came handed over is handed on.
+    /// A call that was handed over may be handed over again.
     UnboundedHops,
 }
