--- a/crates/site-routing/src/wire.rs
+++ b/crates/site-routing/src/wire.rs
@@ -1,31 +1,33 @@
-//! What gateways tell each other. Figures are whole numbers: there is nothing in a frame that is not a value.
+//! Frames between gateways, in postcard encoding.
+//!
+//! All figures are integers, so that a frame can't contain NaN or infinity.
 
 use crate::settings::{MAX_FRAME_BYTES, RoutingError};
 use crate::types::{MAX_REMOTE_ROUTES, RemoteRoute};
 use basaltward_membership::{MemberId, Micros, Site};
 use serde::{Deserialize, Serialize};
 
-/// Functions that a frame speaks of at most, those with the most calls first.
+/// Most functions in a report; if there are more, those with the most calls are included.
 pub(crate) const MAX_FUNCTIONS_PER_REPORT: usize = 2_500;
 
-/// A function at a gateway or at a site.
+/// Statistics of a function at a gateway or a site. Rates are in calls per 1,000 s.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FunctionStats {
-    /// Its position.
+    /// Position of the function.
     pub function: u32,
-    /// Calls of clients in 1,000 s.
+    /// Rate of calls from clients, smoothed over a short span.
     pub arrivals: u32,
-    /// The same over a longer span.
+    /// Rate of calls from clients, smoothed over a longer span.
     pub slow_arrivals: u32,
-    /// Calls served in 1,000 s.
+    /// Rate of calls served.
     pub served: u32,
-    /// Mean time of those served.
+    /// Mean time of served calls, in microseconds.
     pub mean_time: u32,
-    /// Of 1,000 served, how many found no copy.
+    /// Served calls that found no loaded copy, per thousand.
     pub cold_starts: u16,
-    /// In hand, in thousandths, smoothed.
+    /// Smoothed number of calls in flight, in thousandths.
     pub in_flight: u32,
-    /// Most in hand at once within the time that idle copies are kept; 0 where none was served in it.
+    /// Most calls in flight at once during the last keep-alive time; 0 if none was served in it.
     pub peak_in_flight: u32,
 }
 
@@ -50,9 +52,9 @@
         f64::from(self.cold_starts).min(1e3) / 1e3
     }
 
-    /// This one and another of the same function, at another gateway of the site.
+    /// Combines the statistics of the same function at two gateways of a site.
     pub fn and(self, other: &Self) -> Self {
-        let weigh = |a: u64, b: u64| {
+        let weighted_mean = |a: u64, b: u64| {
             let (a, b) = (a * u64::from(self.served), b * u64::from(other.served));
             (a + b).checked_div(u64::from(self.served) + u64::from(other.served)).unwrap_or(0)
         };
@@ -61,61 +63,61 @@
             arrivals: self.arrivals.saturating_add(other.arrivals),
             slow_arrivals: self.slow_arrivals.saturating_add(other.slow_arrivals),
             served: self.served.saturating_add(other.served),
-            mean_time: weigh(self.mean_time.into(), other.mean_time.into()) as u32,
-            cold_starts: weigh(self.cold_starts.into(), other.cold_starts.into()) as u16,
+            mean_time: weighted_mean(self.mean_time.into(), other.mean_time.into()) as u32,
+            cold_starts: weighted_mean(self.cold_starts.into(), other.cold_starts.into()) as u16,
             in_flight: self.in_flight.saturating_add(other.in_flight),
             peak_in_flight: self.peak_in_flight.saturating_add(other.peak_in_flight),
         }
     }
 }
 
-/// How calls that were handed to a site ended, in 1,000 s.
+/// Outcomes of calls that were handed to a site, per 1,000 s.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HandoverStats {
     pub site: Site,
     pub served: u32,
     pub refused: u32,
-    /// Lost, or never reached it.
+    /// Calls that were lost, or could not be sent.
     pub lost: u32,
-    /// Mean time of those served, the way included.
+    /// Mean time of the served calls including the link, in microseconds.
     pub mean_time: u32,
 }
 
 impl HandoverStats {
-    /// These and those of another gateway with the same site.
+    /// Combines the outcomes that two gateways had with the same site.
     pub fn and(self, other: &Self) -> Self {
-        let took = |e: &Self| u64::from(e.mean_time) * u64::from(e.served);
+        let total_time = |e: &Self| u64::from(e.mean_time) * u64::from(e.served);
         let all = u64::from(self.served) + u64::from(other.served);
         Self {
             site: self.site,
             served: self.served.saturating_add(other.served),
             refused: self.refused.saturating_add(other.refused),
             lost: self.lost.saturating_add(other.lost),
-            mean_time: (took(&self) + took(other)).checked_div(all).unwrap_or(0) as u32,
+            mean_time: (total_time(&self) + total_time(other)).checked_div(all).unwrap_or(0) as u32,
         }
     }
 }
 
-/// The last frame of the receiver that was heard, and how long before this one was written: the receiver's own clock
-/// bounds the age of what it gets.
+/// Acknowledges the last frame received from the recipient, with the time from receiving it to writing this frame. The
+/// recipient knows when it sent that frame, so it can bound the age of this one by its own clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Acknowledgment {
     pub number: u64,
     pub held_for: Micros,
 }
 
-/// Where a function's calls of the telling site are at home, where that is not plainly at the site.
+/// Home of a function for the calls of the reporting site; reported only for functions that have moved or may move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HomeStatus {
     pub function: u32,
     pub home: Site,
-    /// It moved of late, and stays.
+    /// It moved recently and does not move to another site yet.
     pub dwelling: bool,
-    /// It would move there.
+    /// The site to which it is to move, while that move is pending.
     pub bid: Option<Site>,
 }
 
-/// A gateway's own figures, for its site's teller.
+/// Statistics of one gateway, for the coordinator of its site.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct GatewayReport {
     pub number: u64,
@@ -124,19 +126,19 @@
     pub handovers: Vec<HandoverStats>,
 }
 
-/// A site's figures, for the tellers of other sites.
+/// Statistics of a site, for the coordinators of other sites.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SiteReport {
     pub number: u64,
     pub ack: Option<Acknowledgment>,
     pub workers: u32,
-    /// Work that it has above what it can do, in thousandths of calls in service.
+    /// Load above the capacity of the site, in thousandths of calls in service.
     pub excess: u32,
     pub functions: Vec<FunctionStats>,
     pub homes: Vec<HomeStatus>,
 }
 
-/// A way of a row, as it crosses.
+/// A remote route as encoded in frames; each gateway chooses the peer itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PlannedRoute {
     pub site: Site,
@@ -146,18 +148,18 @@
 }
 
 impl From<&PlannedRoute> for RemoteRoute {
-    fn from(told: &PlannedRoute) -> Self {
+    fn from(planned: &PlannedRoute) -> Self {
         Self {
-            site: told.site,
+            site: planned.site,
             peer: 0,
-            expected_latency: told.expected_latency,
-            share: told.share,
-            call_limit: told.call_limit,
+            expected_latency: planned.expected_latency,
+            share: planned.share,
+            call_limit: planned.call_limit,
         }
     }
 }
 
-/// A row that is not plainly answered here.
+/// Routing of a function whose calls are not all served locally.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PlannedRow {
     pub function: u32,
@@ -168,7 +170,7 @@
     pub remote_routes: [PlannedRoute; MAX_REMOTE_ROUTES],
 }
 
-/// What a site's teller has worked out, for the site's gateways.
+/// Rows computed by the coordinator of a site, for the gateways of that site.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PlannedRows {
     pub number: u64,
@@ -176,7 +178,7 @@
     pub rows: Vec<PlannedRow>,
 }
 
-/// A frame between peers.
+/// A frame between gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Frame {
     GatewayReport(GatewayReport),
@@ -185,12 +187,12 @@
 }
 
 impl Frame {
-    /// Its bytes; none where it can't be written, which its bounds rule out.
+    /// Encodes the frame; `None` if it exceeds the size limit, which the bounds of its contents rule out.
     pub fn encode(&self) -> Option<Vec<u8>> {
         postcard::to_allocvec(self).ok().filter(|bytes| bytes.len() <= MAX_FRAME_BYTES)
     }
 
-    /// What a peer's bytes say.
+    /// Decodes a frame received from a peer.
     pub fn decode(from: MemberId, bytes: &[u8]) -> Result<Self, RoutingError> {
         if bytes.len() > MAX_FRAME_BYTES {
             return Err(RoutingError::TooLong { from, bytes: bytes.len() });
