--- a/crates/site-routing/src/planner.rs
+++ b/crates/site-routing/src/planner.rs
@@ -1,76 +1,89 @@
-//! What a site's teller works out from all that is known: homes, what goes elsewhere, and how much of it.
+//! Planning at the coordinator of a site: homes of functions, which calls are handed to other sites, and how many.
+//!
+//! Costs and latencies are in microseconds, rates in calls per second.
 
 use crate::homes::{Homes, PeerHomeStatus, rank};
 use crate::settings::RoutingSettings;
-use crate::site_stats::{BaselineTimes, SiteStats as Known, load_time};
+use crate::site_stats::{BaselineTimes, SiteStats, load_time};
 use crate::types::MAX_REMOTE_ROUTES;
 use crate::wire::{HandoverStats, PlannedRoute, PlannedRow};
 use basaltward_membership::{Micros, Site};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A home is left once another is cheaper by this factor, and by this time besides.
+/// A home moves only to a site that is cheaper by this factor and, in addition, by `MOVE_MARGIN`.
 const MOVE_GAIN: f64 = 1.6;
+/// Time in microseconds by which another site has to be cheaper, in addition to the factor.
 const MOVE_MARGIN: f64 = 5_000.0;
-/// Homes within this factor of the cheapest are as good: the order that all sites share decides among them.
+/// Homes within this factor of the cheapest count as equal; the rank that all sites share decides among them.
 const TIE_FACTOR: f64 = 1.25;
-/// A copy that stands elsewhere is gone to where that is cheaper by this factor.
+/// Calls go to a loaded copy at another site if that is cheaper by this factor and by `MOVE_MARGIN`.
 const FOLLOW_GAIN: f64 = 1.25;
-/// Figures fade against our own state in this time.
+/// Time constant in microseconds with which the weight of the statistics of another site decreases with their age.
 const STATS_FADE: f64 = 1_000_000.0;
-/// Calls a second that a site gets before it has served any of ours, and as a share of what we serve.
-const FIRST: (f64, f64) = (8.0, 0.25);
-/// A site of more workers than this multiple of ours counts as one of so many.
+/// Rate of calls that a site may get before it has served any of the local calls.
+const INITIAL_RATE: f64 = 8.0;
+/// The same as a share of the rate served locally; the larger of the two applies.
+const INITIAL_SHARE: f64 = 0.25;
+/// The workers of another site count up to this multiple of the local ones.
 const MAX_SIZE_RATIO: f64 = 3.0;
-/// Beside these a site gets at most so many times what it has served of ours.
+/// Beside the initial rate, a site gets at most this multiple of the rate of local calls that it has served.
 const GROWTH_FACTOR: f64 = 2.0;
-/// Shares of what a site can bear that we keep, and that we give to others' sites.
-const FILL: (f64, f64) = (0.95, 1.0);
-/// Calls a second that stand against the first refused or lost ones.
+/// Share of the capacity of the local site up to which calls are kept.
+const LOCAL_FILL: f64 = 0.95;
+/// Share of the capacity of another site up to which calls are handed to it.
+const REMOTE_FILL: f64 = 1.0;
+/// Rate of calls added to the total when shares of refused and lost calls are computed, so that the first ones count
+/// less.
 const PRIOR_RATE: f64 = 2.0;
-/// What is left, each telling, of what went to a site where calls wait.
+/// Factor by which, in each interval, the calls handed to a saturated site are reduced.
 const SATURATED_DECAY: f64 = 0.8;
-/// Answers may take this multiple of what a site's word has them take, and this more, before it is doubted.
-const LONGER: (f64, f64) = (2.0, 100_000.0);
-/// What waits above what is in service is to be worked off in this time, in seconds.
+/// Answers may take this multiple of the time that the report of a site implies, plus `LATENCY_SLACK`, before the site
+/// is trusted less.
+const LATENCY_FACTOR: f64 = 2.0;
+/// See `LATENCY_FACTOR`; in microseconds.
+const LATENCY_SLACK: f64 = 100_000.0;
+/// Time in seconds within which the backlog of waiting calls is to be worked off.
 const BACKLOG_DRAIN_S: f64 = 1.0;
-/// By how much a function that goes elsewhere already comes before one that does not.
+/// Preference in microseconds for handing over functions whose calls are handed over already.
 const SPILL_STICKINESS: f64 = 50_000.0;
 
-/// Another site as a place for calls: it is up, its figures are fresh, and a gateway of it lives.
+/// Another site that can take calls: its statistics are fresh, and a live gateway of it is reachable.
 pub(crate) struct RemoteSite<'a> {
     pub site: Site,
-    pub stats: &'a Known,
-    /// Time there and back.
+    pub stats: &'a SiteStats,
+    /// Round-trip time.
     pub rtt: f64,
-    /// How our calls ended there.
+    /// Outcomes of local calls handed to it.
     pub handovers: HandoverStats,
-    /// Weight of its figures by their age.
+    /// Weight of its statistics by their age, from 0 to 1.
     weight: f64,
     refused_share: f64,
     lost_share: f64,
-    /// How much longer answers take than its word has it.
+    /// Time by which answers take longer than its reports allow.
     excess_latency: f64,
 }
 
 impl<'a> RemoteSite<'a> {
-    pub fn new(now: Micros, site: Site, known: &'a Known, way: Micros, ends: HandoverStats) -> Self {
-        let [served, refused, lost] = [ends.served, ends.refused, ends.lost].map(|x| f64::from(x) / 1e3);
+    pub fn new(now: Micros, site: Site, stats: &'a SiteStats, rtt: Micros, handovers: HandoverStats) -> Self {
+        let [served, refused, lost] =
+            [handovers.served, handovers.refused, handovers.lost].map(|x| f64::from(x) / 1e3);
         let all = served + refused + lost + PRIOR_RATE;
-        let weight = (-(known.age(now) as f64) / STATS_FADE).exp();
-        let way = way as f64;
-        // By its word, with slack for a mix of functions that is not its own.
-        let told = known.in_flight * 1e6 / known.served_rate.max(0.1);
-        let told = way + LONGER.0 * told.max(known.mean_time) + LONGER.1;
-        let longer = if served > 0.5 { (f64::from(ends.mean_time) - told).max(0.0) } else { 0.0 };
+        let weight = (-(stats.age(now) as f64) / STATS_FADE).exp();
+        let rtt = rtt as f64;
+        // Expected by its report, with slack as the functions handed over differ from its own mix.
+        let reported = stats.in_flight * 1e6 / stats.served_rate.max(0.1);
+        let allowed = rtt + LATENCY_FACTOR * reported.max(stats.mean_time) + LATENCY_SLACK;
+        let excess_latency =
+            if served > 0.5 { (f64::from(handovers.mean_time) - allowed).max(0.0) } else { 0.0 };
         Self {
             site,
-            stats: known,
-            rtt: way,
-            handovers: ends,
+            stats,
+            rtt,
+            handovers,
             weight,
             refused_share: refused / all,
             lost_share: lost / all,
-            excess_latency: longer,
+            excess_latency,
         }
     }
 
@@ -78,45 +91,47 @@
         f64::from(self.handovers.served) / 1e3
     }
 
-    /// What its word is worth: by its age, and by what became of the calls it was trusted with.
+    /// Confidence in its reports from 0 to 1, by their age and by the outcomes of the calls handed to it.
     fn trust(&self) -> f64 {
-        let slow = LONGER.1 / (LONGER.1 + self.excess_latency);
+        let slow = LATENCY_SLACK / (LATENCY_SLACK + self.excess_latency);
         self.weight * (1.0 - self.refused_share).powi(2) * (1.0 - self.lost_share).powi(2) * slow
     }
 }
 
-/// What one working out gives.
+/// Result of one planning round.
 #[derive(Debug, Default)]
 pub(crate) struct PlanResult {
+    /// Rows of functions whose calls are not all served locally.
     pub rows: Vec<PlannedRow>,
-    /// Work that we have above what we can do, in calls in service.
+    /// Load above the local capacity, in calls in service.
     pub excess: f64,
 }
 
-/// What is kept from one working out to the next.
+/// State kept between planning rounds.
 #[derive(Debug, Default)]
 pub(crate) struct Planner {
-    /// Calls in service that a worker bears: the most seen while calls waited; 0 until then.
+    /// Calls in service that a worker can sustain: the most observed while calls were waiting; 0 until then.
     calls_per_worker: f64,
-    /// Calls a second handed to each site for want of room here.
+    /// Rate of calls handed to each site for lack of local capacity.
     spill_rates: BTreeMap<Site, f64>,
-    /// Functions of which calls went elsewhere for want of room.
+    /// Functions with calls handed over for lack of local capacity.
     spilled: BTreeSet<u32>,
-    /// Functions that follow a copy that stands elsewhere.
+    /// Functions whose calls go to their home or to a loaded copy at another site.
     followed: BTreeMap<u32, Site>,
 }
 
-/// All that a working out looks at.
+/// Input of one planning round.
 pub(crate) struct PlanInput<'a> {
     pub now: Micros,
     pub settings: &'a RoutingSettings,
     pub baselines: &'a BaselineTimes,
-    pub local: &'a Known,
+    pub local: &'a SiteStats,
     pub remotes: Vec<RemoteSite<'a>>,
-    /// Gateways of our site, and the number of our next word.
+    /// Live gateways of the local site.
     pub gateways: usize,
+    /// Number of the next local report.
     pub next_report: u64,
-    /// No home is held by a threshold, and none is bid for.
+    /// Injected fault: homes move without thresholds and bids.
     pub no_hysteresis: bool,
 }
 
@@ -125,280 +140,313 @@
         self.settings.site_map.own_site()
     }
 
-    /// What we think of a site's cost: told figures, drawn toward our own wait as they age, the way, and what is lost by
-    /// calls that end badly there.
-    fn remote_cost(&self, other: &RemoteSite, function: u32, cost: f64) -> f64 {
-        let doubt = (1.0 - other.weight) * self.local.wait_time(self.settings, self.baselines, function);
-        let told = &self.settings.functions[function as usize];
-        let lost = other.lost_share * (told.deadline as f64 / 2.0);
-        let refused = other.refused_share * (other.rtt + self.current_local_cost(function));
-        cost + doubt + other.rtt + lost + refused + other.excess_latency
+    /// Cost of a call at another site whose own cost is `cost`: adds the local queueing time as far as the statistics are
+    /// outdated, the link, and the expected loss by calls that fail there.
+    fn remote_cost(&self, remote: &RemoteSite, function: u32, cost: f64) -> f64 {
+        let local_wait =
+            (1.0 - remote.weight) * self.local.wait_time(self.settings, self.baselines, function);
+        let spec = &self.settings.functions[function as usize];
+        let lost = remote.lost_share * (spec.deadline as f64 / 2.0);
+        let refused = remote.refused_share * (remote.rtt + self.current_local_cost(function));
+        cost + local_wait + remote.rtt + lost + refused + remote.excess_latency
     }
 
-    fn current_remote_cost(&self, other: &RemoteSite, function: u32) -> f64 {
-        self.remote_cost(other, function, other.stats.current_cost(self.settings, self.baselines, function))
+    fn current_remote_cost(&self, remote: &RemoteSite, function: u32) -> f64 {
+        self.remote_cost(remote, function, remote.stats.current_cost(self.settings, self.baselines, function))
     }
 
     fn current_local_cost(&self, function: u32) -> f64 {
         self.local.current_cost(self.settings, self.baselines, function)
     }
 
-    /// Calls a second that a site may get of ours, by what it has proven.
-    fn rate_limit(&self, other: &RemoteSite) -> f64 {
-        (FIRST.0.max(FIRST.1 * self.local.served_rate) + GROWTH_FACTOR * other.served_rate()) * other.trust()
+    /// Highest rate of calls that a site may get, by the calls that it has served so far.
+    fn rate_limit(&self, remote: &RemoteSite) -> f64 {
+        (INITIAL_RATE.max(INITIAL_SHARE * self.local.served_rate) + GROWTH_FACTOR * remote.served_rate())
+            * remote.trust()
     }
 
-    /// Calls a second of a function by the site that they are at home at, ours aside.
+    /// Rate of calls of a function from other sites, by the home that those sites have for it.
     fn rates_by_home(&self, function: u32) -> BTreeMap<Site, f64> {
         let mut calls = BTreeMap::new();
-        for other in &self.remotes {
-            let home = other.stats.home_status(other.site, function).home;
-            *calls.entry(home).or_default() += other.stats.function(function).slow_arrivals();
+        for remote in &self.remotes {
+            let home = remote.stats.home_status(remote.site, function).home;
+            *calls.entry(home).or_default() += remote.stats.function(function).slow_arrivals();
         }
         calls
     }
 
     fn remote(&self, site: Site) -> Option<&RemoteSite<'_>> {
-        self.remotes.iter().find(|other| other.site == site)
+        self.remotes.iter().find(|remote| remote.site == site)
     }
 
-    fn planned_route(&self, other: &RemoteSite, function: u32, share: f64, calls: f64) -> PlannedRoute {
+    /// A route for `share` of the calls, at a rate of `calls`. Its limit per loop and interval leaves a margin of two.
+    fn planned_route(&self, remote: &RemoteSite, function: u32, share: f64, calls: f64) -> PlannedRoute {
         let loops = self.gateways.max(1) as f64 * f64::from(self.settings.loops);
-        let room = (2.0 * calls * self.settings.interval as f64 / 1e6 / loops).ceil() + 1.0;
+        let limit = (2.0 * calls * self.settings.interval as f64 / 1e6 / loops).ceil() + 1.0;
         PlannedRoute {
-            site: other.site,
-            expected_latency: self.current_remote_cost(other, function) as Micros,
+            site: remote.site,
+            expected_latency: self.current_remote_cost(remote, function) as Micros,
             share: (share.clamp(0.0, 1.0) * 65_535.0) as u16,
-            call_limit: room.min(65_535.0) as u16,
+            call_limit: limit.min(65_535.0) as u16,
         }
     }
 }
 
 impl Planner {
-    /// Works out rows from a view; homes move by it.
-    pub fn plan(&mut self, view: &PlanInput, homes: &mut Homes) -> PlanResult {
-        self.move_homes(view, homes);
-        let over = self.update_excess(view);
+    /// Plans the rows of the routing table and moves homes.
+    pub fn plan(&mut self, input: &PlanInput, homes: &mut Homes) -> PlanResult {
+        self.move_homes(input, homes);
+        let excess = self.update_excess(input);
         let mut rows = BTreeMap::new();
-        self.plan_handovers(view, homes, &mut rows);
-        self.plan_spill(view, homes, over, &mut rows);
-        PlanResult { rows: rows.into_values().collect(), excess: over }
+        self.plan_handovers(input, homes, &mut rows);
+        self.plan_spill(input, homes, excess, &mut rows);
+        PlanResult { rows: rows.into_values().collect(), excess }
     }
 
-    fn move_homes(&self, view: &PlanInput, homes: &mut Homes) {
-        let (now, here) = (view.now, view.local_site());
-        let mut wished = BTreeMap::new();
+    fn move_homes(&self, input: &PlanInput, homes: &mut Homes) {
+        let (now, local_site) = (input.now, input.local_site());
+        let mut wanted = BTreeMap::new();
         let mut functions: BTreeSet<_> = homes.tracked_functions().into_iter().collect();
-        functions.extend(view.local.functions.values().filter(|f| f.slow_arrivals > 0).map(|f| f.function));
+        functions.extend(input.local.functions.values().filter(|f| f.slow_arrivals > 0).map(|f| f.function));
         for function in functions {
-            let at = homes.home_of(function);
-            if at != here && view.remote(at).is_none_or(|o| o.stats.home_status(at, function).home != at) {
+            let home = homes.home_of(function);
+            if home != local_site
+                && input
+                    .remote(home)
+                    .is_none_or(|remote| remote.stats.home_status(home, function).home != home)
+            {
                 homes.move_back(now, function);
                 continue;
             }
-            let (gain, margin) = if view.no_hysteresis { (1.0, 0.0) } else { (MOVE_GAIN, MOVE_MARGIN) };
-            // A queue here is no reason to move a home: what can't be done here goes elsewhere call by call.
-            let (at_homes, ours) =
-                (view.rates_by_home(function), view.local.function(function).slow_arrivals());
-            let placed = |known: &Known, site: Site| {
-                let calls = ours + at_homes.get(&site).copied().unwrap_or(0.0);
-                known.long_run_cost(view.settings, view.baselines, function, calls)
+            let (gain, margin) = if input.no_hysteresis { (1.0, 0.0) } else { (MOVE_GAIN, MOVE_MARGIN) };
+            // A local queue is no reason to move a home: the excess is handed over call by call.
+            let (rates_by_home, local_rate) =
+                (input.rates_by_home(function), input.local.function(function).slow_arrivals());
+            let long_run_cost = |stats: &SiteStats, site: Site| {
+                let calls = local_rate + rates_by_home.get(&site).copied().unwrap_or(0.0);
+                stats.long_run_cost(input.settings, input.baselines, function, calls)
             };
-            let cost_here = placed(view.local, here);
-            let wait = |o: &RemoteSite| o.stats.wait_time(view.settings, view.baselines, function);
-            let cost = |o: &RemoteSite| view.remote_cost(o, function, placed(o.stats, o.site) + wait(o));
-            let held = view.remote(at).map_or(cost_here, cost);
-            let better = |cost: f64| cost * gain + margin < held;
-            if at != here && better(cost_here) && (view.no_hysteresis || !homes.is_dwelling(now, function)) {
+            let local_cost = long_run_cost(input.local, local_site);
+            let wait =
+                |remote: &RemoteSite| remote.stats.wait_time(input.settings, input.baselines, function);
+            let cost = |remote: &RemoteSite| {
+                input.remote_cost(remote, function, long_run_cost(remote.stats, remote.site) + wait(remote))
+            };
+            let current_cost = input.remote(home).map_or(local_cost, cost);
+            let better = |cost: f64| cost * gain + margin < current_cost;
+            if home != local_site
+                && better(local_cost)
+                && (input.no_hysteresis || !homes.is_dwelling(now, function))
+            {
                 homes.move_back(now, function);
                 continue;
             }
-            let open = view.remotes.iter().filter(|o| o.stats.home_status(o.site, function).home == o.site);
-            let costs: Vec<_> = open.map(|o| (cost(o), o)).filter(|(cost, _)| better(*cost)).collect();
-            let least = costs.iter().map(|(cost, _)| *cost).fold(f64::INFINITY, f64::min);
-            let alike = costs.iter().filter(|(cost, _)| *cost <= least * TIE_FACTOR);
-            let Some((_, best)) = alike.max_by_key(|(_, o)| rank(function, o.site)) else { continue };
-            if view.no_hysteresis {
+            let accepting = input
+                .remotes
+                .iter()
+                .filter(|remote| remote.stats.home_status(remote.site, function).home == remote.site);
+            let costs: Vec<_> =
+                accepting.map(|remote| (cost(remote), remote)).filter(|(cost, _)| better(*cost)).collect();
+            let lowest = costs.iter().map(|(cost, _)| *cost).fold(f64::INFINITY, f64::min);
+            let equal = costs.iter().filter(|(cost, _)| *cost <= lowest * TIE_FACTOR);
+            let Some((_, best)) = equal.max_by_key(|(_, remote)| rank(function, remote.site)) else {
+                continue;
+            };
+            if input.no_hysteresis {
                 homes.adopt(now, function, best.site, false);
                 continue;
             }
-            wished.insert(function, best.site);
-            let said = PeerHomeStatus {
+            wanted.insert(function, best.site);
+            let peer = PeerHomeStatus {
                 status: best.stats.home_status(best.site, function),
                 acked: best.stats.acked_report,
             };
-            homes.request_move(now, function, best.site, view.next_report, &said);
+            homes.request_move(now, function, best.site, input.next_report, &peer);
         }
-        homes.expire_bids(now, &wished);
+        homes.expire_bids(now, &wanted);
     }
 
-    /// Learns what a worker bears, and gives the work that is above what we can do.
-    fn update_excess(&mut self, view: &PlanInput) -> f64 {
-        let own = view.local;
-        if own.workers == 0.0 {
+    /// Updates the capacity of a worker, and returns the load above the local capacity.
+    fn update_excess(&mut self, input: &PlanInput) -> f64 {
+        let local = input.local;
+        if local.workers == 0.0 {
             return 0.0;
         }
-        let each = own.in_service / own.workers;
+        let per_worker = local.in_service / local.workers;
         self.calls_per_worker = match self.calls_per_worker {
-            0.0 if !own.saturated() => return 0.0,
-            bear if each > bear => each,
-            bear if own.saturated() => bear + (each - bear) * 0.1,
-            // Perhaps it bears more: it is found out by keeping more, where some is given away.
-            bear if self.spill_rates.values().any(|calls| *calls > 1.0) => bear * 1.005,
-            bear => bear,
+            0.0 if !local.saturated() => return 0.0,
+            capacity if per_worker > capacity => per_worker,
+            capacity if local.saturated() => capacity + (per_worker - capacity) * 0.1,
+            // Calls are handed over, so the real capacity may be higher: raise the estimate slowly to probe it.
+            capacity if self.spill_rates.values().any(|calls| *calls > 1.0) => capacity * 1.005,
+            capacity => capacity,
         };
-        let bears = self.calls_per_worker * own.workers;
-        let offered: f64 = own
+        let site_capacity = self.calls_per_worker * local.workers;
+        let offered: f64 = local
             .functions
             .values()
-            .map(|f| f.arrivals().max(f.served()) * view.baselines.get(view.settings, f.function) / 1e6)
+            .map(|f| f.arrivals().max(f.served()) * input.baselines.get(input.settings, f.function) / 1e6)
             .sum();
-        let waiting = (own.in_flight - bears).max(0.0) * own.mean_time / 1e6;
-        (offered + waiting / BACKLOG_DRAIN_S - FILL.0 * bears).max(0.0)
+        let waiting = (local.in_flight - site_capacity).max(0.0) * local.mean_time / 1e6;
+        (offered + waiting / BACKLOG_DRAIN_S - LOCAL_FILL * site_capacity).max(0.0)
     }
 
-    /// Calls of functions whose home is elsewhere, and of those of which a copy stands elsewhere and none here.
-    fn plan_handovers(&mut self, view: &PlanInput, homes: &Homes, rows: &mut BTreeMap<u32, PlannedRow>) {
-        let (here, now) = (view.local_site(), view.now);
+    /// Plans rows for functions whose home is another site, and for those with a loaded copy at another site but none here.
+    fn plan_handovers(&mut self, input: &PlanInput, homes: &Homes, rows: &mut BTreeMap<u32, PlannedRow>) {
+        let (local_site, now) = (input.local_site(), input.now);
         let mut functions: BTreeSet<_> = homes.tracked_functions().into_iter().collect();
-        for known in view.remotes.iter().map(|o| o.stats).chain([view.local]) {
-            functions.extend(known.functions.values().filter(|f| f.peak_in_flight > 0).map(|f| f.function));
+        for stats in input.remotes.iter().map(|remote| remote.stats).chain([input.local]) {
+            functions.extend(stats.functions.values().filter(|f| f.peak_in_flight > 0).map(|f| f.function));
         }
         let mut followed = BTreeMap::new();
         for function in functions {
-            let (home, here_now) = (homes.home_of(function), view.current_local_cost(function));
-            let cold = view.local.warm_probability(view.settings, function) == 0.0;
-            let sticks = |o: &RemoteSite| {
-                let before = self.followed.get(&function) == Some(&o.site) || o.site == home;
-                view.current_remote_cost(o, function) / if before { MOVE_GAIN } else { 1.0 }
+            let (home, local_cost) = (homes.home_of(function), input.current_local_cost(function));
+            let no_local_copy = input.local.warm_probability(input.settings, function) == 0.0;
+            let sticky_cost = |remote: &RemoteSite| {
+                let preferred = self.followed.get(&function) == Some(&remote.site) || remote.site == home;
+                input.current_remote_cost(remote, function) / if preferred { MOVE_GAIN } else { 1.0 }
             };
-            let warm = |o: &&RemoteSite| o.stats.warm_probability(view.settings, function) > 0.0;
-            let stands = view.remotes.iter().filter(warm).filter(|_| cold);
-            let best = stands.min_by(|a, b| sticks(a).total_cmp(&sticks(b)));
-            let best = best.filter(|o| sticks(o) * FOLLOW_GAIN + MOVE_MARGIN < here_now);
-            let at_home = view
-                .remote(home)
-                .filter(|o| view.current_remote_cost(o, function) < here_now * MOVE_GAIN + MOVE_MARGIN);
-            let to = if home == here { best } else { at_home.or(best) };
+            let warm = |remote: &&RemoteSite| remote.stats.warm_probability(input.settings, function) > 0.0;
+            let with_copy = input.remotes.iter().filter(warm).filter(|_| no_local_copy);
+            let best = with_copy.min_by(|a, b| sticky_cost(a).total_cmp(&sticky_cost(b)));
+            let best = best.filter(|remote| sticky_cost(remote) * FOLLOW_GAIN + MOVE_MARGIN < local_cost);
+            let at_home = input.remote(home).filter(|remote| {
+                input.current_remote_cost(remote, function) < local_cost * MOVE_GAIN + MOVE_MARGIN
+            });
+            let to = if home == local_site { best } else { at_home.or(best) };
             let mut row = PlannedRow {
                 function,
                 home,
                 dwelling: homes.is_dwelling(now, function),
-                local_latency: here_now as Micros,
-                warm_at_home: view.remote(home).map_or(!cold, |o| warm(&o)),
+                local_latency: local_cost as Micros,
+                warm_at_home: input.remote(home).map_or(!no_local_copy, |remote| warm(&remote)),
                 ..PlannedRow::default()
             };
-            if let Some(other) = to {
-                let figure = view.local.function(function);
-                let (calls, allowed) = (figure.arrivals(), view.rate_limit(other).max(1.0));
+            if let Some(remote) = to {
+                let stats = input.local.function(function);
+                let (calls, allowed) = (stats.arrivals(), input.rate_limit(remote).max(1.0));
                 let share = if calls > allowed { allowed / calls } else { 1.0 };
-                // Where calls are many a copy here pays: one call a while stays, for which it is loaded.
-                let every = view.settings.interval as f64 / 1e6;
-                let kept = figure.slow_arrivals() * view.settings.keep_alive as f64 / 1e6;
-                let pays = other.rtt > load_time(view.settings, function) / kept.max(1.0);
-                let stays = home == here && figure.in_flight() < 0.5 && pays;
-                let share = if stays { share.min(1.0 - (0.25 / (calls * every)).min(0.5)) } else { share };
-                row.remote_routes[0] = view.planned_route(other, function, share, calls.min(allowed));
-                followed.insert(function, other.site);
+                // With many calls a local copy pays off: keep a few calls here, which cause it to be loaded.
+                let interval = input.settings.interval as f64 / 1e6;
+                let calls_per_keep_alive = stats.slow_arrivals() * input.settings.keep_alive as f64 / 1e6;
+                let pays_off =
+                    remote.rtt > load_time(input.settings, function) / calls_per_keep_alive.max(1.0);
+                let keep_some = home == local_site && stats.in_flight() < 0.5 && pays_off;
+                let share =
+                    if keep_some { share.min(1.0 - (0.25 / (calls * interval)).min(0.5)) } else { share };
+                row.remote_routes[0] = input.planned_route(remote, function, share, calls.min(allowed));
+                followed.insert(function, remote.site);
             }
-            if to.is_some() || home != here {
+            if to.is_some() || home != local_site {
                 rows.insert(function, row);
             }
         }
         self.followed = followed;
     }
 
-    /// What we can't do ourselves goes to sites in proportion to their room.
+    /// Plans rows that hand the load above the local capacity to other sites, by their free capacity.
     fn plan_spill(
         &mut self,
-        view: &PlanInput,
+        input: &PlanInput,
         homes: &Homes,
-        over: f64,
+        excess: f64,
         rows: &mut BTreeMap<u32, PlannedRow>,
     ) {
-        let mean = (view.local.mean_time / 1e6).max(1e-6);
-        let mut left = self.allocate_spill(view, over, mean);
-        let mut spilt = BTreeSet::new();
-        let late = view.local.saturated();
-        if !late && left.values().all(|calls| *calls < 0.1) {
-            self.spilled = spilt;
+        let mean_s = (input.local.mean_time / 1e6).max(1e-6);
+        let mut available = self.allocate_spill(input, excess, mean_s);
+        let mut spilled = BTreeSet::new();
+        let saturated = input.local.saturated();
+        if !saturated && available.values().all(|calls| *calls < 0.1) {
+            self.spilled = spilled;
             return;
         }
-        let plain = |f: &u32| homes.home_of(*f) == view.local_site();
-        let ours = view.local.functions.values().filter(|f| f.arrivals > 0 && plain(&f.function));
+        let at_home = |f: &u32| homes.home_of(*f) == input.local_site();
+        let local_functions =
+            input.local.functions.values().filter(|f| f.arrivals > 0 && at_home(&f.function));
         let mut by_gain = Vec::new();
-        for figure in ours.filter(|f| !rows.contains_key(&f.function)) {
-            let function = figure.function;
-            let here = view.current_local_cost(function);
-            let mut ways: Vec<_> =
-                view.remotes.iter().map(|o| (view.current_remote_cost(o, function), o)).collect();
-            ways.sort_by(|a, b| a.0.total_cmp(&b.0));
-            let Some((first, _)) = ways.first() else { return };
-            let sticks = if self.spilled.contains(&function) { SPILL_STICKINESS } else { 0.0 };
-            by_gain.push((first - here - sticks, figure, here, ways));
+        for stats in local_functions.filter(|f| !rows.contains_key(&f.function)) {
+            let function = stats.function;
+            let local_cost = input.current_local_cost(function);
+            let mut candidates: Vec<_> = input
+                .remotes
+                .iter()
+                .map(|remote| (input.current_remote_cost(remote, function), remote))
+                .collect();
+            candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
+            let Some((first, _)) = candidates.first() else { return };
+            let preference = if self.spilled.contains(&function) { SPILL_STICKINESS } else { 0.0 };
+            by_gain.push((first - local_cost - preference, stats, local_cost, candidates));
         }
         by_gain.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let came: f64 = by_gain.iter().map(|(_, figure, ..)| figure.arrivals()).sum();
-        for (_, figure, here, ways) in by_gain {
-            let (function, calls) = (figure.function, figure.arrivals());
-            let aim = view.settings.functions[function as usize].aim as f64;
-            let (mut row, mut rest, mut used) = (PlannedRow::default(), calls, 0);
-            for (there, other) in ways.into_iter().filter(|(there, _)| *there < here.max(aim)) {
-                let room = left.entry(other.site).or_default();
-                let taken = room.min(rest);
-                let spare = late && there < here;
-                if used == MAX_REMOTE_ROUTES || (taken < 0.05 && !spare) {
+        let arrivals: f64 = by_gain.iter().map(|(_, stats, ..)| stats.arrivals()).sum();
+        for (_, stats, local_cost, candidates) in by_gain {
+            let (function, calls) = (stats.function, stats.arrivals());
+            let aim = input.settings.functions[function as usize].aim as f64;
+            let (mut row, mut remaining, mut used) = (PlannedRow::default(), calls, 0);
+            for (remote_cost, remote) in
+                candidates.into_iter().filter(|(remote_cost, _)| *remote_cost < local_cost.max(aim))
+            {
+                let free_rate = available.entry(remote.site).or_default();
+                let taken = free_rate.min(remaining);
+                let overflow = saturated && remote_cost < local_cost;
+                if used == MAX_REMOTE_ROUTES || (taken < 0.05 && !overflow) {
                     continue;
                 }
-                let held_ready = view.rate_limit(other) * calls / came.max(1.0);
+                let reserve = input.rate_limit(remote) * calls / arrivals.max(1.0);
                 row.remote_routes[used] =
-                    view.planned_route(other, function, taken / calls, taken.max(held_ready));
-                (*room, rest, used) = (*room - taken, rest - taken, used + 1);
+                    input.planned_route(remote, function, taken / calls, taken.max(reserve));
+                (*free_rate, remaining, used) = (*free_rate - taken, remaining - taken, used + 1);
                 if taken > 0.0 {
-                    spilt.insert(function);
+                    spilled.insert(function);
                 }
             }
             if used > 0 {
-                let (home, stays) = (view.local_site(), homes.is_dwelling(view.now, function));
+                let (home, dwelling) = (input.local_site(), homes.is_dwelling(input.now, function));
                 rows.insert(
                     function,
                     PlannedRow {
                         function,
                         home,
-                        dwelling: stays,
-                        local_latency: here as Micros,
+                        dwelling,
+                        local_latency: local_cost as Micros,
                         warm_at_home: true,
                         ..row
                     },
                 );
             }
         }
-        self.spilled = spilt;
+        self.spilled = spilled;
     }
 
-    /// Calls a second for each site: its room, of which we take our part among those that have too much, in proportion
-    /// to that of other sites, and no more than twice what it has served of ours.
-    fn allocate_spill(&mut self, view: &PlanInput, over: f64, mean: f64) -> BTreeMap<Site, f64> {
-        let room = |o: &RemoteSite| {
-            let ours = o.served_rate() * mean;
-            let workers = o.stats.workers.min(MAX_SIZE_RATIO * view.local.workers);
-            let free = (FILL.1 * self.calls_per_worker * workers - o.stats.in_service + ours).max(0.0);
-            let others: f64 =
-                view.remotes.iter().filter(|x| x.site != o.site).map(|x| x.stats.excess * x.weight).sum();
-            let part = if over > 0.0 { over / (over + others) } else { 0.0 };
-            if o.stats.saturated() { ours * SATURATED_DECAY } else { (free * part * o.trust()).max(0.0) }
+    /// Rate of calls for each site, in proportion to its free capacity. Of that capacity, this site takes a part according
+    /// to its share of the excess of all sites, up to the rate limit of the site.
+    fn allocate_spill(&mut self, input: &PlanInput, excess: f64, mean_s: f64) -> BTreeMap<Site, f64> {
+        let capacity = |o: &RemoteSite| {
+            let local_load = o.served_rate() * mean_s;
+            let workers = o.stats.workers.min(MAX_SIZE_RATIO * input.local.workers);
+            let free =
+                (REMOTE_FILL * self.calls_per_worker * workers - o.stats.in_service + local_load).max(0.0);
+            let other_excess: f64 =
+                input.remotes.iter().filter(|x| x.site != o.site).map(|x| x.stats.excess * x.weight).sum();
+            let share = if excess > 0.0 { excess / (excess + other_excess) } else { 0.0 };
+            if o.stats.saturated() {
+                local_load * SATURATED_DECAY
+            } else {
+                (free * share * o.trust()).max(0.0)
+            }
         };
-        let rooms: Vec<_> = view.remotes.iter().map(|o| (o, room(o))).collect();
-        let all: f64 = rooms.iter().map(|(_, room)| room).sum();
-        let given = rooms.into_iter().map(|(o, room)| {
-            let fair = if all > 0.0 { room.min(over * room / all) } else { 0.0 };
-            let before = self.spill_rates.get(&o.site).copied().unwrap_or(0.0);
-            // More at once, as calls wait meanwhile; less by halves, as told figures lag behind what was given.
-            let smooth = (fair / mean).max(f64::midpoint(fair / mean, before));
-            (o.site, smooth.min(view.rate_limit(o)))
+        let capacities: Vec<_> = input.remotes.iter().map(|o| (o, capacity(o))).collect();
+        let total: f64 = capacities.iter().map(|(_, capacity)| capacity).sum();
+        let rates = capacities.into_iter().map(|(o, capacity)| {
+            let allotted = if total > 0.0 { capacity.min(excess * capacity / total) } else { 0.0 };
+            let previous = self.spill_rates.get(&o.site).copied().unwrap_or(0.0);
+            // Increase at once, as calls are waiting. Decrease by half of the difference per round, as reports lag behind
+            // the calls handed over.
+            let smooth = (allotted / mean_s).max(f64::midpoint(allotted / mean_s, previous));
+            (o.site, smooth.min(input.rate_limit(o)))
         });
-        let given: BTreeMap<_, _> = given.collect();
-        self.spill_rates.clone_from(&given);
-        given
+        let rates: BTreeMap<_, _> = rates.collect();
+        self.spill_rates.clone_from(&rates);
+        rates
     }
 }
