--- a/crates/site-routing/src/simulation/links.rs
+++ b/crates/site-routing/src/simulation/links.rs
@@ -18,12 +18,12 @@
 }
 
 /// A lost message is sent again after this, then after twice that.
-const AGAIN: Micros = 200_000;
+const RETRANSMIT_DELAY: Micros = 200_000;
 
 #[derive(Debug)]
 pub(crate) struct Links {
     sites: usize,
-    legs: Vec<DirectedLink>,
+    links: Vec<DirectedLink>,
 }
 
 impl Links {
@@ -37,22 +37,22 @@
             let delay = if near { 200 } else { delay * (1 + apart) / 2 };
             DirectedLink { delay, jitter: delay / 10, loss: 0.0, cut: false }
         };
-        Self { sites, legs: (0..sites * sites).map(leg).collect() }
+        Self { sites, links: (0..sites * sites).map(leg).collect() }
     }
 
-    pub fn leg(&self, from: Site, to: Site) -> &DirectedLink {
-        &self.legs[usize::from(from) * self.sites + usize::from(to)]
+    pub fn link(&self, from: Site, to: Site) -> &DirectedLink {
+        &self.links[usize::from(from) * self.sites + usize::from(to)]
     }
 
-    pub fn leg_mut(&mut self, from: Site, to: Site) -> &mut DirectedLink {
-        &mut self.legs[usize::from(from) * self.sites + usize::from(to)]
+    pub fn link_mut(&mut self, from: Site, to: Site) -> &mut DirectedLink {
+        &mut self.links[usize::from(from) * self.sites + usize::from(to)]
     }
 
     /// Time that a message takes now; none where the way is cut.
-    pub fn late(&self, rng: &mut StdRng, from: Site, to: Site) -> Option<Micros> {
-        let leg = self.leg(from, to);
+    pub fn sample_delay(&self, rng: &mut StdRng, from: Site, to: Site) -> Option<Micros> {
+        let leg = self.link(from, to);
         let mut late = leg.delay + rng.random_range(0..=leg.jitter);
-        let mut again = AGAIN;
+        let mut again = RETRANSMIT_DELAY;
         while leg.loss > 0.0 && rng.random_bool(leg.loss.min(0.9)) {
             late += again;
             again *= 2;
@@ -62,7 +62,7 @@
 
     /// Time there and back as it truly is, for who sees all.
     pub fn round_trip(&self, a: Site, b: Site) -> Option<Micros> {
-        let (there, back) = (self.leg(a, b), self.leg(b, a));
+        let (there, back) = (self.link(a, b), self.link(b, a));
         (!there.cut && !back.cut).then(|| there.delay + back.delay)
     }
 }
--- a/crates/site-routing/src/simulation/mod.rs
+++ b/crates/site-routing/src/simulation/mod.rs
@@ -68,11 +68,11 @@
     function: u32,
     site: Site,
     gateway: MemberId,
-    came: Micros,
-    until: Micros,
+    arrived_at: Micros,
+    deadline: Micros,
     /// Try that is under way: an answer or a time-out of another is void.
     attempt: u32,
-    handed: Option<(MemberId, Micros)>,
+    handed_to: Option<(MemberId, Micros)>,
     hops: u32,
     ended: bool,
 }
@@ -80,22 +80,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival { site: Site, function: u32, turn: u32 },
-    Reach { call: usize, attempt: u32, at: MemberId },
-    Back { call: usize, attempt: u32, end: u8, by: Site },
-    Overdue { call: usize, attempt: u32 },
-    Loaded { site: Site, life: u32 },
-    Done { site: Site, life: u32, job: Job, worker: usize, copy: u64, warm: bool },
-    Expired { site: Site, life: u32, job: Job },
+    HandoverArrives { call: usize, attempt: u32, at: MemberId },
+    AnswerArrives { call: usize, attempt: u32, end: u8, by: Site },
+    HandoverTimeout { call: usize, attempt: u32 },
+    CopyLoaded { site: Site, life: u32 },
+    CallDone { site: Site, life: u32, job: Job, worker: usize, copy: u64, warm: bool },
+    CallExpired { site: Site, life: u32, job: Job },
     Frame { from: MemberId, to: MemberId, bytes: Vec<u8> },
-    Tick(MemberId),
+    ControlTick(MemberId),
     Ping { from: MemberId },
     Pong { from: MemberId, of: MemberId, sent: Micros },
-    Look,
-    Live,
+    TakeSnapshot,
+    UpdateLive,
 }
 
 struct Gateway {
-    route: RoutingController,
+    controller: RoutingController,
     router: Router,
     table: Option<RoutingTable>,
     counts: BTreeMap<u32, FunctionCounts>,
@@ -116,8 +116,8 @@
         let told = of.functions.iter().map(|f| f.spec).collect();
         let settings = RoutingSettings::new(places.clone(), told, of.worker_mb, seed);
         Ok(Self {
-            route: RoutingController::new(
-                RoutingSettings { keep_alive: KEEP, interval: TICK, ..settings },
+            controller: RoutingController::new(
+                RoutingSettings { keep_alive: KEEP_ALIVE, interval: CONTROL_INTERVAL, ..settings },
                 now,
             )?,
             router: Router::new(places, seed),
@@ -132,9 +132,9 @@
     workers: Workers,
     up: bool,
     /// How often it was up; what belongs to another life is void.
-    life: u32,
-    refuses: bool,
-    boasts: bool,
+    incarnation: u32,
+    refuses_handovers: bool,
+    overstates_capacity: bool,
 }
 
 /// The world.
@@ -146,26 +146,26 @@
     pub completed: Vec<CompletedCall>,
     /// Bytes told between gateways.
     pub gossip_bytes: u64,
-    places: SiteMap,
+    site_map: SiteMap,
     rng: StdRng,
     links: Links,
     sites: Vec<SiteState>,
     gateways: Vec<Gateway>,
     calls: Vec<Call>,
     rates: BTreeMap<(Site, u32), (f64, u32)>,
-    queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
-    order: u64,
+    events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    event_count: u64,
     /// Messages that wait for a cut to heal.
-    held: Vec<(Site, Site, Event)>,
-    snapshot: Vec<Snapshot>,
+    blocked: Vec<(Site, Site, Event)>,
+    snapshots: Vec<Snapshot>,
 }
 
 /// How often control threads tell, ping, and are told who lives.
-const TICK: Micros = 250_000;
-const PING: Micros = 1_000_000;
+const CONTROL_INTERVAL: Micros = 250_000;
+const PING_INTERVAL: Micros = 1_000_000;
 /// The world begins then: no clock is at nothing.
-const BEGIN: Micros = 10_000_000;
-const KEEP: Micros = 10_000_000;
+const START: Micros = 10_000_000;
+const KEEP_ALIVE: Micros = 10_000_000;
 
 impl Simulation {
     /// A world in which nobody calls yet.
@@ -175,7 +175,7 @@
             .collect();
         let places = SiteMap::new(of, 0).ok_or(RoutingError::UnknownGateway(0))?;
         let all = 0..places.len() as MemberId;
-        let gateways = all.map(|own| Gateway::new(&settings, &places, own, BEGIN));
+        let gateways = all.map(|own| Gateway::new(&settings, &places, own, START));
         let gateways = gateways.collect::<Result<_, _>>()?;
         let site = |_| SiteState {
             workers: Workers::new(
@@ -183,43 +183,43 @@
                 settings.workers,
                 settings.cores,
                 settings.worker_mb,
-                KEEP,
+                KEEP_ALIVE,
             ),
             up: true,
-            life: 0,
-            refuses: false,
-            boasts: false,
+            incarnation: 0,
+            refuses_handovers: false,
+            overstates_capacity: false,
         };
         let mut world = Self {
-            now: BEGIN,
+            now: START,
             completed: Vec::new(),
             gossip_bytes: 0,
-            places,
+            site_map: places,
             rng: StdRng::seed_from_u64(settings.seed),
             links: Links::new(settings.sites, settings.link_delay),
             sites: (0..settings.sites).map(site).collect(),
             gateways,
             calls: Vec::new(),
             rates: BTreeMap::new(),
-            queue: BinaryHeap::new(),
-            order: 0,
-            held: Vec::new(),
-            snapshot: Vec::new(),
+            events: BinaryHeap::new(),
+            event_count: 0,
+            blocked: Vec::new(),
+            snapshots: Vec::new(),
             settings,
         };
         for own in 0..world.gateways.len() as MemberId {
-            let first = world.rng.random_range(0..TICK);
-            world.after(first, Event::Tick(own));
-            world.after(first / 2, Event::Ping { from: own });
+            let first = world.rng.random_range(0..CONTROL_INTERVAL);
+            world.schedule(first, Event::ControlTick(own));
+            world.schedule(first / 2, Event::Ping { from: own });
         }
-        world.after(0, Event::Live);
-        world.after(0, Event::Look);
+        world.schedule(0, Event::UpdateLive);
+        world.schedule(0, Event::TakeSnapshot);
         Ok(world)
     }
 
     /// Since the world began.
     pub fn elapsed(&self) -> Micros {
-        self.now - BEGIN
+        self.now - START
     }
 
     /// Clients of a site call a function so often in a second from now on.
@@ -231,50 +231,50 @@
 
     /// One way between two sites, to be changed; what waited for it goes on.
     pub fn update_link(&mut self, from: Site, to: Site, change: impl FnOnce(&mut DirectedLink)) {
-        change(self.links.leg_mut(from, to));
-        if !self.links.leg(from, to).cut {
+        change(self.links.link_mut(from, to));
+        if !self.links.link(from, to).cut {
             let (free, held) =
-                std::mem::take(&mut self.held).into_iter().partition(|h| (h.0, h.1) == (from, to));
-            self.held = held;
+                std::mem::take(&mut self.blocked).into_iter().partition(|h| (h.0, h.1) == (from, to));
+            self.blocked = held;
             let free: Vec<_> = free;
-            free.into_iter().for_each(|(from, to, due)| self.cross(from, to, due));
+            free.into_iter().for_each(|(from, to, due)| self.send(from, to, due));
         }
     }
 
     /// A site vanishes with all that it has in hand, or comes back with nothing.
     pub fn set_site_up(&mut self, site: Site, up: bool) {
         let state = &mut self.sites[usize::from(site)];
-        (state.up, state.life) = (up, state.life + 1);
+        (state.up, state.incarnation) = (up, state.incarnation + 1);
         state.workers.clear();
         for of in 0..self.gateways.len() as MemberId {
             if self.site_of(of) == site {
                 self.gateways[usize::from(of)].counts.clear();
-                if up && let Ok(fresh) = Gateway::new(&self.settings, &self.places, of, self.now) {
+                if up && let Ok(fresh) = Gateway::new(&self.settings, &self.site_map, of, self.now) {
                     self.gateways[usize::from(of)] = fresh;
                 }
             }
         }
         for call in 0..self.calls.len() {
             if self.calls[call].site == site && !self.calls[call].ended {
-                self.end(call, site, None);
+                self.end_call(call, site, None);
             }
         }
-        self.after(PING, Event::Live);
+        self.schedule(PING_INTERVAL, Event::UpdateLive);
     }
 
     /// All copies of a site that do nothing are gone.
     pub fn evict_idle_copies(&mut self, site: Site) {
-        self.sites[usize::from(site)].workers.cool();
+        self.sites[usize::from(site)].workers.evict_idle_copies();
     }
 
     /// A site refuses what others hand over, whatever it says, or takes it again.
     pub fn set_refuses_handovers(&mut self, site: Site, refuses: bool) {
-        self.sites[usize::from(site)].refuses = refuses;
+        self.sites[usize::from(site)].refuses_handovers = refuses;
     }
 
     /// A site says that it has a hundred times its workers and nothing in hand, or speaks the truth again.
     pub fn set_overstates_capacity(&mut self, site: Site, boasts: bool) {
-        self.sites[usize::from(site)].boasts = boasts;
+        self.sites[usize::from(site)].overstates_capacity = boasts;
     }
 
     /// A gateway's control thread stands still, or goes on.
@@ -286,7 +286,7 @@
     #[doc(hidden)]
     pub fn inject_fault(&mut self, fault: Fault) {
         self.gateways.iter_mut().for_each(|g| {
-            g.route.inject_fault(fault);
+            g.controller.inject_fault(fault);
             g.router.inject_fault(fault);
         });
     }
@@ -298,7 +298,7 @@
 
     /// Loads begun at all sites.
     pub fn loads_started(&self) -> u64 {
-        self.sites.iter().map(|s| s.workers.loads).sum()
+        self.sites.iter().map(|s| s.workers.loads_started).sum()
     }
 
     /// Calls that have not ended.
@@ -308,38 +308,39 @@
 
     /// Calls in hand that were handed to a site.
     pub fn in_flight_at(&self, site: Site) -> usize {
-        let to =
-            |c: &&Call| !c.ended && c.handed.is_some_and(|(to, _)| self.places.site_of(to) == Some(site));
+        let to = |c: &&Call| {
+            !c.ended && c.handed_to.is_some_and(|(to, _)| self.site_map.site_of(to) == Some(site))
+        };
         self.calls.iter().filter(to).count()
     }
 
     /// Runs until then, counted from the world's beginning.
     pub fn run_until(&mut self, until: Micros) {
-        let until = BEGIN + until;
-        while let Some(Reverse((at, ..))) = self.queue.peek()
+        let until = START + until;
+        while let Some(Reverse((at, ..))) = self.events.peek()
             && *at <= until
         {
-            let Some(Reverse((at, _, due))) = self.queue.pop() else { break };
+            let Some(Reverse((at, _, due))) = self.events.pop() else { break };
             self.now = at;
-            self.due(due);
+            self.handle_event(due);
         }
         self.now = until;
     }
 
-    fn after(&mut self, late: Micros, due: Event) {
-        self.order += 1;
-        self.queue.push(Reverse((self.now + late, self.order, due)));
+    fn schedule(&mut self, late: Micros, due: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((self.now + late, self.event_count, due)));
     }
 
-    fn cross(&mut self, from: Site, to: Site, due: Event) {
-        match self.links.late(&mut self.rng, from, to) {
-            Some(late) => self.after(late, due),
-            None => self.held.push((from, to, due)),
+    fn send(&mut self, from: Site, to: Site, due: Event) {
+        match self.links.sample_delay(&mut self.rng, from, to) {
+            Some(late) => self.schedule(late, due),
+            None => self.blocked.push((from, to, due)),
         }
     }
 
     fn site_of(&self, of: MemberId) -> Site {
-        self.places.site_of(of).unwrap_or_default()
+        self.site_map.site_of(of).unwrap_or_default()
     }
 
     fn is_up(&self, of: MemberId) -> bool {
@@ -350,53 +351,58 @@
         let (rate, turn) = self.rates.get(&(site, function)).copied().unwrap_or_default();
         if rate > 0.0 {
             let gap = -(1.0 - self.rng.random::<f64>()).ln() / rate * 1e6;
-            self.after(gap as Micros, Event::Arrival { site, function, turn });
+            self.schedule(gap as Micros, Event::Arrival { site, function, turn });
         }
     }
 
-    fn due(&mut self, due: Event) {
+    fn handle_event(&mut self, due: Event) {
         match due {
             Event::Arrival { site, function, turn } => {
                 if self.rates.get(&(site, function)).is_some_and(|(_, now)| *now == turn) {
-                    self.arrival(site, function);
+                    self.start_client_call(site, function);
                     self.next_arrival(site, function);
                 }
             }
-            Event::Reach { call, attempt, at } => self.reach(call, attempt, at),
-            Event::Back { call, attempt, end, by } => {
+            Event::HandoverArrives { call, attempt, at } => self.receive_handover(call, attempt, at),
+            Event::AnswerArrives { call, attempt, end, by } => {
                 let end = [HandoverOutcome::Served, HandoverOutcome::Refused, HandoverOutcome::Lost]
                     [usize::from(end)];
-                self.back(call, attempt, end, by);
+                self.handover_ended(call, attempt, end, by);
+            }
+            Event::HandoverTimeout { call, attempt } => {
+                self.handover_ended(call, attempt, HandoverOutcome::Lost, 0)
             }
-            Event::Overdue { call, attempt } => self.back(call, attempt, HandoverOutcome::Lost, 0),
-            Event::Loaded { site, life } => {
-                if self.sites[usize::from(site)].life == life {
-                    self.pump(site);
+            Event::CopyLoaded { site, life } => {
+                if self.sites[usize::from(site)].incarnation == life {
+                    self.start_waiting(site);
                 }
             }
-            Event::Done { site, life, job, worker, copy, warm } => {
-                if self.sites[usize::from(site)].life == life {
-                    self.sites[usize::from(site)].workers.done(self.now, worker, copy);
-                    self.done(site, job, warm);
-                    self.pump(site);
+            Event::CallDone { site, life, job, worker, copy, warm } => {
+                if self.sites[usize::from(site)].incarnation == life {
+                    self.sites[usize::from(site)].workers.release_lane(self.now, worker, copy);
+                    self.finish_call(site, job, warm);
+                    self.start_waiting(site);
                 }
             }
-            Event::Expired { site, life, job } => {
-                if self.sites[usize::from(site)].life == life {
-                    self.count(job.at, job.function, |c| c.in_flight = c.in_flight.saturating_sub(1));
+            Event::CallExpired { site, life, job } => {
+                if self.sites[usize::from(site)].incarnation == life {
+                    self.update_counts(job.gateway, job.function, |c| {
+                        c.in_flight = c.in_flight.saturating_sub(1)
+                    });
                     if self.calls[job.call].attempt == job.attempt {
-                        self.end(job.call, site, None);
+                        self.end_call(job.call, site, None);
                     }
                 }
             }
             Event::Frame { from, to, bytes } => {
                 if self.is_up(to) {
                     // What can't be read is an error of this world, seen by tests as a wrong choice.
-                    let read = self.gateways[usize::from(to)].route.receive_frame(self.now, from, &bytes);
+                    let read =
+                        self.gateways[usize::from(to)].controller.receive_frame(self.now, from, &bytes);
                     debug_assert!(read.is_ok(), "{read:?}");
                 }
             }
-            Event::Tick(own) => self.tick(own),
+            Event::ControlTick(own) => self.control_tick(own),
             Event::Ping { from } => {
                 let here = self.site_of(from);
                 let others: Vec<_> =
@@ -406,32 +412,32 @@
                 for of in others {
                     let there = self.site_of(of);
                     // A ping that is cut off is no measurement once healed.
-                    let way = self.links.late(&mut self.rng, here, there);
-                    let back = self.links.late(&mut self.rng, there, here);
+                    let way = self.links.sample_delay(&mut self.rng, here, there);
+                    let back = self.links.sample_delay(&mut self.rng, there, here);
                     if let (Some(way), Some(back)) = (way, back) {
                         let sent = self.now;
-                        self.after(way + back, Event::Pong { from, of, sent });
+                        self.schedule(way + back, Event::Pong { from, of, sent });
                     }
                 }
-                self.after(PING, Event::Ping { from });
+                self.schedule(PING_INTERVAL, Event::Ping { from });
             }
             Event::Pong { from, of, sent } => {
                 let rtt = self.now - sent;
-                self.gateways[usize::from(from)].route.record_rtt(self.now, of, rtt);
+                self.gateways[usize::from(from)].controller.record_rtt(self.now, of, rtt);
             }
-            Event::Look => {
-                self.look();
-                self.after(TICK, Event::Look);
+            Event::TakeSnapshot => {
+                self.take_snapshots();
+                self.schedule(CONTROL_INTERVAL, Event::TakeSnapshot);
             }
-            Event::Live => {
+            Event::UpdateLive => {
                 let live: Vec<_> = (0..self.gateways.len() as MemberId).map(|of| self.is_up(of)).collect();
-                self.gateways.iter_mut().for_each(|g| g.route.set_live(&live));
+                self.gateways.iter_mut().for_each(|g| g.controller.set_live(&live));
             }
         }
     }
 
-    fn tick(&mut self, own: MemberId) {
-        self.after(TICK, Event::Tick(own));
+    fn control_tick(&mut self, own: MemberId) {
+        self.schedule(CONTROL_INTERVAL, Event::ControlTick(own));
         let (now, here) = (self.now, self.site_of(own));
         let state = &self.sites[usize::from(here)];
         let gateway = &mut self.gateways[usize::from(own)];
@@ -439,7 +445,7 @@
             return;
         }
         let mut by: Vec<_> = gateway.counts.values().copied().collect();
-        if state.boasts {
+        if state.overstates_capacity {
             by.iter_mut().for_each(|c| c.in_flight = 0);
         }
         gateway.counts.values_mut().for_each(|c| {
@@ -447,23 +453,23 @@
         });
         gateway.counts.retain(|_, c| c.in_flight > 0);
         let in_hand = by.iter().map(|c| c.in_flight).sum();
-        let workers = state.workers.workers() * if state.boasts { 100 } else { 1 };
-        let counts = LoopCounts { span: TICK, functions: by, in_flight: in_hand, workers };
-        gateway.route.record_counts(now, 0, &counts);
+        let workers = state.workers.workers() * if state.overstates_capacity { 100 } else { 1 };
+        let counts = LoopCounts { span: CONTROL_INTERVAL, functions: by, in_flight: in_hand, workers };
+        gateway.controller.record_counts(now, 0, &counts);
         if self.settings.policy != Policy::SiteRouting {
             return;
         }
-        let frames = gateway.route.build_frames(now);
-        gateway.table = Some(gateway.route.build_table(now));
+        let frames = gateway.controller.build_frames(now);
+        gateway.table = Some(gateway.controller.build_table(now));
         for (to, bytes) in frames {
             self.gossip_bytes += bytes.len() as u64;
             let there = self.site_of(to);
-            self.cross(here, there, Event::Frame { from: own, to, bytes });
+            self.send(here, there, Event::Frame { from: own, to, bytes });
         }
     }
 
     /// Clients of a lost site call the next one.
-    fn arrival(&mut self, site: Site, function: u32) {
+    fn start_client_call(&mut self, site: Site, function: u32) {
         let all = self.settings.sites;
         let Some(site) = (0..all).map(|n| (site + n) % all).find(|s| self.sites[usize::from(*s)].up) else {
             return;
@@ -477,119 +483,129 @@
             function,
             site,
             gateway,
-            came,
-            until,
+            arrived_at: came,
+            deadline: until,
             attempt: 0,
-            handed: None,
+            handed_to: None,
             hops: 0,
             ended: false,
         });
-        self.count(gateway, function, |c| c.calls += 1);
-        self.place(call, gateway, deadline, false);
+        self.update_counts(gateway, function, |c| c.calls += 1);
+        self.route_call(call, gateway, deadline, false);
     }
 
-    fn place(&mut self, call: usize, at: MemberId, patience: Micros, handed: bool) {
+    fn route_call(&mut self, call: usize, at: MemberId, patience: Micros, handed: bool) {
         let function = self.calls[call].function;
-        match self.choose(at, function, patience, handed) {
-            Destination::Local => self.begin(call, at),
+        match self.choose_destination(at, function, patience, handed) {
+            Destination::Local => self.start_call(call, at),
             Destination::Remote { site, peer } => {
                 let c = &mut self.calls[call];
                 c.hops += 1;
-                (c.handed, c.attempt) = (Some((peer, self.now)), c.attempt + 1);
+                (c.handed_to, c.attempt) = (Some((peer, self.now)), c.attempt + 1);
                 let attempt = c.attempt;
                 if !handed {
-                    self.after(patience / 2, Event::Overdue { call, attempt });
+                    self.schedule(patience / 2, Event::HandoverTimeout { call, attempt });
                 }
                 let here = self.site_of(at);
-                self.cross(here, site, Event::Reach { call, attempt, at: peer });
+                self.send(here, site, Event::HandoverArrives { call, attempt, at: peer });
             }
         }
     }
 
-    fn reach(&mut self, call: usize, attempt: u32, at: MemberId) {
+    fn receive_handover(&mut self, call: usize, attempt: u32, at: MemberId) {
         let (c, there) = (self.calls[call], self.site_of(at));
         if !self.is_up(at) || c.attempt != attempt {
             return;
         }
         let state = &self.sites[usize::from(there)];
-        if state.refuses || state.workers.full(self.now, c.until) {
-            let back = Event::Back { call, attempt, end: 1, by: there };
-            return self.cross(there, c.site, back);
+        if state.refuses_handovers || state.workers.is_full(self.now, c.deadline) {
+            let back = Event::AnswerArrives { call, attempt, end: 1, by: there };
+            return self.send(there, c.site, back);
         }
-        let patience = c.until.saturating_sub(self.now);
-        self.place(call, at, patience, true);
+        let patience = c.deadline.saturating_sub(self.now);
+        self.route_call(call, at, patience, true);
     }
 
     /// A call is to be done at the site of this gateway.
-    fn begin(&mut self, call: usize, at: MemberId) {
+    fn start_call(&mut self, call: usize, at: MemberId) {
         let site = self.site_of(at);
         let function = self.calls[call].function;
         let mean = self.settings.functions[function as usize].service_time as f64;
         let service = (mean * self.rng.random_range(0.4..1.6)) as Micros;
-        let Call { until, attempt, .. } = self.calls[call];
-        let job = Job { call, attempt, at, function, came: self.now, until, service };
-        if self.sites[usize::from(site)].workers.full(self.now, job.until) {
-            return self.end(call, site, None);
+        let Call { deadline: until, attempt, .. } = self.calls[call];
+        let job = Job {
+            call,
+            attempt,
+            gateway: at,
+            function,
+            arrived_at: self.now,
+            deadline: until,
+            service_time: service,
+        };
+        if self.sites[usize::from(site)].workers.is_full(self.now, job.deadline) {
+            return self.end_call(call, site, None);
         }
-        self.count(at, function, |c| c.in_flight += 1);
+        self.update_counts(at, function, |c| c.in_flight += 1);
         let mut later = Vec::new();
-        self.sites[usize::from(site)].workers.offer(self.now, job, &mut later);
-        self.later(site, later);
+        self.sites[usize::from(site)].workers.submit(self.now, job, &mut later);
+        self.schedule_worker_events(site, later);
     }
 
-    fn pump(&mut self, site: Site) {
+    fn start_waiting(&mut self, site: Site) {
         let mut later = Vec::new();
-        self.sites[usize::from(site)].workers.pump(self.now, &mut later);
-        self.later(site, later);
+        self.sites[usize::from(site)].workers.start_waiting(self.now, &mut later);
+        self.schedule_worker_events(site, later);
     }
 
-    fn later(&mut self, site: Site, later: Vec<(Micros, WorkerEvent)>) {
-        let life = self.sites[usize::from(site)].life;
+    fn schedule_worker_events(&mut self, site: Site, later: Vec<(Micros, WorkerEvent)>) {
+        let life = self.sites[usize::from(site)].incarnation;
         for (at, later) in later {
             let due = match later {
-                WorkerEvent::Loaded => Event::Loaded { site, life },
-                WorkerEvent::Expired { job } => Event::Expired { site, life, job },
-                WorkerEvent::Done { job, worker, copy, warm } => {
-                    Event::Done { site, life, job, worker, copy, warm }
+                WorkerEvent::CopyLoaded => Event::CopyLoaded { site, life },
+                WorkerEvent::CallExpired { job } => Event::CallExpired { site, life, job },
+                WorkerEvent::CallDone { job, worker, copy, warm } => {
+                    Event::CallDone { site, life, job, worker, copy, warm }
                 }
             };
-            self.after(at - self.now, due);
+            self.schedule(at - self.now, due);
         }
     }
 
-    fn done(&mut self, site: Site, job: Job, warm: bool) {
+    fn finish_call(&mut self, site: Site, job: Job, warm: bool) {
         let (c, now) = (self.calls[job.call], self.now);
-        self.count(job.at, job.function, |n| {
+        self.update_counts(job.gateway, job.function, |n| {
             (n.served, n.total_time, n.warm_starts) =
-                (n.served + 1, n.total_time + now - job.came, n.warm_starts + u32::from(warm));
+                (n.served + 1, n.total_time + now - job.arrived_at, n.warm_starts + u32::from(warm));
             n.in_flight = n.in_flight.saturating_sub(1);
         });
-        match c.handed.is_some() {
+        match c.handed_to.is_some() {
             _ if c.attempt != job.attempt => {}
-            true => {
-                self.cross(site, c.site, Event::Back { call: job.call, attempt: c.attempt, end: 0, by: site })
-            }
-            false => self.end(job.call, site, Some(now - c.came)),
+            true => self.send(
+                site,
+                c.site,
+                Event::AnswerArrives { call: job.call, attempt: c.attempt, end: 0, by: site },
+            ),
+            false => self.end_call(job.call, site, Some(now - c.arrived_at)),
         }
     }
 
     /// The answer of a call that was handed over, or none in time: it is done at home then.
-    fn back(&mut self, call: usize, attempt: u32, end: HandoverOutcome, by: Site) {
+    fn handover_ended(&mut self, call: usize, attempt: u32, end: HandoverOutcome, by: Site) {
         let c = self.calls[call];
-        let Some((to, sent)) = c.handed.filter(|_| c.attempt == attempt && !c.ended) else { return };
+        let Some((to, sent)) = c.handed_to.filter(|_| c.attempt == attempt && !c.ended) else { return };
         let handed = Handover { function: c.function, to, duration: self.now - sent, outcome: end };
         let gateway = &mut self.gateways[usize::from(c.gateway)];
         gateway.router.handover_ended(self.now, &handed);
-        gateway.route.record_handover(self.now, &handed);
-        self.calls[call].handed = None;
+        gateway.controller.record_handover(self.now, &handed);
+        self.calls[call].handed_to = None;
         self.calls[call].attempt += 1;
         match end {
-            HandoverOutcome::Served => self.end(call, by, Some(self.now - c.came)),
-            _ => self.begin(call, c.gateway),
+            HandoverOutcome::Served => self.end_call(call, by, Some(self.now - c.arrived_at)),
+            _ => self.start_call(call, c.gateway),
         }
     }
 
-    fn end(&mut self, call: usize, by: Site, took: Option<Micros>) {
+    fn end_call(&mut self, call: usize, by: Site, took: Option<Micros>) {
         let c = &mut self.calls[call];
         if std::mem::replace(&mut c.ended, true) {
             return;
@@ -600,7 +616,7 @@
             let left = told.deadline.saturating_sub(took) as f64;
             (left / (told.deadline - told.aim).max(1) as f64).min(1.0)
         });
-        let (came, function, site, hops) = (c.came - BEGIN, c.function, c.site, c.hops);
+        let (came, function, site, hops) = (c.arrived_at - START, c.function, c.site, c.hops);
         self.completed.push(CompletedCall {
             arrived_at: came,
             function,
@@ -612,7 +628,7 @@
         });
     }
 
-    fn count(&mut self, at: MemberId, function: u32, change: impl FnOnce(&mut FunctionCounts)) {
+    fn update_counts(&mut self, at: MemberId, function: u32, change: impl FnOnce(&mut FunctionCounts)) {
         let counts = &mut self.gateways[usize::from(at)].counts;
         change(counts.entry(function).or_insert(FunctionCounts { function, ..FunctionCounts::default() }));
     }
--- a/crates/site-routing/src/simulation/policy.rs
+++ b/crates/site-routing/src/simulation/policy.rs
@@ -29,14 +29,14 @@
 pub(super) struct Snapshot {
     up: bool,
     full: bool,
-    in_hand: usize,
+    in_flight: usize,
     /// Functions of which a call would be begun at once.
     warm: Vec<bool>,
     estimates: Vec<Micros>,
 }
 
 impl Simulation {
-    pub(super) fn look(&mut self) {
+    pub(super) fn take_snapshots(&mut self) {
         if matches!(self.settings.policy, Policy::SiteRouting | Policy::HomeOnly | Policy::Oracle) {
             return;
         }
@@ -45,14 +45,14 @@
         let of = |s: &super::SiteState| Snapshot {
             up: s.up,
             full: s.workers.running() >= cores || s.workers.waiting() > 0,
-            in_hand: s.workers.waiting() + s.workers.running() as usize,
-            warm: functions.clone().map(|f| s.workers.free(self.now, f)).collect(),
-            estimates: functions.clone().map(|f| s.workers.estimate(self.now, f)).collect(),
+            in_flight: s.workers.waiting() + s.workers.running() as usize,
+            warm: functions.clone().map(|f| s.workers.can_start_now(self.now, f)).collect(),
+            estimates: functions.clone().map(|f| s.workers.estimate_latency(self.now, f)).collect(),
         };
-        self.snapshot = self.sites.iter().map(of).collect();
+        self.snapshots = self.sites.iter().map(of).collect();
     }
 
-    pub(super) fn choose(
+    pub(super) fn choose_destination(
         &mut self,
         at: MemberId,
         function: u32,
@@ -64,7 +64,7 @@
             let gateway = &mut self.gateways[usize::from(at)];
             return gateway.router.choose(self.now, gateway.table.as_ref(), function, patience, handed);
         }
-        let site = if handed { here } else { self.by_policy(here, function) };
+        let site = if handed { here } else { self.choose_by_policy(here, function) };
         if site == here {
             return Destination::Local;
         }
@@ -72,11 +72,11 @@
         Destination::Remote { site, peer: u16::from(site) * gateways + self.rng.random_range(0..gateways) }
     }
 
-    fn by_policy(&mut self, here: Site, function: u32) -> Site {
+    fn choose_by_policy(&mut self, here: Site, function: u32) -> Site {
         let sites = 0..self.settings.sites;
-        let told = |site: Site| &self.snapshot[usize::from(site)];
+        let told = |site: Site| &self.snapshots[usize::from(site)];
         let f = function as usize;
-        let way = |site: Site| if site == here { 0 } else { self.links.leg(here, site).delay * 2 };
+        let way = |site: Site| if site == here { 0 } else { self.links.link(here, site).delay * 2 };
         match self.settings.policy {
             Policy::SiteRouting | Policy::HomeOnly => here,
             Policy::NearestFirst => {
@@ -89,11 +89,11 @@
             }
             Policy::LeastQueue => {
                 let up = sites.filter(|s| told(*s).up);
-                up.min_by_key(|s| (told(*s).in_hand, way(*s))).unwrap_or(here)
+                up.min_by_key(|s| (told(*s).in_flight, way(*s))).unwrap_or(here)
             }
             Policy::TwoRandom => {
                 let drawn = self.rng.random_range(sites);
-                let told = |site: Site| &self.snapshot[usize::from(site)];
+                let told = |site: Site| &self.snapshots[usize::from(site)];
                 let cost = |s: &Site| {
                     told(*s).estimates[f] + if *s == here { 0 } else { 2 * self.settings.link_delay }
                 };
@@ -104,7 +104,7 @@
                 let cost = |s: Site| {
                     let way = if s == here { Some(0) } else { self.links.round_trip(here, s) };
                     let state = &self.sites[usize::from(s)];
-                    Some(way.filter(|_| state.up)? + state.workers.estimate(self.now, function))
+                    Some(way.filter(|_| state.up)? + state.workers.estimate_latency(self.now, function))
                 };
                 sites.filter_map(|s| Some((cost(s)?, s != here, s))).min().map_or(here, |(.., s)| s)
             }
--- a/crates/site-routing/src/simulation/workers.rs
+++ b/crates/site-routing/src/simulation/workers.rs
@@ -21,21 +21,21 @@
     pub call: usize,
     pub attempt: u32,
     /// Gateway that has it in hand.
-    pub at: MemberId,
+    pub gateway: MemberId,
     pub function: u32,
-    pub came: Micros,
+    pub arrived_at: Micros,
     /// Nobody waits for it after this.
-    pub until: Micros,
+    pub deadline: Micros,
     /// What it will take in service.
-    pub service: Micros,
+    pub service_time: Micros,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Copy {
-    number: u64,
+    id: u64,
     function: u32,
-    ready: Micros,
-    taken: u32,
+    ready_at: Micros,
+    busy_lanes: u32,
     idle_since: Micros,
 }
 
@@ -46,17 +46,17 @@
 }
 
 /// A copy idle for less is not let go for another one.
-const REST: Micros = 1_000_000;
+const MIN_IDLE: Micros = 1_000_000;
 
 /// What is to be done later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorkerEvent {
     /// A copy is loaded.
-    Loaded,
+    CopyLoaded,
     /// A call is done; it found a copy that stood.
-    Done { job: Job, worker: usize, copy: u64, warm: bool },
+    CallDone { job: Job, worker: usize, copy: u64, warm: bool },
     /// A call has waited past its time.
-    Expired { job: Job },
+    CallExpired { job: Job },
 }
 
 /// A site's workers.
@@ -66,12 +66,12 @@
     workers: Vec<Worker>,
     cores: u32,
     memory_mb: u32,
-    keep: Micros,
+    keep_alive: Micros,
     waiting: BTreeMap<u32, VecDeque<Job>>,
     waiting_work: Micros,
-    copies: u64,
+    next_copy_id: u64,
     /// Loads begun.
-    pub loads: u64,
+    pub loads_started: u64,
 }
 
 impl Workers {
@@ -84,7 +84,17 @@
     ) -> Self {
         let workers = vec![Worker::default(); workers as usize];
         let waiting = BTreeMap::new();
-        Self { functions, workers, cores, memory_mb, keep, waiting, waiting_work: 0, copies: 0, loads: 0 }
+        Self {
+            functions,
+            workers,
+            cores,
+            memory_mb,
+            keep_alive: keep,
+            waiting,
+            waiting_work: 0,
+            next_copy_id: 0,
+            loads_started: 0,
+        }
     }
 
     /// All copies are gone, and all that ran or waited.
@@ -95,8 +105,8 @@
     }
 
     /// All copies that do nothing are gone.
-    pub fn cool(&mut self) {
-        self.workers.iter_mut().for_each(|w| w.copies.retain(|c| c.taken > 0));
+    pub fn evict_idle_copies(&mut self) {
+        self.workers.iter_mut().for_each(|w| w.copies.retain(|c| c.busy_lanes > 0));
     }
 
     pub fn workers(&self) -> u32 {
@@ -111,70 +121,72 @@
         self.workers.iter().map(|w| w.running).sum()
     }
 
-    fn all_cores(&self) -> u64 {
+    fn total_cores(&self) -> u64 {
         (self.workers.len() as u64 * u64::from(self.cores)).max(1)
     }
 
     /// Whether a call of a function would be begun at once.
-    pub fn free(&self, now: Micros, function: u32) -> bool {
-        self.waiting.is_empty() && self.lane(now, function).is_some()
+    pub fn can_start_now(&self, now: Micros, function: u32) -> bool {
+        self.waiting.is_empty() && self.find_lane(now, function).is_some()
     }
 
     /// Time that a call would take here, by all that is true now.
-    pub fn estimate(&self, now: Micros, function: u32) -> Micros {
+    pub fn estimate_latency(&self, now: Micros, function: u32) -> Micros {
         let model = &self.functions[function as usize];
         let free = self.workers.iter().any(|w| w.running < self.cores);
-        let queue = if free { 0 } else { (self.waiting_work + model.service_time) / self.all_cores() };
+        let queue = if free { 0 } else { (self.waiting_work + model.service_time) / self.total_cores() };
         let copies = self.workers.iter().flat_map(|w| &w.copies).filter(|c| c.function == function);
-        let ready =
-            copies.filter(|c| c.taken < model.spec.lanes || !free).map(|c| c.ready.saturating_sub(now)).min();
+        let ready = copies
+            .filter(|c| c.busy_lanes < model.spec.lanes || !free)
+            .map(|c| c.ready_at.saturating_sub(now))
+            .min();
         queue.max(ready.unwrap_or(model.load_time)) + model.service_time
     }
 
     /// Whether a call that comes now would wait past its time.
-    pub fn full(&self, now: Micros, until: Micros) -> bool {
-        now + self.waiting_work / self.all_cores() > until
+    pub fn is_full(&self, now: Micros, until: Micros) -> bool {
+        now + self.waiting_work / self.total_cores() > until
     }
 
-    pub fn offer(&mut self, now: Micros, job: Job, later: &mut Vec<(Micros, WorkerEvent)>) {
-        self.waiting_work += job.service;
+    pub fn submit(&mut self, now: Micros, job: Job, later: &mut Vec<(Micros, WorkerEvent)>) {
+        self.waiting_work += job.service_time;
         self.waiting.entry(job.function).or_default().push_back(job);
-        self.pump(now, later);
+        self.start_waiting(now, later);
     }
 
     /// A call is done: its lane is free.
-    pub fn done(&mut self, now: Micros, worker: usize, copy: u64) {
+    pub fn release_lane(&mut self, now: Micros, worker: usize, copy: u64) {
         let Some(worker) = self.workers.get_mut(worker) else { return };
         worker.running = worker.running.saturating_sub(1);
-        if let Some(copy) = worker.copies.iter_mut().find(|c| c.number == copy) {
-            copy.taken = copy.taken.saturating_sub(1);
+        if let Some(copy) = worker.copies.iter_mut().find(|c| c.id == copy) {
+            copy.busy_lanes = copy.busy_lanes.saturating_sub(1);
             copy.idle_since = now;
         }
     }
 
     /// Begins what can be begun, and loads what is wanted.
-    pub fn pump(&mut self, now: Micros, later: &mut Vec<(Micros, WorkerEvent)>) {
+    pub fn start_waiting(&mut self, now: Micros, later: &mut Vec<(Micros, WorkerEvent)>) {
         let mut heads: Vec<_> =
-            self.waiting.iter().filter_map(|(f, jobs)| Some((jobs.front()?.came, *f))).collect();
+            self.waiting.iter().filter_map(|(f, jobs)| Some((jobs.front()?.arrived_at, *f))).collect();
         heads.sort_unstable();
         for (_, function) in heads {
             while let Some(job) = self.waiting.get(&function).and_then(|jobs| jobs.front()).copied() {
-                if now < job.until {
-                    let Some((at, copy)) = self.lane(now, function) else {
-                        self.load(now, function, later);
+                if now < job.deadline {
+                    let Some((at, copy)) = self.find_lane(now, function) else {
+                        self.start_load(now, function, later);
                         break;
                     };
                     let worker = &mut self.workers[at];
                     worker.running += 1;
                     let copy = &mut worker.copies[copy];
-                    copy.taken += 1;
-                    let warm = copy.ready <= job.came;
-                    let done = WorkerEvent::Done { job, worker: at, copy: copy.number, warm };
-                    later.push((now + job.service, done));
+                    copy.busy_lanes += 1;
+                    let warm = copy.ready_at <= job.arrived_at;
+                    let done = WorkerEvent::CallDone { job, worker: at, copy: copy.id, warm };
+                    later.push((now + job.service_time, done));
                 } else {
-                    later.push((now, WorkerEvent::Expired { job }));
+                    later.push((now, WorkerEvent::CallExpired { job }));
                 }
-                self.waiting_work = self.waiting_work.saturating_sub(job.service);
+                self.waiting_work = self.waiting_work.saturating_sub(job.service_time);
                 if let Some(jobs) = self.waiting.get_mut(&function) {
                     jobs.pop_front();
                 }
@@ -184,13 +196,13 @@
     }
 
     /// A lane of a standing copy at the worker with the most cores free.
-    fn lane(&self, now: Micros, function: u32) -> Option<(usize, usize)> {
+    fn find_lane(&self, now: Micros, function: u32) -> Option<(usize, usize)> {
         let lanes = self.functions[function as usize].spec.lanes;
         let open = self.workers.iter().enumerate().filter(|(_, w)| w.running < self.cores);
         let lane = |w: &Worker| {
             let fits = |c: &Copy| {
-                let kept = c.taken > 0 || now <= c.idle_since.max(c.ready) + self.keep;
-                c.function == function && c.ready <= now && c.taken < lanes && kept
+                let kept = c.busy_lanes > 0 || now <= c.idle_since.max(c.ready_at) + self.keep_alive;
+                c.function == function && c.ready_at <= now && c.busy_lanes < lanes && kept
             };
             w.copies.iter().position(fits)
         };
@@ -199,13 +211,13 @@
     }
 
     /// Loads another copy where as many calls wait as those under way have lanes.
-    fn load(&mut self, now: Micros, function: u32, later: &mut Vec<(Micros, WorkerEvent)>) {
+    fn start_load(&mut self, now: Micros, function: u32, later: &mut Vec<(Micros, WorkerEvent)>) {
         let model = self.functions[function as usize];
         let all = self.workers.iter().flat_map(|w| &w.copies).filter(|c| c.function == function);
-        let coming = all.filter(|c| c.ready > now).count() * model.spec.lanes as usize;
+        let coming = all.filter(|c| c.ready_at > now).count() * model.spec.lanes as usize;
         let wait = self.waiting.get(&function).map_or(0, VecDeque::len);
-        let (keep, mb) = (self.keep, |f: u32| self.functions[f as usize].spec.memory_mb);
-        let idle = |c: &Copy| c.taken == 0 && c.idle_since.max(c.ready) + REST < now;
+        let (keep, mb) = (self.keep_alive, |f: u32| self.functions[f as usize].spec.memory_mb);
+        let idle = |c: &Copy| c.busy_lanes == 0 && c.idle_since.max(c.ready_at) + MIN_IDLE < now;
         let used = |w: &Worker| w.copies.iter().map(|c| mb(c.function)).sum::<u32>();
         let held = |w: &Worker| w.copies.iter().filter(|c| !idle(c)).map(|c| mb(c.function)).sum::<u32>();
         let fits = |w: &Worker| w.running < self.cores && held(w) + model.spec.memory_mb <= self.memory_mb;
@@ -219,7 +231,7 @@
             .copies
             .iter()
             .filter(|c| idle(c))
-            .map(|c| (c.idle_since, c.number, c.function))
+            .map(|c| (c.idle_since, c.id, c.function))
             .collect();
         idle.sort_unstable();
         let mut out = Vec::new();
@@ -229,12 +241,12 @@
                 out.push(number);
             }
         }
-        let (ready, number) = (now + model.load_time, self.copies);
-        self.copies += 1;
-        self.loads += 1;
+        let (ready, number) = (now + model.load_time, self.next_copy_id);
+        self.next_copy_id += 1;
+        self.loads_started += 1;
         let worker = &mut self.workers[at];
-        worker.copies.retain(|c| !out.contains(&c.number));
-        worker.copies.push(Copy { number, function, ready, taken: 0, idle_since: ready });
-        later.push((ready, WorkerEvent::Loaded));
+        worker.copies.retain(|c| !out.contains(&c.id));
+        worker.copies.push(Copy { id: number, function, ready_at: ready, busy_lanes: 0, idle_since: ready });
+        later.push((ready, WorkerEvent::CopyLoaded));
     }
 }
