--- a/crates/site-routing/src/simulation/links.rs
+++ b/crates/site-routing/src/simulation/links.rs
@@ -1,25 +1,27 @@
-//! Links between sites, modelled as kept TCP connections are: what is lost comes later, what is cut comes once healed.
+//! Links between sites, modelled as persistent TCP connections: a lost message arrives later after retransmission, and
+//! messages on a cut link arrive once the cut has healed.
 
 use basaltward_membership::{Micros, Site};
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-/// One way between two sites.
+/// One direction of the link between two sites.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DirectedLink {
-    /// Time that a message takes.
+    /// Minimum delay of a message.
     pub delay: Micros,
-    /// And up to this more.
+    /// Highest additional random delay.
     pub jitter: Micros,
-    /// Share that is lost and sent again.
+    /// Probability, from 0 to 1, that a transmission is lost and repeated.
     pub loss: f64,
-    /// Nothing comes through.
+    /// Whether no messages get through.
     pub cut: bool,
 }
 
-/// A lost message is sent again after this, then after twice that.
+/// Delay of the first retransmission; it doubles with each further one.
 const RETRANSMIT_DELAY: Micros = 200_000;
 
+/// All directed links, by sender and receiver.
 #[derive(Debug)]
 pub(crate) struct Links {
     sites: usize,
@@ -29,15 +31,15 @@
 impl Links {
     pub fn new(sites: Site, delay: Micros) -> Self {
         let sites = usize::from(sites);
-        let leg = |at: usize| {
-            // Sites stand in a ring: neighbours are near.
-            let apart = (at / sites).abs_diff(at % sites);
-            let apart = apart.min(sites - apart).max(1) as u64;
-            let near = at / sites == at % sites;
-            let delay = if near { 200 } else { delay * (1 + apart) / 2 };
+        let link = |index: usize| {
+            // The sites form a ring; the delay grows with the distance on it.
+            let distance = (index / sites).abs_diff(index % sites);
+            let distance = distance.min(sites - distance).max(1) as u64;
+            let same_site = index / sites == index % sites;
+            let delay = if same_site { 200 } else { delay * (1 + distance) / 2 };
             DirectedLink { delay, jitter: delay / 10, loss: 0.0, cut: false }
         };
-        Self { sites, links: (0..sites * sites).map(leg).collect() }
+        Self { sites, links: (0..sites * sites).map(link).collect() }
     }
 
     pub fn link(&self, from: Site, to: Site) -> &DirectedLink {
@@ -48,19 +50,19 @@
         &mut self.links[usize::from(from) * self.sites + usize::from(to)]
     }
 
-    /// Time that a message takes now; none where the way is cut.
+    /// Draws the delay of a message; `None` if the link is cut.
     pub fn sample_delay(&self, rng: &mut StdRng, from: Site, to: Site) -> Option<Micros> {
-        let leg = self.link(from, to);
-        let mut late = leg.delay + rng.random_range(0..=leg.jitter);
-        let mut again = RETRANSMIT_DELAY;
-        while leg.loss > 0.0 && rng.random_bool(leg.loss.min(0.9)) {
-            late += again;
-            again *= 2;
+        let link = self.link(from, to);
+        let mut delay = link.delay + rng.random_range(0..=link.jitter);
+        let mut retransmit_delay = RETRANSMIT_DELAY;
+        while link.loss > 0.0 && rng.random_bool(link.loss.min(0.9)) {
+            delay += retransmit_delay;
+            retransmit_delay *= 2;
         }
-        (!leg.cut).then_some(late)
+        (!link.cut).then_some(delay)
     }
 
-    /// Time there and back as it truly is, for who sees all.
+    /// Round-trip time without jitter and loss, for [`super::Policy::Oracle`]; `None` if either direction is cut.
     pub fn round_trip(&self, a: Site, b: Site) -> Option<Micros> {
         let (there, back) = (self.link(a, b), self.link(b, a));
         (!there.cut && !back.cut).then(|| there.delay + back.delay)
--- a/crates/site-routing/src/simulation/workers.rs
+++ b/crates/site-routing/src/simulation/workers.rs
@@ -1,15 +1,15 @@
-//! Workers of a site, modelled: copies in memory, lanes, cores, loads, and calls that wait for them.
+//! Model of the workers of a site: copies in memory, lanes, cores, loads and the queues of waiting calls.
 
 use crate::settings::FunctionSpec;
 use basaltward_membership::{MemberId, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a function does, which nobody is told.
+/// Actual behaviour of a function, which the gateways do not know.
 #[derive(Clone, Copy, Debug)]
 pub struct ModelFunction {
-    /// What is told.
+    /// Configuration that the gateways know.
     pub spec: FunctionSpec,
-    /// Mean time of a call in service.
+    /// Mean service time of a call.
     pub service_time: Micros,
     /// Time to load a copy.
     pub load_time: Micros,
@@ -20,13 +20,13 @@
 pub(crate) struct Job {
     pub call: usize,
     pub attempt: u32,
-    /// Gateway that has it in hand.
+    /// Gateway that the call is in flight at.
     pub gateway: MemberId,
     pub function: u32,
     pub arrived_at: Micros,
-    /// Nobody waits for it after this.
+    /// Time after which the call is dropped.
     pub deadline: Micros,
-    /// What it will take in service.
+    /// Service time drawn for the call.
     pub service_time: Micros,
 }
 
@@ -45,21 +45,21 @@
     running: u32,
 }
 
-/// A copy idle for less is not let go for another one.
+/// A copy idle for less than this is not evicted to make room for another one.
 const MIN_IDLE: Micros = 1_000_000;
 
-/// What is to be done later.
+/// Events that the simulation has to schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorkerEvent {
-    /// A copy is loaded.
+    /// A copy has finished loading.
     CopyLoaded,
-    /// A call is done; it found a copy that stood.
+    /// A call is done; `warm` if a loaded copy existed on its arrival.
     CallDone { job: Job, worker: usize, copy: u64, warm: bool },
-    /// A call has waited past its time.
+    /// A waiting call has passed its deadline.
     CallExpired { job: Job },
 }
 
-/// A site's workers.
+/// Workers of a site.
 #[derive(Debug)]
 pub(crate) struct Workers {
     functions: Vec<ModelFunction>,
@@ -67,10 +67,12 @@
     cores: u32,
     memory_mb: u32,
     keep_alive: Micros,
+    /// Waiting calls, by function.
     waiting: BTreeMap<u32, VecDeque<Job>>,
+    /// Total service time of the waiting calls.
     waiting_work: Micros,
     next_copy_id: u64,
-    /// Loads begun.
+    /// Loads started so far.
     pub loads_started: u64,
 }
 
@@ -80,7 +82,7 @@
         workers: u32,
         cores: u32,
         memory_mb: u32,
-        keep: Micros,
+        keep_alive: Micros,
     ) -> Self {
         let workers = vec![Worker::default(); workers as usize];
         let waiting = BTreeMap::new();
@@ -89,7 +91,7 @@
             workers,
             cores,
             memory_mb,
-            keep_alive: keep,
+            keep_alive,
             waiting,
             waiting_work: 0,
             next_copy_id: 0,
@@ -97,14 +99,14 @@
         }
     }
 
-    /// All copies are gone, and all that ran or waited.
+    /// Drops all copies and all running and waiting calls.
     pub fn clear(&mut self) {
         self.workers.iter_mut().for_each(|w| *w = Worker::default());
         self.waiting.clear();
         self.waiting_work = 0;
     }
 
-    /// All copies that do nothing are gone.
+    /// Evicts all idle copies.
     pub fn evict_idle_copies(&mut self) {
         self.workers.iter_mut().for_each(|w| w.copies.retain(|c| c.busy_lanes > 0));
     }
@@ -125,12 +127,12 @@
         (self.workers.len() as u64 * u64::from(self.cores)).max(1)
     }
 
-    /// Whether a call of a function would be begun at once.
+    /// Whether a call of a function would be started at once.
     pub fn can_start_now(&self, now: Micros, function: u32) -> bool {
         self.waiting.is_empty() && self.find_lane(now, function).is_some()
     }
 
-    /// Time that a call would take here, by all that is true now.
+    /// Expected latency of a call here by the actual state.
     pub fn estimate_latency(&self, now: Micros, function: u32) -> Micros {
         let model = &self.functions[function as usize];
         let free = self.workers.iter().any(|w| w.running < self.cores);
@@ -143,18 +145,18 @@
         queue.max(ready.unwrap_or(model.load_time)) + model.service_time
     }
 
-    /// Whether a call that comes now would wait past its time.
-    pub fn is_full(&self, now: Micros, until: Micros) -> bool {
-        now + self.waiting_work / self.total_cores() > until
+    /// Whether a call that arrives now would wait past its deadline.
+    pub fn is_full(&self, now: Micros, deadline: Micros) -> bool {
+        now + self.waiting_work / self.total_cores() > deadline
     }
 
-    pub fn submit(&mut self, now: Micros, job: Job, later: &mut Vec<(Micros, WorkerEvent)>) {
+    pub fn submit(&mut self, now: Micros, job: Job, events: &mut Vec<(Micros, WorkerEvent)>) {
         self.waiting_work += job.service_time;
         self.waiting.entry(job.function).or_default().push_back(job);
-        self.start_waiting(now, later);
+        self.start_waiting(now, events);
     }
 
-    /// A call is done: its lane is free.
+    /// Frees the lane and the core of a call that is done.
     pub fn release_lane(&mut self, now: Micros, worker: usize, copy: u64) {
         let Some(worker) = self.workers.get_mut(worker) else { return };
         worker.running = worker.running.saturating_sub(1);
@@ -164,8 +166,8 @@
         }
     }
 
-    /// Begins what can be begun, and loads what is wanted.
-    pub fn start_waiting(&mut self, now: Micros, later: &mut Vec<(Micros, WorkerEvent)>) {
+    /// Starts waiting calls that have a free lane, drops expired ones and loads copies for the others.
+    pub fn start_waiting(&mut self, now: Micros, events: &mut Vec<(Micros, WorkerEvent)>) {
         let mut heads: Vec<_> =
             self.waiting.iter().filter_map(|(f, jobs)| Some((jobs.front()?.arrived_at, *f))).collect();
         heads.sort_unstable();
@@ -173,7 +175,7 @@
             while let Some(job) = self.waiting.get(&function).and_then(|jobs| jobs.front()).copied() {
                 if now < job.deadline {
                     let Some((at, copy)) = self.find_lane(now, function) else {
-                        self.start_load(now, function, later);
+                        self.start_load(now, function, events);
                         break;
                     };
                     let worker = &mut self.workers[at];
@@ -182,9 +184,9 @@
                     copy.busy_lanes += 1;
                     let warm = copy.ready_at <= job.arrived_at;
                     let done = WorkerEvent::CallDone { job, worker: at, copy: copy.id, warm };
-                    later.push((now + job.service_time, done));
+                    events.push((now + job.service_time, done));
                 } else {
-                    later.push((now, WorkerEvent::CallExpired { job }));
+                    events.push((now, WorkerEvent::CallExpired { job }));
                 }
                 self.waiting_work = self.waiting_work.saturating_sub(job.service_time);
                 if let Some(jobs) = self.waiting.get_mut(&function) {
@@ -195,58 +197,59 @@
         self.waiting.retain(|_, jobs| !jobs.is_empty());
     }
 
-    /// A lane of a standing copy at the worker with the most cores free.
+    /// A loaded copy with a free lane, at the worker with the fewest running calls: indices of the worker and the copy.
     fn find_lane(&self, now: Micros, function: u32) -> Option<(usize, usize)> {
         let lanes = self.functions[function as usize].spec.lanes;
-        let open = self.workers.iter().enumerate().filter(|(_, w)| w.running < self.cores);
+        let with_free_core = self.workers.iter().enumerate().filter(|(_, w)| w.running < self.cores);
         let lane = |w: &Worker| {
             let fits = |c: &Copy| {
-                let kept = c.busy_lanes > 0 || now <= c.idle_since.max(c.ready_at) + self.keep_alive;
-                c.function == function && c.ready_at <= now && c.busy_lanes < lanes && kept
+                let alive = c.busy_lanes > 0 || now <= c.idle_since.max(c.ready_at) + self.keep_alive;
+                c.function == function && c.ready_at <= now && c.busy_lanes < lanes && alive
             };
             w.copies.iter().position(fits)
         };
-        let lanes = open.filter_map(|(at, w)| Some((w.running, at, lane(w)?)));
+        let lanes = with_free_core.filter_map(|(at, w)| Some((w.running, at, lane(w)?)));
         lanes.min().map(|(_, at, copy)| (at, copy))
     }
 
-    /// Loads another copy where as many calls wait as those under way have lanes.
-    fn start_load(&mut self, now: Micros, function: u32, later: &mut Vec<(Micros, WorkerEvent)>) {
+    /// Loads another copy if more calls wait than the copies being loaded have lanes.
+    fn start_load(&mut self, now: Micros, function: u32, events: &mut Vec<(Micros, WorkerEvent)>) {
         let model = self.functions[function as usize];
         let all = self.workers.iter().flat_map(|w| &w.copies).filter(|c| c.function == function);
-        let coming = all.filter(|c| c.ready_at > now).count() * model.spec.lanes as usize;
-        let wait = self.waiting.get(&function).map_or(0, VecDeque::len);
-        let (keep, mb) = (self.keep_alive, |f: u32| self.functions[f as usize].spec.memory_mb);
-        let idle = |c: &Copy| c.busy_lanes == 0 && c.idle_since.max(c.ready_at) + MIN_IDLE < now;
+        let loading_lanes = all.filter(|c| c.ready_at > now).count() * model.spec.lanes as usize;
+        let waiting = self.waiting.get(&function).map_or(0, VecDeque::len);
+        let (keep_alive, mb) = (self.keep_alive, |f: u32| self.functions[f as usize].spec.memory_mb);
+        let is_idle = |c: &Copy| c.busy_lanes == 0 && c.idle_since.max(c.ready_at) + MIN_IDLE < now;
         let used = |w: &Worker| w.copies.iter().map(|c| mb(c.function)).sum::<u32>();
-        let held = |w: &Worker| w.copies.iter().filter(|c| !idle(c)).map(|c| mb(c.function)).sum::<u32>();
-        let fits = |w: &Worker| w.running < self.cores && held(w) + model.spec.memory_mb <= self.memory_mb;
-        if wait <= coming {
+        let in_use =
+            |w: &Worker| w.copies.iter().filter(|c| !is_idle(c)).map(|c| mb(c.function)).sum::<u32>();
+        let fits = |w: &Worker| w.running < self.cores && in_use(w) + model.spec.memory_mb <= self.memory_mb;
+        if waiting <= loading_lanes {
             return;
         }
-        let places = self.workers.iter().enumerate().filter(|(_, w)| fits(w));
-        let Some((at, _)) = places.min_by_key(|(_, w)| (w.running, used(w))) else { return };
-        let mut taken = used(&self.workers[at]);
+        let candidates = self.workers.iter().enumerate().filter(|(_, w)| fits(w));
+        let Some((at, _)) = candidates.min_by_key(|(_, w)| (w.running, used(w))) else { return };
+        let mut used_mb = used(&self.workers[at]);
         let mut idle: Vec<_> = self.workers[at]
             .copies
             .iter()
-            .filter(|c| idle(c))
+            .filter(|c| is_idle(c))
             .map(|c| (c.idle_since, c.id, c.function))
             .collect();
         idle.sort_unstable();
-        let mut out = Vec::new();
-        for (since, number, of) in idle {
-            if now > since + keep || taken + model.spec.memory_mb > self.memory_mb {
-                taken -= mb(of);
-                out.push(number);
+        let mut evicted = Vec::new();
+        for (since, id, evictable) in idle {
+            if now > since + keep_alive || used_mb + model.spec.memory_mb > self.memory_mb {
+                used_mb -= mb(evictable);
+                evicted.push(id);
             }
         }
-        let (ready, number) = (now + model.load_time, self.next_copy_id);
+        let (ready_at, id) = (now + model.load_time, self.next_copy_id);
         self.next_copy_id += 1;
         self.loads_started += 1;
         let worker = &mut self.workers[at];
-        worker.copies.retain(|c| !out.contains(&c.id));
-        worker.copies.push(Copy { id: number, function, ready_at: ready, busy_lanes: 0, idle_since: ready });
-        later.push((ready, WorkerEvent::CopyLoaded));
+        worker.copies.retain(|c| !evicted.contains(&c.id));
+        worker.copies.push(Copy { id, function, ready_at, busy_lanes: 0, idle_since: ready_at });
+        events.push((ready_at, WorkerEvent::CopyLoaded));
     }
 }
