--- a/crates/site-routing/tests/failure_scenarios.rs
+++ b/crates/site-routing/tests/failure_scenarios.rs
@@ -1,5 +1,5 @@
-//! What sites go through, in virtual time, over many seeds: links that slow, lose and are cut, sites that vanish, refuse
-//! and boast, control threads that stand still. Other seeds: `ROUTE_SEEDS=0..500 cargo test --release`.
+//! Failures between sites in the simulation: slow, lossy and cut links, sites that go down, refuse calls or overstate their
+//! capacity, and stalled control threads. To run other seeds: `ROUTE_SEEDS=0..500 cargo test --release`.
 use basaltward_membership::{MemberId, Micros, Site};
 use basaltward_site_routing::{Fault, FunctionSpec, ModelFunction, Policy, Simulation, SimulationSettings};
 use std::collections::BTreeMap;
@@ -7,20 +7,21 @@
 const S: Micros = 1_000_000;
 const SITES: Site = 3;
 const GATEWAYS: u16 = 2;
-/// How long a function stays where it was moved to.
-const STAY: Micros = 5 * S;
+/// Minimum time that a function stays at a new home.
+const HOME_DWELL: Micros = 5 * S;
 
-fn seeds(usual: u64) -> std::ops::Range<u64> {
-    let told = std::env::var("ROUTE_SEEDS").unwrap_or_default();
-    let told = told.split_once("..").and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
-    told.unwrap_or(0..usual)
+/// Seeds to run: `0..default_count`, unless `ROUTE_SEEDS` is set.
+fn seeds(default_count: u64) -> std::ops::Range<u64> {
+    let range = std::env::var("ROUTE_SEEDS").unwrap_or_default();
+    let range = range.split_once("..").and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
+    range.unwrap_or(0..default_count)
 }
 
-/// Three sites of two gateways and three workers of two cores; what they do takes 40 ms.
-fn world(policy: Policy, seed: u64) -> Simulation {
-    let told =
+/// Three sites with two gateways and three workers of two cores each; a call takes 40 ms in service.
+fn simulation(policy: Policy, seed: u64) -> Simulation {
+    let spec =
         FunctionSpec { memory_mb: 512, lanes: 2, load_time: Some(800_000), aim: 400_000, deadline: 3 * S };
-    let functions = vec![ModelFunction { spec: told, service_time: 40_000, load_time: 800_000 }; 12];
+    let functions = vec![ModelFunction { spec, service_time: 40_000, load_time: 800_000 }; 12];
     let (sites, gateways, workers, cores) = (SITES, GATEWAYS, 3, 2);
     let settings = SimulationSettings {
         sites,
@@ -36,217 +37,236 @@
     Simulation::new(settings).expect("settings")
 }
 
-/// All functions are called at a site, so often in a second altogether; it does 150.
-fn load(world: &mut Simulation, site: Site, calls: f64) {
-    (0..12).for_each(|f| world.set_call_rate(site, f, calls / 12.0));
+/// Sets the total rate of calls at a site in calls per second, spread over all functions. A site can serve 150.
+fn set_load(simulation: &mut Simulation, site: Site, calls: f64) {
+    (0..12).for_each(|f| simulation.set_call_rate(site, f, calls / 12.0));
 }
 
-/// Site 0 has twice what it can do from second 3 to 20, others a third.
-fn hot(policy: Policy, seed: u64, script: &dyn Fn(&mut Simulation, u64)) -> Simulation {
-    let mut world = world(policy, seed);
-    (0..SITES).for_each(|site| load(&mut world, site, 50.0));
+/// Runs a script with a load on site 0 of twice its capacity from second 3 to 20, and of a third on the other sites.
+fn run_hot_spot(policy: Policy, seed: u64, script: &dyn Fn(&mut Simulation, u64)) -> Simulation {
+    let mut simulation = simulation(policy, seed);
+    (0..SITES).for_each(|site| set_load(&mut simulation, site, 50.0));
     for second in 1..=24 {
-        world.run_until(second * S);
+        simulation.run_until(second * S);
         match second {
-            3 => load(&mut world, 0, 300.0),
-            20 => (0..SITES).for_each(|site| load(&mut world, site, 0.0)),
+            3 => set_load(&mut simulation, 0, 300.0),
+            20 => (0..SITES).for_each(|site| set_load(&mut simulation, site, 0.0)),
             _ => {}
         }
-        script(&mut world, second);
+        script(&mut simulation, second);
     }
-    assert!(world.completed.iter().all(|e| e.hops <= 1), "seed {seed}: a call went on");
-    world
+    assert!(simulation.completed.iter().all(|e| e.hops <= 1), "seed {seed}: a call was handed over twice");
+    simulation
 }
 
-fn worth(world: &Simulation) -> f64 {
-    world.completed.iter().map(|e| e.value).sum::<f64>()
+fn total_value(simulation: &Simulation) -> f64 {
+    simulation.completed.iter().map(|e| e.value).sum::<f64>()
 }
 
-/// Plays a script by our choice and at home only; what each was worth a call.
-fn against_home(seed: u64, script: &dyn Fn(&mut Simulation, u64)) -> (f64, f64, Simulation) {
-    let (ours, home) = (hot(Policy::SiteRouting, seed, script), hot(Policy::HomeOnly, seed, script));
-    let each = |world: &Simulation| worth(world) / world.completed.len() as f64;
-    (each(&ours), each(&home), ours)
+/// Runs a script with site routing and with all calls served at home. Returns the mean value of a call for each, and the
+/// run with site routing.
+fn compare_with_home(seed: u64, script: &dyn Fn(&mut Simulation, u64)) -> (f64, f64, Simulation) {
+    let (routed, home) =
+        (run_hot_spot(Policy::SiteRouting, seed, script), run_hot_spot(Policy::HomeOnly, seed, script));
+    let mean_value = |simulation: &Simulation| total_value(simulation) / simulation.completed.len() as f64;
+    (mean_value(&routed), mean_value(&home), routed)
 }
 
-fn both(
-    world: &mut Simulation,
+/// Changes both directions of a link.
+fn update_both(
+    simulation: &mut Simulation,
     a: Site,
     b: Site,
     change: impl Fn(&mut basaltward_site_routing::DirectedLink),
 ) {
-    world.update_link(a, b, &change);
-    world.update_link(b, a, &change);
+    simulation.update_link(a, b, &change);
+    simulation.update_link(b, a, &change);
 }
 
 type Script = fn(&mut Simulation, u64);
 
-/// The links of site 0 by a name, from second 8 to 14.
-const LINKS: [(&str, Script); 6] = [
-    ("all well", |_, _| {}),
-    ("slow to 400 ms", |world, second| {
+/// Link failures at site 0 from second 8 to 14, with a name.
+const LINK_FAILURES: [(&str, Script); 6] = [
+    ("no failure", |_, _| {}),
+    ("delay of 400 ms", |simulation, second| {
         let delay = if (8..14).contains(&second) { 400_000 } else { 10_000 };
-        both(world, 0, 1, |leg| leg.delay = delay);
+        update_both(simulation, 0, 1, |link| link.delay = delay);
     }),
-    ("a third lost", |world, second| {
+    ("loss of a third", |simulation, second| {
         let lost = if (8..14).contains(&second) { 0.33 } else { 0.0 };
-        both(world, 0, 1, |leg| leg.loss = lost);
+        update_both(simulation, 0, 1, |link| link.loss = lost);
     }),
-    ("all cut", |world, second| {
+    ("all links cut", |simulation, second| {
         let cut = (8..14).contains(&second);
-        (1..SITES).for_each(|to| both(world, 0, to, |leg| leg.cut = cut));
+        (1..SITES).for_each(|to| update_both(simulation, 0, to, |link| link.cut = cut));
+    }),
+    ("cut in one direction", |simulation, second| {
+        simulation.update_link(0, 1, |link| link.cut = (8..14).contains(&second))
+    }),
+    ("cut in the return direction", |simulation, second| {
+        simulation.update_link(1, 0, |link| link.cut = (8..14).contains(&second))
     }),
-    ("cut there alone", |world, second| world.update_link(0, 1, |leg| leg.cut = (8..14).contains(&second))),
-    ("cut back alone", |world, second| world.update_link(1, 0, |leg| leg.cut = (8..14).contains(&second))),
 ];
 
 #[test]
-fn no_link_makes_it_worse_than_home() {
+fn no_link_failure_makes_it_worse_than_home() {
     for seed in seeds(1) {
-        for (name, script) in LINKS {
-            let (ours, home, world) = against_home(seed, &script);
-            let handed = world.completed.iter().filter(|e| e.hops > 0).count();
-            println!("{name}, seed {seed}: {ours:.3} against {home:.3} at home, {handed} handed over");
+        for (name, script) in LINK_FAILURES {
+            let (routed, home, simulation) = compare_with_home(seed, &script);
+            let handed = simulation.completed.iter().filter(|e| e.hops > 0).count();
+            println!("{name}, seed {seed}: value {routed:.3}, at home only {home:.3}, {handed} handed over");
             assert!(handed > 500, "{name}, seed {seed}: {handed} handed over");
-            assert!(ours > home + 0.1, "{name}, seed {seed}: {ours:.3} against {home:.3} at home");
+            assert!(routed > home + 0.1, "{name}, seed {seed}: value {routed:.3}, at home only {home:.3}");
         }
     }
 }
 
 #[test]
-fn a_cut_in_the_middle_leaves_no_call_without_its_end() {
+fn every_call_ends_when_links_are_cut_during_a_handover() {
     for seed in seeds(1) {
-        let world = hot(Policy::SiteRouting, seed, &|world, second| {
+        let simulation = run_hot_spot(Policy::SiteRouting, seed, &|simulation, second| {
             let cut = (10..16).contains(&second);
-            (1..SITES).for_each(|to| both(world, 0, to, |leg| leg.cut = cut));
+            (1..SITES).for_each(|to| update_both(simulation, 0, to, |link| link.cut = cut));
             if second == 13 {
-                // Whatever was handed over before the cut has come to an end by the calls' times, and no more went.
-                let out = world.in_flight_at(1) + world.in_flight_at(2);
-                assert!(out <= 8, "seed {seed}: {out} are out over links that are cut");
+                // Calls handed over before the cut have reached their time limit, and no more were sent.
+                let in_flight = simulation.in_flight_at(1) + simulation.in_flight_at(2);
+                assert!(in_flight <= 8, "seed {seed}: {in_flight} calls in flight over cut links");
             }
         });
-        assert_eq!(world.in_flight_at(1) + world.in_flight_at(2), 0, "seed {seed}");
-        assert_eq!(world.in_flight(), 0, "seed {seed}");
+        assert_eq!(simulation.in_flight_at(1) + simulation.in_flight_at(2), 0, "seed {seed}");
+        assert_eq!(simulation.in_flight(), 0, "seed {seed}");
         let after =
-            world.completed.iter().filter(|e| e.site == 0 && (18 * S..20 * S).contains(&e.arrived_at));
+            simulation.completed.iter().filter(|e| e.site == 0 && (18 * S..20 * S).contains(&e.arrived_at));
         let (all, handed) = after.fold((0, 0), |(all, handed), e| (all + 1, handed + e.hops));
-        assert!(handed * 4 > all, "seed {seed}: {handed} of {all} handed over once healed");
+        assert!(handed * 4 > all, "seed {seed}: {handed} of {all} handed over after the cut healed");
     }
 }
 
 #[test]
-fn a_site_that_refuses_or_boasts_is_not_believed_for_long() {
+fn a_site_that_refuses_calls_or_overstates_its_capacity_is_not_trusted_for_long() {
     for seed in seeds(1) {
-        let (ours, home, world) = against_home(seed, &|world, second| {
-            world.set_refuses_handovers(1, true);
+        let (routed, home, simulation) = compare_with_home(seed, &|simulation, second| {
+            simulation.set_refuses_handovers(1, true);
             if second == 3 {
-                load(world, 0, 200.0);
+                set_load(simulation, 0, 200.0);
             }
         });
         let late = |e: &&basaltward_site_routing::CompletedCall| {
             e.site == 0 && (8 * S..20 * S).contains(&e.arrived_at)
         };
-        let all = world.completed.iter().filter(late).count();
+        let all = simulation.completed.iter().filter(late).count();
         let refused =
-            world.completed.iter().filter(late).filter(|e| e.hops > 0 && e.answered_by == 0).count();
-        assert!(refused * 20 < all, "seed {seed}: {refused} of {all} went to who refuses");
-        assert!(ours > home + 0.05, "seed {seed}: {ours:.3} against {home:.3} at home");
-        // One that says it can do all, and does just what its own clients ask: others' clients come to no harm by it.
-        let boast: &dyn Fn(&mut Simulation, u64) = &|world, _| {
-            world.set_overstates_capacity(1, true);
-            load(world, 1, 150.0);
+            simulation.completed.iter().filter(late).filter(|e| e.hops > 0 && e.answered_by == 0).count();
+        assert!(refused * 20 < all, "seed {seed}: {refused} of {all} were handed to the site that refuses");
+        assert!(routed > home + 0.05, "seed {seed}: value {routed:.3}, at home only {home:.3}");
+        // A site overstates its capacity, and its own clients use all of it: clients of other sites must not suffer.
+        let overstate: &dyn Fn(&mut Simulation, u64) = &|simulation, _| {
+            simulation.set_overstates_capacity(1, true);
+            set_load(simulation, 1, 150.0);
         };
-        let (_, _, world) = against_home(seed, boast);
-        let home = hot(Policy::HomeOnly, seed, boast);
-        let of_others = |world: &Simulation| {
-            let others = world.completed.iter().filter(|e| e.site != 1);
+        let (_, _, simulation) = compare_with_home(seed, overstate);
+        let home = run_hot_spot(Policy::HomeOnly, seed, overstate);
+        let value_of_others = |simulation: &Simulation| {
+            let others = simulation.completed.iter().filter(|e| e.site != 1);
             others.clone().map(|e| e.value).sum::<f64>() / others.count() as f64
         };
-        let (ours, home) = (of_others(&world), of_others(&home));
-        assert!(ours > home + 0.1, "seed {seed}: {ours:.3} against {home:.3} at home, beside a boaster");
+        let (routed, home) = (value_of_others(&simulation), value_of_others(&home));
+        assert!(
+            routed > home + 0.1,
+            "seed {seed}: value {routed:.3} for other sites, at home only {home:.3}"
+        );
     }
 }
 
 #[test]
-fn a_control_thread_that_stands_still_ends_hand_overs_and_harms_no_call() {
+fn handovers_stop_when_the_control_thread_stalls_and_no_call_is_lost() {
     for seed in seeds(1) {
-        let world = hot(Policy::SiteRouting, seed, &|world, second| {
+        let simulation = run_hot_spot(Policy::SiteRouting, seed, &|simulation, second| {
             for gateway in 0..GATEWAYS {
-                world.set_control_stalled(gateway, (8..28).contains(&second));
+                simulation.set_control_stalled(gateway, (8..28).contains(&second));
             }
         });
-        let of = |from: u64, until: u64| {
-            let in_time = move |e: &&basaltward_site_routing::CompletedCall| {
+        let handovers = |from: u64, until: u64| {
+            let in_span = move |e: &&basaltward_site_routing::CompletedCall| {
                 (from * S..until * S).contains(&e.arrived_at) && e.site == 0
             };
-            world.completed.iter().filter(in_time).map(|e| e.hops).sum::<u32>()
+            simulation.completed.iter().filter(in_span).map(|e| e.hops).sum::<u32>()
         };
-        assert!(of(6, 8) > 50, "seed {seed}: {}", of(6, 8));
-        assert_eq!(of(11, 20), 0, "seed {seed}: by a table past its time");
-        assert_eq!(world.in_flight(), 0, "seed {seed}");
+        assert!(handovers(6, 8) > 50, "seed {seed}: {} handovers before the stall", handovers(6, 8));
+        assert_eq!(handovers(11, 20), 0, "seed {seed}: handed over by an expired table");
+        assert_eq!(simulation.in_flight(), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn a_site_that_vanishes_and_comes_back_is_given_calls_again() {
+fn a_site_that_goes_down_and_comes_back_gets_calls_again() {
     for seed in seeds(1) {
-        let (ours, home, world) = against_home(seed, &|world, second| match second {
-            8 => world.set_site_up(1, false),
-            13 => world.set_site_up(1, true),
+        let (routed, home, simulation) = compare_with_home(seed, &|simulation, second| match second {
+            8 => simulation.set_site_up(1, false),
+            13 => simulation.set_site_up(1, true),
             _ => {}
         });
-        assert!(ours > home, "seed {seed}: {ours:.3} against {home:.3} at home");
-        let again = world
+        assert!(routed > home, "seed {seed}: value {routed:.3}, at home only {home:.3}");
+        let again = simulation
             .completed
             .iter()
             .filter(|e| e.arrived_at > 17 * S && e.site == 0 && e.answered_by == 1)
             .count();
-        assert!(again > 50, "seed {seed}: {again} handed to it once it is back");
+        assert!(again > 50, "seed {seed}: {again} handed to it after it came back");
     }
 }
 
-/// Rare functions, for which one copy for all sites is better than one each, over links that jitter and lose; what is
-/// found wrong with homes, and how often one moved.
-fn rare(seed: u64, fault: Option<Fault>) -> (Vec<String>, usize) {
-    let mut world = world(Policy::SiteRouting, seed);
-    fault.into_iter().for_each(|fault| world.inject_fault(fault));
-    let (mut wrong, mut moves) = (Vec::new(), 0);
+/// Runs rarely called functions, for which one copy for all sites is better than one per site, over links with jitter and
+/// loss. Returns the violations found and the number of moves of homes.
+fn run_rare_functions(seed: u64, fault: Option<Fault>) -> (Vec<String>, usize) {
+    let mut simulation = simulation(Policy::SiteRouting, seed);
+    fault.into_iter().for_each(|fault| simulation.inject_fault(fault));
+    let (mut violations, mut moves) = (Vec::new(), 0);
     for site in 0..SITES {
-        (0..12).for_each(|f| world.set_call_rate(site, f, 0.05 + 0.05 * f64::from(f)));
+        (0..12).for_each(|f| simulation.set_call_rate(site, f, 0.05 + 0.05 * f64::from(f)));
         let next = (site + 1) % SITES;
-        both(&mut world, site, next, |leg| (leg.loss, leg.jitter) = (0.05, 30_000));
+        update_both(&mut simulation, site, next, |link| (link.loss, link.jitter) = (0.05, 30_000));
     }
     let mut homes = BTreeMap::<(MemberId, u32), (Site, Micros)>::new();
     for step in 1..=400 {
-        world.run_until(step * S / 10);
-        let home = |of: MemberId, f: u32| world.table(of).map_or(0, |table| table.rows[f as usize].home);
+        simulation.run_until(step * S / 10);
+        let home = |gateway: MemberId, f: u32| {
+            simulation.table(gateway).map_or(0, |table| table.rows[f as usize].home)
+        };
         for f in 0..12 {
-            for own in (0..u16::from(SITES) * GATEWAYS).filter(|own| world.table(*own).is_some()) {
-                let (here, at) = ((own / GATEWAYS) as Site, home(own, f));
-                let trades = |other: &MemberId| (other / GATEWAYS) as Site == at && home(*other, f) == here;
-                if at != here && (0..u16::from(SITES) * GATEWAYS).any(|other| trades(&other)) {
-                    wrong.push(format!("{f} is traded by {here} and {at}"));
+            for gateway in
+                (0..u16::from(SITES) * GATEWAYS).filter(|gateway| simulation.table(*gateway).is_some())
+            {
+                let (local_site, at) = ((gateway / GATEWAYS) as Site, home(gateway, f));
+                let swapped =
+                    |other: &MemberId| (other / GATEWAYS) as Site == at && home(*other, f) == local_site;
+                if at != local_site && (0..u16::from(SITES) * GATEWAYS).any(|other| swapped(&other)) {
+                    violations.push(format!(
+                        "function {f}: sites {local_site} and {at} are each the home of the other"
+                    ));
                 }
-                let (before, since) = homes.get(&(own, f)).copied().unwrap_or((here, 0));
+                let (before, since) = homes.get(&(gateway, f)).copied().unwrap_or((local_site, 0));
                 if before != at {
                     moves += 1;
-                    if since > 0 && world.elapsed() < since + STAY - S && at != here {
-                        wrong.push(format!("{f} moves on from {before} to {at} in less than its time"));
+                    if since > 0 && simulation.elapsed() < since + HOME_DWELL - S && at != local_site {
+                        violations.push(format!(
+                            "function {f} moved on from {before} to {at} before its dwell time"
+                        ));
                     }
-                    homes.insert((own, f), (at, world.elapsed()));
+                    homes.insert((gateway, f), (at, simulation.elapsed()));
                 }
             }
         }
     }
-    (wrong, moves)
+    (violations, moves)
 }
 
 #[test]
-fn homes_gather_and_are_never_traded() {
+fn homes_of_rare_functions_concentrate_and_are_never_swapped() {
     let mut moved = 0;
     for seed in seeds(3) {
-        let (wrong, moves) = rare(seed, None);
-        assert!(wrong.is_empty(), "seed {seed}: {wrong:?}");
+        let (violations, moves) = run_rare_functions(seed, None);
+        assert!(violations.is_empty(), "seed {seed}: {violations:?}");
         assert!(moves <= 12 * 12, "seed {seed}: {moves} moves");
         moved += moves;
     }
@@ -254,22 +274,25 @@
 }
 
 #[test]
-fn without_hysteresis_the_swing_is_found() {
-    let found = seeds(6).filter(|seed| !rare(*seed, Some(Fault::NoHysteresis)).0.is_empty()).count();
-    assert!(found > 0, "no seed of {:?} shows it", seeds(6));
+fn oscillating_homes_without_hysteresis_are_detected() {
+    let found =
+        seeds(6).filter(|seed| !run_rare_functions(*seed, Some(Fault::NoHysteresis)).0.is_empty()).count();
+    assert!(found > 0, "not detected with any seed of {:?}", seeds(6));
 }
 
 #[test]
-fn hops_without_a_bound_are_found() {
+fn repeated_handovers_without_a_hop_limit_are_detected() {
     let found = seeds(4).any(|seed| {
-        let mut world = world(Policy::SiteRouting, seed);
-        world.inject_fault(Fault::UnboundedHops);
+        let mut simulation = simulation(Policy::SiteRouting, seed);
+        simulation.inject_fault(Fault::UnboundedHops);
         for second in 1..=20 {
-            let hot = (second / 4) as Site % SITES;
-            (0..SITES).for_each(|site| load(&mut world, site, if site == hot { 30.0 } else { 250.0 }));
-            world.run_until(second * S);
+            let lightly_loaded = (second / 4) as Site % SITES;
+            (0..SITES).for_each(|site| {
+                set_load(&mut simulation, site, if site == lightly_loaded { 30.0 } else { 250.0 })
+            });
+            simulation.run_until(second * S);
         }
-        world.completed.iter().any(|e| e.hops > 1)
+        simulation.completed.iter().any(|e| e.hops > 1)
     });
     assert!(found);
 }
