--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -387,9 +387,9 @@
                 self.route.record_rtt(now, of, rtt);
             }
         }
-        for (to, receive_frame) in self.route.build_frames(now) {
+        for (to, frame) in self.route.build_frames(now) {
             // Told anew with the next: what finds no room now is old by then.
-            let _ = self.endpoint.send(&mut self.io, now, to, (Channel::Route, &receive_frame));
+            let _ = self.endpoint.send(&mut self.io, now, to, (Channel::Route, &frame));
         }
         self.tables.route.store(Some(Arc::new(self.route.build_table(now))));
     }
--- a/crates/membership/src/fact_keys.rs
+++ b/crates/membership/src/fact_keys.rs
@@ -10,7 +10,7 @@
 pub const VERSION_KEY: u8 = 2;
 /// Load by class and tenant, and retry budgets (`crates/shed`).
 pub const SHED_KEYS: Range<u8> = 3..8;
-/// Load of a site (`crates/site-routing`).
+/// Load of a site (`crates/route`).
 pub const ROUTE_KEYS: Range<u8> = 8..12;
 /// Pending events (`crates/pending`).
 pub const PENDING_KEYS: Range<u8> = 12..14;
--- a/crates/peers/src/event.rs
+++ b/crates/peers/src/event.rs
@@ -37,7 +37,7 @@
 pub enum Channel {
     /// Journals of kept calls (`crates/pending`).
     Pending = 1,
-    /// Choice of sites (`crates/site-routing`).
+    /// Choice of sites (`crates/route`).
     Route = 2,
     /// Shares and budgets (`crates/shed`).
     Shed = 3,
