--- a/crates/site-routing/src/router.rs
+++ b/crates/site-routing/src/router.rs
@@ -25,9 +25,9 @@
 struct SiteHealth {
     /// Calls handed over that have not ended yet.
     in_flight: u32,
-    /// Time of the last answer, or of the first hand-over since no call was in flight.
+    /// Time of the last answer, or of the first handover since no call was in flight.
     silent_since: Micros,
-    /// Expected latency at the last hand-over.
+    /// Expected latency at the last handover.
     expected_latency: Micros,
     /// No calls go there before this time.
     paused_until: Micros,
--- a/crates/site-routing/src/settings.rs
+++ b/crates/site-routing/src/settings.rs
@@ -1,3 +1,5 @@
+//! Settings and errors.
+
 use basaltward_membership::{Micros, SiteMap};
 
 /// Configuration of a function, the same at all sites.
--- a/crates/site-routing/src/simulation/mod.rs
+++ b/crates/site-routing/src/simulation/mod.rs
@@ -79,23 +79,67 @@
     ended: bool,
 }
 
+/// A scheduled event. Calls are given by their index.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrival { site: Site, function: u32, generation: u32 },
-    HandoverArrives { call: usize, attempt: u32, gateway: MemberId },
-    AnswerArrives { call: usize, attempt: u32, outcome: u8, by: Site },
-    HandoverTimeout { call: usize, attempt: u32 },
-    CopyLoaded { site: Site, incarnation: u32 },
-    CallDone { site: Site, incarnation: u32, job: Job, worker: usize, copy: u64, warm: bool },
-    CallExpired { site: Site, incarnation: u32, job: Job },
-    Frame { from: MemberId, to: MemberId, bytes: Vec<u8> },
+    Arrival {
+        site: Site,
+        function: u32,
+        generation: u32,
+    },
+    HandoverArrives {
+        call: usize,
+        attempt: u32,
+        gateway: MemberId,
+    },
+    /// The outcome is 0 for a served, 1 for a refused and 2 for a lost call.
+    AnswerArrives {
+        call: usize,
+        attempt: u32,
+        outcome: u8,
+        by: Site,
+    },
+    HandoverTimeout {
+        call: usize,
+        attempt: u32,
+    },
+    CopyLoaded {
+        site: Site,
+        incarnation: u32,
+    },
+    CallDone {
+        site: Site,
+        incarnation: u32,
+        job: Job,
+        worker: usize,
+        copy: u64,
+        warm: bool,
+    },
+    CallExpired {
+        site: Site,
+        incarnation: u32,
+        job: Job,
+    },
+    Frame {
+        from: MemberId,
+        to: MemberId,
+        bytes: Vec<u8>,
+    },
     ControlTick(MemberId),
-    Ping { from: MemberId },
-    Pong { from: MemberId, to: MemberId, sent: Micros },
+    Ping {
+        from: MemberId,
+    },
+    Pong {
+        from: MemberId,
+        to: MemberId,
+        sent: Micros,
+    },
     TakeSnapshot,
+    /// All gateways learn which gateways are up.
     UpdateLive,
 }
 
+/// A gateway with one traffic loop.
 struct Gateway {
     controller: RoutingController,
     router: Router,
--- a/crates/site-routing/src/types.rs
+++ b/crates/site-routing/src/types.rs
@@ -1,3 +1,5 @@
+//! Inputs and outputs of routing: call counts, handovers and routing tables.
+
 use basaltward_membership::{MemberId, Micros, Site};
 
 /// Counts of one function at one traffic loop since its previous report. A function is given by its position in the
--- a/crates/site-routing/src/wire.rs
+++ b/crates/site-routing/src/wire.rs
@@ -181,8 +181,11 @@
 /// A frame between gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Frame {
+    /// From a gateway to the coordinator of its site.
     GatewayReport(GatewayReport),
+    /// Between the coordinators of two sites.
     SiteReport(SiteReport),
+    /// From a coordinator to a gateway of its site.
     PlannedRows(PlannedRows),
 }
 
