--- a/crates/bench/src/route/days.rs
+++ b/crates/bench/src/route/days.rs
@@ -1,7 +1,9 @@
 //! The five days, a minute each.
 
 use basaltward_membership::{Micros, Site};
-use basaltward_route::{FunctionTold, ModelFunction, Policy, RouteError, World, WorldSettings};
+use basaltward_site_routing::{
+    FunctionSpec, ModelFunction, Policy, RoutingError, Simulation, SimulationSettings,
+};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -41,38 +43,38 @@
         let load = rng.random_range(500_000..1_500_000);
         let (aim, deadline) = (400_000, 3_000_000);
         let memory_mb = rng.random_range(2..=8) * 128;
-        let told = FunctionTold { memory_mb, lanes: 4, load: Some(load), aim, deadline };
-        ModelFunction { told, service, load }
+        let told = FunctionSpec { memory_mb, lanes: 4, load_time: Some(load), aim, deadline };
+        ModelFunction { spec: told, service_time: service, load_time: load }
     };
     (0..count).map(function).collect()
 }
 
 /// Calls a second of all functions at a site, by how often each is called.
-fn load(world: &mut World, site: Site, calls: f64, rare: bool) {
+fn load(world: &mut Simulation, site: Site, calls: f64, rare: bool) {
     let weight = |f: u32| if rare && f >= FUNCTIONS / 5 { 0.0 } else { 1.0 / f64::from(f + 1) };
     let all: f64 = (0..FUNCTIONS).map(weight).sum();
     for f in 0..FUNCTIONS {
         let rate = if weight(f) > 0.0 { calls * weight(f) / all } else { 0.08 };
-        world.rate(site, f, rate);
+        world.set_call_rate(site, f, rate);
     }
 }
 
 /// Plays a day.
-pub fn play(day: Day, policy: Policy, seed: u64) -> Result<World, RouteError> {
-    let settings = WorldSettings {
+pub fn play(day: Day, policy: Policy, seed: u64) -> Result<Simulation, RoutingError> {
+    let settings = SimulationSettings {
         sites: SITES,
         gateways: 2,
         workers: 6,
         cores: 4,
         worker_mb: 16_384,
         functions: functions(FUNCTIONS, seed),
-        delay: 10_000,
+        link_delay: 10_000,
         policy,
         seed,
     };
     // By Zipf's weights and a mean of 50 ms, 24 cores do some 480 calls a second.
     let whole = f64::from(settings.workers * settings.cores) / 0.05;
-    let mut world = World::new(settings)?;
+    let mut world = Simulation::new(settings)?;
     let base = match day {
         Day::Calm | Day::ColdStart => 0.5,
         Day::HotSpot | Day::SlowLink => 0.4,
@@ -80,7 +82,7 @@
     };
     (0..SITES).for_each(|site| load(&mut world, site, whole * base, day == Day::ColdStart));
     for second in 1..=END {
-        world.run(second * S);
+        world.run_until(second * S);
         match (day, second) {
             (Day::HotSpot, 5 | 20 | 35 | 50) => {
                 let hot = (second / 15) as Site % SITES;
@@ -91,11 +93,11 @@
             (Day::SlowLink, 10) => load(&mut world, 0, whole * 1.6, false),
             (Day::SlowLink, 20 | 40) => {
                 let delay = if second == 20 { 400_000 } else { 10_000 };
-                world.leg(0, 1, |leg| leg.delay = delay);
-                world.leg(1, 0, |leg| leg.delay = delay);
+                world.update_link(0, 1, |leg| leg.delay = delay);
+                world.update_link(1, 0, |leg| leg.delay = delay);
             }
-            (Day::SiteLost, 20) => world.power(2, false),
-            (Day::SiteLost, 40) => world.power(2, true),
+            (Day::SiteLost, 20) => world.set_site_up(2, false),
+            (Day::SiteLost, 40) => world.set_site_up(2, true),
             _ => {}
         }
     }
--- a/crates/bench/src/route/grow.rs
+++ b/crates/bench/src/route/grow.rs
@@ -2,7 +2,7 @@
 
 use crate::plot::{Curve, Plot};
 use basaltward_membership::{MemberId, Micros, Site, SiteMap};
-use basaltward_route::{Counted, Counts, FunctionTold, Route, RouteSettings};
+use basaltward_site_routing::{FunctionCounts, FunctionSpec, LoopCounts, RoutingController, RoutingSettings};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::error::Error;
@@ -31,7 +31,7 @@
     pub table: f64,
 }
 
-fn counts(rng: &mut StdRng) -> Counts {
+fn counts(rng: &mut StdRng) -> LoopCounts {
     let mut by = Vec::new();
     for function in 0..FUNCTIONS {
         let mean = 20.0 / f64::from(function + 1);
@@ -39,31 +39,36 @@
         if calls > 0 {
             let took = u64::from(calls) * 50_000;
             let in_hand = calls.div_ceil(5);
-            by.push(Counted {
+            by.push(FunctionCounts {
                 function,
                 calls,
                 served: calls,
-                took,
-                warm: calls - u32::from(calls == 1),
-                in_hand,
+                total_time: took,
+                warm_starts: calls - u32::from(calls == 1),
+                in_flight: in_hand,
             });
         }
     }
-    Counts { span: EVERY, in_hand: by.iter().map(|c| c.in_hand).sum(), by, workers: 20 }
+    LoopCounts { span: EVERY, in_flight: by.iter().map(|c| c.in_flight).sum(), functions: by, workers: 20 }
 }
 
 /// Measures one size.
 pub fn measure(sites: Site, gateways: u16) -> Result<Grown, Box<dyn Error>> {
     let of: Vec<Site> = (0..gateways).map(|n| (n % u16::from(sites)) as Site).collect();
-    let told =
-        FunctionTold { memory_mb: 256, lanes: 4, load: Some(800_000), aim: 400_000, deadline: 3_000_000 };
+    let told = FunctionSpec {
+        memory_mb: 256,
+        lanes: 4,
+        load_time: Some(800_000),
+        aim: 400_000,
+        deadline: 3_000_000,
+    };
     let mut now = 10_000_000;
     let mut routes = Vec::new();
     for own in 0..gateways {
         let places = SiteMap::new(of.clone(), own).ok_or("no such gateway")?;
-        let settings = RouteSettings::new(places, vec![told; FUNCTIONS as usize], 16_384, u64::from(own));
-        let mut route = Route::new(settings, now)?;
-        route.live(&vec![true; usize::from(gateways)]);
+        let settings = RoutingSettings::new(places, vec![told; FUNCTIONS as usize], 16_384, u64::from(own));
+        let mut route = RoutingController::new(settings, now)?;
+        route.set_live(&vec![true; usize::from(gateways)]);
         routes.push(route);
     }
     let mut rng = StdRng::seed_from_u64(1);
@@ -73,12 +78,12 @@
         let settled = tick >= TICKS / 2;
         let mut frames = Vec::<(MemberId, MemberId, Vec<u8>)>::new();
         for (own, route) in routes.iter_mut().enumerate() {
-            route.counted(now, 0, &counts(&mut rng));
+            route.record_counts(now, 0, &counts(&mut rng));
             let began = Instant::now();
-            let told = route.tell(now);
+            let told = route.build_frames(now);
             let took = began.elapsed();
             let began = Instant::now();
-            let table = route.table(now);
+            let table = route.build_table(now);
             if settled {
                 tables.push(began.elapsed().as_nanos() as f64 / 1e3);
                 bytes[own] += told.iter().map(|(_, bytes)| bytes.len() as u64).sum::<u64>();
@@ -93,9 +98,9 @@
             longest = longest.max(bytes.len());
             let route = &mut routes[usize::from(to)];
             if of[usize::from(from)] != of[usize::from(to)] {
-                route.link(now + 20_000, from, 20_000);
+                route.record_rtt(now + 20_000, from, 20_000);
             }
-            route.frame(now + 20_000, from, &bytes)?;
+            route.receive_frame(now + 20_000, from, &bytes)?;
         }
         now += EVERY;
     }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -16,8 +16,8 @@
 };
 use basaltward_pending::{End, Fate, Input, Output, Pending, PendingSettings, Step, taken};
 use basaltward_permits::{Denied, PermitRequest};
-use basaltward_route::{FunctionTold, Route, RouteSettings};
 use basaltward_rules::{Observation, Recorder};
+use basaltward_site_routing::{FunctionSpec, RoutingController, RoutingSettings};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -44,7 +44,7 @@
     name: String,
     io: Io,
     endpoint: PeerEndpoint,
-    route: Route,
+    route: RoutingController,
     shed: AdmissionController,
     shed_fact_lifetime: Micros,
     pending: Pending,
@@ -96,12 +96,12 @@
     })
 }
 
-fn route_settings(config: &Config, sites: &SitesConfig) -> Option<RouteSettings> {
+fn route_settings(config: &Config, sites: &SitesConfig) -> Option<RoutingSettings> {
     let classes = &config.controller.classes;
-    let function = |f: &basaltward_config::FunctionConfig| FunctionTold {
+    let function = |f: &basaltward_config::FunctionConfig| FunctionSpec {
         memory_mb: f.memory_mb.ceil().max(1.0) as u32,
         lanes: f.lanes,
-        load: f.load_time,
+        load_time: f.load_time,
         aim: classes[f.class].aim,
         deadline: classes[f.class].deadline,
     };
@@ -109,9 +109,9 @@
     let worker_mb = kinds.iter().sum::<f64>() / kinds.len().max(1) as f64;
     let functions = config.functions.iter().map(function).collect();
     let defaults =
-        RouteSettings::new(site_map(sites)?, functions, worker_mb as u32, u64::from(sites.own_index));
-    Some(RouteSettings {
-        keep: config.controller.copies.keep_alive,
+        RoutingSettings::new(site_map(sites)?, functions, worker_mb as u32, u64::from(sites.own_index));
+    Some(RoutingSettings {
+        keep_alive: config.controller.copies.keep_alive,
         loops: config.threads as u16,
         ..defaults
     })
@@ -156,7 +156,7 @@
         let now = monotonic();
         let endpoint = PeerEndpoint::open(endpoint_config(config, sites), &mut io, now)?;
         let route = route_settings(config, sites).ok_or(GatewayError::NotAPeer)?;
-        let route = Route::new(route, now)?;
+        let route = RoutingController::new(route, now)?;
         let shed = shed_settings(config, sites).ok_or(GatewayError::NotAPeer)?;
         let shed_fact_lifetime = shed.load_ttl;
         let shed = AdmissionController::new(now, shed)?;
@@ -256,8 +256,8 @@
         for (number, end) in self.loops.iter_mut().enumerate() {
             while let Ok(report) = end.reports.pop() {
                 match report {
-                    LoopReport::Calls(counts) => self.route.counted(now, number as u16, &counts),
-                    LoopReport::HandedOver(handed) => self.route.handed(now, &handed),
+                    LoopReport::Calls(counts) => self.route.record_counts(now, number as u16, &counts),
+                    LoopReport::HandedOver(handed) => self.route.record_handover(now, &handed),
                     LoopReport::Admission(counts) => self.shed.record_counts(now, number, &counts),
                 }
             }
@@ -299,7 +299,7 @@
                     Input::Frame { from, bytes: bytes.to_vec() }
                 }
                 EndpointEvent::Connection(ConnectionEvent::Frame(from, Channel::Route, bytes)) => {
-                    if let Err(error) = self.route.frame(now, from, &bytes) {
+                    if let Err(error) = self.route.receive_frame(now, from, &bytes) {
                         warn!(scheduler = self.name, from, %error, "routing frame of another site rejected");
                     }
                     continue;
@@ -385,7 +385,7 @@
         let live: Vec<_> = members.iter().enumerate().map(|(of, e)| of == own || e.state.is_live()).collect();
         if live != self.live {
             self.live = live;
-            self.route.live(&self.live);
+            self.route.set_live(&self.live);
             self.next_site_refresh = now;
             let mut outputs = Vec::new();
             self.pending.handle(now, wall_ms(), Input::Live(self.live.clone()), &mut outputs);
@@ -402,14 +402,14 @@
                 && now.saturating_sub(age) > *last
             {
                 *last = now.saturating_sub(age);
-                self.route.link(now, of, rtt);
+                self.route.record_rtt(now, of, rtt);
             }
         }
-        for (to, frame) in self.route.tell(now) {
+        for (to, frame) in self.route.build_frames(now) {
             // A frame that can't be queued is not retried: the next one carries newer values.
             let _ = self.endpoint.send(&mut self.io, now, to, (Channel::Route, &frame));
         }
-        self.tables.route.store(Some(Arc::new(self.route.table(now))));
+        self.tables.route.store(Some(Arc::new(self.route.build_table(now))));
     }
 
     /// Passes the load that peers have published to admission, publishes its own, and publishes its table.
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -10,8 +10,8 @@
 use basaltward_config::Config;
 use basaltward_net::{Io, IoLimits, NetError, Waker, bind, monotonic};
 use basaltward_peers::PeerError;
-use basaltward_route::RouteError;
 use basaltward_rules::Recorder;
+use basaltward_site_routing::RoutingError;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -36,7 +36,7 @@
     Peers(#[from] PeerError),
     /// Routing between sites rejected its settings.
     #[error("sites: {0}")]
-    Route(#[from] RouteError),
+    Route(#[from] RoutingError),
     /// Admission rejected its settings.
     #[error("sites: {0}")]
     Shed(#[from] AdmissionError),
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -15,7 +15,9 @@
 use basaltward_membership::MemberId;
 use basaltward_net::{ConnId, EndReason, Io};
 use basaltward_pending::{Key, owner};
-use basaltward_route::{Counted, Counts, Handed, HandedEnd, Router, Where, home_by};
+use basaltward_site_routing::{
+    Destination, FunctionCounts, Handover, HandoverOutcome, LoopCounts, Router, handover_deadline,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use tracing::warn;
@@ -102,7 +104,7 @@
     run_times: HashMap<u32, Micros>,
     wait_estimates: WaitEstimator,
     /// Counts since the last report, by function index.
-    counts: BTreeMap<u32, Counted>,
+    counts: BTreeMap<u32, FunctionCounts>,
     /// Time of the last report.
     reported_at: Micros,
     active_workers: u32,
@@ -206,8 +208,8 @@
     }
 
     /// The counts of a function since the last report.
-    fn counted(&mut self, function: u32) -> &mut Counted {
-        self.counts.entry(function).or_insert(Counted { function, ..Counted::default() })
+    fn counted(&mut self, function: u32) -> &mut FunctionCounts {
+        self.counts.entry(function).or_insert(FunctionCounts { function, ..FunctionCounts::default() })
     }
 
     /// Routes a call that arrived from a client or from another site.
@@ -238,9 +240,9 @@
             let remaining = call.deadline.saturating_sub(now);
             let table = self.tables.route.load();
             let target = self.router.choose(now, table.as_deref(), function, remaining, handed_over);
-            if let Where::There { peer, .. } = target {
+            if let Destination::Remote { peer, .. } = target {
                 let row = table.as_ref().and_then(|t| t.rows.get(function as usize));
-                let until = home_by(now, call.deadline, row.map_or(0, |row| row.here));
+                let until = handover_deadline(now, call.deadline, row.map_or(0, |row| row.local_latency));
                 return self.hand_over(io, now, call, (function, peer), (until, false));
             }
         }
@@ -294,7 +296,7 @@
     /// Adds a call to those in flight at this site.
     fn track_local(&mut self, now: Micros, function: u32, call: &NewCall<Event>) {
         let (class, tenant) = (call.function.class, call.identity.tenant);
-        self.counted(function).in_hand += 1;
+        self.counted(function).in_flight += 1;
         let hash = digest(&call.identity) as u64;
         self.local_calls.insert(call.waiter, LocalCall { function, class, tenant, hash, arrived_at: now });
     }
@@ -372,13 +374,13 @@
         }
         let took = now.saturating_sub(began);
         let handed_end = match end.code {
-            Code::Ok => HandedEnd::Served,
-            Code::Full | Code::Miss => HandedEnd::Refused,
-            Code::ConnectFailed => HandedEnd::Unreached,
-            _ => HandedEnd::Lost,
+            Code::Ok => HandoverOutcome::Served,
+            Code::Full | Code::Miss => HandoverOutcome::Refused,
+            Code::ConnectFailed => HandoverOutcome::Unreached,
+            _ => HandoverOutcome::Lost,
         };
-        let handed = Handed { function, to, took, end: handed_end };
-        self.router.ended(now, &handed);
+        let handed = Handover { function, to, duration: took, outcome: handed_end };
+        self.router.handover_ended(now, &handed);
         self.rings.reports.send(LoopReport::HandedOver(handed));
         Some(match end.reply {
             Some(reply) => HandOverResult::Answer(waiter, Answer::Served(reply)),
@@ -459,7 +461,10 @@
         }
         // The result is unknown. Counted as lost, it would lower the rating of a site that did nothing wrong.
         let took = now.saturating_sub(began);
-        self.router.ended(now, &Handed { function, to, took, end: HandedEnd::Refused });
+        self.router.handover_ended(
+            now,
+            &Handover { function, to, duration: took, outcome: HandoverOutcome::Refused },
+        );
         true
     }
 
@@ -472,7 +477,7 @@
         let mut answer = answer;
         if matches!(answer, Answer::Served(_)) {
             let counted = self.counted(function);
-            (counted.served, counted.took) = (counted.served + 1, counted.took + took);
+            (counted.served, counted.total_time) = (counted.served + 1, counted.total_time + took);
             // The wait includes every queue of the call's path, those at workers too.
             let waited = took.saturating_sub(self.run_times.get(&function).copied().unwrap_or(took));
             let waited = self.wait_estimates.record(now, function, now - took, waited);
@@ -497,7 +502,7 @@
     fn local_call_ended(&mut self, waiter: WaiterId, ended: Option<CallOutcome>) {
         let Some(local) = self.local_calls.remove(&waiter) else { return };
         let counted = self.counted(local.function);
-        counted.in_hand = counted.in_hand.saturating_sub(1);
+        counted.in_flight = counted.in_flight.saturating_sub(1);
         if let Some(ended) = ended {
             self.admission.record_outcome(local.class, local.tenant, ended);
         }
@@ -514,7 +519,7 @@
     pub fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: &AttemptEnd<Reply>) {
         let Some((function, began)) = self.attempts.remove(&attempt) else { return };
         if end.code == Code::Ok && end.copy == basaltward::CopyStatus::Loaded {
-            self.counted(function).warm += 1;
+            self.counted(function).warm_starts += 1;
             let (took, run) =
                 (now.saturating_sub(began), self.run_times.entry(function).or_insert(Micros::MAX));
             // Grows by a hundredth with each run, so that the value follows runs that have become longer.
@@ -538,14 +543,17 @@
             let by: Vec<_> = self.counts.values().copied().collect();
             // The calls in flight carry over; all other counts restart.
             self.counts.retain(|_, counted| {
-                *counted =
-                    Counted { function: counted.function, in_hand: counted.in_hand, ..Counted::default() };
-                counted.in_hand > 0
+                *counted = FunctionCounts {
+                    function: counted.function,
+                    in_flight: counted.in_flight,
+                    ..FunctionCounts::default()
+                };
+                counted.in_flight > 0
             });
-            self.rings.reports.send(LoopReport::Calls(Counts {
+            self.rings.reports.send(LoopReport::Calls(LoopCounts {
                 span,
-                by,
-                in_hand,
+                functions: by,
+                in_flight: in_hand,
                 workers: self.active_workers,
             }));
             self.rings.reports.send(LoopReport::Admission(self.admission.take_counts(now, in_hand)));
--- a/crates/gateway/src/tables.rs
+++ b/crates/gateway/src/tables.rs
@@ -15,7 +15,7 @@
 /// The latest table of each subsystem of the control thread; empty until it has published one.
 pub struct Tables {
     /// Routing of calls between sites.
-    pub route: ArcSwapOption<basaltward_route::Table>,
+    pub route: ArcSwapOption<basaltward_site_routing::RoutingTable>,
     /// Admission of calls.
     pub shed: ArcSwapOption<basaltward_admission::ShareTable>,
     /// Ownership of replicated events.
@@ -45,9 +45,9 @@
 /// A message from a loop to the control thread.
 pub enum LoopReport {
     /// Counts of calls by function, for routing.
-    Calls(basaltward_route::Counts),
+    Calls(basaltward_site_routing::LoopCounts),
     /// The end of a call that was handed over to another site.
-    HandedOver(basaltward_route::Handed),
+    HandedOver(basaltward_site_routing::Handover),
     /// Counts of calls by class and tenant, for admission.
     Admission(basaltward_admission::LoopCounts),
 }
@@ -148,11 +148,16 @@
         let waker = Io::new(IoLimits::default()).expect("create an I/O loop").waker();
         let (LoopEnd { mut reports, .. }, ControlEnd { reports: mut control, .. }) =
             control_rings(waker.clone(), waker);
-        let report = |in_hand| LoopReport::Calls(basaltward_route::Counts { in_hand, ..Default::default() });
+        let report = |in_hand| {
+            LoopReport::Calls(basaltward_site_routing::LoopCounts {
+                in_flight: in_hand,
+                ..Default::default()
+            })
+        };
         (0..3 * RING_CAPACITY as u32).for_each(|n| reports.send(report(n)));
         assert_eq!(reports.dropped(), RING_CAPACITY as u64);
         let mut take = || match control.pop() {
-            Ok(LoopReport::Calls(counts)) => Some(counts.in_hand),
+            Ok(LoopReport::Calls(counts)) => Some(counts.in_flight),
             _ => None,
         };
         assert_eq!((0..RING_CAPACITY).filter_map(|_| take()).last(), Some(RING_CAPACITY as u32 - 1));
