--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -26,7 +26,7 @@
 fn send(io: &mut Io, conn: ConnId, host: &str, id: u64) {
     let Some(out) = io.output(conn) else { return };
     let head = HeadWriter::request(out, "POST", "/functions/echo", host);
-    let head = head.field("ce-specversion", "1.0").shown("ce-id", id).field("ce-source", "/bench");
+    let head = head.field("ce-specversion", "1.0").display_field("ce-id", id).field("ce-source", "/bench");
     let head = head.field("ce-type", "bench.call").field("Content-Type", "text/plain");
     head.body(Body::Whole(b"a payload of some forty bytes, as is usual"));
 }
--- a/crates/bench/src/parse.rs
+++ b/crates/bench/src/parse.rs
@@ -1,6 +1,6 @@
 //! The parser on a typical event, alone.
 
-use basaltward_cloudevents::read;
+use basaltward_cloudevents::from_http;
 use basaltward_http::{Decoded, Limits, RequestDecoder};
 use bytes::BytesMut;
 use std::error::Error;
@@ -19,7 +19,7 @@
     for _ in 0..times {
         let mut input = BytesMut::from(EVENT);
         if let Decoded::Message(request) = decoder.decode(&mut input)? {
-            black_box(read(&request.headers, request.body.clone(), 1)?);
+            black_box(from_http(&request.headers, request.body.clone(), 1)?);
             events += 1;
         }
     }
--- a/crates/cloudevents/src/error.rs
+++ b/crates/cloudevents/src/error.rs
@@ -8,22 +8,22 @@
     NotAnEvent,
     /// An event format other than JSON.
     #[error("event format {0:?} is not supported; use JSON")]
-    Format(String),
+    UnsupportedFormat(String),
     /// A required attribute is absent or empty.
     #[error("required attribute {0} is missing or empty")]
-    Missing(&'static str),
+    MissingAttribute(&'static str),
     /// A version other than 1.0.
     #[error("specversion must be \"1.0\"")]
     Version,
     /// An attribute's name is not lower-case letters and digits.
     #[error("attribute name {0:?} may hold only a-z and 0-9")]
-    Name(String),
+    InvalidName(String),
     /// An attribute is told twice.
     #[error("attribute {0} is given twice")]
-    Twice(String),
+    DuplicateAttribute(String),
     /// An attribute's value does not fit its type.
     #[error("attribute {name}: expected {expected}")]
-    Value {
+    InvalidValue {
         /// The attribute.
         name: String,
         /// What would do.
@@ -31,16 +31,16 @@
     },
     /// The JSON text can't be read.
     #[error("malformed JSON: {0}")]
-    Json(String),
+    MalformedJson(String),
     /// Both `data` and `data_base64`.
     #[error("data and data_base64 exclude each other")]
-    TwoData,
+    ConflictingData,
     /// More events in a batch than the bound.
     #[error("a batch may hold at most {0} events")]
     BatchTooLong(usize),
     /// An event of a batch is unusable; none of the batch was taken.
     #[error("event {index} of the batch: {error}")]
-    InBatch {
+    InvalidEventInBatch {
         /// Its position, from 0.
         index: usize,
         /// What is wrong.
@@ -52,7 +52,7 @@
     /// The HTTP status that says so.
     pub fn status(&self) -> u16 {
         match self {
-            Self::NotAnEvent | Self::Format(_) => 415,
+            Self::NotAnEvent | Self::UnsupportedFormat(_) => 415,
             Self::BatchTooLong(_) => 413,
             _ => 400,
         }
--- a/crates/cloudevents/src/event.rs
+++ b/crates/cloudevents/src/event.rs
@@ -58,54 +58,54 @@
     }
 
     /// Adds an extension.
-    pub fn with(mut self, name: &str, value: Attribute) -> Self {
+    pub fn with_extension(mut self, name: &str, value: Attribute) -> Self {
         self.extensions.push((name.into(), value));
         self
     }
 
     /// Takes one attribute other than `specversion`.
-    pub(crate) fn set(&mut self, name: &str, value: Attribute) -> Result<(), EventError> {
+    pub(crate) fn set_attribute(&mut self, name: &str, value: Attribute) -> Result<(), EventError> {
         if name.is_empty() || !name.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit()) {
-            return Err(EventError::Name(name.into()));
+            return Err(EventError::InvalidName(name.into()));
         }
         let known =
             matches!(name, "id" | "source" | "type" | "subject" | "time" | "datacontenttype" | "dataschema");
         if !known {
             if self.extension(name).is_some() {
-                return Err(EventError::Twice(name.into()));
+                return Err(EventError::DuplicateAttribute(name.into()));
             }
             self.extensions.push((name.into(), value));
             return Ok(());
         }
         let Attribute::Text(text) = value else {
-            return Err(EventError::Value { name: name.into(), expected: "text" });
+            return Err(EventError::InvalidValue { name: name.into(), expected: "text" });
         };
         if text.is_empty() {
-            return Err(EventError::Value { name: name.into(), expected: "text that is not empty" });
+            return Err(EventError::InvalidValue { name: name.into(), expected: "text that is not empty" });
         }
         if name == "time" && text.parse::<jiff::Timestamp>().is_err() {
-            return Err(EventError::Value { name: name.into(), expected: "a time by RFC 3339" });
+            return Err(EventError::InvalidValue { name: name.into(), expected: "a time by RFC 3339" });
         }
         let slot = match name {
-            "id" => return once(&mut self.id, name, text),
-            "source" => return once(&mut self.source, name, text),
-            "type" => return once(&mut self.kind, name, text),
+            "id" => return set_once(&mut self.id, name, text),
+            "source" => return set_once(&mut self.source, name, text),
+            "type" => return set_once(&mut self.kind, name, text),
             "subject" => &mut self.subject,
             "time" => &mut self.time,
             "datacontenttype" => &mut self.content_type,
             _ => &mut self.schema,
         };
         match slot.replace(text) {
-            Some(_) => Err(EventError::Twice(name.into())),
+            Some(_) => Err(EventError::DuplicateAttribute(name.into())),
             None => Ok(()),
         }
     }
 
     /// Whether everything required is there.
-    pub(crate) fn checked(self) -> Result<Self, EventError> {
+    pub(crate) fn with_required_attributes(self) -> Result<Self, EventError> {
         let required = [("id", &self.id), ("source", &self.source), ("type", &self.kind)];
         match required.iter().find(|(_, value)| value.is_empty()) {
-            Some((name, _)) => Err(EventError::Missing(name)),
+            Some((name, _)) => Err(EventError::MissingAttribute(name)),
             None => Ok(self),
         }
     }
@@ -120,9 +120,9 @@
     }
 }
 
-fn once(slot: &mut String, name: &str, text: String) -> Result<(), EventError> {
+fn set_once(slot: &mut String, name: &str, text: String) -> Result<(), EventError> {
     if !slot.is_empty() {
-        return Err(EventError::Twice(name.into()));
+        return Err(EventError::DuplicateAttribute(name.into()));
     }
     *slot = text;
     Ok(())
--- a/crates/cloudevents/src/http.rs
+++ b/crates/cloudevents/src/http.rs
@@ -30,13 +30,15 @@
 ///
 /// # Errors
 /// Whatever keeps the message from being events; of a batch with one bad event none is given.
-pub fn read(headers: &Headers, body: Bytes, most: usize) -> Result<(Mode, Incoming), EventError> {
+pub fn from_http(headers: &Headers, body: Bytes, most: usize) -> Result<(Mode, Incoming), EventError> {
     let told = headers.get("content-type");
     let media = told.and_then(|t| t.split(';').next()).unwrap_or_default().trim().to_ascii_lowercase();
     match media.as_str() {
         STRUCTURED => Ok((Mode::Structured, Incoming::One(json::from_json(&body)?))),
         BATCH => Ok((Mode::Batch, Incoming::Batch(json::batch(&body, most)?))),
-        other if other.starts_with("application/cloudevents") => Err(EventError::Format(other.into())),
+        other if other.starts_with("application/cloudevents") => {
+            Err(EventError::UnsupportedFormat(other.into()))
+        }
         _ => binary(headers, body).map(|event| (Mode::Binary, Incoming::One(event))),
     }
 }
@@ -46,29 +48,32 @@
     for (name, value) in headers.iter() {
         let Some(prefix) = name.get(..3).filter(|p| p.eq_ignore_ascii_case(b"ce-")) else {
             if name.eq_ignore_ascii_case(b"content-type") {
-                event.set("datacontenttype", Attribute::Text(plain(value, "datacontenttype")?.to_owned()))?;
+                event.set_attribute(
+                    "datacontenttype",
+                    Attribute::Text(plain(value, "datacontenttype")?.to_owned()),
+                )?;
             }
             continue;
         };
         let name = plain(&name[prefix.len()..], "name")?.to_ascii_lowercase();
         let value = decode(plain(value, &name)?, &name)?;
         match name.as_str() {
-            "specversion" if version => return Err(EventError::Twice(name)),
+            "specversion" if version => return Err(EventError::DuplicateAttribute(name)),
             "specversion" if value != "1.0" => return Err(EventError::Version),
             "specversion" => version = true,
             // Told by Content-Type in this mode.
-            "datacontenttype" => return Err(EventError::Twice(name)),
-            _ => event.set(&name, Attribute::Text(value))?,
+            "datacontenttype" => return Err(EventError::DuplicateAttribute(name)),
+            _ => event.set_attribute(&name, Attribute::Text(value))?,
         }
     }
     if !version {
         return Err(EventError::NotAnEvent);
     }
-    event.checked()
+    event.with_required_attributes()
 }
 
 fn plain<'a>(value: &'a [u8], name: &str) -> Result<&'a str, EventError> {
-    let wrong = |_| EventError::Value { name: name.into(), expected: "ASCII, others percent-encoded" };
+    let wrong = |_| EventError::InvalidValue { name: name.into(), expected: "ASCII, others percent-encoded" };
     std::str::from_utf8(value).map_err(wrong)
 }
 
@@ -87,14 +92,15 @@
         }
     }
     let decoded = percent_decode_str(&unquoted).decode_utf8();
-    let wrong = |_| EventError::Value { name: name.into(), expected: "UTF-8 under the percent-encoding" };
+    let wrong =
+        |_| EventError::InvalidValue { name: name.into(), expected: "UTF-8 under the percent-encoding" };
     decoded.map(|text| text.into_owned()).map_err(wrong)
 }
 
 /// Writes an event's attributes as fields of a message in binary mode; the payload is the caller's to write.
 pub fn write_binary_fields<'a>(event: &Event, head: HeadWriter<'a>) -> HeadWriter<'a> {
     fn put<'a>(head: HeadWriter<'a>, name: &str, value: &str) -> HeadWriter<'a> {
-        head.prefixed("ce-", name, utf8_percent_encode(value, ENCODED))
+        head.prefixed_field("ce-", name, utf8_percent_encode(value, ENCODED))
     }
     let mut head = head.field("ce-specversion", "1.0");
     head = put(head, "id", &event.id);
@@ -109,10 +115,10 @@
     for (name, value) in &event.extensions {
         head = match value {
             Attribute::Text(text) => put(head, name, text),
-            other => head.prefixed("ce-", name, other),
+            other => head.prefixed_field("ce-", name, other),
         };
     }
-    head.maybe("Content-Type", event.content_type.as_deref())
+    head.optional_field("Content-Type", event.content_type.as_deref())
 }
 
 /// The mode that `Accept` asks for: structured where it names that media type and nothing before it asks
--- a/crates/cloudevents/src/json.rs
+++ b/crates/cloudevents/src/json.rs
@@ -34,7 +34,7 @@
 }
 
 fn unreadable(error: serde_json::Error) -> EventError {
-    EventError::Json(error.to_string())
+    EventError::MalformedJson(error.to_string())
 }
 
 /// Reads one event in the JSON format.
@@ -51,8 +51,9 @@
     if all.len() > most {
         return Err(EventError::BatchTooLong(most));
     }
-    let read =
-        |(index, members)| event(members).map_err(|e| EventError::InBatch { index, error: Box::new(e) });
+    let read = |(index, members)| {
+        event(members).map_err(|e| EventError::InvalidEventInBatch { index, error: Box::new(e) })
+    };
     all.into_iter().enumerate().map(read).collect()
 }
 
@@ -64,19 +65,19 @@
             "data_base64" => binary = Some(raw),
             _ if raw.get() == "null" => {}
             "specversion" => version = Some(text(&name, raw)?),
-            _ => event.set(&name, attribute(&name, raw)?)?,
+            _ => event.set_attribute(&name, attribute(&name, raw)?)?,
         }
     }
     match version.as_deref() {
         Some("1.0") => {}
         Some(_) => return Err(EventError::Version),
-        None => return Err(EventError::Missing("specversion")),
+        None => return Err(EventError::MissingAttribute("specversion")),
     }
     event.data = match (data, binary) {
-        (Some(_), Some(_)) => return Err(EventError::TwoData),
+        (Some(_), Some(_)) => return Err(EventError::ConflictingData),
         (None, None) => Bytes::new(),
         (None, Some(raw)) => {
-            let wrong = |_| EventError::Value { name: "data_base64".into(), expected: "base64 text" };
+            let wrong = |_| EventError::InvalidValue { name: "data_base64".into(), expected: "base64 text" };
             STANDARD.decode(text("data_base64", raw)?).map_err(wrong)?.into()
         }
         // Without a media type a payload given as a JSON value is of the type application/json (JSON format,
@@ -89,15 +90,17 @@
         (Some(raw), None) if !event.is_json() && raw.get().starts_with('"') => text("data", raw)?.into(),
         (Some(raw), None) => Bytes::copy_from_slice(raw.get().as_bytes()),
     };
-    event.checked()
+    event.with_required_attributes()
 }
 
 fn text(name: &str, raw: &RawValue) -> Result<String, EventError> {
-    serde_json::from_str(raw.get()).map_err(|_| EventError::Value { name: name.into(), expected: "text" })
+    serde_json::from_str(raw.get())
+        .map_err(|_| EventError::InvalidValue { name: name.into(), expected: "text" })
 }
 
 fn attribute(name: &str, raw: &RawValue) -> Result<Attribute, EventError> {
-    let wrong = EventError::Value { name: name.into(), expected: "text, a 32-bit integer or a boolean" };
+    let wrong =
+        EventError::InvalidValue { name: name.into(), expected: "text, a 32-bit integer or a boolean" };
     match raw.get().as_bytes().first() {
         Some(b'"') => text(name, raw).map(Attribute::Text),
         Some(b't') => Ok(Attribute::Boolean(true)),
--- a/crates/cloudevents/src/lib.rs
+++ b/crates/cloudevents/src/lib.rs
@@ -9,7 +9,7 @@
 
 pub use error::EventError;
 pub use event::{Attribute, Event};
-pub use http::{Incoming, Mode, accepted_mode, read, write_binary_fields};
+pub use http::{Incoming, Mode, accepted_mode, from_http, write_binary_fields};
 pub use json::{from_json, to_json};
 
 /// Media type of one event in the JSON format.
--- a/crates/cloudevents/tests/modes.rs
+++ b/crates/cloudevents/tests/modes.rs
@@ -18,7 +18,7 @@
 
 fn read_all(fields: &[(&str, &str)], body: &[u8]) -> Result<(Mode, Incoming), EventError> {
     let request = message(fields, body);
-    read(&request.headers, request.body.clone(), 3)
+    from_http(&request.headers, request.body.clone(), 3)
 }
 
 const REQUIRED: [(&str, &str); 4] =
@@ -41,7 +41,7 @@
     let Ok(Decoded::Message(again)) = RequestDecoder::new(Limits::default()).decode(&mut bytes) else {
         panic!("whole")
     };
-    let (_, Incoming::One(back)) = read(&again.headers, again.body, 1).expect("an event") else {
+    let (_, Incoming::One(back)) = from_http(&again.headers, again.body, 1).expect("an event") else {
         panic!("one")
     };
     assert_eq!(back, event);
@@ -100,7 +100,7 @@
     );
     assert_eq!(batch(format!("[{one},{one},{one},{one}]")), Err(EventError::BatchTooLong(3)));
     let bad = batch(format!("[{one},{{\"specversion\":\"1.0\"}}]"));
-    assert!(matches!(bad, Err(EventError::InBatch { index: 1, .. })), "{bad:?}");
+    assert!(matches!(bad, Err(EventError::InvalidEventInBatch { index: 1, .. })), "{bad:?}");
 }
 
 #[test]
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -4,7 +4,7 @@
 use crate::worker_wire::Reply;
 use basaltward::{Micros, Repeat};
 use basaltward_cloudevents::{
-    Attribute, BATCH, Event, Incoming, Mode, STRUCTURED, accepted_mode, from_json, read, to_json,
+    Attribute, BATCH, Event, Incoming, Mode, STRUCTURED, accepted_mode, from_http, from_json, to_json,
     write_binary_fields,
 };
 use basaltward_config::Config;
@@ -149,7 +149,7 @@
         let functions = functions.map(|f| (f.name.to_string(), (Arc::new(function(f)), deadline(f.class))));
         Self {
             limits: Limits {
-                line: front.line_bytes,
+                start_line: front.line_bytes,
                 head: front.head_bytes,
                 fields: front.header_fields,
                 body: front.body_bytes,
@@ -248,7 +248,8 @@
         }
         let input = io.input(conn)?;
         let decoded = client.decoder.decode(input);
-        let (within, within_body) = (client.decoder.within_message(input), client.decoder.within_body());
+        let (within, within_body) =
+            (client.decoder.has_partial_message(input), client.decoder.is_reading_body());
         match decoded {
             Ok(Decoded::Message(request)) => {
                 io.release_input(conn);
@@ -340,7 +341,7 @@
         if request.method != Method::Post {
             return Err(Problem::rejected(405, "calls are made with POST"));
         }
-        let read = read(&request.headers, request.body.clone(), self.max_batch);
+        let read = from_http(&request.headers, request.body.clone(), self.max_batch);
         let (mode, incoming) = read.map_err(|error| Problem::rejected(error.status(), error.to_string()))?;
         let events = match incoming {
             Incoming::One(event) => vec![event],
@@ -552,7 +553,7 @@
     let body = problem.body();
     let head = HeadWriter::response(out, problem.status).field("Content-Type", "application/problem+json");
     let head = match problem.retry_after {
-        Some(seconds) => head.shown("Retry-After", seconds),
+        Some(seconds) => head.display_field("Retry-After", seconds),
         None => head,
     };
     let head = if problem.status == 405 { head.field("Allow", "POST") } else { head };
@@ -589,8 +590,8 @@
             }
         };
         let event = event
-            .with(extensions::OUTCOME, Attribute::Text(outcome.into()))
-            .with(extensions::STATUS, Attribute::Integer(status));
+            .with_extension(extensions::OUTCOME, Attribute::Text(outcome.into()))
+            .with_extension(extensions::STATUS, Attribute::Integer(status));
         to_json(&event, &mut body);
     }
     body.push(b']');
--- a/crates/gateway/src/handover_wire.rs
+++ b/crates/gateway/src/handover_wire.rs
@@ -20,9 +20,9 @@
     event.extensions.retain(|(name, _)| !is_set_here(name));
     let timeout_ms = (left.saturating_sub(ANSWER_RESERVE_US) / 1_000).max(1);
     let event = event
-        .with(extensions::TIMEOUT, Attribute::Text(timeout_ms.to_string()))
-        .with(extensions::HOPS, Attribute::Integer(1))
-        .with(extensions::HANDED_BY, Attribute::Text(by.to_owned()));
+        .with_extension(extensions::TIMEOUT, Attribute::Text(timeout_ms.to_string()))
+        .with_extension(extensions::HOPS, Attribute::Integer(1))
+        .with_extension(extensions::HANDED_BY, Attribute::Text(by.to_owned()));
     let target = ["/functions/", function.name.as_str()].concat();
     let head = HeadWriter::request(out, "POST", &target, host).field("Accept", "*/*");
     write_binary_fields(&event, head).body(Body::Whole(&event.data));
@@ -47,9 +47,9 @@
     #[test]
     fn the_remaining_time_and_the_hop_replace_the_extensions_of_the_client() {
         let event = Event::new("1", "/s", "t")
-            .with(extensions::HOPS, Attribute::Integer(0))
-            .with(extensions::TIMEOUT, Attribute::Text("9000".into()))
-            .with("tenant", Attribute::Text("cusco".into()));
+            .with_extension(extensions::HOPS, Attribute::Integer(0))
+            .with_extension(extensions::TIMEOUT, Attribute::Text("9000".into()))
+            .with_extension("tenant", Attribute::Text("cusco".into()));
         let function =
             Function { name: "parcels".into(), class: 0, memory_mb: 1.0, lanes: 1, load_time: None };
         let mut out = BytesMut::new();
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -399,7 +399,7 @@
         let connection = self.conns.get_mut(&conn)?;
         // A response may be delimited by the end of its connection.
         let input = io.input(conn).filter(|_| how == EndReason::Closed);
-        if let Some(Ok(response)) = input.map(|input| connection.decoder.end(input)) {
+        if let Some(Ok(response)) = input.map(|input| connection.decoder.finish(input)) {
             return self.finish(io, now, conn, response, false);
         }
         let sent = matches!(connection.stage, Stage::AwaitingResponse);
--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -65,7 +65,7 @@
     pub fn body(&self) -> Vec<u8> {
         let value = json!({
             "type": "about:blank",
-            "title": basaltward_http::reason(self.status),
+            "title": basaltward_http::reason_phrase(self.status),
             "status": self.status,
             "outcome": self.outcome,
             "retryable": self.retryable,
--- a/crates/gateway/src/replicated.rs
+++ b/crates/gateway/src/replicated.rs
@@ -362,7 +362,7 @@
             // The end was journaled when the attempt ended.
             Answer::Served(reply) if unreplicated => {
                 let kept = Attribute::Boolean(false);
-                return Answer::Served(Reply(Arc::new(Event::clone(&reply.0).with(KEPT, kept))));
+                return Answer::Served(Reply(Arc::new(Event::clone(&reply.0).with_extension(KEPT, kept))));
             }
             Answer::Served(_) => {}
             Answer::Refused(..) if !unsafe_may_have_run => self.end(key, Outcome::Refused, Vec::new()),
--- a/crates/gateway/src/worker_wire.rs
+++ b/crates/gateway/src/worker_wire.rs
@@ -46,15 +46,16 @@
 /// Writes an attempt of a call: the event and the requirements of its function.
 pub fn call(out: &mut BytesMut, event: &Event, function: &Function, repeat: Repeat, attempt: &Attempt) {
     let target = ["/functions/", function.name.as_str()].concat();
-    let head = HeadWriter::request(out, "POST", &target, attempt.host).shown(fields::ATTEMPT, &attempt.name);
+    let head =
+        HeadWriter::request(out, "POST", &target, attempt.host).display_field(fields::ATTEMPT, &attempt.name);
     let head = match repeat {
         Repeat::Safe => head.field(fields::REPEAT, "safe"),
         Repeat::Unsafe => head.field(fields::REPEAT, "unsafe"),
         Repeat::Keyed { window, .. } => {
-            head.field(fields::REPEAT, "keyed").shown(fields::WINDOW, window.div_ceil(1_000))
+            head.field(fields::REPEAT, "keyed").display_field(fields::WINDOW, window.div_ceil(1_000))
         }
     };
-    let head = head.shown(fields::PATIENCE, attempt.patience_ms);
+    let head = head.display_field(fields::PATIENCE, attempt.patience_ms);
     let head = write_binary_fields(event, function_fields(head, function));
     head.body(Body::Whole(&event.data));
 }
@@ -71,7 +72,7 @@
 
 /// Adds the requirements of a function.
 fn function_fields<'a>(head: HeadWriter<'a>, function: &Function) -> HeadWriter<'a> {
-    head.shown(fields::MEMORY, function.memory_mb).shown(fields::LANES, function.lanes)
+    head.display_field(fields::MEMORY, function.memory_mb).display_field(fields::LANES, function.lanes)
 }
 
 /// Writes an order to load `count` copies, or a query for the number of loaded copies if `count` is 0.
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -22,12 +22,12 @@
     let mut codings = headers.all("transfer-encoding");
     let mut lengths = headers.all("content-length");
     match (codings.next(), lengths.next()) {
-        (Some(_), Some(_)) => Err(Error::TwoLengths),
+        (Some(_), Some(_)) => Err(Error::ConflictingLengths),
         (Some(coding), None) => {
             let alone = codings.next().is_none() && version == Version::Http11;
             match alone && coding.eq_ignore_ascii_case(b"chunked") {
                 true => Ok(Some(Framing::Chunked)),
-                false => Err(Error::TransferCoding),
+                false => Err(Error::UnsupportedTransferCoding),
             }
         }
         (None, Some(length)) => {
@@ -98,8 +98,10 @@
                             let _ = input.split_to(2);
                             *step = Chunk::Size;
                         }
-                        Some(_) => return Err(Error::Chunk),
-                        None if input.first().is_some_and(|b| *b != b'\r') => return Err(Error::Chunk),
+                        Some(_) => return Err(Error::InvalidChunk),
+                        None if input.first().is_some_and(|b| *b != b'\r') => {
+                            return Err(Error::InvalidChunk);
+                        }
                         None => return Ok(None),
                     },
                     Chunk::Trailer(seen) => {
@@ -110,7 +112,7 @@
                         }
                         let whole = matches!(memchr(b':', &line), Some(c) if c > 0);
                         if !whole || matches!(line[0], b' ' | b'\t') {
-                            return Err(Error::Chunk);
+                            return Err(Error::InvalidChunk);
                         }
                         *step = Chunk::Trailer(seen + line.len() + 2);
                     }
@@ -120,7 +122,7 @@
     }
 
     /// The connection has ended: what it was the end of.
-    pub fn end(&self, input: &mut BytesMut) -> Result<Bytes, Error> {
+    pub fn finish(&self, input: &mut BytesMut) -> Result<Bytes, Error> {
         match self {
             Self::Close => Ok(input.split().freeze()),
             _ => Err(Error::Truncated),
@@ -131,14 +133,14 @@
 /// One line without its end, taken from the input.
 fn line(input: &mut BytesMut, most: usize) -> Result<Option<BytesMut>, Error> {
     match memchr(b'\n', input) {
-        Some(end) if end > most => Err(Error::Chunk),
-        Some(end) if end == 0 || input[end - 1] != b'\r' => Err(Error::Chunk),
+        Some(end) if end > most => Err(Error::InvalidChunk),
+        Some(end) if end == 0 || input[end - 1] != b'\r' => Err(Error::InvalidChunk),
         Some(end) => {
             let mut line = input.split_to(end + 1);
             line.truncate(end - 1);
-            if memchr(b'\r', &line).is_some() { Err(Error::Chunk) } else { Ok(Some(line)) }
+            if memchr(b'\r', &line).is_some() { Err(Error::InvalidChunk) } else { Ok(Some(line)) }
         }
-        None if input.len() > most => Err(Error::Chunk),
+        None if input.len() > most => Err(Error::InvalidChunk),
         None => Ok(None),
     }
 }
@@ -148,8 +150,8 @@
     let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
     let clean = line[digits..].first().is_none_or(|b| *b == b';');
     if digits == 0 || digits > 15 || !clean {
-        return Err(Error::Chunk);
+        return Err(Error::InvalidChunk);
     }
-    let text = std::str::from_utf8(&line[..digits]).map_err(|_| Error::Chunk)?;
-    u64::from_str_radix(text, 16).map_err(|_| Error::Chunk)
+    let text = std::str::from_utf8(&line[..digits]).map_err(|_| Error::InvalidChunk)?;
+    u64::from_str_radix(text, 16).map_err(|_| Error::InvalidChunk)
 }
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -6,7 +6,7 @@
     /// The start line is not `method SP target SP version` or `version SP status SP reason`.
     #[error("malformed start line")]
     StartLine,
-    /// The start line is longer than [`Limits::line`](crate::Limits::line).
+    /// The start line is longer than [`Limits::start_line`](crate::Limits::start_line).
     #[error("start line longer than the limit")]
     LineTooLong,
     /// A version other than 1.0 and 1.1.
@@ -14,10 +14,10 @@
     Version,
     /// A field line without a name, with white space before the colon, or with a forbidden byte.
     #[error("malformed header field")]
-    Field,
+    InvalidField,
     /// A field continued on the next line (RFC 9112 section 5.2).
     #[error("obsolete line folding")]
-    Folding,
+    LineFolding,
     /// CR without LF, or LF without CR.
     #[error("bare CR or LF")]
     BareLineEnd,
@@ -35,16 +35,16 @@
     ContentLength,
     /// Both `Content-Length` and `Transfer-Encoding` (RFC 9112 section 6.3).
     #[error("both Content-Length and Transfer-Encoding")]
-    TwoLengths,
+    ConflictingLengths,
     /// A transfer coding other than a single `chunked`, or one in HTTP/1.0.
     #[error("transfer coding not supported")]
-    TransferCoding,
+    UnsupportedTransferCoding,
     /// A chunk size, its line end or the trailer section is malformed.
     #[error("malformed chunk")]
-    Chunk,
+    InvalidChunk,
     /// An `Expect` other than `100-continue`.
     #[error("expectation not supported")]
-    Expectation,
+    UnsupportedExpectation,
     /// The body is longer than [`Limits::body`](crate::Limits::body).
     #[error("body longer than the limit")]
     BodyTooLong,
@@ -60,8 +60,8 @@
             Self::LineTooLong => 414,
             Self::HeadTooLong | Self::TooManyFields => 431,
             Self::BodyTooLong => 413,
-            Self::Expectation => 417,
-            Self::TransferCoding => 501,
+            Self::UnsupportedExpectation => 417,
+            Self::UnsupportedTransferCoding => 501,
             Self::Version => 505,
             _ => 400,
         }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Longest start line.
-    pub line: usize,
+    pub start_line: usize,
     /// Longest head: start line and all fields; a trailer section is held to the same.
     pub head: usize,
     /// Most fields.
@@ -19,7 +19,7 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { line: 8 << 10, head: 16 << 10, fields: 100, body: 1 << 20 }
+        Self { start_line: 8 << 10, head: 16 << 10, fields: 100, body: 1 << 20 }
     }
 }
 
@@ -157,13 +157,13 @@
     /// Its whole body.
     pub body: Bytes,
     /// The body's end was the connection's end.
-    pub until_close: bool,
+    pub close_delimited: bool,
 }
 
 impl Response {
     /// Whether the connection may be used again.
     pub fn keep_alive(&self) -> bool {
-        !self.until_close && keep_alive(self.version, &self.headers)
+        !self.close_delimited && keep_alive(self.version, &self.headers)
     }
 }
 
@@ -231,7 +231,7 @@
                 return Ok(Some(self.at));
             } else if empty {
                 return Err(Error::StartLine);
-            } else if self.lines == 0 && end - self.line > limits.line {
+            } else if self.lines == 0 && end - self.line > limits.start_line {
                 return Err(Error::LineTooLong);
             }
             self.line = self.at;
@@ -245,7 +245,7 @@
     }
 
     fn bound(&self, length: usize, limits: &Limits) -> Result<Option<usize>, Error> {
-        if self.lines == 0 && length > limits.line + 2 {
+        if self.lines == 0 && length > limits.start_line + 2 {
             return Err(Error::LineTooLong);
         }
         if length > limits.head { Err(Error::HeadTooLong) } else { Ok(None) }
@@ -258,18 +258,18 @@
     let mut fields = SmallVec::new();
     let mut at = start + 2;
     while at + 2 < block.len() {
-        let end = at + memchr(b'\r', &block[at..]).ok_or(Error::Field)?;
+        let end = at + memchr(b'\r', &block[at..]).ok_or(Error::InvalidField)?;
         let line = &block[at..end];
         if matches!(line.first(), Some(b' ' | b'\t')) {
-            return Err(Error::Folding);
+            return Err(Error::LineFolding);
         }
-        let colon = memchr(b':', line).filter(|c| *c > 0).ok_or(Error::Field)?;
+        let colon = memchr(b':', line).filter(|c| *c > 0).ok_or(Error::InvalidField)?;
         if !all_are(&line[..colon], TOKEN) {
-            return Err(Error::Field);
+            return Err(Error::InvalidField);
         }
         let value = &line[colon + 1..];
         if !all_are(value, VALUE) {
-            return Err(Error::Field);
+            return Err(Error::InvalidField);
         }
         let lead = value.iter().take_while(|b| matches!(b, b' ' | b'\t')).count();
         let tail = value[lead..].iter().rev().take_while(|b| matches!(b, b' ' | b'\t')).count();
@@ -316,5 +316,5 @@
         return Err(Error::StartLine);
     }
     let status = digits.iter().fold(0, |n, d| n * 10 + u16::from(d - b'0'));
-    Ok(Response { status, version, headers, body: Bytes::new(), until_close: false })
+    Ok(Response { status, version, headers, body: Bytes::new(), close_delimited: false })
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -14,4 +14,4 @@
 pub use decode::{Decoded, RequestDecoder, ResponseDecoder};
 pub use error::Error;
 pub use head::{Headers, Limits, Method, Request, Response, Version};
-pub use write::{Body, HeadWriter, reason, write_chunk, write_last_chunk};
+pub use write::{Body, HeadWriter, reason_phrase, write_chunk, write_last_chunk};
--- a/crates/http/src/write.rs
+++ b/crates/http/src/write.rs
@@ -34,7 +34,7 @@
         out.put_slice(b"HTTP/1.1 ");
         let _ = write!(out, "{status}");
         out.put_u8(b' ');
-        out.put_slice(reason(status).as_bytes());
+        out.put_slice(reason_phrase(status).as_bytes());
         out.put_slice(b"\r\n");
         Self(out)
     }
@@ -53,20 +53,20 @@
     }
 
     /// Adds a field whose value prints as visible ASCII.
-    pub fn shown(self, name: &str, value: impl Display) -> Self {
+    pub fn display_field(self, name: &str, value: impl Display) -> Self {
         self.0.put_slice(name.as_bytes());
         let _ = write!(self.0, ": {value}\r\n");
         self
     }
 
     /// Adds a field whose name is in two parts, and whose value prints as visible ASCII.
-    pub fn prefixed(self, prefix: &str, name: &str, value: impl Display) -> Self {
+    pub fn prefixed_field(self, prefix: &str, name: &str, value: impl Display) -> Self {
         self.0.put_slice(prefix.as_bytes());
-        self.shown(name, value)
+        self.display_field(name, value)
     }
 
     /// Adds a field where there is a value.
-    pub fn maybe(self, name: &str, value: Option<impl AsRef<[u8]>>) -> Self {
+    pub fn optional_field(self, name: &str, value: Option<impl AsRef<[u8]>>) -> Self {
         match value {
             Some(value) => self.field(name, value),
             None => self,
@@ -76,9 +76,9 @@
     /// Ends the head and writes the body.
     pub fn body(self, body: Body) {
         let out = match body {
-            Body::Empty => self.shown("Content-Length", 0).0,
-            Body::Whole(bytes) => self.shown("Content-Length", bytes.len()).0,
-            Body::Length(length) => self.shown("Content-Length", length).0,
+            Body::Empty => self.display_field("Content-Length", 0).0,
+            Body::Whole(bytes) => self.display_field("Content-Length", bytes.len()).0,
+            Body::Length(length) => self.display_field("Content-Length", length).0,
             Body::Chunked => self.field("Transfer-Encoding", "chunked").0,
             Body::None => self.0,
         };
@@ -104,7 +104,7 @@
 }
 
 /// The phrase of a status (RFC 9110 section 15).
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
         200 => "OK",
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 
 fn limits() -> Limits {
-    Limits { line: 64, head: 256, fields: 8, body: 32 }
+    Limits { start_line: 64, head: 256, fields: 8, body: 32 }
 }
 
 /// Decodes all requests, fed in pieces of `step` bytes.
@@ -36,30 +36,30 @@
     let post = "POST / HTTP/1.1\r\nHost: h\r\n";
     let long = "x".repeat(70);
     let cases: Vec<(String, Error)> = vec![
-        (format!("{post}Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"), Error::TwoLengths),
+        (format!("{post}Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"), Error::ConflictingLengths),
         (format!("{post}Content-Length: 3\r\nContent-Length: 3\r\n\r\n"), Error::ContentLength),
         (format!("{post}Content-Length: 3, 3\r\n\r\n"), Error::ContentLength),
         (format!("{post}Content-Length: +3\r\n\r\n"), Error::ContentLength),
         (format!("{post}Content-Length: 99999999999999999999\r\n\r\n"), Error::ContentLength),
         (format!("{post}Content-Length: 33\r\n\r\n"), Error::BodyTooLong),
-        (format!("{post}Content-Length : 3\r\n\r\n"), Error::Field),
-        (format!("{post}: 3\r\n\r\n"), Error::Field),
-        (format!("{post}A: b\0\r\n\r\n"), Error::Field),
-        (format!("{post}A: b\r\n c\r\n\r\n"), Error::Folding),
+        (format!("{post}Content-Length : 3\r\n\r\n"), Error::InvalidField),
+        (format!("{post}: 3\r\n\r\n"), Error::InvalidField),
+        (format!("{post}A: b\0\r\n\r\n"), Error::InvalidField),
+        (format!("{post}A: b\r\n c\r\n\r\n"), Error::LineFolding),
         (format!("{post}A: b\n\r\n"), Error::BareLineEnd),
         (format!("{post}A: b\rc\r\n\r\n"), Error::BareLineEnd),
-        (format!("{post}Transfer-Encoding: gzip, chunked\r\n\r\n"), Error::TransferCoding),
+        (format!("{post}Transfer-Encoding: gzip, chunked\r\n\r\n"), Error::UnsupportedTransferCoding),
         (
             format!("{post}Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n"),
-            Error::TransferCoding,
+            Error::UnsupportedTransferCoding,
         ),
-        (format!("{post}Transfer-Encoding: chunked\r\n\r\nx\r\n"), Error::Chunk),
-        (format!("{post}Transfer-Encoding: chunked\r\n\r\n 3\r\nabc"), Error::Chunk),
-        (format!("{post}Transfer-Encoding: chunked\r\n\r\n3\nabc"), Error::Chunk),
-        (format!("{post}Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n"), Error::Chunk),
-        (format!("{post}Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n"), Error::Chunk),
+        (format!("{post}Transfer-Encoding: chunked\r\n\r\nx\r\n"), Error::InvalidChunk),
+        (format!("{post}Transfer-Encoding: chunked\r\n\r\n 3\r\nabc"), Error::InvalidChunk),
+        (format!("{post}Transfer-Encoding: chunked\r\n\r\n3\nabc"), Error::InvalidChunk),
+        (format!("{post}Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n"), Error::InvalidChunk),
+        (format!("{post}Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n"), Error::InvalidChunk),
         (format!("{post}Transfer-Encoding: chunked\r\n\r\n21\r\n"), Error::BodyTooLong),
-        (format!("{post}Expect: miracles\r\n\r\n"), Error::Expectation),
+        (format!("{post}Expect: miracles\r\n\r\n"), Error::UnsupportedExpectation),
         ("POST / HTTP/1.1\r\n\r\n".into(), Error::Host),
         (format!("{post}Host: h\r\n\r\n"), Error::Host),
         ("POST  / HTTP/1.1\r\n\r\n".into(), Error::StartLine),
@@ -82,7 +82,7 @@
     input
         .extend_from_slice(b"PUT / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
     assert!(matches!(decoder.decode(&mut input), Ok(Decoded::Continue)));
-    assert!(matches!(decoder.decode(&mut input), Ok(Decoded::More)));
+    assert!(matches!(decoder.decode(&mut input), Ok(Decoded::Incomplete)));
     input.extend_from_slice(b"ok");
     assert!(matches!(decoder.decode(&mut input), Ok(Decoded::Message(r)) if &r.body[..] == b"ok"));
 }
@@ -100,13 +100,13 @@
         let (mut decoder, mut input) = (ResponseDecoder::new(limits()), BytesMut::from(text));
         let response = match decoder.decode(&mut input, method).expect("readable") {
             Decoded::Message(response) => response,
-            _ => decoder.end(&mut input).expect("ended by the connection"),
+            _ => decoder.finish(&mut input).expect("ended by the connection"),
         };
         assert_eq!((&response.body[..], response.keep_alive()), (body, reusable));
     }
     let mut cut = BytesMut::from(&b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"[..]);
     let mut decoder = ResponseDecoder::new(limits());
-    assert!(matches!(decoder.decode(&mut cut, Method::Post), Ok(Decoded::More)));
-    assert_eq!(decoder.end(&mut cut).err(), Some(Error::Truncated));
-    assert!(decoder.begun());
+    assert!(matches!(decoder.decode(&mut cut, Method::Post), Ok(Decoded::Incomplete)));
+    assert_eq!(decoder.finish(&mut cut).err(), Some(Error::Truncated));
+    assert!(decoder.response_started());
 }
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -253,9 +253,11 @@
         let head = HeadWriter::request(out, "POST", &format!("/functions/{}", plan.function), &host);
         let head = head.field("ce-specversion", "1.0").field("ce-source", "/clients");
         let head = head.field("ce-type", "basaltward.call").field("ce-id", &plan.id);
-        let head = head.shown("ce-timeoutms", left / 1_000).field("Content-Type", "application/octet-stream");
-        let head = head.maybe("ce-tenant", Some(&plan.tenant).filter(|t| !t.is_empty()));
-        let head = head.maybe("ce-workus", plan.work.map(|w| w.to_string()));
+        let head = head
+            .display_field("ce-timeoutms", left / 1_000)
+            .field("Content-Type", "application/octet-stream");
+        let head = head.optional_field("ce-tenant", Some(&plan.tenant).filter(|t| !t.is_empty()));
+        let head = head.optional_field("ce-workus", plan.work.map(|w| w.to_string()));
         head.body(Body::Whole(&vec![b'x'; plan.payload]));
         self.tally.tries += 1;
         if self.recorder.is_enabled() {
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -472,10 +472,10 @@
             head = head.field(name, value);
         }
         if let Some(crowd) = crowd {
-            head = head.shown("basaltward-crowd", crowd);
+            head = head.display_field("basaltward-crowd", crowd);
         }
         if let Some(copies) = copies {
-            head = head.shown("basaltward-copies", copies);
+            head = head.display_field("basaltward-copies", copies);
         }
         let head = head.field("basaltward-load", load(&server.model));
         let head = if kind.is_empty() { head } else { head.field("Content-Type", kind) };
