--- a/crates/cloudevents/src/error.rs
+++ b/crates/cloudevents/src/error.rs
@@ -1,9 +1,9 @@
 use thiserror::Error;
 
-/// Why a message is not an event.
+/// Why a message is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EventError {
-    /// Neither a CloudEvents media type nor `ce-specversion`.
+    /// The message has neither a CloudEvents media type nor a `ce-specversion` header.
     #[error("not a CloudEvent: send ce-specversion with ce- headers, or Content-Type {}", crate::STRUCTURED)]
     NotAnEvent,
     /// An event format other than JSON.
@@ -12,44 +12,44 @@
     /// A required attribute is absent or empty.
     #[error("required attribute {0} is missing or empty")]
     MissingAttribute(&'static str),
-    /// A version other than 1.0.
+    /// `specversion` is not 1.0.
     #[error("specversion must be \"1.0\"")]
     Version,
-    /// An attribute's name is not lower-case letters and digits.
+    /// An attribute name is empty or contains characters other than lower-case letters and digits.
     #[error("attribute name {0:?} may hold only a-z and 0-9")]
     InvalidName(String),
-    /// An attribute is told twice.
+    /// An attribute appears more than once.
     #[error("attribute {0} is given twice")]
     DuplicateAttribute(String),
-    /// An attribute's value does not fit its type.
+    /// An attribute value does not match its type.
     #[error("attribute {name}: expected {expected}")]
     InvalidValue {
-        /// The attribute.
+        /// Name of the attribute.
         name: String,
-        /// What would do.
+        /// Description of a valid value.
         expected: &'static str,
     },
-    /// The JSON text can't be read.
+    /// The JSON text is malformed.
     #[error("malformed JSON: {0}")]
     MalformedJson(String),
-    /// Both `data` and `data_base64`.
+    /// The event has both `data` and `data_base64`.
     #[error("data and data_base64 exclude each other")]
     ConflictingData,
-    /// More events in a batch than the bound.
+    /// The batch has more events than this limit.
     #[error("a batch may hold at most {0} events")]
     BatchTooLong(usize),
-    /// An event of a batch is unusable; none of the batch was taken.
+    /// An event of a batch is invalid; the whole batch is rejected.
     #[error("event {index} of the batch: {error}")]
     InvalidEventInBatch {
-        /// Its position, from 0.
+        /// Position of the event in the batch, from 0.
         index: usize,
-        /// What is wrong.
+        /// The error of that event.
         error: Box<EventError>,
     },
 }
 
 impl EventError {
-    /// The HTTP status that says so.
+    /// The HTTP status code of the response to the message.
     pub fn status(&self) -> u16 {
         match self {
             Self::NotAnEvent | Self::UnsupportedFormat(_) => 415,
--- a/crates/cloudevents/src/event.rs
+++ b/crates/cloudevents/src/event.rs
@@ -2,10 +2,10 @@
 use bytes::Bytes;
 use std::fmt;
 
-/// The value of an extension attribute (specification, "Type System"). Over HTTP headers all are text.
+/// Value of an extension attribute (specification, "Type System"). Values from HTTP headers are always text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Attribute {
-    /// Text; also URIs, times and base64 bytes, which are carried as they came.
+    /// Text; also URIs, timestamps and base64 binary values, which are passed on unchanged.
     Text(String),
     /// A 32-bit integer.
     Integer(i32),
@@ -23,54 +23,54 @@
     }
 }
 
-/// An event. `source` and `id` together name it.
+/// An event; `source` and `id` together identify it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// `id`, unique within the source.
+    /// Attribute `id`, unique within the source.
     pub id: String,
-    /// `source`, a URI reference.
+    /// Attribute `source`, a URI reference.
     pub source: String,
-    /// `type`.
+    /// Attribute `type`.
     pub kind: String,
-    /// `subject`.
+    /// Attribute `subject`.
     pub subject: Option<String>,
-    /// `time`, RFC 3339.
+    /// Attribute `time`, a timestamp in RFC 3339 format.
     pub time: Option<String>,
-    /// `datacontenttype`.
+    /// Attribute `datacontenttype`, the media type of the payload.
     pub content_type: Option<String>,
-    /// `dataschema`.
+    /// Attribute `dataschema`, the URI of the payload's schema.
     pub schema: Option<String>,
-    /// All other attributes, in the order received.
+    /// Extension attributes in the order received.
     pub extensions: Vec<(String, Attribute)>,
-    /// The payload; empty where there is none.
+    /// The payload; empty if there is none.
     pub data: Bytes,
 }
 
 impl Event {
-    /// An event with the required attributes.
+    /// Creates an event with the required attributes only.
     pub fn new(id: impl Into<String>, source: impl Into<String>, kind: impl Into<String>) -> Self {
         Self { id: id.into(), source: source.into(), kind: kind.into(), ..Self::default() }
     }
 
-    /// An extension's value.
+    /// Value of an extension attribute.
     pub fn extension(&self, name: &str) -> Option<&Attribute> {
         self.extensions.iter().find(|(n, _)| n == name).map(|(_, v)| v)
     }
 
-    /// Adds an extension.
+    /// Appends an extension attribute; neither its name nor its uniqueness is checked.
     pub fn with_extension(mut self, name: &str, value: Attribute) -> Self {
         self.extensions.push((name.into(), value));
         self
     }
 
-    /// Takes one attribute other than `specversion`.
+    /// Checks and sets any attribute other than `specversion`.
     pub(crate) fn set_attribute(&mut self, name: &str, value: Attribute) -> Result<(), EventError> {
         if name.is_empty() || !name.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit()) {
             return Err(EventError::InvalidName(name.into()));
         }
-        let known =
+        let is_core =
             matches!(name, "id" | "source" | "type" | "subject" | "time" | "datacontenttype" | "dataschema");
-        if !known {
+        if !is_core {
             if self.extension(name).is_some() {
                 return Err(EventError::DuplicateAttribute(name.into()));
             }
@@ -86,7 +86,7 @@
         if name == "time" && text.parse::<jiff::Timestamp>().is_err() {
             return Err(EventError::InvalidValue { name: name.into(), expected: "a time by RFC 3339" });
         }
-        let slot = match name {
+        let field = match name {
             "id" => return set_once(&mut self.id, name, text),
             "source" => return set_once(&mut self.source, name, text),
             "type" => return set_once(&mut self.kind, name, text),
@@ -95,14 +95,14 @@
             "datacontenttype" => &mut self.content_type,
             _ => &mut self.schema,
         };
-        match slot.replace(text) {
+        match field.replace(text) {
             Some(_) => Err(EventError::DuplicateAttribute(name.into())),
             None => Ok(()),
         }
     }
 
-    /// Whether everything required is there.
-    pub(crate) fn with_required_attributes(self) -> Result<Self, EventError> {
+    /// Returns the event if all required attributes are present.
+    pub(crate) fn require_attributes(self) -> Result<Self, EventError> {
         let required = [("id", &self.id), ("source", &self.source), ("type", &self.kind)];
         match required.iter().find(|(_, value)| value.is_empty()) {
             Some((name, _)) => Err(EventError::MissingAttribute(name)),
@@ -110,20 +110,22 @@
         }
     }
 
-    /// Whether the payload is JSON by its content type; without one it is (JSON format, section 3.1).
+    /// Whether the content type declares the payload as JSON; a payload without a content type is JSON (JSON format,
+    /// section 3.1).
     pub fn is_json(&self) -> bool {
-        self.content_type.as_deref().is_none_or(|told| {
-            let media = told.split(';').next().unwrap_or_default().trim().to_ascii_lowercase();
-            let subtype = media.split('/').nth(1).unwrap_or_default();
+        self.content_type.as_deref().is_none_or(|content_type| {
+            let media_type = content_type.split(';').next().unwrap_or_default().trim().to_ascii_lowercase();
+            let subtype = media_type.split('/').nth(1).unwrap_or_default();
             subtype == "json" || subtype.ends_with("+json")
         })
     }
 }
 
-fn set_once(slot: &mut String, name: &str, text: String) -> Result<(), EventError> {
-    if !slot.is_empty() {
+/// Sets a required attribute that must still be empty.
+fn set_once(field: &mut String, name: &str, text: String) -> Result<(), EventError> {
+    if !field.is_empty() {
         return Err(EventError::DuplicateAttribute(name.into()));
     }
-    *slot = text;
+    *field = text;
     Ok(())
 }
--- a/crates/cloudevents/src/lib.rs
+++ b/crates/cloudevents/src/lib.rs
@@ -1,5 +1,5 @@
 //! CloudEvents 1.0: the event model, its JSON format and its HTTP protocol binding (binary, structured and
-//! batched content mode). Free of I/O: messages in, events out, and the other way round.
+//! batched content mode), without I/O.
 #![warn(missing_docs)]
 
 mod error;
--- a/crates/cloudevents/tests/modes.rs
+++ b/crates/cloudevents/tests/modes.rs
@@ -1,9 +1,9 @@
-//! Events as clients send them, in all three content modes.
+//! Events in all three content modes, as clients send them.
 use basaltward_cloudevents::*;
 use basaltward_http::{Body, Decoded, HeadWriter, Limits, Request, RequestDecoder};
 use bytes::BytesMut;
 
-fn message(fields: &[(&str, &str)], body: &[u8]) -> Request {
+fn request(fields: &[(&str, &str)], body: &[u8]) -> Request {
     let mut bytes = BytesMut::new();
     let mut head = HeadWriter::request(&mut bytes, "POST", "/", "h");
     for (name, value) in fields {
@@ -12,12 +12,12 @@
     head.body(Body::Whole(body));
     match RequestDecoder::new(Limits::default()).decode(&mut bytes) {
         Ok(Decoded::Message(request)) => request,
-        other => panic!("not whole: {other:?}"),
+        other => panic!("not a complete request: {other:?}"),
     }
 }
 
-fn read_all(fields: &[(&str, &str)], body: &[u8]) -> Result<(Mode, Incoming), EventError> {
-    let request = message(fields, body);
+fn parse(fields: &[(&str, &str)], body: &[u8]) -> Result<(Mode, Incoming), EventError> {
+    let request = request(fields, body);
     from_http(&request.headers, request.body.clone(), 3)
 }
 
@@ -25,45 +25,47 @@
     [("ce-specversion", "1.0"), ("CE-ID", "7"), ("ce-source", "/notary"), ("ce-type", "render")];
 
 #[test]
-fn binary_mode_decodes_headers_and_carries_unknown_extensions() {
+fn binary_mode_decodes_headers_and_keeps_unknown_extensions() {
     let mut fields = REQUIRED.to_vec();
     fields.extend([
         ("ce-subject", "%C3%91and%C3%BA%20%25"),
         ("ce-Fleet", "\"a \\\"b\""),
         ("Content-Type", "text/plain"),
     ]);
-    let Ok((Mode::Binary, Incoming::One(event))) = read_all(&fields, b"hello") else { panic!("one event") };
+    let Ok((Mode::Binary, Incoming::One(event))) = parse(&fields, b"hello") else { panic!("one event") };
     assert_eq!((event.id.as_str(), event.subject.as_deref()), ("7", Some("Ñandú %")));
     assert_eq!(event.extension("fleet"), Some(&Attribute::Text("a \"b".into())));
     let mut bytes = BytesMut::new();
     write_binary_fields(&event, HeadWriter::request(&mut bytes, "POST", "/", "h"))
         .body(Body::Whole(&event.data));
-    let Ok(Decoded::Message(again)) = RequestDecoder::new(Limits::default()).decode(&mut bytes) else {
-        panic!("whole")
+    let Ok(Decoded::Message(rewritten)) = RequestDecoder::new(Limits::default()).decode(&mut bytes) else {
+        panic!("a complete request")
     };
-    let (_, Incoming::One(back)) = from_http(&again.headers, again.body, 1).expect("an event") else {
-        panic!("one")
+    let (_, Incoming::One(reparsed)) = from_http(&rewritten.headers, rewritten.body, 1).expect("an event")
+    else {
+        panic!("one event")
     };
-    assert_eq!(back, event);
+    assert_eq!(reparsed, event);
 }
 
 #[test]
-fn a_json_value_without_a_media_type_is_of_the_type_json_in_every_mode() {
-    let told = |data: &str| format!(r#"{{"specversion":"1.0","id":"1","source":"s","type":"t"{data}}}"#);
-    for (data, kind) in [
+fn a_json_value_without_a_media_type_has_the_type_json() {
+    let event_json =
+        |data: &str| format!(r#"{{"specversion":"1.0","id":"1","source":"s","type":"t"{data}}}"#);
+    for (data, content_type) in [
         (r#","data":{"a":1}"#, Some("application/json")),
         (r#","data":"text""#, Some("application/json")),
         (r#","data_base64":"/wA=""#, None),
         ("", None),
     ] {
-        let event = from_json(told(data).as_bytes()).expect(data);
-        assert_eq!(event.content_type.as_deref(), kind, "{data}");
+        let event = from_json(event_json(data).as_bytes()).expect(data);
+        assert_eq!(event.content_type.as_deref(), content_type, "{data}");
     }
-    assert_eq!(from_json(told(r#","data":"text""#).as_bytes()).expect("an event").data, "\"text\"");
+    assert_eq!(from_json(event_json(r#","data":"text""#).as_bytes()).expect("an event").data, "\"text\"");
 }
 
 #[test]
-fn json_keeps_payloads_and_types_both_ways() {
+fn json_round_trips_keep_payloads_and_attribute_types() {
     let cases = [
         (
             r#"{"specversion":"1.0","id":"1","source":"s","type":"t","data":{"a":[1, 2]},"n":5,"b":true}"#,
@@ -87,14 +89,14 @@
         assert_eq!(String::from_utf8_lossy(&event.data), payload);
         let mut out = Vec::new();
         to_json(&event, &mut out);
-        assert_eq!(from_json(&out).expect("its own output"), event);
+        assert_eq!(from_json(&out).expect("the written event"), event);
     }
 }
 
 #[test]
-fn batches_are_all_or_nothing_and_bounded() {
+fn batches_are_limited_and_rejected_as_a_whole() {
     let one = r#"{"specversion":"1.0","id":"1","source":"s","type":"t"}"#;
-    let batch = |text: String| read_all(&[("Content-Type", BATCH)], text.as_bytes());
+    let batch = |text: String| parse(&[("Content-Type", BATCH)], text.as_bytes());
     assert!(
         matches!(batch(format!("[{one},{one}]")), Ok((Mode::Batch, Incoming::Batch(all))) if all.len() == 2)
     );
@@ -104,8 +106,8 @@
 }
 
 #[test]
-fn what_is_no_event_says_why() {
-    let structured = |text: &str| read_all(&[("Content-Type", STRUCTURED)], text.as_bytes()).unwrap_err();
+fn invalid_messages_are_rejected_with_a_status() {
+    let structured = |text: &str| parse(&[("Content-Type", STRUCTURED)], text.as_bytes()).unwrap_err();
     let cases = [
         (structured("{"), 400),
         (structured(r#"{"specversion":"0.3","id":"1","source":"s","type":"t"}"#), 400),
@@ -119,11 +121,11 @@
         (structured(r#"{"specversion":"1.0","id":"1","source":"s","type":"t","Up":"x"}"#), 400),
         (structured(r#"{"specversion":"1.0","id":"1","source":"s","type":"t","n":5000000000}"#), 400),
         (structured(r#"{"specversion":"1.0","id":"1","source":"s","type":"t","time":"noon"}"#), 400),
-        (read_all(&[("Content-Type", "application/cloudevents+avro")], b"").unwrap_err(), 415),
-        (read_all(&[], b"x").unwrap_err(), 415),
-        (read_all(&REQUIRED[..3], b"").unwrap_err(), 400),
-        (read_all(&[REQUIRED.as_slice(), &[("ce-id", "8")]].concat(), b"").unwrap_err(), 400),
-        (read_all(&[REQUIRED.as_slice(), &[("ce-x", "%FF")]].concat(), b"").unwrap_err(), 400),
+        (parse(&[("Content-Type", "application/cloudevents+avro")], b"").unwrap_err(), 415),
+        (parse(&[], b"x").unwrap_err(), 415),
+        (parse(&REQUIRED[..3], b"").unwrap_err(), 400),
+        (parse(&[REQUIRED.as_slice(), &[("ce-id", "8")]].concat(), b"").unwrap_err(), 400),
+        (parse(&[REQUIRED.as_slice(), &[("ce-x", "%FF")]].concat(), b"").unwrap_err(), 400),
     ];
     for (error, status) in cases {
         assert_eq!(error.status(), status, "{error}");
--- a/crates/http/src/decode.rs
+++ b/crates/http/src/decode.rs
@@ -1,62 +1,67 @@
-use crate::body::{BodyDecoder, Framing, framing};
-use crate::head::{self, Limits, Request, Response, Scan};
+use crate::body::{BodyDecoder, Framing, body_framing};
+use crate::head::{self, HeadScanner, Limits, Request, Response};
 use crate::{Error, Method, Version};
 use bytes::BytesMut;
 
-/// What the bytes so far amount to.
+/// Result of decoding the input received so far.
 #[derive(Debug)]
 pub enum Decoded<M> {
-    /// Nothing whole yet.
+    /// No complete message yet; more input is needed.
     Incomplete,
-    /// The head is there and the peer waits for `100 Continue` before it sends the body. Told once a message.
+    /// The head is complete and the client waits for `100 Continue` before it sends the body. Returned at most once per
+    /// message.
     Continue,
-    /// A whole message; more may follow in the input.
+    /// A complete message; the input may hold further ones.
     Message(M),
 }
 
-/// Takes requests from a connection's input, one after the other.
+/// Incremental decoder of the requests on one connection.
 #[derive(Debug)]
 pub struct RequestDecoder {
     limits: Limits,
-    scan: Scan,
+    head_scanner: HeadScanner,
+    /// Head of the request whose body is being read.
     partial: Option<(Request, BodyDecoder)>,
 }
 
 impl RequestDecoder {
-    /// A decoder for a fresh connection.
+    /// Creates a decoder for a new connection.
     pub fn new(limits: Limits) -> Self {
-        Self { limits, scan: Scan::default(), partial: None }
+        Self { limits, head_scanner: HeadScanner::default(), partial: None }
     }
 
-    /// Whether a message has response_started but is not all there, given what is left in the input.
+    /// Whether part of a request has been received; `input` is what the last call of `decode` left in the buffer.
     pub fn has_partial_message(&self, input: &BytesMut) -> bool {
         self.partial.is_some() || !input.is_empty()
     }
 
-    /// Whether the head is all there and the body is awaited.
+    /// Whether the head of a request is complete and its body is not.
     pub fn is_reading_body(&self) -> bool {
         self.partial.is_some()
     }
 
-    /// Takes the next message, as far as it is there.
+    /// Consumes input up to the end of the next request.
     ///
     /// # Errors
-    /// What makes the bytes unreadable; the decoder must not be used again then.
+    /// The violation that makes the input invalid; the decoder must not be used after an error.
     pub fn decode(&mut self, input: &mut BytesMut) -> Result<Decoded<Request>, Error> {
-        let mut expects = false;
+        let mut awaits_continue = false;
         if self.partial.is_none() {
-            let Some(length) = self.scan.find(input, &self.limits)? else { return Ok(Decoded::Incomplete) };
-            self.scan = Scan::default();
-            let request = head::request(input.split_to(length).freeze())?;
-            let framing = framing(request.version, &request.headers)?.unwrap_or(Framing::Length(0));
-            let mut told = request.headers.all("expect");
-            if let Some(expect) = told.next().filter(|_| request.version == Version::Http11) {
-                expects = expect.eq_ignore_ascii_case(b"100-continue") && told.next().is_none();
-                if !expects {
+            let Some(length) = self.head_scanner.find_end(input, &self.limits)? else {
+                return Ok(Decoded::Incomplete);
+            };
+            self.head_scanner = HeadScanner::default();
+            let request = head::parse_request(input.split_to(length).freeze())?;
+            let framing = body_framing(request.version, &request.headers)?.unwrap_or(Framing::Length(0));
+            let mut expectations = request.headers.all("expect");
+            if let Some(expect) = expectations.next().filter(|_| request.version == Version::Http11) {
+                awaits_continue =
+                    expect.eq_ignore_ascii_case(b"100-continue") && expectations.next().is_none();
+                if !awaits_continue {
                     return Err(Error::UnsupportedExpectation);
                 }
             }
-            drop(told);
+            drop(expectations);
             if framing == Framing::Length(0) {
                 return Ok(Decoded::Message(request));
             }
@@ -70,49 +75,54 @@
                 request.body = bytes;
                 Ok(Decoded::Message(request))
             }
-            // Bytes of the body that came along say that the client did not wait.
-            None if expects && input.is_empty() => Ok(Decoded::Continue),
+            // A client that has already sent bytes of the body does not wait for `100 Continue`.
+            None if awaits_continue && input.is_empty() => Ok(Decoded::Continue),
             None => Ok(Decoded::Incomplete),
         }
     }
 }
 
-/// Takes responses from a connection's input.
+/// Incremental decoder of the responses on one connection.
 #[derive(Debug)]
 pub struct ResponseDecoder {
     limits: Limits,
-    scan: Scan,
+    head_scanner: HeadScanner,
+    /// Head of the response whose body is being read.
     partial: Option<(Response, BodyDecoder)>,
     response_started: bool,
 }
 
 impl ResponseDecoder {
-    /// A decoder for a fresh connection.
+    /// Creates a decoder for a new connection.
     pub fn new(limits: Limits) -> Self {
-        Self { limits, scan: Scan::default(), partial: None, response_started: false }
+        Self { limits, head_scanner: HeadScanner::default(), partial: None, response_started: false }
     }
 
-    /// Whether any byte of the awaited response has come.
+    /// Whether any byte of the next response has been received.
     pub fn response_started(&self) -> bool {
         self.response_started
     }
 
-    /// Takes the response to a request of this method; interim responses (1xx) are passed over.
+    /// Consumes input up to the end of the response to a request with this method. Interim responses (1xx except 101)
+    /// are skipped.
     ///
     /// # Errors
-    /// What makes the bytes unreadable; the decoder must not be used again then.
+    /// The violation that makes the input invalid; the decoder must not be used after an error.
     pub fn decode(&mut self, input: &mut BytesMut, method: Method) -> Result<Decoded<Response>, Error> {
         self.response_started |= !input.is_empty();
         while self.partial.is_none() {
-            let Some(length) = self.scan.find(input, &self.limits)? else { return Ok(Decoded::Incomplete) };
-            self.scan = Scan::default();
-            let response = head::response(input.split_to(length).freeze())?;
+            let Some(length) = self.head_scanner.find_end(input, &self.limits)? else {
+                return Ok(Decoded::Incomplete);
+            };
+            self.head_scanner = HeadScanner::default();
+            let response = head::parse_response(input.split_to(length).freeze())?;
             if matches!(response.status, 100 | 102..=199) {
                 continue;
             }
-            let bare = method == Method::Head || matches!(response.status, 101 | 204 | 304);
-            let told = framing(response.version, &response.headers)?;
-            let framing = if bare { Framing::Length(0) } else { told.unwrap_or(Framing::Close) };
+            let has_no_body = method == Method::Head || matches!(response.status, 101 | 204 | 304);
+            let declared = body_framing(response.version, &response.headers)?;
+            let framing =
+                if has_no_body { Framing::Length(0) } else { declared.unwrap_or(Framing::UntilClose) };
             let body = BodyDecoder::new(framing, &self.limits)?;
             self.partial = Some((response, body));
         }
@@ -123,10 +133,10 @@
         }
     }
 
-    /// The connection has ended: the response whose body ran until then, if that is what was partial.
+    /// Handles the end of the connection: returns the response whose body is delimited by it.
     ///
     /// # Errors
-    /// [`Error::Truncated`] where a response was cut off or never came.
+    /// [`Error::Truncated`] if the response is incomplete or has not started.
     pub fn finish(&mut self, input: &mut BytesMut) -> Result<Response, Error> {
         let (_, body) = self.partial.as_ref().ok_or(Error::Truncated)?;
         let bytes = body.finish(input)?;
@@ -136,10 +146,11 @@
         }
     }
 
-    fn complete(&mut self, bytes: bytes::Bytes, close_delimited: bool) -> Decoded<Response> {
+    /// Returns the response with its body and resets the decoder for the next one.
+    fn complete(&mut self, body: bytes::Bytes, close_delimited: bool) -> Decoded<Response> {
         self.response_started = false;
         match self.partial.take() {
-            Some((response, _)) => Decoded::Message(Response { body: bytes, close_delimited, ..response }),
+            Some((response, _)) => Decoded::Message(Response { body, close_delimited, ..response }),
             None => Decoded::Incomplete,
         }
     }
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,6 +1,6 @@
 use thiserror::Error;
 
-/// Why bytes are not a message that this program reads. After any of them the connection is of no more use.
+/// Why input is rejected. The connection can't be used after any of these errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Error {
     /// The start line is not `method SP target SP version` or `version SP status SP reason`.
@@ -9,7 +9,7 @@
     /// The start line is longer than [`Limits::start_line`](crate::Limits::start_line).
     #[error("start line longer than the limit")]
     LineTooLong,
-    /// A version other than 1.0 and 1.1.
+    /// An HTTP version other than 1.0 and 1.1.
     #[error("HTTP version not supported")]
     Version,
     /// A field line without a name, with white space before the colon, or with a forbidden byte.
@@ -24,22 +24,22 @@
     /// The head is longer than [`Limits::head`](crate::Limits::head).
     #[error("header section longer than the limit")]
     HeadTooLong,
-    /// More fields than [`Limits::fields`](crate::Limits::fields).
+    /// The message has more fields than [`Limits::fields`](crate::Limits::fields).
     #[error("more header fields than the limit")]
     TooManyFields,
-    /// No `Host` in a 1.1 request, or more than one (RFC 9112 section 3.2).
+    /// An HTTP/1.1 request without `Host`, or any request with several (RFC 9112 section 3.2).
     #[error("Host must be given exactly once")]
     Host,
-    /// `Content-Length` is not one number, is told twice, or does not fit 64 bits.
+    /// `Content-Length` is not a decimal number, appears more than once, or exceeds 64 bits.
     #[error("unusable Content-Length")]
     ContentLength,
-    /// Both `Content-Length` and `Transfer-Encoding` (RFC 9112 section 6.3).
+    /// The message has both `Content-Length` and `Transfer-Encoding` (RFC 9112 section 6.3).
     #[error("both Content-Length and Transfer-Encoding")]
     ConflictingLengths,
     /// A transfer coding other than a single `chunked`, or one in HTTP/1.0.
     #[error("transfer coding not supported")]
     UnsupportedTransferCoding,
-    /// A chunk size, its line end or the trailer section is malformed.
+    /// A chunk size, a line end or the trailer section is malformed.
     #[error("malformed chunk")]
     InvalidChunk,
     /// An `Expect` other than `100-continue`.
@@ -54,7 +54,7 @@
 }
 
 impl Error {
-    /// The status with which a server answers before it closes.
+    /// The status code that a server responds with before it closes the connection.
     pub fn status(self) -> u16 {
         match self {
             Self::LineTooLong => 414,
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -4,16 +4,16 @@
 use smallvec::SmallVec;
 use std::ops::Range;
 
-/// Bounds on one message, in bytes or counts.
+/// Limits of one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest start line.
+    /// Maximum length of the start line in bytes.
     pub start_line: usize,
-    /// Longest head: start line and all fields; a trailer section is held to the same.
+    /// Maximum length of the head (start line and header section) in bytes; also that of a trailer section.
     pub head: usize,
-    /// Most fields.
+    /// Maximum number of header fields.
     pub fields: usize,
-    /// Longest body, after the chunks are joined.
+    /// Maximum length of the body in bytes, without chunk framing.
     pub body: usize,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A request's method. Others than those named are carried as [`Method::Other`].
+/// A request method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
     /// `GET`
@@ -36,7 +36,7 @@
     Put,
     /// `DELETE`
     Delete,
-    /// Any other token.
+    /// Any other method.
     Other,
 }
 
@@ -48,13 +48,13 @@
             b"POST" => Self::Post,
             b"PUT" => Self::Put,
             b"DELETE" => Self::Delete,
-            _ if !text.is_empty() && all_are(text, TOKEN) => Self::Other,
+            _ if !text.is_empty() && all_in_class(text, TOKEN) => Self::Other,
             _ => return None,
         })
     }
 }
 
-/// The two versions spoken.
+/// The supported HTTP versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
     /// HTTP/1.0
@@ -63,7 +63,7 @@
     Http11,
 }
 
-fn version(text: &[u8]) -> Result<Version, Error> {
+fn parse_version(text: &[u8]) -> Result<Version, Error> {
     match text {
         b"HTTP/1.1" => Ok(Version::Http11),
         b"HTTP/1.0" => Ok(Version::Http10),
@@ -76,13 +76,15 @@
     }
 }
 
-/// The fields of a message, in order; names are compared without regard to case.
+/// The header fields of a message in the order received; names are compared ignoring ASCII case.
 #[derive(Clone, Debug, Default)]
 pub struct Headers {
+    /// The whole head; the ranges of the fields refer to it.
     block: Bytes,
     fields: SmallVec<[Field; 16]>,
 }
 
+/// Byte ranges (start, end) of a field's name and value within the head.
 #[derive(Clone, Copy, Debug)]
 struct Field {
     name: (u32, u32),
@@ -90,78 +92,79 @@
 }
 
 impl Headers {
-    fn slice(&self, (from, to): (u32, u32)) -> &[u8] {
-        &self.block[from as usize..to as usize]
+    fn slice(&self, (start, end): (u32, u32)) -> &[u8] {
+        &self.block[start as usize..end as usize]
     }
 
-    /// All fields, in the order received.
+    /// Names and values of all fields, in the order received.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.fields.iter().map(|f| (self.slice(f.name), self.slice(f.value)))
     }
 
-    /// Every value of a field, in order.
+    /// All values of the fields with this name, in the order received.
     pub fn all<'a, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a [u8]> + use<'a, 'n> {
         self.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name.as_bytes())).map(|(_, v)| v)
     }
 
-    /// A field that may stand once: `None` where it is absent, told twice, or not visible ASCII.
+    /// The value of a field that may appear only once: `None` if it is absent, repeated, or not UTF-8.
     pub fn get(&self, name: &str) -> Option<&str> {
         let mut all = self.all(name);
         let first = all.next().filter(|_| all.next().is_none())?;
         std::str::from_utf8(first).ok()
     }
 
-    /// Whether a comma-separated field holds this token.
+    /// Whether the comma-separated list in this field contains the token, ignoring ASCII case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         let mut parts = self.all(name).flat_map(|v| v.split(|b| *b == b','));
         parts.any(|p| p.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 }
 
-/// A request.
+/// A complete request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its version.
+    /// The HTTP version.
     pub version: Version,
+    /// Byte range of the target within the head.
     target: Range<u32>,
-    /// Its fields.
+    /// The header fields.
     pub headers: Headers,
-    /// Its whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl Request {
-    /// The target, as sent; only visible ASCII.
+    /// The request target as received; visible ASCII only.
     pub fn target(&self) -> &str {
         let range = self.target.start as usize..self.target.end as usize;
         std::str::from_utf8(&self.headers.block[range]).unwrap_or_default()
     }
 
-    /// Whether the connection may carry another request after this one (RFC 9112 section 9.3).
+    /// Whether the connection stays open for another request after this one (RFC 9112 section 9.3).
     pub fn keep_alive(&self) -> bool {
         keep_alive(self.version, &self.headers)
     }
 }
 
-/// A response.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its version.
+    /// The HTTP version.
     pub version: Version,
-    /// Its fields.
+    /// The header fields.
     pub headers: Headers,
-    /// Its whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// The body's end was the connection's end.
+    /// Whether the body was delimited by the close of the connection.
     pub close_delimited: bool,
 }
 
 impl Response {
-    /// Whether the connection may be used again.
+    /// Whether the connection can be reused after this response (RFC 9112 section 9.3).
     pub fn keep_alive(&self) -> bool {
         !self.close_delimited && keep_alive(self.version, &self.headers)
     }
@@ -174,89 +177,97 @@
     }
 }
 
+/// Bit of [`BYTE_CLASSES`]: the byte may be part of a token (RFC 9110 section 5.6.2).
 const TOKEN: u8 = 1;
-const VALUE: u8 = 2;
+/// Bit of [`BYTE_CLASSES`]: the byte may be part of a field value (RFC 9110 section 5.5).
+const FIELD_VALUE: u8 = 2;
 
-/// What each byte may be part of: a token (RFC 9110 section 5.6.2), a field's value (section 5.5).
-const BYTES: [u8; 256] = {
+/// For each byte, the bits of the classes that it belongs to.
+const BYTE_CLASSES: [u8; 256] = {
     let mut table = [0; 256];
     let mut byte = 0;
     while byte < 256 {
         let b = byte as u8;
-        let mark = matches!(b, b'!' | b'#'..=b'\'' | b'*' | b'+' | b'-' | b'.' | b'^'..=b'z' | b'|' | b'~');
-        if mark || b.is_ascii_digit() || b.is_ascii_uppercase() {
+        let punctuation =
+            matches!(b, b'!' | b'#'..=b'\'' | b'*' | b'+' | b'-' | b'.' | b'^'..=b'z' | b'|' | b'~');
+        if punctuation || b.is_ascii_digit() || b.is_ascii_uppercase() {
             table[byte] |= TOKEN;
         }
         if b == b'\t' || (b >= b' ' && b != 0x7f) {
-            table[byte] |= VALUE;
+            table[byte] |= FIELD_VALUE;
         }
         byte += 1;
     }
     table
 };
 
-/// Whether all bytes are of a kind; without a branch a byte, so that it runs over whole words.
-fn all_are(bytes: &[u8], kind: u8) -> bool {
-    bytes.iter().fold(kind, |so_far, byte| so_far & BYTES[usize::from(*byte)]) != 0
+/// Whether all bytes belong to the class. No branch per byte, so that the compiler can process several at once.
+fn all_in_class(bytes: &[u8], class: u8) -> bool {
+    bytes.iter().fold(class, |common, byte| common & BYTE_CLASSES[usize::from(*byte)]) != 0
 }
 
-/// How far a head has been looked through, so that one that drips in is not scanned from its start each time.
+/// Searches for the end of a head. Keeps its position between calls, so that a head that arrives in many small pieces
+/// is not scanned again from its start.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Scan {
-    at: usize,
-    line: usize,
-    lines: usize,
+pub(crate) struct HeadScanner {
+    /// All input before this offset has been scanned.
+    position: usize,
+    /// Offset of the current line.
+    line_start: usize,
+    /// Number of complete lines.
+    line_count: usize,
 }
 
-impl Scan {
-    /// The length of the head with its empty line, once it is all there. Line ends are CR LF and nothing
-    /// else.
-    pub fn find(&mut self, input: &[u8], limits: &Limits) -> Result<Option<usize>, Error> {
-        while let Some(found) = memchr2(b'\r', b'\n', &input[self.at..]) {
-            let end = self.at + found;
+impl HeadScanner {
+    /// Returns the length of the head, its empty line included, once it is complete. Only CR LF ends a line.
+    pub fn find_end(&mut self, input: &[u8], limits: &Limits) -> Result<Option<usize>, Error> {
+        while let Some(found) = memchr2(b'\r', b'\n', &input[self.position..]) {
+            let end = self.position + found;
             if input[end] == b'\n' {
                 return Err(Error::BareLineEnd);
             }
             let Some(next) = input.get(end + 1) else {
-                self.at = end;
-                return self.bound(input.len(), limits);
+                self.position = end;
+                return self.check_length(input.len(), limits);
             };
             if *next != b'\n' {
                 return Err(Error::BareLineEnd);
             }
-            let empty = end == self.line;
-            self.at = end + 2;
-            if empty && self.lines > 0 {
-                self.bound(self.at, limits)?;
-                return Ok(Some(self.at));
-            } else if empty {
+            let is_empty = end == self.line_start;
+            self.position = end + 2;
+            if is_empty && self.line_count > 0 {
+                self.check_length(self.position, limits)?;
+                return Ok(Some(self.position));
+            } else if is_empty {
                 return Err(Error::StartLine);
-            } else if self.lines == 0 && end - self.line > limits.start_line {
+            } else if self.line_count == 0 && end - self.line_start > limits.start_line {
                 return Err(Error::LineTooLong);
             }
-            self.line = self.at;
-            self.lines += 1;
-            if self.lines > limits.fields + 1 {
+            self.line_start = self.position;
+            self.line_count += 1;
+            if self.line_count > limits.fields + 1 {
                 return Err(Error::TooManyFields);
             }
         }
-        self.at = input.len();
-        self.bound(input.len(), limits)
+        self.position = input.len();
+        self.check_length(input.len(), limits)
     }
 
-    fn bound(&self, length: usize, limits: &Limits) -> Result<Option<usize>, Error> {
-        if self.lines == 0 && length > limits.start_line + 2 {
+    /// Checks the length of the head as received so far; `Ok(None)` if it is within the limits.
+    fn check_length(&self, length: usize, limits: &Limits) -> Result<Option<usize>, Error> {
+        if self.line_count == 0 && length > limits.start_line + 2 {
             return Err(Error::LineTooLong);
         }
         if length > limits.head { Err(Error::HeadTooLong) } else { Ok(None) }
     }
 }
 
-/// Splits off the start line, whose end and the block's fields are given back.
-fn fields(block: Bytes) -> Result<(usize, Headers), Error> {
-    let start = memchr(b'\r', &block).ok_or(Error::StartLine)?;
+/// Parses the header section of a head; returns the length of the start line and the fields.
+fn parse_fields(block: Bytes) -> Result<(usize, Headers), Error> {
+    let start_line_len = memchr(b'\r', &block).ok_or(Error::StartLine)?;
     let mut fields = SmallVec::new();
-    let mut at = start + 2;
+    let mut at = start_line_len + 2;
+    // The block ends with an empty line.
     while at + 2 < block.len() {
         let end = at + memchr(b'\r', &block[at..]).ok_or(Error::InvalidField)?;
         let line = &block[at..end];
@@ -264,30 +275,31 @@
             return Err(Error::LineFolding);
         }
         let colon = memchr(b':', line).filter(|c| *c > 0).ok_or(Error::InvalidField)?;
-        if !all_are(&line[..colon], TOKEN) {
+        if !all_in_class(&line[..colon], TOKEN) {
             return Err(Error::InvalidField);
         }
         let value = &line[colon + 1..];
-        if !all_are(value, VALUE) {
+        if !all_in_class(value, FIELD_VALUE) {
             return Err(Error::InvalidField);
         }
-        let lead = value.iter().take_while(|b| matches!(b, b' ' | b'\t')).count();
-        let tail = value[lead..].iter().rev().take_while(|b| matches!(b, b' ' | b'\t')).count();
-        let from = at + colon + 1 + lead;
+        let leading = value.iter().take_while(|b| matches!(b, b' ' | b'\t')).count();
+        let trailing = value[leading..].iter().rev().take_while(|b| matches!(b, b' ' | b'\t')).count();
+        let from = at + colon + 1 + leading;
         fields.push(Field {
             name: (at as u32, (at + colon) as u32),
-            value: (from as u32, (end - tail) as u32),
+            value: (from as u32, (end - trailing) as u32),
         });
         at = end + 2;
     }
-    Ok((start, Headers { block, fields }))
+    Ok((start_line_len, Headers { block, fields }))
 }
 
-pub(crate) fn request(block: Bytes) -> Result<Request, Error> {
-    let (end, headers) = fields(block)?;
+/// Parses the head of a request; the body is left empty.
+pub(crate) fn parse_request(block: Bytes) -> Result<Request, Error> {
+    let (end, headers) = parse_fields(block)?;
     let line = &headers.block[..end];
     let mut parts = line.split(|b| *b == b' ');
-    let (Some(method), Some(target), Some(told), None) =
+    let (Some(method), Some(target), Some(version), None) =
         (parts.next(), parts.next(), parts.next(), parts.next())
     else {
         return Err(Error::StartLine);
@@ -298,7 +310,7 @@
     if target.is_empty() || !target.iter().all(u8::is_ascii_graphic) {
         return Err(Error::StartLine);
     }
-    let version = version(told)?;
+    let version = parse_version(version)?;
     let hosts = headers.all("host").count();
     if hosts > 1 || hosts == 0 && version == Version::Http11 {
         return Err(Error::Host);
@@ -306,11 +318,12 @@
     Ok(Request { method, version, target: range, headers, body: Bytes::new() })
 }
 
-pub(crate) fn response(block: Bytes) -> Result<Response, Error> {
-    let (end, headers) = fields(block)?;
+/// Parses the head of a response; the body is left empty.
+pub(crate) fn parse_response(block: Bytes) -> Result<Response, Error> {
+    let (end, headers) = parse_fields(block)?;
     let line = &headers.block[..end];
-    let usable = line.len() >= 12 && line[8] == b' ' && line.get(12).is_none_or(|b| *b == b' ');
-    let version = version(line.get(..8).filter(|_| usable).ok_or(Error::StartLine)?)?;
+    let well_formed = line.len() >= 12 && line[8] == b' ' && line.get(12).is_none_or(|b| *b == b' ');
+    let version = parse_version(line.get(..8).filter(|_| well_formed).ok_or(Error::StartLine)?)?;
     let digits = &line[9..12];
     if !digits.iter().all(u8::is_ascii_digit) || digits[0] == b'0' {
         return Err(Error::StartLine);
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,9 @@
-//! HTTP/1.1 (RFC 9110, RFC 9112) without I/O: bytes in, messages out, and the other way round.
+//! HTTP/1.1 (RFC 9110, RFC 9112) without I/O: incremental decoders of requests and responses, and writers.
 //!
-//! A decoder takes what has arrived from a buffer and gives one whole message at a time; it holds no socket
-//! and reads no clock. Anything that two parsers could read differently is an error, never a guess: the
-//! connection can't be trusted any more and is to be closed after the answer that [`Error::status`] names.
+//! A decoder consumes a buffer of received bytes and returns one complete message at a time; it uses no sockets and no
+//! clock. Input that parsers may interpret differently is always rejected, as it could be used for request smuggling.
+//! After an error the caller responds with [`Error::status`] and closes the connection, because the boundaries of the
+//! messages that follow are unknown.
 #![warn(missing_docs)]
 
 mod body;
--- a/crates/http/src/write.rs
+++ b/crates/http/src/write.rs
@@ -1,18 +1,18 @@
 use bytes::{BufMut, BytesMut};
 use std::fmt::{Display, Write};
 
-/// How the body of a written message is framed.
+/// The body of a message to write, and its framing.
 #[derive(Clone, Copy, Debug)]
 pub enum Body<'a> {
-    /// The message says that it has none (`Content-Length: 0`).
+    /// An empty body, declared by `Content-Length: 0`.
     Empty,
-    /// These bytes, with their length.
+    /// These bytes, with their `Content-Length`.
     Whole(&'a [u8]),
-    /// Only the length: the answer to a `HEAD`.
+    /// `Content-Length` without the body, as in the response to a `HEAD` request.
     Length(usize),
-    /// Chunks follow: [`write_chunk`], then [`write_last_chunk`].
+    /// A chunked body, which the caller writes with [`write_chunk`] and [`write_last_chunk`].
     Chunked,
-    /// Neither length nor body: 1xx and 204.
+    /// Neither a length nor a body, as for the status codes 1xx and 204.
     None,
 }
 
@@ -21,7 +21,7 @@
 pub struct HeadWriter<'a>(&'a mut BytesMut);
 
 impl<'a> HeadWriter<'a> {
-    /// Begins a request. The target must be visible ASCII, as all that are written here are.
+    /// Starts a request. The arguments are written unchecked; the target must be visible ASCII.
     pub fn request(out: &'a mut BytesMut, method: &str, target: &str, host: &str) -> Self {
         for part in [method, " ", target, " HTTP/1.1\r\nHost: ", host, "\r\n"] {
             out.put_slice(part.as_bytes());
@@ -29,7 +29,7 @@
         Self(out)
     }
 
-    /// Begins a response.
+    /// Starts a response with the standard reason phrase.
     pub fn response(out: &'a mut BytesMut, status: u16) -> Self {
         out.put_slice(b"HTTP/1.1 ");
         let _ = write!(out, "{status}");
@@ -39,33 +39,35 @@
         Self(out)
     }
 
-    /// Adds a field. Bytes that could end the line are written as spaces, so no value can add a field.
+    /// Adds a field. Control characters in the value, except tabs, are replaced by spaces, so that a value can't inject
+    /// another field.
     pub fn field(self, name: &str, value: impl AsRef<[u8]>) -> Self {
         self.0.put_slice(name.as_bytes());
         self.0.put_slice(b": ");
-        let from = self.0.len();
+        let value_start = self.0.len();
         self.0.put_slice(value.as_ref());
-        for byte in self.0[from..].iter_mut().filter(|b| (**b < b' ' && **b != b'\t') || **b == 0x7f) {
+        for byte in self.0[value_start..].iter_mut().filter(|b| (**b < b' ' && **b != b'\t') || **b == 0x7f) {
             *byte = b' ';
         }
         self.0.put_slice(b"\r\n");
         self
     }
 
-    /// Adds a field whose value prints as visible ASCII.
+    /// Adds a field with a value that formats to visible ASCII; it is written unchecked.
     pub fn display_field(self, name: &str, value: impl Display) -> Self {
         self.0.put_slice(name.as_bytes());
         let _ = write!(self.0, ": {value}\r\n");
         self
     }
 
-    /// Adds a field whose name is in two parts, and whose value prints as visible ASCII.
+    /// Adds a field with the name `prefix` + `name` and a value that formats to visible ASCII; both are written
+    /// unchecked.
     pub fn prefixed_field(self, prefix: &str, name: &str, value: impl Display) -> Self {
         self.0.put_slice(prefix.as_bytes());
         self.display_field(name, value)
     }
 
-    /// Adds a field where there is a value.
+    /// Adds a field if there is a value.
     pub fn optional_field(self, name: &str, value: Option<impl AsRef<[u8]>>) -> Self {
         match value {
             Some(value) => self.field(name, value),
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Ends the head and writes the body.
+    /// Writes the field that frames the body, the end of the head and the body.
     pub fn body(self, body: Body) {
         let out = match body {
             Body::Empty => self.display_field("Content-Length", 0).0,
@@ -89,7 +91,7 @@
     }
 }
 
-/// Writes one chunk; an empty one is not written, as it would end the body.
+/// Writes one chunk. Empty data is not written, because a chunk of size 0 ends the body.
 pub fn write_chunk(out: &mut BytesMut, bytes: &[u8]) {
     if !bytes.is_empty() {
         let _ = write!(out, "{:x}\r\n", bytes.len());
@@ -98,12 +100,12 @@
     }
 }
 
-/// Ends a chunked body.
+/// Writes the last chunk, which ends a chunked body.
 pub fn write_last_chunk(out: &mut BytesMut) {
     out.put_slice(b"0\r\n\r\n");
 }
 
-/// The phrase of a status (RFC 9110 section 15).
+/// The reason phrase of a status code (RFC 9110 section 15), or `Status` for codes that are not listed.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Requests and responses as a peer would send them, whole and byte by byte.
+//! Decoding of requests and responses, received whole and split at arbitrary points.
 use basaltward_http::{Decoded, Error, Limits, Method, Request, RequestDecoder, ResponseDecoder};
 use bytes::BytesMut;
 
@@ -6,10 +6,10 @@
     Limits { start_line: 64, head: 256, fields: 8, body: 32 }
 }
 
-/// Decodes all requests, fed in pieces of `step` bytes.
-fn requests(text: &[u8], step: usize) -> Result<Vec<Request>, Error> {
+/// Decodes all requests in `text`, fed to the decoder in pieces of `piece_len` bytes.
+fn decode_requests(text: &[u8], piece_len: usize) -> Result<Vec<Request>, Error> {
     let (mut decoder, mut input, mut out) = (RequestDecoder::new(limits()), BytesMut::new(), Vec::new());
-    for piece in text.chunks(step) {
+    for piece in text.chunks(piece_len) {
         input.extend_from_slice(piece);
         while let Decoded::Message(request) = decoder.decode(&mut input)? {
             out.push(request);
@@ -19,20 +19,20 @@
 }
 
 #[test]
-fn messages_are_the_same_however_the_bytes_are_cut() {
+fn requests_decode_alike_for_every_split_of_the_input() {
     let text = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello\
         GET /b HTTP/1.1\r\nhOST:  h \r\n\r\n\
         POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nabc\r\n02\r\nde\r\n0\r\nT: 1\r\n\r\n";
-    for step in 1..=text.len() {
-        let all = requests(text, step).expect("readable");
-        let told: Vec<_> = all.iter().map(|r| (r.target(), &r.body[..])).collect();
-        assert_eq!(told, [("/a", &b"hello"[..]), ("/b", b""), ("/c", b"abcde")], "pieces of {step}");
+    for piece_len in 1..=text.len() {
+        let all = decode_requests(text, piece_len).expect("valid requests");
+        let received: Vec<_> = all.iter().map(|r| (r.target(), &r.body[..])).collect();
+        assert_eq!(received, [("/a", &b"hello"[..]), ("/b", b""), ("/c", b"abcde")], "pieces of {piece_len}");
         assert_eq!(all[1].headers.get("host"), Some("h"));
     }
 }
 
 #[test]
-fn what_two_parsers_could_read_differently_is_an_error() {
+fn ambiguous_malformed_or_oversized_requests_are_rejected() {
     let post = "POST / HTTP/1.1\r\nHost: h\r\n";
     let long = "x".repeat(70);
     let cases: Vec<(String, Error)> = vec![
@@ -70,14 +70,18 @@
         (format!("{post}A: {}", "b".repeat(300)), Error::HeadTooLong),
     ];
     for (text, expected) in cases {
-        for step in [1, 7, text.len()] {
-            assert_eq!(requests(text.as_bytes(), step).err(), Some(expected), "{text:?} in pieces of {step}");
+        for piece_len in [1, 7, text.len()] {
+            assert_eq!(
+                decode_requests(text.as_bytes(), piece_len).err(),
+                Some(expected),
+                "{text:?} in pieces of {piece_len}"
+            );
         }
     }
 }
 
 #[test]
-fn a_client_that_waits_is_told_to_go_on_once() {
+fn expect_100_continue_is_reported_once() {
     let (mut decoder, mut input) = (RequestDecoder::new(limits()), BytesMut::new());
     input
         .extend_from_slice(b"PUT / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
@@ -88,7 +92,7 @@
 }
 
 #[test]
-fn responses_end_by_length_chunks_close_or_not_at_all() {
+fn every_response_body_framing_decodes_and_truncation_is_an_error() {
     let cases: [(&[u8], Method, &[u8], bool); 5] = [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Method::Post, b"ok", true),
         (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 \r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", Method::Post, b"x", true),
@@ -98,9 +102,9 @@
     ];
     for (text, method, body, reusable) in cases {
         let (mut decoder, mut input) = (ResponseDecoder::new(limits()), BytesMut::from(text));
-        let response = match decoder.decode(&mut input, method).expect("readable") {
+        let response = match decoder.decode(&mut input, method).expect("a valid response") {
             Decoded::Message(response) => response,
-            _ => decoder.finish(&mut input).expect("ended by the connection"),
+            _ => decoder.finish(&mut input).expect("a body that ends with the connection"),
         };
         assert_eq!((&response.body[..], response.keep_alive()), (body, reusable));
     }
