--- a/crates/kv/src/lib.rs
+++ b/crates/kv/src/lib.rs
@@ -6,11 +6,11 @@
 mod backoff;
 mod follower;
 mod json;
-mod shrink;
+mod shrink_guard;
 mod types;
 
 pub use backoff::{Backoff, BackoffSettings};
 pub use follower::{Follower, FollowerSettings};
 pub use json::{JsonError, WatchStream, range_answer, request};
-pub use shrink::{Shrink, ShrinkSettings};
+pub use shrink_guard::{Shrink, ShrinkSettings};
 pub use types::{Ask, Change, Do, Header, Heard, KeyValue, Micros, Told};
