--- a/crates/kv/src/json.rs
+++ b/crates/kv/src/json.rs
@@ -1,7 +1,7 @@
-//! The messages as the registry's JSON gateway carries them: keys and values in base64, 64-bit numbers as text, a
-//! watch as one JSON object a line.
+//! Messages in the format of the registry's JSON gateway: keys and values in base64, 64-bit numbers as strings, the
+//! responses of a watch as one JSON object per line.
 
-use crate::types::{Ask, Change, Header, Heard, KeyValue};
+use crate::types::{Change, Header, KeyValue, Request, Response};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use memchr::memchr;
@@ -9,22 +9,22 @@
 use serde_json::json;
 use thiserror::Error;
 
-/// Code of a question about a revision that is compacted away (gRPC `OUT_OF_RANGE`).
+/// Error code for a request at a compacted revision (gRPC `OUT_OF_RANGE`).
 const OUT_OF_RANGE: i64 = 11;
 
-/// Why an answer can't be read. The connection is to be given up.
+/// Why a response can't be decoded. The caller must close the connection.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum JsonError {
-    /// It is not the JSON of this API.
-    #[error("unreadable message: {0}")]
-    Message(String),
-    /// A message is longer than the bound.
-    #[error("message longer than {0} bytes")]
+    /// The response is not valid JSON, or not a message of this API.
+    #[error("malformed response: {0}")]
+    Malformed(String),
+    /// A message exceeds the maximum length, in bytes.
+    #[error("message is longer than {0} bytes")]
     TooLong(usize),
 }
 
-/// A 64-bit number as text or as a number; both are allowed in this mapping.
-fn number<'de, D: Deserializer<'de>>(from: D) -> Result<i64, D::Error> {
+/// A 64-bit number as a string or as a number; the JSON mapping of the API allows both.
+fn deserialize_i64<'de, D: Deserializer<'de>>(from: D) -> Result<i64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
     enum Either {
@@ -33,7 +33,7 @@
     }
     match Either::deserialize(from)? {
         Either::Number(number) => Ok(number),
-        // Cluster ids are unsigned: their bits are kept.
+        // Cluster ids are unsigned 64-bit numbers; the cast keeps their bits.
         Either::Text(text) => text
             .parse()
             .or_else(|_| text.parse::<u64>().map(|n| n as i64))
@@ -41,16 +41,17 @@
     }
 }
 
-fn bytes<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<u8>, D::Error> {
+/// Bytes as a base64 string.
+fn deserialize_base64<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<u8>, D::Error> {
     let text = String::deserialize(from)?;
     STANDARD.decode(text).map_err(|_| serde::de::Error::custom("expected base64"))
 }
 
 #[derive(Deserialize, Default)]
 struct RawHeader {
-    #[serde(default, deserialize_with = "number")]
+    #[serde(default, deserialize_with = "deserialize_i64")]
     cluster_id: i64,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(default, deserialize_with = "deserialize_i64")]
     revision: i64,
 }
 
@@ -62,11 +63,11 @@
 
 #[derive(Deserialize)]
 struct RawKv {
-    #[serde(default, deserialize_with = "bytes")]
+    #[serde(default, deserialize_with = "deserialize_base64")]
     key: Vec<u8>,
-    #[serde(default, deserialize_with = "bytes")]
+    #[serde(default, deserialize_with = "deserialize_base64")]
     value: Vec<u8>,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(default, deserialize_with = "deserialize_i64")]
     mod_revision: i64,
 }
 
@@ -108,7 +109,7 @@
     canceled: bool,
     #[serde(default)]
     fragment: bool,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(default, deserialize_with = "deserialize_i64")]
     compact_revision: i64,
     #[serde(default)]
     events: Vec<RawEvent>,
@@ -119,7 +120,7 @@
     result: Option<RawWatch>,
 }
 
-/// The first key after all that have the prefix; `\0` stands for no end.
+/// End of the key range that covers the prefix (exclusive). `\0`, which means no end, if the prefix has no upper bound.
 fn range_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
@@ -131,98 +132,100 @@
     vec![0]
 }
 
-/// Path and body of the request for a question about a prefix; `None` where nothing is to be sent.
-pub fn request(prefix: &[u8], ask: &Ask) -> Option<(&'static str, Vec<u8>)> {
-    let text = |bytes: &[u8]| STANDARD.encode(bytes);
-    let end = text(&range_end(prefix));
-    let (path, body) = match ask {
-        Ask::Range { from, revision, limit } => {
+/// Encodes a request about a prefix as a path and a body; `None` for [`Request::Close`], which sends nothing.
+pub fn encode_request(prefix: &[u8], request: &Request) -> Option<(&'static str, Vec<u8>)> {
+    let base64 = |bytes: &[u8]| STANDARD.encode(bytes);
+    let end = base64(&range_end(prefix));
+    let (path, body) = match request {
+        Request::Range { from, revision, limit } => {
             let body = json!({
-                "key": text(from), "range_end": end,
+                "key": base64(from), "range_end": end,
                 "limit": limit.to_string(), "revision": revision.to_string(),
             });
             ("/v3/kv/range", body)
         }
-        Ask::Watch { revision } => {
+        Request::Watch { revision } => {
             let create = json!({
-                "key": text(prefix), "range_end": end, "start_revision": revision.to_string(),
+                "key": base64(prefix), "range_end": end, "start_revision": revision.to_string(),
                 "progress_notify": true, "fragment": true,
             });
             ("/v3/watch", json!({ "create_request": create }))
         }
-        Ask::Close => return None,
+        Request::Close => return None,
     };
     Some((path, body.to_string().into_bytes()))
 }
 
-/// What the whole answer to a range says.
+/// Decodes the complete HTTP response to a range request.
 ///
 /// # Errors
-/// Where a status of 200 does not carry a range.
-pub fn range_answer(status: u16, body: &[u8]) -> Result<Heard, JsonError> {
+/// [`JsonError::Malformed`] if a response with status 200 does not contain a range.
+pub fn decode_range(status: u16, body: &[u8]) -> Result<Response, JsonError> {
     if status != 200 {
         let code = serde_json::from_slice::<RawError>(body).map_or(0, |error| error.code);
-        return Ok(if code == OUT_OF_RANGE { Heard::Compacted(0) } else { Heard::Broken });
+        return Ok(if code == OUT_OF_RANGE { Response::Compacted(0) } else { Response::Failed });
     }
-    let raw: RawRange = serde_json::from_slice(body).map_err(|e| JsonError::Message(e.to_string()))?;
+    let raw: RawRange = serde_json::from_slice(body).map_err(|e| JsonError::Malformed(e.to_string()))?;
     let kvs = raw.kvs.into_iter().map(KeyValue::from).collect();
-    Ok(Heard::Range { header: (&raw.header).into(), kvs, more: raw.more })
+    Ok(Response::Range { header: (&raw.header).into(), kvs, more: raw.more })
 }
 
-/// Takes a watch's answer as its bytes come.
+/// Incremental decoder of the response to a watch request.
 #[derive(Debug)]
-pub struct WatchStream {
+pub struct WatchDecoder {
+    /// Bytes of an incomplete line.
     buffer: Vec<u8>,
-    most: usize,
+    max_message: usize,
 }
 
-impl WatchStream {
-    /// A fresh watch whose messages are at most so long, in bytes.
-    pub fn new(most: usize) -> Self {
-        Self { buffer: Vec::new(), most }
+impl WatchDecoder {
+    /// Creates a decoder for a new watch; `max_message` is the maximum length of one message in bytes.
+    pub fn new(max_message: usize) -> Self {
+        Self { buffer: Vec::new(), max_message }
     }
 
-    /// Adds bytes and appends what they complete.
+    /// Adds received bytes and appends the messages that they complete to `out`.
     ///
     /// # Errors
-    /// Where a message can't be read or grows past the bound; the stream is of no more use.
-    pub fn push(&mut self, bytes: &[u8], out: &mut Vec<Heard>) -> Result<(), JsonError> {
+    /// If a message is malformed or too long; the decoder must not be used after an error.
+    pub fn push(&mut self, bytes: &[u8], out: &mut Vec<Response>) -> Result<(), JsonError> {
         self.buffer.extend_from_slice(bytes);
-        let mut from = 0;
-        while let Some(end) = memchr(b'\n', &self.buffer[from..]) {
-            let line = &self.buffer[from..from + end];
-            if line.len() > self.most {
-                return Err(JsonError::TooLong(self.most));
+        let mut consumed = 0;
+        while let Some(end) = memchr(b'\n', &self.buffer[consumed..]) {
+            let line = &self.buffer[consumed..consumed + end];
+            if line.len() > self.max_message {
+                return Err(JsonError::TooLong(self.max_message));
             }
-            from += end + 1;
+            consumed += end + 1;
             if !line.trim_ascii().is_empty() {
-                out.push(message(line)?);
+                out.push(decode_watch_message(line)?);
             }
         }
-        self.buffer.drain(..from);
-        if self.buffer.len() > self.most { Err(JsonError::TooLong(self.most)) } else { Ok(()) }
+        self.buffer.drain(..consumed);
+        if self.buffer.len() > self.max_message { Err(JsonError::TooLong(self.max_message)) } else { Ok(()) }
     }
 }
 
-fn message(line: &[u8]) -> Result<Heard, JsonError> {
-    let raw: RawLine = serde_json::from_slice(line).map_err(|e| JsonError::Message(e.to_string()))?;
-    // Without a result it is an error in the midst of the stream.
-    let Some(raw) = raw.result else { return Ok(Heard::Broken) };
+/// Decodes one message of a watch.
+fn decode_watch_message(line: &[u8]) -> Result<Response, JsonError> {
+    let raw: RawLine = serde_json::from_slice(line).map_err(|e| JsonError::Malformed(e.to_string()))?;
+    // A message without a result is an error that ends the stream.
+    let Some(raw) = raw.result else { return Ok(Response::Failed) };
     let header = (&raw.header).into();
     if raw.canceled {
         let compacted = raw.compact_revision > 0;
-        return Ok(if compacted { Heard::Compacted(raw.compact_revision) } else { Heard::Broken });
+        return Ok(if compacted { Response::Compacted(raw.compact_revision) } else { Response::Failed });
     } else if raw.created {
-        return Ok(Heard::Watching(header));
+        return Ok(Response::WatchCreated(header));
     } else if raw.events.is_empty() && !raw.fragment {
-        return Ok(Heard::Progress(header));
+        return Ok(Response::Progress(header));
     }
     let change = |event: RawEvent| match event.kind.as_str() {
         "DELETE" => Change::Delete(event.kv.key, event.kv.mod_revision),
         _ => Change::Put(event.kv.into()),
     };
     let changes = raw.events.into_iter().map(change).collect();
-    Ok(Heard::Changes { header, changes, fragment: raw.fragment })
+    Ok(Response::Changes { header, changes, fragment: raw.fragment })
 }
 
 #[cfg(test)]
@@ -237,8 +240,8 @@
     }
 
     #[test]
-    fn questions_name_the_whole_prefix() {
-        let watch = request(b"/w/", &Ask::Watch { revision: 8 }).expect("a request");
+    fn requests_cover_the_whole_prefix() {
+        let watch = encode_request(b"/w/", &Request::Watch { revision: 8 }).expect("a request");
         let body: serde_json::Value = serde_json::from_slice(&watch.1).expect("JSON");
         assert_eq!(
             (watch.0, &body["create_request"]["range_end"]),
@@ -246,28 +249,28 @@
         );
         assert_eq!(body["create_request"]["start_revision"], json!("8"));
         assert_eq!((range_end(b"a\xff"), range_end(b"\xff\xff")), (b"b".to_vec(), vec![0]));
-        assert_eq!(request(b"", &Ask::Close), None);
+        assert_eq!(encode_request(b"", &Request::Close), None);
     }
 
     #[test]
-    fn ranges_and_their_errors() {
+    fn range_responses_and_errors_are_decoded() {
         let body = format!(
             r#"{{{HEAD},"kvs":[{{"key":"L3cvYQ==","value":"eA==","mod_revision":"5","version":"1"}}],"more":true,"count":"9"}}"#
         );
         let kv = KeyValue { key: b"/w/a".to_vec(), value: b"x".to_vec(), mod_revision: 5 };
         assert_eq!(
-            range_answer(200, body.as_bytes()),
-            Ok(Heard::Range { header: header(), kvs: vec![kv], more: true })
+            decode_range(200, body.as_bytes()),
+            Ok(Response::Range { header: header(), kvs: vec![kv], more: true })
         );
         let compacted = br#"{"error":"mvcc: required revision has been compacted","code":11}"#;
-        assert_eq!(range_answer(400, compacted), Ok(Heard::Compacted(0)));
-        assert_eq!(range_answer(503, b"no leader"), Ok(Heard::Broken));
-        assert!(range_answer(200, b"{}").is_err());
-        assert!(range_answer(200, br#"{"header":{"revision":"x"}}"#).is_err());
+        assert_eq!(decode_range(400, compacted), Ok(Response::Compacted(0)));
+        assert_eq!(decode_range(503, b"no leader"), Ok(Response::Failed));
+        assert!(decode_range(200, b"{}").is_err());
+        assert!(decode_range(200, br#"{"header":{"revision":"x"}}"#).is_err());
     }
 
     #[test]
-    fn a_watch_reads_the_same_however_its_bytes_are_cut() {
+    fn a_watch_decodes_alike_for_every_split_of_its_bytes() {
         let lines = [
             format!(r#"{{"result":{{{HEAD},"created":true}}}}"#),
             format!(
@@ -282,27 +285,27 @@
         ];
         let put = Change::Put(KeyValue { key: b"a".to_vec(), value: b"x".to_vec(), mod_revision: 6 });
         let expected = [
-            Heard::Watching(header()),
-            Heard::Changes { header: header(), changes: vec![put], fragment: true },
-            Heard::Changes {
+            Response::WatchCreated(header()),
+            Response::Changes { header: header(), changes: vec![put], fragment: true },
+            Response::Changes {
                 header: header(),
                 changes: vec![Change::Delete(b"a".to_vec(), 7)],
                 fragment: false,
             },
-            Heard::Progress(header()),
-            Heard::Compacted(6),
-            Heard::Broken,
+            Response::Progress(header()),
+            Response::Compacted(6),
+            Response::Failed,
         ];
         let text = lines.join("\n") + "\n";
-        for step in [1, 2, 3, 17, text.len()] {
-            let (mut stream, mut out) = (WatchStream::new(1_000), Vec::new());
-            for piece in text.as_bytes().chunks(step) {
-                stream.push(piece, &mut out).expect("readable");
+        for piece_len in [1, 2, 3, 17, text.len()] {
+            let (mut decoder, mut out) = (WatchDecoder::new(1_000), Vec::new());
+            for piece in text.as_bytes().chunks(piece_len) {
+                decoder.push(piece, &mut out).expect("valid messages");
             }
-            assert_eq!(out, expected, "pieces of {step}");
+            assert_eq!(out, expected, "pieces of {piece_len}");
         }
-        let mut long = WatchStream::new(10);
-        assert_eq!(long.push(b"{\"result\":{}", &mut Vec::new()), Err(JsonError::TooLong(10)));
-        assert!(WatchStream::new(100).push(b"what\n", &mut Vec::new()).is_err());
+        let mut limited = WatchDecoder::new(10);
+        assert_eq!(limited.push(b"{\"result\":{}", &mut Vec::new()), Err(JsonError::TooLong(10)));
+        assert!(WatchDecoder::new(100).push(b"what\n", &mut Vec::new()).is_err());
     }
 }
--- a/crates/kv/src/lib.rs
+++ b/crates/kv/src/lib.rs
@@ -1,6 +1,8 @@
-//! Follows a prefix of a key-value registry with revisions (the v3 API of etcd): reads it whole at one revision,
-//! watches from the next, and resumes after any cut where it stopped. No I/O and no clock: what was heard and a
-//! time in, what to ask and what changed out. Its messages are those of the API, whatever carries them.
+//! Follows a prefix of a key-value registry with revisions (the v3 API of etcd): reads the prefix completely at one
+//! revision, watches it from the next one, and resumes after a lost connection at the revision reached.
+//!
+//! The state machines use no I/O and no clock: they take responses and the time, and return requests and updates. The
+//! messages are those of the API, independent of the transport.
 #![warn(missing_docs)]
 
 mod backoff;
@@ -11,6 +13,6 @@
 
 pub use backoff::{Backoff, BackoffSettings};
 pub use follower::{Follower, FollowerSettings};
-pub use json::{JsonError, WatchStream, range_answer, request};
-pub use shrink_guard::{Shrink, ShrinkSettings};
-pub use types::{Ask, Change, Do, Header, Heard, KeyValue, Micros, Told};
+pub use json::{JsonError, WatchDecoder, decode_range, encode_request};
+pub use shrink_guard::{ShrinkGuard, ShrinkGuardSettings};
+pub use types::{Action, Change, Header, KeyValue, Micros, Request, Response, Update};
--- a/crates/kv/src/types.rs
+++ b/crates/kv/src/types.rs
@@ -3,37 +3,37 @@
 /// Microseconds.
 pub type Micros = u64;
 
-/// A key with its value, as of one revision.
+/// A key and its value at one revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
     /// The key.
     pub key: Vec<u8>,
     /// The value.
     pub value: Vec<u8>,
-    /// The revision of its last change.
+    /// Revision of the last change to the key.
     pub mod_revision: i64,
 }
 
-/// What stands at the head of each response.
+/// The header of every response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// The registry's cluster.
+    /// Id of the registry's cluster.
     pub cluster: u64,
-    /// The store's revision when it answered.
+    /// Revision of the store when it responded.
     pub revision: i64,
 }
 
-/// One change of the watched prefix.
+/// One change to a key of the watched prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A key was set.
+    /// The key was created or updated.
     Put(KeyValue),
-    /// A key was deleted, or its lease ran out, at this revision.
+    /// The key was deleted, or its lease expired, at this revision.
     Delete(Vec<u8>, i64),
 }
 
 impl Change {
-    /// The revision at which it happened.
+    /// Revision of the change.
     pub fn revision(&self) -> i64 {
         match self {
             Self::Put(kv) => kv.mod_revision,
@@ -42,72 +42,72 @@
     }
 }
 
-/// What a follower wants sent.
+/// A request of a follower to the registry, or the end of its connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
-    /// A page: keys from `from` on that have the prefix, at this revision (0: the present one).
+pub enum Request {
+    /// Read one page: the keys with the prefix, from `from` on, at this revision (0: the current one).
     Range {
-        /// First key.
+        /// First key of the page.
         from: Vec<u8>,
-        /// At which revision.
+        /// Revision to read at.
         revision: i64,
-        /// Keys at most.
+        /// Maximum number of keys.
         limit: i64,
     },
-    /// Changes of the prefix from this revision on, with progress notices.
+    /// Watch the changes to the prefix from this revision on, with progress notifications.
     Watch {
         /// First revision.
         revision: i64,
     },
-    /// Drop the connection; another endpoint is to be taken for the next question.
+    /// Close the connection, and use another endpoint for the next request.
     Close,
 }
 
-/// What a follower hears. All but [`Heard::Broken`] answer what was asked on the present connection.
+/// An input of a follower. All but [`Response::Failed`] respond to the last request on the current connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// A page.
+pub enum Response {
+    /// One page of a range.
     Range {
-        /// Its head.
+        /// The header.
         header: Header,
-        /// Keys in order.
+        /// Keys and values in the order of the keys.
         kvs: Vec<KeyValue>,
-        /// There are more after the last one.
+        /// Whether the range has more keys after the last one.
         more: bool,
     },
-    /// The revision asked for is compacted away; the oldest that is left, where told.
+    /// The requested revision has been compacted. Holds the oldest available revision, or 0 if it is unknown.
     Compacted(i64),
-    /// The watch stands.
-    Watching(Header),
-    /// Changes, in order of revision.
+    /// The watch has been created.
+    WatchCreated(Header),
+    /// Changes to watched keys.
     Changes {
-        /// Its head.
+        /// The header.
         header: Header,
-        /// The changes.
+        /// The changes in the order of their revisions.
         changes: Vec<Change>,
-        /// More of the same revisions follow in another message.
+        /// Whether another message continues the changes of the same revisions.
         fragment: bool,
     },
-    /// Nothing has changed up to the header's revision.
+    /// A progress notification: no watched key has changed up to the revision in the header.
     Progress(Header),
-    /// The connection ended, could not be had, or brought an error.
-    Broken,
+    /// The connection failed or was closed, or the registry responded with an error.
+    Failed,
 }
 
-/// What has become known, each a whole step: never part of a revision.
+/// A result for the user of the follower. It never covers only a part of a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// The first view, whole.
-    Whole(BTreeMap<Vec<u8>, KeyValue>),
-    /// True differences to the view told before, in the order of keys or of revisions.
+pub enum Update {
+    /// The first complete view.
+    Snapshot(BTreeMap<Vec<u8>, KeyValue>),
+    /// The differences to the last reported view, in the order of keys or of revisions.
     Changes(Vec<Change>),
 }
 
-/// What is to be done.
+/// An output of a follower.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Do {
-    /// Send this.
-    Ask(Ask),
-    /// The view stands at this revision of this cluster; what differs from the one before.
-    Tell(Header, Told),
+pub enum Action {
+    /// Send this request, or close the connection.
+    Send(Request),
+    /// Apply this update; the view then corresponds to this cluster and revision.
+    Apply(Header, Update),
 }
