--- a/crates/cloudevents/src/http.rs
+++ b/crates/cloudevents/src/http.rs
@@ -126,8 +126,9 @@
     head.optional_field("Content-Type", event.content_type.as_deref())
 }
 
-/// The content mode that the `Accept` header requests for the response. Only its first media type counts: structured
-/// mode for the JSON event format, `None` (no preference) for `*/*`, `application/*` or an empty one, binary mode otherwise.
+/// The content mode that the `Accept` header requests for the response; `None` if it states no preference. Only the
+/// first media type counts: structured mode for the JSON event format, no preference for `*/*` and `application/*`,
+/// binary mode for any other type.
 pub fn accepted_mode(headers: &Headers) -> Option<Mode> {
     let accept = headers.get("accept")?;
     let first = accept.split(',').next()?.split(';').next()?.trim().to_ascii_lowercase();
--- a/crates/cloudevents/src/json.rs
+++ b/crates/cloudevents/src/json.rs
@@ -64,6 +64,7 @@
         match &*name {
             "data" => data = Some(raw),
             "data_base64" => data_base64 = Some(raw),
+            // An attribute with the value null counts as absent.
             _ if raw.get() == "null" => {}
             "specversion" => version = Some(parse_text(&name, raw)?),
             _ => event.set_attribute(&name, parse_attribute(&name, raw)?)?,
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -188,9 +188,9 @@
     let mut byte = 0;
     while byte < 256 {
         let b = byte as u8;
-        let punctuation =
+        let symbol_or_lowercase =
             matches!(b, b'!' | b'#'..=b'\'' | b'*' | b'+' | b'-' | b'.' | b'^'..=b'z' | b'|' | b'~');
-        if punctuation || b.is_ascii_digit() || b.is_ascii_uppercase() {
+        if symbol_or_lowercase || b.is_ascii_digit() || b.is_ascii_uppercase() {
             table[byte] |= TOKEN;
         }
         if b == b'\t' || (b >= b' ' && b != 0x7f) {
@@ -284,10 +284,10 @@
         }
         let leading = value.iter().take_while(|b| matches!(b, b' ' | b'\t')).count();
         let trailing = value[leading..].iter().rev().take_while(|b| matches!(b, b' ' | b'\t')).count();
-        let from = at + colon + 1 + leading;
+        let value_start = at + colon + 1 + leading;
         fields.push(Field {
             name: (at as u32, (at + colon) as u32),
-            value: (from as u32, (end - trailing) as u32),
+            value: (value_start as u32, (end - trailing) as u32),
         });
         at = end + 2;
     }
--- a/crates/kv/src/follower.rs
+++ b/crates/kv/src/follower.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Handles the timeouts that have expired by `now`.
+    /// Sends the next request or closes a silent connection, if that is due by `now`; appends the resulting actions.
     pub fn wake(&mut self, now: Micros, out: &mut Vec<Action>) {
         match self.state {
             State::BackingOff(until) if until <= now => self.send_next_request(now, out),
