--- a/crates/cloudevents/src/lib.rs
+++ b/crates/cloudevents/src/lib.rs
@@ -1,5 +1,5 @@
 //! CloudEvents 1.0: the event model, its JSON format and its HTTP protocol binding (binary, structured and
-//! batched content mode). Free of I/O: messages in, events out, and the other way round.
+//! batched content mode), without I/O.
 #![warn(missing_docs)]
 
 mod error;
@@ -9,7 +9,7 @@
 
 pub use error::EventError;
 pub use event::{Attribute, Event};
-pub use http::{Incoming, Mode, accepted_mode, read, write_binary_fields};
+pub use http::{Incoming, Mode, accepted_mode, from_http, write_binary_fields};
 pub use json::{from_json, to_json};
 
 /// Media type of one event in the JSON format.
