--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,11 +1,11 @@
 use crate::args::{Fleet, FleetCommand};
-use crate::{Failed, agreed};
+use crate::{Failed, operator};
 use basaltward_membership::{MemberState, StatusResponse};
 use basaltward_peers::ask_view;
 
 /// Asks about the fleet.
 pub fn run(options: &Fleet) -> Result<(), Failed> {
-    let FleetCommand::View { of, json } = &options.command else { return agreed::run(&options.command) };
+    let FleetCommand::View { of, json } = &options.command else { return operator::run(&options.command) };
     let view = ask_view(*of)?;
     if *json {
         println!("{}", serde_json::to_string(&view)?);
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,11 +1,11 @@
 //! The `basaltward` program.
 
-mod agreed;
 mod args;
 mod call;
 mod demo;
 mod fleet;
 mod node;
+mod operator;
 mod play;
 mod records;
 mod report;
--- a/crates/cli/tests/view.rs
+++ b/crates/cli/tests/membership_view.rs
@@ -109,8 +109,9 @@
 #[test]
 fn a_process_that_takes_old_word_is_found_by_its_records() {
     let (mut bed, _) = bed(4);
-    let planted = Path::new(env!("CARGO_BIN_EXE_basaltward")).with_file_name("examples").join("planted");
-    assert!(planted.exists(), "`cargo build --example planted` builds it, and so does `cargo test`");
+    let planted =
+        Path::new(env!("CARGO_BIN_EXE_basaltward")).with_file_name("examples").join("faulty_scheduler");
+    assert!(planted.exists(), "`cargo build --example faulty_scheduler` builds it, and so does `cargo test`");
     bed.kill(1);
     bed.schedulers[1].set_program(&planted);
     bed.up(1).expect("it comes up");
--- a/crates/cli/tests/agreed.rs
+++ b/crates/cli/tests/operator_commands.rs
@@ -248,8 +248,9 @@
 /// A planted fault: leaders that count what they see, and not what they permit.
 #[test]
 fn voters_that_permit_too_many_are_found() {
-    let planted = Path::new(env!("CARGO_BIN_EXE_basaltward")).with_file_name("examples").join("planted");
-    assert!(planted.exists(), "`cargo build --example planted` builds it, and so does `cargo test`");
+    let planted =
+        Path::new(env!("CARGO_BIN_EXE_basaltward")).with_file_name("examples").join("faulty_scheduler");
+    assert!(planted.exists(), "`cargo build --example faulty_scheduler` builds it, and so does `cargo test`");
     let bed = bed_of(&planted, 3, 4, one());
     done(&bed, 0, &["drain", "s-0", "--wait", "60"]);
     done(&bed, 0, &["drain", "s-1", "--wait", "60"]);
