--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,3 +1,5 @@
+//! The command line: subcommands, flags and their help texts.
+
 use clap::{Args as ClapArgs, Parser, Subcommand, ValueEnum};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,12 +10,12 @@
 #[command(
     name = "basaltward",
     version,
-    after_help = "Exit codes: 0 done, 1 it went wrong or a rule was broken, 2 the input can't be used.
+    after_help = "Exit codes: 0 success, 1 the command failed or a rule was broken, 2 the input is invalid.
 
 Examples:
   basaltward demo                        start everything on loopback and print a curl line
-  basaltward demo --calls 1000           the same, make calls, print a summary and end
-  basaltward check gateway.xml           check settings; faults are named with line and column
+  basaltward demo --calls 1000           the same, make calls, print a summary and exit
+  basaltward check gateway.xml           check settings; errors are reported with line and column
   basaltward serve --config gateway.xml  run a gateway until SIGTERM
   basaltward worker --listen 127.0.0.1:7001
   basaltward call --to 127.0.0.1:8080 echo --data hello
@@ -27,28 +29,28 @@
     pub command: Command,
 }
 
-/// What to do.
+/// The subcommands.
 #[derive(Subcommand)]
 pub enum Command {
     /// Run a gateway with stand-in workers in one process on loopback
     Demo(Demo),
     /// Run a gateway
     Serve(Serve),
-    /// Run as the live scheduler of a platform, as NODE_CONFIG and NODE_LISTEN say
+    /// Run as the live scheduler of a platform, configured by NODE_CONFIG and NODE_LISTEN
     Node(Node),
     /// Run stand-in workers
     Worker(Worker),
     /// Check a settings file
     Check(Check),
-    /// Send one event and print its answer
+    /// Send one event and print the response
     Call(Call),
-    /// Play a scripted day on loopback and judge it by the five rules
+    /// Run a scripted workload with faults on loopback and check it against the five rules
     Play(Play),
-    /// Judge records written by earlier runs
+    /// Check records of earlier runs against the five rules
     Judge(Judge),
-    /// Ask about the fleet
+    /// Query and control a fleet of schedulers
     Fleet(Fleet),
-    /// Run a fleet of scheduler processes with faults between them by a script, and judge it
+    /// Run a scripted fleet of scheduler processes with faults between them, and check the result
     Trial(Trial),
 }
 
@@ -59,86 +61,86 @@
     pub command: FleetCommand,
 }
 
-/// What to ask.
+/// The subcommands of `fleet`.
 #[derive(Subcommand)]
 pub enum FleetCommand {
-    /// Print what a scheduler believes of its peers
+    /// Print a scheduler's membership view of its peers
     View {
-        /// Where it takes datagrams (`peer_listen`); it must name us among its operators
-        #[arg(long, value_name = "ADDRESS")]
-        of: SocketAddr,
-        /// One JSON object in place of lines
+        /// The scheduler's datagram address (`peer_listen`); it must list this host among its operators
+        #[arg(long = "of", value_name = "ADDRESS")]
+        scheduler: SocketAddr,
+        /// Print one JSON object instead of text lines
         #[arg(long)]
         json: bool,
     },
-    /// Print what is agreed: who may be out, whether all is halted
+    /// Print the agreed state: permits in force, the release, and whether the fleet is halted
     Status(Through),
-    /// Take a worker out of use, and wait until no scheduler has anything there
+    /// Drain a worker and wait until no scheduler has requests in flight there
     Drain {
         /// The worker's name in the bulletin
         worker: String,
-        /// Ask whether it might be, and leave it
+        /// Only check whether the worker could be drained now
         #[arg(long)]
         dry_run: bool,
-        /// Wait for the permit and for the calls in hand, in seconds
+        /// Longest wait for the permit and for the calls in flight, in seconds
         #[arg(long, default_value_t = 120)]
         wait: u64,
         #[command(flatten)]
         through: Through,
     },
-    /// Take a worker's drain back: it is used again, and counts as out until it is warm
+    /// End a worker's drain: it is used again, and counts as out of service until it is warm
     Back {
         /// The worker's name in the bulletin
         worker: String,
         #[command(flatten)]
         through: Through,
     },
-    /// End a permit whatever is seen of its subject. This can't be undone
+    /// Remove a permit, whatever is observed of its subject. This can't be undone
     WriteOff {
-        /// The worker's name in the bulletin, or with --scheduler a scheduler's number
+        /// The worker's name in the bulletin, or a scheduler's number with --scheduler
         subject: String,
-        /// It is a scheduler
+        /// The subject is a scheduler
         #[arg(long)]
         scheduler: bool,
         #[command(flatten)]
         through: Through,
     },
-    /// Bring all schedulers to a version, step by step, by a program that restarts one; or go on with what stands
+    /// Bring all schedulers to a version step by step with a program that restarts one; continues a started release
     Release {
-        /// Brings the scheduler whose number it is given to the version, and ends well once that serves again
+        /// Restarts the scheduler whose number is its argument with the version; exits with 0 once that serves again
         #[arg(long, value_name = "PROGRAM")]
         run: PathBuf,
-        /// The version, as `fleet.permits.version` names it in the configuration that the program brings
+        /// The version, as named by `fleet.permits.version` in the configuration that the program installs
         #[arg(long, value_name = "NAME", required_unless_present = "back")]
         to: Option<String>,
-        /// The version that all run now, for the way back
+        /// The version that all run now, needed for a later rollback
         #[arg(long, value_name = "NAME", default_value = "")]
         from: String,
-        /// Back to the version from which the release that stands began, newest first
+        /// Roll back to the version that the current release started from, most recently started schedulers first
         #[arg(long, conflicts_with = "to")]
         back: bool,
-        /// Say what stands and how many have done it, and restart nothing
+        /// Print the current release and its progress without restarting anything
         #[arg(long)]
         dry_run: bool,
-        /// Wait for each step, in seconds
+        /// Longest wait for each step, in seconds
         #[arg(long, default_value_t = 300)]
         wait: u64,
         #[command(flatten)]
         through: Through,
     },
-    /// Permit nothing new anywhere, at once
+    /// Stop granting permits everywhere, at once
     Halt(Through),
     /// End a halt
     Resume(Through),
 }
 
-/// Through whom to ask.
+/// The schedulers to send a command to.
 #[derive(ClapArgs)]
 pub struct Through {
-    /// Where schedulers take datagrams (`peer_listen`), the first that answers; they must name us as an operator
-    #[arg(long, value_name = "ADDRESS", required = true, value_delimiter = ',')]
-    pub of: Vec<SocketAddr>,
-    /// JSON in place of lines
+    /// Datagram addresses of schedulers (`peer_listen`), tried in turn; they must list this host as an operator
+    #[arg(long = "of", value_name = "ADDRESS", required = true, value_delimiter = ',')]
+    pub schedulers: Vec<SocketAddr>,
+    /// Print JSON instead of text lines
     #[arg(long)]
     pub json: bool,
 }
@@ -148,13 +150,13 @@
 pub struct Trial {
     /// The script
     pub script: PathBuf,
-    /// Draw the random choices from this in place of the script's seed
+    /// Seed of the random choices, instead of the script's
     #[arg(long)]
     pub seed: Option<u64>,
-    /// Write all records, the timeline as text and as a picture to this folder
+    /// Write all records, and the timeline as text and as SVG, to this folder
     #[arg(long, value_name = "DIR")]
     pub records: Option<PathBuf>,
-    /// Add the measured rows of a trial of hollow members to this file
+    /// Append the measured rows of a trial of hollow members to this file
     #[arg(long, value_name = "FILE")]
     pub csv: Option<PathBuf>,
 }
@@ -162,21 +164,21 @@
 /// Options of `node`.
 #[derive(ClapArgs)]
 pub struct Node {
-    /// Its configuration, in place of the file that NODE_CONFIG names
+    /// The configuration file, instead of the one that NODE_CONFIG names
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// Write what crosses the sockets to this file, as JSON lines
+    /// Write records of the socket traffic to this file, as JSON lines
     #[arg(long, value_name = "FILE")]
     pub records: Option<PathBuf>,
-    /// Keep the fleet's view though the configuration says nothing of it
+    /// Maintain the membership view of the fleet even if the configuration does not enable it
     #[arg(long)]
     pub view: bool,
 }
 
-/// How to log.
+/// Logging options.
 #[derive(ClapArgs)]
 pub struct Log {
-    /// Form of the log lines on standard error
+    /// Format of the log lines on standard error
     #[arg(long, global = true, value_enum, default_value = "text")]
     pub log_format: LogFormat,
     /// Least severe level logged, or a filter such as `warn,basaltward::call=info`
@@ -184,18 +186,18 @@
     pub log: String,
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum LogFormat {
-    /// For people
+    /// Human-readable text
     Text,
-    /// One JSON object a line
+    /// One JSON object per line
     Json,
 }
 
 impl Log {
-    /// Starts logging for the process. Loops hand their lines to a thread; past its bound lines are lost
-    /// rather than a loop held up.
+    /// Starts logging for the process. A separate thread writes the lines; when its queue is full, lines are dropped
+    /// so that no event loop blocks.
     pub fn start(&self) -> WorkerGuard {
         let filter = tracing_subscriber::EnvFilter::new(&self.log);
         let (writer, guard) = tracing_appender::non_blocking(std::io::stderr());
@@ -211,13 +213,13 @@
 /// Options of `demo`.
 #[derive(ClapArgs)]
 pub struct Demo {
-    /// Make this many calls, print a summary and end; without it the gateway runs until interrupted
+    /// Make this many calls, print a summary and exit; without it the gateway runs until interrupted
     #[arg(long)]
     pub calls: Option<usize>,
-    /// Calls a second
+    /// Calls per second
     #[arg(long, default_value_t = 500.0)]
     pub rate: f64,
-    /// Stand-in workers
+    /// Number of stand-in workers
     #[arg(long, default_value_t = 4)]
     pub workers: usize,
 }
@@ -240,25 +242,25 @@
 /// Options of `worker`.
 #[derive(ClapArgs)]
 pub struct Worker {
-    /// Where to listen; may be given several times, for a worker each
+    /// Listen address; may be given several times, once per worker
     #[arg(long, required = true)]
     pub listen: Vec<SocketAddr>,
-    /// Calls run at once
+    /// Calls run concurrently
     #[arg(long, default_value_t = 4)]
     pub cores: u32,
     /// Memory for copies, MB
     #[arg(long, default_value_t = 12_096.0)]
     pub memory_mb: f64,
-    /// Work of a call in milliseconds, unless its event tells `workus`
+    /// Work of a call in milliseconds, unless its event sets `workus`
     #[arg(long, default_value_t = 5.0)]
     pub work_ms: f64,
-    /// How long a load takes in milliseconds, most of it the fetch
+    /// Duration of a load in milliseconds, most of it the fetch
     #[arg(long, default_value_t = 500.0)]
     pub load_ms: f64,
-    /// Load a missing function while its call waits, instead of answering miss
+    /// Load a missing function while its call waits, instead of responding with a miss
     #[arg(long)]
     pub load_on_miss: bool,
-    /// Write what crosses the sockets to this file, as JSON lines
+    /// Write records of the socket traffic to this file, as JSON lines
     #[arg(long)]
     pub records: Option<PathBuf>,
 }
@@ -266,12 +268,12 @@
 /// Options of `call`.
 #[derive(ClapArgs)]
 pub struct Call {
-    /// The gateway
+    /// Address of the gateway
     #[arg(long)]
     pub to: SocketAddr,
     /// The function
     pub function: String,
-    /// The event's id; a fresh one without it
+    /// The event's id; generated if not given
     #[arg(long)]
     pub id: Option<String>,
     /// The event's source
@@ -280,13 +282,13 @@
     /// The tenant
     #[arg(long)]
     pub tenant: Option<String>,
-    /// Patience in milliseconds
+    /// How long the client waits for a response, in milliseconds
     #[arg(long, default_value_t = 2_500)]
     pub timeout_ms: u64,
     /// The payload
     #[arg(long, default_value = "")]
     pub data: String,
-    /// Its media type
+    /// The payload's media type
     #[arg(long, default_value = "text/plain")]
     pub content_type: String,
 }
@@ -296,7 +298,7 @@
 pub struct Play {
     /// The script
     pub script: PathBuf,
-    /// Draw the day's random choices from this in place of the script's seed
+    /// Seed of the random choices, instead of the script's
     #[arg(long)]
     pub seed: Option<u64>,
     /// Write all records to this file, as JSON lines
@@ -307,10 +309,10 @@
 /// Options of `judge`.
 #[derive(ClapArgs)]
 pub struct Judge {
-    /// The settings that the run was made with
+    /// The settings file that the run was made with
     #[arg(long, short)]
     pub config: PathBuf,
-    /// Files of records, of clients, gateways and workers of one machine
+    /// Record files of clients, gateways and workers of one machine
     #[arg(required = true)]
     pub records: Vec<PathBuf>,
 }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,5 +1,7 @@
+//! `demo`: a gateway and stand-in workers in one process; and the wait for a signal that other commands share.
+
 use crate::args::Demo;
-use crate::{Failed, report};
+use crate::{CommandError, report};
 use basaltward_net::{Io, IoLimits, Signals, monotonic};
 use basaltward_play::Bed;
 use basaltward_rules::Recorder;
@@ -9,8 +11,8 @@
 
 const CONFIG: &str = include_str!("../../../examples/config/demo.xml");
 
-/// Starts a gateway and stand-ins, then makes calls or waits to be interrupted.
-pub fn run(options: &Demo) -> Result<(), Failed> {
+/// Starts a gateway and stand-in workers, then makes calls or waits for a signal.
+pub fn run(options: &Demo) -> Result<(), CommandError> {
     let config = basaltward_config::read(CONFIG, Path::new("demo.xml"))?;
     let specs = vec![WorkerSpec::default(); options.workers.clamp(1, 1_000)];
     let bed = Bed::start(&config, 1, specs, Recorder::none())?;
@@ -25,7 +27,7 @@
             let plans = (0..calls).map(|n| plan(n, options.rate)).collect();
             report::tally(&Clients::new(vec![address], Recorder::none())?.run(plans)?);
         }
-        None => wait()?,
+        None => wait_for_signal()?,
     }
     bed.stop()?;
     Ok(())
@@ -47,27 +49,28 @@
     }
 }
 
-/// SIGINT and SIGTERM, by number.
+/// The numbers of SIGINT and SIGTERM.
 const SIGNALS: [i32; 2] = [2, 15];
 
-/// Waits for an interrupt or a termination signal.
-pub fn wait() -> Result<(), Failed> {
-    wait_and(None)
+/// Waits for SIGINT or SIGTERM.
+pub fn wait_for_signal() -> Result<(), CommandError> {
+    wait_for_signal_with_action(None)
 }
 
-/// As [`wait`]; does something once, so long after it began to wait.
-pub fn wait_and(mut planned: Option<(Duration, &dyn Fn())>) -> Result<(), Failed> {
+/// Like [`wait_for_signal`]; runs the action once, when the given time has passed since the call.
+pub fn wait_for_signal_with_action(mut planned: Option<(Duration, &dyn Fn())>) -> Result<(), CommandError> {
     let mut io = Io::new(IoLimits::default())?;
     io.watch_signals(Signals::register(&SIGNALS)?)?;
-    let (mut happened, began) = (Vec::new(), monotonic());
-    while happened.is_empty() {
-        let left = planned.map(|(after, _)| (began + after.as_micros() as u64).saturating_sub(monotonic()));
-        if let (Some(0), Some((_, act))) = (left, planned) {
-            act();
+    let (mut events, started_at) = (Vec::new(), monotonic());
+    while events.is_empty() {
+        let left =
+            planned.map(|(after, _)| (started_at + after.as_micros() as u64).saturating_sub(monotonic()));
+        if let (Some(0), Some((_, action))) = (left, planned) {
+            action();
             planned = None;
             continue;
         }
-        io.turn(left, &mut happened)?;
+        io.turn(left, &mut events)?;
     }
     Ok(())
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,12 +1,16 @@
+//! `fleet`: prints a scheduler's membership view; [`operator`] has the other subcommands.
+
 use crate::args::{Fleet, FleetCommand};
-use crate::{Failed, operator};
+use crate::{CommandError, operator};
 use basaltward_membership::{MemberState, StatusResponse};
 use basaltward_peers::ask_view;
 
-/// Asks about the fleet.
-pub fn run(options: &Fleet) -> Result<(), Failed> {
-    let FleetCommand::View { of, json } = &options.command else { return operator::run(&options.command) };
-    let view = ask_view(*of)?;
+/// Runs a `fleet` subcommand.
+pub fn run(options: &Fleet) -> Result<(), CommandError> {
+    let FleetCommand::View { scheduler, json } = &options.command else {
+        return operator::run(&options.command);
+    };
+    let view = ask_view(*scheduler)?;
     if *json {
         println!("{}", serde_json::to_string(&view)?);
         return Ok(());
@@ -16,7 +20,7 @@
 }
 
 fn print(view: &StatusResponse) {
-    let live = view.members.iter().filter(|seen| seen.state.is_live()).count();
+    let live = view.members.iter().filter(|member| member.state.is_live()).count();
     println!(
         "n{} of {}: {live} live ({:?}), digest {:08x}, {}",
         view.own,
@@ -26,21 +30,23 @@
         if view.settled { "settled" } else { "not settled" }
     );
     if view.superseded {
-        println!("a later life of its name has taken its place: it is silent, and should be ended");
+        println!(
+            "superseded by a later incarnation of its name: it sends nothing more and should be stopped"
+        );
     }
     if let [served, refused, failed] = view.calls[..] {
-        println!("calls told by all: {served} served, {refused} refused, {failed} failed");
+        println!("calls reported by all: {served} served, {refused} refused, {failed} failed");
     }
-    for (number, seen) in view.members.iter().enumerate() {
-        let heard = match (seen.heard_ms, number == usize::from(view.own)) {
+    for (number, member) in view.members.iter().enumerate() {
+        let last_received = match (member.heard_ms, number == usize::from(view.own)) {
             (_, true) => "itself".into(),
-            (Some(ms), _) => format!("heard {:.1} s ago", ms as f64 / 1e3),
-            (None, _) => "never heard".into(),
+            (Some(ms), _) => format!("last received {:.1} s ago", ms as f64 / 1e3),
+            (None, _) => "never received".into(),
         };
-        let life = match seen.state {
+        let incarnation = match member.state {
             MemberState::Unknown => String::new(),
-            _ => format!(", life {}.{}", seen.incarnation.start, seen.incarnation.bump),
+            _ => format!(", incarnation {}.{}", member.incarnation.start, member.incarnation.bump),
         };
-        println!("n{number} {}, {heard}{life}", format!("{:?}", seen.state).to_lowercase());
+        println!("n{number} {}, {last_received}{incarnation}", format!("{:?}", member.state).to_lowercase());
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -17,15 +17,15 @@
 use clap::Parser;
 use std::process::ExitCode;
 
-/// Why a command did not do what it was asked.
-pub enum Failed {
-    /// What was given can't be used: exit code 2.
+/// Why a command failed.
+pub enum CommandError {
+    /// The input is invalid: exit code 2.
     Input(String),
-    /// It was tried and went wrong: exit code 1.
+    /// The command failed while it ran, or a check found errors: exit code 1.
     Run(String),
 }
 
-impl<E: std::error::Error> From<E> for Failed {
+impl<E: std::error::Error> From<E> for CommandError {
     fn from(error: E) -> Self {
         Self::Run(error.to_string())
     }
@@ -33,9 +33,9 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    // Lines are written by a thread of their own; its guard writes the last of them at the end.
-    let _writer = args.log.start();
-    let done = match &args.command {
+    // A separate thread writes the log lines; dropping its guard flushes the last of them.
+    let _log_guard = args.log.start();
+    let result = match &args.command {
         Command::Demo(options) => demo::run(options),
         Command::Serve(options) => serve::run(options),
         Command::Node(options) => node::run(options),
@@ -47,14 +47,14 @@
         Command::Fleet(options) => fleet::run(options),
         Command::Trial(options) => trial::run(options),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failed::Input(why)) => {
-            eprintln!("{why}");
+        Err(CommandError::Input(message)) => {
+            eprintln!("{message}");
             ExitCode::from(2)
         }
-        Err(Failed::Run(why)) => {
-            eprintln!("{why}");
+        Err(CommandError::Run(message)) => {
+            eprintln!("{message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -1,6 +1,7 @@
-//! What operators ask of a fleet that agrees on who may be out: drains, releases, halts.
+//! The `fleet` subcommands of operators that need the fleet's agreement on what may be out of service: drains,
+//! releases and halts.
 
-use crate::Failed;
+use crate::CommandError;
 use crate::args::{FleetCommand, Through};
 use basaltward_peers::ask_agreed;
 use basaltward_permits::{
@@ -12,295 +13,329 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// A permit may be acted on for so long from when it was asked for, see the design note.
-const ACT: Duration = Duration::from_secs(2);
-/// What was denied is asked again after this.
-const AGAIN: Duration = Duration::from_millis(500);
+/// How long a permit may be acted on, counted from when it was requested. The leader relies on this bound: later than
+/// that, it removes the permit of a scheduler that is in use.
+const PERMIT_USE_LIMIT: Duration = Duration::from_secs(2);
+/// Wait before a denied or unanswered request is sent again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Does what is asked.
-pub fn run(command: &FleetCommand) -> Result<(), Failed> {
+/// Runs a `fleet` subcommand other than `view`.
+pub fn run(command: &FleetCommand) -> Result<(), CommandError> {
     match command {
-        FleetCommand::Status(through) => show(through),
+        FleetCommand::Status(through) => print_status(through),
         FleetCommand::Drain { worker: name, dry_run, wait, through } => {
             let subject = worker_subject(name);
             if *dry_run {
-                return tried(through, name, subject);
+                return check_permit(through, name, subject);
             }
-            let until = Instant::now() + Duration::from_secs(*wait);
-            let (number, _) = permitted(through, name, subject, until)?;
-            say(through, name, "drained", json!({"permit": number}));
-            clear(through, name, (subject, number), until)
+            let deadline = Instant::now() + Duration::from_secs(*wait);
+            let (number, _) = acquire_permit(through, name, subject, deadline)?;
+            print_step(through, name, "drained", json!({"permit": number}));
+            wait_until_clear(through, name, (subject, number), deadline)
         }
         FleetCommand::Back { worker: name, through } => {
             let subject = worker_subject(name);
-            let number = standing(through, subject)?.number;
-            granted(through, PermitRequest::Return(subject, number))?;
-            say(through, name, "back", json!({}));
+            let number = find_permit(through, subject)?.number;
+            request_granted(through, PermitRequest::Return(subject, number))?;
+            print_step(through, name, "back", json!({}));
             Ok(())
         }
         FleetCommand::WriteOff { subject: name, scheduler, through } => {
-            let subject = if *scheduler { Subject::Scheduler(numbered(name)?) } else { worker_subject(name) };
-            granted(through, PermitRequest::WriteOff(subject))?;
-            say(through, name, "written off", json!({}));
+            let subject = if *scheduler {
+                Subject::Scheduler(parse_scheduler_number(name)?)
+            } else {
+                worker_subject(name)
+            };
+            request_granted(through, PermitRequest::WriteOff(subject))?;
+            print_step(through, name, "written off", json!({}));
             Ok(())
         }
         FleetCommand::Release { run, to, from, back: _, dry_run, wait, through } => {
             let wait = Duration::from_secs(*wait);
-            release(through, &Release { run, to: to.as_deref(), from, dry_run: *dry_run, wait })
+            run_release(through, &Release { run, to: to.as_deref(), from, dry_run: *dry_run, wait })
         }
-        FleetCommand::Halt(through) => match ask(through, OperatorCommand::Halt)? {
+        FleetCommand::Halt(through) => match send_command(through, OperatorCommand::Halt)? {
             OperatorReply::Halted(halt) => {
-                say(through, "all", "halted", json!({"count": halt.count}));
+                print_step(through, "all", "halted", json!({"count": halt.count}));
                 Ok(())
             }
-            _ => Err(strange()),
+            _ => Err(unexpected_reply()),
         },
         FleetCommand::Resume(through) => {
             let halt = status(through)?.halt;
-            granted(through, PermitRequest::Resume(halt.count))?;
-            say(through, "all", "resumed", json!({"count": halt.count}));
+            request_granted(through, PermitRequest::Resume(halt.count))?;
+            print_step(through, "all", "resumed", json!({"count": halt.count}));
             Ok(())
         }
         FleetCommand::View { .. } => Ok(()),
     }
 }
 
-fn strange() -> Failed {
-    Failed::Run("an answer to another question".into())
+fn unexpected_reply() -> CommandError {
+    CommandError::Run("the reply is of another kind than the request".into())
 }
 
-fn numbered(name: &str) -> Result<u16, Failed> {
-    name.parse().map_err(|_| Failed::Input(format!("{name} is not a scheduler's number")))
+fn parse_scheduler_number(name: &str) -> Result<u16, CommandError> {
+    name.parse().map_err(|_| CommandError::Input(format!("{name} is not a scheduler's number")))
 }
 
-/// One line, or one JSON object, for each step.
-fn say(through: &Through, of: &str, what: &str, more: serde_json::Value) {
+/// Prints a step as one line or as one JSON object.
+fn print_step(through: &Through, subject: &str, step: &str, details: serde_json::Value) {
     if through.json {
-        println!("{}", json!({"of": of, "what": what, "more": more}));
-    } else if more.as_object().is_some_and(|more| !more.is_empty()) {
-        println!("{of}: {what} {more}");
+        println!("{}", json!({"of": subject, "what": step, "more": details}));
+    } else if details.as_object().is_some_and(|details| !details.is_empty()) {
+        println!("{subject}: {step} {details}");
     } else {
-        println!("{of}: {what}");
+        println!("{subject}: {step}");
     }
 }
 
-/// The answer of the first that gives one.
-fn ask(through: &Through, command: OperatorCommand) -> Result<OperatorReply, Failed> {
-    let mut last = Failed::Input("nobody to ask".into());
-    for of in &through.of {
-        match ask_agreed(*of, command) {
-            Ok(told) => return Ok(told),
-            Err(error) => last = Failed::Run(format!("{of}: {error}")),
+/// Sends a command to the given schedulers in turn and returns the first reply.
+fn send_command(through: &Through, command: OperatorCommand) -> Result<OperatorReply, CommandError> {
+    let mut last_error = CommandError::Input("no scheduler address given".into());
+    for address in &through.schedulers {
+        match ask_agreed(*address, command) {
+            Ok(reply) => return Ok(reply),
+            Err(error) => last_error = CommandError::Run(format!("{address}: {error}")),
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
-fn requested(through: &Through, request: PermitRequest) -> Result<PermitResult, Failed> {
-    match ask(through, OperatorCommand::Request(request))? {
-        OperatorReply::Answer(answer) => Ok(answer),
-        _ => Err(strange()),
+/// Forwards a request to the leader.
+fn send_request(through: &Through, request: PermitRequest) -> Result<PermitResult, CommandError> {
+    match send_command(through, OperatorCommand::Request(request))? {
+        OperatorReply::Answer(result) => Ok(result),
+        _ => Err(unexpected_reply()),
     }
 }
 
-fn granted(through: &Through, request: PermitRequest) -> Result<u16, Failed> {
-    requested(through, request)?.map_err(|why| Failed::Run(why.to_string()))
+/// Like [`send_request`], but a denial is an error. Returns the number in the leader's reply.
+fn request_granted(through: &Through, request: PermitRequest) -> Result<u16, CommandError> {
+    send_request(through, request)?.map_err(|denied| CommandError::Run(denied.to_string()))
 }
 
-fn status(through: &Through) -> Result<PermitStatus, Failed> {
-    match ask(through, OperatorCommand::Status)? {
+fn status(through: &Through) -> Result<PermitStatus, CommandError> {
+    match send_command(through, OperatorCommand::Status)? {
         OperatorReply::Status(status) => Ok(status),
-        _ => Err(strange()),
+        _ => Err(unexpected_reply()),
     }
 }
 
-fn standing(through: &Through, subject: Subject) -> Result<Permit, Failed> {
+fn find_permit(through: &Through, subject: Subject) -> Result<Permit, CommandError> {
     let permits = status(through)?.permits;
     let permit = permits.into_iter().find(|permit| permit.subject == subject);
-    permit.ok_or_else(|| Failed::Run("it has no permit to be out".into()))
+    permit.ok_or_else(|| CommandError::Run("it has no permit in force".into()))
 }
 
-fn tried(through: &Through, name: &str, subject: Subject) -> Result<(), Failed> {
-    match requested(through, PermitRequest::Check(subject))? {
-        Ok(_) => say(through, name, "might go now", json!({})),
-        Err(why) => say(through, name, "might not go now", json!({"why": why.to_string()})),
+/// Prints whether a permit would be granted now, without acquiring it.
+fn check_permit(through: &Through, name: &str, subject: Subject) -> Result<(), CommandError> {
+    match send_request(through, PermitRequest::Check(subject))? {
+        Ok(_) => print_step(through, name, "might go now", json!({})),
+        Err(denied) => print_step(through, name, "might not go now", json!({"why": denied.to_string()})),
     }
     Ok(())
 }
 
-/// Asks until it is permitted, and gives the permit's number and when it was asked for. What another try can't change
-/// ends it. A worker's permit that stands after a question of ours that had no answer is ours, or as good: it is
-/// drained. A scheduler's may be somebody's who restarts it now; one that nobody uses ends by itself.
-fn permitted(
+/// Requests a permit until it is granted. Returns the permit's number and when it was requested. Returns an error at
+/// the deadline, or at once on a denial that a retry can't change.
+///
+/// If a reply of this command may have been lost and the worker then has a permit already, that permit is taken as
+/// acquired: whoever requested it, the worker is drained. A scheduler's permit may belong to another operator who is
+/// restarting it now, so it is not taken over; a permit that nobody uses expires.
+fn acquire_permit(
     through: &Through,
     name: &str,
     subject: Subject,
-    until: Instant,
-) -> Result<(u16, Instant), Failed> {
-    let (mut told, mut lost) = (None, false);
+    deadline: Instant,
+) -> Result<(u16, Instant), CommandError> {
+    let mut printed_reason = None;
+    let mut reply_may_be_lost = false;
     loop {
-        let asked = Instant::now();
-        let why = match requested(through, PermitRequest::Acquire(subject)) {
-            Ok(Ok(number)) => return Ok((number, asked)),
-            Ok(Err(Denied::Taken(number))) if lost && matches!(subject, Subject::Worker(_)) => {
-                return Ok((number, asked));
+        let requested_at = Instant::now();
+        let reason = match send_request(through, PermitRequest::Acquire(subject)) {
+            Ok(Ok(number)) => return Ok((number, requested_at)),
+            Ok(Err(Denied::Taken(number))) if reply_may_be_lost && matches!(subject, Subject::Worker(_)) => {
+                return Ok((number, requested_at));
             }
-            Ok(Err(why @ Denied::Unknown)) => return Err(Failed::Run(format!("{name}: {why}"))),
-            Ok(Err(why @ Denied::Taken(_))) if !lost => return Err(Failed::Run(format!("{name}: {why}"))),
-            Ok(Err(why)) => {
-                lost |= matches!(why, Denied::NoLeader | Denied::Stale);
-                why.to_string()
+            Ok(Err(denied @ Denied::Unknown)) => return Err(CommandError::Run(format!("{name}: {denied}"))),
+            Ok(Err(denied @ Denied::Taken(_))) if !reply_may_be_lost => {
+                return Err(CommandError::Run(format!("{name}: {denied}")));
             }
-            Err(Failed::Run(why) | Failed::Input(why)) => {
-                lost = true;
-                why
+            Ok(Err(denied)) => {
+                reply_may_be_lost |= matches!(denied, Denied::NoLeader | Denied::Stale);
+                denied.to_string()
+            }
+            Err(CommandError::Run(error) | CommandError::Input(error)) => {
+                reply_may_be_lost = true;
+                error
             }
         };
-        if Instant::now() >= until {
-            return Err(Failed::Run(format!("{name}: {why}")));
+        if Instant::now() >= deadline {
+            return Err(CommandError::Run(format!("{name}: {reason}")));
         }
-        if told.as_ref() != Some(&why) {
-            say(through, name, "waits", json!({"why": why}));
-            told = Some(why);
+        if printed_reason.as_ref() != Some(&reason) {
+            print_step(through, name, "waits", json!({"why": reason}));
+            printed_reason = Some(reason);
         }
-        std::thread::sleep(AGAIN);
+        std::thread::sleep(RETRY_INTERVAL);
     }
 }
 
-/// Waits until every scheduler has said that it has nothing in hand for drained workers. Whoever we ask has to know of
-/// this drain first: until then it tells of others.
-fn clear(through: &Through, name: &str, of: (Subject, u16), until: Instant) -> Result<(), Failed> {
+/// Waits until every scheduler has reported that no request of its is in flight to a drained worker. The queried
+/// scheduler has to know this drain first: until then its count covers other drains only.
+fn wait_until_clear(
+    through: &Through,
+    name: &str,
+    (subject, number): (Subject, u16),
+    deadline: Instant,
+) -> Result<(), CommandError> {
     loop {
         let PermitStatus { unclear, permits, .. } = status(through)?;
-        let knows = permits
+        let drain_known = permits
             .iter()
-            .any(|permit| (permit.subject, permit.number, permit.returned) == (of.0, of.1, false));
-        if unclear == 0 && knows {
-            say(through, name, "clear", json!({}));
+            .any(|permit| (permit.subject, permit.number, permit.returned) == (subject, number, false));
+        if unclear == 0 && drain_known {
+            print_step(through, name, "clear", json!({}));
             return Ok(());
         }
-        if Instant::now() >= until {
-            return Err(Failed::Run(format!(
-                "{name}: {unclear} schedulers have not said that they have nothing there"
+        if Instant::now() >= deadline {
+            return Err(CommandError::Run(format!(
+                "{name}: {unclear} schedulers have not reported that none of their requests are in flight there"
             )));
         }
-        std::thread::sleep(AGAIN);
+        std::thread::sleep(RETRY_INTERVAL);
     }
 }
 
-fn show(through: &Through) -> Result<(), Failed> {
+/// Prints the status of permits, halt and release as one scheduler knows it.
+fn print_status(through: &Through) -> Result<(), CommandError> {
     let status = status(through)?;
     if through.json {
         println!("{}", serde_json::to_string(&status)?);
         return Ok(());
     }
-    let leader = status.leader.map_or("nobody".into(), |of| format!("n{of}"));
+    let leader = status.leader.map_or("nobody".into(), |number| format!("n{number}"));
     let halted = if status.halt.on { ", HALTED" } else { "" };
     println!("by n{}: leader {leader}{halted}", status.own);
     println!("out: {} schedulers, {} workers; unclear: {}", status.out.0, status.out.1, status.unclear);
-    if let Some((plan, done)) = &status.plan {
-        let what = if plan.rollback { "way back" } else { "release" };
-        println!("{what} {}: {done} run version {:08x}, from {:08x}", plan.number, plan.to, plan.from);
+    if let Some((plan, updated)) = &status.plan {
+        let kind = if plan.rollback { "rollback" } else { "release" };
+        println!("{kind} {}: {updated} run version {:08x}, from {:08x}", plan.number, plan.to, plan.from);
     }
     for permit in &status.permits {
-        let back = if permit.returned { ", comes back" } else { "" };
-        println!("permit {}: {:?}{back}", permit.number, permit.subject);
+        let returned = if permit.returned { ", returned" } else { "" };
+        println!("permit {}: {:?}{returned}", permit.number, permit.subject);
     }
     Ok(())
 }
 
-/// A release, as it was asked for.
+/// Arguments of `fleet release`.
 struct Release<'a> {
+    /// The program that restarts one scheduler with the new version.
     run: &'a Path,
+    /// The name of the new version, `None` for a rollback.
     to: Option<&'a str>,
+    /// The name of the version that all run now.
     from: &'a str,
     dry_run: bool,
+    /// The longest wait for one step.
     wait: Duration,
 }
 
-/// The number of the plan: that which stands, where it is the one asked for, or a new one.
-fn planned(through: &Through, asked: &Release) -> Result<u16, Failed> {
-    let stands = status(through)?.plan.map(|(plan, _)| plan);
-    let (to, from, back) = match (asked.to, stands) {
+/// Returns the number of the fleet's current plan if it is the one requested, or else of a new plan.
+fn find_or_start_plan(through: &Through, release: &Release) -> Result<u16, CommandError> {
+    let current = status(through)?.plan.map(|(plan, _)| plan);
+    let (to, from, rollback) = match (release.to, current) {
         (Some(name), Some(plan)) if plan.to == name_hash(name) && !plan.rollback => return Ok(plan.number),
         (Some(name), Some(plan)) => (name_hash(name), plan.to, false),
-        (Some(name), None) => (name_hash(name), name_hash(asked.from), false),
+        (Some(name), None) => (name_hash(name), name_hash(release.from), false),
         (None, Some(plan)) if plan.rollback => return Ok(plan.number),
         (None, Some(plan)) => (plan.from, plan.to, true),
-        (None, None) => return Err(Failed::Run("no release stands that could be taken back".into())),
+        (None, None) => return Err(CommandError::Run("there is no release to roll back".into())),
     };
-    granted(through, PermitRequest::Plan { to, from, rollback: back })
+    request_granted(through, PermitRequest::Plan { to, from, rollback })
 }
 
-/// Carries out the steps of a plan that the fleet keeps. Whoever dies here loses nothing: run again, it goes on. A
-/// permit that nobody acts on ends by itself.
-fn release(through: &Through, asked: &Release) -> Result<(), Failed> {
-    if asked.dry_run {
-        return show(through);
+/// Carries out the steps of a plan that the fleet stores. If this process dies, the same command run again continues
+/// the plan; a permit that nobody acts on expires.
+fn run_release(through: &Through, release: &Release) -> Result<(), CommandError> {
+    if release.dry_run {
+        return print_status(through);
     }
-    let mut until = Instant::now() + asked.wait;
+    let mut deadline = Instant::now() + release.wait;
     let number = loop {
-        match planned(through, asked) {
+        match find_or_start_plan(through, release) {
             Ok(number) => break number,
-            Err(why) if Instant::now() >= until => return Err(why),
-            Err(_) => std::thread::sleep(AGAIN),
+            Err(error) if Instant::now() >= deadline => return Err(error),
+            Err(_) => std::thread::sleep(RETRY_INTERVAL),
         }
     };
-    say(through, "release", "goes on", json!({"plan": number}));
+    print_step(through, "release", "goes on", json!({"plan": number}));
     loop {
-        let since = Instant::now();
-        let why = match requested(through, PermitRequest::Next(number)) {
+        let requested_at = Instant::now();
+        let reason = match send_request(through, PermitRequest::Next(number)) {
             Ok(Err(Denied::Over)) => {
-                say(through, "release", "done", json!({"plan": number}));
+                print_step(through, "release", "done", json!({"plan": number}));
                 return Ok(());
             }
-            Ok(Err(why @ (Denied::Halted | Denied::Stale))) => return Err(Failed::Run(why.to_string())),
-            Ok(Err(why)) => why.to_string(),
-            Err(Failed::Run(why) | Failed::Input(why)) => why,
+            Ok(Err(denied @ (Denied::Halted | Denied::Stale))) => {
+                return Err(CommandError::Run(denied.to_string()));
+            }
+            Ok(Err(denied)) => denied.to_string(),
+            Err(CommandError::Run(error) | CommandError::Input(error)) => error,
             Ok(Ok(permit)) => {
-                step(through, asked.run, permit, since)?;
-                until = Instant::now() + asked.wait;
+                restart_next(through, release.run, permit, requested_at)?;
+                deadline = Instant::now() + release.wait;
                 continue;
             }
         };
-        if Instant::now() >= until {
-            return Err(Failed::Run(format!("no step for {} s: {why}", asked.wait.as_secs())));
+        if Instant::now() >= deadline {
+            return Err(CommandError::Run(format!("no step for {} s: {reason}", release.wait.as_secs())));
         }
-        std::thread::sleep(AGAIN);
+        std::thread::sleep(RETRY_INTERVAL);
     }
 }
 
-/// One scheduler is restarted by its permit, while that may be acted on.
-fn step(through: &Through, run: &Path, permit: u16, since: Instant) -> Result<(), Failed> {
-    let of = loop {
+/// Restarts the scheduler that a permit names, unless the permit may no longer be acted on.
+fn restart_next(
+    through: &Through,
+    run: &Path,
+    permit: u16,
+    requested_at: Instant,
+) -> Result<(), CommandError> {
+    let number = loop {
         let permits = status(through)?.permits;
-        let one = permits.iter().find(|one| one.number == permit && !one.returned);
-        if let Some(Subject::Scheduler(of)) = one.map(|one| one.subject) {
-            break of;
+        let granted = permits.iter().find(|granted| granted.number == permit && !granted.returned);
+        if let Some(Subject::Scheduler(number)) = granted.map(|granted| granted.subject) {
+            break number;
         }
-        if since.elapsed() >= ACT {
+        if requested_at.elapsed() >= PERMIT_USE_LIMIT {
             return Ok(());
         }
         std::thread::sleep(Duration::from_millis(50));
     };
-    let (name, subject) = (format!("n{of}"), Subject::Scheduler(of));
-    // Whoever acts looks at the time itself: the answer may have been long on its way.
-    if since.elapsed() >= ACT {
-        let _ = requested(through, PermitRequest::Return(subject, permit));
+    let (name, subject) = (format!("n{number}"), Subject::Scheduler(number));
+    // The reply may have been delayed: check the time right before acting on the permit.
+    if requested_at.elapsed() >= PERMIT_USE_LIMIT {
+        let _ = send_request(through, PermitRequest::Return(subject, permit));
         return Ok(());
     }
-    say(through, &name, "goes", json!({"permit": permit}));
-    let ended = Command::new(run).arg(of.to_string()).status()?;
-    if !ended.success() {
-        let _ = ask(through, OperatorCommand::Halt);
-        return Err(Failed::Run(format!("{name}: {} ended with {ended}; all is halted", run.display())));
+    print_step(through, &name, "goes", json!({"permit": permit}));
+    let status = Command::new(run).arg(number.to_string()).status()?;
+    if !status.success() {
+        let _ = send_command(through, OperatorCommand::Halt);
+        return Err(CommandError::Run(format!(
+            "{name}: {} failed: {status}; the fleet is halted",
+            run.display()
+        )));
     }
-    // Where this is lost the permit ends by what is seen, later.
-    if let Err(Failed::Run(why) | Failed::Input(why)) =
-        granted(through, PermitRequest::Return(subject, permit))
+    // If this request is lost, the permit ends later, once the leader observes the scheduler in use again.
+    if let Err(CommandError::Run(error) | CommandError::Input(error)) =
+        request_granted(through, PermitRequest::Return(subject, permit))
     {
-        say(through, &name, "is back, but that could not be told", json!({"why": why}));
+        print_step(through, &name, "is back, but its permit was not returned", json!({"why": error}));
     }
-    say(through, &name, "is back", json!({}));
+    print_step(through, &name, "is back", json!({}));
     Ok(())
 }
--- a/crates/cli/src/play.rs
+++ b/crates/cli/src/play.rs
@@ -1,12 +1,14 @@
+//! `play` and `judge`: a scripted run on loopback, and the check of records against the five rules.
+
 use crate::args::{Judge, Play};
 use crate::serve::settings;
-use crate::{Failed, records, report};
+use crate::{CommandError, records, report};
 use basaltward_play::{load, play, rule_settings};
 use basaltward_rules::{check, read, service};
 
-/// Plays a scripted day and judges it.
-pub fn run(options: &Play) -> Result<(), Failed> {
-    let mut script = load(&options.script).map_err(|error| Failed::Input(error.to_string()))?;
+/// Runs a script and checks the result.
+pub fn run(options: &Play) -> Result<(), CommandError> {
+    let mut script = load(&options.script).map_err(|error| CommandError::Input(error.to_string()))?;
     script.seed = options.seed.unwrap_or(script.seed);
     println!(
         "{}: {} gateways, {} workers, {} steps, seed {}",
@@ -24,13 +26,14 @@
     report::verdict(&verdict.records, &verdict.breaches, &verdict.service)
 }
 
-/// Judges records of earlier runs.
-pub fn judge(options: &Judge) -> Result<(), Failed> {
+/// Checks records of earlier runs.
+pub fn judge(options: &Judge) -> Result<(), CommandError> {
     let config = settings(&options.config)?;
     let mut records = Vec::new();
     for path in &options.records {
-        let all = read(path).map_err(|error| Failed::Input(format!("{}: {error}", path.display())))?;
-        records.extend(all);
+        let read_records =
+            read(path).map_err(|error| CommandError::Input(format!("{}: {error}", path.display())))?;
+        records.extend(read_records);
     }
     records.sort_by_key(|record| record.t);
     println!("{} records", records.len());
--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -1,6 +1,6 @@
-//! The file of records that a command may write.
+//! Record files, as JSON lines.
 
-use crate::Failed;
+use crate::CommandError;
 use basaltward_rules::{Record, Recorder};
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -8,8 +8,8 @@
 use std::thread::JoinHandle;
 use tracing::warn;
 
-/// Writes records to a file, as JSON lines.
-pub fn write(path: &Path, records: &[Record]) -> Result<(), Failed> {
+/// Writes records to a file.
+pub fn write(path: &Path, records: &[Record]) -> Result<(), CommandError> {
     let mut out = BufWriter::new(File::create(path)?);
     for record in records {
         serde_json::to_writer(&mut out, record)?;
@@ -18,30 +18,30 @@
     Ok(out.flush()?)
 }
 
-/// A recorder with the thread that writes its file, if there is one.
+/// A recorder, and the thread that writes its file if there is one.
 pub struct Records {
-    /// Where records are put.
+    /// Accepts records.
     pub recorder: Recorder,
     writer: Option<JoinHandle<io::Result<()>>>,
 }
 
 impl Records {
-    /// Writes to a file, or keeps nothing without one.
-    pub fn open(path: Option<&Path>) -> Result<Self, Failed> {
+    /// Creates a recorder that writes to a file, or that discards all records without one.
+    pub fn open(path: Option<&Path>) -> Result<Self, CommandError> {
         let Some(path) = path else { return Ok(Self { recorder: Recorder::none(), writer: None }) };
         let (recorder, writer) = Recorder::file(path)?;
         Ok(Self { recorder, writer: Some(writer) })
     }
 
-    /// Waits until all is written. Every other clone of the recorder must be gone by now.
-    pub fn close(self) -> Result<(), Failed> {
+    /// Waits until all records are written. All other clones of the recorder must have been dropped, or this blocks.
+    pub fn close(self) -> Result<(), CommandError> {
         let Self { recorder, writer } = self;
         if recorder.lost() > 0 {
-            warn!(lost = recorder.lost(), "records were lost: the writer could not keep up");
+            warn!(lost = recorder.lost(), "records were dropped: the writer could not keep up");
         }
         drop(recorder);
         let Some(writer) = writer else { return Ok(()) };
-        writer.join().map_err(|_| Failed::Run("the writer of records has panicked".into()))??;
+        writer.join().map_err(|_| CommandError::Run("the record writer thread panicked".into()))??;
         Ok(())
     }
 }
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,39 +1,50 @@
-//! What a run came to, in a few lines.
+//! Summaries of a run, printed to standard output.
 
-use crate::Failed;
+use crate::CommandError;
 use basaltward_rules::{Breach, Record, Service, late};
 use basaltward_standins::Tally;
 
-/// Breaches printed of each rule.
-const MOST: usize = 5;
+/// The largest number of breaches printed per rule.
+const PRINTED_BREACHES: usize = 5;
 
-/// Prints counts and times.
+/// Prints the counts of events by outcome and the latencies of those served.
 pub fn tally(tally: &Tally) {
-    let mut times = tally.latencies.clone();
-    times.sort_unstable();
-    let at = |q: f64| {
-        let index = ((times.len() as f64 * q) as usize).min(times.len().saturating_sub(1));
-        times.get(index).map_or("-".into(), |t| format!("{:.1}", *t as f64 / 1e3))
+    let mut latencies = tally.latencies.clone();
+    latencies.sort_unstable();
+    let quantile = |q: f64| {
+        let index = ((latencies.len() as f64 * q) as usize).min(latencies.len().saturating_sub(1));
+        latencies.get(index).map_or("-".into(), |t| format!("{:.1}", *t as f64 / 1e3))
     };
     println!(
         "{} events: {} served, {} refused, {} failed, {} unanswered; {} tries",
         tally.events, tally.served, tally.refused, tally.failed, tally.unanswered, tally.tries
     );
-    println!("served after: median {} ms, 99% {} ms, longest {} ms", at(0.5), at(0.99), at(1.0));
+    println!(
+        "served after: median {} ms, 99% {} ms, longest {} ms",
+        quantile(0.5),
+        quantile(0.99),
+        quantile(1.0)
+    );
 }
 
-/// Prints the verdict; an error where a rule was broken.
-pub fn verdict(records: &[Record], breaches: &[Breach], service: &Service) -> Result<(), Failed> {
+/// Prints the service figures and the breaches.
+///
+/// # Errors
+/// If a rule was broken.
+pub fn verdict(records: &[Record], breaches: &[Breach], service: &Service) -> Result<(), CommandError> {
     println!(
         "service {:.3}: whole run {:.3}, worst ten seconds {:.3}, worst tenant {:.3}",
         service.figure, service.whole, service.window, service.tenant
     );
     let late = late(records);
     if late.read > 0 {
-        println!("{} answers were written in time and read after it: the clients were late", late.read);
+        println!(
+            "{} responses were written before their deadline and read after it: the clients were late",
+            late.read
+        );
     }
     if late.stalled > 0 {
-        println!("{} answers were late by less than the machine had stopped their gateway", late.stalled);
+        println!("{} responses were late by less than the machine had paused their gateway", late.stalled);
     }
     if breaches.is_empty() {
         println!("the five rules: kept");
@@ -41,10 +52,10 @@
     }
     for rule in 1..=5 {
         let of_rule = || breaches.iter().filter(|breach| breach.rule == rule);
-        of_rule().take(MOST).for_each(|breach| println!("{breach}"));
+        of_rule().take(PRINTED_BREACHES).for_each(|breach| println!("{breach}"));
         if of_rule().count() > 0 {
             println!("rule {rule}: {} breaches", of_rule().count());
         }
     }
-    Err(Failed::Run(format!("the five rules: {} breaches", breaches.len())))
+    Err(CommandError::Run(format!("the five rules: {} breaches", breaches.len())))
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,27 +1,31 @@
+//! `serve` and `check`: a gateway, and the check of its settings.
+
 use crate::args::{Check, Serve};
 use crate::records::Records;
-use crate::{Failed, demo};
+use crate::{CommandError, demo};
 use basaltward_config::{Config, load};
 use basaltward_gateway::Gateway;
 use std::time::Duration;
 use tracing::info;
 
-/// A fault planted by trials, `AT:FOR` in milliseconds: the control thread stands still.
+/// Environment variable by which trials inject a fault, `AT:FOR` in milliseconds: the control thread stalls AT after the
+/// start for FOR.
 const STALL_CONTROL: &str = "BASALTWARD_PLANT_STALL_CONTROL_MS";
 
-fn planted(told: Option<&str>) -> Option<(Duration, Duration)> {
-    let (at, span) = told?.split_once(':')?;
+/// Parses `AT:FOR`; `None` if absent or malformed.
+fn parse_stall(text: Option<&str>) -> Option<(Duration, Duration)> {
+    let (at, span) = text?.split_once(':')?;
     let millis = |text: &str| text.parse().ok().map(Duration::from_millis);
     Some((millis(at)?, millis(span)?))
 }
 
-/// Settings that can't be used are the caller's to mend.
-pub fn settings(path: &std::path::Path) -> Result<Config, Failed> {
-    load(path).map_err(|error| Failed::Input(error.to_string()))
+/// Reads a settings file; errors in it are input errors (exit code 2).
+pub fn settings(path: &std::path::Path) -> Result<Config, CommandError> {
+    load(path).map_err(|error| CommandError::Input(error.to_string()))
 }
 
-/// Checks a settings file.
-pub fn check(options: &Check) -> Result<(), Failed> {
+/// Checks a settings file and prints a summary of it.
+pub fn check(options: &Check) -> Result<(), CommandError> {
     let config = settings(&options.file)?;
     println!(
         "{}: good; {} functions in {} classes, {} tenants, {} loops of {} schedulers",
@@ -35,17 +39,17 @@
     Ok(())
 }
 
-/// Runs a gateway until it is told to stop.
-pub fn run(options: &Serve) -> Result<(), Failed> {
+/// Runs a gateway until SIGINT or SIGTERM.
+pub fn run(options: &Serve) -> Result<(), CommandError> {
     let config = settings(&options.config)?;
     let records = Records::open(config.records.as_deref())?;
     let gateway = Gateway::start(&config, &records.recorder)?;
     println!("listening on {}", gateway.address());
     info!(name = config.name, address = %gateway.address(), loops = config.threads, "serving");
-    let planted = planted(std::env::var(STALL_CONTROL).ok().as_deref());
-    match planted {
-        Some((at, span)) => demo::wait_and(Some((at, &|| gateway.stall_control(span))))?,
-        None => demo::wait()?,
+    let stall = parse_stall(std::env::var(STALL_CONTROL).ok().as_deref());
+    match stall {
+        Some((at, span)) => demo::wait_for_signal_with_action(Some((at, &|| gateway.stall_control(span))))?,
+        None => demo::wait_for_signal()?,
     }
     gateway.stop();
     gateway.join()?;
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -1,46 +1,48 @@
+//! `trial`: scripted runs of many processes of this program, with faults between them.
+
 use crate::args::Trial as Options;
-use crate::{Failed, records};
+use crate::{CommandError, records};
 use basaltward_net::monotonic;
 use basaltward_rules::Record;
 use basaltward_trial::{
     CSV_HEADER, HollowScript, Party, Script, SitesScript, SitesVerdict, Told, Verdict, judge, judge_sites,
-    lanes, load, picture, rows, run as play, run_hollow, run_sites,
+    lanes, load, picture, rows, run as run_script, run_hollow, run_sites,
 };
 use std::fs::{OpenOptions, create_dir_all, write};
 use std::io::Write;
 
-/// Runs processes of this program by a script and judges them.
-pub fn run(options: &Options) -> Result<(), Failed> {
+/// Runs processes of this program as a script prescribes and checks the result.
+pub fn run(options: &Options) -> Result<(), CommandError> {
     let program = std::env::current_exe()?;
-    let told =
-        load(&options.script, &program, options.seed).map_err(|error| Failed::Input(error.to_string()))?;
-    match told {
-        Told::Fleet(script) => fleet(options, &script),
-        Told::Sites(script) => sites(options, &script),
-        Told::Hollow(script) => hollow(options, &script),
+    let script = load(&options.script, &program, options.seed)
+        .map_err(|error| CommandError::Input(error.to_string()))?;
+    match script {
+        Told::Fleet(script) => run_fleet_trial(options, &script),
+        Told::Sites(script) => run_sites_trial(options, &script),
+        Told::Hollow(script) => run_hollow_trial(options, &script),
     }
 }
 
-fn hollow(options: &Options, script: &HollowScript) -> Result<(), Failed> {
+fn run_hollow_trial(options: &Options, script: &HollowScript) -> Result<(), CommandError> {
     let report = run_hollow(script, &mut |line| println!("{line}"))?;
     let command = format!("basaltward trial {}", options.script.display());
     let lines = rows(&report, &command);
     lines.iter().for_each(|line| println!("{line}"));
     if let Some(path) = &options.csv {
-        let fresh = !path.exists();
+        let is_new = !path.exists();
         let mut file = OpenOptions::new().create(true).append(true).open(path)?;
-        let header = fresh.then(|| CSV_HEADER.to_owned());
+        let header = is_new.then(|| CSV_HEADER.to_owned());
         for line in header.into_iter().chain(lines) {
             writeln!(file, "{line}")?;
         }
     }
-    report.failed.iter().for_each(|failed| println!("{failed} did not end as it should"));
+    report.failed.iter().for_each(|failed| println!("{failed} did not exit as expected"));
     report.late.iter().for_each(|step| println!("void, as the machine was too busy: {step}"));
     report.unsettled.iter().for_each(|step| println!("unsettled: {step}"));
-    if report.is_good() { Ok(()) } else { Err(Failed::Run("the run is not good".into())) }
+    if report.is_good() { Ok(()) } else { Err(CommandError::Run("the trial failed".into())) }
 }
 
-fn fleet(options: &Options, script: &Script) -> Result<(), Failed> {
+fn run_fleet_trial(options: &Options, script: &Script) -> Result<(), CommandError> {
     let fleet = &script.fleet;
     println!(
         "{}: {} schedulers, {} workers, {} steps, seed {}",
@@ -50,16 +52,16 @@
         script.steps.len(),
         fleet.seed
     );
-    let mut bed = play(script)?;
-    let end = monotonic();
-    let all = bed.finish()?;
-    let verdict = judge(&bed, &all);
+    let mut bed = run_script(script)?;
+    let ended_at = monotonic();
+    let records = bed.finish()?;
+    let verdict = judge(&bed, &records);
     let parties = bed.schedulers.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
-    keep(options, &all, &lanes(parties, &bed.ways.faults, (bed.began, end)))?;
-    tell(&verdict)
+    write_timeline(options, &records, &lanes(parties, &bed.ways.faults, (bed.began, ended_at)))?;
+    print_verdict(&verdict)
 }
 
-fn sites(options: &Options, script: &SitesScript) -> Result<(), Failed> {
+fn run_sites_trial(options: &Options, script: &SitesScript) -> Result<(), CommandError> {
     let spec = &script.spec;
     println!(
         "{}: {} sites, {} gateways, {} workers, {} steps, seed {}",
@@ -71,28 +73,31 @@
         spec.seed
     );
     let mut bed = run_sites(script)?;
-    let end = monotonic();
-    let (all, _) = bed.finish()?;
-    let told = judge_sites(&bed, &all);
+    let ended_at = monotonic();
+    let (records, _) = bed.finish()?;
+    let verdict = judge_sites(&bed, &records);
     let gateways = bed.gateways.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
     let workers = bed.workers.iter().enumerate().map(|(w, process)| (Party::Worker(w), process));
-    keep(options, &all, &lanes(gateways.chain(workers), &bed.ways.faults, (bed.began, end)))?;
+    write_timeline(
+        options,
+        &records,
+        &lanes(gateways.chain(workers), &bed.ways.faults, (bed.began, ended_at)),
+    )?;
     if let Some(folder) = &options.records {
         for (number, process) in bed.gateways.iter().enumerate() {
             write(folder.join(format!("n{number}.log")), process.said().join("\n"))?;
         }
-        let noted: Vec<_> =
-            bed.ways.relay.captured().noted.iter().map(|noted| format!("{noted}\n")).collect();
-        write(folder.join("kept.txt"), noted.concat())?;
+        let notes: Vec<_> = bed.ways.relay.captured().noted.iter().map(|note| format!("{note}\n")).collect();
+        write(folder.join("kept.txt"), notes.concat())?;
     }
-    shares(script, &told);
-    tell(&told.verdict)
+    print_site_shares(script, &verdict);
+    print_verdict(&verdict.verdict)
 }
 
-/// What was asked at each site, and where it ran.
-fn shares(script: &SitesScript, told: &SitesVerdict) {
+/// Prints how many calls each site received, their outcomes, and at which sites they ran.
+fn print_site_shares(script: &SitesScript, verdict: &SitesVerdict) {
     let names: Vec<&str> = script.spec.sites.iter().map(|site| site.name.as_str()).collect();
-    for (name, site) in names.iter().zip(&told.sites) {
+    for (name, site) in names.iter().zip(&verdict.sites) {
         let ran: Vec<_> =
             names.iter().zip(&site.ran_at).map(|(at, count)| format!("{count} at {at}")).collect();
         println!(
@@ -108,16 +113,23 @@
             site.latency(0.99) as f64 / 1e3
         );
         let seconds: Vec<_> = site.seconds.iter().map(u64::to_string).collect();
-        let (came, taken) = site.again;
-        println!("  came again {came}, not refused {taken}; served each second {}", seconds.join(" "));
+        let (retries, not_refused) = site.again;
+        println!(
+            "  retries after a refusal {retries}, not refused {not_refused}; served each second {}",
+            seconds.join(" ")
+        );
     }
-    let (kept, ends) = &told.kept;
+    let (acknowledged, ends) = &verdict.kept;
     let ends: Vec<_> = ends.iter().map(|(how, count)| format!(", {how} {count}")).collect();
-    println!("kept events acknowledged {kept}{}", ends.concat());
+    println!("kept events acknowledged {acknowledged}{}", ends.concat());
 }
 
-/// The timeline, and files of it and of all records where they are wanted.
-fn keep(options: &Options, all: &[Record], lanes: &[basaltward_trial::Lane]) -> Result<(), Failed> {
+/// Prints the timeline; with `--records`, also writes it and all records to files.
+fn write_timeline(
+    options: &Options,
+    records: &[Record],
+    lanes: &[basaltward_trial::Lane],
+) -> Result<(), CommandError> {
     let mut text = String::new();
     for (name, spells) in lanes {
         text += name;
@@ -128,7 +140,7 @@
     }
     if let Some(folder) = &options.records {
         create_dir_all(folder)?;
-        records::write(&folder.join("records"), all)?;
+        records::write(&folder.join("records"), records)?;
         write(folder.join("timeline.txt"), &text)?;
         write(folder.join("timeline.svg"), picture(lanes))?;
     }
@@ -136,17 +148,17 @@
     Ok(())
 }
 
-fn tell(verdict: &Verdict) -> Result<(), Failed> {
-    let (asked, served, refused, failed) = verdict.calls;
+fn print_verdict(verdict: &Verdict) -> Result<(), CommandError> {
+    let (calls, served, refused, failed) = verdict.calls;
     println!(
-        "calls {asked}: served {served}, refused {refused}, failed {failed}, excused {}",
+        "calls {calls}: served {served}, refused {refused}, failed {failed}, excused {}",
         verdict.excused
     );
     verdict.rules.iter().take(20).for_each(|breach| println!("{breach}"));
     verdict.fleet.iter().take(20).for_each(|fault| println!("{fault}"));
     match verdict.is_good() {
         true => println!("all rules kept, nothing wrong with the fleet"),
-        false => return Err(Failed::Run("the run is not good".into())),
+        false => return Err(CommandError::Run("the trial failed".into())),
     }
     Ok(())
 }
--- a/crates/cli/src/worker.rs
+++ b/crates/cli/src/worker.rs
@@ -1,17 +1,19 @@
+//! `worker`: stand-in workers.
+
 use crate::args::Worker;
 use crate::records::Records;
-use crate::{Failed, demo};
+use crate::{CommandError, demo};
 use basaltward_standins::{Fleet, StoreSpec, WorkerSpec};
 
-/// Runs stand-in workers until interrupted.
-pub fn run(options: &Worker) -> Result<(), Failed> {
+/// Runs stand-in workers until SIGINT or SIGTERM.
+pub fn run(options: &Worker) -> Result<(), CommandError> {
     let records = Records::open(options.records.as_deref())?;
-    let load = (options.load_ms.max(0.0) * 1e3) as u64;
+    let load_us = (options.load_ms.max(0.0) * 1e3) as u64;
     let spec = WorkerSpec {
         cores: options.cores.max(1),
         memory_mb: options.memory_mb,
         work: (options.work_ms.max(0.0) * 1e3) as u64,
-        load: (load * 3 / 5, load * 2 / 5),
+        load: (load_us * 3 / 5, load_us * 2 / 5),
         load_on_miss: options.load_on_miss,
         ..WorkerSpec::default()
     };
@@ -20,7 +22,7 @@
     for address in fleet.addresses() {
         println!("worker on {address}");
     }
-    demo::wait()?;
+    demo::wait_for_signal()?;
     fleet.stop()?;
     records.close()
 }
