--- a/crates/cli/tests/lifecycle/killed.rs
+++ b/crates/cli/tests/lifecycle/killed.rs
@@ -1,5 +1,5 @@
-//! A scheduler is killed right after it has accepted, and clients repeat elsewhere: no effect comes about twice, and each
-//! client has one final answer.
+//! A scheduler is killed right after it accepted requests, and clients repeat them at another scheduler: no effect may
+//! happen twice, and each client gets one final reply.
 use crate::common::{Limits, TEST_TIMEOUT, bulletin_entry, config_json, wait_until_delivered};
 use crate::process::{config_file, freeze, signal, start};
 use basaltward_rules::Recorder;
@@ -12,133 +12,144 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What became of the effects, by body: a client's retry has a new id and the same body.
+/// Effects at the workers. They are identified by body: a client's retry has a new id and the same body.
 #[derive(Default)]
 struct Effects {
-    ran: HashMap<Vec<u8>, usize>,
-    /// Keys that were seen: a repeat under one is answered and has no further effect.
+    /// Number of executions by body.
+    runs: HashMap<Vec<u8>, usize>,
+    /// Keys seen so far: a repeat with one of them gets a response and has no further effect.
     keys: Vec<String>,
 }
 
-/// Two schedulers and the workers that both use.
-struct Bed {
+/// Two schedulers, and the workers that both use.
+struct TestBed {
     schedulers: Vec<(Child, SocketAddr, PathBuf)>,
     workers: Vec<LineWorker>,
     effects: Arc<Mutex<Effects>>,
     _boards: Vec<Board>,
 }
 
-/// A class whose workers discard repeats by its key.
-fn with_keyed(text: &str) -> String {
+/// Adds a keyed class, `deed`, to a configuration.
+fn with_keyed_class(config: &str) -> String {
     let keyed = r#""requestClasses":[{"name":"deed","deadlineUs":8000000,"onTimeUs":2000000,"repeat":"keyed","group":"all","windowUs":60000000},"#;
-    text.replace("\"requestClasses\":[", keyed)
+    config.replace("\"requestClasses\":[", keyed)
 }
 
-/// Bodies that begin so are run and not answered; and such whose connection breaks in place of an answer.
-const HELD: &[u8] = b"held";
-const BROKEN: &[u8] = b"broken";
+/// Calls whose body starts with this are executed and get no response.
+const UNANSWERED: &[u8] = b"held";
+/// Calls whose body starts with this are executed, and their connection is reset instead of a response.
+const RESET: &[u8] = b"broken";
 
-fn run(effects: &Mutex<Effects>, exec: &Exec) -> Vec<Act> {
-    let mut effects = effects.lock().expect("sound");
+/// Script of the workers.
+fn execute(effects: &Mutex<Effects>, exec: &Exec) -> Vec<Act> {
+    let mut effects = effects.lock().expect("not poisoned");
     let key = exec.fields.split(',').find_map(|field| field.strip_prefix("uniq=")).map(str::to_owned);
-    let known = key.as_ref().is_some_and(|key| effects.keys.contains(key));
+    let repeated = key.as_ref().is_some_and(|key| effects.keys.contains(key));
     effects.keys.extend(key);
-    if known {
+    if repeated {
         return vec![Act::Write(answer(&exec.id, "OK", "detail=up", &exec.turned()))];
     }
-    *effects.ran.entry(exec.body.clone()).or_default() += 1;
+    *effects.runs.entry(exec.body.clone()).or_default() += 1;
     match exec.body.as_slice() {
-        body if body.starts_with(HELD) => vec![Act::Run],
-        body if body.starts_with(BROKEN) => vec![Act::Run, Act::Reset],
+        body if body.starts_with(UNANSWERED) => vec![Act::Run],
+        body if body.starts_with(RESET) => vec![Act::Run, Act::Reset],
         _ => exec.serve(),
     }
 }
 
-impl Bed {
+impl TestBed {
     fn new(name: &str) -> Self {
         let effects: Arc<Mutex<Effects>> = Arc::default();
         let start_one = |n| {
             let effects = effects.clone();
-            let script = move |exec: &Exec| run(&effects, exec);
-            LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("a worker")
+            let script = move |exec: &Exec| execute(&effects, exec);
+            LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("the worker starts")
         };
         let workers: Vec<_> = (0..2).map(start_one).collect();
-        let one = |(n, w): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), w.address(), "Ready");
-        let targets = workers.iter().enumerate().map(one).collect::<Vec<_>>().join(",");
-        let boards: Vec<_> = (0..2).map(|_| Board::start(2).expect("a bulletin")).collect();
+        let entry =
+            |(n, worker): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), worker.address(), "Ready");
+        let targets = workers.iter().enumerate().map(entry).collect::<Vec<_>>().join(",");
+        let boards: Vec<_> = (0..2).map(|_| Board::start(2).expect("the bulletin starts")).collect();
         let limits = Limits { connect_ms: 3_000, ..Limits::default() };
         let scheduler = |(n, board): (usize, &Board)| {
             let config = config_file(
                 &format!("{name}-{n}"),
-                &with_keyed(&config_json(limits, board.address(), &targets)),
+                &with_keyed_class(&config_json(limits, board.address(), &targets)),
             );
             let (child, to) = start(&config);
             (child, to, config)
         };
         let schedulers = boards.iter().enumerate().map(scheduler).collect();
         let bed = Self { schedulers, workers, effects, _boards: boards };
-        // Both stand in connection with the workers.
-        (0..2).for_each(|n| bed.passes(n));
+        // Both schedulers are connected to the workers after this.
+        (0..2).for_each(|n| bed.wait_until_served(n));
         bed
     }
 
-    fn to(&self, n: usize) -> SocketAddr {
+    fn address(&self, n: usize) -> SocketAddr {
         self.schedulers[n].1
     }
 
     fn client(&self, n: usize) -> FrontClient {
-        FrontClient::connect(self.to(n), TEST_TIMEOUT).expect("connected")
+        FrontClient::connect(self.address(n), TEST_TIMEOUT).expect("the connection is accepted")
     }
 
-    /// Calls are served there. On a loaded machine some are turned away first.
-    fn passes(&self, n: usize) {
-        let until = Instant::now() + TEST_TIMEOUT;
-        for again in 0u64.. {
-            let one = Op { class: "view", body: b"passes".to_vec(), key: None };
+    /// Sends calls to a scheduler until one is served. On a loaded machine some are rejected first.
+    fn wait_until_served(&self, n: usize) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        for attempt in 0u64.. {
+            let op = Op { class: "view", body: b"passes".to_vec(), key: None };
             let mut client = self.client(n);
-            send(&mut client, &one, again << 8 | n as u64);
-            let told = client.read().expect("a reply").expect("an answer").1;
-            if matches!(told, FrontReply::Served(_)) {
+            send(&mut client, &op, attempt << 8 | n as u64);
+            let reply = client.read().expect("a readable reply").expect("a reply").1;
+            if matches!(reply, FrontReply::Served(_)) {
                 return;
             }
-            assert!(Instant::now() < until, "{told:?}");
+            assert!(Instant::now() < deadline, "{reply:?}");
         }
     }
 
-    fn ran(&self, body: &[u8]) -> usize {
-        self.effects.lock().expect("sound").ran.get(body).copied().unwrap_or(0)
+    /// How often the workers have executed a call with this body.
+    fn executions(&self, body: &[u8]) -> usize {
+        self.effects.lock().expect("not poisoned").runs.get(body).copied().unwrap_or(0)
     }
 
-    /// Waits until a worker has run this.
-    fn runs(&self, body: &[u8]) {
-        let until = Instant::now() + TEST_TIMEOUT;
-        while self.ran(body) == 0 {
-            assert!(Instant::now() < until, "never ran");
+    /// Waits until a worker has executed a call with this body.
+    fn wait_until_executed(&self, body: &[u8]) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        while self.executions(body) == 0 {
+            assert!(Instant::now() < deadline, "never executed");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Kills the first scheduler; none of its clients gets a byte any more.
+    /// Kills the first scheduler; its clients receive nothing but the end of their connections.
     fn kill(&mut self, mut clients: Vec<FrontClient>) {
         let child = &mut self.schedulers[0].0;
         signal(child, Signal::KILL);
-        child.wait().expect("ended");
-        clients.iter_mut().for_each(|client| assert_eq!(client.read().expect("an end"), None));
+        child.wait().expect("it exits");
+        clients
+            .iter_mut()
+            .for_each(|client| assert_eq!(client.read().expect("the end of the connection"), None));
     }
 
-    /// The client's repeat at the other scheduler: the one answer that it gets, and no second one.
-    fn repeat(&self, one: &Op, id: u64) -> FrontReply {
+    /// Repeats a request at the other scheduler. Returns its reply, and checks that there is no second one.
+    fn repeat(&self, op: &Op, id: u64) -> FrontReply {
         let mut client = self.client(1);
-        let asked = send(&mut client, one, id);
-        let (seqid, told) = client.read().expect("told").expect("an answer");
-        assert_eq!(seqid, asked);
-        let next = client.heartbeat().expect("sent");
-        assert_eq!(client.read().expect("told").map(|(seqid, _)| seqid), Some(next), "a second answer");
-        told
+        let sent = send(&mut client, op, id);
+        let (seqid, reply) = client.read().expect("a readable reply").expect("a reply");
+        assert_eq!(seqid, sent);
+        let next = client.heartbeat().expect("the request is sent");
+        assert_eq!(
+            client.read().expect("a readable reply").map(|(seqid, _)| seqid),
+            Some(next),
+            "a second reply"
+        );
+        reply
     }
 }
 
-impl Drop for Bed {
+impl Drop for TestBed {
     fn drop(&mut self) {
         for (child, _, config) in &mut self.schedulers {
             if matches!(child.try_wait(), Ok(None)) {
@@ -150,97 +161,102 @@
     }
 }
 
-/// What a client wants done once, by whomever it asks.
+/// An operation that a client wants executed once, whichever scheduler it sends it to.
 struct Op {
     class: &'static str,
     body: Vec<u8>,
     key: Option<&'static str>,
 }
 
-fn send(client: &mut FrontClient, one: &Op, id: u64) -> i32 {
+fn send(client: &mut FrontClient, op: &Op, id: u64) -> i32 {
     let id = format!("{id:016x}");
     let mut fields = vec![
-        ("kind", one.class),
+        ("kind", op.class),
         ("req", id.as_str()),
         ("timeout", "6000"),
         ("subject", "7f3a9c21e0b4d655"),
         ("props", "memory_mb:64;lanes:8;load_ms:20"),
     ];
-    fields.extend(one.key.map(|key| ("opkey", key)));
-    client.submit(&fields, &one.body).expect("sent")
+    fields.extend(op.key.map(|key| ("opkey", key)));
+    client.submit(&fields, &op.body).expect("the request is sent")
 }
 
-fn all_came(bed: &Bed, client: &FrontClient) {
-    wait_until_delivered(client.stream().local_addr().expect("it stands"), bed.to(0), "revoke");
+/// Waits until everything that the client sent has arrived in the first scheduler's socket.
+fn wait_until_received(bed: &TestBed, client: &FrontClient) {
+    wait_until_delivered(
+        client.stream().local_addr().expect("the connection is open"),
+        bed.address(0),
+        "revoke",
+    );
 }
 
 #[test]
-fn what_a_killed_scheduler_had_accepted_and_not_read_runs_once_where_it_is_repeated() {
-    let mut bed = Bed::new("killed-unread");
-    // On a connection that stands, on one that only the system has accepted, and half a request on either.
+fn request_accepted_but_not_read_by_a_killed_scheduler_runs_once_when_repeated() {
+    let mut bed = TestBed::new("killed-unread");
+    // One request on a connection in use, and one on a connection that only the kernel has accepted.
     let mut open = bed.client(0);
-    open.heartbeat().and_then(|_| open.read()).expect("alive");
+    open.heartbeat().and_then(|_| open.read()).expect("the connection is alive");
     freeze(&bed.schedulers[0].0);
     let mut clients = vec![open, bed.client(0)];
-    let unsafe_one = |n: usize| Op { class: "extract", body: format!("unread {n}").into_bytes(), key: None };
+    let unsafe_op = |n: usize| Op { class: "extract", body: format!("unread {n}").into_bytes(), key: None };
     for (n, client) in clients.iter_mut().enumerate() {
-        send(client, &unsafe_one(n), 0x100 + n as u64);
-        all_came(&bed, client);
+        send(client, &unsafe_op(n), 0x100 + n as u64);
+        wait_until_received(&bed, client);
     }
     bed.kill(clients);
     for n in 0..2 {
-        assert!(matches!(bed.repeat(&unsafe_one(n), 0x200 + n as u64), FrontReply::Served(_)));
+        assert!(matches!(bed.repeat(&unsafe_op(n), 0x200 + n as u64), FrontReply::Served(_)));
     }
-    bed.passes(1);
-    assert_eq!([0, 1].map(|n| bed.ran(&unsafe_one(n).body)), [1, 1]);
+    bed.wait_until_served(1);
+    assert_eq!([0, 1].map(|n| bed.executions(&unsafe_op(n).body)), [1, 1]);
 }
 
 #[test]
-fn what_waited_for_its_worker_at_a_killed_scheduler_runs_once_where_it_is_repeated() {
-    let mut bed = Bed::new("killed-waits");
-    let waits = Op { class: "extract", body: b"waits".to_vec(), key: None };
-    bed.workers.iter().for_each(|w| w.plug().expect("plugged"));
+fn request_that_waits_for_its_worker_at_a_killed_scheduler_runs_once_when_repeated() {
+    let mut bed = TestBed::new("killed-waits");
+    let waiting = Op { class: "extract", body: b"waits".to_vec(), key: None };
+    bed.workers.iter().for_each(|worker| worker.plug().expect("the worker is plugged"));
     bed.workers.iter().for_each(LineWorker::reset_all);
     let mut client = bed.client(0);
-    send(&mut client, &waits, 0x100);
-    // Read and begun once another question is answered, a turn later; it waits for its connection.
+    send(&mut client, &waiting, 0x100);
+    // After two answered heartbeats, one loop turn each, the request is read and started; it waits for its connection.
     for _ in 0..2 {
-        client.heartbeat().and_then(|_| client.read()).expect("alive");
+        client.heartbeat().and_then(|_| client.read()).expect("the connection is alive");
     }
     bed.kill(vec![client]);
     bed.workers.iter().for_each(LineWorker::unplug);
-    // By now the system would have tried again what a living one had begun.
+    // By now the kernel would have retried the connection attempt of a live process.
     std::thread::sleep(Duration::from_millis(1_300));
-    assert_eq!(bed.ran(&waits.body), 0, "nothing of it had left");
-    assert!(matches!(bed.repeat(&waits, 0x200), FrontReply::Served(_)));
-    bed.passes(1);
-    assert_eq!(bed.ran(&waits.body), 1);
+    assert_eq!(bed.executions(&waiting.body), 0, "the killed scheduler has sent it to a worker");
+    assert!(matches!(bed.repeat(&waiting, 0x200), FrontReply::Served(_)));
+    bed.wait_until_served(1);
+    assert_eq!(bed.executions(&waiting.body), 1);
 }
 
 #[test]
-fn a_keyed_effect_that_ran_for_a_killed_scheduler_is_had_once_by_its_key() {
-    let mut bed = Bed::new("killed-keyed");
+fn keyed_request_executed_for_a_killed_scheduler_has_one_effect_when_repeated() {
+    let mut bed = TestBed::new("killed-keyed");
     let deed = Op { class: "deed", body: b"held deed".to_vec(), key: Some("order-77") };
     let mut client = bed.client(0);
     send(&mut client, &deed, 0x100);
-    bed.runs(&deed.body);
+    bed.wait_until_executed(&deed.body);
     bed.kill(vec![client]);
     assert!(matches!(bed.repeat(&deed, 0x200), FrontReply::Served(_)));
-    assert_eq!(bed.ran(&deed.body), 1);
+    assert_eq!(bed.executions(&deed.body), 1);
 }
 
 #[test]
-fn a_repeat_whose_own_connection_breaks_is_not_sent_a_second_time() {
-    let mut bed = Bed::new("killed-broken");
+fn repeated_request_whose_worker_connection_breaks_is_not_sent_again() {
+    let mut bed = TestBed::new("killed-broken");
     let broken = Op { class: "extract", body: b"broken".to_vec(), key: None };
     let mut client = bed.client(0);
-    client.heartbeat().and_then(|_| client.read()).expect("alive");
+    client.heartbeat().and_then(|_| client.read()).expect("the connection is alive");
     freeze(&bed.schedulers[0].0);
     send(&mut client, &broken, 0x100);
-    all_came(&bed, &client);
+    wait_until_received(&bed, &client);
     bed.kill(vec![client]);
-    // It has run there, and nobody can tell: it has failed, and no other worker gets it.
+    // It was executed, which the scheduler cannot know: the call fails and is sent to no other worker.
     assert_eq!(bed.repeat(&broken, 0x200), FrontReply::Crashed);
-    bed.passes(1);
-    assert_eq!(bed.ran(&broken.body), 1);
+    bed.wait_until_served(1);
+    assert_eq!(bed.executions(&broken.body), 1);
 }
--- a/crates/cli/tests/lifecycle/main.rs
+++ b/crates/cli/tests/lifecycle/main.rs
@@ -1,4 +1,4 @@
-//! What crosses in the life of the program: restarts, kills and stalls under clients.
+//! Restarts, kills and stalls of the scheduler process while clients use it.
 #[path = "../../../node/tests/sockets/common.rs"]
 #[allow(dead_code)]
 mod common;
--- a/crates/cli/tests/lifecycle/restarts.rs
+++ b/crates/cli/tests/lifecycle/restarts.rs
@@ -1,5 +1,5 @@
-//! A planned restart of the program under many clients: every request that it takes gets its final answer, and it ends
-//! by itself before SIGKILL may come.
+//! A planned restart of the scheduler with many clients: every request that it accepts gets its final reply, and it
+//! exits before the platform's SIGKILL.
 use crate::common::{Call, Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send};
 use crate::process::{config_file, end, signal, start};
 use basaltward_net::{Micros, monotonic};
@@ -13,38 +13,41 @@
 use std::time::Duration;
 
 const MS: Micros = 1_000;
-/// New connections come for so long after SIGTERM: each client has its own time between these two.
-const CONNECTS: (Micros, Micros) = (200 * MS, 400 * MS);
-/// Requests on open ones come for so much longer.
-const REQUESTS: Micros = 200 * MS;
-/// The earliest SIGKILL after SIGTERM, where the longest deadline is 3 s or more.
-const KILL: Micros = 3_700 * MS;
-/// A request's time, and what a loaded machine may add to it. How punctual answers are is `sockets/restart.rs`'s: here
-/// they have to come.
+/// How long after SIGTERM clients open new connections: each has its own limit between these two.
+const CONNECT_WINDOW: (Micros, Micros) = (200 * MS, 400 * MS);
+/// How much longer a client sends requests on its open connection.
+const REQUEST_WINDOW: Micros = 200 * MS;
+/// The earliest SIGKILL after SIGTERM if the longest deadline is 3 s or more.
+const SIGKILL_AFTER: Micros = 3_700 * MS;
+/// Timeout of a request.
 const TIMEOUT: Micros = 1_500 * MS;
-const LATE: Micros = 2_000 * MS;
+/// What a loaded machine may add to it. `sockets/restart.rs` checks how punctual replies are; here they have to arrive.
+const LATE_TOLERANCE: Micros = 2_000 * MS;
 const CLIENTS: u64 = 30;
-/// A client pauses so long between two requests.
+/// A client's pause between two requests.
 const PAUSE: Duration = Duration::from_millis(4);
 
-/// How a request went: its connection, when it was sent after SIGTERM (0 for before), and what became of it.
-struct Went {
+/// A finished request.
+struct Finished {
+    /// `kept` for the client's first connection, `new` for one opened for this request.
     connection: &'static str,
+    /// When it was sent, counted from SIGTERM; 0 if before.
     sent: Micros,
-    told: Told,
+    outcome: Outcome,
 }
 
 #[derive(Debug, PartialEq)]
-enum Told {
+enum Outcome {
     Served,
     Refused,
     Failed,
-    /// The connection ended first, or nothing came within the request's time.
-    Nothing,
+    /// The connection ended first, or no reply arrived within the request's timeout.
+    NoReply,
+    /// The reply arrived this long after the request was sent.
     TooLate(Micros),
 }
 
-/// One in sixteen is held by its worker without an answer: its time has to end it.
+/// Workers leave one request in sixteen unanswered: its timeout has to end it.
 fn script(exec: &Exec) -> Vec<Act> {
     if exec.nth % 16 == 15 {
         return vec![Act::Run];
@@ -54,8 +57,8 @@
     acts
 }
 
-/// The program under test, its workers and its bulletin.
-struct Bed {
+/// The scheduler under test, its workers and its bulletin.
+struct TestBed {
     child: Child,
     to: SocketAddr,
     config: std::path::PathBuf,
@@ -63,142 +66,153 @@
     _board: Board,
 }
 
-impl Bed {
+impl TestBed {
     fn new(name: &str) -> Self {
-        let start_one = |n| LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("a worker");
+        let start_one =
+            |n| LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("the worker starts");
         let workers: Vec<_> = (0..4).map(start_one).collect();
-        let board = Board::start(2).expect("a bulletin");
-        let one = |(n, w): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), w.address(), "Ready");
-        let targets = workers.iter().enumerate().map(one).collect::<Vec<_>>().join(",");
+        let board = Board::start(2).expect("the bulletin starts");
+        let entry =
+            |(n, worker): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), worker.address(), "Ready");
+        let targets = workers.iter().enumerate().map(entry).collect::<Vec<_>>().join(",");
         let config = config_file(name, &config_json(Limits::default(), board.address(), &targets));
         let (child, to) = start(&config);
         Self { child, to, config, _workers: workers, _board: board }
     }
 
-    /// Waits for the end; gives when it came. One that does not end is killed.
-    fn ended(&mut self, term: Micros) -> (Micros, std::process::ExitStatus) {
-        while monotonic() < term + KILL + LATE {
-            if let Some(status) = self.child.try_wait().expect("a child") {
+    /// Waits until the process exits; returns when that was, counted from SIGTERM, and its status. Kills it if it does not
+    /// exit in time.
+    fn wait_for_exit(&mut self, term: Micros) -> (Micros, std::process::ExitStatus) {
+        while monotonic() < term + SIGKILL_AFTER + LATE_TOLERANCE {
+            if let Some(status) = self.child.try_wait().expect("try_wait succeeds") {
                 return (monotonic() - term, status);
             }
             std::thread::sleep(Duration::from_millis(2));
         }
         signal(&self.child, Signal::KILL);
-        (monotonic() - term, self.child.wait().expect("ended"))
+        (monotonic() - term, self.child.wait().expect("it exits"))
     }
 }
 
-impl Drop for Bed {
+impl Drop for TestBed {
     fn drop(&mut self) {
         end(&mut self.child, &self.config);
     }
 }
 
+/// Time from SIGTERM to `at`; 0 before SIGTERM.
 fn since(term: Option<Micros>, at: Micros) -> Micros {
     term.map_or(0, |term| at.saturating_sub(term))
 }
 
-/// Sends one request and reads its answer.
-fn ask(client: &mut FrontClient, number: u64) -> Told {
+/// Sends one request and reads its reply.
+fn request(client: &mut FrontClient, number: u64) -> Outcome {
     let class = if number.is_multiple_of(2) { "view" } else { "extract" };
     let function = format!("7f3a9c21e0b4{:04x}", number % 40);
-    let one = Call { timeout_ms: TIMEOUT / MS, function, ..call(number, class) };
+    let call = Call { timeout_ms: TIMEOUT / MS, function, ..call(number, class) };
     let sent = monotonic();
-    let seqid = send(client, &one);
+    let seqid = send(client, &call);
     let reply = client.read();
     let took = monotonic() - sent;
     match reply {
         Ok(Some((id, reply))) => {
-            assert_eq!(id, seqid, "an answer to another request");
+            assert_eq!(id, seqid, "a reply to another request");
             match reply {
-                _ if took > TIMEOUT + LATE => Told::TooLate(took),
-                FrontReply::Served(_) => Told::Served,
-                FrontReply::Rejected(_) => Told::Refused,
-                FrontReply::Crashed | FrontReply::Exception => Told::Failed,
+                _ if took > TIMEOUT + LATE_TOLERANCE => Outcome::TooLate(took),
+                FrontReply::Served(_) => Outcome::Served,
+                FrontReply::Rejected(_) => Outcome::Refused,
+                FrontReply::Crashed | FrontReply::Exception => Outcome::Failed,
             }
         }
-        Ok(None) | Err(_) => Told::Nothing,
+        Ok(None) | Err(_) => Outcome::NoReply,
     }
 }
 
-/// One client round a restart: requests on a connection of its own one after another, and from the signal on each second
-/// one on a new connection, for as long as new ones come.
-fn play(
+/// Runs one client before and after SIGTERM: it sends requests on its connection one after another, and after the signal
+/// every second one on a new connection while its connect window lasts.
+fn run_client(
     to: SocketAddr,
     number: u64,
     (before, after): (&Barrier, &Barrier),
     term: &dyn Fn() -> Micros,
-) -> Vec<Went> {
-    let mut kept = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
-    let mut went = Vec::new();
+) -> Vec<Finished> {
+    let mut kept = FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
+    let mut finished = Vec::new();
     let mut next = number << 32;
-    let mut one = |client: &mut FrontClient, connection, term| {
+    let mut send_one = |client: &mut FrontClient, connection, term| {
         next += 1;
         let sent = since(term, monotonic());
-        went.push(Went { connection, sent, told: ask(client, next) });
+        finished.push(Finished { connection, sent, outcome: request(client, next) });
     };
     for _ in 0..8 {
-        one(&mut kept, "kept", None);
+        send_one(&mut kept, "kept", None);
     }
     before.wait();
     after.wait();
     let term = term();
-    let connects = CONNECTS.0 + (CONNECTS.1 - CONNECTS.0) * number / CLIENTS;
+    let connect_until = CONNECT_WINDOW.0 + (CONNECT_WINDOW.1 - CONNECT_WINDOW.0) * number / CLIENTS;
     for nth in 0.. {
         let now = since(Some(term), monotonic());
-        if now >= connects + REQUESTS {
+        if now >= connect_until + REQUEST_WINDOW {
             break;
         }
-        if now < connects && nth % 2 == 1 {
+        if now < connect_until && nth % 2 == 1 {
             let mut new = FrontClient::connect(to, TEST_TIMEOUT).expect("it still listens");
-            one(&mut new, "new", Some(term));
+            send_one(&mut new, "new", Some(term));
         } else {
-            one(&mut kept, "kept", Some(term));
+            send_one(&mut kept, "kept", Some(term));
         }
         std::thread::sleep(PAUSE);
     }
-    went
+    finished
 }
 
-/// A whole restart; gives what each request came to, and how the program ended.
-fn restart(name: &str) -> (Vec<Went>, Micros, std::process::ExitStatus) {
-    let mut bed = Bed::new(name);
+/// Restarts a scheduler under load; returns all requests, and when and with which status the process exited.
+fn restart(name: &str) -> (Vec<Finished>, Micros, std::process::ExitStatus) {
+    let mut bed = TestBed::new(name);
     let (before, after) = (Barrier::new(CLIENTS as usize + 1), Barrier::new(CLIENTS as usize + 1));
-    let told = std::sync::atomic::AtomicU64::new(0);
-    let term = || told.load(std::sync::atomic::Ordering::SeqCst);
+    let term_at = std::sync::atomic::AtomicU64::new(0);
+    let term = || term_at.load(std::sync::atomic::Ordering::SeqCst);
     let to = bed.to;
-    let went = std::thread::scope(|scope| {
+    let finished = std::thread::scope(|scope| {
         let clients: Vec<_> = (1..=CLIENTS)
             .map(|number| {
                 scope.spawn({
                     let (before, after, term) = (&before, &after, &term);
-                    move || play(to, number, (before, after), term)
+                    move || run_client(to, number, (before, after), term)
                 })
             })
             .collect();
         before.wait();
-        told.store(monotonic(), std::sync::atomic::Ordering::SeqCst);
+        term_at.store(monotonic(), std::sync::atomic::Ordering::SeqCst);
         signal(&bed.child, Signal::TERM);
         after.wait();
-        clients.into_iter().flat_map(|client| client.join().expect("played")).collect::<Vec<_>>()
+        clients
+            .into_iter()
+            .flat_map(|client| client.join().expect("the client does not panic"))
+            .collect::<Vec<_>>()
     });
-    let (took, status) = bed.ended(term());
-    (went, took, status)
+    let (took, status) = bed.wait_for_exit(term());
+    (finished, took, status)
 }
 
 #[test]
-fn thirty_clients_round_a_restart_all_get_their_answers_and_it_ends_by_itself() {
-    let (went, took, status) = restart("thirty");
-    let bad = |w: &&Went| matches!(w.told, Told::Nothing | Told::TooLate(_));
-    let unanswered: Vec<_> =
-        went.iter().filter(bad).map(|w| format!("{} at {} us: {:?}", w.connection, w.sent, w.told)).collect();
-    assert!(unanswered.is_empty(), "{} of {}: {unanswered:?}", unanswered.len(), went.len());
+fn all_requests_of_thirty_clients_get_replies_during_a_restart_and_it_exits_in_time() {
+    let (finished, took, status) = restart("thirty");
+    let bad = |request: &&Finished| matches!(request.outcome, Outcome::NoReply | Outcome::TooLate(_));
+    let unanswered: Vec<_> = finished
+        .iter()
+        .filter(bad)
+        .map(|request| format!("{} at {} us: {:?}", request.connection, request.sent, request.outcome))
+        .collect();
+    assert!(unanswered.is_empty(), "{} of {}: {unanswered:?}", unanswered.len(), finished.len());
     assert_eq!((status.code(), status.signal()), (Some(0), None), "after {took} us");
-    assert!(took < KILL, "it ended after {took} us");
-    // What came after the signal was served until the end: on a loaded machine some are turned away, no more than a half.
-    for (kind, from) in [("kept", 0), ("new", 0), ("kept", CONNECTS.0 + 100 * MS)] {
-        let late = went.iter().filter(|w| w.sent > from && w.connection == kind);
-        let (all, served) = (late.clone().count(), late.filter(|w| w.told == Told::Served).count());
+    assert!(took < SIGKILL_AFTER, "it exited after {took} us");
+    // Requests after the signal are served until the end. On a loaded machine some are rejected, at most half of them.
+    for (kind, from) in [("kept", 0), ("new", 0), ("kept", CONNECT_WINDOW.0 + 100 * MS)] {
+        let late = finished.iter().filter(|request| request.sent > from && request.connection == kind);
+        let (all, served) =
+            (late.clone().count(), late.filter(|request| request.outcome == Outcome::Served).count());
         assert!(all > 0 && served * 2 >= all, "{kind}, later than {from} us: {served} of {all} were served");
     }
 }
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -1,4 +1,4 @@
-//! The live scheduler as its platform starts it.
+//! The live scheduler as a process, started as by a platform: configuration, signals, start-up and resource limits.
 #[path = "../../node/tests/sockets/common.rs"]
 #[allow(dead_code)]
 mod common;
@@ -15,41 +15,44 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// Waits for a log line that holds this.
-fn said(lines: &Receiver<String>, what: &str) -> String {
-    let until = Instant::now() + TEST_TIMEOUT;
+/// Waits for a log line that contains a text.
+fn wait_for_log(lines: &Receiver<String>, text: &str) -> String {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        let line = lines.recv_timeout(left).unwrap_or_else(|_| panic!("never said: {what}"));
-        if line.contains(what) {
+        let left = deadline.saturating_duration_since(Instant::now());
+        let line = lines.recv_timeout(left).unwrap_or_else(|_| panic!("no log line with: {text}"));
+        if line.contains(text) {
             return line;
         }
     }
 }
 
-/// Whether no log line within so long holds this. Reading again goes by the clock: it has to pass.
-fn never_said(lines: &Receiver<String>, what: &str, within: Duration) -> bool {
-    let until = Instant::now() + within;
-    while let Ok(line) = lines.recv_timeout(until.saturating_duration_since(Instant::now())) {
-        if line.contains(what) {
+/// Whether no log line contains a text for this long. The scheduler reads its configuration again on a timer, so the
+/// time has to pass.
+fn not_logged(lines: &Receiver<String>, text: &str, duration: Duration) -> bool {
+    let deadline = Instant::now() + duration;
+    while let Ok(line) = lines.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
+        if line.contains(text) {
             return false;
         }
     }
     true
 }
 
+/// Stops the process with SIGTERM, after which it has to exit with 0.
 fn stop(mut child: Child) {
     signal(&child, Signal::TERM);
-    assert!(child.wait().expect("ended").success());
+    assert!(child.wait().expect("it exits").success());
 }
 
-/// Memory that the process holds, in KiB.
-fn resident(child: &Child) -> u64 {
+/// Resident memory of the process, in KiB.
+fn resident_kib(child: &Child) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).expect("it runs");
-    let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("a figure");
+    let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("a VmRSS line");
     line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("a number")
 }
 
+/// Sends one call on a new connection and returns the reply.
 fn call(to: SocketAddr, number: u64) -> FrontReply {
     call_within(to, number, 800)
 }
@@ -64,27 +67,27 @@
         ("subject", function.as_str()),
         ("props", "memory_mb:64;lanes:8;load_ms:20"),
     ];
-    let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
-    client.submit(&fields, b"a body").expect("sent");
-    client.read().expect("a reply").expect("an answer").1
+    let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
+    client.submit(&fields, b"a body").expect("the request is sent");
+    client.read().expect("a readable reply").expect("a reply").1
 }
 
 #[test]
-fn a_wrong_configuration_ends_with_2_and_one_line_that_names_the_field() {
+fn wrong_configuration_exits_with_2_and_one_line_that_names_the_field() {
     let at = ([127, 0, 0, 1], 1).into();
     let wrong = config_json(Limits::default(), at, "").replace("\"sockets\":256", "\"sockets\":\"many\"");
     let config = config_file("wrong", &wrong);
-    let done = program(&config).output().expect("ran");
-    let said = String::from_utf8_lossy(&done.stderr).into_owned();
-    assert_eq!((done.status.code(), said.lines().count()), (Some(2), 1), "{said}");
-    assert!(said.contains("limits.sockets"), "{said}");
-    std::fs::remove_file(config).expect("removed");
+    let output = program(&config).output().expect("the process runs");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!((output.status.code(), stderr.lines().count()), (Some(2), 1), "{stderr}");
+    assert!(stderr.contains("limits.sockets"), "{stderr}");
+    std::fs::remove_file(config).expect("the file is removed");
 }
 
 #[test]
-fn signals_together_and_twice_do_no_harm() {
-    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let board = Board::start(2).expect("a bulletin");
+fn repeated_and_simultaneous_signals_are_handled() {
+    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
+    let board = Board::start(2).expect("the bulletin starts");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let config = config_file("signals", &config_json(Limits::default(), board.address(), &targets));
     let (mut child, to) = start(&config);
@@ -93,18 +96,17 @@
         signal(&child, sent);
     }
     assert!(matches!(call(to, 2), FrontReply::Served(_)));
-    assert!(child.wait().expect("ended").success());
-    std::fs::remove_file(config).expect("removed");
+    assert!(child.wait().expect("it exits").success());
+    std::fs::remove_file(config).expect("the file is removed");
 }
 
 #[test]
-fn ten_thousand_clients_functions_and_many_workers_leave_nothing_behind() {
-    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let board = Board::start(2).expect("a bulletin");
+fn ten_thousand_clients_functions_and_many_workers_leak_no_memory_or_descriptors() {
+    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
+    let board = Board::start(2).expect("the bulletin starts");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let long = config_json(Limits::default(), board.address(), &targets);
-    // What is idle for 0.2 s is forgotten, and no timer lasts for seconds, so that the test need not last for
-    // minutes.
+    // Idle state is dropped after 0.2 s and no timer lasts for seconds, so that the test does not take minutes.
     let short = long.replace("\"staysLoadedUs\":4000000", "\"staysLoadedUs\":50000");
     let config = config_file("long", &short.replace("\"orderLimitUs\":4000000", "\"orderLimitUs\":400000"));
     let (mut child, to) = start(&config);
@@ -112,31 +114,32 @@
     let mut run = |from: u64, to_number: u64| {
         for number in from..to_number {
             if number % 5 == 0 {
-                // A new worker at the address of the one that goes.
+                // A new worker replaces the old one at the same address.
                 let name = |n: u64| format!("s-{n}");
                 board.tell(&bulletin_entry(&name(generation + 1), worker.address(), "Ready"));
                 board.tell(&bulletin_entry(&name(generation), worker.address(), "Gone"));
                 generation += 1;
             }
-            let told = call(to, number);
-            assert!(matches!(told, FrontReply::Served(_)), "{number}: {told:?}");
+            let reply = call(to, number);
+            assert!(matches!(reply, FrontReply::Served(_)), "{number}: {reply:?}");
         }
     };
-    // Its tables have their size by then.
+    // By then its tables have reached their steady size.
     run(0, 15_000);
-    let before = resident(&child);
+    let before = resident_kib(&child);
     run(15_000, 25_000);
-    let after = resident(&child);
+    let after = resident_kib(&child);
     assert!(after < before + 1_024, "{before} KiB, then {after} KiB");
     let open = std::fs::read_dir(format!("/proc/{}/fd", child.id())).expect("it runs").count();
     assert!(open < 120, "{open} descriptors");
     signal(&child, Signal::TERM);
-    assert!(child.wait().expect("ended").success());
-    std::fs::remove_file(config).expect("removed");
+    assert!(child.wait().expect("it exits").success());
+    std::fs::remove_file(config).expect("the file is removed");
 }
 
-/// What a configuration that can't be used holds in place of what, and the field that its log line has to name.
-const WRONG: [(&str, &str, &str); 11] = [
+/// Invalid configurations: the text replaced in a valid one, its replacement, and the field that the error line has to
+/// name.
+const INVALID: [(&str, &str, &str); 11] = [
     ("\"sockets\":256", "\"sockets\":\"many\"", "limits.sockets"),
     ("\"seed\":\"1\"", "\"seed\":\"x\"", "seed"),
     ("\"seed\":\"1\",", "", "seed"),
@@ -150,133 +153,138 @@
     ("\"coldFrom\":0.2", "\"coldFrom\":null", "settings: rules.coldFrom"),
 ];
 
-/// What a program that is to end at its start ends with and says; one that serves is ended and has no code.
-fn refused(config: &Path) -> (Option<i32>, String) {
-    let mut child = program(config).spawn().expect("started");
-    let until = Instant::now() + TEST_TIMEOUT;
-    while child.try_wait().expect("a child").is_none() && Instant::now() < until {
+/// Runs a program that has to exit while it starts; returns its exit code and its standard error output. One that
+/// serves instead is killed and has no exit code.
+fn exit_at_start(config: &Path) -> (Option<i32>, String) {
+    let mut child = program(config).spawn().expect("the process starts");
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while child.try_wait().expect("try_wait succeeds").is_none() && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(5));
     }
     let _ = child.kill();
-    let done = child.wait_with_output().expect("ended");
-    (done.status.code(), String::from_utf8_lossy(&done.stderr).into_owned())
+    let output = child.wait_with_output().expect("it exits");
+    (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
 #[test]
-fn whatever_is_wrong_at_the_start_ends_with_2_and_one_line_that_names_the_field() {
+fn every_configuration_error_at_the_start_exits_with_2_and_one_line_that_names_the_field() {
     let at = ([127, 0, 0, 1], 12_345).into();
     let good = config_json(Limits::default(), at, &bulletin_entry("s-0", at, "Ready"));
-    let mut wrong: Vec<_> = WRONG.map(|(from, to, named)| (good.replace(from, to), named)).to_vec();
-    wrong.push((good[..good.len() / 2].to_owned(), "configuration"));
-    wrong.push((good.clone() + "}", "configuration, behind its end"));
-    wrong.push((String::new(), "configuration"));
-    for (wrong, named) in wrong {
-        let config = config_file("start", &wrong);
-        let (code, said) = refused(&config);
-        assert_eq!((code, said.lines().count()), (Some(2), 1), "{named}: {said}");
-        assert!(said.contains(named), "{named}: {said}");
-        std::fs::remove_file(config).expect("removed");
+    let mut invalid: Vec<_> = INVALID.map(|(from, to, field)| (good.replace(from, to), field)).to_vec();
+    invalid.push((good[..good.len() / 2].to_owned(), "configuration"));
+    invalid.push((good.clone() + "}", "configuration, behind its end"));
+    invalid.push((String::new(), "configuration"));
+    for (text, field) in invalid {
+        let config = config_file("start", &text);
+        let (code, stderr) = exit_at_start(&config);
+        assert_eq!((code, stderr.lines().count()), (Some(2), 1), "{field}: {stderr}");
+        assert!(stderr.contains(field), "{field}: {stderr}");
+        std::fs::remove_file(config).expect("the file is removed");
     }
-    let (code, said) = refused(&PathBuf::from("/nowhere/at/all.json"));
-    assert_eq!((code, said.lines().count()), (Some(2), 1), "{said}");
+    let (code, stderr) = exit_at_start(&PathBuf::from("/nowhere/at/all.json"));
+    assert_eq!((code, stderr.lines().count()), (Some(2), 1), "{stderr}");
 }
 
 #[test]
-fn a_bad_configuration_at_a_signal_changes_nothing_and_is_named_in_one_line() {
-    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let (old, new) = (Board::start(2).expect("a bulletin"), Board::start(2).expect("a bulletin"));
+fn invalid_configuration_at_reload_changes_nothing_and_is_reported_in_one_line() {
+    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
+    let (old, new) =
+        (Board::start(2).expect("the bulletin starts"), Board::start(2).expect("the bulletin starts"));
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let first = config_json(Limits::default(), old.address(), &targets);
     let config = config_file("again", &first);
     let (child, to, lines) = start_with_log(&config);
     let good = first.replace(&old.address().to_string(), &new.address().to_string());
-    let mut wrong: Vec<_> = WRONG.map(|(from, to, named)| (Some(good.replace(from, to)), named)).to_vec();
-    wrong.push((Some(good[..good.len() / 2].to_owned()), "configuration"));
-    wrong.push((Some(good.clone() + "}"), "configuration, behind its end"));
-    wrong.push((None, "configuration can't be read"));
-    for (number, (wrong, named)) in wrong.into_iter().enumerate() {
-        match wrong {
-            Some(text) => std::fs::write(&config, text).expect("written"),
-            None => std::fs::remove_file(&config).expect("removed"),
+    let mut invalid: Vec<_> = INVALID.map(|(from, to, field)| (Some(good.replace(from, to)), field)).to_vec();
+    invalid.push((Some(good[..good.len() / 2].to_owned()), "configuration"));
+    invalid.push((Some(good.clone() + "}"), "configuration, behind its end"));
+    invalid.push((None, "configuration can't be read"));
+    for (number, (text, field)) in invalid.into_iter().enumerate() {
+        match text {
+            Some(text) => std::fs::write(&config, text).expect("the file is written"),
+            None => std::fs::remove_file(&config).expect("the file is removed"),
         }
         signal(&child, Signal::HUP);
-        let line = said(&lines, "not taken");
-        assert!(line.contains(named), "{named}: {line}");
+        let line = wait_for_log(&lines, "not taken");
+        assert!(line.contains(field), "{field}: {line}");
         assert!(matches!(call(to, number as u64), FrontReply::Served(_)));
-        // It is read again every 0.1 s meanwhile.
-        assert!(never_said(&lines, "configuration", Duration::from_millis(350)), "{named}: said twice");
+        // Meanwhile the scheduler reads it again every 0.1 s.
+        assert!(not_logged(&lines, "configuration", Duration::from_millis(350)), "{field}: reported twice");
     }
     assert_eq!((new.asked().len(), old.standing()), (0, 1));
-    // The good one that follows is taken without a further signal, and it is the last word.
-    std::fs::write(&config, &good).expect("written");
-    assert!(said(&lines, "configuration read").contains(&new.address().to_string()));
+    // The valid one that follows is applied without a further signal, and then it is not read again.
+    std::fs::write(&config, &good).expect("the file is written");
+    assert!(wait_for_log(&lines, "configuration read").contains(&new.address().to_string()));
     new.tell(&bulletin_entry("s-9", worker.address(), "Gone"));
-    let until = Instant::now() + TEST_TIMEOUT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while (old.standing(), new.standing()) != (0, 1) {
-        assert!(Instant::now() < until, "the new one is never followed alone");
+        assert!(Instant::now() < deadline, "the scheduler does not switch to the new bulletin");
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(never_said(&lines, "configuration", Duration::from_millis(350)), "it was read again");
+    assert!(not_logged(&lines, "configuration", Duration::from_millis(350)), "it was read again");
     assert!(matches!(call(to, 99), FrontReply::Served(_)));
     stop(child);
-    std::fs::remove_file(config).expect("removed");
+    std::fs::remove_file(config).expect("the file is removed");
 }
 
 #[test]
-fn a_good_signal_while_a_bad_configuration_waits_is_taken_at_once() {
-    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let (old, new) = (Board::start(2).expect("a bulletin"), Board::start(2).expect("a bulletin"));
+fn valid_configuration_signalled_while_an_invalid_one_is_retried_is_applied_at_once() {
+    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
+    let (old, new) =
+        (Board::start(2).expect("the bulletin starts"), Board::start(2).expect("the bulletin starts"));
     let first =
         config_json(Limits::default(), old.address(), &bulletin_entry("s-0", worker.address(), "Ready"));
     let good = first.replace(&old.address().to_string(), &new.address().to_string());
     let config = config_file("twice", &first);
     let (child, to, lines) = start_with_log(&config);
     for nth in 0..5 {
-        let (from, wanted) = if nth % 2 == 0 { (&first, &good) } else { (&good, &first) };
-        std::fs::write(&config, &from[..from.len() / 3]).expect("written");
+        let (from, next) = if nth % 2 == 0 { (&first, &good) } else { (&good, &first) };
+        std::fs::write(&config, &from[..from.len() / 3]).expect("the file is written");
         signal(&child, Signal::HUP);
-        said(&lines, "not taken");
-        // Replaced whole, as an operator does, while it waits; the signal comes behind it.
+        wait_for_log(&lines, "not taken");
+        // Replaced atomically, as an operator does, while the invalid one is retried; the signal follows.
         let beside = config.with_extension("new");
-        std::fs::write(&beside, wanted).expect("written");
+        std::fs::write(&beside, next).expect("the file is written");
         std::fs::rename(&beside, &config).expect("renamed");
         signal(&child, Signal::HUP);
-        let at = if nth % 2 == 0 { new.address() } else { old.address() };
-        assert!(said(&lines, "configuration read").contains(&at.to_string()));
+        let expected = if nth % 2 == 0 { new.address() } else { old.address() };
+        assert!(wait_for_log(&lines, "configuration read").contains(&expected.to_string()));
         assert!(matches!(call(to, nth), FrontReply::Served(_)));
     }
     stop(child);
-    std::fs::remove_file(config).expect("removed");
+    std::fs::remove_file(config).expect("the file is removed");
 }
 
 #[test]
-fn a_second_signal_has_a_bad_configuration_read_again_for_as_long_as_the_first() {
-    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let (old, new) = (Board::start(2).expect("a bulletin"), Board::start(2).expect("a bulletin"));
+fn second_signal_restarts_the_time_for_which_an_invalid_configuration_is_retried() {
+    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
+    let (old, new) =
+        (Board::start(2).expect("the bulletin starts"), Board::start(2).expect("the bulletin starts"));
     let first =
         config_json(Limits::default(), old.address(), &bulletin_entry("s-0", worker.address(), "Ready"));
     let good = first.replace(&old.address().to_string(), &new.address().to_string());
     let config = config_file("second", &first);
     let (child, to, lines) = start_with_log(&config);
-    std::fs::write(&config, &first[..first.len() / 3]).expect("written");
+    std::fs::write(&config, &first[..first.len() / 3]).expect("the file is written");
     signal(&child, Signal::HUP);
-    said(&lines, "not taken");
-    // The first signal's 5 s have nearly passed, then they have.
+    wait_for_log(&lines, "not taken");
+    // The 5 s of retries after the first signal have nearly passed at the second one; at the valid file they have passed.
     std::thread::sleep(Duration::from_millis(4_000));
     signal(&child, Signal::HUP);
-    said(&lines, "not taken");
+    wait_for_log(&lines, "not taken");
     std::thread::sleep(Duration::from_millis(2_000));
     assert!(matches!(call(to, 1), FrontReply::Served(_)));
-    std::fs::write(&config, &good).expect("written");
-    assert!(said(&lines, "configuration read").contains(&new.address().to_string()));
+    std::fs::write(&config, &good).expect("the file is written");
+    assert!(wait_for_log(&lines, "configuration read").contains(&new.address().to_string()));
     stop(child);
-    std::fs::remove_file(config).expect("removed");
+    std::fs::remove_file(config).expect("the file is removed");
 }
 
 #[test]
-fn other_settings_at_a_signal_leave_those_in_force_and_are_named() {
-    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let (old, new) = (Board::start(2).expect("a bulletin"), Board::start(2).expect("a bulletin"));
+fn settings_that_need_a_restart_are_not_applied_at_reload_and_are_reported() {
+    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
+    let (old, new) =
+        (Board::start(2).expect("the bulletin starts"), Board::start(2).expect("the bulletin starts"));
     let first =
         config_json(Limits::default(), old.address(), &bulletin_entry("s-0", worker.address(), "Ready"));
     let config = config_file("other", &first);
@@ -284,38 +292,38 @@
     let other = first.replace(&old.address().to_string(), &new.address().to_string());
     let other =
         other.replace("\"name\":\"view\"", "\"name\":\"look\"").replace("\"seed\":\"1\"", "\"seed\":\"2\"");
-    std::fs::write(&config, other).expect("written");
+    std::fs::write(&config, other).expect("the file is written");
     signal(&child, Signal::HUP);
-    let line = said(&lines, "restart");
+    let line = wait_for_log(&lines, "restart");
     assert!(line.contains("seed, settings") && !line.contains("listen"), "{line}");
-    // The bulletin is taken, the classes are those of the start.
-    let until = Instant::now() + TEST_TIMEOUT;
+    // The new bulletin is applied; the classes remain those of the start.
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while new.standing() != 1 {
-        assert!(Instant::now() < until, "the new one is never followed");
+        assert!(Instant::now() < deadline, "the scheduler does not connect to the new bulletin");
         std::thread::sleep(Duration::from_millis(5));
     }
     assert!(matches!(call(to, 1), FrontReply::Served(_)));
     stop(child);
-    std::fs::remove_file(config).expect("removed");
+    std::fs::remove_file(config).expect("the file is removed");
 }
 
-/// Processor time of a process, in ticks of 10 ms.
-fn ticks(child: &Child) -> u64 {
+/// CPU time of a process, in ticks of 10 ms.
+fn cpu_ticks(child: &Child) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", child.id())).expect("it runs");
     let fields = stat.rsplit_once(") ").expect("its name").1.split(' ').skip(11).take(2);
     fields.map(|ticks| ticks.parse::<u64>().expect("a number")).sum()
 }
 
 #[test]
-fn a_fleet_that_starts_while_discovery_is_down_is_ready_and_serves() {
-    // The page's bound is 10 s for nine in ten, 30 s for all.
-    const READY: Duration = Duration::from_secs(4);
-    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
+fn fleet_that_starts_while_discovery_is_down_becomes_ready_and_serves() {
+    // The documented bound is 10 s for nine in ten, 30 s for all.
+    const READY_LIMIT: Duration = Duration::from_secs(4);
+    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
-    // One that refuses, one that accepts and never speaks, one behind an address that never answers.
-    let refuses = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
+    // A bulletin that refuses connections, one that accepts and sends nothing, one at an address that never responds.
+    let refusing = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     let mute = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let bulletins = [refuses, mute.local_addr().expect("an address"), ([192, 0, 2, 1], 9).into()];
+    let bulletins = [refusing, mute.local_addr().expect("an address"), ([192, 0, 2, 1], 9).into()];
     let fleet: Vec<_> = (0..12)
         .map(|nth| {
             let config = config_file(
@@ -323,41 +331,41 @@
                 &config_json(Limits::default(), bulletins[nth % 3], &targets),
             );
             std::thread::spawn(move || {
-                let began = Instant::now();
+                let started_at = Instant::now();
                 let (child, to) = start(&config);
-                let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
-                client.heartbeat().expect("sent");
-                let reply = client.read().expect("a reply").expect("an answer").1;
-                let took = began.elapsed();
+                let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
+                client.heartbeat().expect("the request is sent");
+                let reply = client.read().expect("a readable reply").expect("a reply").1;
+                let took = started_at.elapsed();
                 assert!(matches!(reply, FrontReply::Served(_)), "{reply:?}");
                 (child, to, config, took)
             })
         })
         .collect();
-    let fleet: Vec<_> = fleet.into_iter().map(|one| one.join().expect("it is ready")).collect();
+    let fleet: Vec<_> = fleet.into_iter().map(|start| start.join().expect("it becomes ready")).collect();
     let times: Vec<_> = fleet.iter().map(|(.., took)| *took).collect();
     println!("ready after {times:?}");
-    assert!(times.iter().all(|took| *took < READY), "{times:?}");
-    let before: Vec<_> = fleet.iter().map(|(child, ..)| ticks(child)).collect();
-    // Two seconds in which bulletins are asked again as often as they are.
+    assert!(times.iter().all(|took| *took < READY_LIMIT), "{times:?}");
+    let before: Vec<_> = fleet.iter().map(|(child, ..)| cpu_ticks(child)).collect();
+    // Two seconds of connection attempts to the bulletins.
     std::thread::sleep(Duration::from_secs(2));
     for ((child, to, ..), before) in fleet.iter().zip(before) {
-        let spent = ticks(child) - before;
-        assert!(spent < 20, "{spent} ticks of processor time in two seconds");
-        // As long as the class allows: a machine that is late by itself is no matter here.
+        let spent = cpu_ticks(child) - before;
+        assert!(spent < 20, "{spent} ticks of CPU time in two seconds");
+        // The longest time that the class allows, so that a slow machine does not fail the test.
         let reply = call_within(*to, u64::from(child.id()), 8_000);
         assert!(matches!(reply, FrontReply::Served(_)), "{reply:?}");
     }
     for (child, _, config, _) in fleet {
         stop(child);
-        std::fs::remove_file(config).expect("removed");
+        std::fs::remove_file(config).expect("the file is removed");
     }
 }
 
 #[test]
-fn with_no_descriptor_left_it_waits_and_then_goes_on() {
-    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let board = Board::start(2).expect("a bulletin");
+fn without_free_descriptors_it_waits_idle_and_then_serves_again() {
+    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
+    let board = Board::start(2).expect("the bulletin starts");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let config = config_file("short", &config_json(Limits::default(), board.address(), &targets));
     let (mut child, to) = start(&config);
@@ -366,40 +374,44 @@
     let open = std::fs::read_dir(format!("/proc/{}/fd", child.id())).expect("it runs").count() as u64;
     let maximum = getrlimit(Resource::Nofile).maximum;
     let limit = prlimit(pid, Resource::Nofile, Rlimit { current: Some(open + 4), maximum }).expect("set");
-    let mut idle: Vec<_> =
-        (0..20).map(|_| FrontClient::connect(to, TEST_TIMEOUT).expect("connected")).collect();
-    // The bulletin and the worker end what stands, and new connections to them need descriptors too.
+    let mut idle: Vec<_> = (0..20)
+        .map(|_| FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted"))
+        .collect();
+    // The bulletin and the worker close their connections, and new connections to them need descriptors too.
     worker.reset_all();
     board.cut();
-    let before = ticks(&child);
+    let before = cpu_ticks(&child);
     std::thread::sleep(Duration::from_secs(1));
-    let used = ticks(&child) - before;
-    assert!(used < 30, "{used} hundredths of a second in one");
+    let used = cpu_ticks(&child) - before;
+    assert!(used < 30, "{used} hundredths of a second of CPU time in one second");
     prlimit(pid, Resource::Nofile, limit).expect("set");
     assert!((1..50).any(|n| matches!(call(to, n << 20 | 2), FrontReply::Served(_))));
-    let asked = idle[19].heartbeat().expect("sent");
-    assert_eq!(idle[19].read().expect("told").map(|(seqid, _)| seqid), Some(asked));
+    let sent = idle[19].heartbeat().expect("the request is sent");
+    assert_eq!(idle[19].read().expect("a readable reply").map(|(seqid, _)| seqid), Some(sent));
     signal(&child, Signal::TERM);
-    assert!(child.wait().expect("ended").success());
-    std::fs::remove_file(config).expect("removed");
+    assert!(child.wait().expect("it exits").success());
+    std::fs::remove_file(config).expect("the file is removed");
 }
 
 #[test]
-fn a_flood_of_large_bodies_and_clients_that_do_not_read_stay_within_memory() {
-    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let board = Board::start(2).expect("a bulletin");
+fn large_bodies_and_clients_that_do_not_read_stay_within_the_memory_limit() {
+    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
+    let board = Board::start(2).expect("the bulletin starts");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let limits = Limits::default();
     let config = config_file("flood", &config_json(limits, board.address(), &targets));
     let (mut child, to) = start(&config);
     assert!((1..50).any(|n| matches!(call(to, n << 20), FrontReply::Served(_))));
-    let before = resident(&child);
-    // Each says that sixty megabytes come, or sends many requests and reads none of the answers.
+    let before = resident_kib(&child);
+    // Each announces a frame of sixty megabytes, or sends many requests and reads none of the replies.
     let floods: Vec<_> = (0..40)
         .map(|number| {
             std::thread::spawn(move || {
-                let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
-                client.stream().set_write_timeout(Some(Duration::from_millis(300))).expect("it stands");
+                let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
+                client
+                    .stream()
+                    .set_write_timeout(Some(Duration::from_millis(300)))
+                    .expect("the connection is open");
                 let body = vec![b'x'; 16 << 10];
                 for sent in 0..400u64 {
                     let id = format!("{:016x}", 1 << 32 | number << 16 | sent);
@@ -410,12 +422,12 @@
                         ("subject", "7f3a9c21e0b4d655"),
                         ("props", "memory_mb:64;lanes:8;load_ms:20"),
                     ];
-                    let done = match number % 2 {
+                    let result = match number % 2 {
                         0 if sent == 0 => client.raw(b"\x03\x93\x87\x00"),
                         0 => client.raw(&body),
                         _ => client.submit(&fields, &body).map(drop),
                     };
-                    if done.is_err() {
+                    if result.is_err() {
                         break;
                     }
                 }
@@ -423,39 +435,43 @@
             })
         })
         .collect();
-    let held: Vec<_> = floods.into_iter().map(|flood| flood.join().expect("it ran")).collect();
-    let after = resident(&child);
+    let held: Vec<_> =
+        floods.into_iter().map(|flood| flood.join().expect("the client does not panic")).collect();
+    let after = resident_kib(&child);
     assert!(after < before + u64::from(limits.memory_mb) * 1_024, "{before} KiB, then {after} KiB");
     assert!((1..50).any(|n| matches!(call(to, n << 20 | 2), FrontReply::Served(_))));
     drop(held);
     signal(&child, Signal::TERM);
-    assert!(child.wait().expect("ended").success());
-    std::fs::remove_file(config).expect("removed");
+    assert!(child.wait().expect("it exits").success());
+    std::fs::remove_file(config).expect("the file is removed");
 }
 
 #[test]
-fn one_whose_address_the_system_refuses_for_a_moment_starts_all_the_same() {
-    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let board = Board::start(2).expect("a bulletin");
+fn scheduler_whose_address_is_in_use_for_a_moment_starts_once_it_is_free() {
+    let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
+    let board = Board::start(2).expect("the bulletin starts");
     let config = config_file(
         "patient",
         &config_json(Limits::default(), board.address(), &bulletin_entry("s-0", worker.address(), "Ready")),
     );
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = taken.local_addr().expect("an address");
-    let mut child =
-        program(&config).env("NODE_LISTEN", at.to_string()).stderr(Stdio::null()).spawn().expect("started");
-    // Half a second later whoever has the address lets go of it.
+    let address = taken.local_addr().expect("an address");
+    let mut child = program(&config)
+        .env("NODE_LISTEN", address.to_string())
+        .stderr(Stdio::null())
+        .spawn()
+        .expect("the process starts");
+    // The address becomes free after half a second.
     std::thread::sleep(Duration::from_millis(500));
-    assert!(child.try_wait().expect("a child").is_none(), "it has ended");
+    assert!(child.try_wait().expect("a child").is_none(), "it has exited");
     drop(taken);
-    let until = Instant::now() + TEST_TIMEOUT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     let serves = || {
-        FrontClient::connect(at, TEST_TIMEOUT)
+        FrontClient::connect(address, TEST_TIMEOUT)
             .is_ok_and(|mut client| client.is_ready().is_ok_and(|r| r == Some(true)))
     };
     while !serves() {
-        assert!(Instant::now() < until, "never ready");
+        assert!(Instant::now() < deadline, "never ready");
         std::thread::sleep(Duration::from_millis(20));
     }
     stop(child);
