--- a/crates/cli/tests/lifecycle/killed.rs
+++ b/crates/cli/tests/lifecycle/killed.rs
@@ -215,7 +215,7 @@
 fn request_that_waits_for_its_worker_at_a_killed_scheduler_runs_once_when_repeated() {
     let mut bed = TestBed::new("killed-waits");
     let waiting = Op { class: "extract", body: b"waits".to_vec(), key: None };
-    bed.workers.iter().for_each(|worker| worker.plug().expect("the worker is plugged"));
+    bed.workers.iter().for_each(|worker| worker.plug().expect("the worker stops accepting"));
     bed.workers.iter().for_each(LineWorker::reset_all);
     let mut client = bed.client(0);
     send(&mut client, &waiting, 0x100);
--- a/crates/cli/tests/stalls.rs
+++ b/crates/cli/tests/stalls.rs
@@ -1,4 +1,5 @@
-//! The process stands still, and what happens meanwhile lies in its sockets in an order that is of no help.
+//! The scheduler process stalls; what happens meanwhile waits in its sockets, and its events then arrive in an order that
+//! makes mistakes likely.
 #[path = "../../node/tests/sockets/common.rs"]
 #[allow(dead_code)]
 mod common;
@@ -18,8 +19,8 @@
 use std::process::Child;
 use std::time::{Duration, Instant};
 
-/// A scheduler in a process, with workers that hold calls of ids that begin with `f` unanswered.
-struct Bed {
+/// A scheduler process, with workers that leave calls unanswered whose id starts with `f`.
+struct TestBed {
     child: Child,
     to: SocketAddr,
     workers: Vec<LineWorker>,
@@ -28,326 +29,337 @@
     _board: Board,
 }
 
-impl Bed {
+impl TestBed {
     fn new(name: &str, limits: Limits, workers: usize) -> Self {
         let recorder = Recorder::memory();
-        let held = |exec: &Exec| if exec.id.starts_with('f') { Vec::new() } else { exec.serve() };
-        let start_one = |n| LineWorker::start(&format!("s-{n}"), recorder.clone(), held).expect("a worker");
+        let script = |exec: &Exec| if exec.id.starts_with('f') { Vec::new() } else { exec.serve() };
+        let start_one =
+            |n| LineWorker::start(&format!("s-{n}"), recorder.clone(), script).expect("the worker starts");
         let workers: Vec<_> = (0..workers).map(start_one).collect();
-        let board = Board::start(2).expect("a bulletin");
-        let one = |(n, w): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), w.address(), "Ready");
-        let targets = workers.iter().enumerate().map(one).collect::<Vec<_>>().join(",");
+        let board = Board::start(2).expect("the bulletin starts");
+        let entry =
+            |(n, worker): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), worker.address(), "Ready");
+        let targets = workers.iter().enumerate().map(entry).collect::<Vec<_>>().join(",");
         let config = config_file(name, &config_json(limits, board.address(), &targets));
         let (child, to) = start(&config);
         Self { child, to, workers, config, recorder, _board: board }
     }
 
     fn client(&self) -> FrontClient {
-        FrontClient::connect(self.to, TEST_TIMEOUT).expect("connected")
+        FrontClient::connect(self.to, TEST_TIMEOUT).expect("the connection is accepted")
     }
 
-    /// A call of a client of its own is served: the scheduler has come to what lay in its sockets before. On a loaded
-    /// machine some are turned away first.
-    fn passes(&self, number: u64) {
-        let until = Instant::now() + TEST_TIMEOUT;
-        for again in 0.. {
+    /// Sends calls on new connections until one is served: by then the scheduler has processed what was in its sockets
+    /// before. On a loaded machine some are rejected first.
+    fn wait_until_served(&self, number: u64) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        for attempt in 0.. {
             let mut client = self.client();
-            let asked = send(&mut client, &call(again << 20 | number, "view"));
-            let (seqid, told) = client.read().expect("a reply").expect("an answer");
-            assert_eq!(seqid, asked);
-            if matches!(told, FrontReply::Served(_)) {
+            let sent = send(&mut client, &call(attempt << 20 | number, "view"));
+            let (seqid, reply) = client.read().expect("a readable reply").expect("a reply");
+            assert_eq!(seqid, sent);
+            if matches!(reply, FrontReply::Served(_)) {
                 return;
             }
-            assert!(Instant::now() < until, "{told:?}");
+            assert!(Instant::now() < deadline, "{reply:?}");
         }
     }
 
-    /// Which worker has a call, and from which port it came.
-    fn holder(&self, id: &str) -> (&LineWorker, u16) {
+    /// Waits until a worker has received a call; returns the worker and the port that the call came from.
+    fn wait_for_arrival(&self, id: &str) -> (&LineWorker, u16) {
         let mut found = None;
-        let came = self.recorder.wait(TEST_TIMEOUT, |all| {
+        let arrived = self.recorder.wait(TEST_TIMEOUT, |all| {
             found = all.iter().find_map(|record| match &record.what {
                 What::Arrived { event, attempt, .. } if event == id => {
-                    let at = usize::from(record.by == "s-1");
-                    Some((&self.workers[at], attempt.rsplit_once('@')?.1.parse().ok()?))
+                    let worker = usize::from(record.by == "s-1");
+                    Some((&self.workers[worker], attempt.rsplit_once('@')?.1.parse().ok()?))
                 }
                 _ => None,
             });
             found.is_some()
         });
-        assert!(came, "{id} never came");
-        found.expect("it came")
+        assert!(arrived, "{id} reached no worker");
+        found.expect("the call arrived")
     }
 
+    /// All lines that the workers have received.
     fn lines(&self) -> Vec<String> {
         self.workers.iter().flat_map(LineWorker::lines).collect()
     }
 
-    fn execs(&self, id: &str) -> usize {
-        let of = format!("exec {id}");
-        self.lines().iter().filter(|line| line.starts_with(&of)).count()
+    /// How often a call was sent to a worker.
+    fn times_sent(&self, id: &str) -> usize {
+        let start = format!("exec {id}");
+        self.lines().iter().filter(|line| line.starts_with(&start)).count()
     }
 }
 
-impl Drop for Bed {
+impl Drop for TestBed {
     fn drop(&mut self) {
         end(&mut self.child, &self.config);
     }
 }
 
-/// A call that the worker holds, with a client that waits for longer than a test.
-fn held(number: u64, class: &'static str) -> Call {
+/// A call that the worker leaves unanswered, with a timeout longer than a test.
+fn unanswered_call(number: u64, class: &'static str) -> Call {
     Call { id: format!("f{number:015x}"), timeout_ms: 60_000, ..call(number, class) }
 }
 
 #[test]
-fn who_left_in_a_stall_goes_before_an_answer_that_would_have_the_call_sent() {
-    for way in ABANDON_METHODS {
-        let bed = Bed::new(&format!("left-answer-{way}"), Limits::default(), 1);
-        bed.passes(1);
+fn abandoned_call_is_not_sent_when_the_reply_it_waits_for_arrives_in_the_same_stall() {
+    for method in ABANDON_METHODS {
+        let bed = TestBed::new(&format!("left-answer-{method}"), Limits::default(), 1);
+        bed.wait_until_served(1);
         bed.workers[0].hold_orders();
         let mut client = bed.client();
-        let one = Call { function: "00000000000000f0".into(), ..held(2, "extract") };
-        let seqid = send(&mut client, &one);
-        // The worker is asked whether it has a copy.
-        let until = Instant::now() + TEST_TIMEOUT;
-        let asked = || bed.lines().into_iter().find(|line| line.contains(&one.function));
-        while asked().is_none() {
-            assert!(Instant::now() < until, "never asked: {:?}", bed.lines());
+        let request = Call { function: "00000000000000f0".into(), ..unanswered_call(2, "extract") };
+        let seqid = send(&mut client, &request);
+        // Wait until the scheduler has queried the worker for a copy of the function.
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        let query = || bed.lines().into_iter().find(|line| line.contains(&request.function));
+        while query().is_none() {
+            assert!(Instant::now() < deadline, "no query: {:?}", bed.lines());
             std::thread::yield_now();
         }
         freeze(&bed.child);
-        // The worker's word first: its event is the first that the scheduler sees.
-        let line = asked().expect("it was asked");
-        let (words, port) = line.split_once(" from=").expect("a port");
-        let tag = words.split(' ').nth(1).expect("a tag");
-        let stands = answer(tag, "OK", "slots_up=1", b"");
-        bed.workers[0].say(port.parse().expect("a port"), &stands).expect("it stands");
-        let left = abandon(client, &[seqid], way);
+        // The worker's reply comes first, so that the scheduler sees its event first.
+        let line = query().expect("the worker was queried");
+        let (query, port) = line.split_once(" from=").expect("a port");
+        let tag = query.split(' ').nth(1).expect("a tag");
+        let reply = answer(tag, "OK", "slots_up=1", b"");
+        bed.workers[0].say(port.parse().expect("a port"), &reply).expect("the connection is open");
+        let remaining = abandon(client, &[seqid], method);
         thaw(&bed.child);
-        (10..13).for_each(|n| bed.passes(n));
-        assert_eq!(bed.execs(&one.id), 0, "{way}: {:?}", bed.lines());
-        drop(left);
+        (10..13).for_each(|n| bed.wait_until_served(n));
+        assert_eq!(bed.times_sent(&request.id), 0, "{method}: {:?}", bed.lines());
+        drop(remaining);
     }
 }
 
 #[test]
-fn who_left_in_a_stall_goes_before_a_connection_that_comes_up() {
-    for (number, way) in ABANDON_METHODS.into_iter().enumerate() {
+fn abandoned_call_is_not_sent_when_its_worker_connection_opens_in_the_same_stall() {
+    for (number, method) in ABANDON_METHODS.into_iter().enumerate() {
         let limits = Limits { connect_ms: 3_000, ..Limits::default() };
-        let bed = Bed::new(&format!("left-connection-{way}"), limits, 1);
-        bed.passes(1);
-        bed.workers.iter().for_each(|w| w.plug().expect("plugged"));
+        let bed = TestBed::new(&format!("left-connection-{method}"), limits, 1);
+        bed.wait_until_served(1);
+        bed.workers.iter().for_each(|worker| worker.plug().expect("the worker stops accepting"));
         bed.workers.iter().for_each(LineWorker::reset_all);
         let mut client = bed.client();
-        let one = held(number as u64, "extract");
-        let seqid = send(&mut client, &one);
-        // It has been taken once another question on its connection is answered, and begun a turn later.
+        let request = unanswered_call(number as u64, "extract");
+        let seqid = send(&mut client, &request);
+        // After two answered heartbeats, one loop turn each, the request is accepted and started.
         for _ in 0..2 {
-            client.heartbeat().and_then(|_| client.read()).expect("alive");
+            client.heartbeat().and_then(|_| client.read()).expect("the connection is alive");
         }
         freeze(&bed.child);
         bed.workers.iter().for_each(LineWorker::unplug);
-        // The system tries again a second after the first packet.
+        // The kernel retries the connection attempt one second after the first SYN packet.
         std::thread::sleep(Duration::from_millis(1_300));
-        let left = abandon(client, &[seqid], way);
+        let remaining = abandon(client, &[seqid], method);
         thaw(&bed.child);
-        (10..13).for_each(|n| bed.passes(100 * (number as u64 + 1) + n));
-        assert_eq!(bed.execs(&one.id), 0, "{way}: {:?}", bed.lines());
-        drop(left);
+        (10..13).for_each(|n| bed.wait_until_served(100 * (number as u64 + 1) + n));
+        assert_eq!(bed.times_sent(&request.id), 0, "{method}: {:?}", bed.lines());
+        drop(remaining);
     }
 }
 
 #[test]
-fn who_left_in_a_stall_goes_before_what_it_asked_in_the_same_breath() {
-    let bed = Bed::new("left-breath", Limits::default(), 2);
-    bed.passes(1);
-    for (number, way) in ABANDON_METHODS.into_iter().enumerate() {
+fn calls_sent_and_abandoned_in_the_same_stall_are_not_sent_to_workers() {
+    let bed = TestBed::new("left-breath", Limits::default(), 2);
+    bed.wait_until_served(1);
+    for (number, method) in ABANDON_METHODS.into_iter().enumerate() {
         let mut client = bed.client();
-        client.heartbeat().and_then(|_| client.read()).expect("alive");
+        client.heartbeat().and_then(|_| client.read()).expect("the connection is alive");
         freeze(&bed.child);
-        let calls: Vec<_> = (0..20).map(|n| held((number as u64 + 1) * 100 + n, "view")).collect();
-        let asked: Vec<_> = calls.iter().map(|one| send(&mut client, one)).collect();
-        let left = abandon(client, &asked, way);
+        let calls: Vec<_> = (0..20).map(|n| unanswered_call((number as u64 + 1) * 100 + n, "view")).collect();
+        let sent: Vec<_> = calls.iter().map(|call| send(&mut client, call)).collect();
+        let remaining = abandon(client, &sent, method);
         thaw(&bed.child);
-        (10..13).for_each(|n| bed.passes(100 * (number as u64 + 1) + n));
-        let sent: usize = calls.iter().map(|one| bed.execs(&one.id)).sum();
-        assert_eq!(sent, 0, "{way}: {:?}", bed.lines());
-        drop(left);
+        (10..13).for_each(|n| bed.wait_until_served(100 * (number as u64 + 1) + n));
+        let executed: usize = calls.iter().map(|call| bed.times_sent(&call.id)).sum();
+        assert_eq!(executed, 0, "{method}: {:?}", bed.lines());
+        drop(remaining);
     }
 }
 
 #[test]
-fn a_connection_that_makes_room_for_a_new_one_has_brought_nothing() {
-    let bed = Bed::new("room", Limits { sockets: 64, ..Limits::default() }, 1);
-    // As many as are held before room is made, each of them used, and idle for longer than it is spared.
+fn connection_with_an_unread_request_is_not_closed_to_make_room_for_a_new_one() {
+    let bed = TestBed::new("room", Limits { sockets: 64, ..Limits::default() }, 1);
+    // As many connections as are kept before idle ones are closed, each used and then idle beyond its protected time.
     let mut clients: Vec<_> = (0..21).map(|_| bed.client()).collect();
     for client in &mut clients {
-        client.heartbeat().and_then(|_| client.read()).expect("alive");
+        client.heartbeat().and_then(|_| client.read()).expect("the connection is alive");
     }
     std::thread::sleep(Duration::from_millis(400));
     freeze(&bed.child);
-    // The new ones first: their event is the first that the scheduler sees. The one idle longest asks behind it.
+    // The new connections come first, so that the scheduler sees their event first. Then the longest idle one sends a
+    // request.
     let newer: Vec<_> = (0..4).map(|_| bed.client()).collect();
-    let asked = send(&mut clients[0], &call(1, "view"));
+    let sent = send(&mut clients[0], &call(1, "view"));
     let stream = clients[0].stream();
-    wait_until_delivered(stream.local_addr().expect("it stands"), bed.to, "revoke");
+    wait_until_delivered(stream.local_addr().expect("the connection is open"), bed.to, "revoke");
     thaw(&bed.child);
-    let told = clients[0].read().expect("told");
-    assert!(told.as_ref().is_some_and(|(seqid, _)| *seqid == asked), "{told:?}");
+    let reply = clients[0].read().expect("a readable reply");
+    assert!(reply.as_ref().is_some_and(|(seqid, _)| *seqid == sent), "{reply:?}");
     drop(newer);
 }
 
 #[test]
-fn signals_that_meet_in_one_turn_lose_no_one_who_waits_to_be_accepted() {
+fn signals_handled_in_one_loop_turn_lose_no_pending_connection_or_request() {
     for which in ["waits", "open", "halved"] {
-        let mut bed = Bed::new(&format!("signals-{which}"), Limits::default(), 1);
-        bed.passes(1);
-        // None else stands where one waits to be accepted: its end would be waited for.
+        let mut bed = TestBed::new(&format!("signals-{which}"), Limits::default(), 1);
+        bed.wait_until_served(1);
+        // `waits` has no other connection open, because the scheduler would wait for its end.
         let mut open = (which != "waits").then(|| bed.client());
         if let Some(open) = &mut open {
-            open.heartbeat().and_then(|_| open.read()).expect("alive");
+            open.heartbeat().and_then(|_| open.read()).expect("the connection is alive");
         }
-        let one = call(2, "extract");
+        let request = call(2, "extract");
         let fields = [
-            ("kind", one.class),
-            ("req", one.id.as_str()),
+            ("kind", request.class),
+            ("req", request.id.as_str()),
             ("timeout", "2500"),
-            ("subject", one.function.as_str()),
+            ("subject", request.function.as_str()),
             ("props", "memory_mb:64;lanes:8;load_ms:20"),
         ];
         let halved = open.as_mut().filter(|_| which == "halved");
-        let half = halved.map(|open| open.half(&fields, &one.body).expect("sent"));
+        let half = halved.map(|open| open.half(&fields, &request.body).expect("the request is sent"));
         freeze(&bed.child);
         for sent in [Signal::HUP, Signal::TERM, Signal::TERM, Signal::HUP] {
             signal(&bed.child, sent);
         }
-        // Not accepted yet, and with its request; or on a connection that stands.
+        // The request comes on a connection that is not accepted yet, or on the open one.
         let mut client = open.unwrap_or_else(|| bed.client());
-        let asked = match half {
-            Some((asked, rest)) => {
-                client.raw(&rest).expect("sent");
-                asked
+        let sent = match half {
+            Some((seqid, rest)) => {
+                client.raw(&rest).expect("the request is sent");
+                seqid
             }
-            None => send(&mut client, &one),
+            None => send(&mut client, &request),
         };
-        wait_until_delivered(client.stream().local_addr().expect("it stands"), bed.to, "revoke");
+        wait_until_delivered(client.stream().local_addr().expect("the connection is open"), bed.to, "revoke");
         thaw(&bed.child);
-        let told = client.read().expect("told");
-        // It may be turned away, which is an answer.
+        let reply = client.read().expect("a readable reply");
+        // A rejection is a valid reply, too.
         let answered = |reply: &FrontReply| matches!(reply, FrontReply::Served(_) | FrontReply::Rejected(_));
         assert!(
-            told.as_ref().is_some_and(|(id, reply)| *id == asked && answered(reply)),
-            "{which}: {told:?}"
+            reply.as_ref().is_some_and(|(id, reply)| *id == sent && answered(reply)),
+            "{which}: {reply:?}"
         );
-        assert!(bed.child.wait().expect("ended").success());
+        assert!(bed.child.wait().expect("it exits").success());
     }
 }
 
 #[test]
-fn a_signal_before_it_is_ready_ends_it_and_breaks_nothing() {
-    let worker = LineWorker::start("s-0", Recorder::none(), Exec::serve).expect("a worker");
-    let board = Board::start(2).expect("a bulletin");
+fn sigterm_during_start_up_ends_the_process_in_time() {
+    let worker = LineWorker::start("s-0", Recorder::none(), Exec::serve).expect("the worker starts");
+    let board = Board::start(2).expect("the bulletin starts");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let config = config_file("early", &config_json(Limits::default(), board.address(), &targets));
     for round in 0..20u64 {
-        let mut child =
-            process::program(&config).stderr(std::process::Stdio::null()).spawn().expect("started");
-        // At another moment of its start each time.
+        let mut child = process::program(&config)
+            .stderr(std::process::Stdio::null())
+            .spawn()
+            .expect("the process starts");
+        // At a different moment of the start in each round.
         std::thread::sleep(Duration::from_micros(round * 500));
-        let began = Instant::now();
+        let signalled_at = Instant::now();
         signal(&child, Signal::TERM);
-        let status = child.wait().expect("ended");
-        let by = std::os::unix::process::ExitStatusExt::signal(&status);
-        assert!(status.success() || by == Some(Signal::TERM.as_raw()), "{round}: {status}");
-        assert!(began.elapsed() < Duration::from_secs(3), "{round}: {:?}", began.elapsed());
+        let status = child.wait().expect("it exits");
+        let signal_number = std::os::unix::process::ExitStatusExt::signal(&status);
+        assert!(status.success() || signal_number == Some(Signal::TERM.as_raw()), "{round}: {status}");
+        assert!(signalled_at.elapsed() < Duration::from_secs(3), "{round}: {:?}", signalled_at.elapsed());
     }
-    std::fs::remove_file(config).expect("removed");
+    std::fs::remove_file(config).expect("the file is removed");
 }
 
 #[test]
-fn an_idle_connection_on_which_a_request_lies_is_not_closed() {
-    let bed = Bed::new("idle", Limits::default(), 1);
-    bed.passes(1);
-    // A new one has 2.4 s to ask something, by the scheduler's own clock; then it is closed.
-    let (mut asks, mut silent) = (bed.client(), bed.client());
+fn idle_connection_with_an_unread_request_is_not_closed() {
+    let bed = TestBed::new("idle", Limits::default(), 1);
+    bed.wait_until_served(1);
+    // The scheduler closes a new connection after 2.4 s, by its own clock, if no request has come on it.
+    let (mut requesting, mut silent) = (bed.client(), bed.client());
     std::thread::sleep(Duration::from_millis(1_500));
     freeze(&bed.child);
-    let asked = send(&mut asks, &call(2, "view"));
-    wait_until_delivered(asks.stream().local_addr().expect("it stands"), bed.to, "revoke");
+    let sent = send(&mut requesting, &call(2, "view"));
+    wait_until_delivered(requesting.stream().local_addr().expect("the connection is open"), bed.to, "revoke");
     std::thread::sleep(Duration::from_millis(1_200));
     thaw(&bed.child);
-    let told = asks.read().expect("told");
-    assert!(told.as_ref().is_some_and(|(seqid, _)| *seqid == asked), "{told:?}");
-    assert_eq!(silent.read().expect("an end"), None);
+    let reply = requesting.read().expect("a readable reply");
+    assert!(reply.as_ref().is_some_and(|(seqid, _)| *seqid == sent), "{reply:?}");
+    assert_eq!(silent.read().expect("the end of the connection"), None);
 }
 
 #[test]
-fn a_revoke_and_the_answer_in_one_turn_leave_nothing_to_tell() {
-    let bed = Bed::new("revoke-answer", Limits::default(), 1);
-    bed.passes(1);
+fn call_revoked_in_the_same_turn_as_its_worker_reply_gets_no_reply() {
+    let bed = TestBed::new("revoke-answer", Limits::default(), 1);
+    bed.wait_until_served(1);
     let mut client = bed.client();
     for number in 0..5 {
-        let one = held(number, "extract");
-        let seqid = send(&mut client, &one);
-        let (worker, port) = bed.holder(&one.id);
+        let request = unanswered_call(number, "extract");
+        let seqid = send(&mut client, &request);
+        let (worker, port) = bed.wait_for_arrival(&request.id);
         freeze(&bed.child);
-        worker.say(port, &answer(&one.id, "OK", "detail=up", b"late")).expect("it stands");
-        client = abandon(client, &[seqid], "revoke").expect("it stands");
+        worker.say(port, &answer(&request.id, "OK", "detail=up", b"late")).expect("the connection is open");
+        client = abandon(client, &[seqid], "revoke").expect("the connection is open");
         thaw(&bed.child);
-        // What is asked next is what is answered next.
-        let next = client.heartbeat().expect("sent");
-        assert_eq!(client.read().expect("told").map(|(seqid, _)| seqid), Some(next));
+        // The next reply belongs to the next request.
+        let next = client.heartbeat().expect("the request is sent");
+        assert_eq!(client.read().expect("a readable reply").map(|(seqid, _)| seqid), Some(next));
     }
 }
 
 #[test]
-fn an_answer_that_meets_its_deadline_is_told_once() {
+fn worker_reply_that_coincides_with_the_deadline_gives_one_reply() {
     for class in ["view", "extract"] {
-        let bed = Bed::new(&format!("deadline-answer-{class}"), Limits::default(), 1);
-        bed.passes(1);
+        let bed = TestBed::new(&format!("deadline-answer-{class}"), Limits::default(), 1);
+        bed.wait_until_served(1);
         let mut client = bed.client();
-        let mut one = held(1, class);
-        one.timeout_ms = 300;
-        let seqid = send(&mut client, &one);
-        let (worker, port) = bed.holder(&one.id);
+        let mut request = unanswered_call(1, class);
+        request.timeout_ms = 300;
+        let seqid = send(&mut client, &request);
+        let (worker, port) = bed.wait_for_arrival(&request.id);
         freeze(&bed.child);
-        worker.say(port, &answer(&one.id, "OK", "detail=up", b"late")).expect("it stands");
-        // Its time has to pass.
+        worker.say(port, &answer(&request.id, "OK", "detail=up", b"late")).expect("the connection is open");
+        // The deadline has to pass.
         std::thread::sleep(Duration::from_millis(300));
         thaw(&bed.child);
-        let told = client.read().expect("told");
+        let reply = client.read().expect("a readable reply");
         let answered = |reply: &FrontReply| matches!(reply, FrontReply::Served(_) | FrontReply::Crashed);
-        assert!(told.as_ref().is_some_and(|(id, reply)| *id == seqid && answered(reply)), "{told:?}");
-        let next = client.heartbeat().expect("sent");
-        assert_eq!(client.read().expect("told").map(|(seqid, _)| seqid), Some(next), "a second answer");
+        assert!(reply.as_ref().is_some_and(|(id, reply)| *id == seqid && answered(reply)), "{reply:?}");
+        let next = client.heartbeat().expect("the request is sent");
+        assert_eq!(
+            client.read().expect("a readable reply").map(|(seqid, _)| seqid),
+            Some(next),
+            "a second reply"
+        );
     }
 }
 
 #[test]
-fn calls_whose_time_ran_out_in_a_stall_are_told_so_and_not_sent() {
-    let bed = Bed::new("late", Limits::default(), 2);
-    bed.passes(1);
+fn calls_that_time_out_during_a_stall_get_a_reply_and_are_not_sent_again() {
+    let bed = TestBed::new("late", Limits::default(), 2);
+    bed.wait_until_served(1);
     let mut client = bed.client();
-    let mut one = held(1, "extract");
-    one.timeout_ms = 400;
-    send(&mut client, &one);
-    let (worker, port) = bed.holder(&one.id);
+    let mut request = unanswered_call(1, "extract");
+    request.timeout_ms = 400;
+    send(&mut client, &request);
+    let (worker, port) = bed.wait_for_arrival(&request.id);
     freeze(&bed.child);
-    let (mut unread, mut late) = (bed.client(), held(2, "view"));
+    let (mut unread, mut late) = (bed.client(), unanswered_call(2, "view"));
     late.timeout_ms = 400;
     send(&mut unread, &late);
-    worker.say(port, &answer(&one.id, "MISS", "-", b"")).expect("it stands");
-    let began = monotonic();
-    // What stands still has no event to wait for.
+    worker.say(port, &answer(&request.id, "MISS", "-", b"")).expect("the connection is open");
+    let stalled_at = monotonic();
+    // A stopped process emits no event that could be waited for.
     std::thread::sleep(Duration::from_millis(1_000));
     thaw(&bed.child);
-    let told = client.read().expect("told").expect("an answer").1;
-    assert!(matches!(told, FrontReply::Crashed | FrontReply::Rejected(_)), "{told:?}");
-    assert_eq!(bed.execs(&one.id), 1, "{:?}", bed.lines());
-    // What has come meanwhile has its time from when it is read: nobody tells when its bytes came.
-    let told = unread.read().expect("told").expect("an answer").1;
-    assert!(matches!(told, FrontReply::Crashed | FrontReply::Rejected(_)), "{told:?}");
-    assert!(monotonic() - began < 2_000_000, "it was told too late");
-    bed.passes(2);
+    let reply = client.read().expect("a readable reply").expect("a reply").1;
+    assert!(matches!(reply, FrontReply::Crashed | FrontReply::Rejected(_)), "{reply:?}");
+    assert_eq!(bed.times_sent(&request.id), 1, "{:?}", bed.lines());
+    // The timeout of a request that came meanwhile counts from when it is read: its time of arrival is unknown.
+    let reply = unread.read().expect("a readable reply").expect("a reply").1;
+    assert!(matches!(reply, FrontReply::Crashed | FrontReply::Rejected(_)), "{reply:?}");
+    assert!(monotonic() - stalled_at < 2_000_000, "the reply came too late");
+    bed.wait_until_served(2);
 }
