--- a/crates/cli/tests/discovery_outage.rs
+++ b/crates/cli/tests/discovery_outage.rs
@@ -1,6 +1,7 @@
-//! Discovery is out of reach of all schedulers for longer than its clocks; busy workers drain meanwhile and stay up. By the
-//! pages what discovery would have told counts as told 2 s after it broke off and 4 s after it fell silent, at the latest:
-//! past that and the grace no call and no order to load may come to those workers, and the others go on serving.
+//! Discovery is unreachable for all schedulers for longer than their timeouts; busy workers drain meanwhile and stay up.
+//! By the documented rules the schedulers have to act on what discovery would have reported at the latest 2 s after its
+//! connection ended and 4 s after it went silent. After that and the grace, no call and no order to load may arrive at those
+//! workers, and the others continue to serve.
 #[path = "../../node/tests/sockets/common.rs"]
 #[allow(dead_code)]
 mod common;
@@ -21,47 +22,52 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000 * MS;
-/// As the settings tell it.
+/// The grace of a drain, as configured.
 const GRACE: Micros = S;
-/// The page's slack of each limit, and what a loaded machine may add until a stand-in has read its clock.
+/// The documented tolerance of each limit, plus what a loaded machine may add until a stand-in worker reads its clock.
 const SLACK: Micros = 50 * MS + 250 * MS;
 const WORKERS: usize = 8;
-/// Before the outage; from its beginning to the drains of two workers and of a third; until it ends; after it.
-const CALM: Micros = 1_500 * MS;
+/// Time before the outage.
+const BEFORE_OUTAGE: Micros = 1_500 * MS;
+/// From the start of the outage to the drains of two workers.
 const FIRST_DRAINS: Micros = 100 * MS;
+/// From the start of the outage to the drain of a third worker.
 const THIRD_DRAIN: Micros = 6 * S;
+/// Length of the outage.
 const OUTAGE: Micros = 11 * S;
-/// How long a scheduler stands still past the grace, and how long nobody is left.
-const STANDS: Micros = 500 * MS;
-const ALONE: Micros = 2 * S;
-const AFTER: Micros = 2_500 * MS;
-const CLIENTS_EACH: u64 = 4;
-
-/// How discovery is out of reach.
+/// How long a scheduler stays stalled past the grace.
+const STALL: Micros = 500 * MS;
+/// How long all workers are draining.
+const ALL_DRAINING: Micros = 2 * S;
+/// Time after the outage.
+const AFTER_OUTAGE: Micros = 2_500 * MS;
+const CLIENTS_PER_SCHEDULER: u64 = 4;
+
+/// How discovery is unreachable.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Outage {
     /// Connections end and new ones are refused.
     Refuses,
-    /// Connections stand and nothing is said.
+    /// Connections stay open and nothing is sent on them.
     Silent,
-    /// It comes up for 0.3 s in every 3 s and says nothing.
+    /// It accepts connections for 0.3 s in every 3 s and sends nothing.
     Flaps,
-    /// It moves: each scheduler is told by SIGHUP of another address, where nobody listens.
+    /// It moves: each scheduler reloads its configuration on SIGHUP with another address, where nothing listens.
     Moves,
 }
 
 /// What else happens during the outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Incident {
     Nothing,
     /// One more scheduler starts.
-    Starts,
-    /// One scheduler stands still from before the clock runs out until past the grace.
-    StandsStill,
-    /// A worker that does not drain breaks all its connections: it may have started anew.
+    SchedulerStarts,
+    /// One scheduler is stalled from before its timeout expires until past the grace.
+    SchedulerStalls,
+    /// A worker that does not drain resets all its connections: it may have restarted.
     WorkerRestarts,
-    /// All workers drain, and one comes back.
-    NobodyLeft,
+    /// All workers drain, and one ends its drain.
+    AllDrain,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -69,26 +75,28 @@
     name: &'static str,
     outage: Outage,
     schedulers: usize,
-    trouble: Trouble,
+    incident: Incident,
+    /// Whether schedulers may order workers to load functions.
     orders: bool,
+    /// Whether schedulers may probe workers.
     probes: bool,
     /// How long a client waits between two calls.
     pause_ms: u64,
 }
 
-const USUAL: Scenario = Scenario {
+const DEFAULT: Scenario = Scenario {
     name: "",
     outage: Outage::Refuses,
     schedulers: 3,
-    trouble: Trouble::Nothing,
+    incident: Incident::Nothing,
     orders: true,
     probes: true,
     pause_ms: 30,
 };
 
 impl Outage {
-    /// When what discovery would have told counts as told, from the beginning of the outage on.
-    fn clock(self) -> Micros {
+    /// When schedulers have to act on what discovery would have reported, counted from the start of the outage.
+    fn limit(self) -> Micros {
         if matches!(self, Self::Silent | Self::Moves) { 4 * S } else { 2 * S }
     }
 }
@@ -106,56 +114,61 @@
     }
 }
 
-/// What clients had in a part of the scenario.
+/// Replies to clients in a phase of the scenario.
 #[derive(Default)]
 struct Tally {
-    asked: AtomicU64,
+    calls: AtomicU64,
     served: AtomicU64,
     refused: AtomicU64,
-    /// Refused calls that took longer than their aim.
+    /// Refused calls whose refusal took longer than their aim.
     refused_late: AtomicU64,
 }
 
 impl Tally {
-    fn share(&self) -> f64 {
-        self.served.load(Ordering::SeqCst) as f64 / self.asked.load(Ordering::SeqCst).max(1) as f64
+    /// The share of calls served.
+    fn served_share(&self) -> f64 {
+        self.served.load(Ordering::SeqCst) as f64 / self.calls.load(Ordering::SeqCst).max(1) as f64
     }
 }
 
-/// Before the clocks have run out, after that, and after the outage.
+/// Tallies of three phases: until the limit and the grace have passed, after that, and after the outage.
 #[derive(Default)]
 struct Tallies {
-    parts: [Tally; 3],
+    phases: [Tally; 3],
 }
 
-struct Played {
-    /// New work that came past what the rule allows.
+/// The result of a scenario.
+struct RunResult {
+    /// New work that arrived at draining workers later than the rule allows.
     breaches: Vec<TurnedAway>,
-    /// New work that came to workers that drained, in all.
-    turned_away: usize,
-    /// Questions to all workers.
-    questions: usize,
+    /// All new work that arrived at draining workers.
+    rejected: usize,
+    /// Copy queries to all workers.
+    queries: usize,
     tallies: Tallies,
-    /// Warnings of the first scheduler.
+    /// Log lines of the first scheduler at level WARN.
     warnings: Vec<String>,
-    /// Calls to the worker whose connections broke, in the second before and in the one after.
+    /// Calls to the worker that resets its connections, in the second before and in the second after.
     around_restart: (usize, usize),
 }
 
-struct Bed {
+/// The bulletin and the workers of a scenario.
+struct TestBed {
     scenario: Scenario,
     board: Board,
     workers: Vec<LineWorker>,
-    number: AtomicU64,
+    /// Number of schedulers started.
+    started: AtomicU64,
 }
 
-impl Bed {
+impl TestBed {
     fn new(scenario: Scenario) -> Self {
         let script = |exec: &Exec| [vec![Act::Wait(Duration::from_millis(3))], exec.serve()].concat();
-        let worker = |n| LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("a worker");
+        let worker =
+            |n| LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("the worker starts");
         let workers = (0..WORKERS).map(worker).collect();
-        let board = Board::start(2).expect("a bulletin");
-        Self { scenario, board, workers, number: AtomicU64::new(0) }
+        let board = Board::start(2).expect("the bulletin starts");
+        Self { scenario, board, workers, started: AtomicU64::new(0) }
     }
 
     fn entry(&self, worker: usize, state: &str) -> String {
@@ -163,109 +176,113 @@
     }
 
     fn start(&self) -> Scheduler {
-        let index = self.number.fetch_add(1, Ordering::SeqCst);
-        let known = (0..WORKERS).map(|n| self.entry(n, "Ready")).collect::<Vec<_>>().join(",");
+        let index = self.started.fetch_add(1, Ordering::SeqCst);
+        let entries = (0..WORKERS).map(|n| self.entry(n, "Ready")).collect::<Vec<_>>().join(",");
         let limits = Limits { deadline_ms: 2_000, ..Limits::default() };
-        let mut told = config_json(limits, self.board.address(), &known)
+        let mut text = config_json(limits, self.board.address(), &entries)
             .replace("\"rules\":{", &format!("\"rules\":{{\"drainGraceUs\":{GRACE},"))
             .replace("\"replicasOfMe\":1", &format!("\"replicasOfMe\":3,\"selfIndex\":{}", index % 3))
             .replace("\"onTimeUs\":2000000", "\"onTimeUs\":1000000");
         if self.scenario.probes {
-            told = told.replace("\"limits\":{\"cancel\"", "\"limits\":{\"probes\":true,\"cancel\"");
+            text = text.replace("\"limits\":{\"cancel\"", "\"limits\":{\"probes\":true,\"cancel\"");
         }
         if !self.scenario.orders {
-            told = told.replace("\"loadControl\":true", "\"loadControl\":false");
+            text = text.replace("\"loadControl\":true", "\"loadControl\":false");
         }
-        let config = config_file(&format!("unseen-{}-{index}", self.scenario.name), &told);
+        let config = config_file(&format!("outage-{}-{index}", self.scenario.name), &text);
         let (child, address, log) = start_with_log(&config);
         Scheduler { child, config, address, log }
     }
 
-    /// Plays the scenario; gives what came to workers that drained, and how clients fared.
-    fn play(&self) -> Played {
+    /// Runs the scenario.
+    fn run(&self) -> RunResult {
         let mut schedulers: Vec<_> = (0..self.scenario.schedulers).map(|_| self.start()).collect();
-        let (over, part, tallies) = (AtomicBool::new(false), AtomicU64::new(0), Tallies::default());
-        let told_after = self.scenario.outage.clock();
+        let (finished, phase, tallies) = (AtomicBool::new(false), AtomicU64::new(0), Tallies::default());
+        let limit = self.scenario.outage.limit();
         let mut around_restart = (0, 0);
         let drained = std::thread::scope(|scope| {
-            let clients = |of: &Scheduler, first: u64| {
-                let to = of.address;
-                for number in first..first + CLIENTS_EACH {
-                    let (over, part, tallies, pause) = (&over, &part, &tallies, self.scenario.pause_ms);
-                    scope.spawn(move || ask(to, number, pause, over, (part, tallies)));
+            let start_clients = |scheduler: &Scheduler, first: u64| {
+                let to = scheduler.address;
+                for number in first..first + CLIENTS_PER_SCHEDULER {
+                    let (finished, phase, tallies, pause) =
+                        (&finished, &phase, &tallies, self.scenario.pause_ms);
+                    scope.spawn(move || run_client(to, number, pause, finished, (phase, tallies)));
                 }
             };
             for (index, scheduler) in schedulers.iter().enumerate() {
-                clients(scheduler, index as u64 * CLIENTS_EACH);
+                start_clients(scheduler, index as u64 * CLIENTS_PER_SCHEDULER);
             }
-            sleep_until(monotonic() + CALM);
-            let began = monotonic();
-            let flaps = self.cut(began, &schedulers, scope);
+            sleep_until(monotonic() + BEFORE_OUTAGE);
+            let outage_start = monotonic();
+            let flapping = self.start_outage(outage_start, &schedulers, scope);
             let mut drained = Vec::new();
             let mut drain = |worker: usize| {
                 self.workers[worker].drain(true);
                 drained.push((worker, monotonic()));
             };
-            sleep_until(began + FIRST_DRAINS);
+            sleep_until(outage_start + FIRST_DRAINS);
             drain(0);
             drain(1);
-            sleep_until(began + told_after);
-            let still = self.scenario.trouble == Trouble::StandsStill;
-            still.then(|| process::freeze(&schedulers[0].child));
-            sleep_until(began + told_after + GRACE);
-            part.store(1, Ordering::SeqCst);
-            if self.scenario.trouble == Trouble::Starts {
+            sleep_until(outage_start + limit);
+            let stalls = self.scenario.incident == Incident::SchedulerStalls;
+            stalls.then(|| process::freeze(&schedulers[0].child));
+            sleep_until(outage_start + limit + GRACE);
+            phase.store(1, Ordering::SeqCst);
+            if self.scenario.incident == Incident::SchedulerStarts {
                 schedulers.push(self.start());
-                clients(schedulers.last().expect("one"), 1_000);
+                start_clients(schedulers.last().expect("a scheduler"), 1_000);
             }
-            sleep_until(began + told_after + GRACE + STANDS);
-            still.then(|| process::thaw(&schedulers[0].child));
-            sleep_until(began + THIRD_DRAIN - S);
-            let second_before = calls(&self.workers[3]);
-            sleep_until(began + THIRD_DRAIN);
-            let at_restart = calls(&self.workers[3]);
+            sleep_until(outage_start + limit + GRACE + STALL);
+            stalls.then(|| process::thaw(&schedulers[0].child));
+            sleep_until(outage_start + THIRD_DRAIN - S);
+            let second_before = calls_received(&self.workers[3]);
+            sleep_until(outage_start + THIRD_DRAIN);
+            let at_restart = calls_received(&self.workers[3]);
             around_restart.0 = at_restart - second_before;
             drain(2);
-            match self.scenario.trouble {
-                Trouble::WorkerRestarts => {
+            match self.scenario.incident {
+                Incident::WorkerRestarts => {
                     self.workers[3].reset_all();
-                    sleep_until(began + THIRD_DRAIN + S);
-                    around_restart.1 = calls(&self.workers[3]) - at_restart;
+                    sleep_until(outage_start + THIRD_DRAIN + S);
+                    around_restart.1 = calls_received(&self.workers[3]) - at_restart;
                 }
-                Trouble::NobodyLeft => {
+                Incident::AllDrain => {
                     (3..WORKERS).for_each(&mut drain);
-                    sleep_until(began + THIRD_DRAIN + ALONE);
+                    sleep_until(outage_start + THIRD_DRAIN + ALL_DRAINING);
                     self.workers[4].drain(false);
                 }
                 _ => {}
             }
-            sleep_until(began + OUTAGE);
-            let _ = flaps.map(std::thread::ScopedJoinHandle::join);
-            self.heal();
-            part.store(2, Ordering::SeqCst);
-            sleep_until(began + OUTAGE + AFTER);
-            over.store(true, Ordering::SeqCst);
-            let told = began + told_after;
-            drained.into_iter().map(|(worker, at)| (worker, at.max(told) + GRACE + SLACK)).collect::<Vec<_>>()
+            sleep_until(outage_start + OUTAGE);
+            let _ = flapping.map(std::thread::ScopedJoinHandle::join);
+            self.end_outage();
+            phase.store(2, Ordering::SeqCst);
+            sleep_until(outage_start + OUTAGE + AFTER_OUTAGE);
+            finished.store(true, Ordering::SeqCst);
+            let known_at = outage_start + limit;
+            drained
+                .into_iter()
+                .map(|(worker, at)| (worker, at.max(known_at) + GRACE + SLACK))
+                .collect::<Vec<_>>()
         });
-        let came = |worker: usize| self.workers[worker].turned_away();
+        let rejected = |worker: usize| self.workers[worker].turned_away();
         let late = |(worker, until): &(usize, Micros)| {
-            came(*worker).into_iter().filter(|one| one.at > *until).collect::<Vec<_>>()
+            rejected(*worker).into_iter().filter(|work| work.at > *until).collect::<Vec<_>>()
         };
-        Played {
+        RunResult {
             breaches: drained.iter().flat_map(late).collect(),
-            turned_away: drained.iter().map(|(worker, _)| came(*worker).len()).sum(),
-            questions: self.workers.iter().map(questions).sum(),
+            rejected: drained.iter().map(|(worker, _)| rejected(*worker).len()).sum(),
+            queries: self.workers.iter().map(queries).sum(),
             tallies,
             around_restart,
             warnings: schedulers[0].log.try_iter().filter(|line| line.contains("WARN")).collect(),
         }
     }
 
-    /// Takes discovery out of reach.
-    fn cut<'scope>(
+    /// Makes discovery unreachable. Returns the thread that flaps it, if any.
+    fn start_outage<'scope>(
         &'scope self,
-        began: Micros,
+        outage_start: Micros,
         schedulers: &[Scheduler],
         scope: &'scope std::thread::Scope<'scope, '_>,
     ) -> Option<std::thread::ScopedJoinHandle<'scope, ()>> {
@@ -273,12 +290,13 @@
             Outage::Refuses => self.board.down(),
             Outage::Silent => self.board.silence(true),
             Outage::Moves => {
-                let nobody = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr());
-                let nobody = nobody.expect("a port").to_string();
+                let unused =
+                    std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
+                let unused = unused.expect("a port").to_string();
                 for scheduler in schedulers {
-                    let told = std::fs::read_to_string(&scheduler.config).expect("readable");
-                    let moved = told.replace(&self.board.address().to_string(), &nobody);
-                    std::fs::write(&scheduler.config, moved).expect("written");
+                    let text = std::fs::read_to_string(&scheduler.config).expect("the file is readable");
+                    let moved = text.replace(&self.board.address().to_string(), &unused);
+                    std::fs::write(&scheduler.config, moved).expect("the file is written");
                     process::signal(&scheduler.child, Signal::HUP);
                 }
                 self.board.silence(true);
@@ -288,9 +306,9 @@
                 self.board.silence(true);
                 return Some(scope.spawn(move || {
                     for nth in 1..=3 {
-                        sleep_until(began + nth * 3 * S);
+                        sleep_until(outage_start + nth * 3 * S);
                         self.board.up().expect("its port is free");
-                        sleep_until(began + nth * 3 * S + 300 * MS);
+                        sleep_until(outage_start + nth * 3 * S + 300 * MS);
                         self.board.down();
                     }
                 }));
@@ -299,25 +317,26 @@
         None
     }
 
-    /// Discovery is back, and tells of the drains.
-    fn heal(&self) {
+    /// Makes discovery reachable again; it reports the drains.
+    fn end_outage(&self) {
         if matches!(self.scenario.outage, Outage::Refuses | Outage::Flaps) {
             self.board.up().expect("its port is free");
         }
         self.board.silence(false);
-        let gone = if self.scenario.trouble == Trouble::NobodyLeft { WORKERS } else { 3 };
-        let drains: Vec<_> = (0..gone).filter(|n| *n != 4).map(|n| self.entry(n, "Terminating")).collect();
+        let draining = if self.scenario.incident == Incident::AllDrain { WORKERS } else { 3 };
+        let drains: Vec<_> =
+            (0..draining).filter(|n| *n != 4).map(|n| self.entry(n, "Terminating")).collect();
         self.board.tell(&drains.join(","));
     }
 }
 
-/// Calls that came to a worker.
-fn calls(worker: &LineWorker) -> usize {
+/// Number of calls that a worker has received.
+fn calls_received(worker: &LineWorker) -> usize {
     worker.lines().iter().filter(|line| line.starts_with("exec ")).count()
 }
 
-/// Questions that came to a worker.
-fn questions(worker: &LineWorker) -> usize {
+/// Number of copy queries that a worker has received.
+fn queries(worker: &LineWorker) -> usize {
     worker.lines().iter().filter(|line| line.starts_with("load ")).count()
 }
 
@@ -325,35 +344,35 @@
     std::thread::sleep(Duration::from_micros(at.saturating_sub(monotonic())));
 }
 
-/// One client, that asks one call after the other.
-fn ask(
+/// Runs one client, which makes one call after another.
+fn run_client(
     to: SocketAddr,
     number: u64,
     pause_ms: u64,
-    over: &AtomicBool,
-    (part, tallies): (&AtomicU64, &Tallies),
+    finished: &AtomicBool,
+    (phase, tallies): (&AtomicU64, &Tallies),
 ) {
-    let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
+    let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
     for nth in 0u64.. {
-        if over.load(Ordering::SeqCst) {
+        if finished.load(Ordering::SeqCst) {
             return;
         }
-        let one = Call {
+        let call = Call {
             id: format!("{:016x}", (number + 1) << 32 | nth),
             class: "view",
             function: format!("7f3a9c21e0b4{:04x}", (number * 7 + nth) % 24),
             timeout_ms: 1_500,
             body: b"a body".to_vec(),
         };
-        let tally = &tallies.parts[part.load(Ordering::SeqCst) as usize];
-        tally.asked.fetch_add(1, Ordering::SeqCst);
-        let asked = monotonic();
-        send(&mut client, &one);
-        match client.read().expect("told").expect("it stands").1 {
+        let tally = &tallies.phases[phase.load(Ordering::SeqCst) as usize];
+        tally.calls.fetch_add(1, Ordering::SeqCst);
+        let sent = monotonic();
+        send(&mut client, &call);
+        match client.read().expect("a readable reply").expect("a reply").1 {
             FrontReply::Served(_) => drop(tally.served.fetch_add(1, Ordering::SeqCst)),
             _ => {
                 tally.refused.fetch_add(1, Ordering::SeqCst);
-                let late = monotonic() > asked + S + SLACK;
+                let late = monotonic() > sent + S + SLACK;
                 tally.refused_late.fetch_add(u64::from(late), Ordering::SeqCst);
             }
         }
@@ -361,94 +380,103 @@
     }
 }
 
-/// Plays a scenario and holds it against the rule, and against the least share of calls served in each part.
-fn holds(scenario: Scenario, least_served: [f64; 3]) -> Played {
-    let bed = Bed::new(scenario);
-    let played = bed.play();
-    let shares = played.tallies.parts.each_ref().map(Tally::share);
-    let orders = played.breaches.iter().filter(|one| one.line.starts_with("ensure")).count();
+/// Runs a scenario and checks the rule on draining workers, and the share of calls served in each phase.
+fn run_and_check(scenario: Scenario, min_served: [f64; 3]) -> RunResult {
+    let bed = TestBed::new(scenario);
+    let result = bed.run();
+    let shares = result.tallies.phases.each_ref().map(Tally::served_share);
+    let orders = result.breaches.iter().filter(|work| work.line.starts_with("ensure")).count();
     println!(
-        "{}: {} past told and grace, {orders} of them orders, {} turned away in all, {} questions, served {shares:.3?}",
+        "{}: {} after the limit and the grace, {orders} of them orders, {} rejected in all, {} queries, served {shares:.3?}",
         scenario.name,
-        played.breaches.len(),
-        played.turned_away,
-        played.questions
+        result.breaches.len(),
+        result.rejected,
+        result.queries
+    );
+    assert!(
+        result.breaches.is_empty(),
+        "{} after the limit and the grace, first {:?}",
+        result.breaches.len(),
+        result.breaches.first()
     );
+    // One query per worker and lease while the list of workers has expired, and some more as workers reject work.
+    let seconds = (OUTAGE - scenario.outage.limit()) / S + 2;
+    let max_queries = (scenario.schedulers + 1) * WORKERS * seconds as usize * 2;
+    assert!(result.queries <= max_queries, "{} queries, at most {max_queries} allowed", result.queries);
+    let logged = |text: &str| result.warnings.iter().any(|line| line.contains(text));
+    assert!(logged("discovery is out of reach") && logged("the list has expired"), "{:?}", result.warnings);
     assert!(
-        played.breaches.is_empty(),
-        "{} past told and grace, first {:?}",
-        played.breaches.len(),
-        played.breaches.first()
+        scenario.outage == Outage::Moves || logged("discovery is followed again"),
+        "{:?}",
+        result.warnings
     );
-    // One for each worker and lease, while the list is of no use, and some more as workers turn work away.
-    let seconds = (OUTAGE - scenario.outage.clock()) / S + 2;
-    let most = (scenario.schedulers + 1) * WORKERS * seconds as usize * 2;
-    assert!(played.questions <= most, "{} questions, at most {most} wanted", played.questions);
-    let said = |what: &str| played.warnings.iter().any(|line| line.contains(what));
-    assert!(said("discovery is out of reach") && said("the list has expired"), "{:?}", played.warnings);
-    assert!(scenario.outage == Outage::Moves || said("discovery is followed again"), "{:?}", played.warnings);
-    let enough = shares.iter().zip(least_served).all(|(share, least)| *share >= least);
-    assert!(enough, "served {shares:.3?}, at least {least_served:?} wanted");
-    played
+    let enough = shares.iter().zip(min_served).all(|(share, min)| *share >= min);
+    assert!(enough, "served {shares:.3?}, at least {min_served:?} required");
+    result
 }
 
 #[test]
-fn drains_during_an_outage_of_discovery_that_refuses_connections_are_kept() {
-    holds(Scenario { name: "refuses", ..USUAL }, [0.97; 3]);
+fn drains_are_respected_while_discovery_refuses_connections() {
+    run_and_check(Scenario { name: "refuses", ..DEFAULT }, [0.97; 3]);
 }
 
 #[test]
-fn drains_during_a_silence_of_discovery_are_kept() {
-    holds(Scenario { name: "silent", outage: Outage::Silent, ..USUAL }, [0.97; 3]);
+fn drains_are_respected_while_discovery_is_silent() {
+    run_and_check(Scenario { name: "silent", outage: Outage::Silent, ..DEFAULT }, [0.97; 3]);
 }
 
 #[test]
-fn discovery_that_comes_up_for_moments_and_says_nothing_has_ended_no_outage() {
-    holds(Scenario { name: "flaps", outage: Outage::Flaps, ..USUAL }, [0.97; 3]);
+fn discovery_that_accepts_connections_briefly_and_sends_nothing_does_not_end_the_outage() {
+    run_and_check(Scenario { name: "flaps", outage: Outage::Flaps, ..DEFAULT }, [0.97; 3]);
 }
 
 #[test]
-fn a_scheduler_that_moves_to_where_nobody_listens_keeps_the_drains() {
-    // Its discovery stays out of reach: it goes on by the workers' own words.
-    holds(Scenario { name: "moves", outage: Outage::Moves, ..USUAL }, [0.97; 3]);
+fn drains_are_respected_after_a_move_to_a_discovery_address_where_nothing_listens() {
+    // Discovery stays unreachable: the scheduler goes by the workers' own replies.
+    run_and_check(Scenario { name: "moves", outage: Outage::Moves, ..DEFAULT }, [0.97; 3]);
 }
 
 #[test]
-fn one_that_starts_in_an_outage_asks_before_it_sends() {
-    holds(Scenario { name: "starts", schedulers: 2, trouble: Trouble::Starts, ..USUAL }, [0.97; 3]);
+fn scheduler_that_starts_during_the_outage_queries_workers_before_it_sends_work() {
+    run_and_check(
+        Scenario { name: "starts", schedulers: 2, incident: Incident::SchedulerStarts, ..DEFAULT },
+        [0.97; 3],
+    );
 }
 
 #[test]
-fn one_that_stood_still_over_the_end_of_the_grace_sends_nothing_it_had_decided_before() {
-    // The calls of the one that stands still are late; the others' are not.
-    holds(Scenario { name: "still", trouble: Trouble::StandsStill, ..USUAL }, [0.9; 3]);
+fn scheduler_stalled_over_the_end_of_the_grace_sends_no_work_decided_before() {
+    // Calls at the stalled scheduler are late; those at the others are not.
+    run_and_check(Scenario { name: "still", incident: Incident::SchedulerStalls, ..DEFAULT }, [0.9; 3]);
 }
 
 #[test]
-fn a_worker_whose_connections_break_in_an_outage_is_taken_back_as_a_cold_one() {
-    let played =
-        holds(Scenario { name: "breaks", trouble: Trouble::WorkerRestarts, ..USUAL }, [0.97, 0.95, 0.95]);
-    // Nobody told of a restart: it counts as cold all the same.
-    let (before, after) = played.around_restart;
-    println!("breaks: {before} calls in the second before, {after} in the one after");
-    assert!(after * 4 <= before * 3, "{before} calls in the second before, {after} in the one after");
+fn worker_that_resets_its_connections_during_the_outage_is_used_again_as_a_cold_one() {
+    let result = run_and_check(
+        Scenario { name: "breaks", incident: Incident::WorkerRestarts, ..DEFAULT },
+        [0.97, 0.95, 0.95],
+    );
+    // No restart was reported, but the worker has to count as cold.
+    let (before, after) = result.around_restart;
+    println!("breaks: {before} calls in the second before, {after} in the second after");
+    assert!(after * 4 <= before * 3, "{before} calls in the second before, {after} in the second after");
 }
 
 #[test]
-fn where_probes_are_not_allowed_the_rule_holds_and_those_in_use_serve_on() {
-    let scenario = Scenario { name: "use", probes: false, orders: false, outage: Outage::Silent, ..USUAL };
-    // Until its silence shows, after one line and a half, the list is believed as on any day.
-    holds(scenario, [0.8, 0.97, 0.97]);
+fn without_probes_the_rule_holds_and_workers_in_use_continue_to_serve() {
+    let scenario = Scenario { name: "use", probes: false, orders: false, outage: Outage::Silent, ..DEFAULT };
+    // Until the silence is detected, after one and a half line intervals, the scheduler trusts the list as usual.
+    run_and_check(scenario, [0.8, 0.97, 0.97]);
 }
 
 #[test]
-fn with_nobody_left_calls_are_refused_in_time_and_the_first_that_is_back_is_used() {
-    let scenario = Scenario { name: "alone", trouble: Trouble::NobodyLeft, ..USUAL };
-    holds(scenario, [0.97, 0.2, 0.2]);
+fn with_all_workers_draining_calls_are_refused_in_time_and_the_first_one_back_is_used() {
+    let scenario = Scenario { name: "alone", incident: Incident::AllDrain, ..DEFAULT };
+    run_and_check(scenario, [0.97, 0.2, 0.2]);
 }
 
 #[test]
-fn twenty_four_schedulers_that_each_see_little_keep_the_drains_and_serve() {
-    let scenario = Scenario { name: "many", schedulers: 24, orders: false, pause_ms: 330, ..USUAL };
-    holds(scenario, [0.97; 3]);
+fn twenty_four_schedulers_with_few_calls_each_respect_drains_and_serve() {
+    let scenario = Scenario { name: "many", schedulers: 24, orders: false, pause_ms: 330, ..DEFAULT };
+    run_and_check(scenario, [0.97; 3]);
 }
