--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -41,7 +41,7 @@
         let last_received = match (member.heard_ms, number == usize::from(view.own)) {
             (_, true) => "itself".into(),
             (Some(ms), _) => format!("last received {:.1} s ago", ms as f64 / 1e3),
-            (None, _) => "never received".into(),
+            (None, _) => "nothing received".into(),
         };
         let incarnation = match member.state {
             MemberState::Unknown => String::new(),
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -44,7 +44,10 @@
         );
     }
     if late.stalled > 0 {
-        println!("{} responses were late by less than the machine had paused their gateway", late.stalled);
+        println!(
+            "{} responses were late by less time than the machine had paused their gateway",
+            late.stalled
+        );
     }
     if breaches.is_empty() {
         println!("the five rules: kept");
--- a/crates/cli/tests/discovery_outage.rs
+++ b/crates/cli/tests/discovery_outage.rs
@@ -101,6 +101,7 @@
     }
 }
 
+/// A scheduler process and its further log lines.
 struct Scheduler {
     child: Child,
     config: PathBuf,
@@ -171,10 +172,12 @@
         Self { scenario, board, workers, started: AtomicU64::new(0) }
     }
 
+    /// The bulletin entry of a worker.
     fn entry(&self, worker: usize, state: &str) -> String {
         bulletin_entry(&format!("s-{worker}"), self.workers[worker].address(), state)
     }
 
+    /// Starts one more scheduler.
     fn start(&self) -> Scheduler {
         let index = self.started.fetch_add(1, Ordering::SeqCst);
         let entries = (0..WORKERS).map(|n| self.entry(n, "Ready")).collect::<Vec<_>>().join(",");
--- a/crates/cli/tests/stalls.rs
+++ b/crates/cli/tests/stalls.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn abandoned_call_is_not_sent_when_the_reply_it_waits_for_arrives_in_the_same_stall() {
+fn abandoned_call_is_not_sent_when_the_copy_query_is_answered_in_the_same_stall() {
     for method in ABANDON_METHODS {
         let bed = TestBed::new(&format!("left-answer-{method}"), Limits::default(), 1);
         bed.wait_until_served(1);
@@ -223,7 +223,7 @@
             ("props", "memory_mb:64;lanes:8;load_ms:20"),
         ];
         let halved = open.as_mut().filter(|_| which == "halved");
-        let half = halved.map(|open| open.half(&fields, &request.body).expect("the request is sent"));
+        let half = halved.map(|open| open.half(&fields, &request.body).expect("half of the request is sent"));
         freeze(&bed.child);
         for sent in [Signal::HUP, Signal::TERM, Signal::TERM, Signal::HUP] {
             signal(&bed.child, sent);
