--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -196,7 +196,7 @@
     let (child, to, lines) = start_with_log(&config);
     let good = first.replace(&old.address().to_string(), &new.address().to_string());
     let mut invalid: Vec<_> = INVALID.map(|(from, to, field)| (Some(good.replace(from, to)), field)).to_vec();
-    invalid.push((Some(good[..good.len() / 2].to_owned()), "configuration"));
+    invalid.push((Some(good[..good.len() / 2].to_owned()), "configuration, at "));
     invalid.push((Some(good.clone() + "}"), "configuration, behind its end"));
     invalid.push((None, "configuration can't be read"));
     for (number, (text, field)) in invalid.into_iter().enumerate() {
@@ -205,7 +205,7 @@
             None => std::fs::remove_file(&config).expect("the file is removed"),
         }
         signal(&child, Signal::HUP);
-        let line = wait_for_log(&lines, "not taken");
+        let line = wait_for_log(&lines, "configuration rejected");
         assert!(line.contains(field), "{field}: {line}");
         assert!(matches!(call(to, number as u64), FrontReply::Served(_)));
         // Meanwhile the scheduler reads it again every 0.1 s.
@@ -241,7 +241,7 @@
         let (from, next) = if nth % 2 == 0 { (&first, &good) } else { (&good, &first) };
         std::fs::write(&config, &from[..from.len() / 3]).expect("the file is written");
         signal(&child, Signal::HUP);
-        wait_for_log(&lines, "not taken");
+        wait_for_log(&lines, "configuration rejected");
         // Replaced atomically, as an operator does, while the invalid one is retried; the signal follows.
         let beside = config.with_extension("new");
         std::fs::write(&beside, next).expect("the file is written");
@@ -267,11 +267,11 @@
     let (child, to, lines) = start_with_log(&config);
     std::fs::write(&config, &first[..first.len() / 3]).expect("the file is written");
     signal(&child, Signal::HUP);
-    wait_for_log(&lines, "not taken");
+    wait_for_log(&lines, "configuration rejected");
     // The 5 s of retries after the first signal have nearly passed at the second one; at the valid file they have passed.
     std::thread::sleep(Duration::from_millis(4_000));
     signal(&child, Signal::HUP);
-    wait_for_log(&lines, "not taken");
+    wait_for_log(&lines, "configuration rejected");
     std::thread::sleep(Duration::from_millis(2_000));
     assert!(matches!(call(to, 1), FrontReply::Served(_)));
     std::fs::write(&config, &good).expect("the file is written");
