--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -74,7 +74,7 @@
         json: bool,
     },
     /// Print the agreed state: permits in force, the release, and whether the fleet is halted
-    Status(Through),
+    Status(OperatorOptions),
     /// Drain a worker and wait until no scheduler has requests in flight there
     Drain {
         /// The worker's name in the bulletin
@@ -86,14 +86,14 @@
         #[arg(long, default_value_t = 120)]
         wait: u64,
         #[command(flatten)]
-        through: Through,
+        options: OperatorOptions,
     },
     /// End a worker's drain: it is used again, and counts as out of service until it is warm
     Back {
         /// The worker's name in the bulletin
         worker: String,
         #[command(flatten)]
-        through: Through,
+        options: OperatorOptions,
     },
     /// Remove a permit, whatever is observed of its subject. This can't be undone
     WriteOff {
@@ -103,7 +103,7 @@
         #[arg(long)]
         scheduler: bool,
         #[command(flatten)]
-        through: Through,
+        options: OperatorOptions,
     },
     /// Bring all schedulers to a version step by step with a program that restarts one; continues a started release
     Release {
@@ -126,17 +126,17 @@
         #[arg(long, default_value_t = 300)]
         wait: u64,
         #[command(flatten)]
-        through: Through,
+        options: OperatorOptions,
     },
     /// Stop granting permits everywhere, at once
-    Halt(Through),
+    Halt(OperatorOptions),
     /// End a halt
-    Resume(Through),
+    Resume(OperatorOptions),
 }
 
-/// The schedulers to send a command to.
+/// Options of the `fleet` subcommands that send a command to a scheduler.
 #[derive(ClapArgs)]
-pub struct Through {
+pub struct OperatorOptions {
     /// Datagram addresses of schedulers (`peer_listen`), tried in turn; they must list this host as an operator
     #[arg(long = "of", value_name = "ADDRESS", required = true, value_delimiter = ',')]
     pub schedulers: Vec<SocketAddr>,
--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -2,7 +2,7 @@
 //! releases and halts.
 
 use crate::CommandError;
-use crate::args::{FleetCommand, Through};
+use crate::args::{FleetCommand, OperatorOptions};
 use basaltward_peers::ask_agreed;
 use basaltward_permits::{
     Denied, OperatorCommand, OperatorReply, Permit, PermitRequest, PermitResult, PermitStatus, Subject,
@@ -22,49 +22,49 @@
 /// Runs a `fleet` subcommand other than `view`.
 pub fn run(command: &FleetCommand) -> Result<(), CommandError> {
     match command {
-        FleetCommand::Status(through) => print_status(through),
-        FleetCommand::Drain { worker: name, dry_run, wait, through } => {
+        FleetCommand::Status(options) => print_status(options),
+        FleetCommand::Drain { worker: name, dry_run, wait, options } => {
             let subject = worker_subject(name);
             if *dry_run {
-                return check_permit(through, name, subject);
+                return check_permit(options, name, subject);
             }
             let deadline = Instant::now() + Duration::from_secs(*wait);
-            let (number, _) = acquire_permit(through, name, subject, deadline)?;
-            print_step(through, name, "drained", json!({"permit": number}));
-            wait_until_clear(through, name, (subject, number), deadline)
+            let (number, _) = acquire_permit(options, name, subject, deadline)?;
+            print_step(options, name, "drained", json!({"permit": number}));
+            wait_until_clear(options, name, (subject, number), deadline)
         }
-        FleetCommand::Back { worker: name, through } => {
+        FleetCommand::Back { worker: name, options } => {
             let subject = worker_subject(name);
-            let number = find_permit(through, subject)?.number;
-            request_granted(through, PermitRequest::Return(subject, number))?;
-            print_step(through, name, "back", json!({}));
+            let number = find_permit(options, subject)?.number;
+            request_granted(options, PermitRequest::Return(subject, number))?;
+            print_step(options, name, "back", json!({}));
             Ok(())
         }
-        FleetCommand::WriteOff { subject: name, scheduler, through } => {
+        FleetCommand::WriteOff { subject: name, scheduler, options } => {
             let subject = if *scheduler {
                 Subject::Scheduler(parse_scheduler_number(name)?)
             } else {
                 worker_subject(name)
             };
-            request_granted(through, PermitRequest::WriteOff(subject))?;
-            print_step(through, name, "written off", json!({}));
+            request_granted(options, PermitRequest::WriteOff(subject))?;
+            print_step(options, name, "written off", json!({}));
             Ok(())
         }
-        FleetCommand::Release { run, to, from, back: _, dry_run, wait, through } => {
+        FleetCommand::Release { run, to, from, back: _, dry_run, wait, options } => {
             let wait = Duration::from_secs(*wait);
-            run_release(through, &Release { run, to: to.as_deref(), from, dry_run: *dry_run, wait })
+            run_release(options, &Release { run, to: to.as_deref(), from, dry_run: *dry_run, wait })
         }
-        FleetCommand::Halt(through) => match send_command(through, OperatorCommand::Halt)? {
+        FleetCommand::Halt(options) => match send_command(options, OperatorCommand::Halt)? {
             OperatorReply::Halted(halt) => {
-                print_step(through, "all", "halted", json!({"count": halt.count}));
+                print_step(options, "all", "halted", json!({"count": halt.count}));
                 Ok(())
             }
             _ => Err(unexpected_reply()),
         },
-        FleetCommand::Resume(through) => {
-            let halt = status(through)?.halt;
-            request_granted(through, PermitRequest::Resume(halt.count))?;
-            print_step(through, "all", "resumed", json!({"count": halt.count}));
+        FleetCommand::Resume(options) => {
+            let halt = status(options)?.halt;
+            request_granted(options, PermitRequest::Resume(halt.count))?;
+            print_step(options, "all", "resumed", json!({"count": halt.count}));
             Ok(())
         }
         FleetCommand::View { .. } => Ok(()),
@@ -80,8 +80,8 @@
 }
 
 /// Prints a step as one line or as one JSON object.
-fn print_step(through: &Through, subject: &str, step: &str, details: serde_json::Value) {
-    if through.json {
+fn print_step(options: &OperatorOptions, subject: &str, step: &str, details: serde_json::Value) {
+    if options.json {
         println!("{}", json!({"of": subject, "what": step, "more": details}));
     } else if details.as_object().is_some_and(|details| !details.is_empty()) {
         println!("{subject}: {step} {details}");
@@ -91,9 +91,9 @@
 }
 
 /// Sends a command to the given schedulers in turn and returns the first reply.
-fn send_command(through: &Through, command: OperatorCommand) -> Result<OperatorReply, CommandError> {
+fn send_command(options: &OperatorOptions, command: OperatorCommand) -> Result<OperatorReply, CommandError> {
     let mut last_error = CommandError::Input("no scheduler address given".into());
-    for address in &through.schedulers {
+    for address in &options.schedulers {
         match ask_agreed(*address, command) {
             Ok(reply) => return Ok(reply),
             Err(error) => last_error = CommandError::Run(format!("{address}: {error}")),
@@ -103,36 +103,36 @@
 }
 
 /// Forwards a request to the leader.
-fn send_request(through: &Through, request: PermitRequest) -> Result<PermitResult, CommandError> {
-    match send_command(through, OperatorCommand::Request(request))? {
+fn send_request(options: &OperatorOptions, request: PermitRequest) -> Result<PermitResult, CommandError> {
+    match send_command(options, OperatorCommand::Request(request))? {
         OperatorReply::Answer(result) => Ok(result),
         _ => Err(unexpected_reply()),
     }
 }
 
 /// Like [`send_request`], but a denial is an error. Returns the number in the leader's reply.
-fn request_granted(through: &Through, request: PermitRequest) -> Result<u16, CommandError> {
-    send_request(through, request)?.map_err(|denied| CommandError::Run(denied.to_string()))
+fn request_granted(options: &OperatorOptions, request: PermitRequest) -> Result<u16, CommandError> {
+    send_request(options, request)?.map_err(|denied| CommandError::Run(denied.to_string()))
 }
 
-fn status(through: &Through) -> Result<PermitStatus, CommandError> {
-    match send_command(through, OperatorCommand::Status)? {
+fn status(options: &OperatorOptions) -> Result<PermitStatus, CommandError> {
+    match send_command(options, OperatorCommand::Status)? {
         OperatorReply::Status(status) => Ok(status),
         _ => Err(unexpected_reply()),
     }
 }
 
-fn find_permit(through: &Through, subject: Subject) -> Result<Permit, CommandError> {
-    let permits = status(through)?.permits;
+fn find_permit(options: &OperatorOptions, subject: Subject) -> Result<Permit, CommandError> {
+    let permits = status(options)?.permits;
     let permit = permits.into_iter().find(|permit| permit.subject == subject);
     permit.ok_or_else(|| CommandError::Run("it has no permit in force".into()))
 }
 
 /// Prints whether a permit would be granted now, without acquiring it.
-fn check_permit(through: &Through, name: &str, subject: Subject) -> Result<(), CommandError> {
-    match send_request(through, PermitRequest::Check(subject))? {
-        Ok(_) => print_step(through, name, "might go now", json!({})),
-        Err(denied) => print_step(through, name, "might not go now", json!({"why": denied.to_string()})),
+fn check_permit(options: &OperatorOptions, name: &str, subject: Subject) -> Result<(), CommandError> {
+    match send_request(options, PermitRequest::Check(subject))? {
+        Ok(_) => print_step(options, name, "might go now", json!({})),
+        Err(denied) => print_step(options, name, "might not go now", json!({"why": denied.to_string()})),
     }
     Ok(())
 }
@@ -144,7 +144,7 @@
 /// acquired: whoever requested it, the worker is drained. A scheduler's permit may belong to another operator who is
 /// restarting it now, so it is not taken over; a permit that nobody uses expires.
 fn acquire_permit(
-    through: &Through,
+    options: &OperatorOptions,
     name: &str,
     subject: Subject,
     deadline: Instant,
@@ -153,7 +153,7 @@
     let mut reply_may_be_lost = false;
     loop {
         let requested_at = Instant::now();
-        let reason = match send_request(through, PermitRequest::Acquire(subject)) {
+        let reason = match send_request(options, PermitRequest::Acquire(subject)) {
             Ok(Ok(number)) => return Ok((number, requested_at)),
             Ok(Err(Denied::Taken(number))) if reply_may_be_lost && matches!(subject, Subject::Worker(_)) => {
                 return Ok((number, requested_at));
@@ -175,7 +175,7 @@
             return Err(CommandError::Run(format!("{name}: {reason}")));
         }
         if printed_reason.as_ref() != Some(&reason) {
-            print_step(through, name, "waits", json!({"why": reason}));
+            print_step(options, name, "waits", json!({"why": reason}));
             printed_reason = Some(reason);
         }
         std::thread::sleep(RETRY_INTERVAL);
@@ -185,18 +185,18 @@
 /// Waits until every scheduler has reported that no request of its is in flight to a drained worker. The queried
 /// scheduler has to know this drain first: until then its count covers other drains only.
 fn wait_until_clear(
-    through: &Through,
+    options: &OperatorOptions,
     name: &str,
     (subject, number): (Subject, u16),
     deadline: Instant,
 ) -> Result<(), CommandError> {
     loop {
-        let PermitStatus { unclear, permits, .. } = status(through)?;
+        let PermitStatus { unclear, permits, .. } = status(options)?;
         let drain_known = permits
             .iter()
             .any(|permit| (permit.subject, permit.number, permit.returned) == (subject, number, false));
         if unclear == 0 && drain_known {
-            print_step(through, name, "clear", json!({}));
+            print_step(options, name, "clear", json!({}));
             return Ok(());
         }
         if Instant::now() >= deadline {
@@ -209,9 +209,9 @@
 }
 
 /// Prints the status of permits, halt and release as one scheduler knows it.
-fn print_status(through: &Through) -> Result<(), CommandError> {
-    let status = status(through)?;
-    if through.json {
+fn print_status(options: &OperatorOptions) -> Result<(), CommandError> {
+    let status = status(options)?;
+    if options.json {
         println!("{}", serde_json::to_string(&status)?);
         return Ok(());
     }
@@ -244,8 +244,8 @@
 }
 
 /// Returns the number of the fleet's current plan if it is the one requested, or else of a new plan.
-fn find_or_start_plan(through: &Through, release: &Release) -> Result<u16, CommandError> {
-    let current = status(through)?.plan.map(|(plan, _)| plan);
+fn find_or_start_plan(options: &OperatorOptions, release: &Release) -> Result<u16, CommandError> {
+    let current = status(options)?.plan.map(|(plan, _)| plan);
     let (to, from, rollback) = match (release.to, current) {
         (Some(name), Some(plan)) if plan.to == name_hash(name) && !plan.rollback => return Ok(plan.number),
         (Some(name), Some(plan)) => (name_hash(name), plan.to, false),
@@ -254,29 +254,29 @@
         (None, Some(plan)) => (plan.from, plan.to, true),
         (None, None) => return Err(CommandError::Run("there is no release to roll back".into())),
     };
-    request_granted(through, PermitRequest::Plan { to, from, rollback })
+    request_granted(options, PermitRequest::Plan { to, from, rollback })
 }
 
 /// Carries out the steps of a plan that the fleet stores. If this process dies, the same command run again continues
 /// the plan; a permit that nobody acts on expires.
-fn run_release(through: &Through, release: &Release) -> Result<(), CommandError> {
+fn run_release(options: &OperatorOptions, release: &Release) -> Result<(), CommandError> {
     if release.dry_run {
-        return print_status(through);
+        return print_status(options);
     }
     let mut deadline = Instant::now() + release.wait;
     let number = loop {
-        match find_or_start_plan(through, release) {
+        match find_or_start_plan(options, release) {
             Ok(number) => break number,
             Err(error) if Instant::now() >= deadline => return Err(error),
             Err(_) => std::thread::sleep(RETRY_INTERVAL),
         }
     };
-    print_step(through, "release", "goes on", json!({"plan": number}));
+    print_step(options, "release", "goes on", json!({"plan": number}));
     loop {
         let requested_at = Instant::now();
-        let reason = match send_request(through, PermitRequest::Next(number)) {
+        let reason = match send_request(options, PermitRequest::Next(number)) {
             Ok(Err(Denied::Over)) => {
-                print_step(through, "release", "done", json!({"plan": number}));
+                print_step(options, "release", "done", json!({"plan": number}));
                 return Ok(());
             }
             Ok(Err(denied @ (Denied::Halted | Denied::Stale))) => {
@@ -285,7 +285,7 @@
             Ok(Err(denied)) => denied.to_string(),
             Err(CommandError::Run(error) | CommandError::Input(error)) => error,
             Ok(Ok(permit)) => {
-                restart_next(through, release.run, permit, requested_at)?;
+                restart_next(options, release.run, permit, requested_at)?;
                 deadline = Instant::now() + release.wait;
                 continue;
             }
@@ -299,13 +299,13 @@
 
 /// Restarts the scheduler that a permit names, unless the permit may no longer be acted on.
 fn restart_next(
-    through: &Through,
+    options: &OperatorOptions,
     run: &Path,
     permit: u16,
     requested_at: Instant,
 ) -> Result<(), CommandError> {
     let number = loop {
-        let permits = status(through)?.permits;
+        let permits = status(options)?.permits;
         let granted = permits.iter().find(|granted| granted.number == permit && !granted.returned);
         if let Some(Subject::Scheduler(number)) = granted.map(|granted| granted.subject) {
             break number;
@@ -318,13 +318,13 @@
     let (name, subject) = (format!("n{number}"), Subject::Scheduler(number));
     // The reply may have been delayed: check the time right before acting on the permit.
     if requested_at.elapsed() >= PERMIT_USE_LIMIT {
-        let _ = send_request(through, PermitRequest::Return(subject, permit));
+        let _ = send_request(options, PermitRequest::Return(subject, permit));
         return Ok(());
     }
-    print_step(through, &name, "goes", json!({"permit": permit}));
+    print_step(options, &name, "goes", json!({"permit": permit}));
     let status = Command::new(run).arg(number.to_string()).status()?;
     if !status.success() {
-        let _ = send_command(through, OperatorCommand::Halt);
+        let _ = send_command(options, OperatorCommand::Halt);
         return Err(CommandError::Run(format!(
             "{name}: {} failed: {status}; the fleet is halted",
             run.display()
@@ -332,10 +332,10 @@
     }
     // If this request is lost, the permit ends later, once the leader observes the scheduler in use again.
     if let Err(CommandError::Run(error) | CommandError::Input(error)) =
-        request_granted(through, PermitRequest::Return(subject, permit))
+        request_granted(options, PermitRequest::Return(subject, permit))
     {
-        print_step(through, &name, "is back, but its permit was not returned", json!({"why": error}));
+        print_step(options, &name, "is back, but its permit was not returned", json!({"why": error}));
     }
-    print_step(through, &name, "is back", json!({}));
+    print_step(options, &name, "is back", json!({}));
     Ok(())
 }
