--- a/crates/pending/src/claims.rs
+++ b/crates/pending/src/claims.rs
@@ -1,9 +1,9 @@
 //! What gateways answer one another of what is taken over: claims, and what was done in the place of one that returns.
 
-use crate::ends::Sent;
-use crate::rebuild::{Event, Heirs, Stage, rank};
+use crate::resolution::Sent;
+use crate::recovery::{Event, Heirs, Stage, rank};
 use crate::types::{Key, Outcome, Source, WallMs};
-use crate::words::{Copy, Fate, Gone, Heir, Say, Stand, Why, Word};
+use crate::takeover_messages::{Copy, Fate, Gone, Heir, Say, Stand, Why, Word};
 use basaltward_membership::{MemberId, Micros};
 
 /// Keys in a word, at most, and bytes of answers in one.
--- a/crates/pending/src/holder.rs
+++ b/crates/pending/src/holder.rs
@@ -5,7 +5,7 @@
 use crate::error::Fault;
 use crate::types::{Entry, Key, Source, Step, WallMs};
 use crate::wire::{Ack, Lines, Not, Release, Sent};
-use crate::words::Copy;
+use crate::takeover_messages::Copy;
 use basaltward_membership::{MemberId, Micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/pending/src/glance.rs
+++ b/crates/pending/src/inspect.rs
@@ -4,7 +4,7 @@
 use crate::error::WireError;
 use crate::types::{Key, Outcome, Source, Step};
 use crate::wire::{Message, Sent, open};
-use crate::words::{Fate, Say, Stand, Word};
+use crate::takeover_messages::{Fate, Say, Stand, Word};
 
 /// One thing that a frame says.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/pending/src/seam.rs
+++ b/crates/pending/src/interface.rs
@@ -1,9 +1,9 @@
 //! What goes into the machine and comes out of it, and how it is set.
 
-use crate::ends::End;
+use crate::resolution::End;
 use crate::error::{Fault, Unkept};
 use crate::types::{Accepted, Key, Outcome, Step, WallMs};
-use crate::words::Gone;
+use crate::takeover_messages::Gone;
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use basaltward_permits::{Observations, PermitRequest, PermitState, Subject};
 
--- a/crates/pending/src/journal.rs
+++ b/crates/pending/src/journal.rs
@@ -2,13 +2,13 @@
 //! as held once as many as the event's class wants have acknowledged it. What has ended is let go of; what is pending
 //! when a holder falls away is sent to another.
 
-mod holders;
+mod replication;
 
 use crate::entry::{Line, ORIGIN};
 use crate::error::{Fault, Unkept};
 use crate::lease::{Lease, Terms};
-use crate::neighbour::Neighbour;
-use crate::seam::{Output, PendingSettings};
+use crate::holder_progress::Neighbour;
+use crate::interface::{Output, PendingSettings};
 use crate::types::{Again, Key, Outcome, Source, Step, WallMs};
 use crate::wire::{Ack, Not, Release};
 use basaltward_membership::{MemberId, Micros};
--- a/crates/pending/src/journal/holders.rs
+++ b/crates/pending/src/journal/replication.rs
@@ -1,9 +1,9 @@
 //! Who holds the journal, and what is sent to them.
 
 use super::Journal;
-use crate::choose::{Standing, choose};
-use crate::neighbour::Neighbour;
-use crate::seam::Output;
+use crate::holder_selection::{Standing, choose};
+use crate::holder_progress::Neighbour;
+use crate::interface::Output;
 use crate::wire::{FRAME, Lines, Message, Release, Sent, close};
 use basaltward_membership::{MemberId, Micros};
 
--- a/crates/pending/src/lib.rs
+++ b/crates/pending/src/lib.rs
@@ -2,42 +2,42 @@
 //! them where a site is lost. Free of I/O: inputs and times in, outputs and a next time out.
 #![warn(missing_docs)]
 
-mod choose;
+mod holder_selection;
 mod claims;
-mod ends;
+mod resolution;
 mod entry;
 mod error;
-mod glance;
+mod inspect;
 mod holder;
 mod journal;
-mod kept;
+mod pending_events;
 mod lease;
-mod neighbour;
+mod holder_progress;
 mod owner;
-mod rebuild;
-mod seam;
+mod recovery;
+mod interface;
 mod takeover;
 mod types;
 mod wire;
-mod words;
-mod world;
+mod takeover_messages;
+mod simulation;
 
-pub use ends::{Case, End, Sent, end};
+pub use resolution::{Case, End, Sent, end};
 pub use error::{Fault, Unkept, WireError};
-pub use glance::{Glance, glance};
+pub use inspect::{Glance, glance};
 #[doc(hidden)]
 pub use holder::Planted;
 pub use journal::Written;
-pub use kept::Pending;
+pub use pending_events::Pending;
 pub use lease::{Lease, Promises, Refused, Terms};
 pub use owner::{owner, taken};
-pub use rebuild::Heirs;
+pub use recovery::Heirs;
 #[doc(hidden)]
-pub use rebuild::Planted as HeirsPlanted;
-pub use seam::{Input, Output, PendingSettings};
+pub use recovery::Planted as HeirsPlanted;
+pub use interface::{Input, Output, PendingSettings};
 #[doc(hidden)]
 pub use takeover::Planted as WatchPlanted;
 pub use takeover::{Return, Step as ReturnStep, Turn, Watch};
 pub use types::{Accepted, Again, Entry, Key, Outcome, Source, Step, WallMs};
-pub use words::{Copy, Counted, Fate, Gone, Heir, HeirsSettings, Say, Stand, Why, Word};
-pub use world::{Damage, Gateway, Said, Sites};
+pub use takeover_messages::{Copy, Counted, Fate, Gone, Heir, HeirsSettings, Say, Stand, Why, Word};
+pub use simulation::{Damage, Gateway, Said, Sites};
--- a/crates/pending/src/kept.rs
+++ b/crates/pending/src/pending_events.rs
@@ -6,12 +6,12 @@
 use crate::holder::{Holder, Planted};
 use crate::journal::{Journal, Written};
 use crate::lease::{Promises, Refused, Terms};
-use crate::rebuild::Heirs;
-use crate::seam::{Input, Output, PendingSettings};
+use crate::recovery::Heirs;
+use crate::interface::{Input, Output, PendingSettings};
 use crate::takeover::{Return, Step as Homeward, Turn, Watch};
 use crate::types::{Key, Source, Step, WallMs};
 use crate::wire::{Lines, Message, close, open};
-use crate::words::{Copy, Counted, Fate, Heir, HeirsSettings, Word};
+use crate::takeover_messages::{Copy, Counted, Fate, Heir, HeirsSettings, Word};
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use basaltward_permits::{Observations, PermitRequest, PermitState, Subject};
 use std::collections::BTreeMap;
@@ -138,7 +138,7 @@
     }
 
     #[doc(hidden)]
-    pub fn plant_heirs(&mut self, planted: crate::rebuild::Planted) {
+    pub fn plant_heirs(&mut self, planted: crate::recovery::Planted) {
         self.heirs.plant(planted);
     }
 
--- a/crates/pending/src/rebuild.rs
+++ b/crates/pending/src/recovery.rs
@@ -4,9 +4,9 @@
 //! ration. What is missing is named, and counts as if it spoke of a first byte.
 
 use crate::claims::BATCH;
-use crate::ends::{Case, End, Sent, end};
+use crate::resolution::{Case, End, Sent, end};
 use crate::types::{Accepted, Entry, Key, Outcome, Source, Step, WallMs};
-use crate::words::{Copy, Counted, Fate, Gone, Heir, HeirsSettings, Why, Word};
+use crate::takeover_messages::{Copy, Counted, Fate, Gone, Heir, HeirsSettings, Why, Word};
 use basaltward_membership::{MemberId, Micros, Site};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/pending/src/world.rs
+++ b/crates/pending/src/simulation.rs
@@ -2,8 +2,8 @@
 //! late, doubled, out of order, cut or changed, gateways that crash, stand still and come back knowing nothing.
 
 use crate::holder::Planted;
-use crate::kept::Pending;
-use crate::seam::{Input, Output, PendingSettings};
+use crate::pending_events::Pending;
+use crate::interface::{Input, Output, PendingSettings};
 use crate::types::{Key, Source, Step, WallMs};
 use crate::wire::{Message, Sent, close, open};
 use basaltward_membership::{LinkFaults, MemberId, Micros, Site, SiteMap, VirtualNetwork, VirtualNode};
--- a/crates/pending/src/words.rs
+++ b/crates/pending/src/takeover_messages.rs
@@ -1,6 +1,6 @@
 //! What gateways tell one another of what is taken over, and what an heir puts out.
 
-use crate::ends::{End, Sent};
+use crate::resolution::{End, Sent};
 use crate::types::{Accepted, Entry, Key, Outcome, Source, WallMs};
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use serde::{Deserialize, Serialize};
--- a/crates/pending/src/wire.rs
+++ b/crates/pending/src/wire.rs
@@ -3,7 +3,7 @@
 
 use crate::error::WireError;
 use crate::types::Source;
-use crate::words::Word;
+use crate::takeover_messages::Word;
 use basaltward_membership::Micros;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
