--- a/crates/bench/src/pending.rs
+++ b/crates/bench/src/pending.rs
@@ -4,7 +4,8 @@
 use crate::memory::resident;
 use basaltward_membership::{LinkFaults, MemberId, Micros, SiteMap};
 use basaltward_pending::{
-    Accepted, Again, Input, Key, Outcome, Output, Pending, PendingSettings, Said, Sites, Step,
+    Accepted, Input, Key, Outcome, Output, PendingEvents, PendingSettings, RepeatSafety, SimulatedOutput,
+    SimulatedSites, Step,
 };
 use basaltward_permits::Subject;
 use std::collections::BTreeMap;
@@ -20,7 +21,7 @@
 fn accepted(key: u128, body: usize) -> Step {
     let (function, event) = ("function-0123".into(), vec![b'x'; body]);
     let deadline = 1_800_000_060_000;
-    let again = Again::Unsafe;
+    let again = RepeatSafety::Unsafe;
     Step::Accepted(Accepted {
         key: Key(key),
         class: 0,
@@ -43,7 +44,7 @@
 
 /// A writer, its holder, and what went between them.
 struct Pair {
-    both: [Pending; 2],
+    both: [PendingEvents; 2],
     now: Micros,
     wire: [usize; 2],
     frames: [usize; 2],
@@ -53,7 +54,7 @@
 
 impl Pair {
     fn new() -> Result<Self, Box<dyn Error>> {
-        let mut both = [Pending::new(settings(0)?, 0), Pending::new(settings(1)?, 0)];
+        let mut both = [PendingEvents::new(settings(0)?, 0), PendingEvents::new(settings(1)?, 0)];
         let mut out = Vec::new();
         both[0].handle(0, WALL, Input::Live(vec![true; 2]), &mut out);
         both[0].handle(0, WALL, Input::LinkUp { of: 1, life: 2 }, &mut out);
@@ -221,8 +222,11 @@
     let sites = vec![0, 0, 1, 1, 2, 2];
     let places = SiteMap::new(sites.clone(), 0).ok_or("not in the list")?;
     let settings = PendingSettings::new(places, 0, vec![1], seed);
-    let mut world =
-        Sites::new(sites, settings, LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: late });
+    let mut world = SimulatedSites::new(
+        sites,
+        settings,
+        LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: late },
+    );
     world.start_all();
     world.run(world.net.now + 8_000_000);
     world.net.outputs.clear();
@@ -232,14 +236,14 @@
         world.run(world.net.now + 100);
         for (at, of, said) in std::mem::take(&mut world.net.outputs) {
             match said {
-                Said::Told(Output::Held { key }) => {
+                SimulatedOutput::Local(Output::Held { key }) => {
                     times[0].push(at - began[&key]);
                     if !together {
                         began.insert(key, world.net.now);
                         world.step(of, sending(key.0));
                     }
                 }
-                Said::Told(Output::May { key, .. }) => {
+                SimulatedOutput::Local(Output::May { key, .. }) => {
                     times[1].push(at - began[&key]);
                     world.step(of, ended(key.0, 100));
                 }
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -1,7 +1,7 @@
 //! Every error of the rooms of sites stands on the operators' page, and nothing else does.
 
 use basaltward_peers::{ConnectionError, PeerError};
-use basaltward_pending::{Fault, Refused, Unkept, Why, WireError};
+use basaltward_pending::{JournalFault, LeaseRefusal, LossReason, ReplicationError, WireError};
 use basaltward_route::RouteError;
 use basaltward_shed::ShedError;
 use std::collections::BTreeSet;
@@ -30,12 +30,12 @@
         (
             "Journals of kept events",
             all(&[
-                ("Unkept::", Unkept::VARIANTS),
+                ("Unkept::", ReplicationError::VARIANTS),
                 ("WireError::", WireError::VARIANTS),
-                ("Fault::", Fault::VARIANTS),
+                ("Fault::", JournalFault::VARIANTS),
             ]),
         ),
-        ("Leases and heirs", all(&[("Refused::", Refused::VARIANTS), ("", Why::VARIANTS)])),
+        ("Leases and heirs", all(&[("Refused::", LeaseRefusal::VARIANTS), ("", LossReason::VARIANTS)])),
         ("Choice of site", all(&[("", RouteError::VARIANTS)])),
         ("The door", all(&[("", ShedError::VARIANTS)])),
     ];
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -12,7 +12,9 @@
     Channel, ConnectionConfig, ConnectionEvent, EndpointConfig, EndpointEvent, Event, PeerConfig,
     PeerEndpoint, SitesToWatch,
 };
-use basaltward_pending::{End, Fate, Input, Output, Pending, PendingSettings, Step, taken};
+use basaltward_pending::{
+    EventStatus, Input, Output, PendingEvents, PendingSettings, Resolution, Step, taken,
+};
 use basaltward_permits::{Denied, PermitRequest};
 use basaltward_route::{FunctionTold, Route, RouteSettings};
 use basaltward_rules::{Observation, Recorder};
@@ -46,7 +48,7 @@
     route: Route,
     shed: Shed,
     shed_stands: Micros,
-    pending: Pending,
+    pending: PendingEvents,
     hand_over: bool,
     loops: Vec<ControlEnd>,
     words: Vec<VecDeque<Word>>,
@@ -177,7 +179,7 @@
             route,
             shed,
             shed_stands,
-            pending: Pending::new(pending, now),
+            pending: PendingEvents::new(pending, now),
             hand_over: sites.hand_over,
             words: loops.iter().map(|_| VecDeque::new()).collect(),
             loops,
@@ -261,9 +263,11 @@
                     _ => None,
                 };
                 let (key, word) = match fate {
-                    Some((key, Fate::Ended(outcome, answer))) => (key, Word::Told(key, outcome, answer)),
-                    Some((key, Fate::By(by))) if by != own => (key, Word::Elsewhere(key)),
-                    Some((key, Fate::Open)) => (key, Word::Elsewhere(key)),
+                    Some((key, EventStatus::Ended(outcome, answer))) => {
+                        (key, Word::Told(key, outcome, answer))
+                    }
+                    Some((key, EventStatus::OwnedBy(by))) if by != own => (key, Word::Elsewhere(key)),
+                    Some((key, EventStatus::Unassigned)) => (key, Word::Elsewhere(key)),
                     Some(_) | None => {
                         self.pending.handle(now, wall_ms(), Input::Step(step), &mut out);
                         continue;
@@ -466,7 +470,7 @@
                         ?end,
                         "done for a lost gateway"
                     );
-                    let before = if let End::SameKey { before } = end { before } else { u64::MAX };
+                    let before = if let Resolution::SameKey { before } = end { before } else { u64::MAX };
                     let at = (pending.key.0 % self.loops.len().max(1) as u128) as usize;
                     if let Some(words) = self.words.get_mut(at) {
                         words.push_back(Word::Run(Box::new(pending), before));
@@ -481,7 +485,7 @@
                     );
                     self.say(|| Word::Told(key, outcome, answer.clone()));
                 }
-                Output::Gone(gone) => warn!(scheduler = self.name, %gone, "journal of a lost gateway"),
+                Output::JournalLoss(gone) => warn!(scheduler = self.name, %gone, "journal of a lost gateway"),
             }
         }
     }
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -9,7 +9,7 @@
 use basaltward_cloudevents::{Attribute, Event, from_json, to_json};
 use basaltward_config::{ReplicationConfig, UnreplicatedPolicy};
 use basaltward_engine::{Answer, AttemptEnd, AttemptId, Failure, Identity, NewCall, Refusal, WaiterId};
-use basaltward_pending::{Accepted, Again, Key, Outcome, Step};
+use basaltward_pending::{Accepted, Key, Outcome, RepeatSafety, Step};
 use basaltward_timers::Timers;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -108,12 +108,12 @@
     pub steps: VecDeque<Step>,
 }
 
-fn again(repeat: Repeat) -> Again {
+fn again(repeat: Repeat) -> RepeatSafety {
     match repeat {
-        Repeat::Safe => Again::Safe,
+        Repeat::Safe => RepeatSafety::Safe,
         // Workers of another site share no memory of keys but where all do.
-        Repeat::Keyed { group: Group::All, window } => Again::Keyed { window },
-        Repeat::Keyed { .. } | Repeat::Unsafe => Again::Unsafe,
+        Repeat::Keyed { group: Group::All, window } => RepeatSafety::Keyed { window },
+        Repeat::Keyed { .. } | Repeat::Unsafe => RepeatSafety::Unsafe,
     }
 }
 
--- a/crates/pending/src/claims.rs
+++ b/crates/pending/src/claims.rs
@@ -1,9 +1,12 @@
 //! What gateways answer one another of what is taken over: claims, and what was done in the place of one that returns.
 
-use crate::resolution::Sent;
-use crate::recovery::{Event, Heirs, Stage, rank};
+use crate::recovery::{Event, EventStage, Recovery, rank};
+use crate::resolution::FirstSend;
+use crate::takeover_messages::{
+    ClaimDecision, ClaimReply, EventStatus, JournalLoss, JournalSnapshot, LossReason, RecoveryOutput,
+    TakeoverMessage,
+};
 use crate::types::{Key, Outcome, Source, WallMs};
-use crate::takeover_messages::{Copy, Fate, Gone, Heir, Say, Stand, Why, Word};
 use basaltward_membership::{MemberId, Micros};
 
 /// Keys in a word, at most, and bytes of answers in one.
@@ -13,62 +16,72 @@
 /// some are past their time.
 const LEARNT: (usize, usize) = (1 << 17, 16 << 20);
 
-impl Heirs {
+impl Recovery {
     /// Another gateway's word. `copies` gives all that we hold of a gateway's journals, up to a life.
     pub fn word(
         &mut self,
         now: Micros,
         from: MemberId,
-        word: Word,
-        copies: impl Fn(MemberId, u64) -> Vec<Copy>,
-        out: &mut Vec<Heir>,
+        word: TakeoverMessage,
+        copies: impl Fn(MemberId, u64) -> Vec<JournalSnapshot>,
+        out: &mut Vec<RecoveryOutput>,
     ) {
         match word {
-            Word::Claim(keys) => {
-                let says: Vec<Say> = keys
+            TakeoverMessage::Claim(keys) => {
+                let says: Vec<ClaimReply> = keys
                     .into_iter()
                     .filter_map(|(key, source, line)| self.claimed(from, key, source, line))
                     .collect();
                 let age = now.saturating_sub(self.start);
-                for says in
-                    pieces(says, |say| matches!(&say.stand, Stand::Ended(_, answer) if !answer.is_empty()))
-                {
-                    out.push(Heir::Send(from, Word::Says { age, says }));
+                for says in pieces(
+                    says,
+                    |say| matches!(&say.stand, ClaimDecision::Ended(_, answer) if !answer.is_empty()),
+                ) {
+                    out.push(RecoveryOutput::Send(
+                        from,
+                        TakeoverMessage::ClaimReplies { age, replies: says },
+                    ));
                 }
             }
-            Word::Says { age, says } => says.into_iter().for_each(|say| self.said(now, from, age, say, out)),
-            Word::Over(ends) => {
+            TakeoverMessage::ClaimReplies { age, replies: says } => {
+                says.into_iter().for_each(|say| self.said(now, from, age, say, out))
+            }
+            TakeoverMessage::Ended(ends) => {
                 for (key, outcome, answer) in ends {
                     if let Some((_, fate)) =
-                        self.learnt.get_mut(&key).filter(|(_, fate)| *fate == Fate::By(from))
+                        self.learnt.get_mut(&key).filter(|(_, fate)| *fate == EventStatus::OwnedBy(from))
                     {
                         let fits = self.learnt_bytes + answer.len() <= LEARNT.1;
-                        *fate = Fate::Ended(outcome, if fits { answer.clone() } else { Vec::new() });
+                        *fate = EventStatus::Ended(outcome, if fits { answer.clone() } else { Vec::new() });
                         self.learnt_bytes += fate.answer_bytes();
                     }
-                    let theirs = |event: &&mut Event| event.stage == Stage::Theirs(from);
+                    let theirs = |event: &&mut Event| event.stage == EventStage::OwnedBy(from);
                     if let Some(event) = self.events.get_mut(&key).filter(theirs) {
                         Self::close(event, &mut self.out, outcome, answer);
                     }
                 }
             }
-            Word::Holds(of, life) => {
+            TakeoverMessage::HoldsQuery(of, life) => {
                 if self.begun.get(&of).is_some_and(|begun| *begun >= life) {
                     let any = !copies(of, life).is_empty();
-                    out.push(Heir::Send(from, Word::Held(of, any)));
+                    out.push(RecoveryOutput::Send(from, TakeoverMessage::HoldsReply(of, any)));
                 }
             }
-            Word::Held(of, true) => _ = self.asked.remove(&of),
-            Word::Held(of, false) => {
+            TakeoverMessage::HoldsReply(of, true) => _ = self.asked.remove(&of),
+            TakeoverMessage::HoldsReply(of, false) => {
                 self.asked.get_mut(&of).into_iter().for_each(|left| _ = left.remove(&from));
             }
-            Word::Back { life, after } => self.tell_back(now, from, life, after, copies, out),
-            Word::Did { life, fates, more } => self.learn(from, life, fates, more, out),
+            TakeoverMessage::ReturnQuery { life, after } => {
+                self.tell_back(now, from, life, after, copies, out)
+            }
+            TakeoverMessage::ReturnReply { life, statuses: fates, more } => {
+                self.learn(from, life, fates, more, out)
+            }
         }
     }
 
     /// What we answer a claim, and what we are bound by from then on.
-    fn claimed(&mut self, from: MemberId, key: Key, source: Source, line: u64) -> Option<Say> {
+    fn claimed(&mut self, from: MemberId, key: Key, source: Source, line: u64) -> Option<ClaimReply> {
         if self.begun.get(&source.gateway).is_none_or(|life| *life < source.life) {
             return None;
         }
@@ -77,34 +90,42 @@
         let Some(event) = self.events.get_mut(&key) else {
             // Our copy has gone past it and holds nothing of it: it was over, and how is not known any more.
             let over = upto.is_some_and(|(through, _)| through >= line);
-            let stand = if over { Stand::Ended(Outcome::Failed, Vec::new()) } else { Stand::Yours };
-            return Some(Say { key, stand, sent: Sent::Never, line: None, upto, torn });
+            let stand =
+                if over { ClaimDecision::Ended(Outcome::Failed, Vec::new()) } else { ClaimDecision::Granted };
+            return Some(ClaimReply { key, stand, sent: FirstSend::Never, line: None, upto, torn });
         };
         event.holders.insert(from);
         let ours = match event.stage {
-            Stage::Ready | Stage::Out => true,
-            Stage::Open | Stage::Claiming(_) => rank(key, self.own) > rank(key, from),
-            Stage::Theirs(_) | Stage::Over(..) => false,
+            EventStage::Ready | EventStage::Running => true,
+            EventStage::Unclaimed | EventStage::Claiming(_) => rank(key, self.own) > rank(key, from),
+            EventStage::OwnedBy(_) | EventStage::Ended(..) => false,
         };
         let stand = match &event.stage {
-            Stage::Over(outcome, answer) => Stand::Ended(*outcome, answer.clone()),
-            _ if ours => Stand::Mine,
+            EventStage::Ended(outcome, answer) => ClaimDecision::Ended(*outcome, answer.clone()),
+            _ if ours => ClaimDecision::Denied,
             _ => {
-                event.stage = Stage::Theirs(from);
-                Stand::Yours
+                event.stage = EventStage::OwnedBy(from);
+                ClaimDecision::Granted
             }
         };
-        Some(Say { key, stand, sent: event.sent, line: Some(event.line), upto, torn })
+        Some(ClaimReply { key, stand, sent: event.sent, line: Some(event.line), upto, torn })
     }
 
-    fn said(&mut self, now: Micros, from: MemberId, age: Micros, say: Say, out: &mut Vec<Heir>) {
+    fn said(
+        &mut self,
+        now: Micros,
+        from: MemberId,
+        age: Micros,
+        say: ClaimReply,
+        out: &mut Vec<RecoveryOutput>,
+    ) {
         let Some(event) = self.events.get_mut(&say.key) else { return };
-        if !matches!(&event.stage, Stage::Claiming(left) if left.contains(&from)) {
+        if !matches!(&event.stage, EventStage::Claiming(left) if left.contains(&from)) {
             return;
         }
         // One that began after its owner was last heard may have forgotten what it held; clocks differ by a tenth.
         if age < now.saturating_sub(event.heard).saturating_mul(5) / 4 {
-            event.sent = Sent::Unknown;
+            event.sent = FirstSend::Unknown;
         }
         if let Some(line) = say.line.filter(|line| event.is_older_than(*line)) {
             event.follows(line, say.sent);
@@ -123,19 +144,23 @@
         if let Some((source, number, chain)) = say.line {
             event.holders.insert(from);
             if (source, number) == (own.0, own.1) && chain != own.2 {
-                event.sent = Sent::Unknown;
-                contradicted =
-                    Some(Gone { source_of: source, from: number, to: Some(number), why: Why::Contradicted });
+                event.sent = FirstSend::Unknown;
+                contradicted = Some(JournalLoss {
+                    source_of: source,
+                    from: number,
+                    to: Some(number),
+                    why: LossReason::Contradicted,
+                });
             }
         }
         match say.stand {
-            Stand::Yours => {
-                if let Stage::Claiming(left) = &mut event.stage {
+            ClaimDecision::Granted => {
+                if let EventStage::Claiming(left) = &mut event.stage {
                     left.remove(&from);
                 }
             }
-            Stand::Mine => event.stage = Stage::Theirs(from),
-            Stand::Ended(outcome, answer) => Self::close(event, &mut self.out, outcome, answer),
+            ClaimDecision::Denied => event.stage = EventStage::OwnedBy(from),
+            ClaimDecision::Ended(outcome, answer) => Self::close(event, &mut self.out, outcome, answer),
         }
         contradicted.into_iter().for_each(|gone| self.name(gone, out));
     }
@@ -147,8 +172,8 @@
         from: MemberId,
         life: u64,
         after: Option<Key>,
-        copies: impl Fn(MemberId, u64) -> Vec<Copy>,
-        out: &mut Vec<Heir>,
+        copies: impl Fn(MemberId, u64) -> Vec<JournalSnapshot>,
+        out: &mut Vec<RecoveryOutput>,
     ) {
         if self.begun.get(&from).is_none_or(|begun| *begun < life) {
             self.begin(now, from, life, false, copies(from, life));
@@ -159,7 +184,7 @@
         all.for_each(|event| _ = event.holders.insert(from));
         let later = |key: &Key| after.is_none_or(|after| *key > after);
         let rest = self.events.iter().filter(|(key, event)| later(key) && of_it(event));
-        let (mut fates, mut bytes, mut more) = (Vec::<(Key, WallMs, Fate)>::new(), 0, None);
+        let (mut fates, mut bytes, mut more) = (Vec::<(Key, WallMs, EventStatus)>::new(), 0, None);
         for (key, event) in rest {
             let fate = self.fate_of(event);
             bytes += fate.answer_bytes();
@@ -169,7 +194,7 @@
             }
             fates.push((*key, event.accepted.deadline, fate));
         }
-        out.push(Heir::Send(from, Word::Did { life, fates, more }));
+        out.push(RecoveryOutput::Send(from, TakeoverMessage::ReturnReply { life, statuses: fates, more }));
     }
 
     /// What others did in our place, for repeats: an end goes before who does it, and that before nobody yet.
@@ -177,30 +202,30 @@
         &mut self,
         from: MemberId,
         life: u64,
-        fates: Vec<(Key, WallMs, Fate)>,
+        fates: Vec<(Key, WallMs, EventStatus)>,
         more: Option<Key>,
-        out: &mut Vec<Heir>,
+        out: &mut Vec<RecoveryOutput>,
     ) {
         if self.learnt.len() + fates.len() > LEARNT.0 {
             return;
         }
         out.push(match more {
-            Some(_) => Heir::Send(from, Word::Back { life, after: more }),
-            None => Heir::Learnt(from),
+            Some(_) => RecoveryOutput::Send(from, TakeoverMessage::ReturnQuery { life, after: more }),
+            None => RecoveryOutput::ReturnLearned(from),
         });
         for (key, deadline, fate) in fates {
-            let known = self.learnt.entry(key).or_insert((deadline, Fate::Open));
+            let known = self.learnt.entry(key).or_insert((deadline, EventStatus::Unassigned));
             let later = match (&known.1, &fate) {
-                (Fate::Ended(..), _) | (_, Fate::Open) => false,
-                (Fate::Open, _) | (_, Fate::Ended(..)) => true,
+                (EventStatus::Ended(..), _) | (_, EventStatus::Unassigned) => false,
+                (EventStatus::Unassigned, _) | (_, EventStatus::Ended(..)) => true,
                 // Whoever does it says so itself.
-                (Fate::By(_), Fate::By(of)) => *of == from,
+                (EventStatus::OwnedBy(_), EventStatus::OwnedBy(of)) => *of == from,
             };
             if later {
                 known.1 = match fate {
                     // It was served: that its answer is not kept is told as it is of one that was too long.
-                    Fate::Ended(outcome, answer) if self.learnt_bytes + answer.len() > LEARNT.1 => {
-                        Fate::Ended(outcome, Vec::new())
+                    EventStatus::Ended(outcome, answer) if self.learnt_bytes + answer.len() > LEARNT.1 => {
+                        EventStatus::Ended(outcome, Vec::new())
                     }
                     fate => fate,
                 };
@@ -211,8 +236,8 @@
 }
 
 /// Pieces of at most [`BATCH`], those with answers alone.
-fn pieces(says: Vec<Say>, alone: impl Fn(&Say) -> bool) -> Vec<Vec<Say>> {
-    let mut pieces: Vec<Vec<Say>> = Vec::new();
+fn pieces(says: Vec<ClaimReply>, alone: impl Fn(&ClaimReply) -> bool) -> Vec<Vec<ClaimReply>> {
+    let mut pieces: Vec<Vec<ClaimReply>> = Vec::new();
     let mut room = 0;
     for say in says {
         if room == 0 || alone(&say) {
--- a/crates/pending/src/entry.rs
+++ b/crates/pending/src/entry.rs
@@ -6,21 +6,21 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// What a line without its bytes costs, wherever it is held.
-pub const HOLLOW: usize = size_of::<Line>();
+pub const HOLLOW: usize = size_of::<StoredEntry>();
 /// What one with them costs beside: it stands in lists by event and by time. Measured by `basaltward-bench pending`.
 const LISTED: usize = 144;
 
 /// The bytes of a line.
 #[derive(Serialize, Deserialize)]
 struct Content {
-    /// From when on nothing depends on it. First, as [`Line::until`] reads it alone.
+    /// From when on nothing depends on it. First, as [`StoredEntry::until`] reads it alone.
     until: WallMs,
     step: Step,
 }
 
 /// A line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct StoredEntry {
     /// Digest of its bytes.
     pub digest: u64,
     /// Over this digest, its source and number, and the chain before.
@@ -42,7 +42,7 @@
     xxh3_64(&bytes)
 }
 
-impl Line {
+impl StoredEntry {
     /// A line as it is written.
     pub fn new(before: u64, source: Source, number: u64, until: WallMs, step: Step) -> Option<Self> {
         let bytes = postcard::to_allocvec(&Content { until, step }).ok()?.into_boxed_slice();
--- a/crates/pending/src/error.rs
+++ b/crates/pending/src/error.rs
@@ -5,7 +5,7 @@
 
 /// Why an event is not kept, or not kept any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, strum::VariantNames)]
-pub enum Unkept {
+pub enum ReplicationError {
     /// The class keeps nothing.
     #[error("class {0} keeps no events: give it pending=\"kept\" in the settings of all gateways alike")]
     Class(u16),
@@ -84,7 +84,7 @@
 
 /// What is named and never filled: a journal as it came differs from what was written, or is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, strum::VariantNames)]
-pub enum Fault {
+pub enum JournalFault {
     /// Entries are missing. They are asked for again.
     #[error(
         "journal {of:?}: entries {from} to {to} are missing; nothing to do if this ends with a reconnect"
--- a/crates/pending/src/holder.rs
+++ b/crates/pending/src/holder.rs
@@ -1,11 +1,11 @@
 //! The holder's side: journals of gateways of other sites, taken in order only, each line checked against the chain.
 //! What is missing or changed is named and asked for again, never filled. Two lives of a gateway are two journals.
 
-use crate::entry::{HOLLOW, Line, chained, read};
-use crate::error::Fault;
+use crate::entry::{HOLLOW, StoredEntry, chained, read};
+use crate::error::JournalFault;
+use crate::takeover_messages::JournalSnapshot;
 use crate::types::{Entry, Key, Source, Step, WallMs};
-use crate::wire::{Ack, Lines, Not, Release, Sent};
-use crate::takeover_messages::Copy;
+use crate::wire::{Ack, Append, RejectReason, Release, WireEntry};
 use basaltward_membership::{MemberId, Micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use xxhash_rust::xxh3::xxh3_64;
@@ -15,17 +15,17 @@
 /// No journal comes to this number.
 const FAR: u64 = 1 << 62;
 /// What a journal costs beside its lines.
-const SHELF: usize = size_of::<Shelf>() + 64;
+const SHELF: usize = size_of::<HeldJournal>() + 64;
 
 /// One journal as it is held.
 #[derive(Debug)]
-struct Shelf {
+struct HeldJournal {
     begun: u32,
     /// The number of the first line that is held, and the chain before it.
     first: u64,
     before: u64,
-    lines: VecDeque<Line>,
-    /// Lines of events that have not ended, by event.
+    lines: VecDeque<StoredEntry>,
+    /// Append of events that have not ended, by event.
     pending: BTreeMap<Key, Vec<u64>>,
     /// The last line that its writer said to have written.
     head: u64,
@@ -41,23 +41,23 @@
     most: usize,
     bytes: usize,
     begun: u32,
-    shelves: BTreeMap<Source, Shelf>,
-    /// Lines with their bytes, by when nothing depends on them.
+    shelves: BTreeMap<Source, HeldJournal>,
+    /// Append with their bytes, by when nothing depends on them.
     due: BTreeSet<(WallMs, Source, u64)>,
-    planted: Option<Planted>,
+    planted: Option<HolderFault>,
 }
 
 /// A fault to be planted, which tests have to find.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
-    /// Lines are acknowledged before they are stored, and some are not.
+pub enum HolderFault {
+    /// Append are acknowledged before they are stored, and some are not.
     AckFirst,
     /// The chain is not checked.
     Unchained,
 }
 
-impl Shelf {
+impl HeldJournal {
     fn new(begun: u32, first: u64, before: u64) -> Self {
         Self {
             begun,
@@ -84,7 +84,7 @@
         self.lines.back().map_or(self.before, |line| line.chain)
     }
 
-    fn line(&mut self, number: u64) -> Option<&mut Line> {
+    fn line(&mut self, number: u64) -> Option<&mut StoredEntry> {
         self.lines.get_mut(number.checked_sub(self.first)? as usize)
     }
 }
@@ -96,7 +96,7 @@
     }
 
     #[doc(hidden)]
-    pub fn plant(&mut self, planted: Planted) {
+    pub fn plant(&mut self, planted: HolderFault) {
         self.planted = Some(planted);
     }
 
@@ -119,9 +119,9 @@
     }
 
     /// All that is held of a gateway's lives up to this one.
-    pub fn copies(&self, now: Micros, of: MemberId, life: u64) -> Vec<Copy> {
+    pub fn copies(&self, now: Micros, of: MemberId, life: u64) -> Vec<JournalSnapshot> {
         let range = Source { gateway: of, life: 0 }..=Source { gateway: of, life };
-        let copy = |(source, shelf): (&Source, &Shelf)| Copy {
+        let copy = |(source, shelf): (&Source, &HeldJournal)| JournalSnapshot {
             source: *source,
             through: shelf.through(),
             head: shelf.head.max(shelf.through()),
@@ -138,30 +138,35 @@
     }
 
     /// Whether lines were sent to this life.
-    pub fn is_for_us(&self, lines: &Lines) -> bool {
+    pub fn is_for_us(&self, lines: &Append) -> bool {
         lines.to == self.life
     }
 
     /// Takes lines that their writer sent: the answer, and what is wrong with them. `granted`: whether anything is
     /// promised to it; an error where it was taken over.
-    pub fn take(&mut self, now: Micros, lines: &Lines, granted: Result<bool, ()>) -> (Ack, Option<Fault>) {
+    pub fn take(
+        &mut self,
+        now: Micros,
+        lines: &Append,
+        granted: Result<bool, ()>,
+    ) -> (Ack, Option<JournalFault>) {
         let source = lines.source;
         let not = match granted {
-            _ if !self.is_for_us(lines) => Some(Not::Life),
-            Err(()) => Some(Not::Taken),
+            _ if !self.is_for_us(lines) => Some(RejectReason::Life),
+            Err(()) => Some(RejectReason::Taken),
             Ok(_) => self.store(now, lines),
         };
         let shelf = self.shelves.get(&source);
         let (begun, mut through) = shelf.map_or((0, 0), |shelf| (shelf.begun, shelf.through()));
-        if self.planted == Some(Planted::AckFirst) && not.is_none() {
+        if self.planted == Some(HolderFault::AckFirst) && not.is_none() {
             through = through.max(lines.first + lines.lines.len() as u64 - 1);
         }
         let fault = not.map(|not| match not {
-            Not::Gap => Fault::Gap { of: source, from: through + 1, to: lines.first - 1 },
-            Not::Broken(number) => Fault::Broken { of: source, number },
-            Not::Full => Fault::Full { of: source, number: through + 1 },
-            Not::Life | Not::Nothing => Fault::Nothing { of: source },
-            Not::Taken => Fault::Taken { of: source },
+            RejectReason::Gap => JournalFault::Gap { of: source, from: through + 1, to: lines.first - 1 },
+            RejectReason::Broken(number) => JournalFault::Broken { of: source, number },
+            RejectReason::Full => JournalFault::Full { of: source, number: through + 1 },
+            RejectReason::Life | RejectReason::Nothing => JournalFault::Nothing { of: source },
+            RejectReason::Taken => JournalFault::Taken { of: source },
         });
         let granted = granted == Ok(true) && self.is_for_us(lines);
         (
@@ -170,24 +175,24 @@
         )
     }
 
-    fn store(&mut self, now: Micros, lines: &Lines) -> Option<Not> {
+    fn store(&mut self, now: Micros, lines: &Append) -> Option<RejectReason> {
         let (source, first, before) = (lines.source, lines.first, u64::from_le_bytes(lines.before));
         if first == 0 || first > FAR {
-            return Some(Not::Broken(first));
+            return Some(RejectReason::Broken(first));
         }
-        let through = self.shelves.get(&source).map(Shelf::through);
+        let through = self.shelves.get(&source).map(HeldJournal::through);
         match through {
             Some(through) if first <= through + 1 => {}
-            None if !lines.anew => return Some(Not::Nothing),
-            Some(_) if !lines.anew => return Some(Not::Gap),
+            None if !lines.anew => return Some(RejectReason::Nothing),
+            Some(_) if !lines.anew => return Some(RejectReason::Gap),
             _ => {
                 self.forget(source);
                 if self.bytes + SHELF > self.most {
-                    return Some(Not::Full);
+                    return Some(RejectReason::Full);
                 }
                 self.bytes += SHELF;
                 self.begun += 1;
-                self.shelves.insert(source, Shelf::new(self.begun, first, before));
+                self.shelves.insert(source, HeldJournal::new(self.begun, first, before));
             }
         }
         let (mut chain, mut kept) = (before, None);
@@ -206,41 +211,47 @@
     }
 
     /// Puts one line behind those that are held, if it is the one that was written there.
-    fn put(&mut self, source: Source, number: u64, chain: &mut u64, sent: &Sent) -> Option<Not> {
+    fn put(
+        &mut self,
+        source: Source,
+        number: u64,
+        chain: &mut u64,
+        sent: &WireEntry,
+    ) -> Option<RejectReason> {
         let shelf = self.shelves.get_mut(&source)?;
         let (digest, after) = match sent {
-            Sent::Whole(bytes, chain) => (xxh3_64(bytes), u64::from_le_bytes(*chain)),
-            Sent::Hollow(digest, chain) => (u64::from_le_bytes(*digest), u64::from_le_bytes(*chain)),
+            WireEntry::Full(bytes, chain) => (xxh3_64(bytes), u64::from_le_bytes(*chain)),
+            WireEntry::DigestOnly(digest, chain) => (u64::from_le_bytes(*digest), u64::from_le_bytes(*chain)),
         };
-        let checked = self.planted != Some(Planted::Unchained);
+        let checked = self.planted != Some(HolderFault::Unchained);
         if checked && chained(*chain, source, number, digest) != after {
-            return Some(Not::Broken(number));
+            return Some(RejectReason::Broken(number));
         }
         let next = shelf.through() + 1;
         if checked && number == next && *chain != shelf.chain() {
-            return Some(Not::Broken(number));
+            return Some(RejectReason::Broken(number));
         }
         *chain = after;
         if number < next {
             let known = shelf.line(number).map(|line| line.chain);
-            return known.filter(|known| checked && *known != after).map(|_| Not::Broken(number));
+            return known.filter(|known| checked && *known != after).map(|_| RejectReason::Broken(number));
         }
         let bytes = match sent {
-            Sent::Whole(bytes, _) => Some(Box::<[u8]>::from(*bytes)),
-            Sent::Hollow(..) => None,
+            WireEntry::Full(bytes, _) => Some(Box::<[u8]>::from(*bytes)),
+            WireEntry::DigestOnly(..) => None,
         };
         let said = match &bytes {
             Some(bytes) => match read(bytes) {
                 Some(said) => Some(said),
-                None => return Some(Not::Broken(number)),
+                None => return Some(RejectReason::Broken(number)),
             },
             None => None,
         };
-        let line = Line { digest, chain: after, bytes };
+        let line = StoredEntry { digest, chain: after, bytes };
         if self.bytes + line.cost() > self.most {
-            return Some(Not::Full);
+            return Some(RejectReason::Full);
         }
-        if self.planted == Some(Planted::AckFirst) && number.is_multiple_of(5) {
+        if self.planted == Some(HolderFault::AckFirst) && number.is_multiple_of(5) {
             return None;
         }
         self.bytes += line.cost();
@@ -312,7 +323,7 @@
             self.hollow(source, number);
             self.due.remove(&(until, source, number));
         }
-        let idle = |shelf: &Shelf| {
+        let idle = |shelf: &HeldJournal| {
             now.saturating_sub(shelf.heard) > FORGET && shelf.lines.iter().all(|line| line.bytes.is_none())
         };
         let idle: Vec<Source> =
--- a/crates/pending/src/holder_progress.rs
+++ b/crates/pending/src/holder_progress.rs
@@ -15,7 +15,7 @@
 
 /// A holder as its writer sees it.
 #[derive(Debug)]
-pub struct Neighbour {
+pub struct HolderProgress {
     /// Its number.
     pub of: MemberId,
     /// Chosen now; one that is not is let go of once others hold as much.
@@ -50,7 +50,7 @@
     breaks: u32,
 }
 
-impl Neighbour {
+impl HolderProgress {
     /// One that holds nothing yet and is sent what follows a number.
     pub fn new(of: MemberId, after: u64, turn: u32) -> Self {
         Self {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// When [`Neighbour::wake`] is due.
+    /// When [`HolderProgress::wake`] is due.
     pub fn next_due(&self) -> Micros {
         self.resend
     }
--- a/crates/pending/src/holder_selection.rs
+++ b/crates/pending/src/holder_selection.rs
@@ -6,13 +6,13 @@
 
 /// What speaks for or against a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum CandidateState {
     /// It holds the journal.
-    Holds,
+    Current,
     /// It is live.
     Live,
     /// It is live, but did not acknowledge in time or had no room, not long ago.
-    Doubted,
+    Suspect,
 }
 
 /// Up to so many holders for our journal, best first. Those not live have no standing.
@@ -20,7 +20,7 @@
     places: &SiteMap,
     seed: u64,
     most: usize,
-    standing: impl Fn(MemberId) -> Option<Standing>,
+    standing: impl Fn(MemberId) -> Option<CandidateState>,
 ) -> Vec<MemberId> {
     let rank = |of: MemberId| {
         let mut bytes = [0; 4];
@@ -38,7 +38,7 @@
             let apart = chosen.iter().all(|other| places.site_of(*other) != places.site_of(*of));
             if chosen.len() < most
                 && !chosen.contains(of)
-                && (*standing == Standing::Doubted) == doubted
+                && (*standing == CandidateState::Suspect) == doubted
                 && (apart || !elsewhere)
             {
                 chosen.push(*of);
--- a/crates/pending/src/interface.rs
+++ b/crates/pending/src/interface.rs
@@ -1,9 +1,9 @@
 //! What goes into the machine and comes out of it, and how it is set.
 
-use crate::resolution::End;
-use crate::error::{Fault, Unkept};
+use crate::error::{JournalFault, ReplicationError};
+use crate::resolution::Resolution;
+use crate::takeover_messages::JournalLoss;
 use crate::types::{Accepted, Key, Outcome, Step, WallMs};
-use crate::takeover_messages::Gone;
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use basaltward_permits::{Observations, PermitRequest, PermitState, Subject};
 
@@ -129,13 +129,13 @@
         /// The event.
         key: Key,
     },
-    /// It is not kept. After [`Unkept::Late`] it may be known to some holder: an end is written for it here, and until
+    /// It is not kept. After [`ReplicationError::Late`] it may be known to some holder: an end is written for it here, and until
     /// that is held a heir could still run it; after any other reason nobody knows of it.
     Unheld {
         /// The event.
         key: Key,
         /// Why.
-        why: Unkept,
+        why: ReplicationError,
     },
     /// The first byte of this attempt may leave before this time of the caller's clock.
     May {
@@ -153,10 +153,10 @@
         /// The attempt.
         attempt: u32,
         /// Why.
-        why: Unkept,
+        why: ReplicationError,
     },
     /// Something is wrong with a journal or a frame; it is named here and handled.
-    Noted(Fault),
+    Noted(JournalFault),
     /// The voters are to be asked: `Acquire` for the permit to take over, `Reclaim` and `Return` by us who return. It is asked
     /// again for as long as no answer comes.
     Ask(PermitRequest),
@@ -176,19 +176,19 @@
         /// When its first byte left, if it did: a window under its key runs from then.
         first: Option<WallMs>,
         /// What is done.
-        end: End,
+        end: Resolution,
     },
     /// An event of a lost owner ends here and no worker is asked.
     Told {
         /// The event.
         key: Key,
         /// How.
-        end: End,
+        end: Resolution,
         /// For repeats.
         outcome: Outcome,
         /// The answer, where there is one.
         answer: Vec<u8>,
     },
     /// Something of a lost owner's journal is not known.
-    Gone(Gone),
+    JournalLoss(JournalLoss),
 }
--- a/crates/pending/src/journal.rs
+++ b/crates/pending/src/journal.rs
@@ -4,13 +4,13 @@
 
 mod replication;
 
-use crate::entry::{Line, ORIGIN};
-use crate::error::{Fault, Unkept};
-use crate::lease::{Lease, Terms};
-use crate::holder_progress::Neighbour;
+use crate::entry::{ORIGIN, StoredEntry};
+use crate::error::{JournalFault, ReplicationError};
+use crate::holder_progress::HolderProgress;
 use crate::interface::{Output, PendingSettings};
-use crate::types::{Again, Key, Outcome, Source, Step, WallMs};
-use crate::wire::{Ack, Not, Release};
+use crate::lease::{Lease, LeaseTerms};
+use crate::types::{Key, Outcome, RepeatSafety, Source, Step, WallMs};
+use crate::wire::{Ack, RejectReason, Release};
 use basaltward_membership::{MemberId, Micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 struct Event {
     need: u8,
-    again: Again,
+    again: RepeatSafety,
     deadline: WallMs,
     /// Until when something depends on what became of it.
     until: WallMs,
@@ -40,7 +40,7 @@
 
 /// What a journal has counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Written {
+pub struct JournalCounts {
     /// Lines written.
     pub lines: u64,
     /// Frames with lines sent, and their bytes.
@@ -61,7 +61,7 @@
     /// The number of the first line that is kept, and the chain before it.
     first: u64,
     before: u64,
-    lines: VecDeque<Line>,
+    lines: VecDeque<StoredEntry>,
     events: BTreeMap<Key, Event>,
     /// Lines with their bytes, by when nothing depends on them.
     due: BTreeSet<(WallMs, u64)>,
@@ -72,7 +72,7 @@
     waits: BTreeMap<u8, VecDeque<Wait>>,
     /// Attempts that are held and wait for a lease.
     unleased: Vec<Wait>,
-    neighbours: Vec<Neighbour>,
+    neighbours: Vec<HolderProgress>,
     lease: Lease,
     /// Events of lost owners that are done here next, each with when it was first sent.
     adopted: BTreeMap<Key, Option<WallMs>>,
@@ -85,7 +85,7 @@
     doubted: BTreeMap<MemberId, Micros>,
     call: Micros,
     unsent: bool,
-    counted: Written,
+    counted: JournalCounts,
 }
 
 impl Journal {
@@ -105,7 +105,7 @@
             waits: BTreeMap::new(),
             unleased: Vec::new(),
             neighbours: Vec::new(),
-            lease: Lease::new(Terms::new(settings.lease)),
+            lease: Lease::new(LeaseTerms::new(settings.lease)),
             adopted: BTreeMap::new(),
             retired: BTreeMap::new(),
             turns: BTreeMap::new(),
@@ -114,7 +114,7 @@
             doubted: BTreeMap::new(),
             call: 0,
             unsent: false,
-            counted: Written::default(),
+            counted: JournalCounts::default(),
             settings,
         }
     }
@@ -125,7 +125,7 @@
     }
 
     /// What it has counted.
-    pub fn counted(&self) -> Written {
+    pub fn counted(&self) -> JournalCounts {
         self.counted
     }
 
@@ -143,7 +143,7 @@
         self.first + self.lines.len() as u64 - 1
     }
 
-    fn line(&mut self, number: u64) -> Option<&mut Line> {
+    fn line(&mut self, number: u64) -> Option<&mut StoredEntry> {
         self.lines.get_mut(number.checked_sub(self.first)? as usize)
     }
 
@@ -161,10 +161,10 @@
                 let long = accepted.event.len() + accepted.function.len();
                 // Its owner's site is lost, so that there may be fewer who could hold it: it is owed all the same, and
                 // may be done again if we are lost as well.
-                let spared = self.adopted.contains_key(&key) && accepted.again != Again::Unsafe;
+                let spared = self.adopted.contains_key(&key) && accepted.again != RepeatSafety::Unsafe;
                 let need = if spared { wants.min(self.candidates().count() as u8) } else { wants };
                 let why = self.refusal(need, accepted.class, key, long);
-                if let Some(why) = why.filter(|why| !spared || !matches!(why, Unkept::Class(_))) {
+                if let Some(why) = why.filter(|why| !spared || !matches!(why, ReplicationError::Class(_))) {
                     self.counted.unheld += 1;
                     return out.push(Output::Unheld { key, why });
                 }
@@ -175,9 +175,9 @@
             }
             Step::Sending { key, attempt, worker, at } => {
                 let Some(event) = self.events.get_mut(&key) else {
-                    return out.push(Output::MayNot { key, attempt, why: Unkept::Unknown(key) });
+                    return out.push(Output::MayNot { key, attempt, why: ReplicationError::Unknown(key) });
                 };
-                if let Again::Keyed { window } = event.again
+                if let RepeatSafety::Keyed { window } = event.again
                     && event.until == event.deadline
                 {
                     let first = self.adopted.get(&key).copied().flatten().unwrap_or(at);
@@ -185,7 +185,7 @@
                 }
                 let (until, most) = (event.until, self.settings.bytes);
                 if self.bytes + worker.len() > most || worker.len() > self.settings.entry_bytes {
-                    let why = Unkept::Full { held: self.bytes, most };
+                    let why = ReplicationError::Full { held: self.bytes, most };
                     return out.push(Output::MayNot { key, attempt, why });
                 }
                 self.append(now, key, until, Step::Sending { key, attempt, worker, at }, Some(Some(attempt)));
@@ -195,20 +195,20 @@
         self.let_go(wall);
     }
 
-    fn refusal(&self, need: u8, class: u16, key: Key, bytes: usize) -> Option<Unkept> {
+    fn refusal(&self, need: u8, class: u16, key: Key, bytes: usize) -> Option<ReplicationError> {
         let live = self.candidates().count();
         // What is pending has to find room for its next steps and its end.
         let most = self.settings.bytes - self.settings.bytes / 8;
         if self.events.contains_key(&key) {
-            Some(Unkept::Doubled(key))
+            Some(ReplicationError::Doubled(key))
         } else if bytes > self.settings.entry_bytes {
-            Some(Unkept::Long { bytes, most: self.settings.entry_bytes })
+            Some(ReplicationError::Long { bytes, most: self.settings.entry_bytes })
         } else if self.bytes + bytes > most {
-            Some(Unkept::Full { held: self.bytes, most })
+            Some(ReplicationError::Full { held: self.bytes, most })
         } else if need == 0 {
-            Some(Unkept::Class(class))
+            Some(ReplicationError::Class(class))
         } else if live < usize::from(need) {
-            Some(Unkept::Few { told: need, live: live as u8 })
+            Some(ReplicationError::Few { told: need, live: live as u8 })
         } else {
             None
         }
@@ -224,7 +224,7 @@
     fn append(&mut self, now: Micros, key: Key, until: WallMs, step: Step, waits: Option<Option<u32>>) {
         let (number, before) = (self.last() + 1, self.chain_at(self.last()));
         let until = until.saturating_add(self.settings.remember_ms);
-        let Some(line) = Line::new(before, self.source, number, until, step) else { return };
+        let Some(line) = StoredEntry::new(before, self.source, number, until, step) else { return };
         self.bytes += line.cost();
         self.lines.push_back(line);
         self.due.insert((until, number));
@@ -323,19 +323,19 @@
             self.lease.granted(now, from, ack.life, ack.echo);
         }
         let again = match ack.not {
-            None | Some(Not::Taken) => false,
-            Some(Not::Life | Not::Nothing) if ack.turn == one.turn => {
+            None | Some(RejectReason::Taken) => false,
+            Some(RejectReason::Life | RejectReason::Nothing) if ack.turn == one.turn => {
                 one.forgets(after);
                 true
             }
-            Some(Not::Life | Not::Nothing) => false,
-            Some(Not::Gap) => one.refused(ack.turn, false, after),
-            Some(Not::Broken(number)) => {
-                out.push(Output::Noted(Fault::Broken { of: self.source, number }));
+            Some(RejectReason::Life | RejectReason::Nothing) => false,
+            Some(RejectReason::Gap) => one.refused(ack.turn, false, after),
+            Some(RejectReason::Broken(number)) => {
+                out.push(Output::Noted(JournalFault::Broken { of: self.source, number }));
                 one.refused(ack.turn, true, after)
             }
-            Some(Not::Full) => {
-                out.push(Output::Noted(Fault::Full { of: self.source, number: ack.through + 1 }));
+            Some(RejectReason::Full) => {
+                out.push(Output::Noted(JournalFault::Full { of: self.source, number: ack.through + 1 }));
                 one.refused(ack.turn, false, after);
                 self.doubted.insert(from, now + DOUBT);
                 self.choose(now);
@@ -382,7 +382,7 @@
         let unleased = std::mem::take(&mut self.unleased);
         for wait in unleased {
             let Some(event) = self.events.get(&wait.key) else { continue };
-            let needed = if event.again == Again::Unsafe { event.need.into() } else { 0 };
+            let needed = if event.again == RepeatSafety::Unsafe { event.need.into() } else { 0 };
             if self.lease.may(now, needed) {
                 self.counted.held += 1;
                 let until = self.lease.until(needed);
@@ -402,7 +402,7 @@
         let (last, after) = (self.last(), self.first - 1);
         let late: Vec<MemberId> = {
             let patience = self.settings.patience;
-            let owes = |one: &&mut Neighbour| one.acked < last;
+            let owes = |one: &&mut HolderProgress| one.acked < last;
             self.neighbours.iter_mut().filter(owes).for_each(|one| one.owes(now));
             let late =
                 self.neighbours.iter().filter(|one| one.acked < last && one.doubt(patience / 2) <= now);
@@ -423,7 +423,7 @@
         let unleased: Vec<Wait> = self.unleased.extract_if(.., |wait| is_late(wait)).collect();
         for Wait { key, attempt, .. } in unleased {
             self.counted.unheld += 1;
-            out.push(Output::MayNot { key, attempt: attempt.unwrap_or(0), why: Unkept::Lease });
+            out.push(Output::MayNot { key, attempt: attempt.unwrap_or(0), why: ReplicationError::Lease });
         }
         let mut late = Vec::new();
         for waits in self.waits.values_mut() {
@@ -437,7 +437,7 @@
             if !self.events.contains_key(&key) {
                 continue;
             }
-            let why = Unkept::Late { waited: now - since };
+            let why = ReplicationError::Late { waited: now - since };
             self.counted.unheld += 1;
             match attempt {
                 Some(attempt) => out.push(Output::MayNot { key, attempt, why }),
@@ -462,7 +462,7 @@
         let patience = self.settings.patience;
         let waits = self.waits.values().filter_map(|waits| waits.front()).chain(&self.unleased);
         let waits = waits.map(|wait| wait.since + patience);
-        let resend = self.neighbours.iter().map(Neighbour::next_due);
+        let resend = self.neighbours.iter().map(HolderProgress::next_due);
         let calls = self.neighbours.iter().any(|one| !one.connected) || !self.retired.is_empty();
         let alive = self.neighbours.iter().filter(|one| one.connected && one.has_window());
         let alive = alive.map(|one| one.last + self.settings.lease / 4).filter(|_| !self.events.is_empty());
--- a/crates/pending/src/journal/replication.rs
+++ b/crates/pending/src/journal/replication.rs
@@ -1,10 +1,10 @@
 //! Who holds the journal, and what is sent to them.
 
 use super::Journal;
-use crate::holder_selection::{Standing, choose};
-use crate::holder_progress::Neighbour;
+use crate::holder_progress::HolderProgress;
+use crate::holder_selection::{CandidateState, choose};
 use crate::interface::Output;
-use crate::wire::{FRAME, Lines, Message, Release, Sent, close};
+use crate::wire::{Append, FRAME, Message, Release, WireEntry, close};
 use basaltward_membership::{MemberId, Micros};
 
 /// So often a gateway is called to which no connection stands.
@@ -31,9 +31,9 @@
             let holds = self.neighbours.iter().any(|one| one.of == of);
             match self.doubted.contains_key(&of) {
                 _ if !is_live(of) => None,
-                true => Some(Standing::Doubted),
-                false if holds => Some(Standing::Holds),
-                false => Some(Standing::Live),
+                true => Some(CandidateState::Suspect),
+                false if holds => Some(CandidateState::Current),
+                false => Some(CandidateState::Live),
             }
         };
         let chosen = choose(&self.settings.places, self.settings.seed, self.most().into(), standing);
@@ -41,7 +41,7 @@
         for of in chosen {
             if !self.neighbours.iter().any(|one| one.of == of) {
                 let turn = self.turns.get(&of).map_or(0, |turn| turn + 1);
-                let mut one = Neighbour::new(of, self.first - 1, turn);
+                let mut one = HolderProgress::new(of, self.first - 1, turn);
                 self.retired.remove(&of);
                 self.lives.get(&of).into_iter().for_each(|life| one.up(*life, self.first - 1));
                 self.neighbours.push(one);
@@ -56,7 +56,7 @@
     pub(super) fn retire(&mut self, now: Micros) {
         let least = self.neighbours.iter().filter(|one| one.wanted).map(|one| one.acked).min();
         let (live, last) = (&self.live, self.first + self.lines.len() as u64 - 1);
-        let stays = |one: &Neighbour| {
+        let stays = |one: &HolderProgress| {
             one.wanted
                 || live.get(usize::from(one.of)) == Some(&true) && least.is_none_or(|least| least < one.acked)
         };
@@ -99,7 +99,7 @@
             let of = one.of;
             if !one.connected {
                 if called {
-                    out.push(Output::Send { to: of, bytes: close(&Message::Call) });
+                    out.push(Output::Send { to: of, bytes: close(&Message::Connect) });
                 }
                 continue;
             }
@@ -141,12 +141,12 @@
             bytes += cost;
             let chain = line.chain.to_le_bytes();
             lines.push(match &line.bytes {
-                Some(bytes) => Sent::Whole(bytes, chain),
-                None => Sent::Hollow(line.digest.to_le_bytes(), chain),
+                Some(bytes) => WireEntry::Full(bytes, chain),
+                None => WireEntry::DigestOnly(line.digest.to_le_bytes(), chain),
             });
         }
         let through = sent + lines.len() as u64;
-        let frame = Lines {
+        let frame = Append {
             source: self.source,
             to: one.life.unwrap_or(0),
             sent: now,
@@ -158,6 +158,6 @@
             before: self.chain_at(sent).to_le_bytes(),
             lines,
         };
-        Some((close(&Message::Lines(frame)), sent, through))
+        Some((close(&Message::Append(frame)), sent, through))
     }
 }
--- a/crates/pending/src/lease.rs
+++ b/crates/pending/src/lease.rs
@@ -7,15 +7,15 @@
 
 /// How long a holder's word stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// By the owner's clock, from when it asked.
     pub lease: Micros,
     /// By the holder's clock, from when it answered.
     pub silence: Micros,
 }
 
-impl Terms {
-    /// Terms with this silence. A clock that runs a tenth fast against one that runs a tenth slow: 0.9 / 1.1 > 0.8, so
+impl LeaseTerms {
+    /// LeaseTerms with this silence. A clock that runs a tenth fast against one that runs a tenth slow: 0.9 / 1.1 > 0.8, so
     /// that the lease is over before the silence is.
     pub fn new(silence: Micros) -> Self {
         Self { lease: silence * 8 / 10, silence }
@@ -25,14 +25,14 @@
 /// An owner's leases, by holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
-    terms: Terms,
+    terms: LeaseTerms,
     /// When that was asked to which each last answered, and the holder's life.
     asked: BTreeMap<MemberId, (u64, Micros)>,
 }
 
 impl Lease {
     /// None is granted.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(terms: LeaseTerms) -> Self {
         Self { terms, asked: BTreeMap::new() }
     }
 
@@ -80,7 +80,7 @@
 
 /// Why a holder grants nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, strum::VariantNames)]
-pub enum Refused {
+pub enum LeaseRefusal {
     /// An earlier life of this holder may have promised what this one does not know.
     #[error("this gateway has just started and waits until its earlier promises are over; nothing to do")]
     Young,
@@ -98,8 +98,8 @@
 
 /// What a holder has promised to owners.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Promises {
-    terms: Terms,
+pub struct HolderPromises {
+    terms: LeaseTerms,
     /// It grants nothing, and does nothing in anybody's place, before.
     speaks: Micros,
     /// Until when nothing is done in an owner's place.
@@ -108,9 +108,9 @@
     closed: BTreeMap<MemberId, u64>,
 }
 
-impl Promises {
+impl HolderPromises {
     /// Of a holder whose life begins.
-    pub fn new(terms: Terms, now: Micros) -> Self {
+    pub fn new(terms: LeaseTerms, now: Micros) -> Self {
         Self { terms, speaks: now + terms.silence, until: BTreeMap::new(), closed: BTreeMap::new() }
     }
 
@@ -118,12 +118,12 @@
     ///
     /// # Errors
     /// Where nothing may be promised; nothing of that owner is to be stored then either.
-    pub fn grant(&mut self, now: Micros, gateway: MemberId, life: u64) -> Result<(), Refused> {
+    pub fn grant(&mut self, now: Micros, gateway: MemberId, life: u64) -> Result<(), LeaseRefusal> {
         if let Some(closed) = self.closed.get(&gateway).filter(|closed| life <= **closed) {
-            return Err(Refused::Taken { gateway, life: *closed });
+            return Err(LeaseRefusal::Taken { gateway, life: *closed });
         }
         if now < self.speaks {
-            return Err(Refused::Young);
+            return Err(LeaseRefusal::Young);
         }
         self.until.insert(gateway, now + self.terms.silence);
         Ok(())
@@ -155,15 +155,15 @@
 mod tests {
     use super::*;
 
-    const TERMS: Terms = Terms { lease: 2_400_000, silence: 3_000_000 };
+    const TERMS: LeaseTerms = LeaseTerms { lease: 2_400_000, silence: 3_000_000 };
 
     #[test]
     fn an_owners_lease_is_over_before_the_holder_is_free_however_clocks_run() {
-        assert_eq!(Terms::new(3_000_000), TERMS);
+        assert_eq!(LeaseTerms::new(3_000_000), TERMS);
         // In true time: asked at 0, answered at once, the worst for the owner; rates a tenth apart both ways.
         for (owner, holder) in [(9, 11), (11, 9), (10, 10), (9, 9), (11, 11)] {
             let mut lease = Lease::new(TERMS);
-            let mut promises = Promises::new(TERMS, 0);
+            let mut promises = HolderPromises::new(TERMS, 0);
             let start = 10_000_000;
             let at = |rate: u64, time: u64| (start + time) * rate / 10;
             promises.grant(at(holder, 0), 7, 1).expect("long started");
@@ -196,14 +196,14 @@
 
     #[test]
     fn a_holder_that_forgot_waits_and_one_that_took_over_grants_nothing() {
-        let mut promises = Promises::new(TERMS, 5);
-        assert_eq!(promises.grant(6, 4, 1), Err(Refused::Young));
+        let mut promises = HolderPromises::new(TERMS, 5);
+        assert_eq!(promises.grant(6, 4, 1), Err(LeaseRefusal::Young));
         assert!(!promises.free(3_000_004, 4) && promises.free(3_000_005, 4));
         assert_eq!(promises.grant(4_000_000, 4, 9), Ok(()));
         assert!(!promises.free(6_999_999, 4));
         promises.close(4, 9);
         promises.close(4, 8);
-        assert_eq!(promises.grant(8_000_000, 4, 9), Err(Refused::Taken { gateway: 4, life: 9 }));
+        assert_eq!(promises.grant(8_000_000, 4, 9), Err(LeaseRefusal::Taken { gateway: 4, life: 9 }));
         assert_eq!((promises.free_at(4), promises.grant(8_000_000, 4, 10)), (7_000_000, Ok(())));
     }
 }
--- a/crates/pending/src/lib.rs
+++ b/crates/pending/src/lib.rs
@@ -2,42 +2,45 @@
 //! them where a site is lost. Free of I/O: inputs and times in, outputs and a next time out.
 #![warn(missing_docs)]
 
-mod holder_selection;
 mod claims;
-mod resolution;
 mod entry;
 mod error;
-mod inspect;
 mod holder;
+mod holder_progress;
+mod holder_selection;
+mod inspect;
+mod interface;
 mod journal;
-mod pending_events;
 mod lease;
-mod holder_progress;
 mod owner;
+mod pending_events;
 mod recovery;
-mod interface;
+mod resolution;
+mod simulation;
 mod takeover;
+mod takeover_messages;
 mod types;
 mod wire;
-mod takeover_messages;
-mod simulation;
 
-pub use resolution::{Case, End, Sent, end};
-pub use error::{Fault, Unkept, WireError};
-pub use inspect::{Glance, glance};
+pub use error::{JournalFault, ReplicationError, WireError};
 #[doc(hidden)]
-pub use holder::Planted;
-pub use journal::Written;
-pub use pending_events::Pending;
-pub use lease::{Lease, Promises, Refused, Terms};
+pub use holder::HolderFault;
+pub use inspect::{FrameFact, inspect_frame};
+pub use interface::{Input, Output, PendingSettings};
+pub use journal::JournalCounts;
+pub use lease::{HolderPromises, Lease, LeaseRefusal, LeaseTerms};
 pub use owner::{owner, taken};
-pub use recovery::Heirs;
+pub use pending_events::PendingEvents;
+pub use recovery::Recovery;
 #[doc(hidden)]
-pub use recovery::Planted as HeirsPlanted;
-pub use interface::{Input, Output, PendingSettings};
+pub use recovery::RecoveryFault;
+pub use resolution::{FirstSend, RecoveryCase, Resolution, resolve};
+pub use simulation::{FrameDamage, SimulatedGateway, SimulatedOutput, SimulatedSites};
 #[doc(hidden)]
-pub use takeover::Planted as WatchPlanted;
-pub use takeover::{Return, Step as ReturnStep, Turn, Watch};
-pub use types::{Accepted, Again, Entry, Key, Outcome, Source, Step, WallMs};
-pub use takeover_messages::{Copy, Counted, Fate, Gone, Heir, HeirsSettings, Say, Stand, Why, Word};
-pub use simulation::{Damage, Gateway, Said, Sites};
+pub use takeover::TakeoverFault;
+pub use takeover::{Rejoin, RejoinAction, TakeoverAction, TakeoverMonitor};
+pub use takeover_messages::{
+    ClaimDecision, ClaimReply, EventStatus, JournalLoss, JournalSnapshot, LossReason, RecoveryCounts,
+    RecoveryOutput, RecoverySettings, TakeoverMessage,
+};
+pub use types::{Accepted, Entry, Key, Outcome, RepeatSafety, Source, Step, WallMs};
--- a/crates/pending/src/pending_events.rs
+++ b/crates/pending/src/pending_events.rs
@@ -1,17 +1,19 @@
 //! The machine that a gateway's control thread drives: the journal of its own kept events, what it holds for others,
 //! what it does in lost ones' place, and the frames between.
 
-use crate::Unkept;
-use crate::error::{Fault, WireError};
-use crate::holder::{Holder, Planted};
-use crate::journal::{Journal, Written};
-use crate::lease::{Promises, Refused, Terms};
-use crate::recovery::Heirs;
+use crate::ReplicationError;
+use crate::error::{JournalFault, WireError};
+use crate::holder::{Holder, HolderFault};
 use crate::interface::{Input, Output, PendingSettings};
-use crate::takeover::{Return, Step as Homeward, Turn, Watch};
+use crate::journal::{Journal, JournalCounts};
+use crate::lease::{HolderPromises, LeaseRefusal, LeaseTerms};
+use crate::recovery::Recovery;
+use crate::takeover::{Rejoin, RejoinAction, TakeoverAction, TakeoverMonitor};
+use crate::takeover_messages::{
+    EventStatus, JournalSnapshot, RecoveryCounts, RecoveryOutput, RecoverySettings, TakeoverMessage,
+};
 use crate::types::{Key, Source, Step, WallMs};
-use crate::wire::{Lines, Message, close, open};
-use crate::takeover_messages::{Copy, Counted, Fate, Heir, HeirsSettings, Word};
+use crate::wire::{Append, Message, close, open};
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use basaltward_permits::{Observations, PermitRequest, PermitState, Subject};
 use std::collections::BTreeMap;
@@ -23,15 +25,15 @@
 
 /// Kept events of one gateway, and those that it holds for others.
 #[derive(Debug)]
-pub struct Pending {
+pub struct PendingEvents {
     places: SiteMap,
     entry_bytes: usize,
     journal: Journal,
     holder: Holder,
-    promises: Promises,
-    watch: Watch,
-    heirs: Heirs,
-    home: Return,
+    promises: HolderPromises,
+    watch: TakeoverMonitor,
+    heirs: Recovery,
+    home: Rejoin,
     live: Vec<bool>,
     observations: Observations,
     permit_state: PermitState,
@@ -44,11 +46,11 @@
     now: Micros,
 }
 
-impl Pending {
+impl PendingEvents {
     /// Nothing is pending and nothing is held. Kept events are taken from [`Output::Takes`] on.
     pub fn new(settings: PendingSettings, now: Micros) -> Self {
         let places = settings.places.clone();
-        let heirs = HeirsSettings {
+        let heirs = RecoverySettings {
             places: places.clone(),
             life: settings.life,
             slack: settings.slack_ms,
@@ -60,10 +62,10 @@
         Self {
             entry_bytes: settings.entry_bytes,
             holder: Holder::new(settings.life, settings.bytes),
-            promises: Promises::new(Terms::new(settings.lease), now),
-            watch: Watch::new(&places),
-            heirs: Heirs::new(&heirs, now),
-            home: Return::new(&places, now),
+            promises: HolderPromises::new(LeaseTerms::new(settings.lease), now),
+            watch: TakeoverMonitor::new(&places),
+            heirs: Recovery::new(&heirs, now),
+            home: Rejoin::new(&places, now),
             journal: Journal::new(settings),
             live: vec![false; places.len()],
             lives: vec![0; places.len()],
@@ -83,12 +85,12 @@
     }
 
     /// What our journal has counted.
-    pub fn written(&self) -> Written {
+    pub fn written(&self) -> JournalCounts {
         self.journal.counted()
     }
 
     /// How events of lost owners have ended here.
-    pub fn counted(&self) -> Counted {
+    pub fn counted(&self) -> RecoveryCounts {
         self.heirs.counted()
     }
 
@@ -98,7 +100,7 @@
     }
 
     /// What is known of an event that was a lost gateway's, or of an earlier life of ours.
-    pub fn fate(&self, key: Key) -> Option<Fate> {
+    pub fn fate(&self, key: Key) -> Option<EventStatus> {
         self.heirs.fate(key)
     }
 
@@ -123,7 +125,7 @@
     }
 
     /// What is held of a gateway's journals, up to a life of it.
-    pub fn copies(&self, of: MemberId, life: u64) -> Vec<Copy> {
+    pub fn copies(&self, of: MemberId, life: u64) -> Vec<JournalSnapshot> {
         self.holder.copies(self.now, of, life)
     }
 
@@ -133,16 +135,16 @@
     }
 
     #[doc(hidden)]
-    pub fn plant(&mut self, planted: Planted) {
+    pub fn plant(&mut self, planted: HolderFault) {
         self.holder.plant(planted);
     }
 
     #[doc(hidden)]
-    pub fn plant_heirs(&mut self, planted: crate::recovery::Planted) {
+    pub fn plant_heirs(&mut self, planted: crate::recovery::RecoveryFault) {
         self.heirs.plant(planted);
     }
 
-    /// Takes what is told. What it writes goes out with the next [`Pending::wake`], which is due at once: all that is
+    /// Takes what is told. What it writes goes out with the next [`PendingEvents::wake`], which is due at once: all that is
     /// told before it goes in one frame.
     pub fn handle(&mut self, now: Micros, wall: WallMs, input: Input, out: &mut Vec<Output>) {
         self.now = now;
@@ -150,7 +152,7 @@
             Input::Step(step) => self.step(now, wall, step, out),
             Input::Frame { from, bytes } => {
                 if let Err(error) = self.frame(now, from, &bytes, out) {
-                    out.push(Output::Noted(Fault::Frame { from, error }));
+                    out.push(Output::Noted(JournalFault::Frame { from, error }));
                 }
             }
             Input::LinkUp { of, life } => {
@@ -178,7 +180,7 @@
     fn step(&mut self, now: Micros, wall: WallMs, step: Step, out: &mut Vec<Output>) {
         match &step {
             Step::Accepted(accepted) if !self.home.is_home() => {
-                return out.push(Output::Unheld { key: accepted.key, why: Unkept::Away });
+                return out.push(Output::Unheld { key: accepted.key, why: ReplicationError::Away });
             }
             Step::Ended { key, outcome, answer } => {
                 let mut heirs = Vec::new();
@@ -198,7 +200,7 @@
         out: &mut Vec<Output>,
     ) -> Result<(), WireError> {
         match open(bytes, self.entry_bytes)? {
-            Message::Lines(lines) => {
+            Message::Append(lines) => {
                 own(from, lines.source)?;
                 self.lines(now, from, &lines, out);
             }
@@ -209,9 +211,9 @@
                 out.push(Output::Send { to: from, bytes: close(&Message::Released(release)) });
             }
             Message::Released(release) => self.journal.released(from, release),
-            Message::Word(word) => {
+            Message::Takeover(word) => {
                 let mut heirs = Vec::new();
-                if let Word::Claim(keys) = &word {
+                if let TakeoverMessage::Claim(keys) = &word {
                     let mut sources: Vec<Source> = keys.iter().map(|(_, source, _)| *source).collect();
                     sources.dedup();
                     sources.into_iter().for_each(|source| self.follow(now, source));
@@ -222,15 +224,15 @@
                 }
                 self.pass_on(heirs, out);
             }
-            Message::Call => {}
+            Message::Connect => {}
         }
         Ok(())
     }
 
     /// A later life tells by its question that an earlier one is over, but not that what that one had sent has come:
     /// as with a permit, what was promised to it has to run out first.
-    fn may_answer(&mut self, now: Micros, from: MemberId, word: &Word) -> bool {
-        let Word::Back { life, .. } = word else { return true };
+    fn may_answer(&mut self, now: Micros, from: MemberId, word: &TakeoverMessage) -> bool {
+        let TakeoverMessage::ReturnQuery { life, .. } = word else { return true };
         self.promises.close(from, *life);
         self.promises.free(now, from)
     }
@@ -258,36 +260,36 @@
         }
     }
 
-    fn lines(&mut self, now: Micros, from: MemberId, lines: &Lines, out: &mut Vec<Output>) {
+    fn lines(&mut self, now: Micros, from: MemberId, lines: &Append, out: &mut Vec<Output>) {
         let granted = match self.holder.is_for_us(lines) {
             true => self.promises.grant(now, from, lines.source.life),
-            false => Err(Refused::Young),
+            false => Err(LeaseRefusal::Young),
         };
         let granted = match granted {
             Ok(()) => Ok(true),
-            Err(Refused::Young) => Ok(false),
-            Err(Refused::Taken { .. }) => Err(()),
+            Err(LeaseRefusal::Young) => Ok(false),
+            Err(LeaseRefusal::Taken { .. }) => Err(()),
         };
         let (ack, fault) = self.holder.take(now, lines, granted);
         out.extend(fault.map(Output::Noted));
         out.push(Output::Send { to: from, bytes: close(&Message::Ack(ack)) });
     }
 
-    fn pass_on(&mut self, heirs: Vec<Heir>, out: &mut Vec<Output>) {
+    fn pass_on(&mut self, heirs: Vec<RecoveryOutput>, out: &mut Vec<Output>) {
         for heir in heirs {
             match heir {
-                Heir::Send(to, word) => {
-                    out.push(Output::Send { to, bytes: close(&Message::Word(word)) });
+                RecoveryOutput::Send(to, word) => {
+                    out.push(Output::Send { to, bytes: close(&Message::Takeover(word)) });
                 }
-                Heir::Adopt { accepted, first, end } => {
+                RecoveryOutput::Adopt { accepted, first, end } => {
                     self.journal.adopts(accepted.key, first);
                     out.push(Output::Run { pending: accepted, first, end });
                 }
-                Heir::Told { key, end, outcome, answer } => {
+                RecoveryOutput::Resolved { key, end, outcome, answer } => {
                     out.push(Output::Told { key, end, outcome, answer });
                 }
-                Heir::Gone(gone) => out.push(Output::Gone(gone)),
-                Heir::Learnt(of) => self.home.learnt(of),
+                RecoveryOutput::JournalLoss(gone) => out.push(Output::JournalLoss(gone)),
+                RecoveryOutput::ReturnLearned(of) => self.home.learnt(of),
             }
         }
     }
@@ -300,22 +302,24 @@
         self.watch.look(now, &self.observations, &self.permit_state, life, &mut self.promises, &mut turns);
         for turn in turns {
             match turn {
-                Turn::Ask(subject) => out.push(Output::Ask(PermitRequest::Acquire(subject))),
-                Turn::Begin { lives, .. } => {
+                TakeoverAction::RequestPermit(subject) => {
+                    out.push(Output::Ask(PermitRequest::Acquire(subject)))
+                }
+                TakeoverAction::Begin { lives, .. } => {
                     for (of, life) in lives {
                         let copies = self.holder.copies(now, of, life);
                         self.heirs.begin(now, of, life, true, copies);
                     }
                 }
-                Turn::Back(Subject::Site(site)) => {
+                TakeoverAction::Returned(Subject::Site(site)) => {
                     self.places.members_at(site).for_each(|of| self.heirs.back(of));
                 }
-                Turn::Back(Subject::Gateway(of)) => self.heirs.back(of),
-                Turn::Back(_) => {}
-                Turn::Lost => {
+                TakeoverAction::Returned(Subject::Gateway(of)) => self.heirs.back(of),
+                TakeoverAction::Returned(_) => {}
+                TakeoverAction::LostOwnership => {
                     let life = self.journal.source().life;
                     self.journal.lose(now, out);
-                    self.home = Return::new(&self.places, now);
+                    self.home = Rejoin::new(&self.places, now);
                     self.heirs.begin(now, self.places.own(), life, false, Vec::new());
                 }
             }
@@ -333,13 +337,15 @@
         self.home.wake(now, &peers, &mut steps);
         for step in steps {
             out.push(match step {
-                Homeward::Home(subject) => Output::Ask(PermitRequest::Reclaim(subject)),
-                Homeward::Learn(to) => {
-                    let back = Word::Back { life: life.saturating_sub(1), after: None };
-                    Output::Send { to, bytes: close(&Message::Word(back)) }
+                RejoinAction::Reclaim(subject) => Output::Ask(PermitRequest::Reclaim(subject)),
+                RejoinAction::QueryPeer(to) => {
+                    let back = TakeoverMessage::ReturnQuery { life: life.saturating_sub(1), after: None };
+                    Output::Send { to, bytes: close(&Message::Takeover(back)) }
+                }
+                RejoinAction::ReturnPermit(subject, number) => {
+                    Output::Ask(PermitRequest::Return(subject, number))
                 }
-                Homeward::Done(subject, number) => Output::Ask(PermitRequest::Return(subject, number)),
-                Homeward::Takes => Output::Takes,
+                RejoinAction::Ready => Output::Takes,
             });
         }
     }
@@ -364,7 +370,7 @@
         self.pass_on(heirs, out);
     }
 
-    /// When [`Pending::wake`] is due next; past where it is due at once.
+    /// When [`PendingEvents::wake`] is due next; past where it is due at once.
     pub fn next_due(&self) -> Micros {
         let home = self.home.next_due();
         let heirs = self.heirs.next_due(self.now);
--- a/crates/pending/src/recovery.rs
+++ b/crates/pending/src/recovery.rs
@@ -4,9 +4,12 @@
 //! ration. What is missing is named, and counts as if it spoke of a first byte.
 
 use crate::claims::BATCH;
-use crate::resolution::{Case, End, Sent, end};
+use crate::resolution::{FirstSend, RecoveryCase, Resolution, resolve};
+use crate::takeover_messages::{
+    EventStatus, JournalLoss, JournalSnapshot, LossReason, RecoveryCounts, RecoveryOutput, RecoverySettings,
+    TakeoverMessage,
+};
 use crate::types::{Accepted, Entry, Key, Outcome, Source, Step, WallMs};
-use crate::takeover_messages::{Copy, Counted, Fate, Gone, Heir, HeirsSettings, Why, Word};
 use basaltward_membership::{MemberId, Micros, Site};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -19,7 +22,7 @@
 /// Faults that checkers must find.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Planted {
+pub enum RecoveryFault {
     /// What was sent is run as if it was not.
     RunsWhatWasSent,
     /// Nobody is asked.
@@ -27,26 +30,26 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Stage {
-    Open,
+pub(crate) enum EventStage {
+    Unclaimed,
     Claiming(BTreeSet<MemberId>),
     Ready,
-    Out,
-    Theirs(MemberId),
-    Over(Outcome, Vec<u8>),
+    Running,
+    OwnedBy(MemberId),
+    Ended(Outcome, Vec<u8>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Event {
     pub(crate) accepted: Accepted,
     pub(crate) line: (Source, u64, u64),
-    pub(crate) sent: Sent,
+    pub(crate) sent: FirstSend,
     pub(crate) waited: bool,
     /// When its owner was last heard.
     pub(crate) heard: Micros,
     /// Sites of those that had it and are lost: nobody there could say more than their journals.
     pub(crate) lost: BTreeSet<Site>,
-    /// Heirs that had claimed it and are lost: what they wrote of it goes before what its first owner did.
+    /// Recovery that had claimed it and are lost: what they wrote of it goes before what its first owner did.
     pub(crate) heirs: Vec<MemberId>,
     /// Who else holds it.
     pub(crate) holders: BTreeSet<MemberId>,
@@ -56,12 +59,12 @@
     pub(crate) torn: bool,
     /// Of those that answered the claim, whose copy goes up to its line.
     pub(crate) reached: BTreeSet<MemberId>,
-    pub(crate) stage: Stage,
+    pub(crate) stage: EventStage,
 }
 
 /// See the module's page.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Heirs {
+pub struct Recovery {
     pub(crate) own: MemberId,
     pub(crate) sites: Vec<Site>,
     pub(crate) need: Vec<u8>,
@@ -78,7 +81,7 @@
     pub(crate) reach: BTreeMap<Source, (u64, u64)>,
     pub(crate) events: BTreeMap<Key, Event>,
     /// What we were told of events that earlier lives of ours had pending, with their deadlines.
-    pub(crate) learnt: BTreeMap<Key, (WallMs, Fate)>,
+    pub(crate) learnt: BTreeMap<Key, (WallMs, EventStatus)>,
     pub(crate) learnt_bytes: usize,
     /// Gateways of which we ask whether anybody holds anything: those yet to answer.
     pub(crate) asked: BTreeMap<MemberId, BTreeSet<MemberId>>,
@@ -88,16 +91,16 @@
     pub(crate) ration: u64,
     pub(crate) filled: Micros,
     pub(crate) again: Micros,
-    pub(crate) named: BTreeSet<Gone>,
-    pub(crate) counted: Counted,
-    pub(crate) planted: Option<Planted>,
+    pub(crate) named: BTreeSet<JournalLoss>,
+    pub(crate) counted: RecoveryCounts,
+    pub(crate) planted: Option<RecoveryFault>,
 }
 
 impl Event {
     /// Whether another's line of it was written by a later heir, which knew how it stood.
     pub(crate) fn is_older_than(&self, line: (Source, u64, u64)) -> bool {
         let heirs = self.heirs.iter().copied().chain(match self.stage {
-            Stage::Theirs(of) => Some(of),
+            EventStage::OwnedBy(of) => Some(of),
             _ => None,
         });
         let heirs: Vec<MemberId> = heirs.collect();
@@ -105,8 +108,8 @@
         at(line.0).0.is_some() && at(line.0) > at(self.line.0)
     }
 
-    pub(crate) fn follows(&mut self, line: (Source, u64, u64), sent: Sent) {
-        (self.line, self.sent, self.stage) = (line, sent, Stage::Open);
+    pub(crate) fn follows(&mut self, line: (Source, u64, u64), sent: FirstSend) {
+        (self.line, self.sent, self.stage) = (line, sent, EventStage::Unclaimed);
         self.reached.clear();
     }
 }
@@ -115,9 +118,9 @@
     (xxh3_64_with_seed(&key.0.to_le_bytes(), u64::from(of)), of)
 }
 
-impl Heirs {
+impl Recovery {
     /// Nobody is lost.
-    pub fn new(settings: &HeirsSettings, now: Micros) -> Self {
+    pub fn new(settings: &RecoverySettings, now: Micros) -> Self {
         let places = &settings.places;
         Self {
             own: places.own(),
@@ -140,24 +143,24 @@
             filled: now,
             again: Micros::MAX,
             named: BTreeSet::new(),
-            counted: Counted::default(),
+            counted: RecoveryCounts::default(),
             planted: None,
         }
     }
 
     #[doc(hidden)]
-    pub fn plant(&mut self, planted: Planted) {
+    pub fn plant(&mut self, planted: RecoveryFault) {
         self.planted = Some(planted);
     }
 
     /// How events have ended here.
-    pub fn counted(&self) -> Counted {
+    pub fn counted(&self) -> RecoveryCounts {
         self.counted
     }
 
     /// Events that are not over, ours and others'.
     pub fn pending(&self) -> usize {
-        self.events.values().filter(|event| !matches!(event.stage, Stage::Over(..))).count()
+        self.events.values().filter(|event| !matches!(event.stage, EventStage::Ended(..))).count()
     }
 
     /// What the load allows: so many a second, and so many out at once.
@@ -166,17 +169,17 @@
     }
 
     /// What is known of an event that was a lost gateway's.
-    pub fn fate(&self, key: Key) -> Option<Fate> {
+    pub fn fate(&self, key: Key) -> Option<EventStatus> {
         let held = self.events.get(&key).map(|event| self.fate_of(event));
         held.or_else(|| self.learnt.get(&key).map(|(_, fate)| fate.clone()))
     }
 
-    pub(crate) fn fate_of(&self, event: &Event) -> Fate {
+    pub(crate) fn fate_of(&self, event: &Event) -> EventStatus {
         match &event.stage {
-            Stage::Open | Stage::Claiming(_) => Fate::Open,
-            Stage::Ready | Stage::Out => Fate::By(self.own),
-            Stage::Theirs(of) => Fate::By(*of),
-            Stage::Over(outcome, answer) => Fate::Ended(*outcome, answer.clone()),
+            EventStage::Unclaimed | EventStage::Claiming(_) => EventStatus::Unassigned,
+            EventStage::Ready | EventStage::Running => EventStatus::OwnedBy(self.own),
+            EventStage::OwnedBy(of) => EventStatus::OwnedBy(*of),
+            EventStage::Ended(outcome, answer) => EventStatus::Ended(*outcome, answer.clone()),
         }
     }
 
@@ -187,8 +190,8 @@
 
     /// These lives of a gateway and all before them are over, and what we promised to it has run out: what it had
     /// pending is its heirs'. `copies` is all that we hold of its journals. `away`: it is lost by a permit, and not
-    /// asked until [`Heirs::back`]; where it is not, a later life of it has told so itself.
-    pub fn begin(&mut self, now: Micros, of: MemberId, life: u64, away: bool, copies: Vec<Copy>) {
+    /// asked until [`Recovery::back`]; where it is not, a later life of it has told so itself.
+    pub fn begin(&mut self, now: Micros, of: MemberId, life: u64, away: bool, copies: Vec<JournalSnapshot>) {
         let known = self.begun.entry(of).or_insert(life);
         *known = life.max(*known);
         if away {
@@ -208,13 +211,13 @@
         for event in self.events.values_mut() {
             match &mut event.stage {
                 // It stands where its journal says: whoever holds that tells it with the next claim.
-                Stage::Theirs(by) if *by == of => {
+                EventStage::OwnedBy(by) if *by == of => {
                     event.lost.insert(site);
                     event.heirs.retain(|heir| *heir != of);
                     event.heirs.push(of);
-                    event.stage = Stage::Open;
+                    event.stage = EventStage::Unclaimed;
                 }
-                Stage::Claiming(left) if away => _ = left.remove(&of),
+                EventStage::Claiming(left) if away => _ = left.remove(&of),
                 _ => {}
             }
         }
@@ -226,9 +229,11 @@
         self.out = 0;
         for event in self.events.values_mut() {
             match event.stage {
-                Stage::Out => (event.stage, event.sent) = (Stage::Open, Sent::Unknown),
-                Stage::Claiming(_) | Stage::Ready => event.stage = Stage::Open,
-                Stage::Open | Stage::Theirs(_) | Stage::Over(..) => {}
+                EventStage::Running => {
+                    (event.stage, event.sent) = (EventStage::Unclaimed, FirstSend::Unknown)
+                }
+                EventStage::Claiming(_) | EventStage::Ready => event.stage = EventStage::Unclaimed,
+                EventStage::Unclaimed | EventStage::OwnedBy(_) | EventStage::Ended(..) => {}
             }
         }
     }
@@ -247,14 +252,14 @@
         all.filter(|of| *of != self.own && !self.away.contains(of)).collect()
     }
 
-    pub(crate) fn name(&mut self, gone: Gone, out: &mut Vec<Heir>) {
+    pub(crate) fn name(&mut self, gone: JournalLoss, out: &mut Vec<RecoveryOutput>) {
         if self.named.insert(gone) {
             self.counted.gone += 1;
-            out.push(Heir::Gone(gone));
+            out.push(RecoveryOutput::JournalLoss(gone));
         }
     }
 
-    fn fold(&mut self, now: Micros, copy: Copy) {
+    fn fold(&mut self, now: Micros, copy: JournalSnapshot) {
         let source = copy.source;
         self.reach.insert(source, (copy.through, copy.head));
         let (heard, site) = (now.saturating_sub(copy.unheard), self.site(source.gateway));
@@ -263,7 +268,7 @@
                 Step::Accepted(accepted) => {
                     let fresh = Event {
                         line: (source, number, chain),
-                        sent: Sent::Never,
+                        sent: FirstSend::Never,
                         waited: false,
                         heard,
                         lost: BTreeSet::new(),
@@ -272,20 +277,20 @@
                         upto: (0, 0),
                         torn: false,
                         reached: BTreeSet::new(),
-                        stage: Stage::Open,
+                        stage: EventStage::Unclaimed,
                         accepted,
                     };
                     let line = fresh.line;
                     let event = self.events.entry(fresh.accepted.key).or_insert(fresh);
                     if event.is_older_than(line) {
-                        event.follows(line, Sent::Never);
+                        event.follows(line, FirstSend::Never);
                     }
                     event.heard = event.heard.max(heard);
                     event.lost.insert(site);
                 }
                 Step::Sending { key, at, .. } => {
                     let event = self.events.get_mut(&key).into_iter();
-                    event.for_each(|event| event.sent = event.sent.and(Sent::At(at)));
+                    event.for_each(|event| event.sent = event.sent.and(FirstSend::At(at)));
                 }
                 Step::Ended { key, outcome, answer } => {
                     if let Some(event) = self.events.get_mut(&key) {
@@ -299,24 +304,26 @@
     pub(crate) fn close(event: &mut Event, slots: &mut usize, outcome: Outcome, answer: Vec<u8>) {
         match event.stage {
             // A later word takes nothing back, but for an answer where it was only known that it may have run.
-            Stage::Over(Outcome::Failed, _) if outcome == Outcome::Served => {}
-            Stage::Over(..) => return,
-            Stage::Out => *slots -= 1,
+            EventStage::Ended(Outcome::Failed, _) if outcome == Outcome::Served => {}
+            EventStage::Ended(..) => return,
+            EventStage::Running => *slots -= 1,
             _ => {}
         }
-        event.stage = Stage::Over(outcome, answer);
+        event.stage = EventStage::Ended(outcome, answer);
     }
 
     /// An event that we adopted has ended.
-    pub fn over(&mut self, key: Key, outcome: Outcome, answer: Vec<u8>, out: &mut Vec<Heir>) {
+    pub fn over(&mut self, key: Key, outcome: Outcome, answer: Vec<u8>, out: &mut Vec<RecoveryOutput>) {
         let Some(event) = self.events.get_mut(&key) else { return };
         Self::close(event, &mut self.out, outcome, answer.clone());
         let told = event.holders.iter().filter(|of| !self.away.contains(of));
-        out.extend(told.map(|to| Heir::Send(*to, Word::Over(vec![(key, outcome, answer.clone())]))));
+        out.extend(told.map(|to| {
+            RecoveryOutput::Send(*to, TakeoverMessage::Ended(vec![(key, outcome, answer.clone())]))
+        }));
     }
 
     /// Does what is due.
-    pub fn wake(&mut self, now: Micros, wall: WallMs, out: &mut Vec<Heir>) {
+    pub fn wake(&mut self, now: Micros, wall: WallMs, out: &mut Vec<RecoveryOutput>) {
         if now >= self.again {
             self.again = now + AGAIN;
             self.claim(out);
@@ -326,78 +333,91 @@
         self.act(now, wall, out);
         let (remember, slack) = (self.remember, self.slack);
         self.events.retain(|_, event| match event.stage {
-            Stage::Over(..) | Stage::Theirs(_) => {
+            EventStage::Ended(..) | EventStage::OwnedBy(_) => {
                 wall < event.accepted.deadline.saturating_add(remember + slack)
             }
             _ => true,
         });
-        let over =
-            |_: &Key, (deadline, _): &mut (WallMs, Fate)| wall >= deadline.saturating_add(remember + slack);
+        let over = |_: &Key, (deadline, _): &mut (WallMs, EventStatus)| {
+            wall >= deadline.saturating_add(remember + slack)
+        };
         for (_, (_, fate)) in self.learnt.extract_if(.., over) {
             self.learnt_bytes -= fate.answer_bytes();
         }
-        let open = self.events.values().any(|event| matches!(event.stage, Stage::Open | Stage::Claiming(_)));
+        let open = self
+            .events
+            .values()
+            .any(|event| matches!(event.stage, EventStage::Unclaimed | EventStage::Claiming(_)));
         if !open && self.asked.is_empty() {
             self.again = Micros::MAX;
         }
     }
 
-    /// When [`Heirs::wake`] is due.
+    /// When [`Recovery::wake`] is due.
     pub fn next_due(&self, now: Micros) -> Micros {
-        let ready = self.out < self.most && self.events.values().any(|event| event.stage == Stage::Ready);
+        let ready =
+            self.out < self.most && self.events.values().any(|event| event.stage == EventStage::Ready);
         let ration = 1_000_000 / u64::from(self.rate.max(1));
         let ready = ready.then_some(now + ration.min(AGAIN));
-        let over =
-            self.events.values().any(|event| matches!(event.stage, Stage::Over(..) | Stage::Theirs(_)));
+        let over = self
+            .events
+            .values()
+            .any(|event| matches!(event.stage, EventStage::Ended(..) | EventStage::OwnedBy(_)));
         let over = over.then_some(now + 1_000_000);
         ready.into_iter().chain(over).fold(self.again, Micros::min)
     }
 
-    fn claim(&mut self, out: &mut Vec<Heir>) {
+    fn claim(&mut self, out: &mut Vec<RecoveryOutput>) {
         let peers = self.peers();
-        let claiming = self.events.values().filter(|event| matches!(event.stage, Stage::Claiming(_))).count();
-        let open = self.events.values_mut().filter(|event| event.stage == Stage::Open);
+        let claiming =
+            self.events.values().filter(|event| matches!(event.stage, EventStage::Claiming(_))).count();
+        let open = self.events.values_mut().filter(|event| event.stage == EventStage::Unclaimed);
         for event in open.take(CLAIMS - claiming.min(CLAIMS)) {
             let left =
-                if self.planted == Some(Planted::AsksNobody) { BTreeSet::new() } else { peers.clone() };
+                if self.planted == Some(RecoveryFault::AsksNobody) { BTreeSet::new() } else { peers.clone() };
             event.reached.clear();
             let lacks = |(of, (through, head)): (&Source, &(u64, u64))| *of != event.line.0 && head > through;
             event.torn = self.reach.iter().any(lacks);
             event.upto = self.reach.get(&event.line.0).copied().unwrap_or((0, 0));
-            event.stage = Stage::Claiming(left);
+            event.stage = EventStage::Claiming(left);
         }
         let mut words: BTreeMap<MemberId, Vec<(Key, Source, u64)>> = BTreeMap::new();
         for (key, event) in &self.events {
-            if let Stage::Claiming(left) = &event.stage {
+            if let EventStage::Claiming(left) = &event.stage {
                 left.iter()
                     .for_each(|of| words.entry(*of).or_default().push((*key, event.line.0, event.line.1)));
             }
         }
         for (to, keys) in words {
-            out.extend(keys.chunks(BATCH).map(|keys| Heir::Send(to, Word::Claim(keys.to_vec()))));
+            out.extend(
+                keys.chunks(BATCH)
+                    .map(|keys| RecoveryOutput::Send(to, TakeoverMessage::Claim(keys.to_vec()))),
+            );
         }
     }
 
-    fn ask_held(&mut self, out: &mut Vec<Heir>) {
+    fn ask_held(&mut self, out: &mut Vec<RecoveryOutput>) {
         let none: Vec<MemberId> =
             self.asked.iter().filter(|(_, left)| left.is_empty()).map(|(of, _)| *of).collect();
         for of in none {
             self.asked.remove(&of);
             let source_of = Source { gateway: of, life: self.begun.get(&of).copied().unwrap_or(0) };
-            self.name(Gone { source_of, from: 1, to: None, why: Why::Unheld }, out);
+            self.name(JournalLoss { source_of, from: 1, to: None, why: LossReason::Unheld }, out);
         }
         for (of, left) in &self.asked {
             let life = self.begun.get(of).copied().unwrap_or(0);
-            out.extend(left.iter().map(|to| Heir::Send(*to, Word::Holds(*of, life))));
+            out.extend(
+                left.iter().map(|to| RecoveryOutput::Send(*to, TakeoverMessage::HoldsQuery(*of, life))),
+            );
         }
     }
 
     /// Claims to which all have answered.
-    fn settle(&mut self, out: &mut Vec<Heir>) {
+    fn settle(&mut self, out: &mut Vec<RecoveryOutput>) {
         let mut gone = Vec::new();
         let away: Vec<(MemberId, Site)> = self.away.iter().map(|of| (*of, self.site(*of))).collect();
         for event in self.events.values_mut() {
-            if !matches!(&event.stage, Stage::Claiming(left) if left.is_empty()) {
+            if !matches!(&event.stage, EventStage::Claiming(left) if left.is_empty()) {
                 continue;
             }
             // One that is lost as well, or that has forgotten, might have known of a first byte; so might a line that
@@ -408,37 +428,46 @@
             let few = event.reached.len() + usize::from(ours) < usize::from(need);
             let (through, head) = event.upto;
             if head > through {
-                gone.push(Gone { source_of: source, from: through + 1, to: Some(head), why: Why::Missing });
+                gone.push(JournalLoss {
+                    source_of: source,
+                    from: through + 1,
+                    to: Some(head),
+                    why: LossReason::Missing,
+                });
             }
             let missed = few
                 || head > through
                 || (event.torn && !event.heirs.is_empty())
                 || away.iter().any(|(_, site)| !event.lost.contains(site));
-            if missed && self.planted != Some(Planted::AsksNobody) {
-                event.sent = Sent::Unknown;
+            if missed && self.planted != Some(RecoveryFault::AsksNobody) {
+                event.sent = FirstSend::Unknown;
             }
-            event.stage = Stage::Ready;
+            event.stage = EventStage::Ready;
         }
         gone.into_iter().for_each(|gone| self.name(gone, out));
     }
 
     /// Ends what is ready, nearest deadline first; workers are asked under the ration.
-    fn act(&mut self, now: Micros, wall: WallMs, out: &mut Vec<Heir>) {
+    fn act(&mut self, now: Micros, wall: WallMs, out: &mut Vec<RecoveryOutput>) {
         let gained = now.saturating_sub(self.filled).saturating_mul(u64::from(self.rate)) / 1_000;
         // What was not used in the last tenth of a second is gone: a ration has no waves.
         let full = (u64::from(self.rate) * 100).max(1_000);
         if gained > 0 {
             (self.ration, self.filled) = ((self.ration + gained).min(full), now);
         }
-        let ready = self.events.iter().filter(|(_, event)| event.stage == Stage::Ready);
+        let ready = self.events.iter().filter(|(_, event)| event.stage == EventStage::Ready);
         let mut ready: Vec<(WallMs, Key)> =
             ready.map(|(key, event)| (event.accepted.deadline, *key)).collect();
         ready.sort_unstable();
         for (_, key) in ready {
             let Some(event) = self.events.get_mut(&key) else { continue };
             let accepted = &event.accepted;
-            let sent = if self.planted == Some(Planted::RunsWhatWasSent) { Sent::Never } else { event.sent };
-            let case = Case {
+            let sent = if self.planted == Some(RecoveryFault::RunsWhatWasSent) {
+                FirstSend::Never
+            } else {
+                event.sent
+            };
+            let case = RecoveryCase {
                 again: accepted.again,
                 owed: accepted.owed,
                 waited: event.waited,
@@ -446,14 +475,14 @@
                 sent,
                 ended: None,
             };
-            let how = end(wall, self.slack, &case);
+            let how = resolve(wall, self.slack, &case);
             if let Some(outcome) = how.outcome() {
                 match how {
-                    End::MayHaveRun => self.counted.may_have_run += 1,
-                    End::LetGo => self.counted.let_go += 1,
+                    Resolution::MayHaveRun => self.counted.may_have_run += 1,
+                    Resolution::LetGo => self.counted.let_go += 1,
                     _ => self.counted.closed += 1,
                 }
-                out.push(Heir::Told { key, end: how, outcome, answer: Vec::new() });
+                out.push(RecoveryOutput::Resolved { key, end: how, outcome, answer: Vec::new() });
                 self.over(key, outcome, Vec::new(), out);
                 continue;
             }
@@ -461,13 +490,13 @@
                 continue;
             }
             match how {
-                End::Run => self.counted.run += 1,
-                End::RunAgain => self.counted.again += 1,
+                Resolution::Run => self.counted.run += 1,
+                Resolution::RunAgain => self.counted.again += 1,
                 _ => self.counted.same_key += 1,
             }
-            (self.out, self.ration, event.stage) = (self.out + 1, self.ration - 1_000, Stage::Out);
-            let first = if let Sent::At(first) = event.sent { Some(first) } else { None };
-            out.push(Heir::Adopt { accepted: event.accepted.clone(), first, end: how });
+            (self.out, self.ration, event.stage) = (self.out + 1, self.ration - 1_000, EventStage::Running);
+            let first = if let FirstSend::At(first) = event.sent { Some(first) } else { None };
+            out.push(RecoveryOutput::Adopt { accepted: event.accepted.clone(), first, end: how });
         }
     }
 }
--- a/crates/pending/src/resolution.rs
+++ b/crates/pending/src/resolution.rs
@@ -1,10 +1,10 @@
 //! What becomes of a pending event whose owner is lost. The one place that decides it.
 
-use crate::types::{Again, Outcome, WallMs};
+use crate::types::{Outcome, RepeatSafety, WallMs};
 
 /// Whether an event's first byte has left for a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
-pub enum Sent {
+pub enum FirstSend {
     /// It has not: all that could know have said so.
     Never,
     /// It may have, first at this time.
@@ -13,7 +13,7 @@
     Unknown,
 }
 
-impl Sent {
+impl FirstSend {
     /// What two that know of it know together: the earliest time, and what is missing stays missing.
     pub fn and(self, other: Self) -> Self {
         match (self, other) {
@@ -26,9 +26,9 @@
 
 /// What is known of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Case {
+pub struct RecoveryCase {
     /// What may be done once it was sent.
-    pub again: Again,
+    pub again: RepeatSafety,
     /// It is done though its client may be gone.
     pub owed: bool,
     /// A client waits for it, at whichever gateway.
@@ -36,14 +36,14 @@
     /// When its client gives up.
     pub deadline: WallMs,
     /// Whether it was sent.
-    pub sent: Sent,
+    pub sent: FirstSend,
     /// How it ended, if it did, and whether its answer was kept.
     pub ended: Option<(Outcome, bool)>,
 }
 
 /// How it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum End {
+pub enum Resolution {
     /// It never ran: it is run now.
     Run,
     /// It is run once more, which does no harm.
@@ -70,7 +70,7 @@
     LetGo,
 }
 
-impl End {
+impl Resolution {
     /// Whether a worker has to do something.
     pub fn runs(self) -> bool {
         matches!(self, Self::Run | Self::RunAgain | Self::SameKey { .. })
@@ -88,23 +88,23 @@
 
 /// How an event ends at this time of our wall clock. Others' may differ by up to `slack`: what could be too late by
 /// theirs is too late.
-pub fn end(now: WallMs, slack: WallMs, case: &Case) -> End {
+pub fn resolve(now: WallMs, slack: WallMs, case: &RecoveryCase) -> Resolution {
     let latest = now.saturating_add(slack);
-    let may_have_run = case.sent != Sent::Never;
+    let may_have_run = case.sent != FirstSend::Never;
     match (case.ended, case.again, case.sent) {
-        (Some((Outcome::Served, true)), ..) => End::Replay,
-        (Some((Outcome::Served, false)), ..) => End::AnswerLost,
-        (Some((outcome, _)), ..) => End::Ended(outcome),
-        _ if latest >= case.deadline => End::Closed { may_have_run },
-        (None, Again::Safe, _) if !case.owed && !case.waited => End::LetGo,
-        (None, _, Sent::Never) => End::Run,
-        (None, Again::Safe, _) => End::RunAgain,
-        (None, Again::Keyed { window }, Sent::At(first)) => {
+        (Some((Outcome::Served, true)), ..) => Resolution::Replay,
+        (Some((Outcome::Served, false)), ..) => Resolution::AnswerLost,
+        (Some((outcome, _)), ..) => Resolution::Ended(outcome),
+        _ if latest >= case.deadline => Resolution::Closed { may_have_run },
+        (None, RepeatSafety::Safe, _) if !case.owed && !case.waited => Resolution::LetGo,
+        (None, _, FirstSend::Never) => Resolution::Run,
+        (None, RepeatSafety::Safe, _) => Resolution::RunAgain,
+        (None, RepeatSafety::Keyed { window }, FirstSend::At(first)) => {
             let before = first.saturating_add(window / 1_000).saturating_sub(slack);
-            if now < before { End::SameKey { before } } else { End::MayHaveRun }
+            if now < before { Resolution::SameKey { before } } else { Resolution::MayHaveRun }
         }
         // A key's window runs from a time that nobody knows.
-        (None, Again::Keyed { .. } | Again::Unsafe, _) => End::MayHaveRun,
+        (None, RepeatSafety::Keyed { .. } | RepeatSafety::Unsafe, _) => Resolution::MayHaveRun,
     }
 }
 
@@ -112,66 +112,66 @@
 mod tests {
     use super::*;
 
-    const KEYED: Again = Again::Keyed { window: 5_000_000 };
-    const AT: Sent = Sent::At(1_000);
+    const KEYED: RepeatSafety = RepeatSafety::Keyed { window: 5_000_000 };
+    const AT: FirstSend = FirstSend::At(1_000);
 
     /// At 10,000 with a slack of 100.
-    fn of(again: Again, sent: Sent) -> Case {
-        Case { again, owed: true, waited: false, deadline: 20_000, sent, ended: None }
+    fn case(again: RepeatSafety, sent: FirstSend) -> RecoveryCase {
+        RecoveryCase { again, owed: true, waited: false, deadline: 20_000, sent, ended: None }
     }
 
     #[test]
     fn each_case_has_one_end() {
-        use Again::{Safe, Unsafe};
-        let ended = |outcome, kept| Case { ended: Some((outcome, kept)), ..of(Unsafe, AT) };
-        let late = |again, sent| Case { deadline: 10_100, ..of(again, sent) };
-        let gone = |again, sent| Case { owed: false, ..of(again, sent) };
-        let closed = |may_have_run| End::Closed { may_have_run };
-        let in_window = Sent::At(5_200);
+        use RepeatSafety::{Safe, Unsafe};
+        let ended = |outcome, kept| RecoveryCase { ended: Some((outcome, kept)), ..case(Unsafe, AT) };
+        let late = |again, sent| RecoveryCase { deadline: 10_100, ..case(again, sent) };
+        let gone = |again, sent| RecoveryCase { owed: false, ..case(again, sent) };
+        let closed = |may_have_run| Resolution::Closed { may_have_run };
+        let in_window = FirstSend::At(5_200);
         let table = [
-            (of(Safe, Sent::Never), End::Run),
-            (of(KEYED, Sent::Never), End::Run),
-            (of(Unsafe, Sent::Never), End::Run),
-            (of(Safe, AT), End::RunAgain),
-            (of(Safe, Sent::Unknown), End::RunAgain),
-            (of(KEYED, in_window), End::SameKey { before: 10_100 }),
+            (case(Safe, FirstSend::Never), Resolution::Run),
+            (case(KEYED, FirstSend::Never), Resolution::Run),
+            (case(Unsafe, FirstSend::Never), Resolution::Run),
+            (case(Safe, AT), Resolution::RunAgain),
+            (case(Safe, FirstSend::Unknown), Resolution::RunAgain),
+            (case(KEYED, in_window), Resolution::SameKey { before: 10_100 }),
             // The window ends at 10,000 by a clock that may be 100 ahead of ours.
-            (of(KEYED, Sent::At(5_000)), End::MayHaveRun),
-            (of(KEYED, Sent::At(5_100)), End::MayHaveRun),
-            (of(KEYED, Sent::Unknown), End::MayHaveRun),
-            (of(Unsafe, AT), End::MayHaveRun),
-            (of(Unsafe, Sent::Unknown), End::MayHaveRun),
-            (ended(Outcome::Served, true), End::Replay),
-            (ended(Outcome::Served, false), End::AnswerLost),
-            (ended(Outcome::Refused, false), End::Ended(Outcome::Refused)),
-            (ended(Outcome::Failed, false), End::Ended(Outcome::Failed)),
-            (Case { deadline: 0, ..ended(Outcome::Served, true) }, End::Replay),
-            (late(Safe, Sent::Never), closed(false)),
+            (case(KEYED, FirstSend::At(5_000)), Resolution::MayHaveRun),
+            (case(KEYED, FirstSend::At(5_100)), Resolution::MayHaveRun),
+            (case(KEYED, FirstSend::Unknown), Resolution::MayHaveRun),
+            (case(Unsafe, AT), Resolution::MayHaveRun),
+            (case(Unsafe, FirstSend::Unknown), Resolution::MayHaveRun),
+            (ended(Outcome::Served, true), Resolution::Replay),
+            (ended(Outcome::Served, false), Resolution::AnswerLost),
+            (ended(Outcome::Refused, false), Resolution::Ended(Outcome::Refused)),
+            (ended(Outcome::Failed, false), Resolution::Ended(Outcome::Failed)),
+            (RecoveryCase { deadline: 0, ..ended(Outcome::Served, true) }, Resolution::Replay),
+            (late(Safe, FirstSend::Never), closed(false)),
             (late(Unsafe, AT), closed(true)),
-            (late(KEYED, Sent::Unknown), closed(true)),
-            (Case { deadline: 10_101, ..of(Unsafe, Sent::Never) }, End::Run),
-            (gone(Safe, Sent::Never), End::LetGo),
-            (gone(Safe, AT), End::LetGo),
-            (Case { waited: true, ..gone(Safe, AT) }, End::RunAgain),
-            (gone(KEYED, Sent::Never), End::Run),
-            (gone(Unsafe, Sent::Never), End::Run),
-            (gone(Unsafe, AT), End::MayHaveRun),
+            (late(KEYED, FirstSend::Unknown), closed(true)),
+            (RecoveryCase { deadline: 10_101, ..case(Unsafe, FirstSend::Never) }, Resolution::Run),
+            (gone(Safe, FirstSend::Never), Resolution::LetGo),
+            (gone(Safe, AT), Resolution::LetGo),
+            (RecoveryCase { waited: true, ..gone(Safe, AT) }, Resolution::RunAgain),
+            (gone(KEYED, FirstSend::Never), Resolution::Run),
+            (gone(Unsafe, FirstSend::Never), Resolution::Run),
+            (gone(Unsafe, AT), Resolution::MayHaveRun),
         ];
         for (case, told) in table {
-            assert_eq!(end(10_000, 100, &case), told, "{case:?}");
+            assert_eq!(resolve(10_000, 100, &case), told, "{case:?}");
         }
     }
 
     #[test]
     fn an_unsafe_event_runs_only_where_all_say_it_never_did() {
-        for sent in [Sent::Never, AT, Sent::Unknown] {
-            for other in [Sent::Never, AT, Sent::At(2_000), Sent::Unknown] {
+        for sent in [FirstSend::Never, AT, FirstSend::Unknown] {
+            for other in [FirstSend::Never, AT, FirstSend::At(2_000), FirstSend::Unknown] {
                 let both = sent.and(other);
                 assert_eq!(both, other.and(sent));
-                let runs = end(10_000, 100, &of(Again::Unsafe, both)).runs();
-                assert_eq!(runs, (sent, other) == (Sent::Never, Sent::Never));
+                let runs = resolve(10_000, 100, &case(RepeatSafety::Unsafe, both)).runs();
+                assert_eq!(runs, (sent, other) == (FirstSend::Never, FirstSend::Never));
             }
         }
-        assert_eq!(Sent::At(2_000).and(AT), AT);
+        assert_eq!(FirstSend::At(2_000).and(AT), AT);
     }
 }
--- a/crates/pending/src/simulation.rs
+++ b/crates/pending/src/simulation.rs
@@ -1,11 +1,11 @@
 //! Gateways of several sites in virtual time: connections that break and lose what was on its way, frames that are
 //! late, doubled, out of order, cut or changed, gateways that crash, stand still and come back knowing nothing.
 
-use crate::holder::Planted;
-use crate::pending_events::Pending;
+use crate::holder::HolderFault;
 use crate::interface::{Input, Output, PendingSettings};
+use crate::pending_events::PendingEvents;
 use crate::types::{Key, Source, Step, WallMs};
-use crate::wire::{Message, Sent, close, open};
+use crate::wire::{Message, WireEntry, close, open};
 use basaltward_membership::{LinkFaults, MemberId, Micros, Site, SiteMap, VirtualNetwork, VirtualNode};
 use basaltward_permits::{Observation, Observations, Permit, PermitRequest, PermitState, Subject};
 use rand::rngs::StdRng;
@@ -14,7 +14,7 @@
 
 /// What may be wrong with frames beside what is wrong with all links, as shares of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Damage {
+pub struct FrameDamage {
     /// Cut somewhere inside.
     pub cut: f64,
     /// A byte is changed on the way.
@@ -25,58 +25,58 @@
 
 /// A gateway: its machine behind connections, as peers have them.
 #[derive(Debug)]
-pub struct Gateway {
+pub struct SimulatedGateway {
     /// The machine.
-    pub pending: Pending,
+    pub pending: PendingEvents,
     life: u64,
     /// Lives of those to whom a connection stands.
     linked: BTreeMap<MemberId, u64>,
     /// The latest life of each that was heard of.
     known: BTreeMap<MemberId, u64>,
     wall_ms: WallMs,
-    damage: Damage,
+    damage: FrameDamage,
     rng: StdRng,
     entry_bytes: usize,
 }
 
 /// What a gateway puts out.
 #[derive(Debug)]
-pub enum Said {
+pub enum SimulatedOutput {
     /// Bytes to another.
     Send(MemberId, Vec<u8>),
     /// What its machine tells its loops.
-    Told(Output),
+    Local(Output),
 }
 
 const HELLO: u8 = 0;
 const WELCOME: u8 = 1;
 const FRAME: u8 = 2;
 
-impl Gateway {
+impl SimulatedGateway {
     /// Our wall clock.
     pub fn wall(&self, now: Micros) -> WallMs {
         self.wall_ms + now / 1_000
     }
 
     /// Tells the machine something.
-    pub fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<Said>) {
+    pub fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<SimulatedOutput>) {
         let (wall, mut told) = (self.wall(now), Vec::new());
         self.pending.handle(now, wall, input, &mut told);
         self.pass_on(told, out);
     }
 
-    fn pass_on(&mut self, told: Vec<Output>, out: &mut Vec<Said>) {
+    fn pass_on(&mut self, told: Vec<Output>, out: &mut Vec<SimulatedOutput>) {
         for output in told {
             match output {
                 Output::Send { to, bytes } => match self.linked.get(&to).copied() {
                     Some(life) => {
                         let bytes = self.damaged(bytes);
-                        out.push(Said::Send(to, self.datagram(FRAME, life, &bytes)));
+                        out.push(SimulatedOutput::Send(to, self.datagram(FRAME, life, &bytes)));
                     }
                     // What is sent while a connection is made is lost, as at worst it is with peers.
-                    None => out.push(Said::Send(to, self.datagram(HELLO, 0, &[]))),
+                    None => out.push(SimulatedOutput::Send(to, self.datagram(HELLO, 0, &[]))),
                 },
-                other => out.push(Said::Told(other)),
+                other => out.push(SimulatedOutput::Local(other)),
             }
         }
     }
@@ -91,18 +91,18 @@
 
     fn damaged(&mut self, mut bytes: Vec<u8>) -> Vec<u8> {
         let mut draws = || self.rng.random::<f64>();
-        let Damage { cut, changed, within } = self.damage;
+        let FrameDamage { cut, changed, within } = self.damage;
         let (cut, changed, within) = (draws() < cut, draws() < changed, draws() < within);
         if within
-            && let Ok(Message::Lines(mut lines)) = open(&bytes, self.entry_bytes)
-            && let Some(Sent::Whole(line, chain)) = lines.lines.last().cloned()
+            && let Ok(Message::Append(mut lines)) = open(&bytes, self.entry_bytes)
+            && let Some(WireEntry::Full(line, chain)) = lines.lines.last().cloned()
         {
             let mut line = line.to_vec();
             let at = self.rng.random_range(0..line.len());
             line[at] ^= 1 << self.rng.random_range(0..8);
             lines.lines.pop();
-            lines.lines.push(Sent::Whole(&line, chain));
-            bytes = close(&Message::Lines(lines));
+            lines.lines.push(WireEntry::Full(&line, chain));
+            bytes = close(&Message::Append(lines));
         }
         if changed && !bytes.is_empty() {
             let at = self.rng.random_range(0..bytes.len());
@@ -114,7 +114,7 @@
         bytes
     }
 
-    fn linked(&mut self, now: Micros, of: MemberId, life: u64, out: &mut Vec<Said>) {
+    fn linked(&mut self, now: Micros, of: MemberId, life: u64, out: &mut Vec<SimulatedOutput>) {
         if self.known.get(&of).is_some_and(|known| *known > life) {
             return;
         }
@@ -123,27 +123,27 @@
         self.tell(now, Input::LinkUp { of, life }, out);
     }
 
-    fn unlinked(&mut self, now: Micros, of: MemberId, out: &mut Vec<Said>) {
+    fn unlinked(&mut self, now: Micros, of: MemberId, out: &mut Vec<SimulatedOutput>) {
         if self.linked.remove(&of).is_some() {
             self.tell(now, Input::LinkDown { of }, out);
         }
     }
 }
 
-impl VirtualNode for Gateway {
-    type Out = Said;
+impl VirtualNode for SimulatedGateway {
+    type Out = SimulatedOutput;
 
-    fn handle(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Vec<Said>) {
+    fn handle(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Vec<SimulatedOutput>) {
         let (Some(kind), Some(life), Some(to)) = (bytes.first(), word(bytes, 1), word(bytes, 9)) else {
             return;
         };
         match *kind {
             HELLO => {
                 self.linked(now, from, life, out);
-                out.push(Said::Send(from, self.datagram(WELCOME, life, &[])));
+                out.push(SimulatedOutput::Send(from, self.datagram(WELCOME, life, &[])));
             }
             WELCOME if to == self.life => self.linked(now, from, life, out),
-            FRAME if to != self.life => out.push(Said::Send(from, self.datagram(HELLO, 0, &[]))),
+            FRAME if to != self.life => out.push(SimulatedOutput::Send(from, self.datagram(HELLO, 0, &[]))),
             FRAME if self.linked.get(&from) == Some(&life) => {
                 let bytes = bytes[17..].to_vec();
                 self.tell(now, Input::Frame { from, bytes }, out);
@@ -152,7 +152,7 @@
         }
     }
 
-    fn wake(&mut self, now: Micros, out: &mut Vec<Said>) {
+    fn wake(&mut self, now: Micros, out: &mut Vec<SimulatedOutput>) {
         let (wall, mut told) = (self.wall(now), Vec::new());
         self.pending.wake(now, wall, &mut told);
         self.pass_on(told, out);
@@ -162,9 +162,9 @@
         self.pending.next_due()
     }
 
-    fn into_datagram(out: Said) -> Result<(MemberId, Vec<u8>), Said> {
+    fn into_datagram(out: SimulatedOutput) -> Result<(MemberId, Vec<u8>), SimulatedOutput> {
         match out {
-            Said::Send(to, bytes) => Ok((to, bytes)),
+            SimulatedOutput::Send(to, bytes) => Ok((to, bytes)),
             told => Err(told),
         }
     }
@@ -175,20 +175,20 @@
 }
 
 /// Gateways of several sites and what is between them.
-pub struct Sites {
+pub struct SimulatedSites {
     /// The network with all gateways.
-    pub net: VirtualNetwork<Gateway>,
+    pub net: VirtualNetwork<SimulatedGateway>,
     sites: Vec<Site>,
     settings: PendingSettings,
-    /// Damage that whoever starts from now on does to its frames.
-    pub damage: Damage,
+    /// FrameDamage that whoever starts from now on does to its frames.
+    pub damage: FrameDamage,
     /// What is agreed. Its voters hear all that run and are of one mind; what voters go through is not shown here.
     pub permit_state: PermitState,
     /// So late a crash or a start is seen by the others.
     pub detection: Micros,
     /// Whoever starts from now on has this fault.
     #[doc(hidden)]
-    pub planted: Option<Planted>,
+    pub planted: Option<HolderFault>,
     changed: BTreeMap<MemberId, Micros>,
     seen: Vec<bool>,
     /// Taken for dead though they run.
@@ -205,7 +205,7 @@
 /// The platform's wall clock at the world's beginning.
 const EPOCH_MS: WallMs = 1_800_000_000_000;
 
-impl Sites {
+impl SimulatedSites {
     /// A gateway for each entry of `sites`, none of them started. Each is set as told, but for its place and life.
     pub fn new(sites: Vec<Site>, settings: PendingSettings, link: LinkFaults) -> Self {
         let (size, seed) = (sites.len() as MemberId, settings.seed);
@@ -214,7 +214,7 @@
             seen: vec![false; sites.len()],
             sites,
             settings,
-            damage: Damage::default(),
+            damage: FrameDamage::default(),
             permit_state: PermitState::default(),
             detection: 2_000_000,
             planted: None,
@@ -232,9 +232,9 @@
         let life = self.net.now + u64::from(of);
         let settings = PendingSettings { places, life, ..self.settings.clone() };
         let now = self.net.clock(of);
-        let mut gateway = Gateway {
+        let mut gateway = SimulatedGateway {
             entry_bytes: settings.entry_bytes,
-            pending: Pending::new(settings, now),
+            pending: PendingEvents::new(settings, now),
             life,
             linked: BTreeMap::new(),
             known: BTreeMap::new(),
@@ -365,11 +365,12 @@
 
     /// The voters answer.
     fn answer(&mut self) {
-        let is_asked =
-            |(_, _, said): &mut (Micros, MemberId, Said)| matches!(said, Said::Told(Output::Ask(_)));
+        let is_asked = |(_, _, said): &mut (Micros, MemberId, SimulatedOutput)| {
+            matches!(said, SimulatedOutput::Local(Output::Ask(_)))
+        };
         let asked: Vec<_> = self.net.outputs.extract_if(.., is_asked).collect();
         for (_, of, said) in asked {
-            let Said::Told(Output::Ask(request)) = said else { continue };
+            let SimulatedOutput::Local(Output::Ask(request)) = said else { continue };
             if self.apart.contains(&of) {
                 continue;
             }
@@ -401,7 +402,7 @@
         }
     }
 
-    /// Runs until this time; who crashed or started is seen after [`Sites::detection`].
+    /// Runs until this time; who crashed or started is seen after [`SimulatedSites::detection`].
     pub fn run(&mut self, until: Micros) {
         while self.net.now < until {
             let next = (self.net.now + ROUND).min(until);
--- a/crates/pending/src/takeover.rs
+++ b/crates/pending/src/takeover.rs
@@ -1,7 +1,7 @@
 //! When what a lost site or gateway had pending is done by others, and what one that returns does first. Never by the
 //! view alone: what was promised to it has run out, and the voters have given a permit.
 
-use crate::lease::Promises;
+use crate::lease::HolderPromises;
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use basaltward_permits::{Observations, PermitState, Subject};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,10 +13,10 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Turn {
+pub enum TakeoverAction {
     /// Ask the voters for the permit: `PermitRequest::Acquire`.
-    Ask(Subject),
-    /// What these lives of its gateways and all before them had pending is others' now: [`crate::Heirs::begin`].
+    RequestPermit(Subject),
+    /// What these lives of its gateways and all before them had pending is others' now: [`crate::Recovery::begin`].
     Begin {
         /// Who is lost.
         subject: Subject,
@@ -26,32 +26,32 @@
         lives: Vec<(MemberId, u64)>,
     },
     /// The permit is over: its subject has learnt what was done.
-    Back(Subject),
-    /// We are taken over ourselves: nothing pending of this life is ours any more, see [`Return`].
-    Lost,
+    Returned(Subject),
+    /// We are taken over ourselves: nothing pending of this life is ours any more, see [`Rejoin`].
+    LostOwnership,
 }
 
 /// Who is taken over, as one gateway sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Watch {
+pub struct TakeoverMonitor {
     sites: Vec<u8>,
     own: MemberId,
     /// Since when it is seen to be lost and all that we promised has run out, and when we ask next.
     lost: BTreeMap<Subject, Micros>,
     /// Permits that stand, and whether we have begun.
     taken: BTreeMap<Subject, (u16, bool)>,
-    planted: Option<Planted>,
+    planted: Option<TakeoverFault>,
 }
 
 /// Faults that checkers must find.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Planted {
+pub enum TakeoverFault {
     /// Who is seen to be lost is taken over at once.
     ByTheViewAlone,
 }
 
-impl Watch {
+impl TakeoverMonitor {
     /// Nobody is taken over.
     pub fn new(places: &SiteMap) -> Self {
         let sites = (0..places.len() as MemberId).filter_map(|of| places.site_of(of)).collect();
@@ -59,7 +59,7 @@
     }
 
     #[doc(hidden)]
-    pub fn plant(&mut self, planted: Planted) {
+    pub fn plant(&mut self, planted: TakeoverFault) {
         self.planted = Some(planted);
     }
 
@@ -87,15 +87,15 @@
     }
 
     /// Looks at what the view shows (see `basaltward_permits::sites`) and at what is agreed. `life` is the latest that
-    /// is known of a gateway, by the view or by a journal. Asked again by [`Watch::next_due`] and when either changes.
+    /// is known of a gateway, by the view or by a journal. Asked again by [`TakeoverMonitor::next_due`] and when either changes.
     pub fn look(
         &mut self,
         now: Micros,
         observations: &Observations,
         permit_state: &PermitState,
         life: impl Fn(MemberId) -> u64,
-        promises: &mut Promises,
-        out: &mut Vec<Turn>,
+        promises: &mut HolderPromises,
+        out: &mut Vec<TakeoverAction>,
     ) {
         let lost = observations.iter().filter(|(of, seen)| of.allows_takeover() && seen.in_use_for.is_none());
         let lost: BTreeSet<Subject> = lost.map(|(of, _)| *of).collect();
@@ -105,7 +105,7 @@
             if members.contains(&self.own) || members.is_empty() {
                 continue;
             }
-            if self.planted == Some(Planted::ByTheViewAlone) {
+            if self.planted == Some(TakeoverFault::ByTheViewAlone) {
                 self.begin(subject, 0, &members, &life, promises, out);
                 continue;
             }
@@ -117,7 +117,7 @@
             let next = self.lost.entry(subject).or_insert(now + AGAIN * turn);
             if now >= *next {
                 *next = now + AGAIN * (TURNS + 1);
-                out.push(Turn::Ask(subject));
+                out.push(TakeoverAction::RequestPermit(subject));
             }
         }
         for permit in permit_state.permits.iter().filter(|permit| permit.subject.allows_takeover()) {
@@ -127,7 +127,7 @@
         let over: Vec<Subject> = self.taken.keys().copied().filter(over).collect();
         for subject in over {
             self.taken.remove(&subject);
-            out.push(Turn::Back(subject));
+            out.push(TakeoverAction::Returned(subject));
         }
     }
 
@@ -137,8 +137,8 @@
         subject: Subject,
         permit: u16,
         life: &impl Fn(MemberId) -> u64,
-        promises: &mut Promises,
-        out: &mut Vec<Turn>,
+        promises: &mut HolderPromises,
+        out: &mut Vec<TakeoverAction>,
     ) {
         let members = self.members(subject);
         let known = self.taken.get(&subject).copied();
@@ -147,7 +147,7 @@
         }
         if members.contains(&self.own) {
             self.taken.insert(subject, (permit, true));
-            out.push(Turn::Lost);
+            out.push(TakeoverAction::LostOwnership);
             return;
         }
         self.taken.insert(subject, (permit, false));
@@ -164,15 +164,15 @@
         permit: u16,
         members: &[MemberId],
         life: &impl Fn(MemberId) -> u64,
-        promises: &mut Promises,
-        out: &mut Vec<Turn>,
+        promises: &mut HolderPromises,
+        out: &mut Vec<TakeoverAction>,
     ) {
         if self.taken.insert(subject, (permit, true)) == Some((permit, true)) {
             return;
         }
         members.iter().for_each(|of| promises.close(*of, life(*of)));
         let lives = members.iter().map(|of| (*of, promises.closed(*of).unwrap_or(0))).collect();
-        out.push(Turn::Begin { subject, permit, lives });
+        out.push(TakeoverAction::Begin { subject, permit, lives });
     }
 
     /// When to look again though nothing has changed.
@@ -185,52 +185,52 @@
 
 /// What a gateway that begins, or that was taken over, has to do before it takes kept events.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
+pub enum RejoinAction {
     /// Ask the voters whether this is taken over: `PermitRequest::Reclaim`.
-    Home(Subject),
-    /// Ask this peer what was done in our place: [`crate::Word::Back`].
-    Learn(MemberId),
+    Reclaim(Subject),
+    /// Ask this peer what was done in our place: [`crate::TakeoverMessage::ReturnQuery`].
+    QueryPeer(MemberId),
     /// Tell the voters that we have learnt it: `PermitRequest::Return`.
-    Done(Subject, u16),
+    ReturnPermit(Subject, u16),
     /// Kept events are taken from now on.
-    Takes,
+    Ready,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Stage {
-    Asking,
-    Learning,
-    Ending,
-    Home,
+enum RejoinStage {
+    Reclaiming,
+    QueryingPeers,
+    ReturningPermits,
+    Ready,
 }
 
-/// See [`Step`].
+/// See [`RejoinAction`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Return {
+pub struct Rejoin {
     /// What may be taken over with us, with the permit's number once that is known.
     permits: BTreeMap<Subject, Option<u16>>,
     /// Peers that have told all.
     told: BTreeSet<MemberId>,
-    stage: Stage,
+    stage: RejoinStage,
     again: Micros,
 }
 
-impl Return {
+impl Rejoin {
     /// Of a life that begins now.
     pub fn new(places: &SiteMap, now: Micros) -> Self {
         let subjects = [Subject::Site(places.own_site()), Subject::Gateway(places.own())];
         let permits = subjects.map(|subject| (subject, None)).into();
-        Self { permits, told: BTreeSet::new(), stage: Stage::Asking, again: now }
+        Self { permits, told: BTreeSet::new(), stage: RejoinStage::Reclaiming, again: now }
     }
 
     /// Whether kept events may be taken.
     pub fn is_home(&self) -> bool {
-        self.stage == Stage::Home
+        self.stage == RejoinStage::Ready
     }
 
     /// The voters have answered `PermitRequest::Reclaim`, after any life of ours that it knows of began.
     pub fn answered(&mut self, subject: Subject, permit: u16) {
-        if self.stage == Stage::Asking {
+        if self.stage == RejoinStage::Reclaiming {
             self.permits.entry(subject).and_modify(|known| *known = Some(permit));
         }
     }
@@ -242,49 +242,50 @@
 
     /// The voters have answered `PermitRequest::Return`, or that no such permit stands.
     pub fn ended(&mut self, subject: Subject) {
-        if self.stage == Stage::Ending {
+        if self.stage == RejoinStage::ReturningPermits {
             self.permits.remove(&subject);
         }
     }
 
     /// Does what is next. `live` are our peers that live: one of them that has not told all is waited for.
-    pub fn wake(&mut self, now: Micros, live: &[MemberId], out: &mut Vec<Step>) {
+    pub fn wake(&mut self, now: Micros, live: &[MemberId], out: &mut Vec<RejoinAction>) {
         let was = self.stage;
-        if self.stage == Stage::Asking && self.permits.values().all(Option::is_some) {
-            self.stage = Stage::Learning;
+        if self.stage == RejoinStage::Reclaiming && self.permits.values().all(Option::is_some) {
+            self.stage = RejoinStage::QueryingPeers;
         }
         // Nobody who lives may be cut off from all who know: the majority of the voters has answered before.
-        if self.stage == Stage::Learning && live.iter().all(|of| self.told.contains(of)) {
+        if self.stage == RejoinStage::QueryingPeers && live.iter().all(|of| self.told.contains(of)) {
             self.permits.retain(|_, number| number.is_some_and(|number| number != 0));
-            self.stage = Stage::Ending;
+            self.stage = RejoinStage::ReturningPermits;
         }
-        if self.stage == Stage::Ending && self.permits.is_empty() {
-            self.stage = Stage::Home;
-            out.push(Step::Takes);
+        if self.stage == RejoinStage::ReturningPermits && self.permits.is_empty() {
+            self.stage = RejoinStage::Ready;
+            out.push(RejoinAction::Ready);
         }
         if now < self.again && was == self.stage {
             return;
         }
         self.again = now + AGAIN;
         match self.stage {
-            Stage::Asking => {
+            RejoinStage::Reclaiming => {
                 let open = self.permits.iter().filter(|(_, number)| number.is_none());
-                out.extend(open.map(|(subject, _)| Step::Home(*subject)));
+                out.extend(open.map(|(subject, _)| RejoinAction::Reclaim(*subject)));
             }
-            Stage::Learning => {
+            RejoinStage::QueryingPeers => {
                 let open = live.iter().filter(|of| !self.told.contains(of));
-                out.extend(open.map(|of| Step::Learn(*of)));
+                out.extend(open.map(|of| RejoinAction::QueryPeer(*of)));
             }
-            Stage::Ending => {
-                let number =
-                    |(subject, number): (&Subject, &Option<u16>)| Some(Step::Done(*subject, (*number)?));
+            RejoinStage::ReturningPermits => {
+                let number = |(subject, number): (&Subject, &Option<u16>)| {
+                    Some(RejoinAction::ReturnPermit(*subject, (*number)?))
+                };
                 out.extend(self.permits.iter().filter_map(number));
             }
-            Stage::Home => self.again = Micros::MAX,
+            RejoinStage::Ready => self.again = Micros::MAX,
         }
     }
 
-    /// When [`Return::wake`] is due.
+    /// When [`Rejoin::wake`] is due.
     pub fn next_due(&self) -> Micros {
         self.again
     }
--- a/crates/pending/src/takeover_messages.rs
+++ b/crates/pending/src/takeover_messages.rs
@@ -1,13 +1,13 @@
 //! What gateways tell one another of what is taken over, and what an heir puts out.
 
-use crate::resolution::{End, Sent};
+use crate::resolution::{FirstSend, Resolution};
 use crate::types::{Accepted, Entry, Key, Outcome, Source, WallMs};
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use serde::{Deserialize, Serialize};
 
 /// What we hold of a journal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Copy {
+pub struct JournalSnapshot {
     /// Whose.
     pub source: Source,
     /// The number of its last line that we hold; nothing before it is missing but what was over.
@@ -24,7 +24,7 @@
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, strum::VariantNames,
 )]
-pub enum Why {
+pub enum LossReason {
     /// It was written and came to nobody who lives.
     Missing,
     /// Two hold different lines under one number.
@@ -38,7 +38,7 @@
 #[error(
     "journal {source_of:?}: lines {from} to {to:?} are gone ({why:?}): ask the clients of that gateway for what had no answer"
 )]
-pub struct Gone {
+pub struct JournalLoss {
     /// Whose journal.
     pub source_of: Source,
     /// The first line.
@@ -46,21 +46,21 @@
     /// The last, where that is known.
     pub to: Option<u64>,
     /// Why.
-    pub why: Why,
+    pub why: LossReason,
 }
 
 /// What became of an event, for whoever is told of it again.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Fate {
+pub enum EventStatus {
     /// It will be done; by whom is not settled.
-    Open,
+    Unassigned,
     /// This gateway does it.
-    By(MemberId),
+    OwnedBy(MemberId),
     /// It has ended; the answer is empty where there was none or it was too long to be kept.
     Ended(Outcome, Vec<u8>),
 }
 
-impl Fate {
+impl EventStatus {
     /// Bytes of the answer that it holds.
     pub fn answer_bytes(&self) -> usize {
         if let Self::Ended(_, answer) = self { answer.len() } else { 0 }
@@ -69,24 +69,24 @@
 
 /// Whose an event is, to whoever answers a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Stand {
+pub enum ClaimDecision {
     /// The asker's.
-    Yours,
+    Granted,
     /// The answerer's.
-    Mine,
+    Denied,
     /// Nobody's any more.
     Ended(Outcome, Vec<u8>),
 }
 
 /// What a peer answers of an event that is claimed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Say {
+pub struct ClaimReply {
     /// Which event.
     pub key: Key,
     /// Whose it is.
-    pub stand: Stand,
+    pub stand: ClaimDecision,
     /// Whether it was sent, as far as the answerer could know.
-    pub sent: Sent,
+    pub sent: FirstSend,
     /// The line by which it was accepted and the chain there, where the answerer holds it.
     pub line: Option<(Source, u64, u64)>,
     /// How far the answerer's copy of the journal that was named goes, and how far it was written as it knows.
@@ -97,36 +97,36 @@
 
 /// What gateways tell one another of what is taken over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Word {
+pub enum TakeoverMessage {
     /// I would end these, accepted by these lines. Not answered before the answerer has begun with that journal.
     Claim(Vec<(Key, Source, u64)>),
     /// The answer, by one that lives for so long.
-    Says {
+    ClaimReplies {
         /// Since its start.
         age: Micros,
         /// For each event of which it could say anything.
-        says: Vec<Say>,
+        replies: Vec<ClaimReply>,
     },
     /// These have ended so.
-    Over(Vec<(Key, Outcome, Vec<u8>)>),
+    Ended(Vec<(Key, Outcome, Vec<u8>)>),
     /// Do you hold anything of this gateway's lives up to this one? Answered by whoever has begun with it.
-    Holds(MemberId, u64),
+    HoldsQuery(MemberId, u64),
     /// Whether any.
-    Held(MemberId, bool),
+    HoldsReply(MemberId, bool),
     /// My life began, and this one is over; what was done with what it and those before had pending, after this event?
     /// Taken up only when what was promised to the asker has run out.
-    Back {
+    ReturnQuery {
         /// The life that is over.
         life: u64,
         /// The last event told before.
         after: Option<Key>,
     },
     /// A part of that.
-    Did {
+    ReturnReply {
         /// The life that was asked about.
         life: u64,
         /// By event, with its deadline.
-        fates: Vec<(Key, WallMs, Fate)>,
+        statuses: Vec<(Key, WallMs, EventStatus)>,
         /// The last of this part, where there is more.
         more: Option<Key>,
     },
@@ -134,7 +134,7 @@
 
 /// Figures of an heir.
 #[derive(Clone, Debug)]
-pub struct HeirsSettings {
+pub struct RecoverySettings {
     /// Which gateway stands at which site.
     pub places: SiteMap,
     /// Our life: those before it are over.
@@ -153,44 +153,44 @@
 
 /// What an heir does or wants done.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Heir {
+pub enum RecoveryOutput {
     /// For another gateway.
-    Send(MemberId, Word),
+    Send(MemberId, TakeoverMessage),
     /// The event is ours, to be ended so by a worker: it goes the way of one that was accepted here, journal and lease
-    /// included, with its first byte said to have left at `first` if it did. Its end is told by [`Heirs::over`].
+    /// included, with its first byte said to have left at `first` if it did. Its end is told by [`Recovery::over`].
     Adopt {
         /// The event.
         accepted: Accepted,
         /// When it was first sent.
         first: Option<WallMs>,
         /// What is done: one of those that run.
-        end: End,
+        end: Resolution,
     },
     /// The event has ended here and no worker is asked.
-    Told {
+    Resolved {
         /// The event.
         key: Key,
         /// How.
-        end: End,
+        end: Resolution,
         /// For repeats.
         outcome: Outcome,
         /// The answer, where there is one.
         answer: Vec<u8>,
     },
     /// Something is not known.
-    Gone(Gone),
+    JournalLoss(JournalLoss),
     /// All that a gateway's peer knows of our earlier lives has come: [`crate::Return::learnt`].
-    Learnt(MemberId),
+    ReturnLearned(MemberId),
 }
 
 /// How events of lost owners have ended here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Counted {
+pub struct RecoveryCounts {
     /// Never sent, and run here.
     pub run: u64,
     /// Safe, and run again.
     pub again: u64,
-    /// Sent again under their keys.
+    /// FirstSend again under their keys.
     pub same_key: u64,
     /// Not run, as they may have.
     pub may_have_run: u64,
--- a/crates/pending/src/types.rs
+++ b/crates/pending/src/types.rs
@@ -20,7 +20,7 @@
 
 /// What may be done once a call was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Again {
+pub enum RepeatSafety {
     /// It may run again.
     Safe,
     /// It may be sent again under the same key, for so long after it was first sent.
@@ -44,7 +44,7 @@
     /// Its function.
     pub function: String,
     /// What may be done once it was sent.
-    pub again: Again,
+    pub again: RepeatSafety,
     /// It is done though its client may be gone.
     pub owed: bool,
     /// When its client gives up.
--- a/crates/pending/src/wire.rs
+++ b/crates/pending/src/wire.rs
@@ -2,31 +2,31 @@
 //! their length, and nothing of a frame that was cut or changed is read.
 
 use crate::error::WireError;
+use crate::takeover_messages::TakeoverMessage;
 use crate::types::Source;
-use crate::takeover_messages::Word;
 use basaltward_membership::Micros;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The first byte of each frame.
 pub const VERSION: u8 = 0x51;
-/// Lines go in frames of about this many bytes, or one line alone.
+/// Append go in frames of about this many bytes, or one line alone.
 pub const FRAME: usize = 64 << 10;
 /// What a frame holds beside its lines.
 const AROUND: usize = 256;
 
 /// A line on its way, with the chain after it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Sent<'a> {
+pub enum WireEntry<'a> {
     /// Its bytes.
-    Whole(&'a [u8], [u8; 8]),
+    Full(&'a [u8], [u8; 8]),
     /// Its digest: its event has ended, or is past its time.
-    Hollow([u8; 8], [u8; 8]),
+    DigestOnly([u8; 8], [u8; 8]),
 }
 
-/// Lines of a journal, from its writer to a holder.
+/// Append of a journal, from its writer to a holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lines<'a> {
+pub struct Append<'a> {
     /// Whose journal.
     pub source: Source,
     /// The holder's life to which they are sent: another holds nothing of what went before.
@@ -47,12 +47,12 @@
     pub before: [u8; 8],
     /// The lines, by number without a gap.
     #[serde(borrow)]
-    pub lines: Vec<Sent<'a>>,
+    pub lines: Vec<WireEntry<'a>>,
 }
 
 /// Why lines were not taken, or not all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Not {
+pub enum RejectReason {
     /// Those before them are missing.
     Gap,
     /// This one is not what was written.
@@ -85,7 +85,7 @@
     /// Nothing is done in the writer's place for a while from here on.
     pub granted: bool,
     /// What is wrong with them.
-    pub not: Option<Not>,
+    pub not: Option<RejectReason>,
 }
 
 /// Nothing of a journal is needed by its writer.
@@ -102,7 +102,7 @@
 pub enum Message<'a> {
     /// To a holder.
     #[serde(borrow)]
-    Lines(Lines<'a>),
+    Append(Append<'a>),
     /// From it.
     Ack(Ack),
     /// To one that is a holder no more.
@@ -110,9 +110,9 @@
     /// It has let go.
     Released(Release),
     /// Of what is taken over.
-    Word(Word),
+    Takeover(TakeoverMessage),
     /// Says nothing: whoever wants to be connected sends it.
-    Call,
+    Connect,
 }
 
 /// A message as a frame.
--- a/crates/pending/tests/bounds.rs
+++ b/crates/pending/tests/bounds.rs
@@ -1,15 +1,16 @@
 //! What is refused, and how, where a bound is reached; what is let go of, and when.
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use basaltward_pending::{
-    Accepted, Again, Fault, Input, Key, Outcome, Output, Pending, PendingSettings, Step, Unkept, WireError,
+    Accepted, Input, JournalFault, Key, Outcome, Output, PendingEvents, PendingSettings, RepeatSafety,
+    ReplicationError, Step, WireError,
 };
 use basaltward_permits::Subject;
 
-const KEYED: Again = Again::Keyed { window: 7_000_000 };
+const KEYED: RepeatSafety = RepeatSafety::Keyed { window: 7_000_000 };
 
 /// Two gateways at two sites with nothing between them but this; the first takes kept events.
 struct Two {
-    both: [Pending; 2],
+    both: [PendingEvents; 2],
     now: Micros,
 }
 
@@ -19,7 +20,7 @@
             let places = SiteMap::new(vec![0, 1], own).expect("in the list");
             let mut settings = PendingSettings::new(places, u64::from(own) + 7, vec![1, 2, 0], 1);
             change(&mut settings);
-            Pending::new(settings, 0)
+            PendingEvents::new(settings, 0)
         };
         let mut two = Self { both: [start(0), start(1)], now: 4_000_000 };
         two.tell(Input::Live(vec![true; 2]));
@@ -70,7 +71,7 @@
         told
     }
 
-    fn accept(&mut self, key: u128, class: u16, again: Again, bytes: usize) -> Vec<Output> {
+    fn accept(&mut self, key: u128, class: u16, again: RepeatSafety, bytes: usize) -> Vec<Output> {
         let deadline = self.wall() + 5_000;
         let (key, event) = (Key(key), vec![1; bytes]);
         let accepted =
@@ -79,32 +80,32 @@
     }
 }
 
-fn unheld(key: u128, why: Unkept) -> Vec<Output> {
+fn unheld(key: u128, why: ReplicationError) -> Vec<Output> {
     vec![Output::Unheld { key: Key(key), why }]
 }
 
 #[test]
 fn what_cannot_be_kept_is_refused_with_its_reason() {
     let mut two = Two::new(|settings| settings.entry_bytes = 100);
-    assert_eq!(two.accept(1, 2, KEYED, 10), unheld(1, Unkept::Class(2)));
-    assert_eq!(two.accept(1, 9, KEYED, 10), unheld(1, Unkept::Class(9)));
-    assert_eq!(two.accept(1, 1, KEYED, 10), unheld(1, Unkept::Few { told: 2, live: 1 }));
-    assert_eq!(two.accept(1, 0, KEYED, 100), unheld(1, Unkept::Long { bytes: 101, most: 100 }));
+    assert_eq!(two.accept(1, 2, KEYED, 10), unheld(1, ReplicationError::Class(2)));
+    assert_eq!(two.accept(1, 9, KEYED, 10), unheld(1, ReplicationError::Class(9)));
+    assert_eq!(two.accept(1, 1, KEYED, 10), unheld(1, ReplicationError::Few { told: 2, live: 1 }));
+    assert_eq!(two.accept(1, 0, KEYED, 100), unheld(1, ReplicationError::Long { bytes: 101, most: 100 }));
     assert_eq!(two.both[1].held_size().1, 0);
     assert_eq!(two.accept(1, 0, KEYED, 99), [Output::Held { key: Key(1) }]);
-    assert_eq!(two.accept(1, 0, KEYED, 10), unheld(1, Unkept::Doubled(Key(1))));
+    assert_eq!(two.accept(1, 0, KEYED, 10), unheld(1, ReplicationError::Doubled(Key(1))));
     let sending = Step::Sending { key: Key(2), attempt: 3, worker: "w".into(), at: 0 };
-    let why = Unkept::Unknown(Key(2));
+    let why = ReplicationError::Unknown(Key(2));
     assert_eq!(two.step(sending), [Output::MayNot { key: Key(2), attempt: 3, why }]);
     let mut young =
-        Pending::new(PendingSettings::new(SiteMap::new(vec![0, 1], 0).expect("one"), 1, vec![1], 1), 0);
+        PendingEvents::new(PendingSettings::new(SiteMap::new(vec![0, 1], 0).expect("one"), 1, vec![1], 1), 0);
     let (accepted, mut out) = (Accepted { event: Vec::new(), ..sample(1) }, Vec::new());
     young.handle(0, 0, Input::Step(Step::Accepted(accepted)), &mut out);
-    assert_eq!(out, unheld(1, Unkept::Away));
+    assert_eq!(out, unheld(1, ReplicationError::Away));
 }
 
 fn sample(key: u128) -> Accepted {
-    let (function, again) = ("f".into(), Again::Unsafe);
+    let (function, again) = ("f".into(), RepeatSafety::Unsafe);
     Accepted {
         key: Key(key),
         class: 0,
@@ -121,14 +122,17 @@
 fn a_journal_that_is_full_takes_no_event_more_but_every_step_of_those_it_has() {
     let mut two = Two::new(|settings| settings.bytes = 40_000);
     let mut taken = Vec::new();
-    let full = (1..1_000).find_map(|key| match &two.accept(key, 0, Again::Safe, 500)[..] {
+    let full = (1..1_000).find_map(|key| match &two.accept(key, 0, RepeatSafety::Safe, 500)[..] {
         [Output::Held { .. }] => {
             taken.push(key);
             None
         }
         other => Some(other.to_vec()),
     });
-    assert!(matches!(full.as_deref(), Some([Output::Unheld { why: Unkept::Full { .. }, .. }])), "{full:?}");
+    assert!(
+        matches!(full.as_deref(), Some([Output::Unheld { why: ReplicationError::Full { .. }, .. }])),
+        "{full:?}"
+    );
     assert!(taken.len() > 40 && two.both[0].own_size().0 <= 40_000 && two.both[1].held_size().0 <= 40_000);
     for key in &taken {
         let ended = Step::Ended { key: Key(*key), outcome: Outcome::Served, answer: vec![2; 400] };
@@ -136,7 +140,7 @@
     }
     let (own, held) = (two.both[0].own_size(), two.both[1].held_size());
     assert!(own.0 < 20_000 && held.0 < 20_000, "{own:?} {held:?}");
-    assert_eq!(two.accept(2_000, 0, Again::Safe, 500), [Output::Held { key: Key(2_000) }]);
+    assert_eq!(two.accept(2_000, 0, RepeatSafety::Safe, 500), [Output::Held { key: Key(2_000) }]);
 }
 
 #[test]
@@ -147,16 +151,16 @@
     });
     let mut told = Vec::new();
     for key in 1..50 {
-        told.extend(two.accept(key, 0, Again::Safe, 500));
+        told.extend(two.accept(key, 0, RepeatSafety::Safe, 500));
     }
     let held = told.iter().filter(|output| matches!(output, Output::Held { .. })).count();
-    assert!(told.iter().any(|output| matches!(output, Output::Noted(Fault::Full { .. }))));
+    assert!(told.iter().any(|output| matches!(output, Output::Noted(JournalFault::Full { .. }))));
     assert!((20..40).contains(&held) && two.both[1].held_size().0 <= 20_000, "{held}");
     two.now += 1_000_000;
     let late = two
         .settle()
         .into_iter()
-        .filter(|output| matches!(output, Output::Unheld { why: Unkept::Late { .. }, .. }));
+        .filter(|output| matches!(output, Output::Unheld { why: ReplicationError::Late { .. }, .. }));
     assert_eq!(late.count() + held, 49);
 }
 
@@ -164,7 +168,7 @@
 fn nothing_is_kept_past_its_time() {
     let mut two = Two::new(|settings| settings.remember_ms = 2_000);
     for key in 1..100 {
-        two.accept(key, 0, [Again::Safe, Again::Unsafe, KEYED][key as usize % 3], 100);
+        two.accept(key, 0, [RepeatSafety::Safe, RepeatSafety::Unsafe, KEYED][key as usize % 3], 100);
         let at = two.wall();
         two.step(Step::Sending { key: Key(key), attempt: 0, worker: "w".into(), at });
         // Of every second one nobody says how it ended.
@@ -196,7 +200,7 @@
         (vec![0x51; 100_000], WireError::Long(100_000)),
     ] {
         let told = two.tell(Input::Frame { from: 1, bytes });
-        assert_eq!(told, [Output::Noted(Fault::Frame { from: 1, error })]);
+        assert_eq!(told, [Output::Noted(JournalFault::Frame { from: 1, error })]);
     }
     let mut out = Vec::new();
     two.tell(Input::Step(Step::Accepted(sample(1))));
@@ -207,5 +211,5 @@
     });
     // Our own frame, come back as if the other had written our journal.
     let told = two.tell(Input::Frame { from: 1, bytes: lines.expect("sent") });
-    assert_eq!(told, [Output::Noted(Fault::Frame { from: 1, error: WireError::Foreign(1) })]);
+    assert_eq!(told, [Output::Noted(JournalFault::Frame { from: 1, error: WireError::Foreign(1) })]);
 }
--- a/crates/pending/tests/journal_faults.rs
+++ b/crates/pending/tests/journal_faults.rs
@@ -3,8 +3,8 @@
 //! `PENDING_SEEDS=0..2000 cargo test --release -p basaltward-pending`.
 use basaltward_membership::{LinkFaults, MemberId, Micros, SiteMap};
 use basaltward_pending::{
-    Accepted, Again, Damage, Key, Outcome, Output, PendingSettings, Planted, Said, Sites, Source, Step,
-    Unkept,
+    Accepted, FrameDamage, HolderFault, Key, Outcome, Output, PendingSettings, RepeatSafety,
+    ReplicationError, SimulatedOutput, SimulatedSites, Source, Step,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -38,7 +38,7 @@
 }
 
 struct Run {
-    sites: Sites,
+    sites: SimulatedSites,
     rng: StdRng,
     events: BTreeMap<Key, Event>,
     /// All that loops have said.
@@ -58,15 +58,15 @@
 const CLASSES: [u8; 3] = [1, 2, 0];
 
 impl Run {
-    fn new(places: Vec<u8>, seed: u64, link: LinkFaults, damage: Damage) -> Self {
+    fn new(places: Vec<u8>, seed: u64, link: LinkFaults, damage: FrameDamage) -> Self {
         let settings =
             PendingSettings::new(SiteMap::new(places.clone(), 0).expect("one"), 0, CLASSES.into(), seed);
         Self::with(places, PendingSettings { remember_ms: 10_000, ..settings }, link, damage)
     }
 
-    fn with(places: Vec<u8>, settings: PendingSettings, link: LinkFaults, damage: Damage) -> Self {
+    fn with(places: Vec<u8>, settings: PendingSettings, link: LinkFaults, damage: FrameDamage) -> Self {
         let seed = settings.seed;
-        let mut sites = Sites::new(places, settings, link);
+        let mut sites = SimulatedSites::new(places, settings, link);
         sites.damage = damage;
         Self {
             sites,
@@ -104,7 +104,8 @@
         let key = Key(self.next_key);
         self.next_key += 1;
         let class = self.rng.random_range(0..2);
-        let again = [Again::Safe, Again::Unsafe, Again::Keyed { window: 3 * S }][self.rng.random_range(0..3)];
+        let again = [RepeatSafety::Safe, RepeatSafety::Unsafe, RepeatSafety::Keyed { window: 3 * S }]
+            [self.rng.random_range(0..3)];
         let event = vec![self.rng.random(); self.rng.random_range(0..400)];
         let patience = self.rng.random_range(4_000..20_000);
         let deadline = self.sites.wall(of) + patience;
@@ -128,7 +129,7 @@
     /// Does as loops do with what they are told.
     fn loops(&mut self) {
         for (at, of, said) in std::mem::take(&mut self.sites.net.outputs) {
-            let Said::Told(output) = said else { continue };
+            let SimulatedOutput::Local(output) = said else { continue };
             let wall = self.sites.wall(of);
             match output {
                 Output::Held { key } => {
@@ -145,7 +146,10 @@
                     self.events.remove(&key);
                     if matches!(
                         why,
-                        Unkept::Unknown(_) | Unkept::Doubled(_) | Unkept::Class(_) | Unkept::Lease
+                        ReplicationError::Unknown(_)
+                            | ReplicationError::Doubled(_)
+                            | ReplicationError::Class(_)
+                            | ReplicationError::Lease
                     ) {
                         self.broken.push((at, format!("{key:?} unheld: {why}")));
                     }
@@ -323,7 +327,7 @@
     }
 }
 
-fn harsh(seed: u64) -> (Vec<u8>, LinkFaults, Damage) {
+fn harsh(seed: u64) -> (Vec<u8>, LinkFaults, FrameDamage) {
     let places = [vec![0, 0, 1, 1, 2, 2], vec![0, 1], vec![0, 0, 1, 1], vec![0, 1, 2, 3], vec![0, 1, 2, 2]];
     let link = match seed % 3 {
         0 => LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: (5_000, 5_000) },
@@ -331,13 +335,13 @@
         _ => LinkFaults { loss_rate: 0.02, duplicate_rate: 0.2, delay_range: (100_000, 300_000) },
     };
     let damage = match seed % 4 {
-        0 => Damage::default(),
-        _ => Damage { cut: 0.01, changed: 0.01, within: 0.01 },
+        0 => FrameDamage::default(),
+        _ => FrameDamage { cut: 0.01, changed: 0.01, within: 0.01 },
     };
     (places[seed as usize % places.len()].clone(), link, damage)
 }
 
-fn run(seed: u64, bursts: usize, plant: Option<Planted>) -> Run {
+fn run(seed: u64, bursts: usize, plant: Option<HolderFault>) -> Run {
     let (places, link, damage) = harsh(seed);
     let mut run = Run::new(places.clone(), seed, link, damage);
     run.sites.planted = plant;
@@ -383,7 +387,7 @@
 
 #[test]
 fn planted_faults_are_found() {
-    for plant in [Planted::AckFirst, Planted::Unchained] {
+    for plant in [HolderFault::AckFirst, HolderFault::Unchained] {
         let seen = in_turns(0..6, |seed| run(seed * 4 + 1, 1, Some(plant)));
         let found = seen.iter().filter(|(.., broken)| !broken.is_empty()).count();
         assert!(found >= 3, "{plant:?} was found by {found} of 6 seeds");
--- a/crates/pending/tests/takeover.rs
+++ b/crates/pending/tests/takeover.rs
@@ -2,7 +2,8 @@
 //! none that must not run twice does.
 use basaltward_membership::{LinkFaults, MemberId, Micros, SiteMap};
 use basaltward_pending::{
-    Accepted, Again, End, Key, Outcome, Output, PendingSettings, Said, Sites, Source, Step,
+    Accepted, Key, Outcome, Output, PendingSettings, RepeatSafety, Resolution, SimulatedOutput,
+    SimulatedSites, Source, Step,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -18,7 +19,7 @@
 
 /// An event as workers and clients see it.
 struct Event {
-    again: Again,
+    again: RepeatSafety,
     held: bool,
     /// Whose loop does it: what it is told elsewhere is not for it.
     by: Source,
@@ -32,7 +33,7 @@
 }
 
 struct Run {
-    sites: Sites,
+    sites: SimulatedSites,
     rng: StdRng,
     events: BTreeMap<Key, Event>,
     broken: Vec<String>,
@@ -47,7 +48,7 @@
         let own = SiteMap::new(places.to_vec(), 0).expect("one");
         let settings =
             PendingSettings { heir_rate: 400, ..PendingSettings::new(own, 0, holders.into(), seed) };
-        let mut sites = Sites::new(places.to_vec(), settings, link);
+        let mut sites = SimulatedSites::new(places.to_vec(), settings, link);
         sites.start_all();
         let rng = StdRng::seed_from_u64(seed);
         Self {
@@ -68,8 +69,8 @@
     fn accept(&mut self, of: MemberId) {
         let Some(by) = self.source(of).filter(|_| self.sites.net.is_up(of)) else { return };
         let key = Key(self.events.len() as u128 + 1);
-        let again =
-            [Again::Safe, Again::Unsafe, Again::Keyed { window: 60 * S }][self.rng.random_range(0..3)];
+        let again = [RepeatSafety::Safe, RepeatSafety::Unsafe, RepeatSafety::Keyed { window: 60 * S }]
+            [self.rng.random_range(0..3)];
         let known =
             Event { again, held: false, by, sent: Vec::new(), leaves: None, answers: None, ended: None };
         self.events.insert(key, known);
@@ -94,7 +95,7 @@
     fn loops(&mut self) {
         let (now, mut late) = (self.sites.net.now, Vec::new());
         for (at, of, said) in std::mem::take(&mut self.sites.net.outputs) {
-            let Said::Told(output) = said else { continue };
+            let SimulatedOutput::Local(output) = said else { continue };
             let (wall, source) = (self.sites.wall(of), self.source(of));
             let ours = |event: &Event| source == Some(event.by);
             match output {
@@ -116,14 +117,15 @@
                 Output::Run { pending, end, .. } => {
                     let (key, by) = (pending.key, source.expect("it runs"));
                     let event = self.events.get_mut(&key).expect("known");
-                    if end == End::Run && !event.sent.is_empty() && event.again == Again::Unsafe {
+                    if end == Resolution::Run && !event.sent.is_empty() && event.again == RepeatSafety::Unsafe
+                    {
                         self.broken.push(format!("{key:?} was sent by {:?} and runs at {of}", event.sent));
                     }
                     (event.by, event.leaves, event.answers) = (by, None, None);
                     self.sites.step(of, Step::Accepted(pending));
                 }
                 Output::Told { key, end, .. } => {
-                    let how = if end == End::MayHaveRun { "may have run" } else { "closed" };
+                    let how = if end == Resolution::MayHaveRun { "may have run" } else { "closed" };
                     let event = self.events.get_mut(&key).expect("known");
                     (event.leaves, event.answers) = (None, None);
                     self.ends(key, how);
@@ -180,7 +182,7 @@
     fn judge(&mut self) -> BTreeSet<Key> {
         for (key, event) in &self.events {
             let effects: BTreeSet<&Source> = event.sent.iter().collect();
-            if event.again == Again::Unsafe && effects.len() > 1 {
+            if event.again == RepeatSafety::Unsafe && effects.len() > 1 {
                 self.broken.push(format!("{key:?} left from {effects:?}"));
             }
         }
--- a/crates/pending/tests/takeover_faults.rs
+++ b/crates/pending/tests/takeover_faults.rs
@@ -1,9 +1,10 @@
-//! What heirs go through, in virtual time over many seeds: owners, heirs and second sites killed at each step, gateways
+//! DisruptionKind heirs go through, in virtual time over many seeds: owners, heirs and second sites killed at each step, gateways
 //! that stand still for up to 30 s, clocks a tenth apart. Other seeds: `HEIRS_SEEDS=0..1000 cargo test --release`.
 use basaltward_membership::{LinkFaults, MemberId, Micros, SiteMap};
 use basaltward_pending::{
-    Accepted, Again, Copy, End, Entry, Fate, Heir, Heirs, HeirsPlanted, HeirsSettings, Key, Outcome, Output,
-    Pending, PendingSettings, Said, Say, Sent, Sites, Source, Stand, Step, Word,
+    Accepted, ClaimDecision, ClaimReply, Entry, EventStatus, FirstSend, JournalSnapshot, Key, Outcome,
+    Output, PendingEvents, PendingSettings, Recovery, RecoveryFault, RecoveryOutput, RecoverySettings,
+    RepeatSafety, Resolution, SimulatedOutput, SimulatedSites, Source, Step, TakeoverMessage,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,7 +19,7 @@
 
 /// How far one event has come, as its loop sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum At {
+enum Progress {
     Written,
     Held,
     Announced,
@@ -29,9 +30,9 @@
 /// Its loop could not go on: until that is held by others an heir may still run it, and the client is told so.
 const GIVEN_UP: &str = "given up";
 
-/// What a loop does next.
+/// DisruptionKind a loop does next.
 #[derive(Clone, Copy, Debug)]
-enum Does {
+enum NextAction {
     /// Says that the first byte is about to leave.
     Announce,
     /// Lets it leave before this time of its clock.
@@ -39,38 +40,38 @@
 }
 
 struct Event {
-    again: Again,
+    again: RepeatSafety,
     first: MemberId,
     by: Source,
-    at: At,
+    at: Progress,
     /// First bytes, by whose journal; and when an end was told.
     sent: Vec<Source>,
     told: Option<&'static str>,
-    does: Option<Does>,
+    does: Option<NextAction>,
     /// A worker answers then.
     answers: Option<Micros>,
 }
 
-/// What befalls a gateway, once an event of its own, or one that it has inherited, has come so far.
+/// DisruptionKind befalls a gateway, once an event of its own, or one that it has inherited, has come so far.
 #[derive(Clone, Copy, Debug)]
-struct Blow {
-    at: At,
+struct Disruption {
+    at: Progress,
     inherited: bool,
-    what: What,
+    what: DisruptionKind,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum What {
+enum DisruptionKind {
     KillSite,
     StandStill(Micros),
     CutSite,
 }
 
 struct Run {
-    sites: Sites,
+    sites: SimulatedSites,
     places: Vec<u8>,
     events: BTreeMap<Key, Event>,
-    blows: Vec<Blow>,
+    blows: Vec<Disruption>,
     broken: Vec<String>,
     gone: usize,
     /// First bytes of unsafe events that left after an end was told.
@@ -79,11 +80,11 @@
 }
 
 impl Run {
-    fn new(places: &[u8], seed: u64, blows: Vec<Blow>) -> Self {
+    fn new(places: &[u8], seed: u64, blows: Vec<Disruption>) -> Self {
         let own = SiteMap::new(places.to_vec(), 0).expect("one");
         let settings = PendingSettings { heir_rate: 400, ..PendingSettings::new(own, 0, vec![2], seed) };
         let link = LinkFaults { loss_rate: 0.01, duplicate_rate: 0.02, delay_range: (MS, 30 * MS) };
-        let mut sites = Sites::new(places.to_vec(), settings, link);
+        let mut sites = SimulatedSites::new(places.to_vec(), settings, link);
         sites.start_all();
         let (events, broken, cut) = (BTreeMap::new(), Vec::new(), Vec::new());
         let places = places.to_vec();
@@ -95,14 +96,14 @@
         run
     }
 
-    fn accept(&mut self, of: MemberId, again: Again) -> Option<Key> {
+    fn accept(&mut self, of: MemberId, again: RepeatSafety) -> Option<Key> {
         let by = self.sites.net.node(of)?.pending.source();
         let key = Key(self.events.len() as u128 + 1);
         let known = Event {
             again,
             first: of,
             by,
-            at: At::Written,
+            at: Progress::Written,
             sent: Vec::new(),
             told: None,
             does: None,
@@ -114,7 +115,7 @@
         let accepted =
             Accepted { key, class: 0, tenant: 0, function, again, owed: true, deadline, event: vec![1; 40] };
         self.sites.step(of, Step::Accepted(accepted));
-        self.comes(key, At::Written);
+        self.comes(key, Progress::Written);
         Some(key)
     }
 
@@ -124,22 +125,22 @@
     }
 
     /// An event has come so far: what was to befall its gateway then does.
-    fn comes(&mut self, key: Key, at: At) {
+    fn comes(&mut self, key: Key, at: Progress) {
         let event = self.events.get_mut(&key).expect("known");
         event.at = at;
         let of = event.by.gateway;
         let inherited = of != event.first;
-        let strikes = |blow: &Blow| blow.at == at && blow.inherited == inherited;
+        let strikes = |blow: &Disruption| blow.at == at && blow.inherited == inherited;
         let Some(index) = self.blows.iter().position(strikes) else { return };
         let (blow, site) = (self.blows.remove(index), self.places[usize::from(of)]);
         match blow.what {
-            What::KillSite => self.sites.kill_site(site),
-            What::StandStill(span) => {
+            DisruptionKind::KillSite => self.sites.kill_site(site),
+            DisruptionKind::StandStill(span) => {
                 self.sites.net.pause(of, span);
                 self.sites.slander(of, true);
                 self.cut.push((self.sites.net.now + span, 100 + of as u8));
             }
-            What::CutSite => {
+            DisruptionKind::CutSite => {
                 self.sites.cut(site, true);
                 self.cut.push((self.sites.net.now + 12 * S, site));
             }
@@ -149,22 +150,22 @@
     fn ends(&mut self, key: Key, how: &'static str) {
         let event = self.events.get_mut(&key).expect("known");
         event.told.get_or_insert(how);
-        self.comes(key, At::Ended);
+        self.comes(key, Progress::Ended);
     }
 
     fn loops(&mut self) {
         for (_, of, said) in std::mem::take(&mut self.sites.net.outputs) {
-            let Said::Told(output) = said else { continue };
+            let SimulatedOutput::Local(output) = said else { continue };
             let source = self.sites.net.node(of).map(|one| one.pending.source());
             let ours = |run: &Self, key: &Key| source == Some(run.events[key].by);
             match output {
-                Output::Held { key } if ours(self, &key) && self.events[&key].at == At::Written => {
-                    self.events.get_mut(&key).expect("known").does = Some(Does::Announce);
-                    self.comes(key, At::Held);
+                Output::Held { key } if ours(self, &key) && self.events[&key].at == Progress::Written => {
+                    self.events.get_mut(&key).expect("known").does = Some(NextAction::Announce);
+                    self.comes(key, Progress::Held);
                 }
                 Output::May { key, until, .. } if ours(self, &key) => {
-                    self.events.get_mut(&key).expect("known").does = Some(Does::Write(until));
-                    self.comes(key, At::Announced);
+                    self.events.get_mut(&key).expect("known").does = Some(NextAction::Write(until));
+                    self.comes(key, Progress::Announced);
                 }
                 Output::MayNot { key, .. } | Output::Unheld { key, .. } if ours(self, &key) => {
                     self.sites.step(of, Step::Ended { key, outcome: Outcome::Refused, answer: Vec::new() });
@@ -172,24 +173,25 @@
                 }
                 Output::Run { pending, end, .. } => {
                     let event = self.events.get_mut(&pending.key).expect("known");
-                    if end == End::Run && event.again == Again::Unsafe && !event.sent.is_empty() {
+                    if end == Resolution::Run && event.again == RepeatSafety::Unsafe && !event.sent.is_empty()
+                    {
                         self.broken.push(format!("{:?} was sent and runs at {of}", pending.key));
                     }
                     let Some(by) = source else { continue };
                     (event.by, event.answers, event.does) = (by, None, None);
                     let key = pending.key;
                     self.sites.step(of, Step::Accepted(pending));
-                    self.comes(key, At::Written);
+                    self.comes(key, Progress::Written);
                 }
                 Output::Told { key, end, .. } => {
                     let event = self.events.get_mut(&key).expect("known");
-                    if event.at == At::Ended {
+                    if event.at == Progress::Ended {
                         continue;
                     }
                     (event.answers, event.does) = (None, None);
-                    self.ends(key, if end == End::MayHaveRun { "unknown" } else { "closed" });
+                    self.ends(key, if end == Resolution::MayHaveRun { "unknown" } else { "closed" });
                 }
-                Output::Gone(_) => self.gone += 1,
+                Output::JournalLoss(_) => self.gone += 1,
                 _ => {}
             }
         }
@@ -216,23 +218,23 @@
         }
     }
 
-    fn goes_on(&mut self, key: Key, by: Source, does: Does) {
+    fn goes_on(&mut self, key: Key, by: Source, does: NextAction) {
         let (of, now) = (by.gateway, self.sites.net.now);
         match does {
-            Does::Announce => {
+            NextAction::Announce => {
                 let (worker, at) = ("w".into(), self.sites.wall(of));
                 self.sites.step(of, Step::Sending { key, attempt: 0, worker, at });
             }
-            Does::Write(until) if self.sites.net.clock(of) < until => {
+            NextAction::Write(until) if self.sites.net.clock(of) < until => {
                 let event = self.events.get_mut(&key).expect("known");
                 event.sent.push(by);
                 event.answers = Some(now + 300 * MS);
                 self.late += usize::from(
-                    event.told.is_some_and(|told| told != GIVEN_UP) && event.again == Again::Unsafe,
+                    event.told.is_some_and(|told| told != GIVEN_UP) && event.again == RepeatSafety::Unsafe,
                 );
-                self.comes(key, At::Sent);
+                self.comes(key, Progress::Sent);
             }
-            Does::Write(_) => {
+            NextAction::Write(_) => {
                 self.sites.step(of, Step::Ended { key, outcome: Outcome::Refused, answer: Vec::new() });
                 self.ends(key, GIVEN_UP);
             }
@@ -265,11 +267,11 @@
         self.pass(45 * S);
         for (key, event) in &self.events {
             let by: BTreeSet<&Source> = event.sent.iter().collect();
-            if event.again == Again::Unsafe && by.len() > 1 {
+            if event.again == RepeatSafety::Unsafe && by.len() > 1 {
                 self.broken.push(format!("{key:?} left from {by:?}"));
             }
-            if event.told.is_none() && event.at > At::Written {
-                let fates: Vec<Option<Fate>> =
+            if event.told.is_none() && event.at > Progress::Written {
+                let fates: Vec<Option<EventStatus>> =
                     self.sites.net.node_ids().map(|of| self.sites.net.node(of)?.pending.fate(*key)).collect();
                 self.broken.push(format!("{key:?} {:?} {:?} has no end: {fates:?}", event.again, event.at));
             }
@@ -277,11 +279,13 @@
     }
 }
 
-const STEPS: [At; 5] = [At::Written, At::Held, At::Announced, At::Sent, At::Ended];
-const KINDS: [Again; 3] = [Again::Safe, Again::Unsafe, Again::Keyed { window: 60 * S }];
+const STEPS: [Progress; 5] =
+    [Progress::Written, Progress::Held, Progress::Announced, Progress::Sent, Progress::Ended];
+const KINDS: [RepeatSafety; 3] =
+    [RepeatSafety::Safe, RepeatSafety::Unsafe, RepeatSafety::Keyed { window: 60 * S }];
 
 /// Each kind of event in flight at an owner that is struck when the last one has come so far.
-fn history(places: &[u8], seed: u64, blows: Vec<Blow>) -> Run {
+fn history(places: &[u8], seed: u64, blows: Vec<Disruption>) -> Run {
     let mut run = Run::new(places, seed, blows);
     let owner = (seed % places.len() as u64) as MemberId;
     for round in 0..6 {
@@ -300,7 +304,7 @@
 fn a_site_killed_at_each_step_leaves_one_end_to_each_event() {
     for seed in seeds(3) {
         for at in STEPS {
-            let blows = vec![Blow { at, inherited: false, what: What::KillSite }];
+            let blows = vec![Disruption { at, inherited: false, what: DisruptionKind::KillSite }];
             let mut run = history(PLACES[seed as usize % 3], seed, blows);
             run.judge(seed, &format!("killed when {at:?}"));
         }
@@ -311,8 +315,8 @@
 fn an_heir_killed_at_each_step_is_followed_by_another() {
     for seed in seeds(3) {
         for at in STEPS {
-            let first = Blow { at: At::Held, inherited: false, what: What::KillSite };
-            let then = Blow { at, inherited: true, what: What::KillSite };
+            let first = Disruption { at: Progress::Held, inherited: false, what: DisruptionKind::KillSite };
+            let then = Disruption { at, inherited: true, what: DisruptionKind::KillSite };
             let mut run = history(PLACES[2], seed, vec![first, then]);
             run.judge(seed, &format!("heir killed when {at:?}"));
         }
@@ -323,9 +327,10 @@
 fn an_heir_cut_off_or_standing_still_at_each_step_does_nothing_twice() {
     for seed in seeds(3) {
         for at in STEPS {
-            for what in [What::CutSite, What::StandStill(12 * S)] {
-                let first = Blow { at: At::Held, inherited: false, what: What::KillSite };
-                let then = Blow { at, inherited: true, what };
+            for what in [DisruptionKind::CutSite, DisruptionKind::StandStill(12 * S)] {
+                let first =
+                    Disruption { at: Progress::Held, inherited: false, what: DisruptionKind::KillSite };
+                let then = Disruption { at, inherited: true, what };
                 let mut run = history(PLACES[2], seed, vec![first, then]);
                 run.judge(seed, &format!("heir struck by {what:?} when {at:?}"));
             }
@@ -338,7 +343,7 @@
     for seed in seeds(3) {
         for at in STEPS {
             let span = [1, 4, 30][seed as usize % 3] * S;
-            let blows = vec![Blow { at, inherited: false, what: What::StandStill(span) }];
+            let blows = vec![Disruption { at, inherited: false, what: DisruptionKind::StandStill(span) }];
             let mut run = history(PLACES[seed as usize % 2], seed, blows);
             run.judge(seed, &format!("stood still for {span} us when {at:?}"));
         }
@@ -349,7 +354,7 @@
 fn a_site_cut_off_at_each_step_is_done_elsewhere_and_comes_home() {
     for seed in seeds(3) {
         for at in STEPS {
-            let blows = vec![Blow { at, inherited: false, what: What::CutSite }];
+            let blows = vec![Disruption { at, inherited: false, what: DisruptionKind::CutSite }];
             let mut run = history(PLACES[seed as usize % 3], seed, blows);
             run.judge(seed, &format!("cut off when {at:?}"));
         }
@@ -358,13 +363,13 @@
 
 /// Whether anything breaks with a fault planted, over a few seeds of an owner that is struck once an event has come so
 /// far.
-fn breaks(at: At, what: What, plant: impl Fn(&mut Pending)) -> bool {
+fn breaks(at: Progress, what: DisruptionKind, plant: impl Fn(&mut PendingEvents)) -> bool {
     (0..6).any(|seed| {
-        let mut run = Run::new(PLACES[1], seed, vec![Blow { at, inherited: false, what }]);
+        let mut run = Run::new(PLACES[1], seed, vec![Disruption { at, inherited: false, what }]);
         for of in run.sites.net.node_ids() {
             run.sites.net.node_mut(of).into_iter().for_each(|one| plant(&mut one.pending));
         }
-        (0..4).for_each(|_| _ = run.accept(0, Again::Unsafe));
+        (0..4).for_each(|_| _ = run.accept(0, RepeatSafety::Unsafe));
         run.look();
         run.late > 0 || !run.broken.is_empty()
     })
@@ -372,14 +377,17 @@
 
 #[test]
 fn an_heir_that_runs_what_was_sent_is_found() {
-    assert!(breaks(At::Sent, What::KillSite, |one| one.plant_heirs(HeirsPlanted::RunsWhatWasSent)));
-    assert!(!breaks(At::Sent, What::KillSite, |_| {}));
+    assert!(breaks(Progress::Sent, DisruptionKind::KillSite, |one| one
+        .plant_heirs(RecoveryFault::RunsWhatWasSent)));
+    assert!(!breaks(Progress::Sent, DisruptionKind::KillSite, |_| {}));
 }
 
 #[test]
 fn an_heir_that_asks_nobody_is_found() {
-    assert!(breaks(At::Held, What::KillSite, |one| one.plant_heirs(HeirsPlanted::AsksNobody)));
-    assert!(!breaks(At::Held, What::KillSite, |_| {}));
+    assert!(
+        breaks(Progress::Held, DisruptionKind::KillSite, |one| one.plant_heirs(RecoveryFault::AsksNobody))
+    );
+    assert!(!breaks(Progress::Held, DisruptionKind::KillSite, |_| {}));
 }
 
 /// `HEIRS_SEEDS=0..200 cargo test --release -p basaltward-pending --test heirs losses -- --nocapture`
@@ -398,7 +406,9 @@
         let of = (seed % places.len() as u64) as MemberId;
         let site = places[usize::from(of)];
         let theirs = |(_, event): &(&Key, &Event)| {
-            places[usize::from(event.by.gateway)] == site && event.told.is_none() && event.at > At::Written
+            places[usize::from(event.by.gateway)] == site
+                && event.told.is_none()
+                && event.at > Progress::Written
         };
         let owed: BTreeSet<Key> = run.events.iter().filter(theirs).map(|(key, _)| *key).collect();
         let unsent: BTreeSet<Key> =
@@ -438,31 +448,38 @@
 fn what_was_claimed_before_a_take_over_is_claimed_anew() {
     let places = SiteMap::new(vec![0, 1, 2], 1).expect("one");
     let (life, holders, slack, remember) = (10, vec![1], 0, 0);
-    let settings = HeirsSettings { places, life, holders, slack, most: 0, rate: 1_000, remember };
-    let mut heirs = Heirs::new(&settings, 0);
+    let settings = RecoverySettings { places, life, holders, slack, most: 0, rate: 1_000, remember };
+    let mut heirs = Recovery::new(&settings, 0);
     let (key, source, function, event) = (Key(1), Source { gateway: 0, life: 1 }, "f".into(), Vec::new());
-    let again = Again::Unsafe;
+    let again = RepeatSafety::Unsafe;
     let accepted =
         Accepted { key, class: 0, tenant: 0, function, again, owed: true, deadline: 1_000_000, event };
     let entries = vec![Entry { source, number: 1, chain: 1, step: Step::Accepted(accepted) }];
-    let copy = Copy { source, through: 1, head: 1, unheard: 0, entries };
+    let copy = JournalSnapshot { source, through: 1, head: 1, unheard: 0, entries };
     heirs.begin(S, 0, 1, true, vec![copy]);
     let mut out = Vec::new();
     heirs.wake(S, 1, &mut out);
-    assert_eq!(out, [Heir::Send(2, Word::Claim(vec![(key, source, 1)]))]);
-    let say = Say { key, stand: Stand::Yours, sent: Sent::Never, line: None, upto: None, torn: false };
-    let word = Word::Says { age: 100 * S, says: vec![say] };
+    assert_eq!(out, [RecoveryOutput::Send(2, TakeoverMessage::Claim(vec![(key, source, 1)]))]);
+    let say = ClaimReply {
+        key,
+        stand: ClaimDecision::Granted,
+        sent: FirstSend::Never,
+        line: None,
+        upto: None,
+        torn: false,
+    };
+    let word = TakeoverMessage::ClaimReplies { age: 100 * S, replies: vec![say] };
     heirs.word(S, 2, word.clone(), |_, _| Vec::new(), &mut out);
     heirs.wake(S, 1, &mut out);
-    assert_eq!(heirs.fate(key), Some(Fate::By(1)), "it waits for the ration");
+    assert_eq!(heirs.fate(key), Some(EventStatus::OwnedBy(1)), "it waits for the ration");
     // Taken over meanwhile, and back.
     heirs.begin(2 * S, 1, 10, false, Vec::new());
     heirs.set_ration(1_000, 8);
     out.clear();
     heirs.wake(2 * S, 2, &mut out);
-    assert_eq!(out, [Heir::Send(2, Word::Claim(vec![(key, source, 1)]))]);
+    assert_eq!(out, [RecoveryOutput::Send(2, TakeoverMessage::Claim(vec![(key, source, 1)]))]);
     heirs.word(2 * S, 2, word, |_, _| Vec::new(), &mut out);
     out.clear();
     heirs.wake(2 * S, 2, &mut out);
-    assert!(matches!(out[..], [Heir::Adopt { end: End::Run, .. }]), "{out:?}");
+    assert!(matches!(out[..], [RecoveryOutput::Adopt { end: Resolution::Run, .. }]), "{out:?}");
 }
