--- a/crates/pending/tests/takeover_model.rs
+++ b/crates/pending/tests/takeover_model.rs
@@ -4,41 +4,42 @@
 //! the owner stands still before its first byte, or returns as another life, and the client repeats the event there.
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use basaltward_pending::{
-    Accepted, Again, Copy, Entry, Heir, Heirs, HeirsPlanted, HeirsSettings, Key, Lease, Promises, Return,
-    ReturnStep, Source, Step, Terms, Turn, Watch, WatchPlanted, Word,
+    Accepted, Entry, HolderPromises, JournalSnapshot, Key, Lease, LeaseTerms, Recovery, RecoveryFault,
+    RecoveryOutput, RecoverySettings, Rejoin, RejoinAction, RepeatSafety, Source, Step, TakeoverAction,
+    TakeoverFault, TakeoverMessage, TakeoverMonitor,
 };
 use basaltward_permits::{Observation, Observations, Permit, PermitState, Subject};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
 const TICK: Micros = 1_000_000;
-const TERMS: Terms = Terms { lease: 2 * TICK, silence: 3 * TICK };
+const TERMS: LeaseTerms = LeaseTerms { lease: 2 * TICK, silence: 3 * TICK };
 const KEY: Key = Key(7);
 /// Ticks at the beginning: every holder has been up for longer than a silence.
 const START: u64 = 4;
 
-/// Lines of the owner's journal: none, accepted, and accepted with its first byte announced.
-type Lines = u8;
+/// EntryCount of the owner's journal: none, accepted, and accepted with its first byte announced.
+type EntryCount = u8;
 
 /// What is on its way for good.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Said {
+enum Packet {
     /// From a writer to a holder, asked at this tick.
-    Lines(MemberId, Lines, u64),
+    Append(MemberId, EntryCount, u64),
     /// Back.
-    Ack(MemberId, Lines, u64),
+    Ack(MemberId, EntryCount, u64),
 }
 
 /// A gateway of another site.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Holder {
     life: u64,
-    promises: Promises,
-    watch: Watch,
-    heirs: Heirs,
+    promises: HolderPromises,
+    watch: TakeoverMonitor,
+    heirs: Recovery,
     /// What it holds of the owner's journal, and of the other holder's.
-    holds: Lines,
-    of_other: Lines,
+    holds: EntryCount,
+    of_other: EntryCount,
     /// The event is its own to run, its first byte is announced, and until when it may leave.
     adopted: bool,
     announced: bool,
@@ -48,17 +49,17 @@
 /// The owner: its first life, and what a later one has learnt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Owner {
-    lines: Lines,
+    lines: EntryCount,
     lease: Lease,
-    acked: [Lines; 2],
+    acked: [EntryCount; 2],
     sent: bool,
     /// It has looked at its lease and has not written yet.
     cleared: bool,
-    back: Option<(Return, Heirs)>,
+    back: Option<(Rejoin, Recovery)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct ModelState {
     now: u64,
     owner: Owner,
     holders: [Holder; 2],
@@ -67,8 +68,8 @@
     known: [PermitState; 2],
     /// Whether it sees the first site as lost, rightly or not.
     sees: [bool; 2],
-    words: BTreeSet<Said>,
-    told: Vec<(MemberId, MemberId, Word)>,
+    words: BTreeSet<Packet>,
+    told: Vec<(MemberId, MemberId, TakeoverMessage)>,
     restarts: u8,
     /// First bytes of the event, whether one was an heir's, and whether one left after an end was told.
     sends: u8,
@@ -78,11 +79,11 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
+enum ModelAction {
     Tick,
     /// The owner writes its next line.
     Write,
-    Deliver(Said),
+    Deliver(Packet),
     Tell(usize),
     /// The voters permit a site to be taken over; a holder learns of it.
     Permit(MemberId),
@@ -103,7 +104,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Planted {
+enum InjectedFault {
     Nothing,
     LeaseByTheWallClock,
     RunsWhatWasSent,
@@ -112,8 +113,8 @@
     HomeWithoutLearning,
 }
 
-struct Sites {
-    planted: Planted,
+struct TakeoverModel {
+    planted: InjectedFault,
     ticks: u64,
     restarts: u8,
     /// Permits for the second site as well.
@@ -122,7 +123,7 @@
     stalls: bool,
     returns: bool,
     /// How far its journal is written and held at the beginning, and whether it goes on.
-    lines: Lines,
+    lines: EntryCount,
     writes: bool,
 }
 
@@ -130,8 +131,8 @@
     SiteMap::new(vec![0, 1, 2], own).expect("in the list")
 }
 
-fn settings(own: MemberId, life: u64) -> HeirsSettings {
-    HeirsSettings {
+fn settings(own: MemberId, life: u64) -> RecoverySettings {
+    RecoverySettings {
         places: places(own),
         life,
         holders: vec![2],
@@ -148,7 +149,7 @@
         class: 0,
         tenant: 0,
         function: String::new(),
-        again: Again::Unsafe,
+        again: RepeatSafety::Unsafe,
         owed: true,
         deadline: 1_000_000,
         event: Vec::new(),
@@ -156,27 +157,27 @@
 }
 
 /// What a holder has of a journal.
-fn copy(gateway: MemberId, life: u64, lines: Lines) -> Vec<Copy> {
+fn copy(gateway: MemberId, life: u64, lines: EntryCount) -> Vec<JournalSnapshot> {
     let source = Source { gateway, life };
     let steps =
         [Step::Accepted(accepted()), Step::Sending { key: KEY, attempt: 0, worker: String::new(), at: 1 }];
     let entry = |(at, step)| Entry { source, number: at as u64 + 1, chain: at as u64 + 1, step };
     let entries: Vec<Entry> = steps.into_iter().take(lines.into()).enumerate().map(entry).collect();
     let through = u64::from(lines);
-    let whole = Copy { source, through, head: through, unheard: 0, entries };
+    let whole = JournalSnapshot { source, through, head: through, unheard: 0, entries };
     if lines == 0 { Vec::new() } else { vec![whole] }
 }
 
-impl Sites {
+impl TakeoverModel {
     fn holder(&self, of: MemberId, now: Micros, life: u64) -> Holder {
-        let mut heirs = Heirs::new(&settings(of, life), if life == 1 { 0 } else { now });
-        let mut watch = Watch::new(&places(of));
+        let mut heirs = Recovery::new(&settings(of, life), if life == 1 { 0 } else { now });
+        let mut watch = TakeoverMonitor::new(&places(of));
         match self.planted {
-            Planted::RunsWhatWasSent => heirs.plant(HeirsPlanted::RunsWhatWasSent),
-            Planted::TakeOverByTheViewAlone => watch.plant(WatchPlanted::ByTheViewAlone),
+            InjectedFault::RunsWhatWasSent => heirs.plant(RecoveryFault::RunsWhatWasSent),
+            InjectedFault::TakeOverByTheViewAlone => watch.plant(TakeoverFault::ByTheViewAlone),
             _ => {}
         }
-        let promises = Promises::new(TERMS, if life == 1 { 0 } else { now });
+        let promises = HolderPromises::new(TERMS, if life == 1 { 0 } else { now });
         let lease = Lease::new(TERMS);
         Holder {
             life,
@@ -193,18 +194,18 @@
 
     /// The owner sends what it has to each holder, which asks for a lease as well. It does so when it writes: asked
     /// again it would have a later lease, with all as before by so much later.
-    fn beat(world: &mut World) {
+    fn beat(world: &mut ModelState) {
         if world.owner.back.is_some() {
             return;
         }
         for of in 1..3 {
             let lines = world.owner.lines;
-            world.words.retain(|said| !matches!(said, Said::Lines(to, ..) if *to == of));
-            world.words.insert(Said::Lines(of, lines, world.now));
+            world.words.retain(|said| !matches!(said, Packet::Append(to, ..) if *to == of));
+            world.words.insert(Packet::Append(of, lines, world.now));
         }
     }
 
-    fn settle(&self, world: &mut World) {
+    fn settle(&self, world: &mut ModelState) {
         let now = world.now * TICK;
         for at in 0..2 {
             let of = at as MemberId + 1;
@@ -222,7 +223,7 @@
             let Holder { promises, watch, .. } = holder;
             watch.look(now, &observations, &world.known[at], |_| 1, promises, &mut turns);
             for turn in turns {
-                if let Turn::Begin { lives, .. } = turn {
+                if let TakeoverAction::Begin { lives, .. } = turn {
                     for (lost, life) in lives {
                         let lines = if lost == 0 { holder.holds } else { holder.of_other };
                         holder.heirs.begin(now, lost, life, true, copy(lost, life, lines));
@@ -234,47 +235,53 @@
         }
     }
 
-    fn put(world: &mut World, of: MemberId, out: Vec<Heir>) {
+    fn put(world: &mut ModelState, of: MemberId, out: Vec<RecoveryOutput>) {
         for heir in out {
             match heir {
                 // What asks whether anybody holds a journal bears on no event.
-                Heir::Send(_, Word::Holds(..) | Word::Held(..)) => {}
-                Heir::Send(to, word) => {
+                RecoveryOutput::Send(
+                    _,
+                    TakeoverMessage::HoldsQuery(..) | TakeoverMessage::HoldsReply(..),
+                ) => {}
+                RecoveryOutput::Send(to, word) => {
                     let told = (of, to, word);
                     // The same word again, but for the age that it tells.
-                    let same = |(from, of, word): &(MemberId, MemberId, Word)| {
+                    let same = |(from, of, word): &(MemberId, MemberId, TakeoverMessage)| {
                         let like = std::mem::discriminant(word) == std::mem::discriminant(&told.2);
                         (*from, *of) == (told.0, told.1) && like
                     };
                     world.told.retain(|known| !same(known));
                     world.told.push(told);
-                    world.told.sort_by_key(|(from, to, word)| (*from, *to, matches!(word, Word::Claim(_))));
+                    world.told.sort_by_key(|(from, to, word)| {
+                        (*from, *to, matches!(word, TakeoverMessage::Claim(_)))
+                    });
                 }
-                Heir::Adopt { .. } if of > 0 => world.holders[usize::from(of) - 1].adopted = true,
-                Heir::Told { .. } => world.ended = true,
-                Heir::Learnt(from) => {
+                RecoveryOutput::Adopt { .. } if of > 0 => world.holders[usize::from(of) - 1].adopted = true,
+                RecoveryOutput::Resolved { .. } => world.ended = true,
+                RecoveryOutput::ReturnLearned(from) => {
                     if let Some((home, _)) = &mut world.owner.back {
                         home.learnt(from);
                     }
                 }
-                Heir::Adopt { .. } | Heir::Gone(_) => {}
+                RecoveryOutput::Adopt { .. } | RecoveryOutput::JournalLoss(_) => {}
             }
         }
     }
 
-    fn first_byte(world: &mut World) {
+    fn first_byte(world: &mut ModelState) {
         world.sends += 1;
         world.late |= world.ended;
     }
 
-    fn lease_clock(&self, world: &World) -> Micros {
+    fn lease_clock(&self, world: &ModelState) -> Micros {
         let now = world.now * TICK;
-        // Planted: a wall clock that somebody puts back by two ticks at the sixth.
-        let back = if self.planted == Planted::LeaseByTheWallClock && world.now >= 6 { 2 * TICK } else { 0 };
+        // InjectedFault: a wall clock that somebody puts back by two ticks at the sixth.
+        let back =
+            if self.planted == InjectedFault::LeaseByTheWallClock && world.now >= 6 { 2 * TICK } else { 0 };
         now - back
     }
 
-    fn may(&self, world: &World) -> bool {
+    fn may(&self, world: &ModelState) -> bool {
         let owner = &world.owner;
         owner.back.is_none()
             && !owner.sent
@@ -282,19 +289,19 @@
             && owner.lease.may(self.lease_clock(world), 2)
     }
 
-    fn deliver(&self, world: &mut World, said: Said) {
+    fn deliver(&self, world: &mut ModelState, said: Packet) {
         let now = world.now * TICK;
         match said {
-            Said::Lines(of, lines, asked) => {
+            Packet::Append(of, lines, asked) => {
                 let holder = &mut world.holders[usize::from(of) - 1];
                 if holder.promises.grant(now, 0, 1).is_ok() {
-                    let unstored = self.planted == Planted::AckBeforeStored && lines == 2;
+                    let unstored = self.planted == InjectedFault::AckBeforeStored && lines == 2;
                     holder.holds = holder.holds.max(if unstored { 1 } else { lines });
-                    world.words.retain(|said| !matches!(said, Said::Ack(from, ..) if *from == of));
-                    world.words.insert(Said::Ack(of, lines, asked));
+                    world.words.retain(|said| !matches!(said, Packet::Ack(from, ..) if *from == of));
+                    world.words.insert(Packet::Ack(of, lines, asked));
                 }
             }
-            Said::Ack(of, lines, asked) => {
+            Packet::Ack(of, lines, asked) => {
                 let life = world.holders[usize::from(of) - 1].life;
                 let owner = &mut world.owner;
                 owner.lease.granted(now, of, life, asked * TICK);
@@ -304,7 +311,7 @@
         }
     }
 
-    fn tell(&self, world: &mut World, at: usize) {
+    fn tell(&self, world: &mut ModelState, at: usize) {
         let (from, to, word) = world.told[at].clone();
         let now = world.now * TICK;
         let mut out = Vec::new();
@@ -316,13 +323,13 @@
             }
             _ => {
                 let holder = &mut world.holders[usize::from(to) - 1];
-                if matches!(word, Word::Back { .. }) && !holder.promises.free(now, from) {
+                if matches!(word, TakeoverMessage::ReturnQuery { .. }) && !holder.promises.free(now, from) {
                     return;
                 }
                 let (holds, of_other) = (holder.holds, holder.of_other);
                 let copies =
                     |of: MemberId, life: u64| copy(of, life.min(1), if of == 0 { holds } else { of_other });
-                if let Word::Back { life, .. } = word {
+                if let TakeoverMessage::ReturnQuery { life, .. } = word {
                     holder.promises.close(from, life);
                 }
                 holder.heirs.word(now, from, word, copies, &mut out);
@@ -331,7 +338,7 @@
         Self::put(world, to, out);
     }
 
-    fn announce(world: &mut World, at: usize) -> bool {
+    fn announce(world: &mut ModelState, at: usize) -> bool {
         let (of, now) = (at as MemberId + 1, world.now * TICK);
         let life = world.holders[at].life;
         let away = world.holders[at].watch.has_begun(Subject::Site(2 - at as u8));
@@ -349,22 +356,22 @@
     }
 }
 
-impl Model for Sites {
-    type State = World;
-    type Action = Act;
+impl Model for TakeoverModel {
+    type State = ModelState;
+    type Action = ModelAction;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<ModelState> {
         let lease = Lease::new(TERMS);
         let owner = Owner { lines: 0, lease, acked: [0; 2], sent: false, cleared: false, back: None };
         let holders = [1, 2].map(|of| self.holder(of, 0, 1));
-        let mut world = World {
+        let mut world = ModelState {
             now: START,
             owner,
             holders,
             permit_state: PermitState::default(),
             known: [PermitState::default(), PermitState::default()],
             // One that sees it lost asks for the permit, which the voters give whenever they like.
-            sees: [self.planted != Planted::TakeOverByTheViewAlone; 2],
+            sees: [self.planted != InjectedFault::TakeOverByTheViewAlone; 2],
             words: BTreeSet::new(),
             told: Vec::new(),
             restarts: self.restarts,
@@ -374,8 +381,8 @@
             late: false,
         };
         for line in 1..=self.lines {
-            let held = [1, 2].map(|of| Act::Deliver(Said::Lines(of, line, START)));
-            for act in [Act::Write].into_iter().chain(held) {
+            let held = [1, 2].map(|of| ModelAction::Deliver(Packet::Append(of, line, START)));
+            for act in [ModelAction::Write].into_iter().chain(held) {
                 world = self.next_state(&world, act).expect("it changes");
             }
         }
@@ -387,139 +394,139 @@
         vec![world]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        acts.extend((world.now < START + self.ticks).then_some(Act::Tick));
+    fn actions(&self, world: &ModelState, acts: &mut Vec<ModelAction>) {
+        acts.extend((world.now < START + self.ticks).then_some(ModelAction::Tick));
         let owner = &world.owner;
         if owner.lines < 2 && owner.back.is_none() && self.writes {
-            acts.push(Act::Write);
+            acts.push(ModelAction::Write);
         }
-        acts.extend(world.words.iter().cloned().map(Act::Deliver));
-        acts.extend((0..world.told.len()).map(Act::Tell));
+        acts.extend(world.words.iter().cloned().map(ModelAction::Deliver));
+        acts.extend((0..world.told.len()).map(ModelAction::Tell));
         for of in [0, 1] {
             if world.permit_state.permit(Subject::Site(of)).is_none() && (of == 0 || self.second) {
-                acts.push(Act::Permit(of.into()));
+                acts.push(ModelAction::Permit(of.into()));
             }
         }
-        acts.extend((0..2).filter(|at| world.known[*at] != world.permit_state).map(Act::Learn));
-        acts.extend((0..2).filter(|at| !world.sees[*at]).map(Act::See));
+        acts.extend((0..2).filter(|at| world.known[*at] != world.permit_state).map(ModelAction::Learn));
+        acts.extend((0..2).filter(|at| !world.sees[*at]).map(ModelAction::See));
         if self.may(world) && !owner.cleared {
-            acts.push(if self.stalls { Act::Clear } else { Act::Send });
+            acts.push(if self.stalls { ModelAction::Clear } else { ModelAction::Send });
         }
         if owner.cleared && !owner.sent && owner.back.is_none() {
-            acts.push(Act::Send);
+            acts.push(ModelAction::Send);
         }
         for at in 0..2 {
             let holder = &world.holders[at];
             if holder.adopted && !holder.announced {
-                acts.push(Act::Announce(at));
+                acts.push(ModelAction::Announce(at));
             }
             let away = holder.watch.has_begun(Subject::Site(2 - at as u8));
             if holder.announced && holder.adopted && holder.lease.may(world.now * TICK, usize::from(!away)) {
-                acts.push(Act::HeirSends(at));
+                acts.push(ModelAction::HeirSends(at));
             }
             if world.restarts > 0 {
-                acts.push(Act::Restart(at));
+                acts.push(ModelAction::Restart(at));
             }
         }
         if self.returns && owner.back.is_none() {
-            acts.push(Act::Return);
+            acts.push(ModelAction::Return);
         }
         if let Some((home, heirs)) = &owner.back {
-            acts.push(Act::Home);
-            let learnt = home.is_home() || self.planted == Planted::HomeWithoutLearning;
+            acts.push(ModelAction::Home);
+            let learnt = home.is_home() || self.planted == InjectedFault::HomeWithoutLearning;
             if learnt && heirs.fate(KEY).is_none() && !owner.sent {
-                acts.push(Act::Repeat);
+                acts.push(ModelAction::Repeat);
             }
         }
     }
 
-    fn next_state(&self, last: &World, act: Act) -> Option<World> {
+    fn next_state(&self, last: &ModelState, act: ModelAction) -> Option<ModelState> {
         let mut world = last.clone();
         match act {
-            Act::Tick => world.now += 1,
-            Act::Write => {
+            ModelAction::Tick => world.now += 1,
+            ModelAction::Write => {
                 world.owner.lines += 1;
                 Self::beat(&mut world);
             }
-            Act::Deliver(said) => {
+            ModelAction::Deliver(said) => {
                 world.words.remove(&said);
                 self.deliver(&mut world, said);
             }
-            Act::Tell(at) => {
+            ModelAction::Tell(at) => {
                 self.tell(&mut world, at);
                 if world.told.get(at) == last.told.get(at) {
                     world.told.remove(at);
                 }
             }
-            Act::Permit(of) => {
+            ModelAction::Permit(of) => {
                 let number = world.permit_state.last_number + 1;
                 let permit =
                     Permit { subject: Subject::Site(of as u8), number, incarnation: 0, returned: false };
                 let _ = world.permit_state.add(permit);
                 world.permit_state.last_number = number;
             }
-            Act::Learn(at) => world.known[at] = world.permit_state.clone(),
-            Act::See(at) => world.sees[at] = true,
-            Act::Clear => world.owner.cleared = true,
-            Act::Send => {
+            ModelAction::Learn(at) => world.known[at] = world.permit_state.clone(),
+            ModelAction::See(at) => world.sees[at] = true,
+            ModelAction::Clear => world.owner.cleared = true,
+            ModelAction::Send => {
                 world.owner.sent = true;
                 Self::first_byte(&mut world);
             }
-            Act::Announce(at) => {
+            ModelAction::Announce(at) => {
                 if !Self::announce(&mut world, at) {
                     return None;
                 }
             }
-            Act::HeirSends(at) => {
+            ModelAction::HeirSends(at) => {
                 world.holders[at].adopted = false;
                 world.by_heir = true;
                 Self::first_byte(&mut world);
             }
-            Act::Restart(at) => {
+            ModelAction::Restart(at) => {
                 world.restarts -= 1;
                 let life = world.holders[at].life + 1;
                 world.holders[at] = self.holder(at as MemberId + 1, world.now * TICK, life);
                 world.known[at] = PermitState::default();
                 let of = at as MemberId + 1;
                 world.told.retain(|(from, to, _)| *from != of && *to != of);
-                world.words.retain(|said| !matches!(said, Said::Ack(from, ..) if *from == of));
+                world.words.retain(|said| !matches!(said, Packet::Ack(from, ..) if *from == of));
                 // The connection tells the owner of it: nothing that the earlier life acknowledged counts.
                 world.owner.acked[at] = 0;
                 world.owner.lease.drop_of(of);
             }
-            Act::Return => {
+            ModelAction::Return => {
                 let now = world.now * TICK;
                 world.owner.lease.drop_all();
                 world.owner.sent = false;
                 world.words.clear();
-                world.owner.back = Some((Return::new(&places(0), now), Heirs::new(&settings(0, 2), now)));
+                world.owner.back = Some((Rejoin::new(&places(0), now), Recovery::new(&settings(0, 2), now)));
             }
-            Act::Home => {
+            ModelAction::Home => {
                 let (now, permit_state) = (world.now * TICK, world.permit_state.clone());
                 let (home, _) = world.owner.back.as_mut()?;
                 let mut steps = Vec::new();
                 home.wake(now, &[1, 2], &mut steps);
                 for step in steps {
                     match step {
-                        ReturnStep::Home(subject) => {
+                        RejoinAction::Reclaim(subject) => {
                             home.answered(
                                 subject,
                                 permit_state.permit(subject).map_or(0, |permit| permit.number),
                             );
                         }
-                        ReturnStep::Learn(to) => {
+                        RejoinAction::QueryPeer(to) => {
                             world.told.retain(|(from, of, _)| (*from, *of) != (0, to));
-                            world.told.push((0, to, Word::Back { life: 1, after: None }));
+                            world.told.push((0, to, TakeoverMessage::ReturnQuery { life: 1, after: None }));
                         }
-                        ReturnStep::Done(subject, _) => {
+                        RejoinAction::ReturnPermit(subject, _) => {
                             world.permit_state.remove(subject);
                             home.ended(subject);
                         }
-                        ReturnStep::Takes => {}
+                        RejoinAction::Ready => {}
                     }
                 }
             }
-            Act::Repeat => {
+            ModelAction::Repeat => {
                 world.owner.sent = true;
                 Self::first_byte(&mut world);
             }
@@ -530,13 +537,13 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("sent once", |_, world: &World| world.sends < 2),
-            Property::<Self>::always("no byte after its end was told", |model, world: &World| {
+            Property::<Self>::always("sent once", |_, world: &ModelState| world.sends < 2),
+            Property::<Self>::always("no byte after its end was told", |model, world: &ModelState| {
                 model.stalls || !world.late
             }),
-            Property::<Self>::sometimes("an heir tells an end", |_, world: &World| world.ended),
-            Property::<Self>::sometimes("an heir runs it", |_, world: &World| world.by_heir),
-            Property::<Self>::sometimes("its owner runs it", |_, world: &World| world.owner.sent),
+            Property::<Self>::sometimes("an heir tells an end", |_, world: &ModelState| world.ended),
+            Property::<Self>::sometimes("an heir runs it", |_, world: &ModelState| world.by_heir),
+            Property::<Self>::sometimes("its owner runs it", |_, world: &ModelState| world.owner.sent),
         ]
     }
 }
@@ -551,15 +558,15 @@
     std::env::var("HEIRS_TICKS").ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
 }
 
-fn check(model: Sites) -> impl Checker<Sites> {
-    let faulty = model.planted != Planted::Nothing;
+fn check(model: TakeoverModel) -> impl Checker<TakeoverModel> {
+    let faulty = model.planted != InjectedFault::Nothing;
     let until = if faulty { HasDiscoveries::AnyFailures } else { HasDiscoveries::All };
     let most = if model.returns { states() } else { usize::MAX };
     model.checker().threads(2).finish_when(until).target_state_count(most).spawn_bfs().join()
 }
 
-fn usual(planted: Planted) -> Sites {
-    Sites {
+fn usual(planted: InjectedFault) -> TakeoverModel {
+    TakeoverModel {
         planted,
         ticks: ticks(3),
         restarts: 0,
@@ -571,7 +578,7 @@
     }
 }
 
-fn holds(model: Sites) -> usize {
+fn holds(model: TakeoverModel) -> usize {
     let checked = check(model);
     let of = |name: &'static str| checked.discovery(name).map(|path| path.into_actions());
     assert_eq!(of("sent once"), None);
@@ -582,23 +589,23 @@
 
 #[test]
 fn an_event_is_sent_once_whoever_is_taken_over() {
-    let states = holds(usual(Planted::Nothing));
+    let states = holds(usual(InjectedFault::Nothing));
     println!("{states} states");
     assert!(states > 1_000, "{states}");
 }
 
 #[test]
 fn an_event_is_sent_once_though_its_owner_stands_still_before_it_writes() {
-    let checked = check(Sites { stalls: true, ..usual(Planted::Nothing) });
+    let checked = check(TakeoverModel { stalls: true, ..usual(InjectedFault::Nothing) });
     assert!(checked.discovery("sent once").is_none());
     // What no clock can rule out: the byte leaves after a client was told that it may.
     assert!(checked.discovery("its owner runs it").is_some());
 }
 
 /// With what the owner has written when it falls silent: that it was accepted, or that it is about to be sent.
-fn holds_from(model: impl Fn() -> Sites) {
+fn holds_from(model: impl Fn() -> TakeoverModel) {
     for lines in [1, 2] {
-        let checked = check(Sites { lines, writes: false, ..model() });
+        let checked = check(TakeoverModel { lines, writes: false, ..model() });
         println!("{} states", checked.unique_state_count());
         assert!(checked.discovery("sent once").is_none());
         assert!(checked.discovery("no byte after its end was told").is_none());
@@ -608,46 +615,47 @@
 
 #[test]
 fn an_event_is_sent_once_though_one_that_would_take_over_is_lost_as_well() {
-    holds_from(|| Sites { second: true, ..usual(Planted::Nothing) });
+    holds_from(|| TakeoverModel { second: true, ..usual(InjectedFault::Nothing) });
 }
 
 #[test]
 fn an_event_is_sent_once_though_a_holder_forgets() {
-    holds_from(|| Sites { restarts: 1, ..usual(Planted::Nothing) });
+    holds_from(|| TakeoverModel { restarts: 1, ..usual(InjectedFault::Nothing) });
 }
 
 #[test]
 fn an_event_is_sent_once_though_its_owner_returns_and_is_asked_again() {
-    holds_from(|| Sites { returns: true, ..usual(Planted::Nothing) });
+    holds_from(|| TakeoverModel { returns: true, ..usual(InjectedFault::Nothing) });
 }
 
 #[test]
 fn one_that_returns_and_does_not_ask_is_found() {
-    let model = Sites { returns: true, lines: 2, writes: false, ..usual(Planted::HomeWithoutLearning) };
+    let model =
+        TakeoverModel { returns: true, lines: 2, writes: false, ..usual(InjectedFault::HomeWithoutLearning) };
     assert!(check(model).discovery("sent once").is_some());
 }
 
-fn found(planted: Planted, name: &'static str) -> bool {
+fn found(planted: InjectedFault, name: &'static str) -> bool {
     check(usual(planted)).discovery(name).is_some()
 }
 
 #[test]
 fn a_lease_by_the_wall_clock_is_found() {
-    assert!(found(Planted::LeaseByTheWallClock, "no byte after its end was told"));
+    assert!(found(InjectedFault::LeaseByTheWallClock, "no byte after its end was told"));
 }
 
 #[test]
 fn an_heir_that_runs_what_was_sent_is_found() {
-    assert!(found(Planted::RunsWhatWasSent, "sent once"));
+    assert!(found(InjectedFault::RunsWhatWasSent, "sent once"));
 }
 
 #[test]
 fn a_take_over_by_the_view_alone_is_found() {
-    let model = Sites { ticks: 1, lines: 2, ..usual(Planted::TakeOverByTheViewAlone) };
+    let model = TakeoverModel { ticks: 1, lines: 2, ..usual(InjectedFault::TakeOverByTheViewAlone) };
     assert!(check(model).discovery("no byte after its end was told").is_some());
 }
 
 #[test]
 fn an_ack_before_the_line_is_stored_is_found() {
-    assert!(found(Planted::AckBeforeStored, "sent once"));
+    assert!(found(InjectedFault::AckBeforeStored, "sent once"));
 }
--- a/crates/pending/tests/wire.rs
+++ b/crates/pending/tests/wire.rs
@@ -2,7 +2,8 @@
 //! not written.
 use basaltward_membership::SiteMap;
 use basaltward_pending::{
-    Accepted, Again, Entry, Fault, Input, Key, Outcome, Output, Pending, PendingSettings, Step,
+    Accepted, Entry, Input, JournalFault, Key, Outcome, Output, PendingEvents, PendingSettings, RepeatSafety,
+    Step,
 };
 use basaltward_permits::Subject;
 use proptest::prelude::*;
@@ -14,9 +15,9 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let again = prop_oneof![
-        Just(Again::Safe),
-        (0..9_000_000u64).prop_map(|window| Again::Keyed { window }),
-        Just(Again::Unsafe)
+        Just(RepeatSafety::Safe),
+        (0..9_000_000u64).prop_map(|window| RepeatSafety::Keyed { window }),
+        Just(RepeatSafety::Unsafe)
     ];
     let event = (any::<u128>(), again, ".{0,40}", proptest::collection::vec(any::<u8>(), 0..300), 0..3u8);
     proptest::collection::vec(event, 1..12).prop_map(|events| {
@@ -35,7 +36,7 @@
 
 /// The frames by which a writer sends these, each step in a turn of its own.
 fn frames(steps: &[Step]) -> Vec<Vec<u8>> {
-    let (mut writer, mut out) = (Pending::new(settings(0), 0), Vec::new());
+    let (mut writer, mut out) = (PendingEvents::new(settings(0), 0), Vec::new());
     writer.handle(0, 0, Input::LinkUp { of: 1, life: 8 }, &mut out);
     for subject in [Subject::Site(0), Subject::Gateway(0)] {
         writer.handle(0, 0, Input::Home { subject, permit: 0 }, &mut out);
@@ -53,8 +54,8 @@
 }
 
 /// What one holds that was sent these frames, and what it found wrong.
-fn held(frames: &[Vec<u8>]) -> (Vec<Entry>, Vec<Fault>) {
-    let (mut holder, mut out) = (Pending::new(settings(1), 0), Vec::new());
+fn held(frames: &[Vec<u8>]) -> (Vec<Entry>, Vec<JournalFault>) {
+    let (mut holder, mut out) = (PendingEvents::new(settings(1), 0), Vec::new());
     for bytes in frames {
         holder.handle(0, 0, Input::Frame { from: 0, bytes: bytes.clone() }, &mut out);
     }
--- a/crates/trial/src/capture.rs
+++ b/crates/trial/src/capture.rs
@@ -4,7 +4,7 @@
 use basaltward_http::{Decoded, Limits, RequestDecoder};
 use basaltward_net::Micros;
 use basaltward_peers::Channel;
-use basaltward_pending::{Accepted, Glance, Source, Step, glance};
+use basaltward_pending::{Accepted, FrameFact, Source, Step, inspect_frame};
 use bytes::BytesMut;
 use std::fmt;
 
@@ -35,7 +35,7 @@
     /// To whom.
     pub to: usize,
     /// What.
-    pub what: Glance,
+    pub what: FrameFact,
 }
 
 impl fmt::Display for Noted {
@@ -43,7 +43,7 @@
         write!(f, "{} n{}-n{}: ", self.t, self.from, self.to)?;
         let line = |source: &Source, number: &u64| format!("n{}/{:x} {number}", source.gateway, source.life);
         match &self.what {
-            Glance::Line(source, number, step) => match step {
+            FrameFact::Entry(source, number, step) => match step {
                 Step::Accepted(a) => write!(
                     f,
                     "{} accepted {:x} {} {}",
@@ -59,8 +59,8 @@
                     write!(f, "{} ended {:x} {outcome:?}", line(source, number), key.0)
                 }
             },
-            Glance::Held(source, through) => write!(f, "{} held", line(source, through)),
-            Glance::Over(key, outcome) => write!(f, "over {:x} {outcome:?}", key.0),
+            FrameFact::Acked(source, through) => write!(f, "{} held", line(source, through)),
+            FrameFact::Ended(key, outcome) => write!(f, "over {:x} {outcome:?}", key.0),
         }
     }
 }
@@ -166,7 +166,7 @@
     loop {
         match decoder.next_frame() {
             Ok(Some(frame)) if frame.channel == Channel::Pending as u8 => {
-                let seen = glance(&frame.payload, ENTRY_BYTES).unwrap_or_default();
+                let seen = inspect_frame(&frame.payload, ENTRY_BYTES).unwrap_or_default();
                 out.extend(seen.into_iter().map(|what| Noted { t, from, to, what }));
             }
             Ok(Some(_)) => {}
--- a/crates/trial/src/kept_checker.rs
+++ b/crates/trial/src/kept_checker.rs
@@ -3,7 +3,7 @@
 use crate::capture::{Noted, event_name};
 use crate::checker::Fleet;
 use basaltward_net::{Clock, Micros};
-use basaltward_pending::{Glance, Key, Outcome, Source, Step};
+use basaltward_pending::{FrameFact, Key, Outcome, Source, Step};
 use basaltward_rules::{Observation, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -64,11 +64,11 @@
     let clock = Clock::read();
     let (mut events, mut journals) = (BTreeMap::<Key, Event>::new(), BTreeMap::<Source, Journal>::new());
     for Noted { from, to, what, .. } in noted {
-        if let Glance::Line(source, number, _) = what {
+        if let FrameFact::Entry(source, number, _) = what {
             journals.entry(*source).or_default().seen.insert(*number);
         }
         match what {
-            Glance::Line(source, number, Step::Accepted(accepted)) => {
+            FrameFact::Entry(source, number, Step::Accepted(accepted)) => {
                 let event = events.entry(accepted.key).or_default();
                 event.name = event_name(accepted);
                 event.deadline = event.deadline.max(clock.to_monotonic(accepted.deadline * 1_000));
@@ -77,15 +77,15 @@
                 let line = lines.entry(*number).or_insert((accepted.key, BTreeSet::new(), BTreeSet::new()));
                 line.1.insert(*to);
             }
-            Glance::Line(source, number, Step::Ended { key, outcome, .. }) => {
+            FrameFact::Entry(source, number, Step::Ended { key, outcome, .. }) => {
                 let event = events.entry(*key).or_default();
                 event.lines.insert((*source, *number), Some(name(*outcome)));
             }
-            Glance::Line(_, _, Step::Sending { .. }) => {}
-            Glance::Over(key, outcome) => {
+            FrameFact::Entry(_, _, Step::Sending { .. }) => {}
+            FrameFact::Ended(key, outcome) => {
                 events.entry(*key).or_default().over.insert(name(*outcome));
             }
-            Glance::Held(source, through) => {
+            FrameFact::Acked(source, through) => {
                 let Some(journal) = journals.get_mut(source) else { continue };
                 for (key, sent, held) in journal.accepted.range_mut(..=through).map(|(_, line)| line) {
                     if sent.contains(from) && held.insert(*from) && held.len() >= holders {
@@ -122,21 +122,21 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use basaltward_pending::{Accepted, Again};
+    use basaltward_pending::{Accepted, RepeatSafety};
 
     const KEY: Key = Key(7);
     const SOURCE: Source = Source { gateway: 0, life: 3 };
 
-    fn accepted(number: u64) -> Glance {
+    fn accepted(number: u64) -> FrameFact {
         let (class, tenant, function, event) =
             (0, 0, "extract-0".into(), br#"{"source":"s","id":"1"}"#.to_vec());
-        let (again, owed, deadline) = (Again::Unsafe, false, 1);
+        let (again, owed, deadline) = (RepeatSafety::Unsafe, false, 1);
         let step = Accepted { key: KEY, class, tenant, function, again, owed, deadline, event };
-        Glance::Line(SOURCE, number, Step::Accepted(step))
+        FrameFact::Entry(SOURCE, number, Step::Accepted(step))
     }
 
-    fn ended(number: u64, outcome: Outcome) -> Glance {
-        Glance::Line(SOURCE, number, Step::Ended { key: KEY, outcome, answer: Vec::new() })
+    fn ended(number: u64, outcome: Outcome) -> FrameFact {
+        FrameFact::Entry(SOURCE, number, Step::Ended { key: KEY, outcome, answer: Vec::new() })
     }
 
     fn ran() -> Vec<Record> {
@@ -146,9 +146,9 @@
     }
 
     /// What is wrong with an event that is accepted at 0, held by 1, and after which this is told by 0.
-    fn wrong(told: Vec<Glance>, records: &[Record]) -> Vec<Fleet> {
+    fn wrong(told: Vec<FrameFact>, records: &[Record]) -> Vec<Fleet> {
         let noted = |from: usize, what| Noted { t: 0, from, to: 1 - from, what };
-        let mut all = vec![noted(0, accepted(5)), noted(1, Glance::Held(SOURCE, 5))];
+        let mut all = vec![noted(0, accepted(5)), noted(1, FrameFact::Acked(SOURCE, 5))];
         all.extend(told.into_iter().map(|what| noted(0, what)));
         kept(&all, 1, records).1
     }
@@ -157,7 +157,7 @@
     fn a_kept_event_ends_once_and_truly() {
         let name = || "s#1".to_owned();
         assert_eq!(wrong(vec![ended(6, Outcome::Served)], &ran()), []);
-        assert_eq!(wrong(vec![Glance::Over(KEY, Outcome::Failed)], &ran()), []);
+        assert_eq!(wrong(vec![FrameFact::Ended(KEY, Outcome::Failed)], &ran()), []);
         assert_eq!(wrong(vec![], &ran()), [Fleet::Ended(name(), vec![])]);
         assert_eq!(wrong(vec![], &ran()[..1]), [], "its time is not over");
         let two = vec!["refused".to_owned(), "served".to_owned()];
@@ -174,9 +174,9 @@
     #[test]
     fn what_too_few_hold_is_owed_nothing() {
         let noted = |from: usize, what| Noted { t: 0, from, to: 1 - from, what };
-        let all = [noted(0, accepted(5)), noted(1, Glance::Held(SOURCE, 4))];
+        let all = [noted(0, accepted(5)), noted(1, FrameFact::Acked(SOURCE, 4))];
         assert_eq!(kept(&all, 1, &ran()), ((0, BTreeMap::new()), vec![]));
-        let all = [noted(0, accepted(5)), noted(1, Glance::Held(SOURCE, 5))];
+        let all = [noted(0, accepted(5)), noted(1, FrameFact::Acked(SOURCE, 5))];
         assert_eq!(kept(&all, 2, &ran()).0.0, 0);
         assert_eq!(kept(&all, 1, &ran()).0.0, 1);
     }
