--- a/crates/bench/src/pending.rs
+++ b/crates/bench/src/pending.rs
@@ -15,7 +15,7 @@
 fn settings(own: MemberId) -> Result<PendingSettings, Box<dyn Error>> {
     let places = SiteMap::new(vec![0, 1], own).ok_or("not in the list")?;
     let settings = PendingSettings::new(places, u64::from(own) + 1, vec![1], 1);
-    Ok(PendingSettings { bytes: 1 << 30, ..settings })
+    Ok(PendingSettings { journal_bytes: 1 << 30, ..settings })
 }
 
 fn accepted(key: u128, body: usize) -> Step {
@@ -27,8 +27,8 @@
         class: 0,
         tenant: 0,
         function,
-        again,
-        owed: true,
+        repeat_safety: again,
+        finish_without_client: true,
         deadline,
         event,
     })
@@ -56,14 +56,14 @@
     fn new() -> Result<Self, Box<dyn Error>> {
         let mut both = [PendingEvents::new(settings(0)?, 0), PendingEvents::new(settings(1)?, 0)];
         let mut out = Vec::new();
-        both[0].handle(0, WALL, Input::Live(vec![true; 2]), &mut out);
+        both[0].handle(0, WALL, Input::LivePeers(vec![true; 2]), &mut out);
         both[0].handle(0, WALL, Input::LinkUp { of: 1, life: 2 }, &mut out);
         both[1].handle(0, WALL, Input::LinkUp { of: 0, life: 1 }, &mut out);
         for subject in [Subject::Site(0), Subject::Gateway(0)] {
-            both[0].handle(0, WALL, Input::Home { subject, permit: 0 }, &mut out);
+            both[0].handle(0, WALL, Input::ReclaimReply { subject, permit: 0 }, &mut out);
         }
         let mut pair = Self { both, now: 4_000_000, wire: [0; 2], frames: [0; 2] };
-        while !pair.both[0].takes() {
+        while !pair.both[0].is_ready() {
             pair.turn(std::iter::empty());
         }
         (pair.wire, pair.frames) = ([0; 2], [0; 2]);
@@ -87,7 +87,7 @@
                         let frame = Input::Frame { from: from as MemberId, bytes };
                         self.both[usize::from(to)].handle(self.now, WALL, frame, &mut back);
                     }
-                    Output::Held { .. } | Output::May { .. } => told += 1,
+                    Output::Replicated { .. } | Output::SendAllowed { .. } => told += 1,
                     _ => {}
                 }
             }
@@ -159,7 +159,7 @@
         let before = resident()?;
         let told = |pair: &Pair, stage: &str| -> Result<(), Box<dyn Error>> {
             let per = |bytes: f64| bytes / events as f64;
-            let (own, held) = (pair.both[0].own_size().0, pair.both[1].held_size().0);
+            let (own, held) = (pair.both[0].journal_size().0, pair.both[1].replica_size().0);
             let resident = per(resident()? - before);
             println!(
                 "{body:>5} | {stage} | {:.0} + {:.0} | {resident:.0}",
@@ -236,14 +236,14 @@
         world.run(world.net.now + 100);
         for (at, of, said) in std::mem::take(&mut world.net.outputs) {
             match said {
-                SimulatedOutput::Local(Output::Held { key }) => {
+                SimulatedOutput::Local(Output::Replicated { key }) => {
                     times[0].push(at - began[&key]);
                     if !together {
                         began.insert(key, world.net.now);
                         world.step(of, sending(key.0));
                     }
                 }
-                SimulatedOutput::Local(Output::May { key, .. }) => {
+                SimulatedOutput::Local(Output::SendAllowed { key, .. }) => {
                     times[1].push(at - began[&key]);
                     world.step(of, ended(key.0, 100));
                 }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -13,7 +13,7 @@
     PeerEndpoint, SitesToWatch,
 };
 use basaltward_pending::{
-    EventStatus, Input, Output, PendingEvents, PendingSettings, Resolution, Step, taken,
+    EventStatus, Input, Output, PendingEvents, PendingSettings, Resolution, Step, taken_over,
 };
 use basaltward_permits::{Denied, PermitRequest};
 use basaltward_route::{FunctionTold, Route, RouteSettings};
@@ -157,7 +157,7 @@
             config.replication.iter().map(|kept| kept.map_or(0, |kept| kept.holders.min(255) as u8));
         let places = places(sites).ok_or(GatewayError::Sites)?;
         let pending = PendingSettings {
-            bytes: sites.journal.max_bytes,
+            journal_bytes: sites.journal.max_bytes,
             entry_bytes: sites.journal.max_entry_bytes,
             lease: sites.journal.lease,
             ..PendingSettings::new(
@@ -258,7 +258,7 @@
                 // An event that was a lost gateway's is not begun anew while heirs see to it.
                 let fate = match &step {
                     Step::Accepted(accepted) => {
-                        self.pending.fate(accepted.key).map(|fate| (accepted.key, fate))
+                        self.pending.event_status(accepted.key).map(|fate| (accepted.key, fate))
                     }
                     _ => None,
                 };
@@ -273,7 +273,7 @@
                         continue;
                     }
                 };
-                self.pending.handle(now, wall_ms(), Input::Repeated(key), &mut out);
+                self.pending.handle(now, wall_ms(), Input::ClientRepeat(key), &mut out);
                 self.words[number].push_back(word);
             }
         }
@@ -309,12 +309,12 @@
                     match (self.requests.remove(&tag), answer) {
                         (Some(PermitRequest::Reclaim(subject)), Ok(permit)) => {
                             self.returns |= permit > 0;
-                            Input::Home { subject, permit }
+                            Input::ReclaimReply { subject, permit }
                         }
                         (
                             Some(PermitRequest::Return(subject, _)),
                             Ok(_) | Err(Denied::Stale | Denied::Unknown),
-                        ) => Input::Done { subject },
+                        ) => Input::PermitReturned { subject },
                         _ => continue,
                     }
                 }
@@ -377,7 +377,7 @@
             self.route.live(&self.live);
             self.see = now;
             let mut out = Vec::new();
-            self.pending.handle(now, wall_ms(), Input::Live(self.live.clone()), &mut out);
+            self.pending.handle(now, wall_ms(), Input::LivePeers(self.live.clone()), &mut out);
             self.carry_out(now, out);
         }
     }
@@ -421,9 +421,9 @@
         let observations = self.endpoint.transport().site_observations(now);
         let permit_state = self.endpoint.permit_state().map(|known| known.value.clone()).unwrap_or_default();
         let mut out = Vec::new();
-        let taken = taken(&permit_state, &self.places);
-        self.pending.handle(now, wall_ms(), Input::Seen { observations, permit_state }, &mut out);
-        let ready = self.pending.takes() && now >= self.ready;
+        let taken = taken_over(&permit_state, &self.places);
+        self.pending.handle(now, wall_ms(), Input::Observed { observations, permit_state }, &mut out);
+        let ready = self.pending.is_ready() && now >= self.ready;
         let owners = Owners { until: now + OWNERS_US, taken, ready };
         self.tables.owners.store(Some(Arc::new(owners)));
         self.carry_out(now, out);
@@ -436,33 +436,33 @@
                     // What is not acknowledged is sent again.
                     let _ = self.endpoint.send(&mut self.io, now, to, (Channel::Pending, &bytes));
                 }
-                Output::Held { key } => self.say(|| Word::Held(key, true)),
-                Output::Unheld { key, why } => {
+                Output::Replicated { key } => self.say(|| Word::Held(key, true)),
+                Output::NotReplicated { key, why } => {
                     info!(scheduler = self.name, %why, "not kept");
                     self.say(|| Word::Held(key, false));
                 }
-                Output::May { key, attempt, until } => self.say(|| Word::May(key, attempt, Some(until))),
-                Output::MayNot { key, attempt, why } => {
+                Output::SendAllowed { key, attempt, until } => self.say(|| Word::May(key, attempt, Some(until))),
+                Output::SendDenied { key, attempt, why } => {
                     info!(scheduler = self.name, %why, "not sent");
                     self.say(|| Word::May(key, attempt, None));
                 }
-                Output::Noted(fault) => warn!(scheduler = self.name, %fault, "journal"),
+                Output::Fault(fault) => warn!(scheduler = self.name, %fault, "journal"),
                 // The member asks on by itself until it has an answer.
-                Output::Ask(request) if self.requests.values().any(|asked| *asked == request) => {}
-                Output::Ask(request) => {
+                Output::RequestPermit(request) if self.requests.values().any(|asked| *asked == request) => {}
+                Output::RequestPermit(request) => {
                     info!(scheduler = self.name, ?request, "asked of the voters");
                     if let Some(tag) = self.endpoint.submit(now, request) {
                         self.requests.insert(tag, request);
                     }
                 }
-                Output::Takes => {
+                Output::Ready => {
                     // Others took our events until they heard of our return. Whoever repeats one of those within the time
                     // that it is remembered must not find us, who know nothing of it.
                     let waits = if std::mem::take(&mut self.returns) { self.remember + OWNERS_US } else { 0 };
                     (self.ready, self.see) = (now + waits, now);
                     info!(scheduler = self.name, after_us = waits, "takes kept events");
                 }
-                Output::Lost { key } => self.say(|| Word::Lost(key)),
+                Output::OwnershipLost { key } => self.say(|| Word::Lost(key)),
                 Output::Run { pending, end, .. } => {
                     info!(
                         scheduler = self.name,
@@ -476,7 +476,7 @@
                         words.push_back(Word::Run(Box::new(pending), before));
                     }
                 }
-                Output::Told { key, end, outcome, answer } => {
+                Output::Resolved { key, end, outcome, answer } => {
                     info!(
                         scheduler = self.name,
                         key = format!("{:x}", key.0),
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -201,8 +201,8 @@
             class: class as u16,
             tenant: call.identity.tenant as u16,
             function: call.function.name.to_string(),
-            again: again(repeat),
-            owed: kept.finish_without_client,
+            repeat_safety: again(repeat),
+            finish_without_client: kept.finish_without_client,
             deadline: wall + deadline.saturating_sub(now) / 1_000,
             event,
         }));
--- a/crates/pending/src/interface.rs
+++ b/crates/pending/src/interface.rs
@@ -11,27 +11,27 @@
 #[derive(Clone, Debug)]
 pub struct PendingSettings {
     /// Which gateway stands at which site.
-    pub places: SiteMap,
+    pub site_map: SiteMap,
     /// When our life began, as in our incarnation: another than any before it.
     pub life: u64,
     /// Gateways of other sites that hold an entry, by class; 0 where a class keeps nothing.
     pub holders: Vec<u8>,
     /// Bytes held for all others together, and bytes pending here.
-    pub bytes: usize,
+    pub journal_bytes: usize,
     /// Longest event with its function's name, and longest answer.
     pub entry_bytes: usize,
     /// Nothing is done in our place for so long after a holder last heard of us; a lease is a fifth shorter.
     pub lease: Micros,
     /// An entry that is not held after this time counts as not held.
-    pub patience: Micros,
+    pub replication_timeout: Micros,
     /// What is held is kept for so long past its deadline or window: for repeats, and as wall clocks differ.
-    pub remember_ms: WallMs,
+    pub retention_ms: WallMs,
     /// Wall clocks of gateways differ by up to this.
-    pub slack_ms: WallMs,
+    pub clock_skew_ms: WallMs,
     /// Events of lost owners that are out to workers here at once, and that begin in a second, at most.
-    pub heir_most: usize,
+    pub recovery_concurrency: usize,
     /// See [`PendingSettings::heir_most`].
-    pub heir_rate: u32,
+    pub recovery_rate: u32,
     /// What choices that are free follow from.
     pub seed: u64,
 }
@@ -40,17 +40,17 @@
     /// As configured where nothing else is said.
     pub fn new(places: SiteMap, life: u64, holders: Vec<u8>, seed: u64) -> Self {
         Self {
-            places,
+            site_map: places,
             life,
             holders,
-            bytes: 64 << 20,
+            journal_bytes: 64 << 20,
             entry_bytes: 64 << 10,
             lease: 3_000_000,
-            patience: 1_000_000,
-            remember_ms: 30_000,
-            slack_ms: 500,
-            heir_most: 32,
-            heir_rate: 100,
+            replication_timeout: 1_000_000,
+            retention_ms: 30_000,
+            clock_skew_ms: 500,
+            recovery_concurrency: 32,
+            recovery_rate: 100,
             seed,
         }
     }
@@ -82,31 +82,31 @@
         of: MemberId,
     },
     /// Who is live by the view, by number.
-    Live(Vec<bool>),
+    LivePeers(Vec<bool>),
     /// What the view shows of sites and their gateways (`basaltward_permits::sites`) and what is agreed: told whenever
     /// either has changed, and at least once a second while a site or gateway is lost.
-    Seen {
+    Observed {
         /// By the view.
         observations: Observations,
         /// Of the voters.
         permit_state: PermitState,
     },
     /// The answer to [`PermitRequest::Reclaim`]: the permit's number, 0 where there is none.
-    Home {
+    ReclaimReply {
         /// Whose.
         subject: Subject,
         /// The number.
         permit: u16,
     },
     /// The answer to [`PermitRequest::Return`], or that no such permit stands.
-    Done {
+    PermitReturned {
         /// Whose.
         subject: Subject,
     },
     /// A client repeats an event here, and waits for it.
-    Repeated(Key),
+    ClientRepeat(Key),
     /// What the load here allows for events of lost owners.
-    Ration {
+    RecoveryLimits {
         /// That begin in a second.
         rate: u32,
         /// That are out at once.
@@ -125,20 +125,20 @@
         bytes: Vec<u8>,
     },
     /// As many gateways as its class wants hold that this event was accepted.
-    Held {
+    Replicated {
         /// The event.
         key: Key,
     },
     /// It is not kept. After [`ReplicationError::Late`] it may be known to some holder: an end is written for it here, and until
     /// that is held a heir could still run it; after any other reason nobody knows of it.
-    Unheld {
+    NotReplicated {
         /// The event.
         key: Key,
         /// Why.
         why: ReplicationError,
     },
     /// The first byte of this attempt may leave before this time of the caller's clock.
-    May {
+    SendAllowed {
         /// The event.
         key: Key,
         /// The attempt.
@@ -147,7 +147,7 @@
         until: Micros,
     },
     /// It may not leave.
-    MayNot {
+    SendDenied {
         /// The event.
         key: Key,
         /// The attempt.
@@ -156,15 +156,15 @@
         why: ReplicationError,
     },
     /// Something is wrong with a journal or a frame; it is named here and handled.
-    Noted(JournalFault),
+    Fault(JournalFault),
     /// The voters are to be asked: `Acquire` for the permit to take over, `Reclaim` and `Return` by us who return. It is asked
     /// again for as long as no answer comes.
-    Ask(PermitRequest),
+    RequestPermit(PermitRequest),
     /// From now on this gateway takes kept events: it has learnt what was done in its place before.
-    Takes,
+    Ready,
     /// What was pending here is others' now, as we were taken over while out of reach. No byte of this event may leave
     /// any more; whether it was done elsewhere is known once [`Output::Takes`] has come.
-    Lost {
+    OwnershipLost {
         /// The event.
         key: Key,
     },
@@ -179,7 +179,7 @@
         end: Resolution,
     },
     /// An event of a lost owner ends here and no worker is asked.
-    Told {
+    Resolved {
         /// The event.
         key: Key,
         /// How.
--- a/crates/pending/src/journal.rs
+++ b/crates/pending/src/journal.rs
@@ -91,7 +91,7 @@
 impl Journal {
     /// An empty one.
     pub fn new(settings: PendingSettings) -> Self {
-        let source = Source { gateway: settings.places.own(), life: settings.life };
+        let source = Source { gateway: settings.site_map.own(), life: settings.life };
         Self {
             source,
             first: 1,
@@ -110,7 +110,7 @@
             retired: BTreeMap::new(),
             turns: BTreeMap::new(),
             lives: BTreeMap::new(),
-            live: vec![false; settings.places.len()],
+            live: vec![false; settings.site_map.len()],
             doubted: BTreeMap::new(),
             call: 0,
             unsent: false,
@@ -161,21 +161,21 @@
                 let long = accepted.event.len() + accepted.function.len();
                 // Its owner's site is lost, so that there may be fewer who could hold it: it is owed all the same, and
                 // may be done again if we are lost as well.
-                let spared = self.adopted.contains_key(&key) && accepted.again != RepeatSafety::Unsafe;
+                let spared = self.adopted.contains_key(&key) && accepted.repeat_safety != RepeatSafety::Unsafe;
                 let need = if spared { wants.min(self.candidates().count() as u8) } else { wants };
                 let why = self.refusal(need, accepted.class, key, long);
                 if let Some(why) = why.filter(|why| !spared || !matches!(why, ReplicationError::Class(_))) {
                     self.counted.unheld += 1;
-                    return out.push(Output::Unheld { key, why });
+                    return out.push(Output::NotReplicated { key, why });
                 }
                 let event =
-                    Event { need, again: accepted.again, deadline, until: deadline, numbers: Vec::new() };
+                    Event { need, again: accepted.repeat_safety, deadline, until: deadline, numbers: Vec::new() };
                 self.events.insert(key, event);
                 self.append(now, key, deadline, Step::Accepted(accepted), Some(None));
             }
             Step::Sending { key, attempt, worker, at } => {
                 let Some(event) = self.events.get_mut(&key) else {
-                    return out.push(Output::MayNot { key, attempt, why: ReplicationError::Unknown(key) });
+                    return out.push(Output::SendDenied { key, attempt, why: ReplicationError::Unknown(key) });
                 };
                 if let RepeatSafety::Keyed { window } = event.again
                     && event.until == event.deadline
@@ -183,10 +183,10 @@
                     let first = self.adopted.get(&key).copied().flatten().unwrap_or(at);
                     event.until = event.deadline.max(first + window / 1_000);
                 }
-                let (until, most) = (event.until, self.settings.bytes);
+                let (until, most) = (event.until, self.settings.journal_bytes);
                 if self.bytes + worker.len() > most || worker.len() > self.settings.entry_bytes {
                     let why = ReplicationError::Full { held: self.bytes, most };
-                    return out.push(Output::MayNot { key, attempt, why });
+                    return out.push(Output::SendDenied { key, attempt, why });
                 }
                 self.append(now, key, until, Step::Sending { key, attempt, worker, at }, Some(Some(attempt)));
             }
@@ -198,7 +198,7 @@
     fn refusal(&self, need: u8, class: u16, key: Key, bytes: usize) -> Option<ReplicationError> {
         let live = self.candidates().count();
         // What is pending has to find room for its next steps and its end.
-        let most = self.settings.bytes - self.settings.bytes / 8;
+        let most = self.settings.journal_bytes - self.settings.journal_bytes / 8;
         if self.events.contains_key(&key) {
             Some(ReplicationError::Doubled(key))
         } else if bytes > self.settings.entry_bytes {
@@ -215,7 +215,7 @@
     }
 
     fn candidates(&self) -> impl Iterator<Item = MemberId> {
-        let (places, live) = (&self.settings.places, &self.live);
+        let (places, live) = (&self.settings.site_map, &self.live);
         let numbers =
             (0..places.len() as MemberId).filter(|of| places.site_of(*of) != Some(places.own_site()));
         numbers.filter(|of| live.get(usize::from(*of)) == Some(&true))
@@ -223,7 +223,7 @@
 
     fn append(&mut self, now: Micros, key: Key, until: WallMs, step: Step, waits: Option<Option<u32>>) {
         let (number, before) = (self.last() + 1, self.chain_at(self.last()));
-        let until = until.saturating_add(self.settings.remember_ms);
+        let until = until.saturating_add(self.settings.retention_ms);
         let Some(line) = StoredEntry::new(before, self.source, number, until, step) else { return };
         self.bytes += line.cost();
         self.lines.push_back(line);
@@ -241,8 +241,8 @@
 
     fn end(&mut self, now: Micros, key: Key, outcome: Outcome, mut answer: Vec<u8>) {
         let Some(event) = self.events.get(&key) else { return };
-        let (until, quarter) = (event.until, self.settings.bytes / 4);
-        if answer.len() > self.settings.entry_bytes || self.bytes + answer.len() > self.settings.bytes {
+        let (until, quarter) = (event.until, self.settings.journal_bytes / 4);
+        if answer.len() > self.settings.entry_bytes || self.bytes + answer.len() > self.settings.journal_bytes {
             answer = Vec::new();
         }
         self.append(now, key, until, Step::Ended { key, outcome, answer }, None);
@@ -306,7 +306,7 @@
         settings.life = self.source.life + 1;
         let fresh = Self::new(settings);
         let old = std::mem::replace(self, fresh);
-        out.extend(old.events.into_keys().map(|key| Output::Lost { key }));
+        out.extend(old.events.into_keys().map(|key| Output::OwnershipLost { key }));
         (self.lives, self.counted, self.turns) = (old.lives, old.counted, old.turns);
         self.turns.extend(old.neighbours.iter().map(|one| (one.of, one.turn)));
         self.see(now, old.live);
@@ -331,11 +331,11 @@
             Some(RejectReason::Life | RejectReason::Nothing) => false,
             Some(RejectReason::Gap) => one.refused(ack.turn, false, after),
             Some(RejectReason::Broken(number)) => {
-                out.push(Output::Noted(JournalFault::Broken { of: self.source, number }));
+                out.push(Output::Fault(JournalFault::Broken { of: self.source, number }));
                 one.refused(ack.turn, true, after)
             }
             Some(RejectReason::Full) => {
-                out.push(Output::Noted(JournalFault::Full { of: self.source, number: ack.through + 1 }));
+                out.push(Output::Fault(JournalFault::Full { of: self.source, number: ack.through + 1 }));
                 one.refused(ack.turn, false, after);
                 self.doubted.insert(from, now + DOUBT);
                 self.choose(now);
@@ -373,7 +373,7 @@
                     (None, _) => {}
                     (Some(_), None) => {
                         self.counted.held += 1;
-                        out.push(Output::Held { key: wait.key });
+                        out.push(Output::Replicated { key: wait.key });
                     }
                     (Some(_), Some(_)) => self.unleased.push(wait),
                 }
@@ -387,7 +387,7 @@
                 self.counted.held += 1;
                 let until = self.lease.until(needed);
                 let (key, attempt) = (wait.key, wait.attempt.unwrap_or(0));
-                out.push(Output::May { key, attempt, until });
+                out.push(Output::SendAllowed { key, attempt, until });
             } else {
                 self.unleased.push(wait);
             }
@@ -401,7 +401,7 @@
         self.let_go(wall);
         let (last, after) = (self.last(), self.first - 1);
         let late: Vec<MemberId> = {
-            let patience = self.settings.patience;
+            let patience = self.settings.replication_timeout;
             let owes = |one: &&mut HolderProgress| one.acked < last;
             self.neighbours.iter_mut().filter(owes).for_each(|one| one.owes(now));
             let late =
@@ -418,12 +418,12 @@
     }
 
     fn give_up(&mut self, now: Micros, wall: WallMs, out: &mut Vec<Output>) {
-        let patience = self.settings.patience;
+        let patience = self.settings.replication_timeout;
         let is_late = |wait: &Wait| now.saturating_sub(wait.since) >= patience;
         let unleased: Vec<Wait> = self.unleased.extract_if(.., |wait| is_late(wait)).collect();
         for Wait { key, attempt, .. } in unleased {
             self.counted.unheld += 1;
-            out.push(Output::MayNot { key, attempt: attempt.unwrap_or(0), why: ReplicationError::Lease });
+            out.push(Output::SendDenied { key, attempt: attempt.unwrap_or(0), why: ReplicationError::Lease });
         }
         let mut late = Vec::new();
         for waits in self.waits.values_mut() {
@@ -440,9 +440,9 @@
             let why = ReplicationError::Late { waited: now - since };
             self.counted.unheld += 1;
             match attempt {
-                Some(attempt) => out.push(Output::MayNot { key, attempt, why }),
+                Some(attempt) => out.push(Output::SendDenied { key, attempt, why }),
                 None => {
-                    out.push(Output::Unheld { key, why });
+                    out.push(Output::NotReplicated { key, why });
                     self.write(
                         now,
                         wall,
@@ -459,7 +459,7 @@
         if self.unsent {
             return 0;
         }
-        let patience = self.settings.patience;
+        let patience = self.settings.replication_timeout;
         let waits = self.waits.values().filter_map(|waits| waits.front()).chain(&self.unleased);
         let waits = waits.map(|wait| wait.since + patience);
         let resend = self.neighbours.iter().map(HolderProgress::next_due);
--- a/crates/pending/src/journal/replication.rs
+++ b/crates/pending/src/journal/replication.rs
@@ -36,7 +36,7 @@
                 false => Some(CandidateState::Live),
             }
         };
-        let chosen = choose(&self.settings.places, self.settings.seed, self.most().into(), standing);
+        let chosen = choose(&self.settings.site_map, self.settings.seed, self.most().into(), standing);
         self.neighbours.iter_mut().for_each(|one| one.wanted = chosen.contains(&one.of));
         for of in chosen {
             if !self.neighbours.iter().any(|one| one.of == of) {
--- a/crates/pending/src/lib.rs
+++ b/crates/pending/src/lib.rs
@@ -29,7 +29,7 @@
 pub use interface::{Input, Output, PendingSettings};
 pub use journal::JournalCounts;
 pub use lease::{HolderPromises, Lease, LeaseRefusal, LeaseTerms};
-pub use owner::{owner, taken};
+pub use owner::{owner, taken_over};
 pub use pending_events::PendingEvents;
 pub use recovery::Recovery;
 #[doc(hidden)]
--- a/crates/pending/src/owner.rs
+++ b/crates/pending/src/owner.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Gateways that were taken over and have not returned, by number.
-pub fn taken(permit_state: &PermitState, places: &SiteMap) -> Vec<bool> {
+pub fn taken_over(permit_state: &PermitState, places: &SiteMap) -> Vec<bool> {
     let mut taken = vec![false; places.len()];
     for permit in &permit_state.permits {
         let of: Vec<MemberId> = match permit.subject {
@@ -41,9 +41,9 @@
         let permit = |subject| Permit { subject, number: 1, incarnation: 0, returned: false };
         let mut permit_state = PermitState::default();
         let places = SiteMap::new(vec![0, 0, 1, 1], 0).expect("in the list");
-        let before: Vec<_> = keys().map(|key| owner(key, &taken(&permit_state, &places))).collect();
+        let before: Vec<_> = keys().map(|key| owner(key, &taken_over(&permit_state, &places))).collect();
         assert!(permit_state.add(permit(Subject::Site(1))) && permit_state.add(permit(Subject::Worker(3))));
-        let all = taken(&permit_state, &places);
+        let all = taken_over(&permit_state, &places);
         assert_eq!(all, [false, false, true, true]);
         let after: Vec<_> = keys().map(|key| owner(key, &all)).collect();
         let stays = |owner: &Option<MemberId>| owner.is_some_and(|of| of < 2);
@@ -56,6 +56,6 @@
         assert_eq!(owner(Key(1), &[true, true]), None);
         permit_state.remove(Subject::Site(1));
         assert!(permit_state.add(permit(Subject::Gateway(3))));
-        assert_eq!(taken(&permit_state, &places), [false, false, false, true]);
+        assert_eq!(taken_over(&permit_state, &places), [false, false, false, true]);
     }
 }
--- a/crates/pending/src/pending_events.rs
+++ b/crates/pending/src/pending_events.rs
@@ -49,19 +49,19 @@
 impl PendingEvents {
     /// Nothing is pending and nothing is held. Kept events are taken from [`Output::Takes`] on.
     pub fn new(settings: PendingSettings, now: Micros) -> Self {
-        let places = settings.places.clone();
+        let places = settings.site_map.clone();
         let heirs = RecoverySettings {
             places: places.clone(),
             life: settings.life,
-            slack: settings.slack_ms,
-            most: settings.heir_most,
-            rate: settings.heir_rate,
-            remember: settings.remember_ms,
+            slack: settings.clock_skew_ms,
+            most: settings.recovery_concurrency,
+            rate: settings.recovery_rate,
+            remember: settings.retention_ms,
             holders: settings.holders.clone(),
         };
         Self {
             entry_bytes: settings.entry_bytes,
-            holder: Holder::new(settings.life, settings.bytes),
+            holder: Holder::new(settings.life, settings.journal_bytes),
             promises: HolderPromises::new(LeaseTerms::new(settings.lease), now),
             watch: TakeoverMonitor::new(&places),
             heirs: Recovery::new(&heirs, now),
@@ -85,32 +85,32 @@
     }
 
     /// What our journal has counted.
-    pub fn written(&self) -> JournalCounts {
+    pub fn journal_counts(&self) -> JournalCounts {
         self.journal.counted()
     }
 
     /// How events of lost owners have ended here.
-    pub fn counted(&self) -> RecoveryCounts {
+    pub fn recovery_counts(&self) -> RecoveryCounts {
         self.heirs.counted()
     }
 
     /// Whether kept events are taken.
-    pub fn takes(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.home.is_home()
     }
 
     /// What is known of an event that was a lost gateway's, or of an earlier life of ours.
-    pub fn fate(&self, key: Key) -> Option<EventStatus> {
+    pub fn event_status(&self, key: Key) -> Option<EventStatus> {
         self.heirs.fate(key)
     }
 
     /// Bytes and lines of our own journal.
-    pub fn own_size(&self) -> (usize, usize) {
+    pub fn journal_size(&self) -> (usize, usize) {
         self.journal.size()
     }
 
     /// Bytes and lines held for others.
-    pub fn held_size(&self) -> (usize, usize) {
+    pub fn replica_size(&self) -> (usize, usize) {
         self.holder.size()
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// What is held of a gateway's journals, up to a life of it.
-    pub fn copies(&self, of: MemberId, life: u64) -> Vec<JournalSnapshot> {
+    pub fn snapshots(&self, of: MemberId, life: u64) -> Vec<JournalSnapshot> {
         self.holder.copies(self.now, of, life)
     }
 
@@ -135,12 +135,12 @@
     }
 
     #[doc(hidden)]
-    pub fn plant(&mut self, planted: HolderFault) {
+    pub fn inject_holder_fault(&mut self, planted: HolderFault) {
         self.holder.plant(planted);
     }
 
     #[doc(hidden)]
-    pub fn plant_heirs(&mut self, planted: crate::recovery::RecoveryFault) {
+    pub fn inject_recovery_fault(&mut self, planted: crate::recovery::RecoveryFault) {
         self.heirs.plant(planted);
     }
 
@@ -152,7 +152,7 @@
             Input::Step(step) => self.step(now, wall, step, out),
             Input::Frame { from, bytes } => {
                 if let Err(error) = self.frame(now, from, &bytes, out) {
-                    out.push(Output::Noted(JournalFault::Frame { from, error }));
+                    out.push(Output::Fault(JournalFault::Frame { from, error }));
                 }
             }
             Input::LinkUp { of, life } => {
@@ -162,25 +162,25 @@
                 self.journal.up(of, life);
             }
             Input::LinkDown { of } => self.journal.down(of),
-            Input::Live(live) => {
+            Input::LivePeers(live) => {
                 self.live.clone_from(&live);
                 self.journal.see(now, live);
             }
-            Input::Seen { observations, permit_state } => {
+            Input::Observed { observations, permit_state } => {
                 (self.observations, self.permit_state) = (observations, permit_state);
                 self.look(now, out);
             }
-            Input::Home { subject, permit } => self.home.answered(subject, permit),
-            Input::Done { subject } => self.home.ended(subject),
-            Input::Repeated(key) => self.heirs.waits_for(key),
-            Input::Ration { rate, most } => self.heirs.set_ration(rate, most),
+            Input::ReclaimReply { subject, permit } => self.home.answered(subject, permit),
+            Input::PermitReturned { subject } => self.home.ended(subject),
+            Input::ClientRepeat(key) => self.heirs.waits_for(key),
+            Input::RecoveryLimits { rate, most } => self.heirs.set_ration(rate, most),
         }
     }
 
     fn step(&mut self, now: Micros, wall: WallMs, step: Step, out: &mut Vec<Output>) {
         match &step {
             Step::Accepted(accepted) if !self.home.is_home() => {
-                return out.push(Output::Unheld { key: accepted.key, why: ReplicationError::Away });
+                return out.push(Output::NotReplicated { key: accepted.key, why: ReplicationError::Away });
             }
             Step::Ended { key, outcome, answer } => {
                 let mut heirs = Vec::new();
@@ -271,7 +271,7 @@
             Err(LeaseRefusal::Taken { .. }) => Err(()),
         };
         let (ack, fault) = self.holder.take(now, lines, granted);
-        out.extend(fault.map(Output::Noted));
+        out.extend(fault.map(Output::Fault));
         out.push(Output::Send { to: from, bytes: close(&Message::Ack(ack)) });
     }
 
@@ -286,7 +286,7 @@
                     out.push(Output::Run { pending: accepted, first, end });
                 }
                 RecoveryOutput::Resolved { key, end, outcome, answer } => {
-                    out.push(Output::Told { key, end, outcome, answer });
+                    out.push(Output::Resolved { key, end, outcome, answer });
                 }
                 RecoveryOutput::JournalLoss(gone) => out.push(Output::JournalLoss(gone)),
                 RecoveryOutput::ReturnLearned(of) => self.home.learnt(of),
@@ -303,7 +303,7 @@
         for turn in turns {
             match turn {
                 TakeoverAction::RequestPermit(subject) => {
-                    out.push(Output::Ask(PermitRequest::Acquire(subject)))
+                    out.push(Output::RequestPermit(PermitRequest::Acquire(subject)))
                 }
                 TakeoverAction::Begin { lives, .. } => {
                     for (of, life) in lives {
@@ -337,15 +337,15 @@
         self.home.wake(now, &peers, &mut steps);
         for step in steps {
             out.push(match step {
-                RejoinAction::Reclaim(subject) => Output::Ask(PermitRequest::Reclaim(subject)),
+                RejoinAction::Reclaim(subject) => Output::RequestPermit(PermitRequest::Reclaim(subject)),
                 RejoinAction::QueryPeer(to) => {
                     let back = TakeoverMessage::ReturnQuery { life: life.saturating_sub(1), after: None };
                     Output::Send { to, bytes: close(&Message::Takeover(back)) }
                 }
                 RejoinAction::ReturnPermit(subject, number) => {
-                    Output::Ask(PermitRequest::Return(subject, number))
+                    Output::RequestPermit(PermitRequest::Return(subject, number))
                 }
-                RejoinAction::Ready => Output::Takes,
+                RejoinAction::Ready => Output::Ready,
             });
         }
     }
--- a/crates/pending/src/recovery.rs
+++ b/crates/pending/src/recovery.rs
@@ -468,8 +468,8 @@
                 event.sent
             };
             let case = RecoveryCase {
-                again: accepted.again,
-                owed: accepted.owed,
+                again: accepted.repeat_safety,
+                owed: accepted.finish_without_client,
                 waited: event.waited,
                 deadline: accepted.deadline,
                 sent,
--- a/crates/pending/src/simulation.rs
+++ b/crates/pending/src/simulation.rs
@@ -230,7 +230,7 @@
     pub fn start(&mut self, of: MemberId) {
         let Some(places) = SiteMap::new(self.sites.clone(), of) else { return };
         let life = self.net.now + u64::from(of);
-        let settings = PendingSettings { places, life, ..self.settings.clone() };
+        let settings = PendingSettings { site_map: places, life, ..self.settings.clone() };
         let now = self.net.clock(of);
         let mut gateway = SimulatedGateway {
             entry_bytes: settings.entry_bytes,
@@ -242,7 +242,7 @@
             damage: self.damage,
             rng: StdRng::seed_from_u64(self.seed ^ life),
         };
-        self.planted.into_iter().for_each(|planted| gateway.pending.plant(planted));
+        self.planted.into_iter().for_each(|planted| gateway.pending.inject_holder_fault(planted));
         self.net.insert(of, gateway);
         self.changed.insert(of, self.net.now);
     }
@@ -349,12 +349,12 @@
             if self.apart.contains(&of) {
                 // Of whom it hears it sees as many as the others see of it.
                 let live = self.net.node_ids().map(|other| self.apart.contains(&other)).collect();
-                self.tell(of, Input::Live(live));
+                self.tell(of, Input::LivePeers(live));
             } else {
-                self.tell(of, Input::Live(self.seen.clone()));
+                self.tell(of, Input::LivePeers(self.seen.clone()));
                 self.tell(
                     of,
-                    Input::Seen {
+                    Input::Observed {
                         observations: observations.clone(),
                         permit_state: self.permit_state.clone(),
                     },
@@ -366,24 +366,24 @@
     /// The voters answer.
     fn answer(&mut self) {
         let is_asked = |(_, _, said): &mut (Micros, MemberId, SimulatedOutput)| {
-            matches!(said, SimulatedOutput::Local(Output::Ask(_)))
+            matches!(said, SimulatedOutput::Local(Output::RequestPermit(_)))
         };
         let asked: Vec<_> = self.net.outputs.extract_if(.., is_asked).collect();
         for (_, of, said) in asked {
-            let SimulatedOutput::Local(Output::Ask(request)) = said else { continue };
+            let SimulatedOutput::Local(Output::RequestPermit(request)) = said else { continue };
             if self.apart.contains(&of) {
                 continue;
             }
             match request {
                 PermitRequest::Reclaim(subject) => {
                     let permit = self.permit_state.permit(subject).map_or(0, |permit| permit.number);
-                    self.tell(of, Input::Home { subject, permit });
+                    self.tell(of, Input::ReclaimReply { subject, permit });
                 }
                 PermitRequest::Return(subject, number) => {
                     self.permit_state
                         .permits
                         .retain(|permit| (permit.subject, permit.number) != (subject, number));
-                    self.tell(of, Input::Done { subject });
+                    self.tell(of, Input::PermitReturned { subject });
                     self.tell_all();
                 }
                 PermitRequest::Acquire(subject) if self.permit_state.permit(subject).is_none() => {
--- a/crates/pending/src/types.rs
+++ b/crates/pending/src/types.rs
@@ -44,9 +44,9 @@
     /// Its function.
     pub function: String,
     /// What may be done once it was sent.
-    pub again: RepeatSafety,
+    pub repeat_safety: RepeatSafety,
     /// It is done though its client may be gone.
-    pub owed: bool,
+    pub finish_without_client: bool,
     /// When its client gives up.
     pub deadline: WallMs,
     /// The event as a structured CloudEvent, up to the configured bound.
--- a/crates/pending/tests/bounds.rs
+++ b/crates/pending/tests/bounds.rs
@@ -23,13 +23,13 @@
             PendingEvents::new(settings, 0)
         };
         let mut two = Self { both: [start(0), start(1)], now: 4_000_000 };
-        two.tell(Input::Live(vec![true; 2]));
+        two.tell(Input::LivePeers(vec![true; 2]));
         two.tell(Input::LinkUp { of: 1, life: 8 });
         for subject in [Subject::Site(0), Subject::Gateway(0)] {
-            two.tell(Input::Home { subject, permit: 0 });
+            two.tell(Input::ReclaimReply { subject, permit: 0 });
         }
         (0..3).for_each(|_| _ = two.settle());
-        assert!(two.both[0].takes());
+        assert!(two.both[0].is_ready());
         two
     }
 
@@ -75,13 +75,13 @@
         let deadline = self.wall() + 5_000;
         let (key, event) = (Key(key), vec![1; bytes]);
         let accepted =
-            Accepted { key, class, tenant: 0, function: "f".into(), again, owed: false, deadline, event };
+            Accepted { key, class, tenant: 0, function: "f".into(), repeat_safety: again, finish_without_client: false, deadline, event };
         self.step(Step::Accepted(accepted))
     }
 }
 
 fn unheld(key: u128, why: ReplicationError) -> Vec<Output> {
-    vec![Output::Unheld { key: Key(key), why }]
+    vec![Output::NotReplicated { key: Key(key), why }]
 }
 
 #[test]
@@ -91,12 +91,12 @@
     assert_eq!(two.accept(1, 9, KEYED, 10), unheld(1, ReplicationError::Class(9)));
     assert_eq!(two.accept(1, 1, KEYED, 10), unheld(1, ReplicationError::Few { told: 2, live: 1 }));
     assert_eq!(two.accept(1, 0, KEYED, 100), unheld(1, ReplicationError::Long { bytes: 101, most: 100 }));
-    assert_eq!(two.both[1].held_size().1, 0);
-    assert_eq!(two.accept(1, 0, KEYED, 99), [Output::Held { key: Key(1) }]);
+    assert_eq!(two.both[1].replica_size().1, 0);
+    assert_eq!(two.accept(1, 0, KEYED, 99), [Output::Replicated { key: Key(1) }]);
     assert_eq!(two.accept(1, 0, KEYED, 10), unheld(1, ReplicationError::Doubled(Key(1))));
     let sending = Step::Sending { key: Key(2), attempt: 3, worker: "w".into(), at: 0 };
     let why = ReplicationError::Unknown(Key(2));
-    assert_eq!(two.step(sending), [Output::MayNot { key: Key(2), attempt: 3, why }]);
+    assert_eq!(two.step(sending), [Output::SendDenied { key: Key(2), attempt: 3, why }]);
     let mut young =
         PendingEvents::new(PendingSettings::new(SiteMap::new(vec![0, 1], 0).expect("one"), 1, vec![1], 1), 0);
     let (accepted, mut out) = (Accepted { event: Vec::new(), ..sample(1) }, Vec::new());
@@ -111,8 +111,8 @@
         class: 0,
         tenant: 0,
         function,
-        again,
-        owed: true,
+        repeat_safety: again,
+        finish_without_client: true,
         deadline: 90_000,
         event: vec![],
     }
@@ -120,53 +120,53 @@
 
 #[test]
 fn a_journal_that_is_full_takes_no_event_more_but_every_step_of_those_it_has() {
-    let mut two = Two::new(|settings| settings.bytes = 40_000);
+    let mut two = Two::new(|settings| settings.journal_bytes = 40_000);
     let mut taken = Vec::new();
     let full = (1..1_000).find_map(|key| match &two.accept(key, 0, RepeatSafety::Safe, 500)[..] {
-        [Output::Held { .. }] => {
+        [Output::Replicated { .. }] => {
             taken.push(key);
             None
         }
         other => Some(other.to_vec()),
     });
     assert!(
-        matches!(full.as_deref(), Some([Output::Unheld { why: ReplicationError::Full { .. }, .. }])),
+        matches!(full.as_deref(), Some([Output::NotReplicated { why: ReplicationError::Full { .. }, .. }])),
         "{full:?}"
     );
-    assert!(taken.len() > 40 && two.both[0].own_size().0 <= 40_000 && two.both[1].held_size().0 <= 40_000);
+    assert!(taken.len() > 40 && two.both[0].journal_size().0 <= 40_000 && two.both[1].replica_size().0 <= 40_000);
     for key in &taken {
         let ended = Step::Ended { key: Key(*key), outcome: Outcome::Served, answer: vec![2; 400] };
         assert_eq!(two.step(ended), []);
     }
-    let (own, held) = (two.both[0].own_size(), two.both[1].held_size());
+    let (own, held) = (two.both[0].journal_size(), two.both[1].replica_size());
     assert!(own.0 < 20_000 && held.0 < 20_000, "{own:?} {held:?}");
-    assert_eq!(two.accept(2_000, 0, RepeatSafety::Safe, 500), [Output::Held { key: Key(2_000) }]);
+    assert_eq!(two.accept(2_000, 0, RepeatSafety::Safe, 500), [Output::Replicated { key: Key(2_000) }]);
 }
 
 #[test]
 fn a_neighbour_that_is_full_is_named_and_what_it_did_not_take_is_not_held() {
     // The holder has half of the writer's room.
     let mut two = Two::new(|settings| {
-        settings.bytes = if settings.places.own() == 0 { 40_000 } else { 20_000 };
+        settings.journal_bytes = if settings.site_map.own() == 0 { 40_000 } else { 20_000 };
     });
     let mut told = Vec::new();
     for key in 1..50 {
         told.extend(two.accept(key, 0, RepeatSafety::Safe, 500));
     }
-    let held = told.iter().filter(|output| matches!(output, Output::Held { .. })).count();
-    assert!(told.iter().any(|output| matches!(output, Output::Noted(JournalFault::Full { .. }))));
-    assert!((20..40).contains(&held) && two.both[1].held_size().0 <= 20_000, "{held}");
+    let held = told.iter().filter(|output| matches!(output, Output::Replicated { .. })).count();
+    assert!(told.iter().any(|output| matches!(output, Output::Fault(JournalFault::Full { .. }))));
+    assert!((20..40).contains(&held) && two.both[1].replica_size().0 <= 20_000, "{held}");
     two.now += 1_000_000;
     let late = two
         .settle()
         .into_iter()
-        .filter(|output| matches!(output, Output::Unheld { why: ReplicationError::Late { .. }, .. }));
+        .filter(|output| matches!(output, Output::NotReplicated { why: ReplicationError::Late { .. }, .. }));
     assert_eq!(late.count() + held, 49);
 }
 
 #[test]
 fn nothing_is_kept_past_its_time() {
-    let mut two = Two::new(|settings| settings.remember_ms = 2_000);
+    let mut two = Two::new(|settings| settings.retention_ms = 2_000);
     for key in 1..100 {
         two.accept(key, 0, [RepeatSafety::Safe, RepeatSafety::Unsafe, KEYED][key as usize % 3], 100);
         let at = two.wall();
@@ -176,18 +176,18 @@
             two.step(Step::Ended { key: Key(key), outcome: Outcome::Served, answer: vec![1; 50] });
         }
     }
-    assert!(two.both[0].own_size().1 > 200 && two.both[1].held_size().1 > 200);
+    assert!(two.both[0].journal_size().1 > 200 && two.both[1].replica_size().1 > 200);
     // A window that runs for 7 s is over after 9; keys of the others are gone after 7.
     for (span, most) in [(7_100_000, 150), (2_000_000, 0)] {
         two.now += span;
         (0..3).for_each(|_| _ = two.settle());
-        let whole: usize = two.both[1].copies(0, u64::MAX).iter().map(|copy| copy.entries.len()).sum();
+        let whole: usize = two.both[1].snapshots(0, u64::MAX).iter().map(|copy| copy.entries.len()).sum();
         assert!(whole <= most, "{whole} {most}");
     }
-    assert_eq!(two.both[0].own_size(), (0, 0));
+    assert_eq!(two.both[0].journal_size(), (0, 0));
     two.now += 70_000_000;
     two.settle();
-    assert_eq!(two.both[1].held_size(), (0, 0));
+    assert_eq!(two.both[1].replica_size(), (0, 0));
 }
 
 #[test]
@@ -200,7 +200,7 @@
         (vec![0x51; 100_000], WireError::Long(100_000)),
     ] {
         let told = two.tell(Input::Frame { from: 1, bytes });
-        assert_eq!(told, [Output::Noted(JournalFault::Frame { from: 1, error })]);
+        assert_eq!(told, [Output::Fault(JournalFault::Frame { from: 1, error })]);
     }
     let mut out = Vec::new();
     two.tell(Input::Step(Step::Accepted(sample(1))));
@@ -211,5 +211,5 @@
     });
     // Our own frame, come back as if the other had written our journal.
     let told = two.tell(Input::Frame { from: 1, bytes: lines.expect("sent") });
-    assert_eq!(told, [Output::Noted(JournalFault::Frame { from: 1, error: WireError::Foreign(1) })]);
+    assert_eq!(told, [Output::Fault(JournalFault::Frame { from: 1, error: WireError::Foreign(1) })]);
 }
--- a/crates/pending/tests/journal_faults.rs
+++ b/crates/pending/tests/journal_faults.rs
@@ -61,7 +61,7 @@
     fn new(places: Vec<u8>, seed: u64, link: LinkFaults, damage: FrameDamage) -> Self {
         let settings =
             PendingSettings::new(SiteMap::new(places.clone(), 0).expect("one"), 0, CLASSES.into(), seed);
-        Self::with(places, PendingSettings { remember_ms: 10_000, ..settings }, link, damage)
+        Self::with(places, PendingSettings { retention_ms: 10_000, ..settings }, link, damage)
     }
 
     fn with(places: Vec<u8>, settings: PendingSettings, link: LinkFaults, damage: FrameDamage) -> Self {
@@ -122,7 +122,7 @@
         };
         self.events.insert(key, known);
         let (function, tenant, owed) = ("f".into(), 0, false);
-        let accepted = Accepted { key, class, tenant, function, again, owed, deadline, event };
+        let accepted = Accepted { key, class, tenant, function, repeat_safety: again, finish_without_client: owed, deadline, event };
         self.step(of, Step::Accepted(accepted));
     }
 
@@ -132,13 +132,13 @@
             let SimulatedOutput::Local(output) = said else { continue };
             let wall = self.sites.wall(of);
             match output {
-                Output::Held { key } => {
+                Output::Replicated { key } => {
                     let Some(event) = self.events.get_mut(&key) else { continue };
                     (event.held, event.answered) = (Some(at), true);
                     self.counts.0 += 1;
                     self.step(of, Step::Sending { key, attempt: 0, worker: "w".into(), at: wall });
                 }
-                Output::Unheld { key, why } => {
+                Output::NotReplicated { key, why } => {
                     self.counts.1 += 1;
                     // What it was ended with is written by the journal itself.
                     let end = Step::Ended { key, outcome: Outcome::Refused, answer: Vec::new() };
@@ -154,15 +154,15 @@
                         self.broken.push((at, format!("{key:?} unheld: {why}")));
                     }
                 }
-                Output::May { key, .. } => {
+                Output::SendAllowed { key, .. } => {
                     let ends = at + self.rng.random_range(1_000..6 * S);
                     self.events.get_mut(&key).into_iter().for_each(|event| event.ends = Some(ends));
                 }
-                Output::MayNot { key, .. } => {
+                Output::SendDenied { key, .. } => {
                     self.counts.2 += 1;
                     self.events.get_mut(&key).into_iter().for_each(|event| event.ends = Some(at));
                 }
-                Output::Lost { key } => _ = self.events.remove(&key),
+                Output::OwnershipLost { key } => _ = self.events.remove(&key),
                 // Events of lost owners are let go of here: tests/take_over.rs is about them.
                 Output::Run { pending: Accepted { key, .. }, .. } => {
                     self.step(of, Step::Ended { key, outcome: Outcome::Refused, answer: Vec::new() });
@@ -224,7 +224,7 @@
         for of in self.sites.net.node_ids() {
             let Some(one) = self.sites.net.node(of) else { continue };
             for source in one.pending.sources() {
-                let copies = one.pending.copies(source.gateway, source.life);
+                let copies = one.pending.snapshots(source.gateway, source.life);
                 let entries =
                     copies.into_iter().filter(|copy| copy.source == source).flat_map(|copy| copy.entries);
                 for entry in entries {
--- a/crates/pending/tests/takeover.rs
+++ b/crates/pending/tests/takeover.rs
@@ -47,7 +47,7 @@
     fn new(places: &[u8], holders: [u8; 2], seed: u64, link: LinkFaults) -> Self {
         let own = SiteMap::new(places.to_vec(), 0).expect("one");
         let settings =
-            PendingSettings { heir_rate: 400, ..PendingSettings::new(own, 0, holders.into(), seed) };
+            PendingSettings { recovery_rate: 400, ..PendingSettings::new(own, 0, holders.into(), seed) };
         let mut sites = SimulatedSites::new(places.to_vec(), settings, link);
         sites.start_all();
         let rng = StdRng::seed_from_u64(seed);
@@ -77,7 +77,7 @@
         let deadline = self.sites.wall(of) + 40_000;
         let (class, event) = (self.rng.random_range(0..2), vec![1; 50]);
         let function = "f".into();
-        let accepted = Accepted { key, class, tenant: 0, function, again, owed: true, deadline, event };
+        let accepted = Accepted { key, class, tenant: 0, function, repeat_safety: again, finish_without_client: true, deadline, event };
         self.sites.step(of, Step::Accepted(accepted));
     }
 
@@ -99,18 +99,18 @@
             let (wall, source) = (self.sites.wall(of), self.source(of));
             let ours = |event: &Event| source == Some(event.by);
             match output {
-                Output::Held { key } if ours(&self.events[&key]) => {
+                Output::Replicated { key } if ours(&self.events[&key]) => {
                     self.events.get_mut(&key).into_iter().for_each(|event| event.held = true);
                     let sending = Step::Sending { key, attempt: 0, worker: "w".into(), at: wall };
                     self.sites.step(of, sending);
                 }
-                Output::May { key, until, .. } if ours(&self.events[&key]) => {
+                Output::SendAllowed { key, until, .. } if ours(&self.events[&key]) => {
                     // Some loops stand still between the word and the write.
                     let late = [0, 0, 0, 200_000, 4 * S][self.rng.random_range(0..5)];
                     let event = self.events.get_mut(&key).expect("known");
                     event.leaves = Some((at + late, until));
                 }
-                Output::MayNot { key, .. } | Output::Unheld { key, .. } if ours(&self.events[&key]) => {
+                Output::SendDenied { key, .. } | Output::NotReplicated { key, .. } if ours(&self.events[&key]) => {
                     self.sites.step(of, Step::Ended { key, outcome: Outcome::Refused, answer: Vec::new() });
                     self.ends(key, "refused");
                 }
@@ -124,13 +124,13 @@
                     (event.by, event.leaves, event.answers) = (by, None, None);
                     self.sites.step(of, Step::Accepted(pending));
                 }
-                Output::Told { key, end, .. } => {
+                Output::Resolved { key, end, .. } => {
                     let how = if end == Resolution::MayHaveRun { "may have run" } else { "closed" };
                     let event = self.events.get_mut(&key).expect("known");
                     (event.leaves, event.answers) = (None, None);
                     self.ends(key, how);
                 }
-                Output::Lost { .. } => self.lost += 1,
+                Output::OwnershipLost { .. } => self.lost += 1,
                 _ => {}
             }
         }
@@ -248,7 +248,7 @@
         run.pass(8 * S, false);
         [2, 3].into_iter().for_each(|of| run.sites.slander(of, false));
         run.pass(40 * S, false);
-        assert!(run.sites.net.node(2).is_some_and(|one| one.pending.takes()), "seed {seed}");
+        assert!(run.sites.net.node(2).is_some_and(|one| one.pending.is_ready()), "seed {seed}");
         run.pass(3 * S, true);
         run.killed = Some(run.sites.net.now);
         run.sites.kill_site(1);
@@ -289,7 +289,7 @@
         let twice: Vec<&String> = run.broken.iter().filter(|text| !text.contains("ends once more")).collect();
         assert!(twice.is_empty(), "seed {seed}: {twice:?}");
         let back = run.sites.net.node_ids().filter_map(|of| run.sites.net.node(of));
-        assert!(back.into_iter().all(|one| one.pending.takes()), "seed {seed}");
+        assert!(back.into_iter().all(|one| one.pending.is_ready()), "seed {seed}");
         lost += run.lost;
         run.ends.iter().for_each(|(how, count)| *ends.entry(how).or_default() += count);
     }
--- a/crates/pending/tests/takeover_faults.rs
+++ b/crates/pending/tests/takeover_faults.rs
@@ -82,7 +82,7 @@
 impl Run {
     fn new(places: &[u8], seed: u64, blows: Vec<Disruption>) -> Self {
         let own = SiteMap::new(places.to_vec(), 0).expect("one");
-        let settings = PendingSettings { heir_rate: 400, ..PendingSettings::new(own, 0, vec![2], seed) };
+        let settings = PendingSettings { recovery_rate: 400, ..PendingSettings::new(own, 0, vec![2], seed) };
         let link = LinkFaults { loss_rate: 0.01, duplicate_rate: 0.02, delay_range: (MS, 30 * MS) };
         let mut sites = SimulatedSites::new(places.to_vec(), settings, link);
         sites.start_all();
@@ -113,7 +113,7 @@
         let deadline = self.sites.wall(of) + 60_000;
         let function = "f".into();
         let accepted =
-            Accepted { key, class: 0, tenant: 0, function, again, owed: true, deadline, event: vec![1; 40] };
+            Accepted { key, class: 0, tenant: 0, function, repeat_safety: again, finish_without_client: true, deadline, event: vec![1; 40] };
         self.sites.step(of, Step::Accepted(accepted));
         self.comes(key, Progress::Written);
         Some(key)
@@ -159,15 +159,15 @@
             let source = self.sites.net.node(of).map(|one| one.pending.source());
             let ours = |run: &Self, key: &Key| source == Some(run.events[key].by);
             match output {
-                Output::Held { key } if ours(self, &key) && self.events[&key].at == Progress::Written => {
+                Output::Replicated { key } if ours(self, &key) && self.events[&key].at == Progress::Written => {
                     self.events.get_mut(&key).expect("known").does = Some(NextAction::Announce);
                     self.comes(key, Progress::Held);
                 }
-                Output::May { key, until, .. } if ours(self, &key) => {
+                Output::SendAllowed { key, until, .. } if ours(self, &key) => {
                     self.events.get_mut(&key).expect("known").does = Some(NextAction::Write(until));
                     self.comes(key, Progress::Announced);
                 }
-                Output::MayNot { key, .. } | Output::Unheld { key, .. } if ours(self, &key) => {
+                Output::SendDenied { key, .. } | Output::NotReplicated { key, .. } if ours(self, &key) => {
                     self.sites.step(of, Step::Ended { key, outcome: Outcome::Refused, answer: Vec::new() });
                     self.ends(key, GIVEN_UP);
                 }
@@ -183,7 +183,7 @@
                     self.sites.step(of, Step::Accepted(pending));
                     self.comes(key, Progress::Written);
                 }
-                Output::Told { key, end, .. } => {
+                Output::Resolved { key, end, .. } => {
                     let event = self.events.get_mut(&key).expect("known");
                     if event.at == Progress::Ended {
                         continue;
@@ -272,7 +272,7 @@
             }
             if event.told.is_none() && event.at > Progress::Written {
                 let fates: Vec<Option<EventStatus>> =
-                    self.sites.net.node_ids().map(|of| self.sites.net.node(of)?.pending.fate(*key)).collect();
+                    self.sites.net.node_ids().map(|of| self.sites.net.node(of)?.pending.event_status(*key)).collect();
                 self.broken.push(format!("{key:?} {:?} {:?} has no end: {fates:?}", event.again, event.at));
             }
         }
@@ -378,14 +378,14 @@
 #[test]
 fn an_heir_that_runs_what_was_sent_is_found() {
     assert!(breaks(Progress::Sent, DisruptionKind::KillSite, |one| one
-        .plant_heirs(RecoveryFault::RunsWhatWasSent)));
+        .inject_recovery_fault(RecoveryFault::RunsWhatWasSent)));
     assert!(!breaks(Progress::Sent, DisruptionKind::KillSite, |_| {}));
 }
 
 #[test]
 fn an_heir_that_asks_nobody_is_found() {
     assert!(
-        breaks(Progress::Held, DisruptionKind::KillSite, |one| one.plant_heirs(RecoveryFault::AsksNobody))
+        breaks(Progress::Held, DisruptionKind::KillSite, |one| one.inject_recovery_fault(RecoveryFault::AsksNobody))
     );
     assert!(!breaks(Progress::Held, DisruptionKind::KillSite, |_| {}));
 }
@@ -453,7 +453,7 @@
     let (key, source, function, event) = (Key(1), Source { gateway: 0, life: 1 }, "f".into(), Vec::new());
     let again = RepeatSafety::Unsafe;
     let accepted =
-        Accepted { key, class: 0, tenant: 0, function, again, owed: true, deadline: 1_000_000, event };
+        Accepted { key, class: 0, tenant: 0, function, repeat_safety: again, finish_without_client: true, deadline: 1_000_000, event };
     let entries = vec![Entry { source, number: 1, chain: 1, step: Step::Accepted(accepted) }];
     let copy = JournalSnapshot { source, through: 1, head: 1, unheard: 0, entries };
     heirs.begin(S, 0, 1, true, vec![copy]);
--- a/crates/pending/tests/takeover_model.rs
+++ b/crates/pending/tests/takeover_model.rs
@@ -149,8 +149,8 @@
         class: 0,
         tenant: 0,
         function: String::new(),
-        again: RepeatSafety::Unsafe,
-        owed: true,
+        repeat_safety: RepeatSafety::Unsafe,
+        finish_without_client: true,
         deadline: 1_000_000,
         event: Vec::new(),
     }
--- a/crates/pending/tests/wire.rs
+++ b/crates/pending/tests/wire.rs
@@ -25,7 +25,7 @@
             let key = Key(key);
             let (answer, worker) = (event.clone(), function.clone());
             let accepted =
-                Accepted { key, class: 0, tenant: 3, function, again, owed: true, deadline: 9_000, event };
+                Accepted { key, class: 0, tenant: 3, function, repeat_safety: again, finish_without_client: true, deadline: 9_000, event };
             let sending = Step::Sending { key, attempt: 1, worker, at: 77 };
             let ended = Step::Ended { key, outcome: Outcome::Served, answer };
             [Step::Accepted(accepted), sending, ended].into_iter().take(usize::from(far) + 1)
@@ -39,11 +39,11 @@
     let (mut writer, mut out) = (PendingEvents::new(settings(0), 0), Vec::new());
     writer.handle(0, 0, Input::LinkUp { of: 1, life: 8 }, &mut out);
     for subject in [Subject::Site(0), Subject::Gateway(0)] {
-        writer.handle(0, 0, Input::Home { subject, permit: 0 }, &mut out);
+        writer.handle(0, 0, Input::ReclaimReply { subject, permit: 0 }, &mut out);
     }
     // Its one peer is not live yet as it asks who knows of its earlier lives.
     (0..3).for_each(|_| writer.wake(0, 0, &mut out));
-    writer.handle(0, 0, Input::Live(vec![true; 2]), &mut out);
+    writer.handle(0, 0, Input::LivePeers(vec![true; 2]), &mut out);
     out.clear();
     for (step, now) in steps.iter().zip(1..) {
         writer.handle(now, 0, Input::Step(step.clone()), &mut out);
@@ -59,8 +59,8 @@
     for bytes in frames {
         holder.handle(0, 0, Input::Frame { from: 0, bytes: bytes.clone() }, &mut out);
     }
-    let entries = holder.copies(0, u64::MAX).into_iter().flat_map(|copy| copy.entries).collect();
-    let noted = |output| if let Output::Noted(fault) = output { Some(fault) } else { None };
+    let entries = holder.snapshots(0, u64::MAX).into_iter().flat_map(|copy| copy.entries).collect();
+    let noted = |output| if let Output::Fault(fault) = output { Some(fault) } else { None };
     (entries, out.into_iter().filter_map(noted).collect())
 }
 
