--- a/crates/pending/src/claims.rs
+++ b/crates/pending/src/claims.rs
@@ -1,4 +1,4 @@
-//! What gateways answer one another of what is taken over: claims, and what was done in the place of one that returns.
+//! Handles takeover messages: claims of events, and queries of returning gateways about their events.
 
 use crate::recovery::{Event, EventStage, Recovery, claim_rank};
 use crate::resolution::FirstSend;
@@ -9,15 +9,16 @@
 use crate::types::{Key, Outcome, Source, WallMs};
 use basaltward_membership::{MemberId, Micros};
 
-/// Keys in a word, at most, and bytes of answers in one.
+/// Limits of one message: events, and bytes of their answers.
 pub(crate) const MAX_EVENTS_PER_MESSAGE: usize = 256;
 const MAX_ANSWER_BYTES_PER_MESSAGE: usize = 48 << 10;
-/// Events of our earlier lives of which we learn, and bytes of their answers, at most: with more we are not home until
-/// some are past their time.
+/// Limits for what this gateway learns about events of its earlier lives: events, and bytes of their answers. With
+/// more events it does not become ready until some have expired.
 const LEARNT: (usize, usize) = (1 << 17, 16 << 20);
 
 impl Recovery {
-    /// Another gateway's word. `copies` gives all that we hold of a gateway's journals, up to a life.
+    /// Handles a message of another gateway. `copies` returns the snapshots of all journals of a gateway up to a
+    /// life.
     pub fn handle_message(
         &mut self,
         now: Micros,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// What we answer a claim, and what we are bound by from then on.
+    /// Answers a claim. A granted claim binds this gateway from then on.
     fn answer_claim(&mut self, from: MemberId, key: Key, source: Source, line: u64) -> Option<ClaimReply> {
         if self.ended_lives.get(&source.gateway).is_none_or(|life| *life < source.life) {
             return None;
@@ -88,7 +89,8 @@
         let upto = self.log_extents.get(&source).copied();
         let torn = self.log_extents.iter().any(|(of, (through, head))| *of != source && head > through);
         let Some(event) = self.events.get_mut(&key) else {
-            // Our copy has gone past it and holds nothing of it: it was over, and how is not known any more.
+            // The replica here goes past the accepting entry but no longer has the event: it has ended, and how is no
+            // longer known.
             let over = upto.is_some_and(|(through, _)| through >= line);
             let stand =
                 if over { ClaimDecision::Ended(Outcome::Failed, Vec::new()) } else { ClaimDecision::Granted };
@@ -139,7 +141,8 @@
         if !matches!(&event.stage, EventStage::Claiming(left) if left.contains(&from)) {
             return;
         }
-        // One that began after its owner was last heard may have forgotten what it held; clocks differ by a tenth.
+        // A peer that started after the owner was last heard from may have lost what it had stored. 5 / 4 allows for
+        // clocks that run a tenth apart.
         if age < now.saturating_sub(event.owner_last_heard).saturating_mul(5) / 4 {
             event.first_send = FirstSend::Unknown;
         }
@@ -183,7 +186,8 @@
         contradicted.into_iter().for_each(|gone| self.report_loss(gone, out));
     }
 
-    /// A later life of a gateway asks: from here on its earlier ones are over, and all that they had pending is told.
+    /// Answers a later life of a gateway: its earlier lives have ended, and the status of all their pending events is
+    /// reported.
     fn answer_return_query(
         &mut self,
         now: Micros,
@@ -198,7 +202,7 @@
         }
         let of_it =
             |event: &Event| event.accepted_entry.0.gateway == from && event.accepted_entry.0.life <= life;
-        // Whoever does one of them tells the asker how it ends.
+        // The peer that owns one of these events also reports its end to the returning gateway.
         let all = self.events.values_mut().filter(|event| of_it(event));
         all.for_each(|event| _ = event.other_holders.insert(from));
         let later = |key: &Key| after.is_none_or(|after| *key > after);
@@ -218,7 +222,8 @@
         out.push(RecoveryOutput::Send(from, TakeoverMessage::ReturnReply { life, statuses: fates, more }));
     }
 
-    /// What others did in our place, for repeats: an end goes before who does it, and that before nobody yet.
+    /// Merges what a peer reports about events of earlier lives: an end takes precedence over an owner, and an owner
+    /// over no owner.
     fn handle_return_reply(
         &mut self,
         from: MemberId,
@@ -239,12 +244,13 @@
             let later = match (&known.1, &fate) {
                 (EventStatus::Ended(..), _) | (_, EventStatus::Unassigned) => false,
                 (EventStatus::Unassigned, _) | (_, EventStatus::Ended(..)) => true,
-                // Whoever does it says so itself.
+                // A report of the owner itself is preferred.
                 (EventStatus::OwnedBy(_), EventStatus::OwnedBy(of)) => *of == from,
             };
             if later {
                 known.1 = match fate {
-                    // It was served: that its answer is not kept is told as it is of one that was too long.
+                    // The event was served, but its answer does not fit; it is reported like an answer that was too
+                    // long.
                     EventStatus::Ended(outcome, answer) if self.learned_bytes + answer.len() > LEARNT.1 => {
                         EventStatus::Ended(outcome, Vec::new())
                     }
@@ -256,7 +262,8 @@
     }
 }
 
-/// Pieces of at most [`BATCH`], those with answers alone.
+/// Splits replies into batches of at most [`MAX_EVENTS_PER_MESSAGE`]; a reply with an answer gets a message of its
+/// own.
 fn into_batches(says: Vec<ClaimReply>, alone: impl Fn(&ClaimReply) -> bool) -> Vec<Vec<ClaimReply>> {
     let mut pieces: Vec<Vec<ClaimReply>> = Vec::new();
     let mut room = 0;
--- a/crates/pending/src/holder_progress.rs
+++ b/crates/pending/src/holder_progress.rs
@@ -1,60 +1,60 @@
-//! What a writer knows of one of its journal's holders: how far it was sent, how far it has acknowledged, by which
-//! life. Only the life that the connection told of is believed.
+//! The writer's view of one holder of its journal: how far entries were sent and acknowledged, and by which life of
+//! the holder. Only acks of the life that the connection reported are accepted.
 
 use crate::wire::Ack;
 use basaltward_membership::{MemberId, Micros};
 use std::collections::VecDeque;
 
-/// Bytes on their way to one holder; more wait.
+/// Maximum bytes in flight to one holder; more have to wait.
 const MAX_IN_FLIGHT_BYTES: usize = 1 << 20;
-/// Without word for so long, what was sent is sent again.
+/// Unacknowledged entries are sent again after this delay, doubled with each retry up to [`MAX_RESEND_DELAY`].
 const MIN_RESEND_DELAY: Micros = 500_000;
 const MAX_RESEND_DELAY: Micros = 4_000_000;
-/// So often it may say that a line is broken before it is doubted.
+/// Number of consecutive corruption reports after which the holder itself is suspect.
 const MAX_CORRUPT_REPORTS: u32 = 3;
 
-/// A holder as its writer sees it.
+/// Replication progress of one holder.
 #[derive(Debug)]
 pub struct HolderProgress {
-    /// Its number.
+    /// Index of the holder.
     pub member: MemberId,
-    /// Chosen now; one that is not is let go of once others hold as much.
+    /// Whether it is currently selected. One that is not is released once the others have stored as much.
     pub selected: bool,
-    /// Its life, as the connection told that stands or stood last.
+    /// The holder's life by the current or last connection.
     pub life: Option<u64>,
-    /// Whether one stands.
+    /// Whether a connection is open.
     pub connected: bool,
-    /// Sent up to here.
+    /// Number of the last entry sent.
     pub sent_through: u64,
-    /// Acknowledged up to here.
+    /// Number of the last entry acknowledged.
     pub acked_through: u64,
-    /// Of which of its beginnings.
+    /// Generation of the replica that acknowledged it.
     generation: u32,
-    /// Whether it has acknowledged that its journal was begun.
+    /// Whether the start of the replica was acknowledged.
     start_acked: bool,
-    /// The number after which its journal begins.
+    /// The replica starts after this number.
     start_after: u64,
-    /// When anything was sent last.
+    /// When the last frame was sent.
     pub last_sent_at: Micros,
     in_flight: VecDeque<(u64, usize)>,
-    /// How long its word takes, about.
+    /// Smoothed round-trip time.
     round_trip: Micros,
-    /// Since when something waits for its word.
+    /// Since when an entry is unacknowledged.
     unacked_since: Option<Micros>,
     resend_at: Micros,
     backoff: Micros,
-    /// Counts how often it was begun again from what is acknowledged.
+    /// Number of times sending was restarted from the last acknowledged entry.
     pub resync_count: u32,
-    /// The turn in which it was chosen: what it said before, it may have let go of since.
+    /// Resync count at which it was selected. Entries that it acknowledged before may have been released since.
     selected_at_resync: u32,
     corrupt_reports: u32,
 }
 
 impl HolderProgress {
-    /// One that holds nothing yet and is sent what follows a number.
-    pub fn new(of: MemberId, after: u64, turn: u32) -> Self {
+    /// A holder that has nothing yet and receives the entries after a number.
+    pub fn new(member: MemberId, after: u64, resync_count: u32) -> Self {
         Self {
-            member: of,
+            member,
             selected: true,
             life: None,
             connected: false,
@@ -69,13 +69,14 @@
             unacked_since: None,
             resend_at: Micros::MAX,
             backoff: MIN_RESEND_DELAY,
-            resync_count: turn,
-            selected_at_resync: turn,
+            resync_count,
+            selected_at_resync: resync_count,
             corrupt_reports: 0,
         }
     }
 
-    /// A connection stands. Another life holds nothing; the same one may have missed what was on its way.
+    /// A connection was opened. Another life of the holder has nothing; the same life may have missed frames that
+    /// were in flight.
     pub fn on_connected(&mut self, life: u64, after: u64) {
         if self.life != Some(life) {
             (self.acked_through, self.generation, self.start_acked) = (0, 0, false);
@@ -84,7 +85,7 @@
         self.rewind(after);
     }
 
-    /// What was not acknowledged is sent again, from after this number if nothing was.
+    /// Restarts sending after the last acknowledged entry, or after this number if it is higher.
     pub fn rewind(&mut self, after: u64) {
         self.sent_through = self.acked_through.max(after);
         self.start_acked = self.start_acked && self.acked_through >= after;
@@ -94,18 +95,18 @@
         self.resend_at = Micros::MAX;
     }
 
-    /// Whether its journal begins after this number. Only one frame says so until it has answered: one that came before
-    /// it would begin the journal too late.
+    /// Whether the frame after this number starts the replica. Until the start is acknowledged only one frame has the
+    /// flag: a frame that overtakes it would otherwise start the replica too late.
     pub fn starts_journal(&self, after: u64) -> bool {
         after > self.sent_through || !self.start_acked && after == self.start_after
     }
 
-    /// Whether more may be on its way.
+    /// Whether more bytes may be in flight.
     pub fn has_window(&self) -> bool {
         self.in_flight.iter().map(|(_, bytes)| bytes).sum::<usize>() < MAX_IN_FLIGHT_BYTES
     }
 
-    /// Lines after one number and up to another were sent.
+    /// Entries after `after` and up to `through` were sent.
     pub fn on_sent(&mut self, now: Micros, after: u64, through: u64, bytes: usize) {
         if after > self.sent_through {
             self.start_after = after;
@@ -115,31 +116,32 @@
         self.resend_at = self.resend_at.min(now + self.backoff.max(3 * self.round_trip));
     }
 
-    /// There are lines that it should hold.
+    /// There are entries that the holder has not acknowledged.
     pub fn mark_unacked(&mut self, now: Micros) {
         self.unacked_since.get_or_insert(now);
     }
 
-    /// When it is in doubt if no word has come: after this time, or three rounds where those are longer.
+    /// When the holder becomes suspect without an ack: after this delay, or after three round trips if those take
+    /// longer.
     pub fn suspect_at(&self, after: Micros) -> Micros {
         self.unacked_since.map_or(Micros::MAX, |since| since + after.max(3 * self.round_trip))
     }
 
-    /// Whether what it says speaks against it.
+    /// Whether it reported corruption too often.
     pub fn is_faulty(&self) -> bool {
         self.corrupt_reports >= MAX_CORRUPT_REPORTS
     }
 
-    /// Takes its word, if it is of the life that the connection told of, of no earlier beginning and said since it was
-    /// chosen; whether it was.
+    /// Applies an ack and returns whether it was valid. It is ignored if it is of another life than the connection
+    /// reported, of an older generation, or from before the holder was selected.
     pub fn on_ack(&mut self, now: Micros, ack: &Ack, last: u64) -> bool {
-        let now_held = ack.resync_count >= self.selected_at_resync && ack.generation >= self.generation;
-        if self.life != Some(ack.holder_life) || !now_held || ack.through > last {
+        let current = ack.resync_count >= self.selected_at_resync && ack.generation >= self.generation;
+        if self.life != Some(ack.holder_life) || !current || ack.through > last {
             return false;
         }
         self.round_trip = (self.round_trip * 7 + now.saturating_sub(ack.echoed_sent_at)) / 8;
         if ack.generation > self.generation {
-            // It began anew: what an earlier beginning acknowledged is gone with it.
+            // The replica was started from scratch: acks of earlier generations no longer count.
             (self.generation, self.acked_through, self.start_acked) = (ack.generation, 0, true);
         }
         if ack.through > self.acked_through && ack.generation > 0 {
@@ -157,23 +159,24 @@
         true
     }
 
-    /// It could not take what was sent. Only its first word on a turn counts: the frames behind say the same.
-    pub fn on_rejected(&mut self, turn: u32, broken: bool, after: u64) -> bool {
-        let first = turn == self.resync_count;
+    /// The holder rejected entries. Only the first rejection per resync counts, as the frames sent after it are
+    /// rejected for the same reason.
+    pub fn on_rejected(&mut self, resync_count: u32, corrupt: bool, after: u64) -> bool {
+        let first = resync_count == self.resync_count;
         if first {
-            self.corrupt_reports += u32::from(broken);
+            self.corrupt_reports += u32::from(corrupt);
             self.rewind(after);
         }
         first
     }
 
-    /// Nothing of the journal is with it.
+    /// The holder has no part of the journal.
     pub fn on_journal_missing(&mut self, after: u64) {
         (self.acked_through, self.start_acked) = (0, false);
         self.rewind(after);
     }
 
-    /// Sends again what has had no word for too long.
+    /// Sends unacknowledged entries again after the resend delay.
     pub fn wake(&mut self, now: Micros, after: u64) {
         if now >= self.resend_at {
             self.backoff = (self.backoff * 2).min(MAX_RESEND_DELAY);
--- a/crates/pending/src/holder_selection.rs
+++ b/crates/pending/src/holder_selection.rs
@@ -1,49 +1,50 @@
-//! Which gateways hold a journal: rendezvous by the writer's number over those of other sites that are live, each of
-//! another site while there are sites enough. Who holds it stays while nothing speaks against it.
+//! Selects the holders of a journal: rendezvous hashing by the writer's index over live gateways of other sites, from
+//! different sites as long as there are enough of them. A current holder stays selected unless it becomes suspect.
 
 use basaltward_membership::{MemberId, SiteMap};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What speaks for or against a gateway.
+/// State of a candidate; lower is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CandidateState {
-    /// It holds the journal.
+    /// It is already a holder.
     Current,
     /// It is live.
     Live,
-    /// It is live, but did not acknowledge in time or had no room, not long ago.
+    /// It is live, but recently failed to acknowledge in time or had no storage left.
     Suspect,
 }
 
-/// Up to so many holders for our journal, best first. Those not live have no standing.
+/// Selects up to `most` holders for the local journal, best first. Candidates without a state are not live.
 pub fn select_holders(
-    places: &SiteMap,
+    site_map: &SiteMap,
     seed: u64,
     most: usize,
-    standing: impl Fn(MemberId) -> Option<CandidateState>,
+    state: impl Fn(MemberId) -> Option<CandidateState>,
 ) -> Vec<MemberId> {
     let rank = |of: MemberId| {
         let mut bytes = [0; 4];
-        bytes[..2].copy_from_slice(&places.own().to_le_bytes());
+        bytes[..2].copy_from_slice(&site_map.own().to_le_bytes());
         bytes[2..].copy_from_slice(&of.to_le_bytes());
         xxh3_64_with_seed(&bytes, seed)
     };
-    let others = (0..places.len() as MemberId).filter(|of| places.site_of(*of) != Some(places.own_site()));
-    let mut ranked: Vec<_> = others.filter_map(|of| Some((standing(of)?, rank(of), of))).collect();
+    let others =
+        (0..site_map.len() as MemberId).filter(|of| site_map.site_of(*of) != Some(site_map.own_site()));
+    let mut ranked: Vec<_> = others.filter_map(|of| Some((state(of)?, rank(of), of))).collect();
     ranked.sort_unstable();
-    let mut chosen: Vec<MemberId> = Vec::new();
-    // One that is in doubt at another site serves less than one that answers at the same.
-    for (doubted, elsewhere) in [(false, true), (false, false), (true, true), (true, false)] {
-        for (standing, _, of) in &ranked {
-            let apart = chosen.iter().all(|other| places.site_of(*other) != places.site_of(*of));
-            if chosen.len() < most
-                && !chosen.contains(of)
-                && (*standing == CandidateState::Suspect) == doubted
-                && (apart || !elsewhere)
+    let mut selected: Vec<MemberId> = Vec::new();
+    // A suspect gateway of another site is a worse choice than a healthy one of a site that is already used.
+    for (suspect, other_site_only) in [(false, true), (false, false), (true, true), (true, false)] {
+        for (state, _, of) in &ranked {
+            let other_site = selected.iter().all(|other| site_map.site_of(*other) != site_map.site_of(*of));
+            if selected.len() < most
+                && !selected.contains(of)
+                && (*state == CandidateState::Suspect) == suspect
+                && (other_site || !other_site_only)
             {
-                chosen.push(*of);
+                selected.push(*of);
             }
         }
     }
-    chosen
+    selected
 }
--- a/crates/pending/src/interface.rs
+++ b/crates/pending/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the machine and comes out of it, and how it is set.
+//! Settings, inputs and outputs of [`crate::PendingEvents`].
 
 use crate::error::{JournalFault, ReplicationError};
 use crate::resolution::Resolution;
@@ -7,37 +7,41 @@
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use basaltward_permits::{Observations, PermitRequest, PermitState, Subject};
 
-/// How kept events are held.
+/// Settings of the journal and of takeover.
 #[derive(Clone, Debug)]
 pub struct PendingSettings {
-    /// Which gateway stands at which site.
+    /// The site of each gateway.
     pub site_map: SiteMap,
-    /// When our life began, as in our incarnation: another than any before it.
+    /// Start of this gateway's life, the same value as in its incarnation; differs from that of all its earlier
+    /// lives.
     pub life: u64,
-    /// Gateways of other sites that hold an entry, by class; 0 where a class keeps nothing.
+    /// Number of gateways of other sites that must store an entry, by class; 0 if a class does not replicate its
+    /// events.
     pub holders: Vec<u8>,
-    /// Bytes held for all others together, and bytes pending here.
+    /// Size limit in bytes, once for all journals stored for others together and once for this gateway's own journal.
     pub journal_bytes: usize,
-    /// Longest event with its function's name, and longest answer.
+    /// Maximum bytes of an event with its function's name, and of an answer.
     pub entry_bytes: usize,
-    /// Nothing is done in our place for so long after a holder last heard of us; a lease is a fifth shorter.
+    /// How long after its last acknowledgement a holder takes nothing over from this gateway. The lease of this
+    /// gateway is a fifth shorter.
     pub lease: Micros,
-    /// An entry that is not held after this time counts as not held.
+    /// An entry that is not replicated within this time counts as not replicated.
     pub replication_timeout: Micros,
-    /// What is held is kept for so long past its deadline or window: for repeats, and as wall clocks differ.
+    /// How long entries are retained past the event's deadline or window, to answer repeats and to allow for clock
+    /// skew.
     pub retention_ms: WallMs,
-    /// Wall clocks of gateways differ by up to this.
+    /// Maximum difference between the wall clocks of two gateways.
     pub clock_skew_ms: WallMs,
-    /// Events of lost owners that are out to workers here at once, and that begin in a second, at most.
+    /// Maximum number of events of lost gateways that run on workers here at the same time.
     pub recovery_concurrency: usize,
-    /// See [`PendingSettings::heir_most`].
+    /// Maximum number of events of lost gateways that start here per second.
     pub recovery_rate: u32,
-    /// What choices that are free follow from.
+    /// Seed of the rendezvous hash that selects holders.
     pub seed: u64,
 }
 
 impl PendingSettings {
-    /// As configured where nothing else is said.
+    /// Default limits and timeouts.
     pub fn new(places: SiteMap, life: u64, holders: Vec<u8>, seed: u64) -> Self {
         Self {
             site_map: places,
@@ -56,139 +60,140 @@
     }
 }
 
-/// What the machine is told.
+/// Inputs of the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// By a loop of this gateway: an event was accepted, is about to be sent, has ended. The first two are answered by
-    /// [`Output::Held`] or [`Output::Unheld`], and by [`Output::May`] or [`Output::MayNot`].
+    /// A step of an event, from a loop of this gateway. [`Step::Accepted`] is answered by [`Output::Replicated`] or
+    /// [`Output::NotReplicated`], [`Step::Sending`] by [`Output::SendAllowed`] or [`Output::SendDenied`].
     Step(Step),
-    /// A whole frame of another gateway.
+    /// A complete frame from another gateway.
     Frame {
-        /// Who sent it.
+        /// The sender.
         from: MemberId,
         /// The frame.
         bytes: Vec<u8>,
     },
-    /// A connection to a gateway stands, to this life of it. Frames that were on their way may be lost.
+    /// A connection to a gateway was established. Frames that were in flight before may be lost.
     LinkUp {
         /// The gateway.
         of: MemberId,
-        /// Its life, as it told in the connection's first words.
+        /// The life of that gateway, from the connection's handshake.
         life: u64,
     },
-    /// No connection to it stands.
+    /// The connection to a gateway was closed.
     LinkDown {
         /// The gateway.
         of: MemberId,
     },
-    /// Who is live by the view, by number.
+    /// Whether each gateway is live by the membership view, by index.
     LivePeers(Vec<bool>),
-    /// What the view shows of sites and their gateways (`basaltward_permits::sites`) and what is agreed: told whenever
-    /// either has changed, and at least once a second while a site or gateway is lost.
+    /// The state of sites and gateways by the membership view (`basaltward_permits::sites`), and the agreed permits.
+    /// Sent whenever either changes, and at least once a second while a site or gateway is lost.
     Observed {
-        /// By the view.
+        /// From the membership view.
         observations: Observations,
-        /// Of the voters.
+        /// Agreed by the voters.
         permit_state: PermitState,
     },
-    /// The answer to [`PermitRequest::Reclaim`]: the permit's number, 0 where there is none.
+    /// The answer to [`PermitRequest::Reclaim`]: the number of the takeover permit, 0 if there is none.
     ReclaimReply {
-        /// Whose.
+        /// The site or gateway.
         subject: Subject,
-        /// The number.
+        /// Number of the permit.
         permit: u16,
     },
-    /// The answer to [`PermitRequest::Return`], or that no such permit stands.
+    /// The answer to [`PermitRequest::Return`]: the permit was returned or does not exist.
     PermitReturned {
-        /// Whose.
+        /// The site or gateway.
         subject: Subject,
     },
-    /// A client repeats an event here, and waits for it.
+    /// A client sent this event again to this gateway and is waiting for the answer.
     ClientRepeat(Key),
-    /// What the load here allows for events of lost owners.
+    /// Limits for events of lost gateways, derived from the current load.
     RecoveryLimits {
-        /// That begin in a second.
+        /// Events that may start per second.
         rate: u32,
-        /// That are out at once.
+        /// Events that may run at the same time.
         most: usize,
     },
 }
 
-/// What the machine wants done, or tells.
+/// Outputs of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// A frame for another gateway, over a kept connection, which is made if there is none.
+    /// Send a frame to another gateway over a persistent connection, which is opened if there is none.
     Send {
-        /// To whom.
+        /// The receiver.
         to: MemberId,
         /// The frame.
         bytes: Vec<u8>,
     },
-    /// As many gateways as its class wants hold that this event was accepted.
+    /// As many holders as the class requires have stored that this event was accepted.
     Replicated {
         /// The event.
         key: Key,
     },
-    /// It is not kept. After [`ReplicationError::Late`] it may be known to some holder: an end is written for it here, and until
-    /// that is held a heir could still run it; after any other reason nobody knows of it.
+    /// The event is not replicated. After [`ReplicationError::Late`] a holder may still have it: the journal records
+    /// its end, and until that is replicated another gateway could take the event over and run it. After any other
+    /// reason no other gateway knows the event.
     NotReplicated {
         /// The event.
         key: Key,
-        /// Why.
+        /// The reason.
         why: ReplicationError,
     },
-    /// The first byte of this attempt may leave before this time of the caller's clock.
+    /// The first byte of this attempt may be sent before `until`.
     SendAllowed {
         /// The event.
         key: Key,
         /// The attempt.
         attempt: u32,
-        /// The time; unbounded where no lease is needed.
+        /// The limit by the caller's monotonic clock; `Micros::MAX` if no lease is needed.
         until: Micros,
     },
-    /// It may not leave.
+    /// The first byte of this attempt must not be sent.
     SendDenied {
         /// The event.
         key: Key,
         /// The attempt.
         attempt: u32,
-        /// Why.
+        /// The reason.
         why: ReplicationError,
     },
-    /// Something is wrong with a journal or a frame; it is named here and handled.
+    /// A fault of a journal or a frame was detected and handled; for the log.
     Fault(JournalFault),
-    /// The voters are to be asked: `Acquire` for the permit to take over, `Reclaim` and `Return` by us who return. It is asked
-    /// again for as long as no answer comes.
+    /// Submit a request to the voters: `Acquire` for a takeover permit, `Reclaim` and `Return` when this gateway
+    /// returns. Repeated until the answer arrives.
     RequestPermit(PermitRequest),
-    /// From now on this gateway takes kept events: it has learnt what was done in its place before.
+    /// From now on events are accepted: this gateway knows which of its earlier events others have completed.
     Ready,
-    /// What was pending here is others' now, as we were taken over while out of reach. No byte of this event may leave
-    /// any more; whether it was done elsewhere is known once [`Output::Takes`] has come.
+    /// This gateway was taken over while it was unreachable, and this pending event now belongs to others. No byte of
+    /// it may be sent any more; whether others completed it is known after [`Output::Ready`].
     OwnershipLost {
         /// The event.
         key: Key,
     },
-    /// An event of a lost owner is to be done here, as if it were accepted here: steps and all. Its loop ends it by
+    /// Run an event of a lost gateway as if it was accepted here, with all its steps. The loop must finish it with
     /// [`Step::Ended`] in any case.
     Run {
         /// The event.
         accepted: Accepted,
-        /// When its first byte left, if it did: a window under its key runs from then.
+        /// When its first byte was sent, if it was; the window of a keyed event runs from then.
         first_send_at: Option<WallMs>,
-        /// What is done.
+        /// Which way of running it was decided.
         resolution: Resolution,
     },
-    /// An event of a lost owner ends here and no worker is asked.
+    /// An event of a lost gateway is ended without running it.
     Resolved {
         /// The event.
         key: Key,
-        /// How.
+        /// The decision.
         resolution: Resolution,
-        /// For repeats.
+        /// The outcome reported to repeats.
         outcome: Outcome,
-        /// The answer, where there is one.
+        /// The recorded answer, or empty.
         answer: Vec<u8>,
     },
-    /// Something of a lost owner's journal is not known.
+    /// A part of a lost gateway's journal is missing.
     JournalLoss(JournalLoss),
 }
--- a/crates/pending/src/journal.rs
+++ b/crates/pending/src/journal.rs
@@ -1,6 +1,7 @@
-//! The writer's side: what this gateway's loops say is written, numbered and chained, sent to the holders, and counts
-//! as held once as many as the event's class wants have acknowledged it. What has ended is let go of; what is pending
-//! when a holder falls away is sent to another.
+//! The writer's side of replication: steps reported by the loops of this gateway are written as numbered, chained
+//! entries and sent to the holders. An entry is replicated once as many holders as the event's class requires have
+//! acknowledged it. Entries of events that have ended are pruned; entries of pending events are sent to another
+//! holder when a holder is lost.
 
 mod replication;
 
@@ -14,71 +15,71 @@
 use basaltward_membership::{MemberId, Micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One that was in doubt is not chosen again for so long, if there are others.
+/// How long a suspect gateway is not selected as a holder if there are others.
 const SUSPECT_PERIOD: Micros = 10_000_000;
 
-/// An event that is pending here.
+/// A pending event of this gateway.
 #[derive(Debug)]
 struct Event {
     required_holders: u8,
-    again: RepeatSafety,
+    repeat_safety: RepeatSafety,
     deadline: WallMs,
-    /// Until when something depends on what became of it.
+    /// The event's outcome has to be retained until then.
     retain_until: WallMs,
     entry_numbers: Vec<u64>,
 }
 
-/// Who waits for a line to be held.
+/// A loop that waiters until an entry is replicated.
 #[derive(Debug)]
 struct Waiter {
     number: u64,
     key: Key,
     since: Micros,
-    /// The attempt that waits; the event itself where there is none.
+    /// The waiting attempt; `None` if the event's acceptance waiters.
     attempt: Option<u32>,
 }
 
-/// What a journal has counted.
+/// Counters of a journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct JournalCounts {
-    /// Lines written.
+    /// Entries written.
     pub entries: u64,
-    /// Frames with lines sent, and their bytes.
+    /// Frames with entries sent, and their bytes.
     pub frames_sent: (u64, u64),
-    /// Events and attempts that were held in time.
+    /// Events and attempts that were replicated in time.
     pub replicated: u64,
-    /// Those that were not.
+    /// Events and attempts that were not.
     pub not_replicated: u64,
-    /// Holders that fell away and were replaced.
+    /// Holders that were replaced.
     pub holders_replaced: u64,
 }
 
-/// The journal of this life of this gateway.
+/// The journal of the current life of this gateway.
 #[derive(Debug)]
 pub struct Journal {
     settings: PendingSettings,
     source: Source,
-    /// The number of the first line that is kept, and the chain before it.
+    /// Number of the first retained entry, and the chain value before it.
     first: u64,
     chain_before: u64,
     entries: VecDeque<StoredEntry>,
     events: BTreeMap<Key, Event>,
-    /// Lines with their bytes, by when nothing depends on them.
+    /// Entries with a payload, by its expiry.
     expiry: BTreeSet<(WallMs, u64)>,
-    /// Ends with their bytes, and what they cost.
+    /// [`Step::Ended`] entries with a payload, and their memory cost.
     retained_ends: BTreeSet<u64>,
     retained_end_bytes: usize,
     bytes: usize,
     waiters: BTreeMap<u8, VecDeque<Waiter>>,
-    /// Attempts that are held and wait for a lease.
+    /// Attempts that are replicated and waiter for a lease.
     awaiting_lease: Vec<Waiter>,
     progress: Vec<HolderProgress>,
     lease: Lease,
-    /// Events of lost owners that are done here next, each with when it was first sent.
+    /// Events of lost gateways that will be accepted here next, each with the time of its first send.
     recovered: BTreeMap<Key, Option<WallMs>>,
-    /// Those let go of, who have not said yet that they did, each with the number of the last line then.
+    /// Former holders that have not confirmed their release yet, each with the last entry number at that time.
     releasing: BTreeMap<MemberId, (u64, Release)>,
-    /// The turns that they had come to.
+    /// Last resync count of former holders, so that a new selection continues from it.
     resync_counts: BTreeMap<MemberId, u32>,
     lives: BTreeMap<MemberId, u64>,
     live: Vec<bool>,
@@ -89,7 +90,7 @@
 }
 
 impl Journal {
-    /// An empty one.
+    /// An empty journal.
     pub fn new(settings: PendingSettings) -> Self {
         let source = Source { gateway: settings.site_map.own(), life: settings.life };
         Self {
@@ -119,24 +120,24 @@
         }
     }
 
-    /// Whose it is.
+    /// Identifies the journal.
     pub fn source(&self) -> Source {
         self.source
     }
 
-    /// What it has counted.
-    pub fn counted(&self) -> JournalCounts {
+    /// The counters.
+    pub fn counts(&self) -> JournalCounts {
         self.counts
     }
 
-    /// Bytes of its lines, and how many there are.
+    /// Its memory cost in bytes and the number of entries.
     pub fn size(&self) -> (usize, usize) {
         (self.bytes, self.entries.len())
     }
 
-    /// Its holders, each with the number up to which it has acknowledged.
+    /// Its holders, each with the number of the last entry it has acknowledged.
     pub fn holders(&self) -> impl Iterator<Item = (MemberId, u64)> {
-        self.progress.iter().map(|one| (one.member, one.acked_through))
+        self.progress.iter().map(|holder| (holder.member, holder.acked_through))
     }
 
     fn last_number(&self) -> u64 {
@@ -149,29 +150,29 @@
 
     fn chain_at(&self, number: u64) -> u64 {
         let at = number.checked_sub(self.first);
-        at.and_then(|at| self.entries.get(at as usize)).map_or(self.chain_before, |line| line.chain)
+        at.and_then(|at| self.entries.get(at as usize)).map_or(self.chain_before, |entry| entry.chain)
     }
 
-    /// Writes what a loop says.
+    /// Writes a step reported by a loop.
     pub fn write(&mut self, now: Micros, wall: WallMs, step: Step, out: &mut Vec<Output>) {
         match step {
             Step::Accepted(accepted) => {
                 let (key, deadline) = (accepted.key, accepted.deadline);
-                let wants = self.settings.holders.get(usize::from(accepted.class)).copied().unwrap_or(0);
-                let long = accepted.event.len() + accepted.function.len();
-                // Its owner's site is lost, so that there may be fewer who could hold it: it is owed all the same, and
-                // may be done again if we are lost as well.
-                let spared =
+                let required = self.settings.holders.get(usize::from(accepted.class)).copied().unwrap_or(0);
+                let length = accepted.event.len() + accepted.function.len();
+                // A recovered event whose former owner's site is lost, so fewer holders may be available. It has to
+                // be completed all the same, and may run again if this gateway is lost too.
+                let relaxed =
                     self.recovered.contains_key(&key) && accepted.repeat_safety != RepeatSafety::Unsafe;
-                let need = if spared { wants.min(self.candidates().count() as u8) } else { wants };
-                let why = self.check_admission(need, accepted.class, key, long);
-                if let Some(why) = why.filter(|why| !spared || !matches!(why, ReplicationError::Class(_))) {
+                let needed = if relaxed { required.min(self.candidates().count() as u8) } else { required };
+                let why = self.check_admission(needed, accepted.class, key, length);
+                if let Some(why) = why.filter(|why| !relaxed || !matches!(why, ReplicationError::Class(_))) {
                     self.counts.not_replicated += 1;
                     return out.push(Output::NotReplicated { key, why });
                 }
                 let event = Event {
-                    required_holders: need,
-                    again: accepted.repeat_safety,
+                    required_holders: needed,
+                    repeat_safety: accepted.repeat_safety,
                     deadline,
                     retain_until: deadline,
                     entry_numbers: Vec::new(),
@@ -187,7 +188,7 @@
                         why: ReplicationError::Unknown(key),
                     });
                 };
-                if let RepeatSafety::Keyed { window } = event.again
+                if let RepeatSafety::Keyed { window } = event.repeat_safety
                     && event.retain_until == event.deadline
                 {
                     let first = self.recovered.get(&key).copied().flatten().unwrap_or(at);
@@ -205,9 +206,9 @@
         self.prune(wall);
     }
 
-    fn check_admission(&self, need: u8, class: u16, key: Key, bytes: usize) -> Option<ReplicationError> {
+    fn check_admission(&self, required: u8, class: u16, key: Key, bytes: usize) -> Option<ReplicationError> {
         let live = self.candidates().count();
-        // What is pending has to find room for its next steps and its end.
+        // Reserves an eighth for further steps and the ends of pending events.
         let most = self.settings.journal_bytes - self.settings.journal_bytes / 8;
         if self.events.contains_key(&key) {
             Some(ReplicationError::Doubled(key))
@@ -215,38 +216,45 @@
             Some(ReplicationError::Long { bytes, most: self.settings.entry_bytes })
         } else if self.bytes + bytes > most {
             Some(ReplicationError::Full { held: self.bytes, most })
-        } else if need == 0 {
+        } else if required == 0 {
             Some(ReplicationError::Class(class))
-        } else if live < usize::from(need) {
-            Some(ReplicationError::Few { told: need, live: live as u8 })
+        } else if live < usize::from(required) {
+            Some(ReplicationError::Few { told: required, live: live as u8 })
         } else {
             None
         }
     }
 
     fn candidates(&self) -> impl Iterator<Item = MemberId> {
-        let (places, live) = (&self.settings.site_map, &self.live);
+        let (site_map, live) = (&self.settings.site_map, &self.live);
         let numbers =
-            (0..places.len() as MemberId).filter(|of| places.site_of(*of) != Some(places.own_site()));
+            (0..site_map.len() as MemberId).filter(|of| site_map.site_of(*of) != Some(site_map.own_site()));
         numbers.filter(|of| live.get(usize::from(*of)) == Some(&true))
     }
 
-    fn append(&mut self, now: Micros, key: Key, until: WallMs, step: Step, waits: Option<Option<u32>>) {
+    fn append(
+        &mut self,
+        now: Micros,
+        key: Key,
+        until: WallMs,
+        step: Step,
+        waiting_attempt: Option<Option<u32>>,
+    ) {
         let (number, before) = (self.last_number() + 1, self.chain_at(self.last_number()));
         let until = until.saturating_add(self.settings.retention_ms);
-        let Some(line) = StoredEntry::new(before, self.source, number, until, step) else { return };
-        self.bytes += line.memory_cost();
-        self.entries.push_back(line);
+        let Some(entry) = StoredEntry::new(before, self.source, number, until, step) else { return };
+        self.bytes += entry.memory_cost();
+        self.entries.push_back(entry);
         self.expiry.insert((until, number));
         self.counts.entries += 1;
         self.has_unsent = true;
         let Some(event) = self.events.get_mut(&key) else { return };
         event.entry_numbers.push(number);
-        if let Some(attempt) = waits {
-            let wait = Waiter { number, key, since: now, attempt };
-            self.waiters.entry(event.required_holders).or_default().push_back(wait);
+        if let Some(attempt) = waiting_attempt {
+            let waiter = Waiter { number, key, since: now, attempt };
+            self.waiters.entry(event.required_holders).or_default().push_back(waiter);
         }
-        self.progress.iter_mut().for_each(|one| one.mark_unacked(now));
+        self.progress.iter_mut().for_each(|holder| holder.mark_unacked(now));
     }
 
     fn end(&mut self, now: Micros, key: Key, outcome: Outcome, mut answer: Vec<u8>) {
@@ -262,34 +270,34 @@
         let Some((end, others)) = event.entry_numbers.split_last() else { return };
         others.iter().for_each(|number| self.drop_payload(*number));
         self.retained_ends.insert(*end);
-        self.retained_end_bytes += self.entry_mut(*end).map_or(0, |line| line.memory_cost());
+        self.retained_end_bytes += self.entry_mut(*end).map_or(0, |entry| entry.memory_cost());
         while self.retained_end_bytes > quarter
             && let Some(oldest) = self.retained_ends.pop_first()
         {
-            self.retained_end_bytes -= self.entry_mut(oldest).map_or(0, |line| line.memory_cost());
+            self.retained_end_bytes -= self.entry_mut(oldest).map_or(0, |entry| entry.memory_cost());
             self.drop_payload(oldest);
         }
     }
 
     fn drop_payload(&mut self, number: u64) {
-        let Some(line) = self.entry_mut(number) else { return };
-        let until = line.until();
-        let freed = line.drop_payload();
+        let Some(entry) = self.entry_mut(number) else { return };
+        let until = entry.retained_until();
+        let freed = entry.drop_payload();
         self.bytes -= freed;
         until.into_iter().for_each(|until| _ = self.expiry.remove(&(until, number)));
     }
 
-    /// Lets go of what nothing depends on any more.
+    /// Drops expired payloads, and entries without payload from the front.
     fn prune(&mut self, wall: WallMs) {
         while let Some((until, number)) = self.expiry.first().copied()
             && until < wall
         {
-            let said = self.entry_mut(number).and_then(|line| line.decode_payload());
-            match said.map(|(_, step)| step) {
-                // Its loop has said nothing of its end until long after its deadline.
+            let step = self.entry_mut(number).and_then(|entry| entry.decode_payload());
+            match step.map(|(_, step)| step) {
+                // The loop did not report the end of the event until long after its deadline.
                 Some(Step::Accepted(accepted)) => _ = self.events.remove(&accepted.key),
                 Some(Step::Ended { .. }) => {
-                    self.retained_end_bytes -= self.entry_mut(number).map_or(0, |line| line.memory_cost());
+                    self.retained_end_bytes -= self.entry_mut(number).map_or(0, |entry| entry.memory_cost());
                     self.retained_ends.remove(&number);
                 }
                 Some(Step::Sending { .. }) | None => {}
@@ -297,66 +305,66 @@
             self.drop_payload(number);
             self.expiry.remove(&(until, number));
         }
-        while let Some(line) = self.entries.front()
-            && line.payload.is_none()
+        while let Some(entry) = self.entries.front()
+            && entry.payload.is_none()
         {
-            (self.chain_before, self.first) = (line.chain, self.first + 1);
-            self.bytes -= line.memory_cost();
+            (self.chain_before, self.first) = (entry.chain, self.first + 1);
+            self.bytes -= entry.memory_cost();
             self.entries.pop_front();
         }
     }
 
-    /// An event whose owner was lost is done here next; whether it was sent before.
-    pub fn mark_recovered(&mut self, key: Key, first: Option<WallMs>) {
-        self.recovered.insert(key, first);
+    /// An event of a lost gateway will be accepted here next; `first` is the time of its first send, if it was sent.
+    pub fn mark_recovered(&mut self, key: Key, first_send_at: Option<WallMs>) {
+        self.recovered.insert(key, first_send_at);
     }
 
-    /// What is pending here is others' now: another journal begins, as if with another life.
+    /// The pending events belong to other gateways now. Starts an empty journal, as a new life would.
     pub fn lose_ownership(&mut self, now: Micros, out: &mut Vec<Output>) {
         let mut settings = self.settings.clone();
         settings.life = self.source.life + 1;
-        let fresh = Self::new(settings);
-        let old = std::mem::replace(self, fresh);
+        let new = Self::new(settings);
+        let old = std::mem::replace(self, new);
         out.extend(old.events.into_keys().map(|key| Output::OwnershipLost { key }));
         (self.lives, self.counts, self.resync_counts) = (old.lives, old.counts, old.resync_counts);
-        self.resync_counts.extend(old.progress.iter().map(|one| (one.member, one.resync_count)));
+        self.resync_counts.extend(old.progress.iter().map(|holder| (holder.member, holder.resync_count)));
         self.set_live(now, old.live);
     }
 
-    /// A holder's answer.
+    /// Handles an ack of a holder.
     pub fn on_ack(&mut self, now: Micros, from: MemberId, ack: Ack, out: &mut Vec<Output>) {
         let (last, after) = (self.last_number(), self.first - 1);
-        let Some(one) = self.progress.iter_mut().find(|one| one.member == from) else { return };
-        if ack.source != self.source || !one.on_ack(now, &ack, last) {
+        let Some(holder) = self.progress.iter_mut().find(|holder| holder.member == from) else { return };
+        if ack.source != self.source || !holder.on_ack(now, &ack, last) {
             return;
         }
         if ack.lease_granted {
             self.lease.record_grant(now, from, ack.holder_life, ack.echoed_sent_at);
         }
-        let again = match ack.rejected {
+        let resend = match ack.rejected {
             None | Some(RejectReason::TakenOver) => false,
             Some(RejectReason::WrongLife | RejectReason::UnknownJournal)
-                if ack.resync_count == one.resync_count =>
+                if ack.resync_count == holder.resync_count =>
             {
-                one.on_journal_missing(after);
+                holder.on_journal_missing(after);
                 true
             }
             Some(RejectReason::WrongLife | RejectReason::UnknownJournal) => false,
-            Some(RejectReason::Gap) => one.on_rejected(ack.resync_count, false, after),
+            Some(RejectReason::Gap) => holder.on_rejected(ack.resync_count, false, after),
             Some(RejectReason::Corrupt(number)) => {
                 out.push(Output::Fault(JournalFault::Broken { of: self.source, number }));
-                one.on_rejected(ack.resync_count, true, after)
+                holder.on_rejected(ack.resync_count, true, after)
             }
             Some(RejectReason::Full) => {
                 out.push(Output::Fault(JournalFault::Full { of: self.source, number: ack.through + 1 }));
-                one.on_rejected(ack.resync_count, false, after);
+                holder.on_rejected(ack.resync_count, false, after);
                 self.suspects.insert(from, now + SUSPECT_PERIOD);
                 self.select_holders(now);
                 false
             }
         };
-        self.has_unsent |= again;
-        if self.progress.iter().any(|one| one.member == from && one.is_faulty()) {
+        self.has_unsent |= resend;
+        if self.progress.iter().any(|holder| holder.member == from && holder.is_faulty()) {
             self.suspects.insert(from, now + SUSPECT_PERIOD);
             self.select_holders(now);
         }
@@ -364,88 +372,91 @@
         self.notify_replicated(now, out);
     }
 
-    fn replicated_through(&self, need: u8) -> u64 {
-        if need == 0 {
+    fn replicated_through(&self, required: u8) -> u64 {
+        if required == 0 {
             return u64::MAX;
         }
-        let mut acked: Vec<u64> = self.progress.iter().map(|one| one.acked_through).collect();
+        let mut acked: Vec<u64> = self.progress.iter().map(|holder| holder.acked_through).collect();
         acked.sort_unstable_by(|a, b| b.cmp(a));
-        acked.get(usize::from(need) - 1).copied().unwrap_or(0)
+        acked.get(usize::from(required) - 1).copied().unwrap_or(0)
     }
 
     fn notify_replicated(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let needs: Vec<u8> = self.waiters.keys().copied().collect();
-        for need in needs {
-            let held = self.replicated_through(need);
-            let Some(waits) = self.waiters.get_mut(&need) else { continue };
-            while let Some(wait) = waits.front()
-                && wait.number <= held
+        let counts: Vec<u8> = self.waiters.keys().copied().collect();
+        for required in counts {
+            let replicated = self.replicated_through(required);
+            let Some(waiters) = self.waiters.get_mut(&required) else { continue };
+            while let Some(waiter) = waiters.front()
+                && waiter.number <= replicated
             {
-                let Some(wait) = waits.pop_front() else { break };
-                match (self.events.get(&wait.key), wait.attempt) {
+                let Some(waiter) = waiters.pop_front() else { break };
+                match (self.events.get(&waiter.key), waiter.attempt) {
                     (None, _) => {}
                     (Some(_), None) => {
                         self.counts.replicated += 1;
-                        out.push(Output::Replicated { key: wait.key });
+                        out.push(Output::Replicated { key: waiter.key });
                     }
-                    (Some(_), Some(_)) => self.awaiting_lease.push(wait),
+                    (Some(_), Some(_)) => self.awaiting_lease.push(waiter),
                 }
             }
         }
-        let unleased = std::mem::take(&mut self.awaiting_lease);
-        for wait in unleased {
-            let Some(event) = self.events.get(&wait.key) else { continue };
-            let needed = if event.again == RepeatSafety::Unsafe { event.required_holders.into() } else { 0 };
+        let awaiting_lease = std::mem::take(&mut self.awaiting_lease);
+        for waiter in awaiting_lease {
+            let Some(event) = self.events.get(&waiter.key) else { continue };
+            let needed =
+                if event.repeat_safety == RepeatSafety::Unsafe { event.required_holders.into() } else { 0 };
             if self.lease.allows_send(now, needed) {
                 self.counts.replicated += 1;
                 let until = self.lease.valid_until(needed);
-                let (key, attempt) = (wait.key, wait.attempt.unwrap_or(0));
+                let (key, attempt) = (waiter.key, waiter.attempt.unwrap_or(0));
                 out.push(Output::SendAllowed { key, attempt, until });
             } else {
-                self.awaiting_lease.push(wait);
+                self.awaiting_lease.push(waiter);
             }
         }
     }
 
-    /// Does what is due: sends what was written in this turn, calls, doubts and gives up.
+    /// Performs all due work: sends new entries, opens connections, marks slow holders as suspect and expires
+    /// waiters.
     pub fn wake(&mut self, now: Micros, wall: WallMs, out: &mut Vec<Output>) {
         self.notify_replicated(now, out);
         self.expire_waiters(now, wall, out);
         self.prune(wall);
         let (last, after) = (self.last_number(), self.first - 1);
         let late: Vec<MemberId> = {
-            let patience = self.settings.replication_timeout;
-            let owes = |one: &&mut HolderProgress| one.acked_through < last;
-            self.progress.iter_mut().filter(owes).for_each(|one| one.mark_unacked(now));
+            let timeout = self.settings.replication_timeout;
+            let lagging = |holder: &&mut HolderProgress| holder.acked_through < last;
+            self.progress.iter_mut().filter(lagging).for_each(|holder| holder.mark_unacked(now));
             let late = self
                 .progress
                 .iter()
-                .filter(|one| one.acked_through < last && one.suspect_at(patience / 2) <= now);
-            late.map(|one| one.member).filter(|of| !self.suspects.contains_key(of)).collect()
+                .filter(|holder| holder.acked_through < last && holder.suspect_at(timeout / 2) <= now);
+            late.map(|holder| holder.member).filter(|of| !self.suspects.contains_key(of)).collect()
         };
         if !late.is_empty() {
             late.into_iter().for_each(|of| _ = self.suspects.insert(of, now + SUSPECT_PERIOD));
             self.select_holders(now);
         }
-        self.progress.iter_mut().for_each(|one| one.wake(now, after));
+        self.progress.iter_mut().for_each(|holder| holder.wake(now, after));
         self.has_unsent = false;
         self.send(now, out);
     }
 
     fn expire_waiters(&mut self, now: Micros, wall: WallMs, out: &mut Vec<Output>) {
-        let patience = self.settings.replication_timeout;
-        let is_late = |wait: &Waiter| now.saturating_sub(wait.since) >= patience;
-        let unleased: Vec<Waiter> = self.awaiting_lease.extract_if(.., |wait| is_late(wait)).collect();
-        for Waiter { key, attempt, .. } in unleased {
+        let timeout = self.settings.replication_timeout;
+        let is_late = |waiter: &Waiter| now.saturating_sub(waiter.since) >= timeout;
+        let awaiting_lease: Vec<Waiter> =
+            self.awaiting_lease.extract_if(.., |waiter| is_late(waiter)).collect();
+        for Waiter { key, attempt, .. } in awaiting_lease {
             self.counts.not_replicated += 1;
             out.push(Output::SendDenied { key, attempt: attempt.unwrap_or(0), why: ReplicationError::Lease });
         }
         let mut late = Vec::new();
-        for waits in self.waiters.values_mut() {
-            while let Some(wait) = waits.front()
-                && is_late(wait)
+        for waiters in self.waiters.values_mut() {
+            while let Some(waiter) = waiters.front()
+                && is_late(waiter)
             {
-                late.extend(waits.pop_front());
+                late.extend(waiters.pop_front());
             }
         }
         for Waiter { key, since, attempt, .. } in late {
@@ -474,17 +485,18 @@
         if self.has_unsent {
             return 0;
         }
-        let patience = self.settings.replication_timeout;
-        let waits = self.waiters.values().filter_map(|waits| waits.front()).chain(&self.awaiting_lease);
-        let waits = waits.map(|wait| wait.since + patience);
-        let resend = self.progress.iter().map(HolderProgress::next_due);
-        let calls = self.progress.iter().any(|one| !one.connected) || !self.releasing.is_empty();
-        let alive = self.progress.iter().filter(|one| one.connected && one.has_window());
-        let alive =
-            alive.map(|one| one.last_sent_at + self.settings.lease / 4).filter(|_| !self.events.is_empty());
-        let doubted = self.progress.iter().filter(|one| !self.suspects.contains_key(&one.member));
-        let doubts = doubted.map(|one| one.suspect_at(patience / 2));
-        let call = calls.then_some(self.next_connect);
-        waits.chain(resend).chain(call).chain(alive).chain(doubts).min().unwrap_or(Micros::MAX)
+        let timeout = self.settings.replication_timeout;
+        let waiters = self.waiters.values().filter_map(|waiters| waiters.front()).chain(&self.awaiting_lease);
+        let waiters = waiters.map(|waiter| waiter.since + timeout);
+        let resends = self.progress.iter().map(HolderProgress::next_due);
+        let connecting = self.progress.iter().any(|holder| !holder.connected) || !self.releasing.is_empty();
+        let keepalive = self.progress.iter().filter(|holder| holder.connected && holder.has_window());
+        let keepalive = keepalive
+            .map(|holder| holder.last_sent_at + self.settings.lease / 4)
+            .filter(|_| !self.events.is_empty());
+        let trusted = self.progress.iter().filter(|holder| !self.suspects.contains_key(&holder.member));
+        let suspicions = trusted.map(|holder| holder.suspect_at(timeout / 2));
+        let connect = connecting.then_some(self.next_connect);
+        waiters.chain(resends).chain(connect).chain(keepalive).chain(suspicions).min().unwrap_or(Micros::MAX)
     }
 }
--- a/crates/pending/src/lease.rs
+++ b/crates/pending/src/lease.rs
@@ -1,62 +1,63 @@
-//! Leases: an owner sends an unsafe event only while holders of its journal have said that they do nothing in its
-//! place. It counts their word from when it asked, they from when they answered, each by a clock that only runs on;
-//! never by the wall clock, which may be put back.
+//! Leases: an owner sends an unsafe event only while the holders of its journal have promised not to take it over.
+//! The owner counts the lease from when it sent the request, the holders count their promise from when they answered,
+//! each by its monotonic clock; never by the wall clock, which may be set back.
 
 use basaltward_membership::{MemberId, Micros};
 use std::collections::BTreeMap;
 
-/// How long a holder's word stands.
+/// Durations of a lease and of the matching promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTerms {
-    /// By the owner's clock, from when it asked.
+    /// Validity of the lease by the owner's clock, from when it sent the request.
     pub lease: Micros,
-    /// By the holder's clock, from when it answered.
+    /// Validity of the promise by the holder's clock, from when it answered.
     pub promise: Micros,
 }
 
 impl LeaseTerms {
-    /// LeaseTerms with this silence. A clock that runs a tenth fast against one that runs a tenth slow: 0.9 / 1.1 > 0.8, so
-    /// that the lease is over before the silence is.
-    pub fn new(silence: Micros) -> Self {
-        Self { lease: silence * 8 / 10, promise: silence }
+    /// Terms with this promise. If one clock runs a tenth fast and the other a tenth slow, 0.9 / 1.1 > 0.8, so a
+    /// lease of 0.8 of the promise ends before the promise does.
+    pub fn new(promise: Micros) -> Self {
+        Self { lease: promise * 8 / 10, promise }
     }
 }
 
-/// An owner's leases, by holder.
+/// The leases of an owner, by holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     terms: LeaseTerms,
-    /// When that was asked to which each last answered, and the holder's life.
+    /// The holder's life and the time at which the owner sent the latest granted request.
     granted_requests: BTreeMap<MemberId, (u64, Micros)>,
 }
 
 impl Lease {
-    /// None is granted.
+    /// No lease is granted yet.
     pub fn new(terms: LeaseTerms) -> Self {
         Self { terms, granted_requests: BTreeMap::new() }
     }
 
-    /// A holder has granted what was asked at this time of our clock. What can't have been asked then is not believed.
+    /// A holder has granted the request that was sent at `asked` by the local clock. A request time in the future is
+    /// ignored.
     pub fn record_grant(&mut self, now: Micros, by: MemberId, life: u64, asked: Micros) {
         if asked <= now {
             let known = self.granted_requests.entry(by).or_insert((life, asked));
-            // Another life of it has promised nothing that an earlier one did.
+            // A new life of the holder has made none of the promises of an earlier one.
             *known = if known.0 == life { (life, known.1.max(asked)) } else { (life, asked) };
         }
     }
 
-    /// It grants nothing any more, or is no holder.
+    /// The holder grants nothing any more, or is no longer a holder.
     pub fn revoke(&mut self, by: MemberId) {
         self.granted_requests.remove(&by);
     }
 
-    /// We were taken over: none counts.
+    /// This gateway was taken over: no grant is valid any more.
     pub fn revoke_all(&mut self) {
         self.granted_requests.clear();
     }
 
-    /// Until when so many holders do nothing in our place, by our clock; unbounded where none is needed, as there is
-    /// nobody then who could.
+    /// Until when at least `needed` holders keep their promise, by the local clock. `Micros::MAX` if none is needed,
+    /// as then no gateway could take over.
     pub fn valid_until(&self, needed: usize) -> Micros {
         let mut asked: Vec<Micros> = self.granted_requests.values().map(|(_, asked)| *asked).collect();
         asked.sort_unstable_by(|a, b| b.cmp(a));
@@ -66,22 +67,22 @@
         }
     }
 
-    /// Whether the first byte of an unsafe event may leave. `now` is read after all else is done: who stood still
-    /// finds here that it did.
+    /// Whether the first byte of an unsafe event may be sent. `now` must be read after all other work is done, so
+    /// that a stalled process notices the stall here.
     pub fn allows_send(&self, now: Micros, needed: usize) -> bool {
         now < self.valid_until(needed)
     }
 
-    /// When what so many have granted should be asked for anew: four times in a lease.
+    /// When to renew the leases of this many holders: after a quarter of the lease.
     pub fn renew_at(&self, needed: usize) -> Micros {
         self.valid_until(needed).saturating_sub(self.terms.lease * 3 / 4)
     }
 }
 
-/// Why a holder grants nothing.
+/// Why a holder refuses a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, strum::VariantNames)]
 pub enum LeaseRefusal {
-    /// An earlier life of this holder may have promised what this one does not know.
+    /// An earlier life of this holder may have made promises that this life does not know.
     #[error("this gateway has just started and waits until its earlier promises are over; nothing to do")]
     Young,
     /// The owner was taken over.
@@ -91,66 +92,66 @@
     Taken {
         /// The owner.
         gateway: MemberId,
-        /// Its lives up to this one.
+        /// Its last life that was taken over.
         life: u64,
     },
 }
 
-/// What a holder has promised to owners.
+/// A holder's promises to owners.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HolderPromises {
     terms: LeaseTerms,
-    /// It grants nothing, and does nothing in anybody's place, before.
+    /// No promise is made and no gateway is taken over before this time.
     startup_wait_until: Micros,
-    /// Until when nothing is done in an owner's place.
-    until: BTreeMap<MemberId, Micros>,
-    /// Lives up to this one of an owner are granted nothing.
-    closed: BTreeMap<MemberId, u64>,
+    /// Until when an owner must not be taken over.
+    promised_until: BTreeMap<MemberId, Micros>,
+    /// Lives of an owner up to this one get no promise.
+    fenced: BTreeMap<MemberId, u64>,
 }
 
 impl HolderPromises {
-    /// Of a holder whose life begins.
+    /// For a holder whose life starts at `now`.
     pub fn new(terms: LeaseTerms, now: Micros) -> Self {
         Self {
             terms,
             startup_wait_until: now + terms.promise,
-            until: BTreeMap::new(),
-            closed: BTreeMap::new(),
+            promised_until: BTreeMap::new(),
+            fenced: BTreeMap::new(),
         }
     }
 
-    /// An owner asks. Who answers it promises by that to do nothing in its place for a silence.
+    /// Grants a request of an owner: promises not to take it over for the promised duration.
     ///
     /// # Errors
-    /// Where nothing may be promised; nothing of that owner is to be stored then either.
+    /// If no promise may be made. Then no entry of that owner must be stored either.
     pub fn grant(&mut self, now: Micros, gateway: MemberId, life: u64) -> Result<(), LeaseRefusal> {
-        if let Some(closed) = self.closed.get(&gateway).filter(|closed| life <= **closed) {
-            return Err(LeaseRefusal::Taken { gateway, life: *closed });
+        if let Some(fenced) = self.fenced.get(&gateway).filter(|fenced| life <= **fenced) {
+            return Err(LeaseRefusal::Taken { gateway, life: *fenced });
         }
         if now < self.startup_wait_until {
             return Err(LeaseRefusal::Young);
         }
-        self.until.insert(gateway, now + self.terms.promise);
+        self.promised_until.insert(gateway, now + self.terms.promise);
         Ok(())
     }
 
-    /// Nothing is granted any more to lives of this owner up to this one; never undone.
+    /// Fences the lives of this owner up to this one: they get no further promise. Can't be undone.
     pub fn fence(&mut self, gateway: MemberId, life: u64) {
-        let closed = self.closed.entry(gateway).or_insert(life);
-        *closed = life.max(*closed);
+        let fenced = self.fenced.entry(gateway).or_insert(life);
+        *fenced = life.max(*fenced);
     }
 
-    /// Up to which of its lives an owner is granted nothing.
-    pub fn closed(&self, gateway: MemberId) -> Option<u64> {
-        self.closed.get(&gateway).copied()
+    /// The last fenced life of an owner.
+    pub fn fenced_life(&self, gateway: MemberId) -> Option<u64> {
+        self.fenced.get(&gateway).copied()
     }
 
-    /// When all that was promised to this owner is over.
+    /// When all promises to this owner have expired.
     pub fn expires_at(&self, gateway: MemberId) -> Micros {
-        self.until.get(&gateway).copied().unwrap_or(0).max(self.startup_wait_until)
+        self.promised_until.get(&gateway).copied().unwrap_or(0).max(self.startup_wait_until)
     }
 
-    /// Whether all that was promised to it is over.
+    /// Whether all promises to this owner have expired.
     pub fn has_expired(&self, now: Micros, gateway: MemberId) -> bool {
         now >= self.expires_at(gateway)
     }
@@ -163,9 +164,10 @@
     const TERMS: LeaseTerms = LeaseTerms { lease: 2_400_000, promise: 3_000_000 };
 
     #[test]
-    fn an_owners_lease_is_over_before_the_holder_is_free_however_clocks_run() {
+    fn a_lease_ends_before_the_holders_promise_despite_clock_drift() {
         assert_eq!(LeaseTerms::new(3_000_000), TERMS);
-        // In true time: asked at 0, answered at once, the worst for the owner; rates a tenth apart both ways.
+        // In real time: requested at 0 and answered at once, which is the worst case for the owner. The clock rates
+        // differ by a tenth in both directions.
         for (owner, holder) in [(9, 11), (11, 9), (10, 10), (9, 9), (11, 11)] {
             let mut lease = Lease::new(TERMS);
             let mut promises = HolderPromises::new(TERMS, 0);
@@ -184,7 +186,7 @@
     }
 
     #[test]
-    fn an_owner_that_stood_still_finds_its_lease_over() {
+    fn a_stalled_owner_finds_its_lease_expired() {
         let mut lease = Lease::new(TERMS);
         lease.record_grant(1_000_000, 1, 1, 900_000);
         lease.record_grant(1_000_000, 2, 1, 500_000);
@@ -196,7 +198,7 @@
         );
         assert!(!lease.allows_send(500_000 + TERMS.lease, 2) && lease.allows_send(500_000 + TERMS.lease, 1));
         assert!(!lease.allows_send(31_000_000, 1));
-        // A late answer does not put it back, another life of a holder stands for itself.
+        // A late answer does not shorten the lease, and each life of a holder counts separately.
         lease.record_grant(2_000_000, 1, 1, 100_000);
         assert_eq!(lease.valid_until(1), 900_000 + TERMS.lease);
         lease.record_grant(2_000_000, 1, 2, 100_000);
@@ -206,7 +208,7 @@
     }
 
     #[test]
-    fn a_holder_that_forgot_waits_and_one_that_took_over_grants_nothing() {
+    fn a_restarted_holder_waits_and_one_that_fenced_a_life_grants_nothing() {
         let mut promises = HolderPromises::new(TERMS, 5);
         assert_eq!(promises.grant(6, 4, 1), Err(LeaseRefusal::Young));
         assert!(!promises.has_expired(3_000_004, 4) && promises.has_expired(3_000_005, 4));
--- a/crates/pending/src/lib.rs
+++ b/crates/pending/src/lib.rs
@@ -1,5 +1,9 @@
-//! Kept calls: what was accepted, is about to be sent and has ended is held by gateways of other sites, and done by
-//! them where a site is lost. Free of I/O: inputs and times in, outputs and a next time out.
+//! Replicated write-ahead journals of accepted events.
+//!
+//! Each gateway appends to its journal that an event was accepted, is about to be sent and has ended, and replicates
+//! these entries to gateways of other sites (holders). When a gateway or a site is lost, other gateways take over its
+//! pending events. The crate does no I/O: it takes inputs and the current time, and returns outputs and the time of
+//! the next wake-up.
 #![warn(missing_docs)]
 
 mod claims;
--- a/crates/pending/src/pending_events.rs
+++ b/crates/pending/src/pending_events.rs
@@ -1,5 +1,5 @@
-//! The machine that a gateway's control thread drives: the journal of its own kept events, what it holds for others,
-//! what it does in lost ones' place, and the frames between.
+//! The state machine that a gateway's control thread drives: the journal of its own events, the replicas of other
+//! gateways' journals, the recovery of lost gateways' events, and the frames between gateways.
 
 use crate::ReplicationError;
 use crate::error::{JournalFault, WireError};
@@ -18,15 +18,15 @@
 use basaltward_permits::{Observations, PermitRequest, PermitState, Subject};
 use std::collections::BTreeMap;
 
-/// So often what is held is looked through for what is past its time.
+/// Interval at which expired entries of other gateways' journals are dropped.
 const PRUNE_INTERVAL: Micros = 1_000_000;
-/// So often those that are lost are looked at: what was promised to them ends without a word.
+/// Interval at which lost subjects are checked, as promises to them expire without any input.
 const MONITOR_INTERVAL: Micros = 100_000;
 
-/// Kept events of one gateway, and those that it holds for others.
+/// Journal, replicas and recovery of one gateway.
 #[derive(Debug)]
 pub struct PendingEvents {
-    places: SiteMap,
+    site_map: SiteMap,
     entry_bytes: usize,
     journal: Journal,
     holder: Holder,
@@ -38,8 +38,8 @@
     observations: Observations,
     permit_state: PermitState,
     lives: Vec<u64>,
-    /// Lives that are over of which a claim has told, until what we promised to them has run out; whether their
-    /// gateways are away.
+    /// Lives that have ended according to a peer's claim, until the promises to them expire; each with whether there
+    /// is a takeover permit for the gateway.
     expiring_lives: BTreeMap<MemberId, (u64, bool)>,
     next_prune: Micros,
     next_monitor_update: Micros,
@@ -47,11 +47,11 @@
 }
 
 impl PendingEvents {
-    /// Nothing is pending and nothing is held. Kept events are taken from [`Output::Takes`] on.
+    /// Nothing is pending or stored yet. Events are accepted from [`Output::Ready`] on.
     pub fn new(settings: PendingSettings, now: Micros) -> Self {
-        let places = settings.site_map.clone();
-        let heirs = RecoverySettings {
-            site_map: places.clone(),
+        let site_map = settings.site_map.clone();
+        let recovery = RecoverySettings {
+            site_map: site_map.clone(),
             life: settings.life,
             clock_skew_ms: settings.clock_skew_ms,
             concurrency: settings.recovery_concurrency,
@@ -63,89 +63,89 @@
             entry_bytes: settings.entry_bytes,
             holder: Holder::new(settings.life, settings.journal_bytes),
             promises: HolderPromises::new(LeaseTerms::new(settings.lease), now),
-            monitor: TakeoverMonitor::new(&places),
-            recovery: Recovery::new(&heirs, now),
-            rejoin: Rejoin::new(&places, now),
+            monitor: TakeoverMonitor::new(&site_map),
+            recovery: Recovery::new(&recovery, now),
+            rejoin: Rejoin::new(&site_map, now),
             journal: Journal::new(settings),
-            live: vec![false; places.len()],
-            lives: vec![0; places.len()],
+            live: vec![false; site_map.len()],
+            lives: vec![0; site_map.len()],
             expiring_lives: BTreeMap::new(),
             observations: Observations::new(),
             permit_state: PermitState::default(),
             next_prune: now + PRUNE_INTERVAL,
             next_monitor_update: Micros::MAX,
             now,
-            places,
+            site_map,
         }
     }
 
-    /// Our own journal's name.
+    /// Identifies the journal of this gateway.
     pub fn source(&self) -> Source {
         self.journal.source()
     }
 
-    /// What our journal has counted.
+    /// Counters of the journal.
     pub fn journal_counts(&self) -> JournalCounts {
-        self.journal.counted()
+        self.journal.counts()
     }
 
-    /// How events of lost owners have ended here.
+    /// Number of events of lost gateways by decision.
     pub fn recovery_counts(&self) -> RecoveryCounts {
         self.recovery.counts()
     }
 
-    /// Whether kept events are taken.
+    /// Whether events are accepted.
     pub fn is_ready(&self) -> bool {
         self.rejoin.is_ready()
     }
 
-    /// What is known of an event that was a lost gateway's, or of an earlier life of ours.
+    /// Status of an event of a lost gateway or of an earlier life of this gateway.
     pub fn event_status(&self, key: Key) -> Option<EventStatus> {
         self.recovery.event_status(key)
     }
 
-    /// Bytes and lines of our own journal.
+    /// Memory cost in bytes and number of entries of the journal of this gateway.
     pub fn journal_size(&self) -> (usize, usize) {
         self.journal.size()
     }
 
-    /// Bytes and lines held for others.
+    /// Memory cost in bytes and number of entries of the journals stored for others.
     pub fn replica_size(&self) -> (usize, usize) {
         self.holder.size()
     }
 
-    /// Who holds our journal, each with the number up to which it has acknowledged.
+    /// The holders of the journal, each with the number of the last entry it has acknowledged.
     pub fn holders(&self) -> impl Iterator<Item = (MemberId, u64)> {
         self.journal.holders()
     }
 
-    /// Journals of others of which anything is held.
+    /// Journals of others of which any part is stored here.
     pub fn sources(&self) -> impl Iterator<Item = Source> {
         self.holder.sources()
     }
 
-    /// What is held of a gateway's journals, up to a life of it.
+    /// Snapshots of the journals of a gateway, up to a life.
     pub fn snapshots(&self, of: MemberId, life: u64) -> Vec<JournalSnapshot> {
         self.holder.snapshots(self.now, of, life)
     }
 
-    /// Whether an event is held that is pending in a journal.
+    /// Whether the entry that accepted a pending event of another gateway's journal is stored here.
     pub fn holds(&self, source: Source, key: Key) -> bool {
         self.holder.holds(source, key)
     }
 
     #[doc(hidden)]
-    pub fn inject_holder_fault(&mut self, planted: HolderFault) {
-        self.holder.plant(planted);
+    pub fn inject_holder_fault(&mut self, fault: HolderFault) {
+        self.holder.inject_fault(fault);
     }
 
     #[doc(hidden)]
-    pub fn inject_recovery_fault(&mut self, planted: crate::recovery::RecoveryFault) {
-        self.recovery.inject_fault(planted);
+    pub fn inject_recovery_fault(&mut self, fault: crate::recovery::RecoveryFault) {
+        self.recovery.inject_fault(fault);
     }
 
-    /// Takes what is told. What it writes goes out with the next [`PendingEvents::wake`], which is due at once: all that is
-    /// told before it goes in one frame.
+    /// Handles an input. Entries it writes are sent by the next [`PendingEvents::wake`], which is due immediately, so
+    /// that all inputs before it share one frame.
     pub fn handle(&mut self, now: Micros, wall: WallMs, input: Input, out: &mut Vec<Output>) {
         self.now = now;
         match input {
@@ -168,7 +168,7 @@
             }
             Input::Observed { observations, permit_state } => {
                 (self.observations, self.permit_state) = (observations, permit_state);
-                self.look(now, out);
+                self.update_monitor(now, out);
             }
             Input::ReclaimReply { subject, permit } => self.rejoin.on_reclaim_reply(subject, permit),
             Input::PermitReturned { subject } => self.rejoin.on_permit_returned(subject),
@@ -183,9 +183,9 @@
                 return out.push(Output::NotReplicated { key: accepted.key, why: ReplicationError::Away });
             }
             Step::Ended { key, outcome, answer } => {
-                let mut heirs = Vec::new();
-                self.recovery.ended(*key, *outcome, answer.clone(), &mut heirs);
-                self.apply_recovery_outputs(heirs, out);
+                let mut outputs = Vec::new();
+                self.recovery.ended(*key, *outcome, answer.clone(), &mut outputs);
+                self.apply_recovery_outputs(outputs, out);
             }
             Step::Accepted(_) | Step::Sending { .. } => {}
         }
@@ -200,9 +200,9 @@
         out: &mut Vec<Output>,
     ) -> Result<(), WireError> {
         match decode(bytes, self.entry_bytes)? {
-            Message::Append(lines) => {
-                check_owner(from, lines.source)?;
-                self.handle_append(now, from, &lines, out);
+            Message::Append(append) => {
+                check_owner(from, append.source)?;
+                self.handle_append(now, from, &append, out);
             }
             Message::Ack(ack) => self.journal.on_ack(now, from, ack, out),
             Message::Release(release) => {
@@ -211,46 +211,46 @@
                 out.push(Output::Send { to: from, bytes: encode(&Message::Released(release)) });
             }
             Message::Released(release) => self.journal.on_released(from, release),
-            Message::Takeover(word) => {
-                let mut heirs = Vec::new();
-                if let TakeoverMessage::Claim(keys) = &word {
+            Message::Takeover(message) => {
+                let mut outputs = Vec::new();
+                if let TakeoverMessage::Claim(keys) = &message {
                     let mut sources: Vec<Source> = keys.iter().map(|(_, source, _)| *source).collect();
                     sources.dedup();
                     sources.into_iter().for_each(|source| self.fence_ended_life(now, source));
                 }
-                if self.may_process(now, from, &word) {
+                if self.may_process(now, from, &message) {
                     let holder = &self.holder;
                     self.recovery.handle_message(
                         now,
                         from,
-                        word,
+                        message,
                         |of, life| holder.snapshots(now, of, life),
-                        &mut heirs,
+                        &mut outputs,
                     );
                 }
-                self.apply_recovery_outputs(heirs, out);
+                self.apply_recovery_outputs(outputs, out);
             }
             Message::Connect => {}
         }
         Ok(())
     }
 
-    /// A later life tells by its question that an earlier one is over, but not that what that one had sent has come:
-    /// as with a permit, what was promised to it has to run out first.
-    fn may_process(&mut self, now: Micros, from: MemberId, word: &TakeoverMessage) -> bool {
-        let TakeoverMessage::ReturnQuery { life, .. } = word else { return true };
+    /// A query of a later life shows that an earlier one has ended, but not that all its frames have arrived: as with
+    /// a takeover permit, the promises to it have to expire first.
+    fn may_process(&mut self, now: Micros, from: MemberId, message: &TakeoverMessage) -> bool {
+        let TakeoverMessage::ReturnQuery { life, .. } = message else { return true };
         self.promises.fence(from, *life);
         self.promises.has_expired(now, from)
     }
 
-    /// A claim tells that a life is over of which we may not have heard: one that was taken over while it ran begins
-    /// another journal without another connection. What we promised to it has to run out first.
+    /// A claim shows that a life has ended, possibly before this gateway knew: a gateway that was taken over while it
+    /// ran starts another journal without a new connection. The promises to it have to expire first.
     fn fence_ended_life(&mut self, now: Micros, Source { gateway, life }: Source) {
-        if gateway == self.places.own() || self.promises.closed(gateway) >= Some(life) {
+        if gateway == self.site_map.own() || self.promises.fenced_life(gateway) >= Some(life) {
             return;
         }
         self.promises.fence(gateway, life);
-        let site = self.places.site_of(gateway).map(Subject::Site);
+        let site = self.site_map.site_of(gateway).map(Subject::Site);
         let subjects = [Some(Subject::Gateway(gateway)), site];
         let away = subjects.into_iter().flatten().any(|subject| self.monitor.has_begun(subject));
         self.expiring_lives.insert(gateway, (life, away));
@@ -259,17 +259,17 @@
 
     fn take_over_expired_lives(&mut self, now: Micros) {
         let promises = &self.promises;
-        let free: Vec<_> =
+        let expired: Vec<_> =
             self.expiring_lives.extract_if(.., |of, _| promises.has_expired(now, *of)).collect();
-        for (of, (life, away)) in free {
-            let copies = self.holder.snapshots(now, of, life);
-            self.recovery.take_over(now, of, life, away, copies);
+        for (of, (life, away)) in expired {
+            let snapshots = self.holder.snapshots(now, of, life);
+            self.recovery.take_over(now, of, life, away, snapshots);
         }
     }
 
-    fn handle_append(&mut self, now: Micros, from: MemberId, lines: &Append, out: &mut Vec<Output>) {
-        let granted = match self.holder.is_for_this_life(lines) {
-            true => self.promises.grant(now, from, lines.source.life),
+    fn handle_append(&mut self, now: Micros, from: MemberId, append: &Append, out: &mut Vec<Output>) {
+        let granted = match self.holder.is_for_this_life(append) {
+            true => self.promises.grant(now, from, append.source.life),
             false => Err(LeaseRefusal::Young),
         };
         let granted = match granted {
@@ -277,33 +277,33 @@
             Err(LeaseRefusal::Young) => Ok(false),
             Err(LeaseRefusal::Taken { .. }) => Err(()),
         };
-        let (ack, fault) = self.holder.handle_append(now, lines, granted);
+        let (ack, fault) = self.holder.handle_append(now, append, granted);
         out.extend(fault.map(Output::Fault));
         out.push(Output::Send { to: from, bytes: encode(&Message::Ack(ack)) });
     }
 
-    fn apply_recovery_outputs(&mut self, heirs: Vec<RecoveryOutput>, out: &mut Vec<Output>) {
-        for heir in heirs {
-            match heir {
-                RecoveryOutput::Send(to, word) => {
-                    out.push(Output::Send { to, bytes: encode(&Message::Takeover(word)) });
+    fn apply_recovery_outputs(&mut self, outputs: Vec<RecoveryOutput>, out: &mut Vec<Output>) {
+        for output in outputs {
+            match output {
+                RecoveryOutput::Send(to, message) => {
+                    out.push(Output::Send { to, bytes: encode(&Message::Takeover(message)) });
                 }
-                RecoveryOutput::Adopt { accepted, first_send_at: first, resolution: end } => {
-                    self.journal.mark_recovered(accepted.key, first);
-                    out.push(Output::Run { accepted: accepted, first_send_at: first, resolution: end });
+                RecoveryOutput::Adopt { accepted, first_send_at, resolution } => {
+                    self.journal.mark_recovered(accepted.key, first_send_at);
+                    out.push(Output::Run { accepted, first_send_at, resolution });
                 }
-                RecoveryOutput::Resolved { key, resolution: end, outcome, answer } => {
-                    out.push(Output::Resolved { key, resolution: end, outcome, answer });
+                RecoveryOutput::Resolved { key, resolution, outcome, answer } => {
+                    out.push(Output::Resolved { key, resolution, outcome, answer });
                 }
-                RecoveryOutput::JournalLoss(gone) => out.push(Output::JournalLoss(gone)),
+                RecoveryOutput::JournalLoss(loss) => out.push(Output::JournalLoss(loss)),
                 RecoveryOutput::ReturnLearned(of) => self.rejoin.on_peer_answered(of),
             }
         }
     }
 
-    /// Looks at who is lost, by the view and by what is agreed.
-    fn look(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let mut turns = Vec::new();
+    /// Evaluates which gateways are lost, by the membership view and the agreed permits.
+    fn update_monitor(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let mut actions = Vec::new();
         let (lives, holder) = (&self.lives, &self.holder);
         let life = |of: MemberId| lives.get(usize::from(of)).copied().max(holder.life(of)).unwrap_or(0);
         self.monitor.update(
@@ -312,29 +312,29 @@
             &self.permit_state,
             life,
             &mut self.promises,
-            &mut turns,
+            &mut actions,
         );
-        for turn in turns {
-            match turn {
+        for action in actions {
+            match action {
                 TakeoverAction::RequestPermit(subject) => {
                     out.push(Output::RequestPermit(PermitRequest::Acquire(subject)))
                 }
                 TakeoverAction::Begin { lives, .. } => {
                     for (of, life) in lives {
-                        let copies = self.holder.snapshots(now, of, life);
-                        self.recovery.take_over(now, of, life, true, copies);
+                        let snapshots = self.holder.snapshots(now, of, life);
+                        self.recovery.take_over(now, of, life, true, snapshots);
                     }
                 }
                 TakeoverAction::Returned(Subject::Site(site)) => {
-                    self.places.members_at(site).for_each(|of| self.recovery.rejoined(of));
+                    self.site_map.members_at(site).for_each(|of| self.recovery.rejoined(of));
                 }
                 TakeoverAction::Returned(Subject::Gateway(of)) => self.recovery.rejoined(of),
                 TakeoverAction::Returned(_) => {}
                 TakeoverAction::LostOwnership => {
                     let life = self.journal.source().life;
                     self.journal.lose_ownership(now, out);
-                    self.rejoin = Rejoin::new(&self.places, now);
-                    self.recovery.take_over(now, self.places.own(), life, false, Vec::new());
+                    self.rejoin = Rejoin::new(&self.site_map, now);
+                    self.recovery.take_over(now, self.site_map.own(), life, false, Vec::new());
                 }
             }
         }
@@ -345,16 +345,16 @@
     }
 
     fn drive_rejoin(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let peers = (0..self.live.len() as MemberId).filter(|of| *of != self.places.own());
+        let peers = (0..self.live.len() as MemberId).filter(|of| *of != self.site_map.own());
         let peers: Vec<MemberId> = peers.filter(|of| self.live[usize::from(*of)]).collect();
-        let (mut steps, life) = (Vec::new(), self.journal.source().life);
-        self.rejoin.wake(now, &peers, &mut steps);
-        for step in steps {
-            out.push(match step {
+        let (mut actions, life) = (Vec::new(), self.journal.source().life);
+        self.rejoin.wake(now, &peers, &mut actions);
+        for action in actions {
+            out.push(match action {
                 RejoinAction::Reclaim(subject) => Output::RequestPermit(PermitRequest::Reclaim(subject)),
                 RejoinAction::QueryPeer(to) => {
-                    let back = TakeoverMessage::ReturnQuery { life: life.saturating_sub(1), after: None };
-                    Output::Send { to, bytes: encode(&Message::Takeover(back)) }
+                    let query = TakeoverMessage::ReturnQuery { life: life.saturating_sub(1), after: None };
+                    Output::Send { to, bytes: encode(&Message::Takeover(query)) }
                 }
                 RejoinAction::ReturnPermit(subject, number) => {
                     Output::RequestPermit(PermitRequest::Return(subject, number))
@@ -364,12 +364,12 @@
         }
     }
 
-    /// Does what is due.
+    /// Performs all due work.
     pub fn wake(&mut self, now: Micros, wall: WallMs, out: &mut Vec<Output>) {
         self.now = now;
         self.journal.wake(now, wall, out);
         if now >= self.next_monitor_update {
-            self.look(now, out);
+            self.update_monitor(now, out);
         }
         if now >= self.next_prune {
             self.next_prune = now + PRUNE_INTERVAL;
@@ -378,17 +378,17 @@
         if !self.rejoin.is_ready() {
             self.drive_rejoin(now, out);
         }
-        let mut heirs = Vec::new();
+        let mut outputs = Vec::new();
         self.take_over_expired_lives(now);
-        self.recovery.wake(now, wall, &mut heirs);
-        self.apply_recovery_outputs(heirs, out);
+        self.recovery.wake(now, wall, &mut outputs);
+        self.apply_recovery_outputs(outputs, out);
     }
 
-    /// When [`PendingEvents::wake`] is due next; past where it is due at once.
+    /// When [`PendingEvents::wake`] is due next; a time in the past means immediately.
     pub fn next_due(&self) -> Micros {
-        let home = self.rejoin.next_due();
-        let heirs = self.recovery.next_due(self.now);
-        [self.journal.next_due(), self.next_prune, self.next_monitor_update, home, heirs]
+        let rejoin = self.rejoin.next_due();
+        let recovery = self.recovery.next_due(self.now);
+        [self.journal.next_due(), self.next_prune, self.next_monitor_update, rejoin, recovery]
             .into_iter()
             .min()
             .unwrap_or(0)
--- a/crates/pending/src/recovery.rs
+++ b/crates/pending/src/recovery.rs
@@ -1,7 +1,8 @@
-//! What a gateway does with what lost ones had pending. Each event of theirs that we hold is claimed of every peer
-//! that is not lost itself: whoever answers says what it knows, and does nothing of its own with that event. Of several
-//! that hold an event the one of the highest rank claims it; once all have answered it ends by [`crate::end`], under a
-//! ration. What is missing is named, and counts as if it spoke of a first byte.
+//! Recovery of the pending events of lost gateways. A gateway claims each such event that it has in its replicas from
+//! every peer that is not lost itself. A peer that grants the claim reports what it knows and does not run the event.
+//! If several gateways claim an event, the one with the highest rank gets it. Once all peers have granted the claim,
+//! [`crate::resolve`] decides about the event, within rate and concurrency limits. Missing information is reported
+//! and counts as if the event may have been sent.
 
 use crate::claims::MAX_EVENTS_PER_MESSAGE;
 use crate::resolution::{FirstSend, RecoveryCase, Resolution, resolve};
@@ -14,18 +15,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Claims that are out at once.
+/// Maximum number of claims that wait for replies.
 const MAX_OPEN_CLAIMS: usize = 1024;
-/// A word without an answer is sent again after this.
+/// A message without a reply is sent again after this time.
 const RETRY_INTERVAL: Micros = 300_000;
 
-/// Faults that checkers must find.
+/// Faults that tests inject and have to detect.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RecoveryFault {
-    /// What was sent is run as if it was not.
+    /// Events that were sent are treated as never sent.
     RunsWhatWasSent,
-    /// Nobody is asked.
+    /// Peers are not asked.
     SkipsClaims,
 }
 
@@ -45,24 +46,25 @@
     pub(crate) accepted_entry: (Source, u64, u64),
     pub(crate) first_send: FirstSend,
     pub(crate) client_waiting: bool,
-    /// When its owner was last heard.
+    /// When its owner was last heard from.
     pub(crate) owner_last_heard: Micros,
-    /// Sites of those that had it and are lost: nobody there could say more than their journals.
+    /// Sites of its lost owners; no gateway there could report more than their journals.
     pub(crate) lost_sites: BTreeSet<Site>,
-    /// Recovery that had claimed it and are lost: what they wrote of it goes before what its first owner did.
+    /// Lost gateways that had claimed it, in order; their entries take precedence over those of its first owner.
     pub(crate) previous_owners: Vec<MemberId>,
-    /// Who else holds it.
+    /// Peers that also have the event, and peers that asked for it.
     pub(crate) other_holders: BTreeSet<MemberId>,
-    /// How far its journal is known to any that answered, and how far it was written as any knows.
+    /// Number of the last entry of its journal that any replying peer has, and of the last that any knows was
+    /// written.
     pub(crate) log_extent: (u64, u64),
-    /// Some that answered lack something of another journal.
+    /// Some replying peer lacks entries of another journal of a lost gateway.
     pub(crate) other_journal_incomplete: bool,
-    /// Of those that answered the claim, whose copy goes up to its line.
+    /// Replying peers whose replica includes the entry that accepted the event.
     pub(crate) complete_holders: BTreeSet<MemberId>,
     pub(crate) stage: EventStage,
 }
 
-/// See the module's page.
+/// State of the recovery, see the module documentation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Recovery {
     pub(crate) own: MemberId,
@@ -73,21 +75,22 @@
     pub(crate) rate: u32,
     pub(crate) retention_ms: WallMs,
     pub(crate) started_at: Micros,
-    /// Lives up to this one of a gateway are over.
+    /// The last ended life of each gateway.
     pub(crate) ended_lives: BTreeMap<MemberId, u64>,
-    /// Gateways that are not asked, as they are lost by a permit.
+    /// Gateways that are not asked because there is a takeover permit for them.
     pub(crate) unavailable: BTreeSet<MemberId>,
-    /// Journals of lost gateways: how far our copies go, and how far they were written as we know.
+    /// Journals of lost gateways: number of the last entry stored here, and of the last that is known to be written.
     pub(crate) log_extents: BTreeMap<Source, (u64, u64)>,
     pub(crate) events: BTreeMap<Key, Event>,
-    /// What we were told of events that earlier lives of ours had pending, with their deadlines.
+    /// Statuses of events of earlier lives of this gateway, reported by peers, with the events' deadlines.
     pub(crate) learned: BTreeMap<Key, (WallMs, EventStatus)>,
     pub(crate) learned_bytes: usize,
-    /// Gateways of which we ask whether anybody holds anything: those yet to answer.
+    /// Lost gateways of which this gateway has no journal, each with the peers that have not yet answered whether
+    /// they have one.
     pub(crate) holder_queries: BTreeMap<MemberId, BTreeSet<MemberId>>,
-    /// Events that are out to workers here.
+    /// Recovered events that run on workers now.
     pub(crate) running: usize,
-    /// The ration: a thousandth of an event each, and when it was filled last.
+    /// Rate limit: available budget in thousandths of an event, and when it was last filled.
     pub(crate) budget: u64,
     pub(crate) budget_filled_at: Micros,
     pub(crate) next_retry: Micros,
@@ -97,7 +100,7 @@
 }
 
 impl Event {
-    /// Whether another's line of it was written by a later heir, which knew how it stood.
+    /// Whether this entry was written by a later owner of the event, which knew its state.
     pub(crate) fn is_superseded_by(&self, line: (Source, u64, u64)) -> bool {
         let heirs = self.previous_owners.iter().copied().chain(match self.stage {
             EventStage::OwnedBy(of) => Some(of),
@@ -119,7 +122,7 @@
 }
 
 impl Recovery {
-    /// Nobody is lost.
+    /// No gateway is lost yet.
     pub fn new(settings: &RecoverySettings, now: Micros) -> Self {
         let places = &settings.site_map;
         Self {
@@ -153,22 +156,22 @@
         self.injected_fault = Some(planted);
     }
 
-    /// How events have ended here.
+    /// Number of events by decision.
     pub fn counts(&self) -> RecoveryCounts {
         self.counts
     }
 
-    /// Events that are not over, ours and others'.
+    /// Number of events that have not ended, owned by any gateway.
     pub fn pending(&self) -> usize {
         self.events.values().filter(|event| !matches!(event.stage, EventStage::Ended(..))).count()
     }
 
-    /// What the load allows: so many a second, and so many out at once.
+    /// Sets the limits derived from the load: events started per second, and events running at the same time.
     pub fn set_limits(&mut self, rate: u32, most: usize) {
         (self.rate, self.concurrency) = (rate, most);
     }
 
-    /// What is known of an event that was a lost gateway's.
+    /// Status of an event of a lost gateway or of an earlier life of this gateway.
     pub fn event_status(&self, key: Key) -> Option<EventStatus> {
         let held = self.events.get(&key).map(|event| self.status_of(event));
         held.or_else(|| self.learned.get(&key).map(|(_, fate)| fate.clone()))
@@ -183,14 +186,14 @@
         }
     }
 
-    /// A client repeats it here, and waits.
+    /// A client sent the event again to this gateway and is waiting.
     pub fn client_waits_for(&mut self, key: Key) {
         self.events.get_mut(&key).into_iter().for_each(|event| event.client_waiting = true);
     }
 
-    /// These lives of a gateway and all before them are over, and what we promised to it has run out: what it had
-    /// pending is its heirs'. `copies` is all that we hold of its journals. `away`: it is lost by a permit, and not
-    /// asked until [`Recovery::back`]; where it is not, a later life of it has told so itself.
+    /// Takes over the pending events of a gateway, of this life and all before it, after all promises to it have
+    /// expired. `copies` are all snapshots of its journals. `away` means that it is lost by a permit and not asked
+    /// until [`Recovery::rejoined`]; otherwise a later life of it has reported that this one ended.
     pub fn take_over(
         &mut self,
         now: Micros,
@@ -217,7 +220,8 @@
         let site = self.site(of);
         for event in self.events.values_mut() {
             match &mut event.stage {
-                // It stands where its journal says: whoever holds that tells it with the next claim.
+                // The event is again in the state recorded in the lost owner's journal; a peer that has it reports it
+                // with its next claim.
                 EventStage::OwnedBy(by) if *by == of => {
                     event.lost_sites.insert(site);
                     event.previous_owners.retain(|heir| *heir != of);
@@ -231,7 +235,7 @@
         self.next_retry = now;
     }
 
-    /// We were taken over: what we claimed may be others' now, and what we adopted may have been sent.
+    /// This gateway was taken over: its claims may now belong to others, and events that it ran may have been sent.
     fn lose_ownership(&mut self) {
         self.running = 0;
         for event in self.events.values_mut() {
@@ -245,7 +249,7 @@
         }
     }
 
-    /// It takes part again.
+    /// The gateway can be asked again.
     pub fn rejoined(&mut self, of: MemberId) {
         self.unavailable.remove(&of);
     }
@@ -310,7 +314,7 @@
 
     pub(crate) fn record_end(event: &mut Event, slots: &mut usize, outcome: Outcome, answer: Vec<u8>) {
         match event.stage {
-            // A later word takes nothing back, but for an answer where it was only known that it may have run.
+            // A later report changes nothing, except that an answer replaces the outcome "may have run".
             EventStage::Ended(Outcome::Failed, _) if outcome == Outcome::Served => {}
             EventStage::Ended(..) => return,
             EventStage::Running => *slots -= 1,
@@ -319,7 +323,7 @@
         event.stage = EventStage::Ended(outcome, answer);
     }
 
-    /// An event that we adopted has ended.
+    /// A recovered event that ran here has ended.
     pub fn ended(&mut self, key: Key, outcome: Outcome, answer: Vec<u8>, out: &mut Vec<RecoveryOutput>) {
         let Some(event) = self.events.get_mut(&key) else { return };
         Self::record_end(event, &mut self.running, outcome, answer.clone());
@@ -329,7 +333,7 @@
         }));
     }
 
-    /// Does what is due.
+    /// Performs all due work.
     pub fn wake(&mut self, now: Micros, wall: WallMs, out: &mut Vec<RecoveryOutput>) {
         if now >= self.next_retry {
             self.next_retry = now + RETRY_INTERVAL;
@@ -425,7 +429,7 @@
         }
     }
 
-    /// Claims to which all have answered.
+    /// Decides the claims that all peers have granted.
     fn finish_claims(&mut self, out: &mut Vec<RecoveryOutput>) {
         let mut gone = Vec::new();
         let away: Vec<(MemberId, Site)> = self.unavailable.iter().map(|of| (*of, self.site(*of))).collect();
@@ -433,8 +437,8 @@
             if !matches!(&event.stage, EventStage::Claiming(left) if left.is_empty()) {
                 continue;
             }
-            // One that is lost as well, or that has forgotten, might have known of a first byte; so might a line that
-            // nobody has, or one of an heir's that somebody lacks.
+            // A gateway that is lost as well, or that restarted and lost its memory, might have known that the event
+            // was sent. So might an entry that no peer has, or an entry of a previous owner that some peer lacks.
             let need = self.required_holders.get(usize::from(event.accepted.class)).copied().unwrap_or(0);
             let (source, line, _) = event.accepted_entry;
             let ours = self.log_extents.get(&source).is_some_and(|(through, _)| *through >= line);
@@ -460,10 +464,10 @@
         gone.into_iter().for_each(|gone| self.report_loss(gone, out));
     }
 
-    /// Ends what is ready, nearest deadline first; workers are asked under the ration.
+    /// Resolves claimed events, nearest deadline first; events to be run are subject to the limits.
     fn resolve_ready(&mut self, now: Micros, wall: WallMs, out: &mut Vec<RecoveryOutput>) {
         let gained = now.saturating_sub(self.budget_filled_at).saturating_mul(u64::from(self.rate)) / 1_000;
-        // What was not used in the last tenth of a second is gone: a ration has no waves.
+        // Budget older than a tenth of a second is discarded, so that events don't start in bursts.
         let full = (u64::from(self.rate) * 100).max(1_000);
         if gained > 0 {
             (self.budget, self.budget_filled_at) = ((self.budget + gained).min(full), now);
--- a/crates/pending/src/resolution.rs
+++ b/crates/pending/src/resolution.rs
@@ -1,20 +1,20 @@
-//! What becomes of a pending event whose owner is lost. The one place that decides it.
+//! Decides what happens to a pending event of a lost gateway. This is the only place that decides it.
 
 use crate::types::{Outcome, RepeatSafety, WallMs};
 
-/// Whether an event's first byte has left for a worker.
+/// Whether the first byte of an event was sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub enum FirstSend {
-    /// It has not: all that could know have said so.
+    /// It was not sent: every gateway that could know has confirmed this.
     Never,
-    /// It may have, first at this time.
+    /// It may have been sent, first at this time.
     At(WallMs),
-    /// Something that could tell is missing.
+    /// A gateway or an entry that could tell is missing.
     Unknown,
 }
 
 impl FirstSend {
-    /// What two that know of it know together: the earliest time, and what is missing stays missing.
+    /// Combines the knowledge of two gateways: the earliest time wins, and `Unknown` stays `Unknown`.
     pub fn merge(self, other: Self) -> Self {
         match (self, other) {
             (Self::Unknown, _) | (_, Self::Unknown) => Self::Unknown,
@@ -24,59 +24,59 @@
     }
 }
 
-/// What is known of an event.
+/// What is known about an event when its end is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RecoveryCase {
-    /// What may be done once it was sent.
+    /// Whether it may be sent again after it was sent once.
     pub repeat_safety: RepeatSafety,
-    /// It is done though its client may be gone.
+    /// Whether it is completed even if its client is gone.
     pub finish_without_client: bool,
-    /// A client waits for it, at whichever gateway.
+    /// Whether a client is waiting for it at any gateway.
     pub client_waiting: bool,
-    /// When its client gives up.
+    /// When its client stops waiting.
     pub deadline: WallMs,
     /// Whether it was sent.
     pub first_send: FirstSend,
-    /// How it ended, if it did, and whether its answer was kept.
+    /// How it ended, if it did, and whether its answer was recorded.
     pub ended: Option<(Outcome, bool)>,
 }
 
-/// How it ends.
+/// The decision about an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Resolution {
-    /// It never ran: it is run now.
+    /// It was never sent: run it now.
     Run,
-    /// It is run once more, which does no harm.
+    /// Run it again, which is safe.
     RunAgain,
-    /// It is sent once more under its key, if that is done before this time.
+    /// Send it again under its key, before this time.
     SameKey {
-        /// Workers may have forgotten the key from then on.
+        /// Workers may have discarded the key from this time on.
         before: WallMs,
     },
-    /// It is not run; a repeat is told that it may have run.
+    /// Don't run it; repeats are answered that it may have run.
     MayHaveRun,
-    /// It was served: the answer is told again.
+    /// It was served: repeats get the recorded answer.
     Replay,
-    /// It was served, and the answer was too long to be kept: a repeat is told so.
+    /// It was served, but the answer was too long to be recorded; repeats are told so.
     AnswerLost,
-    /// It ended without an answer: a repeat is told how.
+    /// It ended without an answer; repeats are told how.
     Ended(Outcome),
-    /// Its time is over: closed and counted; whether it never ran is told.
+    /// Its deadline has passed: it is ended and counted, and repeats are told whether it may have run.
     Closed {
         /// It may have run.
         may_have_run: bool,
     },
-    /// Nobody waits for it, its class does not ask for it and a repeat may run: it is let go.
+    /// Drop it: no client waits, its class does not require it, and a repeat may run.
     LetGo,
 }
 
 impl Resolution {
-    /// Whether a worker has to do something.
+    /// Whether a worker has to run the event.
     pub fn runs_event(self) -> bool {
         matches!(self, Self::Run | Self::RunAgain | Self::SameKey { .. })
     }
 
-    /// What is recorded for repeats where no worker is asked; none where one is, or where an end is recorded already.
+    /// The outcome to record for repeats if the event is not run. `None` if it is run or its end is already recorded.
     pub fn outcome(self) -> Option<Outcome> {
         match self {
             Self::MayHaveRun | Self::Closed { may_have_run: true } => Some(Outcome::Failed),
@@ -86,8 +86,8 @@
     }
 }
 
-/// How an event ends at this time of our wall clock. Others' may differ by up to `slack`: what could be too late by
-/// theirs is too late.
+/// Decides about an event at the local wall-clock time `now`. The clocks of other gateways may differ by up to
+/// `slack`; an event whose time may have passed by any of them counts as too late.
 pub fn resolve(now: WallMs, slack: WallMs, case: &RecoveryCase) -> Resolution {
     let latest = now.saturating_add(slack);
     let may_have_run = case.first_send != FirstSend::Never;
@@ -105,7 +105,7 @@
             let before = first.saturating_add(window / 1_000).saturating_sub(slack);
             if now < before { Resolution::SameKey { before } } else { Resolution::MayHaveRun }
         }
-        // A key's window runs from a time that nobody knows.
+        // It is unknown when the key's window began.
         (None, RepeatSafety::Keyed { .. } | RepeatSafety::Unsafe, _) => Resolution::MayHaveRun,
     }
 }
--- a/crates/pending/src/simulation.rs
+++ b/crates/pending/src/simulation.rs
@@ -1,5 +1,6 @@
-//! Gateways of several sites in virtual time: connections that break and lose what was on its way, frames that are
-//! late, doubled, out of order, cut or changed, gateways that crash, stand still and come back knowing nothing.
+//! Simulates gateways of several sites in virtual time: connections that break and lose what was in flight, frames
+//! that are delayed, duplicated, reordered, truncated or corrupted, and gateways that crash, stall and restart
+//! without their state.
 
 use crate::holder::HolderFault;
 use crate::interface::{Input, Output, PendingSettings};
@@ -12,26 +13,26 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What may be wrong with frames beside what is wrong with all links, as shares of them.
+/// Probabilities of damage to a frame, in addition to the faults of the links.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FrameDamage {
-    /// Cut somewhere inside.
+    /// The frame is truncated.
     pub cut: f64,
-    /// A byte is changed on the way.
+    /// A byte of the frame is changed.
     pub changed: f64,
-    /// A byte of a line is changed before its frame is made, so that the frame's own checksum holds.
+    /// A byte of an entry is changed before the frame is encoded, so that the frame's own checksum is valid.
     pub payload_changed: f64,
 }
 
-/// A gateway: its machine behind connections, as peers have them.
+/// A gateway: its state machine behind simulated connections of the peer layer.
 #[derive(Debug)]
 pub struct SimulatedGateway {
-    /// The machine.
+    /// The state machine.
     pub pending: PendingEvents,
     life: u64,
-    /// Lives of those to whom a connection stands.
+    /// The life of each gateway to which a connection is open.
     connections: BTreeMap<MemberId, u64>,
-    /// The latest life of each that was heard of.
+    /// The latest known life of each gateway.
     latest_lives: BTreeMap<MemberId, u64>,
     wall_ms: WallMs,
     damage: FrameDamage,
@@ -39,12 +40,12 @@
     entry_bytes: usize,
 }
 
-/// What a gateway puts out.
+/// An output of a simulated gateway.
 #[derive(Debug)]
 pub enum SimulatedOutput {
-    /// Bytes to another.
+    /// A datagram for another gateway.
     Send(MemberId, Vec<u8>),
-    /// What its machine tells its loops.
+    /// An output of the state machine for the gateway's own loops.
     Local(Output),
 }
 
@@ -53,12 +54,12 @@
 const FRAME: u8 = 2;
 
 impl SimulatedGateway {
-    /// Our wall clock.
+    /// The gateway's wall clock.
     pub fn wall(&self, now: Micros) -> WallMs {
         self.wall_ms + now / 1_000
     }
 
-    /// Tells the machine something.
+    /// Passes an input to the state machine.
     pub fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<SimulatedOutput>) {
         let (wall, mut told) = (self.wall(now), Vec::new());
         self.pending.handle(now, wall, input, &mut told);
@@ -73,7 +74,8 @@
                         let bytes = self.damage_frame(bytes);
                         out.push(SimulatedOutput::Send(to, self.datagram(FRAME, life, &bytes)));
                     }
-                    // What is sent while a connection is made is lost, as at worst it is with peers.
+                    // A frame that is sent while the connection is being opened is lost, the worst case of the peer
+                    // layer.
                     None => out.push(SimulatedOutput::Send(to, self.datagram(HELLO, 0, &[]))),
                 },
                 other => out.push(SimulatedOutput::Local(other)),
@@ -175,39 +177,41 @@
     bytes.get(at..at + 8)?.try_into().ok().map(u64::from_le_bytes)
 }
 
-/// Gateways of several sites and what is between them.
+/// Gateways of several sites and the network between them.
 pub struct SimulatedSites {
     /// The network with all gateways.
     pub net: VirtualNetwork<SimulatedGateway>,
     sites: Vec<Site>,
     settings: PendingSettings,
-    /// FrameDamage that whoever starts from now on does to its frames.
+    /// Damage to the frames of gateways that start from now on.
     pub damage: FrameDamage,
-    /// What is agreed. Its voters hear all that run and are of one mind; what voters go through is not shown here.
+    /// The agreed permits. The simulated voters are reachable by all gateways that are not isolated and always agree;
+    /// voter faults are not simulated here.
     pub permit_state: PermitState,
-    /// So late a crash or a start is seen by the others.
+    /// Delay until others notice a crash or a start.
     pub detection: Micros,
-    /// Whoever starts from now on has this fault.
+    /// Fault injected into gateways that start from now on.
     #[doc(hidden)]
     pub injected_fault: Option<HolderFault>,
     changed: BTreeMap<MemberId, Micros>,
     live_view: Vec<bool>,
-    /// Taken for dead though they run.
+    /// Gateways that run but are taken for dead.
     falsely_dead: BTreeSet<MemberId>,
-    /// They run, and nothing goes between them and the others.
+    /// Gateways that run but are isolated from all others.
     isolated: BTreeSet<MemberId>,
     last_broadcast: Micros,
     seed: u64,
 }
 
-/// So often the voters are asked, and all are told what they see.
+/// Interval at which the voters answer permit requests, and at which the view is sent to all gateways.
 const PERMIT_POLL_INTERVAL: Micros = 10_000;
 const BROADCAST_INTERVAL: Micros = 1_000_000;
-/// The platform's wall clock at the world's beginning.
+/// Wall-clock time at the start of the simulation.
 const EPOCH_MS: WallMs = 1_800_000_000_000;
 
 impl SimulatedSites {
-    /// A gateway for each entry of `sites`, none of them started. Each is set as told, but for its place and life.
+    /// One gateway for each entry of `sites`, none of them started. All use `settings`, except for the site map and
+    /// the life.
     pub fn new(sites: Vec<Site>, settings: PendingSettings, link: LinkFaults) -> Self {
         let (size, seed) = (sites.len() as MemberId, settings.seed);
         Self {
@@ -227,7 +231,7 @@
         }
     }
 
-    /// Starts a gateway, which knows nothing of an earlier life.
+    /// Starts a gateway without any state of its earlier lives.
     pub fn start(&mut self, of: MemberId) {
         let Some(places) = SiteMap::new(self.sites.clone(), of) else { return };
         let life = self.net.now + u64::from(of);
@@ -248,7 +252,7 @@
         self.changed.insert(of, self.net.now);
     }
 
-    /// Starts all, who see one another at once.
+    /// Starts all gateways, which see each other as live at once.
     pub fn start_all(&mut self) {
         self.net.node_ids().for_each(|of| self.start(of));
         self.changed.clear();
@@ -256,19 +260,19 @@
         self.broadcast_view();
     }
 
-    /// A gateway ends without a word.
+    /// Crashes a gateway.
     pub fn kill(&mut self, of: MemberId) {
         self.net.kill(of);
         self.changed.insert(of, self.net.now);
     }
 
-    /// All of a site end without a word.
+    /// Crashes all gateways of a site.
     pub fn kill_site(&mut self, site: Site) {
         let of = self.net.node_ids().filter(|of| self.sites[usize::from(*of)] == site);
         of.collect::<Vec<_>>().into_iter().for_each(|of| self.kill(of));
     }
 
-    /// The others take one for dead though it runs, or don't any more.
+    /// Sets whether others take a running gateway for dead.
     pub fn set_falsely_dead(&mut self, of: MemberId, dead: bool) {
         if dead {
             self.falsely_dead.insert(of);
@@ -278,7 +282,7 @@
         self.changed.insert(of, self.net.now);
     }
 
-    /// Nothing goes between a site and all others, the voters among them, or does again.
+    /// Sets whether a site is isolated from all others and from the voters.
     pub fn set_isolated(&mut self, site: Site, cut: bool) {
         let of = self.net.node_ids().filter(|of| self.sites[usize::from(*of)] == site);
         let of: Vec<MemberId> = of.collect();
@@ -293,30 +297,30 @@
         }
     }
 
-    /// The connection between two breaks; what is on its way may come late, or not.
+    /// Breaks the connection between two gateways; frames in flight may arrive late or not at all.
     pub fn reconnect(&mut self, one: MemberId, other: MemberId) {
         self.net.with_node(one, |gateway, now, out| gateway.on_disconnected(now, other, out));
         self.net.with_node(other, |gateway, now, out| gateway.on_disconnected(now, one, out));
     }
 
-    /// A loop of a gateway says something.
+    /// Reports a step from a loop of a gateway.
     pub fn step(&mut self, of: MemberId, step: Step) {
         self.net.with_node(of, |gateway, now, out| gateway.tell(now, Input::Step(step), out));
     }
 
-    /// The time on a gateway's wall clock.
+    /// Time on a gateway's wall clock, in milliseconds.
     pub fn wall(&self, of: MemberId) -> WallMs {
         let now = self.net.clock(of);
         self.net.node(of).map_or(0, |gateway| gateway.wall(now))
     }
 
-    /// Gateways that run and truly hold that this event was accepted, whatever anybody believes.
+    /// Number of running gateways that store the accepting entry of this event, regardless of any gateway's view.
     pub fn holders(&self, source: Source, key: Key) -> usize {
         let holds = |of: &MemberId| self.net.node(*of).is_some_and(|one| one.pending.holds(source, key));
         self.net.node_ids().filter(holds).count()
     }
 
-    /// What all see of sites and their gateways.
+    /// Observations of sites and gateways that all gateways share.
     fn observations(&self) -> Observations {
         let seen = |used: bool| Observation {
             zone: 0,
@@ -342,13 +346,13 @@
         }
     }
 
-    /// All that run see who is live and what is agreed.
+    /// Sends the current view and the agreed permits to all running gateways.
     fn broadcast_view(&mut self) {
         self.last_broadcast = self.net.now;
         let observations = self.observations();
         for of in self.net.node_ids() {
             if self.isolated.contains(&of) {
-                // Of whom it hears it sees as many as the others see of it.
+                // An isolated gateway sees as live only those that are isolated too.
                 let live = self.net.node_ids().map(|other| self.isolated.contains(&other)).collect();
                 self.tell(of, Input::LivePeers(live));
             } else {
@@ -364,7 +368,7 @@
         }
     }
 
-    /// The voters answer.
+    /// Answers permit requests in place of the voters.
     fn answer_permit_requests(&mut self) {
         let is_asked = |(_, _, said): &mut (Micros, MemberId, SimulatedOutput)| {
             matches!(said, SimulatedOutput::Local(Output::RequestPermit(_)))
@@ -403,7 +407,7 @@
         }
     }
 
-    /// Runs until this time; who crashed or started is seen after [`SimulatedSites::detection`].
+    /// Runs until this time. Crashes and starts are noticed after [`SimulatedSites::detection`].
     pub fn run(&mut self, until: Micros) {
         while self.net.now < until {
             let next = (self.net.now + PERMIT_POLL_INTERVAL).min(until);
--- a/crates/pending/src/takeover.rs
+++ b/crates/pending/src/takeover.rs
@@ -1,63 +1,65 @@
-//! When what a lost site or gateway had pending is done by others, and what one that returns does first. Never by the
-//! view alone: what was promised to it has run out, and the voters have given a permit.
+//! When the events of a lost site or gateway are taken over, and what a returning gateway does first. The membership
+//! view alone never suffices: all promises to the lost gateway must have expired, and the voters must have granted a
+//! permit.
 
 use crate::lease::HolderPromises;
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use basaltward_permits::{Observations, PermitState, Subject};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The voters are asked again after this; whoever is not the first to ask waits as long for each that is.
+/// Interval between requests to the voters. A gateway that is not the first to request also waits this long for each
+/// one before it.
 const RETRY_INTERVAL: Micros = 300_000;
-/// So many ask one after another, the others with the last.
+/// Up to this many gateways request one after another; all further ones request together with the last.
 const MAX_REQUEST_RANK: u64 = 8;
 
-/// What is to be done.
+/// An action of [`TakeoverMonitor`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum TakeoverAction {
-    /// Ask the voters for the permit: `PermitRequest::Acquire`.
+    /// Request the permit from the voters: `PermitRequest::Acquire`.
     RequestPermit(Subject),
-    /// What these lives of its gateways and all before them had pending is others' now: [`crate::Recovery::begin`].
+    /// Take over the events of these lives of the gateways and of all earlier ones: [`crate::Recovery::take_over`].
     Begin {
-        /// Who is lost.
+        /// The lost site or gateway.
         subject: Subject,
-        /// The permit's number.
+        /// Number of the permit.
         permit: u16,
-        /// Its gateways, each with its last life that is over.
+        /// Its gateways, each with its last life that has ended.
         lives: Vec<(MemberId, u64)>,
     },
-    /// The permit is over: its subject has learnt what was done.
+    /// The permit was returned: its subject knows what became of its events.
     Returned(Subject),
-    /// We are taken over ourselves: nothing pending of this life is ours any more, see [`Rejoin`].
+    /// This gateway itself was taken over: pending events of this life belong to others, see [`Rejoin`].
     LostOwnership,
 }
 
-/// Who is taken over, as one gateway sees it.
+/// Tracks which sites and gateways are taken over, as seen by one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TakeoverMonitor {
     sites: Vec<u8>,
     own: MemberId,
-    /// Since when it is seen to be lost and all that we promised has run out, and when we ask next.
+    /// Lost subjects to which all promises have expired, each with the time of the next permit request.
     next_request: BTreeMap<Subject, Micros>,
-    /// Permits that stand, and whether we have begun.
+    /// Current permits, each with its number and whether this gateway has begun the takeover.
     permits: BTreeMap<Subject, (u16, bool)>,
     injected_fault: Option<TakeoverFault>,
 }
 
-/// Faults that checkers must find.
+/// Faults that tests inject and have to detect.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TakeoverFault {
-    /// Who is seen to be lost is taken over at once.
+    /// A subject is taken over as soon as the view shows it as lost.
     IgnoresPermits,
 }
 
 impl TakeoverMonitor {
-    /// Nobody is taken over.
-    pub fn new(places: &SiteMap) -> Self {
-        let sites = (0..places.len() as MemberId).filter_map(|of| places.site_of(of)).collect();
+    /// Nothing is taken over yet.
+    pub fn new(site_map: &SiteMap) -> Self {
+        let sites = (0..site_map.len() as MemberId).filter_map(|of| site_map.site_of(of)).collect();
         Self {
             sites,
-            own: places.own(),
+            own: site_map.own(),
             next_request: BTreeMap::new(),
             permits: BTreeMap::new(),
             injected_fault: None,
@@ -65,11 +67,11 @@
     }
 
     #[doc(hidden)]
-    pub fn inject_fault(&mut self, planted: TakeoverFault) {
-        self.injected_fault = Some(planted);
+    pub fn inject_fault(&mut self, fault: TakeoverFault) {
+        self.injected_fault = Some(fault);
     }
 
-    /// Whether its permit stands and we do what it had pending.
+    /// Whether there is a permit for the subject and this gateway has begun to take over its events.
     pub fn has_begun(&self, subject: Subject) -> bool {
         self.permits.get(&subject).is_some_and(|(_, begun)| *begun)
     }
@@ -85,15 +87,16 @@
         }
     }
 
-    /// Our turn among those who would ask about one of its members.
+    /// Position of this gateway in the order in which gateways request the permit for these members.
     fn request_rank(&self, members: &[MemberId]) -> u64 {
         let size = self.sites.len().max(1) as u64;
         let first = members.first().map_or(0, |of| u64::from(*of));
         ((u64::from(self.own) + size - first) % size).min(MAX_REQUEST_RANK)
     }
 
-    /// Looks at what the view shows (see `basaltward_permits::sites`) and at what is agreed. `life` is the latest that
-    /// is known of a gateway, by the view or by a journal. Asked again by [`TakeoverMonitor::next_due`] and when either changes.
+    /// Evaluates the membership view (see `basaltward_permits::sites`) and the agreed permits. `life` returns the
+    /// latest known life of a gateway, from the view or a journal. Called again at [`TakeoverMonitor::next_due`] and
+    /// when either input changes.
     pub fn update(
         &mut self,
         now: Micros,
@@ -115,12 +118,12 @@
                 self.begin_takeover(subject, 0, &members, &life, promises, out);
                 continue;
             }
-            let free = members.iter().all(|of| promises.has_expired(now, *of));
-            if permit_state.permit(subject).is_some() || !free {
+            let expired = members.iter().all(|of| promises.has_expired(now, *of));
+            if permit_state.permit(subject).is_some() || !expired {
                 continue;
             }
-            let turn = self.request_rank(&members);
-            let next = self.next_request.entry(subject).or_insert(now + RETRY_INTERVAL * turn);
+            let rank = self.request_rank(&members);
+            let next = self.next_request.entry(subject).or_insert(now + RETRY_INTERVAL * rank);
             if now >= *next {
                 *next = now + RETRY_INTERVAL * (MAX_REQUEST_RANK + 1);
                 out.push(TakeoverAction::RequestPermit(subject));
@@ -129,9 +132,9 @@
         for permit in permit_state.permits.iter().filter(|permit| permit.subject.allows_takeover()) {
             self.on_permit(now, permit.subject, permit.number, &life, promises, out);
         }
-        let over = |of: &Subject| permit_state.permit(*of).is_none() && self.injected_fault.is_none();
-        let over: Vec<Subject> = self.permits.keys().copied().filter(over).collect();
-        for subject in over {
+        let returned = |of: &Subject| permit_state.permit(*of).is_none() && self.injected_fault.is_none();
+        let returned: Vec<Subject> = self.permits.keys().copied().filter(returned).collect();
+        for subject in returned {
             self.permits.remove(&subject);
             out.push(TakeoverAction::Returned(subject));
         }
@@ -157,7 +160,7 @@
             return;
         }
         self.permits.insert(subject, (permit, false));
-        // From here on nothing is promised, so that what was promised does run out.
+        // From here on no promise is renewed, so the existing ones expire.
         members.iter().for_each(|of| promises.fence(*of, life(*of)));
         if members.iter().all(|of| promises.has_expired(now, *of)) {
             self.begin_takeover(subject, permit, &members, life, promises, out);
@@ -177,11 +180,11 @@
             return;
         }
         members.iter().for_each(|of| promises.fence(*of, life(*of)));
-        let lives = members.iter().map(|of| (*of, promises.closed(*of).unwrap_or(0))).collect();
+        let lives = members.iter().map(|of| (*of, promises.fenced_life(*of).unwrap_or(0))).collect();
         out.push(TakeoverAction::Begin { subject, permit, lives });
     }
 
-    /// When to look again though nothing has changed.
+    /// When to call [`TakeoverMonitor::update`] again even if no input has changed.
     pub fn next_due(&self, now: Micros) -> Micros {
         let waits = self.permits.values().any(|(_, begun)| !begun);
         let asks = self.next_request.values().min().copied();
@@ -189,16 +192,16 @@
     }
 }
 
-/// What a gateway that begins, or that was taken over, has to do before it takes kept events.
+/// An action of a gateway that has started or was taken over, before it accepts events.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RejoinAction {
-    /// Ask the voters whether this is taken over: `PermitRequest::Reclaim`.
+    /// Ask the voters whether the subject was taken over: `PermitRequest::Reclaim`.
     Reclaim(Subject),
-    /// Ask this peer what was done in our place: [`crate::TakeoverMessage::ReturnQuery`].
+    /// Ask a peer what became of the pending events: [`crate::TakeoverMessage::ReturnQuery`].
     QueryPeer(MemberId),
-    /// Tell the voters that we have learnt it: `PermitRequest::Return`.
+    /// Return a permit to the voters, as all peers have answered: `PermitRequest::Return`.
     ReturnPermit(Subject, u16),
-    /// Kept events are taken from now on.
+    /// Events are accepted from now on.
     Ready,
 }
 
@@ -210,56 +213,57 @@
     Ready,
 }
 
-/// See [`RejoinAction`].
+/// The sequence of actions by which a gateway rejoins, see [`RejoinAction`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Rejoin {
-    /// What may be taken over with us, with the permit's number once that is known.
+    /// This site and this gateway, each with the number of its takeover permit (0 if none) once known.
     permits: BTreeMap<Subject, Option<u16>>,
-    /// Peers that have told all.
+    /// Peers that have reported everything.
     answered_peers: BTreeSet<MemberId>,
     stage: RejoinStage,
     next_retry: Micros,
 }
 
 impl Rejoin {
-    /// Of a life that begins now.
-    pub fn new(places: &SiteMap, now: Micros) -> Self {
-        let subjects = [Subject::Site(places.own_site()), Subject::Gateway(places.own())];
+    /// For a life that starts now.
+    pub fn new(site_map: &SiteMap, now: Micros) -> Self {
+        let subjects = [Subject::Site(site_map.own_site()), Subject::Gateway(site_map.own())];
         let permits = subjects.map(|subject| (subject, None)).into();
         Self { permits, answered_peers: BTreeSet::new(), stage: RejoinStage::Reclaiming, next_retry: now }
     }
 
-    /// Whether kept events may be taken.
+    /// Whether events may be accepted.
     pub fn is_ready(&self) -> bool {
         self.stage == RejoinStage::Ready
     }
 
-    /// The voters have answered `PermitRequest::Reclaim`, after any life of ours that it knows of began.
+    /// The voters have answered `PermitRequest::Reclaim`, and the permit state is from after this life has started.
     pub fn on_reclaim_reply(&mut self, subject: Subject, permit: u16) {
         if self.stage == RejoinStage::Reclaiming {
             self.permits.entry(subject).and_modify(|known| *known = Some(permit));
         }
     }
 
-    /// A peer has told all that was done in our place.
+    /// A peer has reported all that became of the pending events.
     pub fn on_peer_answered(&mut self, from: MemberId) {
         self.answered_peers.insert(from);
     }
 
-    /// The voters have answered `PermitRequest::Return`, or that no such permit stands.
+    /// The voters have answered `PermitRequest::Return`, or there is no such permit.
     pub fn on_permit_returned(&mut self, subject: Subject) {
         if self.stage == RejoinStage::ReturningPermits {
             self.permits.remove(&subject);
         }
     }
 
-    /// Does what is next. `live` are our peers that live: one of them that has not told all is waited for.
+    /// Performs the next actions. `live` lists the live peers; a live peer that has not reported everything is waited
+    /// for.
     pub fn wake(&mut self, now: Micros, live: &[MemberId], out: &mut Vec<RejoinAction>) {
         let was = self.stage;
         if self.stage == RejoinStage::Reclaiming && self.permits.values().all(Option::is_some) {
             self.stage = RejoinStage::QueryingPeers;
         }
-        // Nobody who lives may be cut off from all who know: the majority of the voters has answered before.
+        // A live peer can't be cut off from all gateways that know, as a majority of the voters has answered before.
         if self.stage == RejoinStage::QueryingPeers && live.iter().all(|of| self.answered_peers.contains(of))
         {
             self.permits.retain(|_, number| number.is_some_and(|number| number != 0));
--- a/crates/pending/src/takeover_messages.rs
+++ b/crates/pending/src/takeover_messages.rs
@@ -1,203 +1,206 @@
-//! What gateways tell one another of what is taken over, and what an heir puts out.
+//! Messages between gateways during a takeover, and outputs of the recovery.
 
 use crate::resolution::{FirstSend, Resolution};
 use crate::types::{Accepted, Entry, Key, Outcome, Source, WallMs};
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use serde::{Deserialize, Serialize};
 
-/// What we hold of a journal.
+/// The part of a journal that is stored here.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct JournalSnapshot {
-    /// Whose.
+    /// The journal.
     pub source: Source,
-    /// The number of its last line that we hold; nothing before it is missing but what was over.
+    /// Number of the last entry stored here. Only entries that were no longer needed are missing before it.
     pub through: u64,
-    /// The latest that its writer has said to have written.
+    /// Number of the last entry that the writer is known to have written.
     pub head: u64,
-    /// For how long we have not heard of its writer.
+    /// Time since the last message from the writer.
     pub silent_for: Micros,
-    /// What matters of it yet, by number.
+    /// The entries that still have a payload, by number.
     pub entries: Vec<Entry>,
 }
 
-/// Why something of a journal is not known.
+/// Why a part of a journal is missing.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, strum::VariantNames,
 )]
 pub enum LossReason {
-    /// It was written and came to nobody who lives.
+    /// It was written but no reachable gateway has it.
     Missing,
-    /// Two hold different lines under one number.
+    /// Two gateways have different entries under the same number.
     Contradicted,
-    /// Nobody who lives holds anything of it: there was nothing, or it is lost with all who held it.
+    /// No reachable gateway has any part of it: it was empty, or all its holders are lost.
     Unheld,
 }
 
-/// What is not known, and not guessed.
+/// A part of a journal that is missing; its contents are unknown and not reconstructed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 #[error(
     "journal {source_of:?}: lines {from} to {to:?} are gone ({why:?}): ask the clients of that gateway for what had no answer"
 )]
 pub struct JournalLoss {
-    /// Whose journal.
+    /// The journal.
     pub source_of: Source,
-    /// The first line.
+    /// Number of the first missing entry.
     pub from: u64,
-    /// The last, where that is known.
+    /// Number of the last missing entry, if known.
     pub to: Option<u64>,
-    /// Why.
+    /// The reason.
     pub why: LossReason,
 }
 
-/// What became of an event, for whoever is told of it again.
+/// Status of an event of a lost gateway or an earlier life, for answering repeats.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EventStatus {
-    /// It will be done; by whom is not settled.
+    /// It will be completed; no gateway owns it yet.
     Unassigned,
-    /// This gateway does it.
+    /// This gateway owns it.
     OwnedBy(MemberId),
-    /// It has ended; the answer is empty where there was none or it was too long to be kept.
+    /// It has ended. The answer is empty if there was none or it was too long to be recorded.
     Ended(Outcome, Vec<u8>),
 }
 
 impl EventStatus {
-    /// Bytes of the answer that it holds.
+    /// Length of the recorded answer in bytes.
     pub fn answer_bytes(&self) -> usize {
         if let Self::Ended(_, answer) = self { answer.len() } else { 0 }
     }
 }
 
-/// Whose an event is, to whoever answers a claim.
+/// A peer's decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimDecision {
-    /// The asker's.
+    /// The claimant may take the event.
     Granted,
-    /// The answerer's.
+    /// The responder takes the event itself.
     Denied,
-    /// Nobody's any more.
+    /// The event has already ended.
     Ended(Outcome, Vec<u8>),
 }
 
-/// What a peer answers of an event that is claimed.
+/// A peer's reply to the claim of one event.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimReply {
-    /// Which event.
+    /// The event.
     pub key: Key,
-    /// Whose it is.
+    /// The decision.
     pub decision: ClaimDecision,
-    /// Whether it was sent, as far as the answerer could know.
+    /// Whether the event was sent, as far as the responder knows.
     pub first_send: FirstSend,
-    /// The line by which it was accepted and the chain there, where the answerer holds it.
+    /// The entry that accepted the event (journal, number, chain value), if the responder has it.
     pub accepted_entry: Option<(Source, u64, u64)>,
-    /// How far the answerer's copy of the journal that was named goes, and how far it was written as it knows.
+    /// The last entry of the claimed journal that the responder has, and the last that it knows was written.
     pub log_extent: Option<(u64, u64)>,
-    /// Of some other journal of a lost gateway the answerer lacks something.
+    /// The responder lacks entries of some other journal of a lost gateway.
     pub other_journal_incomplete: bool,
 }
 
-/// What gateways tell one another of what is taken over.
+/// Messages between gateways about events that are taken over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TakeoverMessage {
-    /// I would end these, accepted by these lines. Not answered before the answerer has begun with that journal.
+    /// Claims events, each with the journal and the number of the entry that accepted it. A gateway ignores the claim
+    /// until it has itself begun to take over that journal.
     Claim(Vec<(Key, Source, u64)>),
-    /// The answer, by one that lives for so long.
+    /// The answer to [`TakeoverMessage::Claim`].
     ClaimReplies {
-        /// Since its start.
+        /// Time since the responder started.
         age: Micros,
-        /// For each event of which it could say anything.
+        /// One reply for each claimed event that the responder could decide on.
         replies: Vec<ClaimReply>,
     },
-    /// These have ended so.
+    /// Events have ended, each with its outcome and answer.
     Ended(Vec<(Key, Outcome, Vec<u8>)>),
-    /// Do you hold anything of this gateway's lives up to this one? Answered by whoever has begun with it.
+    /// Asks whether the receiver has any part of the journals of this gateway up to this life. Answered only by a
+    /// gateway that has begun to take over that life.
     HoldsQuery(MemberId, u64),
-    /// Whether any.
+    /// The answer to [`TakeoverMessage::HoldsQuery`]: whether it has any part.
     HoldsReply(MemberId, bool),
-    /// My life began, and this one is over; what was done with what it and those before had pending, after this event?
-    /// Taken up only when what was promised to the asker has run out.
+    /// The sender started a new life and asks what became of the events that its lives up to `life` had pending.
+    /// Processed only after all promises to the sender have expired.
     ReturnQuery {
-        /// The life that is over.
+        /// The last life that has ended.
         life: u64,
-        /// The last event told before.
+        /// The last event of the previous part of the answer.
         after: Option<Key>,
     },
-    /// A part of that.
+    /// A part of the answer to [`TakeoverMessage::ReturnQuery`].
     ReturnReply {
-        /// The life that was asked about.
+        /// The life from the query.
         life: u64,
-        /// By event, with its deadline.
+        /// Status of each event, with its deadline.
         statuses: Vec<(Key, WallMs, EventStatus)>,
-        /// The last of this part, where there is more.
+        /// The last event of this part, if there are more parts.
         more: Option<Key>,
     },
 }
 
-/// Figures of an heir.
+/// Settings of the recovery of events of lost gateways.
 #[derive(Clone, Debug)]
 pub struct RecoverySettings {
-    /// Which gateway stands at which site.
+    /// The site of each gateway.
     pub site_map: SiteMap,
-    /// Our life: those before it are over.
+    /// This gateway's life; all before it have ended.
     pub life: u64,
-    /// How many gateways hold an entry, by class.
+    /// Number of holders that an entry must have, by class.
     pub holders: Vec<u8>,
-    /// Wall clocks differ by up to this.
+    /// Maximum difference between the wall clocks of two gateways.
     pub clock_skew_ms: WallMs,
-    /// Events of lost owners that are out to workers at once, at most.
+    /// Maximum number of recovered events that run on workers at the same time.
     pub concurrency: usize,
-    /// And that begin in a second.
+    /// Maximum number of recovered events that start per second.
     pub rate: u32,
-    /// An event that is over is remembered for so long past its deadline.
+    /// How long an ended event is remembered past its deadline.
     pub retention_ms: WallMs,
 }
 
-/// What an heir does or wants done.
+/// Outputs of the recovery.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RecoveryOutput {
-    /// For another gateway.
+    /// Send a message to another gateway.
     Send(MemberId, TakeoverMessage),
-    /// The event is ours, to be ended so by a worker: it goes the way of one that was accepted here, journal and lease
-    /// included, with its first byte said to have left at `first` if it did. Its end is told by [`Recovery::over`].
+    /// This gateway owns the event now and runs it: it is processed like an event that was accepted here, journal and
+    /// lease included. Its end is reported by [`Recovery::ended`].
     Adopt {
         /// The event.
         accepted: Accepted,
-        /// When it was first sent.
+        /// When its first byte was sent, if it was.
         first_send_at: Option<WallMs>,
-        /// What is done: one of those that run.
+        /// The decision, one of those that run the event.
         resolution: Resolution,
     },
-    /// The event has ended here and no worker is asked.
+    /// The event was ended without running it.
     Resolved {
         /// The event.
         key: Key,
-        /// How.
+        /// The decision.
         resolution: Resolution,
-        /// For repeats.
+        /// The outcome reported to repeats.
         outcome: Outcome,
-        /// The answer, where there is one.
+        /// The recorded answer, or empty.
         answer: Vec<u8>,
     },
-    /// Something is not known.
+    /// A part of a journal is missing.
     JournalLoss(JournalLoss),
-    /// All that a gateway's peer knows of our earlier lives has come: [`crate::Return::learnt`].
+    /// A peer has reported all that it knows of this gateway's earlier lives, see
+    /// [`crate::Rejoin::on_peer_answered`].
     ReturnLearned(MemberId),
 }
 
-/// How events of lost owners have ended here.
+/// Number of events of lost gateways by decision, and of missing parts of journals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RecoveryCounts {
-    /// Never sent, and run here.
+    /// Never sent before, run here.
     pub run: u64,
-    /// Safe, and run again.
+    /// Safe to repeat, run again.
     pub run_again: u64,
-    /// FirstSend again under their keys.
+    /// Sent again under their keys.
     pub same_key: u64,
-    /// Not run, as they may have.
+    /// Not run, as they may have run before.
     pub may_have_run: u64,
-    /// Past their time.
+    /// Past their deadline.
     pub expired: u64,
-    /// Let go.
+    /// Dropped, as no client waits and a repeat may run.
     pub dropped: u64,
-    /// Parts of journals that are not known.
+    /// Missing parts of journals.
     pub journal_losses: u64,
 }
--- a/crates/pending/src/types.rs
+++ b/crates/pending/src/types.rs
@@ -1,105 +1,105 @@
 use basaltward_membership::{MemberId, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds since 1970 by a wall clock: for deadlines and windows that another gateway has to understand, never for
-/// a lease.
+/// Milliseconds since 1970 by the wall clock. Used for deadlines and windows that other gateways have to interpret,
+/// never for a lease.
 pub type WallMs = u64;
 
-/// Names an event over all sites: a digest of its tenant, function, source and id.
+/// Identifies an event across all sites: a digest of its tenant, function, source and id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key(pub u128);
 
-/// Whose journal: one life of one gateway.
+/// Identifies a journal by its writer: one life (process run) of one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Source {
-    /// The gateway, by its number among all peers.
+    /// The gateway's index in the list of all peers.
     pub gateway: MemberId,
-    /// When its life began, as in its incarnation.
+    /// Start of this life, the same value as in the gateway's incarnation.
     pub life: u64,
 }
 
-/// What may be done once a call was sent.
+/// Whether a call may be sent again after it was sent once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RepeatSafety {
-    /// It may run again.
+    /// May run any number of times.
     Safe,
-    /// It may be sent again under the same key, for so long after it was first sent.
+    /// May be sent again under the same key within a window after it was first sent.
     Keyed {
-        /// How long workers drop its repeats.
+        /// How long workers deduplicate by the key.
         window: Micros,
     },
     /// It must not run twice.
     Unsafe,
 }
 
-/// An event that is kept.
+/// An accepted event that is recorded in the journal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Its name over all sites.
+    /// Identifies the event across all sites.
     pub key: Key,
-    /// Its class, a position in the settings that all sites share.
+    /// Index of its class in the settings that all sites share.
     pub class: u16,
-    /// Its tenant.
+    /// Index of its tenant.
     pub tenant: u16,
-    /// Its function.
+    /// Name of its function.
     pub function: String,
-    /// What may be done once it was sent.
+    /// Whether it may be sent again after it was sent once.
     pub repeat_safety: RepeatSafety,
-    /// It is done though its client may be gone.
+    /// Whether it is completed even if its client is gone.
     pub finish_without_client: bool,
-    /// When its client gives up.
+    /// When its client stops waiting.
     pub deadline: WallMs,
-    /// The event as a structured CloudEvent, up to the configured bound.
+    /// The event as a structured CloudEvent, at most `entry_bytes` long together with the function's name.
     pub event: Vec<u8>,
 }
 
-/// How a kept event ended.
+/// How a recorded event ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Served: the answer goes along.
+    /// It was served; the answer is recorded with it.
     Served,
-    /// It never ran.
+    /// It was refused and never ran.
     Refused,
-    /// It may have run.
+    /// It failed and may have run.
     Failed,
 }
 
-/// What a journal says of an event.
+/// A step in the processing of an event, the payload of a journal entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Step {
-    /// It was accepted: an answer is owed.
+    /// The event was accepted and has to be answered.
     Accepted(Accepted),
-    /// Its first byte is about to leave for a worker.
+    /// An attempt is about to send its first byte to a worker.
     Sending {
         /// The event.
         key: Key,
-        /// Which attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// The worker.
+        /// Address of the worker.
         worker: String,
-        /// When: the window of a keyed event runs from the first.
+        /// When the attempt began. The window of a keyed event runs from its first attempt.
         at: WallMs,
     },
-    /// It has ended.
+    /// The event has ended.
     Ended {
         /// The event.
         key: Key,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// The answer as a structured CloudEvent, up to the configured bound; empty where there is none or it is longer.
+        /// The answer as a structured CloudEvent; empty if there is none or if it exceeds the configured bound.
         answer: Vec<u8>,
     },
 }
 
-/// A line of a journal.
+/// An entry of a journal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Whose journal.
+    /// The journal it belongs to.
     pub source: Source,
-    /// Its running number, from 1 without a gap.
+    /// Its sequence number, from 1 without gaps.
     pub number: u64,
-    /// A checksum of this entry and of the one before: a journal with a gap or a changed byte shows it.
+    /// Checksum over this entry and the chain value before it; reveals a gap or a changed byte.
     pub chain: u64,
-    /// What it says.
+    /// The recorded step.
     pub step: Step,
 }
--- a/crates/pending/src/wire.rs
+++ b/crates/pending/src/wire.rs
@@ -1,5 +1,5 @@
-//! Frames between gateways: a version byte, one message by serde, a checksum over both. What they hold is bounded by
-//! their length, and nothing of a frame that was cut or changed is read.
+//! Frames between gateways: a version byte, one serialized message, and a checksum over both. Collections in a
+//! message are bounded by the frame's length, and a truncated or corrupted frame is rejected as a whole.
 
 use crate::error::WireError;
 use crate::takeover_messages::TakeoverMessage;
@@ -8,121 +8,121 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The first byte of each frame.
+/// First byte of each frame.
 pub const VERSION: u8 = 0x51;
-/// Append go in frames of about this many bytes, or one line alone.
+/// Entries are batched into frames of about this many bytes; a longer entry is sent alone.
 pub const TARGET_FRAME_BYTES: usize = 64 << 10;
-/// What a frame holds beside its lines.
+/// Upper bound for the bytes of a frame other than its entries.
 const FRAME_OVERHEAD_BYTES: usize = 256;
 
-/// A line on its way, with the chain after it.
+/// An entry in a frame, with the chain value after it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WireEntry<'a> {
-    /// Its bytes.
+    /// The payload.
     Full(&'a [u8], [u8; 8]),
-    /// Its digest: its event has ended, or is past its time.
+    /// The digest of a payload that was dropped, as the event has ended or expired.
     DigestOnly([u8; 8], [u8; 8]),
 }
 
-/// Append of a journal, from its writer to a holder.
+/// Entries of a journal, from its writer to a holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Append<'a> {
-    /// Whose journal.
+    /// The journal.
     pub source: Source,
-    /// The holder's life to which they are sent: another holds nothing of what went before.
+    /// The life of the holder to which they are sent; another life has none of the earlier entries.
     pub holder_life: u64,
-    /// On the writer's clock; the answer names it.
+    /// Send time on the writer's clock, echoed in the ack.
     pub sent_at: Micros,
-    /// Counts how often the writer began again from what this holder holds; the answer names it.
+    /// Number of times the writer restarted sending from what the holder has acknowledged, echoed in the ack.
     pub resync_count: u32,
-    /// Nothing below is needed any more.
+    /// Entries before this number are no longer needed.
     pub needed_from: u64,
-    /// The number of the last line that is written.
+    /// Number of the last entry written.
     pub head: u64,
-    /// The number of the first line.
+    /// Number of the first entry in this frame.
     pub first: u64,
-    /// The holder's journal begins here.
+    /// The holder's replica starts with this frame.
     pub starts_journal: bool,
-    /// The chain before the first line.
+    /// The chain value before the first entry.
     pub chain_before: [u8; 8],
-    /// The lines, by number without a gap.
+    /// Consecutive entries.
     #[serde(borrow)]
     pub entries: Vec<WireEntry<'a>>,
 }
 
-/// Why lines were not taken, or not all of them.
+/// Why entries were rejected, all or some of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// Those before them are missing.
+    /// Entries before them are missing.
     Gap,
-    /// This one is not what was written.
+    /// This entry does not match its checksum.
     Corrupt(u64),
-    /// There is no room.
+    /// The storage is full.
     Full,
-    /// They were sent to another life.
+    /// They were sent to another life of the holder.
     WrongLife,
-    /// Nothing of the journal is held.
+    /// The holder has no part of the journal.
     UnknownJournal,
-    /// Its owner was taken over.
+    /// The writer was taken over.
     TakenOver,
 }
 
-/// A holder's answer to lines, or to a release.
+/// A holder's answer to [`Append`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ack {
-    /// Whose journal.
+    /// The journal.
     pub source: Source,
     /// The holder's life.
     pub holder_life: u64,
-    /// Counts how often this life has begun this journal.
+    /// Generation of the replica: grows each time the holder starts the journal from scratch.
     pub generation: u32,
-    /// All lines up to this one, from where it was begun, are held.
+    /// All entries up to this number, from the start of the replica, are stored.
     pub through: u64,
-    /// When the lines were sent that this answers.
+    /// Send time of the frame that this answers.
     pub echoed_sent_at: Micros,
-    /// And in which turn.
+    /// Resync count of the frame that this answers.
     pub resync_count: u32,
-    /// Nothing is done in the writer's place for a while from here on.
+    /// The holder promises not to take the writer over for a while.
     pub lease_granted: bool,
-    /// What is wrong with them.
+    /// Why the entries were rejected, if they were.
     pub rejected: Option<RejectReason>,
 }
 
-/// Nothing of a journal is needed by its writer.
+/// The writer no longer needs the holder's replica of a journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
-    /// Whose journal.
+    /// The journal.
     pub source: Source,
-    /// On the writer's clock: lines that were sent later are needed.
+    /// Send time on the writer's clock; entries that were sent later are still needed.
     pub sent_at: Micros,
 }
 
-/// What one gateway tells another.
+/// A message between gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message<'a> {
-    /// To a holder.
+    /// From a writer to a holder.
     #[serde(borrow)]
     Append(Append<'a>),
-    /// From it.
+    /// From a holder to the writer.
     Ack(Ack),
-    /// To one that is a holder no more.
+    /// From a writer to a gateway that is no longer a holder.
     Release(Release),
-    /// It has let go.
+    /// Confirms a release.
     Released(Release),
-    /// Of what is taken over.
+    /// About events that are taken over.
     Takeover(TakeoverMessage),
-    /// Says nothing: whoever wants to be connected sends it.
+    /// Empty; sent to make the peer layer open a connection.
     Connect,
 }
 
-/// A message as a frame.
+/// Encodes a message as a frame.
 pub fn encode(message: &Message) -> Vec<u8> {
     let mut bytes = postcard::to_extend(message, vec![VERSION]).unwrap_or_default();
     bytes.extend(xxh3_64(&bytes).to_le_bytes());
     bytes
 }
 
-/// A frame's message.
+/// Decodes a frame.
 pub fn decode(bytes: &[u8], entry_bytes: usize) -> Result<Message<'_>, WireError> {
     if bytes.len() > TARGET_FRAME_BYTES.max(entry_bytes) + FRAME_OVERHEAD_BYTES {
         return Err(WireError::Long(bytes.len()));
