--- a/crates/pending/src/claims.rs
+++ b/crates/pending/src/claims.rs
@@ -14,57 +14,57 @@
 const MAX_ANSWER_BYTES_PER_MESSAGE: usize = 48 << 10;
 /// Limits for what this gateway learns about events of its earlier lives: events, and bytes of their answers. With
 /// more events it does not become ready until some have expired.
-const LEARNT: (usize, usize) = (1 << 17, 16 << 20);
+const MAX_LEARNED_EVENTS: usize = 1 << 17;
+const MAX_LEARNED_BYTES: usize = 16 << 20;
 
 impl Recovery {
-    /// Handles a message of another gateway. `copies` returns the snapshots of all journals of a gateway up to a
+    /// Handles a message of another gateway. `snapshots` returns the snapshots of all journals of a gateway up to a
     /// life.
     pub fn handle_message(
         &mut self,
         now: Micros,
         from: MemberId,
-        word: TakeoverMessage,
-        copies: impl Fn(MemberId, u64) -> Vec<JournalSnapshot>,
+        message: TakeoverMessage,
+        snapshots: impl Fn(MemberId, u64) -> Vec<JournalSnapshot>,
         out: &mut Vec<RecoveryOutput>,
     ) {
-        match word {
+        match message {
             TakeoverMessage::Claim(keys) => {
-                let says: Vec<ClaimReply> = keys
+                let replies: Vec<ClaimReply> = keys
                     .into_iter()
-                    .filter_map(|(key, source, line)| self.answer_claim(from, key, source, line))
+                    .filter_map(|(key, source, entry_number)| {
+                        self.answer_claim(from, key, source, entry_number)
+                    })
                     .collect();
                 let age = now.saturating_sub(self.started_at);
-                for says in into_batches(
-                    says,
-                    |say| matches!(&say.decision, ClaimDecision::Ended(_, answer) if !answer.is_empty()),
+                for replies in into_batches(
+                    replies,
+                    |reply| matches!(&reply.decision, ClaimDecision::Ended(_, answer) if !answer.is_empty()),
                 ) {
-                    out.push(RecoveryOutput::Send(
-                        from,
-                        TakeoverMessage::ClaimReplies { age, replies: says },
-                    ));
+                    out.push(RecoveryOutput::Send(from, TakeoverMessage::ClaimReplies { age, replies }));
                 }
             }
-            TakeoverMessage::ClaimReplies { age, replies: says } => {
-                says.into_iter().for_each(|say| self.handle_claim_reply(now, from, age, say, out))
+            TakeoverMessage::ClaimReplies { age, replies } => {
+                replies.into_iter().for_each(|reply| self.handle_claim_reply(now, from, age, reply, out))
             }
             TakeoverMessage::Ended(ends) => {
                 for (key, outcome, answer) in ends {
-                    if let Some((_, fate)) =
-                        self.learned.get_mut(&key).filter(|(_, fate)| *fate == EventStatus::OwnedBy(from))
+                    if let Some((_, status)) =
+                        self.learned.get_mut(&key).filter(|(_, status)| *status == EventStatus::OwnedBy(from))
                     {
-                        let fits = self.learned_bytes + answer.len() <= LEARNT.1;
-                        *fate = EventStatus::Ended(outcome, if fits { answer.clone() } else { Vec::new() });
-                        self.learned_bytes += fate.answer_bytes();
+                        let fits = self.learned_bytes + answer.len() <= MAX_LEARNED_BYTES;
+                        *status = EventStatus::Ended(outcome, if fits { answer.clone() } else { Vec::new() });
+                        self.learned_bytes += status.answer_bytes();
                     }
-                    let theirs = |event: &&mut Event| event.stage == EventStage::OwnedBy(from);
-                    if let Some(event) = self.events.get_mut(&key).filter(theirs) {
+                    let owned_by_sender = |event: &&mut Event| event.stage == EventStage::OwnedBy(from);
+                    if let Some(event) = self.events.get_mut(&key).filter(owned_by_sender) {
                         Self::record_end(event, &mut self.running, outcome, answer);
                     }
                 }
             }
             TakeoverMessage::HoldsQuery(of, life) => {
-                if self.ended_lives.get(&of).is_some_and(|begun| *begun >= life) {
-                    let any = !copies(of, life).is_empty();
+                if self.ended_lives.get(&of).is_some_and(|ended_life| *ended_life >= life) {
+                    let any = !snapshots(of, life).is_empty();
                     out.push(RecoveryOutput::Send(from, TakeoverMessage::HoldsReply(of, any)));
                 }
             }
@@ -73,47 +73,57 @@
                 self.holder_queries.get_mut(&of).into_iter().for_each(|left| _ = left.remove(&from));
             }
             TakeoverMessage::ReturnQuery { life, after } => {
-                self.answer_return_query(now, from, life, after, copies, out)
+                self.answer_return_query(now, from, life, after, snapshots, out)
             }
-            TakeoverMessage::ReturnReply { life, statuses: fates, more } => {
-                self.handle_return_reply(from, life, fates, more, out)
+            TakeoverMessage::ReturnReply { life, statuses, more } => {
+                self.handle_return_reply(from, life, statuses, more, out)
             }
         }
     }
 
     /// Answers a claim. A granted claim binds this gateway from then on.
-    fn answer_claim(&mut self, from: MemberId, key: Key, source: Source, line: u64) -> Option<ClaimReply> {
+    fn answer_claim(
+        &mut self,
+        from: MemberId,
+        key: Key,
+        source: Source,
+        entry_number: u64,
+    ) -> Option<ClaimReply> {
         if self.ended_lives.get(&source.gateway).is_none_or(|life| *life < source.life) {
             return None;
         }
-        let upto = self.log_extents.get(&source).copied();
-        let torn = self.log_extents.iter().any(|(of, (through, head))| *of != source && head > through);
+        let log_extent = self.log_extents.get(&source).copied();
+        let other_journal_incomplete =
+            self.log_extents.iter().any(|(of, (through, head))| *of != source && head > through);
         let Some(event) = self.events.get_mut(&key) else {
             // The replica here goes past the accepting entry but no longer has the event: it has ended, and how is no
             // longer known.
-            let over = upto.is_some_and(|(through, _)| through >= line);
-            let stand =
-                if over { ClaimDecision::Ended(Outcome::Failed, Vec::new()) } else { ClaimDecision::Granted };
+            let ended = log_extent.is_some_and(|(through, _)| through >= entry_number);
+            let decision = if ended {
+                ClaimDecision::Ended(Outcome::Failed, Vec::new())
+            } else {
+                ClaimDecision::Granted
+            };
             return Some(ClaimReply {
                 key,
-                decision: stand,
+                decision,
                 first_send: FirstSend::Never,
                 accepted_entry: None,
-                log_extent: upto,
-                other_journal_incomplete: torn,
+                log_extent,
+                other_journal_incomplete,
             });
         };
         event.other_holders.insert(from);
-        let ours = match event.stage {
+        let keep = match event.stage {
             EventStage::Ready | EventStage::Running => true,
             EventStage::Unclaimed | EventStage::Claiming(_) => {
                 claim_rank(key, self.own) > claim_rank(key, from)
             }
             EventStage::OwnedBy(_) | EventStage::Ended(..) => false,
         };
-        let stand = match &event.stage {
+        let decision = match &event.stage {
             EventStage::Ended(outcome, answer) => ClaimDecision::Ended(*outcome, answer.clone()),
-            _ if ours => ClaimDecision::Denied,
+            _ if keep => ClaimDecision::Denied,
             _ => {
                 event.stage = EventStage::OwnedBy(from);
                 ClaimDecision::Granted
@@ -121,11 +131,11 @@
         };
         Some(ClaimReply {
             key,
-            decision: stand,
+            decision,
             first_send: event.first_send,
             accepted_entry: Some(event.accepted_entry),
-            log_extent: upto,
-            other_journal_incomplete: torn,
+            log_extent,
+            other_journal_incomplete,
         })
     }
 
@@ -134,10 +144,10 @@
         now: Micros,
         from: MemberId,
         age: Micros,
-        say: ClaimReply,
+        reply: ClaimReply,
         out: &mut Vec<RecoveryOutput>,
     ) {
-        let Some(event) = self.events.get_mut(&say.key) else { return };
+        let Some(event) = self.events.get_mut(&reply.key) else { return };
         if !matches!(&event.stage, EventStage::Claiming(left) if left.contains(&from)) {
             return;
         }
@@ -146,21 +156,21 @@
         if age < now.saturating_sub(event.owner_last_heard).saturating_mul(5) / 4 {
             event.first_send = FirstSend::Unknown;
         }
-        if let Some(line) = say.accepted_entry.filter(|line| event.is_superseded_by(*line)) {
-            event.reset_to(line, say.first_send);
+        if let Some(entry) = reply.accepted_entry.filter(|entry| event.is_superseded_by(*entry)) {
+            event.reset_to(entry, reply.first_send);
             self.next_retry = now;
             return;
         }
-        event.first_send = event.first_send.merge(say.first_send);
-        event.other_journal_incomplete |= say.other_journal_incomplete;
-        if let Some((through, head)) = say.log_extent {
+        event.first_send = event.first_send.merge(reply.first_send);
+        event.other_journal_incomplete |= reply.other_journal_incomplete;
+        if let Some((through, head)) = reply.log_extent {
             event.log_extent = (event.log_extent.0.max(through), event.log_extent.1.max(head));
             if through >= event.accepted_entry.1 {
                 event.complete_holders.insert(from);
             }
         }
         let (own, mut contradicted) = (event.accepted_entry, None);
-        if let Some((source, number, chain)) = say.accepted_entry {
+        if let Some((source, number, chain)) = reply.accepted_entry {
             event.other_holders.insert(from);
             if (source, number) == (own.0, own.1) && chain != own.2 {
                 event.first_send = FirstSend::Unknown;
@@ -172,7 +182,7 @@
                 });
             }
         }
-        match say.decision {
+        match reply.decision {
             ClaimDecision::Granted => {
                 if let EventStage::Claiming(left) = &mut event.stage {
                     left.remove(&from);
@@ -183,7 +193,7 @@
                 Self::record_end(event, &mut self.running, outcome, answer)
             }
         }
-        contradicted.into_iter().for_each(|gone| self.report_loss(gone, out));
+        contradicted.into_iter().for_each(|loss| self.report_loss(loss, out));
     }
 
     /// Answers a later life of a gateway: its earlier lives have ended, and the status of all their pending events is
@@ -194,32 +204,32 @@
         from: MemberId,
         life: u64,
         after: Option<Key>,
-        copies: impl Fn(MemberId, u64) -> Vec<JournalSnapshot>,
+        snapshots: impl Fn(MemberId, u64) -> Vec<JournalSnapshot>,
         out: &mut Vec<RecoveryOutput>,
     ) {
-        if self.ended_lives.get(&from).is_none_or(|begun| *begun < life) {
-            self.take_over(now, from, life, false, copies(from, life));
+        if self.ended_lives.get(&from).is_none_or(|ended_life| *ended_life < life) {
+            self.take_over(now, from, life, false, snapshots(from, life));
         }
-        let of_it =
+        let is_theirs =
             |event: &Event| event.accepted_entry.0.gateway == from && event.accepted_entry.0.life <= life;
         // The peer that owns one of these events also reports its end to the returning gateway.
-        let all = self.events.values_mut().filter(|event| of_it(event));
+        let all = self.events.values_mut().filter(|event| is_theirs(event));
         all.for_each(|event| _ = event.other_holders.insert(from));
         let later = |key: &Key| after.is_none_or(|after| *key > after);
-        let rest = self.events.iter().filter(|(key, event)| later(key) && of_it(event));
-        let (mut fates, mut bytes, mut more) = (Vec::<(Key, WallMs, EventStatus)>::new(), 0, None);
+        let rest = self.events.iter().filter(|(key, event)| later(key) && is_theirs(event));
+        let (mut statuses, mut bytes, mut more) = (Vec::<(Key, WallMs, EventStatus)>::new(), 0, None);
         for (key, event) in rest {
-            let fate = self.status_of(event);
-            bytes += fate.answer_bytes();
-            if fates.len() == MAX_EVENTS_PER_MESSAGE
-                || (bytes > MAX_ANSWER_BYTES_PER_MESSAGE && !fates.is_empty())
+            let status = self.status_of(event);
+            bytes += status.answer_bytes();
+            if statuses.len() == MAX_EVENTS_PER_MESSAGE
+                || (bytes > MAX_ANSWER_BYTES_PER_MESSAGE && !statuses.is_empty())
             {
-                more = fates.last().map(|(key, ..)| *key);
+                more = statuses.last().map(|(key, ..)| *key);
                 break;
             }
-            fates.push((*key, event.accepted.deadline, fate));
+            statuses.push((*key, event.accepted.deadline, status));
         }
-        out.push(RecoveryOutput::Send(from, TakeoverMessage::ReturnReply { life, statuses: fates, more }));
+        out.push(RecoveryOutput::Send(from, TakeoverMessage::ReturnReply { life, statuses, more }));
     }
 
     /// Merges what a peer reports about events of earlier lives: an end takes precedence over an owner, and an owner
@@ -228,33 +238,35 @@
         &mut self,
         from: MemberId,
         life: u64,
-        fates: Vec<(Key, WallMs, EventStatus)>,
+        statuses: Vec<(Key, WallMs, EventStatus)>,
         more: Option<Key>,
         out: &mut Vec<RecoveryOutput>,
     ) {
-        if self.learned.len() + fates.len() > LEARNT.0 {
+        if self.learned.len() + statuses.len() > MAX_LEARNED_EVENTS {
             return;
         }
         out.push(match more {
             Some(_) => RecoveryOutput::Send(from, TakeoverMessage::ReturnQuery { life, after: more }),
             None => RecoveryOutput::ReturnLearned(from),
         });
-        for (key, deadline, fate) in fates {
+        for (key, deadline, status) in statuses {
             let known = self.learned.entry(key).or_insert((deadline, EventStatus::Unassigned));
-            let later = match (&known.1, &fate) {
+            let later = match (&known.1, &status) {
                 (EventStatus::Ended(..), _) | (_, EventStatus::Unassigned) => false,
                 (EventStatus::Unassigned, _) | (_, EventStatus::Ended(..)) => true,
                 // A report of the owner itself is preferred.
                 (EventStatus::OwnedBy(_), EventStatus::OwnedBy(of)) => *of == from,
             };
             if later {
-                known.1 = match fate {
+                known.1 = match status {
                     // The event was served, but its answer does not fit; it is reported like an answer that was too
                     // long.
-                    EventStatus::Ended(outcome, answer) if self.learned_bytes + answer.len() > LEARNT.1 => {
+                    EventStatus::Ended(outcome, answer)
+                        if self.learned_bytes + answer.len() > MAX_LEARNED_BYTES =>
+                    {
                         EventStatus::Ended(outcome, Vec::new())
                     }
-                    fate => fate,
+                    status => status,
                 };
                 self.learned_bytes += known.1.answer_bytes();
             }
@@ -264,16 +276,16 @@
 
 /// Splits replies into batches of at most [`MAX_EVENTS_PER_MESSAGE`]; a reply with an answer gets a message of its
 /// own.
-fn into_batches(says: Vec<ClaimReply>, alone: impl Fn(&ClaimReply) -> bool) -> Vec<Vec<ClaimReply>> {
-    let mut pieces: Vec<Vec<ClaimReply>> = Vec::new();
-    let mut room = 0;
-    for say in says {
-        if room == 0 || alone(&say) {
-            pieces.push(Vec::new());
-            room = MAX_EVENTS_PER_MESSAGE;
+fn into_batches(replies: Vec<ClaimReply>, alone: impl Fn(&ClaimReply) -> bool) -> Vec<Vec<ClaimReply>> {
+    let mut batches: Vec<Vec<ClaimReply>> = Vec::new();
+    let mut capacity = 0;
+    for reply in replies {
+        if capacity == 0 || alone(&reply) {
+            batches.push(Vec::new());
+            capacity = MAX_EVENTS_PER_MESSAGE;
         }
-        room = if alone(&say) { 0 } else { room - 1 };
-        pieces.last_mut().into_iter().for_each(|piece| piece.push(say.clone()));
+        capacity = if alone(&reply) { 0 } else { capacity - 1 };
+        batches.last_mut().into_iter().for_each(|batch| batch.push(reply.clone()));
     }
-    pieces
+    batches
 }
--- a/crates/pending/src/error.rs
+++ b/crates/pending/src/error.rs
@@ -7,16 +7,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, strum::VariantNames)]
 pub enum ReplicationError {
     /// The class does not replicate events.
-    #[error("class {0} keeps no events: give it pending=\"kept\" in the settings of all gateways alike")]
+    #[error(
+        "class {0} does not replicate events: set pending=\"kept\" for it in the settings of all gateways"
+    )]
     Class(u16),
     /// An event with this key is already pending here.
-    #[error("event {0:?} is pending here already: its client repeats it before it has its answer")]
+    #[error("event {0:?} is already pending here: its client sent it again before it was answered")]
     Doubled(Key),
     /// No event with this key is pending here.
-    #[error("event {0:?} is not pending here: it was never kept, has ended or was given up")]
+    #[error("event {0:?} is not pending here: it was never accepted, has ended or has expired")]
     Unknown(Key),
     /// The event is longer than an entry may be.
-    #[error("an event of {bytes} bytes is over entry-bytes={most}: raise it at all gateways, or send less")]
+    #[error(
+        "an event of {bytes} bytes exceeds entry-bytes={most}: raise it at all gateways, or send smaller events"
+    )]
     Long {
         /// Length in bytes of the event and its function's name.
         bytes: usize,
@@ -25,8 +29,8 @@
     },
     /// The journal has reached its size limit.
     #[error(
-        "{held} bytes are pending here and journal-bytes={most}: raise it at all gateways, or look why events don't \
-         end"
+        "the journal holds {held} bytes and journal-bytes={most}: raise it at all gateways, or check why events \
+         don't end"
     )]
     Full {
         /// Bytes in the journal.
@@ -36,26 +40,27 @@
     },
     /// Fewer gateways of other sites are live than the class requires. Nothing was written.
     #[error(
-        "{live} gateways of other sites can hold an entry and the class wants {told}: start more, or lower holders"
+        "{live} gateways of other sites are live and the class requires {required}: start more, or lower holders"
     )]
     Few {
         /// Number of holders that the class requires.
-        told: u8,
+        required: u8,
         /// Number of gateways of other sites that are live.
         live: u8,
     },
     /// This gateway does not know yet which of its events others completed while it was down.
     #[error(
-        "not taken before the voters and all live gateways have said what was done in our place: look at them"
+        "events are not accepted until the voters and all live gateways have reported what became of earlier ones: \
+         check them"
     )]
     Away,
     /// The event must not run twice, and there is no valid lease under which it may be sent.
-    #[error("no lease stands: look at the links to other sites, whose gateways have not answered in time")]
+    #[error("no valid lease: check the links to other sites, whose gateways have not answered in time")]
     Lease,
     /// The entry was not acknowledged in time. Some holder may still have it, so it is unknown whether the event may
     /// be taken over and run.
     #[error(
-        "not held within {waited} us: look at the links to other sites and at what their gateways refuse"
+        "not replicated within {waited} us: check the links to other sites and what their gateways reject"
     )]
     Late {
         /// Time since it was written, in microseconds.
@@ -67,19 +72,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, strum::VariantNames)]
 pub enum WireError {
     /// The frame has an unknown version.
-    #[error("a frame of version {0:#04x}: run the same version at all gateways")]
+    #[error("a frame has version {0:#04x}: run the same version at all gateways")]
     Version(u8),
     /// The frame was corrupted or truncated.
-    #[error("a frame was changed or cut on its way: look at the link; it is sent again")]
+    #[error("a frame was corrupted or truncated: check the link; it will be sent again")]
     Checksum,
     /// The frame's message can't be decoded.
-    #[error("a frame that can't be read: run the same version at all gateways")]
+    #[error("a frame can't be decoded: run the same version at all gateways")]
     Content,
     /// The frame exceeds the size limit.
-    #[error("a frame of {0} bytes: give all gateways the same entry-bytes")]
+    #[error("a frame of {0} bytes is too long: set the same entry-bytes at all gateways")]
     Long(usize),
     /// The frame is about a journal that is not the sender's.
-    #[error("a frame from gateway {0} about another's journal: look at the lists of peers, which differ")]
+    #[error(
+        "a frame from gateway {0} is about the journal of another gateway: check the lists of peers, which differ"
+    )]
     Foreign(MemberId),
 }
 
@@ -101,7 +108,7 @@
     },
     /// An entry does not match its checksum. The writer sends it again.
     #[error(
-        "journal {of:?}: entry {number} was changed: look at the memory of both hosts if this comes back"
+        "journal {of:?}: entry {number} was corrupted: check the memory of both hosts if this happens again"
     )]
     Broken {
         /// The journal.
@@ -110,7 +117,7 @@
         number: u64,
     },
     /// The storage for journals of others is full: this entry and those after it were not stored.
-    #[error("journal {of:?}: no room for entry {number}: raise journal-bytes, or add gateways")]
+    #[error("journal {of:?}: no space for entry {number}: raise journal-bytes, or add gateways")]
     Full {
         /// The journal.
         of: Source,
@@ -119,14 +126,14 @@
     },
     /// The writer was taken over: no more entries of this life of it are accepted.
     #[error(
-        "journal {of:?}: its owner was taken over; nothing to do, it begins another once it has learnt of it"
+        "journal {of:?}: its owner was taken over; nothing to do, it starts a new journal once it notices"
     )]
     Taken {
         /// The journal.
         of: Source,
     },
     /// This gateway stores nothing of the journal: it was never started here, or was lost with an earlier life.
-    #[error("journal {of:?}: nothing of it is held; nothing to do, its writer begins anew")]
+    #[error("journal {of:?}: no replica is stored here; nothing to do, its writer sends it from the start")]
     Nothing {
         /// The journal.
         of: Source,
--- a/crates/pending/src/journal.rs
+++ b/crates/pending/src/journal.rs
@@ -29,7 +29,7 @@
     entry_numbers: Vec<u64>,
 }
 
-/// A loop that waiters until an entry is replicated.
+/// A loop that waits until an entry is replicated.
 #[derive(Debug)]
 struct Waiter {
     number: u64,
@@ -71,7 +71,7 @@
     retained_end_bytes: usize,
     bytes: usize,
     waiters: BTreeMap<u8, VecDeque<Waiter>>,
-    /// Attempts that are replicated and waiter for a lease.
+    /// Attempts that are replicated and wait for a lease.
     awaiting_lease: Vec<Waiter>,
     progress: Vec<HolderProgress>,
     lease: Lease,
@@ -219,7 +219,7 @@
         } else if required == 0 {
             Some(ReplicationError::Class(class))
         } else if live < usize::from(required) {
-            Some(ReplicationError::Few { told: required, live: live as u8 })
+            Some(ReplicationError::Few { required, live: live as u8 })
         } else {
             None
         }
@@ -232,6 +232,8 @@
         numbers.filter(|of| live.get(usize::from(*of)) == Some(&true))
     }
 
+    /// Appends an entry. `waiting_attempt` is the attempt that waits until it is replicated, `Some(None)` if the event's
+    /// acceptance waits, and `None` if nothing waits.
     fn append(
         &mut self,
         now: Micros,
@@ -382,8 +384,8 @@
     }
 
     fn notify_replicated(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let counts: Vec<u8> = self.waiters.keys().copied().collect();
-        for required in counts {
+        let required_counts: Vec<u8> = self.waiters.keys().copied().collect();
+        for required in required_counts {
             let replicated = self.replicated_through(required);
             let Some(waiters) = self.waiters.get_mut(&required) else { continue };
             while let Some(waiter) = waiters.front()
--- a/crates/pending/src/lease.rs
+++ b/crates/pending/src/lease.rs
@@ -83,11 +83,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, strum::VariantNames)]
 pub enum LeaseRefusal {
     /// An earlier life of this holder may have made promises that this life does not know.
-    #[error("this gateway has just started and waits until its earlier promises are over; nothing to do")]
+    #[error("this gateway has just started and waits until its earlier promises have expired; nothing to do")]
     Young,
     /// The owner was taken over.
     #[error(
-        "what gateway {gateway} had pending is done by others: its next life takes events once it has learnt of it"
+        "gateway {gateway} was taken over: its next life accepts events once it knows what became of the earlier ones"
     )]
     Taken {
         /// The owner.
--- a/crates/pending/src/pending_events.rs
+++ b/crates/pending/src/pending_events.rs
@@ -252,8 +252,8 @@
         self.promises.fence(gateway, life);
         let site = self.site_map.site_of(gateway).map(Subject::Site);
         let subjects = [Some(Subject::Gateway(gateway)), site];
-        let away = subjects.into_iter().flatten().any(|subject| self.monitor.has_begun(subject));
-        self.expiring_lives.insert(gateway, (life, away));
+        let unavailable = subjects.into_iter().flatten().any(|subject| self.monitor.has_begun(subject));
+        self.expiring_lives.insert(gateway, (life, unavailable));
         self.take_over_expired_lives(now);
     }
 
@@ -261,9 +261,9 @@
         let promises = &self.promises;
         let expired: Vec<_> =
             self.expiring_lives.extract_if(.., |of, _| promises.has_expired(now, *of)).collect();
-        for (of, (life, away)) in expired {
+        for (of, (life, unavailable)) in expired {
             let snapshots = self.holder.snapshots(now, of, life);
-            self.recovery.take_over(now, of, life, away, snapshots);
+            self.recovery.take_over(now, of, life, unavailable, snapshots);
         }
     }
 
--- a/crates/pending/src/recovery.rs
+++ b/crates/pending/src/recovery.rs
@@ -101,18 +101,18 @@
 
 impl Event {
     /// Whether this entry was written by a later owner of the event, which knew its state.
-    pub(crate) fn is_superseded_by(&self, line: (Source, u64, u64)) -> bool {
-        let heirs = self.previous_owners.iter().copied().chain(match self.stage {
+    pub(crate) fn is_superseded_by(&self, entry: (Source, u64, u64)) -> bool {
+        let owners = self.previous_owners.iter().copied().chain(match self.stage {
             EventStage::OwnedBy(of) => Some(of),
             _ => None,
         });
-        let heirs: Vec<MemberId> = heirs.collect();
-        let at = |source: Source| (heirs.iter().rposition(|heir| *heir == source.gateway), source.life);
-        at(line.0).0.is_some() && at(line.0) > at(self.accepted_entry.0)
+        let owners: Vec<MemberId> = owners.collect();
+        let at = |source: Source| (owners.iter().rposition(|owner| *owner == source.gateway), source.life);
+        at(entry.0).0.is_some() && at(entry.0) > at(self.accepted_entry.0)
     }
 
-    pub(crate) fn reset_to(&mut self, line: (Source, u64, u64), sent: FirstSend) {
-        (self.accepted_entry, self.first_send, self.stage) = (line, sent, EventStage::Unclaimed);
+    pub(crate) fn reset_to(&mut self, entry: (Source, u64, u64), sent: FirstSend) {
+        (self.accepted_entry, self.first_send, self.stage) = (entry, sent, EventStage::Unclaimed);
         self.complete_holders.clear();
     }
 }
@@ -124,17 +124,17 @@
 impl Recovery {
     /// No gateway is lost yet.
     pub fn new(settings: &RecoverySettings, now: Micros) -> Self {
-        let places = &settings.site_map;
+        let site_map = &settings.site_map;
         Self {
-            own: places.own(),
-            sites: (0..places.len() as MemberId).filter_map(|of| places.site_of(of)).collect(),
+            own: site_map.own(),
+            sites: (0..site_map.len() as MemberId).filter_map(|of| site_map.site_of(of)).collect(),
             required_holders: settings.holders.clone(),
             clock_skew_ms: settings.clock_skew_ms,
             concurrency: settings.concurrency,
             rate: settings.rate,
             retention_ms: settings.retention_ms,
             started_at: now,
-            ended_lives: BTreeMap::from([(places.own(), settings.life.saturating_sub(1))]),
+            ended_lives: BTreeMap::from([(site_map.own(), settings.life.saturating_sub(1))]),
             unavailable: BTreeSet::new(),
             log_extents: BTreeMap::new(),
             events: BTreeMap::new(),
@@ -152,8 +152,8 @@
     }
 
     #[doc(hidden)]
-    pub fn inject_fault(&mut self, planted: RecoveryFault) {
-        self.injected_fault = Some(planted);
+    pub fn inject_fault(&mut self, fault: RecoveryFault) {
+        self.injected_fault = Some(fault);
     }
 
     /// Number of events by decision.
@@ -167,14 +167,14 @@
     }
 
     /// Sets the limits derived from the load: events started per second, and events running at the same time.
-    pub fn set_limits(&mut self, rate: u32, most: usize) {
-        (self.rate, self.concurrency) = (rate, most);
+    pub fn set_limits(&mut self, rate: u32, concurrency: usize) {
+        (self.rate, self.concurrency) = (rate, concurrency);
     }
 
     /// Status of an event of a lost gateway or of an earlier life of this gateway.
     pub fn event_status(&self, key: Key) -> Option<EventStatus> {
         let held = self.events.get(&key).map(|event| self.status_of(event));
-        held.or_else(|| self.learned.get(&key).map(|(_, fate)| fate.clone()))
+        held.or_else(|| self.learned.get(&key).map(|(_, status)| status.clone()))
     }
 
     pub(crate) fn status_of(&self, event: &Event) -> EventStatus {
@@ -192,30 +192,30 @@
     }
 
     /// Takes over the pending events of a gateway, of this life and all before it, after all promises to it have
-    /// expired. `copies` are all snapshots of its journals. `away` means that it is lost by a permit and not asked
+    /// expired. `snapshots` are all snapshots of its journals. `unavailable` means that it is lost by a permit and not asked
     /// until [`Recovery::rejoined`]; otherwise a later life of it has reported that this one ended.
     pub fn take_over(
         &mut self,
         now: Micros,
         of: MemberId,
         life: u64,
-        away: bool,
-        copies: Vec<JournalSnapshot>,
+        unavailable: bool,
+        snapshots: Vec<JournalSnapshot>,
     ) {
         let known = self.ended_lives.entry(of).or_insert(life);
         *known = life.max(*known);
-        if away {
+        if unavailable {
             self.unavailable.insert(of);
             self.holder_queries.values_mut().for_each(|left| _ = left.remove(&of));
-            if copies.is_empty() {
+            if snapshots.is_empty() {
                 self.holder_queries.insert(of, self.peers());
             }
         }
         if of == self.own {
             self.lose_ownership();
         }
-        for copy in copies {
-            self.apply_snapshot(now, copy);
+        for snapshot in snapshots {
+            self.apply_snapshot(now, snapshot);
         }
         let site = self.site(of);
         for event in self.events.values_mut() {
@@ -224,11 +224,11 @@
                 // with its next claim.
                 EventStage::OwnedBy(by) if *by == of => {
                     event.lost_sites.insert(site);
-                    event.previous_owners.retain(|heir| *heir != of);
+                    event.previous_owners.retain(|owner| *owner != of);
                     event.previous_owners.push(of);
                     event.stage = EventStage::Unclaimed;
                 }
-                EventStage::Claiming(left) if away => _ = left.remove(&of),
+                EventStage::Claiming(left) if unavailable => _ = left.remove(&of),
                 _ => {}
             }
         }
@@ -263,21 +263,21 @@
         all.filter(|of| *of != self.own && !self.unavailable.contains(of)).collect()
     }
 
-    pub(crate) fn report_loss(&mut self, gone: JournalLoss, out: &mut Vec<RecoveryOutput>) {
-        if self.reported_losses.insert(gone) {
+    pub(crate) fn report_loss(&mut self, loss: JournalLoss, out: &mut Vec<RecoveryOutput>) {
+        if self.reported_losses.insert(loss) {
             self.counts.journal_losses += 1;
-            out.push(RecoveryOutput::JournalLoss(gone));
+            out.push(RecoveryOutput::JournalLoss(loss));
         }
     }
 
-    fn apply_snapshot(&mut self, now: Micros, copy: JournalSnapshot) {
-        let source = copy.source;
-        self.log_extents.insert(source, (copy.through, copy.head));
-        let (heard, site) = (now.saturating_sub(copy.silent_for), self.site(source.gateway));
-        for Entry { number, chain, step, .. } in copy.entries {
+    fn apply_snapshot(&mut self, now: Micros, snapshot: JournalSnapshot) {
+        let source = snapshot.source;
+        self.log_extents.insert(source, (snapshot.through, snapshot.head));
+        let (heard, site) = (now.saturating_sub(snapshot.silent_for), self.site(source.gateway));
+        for Entry { number, chain, step, .. } in snapshot.entries {
             match step {
                 Step::Accepted(accepted) => {
-                    let fresh = Event {
+                    let new = Event {
                         accepted_entry: (source, number, chain),
                         first_send: FirstSend::Never,
                         client_waiting: false,
@@ -291,10 +291,10 @@
                         stage: EventStage::Unclaimed,
                         accepted,
                     };
-                    let line = fresh.accepted_entry;
-                    let event = self.events.entry(fresh.accepted.key).or_insert(fresh);
-                    if event.is_superseded_by(line) {
-                        event.reset_to(line, FirstSend::Never);
+                    let entry = new.accepted_entry;
+                    let event = self.events.entry(new.accepted.key).or_insert(new);
+                    if event.is_superseded_by(entry) {
+                        event.reset_to(entry, FirstSend::Never);
                     }
                     event.owner_last_heard = event.owner_last_heard.max(heard);
                     event.lost_sites.insert(site);
@@ -327,8 +327,8 @@
     pub fn ended(&mut self, key: Key, outcome: Outcome, answer: Vec<u8>, out: &mut Vec<RecoveryOutput>) {
         let Some(event) = self.events.get_mut(&key) else { return };
         Self::record_end(event, &mut self.running, outcome, answer.clone());
-        let told = event.other_holders.iter().filter(|of| !self.unavailable.contains(of));
-        out.extend(told.map(|to| {
+        let recipients = event.other_holders.iter().filter(|of| !self.unavailable.contains(of));
+        out.extend(recipients.map(|to| {
             RecoveryOutput::Send(*to, TakeoverMessage::Ended(vec![(key, outcome, answer.clone())]))
         }));
     }
@@ -342,18 +342,18 @@
         }
         self.finish_claims(out);
         self.resolve_ready(now, wall, out);
-        let (remember, slack) = (self.retention_ms, self.clock_skew_ms);
+        let (retention, clock_skew) = (self.retention_ms, self.clock_skew_ms);
         self.events.retain(|_, event| match event.stage {
             EventStage::Ended(..) | EventStage::OwnedBy(_) => {
-                wall < event.accepted.deadline.saturating_add(remember + slack)
+                wall < event.accepted.deadline.saturating_add(retention + clock_skew)
             }
             _ => true,
         });
-        let over = |_: &Key, (deadline, _): &mut (WallMs, EventStatus)| {
-            wall >= deadline.saturating_add(remember + slack)
+        let expired = |_: &Key, (deadline, _): &mut (WallMs, EventStatus)| {
+            wall >= deadline.saturating_add(retention + clock_skew)
         };
-        for (_, (_, fate)) in self.learned.extract_if(.., over) {
-            self.learned_bytes -= fate.answer_bytes();
+        for (_, (_, status)) in self.learned.extract_if(.., expired) {
+            self.learned_bytes -= status.answer_bytes();
         }
         let open = self
             .events
@@ -368,14 +368,14 @@
     pub fn next_due(&self, now: Micros) -> Micros {
         let ready = self.running < self.concurrency
             && self.events.values().any(|event| event.stage == EventStage::Ready);
-        let ration = 1_000_000 / u64::from(self.rate.max(1));
-        let ready = ready.then_some(now + ration.min(RETRY_INTERVAL));
-        let over = self
+        let interval = 1_000_000 / u64::from(self.rate.max(1));
+        let ready = ready.then_some(now + interval.min(RETRY_INTERVAL));
+        let retained = self
             .events
             .values()
             .any(|event| matches!(event.stage, EventStage::Ended(..) | EventStage::OwnedBy(_)));
-        let over = over.then_some(now + 1_000_000);
-        ready.into_iter().chain(over).fold(self.next_retry, Micros::min)
+        let retained = retained.then_some(now + 1_000_000);
+        ready.into_iter().chain(retained).fold(self.next_retry, Micros::min)
     }
 
     fn send_claims(&mut self, out: &mut Vec<RecoveryOutput>) {
@@ -397,15 +397,19 @@
             event.log_extent = self.log_extents.get(&event.accepted_entry.0).copied().unwrap_or((0, 0));
             event.stage = EventStage::Claiming(left);
         }
-        let mut words: BTreeMap<MemberId, Vec<(Key, Source, u64)>> = BTreeMap::new();
+        let mut claims: BTreeMap<MemberId, Vec<(Key, Source, u64)>> = BTreeMap::new();
         for (key, event) in &self.events {
             if let EventStage::Claiming(left) = &event.stage {
                 left.iter().for_each(|of| {
-                    words.entry(*of).or_default().push((*key, event.accepted_entry.0, event.accepted_entry.1))
+                    claims.entry(*of).or_default().push((
+                        *key,
+                        event.accepted_entry.0,
+                        event.accepted_entry.1,
+                    ))
                 });
             }
         }
-        for (to, keys) in words {
+        for (to, keys) in claims {
             out.extend(
                 keys.chunks(MAX_EVENTS_PER_MESSAGE)
                     .map(|keys| RecoveryOutput::Send(to, TakeoverMessage::Claim(keys.to_vec()))),
@@ -414,9 +418,9 @@
     }
 
     fn query_holders(&mut self, out: &mut Vec<RecoveryOutput>) {
-        let none: Vec<MemberId> =
+        let exhausted: Vec<MemberId> =
             self.holder_queries.iter().filter(|(_, left)| left.is_empty()).map(|(of, _)| *of).collect();
-        for of in none {
+        for of in exhausted {
             self.holder_queries.remove(&of);
             let source_of = Source { gateway: of, life: self.ended_lives.get(&of).copied().unwrap_or(0) };
             self.report_loss(JournalLoss { source_of, from: 1, to: None, why: LossReason::Unheld }, out);
@@ -431,8 +435,9 @@
 
     /// Decides the claims that all peers have granted.
     fn finish_claims(&mut self, out: &mut Vec<RecoveryOutput>) {
-        let mut gone = Vec::new();
-        let away: Vec<(MemberId, Site)> = self.unavailable.iter().map(|of| (*of, self.site(*of))).collect();
+        let mut losses = Vec::new();
+        let unavailable: Vec<(MemberId, Site)> =
+            self.unavailable.iter().map(|of| (*of, self.site(*of))).collect();
         for event in self.events.values_mut() {
             if !matches!(&event.stage, EventStage::Claiming(left) if left.is_empty()) {
                 continue;
@@ -440,28 +445,28 @@
             // A gateway that is lost as well, or that restarted and lost its memory, might have known that the event
             // was sent. So might an entry that no peer has, or an entry of a previous owner that some peer lacks.
             let need = self.required_holders.get(usize::from(event.accepted.class)).copied().unwrap_or(0);
-            let (source, line, _) = event.accepted_entry;
-            let ours = self.log_extents.get(&source).is_some_and(|(through, _)| *through >= line);
-            let few = event.complete_holders.len() + usize::from(ours) < usize::from(need);
+            let (source, number, _) = event.accepted_entry;
+            let stored_here = self.log_extents.get(&source).is_some_and(|(through, _)| *through >= number);
+            let too_few = event.complete_holders.len() + usize::from(stored_here) < usize::from(need);
             let (through, head) = event.log_extent;
             if head > through {
-                gone.push(JournalLoss {
+                losses.push(JournalLoss {
                     source_of: source,
                     from: through + 1,
                     to: Some(head),
                     why: LossReason::Missing,
                 });
             }
-            let missed = few
+            let incomplete = too_few
                 || head > through
                 || (event.other_journal_incomplete && !event.previous_owners.is_empty())
-                || away.iter().any(|(_, site)| !event.lost_sites.contains(site));
-            if missed && self.injected_fault != Some(RecoveryFault::SkipsClaims) {
+                || unavailable.iter().any(|(_, site)| !event.lost_sites.contains(site));
+            if incomplete && self.injected_fault != Some(RecoveryFault::SkipsClaims) {
                 event.first_send = FirstSend::Unknown;
             }
             event.stage = EventStage::Ready;
         }
-        gone.into_iter().for_each(|gone| self.report_loss(gone, out));
+        losses.into_iter().for_each(|loss| self.report_loss(loss, out));
     }
 
     /// Resolves claimed events, nearest deadline first; events to be run are subject to the limits.
@@ -492,21 +497,21 @@
                 first_send: sent,
                 ended: None,
             };
-            let how = resolve(wall, self.clock_skew_ms, &case);
-            if let Some(outcome) = how.outcome() {
-                match how {
+            let resolution = resolve(wall, self.clock_skew_ms, &case);
+            if let Some(outcome) = resolution.outcome() {
+                match resolution {
                     Resolution::MayHaveRun => self.counts.may_have_run += 1,
                     Resolution::LetGo => self.counts.dropped += 1,
                     _ => self.counts.expired += 1,
                 }
-                out.push(RecoveryOutput::Resolved { key, resolution: how, outcome, answer: Vec::new() });
+                out.push(RecoveryOutput::Resolved { key, resolution, outcome, answer: Vec::new() });
                 self.ended(key, outcome, Vec::new(), out);
                 continue;
             }
             if self.running >= self.concurrency || self.budget < 1_000 {
                 continue;
             }
-            match how {
+            match resolution {
                 Resolution::Run => self.counts.run += 1,
                 Resolution::RunAgain => self.counts.run_again += 1,
                 _ => self.counts.same_key += 1,
@@ -517,7 +522,7 @@
             out.push(RecoveryOutput::Adopt {
                 accepted: event.accepted.clone(),
                 first_send_at: first,
-                resolution: how,
+                resolution,
             });
         }
     }
--- a/crates/pending/src/simulation.rs
+++ b/crates/pending/src/simulation.rs
@@ -60,14 +60,14 @@
     }
 
     /// Passes an input to the state machine.
-    pub fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<SimulatedOutput>) {
-        let (wall, mut told) = (self.wall(now), Vec::new());
-        self.pending.handle(now, wall, input, &mut told);
-        self.apply_outputs(told, out);
+    pub fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<SimulatedOutput>) {
+        let (wall, mut outputs) = (self.wall(now), Vec::new());
+        self.pending.handle(now, wall, input, &mut outputs);
+        self.apply_outputs(outputs, out);
     }
 
-    fn apply_outputs(&mut self, told: Vec<Output>, out: &mut Vec<SimulatedOutput>) {
-        for output in told {
+    fn apply_outputs(&mut self, outputs: Vec<Output>, out: &mut Vec<SimulatedOutput>) {
+        for output in outputs {
             match output {
                 Output::Send { to, bytes } => match self.connections.get(&to).copied() {
                     Some(life) => {
@@ -92,19 +92,19 @@
     }
 
     fn damage_frame(&mut self, mut bytes: Vec<u8>) -> Vec<u8> {
-        let mut draws = || self.rng.random::<f64>();
-        let FrameDamage { cut, changed, payload_changed: within } = self.damage;
-        let (cut, changed, within) = (draws() < cut, draws() < changed, draws() < within);
-        if within
-            && let Ok(Message::Append(mut lines)) = decode(&bytes, self.entry_bytes)
-            && let Some(WireEntry::Full(line, chain)) = lines.entries.last().cloned()
+        let mut draw = || self.rng.random::<f64>();
+        let FrameDamage { cut, changed, payload_changed } = self.damage;
+        let (cut, changed, payload_changed) = (draw() < cut, draw() < changed, draw() < payload_changed);
+        if payload_changed
+            && let Ok(Message::Append(mut append)) = decode(&bytes, self.entry_bytes)
+            && let Some(WireEntry::Full(payload, chain)) = append.entries.last().cloned()
         {
-            let mut line = line.to_vec();
-            let at = self.rng.random_range(0..line.len());
-            line[at] ^= 1 << self.rng.random_range(0..8);
-            lines.entries.pop();
-            lines.entries.push(WireEntry::Full(&line, chain));
-            bytes = encode(&Message::Append(lines));
+            let mut payload = payload.to_vec();
+            let at = self.rng.random_range(0..payload.len());
+            payload[at] ^= 1 << self.rng.random_range(0..8);
+            append.entries.pop();
+            append.entries.push(WireEntry::Full(&payload, chain));
+            bytes = encode(&Message::Append(append));
         }
         if changed && !bytes.is_empty() {
             let at = self.rng.random_range(0..bytes.len());
@@ -116,18 +116,18 @@
         bytes
     }
 
-    fn linked(&mut self, now: Micros, of: MemberId, life: u64, out: &mut Vec<SimulatedOutput>) {
+    fn on_connected(&mut self, now: Micros, of: MemberId, life: u64, out: &mut Vec<SimulatedOutput>) {
         if self.latest_lives.get(&of).is_some_and(|known| *known > life) {
             return;
         }
         self.latest_lives.insert(of, life);
         self.connections.insert(of, life);
-        self.tell(now, Input::LinkUp { of, life }, out);
+        self.handle_input(now, Input::LinkUp { of, life }, out);
     }
 
     fn on_disconnected(&mut self, now: Micros, of: MemberId, out: &mut Vec<SimulatedOutput>) {
         if self.connections.remove(&of).is_some() {
-            self.tell(now, Input::LinkDown { of }, out);
+            self.handle_input(now, Input::LinkDown { of }, out);
         }
     }
 }
@@ -142,23 +142,23 @@
         };
         match *kind {
             HELLO => {
-                self.linked(now, from, life, out);
+                self.on_connected(now, from, life, out);
                 out.push(SimulatedOutput::Send(from, self.datagram(WELCOME, life, &[])));
             }
-            WELCOME if to == self.life => self.linked(now, from, life, out),
+            WELCOME if to == self.life => self.on_connected(now, from, life, out),
             FRAME if to != self.life => out.push(SimulatedOutput::Send(from, self.datagram(HELLO, 0, &[]))),
             FRAME if self.connections.get(&from) == Some(&life) => {
                 let bytes = bytes[17..].to_vec();
-                self.tell(now, Input::Frame { from, bytes }, out);
+                self.handle_input(now, Input::Frame { from, bytes }, out);
             }
             _ => {}
         }
     }
 
     fn wake(&mut self, now: Micros, out: &mut Vec<SimulatedOutput>) {
-        let (wall, mut told) = (self.wall(now), Vec::new());
-        self.pending.wake(now, wall, &mut told);
-        self.apply_outputs(told, out);
+        let (wall, mut outputs) = (self.wall(now), Vec::new());
+        self.pending.wake(now, wall, &mut outputs);
+        self.apply_outputs(outputs, out);
     }
 
     fn next_due(&self) -> Micros {
@@ -168,7 +168,7 @@
     fn into_datagram(out: SimulatedOutput) -> Result<(MemberId, Vec<u8>), SimulatedOutput> {
         match out {
             SimulatedOutput::Send(to, bytes) => Ok((to, bytes)),
-            told => Err(told),
+            outputs => Err(outputs),
         }
     }
 }
@@ -233,9 +233,9 @@
 
     /// Starts a gateway without any state of its earlier lives.
     pub fn start(&mut self, of: MemberId) {
-        let Some(places) = SiteMap::new(self.sites.clone(), of) else { return };
+        let Some(site_map) = SiteMap::new(self.sites.clone(), of) else { return };
         let life = self.net.now + u64::from(of);
-        let settings = PendingSettings { site_map: places, life, ..self.settings.clone() };
+        let settings = PendingSettings { site_map, life, ..self.settings.clone() };
         let now = self.net.clock(of);
         let mut gateway = SimulatedGateway {
             entry_bytes: settings.entry_bytes,
@@ -283,13 +283,13 @@
     }
 
     /// Sets whether a site is isolated from all others and from the voters.
-    pub fn set_isolated(&mut self, site: Site, cut: bool) {
+    pub fn set_isolated(&mut self, site: Site, isolated: bool) {
         let of = self.net.node_ids().filter(|of| self.sites[usize::from(*of)] == site);
         let of: Vec<MemberId> = of.collect();
-        self.net.set_isolated(&of, cut);
+        self.net.set_isolated(&of, isolated);
         for of in of {
             self.changed.insert(of, self.net.now);
-            if cut {
+            if isolated {
                 self.isolated.insert(of);
             } else {
                 self.isolated.remove(&of);
@@ -305,7 +305,7 @@
 
     /// Reports a step from a loop of a gateway.
     pub fn step(&mut self, of: MemberId, step: Step) {
-        self.net.with_node(of, |gateway, now, out| gateway.tell(now, Input::Step(step), out));
+        self.net.with_node(of, |gateway, now, out| gateway.handle_input(now, Input::Step(step), out));
     }
 
     /// Time on a gateway's wall clock, in milliseconds.
@@ -340,9 +340,9 @@
         observations
     }
 
-    fn tell(&mut self, of: MemberId, input: Input) {
+    fn send_input(&mut self, of: MemberId, input: Input) {
         if self.net.is_up(of) {
-            self.net.with_node(of, |gateway, now, out| gateway.tell(now, input, out));
+            self.net.with_node(of, |gateway, now, out| gateway.handle_input(now, input, out));
         }
     }
 
@@ -354,10 +354,10 @@
             if self.isolated.contains(&of) {
                 // An isolated gateway sees as live only those that are isolated too.
                 let live = self.net.node_ids().map(|other| self.isolated.contains(&other)).collect();
-                self.tell(of, Input::LivePeers(live));
+                self.send_input(of, Input::LivePeers(live));
             } else {
-                self.tell(of, Input::LivePeers(self.live_view.clone()));
-                self.tell(
+                self.send_input(of, Input::LivePeers(self.live_view.clone()));
+                self.send_input(
                     of,
                     Input::Observed {
                         observations: observations.clone(),
@@ -370,25 +370,25 @@
 
     /// Answers permit requests in place of the voters.
     fn answer_permit_requests(&mut self) {
-        let is_asked = |(_, _, said): &mut (Micros, MemberId, SimulatedOutput)| {
-            matches!(said, SimulatedOutput::Local(Output::RequestPermit(_)))
+        let is_request = |(_, _, output): &mut (Micros, MemberId, SimulatedOutput)| {
+            matches!(output, SimulatedOutput::Local(Output::RequestPermit(_)))
         };
-        let asked: Vec<_> = self.net.outputs.extract_if(.., is_asked).collect();
-        for (_, of, said) in asked {
-            let SimulatedOutput::Local(Output::RequestPermit(request)) = said else { continue };
+        let requests: Vec<_> = self.net.outputs.extract_if(.., is_request).collect();
+        for (_, of, output) in requests {
+            let SimulatedOutput::Local(Output::RequestPermit(request)) = output else { continue };
             if self.isolated.contains(&of) {
                 continue;
             }
             match request {
                 PermitRequest::Reclaim(subject) => {
                     let permit = self.permit_state.permit(subject).map_or(0, |permit| permit.number);
-                    self.tell(of, Input::ReclaimReply { subject, permit });
+                    self.send_input(of, Input::ReclaimReply { subject, permit });
                 }
                 PermitRequest::Return(subject, number) => {
                     self.permit_state
                         .permits
                         .retain(|permit| (permit.subject, permit.number) != (subject, number));
-                    self.tell(of, Input::PermitReturned { subject });
+                    self.send_input(of, Input::PermitReturned { subject });
                     self.broadcast_view();
                 }
                 PermitRequest::Acquire(subject) if self.permit_state.permit(subject).is_none() => {
@@ -413,13 +413,13 @@
             let next = (self.net.now + PERMIT_POLL_INTERVAL).min(until);
             self.net.run_until(next);
             self.answer_permit_requests();
-            let over = self.changed.extract_if(.., |_, at| *at + self.detection <= next);
-            let over: Vec<MemberId> = over.map(|(of, _)| of).collect();
-            for of in &over {
+            let due = self.changed.extract_if(.., |_, at| *at + self.detection <= next);
+            let due: Vec<MemberId> = due.map(|(of, _)| of).collect();
+            for of in &due {
                 let hidden = self.falsely_dead.contains(of) || self.isolated.contains(of);
                 self.live_view[usize::from(*of)] = self.net.node(*of).is_some() && !hidden;
             }
-            if !over.is_empty() || next >= self.last_broadcast + BROADCAST_INTERVAL {
+            if !due.is_empty() || next >= self.last_broadcast + BROADCAST_INTERVAL {
                 self.broadcast_view();
             }
         }
--- a/crates/pending/src/takeover_messages.rs
+++ b/crates/pending/src/takeover_messages.rs
@@ -36,7 +36,7 @@
 /// A part of a journal that is missing; its contents are unknown and not reconstructed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 #[error(
-    "journal {source_of:?}: lines {from} to {to:?} are gone ({why:?}): ask the clients of that gateway for what had no answer"
+    "journal {source_of:?}: entries {from} to {to:?} are lost ({why:?}): ask the clients of that gateway which events had no answer"
 )]
 pub struct JournalLoss {
     /// The journal.
--- a/crates/pending/tests/bounds.rs
+++ b/crates/pending/tests/bounds.rs
@@ -97,7 +97,7 @@
     let mut two = Two::new(|settings| settings.entry_bytes = 100);
     assert_eq!(two.accept(1, 2, KEYED, 10), unheld(1, ReplicationError::Class(2)));
     assert_eq!(two.accept(1, 9, KEYED, 10), unheld(1, ReplicationError::Class(9)));
-    assert_eq!(two.accept(1, 1, KEYED, 10), unheld(1, ReplicationError::Few { told: 2, live: 1 }));
+    assert_eq!(two.accept(1, 1, KEYED, 10), unheld(1, ReplicationError::Few { required: 2, live: 1 }));
     assert_eq!(two.accept(1, 0, KEYED, 100), unheld(1, ReplicationError::Long { bytes: 101, most: 100 }));
     assert_eq!(two.both[1].replica_size().1, 0);
     assert_eq!(two.accept(1, 0, KEYED, 99), [Output::Replicated { key: Key(1) }]);
