--- a/crates/pending/src/error.rs
+++ b/crates/pending/src/error.rs
@@ -10,18 +10,22 @@
     #[error(
         "class {0} does not replicate events: set pending=\"kept\" for it in the settings of all gateways"
     )]
-    Class(u16),
+    #[strum(serialize = "Class")]
+    ClassNotReplicated(u16),
     /// An event with this key is already pending here.
     #[error("event {0:?} is already pending here: its client sent it again before it was answered")]
-    Doubled(Key),
+    #[strum(serialize = "Doubled")]
+    AlreadyPending(Key),
     /// No event with this key is pending here.
     #[error("event {0:?} is not pending here: it was never accepted, has ended or has expired")]
-    Unknown(Key),
+    #[strum(serialize = "Unknown")]
+    NotPending(Key),
     /// The event is longer than an entry may be.
     #[error(
         "an event of {bytes} bytes exceeds entry-bytes={most}: raise it at all gateways, or send smaller events"
     )]
-    Long {
+    #[strum(serialize = "Long")]
+    TooLong {
         /// Length in bytes of the event and its function's name.
         bytes: usize,
         /// The limit.
@@ -42,7 +46,8 @@
     #[error(
         "{live} gateways of other sites are live and the class requires {required}: start more, or lower holders"
     )]
-    Few {
+    #[strum(serialize = "Few")]
+    TooFewHolders {
         /// Number of holders that the class requires.
         required: u8,
         /// Number of gateways of other sites that are live.
@@ -53,16 +58,19 @@
         "events are not accepted until the voters and all live gateways have reported what became of earlier ones: \
          check them"
     )]
-    Away,
+    #[strum(serialize = "Away")]
+    NotReady,
     /// The event must not run twice, and there is no valid lease under which it may be sent.
     #[error("no valid lease: check the links to other sites, whose gateways have not answered in time")]
-    Lease,
+    #[strum(serialize = "Lease")]
+    NoLease,
     /// The entry was not acknowledged in time. Some holder may still have it, so it is unknown whether the event may
     /// be taken over and run.
     #[error(
         "not replicated within {waited} us: check the links to other sites and what their gateways reject"
     )]
-    Late {
+    #[strum(serialize = "Late")]
+    Timeout {
         /// Time since it was written, in microseconds.
         waited: u64,
     },
@@ -79,15 +87,18 @@
     Checksum,
     /// The frame's message can't be decoded.
     #[error("a frame can't be decoded: run the same version at all gateways")]
-    Content,
+    #[strum(serialize = "Content")]
+    Malformed,
     /// The frame exceeds the size limit.
     #[error("a frame of {0} bytes is too long: set the same entry-bytes at all gateways")]
-    Long(usize),
+    #[strum(serialize = "Long")]
+    TooLong(usize),
     /// The frame is about a journal that is not the sender's.
     #[error(
         "a frame from gateway {0} is about the journal of another gateway: check the lists of peers, which differ"
     )]
-    Foreign(MemberId),
+    #[strum(serialize = "Foreign")]
+    ForeignJournal(MemberId),
 }
 
 /// A detected fault of a journal: entries that differ from what was written or that were not stored. They are
@@ -110,7 +121,8 @@
     #[error(
         "journal {of:?}: entry {number} was corrupted: check the memory of both hosts if this happens again"
     )]
-    Broken {
+    #[strum(serialize = "Broken")]
+    Corrupt {
         /// The journal.
         of: Source,
         /// Number of the entry.
@@ -128,13 +140,15 @@
     #[error(
         "journal {of:?}: its owner was taken over; nothing to do, it starts a new journal once it notices"
     )]
-    Taken {
+    #[strum(serialize = "Taken")]
+    TakenOver {
         /// The journal.
         of: Source,
     },
     /// This gateway stores nothing of the journal: it was never started here, or was lost with an earlier life.
     #[error("journal {of:?}: no replica is stored here; nothing to do, its writer sends it from the start")]
-    Nothing {
+    #[strum(serialize = "Nothing")]
+    UnknownJournal {
         /// The journal.
         of: Source,
     },
--- a/crates/pending/src/holder.rs
+++ b/crates/pending/src/holder.rs
@@ -173,10 +173,12 @@
         }
         let fault = rejected.map(|rejected| match rejected {
             RejectReason::Gap => JournalFault::Gap { of: source, from: through + 1, to: append.first - 1 },
-            RejectReason::Corrupt(number) => JournalFault::Broken { of: source, number },
+            RejectReason::Corrupt(number) => JournalFault::Corrupt { of: source, number },
             RejectReason::Full => JournalFault::Full { of: source, number: through + 1 },
-            RejectReason::WrongLife | RejectReason::UnknownJournal => JournalFault::Nothing { of: source },
-            RejectReason::TakenOver => JournalFault::Taken { of: source },
+            RejectReason::WrongLife | RejectReason::UnknownJournal => {
+                JournalFault::UnknownJournal { of: source }
+            }
+            RejectReason::TakenOver => JournalFault::TakenOver { of: source },
         });
         let granted = granted == Ok(true) && self.is_for_this_life(append);
         (
--- a/crates/pending/src/journal.rs
+++ b/crates/pending/src/journal.rs
@@ -166,7 +166,9 @@
                     self.recovered.contains_key(&key) && accepted.repeat_safety != RepeatSafety::Unsafe;
                 let needed = if relaxed { required.min(self.candidates().count() as u8) } else { required };
                 let why = self.check_admission(needed, accepted.class, key, length);
-                if let Some(why) = why.filter(|why| !relaxed || !matches!(why, ReplicationError::Class(_))) {
+                if let Some(why) =
+                    why.filter(|why| !relaxed || !matches!(why, ReplicationError::ClassNotReplicated(_)))
+                {
                     self.counts.not_replicated += 1;
                     return out.push(Output::NotReplicated { key, why });
                 }
@@ -185,7 +187,7 @@
                     return out.push(Output::SendDenied {
                         key,
                         attempt,
-                        why: ReplicationError::Unknown(key),
+                        why: ReplicationError::NotPending(key),
                     });
                 };
                 if let RepeatSafety::Keyed { window } = event.repeat_safety
@@ -211,15 +213,15 @@
         // Reserves an eighth for further steps and the ends of pending events.
         let most = self.settings.journal_bytes - self.settings.journal_bytes / 8;
         if self.events.contains_key(&key) {
-            Some(ReplicationError::Doubled(key))
+            Some(ReplicationError::AlreadyPending(key))
         } else if bytes > self.settings.entry_bytes {
-            Some(ReplicationError::Long { bytes, most: self.settings.entry_bytes })
+            Some(ReplicationError::TooLong { bytes, most: self.settings.entry_bytes })
         } else if self.bytes + bytes > most {
             Some(ReplicationError::Full { held: self.bytes, most })
         } else if required == 0 {
-            Some(ReplicationError::Class(class))
+            Some(ReplicationError::ClassNotReplicated(class))
         } else if live < usize::from(required) {
-            Some(ReplicationError::Few { required, live: live as u8 })
+            Some(ReplicationError::TooFewHolders { required, live: live as u8 })
         } else {
             None
         }
@@ -354,7 +356,7 @@
             Some(RejectReason::WrongLife | RejectReason::UnknownJournal) => false,
             Some(RejectReason::Gap) => holder.on_rejected(ack.resync_count, false, after),
             Some(RejectReason::Corrupt(number)) => {
-                out.push(Output::Fault(JournalFault::Broken { of: self.source, number }));
+                out.push(Output::Fault(JournalFault::Corrupt { of: self.source, number }));
                 holder.on_rejected(ack.resync_count, true, after)
             }
             Some(RejectReason::Full) => {
@@ -451,7 +453,11 @@
             self.awaiting_lease.extract_if(.., |waiter| is_late(waiter)).collect();
         for Waiter { key, attempt, .. } in awaiting_lease {
             self.counts.not_replicated += 1;
-            out.push(Output::SendDenied { key, attempt: attempt.unwrap_or(0), why: ReplicationError::Lease });
+            out.push(Output::SendDenied {
+                key,
+                attempt: attempt.unwrap_or(0),
+                why: ReplicationError::NoLease,
+            });
         }
         let mut late = Vec::new();
         for waiters in self.waiters.values_mut() {
@@ -465,7 +471,7 @@
             if !self.events.contains_key(&key) {
                 continue;
             }
-            let why = ReplicationError::Late { waited: now - since };
+            let why = ReplicationError::Timeout { waited: now - since };
             self.counts.not_replicated += 1;
             match attempt {
                 Some(attempt) => out.push(Output::SendDenied { key, attempt, why }),
--- a/crates/pending/src/lease.rs
+++ b/crates/pending/src/lease.rs
@@ -84,12 +84,14 @@
 pub enum LeaseRefusal {
     /// An earlier life of this holder may have made promises that this life does not know.
     #[error("this gateway has just started and waits until its earlier promises have expired; nothing to do")]
-    Young,
+    #[strum(serialize = "Young")]
+    Starting,
     /// The owner was taken over.
     #[error(
         "gateway {gateway} was taken over: its next life accepts events once it knows what became of the earlier ones"
     )]
-    Taken {
+    #[strum(serialize = "Taken")]
+    TakenOver {
         /// The owner.
         gateway: MemberId,
         /// Its last life that was taken over.
@@ -126,10 +128,10 @@
     /// If no promise may be made. Then no entry of that owner must be stored either.
     pub fn grant(&mut self, now: Micros, gateway: MemberId, life: u64) -> Result<(), LeaseRefusal> {
         if let Some(fenced) = self.fenced.get(&gateway).filter(|fenced| life <= **fenced) {
-            return Err(LeaseRefusal::Taken { gateway, life: *fenced });
+            return Err(LeaseRefusal::TakenOver { gateway, life: *fenced });
         }
         if now < self.startup_wait_until {
-            return Err(LeaseRefusal::Young);
+            return Err(LeaseRefusal::Starting);
         }
         self.promised_until.insert(gateway, now + self.terms.promise);
         Ok(())
@@ -210,13 +212,13 @@
     #[test]
     fn a_restarted_holder_waits_and_one_that_fenced_a_life_grants_nothing() {
         let mut promises = HolderPromises::new(TERMS, 5);
-        assert_eq!(promises.grant(6, 4, 1), Err(LeaseRefusal::Young));
+        assert_eq!(promises.grant(6, 4, 1), Err(LeaseRefusal::Starting));
         assert!(!promises.has_expired(3_000_004, 4) && promises.has_expired(3_000_005, 4));
         assert_eq!(promises.grant(4_000_000, 4, 9), Ok(()));
         assert!(!promises.has_expired(6_999_999, 4));
         promises.fence(4, 9);
         promises.fence(4, 8);
-        assert_eq!(promises.grant(8_000_000, 4, 9), Err(LeaseRefusal::Taken { gateway: 4, life: 9 }));
+        assert_eq!(promises.grant(8_000_000, 4, 9), Err(LeaseRefusal::TakenOver { gateway: 4, life: 9 }));
         assert_eq!((promises.expires_at(4), promises.grant(8_000_000, 4, 10)), (7_000_000, Ok(())));
     }
 }
--- a/crates/pending/src/pending_events.rs
+++ b/crates/pending/src/pending_events.rs
@@ -180,7 +180,8 @@
     fn handle_step(&mut self, now: Micros, wall: WallMs, step: Step, out: &mut Vec<Output>) {
         match &step {
             Step::Accepted(accepted) if !self.rejoin.is_ready() => {
-                return out.push(Output::NotReplicated { key: accepted.key, why: ReplicationError::Away });
+                return out
+                    .push(Output::NotReplicated { key: accepted.key, why: ReplicationError::NotReady });
             }
             Step::Ended { key, outcome, answer } => {
                 let mut outputs = Vec::new();
@@ -270,12 +271,12 @@
     fn handle_append(&mut self, now: Micros, from: MemberId, append: &Append, out: &mut Vec<Output>) {
         let granted = match self.holder.is_for_this_life(append) {
             true => self.promises.grant(now, from, append.source.life),
-            false => Err(LeaseRefusal::Young),
+            false => Err(LeaseRefusal::Starting),
         };
         let granted = match granted {
             Ok(()) => Ok(true),
-            Err(LeaseRefusal::Young) => Ok(false),
-            Err(LeaseRefusal::Taken { .. }) => Err(()),
+            Err(LeaseRefusal::Starting) => Ok(false),
+            Err(LeaseRefusal::TakenOver { .. }) => Err(()),
         };
         let (ack, fault) = self.holder.handle_append(now, append, granted);
         out.extend(fault.map(Output::Fault));
@@ -396,5 +397,5 @@
 }
 
 fn check_owner(from: MemberId, source: Source) -> Result<(), WireError> {
-    if source.gateway == from { Ok(()) } else { Err(WireError::Foreign(from)) }
+    if source.gateway == from { Ok(()) } else { Err(WireError::ForeignJournal(from)) }
 }
--- a/crates/pending/src/recovery.rs
+++ b/crates/pending/src/recovery.rs
@@ -30,19 +30,28 @@
     SkipsClaims,
 }
 
+/// Progress of the recovery of an event.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum EventStage {
+    /// Not claimed yet, or to be claimed again.
     Unclaimed,
+    /// Claimed; these peers have not granted the claim yet.
     Claiming(BTreeSet<MemberId>),
+    /// All peers have granted the claim.
     Ready,
+    /// Running on a worker of this gateway.
     Running,
+    /// A peer owns it.
     OwnedBy(MemberId),
+    /// Ended with this outcome and answer.
     Ended(Outcome, Vec<u8>),
 }
 
+/// An event of a lost gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Event {
     pub(crate) accepted: Accepted,
+    /// The entry that accepted it: journal, number and chain value.
     pub(crate) accepted_entry: (Source, u64, u64),
     pub(crate) first_send: FirstSend,
     pub(crate) client_waiting: bool,
@@ -111,12 +120,14 @@
         at(entry.0).0.is_some() && at(entry.0) > at(self.accepted_entry.0)
     }
 
+    /// Continues from another owner's entry of the event, which has to be claimed again.
     pub(crate) fn reset_to(&mut self, entry: (Source, u64, u64), sent: FirstSend) {
         (self.accepted_entry, self.first_send, self.stage) = (entry, sent, EventStage::Unclaimed);
         self.complete_holders.clear();
     }
 }
 
+/// Rank of a gateway among those that claim an event; the highest gets it.
 pub(crate) fn claim_rank(key: Key, of: MemberId) -> (u64, MemberId) {
     (xxh3_64_with_seed(&key.0.to_le_bytes(), u64::from(of)), of)
 }
--- a/crates/pending/src/takeover.rs
+++ b/crates/pending/src/takeover.rs
@@ -207,9 +207,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum RejoinStage {
+    /// Asking the voters for the takeover permits of this site and gateway.
     Reclaiming,
+    /// Asking the live peers what became of the pending events.
     QueryingPeers,
+    /// Returning the takeover permits to the voters.
     ReturningPermits,
+    /// Accepting events.
     Ready,
 }
 
--- a/crates/pending/src/wire.rs
+++ b/crates/pending/src/wire.rs
@@ -125,7 +125,7 @@
 /// Decodes a frame.
 pub fn decode(bytes: &[u8], entry_bytes: usize) -> Result<Message<'_>, WireError> {
     if bytes.len() > TARGET_FRAME_BYTES.max(entry_bytes) + FRAME_OVERHEAD_BYTES {
-        return Err(WireError::Long(bytes.len()));
+        return Err(WireError::TooLong(bytes.len()));
     }
     let version = *bytes.first().ok_or(WireError::Checksum)?;
     if version != VERSION {
@@ -136,6 +136,6 @@
         return Err(WireError::Checksum);
     }
     let (message, rest) = postcard::take_from_bytes::<Message>(content.get(1..).unwrap_or_default())
-        .map_err(|_| WireError::Content)?;
-    if rest.is_empty() { Ok(message) } else { Err(WireError::Content) }
+        .map_err(|_| WireError::Malformed)?;
+    if rest.is_empty() { Ok(message) } else { Err(WireError::Malformed) }
 }
--- a/crates/pending/tests/bounds.rs
+++ b/crates/pending/tests/bounds.rs
@@ -95,27 +95,27 @@
 #[test]
 fn events_that_cannot_be_replicated_are_rejected_with_the_reason() {
     let mut two = Two::new(|settings| settings.entry_bytes = 100);
-    assert_eq!(two.accept(1, 2, KEYED, 10), not_replicated(1, ReplicationError::Class(2)));
-    assert_eq!(two.accept(1, 9, KEYED, 10), not_replicated(1, ReplicationError::Class(9)));
+    assert_eq!(two.accept(1, 2, KEYED, 10), not_replicated(1, ReplicationError::ClassNotReplicated(2)));
+    assert_eq!(two.accept(1, 9, KEYED, 10), not_replicated(1, ReplicationError::ClassNotReplicated(9)));
     assert_eq!(
         two.accept(1, 1, KEYED, 10),
-        not_replicated(1, ReplicationError::Few { required: 2, live: 1 })
+        not_replicated(1, ReplicationError::TooFewHolders { required: 2, live: 1 })
     );
     assert_eq!(
         two.accept(1, 0, KEYED, 100),
-        not_replicated(1, ReplicationError::Long { bytes: 101, most: 100 })
+        not_replicated(1, ReplicationError::TooLong { bytes: 101, most: 100 })
     );
     assert_eq!(two.both[1].replica_size().1, 0);
     assert_eq!(two.accept(1, 0, KEYED, 99), [Output::Replicated { key: Key(1) }]);
-    assert_eq!(two.accept(1, 0, KEYED, 10), not_replicated(1, ReplicationError::Doubled(Key(1))));
+    assert_eq!(two.accept(1, 0, KEYED, 10), not_replicated(1, ReplicationError::AlreadyPending(Key(1))));
     let sending = Step::Sending { key: Key(2), attempt: 3, worker: "w".into(), at: 0 };
-    let why = ReplicationError::Unknown(Key(2));
+    let why = ReplicationError::NotPending(Key(2));
     assert_eq!(two.step(sending), [Output::SendDenied { key: Key(2), attempt: 3, why }]);
     let mut starting =
         PendingEvents::new(PendingSettings::new(SiteMap::new(vec![0, 1], 0).expect("one"), 1, vec![1], 1), 0);
     let (accepted, mut out) = (Accepted { event: Vec::new(), ..sample(1) }, Vec::new());
     starting.handle(0, 0, Input::Step(Step::Accepted(accepted)), &mut out);
-    assert_eq!(out, not_replicated(1, ReplicationError::Away));
+    assert_eq!(out, not_replicated(1, ReplicationError::NotReady));
 }
 
 fn sample(key: u128) -> Accepted {
@@ -175,10 +175,9 @@
     assert!(outputs.iter().any(|output| matches!(output, Output::Fault(JournalFault::Full { .. }))));
     assert!((20..40).contains(&replicated) && two.both[1].replica_size().0 <= 20_000, "{replicated}");
     two.now += 1_000_000;
-    let late = two
-        .settle()
-        .into_iter()
-        .filter(|output| matches!(output, Output::NotReplicated { why: ReplicationError::Late { .. }, .. }));
+    let late = two.settle().into_iter().filter(|output| {
+        matches!(output, Output::NotReplicated { why: ReplicationError::Timeout { .. }, .. })
+    });
     assert_eq!(late.count() + replicated, 49);
 }
 
@@ -216,7 +215,7 @@
         (vec![0x33; 40], WireError::Version(0x33)),
         (vec![0x51; 40], WireError::Checksum),
         (Vec::new(), WireError::Checksum),
-        (vec![0x51; 100_000], WireError::Long(100_000)),
+        (vec![0x51; 100_000], WireError::TooLong(100_000)),
     ] {
         let outputs = two.handle(Input::Frame { from: 1, bytes });
         assert_eq!(outputs, [Output::Fault(JournalFault::Frame { from: 1, error })]);
@@ -230,5 +229,8 @@
     });
     // A frame of this gateway, sent back as if the other gateway had written this gateway's journal.
     let outputs = two.handle(Input::Frame { from: 1, bytes: frame.expect("sent") });
-    assert_eq!(outputs, [Output::Fault(JournalFault::Frame { from: 1, error: WireError::Foreign(1) })]);
+    assert_eq!(
+        outputs,
+        [Output::Fault(JournalFault::Frame { from: 1, error: WireError::ForeignJournal(1) })]
+    );
 }
--- a/crates/pending/tests/journal_faults.rs
+++ b/crates/pending/tests/journal_faults.rs
@@ -59,15 +59,15 @@
 const CLASSES: [u8; 3] = [1, 2, 0];
 
 impl Run {
-    fn new(places: Vec<u8>, seed: u64, link: LinkFaults, damage: FrameDamage) -> Self {
+    fn new(layout: Vec<u8>, seed: u64, link: LinkFaults, damage: FrameDamage) -> Self {
         let settings =
-            PendingSettings::new(SiteMap::new(places.clone(), 0).expect("one"), 0, CLASSES.into(), seed);
-        Self::with(places, PendingSettings { retention_ms: 10_000, ..settings }, link, damage)
+            PendingSettings::new(SiteMap::new(layout.clone(), 0).expect("one"), 0, CLASSES.into(), seed);
+        Self::with(layout, PendingSettings { retention_ms: 10_000, ..settings }, link, damage)
     }
 
-    fn with(places: Vec<u8>, settings: PendingSettings, link: LinkFaults, damage: FrameDamage) -> Self {
+    fn with(layout: Vec<u8>, settings: PendingSettings, link: LinkFaults, damage: FrameDamage) -> Self {
         let seed = settings.seed;
-        let mut sites = SimulatedSites::new(places, settings, link);
+        let mut sites = SimulatedSites::new(layout, settings, link);
         sites.damage = damage;
         Self {
             sites,
@@ -156,10 +156,10 @@
                     self.events.remove(&key);
                     if matches!(
                         why,
-                        ReplicationError::Unknown(_)
-                            | ReplicationError::Doubled(_)
-                            | ReplicationError::Class(_)
-                            | ReplicationError::Lease
+                        ReplicationError::NotPending(_)
+                            | ReplicationError::AlreadyPending(_)
+                            | ReplicationError::ClassNotReplicated(_)
+                            | ReplicationError::NoLease
                     ) {
                         self.violations.push((at, format!("{key:?} not replicated: {why}")));
                     }
@@ -187,7 +187,7 @@
         let ended: Vec<(Key, MemberId)> = ended.map(|(key, event)| (*key, event.owner)).collect();
         for (key, of) in ended {
             let current = self.events.remove(&key).is_some_and(|event| {
-                self.sites.net.node(of).is_some_and(|one| one.pending.source() == event.source)
+                self.sites.net.node(of).is_some_and(|gateway| gateway.pending.source() == event.source)
             });
             if current {
                 let answer = vec![7; self.rng.random_range(0..200)];
@@ -232,9 +232,9 @@
         let now = self.now();
         let mut chains = BTreeMap::new();
         for of in self.sites.net.node_ids() {
-            let Some(one) = self.sites.net.node(of) else { continue };
-            for source in one.pending.sources() {
-                let snapshots = one.pending.snapshots(source.gateway, source.life);
+            let Some(gateway) = self.sites.net.node(of) else { continue };
+            for source in gateway.pending.sources() {
+                let snapshots = gateway.pending.snapshots(source.gateway, source.life);
                 let entries = snapshots
                     .into_iter()
                     .filter(|snapshot| snapshot.source == source)
@@ -266,7 +266,7 @@
         self.calm_since = self.calm_since.max(self.now() + span);
     }
 
-    fn inject_random_fault(&mut self, places: &[u8]) {
+    fn inject_random_fault(&mut self, layout: &[u8]) {
         let size = u64::from(self.size());
         let (one, other) =
             (self.rng.random_range(0..size) as MemberId, self.rng.random_range(0..size) as MemberId);
@@ -278,9 +278,9 @@
             }
             0 | 1 => self.kill(one, span),
             2 => {
-                let site = places[usize::from(one)];
+                let site = layout[usize::from(one)];
                 (0..self.size())
-                    .filter(|of| places[usize::from(*of)] == site)
+                    .filter(|of| layout[usize::from(*of)] == site)
                     .for_each(|of| self.kill(of, span));
             }
             3 if self.sites.net.is_up(one) => {
@@ -327,12 +327,12 @@
         }
     }
 
-    fn run_with_faults(&mut self, places: &[u8], bursts: usize) {
+    fn run_with_faults(&mut self, layout: &[u8], bursts: usize) {
         self.sites.start_all();
         self.pass(6 * S, true);
         for _ in 0..bursts {
             for _ in 0..self.rng.random_range(1..4) {
-                self.inject_random_fault(places);
+                self.inject_random_fault(layout);
                 let span = self.rng.random_range(0..3 * S) / STEP * STEP;
                 self.pass(span, true);
             }
@@ -342,7 +342,7 @@
 }
 
 fn scenario(seed: u64) -> (Vec<u8>, LinkFaults, FrameDamage) {
-    let places = [vec![0, 0, 1, 1, 2, 2], vec![0, 1], vec![0, 0, 1, 1], vec![0, 1, 2, 3], vec![0, 1, 2, 2]];
+    let layout = [vec![0, 0, 1, 1, 2, 2], vec![0, 1], vec![0, 0, 1, 1], vec![0, 1, 2, 3], vec![0, 1, 2, 2]];
     let link = match seed % 3 {
         0 => LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: (5_000, 5_000) },
         1 => LinkFaults { loss_rate: 0.05, duplicate_rate: 0.1, delay_range: (1_000, 60_000) },
@@ -352,17 +352,17 @@
         0 => FrameDamage::default(),
         _ => FrameDamage { cut: 0.01, changed: 0.01, payload_changed: 0.01 },
     };
-    (places[seed as usize % places.len()].clone(), link, damage)
+    (layout[seed as usize % layout.len()].clone(), link, damage)
 }
 
 fn run(seed: u64, bursts: usize, fault: Option<HolderFault>) -> Run {
-    let (places, link, damage) = scenario(seed);
-    let mut run = Run::new(places.clone(), seed, link, damage);
+    let (layout, link, damage) = scenario(seed);
+    let mut run = Run::new(layout.clone(), seed, link, damage);
     run.sites.injected_fault = fault;
     if seed % 5 == 4 {
         (0..run.size()).for_each(|of| run.sites.net.set_clock_rate(of, [0.95, 1.05][usize::from(of) % 2]));
     }
-    run.run_with_faults(&places, bursts);
+    run.run_with_faults(&layout, bursts);
     run
 }
 
--- a/crates/pending/tests/takeover.rs
+++ b/crates/pending/tests/takeover.rs
@@ -44,11 +44,11 @@
 }
 
 impl Run {
-    fn new(places: &[u8], holders: [u8; 2], seed: u64, link: LinkFaults) -> Self {
-        let own = SiteMap::new(places.to_vec(), 0).expect("one");
+    fn new(layout: &[u8], holders: [u8; 2], seed: u64, link: LinkFaults) -> Self {
+        let own = SiteMap::new(layout.to_vec(), 0).expect("one");
         let settings =
             PendingSettings { recovery_rate: 400, ..PendingSettings::new(own, 0, holders.into(), seed) };
-        let mut sites = SimulatedSites::new(places.to_vec(), settings, link);
+        let mut sites = SimulatedSites::new(layout.to_vec(), settings, link);
         sites.start_all();
         let rng = StdRng::seed_from_u64(seed);
         Self {
@@ -63,7 +63,7 @@
     }
 
     fn source(&self, of: MemberId) -> Option<Source> {
-        self.sites.net.node(of).map(|one| one.pending.source())
+        self.sites.net.node(of).map(|gateway| gateway.pending.source())
     }
 
     fn accept(&mut self, of: MemberId) {
@@ -159,7 +159,7 @@
         }
         for (key, event) in &mut self.events {
             let of = event.owner.gateway;
-            let running = self.sites.net.node(of).filter(|one| one.pending.source() == event.owner);
+            let running = self.sites.net.node(of).filter(|gateway| gateway.pending.source() == event.owner);
             let Some((_, until)) = event.sends.filter(|(at, _)| *at <= now && self.sites.net.is_up(of))
             else {
                 continue;
@@ -219,17 +219,17 @@
 fn each_pending_event_of_a_lost_site_ends_once() {
     let mut ends = BTreeMap::<&str, usize>::new();
     for seed in seeds(6) {
-        let places = [vec![0, 0, 1, 1], vec![0, 0, 1, 1, 2, 2], vec![0, 1, 2]][seed as usize % 3].clone();
+        let layout = [vec![0, 0, 1, 1], vec![0, 0, 1, 1, 2, 2], vec![0, 1, 2]][seed as usize % 3].clone();
         let late = [(2_000, 2_000), (1_000, 30_000)][seed as usize % 2];
         let mut run = Run::new(
-            &places,
+            &layout,
             [1, 2],
             seed,
             LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: late },
         );
         run.pass(5 * S, false);
         run.pass(3 * S, true);
-        let site = run.rng.random_range(0..=places[places.len() - 1]);
+        let site = run.rng.random_range(0..=layout[layout.len() - 1]);
         run.sites.kill_site(site);
         run.killed = Some(run.sites.net.now);
         run.pass(2 * S, true);
@@ -280,7 +280,7 @@
         run.pass(8 * S, false);
         [2, 3].into_iter().for_each(|of| run.sites.set_falsely_dead(of, false));
         run.pass(40 * S, false);
-        assert!(run.sites.net.node(2).is_some_and(|one| one.pending.is_ready()), "seed {seed}");
+        assert!(run.sites.net.node(2).is_some_and(|gateway| gateway.pending.is_ready()), "seed {seed}");
         run.pass(3 * S, true);
         run.killed = Some(run.sites.net.now);
         run.sites.kill_site(1);
@@ -293,9 +293,9 @@
 
 /// A site with running calls is isolated for longer than a lease, and comes back.
 fn isolated_and_back(seed: u64) -> Run {
-    let places = [vec![0, 0, 1, 1, 2, 2], vec![0, 1, 2]][seed as usize % 2].clone();
+    let layout = [vec![0, 0, 1, 1, 2, 2], vec![0, 1, 2]][seed as usize % 2].clone();
     let mut run = Run::new(
-        &places,
+        &layout,
         [1, 2],
         seed,
         LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: (1_000, 20_000) },
@@ -323,7 +323,7 @@
             run.violations.iter().filter(|text| !text.contains("ends once more")).collect();
         assert!(twice.is_empty(), "seed {seed}: {twice:?}");
         let back = run.sites.net.node_ids().filter_map(|of| run.sites.net.node(of));
-        assert!(back.into_iter().all(|one| one.pending.is_ready()), "seed {seed}");
+        assert!(back.into_iter().all(|gateway| gateway.pending.is_ready()), "seed {seed}");
         lost += run.lost;
         run.ends.iter().for_each(|(how, count)| *ends.entry(how).or_default() += count);
     }
--- a/crates/pending/tests/takeover_faults.rs
+++ b/crates/pending/tests/takeover_faults.rs
@@ -71,7 +71,7 @@
 
 struct Run {
     sites: SimulatedSites,
-    places: Vec<u8>,
+    layout: Vec<u8>,
     events: BTreeMap<Key, Event>,
     disruptions: Vec<Disruption>,
     violations: Vec<String>,
@@ -82,18 +82,18 @@
 }
 
 impl Run {
-    fn new(places: &[u8], seed: u64, disruptions: Vec<Disruption>) -> Self {
-        let own = SiteMap::new(places.to_vec(), 0).expect("one");
+    fn new(layout: &[u8], seed: u64, disruptions: Vec<Disruption>) -> Self {
+        let own = SiteMap::new(layout.to_vec(), 0).expect("one");
         let settings = PendingSettings { recovery_rate: 400, ..PendingSettings::new(own, 0, vec![2], seed) };
         let link = LinkFaults { loss_rate: 0.01, duplicate_rate: 0.02, delay_range: (MS, 30 * MS) };
-        let mut sites = SimulatedSites::new(places.to_vec(), settings, link);
+        let mut sites = SimulatedSites::new(layout.to_vec(), settings, link);
         sites.start_all();
         let (events, violations, repairs) = (BTreeMap::new(), Vec::new(), Vec::new());
-        let places = places.to_vec();
+        let layout = layout.to_vec();
         // Clocks run up to a tenth apart.
         let rate = |of: MemberId| [1.0, 0.95, 1.05][usize::from(of) % 3];
         sites.net.node_ids().for_each(|of| sites.net.set_clock_rate(of, rate(of)));
-        let mut run = Self { sites, places, events, disruptions, violations, losses: 0, late: 0, repairs };
+        let mut run = Self { sites, layout, events, disruptions, violations, losses: 0, late: 0, repairs };
         run.pass(6 * S);
         run
     }
@@ -131,7 +131,7 @@
 
     fn runs(&self, owner: Source) -> bool {
         self.sites.net.is_up(owner.gateway)
-            && self.sites.net.node(owner.gateway).is_some_and(|one| one.pending.source() == owner)
+            && self.sites.net.node(owner.gateway).is_some_and(|gateway| gateway.pending.source() == owner)
     }
 
     /// An event has reached a step: applies the matching disruption.
@@ -142,7 +142,7 @@
         let taken_over = of != event.first;
         let matches = |disruption: &Disruption| disruption.at == at && disruption.taken_over == taken_over;
         let Some(index) = self.disruptions.iter().position(matches) else { return };
-        let (disruption, site) = (self.disruptions.remove(index), self.places[usize::from(of)]);
+        let (disruption, site) = (self.disruptions.remove(index), self.layout[usize::from(of)]);
         match disruption.what {
             DisruptionKind::KillSite => self.sites.kill_site(site),
             DisruptionKind::Stall(span) => {
@@ -166,7 +166,7 @@
     fn loops(&mut self) {
         for (_, of, output) in std::mem::take(&mut self.sites.net.outputs) {
             let SimulatedOutput::Local(output) = output else { continue };
-            let source = self.sites.net.node(of).map(|one| one.pending.source());
+            let source = self.sites.net.node(of).map(|gateway| gateway.pending.source());
             let is_current = |run: &Self, key: &Key| source == Some(run.events[key].owner);
             match output {
                 Output::Replicated { key }
@@ -227,7 +227,8 @@
         let answered = self.events.iter().filter(|(_, event)| event.answers.is_some_and(|at| at <= now));
         let answered: Vec<(Key, Source)> = answered.map(|(key, event)| (*key, event.owner)).collect();
         for (key, owner) in answered {
-            let crashed = self.sites.net.node(owner.gateway).is_none_or(|one| one.pending.source() != owner);
+            let crashed =
+                self.sites.net.node(owner.gateway).is_none_or(|gateway| gateway.pending.source() != owner);
             if crashed || self.runs(owner) {
                 self.events.get_mut(&key).expect("known").answers = None;
             }
@@ -312,9 +313,9 @@
     [RepeatSafety::Safe, RepeatSafety::Unsafe, RepeatSafety::Keyed { window: 60 * S }];
 
 /// Several events of each kind are pending at an owner that is disrupted once one of them has reached a step.
-fn run_disrupted(places: &[u8], seed: u64, disruptions: Vec<Disruption>) -> Run {
-    let mut run = Run::new(places, seed, disruptions);
-    let owner = (seed % places.len() as u64) as MemberId;
+fn run_disrupted(layout: &[u8], seed: u64, disruptions: Vec<Disruption>) -> Run {
+    let mut run = Run::new(layout, seed, disruptions);
+    let owner = (seed % layout.len() as u64) as MemberId;
     for round in 0..6 {
         let again = KINDS[(round + seed as usize) % 3];
         if run.accept(owner, again).is_none() {
@@ -325,14 +326,14 @@
     run
 }
 
-const PLACES: [&[u8]; 3] = [&[0, 1, 2], &[0, 0, 1, 1, 2, 2], &[0, 1, 2, 3]];
+const LAYOUTS: [&[u8]; 3] = [&[0, 1, 2], &[0, 0, 1, 1, 2, 2], &[0, 1, 2, 3]];
 
 #[test]
 fn each_event_ends_once_if_its_site_is_killed_at_any_step() {
     for seed in seeds(3) {
         for at in STEPS {
             let disruptions = vec![Disruption { at, taken_over: false, what: DisruptionKind::KillSite }];
-            let mut run = run_disrupted(PLACES[seed as usize % 3], seed, disruptions);
+            let mut run = run_disrupted(LAYOUTS[seed as usize % 3], seed, disruptions);
             run.check_all(seed, &format!("killed when {at:?}"));
         }
     }
@@ -345,7 +346,7 @@
             let first =
                 Disruption { at: Progress::Replicated, taken_over: false, what: DisruptionKind::KillSite };
             let then = Disruption { at, taken_over: true, what: DisruptionKind::KillSite };
-            let mut run = run_disrupted(PLACES[2], seed, vec![first, then]);
+            let mut run = run_disrupted(LAYOUTS[2], seed, vec![first, then]);
             run.check_all(seed, &format!("successor killed when {at:?}"));
         }
     }
@@ -362,8 +363,8 @@
                     what: DisruptionKind::KillSite,
                 };
                 let then = Disruption { at, taken_over: true, what };
-                let mut run = run_disrupted(PLACES[2], seed, vec![first, then]);
-                run.check_all(seed, &format!("successor disrupted owner {what:?} when {at:?}"));
+                let mut run = run_disrupted(LAYOUTS[2], seed, vec![first, then]);
+                run.check_all(seed, &format!("successor disrupted by {what:?} when {at:?}"));
             }
         }
     }
@@ -375,7 +376,7 @@
         for at in STEPS {
             let span = [1, 4, 30][seed as usize % 3] * S;
             let disruptions = vec![Disruption { at, taken_over: false, what: DisruptionKind::Stall(span) }];
-            let mut run = run_disrupted(PLACES[seed as usize % 2], seed, disruptions);
+            let mut run = run_disrupted(LAYOUTS[seed as usize % 2], seed, disruptions);
             run.check_all(seed, &format!("stalled for {span} us when {at:?}"));
         }
     }
@@ -386,7 +387,7 @@
     for seed in seeds(3) {
         for at in STEPS {
             let disruptions = vec![Disruption { at, taken_over: false, what: DisruptionKind::IsolateSite }];
-            let mut run = run_disrupted(PLACES[seed as usize % 3], seed, disruptions);
+            let mut run = run_disrupted(LAYOUTS[seed as usize % 3], seed, disruptions);
             run.check_all(seed, &format!("isolated when {at:?}"));
         }
     }
@@ -396,9 +397,9 @@
 /// has reached a step.
 fn has_violations(at: Progress, what: DisruptionKind, inject: impl Fn(&mut PendingEvents)) -> bool {
     (0..6).any(|seed| {
-        let mut run = Run::new(PLACES[1], seed, vec![Disruption { at, taken_over: false, what }]);
+        let mut run = Run::new(LAYOUTS[1], seed, vec![Disruption { at, taken_over: false, what }]);
         for of in run.sites.net.node_ids() {
-            run.sites.net.node_mut(of).into_iter().for_each(|one| inject(&mut one.pending));
+            run.sites.net.node_mut(of).into_iter().for_each(|gateway| inject(&mut gateway.pending));
         }
         (0..4).for_each(|_| _ = run.accept(0, RepeatSafety::Unsafe));
         run.find_violations();
@@ -408,14 +409,14 @@
 
 #[test]
 fn running_events_that_were_sent_is_detected() {
-    assert!(has_violations(Progress::Sent, DisruptionKind::KillSite, |one| one
+    assert!(has_violations(Progress::Sent, DisruptionKind::KillSite, |gateway| gateway
         .inject_recovery_fault(RecoveryFault::RunsWhatWasSent)));
     assert!(!has_violations(Progress::Sent, DisruptionKind::KillSite, |_| {}));
 }
 
 #[test]
 fn skipping_claims_is_detected() {
-    assert!(has_violations(Progress::Replicated, DisruptionKind::KillSite, |one| one
+    assert!(has_violations(Progress::Replicated, DisruptionKind::KillSite, |gateway| gateway
         .inject_recovery_fault(RecoveryFault::SkipsClaims)));
     assert!(!has_violations(Progress::Replicated, DisruptionKind::KillSite, |_| {}));
 }
@@ -425,18 +426,18 @@
 fn losses_under_load_lose_and_duplicate_no_event() {
     let (mut times, mut counts, mut pending, mut losses) = (Vec::new(), BTreeMap::new(), 0, 0);
     for seed in seeds(2) {
-        let places = PLACES[seed as usize % 3];
-        let mut run = Run::new(places, seed, Vec::new());
+        let layout = LAYOUTS[seed as usize % 3];
+        let mut run = Run::new(layout, seed, Vec::new());
         for round in 0..100 {
             for of in run.sites.net.node_ids() {
                 run.accept(of, KINDS[(round + usize::from(of)) % 3]);
             }
             run.pass(20 * MS);
         }
-        let of = (seed % places.len() as u64) as MemberId;
-        let site = places[usize::from(of)];
+        let of = (seed % layout.len() as u64) as MemberId;
+        let site = layout[usize::from(of)];
         let pending_at_site = |(_, event): &(&Key, &Event)| {
-            places[usize::from(event.owner.gateway)] == site
+            layout[usize::from(event.owner.gateway)] == site
                 && event.reported_end.is_none()
                 && event.at > Progress::Written
         };
@@ -480,10 +481,10 @@
 /// again before it runs it.
 #[test]
 fn events_claimed_before_a_takeover_are_claimed_again() {
-    let places = SiteMap::new(vec![0, 1, 2], 1).expect("one");
+    let layout = SiteMap::new(vec![0, 1, 2], 1).expect("one");
     let (life, holders, slack, remember) = (10, vec![1], 0, 0);
     let settings = RecoverySettings {
-        site_map: places,
+        site_map: layout,
         life,
         holders,
         clock_skew_ms: slack,
--- a/crates/pending/tests/takeover_model.rs
+++ b/crates/pending/tests/takeover_model.rs
@@ -131,13 +131,13 @@
     writes: bool,
 }
 
-fn places(own: MemberId) -> SiteMap {
+fn site_map(own: MemberId) -> SiteMap {
     SiteMap::new(vec![0, 1, 2], own).expect("in the list")
 }
 
 fn settings(own: MemberId, life: u64) -> RecoverySettings {
     RecoverySettings {
-        site_map: places(own),
+        site_map: site_map(own),
         life,
         holders: vec![2],
         clock_skew_ms: 0,
@@ -175,7 +175,7 @@
 impl TakeoverModel {
     fn holder(&self, of: MemberId, now: Micros, life: u64) -> Holder {
         let mut recovery = Recovery::new(&settings(of, life), if life == 1 { 0 } else { now });
-        let mut monitor = TakeoverMonitor::new(&places(of));
+        let mut monitor = TakeoverMonitor::new(&site_map(of));
         match self.fault {
             InjectedFault::RunsWhatWasSent => recovery.inject_fault(RecoveryFault::RunsWhatWasSent),
             InjectedFault::TakeoverByTheViewAlone => monitor.inject_fault(TakeoverFault::IgnoresPermits),
@@ -512,7 +512,8 @@
                 state.owner.lease.revoke_all();
                 state.owner.sent = false;
                 state.packets.clear();
-                state.owner.back = Some((Rejoin::new(&places(0), now), Recovery::new(&settings(0, 2), now)));
+                state.owner.back =
+                    Some((Rejoin::new(&site_map(0), now), Recovery::new(&settings(0, 2), now)));
             }
             ModelAction::Rejoin => {
                 let (now, permit_state) = (state.now * TICK, state.permit_state.clone());
