--- a/crates/pending/src/claims.rs
+++ b/crates/pending/src/claims.rs
@@ -92,13 +92,13 @@
         if self.ended_lives.get(&source.gateway).is_none_or(|life| *life < source.life) {
             return None;
         }
-        let log_extent = self.log_extents.get(&source).copied();
+        let journal_extent = self.journal_extents.get(&source).copied();
         let other_journal_incomplete =
-            self.log_extents.iter().any(|(of, (through, head))| *of != source && head > through);
+            self.journal_extents.iter().any(|(of, (through, head))| *of != source && head > through);
         let Some(event) = self.events.get_mut(&key) else {
             // The replica here goes past the accepting entry but no longer has the event: it has ended, and how is no
             // longer known.
-            let ended = log_extent.is_some_and(|(through, _)| through >= entry_number);
+            let ended = journal_extent.is_some_and(|(through, _)| through >= entry_number);
             let decision = if ended {
                 ClaimDecision::Ended(Outcome::Failed, Vec::new())
             } else {
@@ -109,7 +109,7 @@
                 decision,
                 first_send: FirstSend::Never,
                 accepted_entry: None,
-                log_extent,
+                journal_extent,
                 other_journal_incomplete,
             });
         };
@@ -134,7 +134,7 @@
             decision,
             first_send: event.first_send,
             accepted_entry: Some(event.accepted_entry),
-            log_extent,
+            journal_extent,
             other_journal_incomplete,
         })
     }
@@ -163,8 +163,8 @@
         }
         event.first_send = event.first_send.merge(reply.first_send);
         event.other_journal_incomplete |= reply.other_journal_incomplete;
-        if let Some((through, head)) = reply.log_extent {
-            event.log_extent = (event.log_extent.0.max(through), event.log_extent.1.max(head));
+        if let Some((through, head)) = reply.journal_extent {
+            event.journal_extent = (event.journal_extent.0.max(through), event.journal_extent.1.max(head));
             if through >= event.accepted_entry.1 {
                 event.complete_holders.insert(from);
             }
@@ -251,13 +251,13 @@
         });
         for (key, deadline, status) in statuses {
             let known = self.learned.entry(key).or_insert((deadline, EventStatus::Unassigned));
-            let later = match (&known.1, &status) {
+            let replaces = match (&known.1, &status) {
                 (EventStatus::Ended(..), _) | (_, EventStatus::Unassigned) => false,
                 (EventStatus::Unassigned, _) | (_, EventStatus::Ended(..)) => true,
                 // A report of the owner itself is preferred.
                 (EventStatus::OwnedBy(_), EventStatus::OwnedBy(of)) => *of == from,
             };
-            if later {
+            if replaces {
                 known.1 = match status {
                     // The event was served, but its answer does not fit; it is reported like an answer that was too
                     // long.
--- a/crates/pending/src/holder.rs
+++ b/crates/pending/src/holder.rs
@@ -21,6 +21,7 @@
 /// The replica of one journal.
 #[derive(Debug)]
 struct HeldJournal {
+    /// Identifies this start of the journal, see [`Ack::generation`].
     generation: u32,
     /// Number of the first stored entry, and the chain value before it.
     first: u64,
@@ -32,6 +33,7 @@
     head: u64,
     /// Send time of the latest frame, on the writer's clock.
     last_sent_at: Micros,
+    /// When that frame arrived, on the local clock.
     last_heard_at: Micros,
 }
 
@@ -41,6 +43,7 @@
     life: u64,
     max_bytes: usize,
     bytes: usize,
+    /// Generation of the journal that was started last.
     last_generation: u32,
     journals: BTreeMap<Source, HeldJournal>,
     /// Entries with a payload, by its expiry.
--- a/crates/pending/src/holder_progress.rs
+++ b/crates/pending/src/holder_progress.rs
@@ -36,17 +36,21 @@
     start_after: u64,
     /// When the last frame was sent.
     pub last_sent_at: Micros,
+    /// Frames that are not acknowledged: number of the last entry, and bytes.
     in_flight: VecDeque<(u64, usize)>,
     /// Smoothed round-trip time.
     round_trip: Micros,
     /// Since when an entry is unacknowledged.
     unacked_since: Option<Micros>,
+    /// When unacknowledged entries are sent again.
     resend_at: Micros,
+    /// The current resend delay.
     backoff: Micros,
     /// Number of times sending was restarted from the last acknowledged entry.
     pub resync_count: u32,
     /// Resync count at which it was selected. Entries that it acknowledged before may have been released since.
     selected_at_resync: u32,
+    /// Corruption reports since the last progress.
     corrupt_reports: u32,
 }
 
--- a/crates/pending/src/interface.rs
+++ b/crates/pending/src/interface.rs
@@ -22,8 +22,8 @@
     pub journal_bytes: usize,
     /// Maximum bytes of an event with its function's name, and of an answer.
     pub entry_bytes: usize,
-    /// How long after its last acknowledgement a holder takes nothing over from this gateway. The lease of this
-    /// gateway is a fifth shorter.
+    /// How long a holder promises with each acknowledgement not to take over this gateway's events. The lease that
+    /// follows from it is a fifth shorter.
     pub lease: Micros,
     /// An entry that is not replicated within this time counts as not replicated.
     pub replication_timeout: Micros,
@@ -114,7 +114,7 @@
         /// Events that may start per second.
         rate: u32,
         /// Events that may run at the same time.
-        most: usize,
+        concurrency: usize,
     },
 }
 
@@ -133,7 +133,7 @@
         /// The event.
         key: Key,
     },
-    /// The event is not replicated. After [`ReplicationError::Late`] a holder may still have it: the journal records
+    /// The event is not replicated. After [`ReplicationError::Timeout`] a holder may still have it: the journal records
     /// its end, and until that is replicated another gateway could take the event over and run it. After any other
     /// reason no other gateway knows the event.
     NotReplicated {
--- a/crates/pending/src/journal.rs
+++ b/crates/pending/src/journal.rs
@@ -26,6 +26,7 @@
     deadline: WallMs,
     /// The event's outcome has to be retained until then.
     retain_until: WallMs,
+    /// Numbers of its entries.
     entry_numbers: Vec<u64>,
 }
 
@@ -35,7 +36,7 @@
     number: u64,
     key: Key,
     since: Micros,
-    /// The waiting attempt; `None` if the event's acceptance waiters.
+    /// The waiting attempt; `None` if the event's acceptance waits.
     attempt: Option<u32>,
 }
 
@@ -69,10 +70,13 @@
     /// [`Step::Ended`] entries with a payload, and their memory cost.
     retained_ends: BTreeSet<u64>,
     retained_end_bytes: usize,
+    /// Memory cost of all entries.
     bytes: usize,
+    /// Waiters by the number of holders that they require, in the order of their entries.
     waiters: BTreeMap<u8, VecDeque<Waiter>>,
     /// Attempts that are replicated and wait for a lease.
     awaiting_lease: Vec<Waiter>,
+    /// Replication progress of each holder, current or about to be released.
     progress: Vec<HolderProgress>,
     lease: Lease,
     /// Events of lost gateways that will be accepted here next, each with the time of its first send.
@@ -81,10 +85,15 @@
     releasing: BTreeMap<MemberId, (u64, Release)>,
     /// Last resync count of former holders, so that a new selection continues from it.
     resync_counts: BTreeMap<MemberId, u32>,
+    /// The life of each gateway to which a connection is open.
     lives: BTreeMap<MemberId, u64>,
+    /// Whether each gateway is live by the membership view.
     live: Vec<bool>,
+    /// Gateways that are suspect, until this time.
     suspects: BTreeMap<MemberId, Micros>,
+    /// When connections are requested and releases are sent next.
     next_connect: Micros,
+    /// Something has to be sent at the next wake-up.
     has_unsent: bool,
     counts: JournalCounts,
 }
@@ -234,8 +243,8 @@
         numbers.filter(|of| live.get(usize::from(*of)) == Some(&true))
     }
 
-    /// Appends an entry. `waiting_attempt` is the attempt that waits until it is replicated, `Some(None)` if the event's
-    /// acceptance waits, and `None` if nothing waits.
+    /// Appends an entry. `waiting_attempt` is the attempt that waits until it is replicated, `Some(None)` if the
+    /// event's acceptance waits, and `None` if nothing waits.
     fn append(
         &mut self,
         now: Micros,
--- a/crates/pending/src/pending_events.rs
+++ b/crates/pending/src/pending_events.rs
@@ -37,6 +37,7 @@
     live: Vec<bool>,
     observations: Observations,
     permit_state: PermitState,
+    /// The latest life of each gateway that a connection has reported.
     lives: Vec<u64>,
     /// Lives that have ended according to a peer's claim, until the promises to them expire; each with whether there
     /// is a takeover permit for the gateway.
@@ -173,7 +174,7 @@
             Input::ReclaimReply { subject, permit } => self.rejoin.on_reclaim_reply(subject, permit),
             Input::PermitReturned { subject } => self.rejoin.on_permit_returned(subject),
             Input::ClientRepeat(key) => self.recovery.client_waits_for(key),
-            Input::RecoveryLimits { rate, most } => self.recovery.set_limits(rate, most),
+            Input::RecoveryLimits { rate, concurrency: most } => self.recovery.set_limits(rate, most),
         }
     }
 
@@ -341,8 +342,8 @@
         }
         let lost =
             self.observations.iter().any(|(of, seen)| of.allows_takeover() && seen.in_use_for.is_none());
-        let taken = self.permit_state.permits.iter().any(|permit| permit.subject.allows_takeover());
-        self.next_monitor_update = if lost || taken { now + MONITOR_INTERVAL } else { Micros::MAX };
+        let permitted = self.permit_state.permits.iter().any(|permit| permit.subject.allows_takeover());
+        self.next_monitor_update = if lost || permitted { now + MONITOR_INTERVAL } else { Micros::MAX };
     }
 
     fn drive_rejoin(&mut self, now: Micros, out: &mut Vec<Output>) {
--- a/crates/pending/src/recovery.rs
+++ b/crates/pending/src/recovery.rs
@@ -65,7 +65,7 @@
     pub(crate) other_holders: BTreeSet<MemberId>,
     /// Number of the last entry of its journal that any replying peer has, and of the last that any knows was
     /// written.
-    pub(crate) log_extent: (u64, u64),
+    pub(crate) journal_extent: (u64, u64),
     /// Some replying peer lacks entries of another journal of a lost gateway.
     pub(crate) other_journal_incomplete: bool,
     /// Replying peers whose replica includes the entry that accepted the event.
@@ -89,7 +89,7 @@
     /// Gateways that are not asked because there is a takeover permit for them.
     pub(crate) unavailable: BTreeSet<MemberId>,
     /// Journals of lost gateways: number of the last entry stored here, and of the last that is known to be written.
-    pub(crate) log_extents: BTreeMap<Source, (u64, u64)>,
+    pub(crate) journal_extents: BTreeMap<Source, (u64, u64)>,
     pub(crate) events: BTreeMap<Key, Event>,
     /// Statuses of events of earlier lives of this gateway, reported by peers, with the events' deadlines.
     pub(crate) learned: BTreeMap<Key, (WallMs, EventStatus)>,
@@ -147,7 +147,7 @@
             started_at: now,
             ended_lives: BTreeMap::from([(site_map.own(), settings.life.saturating_sub(1))]),
             unavailable: BTreeSet::new(),
-            log_extents: BTreeMap::new(),
+            journal_extents: BTreeMap::new(),
             events: BTreeMap::new(),
             learned: BTreeMap::new(),
             learned_bytes: 0,
@@ -203,8 +203,9 @@
     }
 
     /// Takes over the pending events of a gateway, of this life and all before it, after all promises to it have
-    /// expired. `snapshots` are all snapshots of its journals. `unavailable` means that it is lost by a permit and not asked
-    /// until [`Recovery::rejoined`]; otherwise a later life of it has reported that this one ended.
+    /// expired. `snapshots` are all snapshots of its journals. `unavailable` means that there is a takeover permit for
+    /// it, so that it is not asked until [`Recovery::rejoined`]; otherwise a later life of it has reported that this
+    /// one ended.
     pub fn take_over(
         &mut self,
         now: Micros,
@@ -283,7 +284,7 @@
 
     fn apply_snapshot(&mut self, now: Micros, snapshot: JournalSnapshot) {
         let source = snapshot.source;
-        self.log_extents.insert(source, (snapshot.through, snapshot.head));
+        self.journal_extents.insert(source, (snapshot.through, snapshot.head));
         let (heard, site) = (now.saturating_sub(snapshot.silent_for), self.site(source.gateway));
         for Entry { number, chain, step, .. } in snapshot.entries {
             match step {
@@ -296,7 +297,7 @@
                         lost_sites: BTreeSet::new(),
                         previous_owners: Vec::new(),
                         other_holders: BTreeSet::new(),
-                        log_extent: (0, 0),
+                        journal_extent: (0, 0),
                         other_journal_incomplete: false,
                         complete_holders: BTreeSet::new(),
                         stage: EventStage::Unclaimed,
@@ -404,8 +405,9 @@
             let lacks = |(of, (through, head)): (&Source, &(u64, u64))| {
                 *of != event.accepted_entry.0 && head > through
             };
-            event.other_journal_incomplete = self.log_extents.iter().any(lacks);
-            event.log_extent = self.log_extents.get(&event.accepted_entry.0).copied().unwrap_or((0, 0));
+            event.other_journal_incomplete = self.journal_extents.iter().any(lacks);
+            event.journal_extent =
+                self.journal_extents.get(&event.accepted_entry.0).copied().unwrap_or((0, 0));
             event.stage = EventStage::Claiming(left);
         }
         let mut claims: BTreeMap<MemberId, Vec<(Key, Source, u64)>> = BTreeMap::new();
@@ -457,9 +459,10 @@
             // was sent. So might an entry that no peer has, or an entry of a previous owner that some peer lacks.
             let need = self.required_holders.get(usize::from(event.accepted.class)).copied().unwrap_or(0);
             let (source, number, _) = event.accepted_entry;
-            let stored_here = self.log_extents.get(&source).is_some_and(|(through, _)| *through >= number);
+            let stored_here =
+                self.journal_extents.get(&source).is_some_and(|(through, _)| *through >= number);
             let too_few = event.complete_holders.len() + usize::from(stored_here) < usize::from(need);
-            let (through, head) = event.log_extent;
+            let (through, head) = event.journal_extent;
             if head > through {
                 losses.push(JournalLoss {
                     source_of: source,
--- a/crates/pending/src/simulation.rs
+++ b/crates/pending/src/simulation.rs
@@ -193,7 +193,9 @@
     /// Fault injected into gateways that start from now on.
     #[doc(hidden)]
     pub injected_fault: Option<HolderFault>,
+    /// Changes that others have not noticed yet, each with its time.
     changed: BTreeMap<MemberId, Micros>,
+    /// Whether each gateway counts as live.
     live_view: Vec<bool>,
     /// Gateways that run but are taken for dead.
     falsely_dead: BTreeSet<MemberId>,
@@ -316,7 +318,8 @@
 
     /// Number of running gateways that store the accepting entry of this event, regardless of any gateway's view.
     pub fn holders(&self, source: Source, key: Key) -> usize {
-        let holds = |of: &MemberId| self.net.node(*of).is_some_and(|one| one.pending.holds(source, key));
+        let holds =
+            |of: &MemberId| self.net.node(*of).is_some_and(|gateway| gateway.pending.holds(source, key));
         self.net.node_ids().filter(holds).count()
     }
 
--- a/crates/pending/src/takeover.rs
+++ b/crates/pending/src/takeover.rs
@@ -7,8 +7,8 @@
 use basaltward_permits::{Observations, PermitState, Subject};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Interval between requests to the voters. A gateway that is not the first to request also waits this long for each
-/// one before it.
+/// Retry interval of requests to voters and peers. Gateways that request the same permit start this much after one
+/// another.
 const RETRY_INTERVAL: Micros = 300_000;
 /// Up to this many gateways request one after another; all further ones request together with the last.
 const MAX_REQUEST_RANK: u64 = 8;
--- a/crates/pending/src/takeover_messages.rs
+++ b/crates/pending/src/takeover_messages.rs
@@ -36,7 +36,8 @@
 /// A part of a journal that is missing; its contents are unknown and not reconstructed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 #[error(
-    "journal {source_of:?}: entries {from} to {to:?} are lost ({why:?}): ask the clients of that gateway which events had no answer"
+    "journal {source_of:?}: entries {from} to {to:?} are lost ({why:?}): ask the clients of that gateway which \
+     events had no answer"
 )]
 pub struct JournalLoss {
     /// The journal.
@@ -90,7 +91,7 @@
     /// The entry that accepted the event (journal, number, chain value), if the responder has it.
     pub accepted_entry: Option<(Source, u64, u64)>,
     /// The last entry of the claimed journal that the responder has, and the last that it knows was written.
-    pub log_extent: Option<(u64, u64)>,
+    pub journal_extent: Option<(u64, u64)>,
     /// The responder lacks entries of some other journal of a lost gateway.
     pub other_journal_incomplete: bool,
 }
@@ -159,7 +160,7 @@
     /// Send a message to another gateway.
     Send(MemberId, TakeoverMessage),
     /// This gateway owns the event now and runs it: it is processed like an event that was accepted here, journal and
-    /// lease included. Its end is reported by [`Recovery::ended`].
+    /// lease included. Its end is reported by [`crate::Recovery::ended`].
     Adopt {
         /// The event.
         accepted: Accepted,
--- a/crates/pending/tests/takeover_faults.rs
+++ b/crates/pending/tests/takeover_faults.rs
@@ -516,7 +516,7 @@
         decision: ClaimDecision::Granted,
         first_send: FirstSend::Never,
         accepted_entry: None,
-        log_extent: None,
+        journal_extent: None,
         other_journal_incomplete: false,
     };
     let message = TakeoverMessage::ClaimReplies { age: 100 * S, replies: vec![reply] };
