--- a/crates/pending/src/journal.rs
+++ b/crates/pending/src/journal.rs
@@ -217,6 +217,7 @@
         self.prune(wall);
     }
 
+    /// Why an event can't be accepted, if it can't.
     fn check_admission(&self, required: u8, class: u16, key: Key, bytes: usize) -> Option<ReplicationError> {
         let live = self.candidates().count();
         // Reserves an eighth for further steps and the ends of pending events.
@@ -236,6 +237,7 @@
         }
     }
 
+    /// Live gateways of other sites.
     fn candidates(&self) -> impl Iterator<Item = MemberId> {
         let (site_map, live) = (&self.settings.site_map, &self.live);
         let numbers =
@@ -270,6 +272,7 @@
         self.progress.iter_mut().for_each(|holder| holder.mark_unacked(now));
     }
 
+    /// Writes the end of an event and drops its other payloads. Ends are retained up to a quarter of the size limit.
     fn end(&mut self, now: Micros, key: Key, outcome: Outcome, mut answer: Vec<u8>) {
         let Some(event) = self.events.get(&key) else { return };
         let (until, quarter) = (event.retain_until, self.settings.journal_bytes / 4);
@@ -385,6 +388,7 @@
         self.notify_replicated(now, out);
     }
 
+    /// Number of the last entry that this many holders have acknowledged.
     fn replicated_through(&self, required: u8) -> u64 {
         if required == 0 {
             return u64::MAX;
@@ -394,6 +398,7 @@
         acked.get(usize::from(required) - 1).copied().unwrap_or(0)
     }
 
+    /// Answers waiters whose entries are replicated and, for attempts of unsafe events, covered by a lease.
     fn notify_replicated(&mut self, now: Micros, out: &mut Vec<Output>) {
         let required_counts: Vec<u8> = self.waiters.keys().copied().collect();
         for required in required_counts {
@@ -455,6 +460,7 @@
         self.send(now, out);
     }
 
+    /// Answers waiters whose entries were not replicated, or covered by a lease, in time.
     fn expire_waiters(&mut self, now: Micros, wall: WallMs, out: &mut Vec<Output>) {
         let timeout = self.settings.replication_timeout;
         let is_late = |waiter: &Waiter| now.saturating_sub(waiter.since) >= timeout;
--- a/crates/pending/src/journal/replication.rs
+++ b/crates/pending/src/journal/replication.rs
@@ -24,6 +24,7 @@
         self.settings.holders.iter().copied().max().unwrap_or(0)
     }
 
+    /// Selects holders again after a change of the membership view or of the suspects.
     pub(super) fn select_holders(&mut self, now: Micros) {
         self.suspects.retain(|_, until| *until > now);
         let is_live = |of: MemberId| self.live.get(usize::from(of)) == Some(&true);
@@ -101,6 +102,7 @@
         }
     }
 
+    /// Sends new entries, keepalives, connection requests and releases that are due.
     pub(super) fn send(&mut self, now: Micros, out: &mut Vec<Output>) {
         let connect_due = now >= self.next_connect;
         let keepalive = (!self.events.is_empty()).then_some(self.settings.lease / 4);
--- a/crates/pending/src/recovery.rs
+++ b/crates/pending/src/recovery.rs
@@ -275,6 +275,7 @@
         all.filter(|of| *of != self.own && !self.unavailable.contains(of)).collect()
     }
 
+    /// Reports a missing part of a journal once.
     pub(crate) fn report_loss(&mut self, loss: JournalLoss, out: &mut Vec<RecoveryOutput>) {
         if self.reported_losses.insert(loss) {
             self.counts.journal_losses += 1;
@@ -282,6 +283,7 @@
         }
     }
 
+    /// Adds the events of a lost gateway's journal.
     fn apply_snapshot(&mut self, now: Micros, snapshot: JournalSnapshot) {
         let source = snapshot.source;
         self.journal_extents.insert(source, (snapshot.through, snapshot.head));
@@ -324,12 +326,13 @@
         }
     }
 
-    pub(crate) fn record_end(event: &mut Event, slots: &mut usize, outcome: Outcome, answer: Vec<u8>) {
+    /// Records the end of an event, and frees its slot in `running` if it was running here.
+    pub(crate) fn record_end(event: &mut Event, running: &mut usize, outcome: Outcome, answer: Vec<u8>) {
         match event.stage {
             // A later report changes nothing, except that an answer replaces the outcome "may have run".
             EventStage::Ended(Outcome::Failed, _) if outcome == Outcome::Served => {}
             EventStage::Ended(..) => return,
-            EventStage::Running => *slots -= 1,
+            EventStage::Running => *running -= 1,
             _ => {}
         }
         event.stage = EventStage::Ended(outcome, answer);
@@ -390,6 +393,7 @@
         ready.into_iter().chain(retained).fold(self.next_retry, Micros::min)
     }
 
+    /// Starts claims up to the limit, and sends all open claims.
     fn send_claims(&mut self, out: &mut Vec<RecoveryOutput>) {
         let peers = self.peers();
         let claiming =
@@ -430,6 +434,7 @@
         }
     }
 
+    /// Asks peers for journals that this gateway lacks; reports those that no peer has.
     fn query_holders(&mut self, out: &mut Vec<RecoveryOutput>) {
         let exhausted: Vec<MemberId> =
             self.holder_queries.iter().filter(|(_, left)| left.is_empty()).map(|(of, _)| *of).collect();
