--- a/crates/bench/src/pending.rs
+++ b/crates/bench/src/pending.rs
@@ -4,7 +4,8 @@
 use crate::memory::resident;
 use basaltward_membership::{LinkFaults, MemberId, Micros, SiteMap};
 use basaltward_pending::{
-    Accepted, Again, Input, Key, Outcome, Output, Pending, PendingSettings, Said, Sites, Step,
+    Accepted, Input, Key, Outcome, Output, PendingEvents, PendingSettings, RepeatSafety, SimulatedOutput,
+    SimulatedSites, Step,
 };
 use basaltward_permits::Subject;
 use std::collections::BTreeMap;
@@ -14,20 +15,20 @@
 fn settings(own: MemberId) -> Result<PendingSettings, Box<dyn Error>> {
     let places = SiteMap::new(vec![0, 1], own).ok_or("not in the list")?;
     let settings = PendingSettings::new(places, u64::from(own) + 1, vec![1], 1);
-    Ok(PendingSettings { bytes: 1 << 30, ..settings })
+    Ok(PendingSettings { journal_bytes: 1 << 30, ..settings })
 }
 
 fn accepted(key: u128, body: usize) -> Step {
     let (function, event) = ("function-0123".into(), vec![b'x'; body]);
     let deadline = 1_800_000_060_000;
-    let again = Again::Unsafe;
+    let again = RepeatSafety::Unsafe;
     Step::Accepted(Accepted {
         key: Key(key),
         class: 0,
         tenant: 0,
         function,
-        again,
-        owed: true,
+        repeat_safety: again,
+        finish_without_client: true,
         deadline,
         event,
     })
@@ -43,7 +44,7 @@
 
 /// A writer, its holder, and what went between them.
 struct Pair {
-    both: [Pending; 2],
+    both: [PendingEvents; 2],
     now: Micros,
     wire: [usize; 2],
     frames: [usize; 2],
@@ -53,16 +54,16 @@
 
 impl Pair {
     fn new() -> Result<Self, Box<dyn Error>> {
-        let mut both = [Pending::new(settings(0)?, 0), Pending::new(settings(1)?, 0)];
+        let mut both = [PendingEvents::new(settings(0)?, 0), PendingEvents::new(settings(1)?, 0)];
         let mut out = Vec::new();
-        both[0].handle(0, WALL, Input::Live(vec![true; 2]), &mut out);
+        both[0].handle(0, WALL, Input::LivePeers(vec![true; 2]), &mut out);
         both[0].handle(0, WALL, Input::LinkUp { of: 1, life: 2 }, &mut out);
         both[1].handle(0, WALL, Input::LinkUp { of: 0, life: 1 }, &mut out);
         for subject in [Subject::Site(0), Subject::Gateway(0)] {
-            both[0].handle(0, WALL, Input::Home { subject, permit: 0 }, &mut out);
+            both[0].handle(0, WALL, Input::ReclaimReply { subject, permit: 0 }, &mut out);
         }
         let mut pair = Self { both, now: 4_000_000, wire: [0; 2], frames: [0; 2] };
-        while !pair.both[0].takes() {
+        while !pair.both[0].is_ready() {
             pair.turn(std::iter::empty());
         }
         (pair.wire, pair.frames) = ([0; 2], [0; 2]);
@@ -86,7 +87,7 @@
                         let frame = Input::Frame { from: from as MemberId, bytes };
                         self.both[usize::from(to)].handle(self.now, WALL, frame, &mut back);
                     }
-                    Output::Held { .. } | Output::May { .. } => told += 1,
+                    Output::Replicated { .. } | Output::SendAllowed { .. } => told += 1,
                     _ => {}
                 }
             }
@@ -158,7 +159,7 @@
         let before = resident()?;
         let told = |pair: &Pair, stage: &str| -> Result<(), Box<dyn Error>> {
             let per = |bytes: f64| bytes / events as f64;
-            let (own, held) = (pair.both[0].own_size().0, pair.both[1].held_size().0);
+            let (own, held) = (pair.both[0].journal_size().0, pair.both[1].replica_size().0);
             let resident = per(resident()? - before);
             println!(
                 "{body:>5} | {stage} | {:.0} + {:.0} | {resident:.0}",
@@ -221,8 +222,11 @@
     let sites = vec![0, 0, 1, 1, 2, 2];
     let places = SiteMap::new(sites.clone(), 0).ok_or("not in the list")?;
     let settings = PendingSettings::new(places, 0, vec![1], seed);
-    let mut world =
-        Sites::new(sites, settings, LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: late });
+    let mut world = SimulatedSites::new(
+        sites,
+        settings,
+        LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: late },
+    );
     world.start_all();
     world.run(world.net.now + 8_000_000);
     world.net.outputs.clear();
@@ -232,14 +236,14 @@
         world.run(world.net.now + 100);
         for (at, of, said) in std::mem::take(&mut world.net.outputs) {
             match said {
-                Said::Told(Output::Held { key }) => {
+                SimulatedOutput::Local(Output::Replicated { key }) => {
                     times[0].push(at - began[&key]);
                     if !together {
                         began.insert(key, world.net.now);
                         world.step(of, sending(key.0));
                     }
                 }
-                Said::Told(Output::May { key, .. }) => {
+                SimulatedOutput::Local(Output::SendAllowed { key, .. }) => {
                     times[1].push(at - began[&key]);
                     world.step(of, ended(key.0, 100));
                 }
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -2,7 +2,7 @@
 
 use basaltward_admission::AdmissionError;
 use basaltward_peers::{ConnectionError, PeerError};
-use basaltward_pending::{Fault, Refused, Unkept, Why, WireError};
+use basaltward_pending::{JournalFault, LeaseRefusal, LossReason, ReplicationError, WireError};
 use basaltward_site_routing::RoutingError;
 use std::collections::BTreeSet;
 use strum::VariantNames;
@@ -31,12 +31,12 @@
         (
             "Journals of kept events",
             prefixed(&[
-                ("Unkept::", Unkept::VARIANTS),
+                ("Unkept::", ReplicationError::VARIANTS),
                 ("WireError::", WireError::VARIANTS),
-                ("Fault::", Fault::VARIANTS),
+                ("Fault::", JournalFault::VARIANTS),
             ]),
         ),
-        ("Leases and heirs", prefixed(&[("Refused::", Refused::VARIANTS), ("", Why::VARIANTS)])),
+        ("Leases and heirs", prefixed(&[("Refused::", LeaseRefusal::VARIANTS), ("", LossReason::VARIANTS)])),
         ("Choice of site", prefixed(&[("", RoutingError::VARIANTS)])),
         ("The door", prefixed(&[("", AdmissionError::VARIANTS)])),
     ];
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -14,7 +14,9 @@
     Channel, ConnectionConfig, ConnectionEvent, EndpointConfig, EndpointEvent, Event, PeerConfig,
     PeerEndpoint, SitesToWatch,
 };
-use basaltward_pending::{End, Fate, Input, Output, Pending, PendingSettings, Step, taken};
+use basaltward_pending::{
+    EventStatus, Input, Output, PendingEvents, PendingSettings, Resolution, Step, taken_over,
+};
 use basaltward_permits::{Denied, PermitRequest};
 use basaltward_rules::{Observation, Recorder};
 use basaltward_site_routing::{FunctionSpec, RoutingController, RoutingSettings};
@@ -47,7 +49,7 @@
     route: RoutingController,
     shed: AdmissionController,
     shed_fact_lifetime: Micros,
-    pending: Pending,
+    pending: PendingEvents,
     hand_over: bool,
     loops: Vec<ControlEnd>,
     queued: Vec<VecDeque<ControlMessage>>,
@@ -164,7 +166,7 @@
             config.replication.iter().map(|kept| kept.map_or(0, |kept| kept.holders.min(255) as u8));
         let site_map = site_map(sites).ok_or(GatewayError::NotAPeer)?;
         let pending = PendingSettings {
-            bytes: sites.journal.max_bytes,
+            journal_bytes: sites.journal.max_bytes,
             entry_bytes: sites.journal.max_entry_bytes,
             lease: sites.journal.lease,
             ..PendingSettings::new(
@@ -186,7 +188,7 @@
             route,
             shed,
             shed_fact_lifetime,
-            pending: Pending::new(pending, now),
+            pending: PendingEvents::new(pending, now),
             hand_over: sites.hand_over,
             queued: loops.iter().map(|_| VecDeque::new()).collect(),
             loops,
@@ -265,22 +267,24 @@
                 // An event of a lost gateway is not started again while the gateways that took it over handle it.
                 let status = match &step {
                     Step::Accepted(accepted) => {
-                        self.pending.fate(accepted.key).map(|status| (accepted.key, status))
+                        self.pending.event_status(accepted.key).map(|status| (accepted.key, status))
                     }
                     _ => None,
                 };
                 let (key, message) = match status {
-                    Some((key, Fate::Ended(outcome, answer))) => {
+                    Some((key, EventStatus::Ended(outcome, answer))) => {
                         (key, ControlMessage::EndedElsewhere(key, outcome, answer))
                     }
-                    Some((key, Fate::By(by))) if by != own => (key, ControlMessage::OwnedElsewhere(key)),
-                    Some((key, Fate::Open)) => (key, ControlMessage::OwnedElsewhere(key)),
+                    Some((key, EventStatus::OwnedBy(by))) if by != own => {
+                        (key, ControlMessage::OwnedElsewhere(key))
+                    }
+                    Some((key, EventStatus::Unassigned)) => (key, ControlMessage::OwnedElsewhere(key)),
                     Some(_) | None => {
                         self.pending.handle(now, wall_ms(), Input::Step(step), &mut outputs);
                         continue;
                     }
                 };
-                self.pending.handle(now, wall_ms(), Input::Repeated(key), &mut outputs);
+                self.pending.handle(now, wall_ms(), Input::ClientRepeat(key), &mut outputs);
                 self.queued[number].push_back(message);
             }
         }
@@ -316,12 +320,12 @@
                     match (self.permit_requests.remove(&tag), answer) {
                         (Some(PermitRequest::Reclaim(subject)), Ok(permit)) => {
                             self.reclaimed |= permit > 0;
-                            Input::Home { subject, permit }
+                            Input::ReclaimReply { subject, permit }
                         }
                         (
                             Some(PermitRequest::Return(subject, _)),
                             Ok(_) | Err(Denied::Stale | Denied::Unknown),
-                        ) => Input::Done { subject },
+                        ) => Input::PermitReturned { subject },
                         _ => continue,
                     }
                 }
@@ -388,7 +392,7 @@
             self.route.set_live(&self.live);
             self.next_site_refresh = now;
             let mut outputs = Vec::new();
-            self.pending.handle(now, wall_ms(), Input::Live(self.live.clone()), &mut outputs);
+            self.pending.handle(now, wall_ms(), Input::LivePeers(self.live.clone()), &mut outputs);
             self.carry_out(now, outputs);
         }
     }
@@ -432,9 +436,9 @@
         let observations = self.endpoint.transport().site_observations(now);
         let permit_state = self.endpoint.permit_state().map(|known| known.value.clone()).unwrap_or_default();
         let mut outputs = Vec::new();
-        let taken_over = taken(&permit_state, &self.site_map);
-        self.pending.handle(now, wall_ms(), Input::Seen { observations, permit_state }, &mut outputs);
-        let accepts = self.pending.takes() && now >= self.accepts_from;
+        let taken_over = taken_over(&permit_state, &self.site_map);
+        self.pending.handle(now, wall_ms(), Input::Observed { observations, permit_state }, &mut outputs);
+        let accepts = self.pending.is_ready() && now >= self.accepts_from;
         let owners = Owners { valid_until: now + OWNERS_VALID_US, taken_over, accepts };
         self.tables.owners.store(Some(Arc::new(owners)));
         self.carry_out(now, outputs);
@@ -447,29 +451,29 @@
                     // Unacknowledged data is sent again.
                     let _ = self.endpoint.send(&mut self.io, now, to, (Channel::Pending, &bytes));
                 }
-                Output::Held { key } => self.broadcast(|| ControlMessage::Replicated(key, true)),
-                Output::Unheld { key, why } => {
+                Output::Replicated { key } => self.broadcast(|| ControlMessage::Replicated(key, true)),
+                Output::NotReplicated { key, why } => {
                     info!(scheduler = self.name, %why, "event not replicated");
                     self.broadcast(|| ControlMessage::Replicated(key, false));
                 }
-                Output::May { key, attempt, until } => {
+                Output::SendAllowed { key, attempt, until } => {
                     self.broadcast(|| ControlMessage::SendDecision(key, attempt, Some(until)))
                 }
-                Output::MayNot { key, attempt, why } => {
+                Output::SendDenied { key, attempt, why } => {
                     info!(scheduler = self.name, %why, "attempt not sent");
                     self.broadcast(|| ControlMessage::SendDecision(key, attempt, None));
                 }
-                Output::Noted(fault) => warn!(scheduler = self.name, %fault, "journal fault"),
+                Output::Fault(fault) => warn!(scheduler = self.name, %fault, "journal fault"),
                 // The endpoint repeats a submitted request by itself until it has an answer.
-                Output::Ask(request)
+                Output::RequestPermit(request)
                     if self.permit_requests.values().any(|submitted| *submitted == request) => {}
-                Output::Ask(request) => {
+                Output::RequestPermit(request) => {
                     info!(scheduler = self.name, ?request, "permit request submitted");
                     if let Some(tag) = self.endpoint.submit(now, request) {
                         self.permit_requests.insert(tag, request);
                     }
                 }
-                Output::Takes => {
+                Output::Ready => {
                     // Other gateways accepted events of this gateway until they learned of its return. A repeat of
                     // one of those must not be accepted here while it is remembered there, as this gateway has no
                     // record of it.
@@ -481,21 +485,21 @@
                     (self.accepts_from, self.next_site_refresh) = (now + wait, now);
                     info!(scheduler = self.name, after_us = wait, "accepting replicated events");
                 }
-                Output::Lost { key } => self.broadcast(|| ControlMessage::TakenOver(key)),
-                Output::Run { pending, end, .. } => {
+                Output::OwnershipLost { key } => self.broadcast(|| ControlMessage::TakenOver(key)),
+                Output::Run { accepted: pending, resolution: end, .. } => {
                     info!(
                         scheduler = self.name,
                         key = format!("{:x}", pending.key.0),
                         ?end,
                         "running an event of a lost gateway"
                     );
-                    let before = if let End::SameKey { before } = end { before } else { u64::MAX };
+                    let before = if let Resolution::SameKey { before } = end { before } else { u64::MAX };
                     let loop_index = (pending.key.0 % self.loops.len().max(1) as u128) as usize;
                     if let Some(messages) = self.queued.get_mut(loop_index) {
                         messages.push_back(ControlMessage::RunForLostSite(Box::new(pending), before));
                     }
                 }
-                Output::Told { key, end, outcome, answer } => {
+                Output::Resolved { key, resolution: end, outcome, answer } => {
                     info!(
                         scheduler = self.name,
                         key = format!("{:x}", key.0),
@@ -504,7 +508,7 @@
                     );
                     self.broadcast(|| ControlMessage::EndedElsewhere(key, outcome, answer.clone()));
                 }
-                Output::Gone(gone) => {
+                Output::JournalLoss(gone) => {
                     warn!(scheduler = self.name, %gone, "journal of a lost gateway is incomplete")
                 }
             }
--- a/crates/gateway/src/replicated.rs
+++ b/crates/gateway/src/replicated.rs
@@ -10,7 +10,7 @@
 use basaltward_cloudevents::{Attribute, Event, from_json, to_json};
 use basaltward_config::{ReplicationConfig, UnreplicatedPolicy};
 use basaltward_engine::{Answer, AttemptEnd, AttemptId, Failure, Identity, NewCall, Refusal, WaiterId};
-use basaltward_pending::{Accepted, Again, Key, Outcome, Step};
+use basaltward_pending::{Accepted, Key, Outcome, RepeatSafety, Step};
 use basaltward_timers::Timers;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -118,12 +118,12 @@
 }
 
 /// Whether another gateway may run an event of this class again.
-fn rerun_rule(repeat: Repeat) -> Again {
+fn rerun_rule(repeat: Repeat) -> RepeatSafety {
     match repeat {
-        Repeat::Safe => Again::Safe,
+        Repeat::Safe => RepeatSafety::Safe,
         // Workers of different sites share seen keys only if the group is all workers.
-        Repeat::Keyed { group: Group::All, window } => Again::Keyed { window },
-        Repeat::Keyed { .. } | Repeat::Unsafe => Again::Unsafe,
+        Repeat::Keyed { group: Group::All, window } => RepeatSafety::Keyed { window },
+        Repeat::Keyed { .. } | Repeat::Unsafe => RepeatSafety::Unsafe,
     }
 }
 
@@ -227,8 +227,8 @@
             class: class as u16,
             tenant: call.identity.tenant as u16,
             function: call.function.name.to_string(),
-            again: rerun_rule(repeat),
-            owed: kept.finish_without_client,
+            repeat_safety: rerun_rule(repeat),
+            finish_without_client: kept.finish_without_client,
             deadline: wall + deadline.saturating_sub(now) / 1_000,
             event,
         }));
--- a/crates/pending/src/claims.rs
+++ b/crates/pending/src/claims.rs
@@ -1,226 +1,291 @@
-//! What gateways answer one another of what is taken over: claims, and what was done in the place of one that returns.
+//! Handles takeover messages: claims of events, and queries of returning gateways about their events.
 
-use crate::ends::Sent;
-use crate::rebuild::{Event, Heirs, Stage, rank};
+use crate::recovery::{Event, EventStage, Recovery, claim_rank};
+use crate::resolution::FirstSend;
+use crate::takeover_messages::{
+    ClaimDecision, ClaimReply, EventStatus, JournalLoss, JournalSnapshot, LossReason, RecoveryOutput,
+    TakeoverMessage,
+};
 use crate::types::{Key, Outcome, Source, WallMs};
-use crate::words::{Copy, Fate, Gone, Heir, Say, Stand, Why, Word};
 use basaltward_membership::{MemberId, Micros};
 
-/// Keys in a word, at most, and bytes of answers in one.
-pub(crate) const BATCH: usize = 256;
-const BYTES: usize = 48 << 10;
-/// Events of our earlier lives of which we learn, and bytes of their answers, at most: with more we are not home until
-/// some are past their time.
-const LEARNT: (usize, usize) = (1 << 17, 16 << 20);
+/// Limits of one message: events, and bytes of their answers.
+pub(crate) const MAX_EVENTS_PER_MESSAGE: usize = 256;
+const MAX_ANSWER_BYTES_PER_MESSAGE: usize = 48 << 10;
+/// Limits for what this gateway learns about events of its earlier lives: events, and bytes of their answers. With
+/// more events it does not become ready until some have expired.
+const MAX_LEARNED_EVENTS: usize = 1 << 17;
+const MAX_LEARNED_BYTES: usize = 16 << 20;
 
-impl Heirs {
-    /// Another gateway's word. `copies` gives all that we hold of a gateway's journals, up to a life.
-    pub fn word(
+impl Recovery {
+    /// Handles a message of another gateway. `snapshots` returns the snapshots of all journals of a gateway up to a
+    /// life.
+    pub fn handle_message(
         &mut self,
         now: Micros,
         from: MemberId,
-        word: Word,
-        copies: impl Fn(MemberId, u64) -> Vec<Copy>,
-        out: &mut Vec<Heir>,
+        message: TakeoverMessage,
+        snapshots: impl Fn(MemberId, u64) -> Vec<JournalSnapshot>,
+        out: &mut Vec<RecoveryOutput>,
     ) {
-        match word {
-            Word::Claim(keys) => {
-                let says: Vec<Say> = keys
+        match message {
+            TakeoverMessage::Claim(keys) => {
+                let replies: Vec<ClaimReply> = keys
                     .into_iter()
-                    .filter_map(|(key, source, line)| self.claimed(from, key, source, line))
+                    .filter_map(|(key, source, entry_number)| {
+                        self.answer_claim(from, key, source, entry_number)
+                    })
                     .collect();
-                let age = now.saturating_sub(self.start);
-                for says in
-                    pieces(says, |say| matches!(&say.stand, Stand::Ended(_, answer) if !answer.is_empty()))
-                {
-                    out.push(Heir::Send(from, Word::Says { age, says }));
+                let age = now.saturating_sub(self.started_at);
+                for replies in into_batches(
+                    replies,
+                    |reply| matches!(&reply.decision, ClaimDecision::Ended(_, answer) if !answer.is_empty()),
+                ) {
+                    out.push(RecoveryOutput::Send(from, TakeoverMessage::ClaimReplies { age, replies }));
                 }
             }
-            Word::Says { age, says } => says.into_iter().for_each(|say| self.said(now, from, age, say, out)),
-            Word::Over(ends) => {
+            TakeoverMessage::ClaimReplies { age, replies } => {
+                replies.into_iter().for_each(|reply| self.handle_claim_reply(now, from, age, reply, out))
+            }
+            TakeoverMessage::Ended(ends) => {
                 for (key, outcome, answer) in ends {
-                    if let Some((_, fate)) =
-                        self.learnt.get_mut(&key).filter(|(_, fate)| *fate == Fate::By(from))
+                    if let Some((_, status)) =
+                        self.learned.get_mut(&key).filter(|(_, status)| *status == EventStatus::OwnedBy(from))
                     {
-                        let fits = self.learnt_bytes + answer.len() <= LEARNT.1;
-                        *fate = Fate::Ended(outcome, if fits { answer.clone() } else { Vec::new() });
-                        self.learnt_bytes += fate.answer_bytes();
+                        let fits = self.learned_bytes + answer.len() <= MAX_LEARNED_BYTES;
+                        *status = EventStatus::Ended(outcome, if fits { answer.clone() } else { Vec::new() });
+                        self.learned_bytes += status.answer_bytes();
                     }
-                    let theirs = |event: &&mut Event| event.stage == Stage::Theirs(from);
-                    if let Some(event) = self.events.get_mut(&key).filter(theirs) {
-                        Self::close(event, &mut self.out, outcome, answer);
+                    let owned_by_sender = |event: &&mut Event| event.stage == EventStage::OwnedBy(from);
+                    if let Some(event) = self.events.get_mut(&key).filter(owned_by_sender) {
+                        Self::record_end(event, &mut self.running, outcome, answer);
                     }
                 }
             }
-            Word::Holds(of, life) => {
-                if self.begun.get(&of).is_some_and(|begun| *begun >= life) {
-                    let any = !copies(of, life).is_empty();
-                    out.push(Heir::Send(from, Word::Held(of, any)));
+            TakeoverMessage::HoldsQuery(of, life) => {
+                if self.ended_lives.get(&of).is_some_and(|ended_life| *ended_life >= life) {
+                    let any = !snapshots(of, life).is_empty();
+                    out.push(RecoveryOutput::Send(from, TakeoverMessage::HoldsReply(of, any)));
                 }
             }
-            Word::Held(of, true) => _ = self.asked.remove(&of),
-            Word::Held(of, false) => {
-                self.asked.get_mut(&of).into_iter().for_each(|left| _ = left.remove(&from));
+            TakeoverMessage::HoldsReply(of, true) => _ = self.holder_queries.remove(&of),
+            TakeoverMessage::HoldsReply(of, false) => {
+                self.holder_queries.get_mut(&of).into_iter().for_each(|left| _ = left.remove(&from));
+            }
+            TakeoverMessage::ReturnQuery { life, after } => {
+                self.answer_return_query(now, from, life, after, snapshots, out)
+            }
+            TakeoverMessage::ReturnReply { life, statuses, more } => {
+                self.handle_return_reply(from, life, statuses, more, out)
             }
-            Word::Back { life, after } => self.tell_back(now, from, life, after, copies, out),
-            Word::Did { life, fates, more } => self.learn(from, life, fates, more, out),
         }
     }
 
-    /// What we answer a claim, and what we are bound by from then on.
-    fn claimed(&mut self, from: MemberId, key: Key, source: Source, line: u64) -> Option<Say> {
-        if self.begun.get(&source.gateway).is_none_or(|life| *life < source.life) {
+    /// Answers a claim. A granted claim binds this gateway from then on.
+    fn answer_claim(
+        &mut self,
+        from: MemberId,
+        key: Key,
+        source: Source,
+        entry_number: u64,
+    ) -> Option<ClaimReply> {
+        if self.ended_lives.get(&source.gateway).is_none_or(|life| *life < source.life) {
             return None;
         }
-        let upto = self.reach.get(&source).copied();
-        let torn = self.reach.iter().any(|(of, (through, head))| *of != source && head > through);
+        let journal_extent = self.journal_extents.get(&source).copied();
+        let other_journal_incomplete =
+            self.journal_extents.iter().any(|(of, (through, head))| *of != source && head > through);
         let Some(event) = self.events.get_mut(&key) else {
-            // Our copy has gone past it and holds nothing of it: it was over, and how is not known any more.
-            let over = upto.is_some_and(|(through, _)| through >= line);
-            let stand = if over { Stand::Ended(Outcome::Failed, Vec::new()) } else { Stand::Yours };
-            return Some(Say { key, stand, sent: Sent::Never, line: None, upto, torn });
+            // The replica here goes past the accepting entry but no longer has the event: it has ended, and how is no
+            // longer known.
+            let ended = journal_extent.is_some_and(|(through, _)| through >= entry_number);
+            let decision = if ended {
+                ClaimDecision::Ended(Outcome::Failed, Vec::new())
+            } else {
+                ClaimDecision::Granted
+            };
+            return Some(ClaimReply {
+                key,
+                decision,
+                first_send: FirstSend::Never,
+                accepted_entry: None,
+                journal_extent,
+                other_journal_incomplete,
+            });
         };
-        event.holders.insert(from);
-        let ours = match event.stage {
-            Stage::Ready | Stage::Out => true,
-            Stage::Open | Stage::Claiming(_) => rank(key, self.own) > rank(key, from),
-            Stage::Theirs(_) | Stage::Over(..) => false,
+        event.other_holders.insert(from);
+        let keep = match event.stage {
+            EventStage::Ready | EventStage::Running => true,
+            EventStage::Unclaimed | EventStage::Claiming(_) => {
+                claim_rank(key, self.own) > claim_rank(key, from)
+            }
+            EventStage::OwnedBy(_) | EventStage::Ended(..) => false,
         };
-        let stand = match &event.stage {
-            Stage::Over(outcome, answer) => Stand::Ended(*outcome, answer.clone()),
-            _ if ours => Stand::Mine,
+        let decision = match &event.stage {
+            EventStage::Ended(outcome, answer) => ClaimDecision::Ended(*outcome, answer.clone()),
+            _ if keep => ClaimDecision::Denied,
             _ => {
-                event.stage = Stage::Theirs(from);
-                Stand::Yours
+                event.stage = EventStage::OwnedBy(from);
+                ClaimDecision::Granted
             }
         };
-        Some(Say { key, stand, sent: event.sent, line: Some(event.line), upto, torn })
+        Some(ClaimReply {
+            key,
+            decision,
+            first_send: event.first_send,
+            accepted_entry: Some(event.accepted_entry),
+            journal_extent,
+            other_journal_incomplete,
+        })
     }
 
-    fn said(&mut self, now: Micros, from: MemberId, age: Micros, say: Say, out: &mut Vec<Heir>) {
-        let Some(event) = self.events.get_mut(&say.key) else { return };
-        if !matches!(&event.stage, Stage::Claiming(left) if left.contains(&from)) {
+    fn handle_claim_reply(
+        &mut self,
+        now: Micros,
+        from: MemberId,
+        age: Micros,
+        reply: ClaimReply,
+        out: &mut Vec<RecoveryOutput>,
+    ) {
+        let Some(event) = self.events.get_mut(&reply.key) else { return };
+        if !matches!(&event.stage, EventStage::Claiming(left) if left.contains(&from)) {
             return;
         }
-        // One that began after its owner was last heard may have forgotten what it held; clocks differ by a tenth.
-        if age < now.saturating_sub(event.heard).saturating_mul(5) / 4 {
-            event.sent = Sent::Unknown;
+        // A peer that started after the owner was last heard from may have lost what it had stored. 5 / 4 allows for
+        // clocks that run a tenth apart.
+        if age < now.saturating_sub(event.owner_last_heard).saturating_mul(5) / 4 {
+            event.first_send = FirstSend::Unknown;
         }
-        if let Some(line) = say.line.filter(|line| event.is_older_than(*line)) {
-            event.follows(line, say.sent);
-            self.again = now;
+        if let Some(entry) = reply.accepted_entry.filter(|entry| event.is_superseded_by(*entry)) {
+            event.reset_to(entry, reply.first_send);
+            self.next_retry = now;
             return;
         }
-        event.sent = event.sent.and(say.sent);
-        event.torn |= say.torn;
-        if let Some((through, head)) = say.upto {
-            event.upto = (event.upto.0.max(through), event.upto.1.max(head));
-            if through >= event.line.1 {
-                event.reached.insert(from);
+        event.first_send = event.first_send.merge(reply.first_send);
+        event.other_journal_incomplete |= reply.other_journal_incomplete;
+        if let Some((through, head)) = reply.journal_extent {
+            event.journal_extent = (event.journal_extent.0.max(through), event.journal_extent.1.max(head));
+            if through >= event.accepted_entry.1 {
+                event.complete_holders.insert(from);
             }
         }
-        let (own, mut contradicted) = (event.line, None);
-        if let Some((source, number, chain)) = say.line {
-            event.holders.insert(from);
+        let (own, mut contradicted) = (event.accepted_entry, None);
+        if let Some((source, number, chain)) = reply.accepted_entry {
+            event.other_holders.insert(from);
             if (source, number) == (own.0, own.1) && chain != own.2 {
-                event.sent = Sent::Unknown;
-                contradicted =
-                    Some(Gone { source_of: source, from: number, to: Some(number), why: Why::Contradicted });
+                event.first_send = FirstSend::Unknown;
+                contradicted = Some(JournalLoss {
+                    source_of: source,
+                    from: number,
+                    to: Some(number),
+                    why: LossReason::Contradicted,
+                });
             }
         }
-        match say.stand {
-            Stand::Yours => {
-                if let Stage::Claiming(left) = &mut event.stage {
+        match reply.decision {
+            ClaimDecision::Granted => {
+                if let EventStage::Claiming(left) = &mut event.stage {
                     left.remove(&from);
                 }
             }
-            Stand::Mine => event.stage = Stage::Theirs(from),
-            Stand::Ended(outcome, answer) => Self::close(event, &mut self.out, outcome, answer),
+            ClaimDecision::Denied => event.stage = EventStage::OwnedBy(from),
+            ClaimDecision::Ended(outcome, answer) => {
+                Self::record_end(event, &mut self.running, outcome, answer)
+            }
         }
-        contradicted.into_iter().for_each(|gone| self.name(gone, out));
+        contradicted.into_iter().for_each(|loss| self.report_loss(loss, out));
     }
 
-    /// A later life of a gateway asks: from here on its earlier ones are over, and all that they had pending is told.
-    fn tell_back(
+    /// Answers a later life of a gateway: its earlier lives have ended, and the status of all their pending events is
+    /// reported.
+    fn answer_return_query(
         &mut self,
         now: Micros,
         from: MemberId,
         life: u64,
         after: Option<Key>,
-        copies: impl Fn(MemberId, u64) -> Vec<Copy>,
-        out: &mut Vec<Heir>,
+        snapshots: impl Fn(MemberId, u64) -> Vec<JournalSnapshot>,
+        out: &mut Vec<RecoveryOutput>,
     ) {
-        if self.begun.get(&from).is_none_or(|begun| *begun < life) {
-            self.begin(now, from, life, false, copies(from, life));
+        if self.ended_lives.get(&from).is_none_or(|ended_life| *ended_life < life) {
+            self.take_over(now, from, life, false, snapshots(from, life));
         }
-        let of_it = |event: &Event| event.line.0.gateway == from && event.line.0.life <= life;
-        // Whoever does one of them tells the asker how it ends.
-        let all = self.events.values_mut().filter(|event| of_it(event));
-        all.for_each(|event| _ = event.holders.insert(from));
+        let is_theirs =
+            |event: &Event| event.accepted_entry.0.gateway == from && event.accepted_entry.0.life <= life;
+        // The peer that owns one of these events also reports its end to the returning gateway.
+        let all = self.events.values_mut().filter(|event| is_theirs(event));
+        all.for_each(|event| _ = event.other_holders.insert(from));
         let later = |key: &Key| after.is_none_or(|after| *key > after);
-        let rest = self.events.iter().filter(|(key, event)| later(key) && of_it(event));
-        let (mut fates, mut bytes, mut more) = (Vec::<(Key, WallMs, Fate)>::new(), 0, None);
+        let rest = self.events.iter().filter(|(key, event)| later(key) && is_theirs(event));
+        let (mut statuses, mut bytes, mut more) = (Vec::<(Key, WallMs, EventStatus)>::new(), 0, None);
         for (key, event) in rest {
-            let fate = self.fate_of(event);
-            bytes += fate.answer_bytes();
-            if fates.len() == BATCH || (bytes > BYTES && !fates.is_empty()) {
-                more = fates.last().map(|(key, ..)| *key);
+            let status = self.status_of(event);
+            bytes += status.answer_bytes();
+            if statuses.len() == MAX_EVENTS_PER_MESSAGE
+                || (bytes > MAX_ANSWER_BYTES_PER_MESSAGE && !statuses.is_empty())
+            {
+                more = statuses.last().map(|(key, ..)| *key);
                 break;
             }
-            fates.push((*key, event.accepted.deadline, fate));
+            statuses.push((*key, event.accepted.deadline, status));
         }
-        out.push(Heir::Send(from, Word::Did { life, fates, more }));
+        out.push(RecoveryOutput::Send(from, TakeoverMessage::ReturnReply { life, statuses, more }));
     }
 
-    /// What others did in our place, for repeats: an end goes before who does it, and that before nobody yet.
-    fn learn(
+    /// Merges what a peer reports about events of earlier lives: an end takes precedence over an owner, and an owner
+    /// over no owner.
+    fn handle_return_reply(
         &mut self,
         from: MemberId,
         life: u64,
-        fates: Vec<(Key, WallMs, Fate)>,
+        statuses: Vec<(Key, WallMs, EventStatus)>,
         more: Option<Key>,
-        out: &mut Vec<Heir>,
+        out: &mut Vec<RecoveryOutput>,
     ) {
-        if self.learnt.len() + fates.len() > LEARNT.0 {
+        if self.learned.len() + statuses.len() > MAX_LEARNED_EVENTS {
             return;
         }
         out.push(match more {
-            Some(_) => Heir::Send(from, Word::Back { life, after: more }),
-            None => Heir::Learnt(from),
+            Some(_) => RecoveryOutput::Send(from, TakeoverMessage::ReturnQuery { life, after: more }),
+            None => RecoveryOutput::ReturnLearned(from),
         });
-        for (key, deadline, fate) in fates {
-            let known = self.learnt.entry(key).or_insert((deadline, Fate::Open));
-            let later = match (&known.1, &fate) {
-                (Fate::Ended(..), _) | (_, Fate::Open) => false,
-                (Fate::Open, _) | (_, Fate::Ended(..)) => true,
-                // Whoever does it says so itself.
-                (Fate::By(_), Fate::By(of)) => *of == from,
+        for (key, deadline, status) in statuses {
+            let known = self.learned.entry(key).or_insert((deadline, EventStatus::Unassigned));
+            let replaces = match (&known.1, &status) {
+                (EventStatus::Ended(..), _) | (_, EventStatus::Unassigned) => false,
+                (EventStatus::Unassigned, _) | (_, EventStatus::Ended(..)) => true,
+                // A report of the owner itself is preferred.
+                (EventStatus::OwnedBy(_), EventStatus::OwnedBy(of)) => *of == from,
             };
-            if later {
-                known.1 = match fate {
-                    // It was served: that its answer is not kept is told as it is of one that was too long.
-                    Fate::Ended(outcome, answer) if self.learnt_bytes + answer.len() > LEARNT.1 => {
-                        Fate::Ended(outcome, Vec::new())
+            if replaces {
+                known.1 = match status {
+                    // The event was served, but its answer does not fit; it is reported like an answer that was too
+                    // long.
+                    EventStatus::Ended(outcome, answer)
+                        if self.learned_bytes + answer.len() > MAX_LEARNED_BYTES =>
+                    {
+                        EventStatus::Ended(outcome, Vec::new())
                     }
-                    fate => fate,
+                    status => status,
                 };
-                self.learnt_bytes += known.1.answer_bytes();
+                self.learned_bytes += known.1.answer_bytes();
             }
         }
     }
 }
 
-/// Pieces of at most [`BATCH`], those with answers alone.
-fn pieces(says: Vec<Say>, alone: impl Fn(&Say) -> bool) -> Vec<Vec<Say>> {
-    let mut pieces: Vec<Vec<Say>> = Vec::new();
-    let mut room = 0;
-    for say in says {
-        if room == 0 || alone(&say) {
-            pieces.push(Vec::new());
-            room = BATCH;
+/// Splits replies into batches of at most [`MAX_EVENTS_PER_MESSAGE`]; a reply with an answer gets a message of its
+/// own.
+fn into_batches(replies: Vec<ClaimReply>, alone: impl Fn(&ClaimReply) -> bool) -> Vec<Vec<ClaimReply>> {
+    let mut batches: Vec<Vec<ClaimReply>> = Vec::new();
+    let mut capacity = 0;
+    for reply in replies {
+        if capacity == 0 || alone(&reply) {
+            batches.push(Vec::new());
+            capacity = MAX_EVENTS_PER_MESSAGE;
         }
-        room = if alone(&say) { 0 } else { room - 1 };
-        pieces.last_mut().into_iter().for_each(|piece| piece.push(say.clone()));
+        capacity = if alone(&reply) { 0 } else { capacity - 1 };
+        batches.last_mut().into_iter().for_each(|batch| batch.push(reply.clone()));
     }
-    pieces
+    batches
 }
--- a/crates/pending/src/holder.rs
+++ b/crates/pending/src/holder.rs
@@ -1,322 +1,358 @@
-//! The holder's side: journals of gateways of other sites, taken in order only, each line checked against the chain.
-//! What is missing or changed is named and asked for again, never filled. Two lives of a gateway are two journals.
+//! The holder's side of replication: journals of gateways of other sites, stored strictly in order and verified by
+//! the chain. Missing or corrupted entries are reported and requested again, never reconstructed. Each life of a
+//! gateway has its own journal.
 
-use crate::entry::{HOLLOW, Line, chained, read};
-use crate::error::Fault;
+use crate::entry::{ENTRY_BYTES, StoredEntry, decode_payload, next_chain};
+use crate::error::JournalFault;
+use crate::takeover_messages::JournalSnapshot;
 use crate::types::{Entry, Key, Source, Step, WallMs};
-use crate::wire::{Ack, Lines, Not, Release, Sent};
-use crate::words::Copy;
+use crate::wire::{Ack, Append, RejectReason, Release, WireEntry};
 use basaltward_membership::{MemberId, Micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A journal of which nothing is needed is forgotten after so long without word.
-const FORGET: Micros = 60_000_000;
-/// No journal comes to this number.
-const FAR: u64 = 1 << 62;
-/// What a journal costs beside its lines.
-const SHELF: usize = size_of::<Shelf>() + 64;
+/// A journal without payloads is removed after this time without a message from its writer.
+const IDLE_JOURNAL_TIMEOUT: Micros = 60_000_000;
+/// Upper bound for entry numbers; no journal reaches it.
+const MAX_ENTRY_NUMBER: u64 = 1 << 62;
+/// Memory cost in bytes of a journal without its entries.
+const JOURNAL_BYTES: usize = size_of::<HeldJournal>() + 64;
 
-/// One journal as it is held.
+/// The replica of one journal.
 #[derive(Debug)]
-struct Shelf {
-    begun: u32,
-    /// The number of the first line that is held, and the chain before it.
+struct HeldJournal {
+    /// Identifies this start of the journal, see [`Ack::generation`].
+    generation: u32,
+    /// Number of the first stored entry, and the chain value before it.
     first: u64,
-    before: u64,
-    lines: VecDeque<Line>,
-    /// Lines of events that have not ended, by event.
+    chain_before: u64,
+    entries: VecDeque<StoredEntry>,
+    /// Entry numbers of events that have not ended, by event.
     pending: BTreeMap<Key, Vec<u64>>,
-    /// The last line that its writer said to have written.
+    /// Number of the last entry that the writer is known to have written.
     head: u64,
-    /// When its writer sent the latest that came, on its clock.
-    sent: Micros,
-    heard: Micros,
+    /// Send time of the latest frame, on the writer's clock.
+    last_sent_at: Micros,
+    /// When that frame arrived, on the local clock.
+    last_heard_at: Micros,
 }
 
-/// All that is held for others.
+/// All journals stored for other gateways.
 #[derive(Debug)]
 pub struct Holder {
     life: u64,
-    most: usize,
+    max_bytes: usize,
     bytes: usize,
-    begun: u32,
-    shelves: BTreeMap<Source, Shelf>,
-    /// Lines with their bytes, by when nothing depends on them.
-    due: BTreeSet<(WallMs, Source, u64)>,
-    planted: Option<Planted>,
+    /// Generation of the journal that was started last.
+    last_generation: u32,
+    journals: BTreeMap<Source, HeldJournal>,
+    /// Entries with a payload, by its expiry.
+    expiry: BTreeSet<(WallMs, Source, u64)>,
+    injected_fault: Option<HolderFault>,
 }
 
-/// A fault to be planted, which tests have to find.
+/// Faults that tests inject and have to detect.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
-    /// Lines are acknowledged before they are stored, and some are not.
+pub enum HolderFault {
+    /// Entries are acknowledged before they are stored, and some are lost.
     AckFirst,
-    /// The chain is not checked.
+    /// The chain is not verified.
     Unchained,
 }
 
-impl Shelf {
-    fn new(begun: u32, first: u64, before: u64) -> Self {
+impl HeldJournal {
+    fn new(generation: u32, first: u64, chain_before: u64) -> Self {
         Self {
-            begun,
+            generation,
             first,
-            before,
-            lines: VecDeque::new(),
+            chain_before,
+            entries: VecDeque::new(),
             pending: BTreeMap::new(),
             head: 0,
-            sent: 0,
-            heard: 0,
+            last_sent_at: 0,
+            last_heard_at: 0,
         }
     }
 
     fn through(&self) -> u64 {
-        self.first + self.lines.len() as u64 - 1
+        self.first + self.entries.len() as u64 - 1
     }
 
-    fn entries(&self, source: Source) -> Vec<Entry> {
-        let lines = self.lines.iter().zip(self.first..);
-        lines.filter_map(|(line, number)| line.entry(source, number)).collect()
+    fn decoded_entries(&self, source: Source) -> Vec<Entry> {
+        let entries = self.entries.iter().zip(self.first..);
+        entries.filter_map(|(entry, number)| entry.entry(source, number)).collect()
     }
 
     fn chain(&self) -> u64 {
-        self.lines.back().map_or(self.before, |line| line.chain)
+        self.entries.back().map_or(self.chain_before, |entry| entry.chain)
     }
 
-    fn line(&mut self, number: u64) -> Option<&mut Line> {
-        self.lines.get_mut(number.checked_sub(self.first)? as usize)
+    fn entry_mut(&mut self, number: u64) -> Option<&mut StoredEntry> {
+        self.entries.get_mut(number.checked_sub(self.first)? as usize)
     }
 }
 
 impl Holder {
-    /// Holds nothing, up to this many bytes.
+    /// Stores nothing yet, and at most `most` bytes.
     pub fn new(life: u64, most: usize) -> Self {
-        Self { life, most, bytes: 0, begun: 0, shelves: BTreeMap::new(), due: BTreeSet::new(), planted: None }
+        Self {
+            life,
+            max_bytes: most,
+            bytes: 0,
+            last_generation: 0,
+            journals: BTreeMap::new(),
+            expiry: BTreeSet::new(),
+            injected_fault: None,
+        }
     }
 
     #[doc(hidden)]
-    pub fn plant(&mut self, planted: Planted) {
-        self.planted = Some(planted);
+    pub fn inject_fault(&mut self, fault: HolderFault) {
+        self.injected_fault = Some(fault);
     }
 
-    /// Bytes held, and by how many lines.
+    /// Memory cost in bytes and the number of stored entries.
     pub fn size(&self) -> (usize, usize) {
-        (self.bytes, self.shelves.values().map(|shelf| shelf.lines.len()).sum())
+        (self.bytes, self.journals.values().map(|journal| journal.entries.len()).sum())
     }
 
-    /// Journals of which anything is held.
+    /// All journals of which any part is stored.
     pub fn sources(&self) -> impl Iterator<Item = Source> {
-        self.shelves.keys().copied()
+        self.journals.keys().copied()
     }
 
-    /// Whether an event is held that is pending in a journal.
+    /// Whether the entry that accepted a pending event is stored with its payload.
     pub fn holds(&self, source: Source, key: Key) -> bool {
-        let Some(shelf) = self.shelves.get(&source) else { return false };
-        let first = shelf.pending.get(&key).and_then(|numbers| numbers.first());
-        let line = first.and_then(|number| shelf.lines.get(number.checked_sub(shelf.first)? as usize));
-        line.is_some_and(|line| line.bytes.is_some())
+        let Some(journal) = self.journals.get(&source) else { return false };
+        let first = journal.pending.get(&key).and_then(|numbers| numbers.first());
+        let entry = first.and_then(|number| journal.entries.get(number.checked_sub(journal.first)? as usize));
+        entry.is_some_and(|entry| entry.payload.is_some())
     }
 
-    /// All that is held of a gateway's lives up to this one.
-    pub fn copies(&self, now: Micros, of: MemberId, life: u64) -> Vec<Copy> {
+    /// Snapshots of the journals of all lives of a gateway up to this one.
+    pub fn snapshots(&self, now: Micros, of: MemberId, life: u64) -> Vec<JournalSnapshot> {
         let range = Source { gateway: of, life: 0 }..=Source { gateway: of, life };
-        let copy = |(source, shelf): (&Source, &Shelf)| Copy {
+        let snapshot = |(source, journal): (&Source, &HeldJournal)| JournalSnapshot {
             source: *source,
-            through: shelf.through(),
-            head: shelf.head.max(shelf.through()),
-            unheard: now.saturating_sub(shelf.heard),
-            entries: shelf.entries(*source),
+            through: journal.through(),
+            head: journal.head.max(journal.through()),
+            silent_for: now.saturating_sub(journal.last_heard_at),
+            entries: journal.decoded_entries(*source),
         };
-        self.shelves.range(range).map(copy).collect()
+        self.journals.range(range).map(snapshot).collect()
     }
 
-    /// The latest life of a gateway of which anything is held.
+    /// The latest life of a gateway of which any part is stored.
     pub fn life(&self, of: MemberId) -> Option<u64> {
         let range = Source { gateway: of, life: 0 }..=Source { gateway: of, life: u64::MAX };
-        self.shelves.range(range).next_back().map(|(source, _)| source.life)
+        self.journals.range(range).next_back().map(|(source, _)| source.life)
     }
 
-    /// Whether lines were sent to this life.
-    pub fn is_for_us(&self, lines: &Lines) -> bool {
-        lines.to == self.life
+    /// Whether entries were sent to this life of this gateway.
+    pub fn is_for_this_life(&self, append: &Append) -> bool {
+        append.holder_life == self.life
     }
 
-    /// Takes lines that their writer sent: the answer, and what is wrong with them. `granted`: whether anything is
-    /// promised to it; an error where it was taken over.
-    pub fn take(&mut self, now: Micros, lines: &Lines, granted: Result<bool, ()>) -> (Ack, Option<Fault>) {
-        let source = lines.source;
-        let not = match granted {
-            _ if !self.is_for_us(lines) => Some(Not::Life),
-            Err(()) => Some(Not::Taken),
-            Ok(_) => self.store(now, lines),
+    /// Stores entries from their writer and returns the ack and a detected fault. `granted` says whether a lease is
+    /// granted to the writer; it is an error if the writer was taken over.
+    pub fn handle_append(
+        &mut self,
+        now: Micros,
+        append: &Append,
+        granted: Result<bool, ()>,
+    ) -> (Ack, Option<JournalFault>) {
+        let source = append.source;
+        let rejected = match granted {
+            _ if !self.is_for_this_life(append) => Some(RejectReason::WrongLife),
+            Err(()) => Some(RejectReason::TakenOver),
+            Ok(_) => self.store_entries(now, append),
         };
-        let shelf = self.shelves.get(&source);
-        let (begun, mut through) = shelf.map_or((0, 0), |shelf| (shelf.begun, shelf.through()));
-        if self.planted == Some(Planted::AckFirst) && not.is_none() {
-            through = through.max(lines.first + lines.lines.len() as u64 - 1);
+        let journal = self.journals.get(&source);
+        let (generation, mut through) =
+            journal.map_or((0, 0), |journal| (journal.generation, journal.through()));
+        if self.injected_fault == Some(HolderFault::AckFirst) && rejected.is_none() {
+            through = through.max(append.first + append.entries.len() as u64 - 1);
         }
-        let fault = not.map(|not| match not {
-            Not::Gap => Fault::Gap { of: source, from: through + 1, to: lines.first - 1 },
-            Not::Broken(number) => Fault::Broken { of: source, number },
-            Not::Full => Fault::Full { of: source, number: through + 1 },
-            Not::Life | Not::Nothing => Fault::Nothing { of: source },
-            Not::Taken => Fault::Taken { of: source },
+        let fault = rejected.map(|rejected| match rejected {
+            RejectReason::Gap => JournalFault::Gap { of: source, from: through + 1, to: append.first - 1 },
+            RejectReason::Corrupt(number) => JournalFault::Corrupt { of: source, number },
+            RejectReason::Full => JournalFault::Full { of: source, number: through + 1 },
+            RejectReason::WrongLife | RejectReason::UnknownJournal => {
+                JournalFault::UnknownJournal { of: source }
+            }
+            RejectReason::TakenOver => JournalFault::TakenOver { of: source },
         });
-        let granted = granted == Ok(true) && self.is_for_us(lines);
+        let granted = granted == Ok(true) && self.is_for_this_life(append);
         (
-            Ack { source, life: self.life, begun, through, echo: lines.sent, turn: lines.turn, granted, not },
+            Ack {
+                source,
+                holder_life: self.life,
+                generation,
+                through,
+                echoed_sent_at: append.sent_at,
+                resync_count: append.resync_count,
+                lease_granted: granted,
+                rejected,
+            },
             fault,
         )
     }
 
-    fn store(&mut self, now: Micros, lines: &Lines) -> Option<Not> {
-        let (source, first, before) = (lines.source, lines.first, u64::from_le_bytes(lines.before));
-        if first == 0 || first > FAR {
-            return Some(Not::Broken(first));
+    fn store_entries(&mut self, now: Micros, append: &Append) -> Option<RejectReason> {
+        let (source, first, before) = (append.source, append.first, u64::from_le_bytes(append.chain_before));
+        if first == 0 || first > MAX_ENTRY_NUMBER {
+            return Some(RejectReason::Corrupt(first));
         }
-        let through = self.shelves.get(&source).map(Shelf::through);
+        let through = self.journals.get(&source).map(HeldJournal::through);
         match through {
             Some(through) if first <= through + 1 => {}
-            None if !lines.anew => return Some(Not::Nothing),
-            Some(_) if !lines.anew => return Some(Not::Gap),
+            None if !append.starts_journal => return Some(RejectReason::UnknownJournal),
+            Some(_) if !append.starts_journal => return Some(RejectReason::Gap),
             _ => {
-                self.forget(source);
-                if self.bytes + SHELF > self.most {
-                    return Some(Not::Full);
+                self.remove_journal(source);
+                if self.bytes + JOURNAL_BYTES > self.max_bytes {
+                    return Some(RejectReason::Full);
                 }
-                self.bytes += SHELF;
-                self.begun += 1;
-                self.shelves.insert(source, Shelf::new(self.begun, first, before));
+                self.bytes += JOURNAL_BYTES;
+                self.last_generation += 1;
+                self.journals.insert(source, HeldJournal::new(self.last_generation, first, before));
             }
         }
-        let (mut chain, mut kept) = (before, None);
-        for (number, sent) in (first..).zip(&lines.lines) {
-            kept = self.put(source, number, &mut chain, sent);
-            if kept.is_some() {
+        let (mut chain, mut rejected) = (before, None);
+        for (number, sent) in (first..).zip(&append.entries) {
+            rejected = self.store_entry(source, number, &mut chain, sent);
+            if rejected.is_some() {
                 break;
             }
         }
-        self.drop_below(source, lines.low);
-        if let Some(shelf) = self.shelves.get_mut(&source) {
-            (shelf.sent, shelf.heard) = (shelf.sent.max(lines.sent), now);
-            shelf.head = shelf.head.max(lines.head);
+        self.truncate_below(source, append.needed_from);
+        if let Some(journal) = self.journals.get_mut(&source) {
+            (journal.last_sent_at, journal.last_heard_at) = (journal.last_sent_at.max(append.sent_at), now);
+            journal.head = journal.head.max(append.head);
         }
-        kept
+        rejected
     }
 
-    /// Puts one line behind those that are held, if it is the one that was written there.
-    fn put(&mut self, source: Source, number: u64, chain: &mut u64, sent: &Sent) -> Option<Not> {
-        let shelf = self.shelves.get_mut(&source)?;
+    /// Appends one entry if its checksum and chain match, or compares it with the stored one.
+    fn store_entry(
+        &mut self,
+        source: Source,
+        number: u64,
+        chain: &mut u64,
+        sent: &WireEntry,
+    ) -> Option<RejectReason> {
+        let journal = self.journals.get_mut(&source)?;
         let (digest, after) = match sent {
-            Sent::Whole(bytes, chain) => (xxh3_64(bytes), u64::from_le_bytes(*chain)),
-            Sent::Hollow(digest, chain) => (u64::from_le_bytes(*digest), u64::from_le_bytes(*chain)),
+            WireEntry::Full(bytes, chain) => (xxh3_64(bytes), u64::from_le_bytes(*chain)),
+            WireEntry::DigestOnly(digest, chain) => (u64::from_le_bytes(*digest), u64::from_le_bytes(*chain)),
         };
-        let checked = self.planted != Some(Planted::Unchained);
-        if checked && chained(*chain, source, number, digest) != after {
-            return Some(Not::Broken(number));
+        let checked = self.injected_fault != Some(HolderFault::Unchained);
+        if checked && next_chain(*chain, source, number, digest) != after {
+            return Some(RejectReason::Corrupt(number));
         }
-        let next = shelf.through() + 1;
-        if checked && number == next && *chain != shelf.chain() {
-            return Some(Not::Broken(number));
+        let next = journal.through() + 1;
+        if checked && number == next && *chain != journal.chain() {
+            return Some(RejectReason::Corrupt(number));
         }
         *chain = after;
         if number < next {
-            let known = shelf.line(number).map(|line| line.chain);
-            return known.filter(|known| checked && *known != after).map(|_| Not::Broken(number));
+            let known = journal.entry_mut(number).map(|entry| entry.chain);
+            return known.filter(|known| checked && *known != after).map(|_| RejectReason::Corrupt(number));
         }
         let bytes = match sent {
-            Sent::Whole(bytes, _) => Some(Box::<[u8]>::from(*bytes)),
-            Sent::Hollow(..) => None,
+            WireEntry::Full(bytes, _) => Some(Box::<[u8]>::from(*bytes)),
+            WireEntry::DigestOnly(..) => None,
         };
-        let said = match &bytes {
-            Some(bytes) => match read(bytes) {
-                Some(said) => Some(said),
-                None => return Some(Not::Broken(number)),
+        let step = match &bytes {
+            Some(bytes) => match decode_payload(bytes) {
+                Some(step) => Some(step),
+                None => return Some(RejectReason::Corrupt(number)),
             },
             None => None,
         };
-        let line = Line { digest, chain: after, bytes };
-        if self.bytes + line.cost() > self.most {
-            return Some(Not::Full);
+        let entry = StoredEntry { digest, chain: after, payload: bytes };
+        if self.bytes + entry.memory_cost() > self.max_bytes {
+            return Some(RejectReason::Full);
         }
-        if self.planted == Some(Planted::AckFirst) && number.is_multiple_of(5) {
+        if self.injected_fault == Some(HolderFault::AckFirst) && number.is_multiple_of(5) {
             return None;
         }
-        self.bytes += line.cost();
-        shelf.lines.push_back(line);
+        self.bytes += entry.memory_cost();
+        journal.entries.push_back(entry);
         let mut ended = Vec::new();
-        if let Some((until, step)) = said {
-            self.due.insert((until, source, number));
+        if let Some((until, step)) = step {
+            self.expiry.insert((until, source, number));
             match step {
-                Step::Accepted(accepted) => shelf.pending.entry(accepted.key).or_default().push(number),
-                Step::Sending { key, .. } => shelf.pending.entry(key).or_default().push(number),
-                Step::Ended { key, .. } => ended = shelf.pending.remove(&key).unwrap_or_default(),
+                Step::Accepted(accepted) => journal.pending.entry(accepted.key).or_default().push(number),
+                Step::Sending { key, .. } => journal.pending.entry(key).or_default().push(number),
+                Step::Ended { key, .. } => ended = journal.pending.remove(&key).unwrap_or_default(),
             }
         }
-        ended.into_iter().for_each(|number| self.hollow(source, number));
+        ended.into_iter().for_each(|number| self.drop_payload(source, number));
         None
     }
 
-    fn hollow(&mut self, source: Source, number: u64) {
-        let line = self.shelves.get_mut(&source).and_then(|shelf| shelf.line(number));
-        let Some(line) = line else { return };
-        let until = line.until();
-        self.bytes -= line.hollow();
-        until.into_iter().for_each(|until| _ = self.due.remove(&(until, source, number)));
+    fn drop_payload(&mut self, source: Source, number: u64) {
+        let entry = self.journals.get_mut(&source).and_then(|journal| journal.entry_mut(number));
+        let Some(entry) = entry else { return };
+        let until = entry.retained_until();
+        self.bytes -= entry.drop_payload();
+        until.into_iter().for_each(|until| _ = self.expiry.remove(&(until, source, number)));
     }
 
-    /// Nothing of a journal below a number is needed.
-    fn drop_below(&mut self, source: Source, low: u64) {
-        while let Some(shelf) = self.shelves.get(&source)
-            && shelf.first < low
-            && let Some(line) = shelf.lines.front()
+    /// Removes entries of a journal below a number, which are no longer needed.
+    fn truncate_below(&mut self, source: Source, low: u64) {
+        while let Some(journal) = self.journals.get(&source)
+            && journal.first < low
+            && let Some(entry) = journal.entries.front()
         {
-            let (number, chain) = (shelf.first, line.chain);
-            let said = line.read();
-            self.hollow(source, number);
-            self.bytes -= HOLLOW;
-            let Some(shelf) = self.shelves.get_mut(&source) else { return };
-            (shelf.first, shelf.before) = (number + 1, chain);
-            shelf.lines.pop_front();
-            match said.map(|(_, step)| step) {
-                Some(Step::Accepted(accepted)) => _ = shelf.pending.remove(&accepted.key),
-                Some(Step::Sending { key, .. }) => _ = shelf.pending.remove(&key),
+            let (number, chain) = (journal.first, entry.chain);
+            let step = entry.decode_payload();
+            self.drop_payload(source, number);
+            self.bytes -= ENTRY_BYTES;
+            let Some(journal) = self.journals.get_mut(&source) else { return };
+            (journal.first, journal.chain_before) = (number + 1, chain);
+            journal.entries.pop_front();
+            match step.map(|(_, step)| step) {
+                Some(Step::Accepted(accepted)) => _ = journal.pending.remove(&accepted.key),
+                Some(Step::Sending { key, .. }) => _ = journal.pending.remove(&key),
                 Some(Step::Ended { .. }) | None => {}
             }
         }
     }
 
-    /// Its writer needs nothing of a journal, unless it has sent lines since it said so.
-    pub fn release(&mut self, Release { source, sent }: Release) {
-        if self.shelves.get(&source).is_some_and(|shelf| shelf.sent <= sent) {
-            self.forget(source);
+    /// Removes a journal that its writer has released, unless entries were sent after the release.
+    pub fn release(&mut self, Release { source, sent_at }: Release) {
+        if self.journals.get(&source).is_some_and(|journal| journal.last_sent_at <= sent_at) {
+            self.remove_journal(source);
         }
     }
 
-    /// Forgets a journal.
-    pub fn forget(&mut self, source: Source) {
-        if let Some(shelf) = self.shelves.get(&source) {
-            let above = shelf.through() + 1;
-            self.drop_below(source, above);
-            self.shelves.remove(&source);
-            self.bytes -= SHELF;
+    /// Removes a journal.
+    pub fn remove_journal(&mut self, source: Source) {
+        if let Some(journal) = self.journals.get(&source) {
+            let above = journal.through() + 1;
+            self.truncate_below(source, above);
+            self.journals.remove(&source);
+            self.bytes -= JOURNAL_BYTES;
         }
     }
 
-    /// Lets go of what is past its time, and of journals that hold nothing any more.
+    /// Drops expired payloads, and idle journals without payloads.
     pub fn wake(&mut self, now: Micros, wall: WallMs) {
-        while let Some((until, source, number)) = self.due.first().copied()
+        while let Some((until, source, number)) = self.expiry.first().copied()
             && until < wall
         {
-            self.hollow(source, number);
-            self.due.remove(&(until, source, number));
+            self.drop_payload(source, number);
+            self.expiry.remove(&(until, source, number));
         }
-        let idle = |shelf: &Shelf| {
-            now.saturating_sub(shelf.heard) > FORGET && shelf.lines.iter().all(|line| line.bytes.is_none())
+        let idle = |journal: &HeldJournal| {
+            now.saturating_sub(journal.last_heard_at) > IDLE_JOURNAL_TIMEOUT
+                && journal.entries.iter().all(|entry| entry.payload.is_none())
         };
         let idle: Vec<Source> =
-            self.shelves.iter().filter(|(_, shelf)| idle(shelf)).map(|(source, _)| *source).collect();
-        idle.into_iter().for_each(|source| self.forget(source));
+            self.journals.iter().filter(|(_, journal)| idle(journal)).map(|(source, _)| *source).collect();
+        idle.into_iter().for_each(|source| self.remove_journal(source));
     }
 }
--- a/crates/pending/src/journal.rs
+++ b/crates/pending/src/journal.rs
@@ -1,448 +1,497 @@
-//! The writer's side: what this gateway's loops say is written, numbered and chained, sent to the holders, and counts
-//! as held once as many as the event's class wants have acknowledged it. What has ended is let go of; what is pending
-//! when a holder falls away is sent to another.
+//! The writer's side of replication: steps reported by the loops of this gateway are written as numbered, chained
+//! entries and sent to the holders. An entry is replicated once as many holders as the event's class requires have
+//! acknowledged it. Entries of events that have ended are pruned; entries of pending events are sent to another
+//! holder when a holder is lost.
 
-mod holders;
+mod replication;
 
-use crate::entry::{Line, ORIGIN};
-use crate::error::{Fault, Unkept};
-use crate::lease::{Lease, Terms};
-use crate::neighbour::Neighbour;
-use crate::seam::{Output, PendingSettings};
-use crate::types::{Again, Key, Outcome, Source, Step, WallMs};
-use crate::wire::{Ack, Not, Release};
+use crate::entry::{CHAIN_START, StoredEntry};
+use crate::error::{JournalFault, ReplicationError};
+use crate::holder_progress::HolderProgress;
+use crate::interface::{Output, PendingSettings};
+use crate::lease::{Lease, LeaseTerms};
+use crate::types::{Key, Outcome, RepeatSafety, Source, Step, WallMs};
+use crate::wire::{Ack, RejectReason, Release};
 use basaltward_membership::{MemberId, Micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One that was in doubt is not chosen again for so long, if there are others.
-const DOUBT: Micros = 10_000_000;
+/// How long a suspect gateway is not selected as a holder if there are others.
+const SUSPECT_PERIOD: Micros = 10_000_000;
 
-/// An event that is pending here.
+/// A pending event of this gateway.
 #[derive(Debug)]
 struct Event {
-    need: u8,
-    again: Again,
+    required_holders: u8,
+    repeat_safety: RepeatSafety,
     deadline: WallMs,
-    /// Until when something depends on what became of it.
-    until: WallMs,
-    numbers: Vec<u64>,
+    /// The event's outcome has to be retained until then.
+    retain_until: WallMs,
+    /// Numbers of its entries.
+    entry_numbers: Vec<u64>,
 }
 
-/// Who waits for a line to be held.
+/// A loop that waits until an entry is replicated.
 #[derive(Debug)]
-struct Wait {
+struct Waiter {
     number: u64,
     key: Key,
     since: Micros,
-    /// The attempt that waits; the event itself where there is none.
+    /// The waiting attempt; `None` if the event's acceptance waits.
     attempt: Option<u32>,
 }
 
-/// What a journal has counted.
+/// Counters of a journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Written {
-    /// Lines written.
-    pub lines: u64,
-    /// Frames with lines sent, and their bytes.
-    pub sent: (u64, u64),
-    /// Events and attempts that were held in time.
-    pub held: u64,
-    /// Those that were not.
-    pub unheld: u64,
-    /// Holders that fell away and were replaced.
-    pub replaced: u64,
+pub struct JournalCounts {
+    /// Entries written.
+    pub entries: u64,
+    /// Frames with entries sent, and their bytes.
+    pub frames_sent: (u64, u64),
+    /// Events and attempts that were replicated in time.
+    pub replicated: u64,
+    /// Events and attempts that were not.
+    pub not_replicated: u64,
+    /// Holders that were replaced.
+    pub holders_replaced: u64,
 }
 
-/// The journal of this life of this gateway.
+/// The journal of the current life of this gateway.
 #[derive(Debug)]
 pub struct Journal {
     settings: PendingSettings,
     source: Source,
-    /// The number of the first line that is kept, and the chain before it.
+    /// Number of the first retained entry, and the chain value before it.
     first: u64,
-    before: u64,
-    lines: VecDeque<Line>,
+    chain_before: u64,
+    entries: VecDeque<StoredEntry>,
     events: BTreeMap<Key, Event>,
-    /// Lines with their bytes, by when nothing depends on them.
-    due: BTreeSet<(WallMs, u64)>,
-    /// Ends with their bytes, and what they cost.
-    ends: BTreeSet<u64>,
-    ends_bytes: usize,
+    /// Entries with a payload, by its expiry.
+    expiry: BTreeSet<(WallMs, u64)>,
+    /// [`Step::Ended`] entries with a payload, and their memory cost.
+    retained_ends: BTreeSet<u64>,
+    retained_end_bytes: usize,
+    /// Memory cost of all entries.
     bytes: usize,
-    waits: BTreeMap<u8, VecDeque<Wait>>,
-    /// Attempts that are held and wait for a lease.
-    unleased: Vec<Wait>,
-    neighbours: Vec<Neighbour>,
+    /// Waiters by the number of holders that they require, in the order of their entries.
+    waiters: BTreeMap<u8, VecDeque<Waiter>>,
+    /// Attempts that are replicated and wait for a lease.
+    awaiting_lease: Vec<Waiter>,
+    /// Replication progress of each holder, current or about to be released.
+    progress: Vec<HolderProgress>,
     lease: Lease,
-    /// Events of lost owners that are done here next, each with when it was first sent.
-    adopted: BTreeMap<Key, Option<WallMs>>,
-    /// Those let go of, who have not said yet that they did, each with the number of the last line then.
-    retired: BTreeMap<MemberId, (u64, Release)>,
-    /// The turns that they had come to.
-    turns: BTreeMap<MemberId, u32>,
+    /// Events of lost gateways that will be accepted here next, each with the time of its first send.
+    recovered: BTreeMap<Key, Option<WallMs>>,
+    /// Former holders that have not confirmed their release yet, each with the last entry number at that time.
+    releasing: BTreeMap<MemberId, (u64, Release)>,
+    /// Last resync count of former holders, so that a new selection continues from it.
+    resync_counts: BTreeMap<MemberId, u32>,
+    /// The life of each gateway to which a connection is open.
     lives: BTreeMap<MemberId, u64>,
+    /// Whether each gateway is live by the membership view.
     live: Vec<bool>,
-    doubted: BTreeMap<MemberId, Micros>,
-    call: Micros,
-    unsent: bool,
-    counted: Written,
+    /// Gateways that are suspect, until this time.
+    suspects: BTreeMap<MemberId, Micros>,
+    /// When connections are requested and releases are sent next.
+    next_connect: Micros,
+    /// Something has to be sent at the next wake-up.
+    has_unsent: bool,
+    counts: JournalCounts,
 }
 
 impl Journal {
-    /// An empty one.
+    /// An empty journal.
     pub fn new(settings: PendingSettings) -> Self {
-        let source = Source { gateway: settings.places.own(), life: settings.life };
+        let source = Source { gateway: settings.site_map.own(), life: settings.life };
         Self {
             source,
             first: 1,
-            before: ORIGIN,
-            lines: VecDeque::new(),
+            chain_before: CHAIN_START,
+            entries: VecDeque::new(),
             events: BTreeMap::new(),
-            due: BTreeSet::new(),
-            ends: BTreeSet::new(),
-            ends_bytes: 0,
+            expiry: BTreeSet::new(),
+            retained_ends: BTreeSet::new(),
+            retained_end_bytes: 0,
             bytes: 0,
-            waits: BTreeMap::new(),
-            unleased: Vec::new(),
-            neighbours: Vec::new(),
-            lease: Lease::new(Terms::new(settings.lease)),
-            adopted: BTreeMap::new(),
-            retired: BTreeMap::new(),
-            turns: BTreeMap::new(),
+            waiters: BTreeMap::new(),
+            awaiting_lease: Vec::new(),
+            progress: Vec::new(),
+            lease: Lease::new(LeaseTerms::new(settings.lease)),
+            recovered: BTreeMap::new(),
+            releasing: BTreeMap::new(),
+            resync_counts: BTreeMap::new(),
             lives: BTreeMap::new(),
-            live: vec![false; settings.places.len()],
-            doubted: BTreeMap::new(),
-            call: 0,
-            unsent: false,
-            counted: Written::default(),
+            live: vec![false; settings.site_map.len()],
+            suspects: BTreeMap::new(),
+            next_connect: 0,
+            has_unsent: false,
+            counts: JournalCounts::default(),
             settings,
         }
     }
 
-    /// Whose it is.
+    /// Identifies the journal.
     pub fn source(&self) -> Source {
         self.source
     }
 
-    /// What it has counted.
-    pub fn counted(&self) -> Written {
-        self.counted
+    /// The counters.
+    pub fn counts(&self) -> JournalCounts {
+        self.counts
     }
 
-    /// Bytes of its lines, and how many there are.
+    /// Its memory cost in bytes and the number of entries.
     pub fn size(&self) -> (usize, usize) {
-        (self.bytes, self.lines.len())
+        (self.bytes, self.entries.len())
     }
 
-    /// Its holders, each with the number up to which it has acknowledged.
+    /// Its holders, each with the number of the last entry it has acknowledged.
     pub fn holders(&self) -> impl Iterator<Item = (MemberId, u64)> {
-        self.neighbours.iter().map(|one| (one.of, one.acked))
+        self.progress.iter().map(|holder| (holder.member, holder.acked_through))
     }
 
-    fn last(&self) -> u64 {
-        self.first + self.lines.len() as u64 - 1
+    fn last_number(&self) -> u64 {
+        self.first + self.entries.len() as u64 - 1
     }
 
-    fn line(&mut self, number: u64) -> Option<&mut Line> {
-        self.lines.get_mut(number.checked_sub(self.first)? as usize)
+    fn entry_mut(&mut self, number: u64) -> Option<&mut StoredEntry> {
+        self.entries.get_mut(number.checked_sub(self.first)? as usize)
     }
 
     fn chain_at(&self, number: u64) -> u64 {
         let at = number.checked_sub(self.first);
-        at.and_then(|at| self.lines.get(at as usize)).map_or(self.before, |line| line.chain)
+        at.and_then(|at| self.entries.get(at as usize)).map_or(self.chain_before, |entry| entry.chain)
     }
 
-    /// Writes what a loop says.
+    /// Writes a step reported by a loop.
     pub fn write(&mut self, now: Micros, wall: WallMs, step: Step, out: &mut Vec<Output>) {
         match step {
             Step::Accepted(accepted) => {
                 let (key, deadline) = (accepted.key, accepted.deadline);
-                let wants = self.settings.holders.get(usize::from(accepted.class)).copied().unwrap_or(0);
-                let long = accepted.event.len() + accepted.function.len();
-                // Its owner's site is lost, so that there may be fewer who could hold it: it is owed all the same, and
-                // may be done again if we are lost as well.
-                let spared = self.adopted.contains_key(&key) && accepted.again != Again::Unsafe;
-                let need = if spared { wants.min(self.candidates().count() as u8) } else { wants };
-                let why = self.refusal(need, accepted.class, key, long);
-                if let Some(why) = why.filter(|why| !spared || !matches!(why, Unkept::Class(_))) {
-                    self.counted.unheld += 1;
-                    return out.push(Output::Unheld { key, why });
+                let required = self.settings.holders.get(usize::from(accepted.class)).copied().unwrap_or(0);
+                let length = accepted.event.len() + accepted.function.len();
+                // A recovered event whose former owner's site is lost, so fewer holders may be available. It has to
+                // be completed all the same, and may run again if this gateway is lost too.
+                let relaxed =
+                    self.recovered.contains_key(&key) && accepted.repeat_safety != RepeatSafety::Unsafe;
+                let needed = if relaxed { required.min(self.candidates().count() as u8) } else { required };
+                let why = self.check_admission(needed, accepted.class, key, length);
+                if let Some(why) =
+                    why.filter(|why| !relaxed || !matches!(why, ReplicationError::ClassNotReplicated(_)))
+                {
+                    self.counts.not_replicated += 1;
+                    return out.push(Output::NotReplicated { key, why });
                 }
-                let event =
-                    Event { need, again: accepted.again, deadline, until: deadline, numbers: Vec::new() };
+                let event = Event {
+                    required_holders: needed,
+                    repeat_safety: accepted.repeat_safety,
+                    deadline,
+                    retain_until: deadline,
+                    entry_numbers: Vec::new(),
+                };
                 self.events.insert(key, event);
                 self.append(now, key, deadline, Step::Accepted(accepted), Some(None));
             }
             Step::Sending { key, attempt, worker, at } => {
                 let Some(event) = self.events.get_mut(&key) else {
-                    return out.push(Output::MayNot { key, attempt, why: Unkept::Unknown(key) });
+                    return out.push(Output::SendDenied {
+                        key,
+                        attempt,
+                        why: ReplicationError::NotPending(key),
+                    });
                 };
-                if let Again::Keyed { window } = event.again
-                    && event.until == event.deadline
+                if let RepeatSafety::Keyed { window } = event.repeat_safety
+                    && event.retain_until == event.deadline
                 {
-                    let first = self.adopted.get(&key).copied().flatten().unwrap_or(at);
-                    event.until = event.deadline.max(first + window / 1_000);
+                    let first = self.recovered.get(&key).copied().flatten().unwrap_or(at);
+                    event.retain_until = event.deadline.max(first + window / 1_000);
                 }
-                let (until, most) = (event.until, self.settings.bytes);
+                let (until, most) = (event.retain_until, self.settings.journal_bytes);
                 if self.bytes + worker.len() > most || worker.len() > self.settings.entry_bytes {
-                    let why = Unkept::Full { held: self.bytes, most };
-                    return out.push(Output::MayNot { key, attempt, why });
+                    let why = ReplicationError::Full { held: self.bytes, most };
+                    return out.push(Output::SendDenied { key, attempt, why });
                 }
                 self.append(now, key, until, Step::Sending { key, attempt, worker, at }, Some(Some(attempt)));
             }
             Step::Ended { key, outcome, answer } => self.end(now, key, outcome, answer),
         }
-        self.let_go(wall);
+        self.prune(wall);
     }
 
-    fn refusal(&self, need: u8, class: u16, key: Key, bytes: usize) -> Option<Unkept> {
+    /// Why an event can't be accepted, if it can't.
+    fn check_admission(&self, required: u8, class: u16, key: Key, bytes: usize) -> Option<ReplicationError> {
         let live = self.candidates().count();
-        // What is pending has to find room for its next steps and its end.
-        let most = self.settings.bytes - self.settings.bytes / 8;
+        // Reserves an eighth for further steps and the ends of pending events.
+        let most = self.settings.journal_bytes - self.settings.journal_bytes / 8;
         if self.events.contains_key(&key) {
-            Some(Unkept::Doubled(key))
+            Some(ReplicationError::AlreadyPending(key))
         } else if bytes > self.settings.entry_bytes {
-            Some(Unkept::Long { bytes, most: self.settings.entry_bytes })
+            Some(ReplicationError::TooLong { bytes, most: self.settings.entry_bytes })
         } else if self.bytes + bytes > most {
-            Some(Unkept::Full { held: self.bytes, most })
-        } else if need == 0 {
-            Some(Unkept::Class(class))
-        } else if live < usize::from(need) {
-            Some(Unkept::Few { told: need, live: live as u8 })
+            Some(ReplicationError::Full { held: self.bytes, most })
+        } else if required == 0 {
+            Some(ReplicationError::ClassNotReplicated(class))
+        } else if live < usize::from(required) {
+            Some(ReplicationError::TooFewHolders { required, live: live as u8 })
         } else {
             None
         }
     }
 
+    /// Live gateways of other sites.
     fn candidates(&self) -> impl Iterator<Item = MemberId> {
-        let (places, live) = (&self.settings.places, &self.live);
+        let (site_map, live) = (&self.settings.site_map, &self.live);
         let numbers =
-            (0..places.len() as MemberId).filter(|of| places.site_of(*of) != Some(places.own_site()));
+            (0..site_map.len() as MemberId).filter(|of| site_map.site_of(*of) != Some(site_map.own_site()));
         numbers.filter(|of| live.get(usize::from(*of)) == Some(&true))
     }
 
-    fn append(&mut self, now: Micros, key: Key, until: WallMs, step: Step, waits: Option<Option<u32>>) {
-        let (number, before) = (self.last() + 1, self.chain_at(self.last()));
-        let until = until.saturating_add(self.settings.remember_ms);
-        let Some(line) = Line::new(before, self.source, number, until, step) else { return };
-        self.bytes += line.cost();
-        self.lines.push_back(line);
-        self.due.insert((until, number));
-        self.counted.lines += 1;
-        self.unsent = true;
+    /// Appends an entry. `waiting_attempt` is the attempt that waits until it is replicated, `Some(None)` if the
+    /// event's acceptance waits, and `None` if nothing waits.
+    fn append(
+        &mut self,
+        now: Micros,
+        key: Key,
+        until: WallMs,
+        step: Step,
+        waiting_attempt: Option<Option<u32>>,
+    ) {
+        let (number, before) = (self.last_number() + 1, self.chain_at(self.last_number()));
+        let until = until.saturating_add(self.settings.retention_ms);
+        let Some(entry) = StoredEntry::new(before, self.source, number, until, step) else { return };
+        self.bytes += entry.memory_cost();
+        self.entries.push_back(entry);
+        self.expiry.insert((until, number));
+        self.counts.entries += 1;
+        self.has_unsent = true;
         let Some(event) = self.events.get_mut(&key) else { return };
-        event.numbers.push(number);
-        if let Some(attempt) = waits {
-            let wait = Wait { number, key, since: now, attempt };
-            self.waits.entry(event.need).or_default().push_back(wait);
+        event.entry_numbers.push(number);
+        if let Some(attempt) = waiting_attempt {
+            let waiter = Waiter { number, key, since: now, attempt };
+            self.waiters.entry(event.required_holders).or_default().push_back(waiter);
         }
-        self.neighbours.iter_mut().for_each(|one| one.owes(now));
+        self.progress.iter_mut().for_each(|holder| holder.mark_unacked(now));
     }
 
+    /// Writes the end of an event and drops its other payloads. Ends are retained up to a quarter of the size limit.
     fn end(&mut self, now: Micros, key: Key, outcome: Outcome, mut answer: Vec<u8>) {
         let Some(event) = self.events.get(&key) else { return };
-        let (until, quarter) = (event.until, self.settings.bytes / 4);
-        if answer.len() > self.settings.entry_bytes || self.bytes + answer.len() > self.settings.bytes {
+        let (until, quarter) = (event.retain_until, self.settings.journal_bytes / 4);
+        if answer.len() > self.settings.entry_bytes || self.bytes + answer.len() > self.settings.journal_bytes
+        {
             answer = Vec::new();
         }
         self.append(now, key, until, Step::Ended { key, outcome, answer }, None);
-        self.adopted.remove(&key);
+        self.recovered.remove(&key);
         let Some(event) = self.events.remove(&key) else { return };
-        let Some((end, others)) = event.numbers.split_last() else { return };
-        others.iter().for_each(|number| self.hollow(*number));
-        self.ends.insert(*end);
-        self.ends_bytes += self.line(*end).map_or(0, |line| line.cost());
-        while self.ends_bytes > quarter
-            && let Some(oldest) = self.ends.pop_first()
+        let Some((end, others)) = event.entry_numbers.split_last() else { return };
+        others.iter().for_each(|number| self.drop_payload(*number));
+        self.retained_ends.insert(*end);
+        self.retained_end_bytes += self.entry_mut(*end).map_or(0, |entry| entry.memory_cost());
+        while self.retained_end_bytes > quarter
+            && let Some(oldest) = self.retained_ends.pop_first()
         {
-            self.ends_bytes -= self.line(oldest).map_or(0, |line| line.cost());
-            self.hollow(oldest);
+            self.retained_end_bytes -= self.entry_mut(oldest).map_or(0, |entry| entry.memory_cost());
+            self.drop_payload(oldest);
         }
     }
 
-    fn hollow(&mut self, number: u64) {
-        let Some(line) = self.line(number) else { return };
-        let until = line.until();
-        let freed = line.hollow();
+    fn drop_payload(&mut self, number: u64) {
+        let Some(entry) = self.entry_mut(number) else { return };
+        let until = entry.retained_until();
+        let freed = entry.drop_payload();
         self.bytes -= freed;
-        until.into_iter().for_each(|until| _ = self.due.remove(&(until, number)));
+        until.into_iter().for_each(|until| _ = self.expiry.remove(&(until, number)));
     }
 
-    /// Lets go of what nothing depends on any more.
-    fn let_go(&mut self, wall: WallMs) {
-        while let Some((until, number)) = self.due.first().copied()
+    /// Drops expired payloads, and entries without payload from the front.
+    fn prune(&mut self, wall: WallMs) {
+        while let Some((until, number)) = self.expiry.first().copied()
             && until < wall
         {
-            let said = self.line(number).and_then(|line| line.read());
-            match said.map(|(_, step)| step) {
-                // Its loop has said nothing of its end until long after its deadline.
+            let step = self.entry_mut(number).and_then(|entry| entry.decode_payload());
+            match step.map(|(_, step)| step) {
+                // The loop did not report the end of the event until long after its deadline.
                 Some(Step::Accepted(accepted)) => _ = self.events.remove(&accepted.key),
                 Some(Step::Ended { .. }) => {
-                    self.ends_bytes -= self.line(number).map_or(0, |line| line.cost());
-                    self.ends.remove(&number);
+                    self.retained_end_bytes -= self.entry_mut(number).map_or(0, |entry| entry.memory_cost());
+                    self.retained_ends.remove(&number);
                 }
                 Some(Step::Sending { .. }) | None => {}
             }
-            self.hollow(number);
-            self.due.remove(&(until, number));
+            self.drop_payload(number);
+            self.expiry.remove(&(until, number));
         }
-        while let Some(line) = self.lines.front()
-            && line.bytes.is_none()
+        while let Some(entry) = self.entries.front()
+            && entry.payload.is_none()
         {
-            (self.before, self.first) = (line.chain, self.first + 1);
-            self.bytes -= line.cost();
-            self.lines.pop_front();
+            (self.chain_before, self.first) = (entry.chain, self.first + 1);
+            self.bytes -= entry.memory_cost();
+            self.entries.pop_front();
         }
     }
 
-    /// An event whose owner was lost is done here next; whether it was sent before.
-    pub fn adopts(&mut self, key: Key, first: Option<WallMs>) {
-        self.adopted.insert(key, first);
+    /// An event of a lost gateway will be accepted here next; `first` is the time of its first send, if it was sent.
+    pub fn mark_recovered(&mut self, key: Key, first_send_at: Option<WallMs>) {
+        self.recovered.insert(key, first_send_at);
     }
 
-    /// What is pending here is others' now: another journal begins, as if with another life.
-    pub fn lose(&mut self, now: Micros, out: &mut Vec<Output>) {
+    /// The pending events belong to other gateways now. Starts an empty journal, as a new life would.
+    pub fn lose_ownership(&mut self, now: Micros, out: &mut Vec<Output>) {
         let mut settings = self.settings.clone();
         settings.life = self.source.life + 1;
-        let fresh = Self::new(settings);
-        let old = std::mem::replace(self, fresh);
-        out.extend(old.events.into_keys().map(|key| Output::Lost { key }));
-        (self.lives, self.counted, self.turns) = (old.lives, old.counted, old.turns);
-        self.turns.extend(old.neighbours.iter().map(|one| (one.of, one.turn)));
-        self.see(now, old.live);
+        let new = Self::new(settings);
+        let old = std::mem::replace(self, new);
+        out.extend(old.events.into_keys().map(|key| Output::OwnershipLost { key }));
+        (self.lives, self.counts, self.resync_counts) = (old.lives, old.counts, old.resync_counts);
+        self.resync_counts.extend(old.progress.iter().map(|holder| (holder.member, holder.resync_count)));
+        self.set_live(now, old.live);
     }
 
-    /// A holder's answer.
-    pub fn answered(&mut self, now: Micros, from: MemberId, ack: Ack, out: &mut Vec<Output>) {
-        let (last, after) = (self.last(), self.first - 1);
-        let Some(one) = self.neighbours.iter_mut().find(|one| one.of == from) else { return };
-        if ack.source != self.source || !one.acknowledged(now, &ack, last) {
+    /// Handles an ack of a holder.
+    pub fn on_ack(&mut self, now: Micros, from: MemberId, ack: Ack, out: &mut Vec<Output>) {
+        let (last, after) = (self.last_number(), self.first - 1);
+        let Some(holder) = self.progress.iter_mut().find(|holder| holder.member == from) else { return };
+        if ack.source != self.source || !holder.on_ack(now, &ack, last) {
             return;
         }
-        if ack.granted {
-            self.lease.granted(now, from, ack.life, ack.echo);
+        if ack.lease_granted {
+            self.lease.record_grant(now, from, ack.holder_life, ack.echoed_sent_at);
         }
-        let again = match ack.not {
-            None | Some(Not::Taken) => false,
-            Some(Not::Life | Not::Nothing) if ack.turn == one.turn => {
-                one.forgets(after);
+        let resend = match ack.rejected {
+            None | Some(RejectReason::TakenOver) => false,
+            Some(RejectReason::WrongLife | RejectReason::UnknownJournal)
+                if ack.resync_count == holder.resync_count =>
+            {
+                holder.on_journal_missing(after);
                 true
             }
-            Some(Not::Life | Not::Nothing) => false,
-            Some(Not::Gap) => one.refused(ack.turn, false, after),
-            Some(Not::Broken(number)) => {
-                out.push(Output::Noted(Fault::Broken { of: self.source, number }));
-                one.refused(ack.turn, true, after)
+            Some(RejectReason::WrongLife | RejectReason::UnknownJournal) => false,
+            Some(RejectReason::Gap) => holder.on_rejected(ack.resync_count, false, after),
+            Some(RejectReason::Corrupt(number)) => {
+                out.push(Output::Fault(JournalFault::Corrupt { of: self.source, number }));
+                holder.on_rejected(ack.resync_count, true, after)
             }
-            Some(Not::Full) => {
-                out.push(Output::Noted(Fault::Full { of: self.source, number: ack.through + 1 }));
-                one.refused(ack.turn, false, after);
-                self.doubted.insert(from, now + DOUBT);
-                self.choose(now);
+            Some(RejectReason::Full) => {
+                out.push(Output::Fault(JournalFault::Full { of: self.source, number: ack.through + 1 }));
+                holder.on_rejected(ack.resync_count, false, after);
+                self.suspects.insert(from, now + SUSPECT_PERIOD);
+                self.select_holders(now);
                 false
             }
         };
-        self.unsent |= again;
-        if self.neighbours.iter().any(|one| one.of == from && one.breaks()) {
-            self.doubted.insert(from, now + DOUBT);
-            self.choose(now);
+        self.has_unsent |= resend;
+        if self.progress.iter().any(|holder| holder.member == from && holder.is_faulty()) {
+            self.suspects.insert(from, now + SUSPECT_PERIOD);
+            self.select_holders(now);
         }
-        self.retire(now);
-        self.tell_held(now, out);
+        self.retire_holders(now);
+        self.notify_replicated(now, out);
     }
 
-    fn held_by(&self, need: u8) -> u64 {
-        if need == 0 {
+    /// Number of the last entry that this many holders have acknowledged.
+    fn replicated_through(&self, required: u8) -> u64 {
+        if required == 0 {
             return u64::MAX;
         }
-        let mut acked: Vec<u64> = self.neighbours.iter().map(|one| one.acked).collect();
+        let mut acked: Vec<u64> = self.progress.iter().map(|holder| holder.acked_through).collect();
         acked.sort_unstable_by(|a, b| b.cmp(a));
-        acked.get(usize::from(need) - 1).copied().unwrap_or(0)
+        acked.get(usize::from(required) - 1).copied().unwrap_or(0)
     }
 
-    fn tell_held(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let needs: Vec<u8> = self.waits.keys().copied().collect();
-        for need in needs {
-            let held = self.held_by(need);
-            let Some(waits) = self.waits.get_mut(&need) else { continue };
-            while let Some(wait) = waits.front()
-                && wait.number <= held
+    /// Answers waiters whose entries are replicated and, for attempts of unsafe events, covered by a lease.
+    fn notify_replicated(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let required_counts: Vec<u8> = self.waiters.keys().copied().collect();
+        for required in required_counts {
+            let replicated = self.replicated_through(required);
+            let Some(waiters) = self.waiters.get_mut(&required) else { continue };
+            while let Some(waiter) = waiters.front()
+                && waiter.number <= replicated
             {
-                let Some(wait) = waits.pop_front() else { break };
-                match (self.events.get(&wait.key), wait.attempt) {
+                let Some(waiter) = waiters.pop_front() else { break };
+                match (self.events.get(&waiter.key), waiter.attempt) {
                     (None, _) => {}
                     (Some(_), None) => {
-                        self.counted.held += 1;
-                        out.push(Output::Held { key: wait.key });
+                        self.counts.replicated += 1;
+                        out.push(Output::Replicated { key: waiter.key });
                     }
-                    (Some(_), Some(_)) => self.unleased.push(wait),
+                    (Some(_), Some(_)) => self.awaiting_lease.push(waiter),
                 }
             }
         }
-        let unleased = std::mem::take(&mut self.unleased);
-        for wait in unleased {
-            let Some(event) = self.events.get(&wait.key) else { continue };
-            let needed = if event.again == Again::Unsafe { event.need.into() } else { 0 };
-            if self.lease.may(now, needed) {
-                self.counted.held += 1;
-                let until = self.lease.until(needed);
-                let (key, attempt) = (wait.key, wait.attempt.unwrap_or(0));
-                out.push(Output::May { key, attempt, until });
+        let awaiting_lease = std::mem::take(&mut self.awaiting_lease);
+        for waiter in awaiting_lease {
+            let Some(event) = self.events.get(&waiter.key) else { continue };
+            let needed =
+                if event.repeat_safety == RepeatSafety::Unsafe { event.required_holders.into() } else { 0 };
+            if self.lease.allows_send(now, needed) {
+                self.counts.replicated += 1;
+                let until = self.lease.valid_until(needed);
+                let (key, attempt) = (waiter.key, waiter.attempt.unwrap_or(0));
+                out.push(Output::SendAllowed { key, attempt, until });
             } else {
-                self.unleased.push(wait);
+                self.awaiting_lease.push(waiter);
             }
         }
     }
 
-    /// Does what is due: sends what was written in this turn, calls, doubts and gives up.
+    /// Performs all due work: sends new entries, opens connections, marks slow holders as suspect and expires
+    /// waiters.
     pub fn wake(&mut self, now: Micros, wall: WallMs, out: &mut Vec<Output>) {
-        self.tell_held(now, out);
-        self.give_up(now, wall, out);
-        self.let_go(wall);
-        let (last, after) = (self.last(), self.first - 1);
+        self.notify_replicated(now, out);
+        self.expire_waiters(now, wall, out);
+        self.prune(wall);
+        let (last, after) = (self.last_number(), self.first - 1);
         let late: Vec<MemberId> = {
-            let patience = self.settings.patience;
-            let owes = |one: &&mut Neighbour| one.acked < last;
-            self.neighbours.iter_mut().filter(owes).for_each(|one| one.owes(now));
-            let late =
-                self.neighbours.iter().filter(|one| one.acked < last && one.doubt(patience / 2) <= now);
-            late.map(|one| one.of).filter(|of| !self.doubted.contains_key(of)).collect()
+            let timeout = self.settings.replication_timeout;
+            let lagging = |holder: &&mut HolderProgress| holder.acked_through < last;
+            self.progress.iter_mut().filter(lagging).for_each(|holder| holder.mark_unacked(now));
+            let late = self
+                .progress
+                .iter()
+                .filter(|holder| holder.acked_through < last && holder.suspect_at(timeout / 2) <= now);
+            late.map(|holder| holder.member).filter(|of| !self.suspects.contains_key(of)).collect()
         };
         if !late.is_empty() {
-            late.into_iter().for_each(|of| _ = self.doubted.insert(of, now + DOUBT));
-            self.choose(now);
+            late.into_iter().for_each(|of| _ = self.suspects.insert(of, now + SUSPECT_PERIOD));
+            self.select_holders(now);
         }
-        self.neighbours.iter_mut().for_each(|one| one.wake(now, after));
-        self.unsent = false;
+        self.progress.iter_mut().for_each(|holder| holder.wake(now, after));
+        self.has_unsent = false;
         self.send(now, out);
     }
 
-    fn give_up(&mut self, now: Micros, wall: WallMs, out: &mut Vec<Output>) {
-        let patience = self.settings.patience;
-        let is_late = |wait: &Wait| now.saturating_sub(wait.since) >= patience;
-        let unleased: Vec<Wait> = self.unleased.extract_if(.., |wait| is_late(wait)).collect();
-        for Wait { key, attempt, .. } in unleased {
-            self.counted.unheld += 1;
-            out.push(Output::MayNot { key, attempt: attempt.unwrap_or(0), why: Unkept::Lease });
+    /// Answers waiters whose entries were not replicated, or covered by a lease, in time.
+    fn expire_waiters(&mut self, now: Micros, wall: WallMs, out: &mut Vec<Output>) {
+        let timeout = self.settings.replication_timeout;
+        let is_late = |waiter: &Waiter| now.saturating_sub(waiter.since) >= timeout;
+        let awaiting_lease: Vec<Waiter> =
+            self.awaiting_lease.extract_if(.., |waiter| is_late(waiter)).collect();
+        for Waiter { key, attempt, .. } in awaiting_lease {
+            self.counts.not_replicated += 1;
+            out.push(Output::SendDenied {
+                key,
+                attempt: attempt.unwrap_or(0),
+                why: ReplicationError::NoLease,
+            });
         }
         let mut late = Vec::new();
-        for waits in self.waits.values_mut() {
-            while let Some(wait) = waits.front()
-                && is_late(wait)
+        for waiters in self.waiters.values_mut() {
+            while let Some(waiter) = waiters.front()
+                && is_late(waiter)
             {
-                late.extend(waits.pop_front());
+                late.extend(waiters.pop_front());
             }
         }
-        for Wait { key, since, attempt, .. } in late {
+        for Waiter { key, since, attempt, .. } in late {
             if !self.events.contains_key(&key) {
                 continue;
             }
-            let why = Unkept::Late { waited: now - since };
-            self.counted.unheld += 1;
+            let why = ReplicationError::Timeout { waited: now - since };
+            self.counts.not_replicated += 1;
             match attempt {
-                Some(attempt) => out.push(Output::MayNot { key, attempt, why }),
+                Some(attempt) => out.push(Output::SendDenied { key, attempt, why }),
                 None => {
-                    out.push(Output::Unheld { key, why });
+                    out.push(Output::NotReplicated { key, why });
                     self.write(
                         now,
                         wall,
@@ -456,19 +505,21 @@
 
     /// When [`Journal::wake`] is due.
     pub fn next_due(&self) -> Micros {
-        if self.unsent {
+        if self.has_unsent {
             return 0;
         }
-        let patience = self.settings.patience;
-        let waits = self.waits.values().filter_map(|waits| waits.front()).chain(&self.unleased);
-        let waits = waits.map(|wait| wait.since + patience);
-        let resend = self.neighbours.iter().map(Neighbour::next_due);
-        let calls = self.neighbours.iter().any(|one| !one.connected) || !self.retired.is_empty();
-        let alive = self.neighbours.iter().filter(|one| one.connected && one.has_window());
-        let alive = alive.map(|one| one.last + self.settings.lease / 4).filter(|_| !self.events.is_empty());
-        let doubted = self.neighbours.iter().filter(|one| !self.doubted.contains_key(&one.of));
-        let doubts = doubted.map(|one| one.doubt(patience / 2));
-        let call = calls.then_some(self.call);
-        waits.chain(resend).chain(call).chain(alive).chain(doubts).min().unwrap_or(Micros::MAX)
+        let timeout = self.settings.replication_timeout;
+        let waiters = self.waiters.values().filter_map(|waiters| waiters.front()).chain(&self.awaiting_lease);
+        let waiters = waiters.map(|waiter| waiter.since + timeout);
+        let resends = self.progress.iter().map(HolderProgress::next_due);
+        let connecting = self.progress.iter().any(|holder| !holder.connected) || !self.releasing.is_empty();
+        let keepalive = self.progress.iter().filter(|holder| holder.connected && holder.has_window());
+        let keepalive = keepalive
+            .map(|holder| holder.last_sent_at + self.settings.lease / 4)
+            .filter(|_| !self.events.is_empty());
+        let trusted = self.progress.iter().filter(|holder| !self.suspects.contains_key(&holder.member));
+        let suspicions = trusted.map(|holder| holder.suspect_at(timeout / 2));
+        let connect = connecting.then_some(self.next_connect);
+        waiters.chain(resends).chain(connect).chain(keepalive).chain(suspicions).min().unwrap_or(Micros::MAX)
     }
 }
--- a/crates/pending/src/lease.rs
+++ b/crates/pending/src/lease.rs
@@ -1,64 +1,65 @@
-//! Leases: an owner sends an unsafe event only while holders of its journal have said that they do nothing in its
-//! place. It counts their word from when it asked, they from when they answered, each by a clock that only runs on;
-//! never by the wall clock, which may be put back.
+//! Leases: an owner sends an unsafe event only while the holders of its journal have promised not to take it over.
+//! The owner counts the lease from when it sent the request, the holders count their promise from when they answered,
+//! each by its monotonic clock; never by the wall clock, which may be set back.
 
 use basaltward_membership::{MemberId, Micros};
 use std::collections::BTreeMap;
 
-/// How long a holder's word stands.
+/// Durations of a lease and of the matching promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
-    /// By the owner's clock, from when it asked.
+pub struct LeaseTerms {
+    /// Validity of the lease by the owner's clock, from when it sent the request.
     pub lease: Micros,
-    /// By the holder's clock, from when it answered.
-    pub silence: Micros,
+    /// Validity of the promise by the holder's clock, from when it answered.
+    pub promise: Micros,
 }
 
-impl Terms {
-    /// Terms with this silence. A clock that runs a tenth fast against one that runs a tenth slow: 0.9 / 1.1 > 0.8, so
-    /// that the lease is over before the silence is.
-    pub fn new(silence: Micros) -> Self {
-        Self { lease: silence * 8 / 10, silence }
+impl LeaseTerms {
+    /// Terms with this promise. If one clock runs a tenth fast and the other a tenth slow, 0.9 / 1.1 > 0.8, so a
+    /// lease of 0.8 of the promise ends before the promise does.
+    pub fn new(promise: Micros) -> Self {
+        Self { lease: promise * 8 / 10, promise }
     }
 }
 
-/// An owner's leases, by holder.
+/// The leases of an owner, by holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
-    terms: Terms,
-    /// When that was asked to which each last answered, and the holder's life.
-    asked: BTreeMap<MemberId, (u64, Micros)>,
+    terms: LeaseTerms,
+    /// The holder's life and the time at which the owner sent the latest granted request.
+    granted_requests: BTreeMap<MemberId, (u64, Micros)>,
 }
 
 impl Lease {
-    /// None is granted.
-    pub fn new(terms: Terms) -> Self {
-        Self { terms, asked: BTreeMap::new() }
+    /// No lease is granted yet.
+    pub fn new(terms: LeaseTerms) -> Self {
+        Self { terms, granted_requests: BTreeMap::new() }
     }
 
-    /// A holder has granted what was asked at this time of our clock. What can't have been asked then is not believed.
-    pub fn granted(&mut self, now: Micros, by: MemberId, life: u64, asked: Micros) {
+    /// A holder has granted the request that was sent at `asked` by the local clock. A request time in the future is
+    /// ignored.
+    pub fn record_grant(&mut self, now: Micros, by: MemberId, life: u64, asked: Micros) {
         if asked <= now {
-            let known = self.asked.entry(by).or_insert((life, asked));
-            // Another life of it has promised nothing that an earlier one did.
+            let known = self.granted_requests.entry(by).or_insert((life, asked));
+            // A new life of the holder has made none of the promises of an earlier one.
             *known = if known.0 == life { (life, known.1.max(asked)) } else { (life, asked) };
         }
     }
 
-    /// It grants nothing any more, or is no holder.
-    pub fn drop_of(&mut self, by: MemberId) {
-        self.asked.remove(&by);
+    /// The holder grants nothing any more, or is no longer a holder.
+    pub fn revoke(&mut self, by: MemberId) {
+        self.granted_requests.remove(&by);
     }
 
-    /// We were taken over: none counts.
-    pub fn drop_all(&mut self) {
-        self.asked.clear();
+    /// This gateway was taken over: no grant is valid any more.
+    pub fn revoke_all(&mut self) {
+        self.granted_requests.clear();
     }
 
-    /// Until when so many holders do nothing in our place, by our clock; unbounded where none is needed, as there is
-    /// nobody then who could.
-    pub fn until(&self, needed: usize) -> Micros {
-        let mut asked: Vec<Micros> = self.asked.values().map(|(_, asked)| *asked).collect();
+    /// Until when at least `needed` holders keep their promise, by the local clock. `Micros::MAX` if none is needed,
+    /// as then no gateway could take over.
+    pub fn valid_until(&self, needed: usize) -> Micros {
+        let mut asked: Vec<Micros> = self.granted_requests.values().map(|(_, asked)| *asked).collect();
         asked.sort_unstable_by(|a, b| b.cmp(a));
         match needed.checked_sub(1) {
             None => Micros::MAX,
@@ -66,88 +67,95 @@
         }
     }
 
-    /// Whether the first byte of an unsafe event may leave. `now` is read after all else is done: who stood still
-    /// finds here that it did.
-    pub fn may(&self, now: Micros, needed: usize) -> bool {
-        now < self.until(needed)
+    /// Whether the first byte of an unsafe event may be sent. `now` must be read after all other work is done, so
+    /// that a stalled process notices the stall here.
+    pub fn allows_send(&self, now: Micros, needed: usize) -> bool {
+        now < self.valid_until(needed)
     }
 
-    /// When what so many have granted should be asked for anew: four times in a lease.
-    pub fn renew(&self, needed: usize) -> Micros {
-        self.until(needed).saturating_sub(self.terms.lease * 3 / 4)
+    /// When to renew the leases of this many holders: after a quarter of the lease.
+    pub fn renew_at(&self, needed: usize) -> Micros {
+        self.valid_until(needed).saturating_sub(self.terms.lease * 3 / 4)
     }
 }
 
-/// Why a holder grants nothing.
+/// Why a holder refuses a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, strum::VariantNames)]
-pub enum Refused {
-    /// An earlier life of this holder may have promised what this one does not know.
-    #[error("this gateway has just started and waits until its earlier promises are over; nothing to do")]
-    Young,
+pub enum LeaseRefusal {
+    /// An earlier life of this holder may have made promises that this life does not know.
+    #[error("this gateway has just started and waits until its earlier promises have expired; nothing to do")]
+    #[strum(serialize = "Young")]
+    Starting,
     /// The owner was taken over.
     #[error(
-        "what gateway {gateway} had pending is done by others: its next life takes events once it has learnt of it"
+        "gateway {gateway} was taken over: its next life accepts events once it knows what became of the earlier ones"
     )]
-    Taken {
+    #[strum(serialize = "Taken")]
+    TakenOver {
         /// The owner.
         gateway: MemberId,
-        /// Its lives up to this one.
+        /// Its last life that was taken over.
         life: u64,
     },
 }
 
-/// What a holder has promised to owners.
+/// A holder's promises to owners.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Promises {
-    terms: Terms,
-    /// It grants nothing, and does nothing in anybody's place, before.
-    speaks: Micros,
-    /// Until when nothing is done in an owner's place.
-    until: BTreeMap<MemberId, Micros>,
-    /// Lives up to this one of an owner are granted nothing.
-    closed: BTreeMap<MemberId, u64>,
+pub struct HolderPromises {
+    terms: LeaseTerms,
+    /// No promise is made and no gateway is taken over before this time.
+    startup_wait_until: Micros,
+    /// Until when an owner must not be taken over.
+    promised_until: BTreeMap<MemberId, Micros>,
+    /// Lives of an owner up to this one get no promise.
+    fenced: BTreeMap<MemberId, u64>,
 }
 
-impl Promises {
-    /// Of a holder whose life begins.
-    pub fn new(terms: Terms, now: Micros) -> Self {
-        Self { terms, speaks: now + terms.silence, until: BTreeMap::new(), closed: BTreeMap::new() }
+impl HolderPromises {
+    /// For a holder whose life starts at `now`.
+    pub fn new(terms: LeaseTerms, now: Micros) -> Self {
+        Self {
+            terms,
+            startup_wait_until: now + terms.promise,
+            promised_until: BTreeMap::new(),
+            fenced: BTreeMap::new(),
+        }
     }
 
-    /// An owner asks. Who answers it promises by that to do nothing in its place for a silence.
+    /// Grants a request of an owner: promises not to take it over for the promised duration.
     ///
     /// # Errors
-    /// Where nothing may be promised; nothing of that owner is to be stored then either.
-    pub fn grant(&mut self, now: Micros, gateway: MemberId, life: u64) -> Result<(), Refused> {
-        if let Some(closed) = self.closed.get(&gateway).filter(|closed| life <= **closed) {
-            return Err(Refused::Taken { gateway, life: *closed });
+    /// If no promise may be made. Then no entry of that owner must be stored either.
+    pub fn grant(&mut self, now: Micros, gateway: MemberId, life: u64) -> Result<(), LeaseRefusal> {
+        if let Some(fenced) = self.fenced.get(&gateway).filter(|fenced| life <= **fenced) {
+            return Err(LeaseRefusal::TakenOver { gateway, life: *fenced });
         }
-        if now < self.speaks {
-            return Err(Refused::Young);
+        if now < self.startup_wait_until {
+            return Err(LeaseRefusal::Starting);
         }
-        self.until.insert(gateway, now + self.terms.silence);
+        self.promised_until.insert(gateway, now + self.terms.promise);
         Ok(())
     }
 
-    /// Nothing is granted any more to lives of this owner up to this one; never undone.
-    pub fn close(&mut self, gateway: MemberId, life: u64) {
-        let closed = self.closed.entry(gateway).or_insert(life);
-        *closed = life.max(*closed);
+    /// Fences the lives of this owner up to this one: they get no further promise. Can't be undone.
+    pub fn fence(&mut self, gateway: MemberId, life: u64) {
+        let fenced = self.fenced.entry(gateway).or_insert(life);
+        *fenced = life.max(*fenced);
     }
 
-    /// Up to which of its lives an owner is granted nothing.
-    pub fn closed(&self, gateway: MemberId) -> Option<u64> {
-        self.closed.get(&gateway).copied()
+    /// The last fenced life of an owner.
+    pub fn fenced_life(&self, gateway: MemberId) -> Option<u64> {
+        self.fenced.get(&gateway).copied()
     }
 
-    /// When all that was promised to this owner is over.
-    pub fn free_at(&self, gateway: MemberId) -> Micros {
-        self.until.get(&gateway).copied().unwrap_or(0).max(self.speaks)
+    /// When all promises to this owner have expired.
+    pub fn expires_at(&self, gateway: MemberId) -> Micros {
+        self.promised_until.get(&gateway).copied().unwrap_or(0).max(self.startup_wait_until)
     }
 
-    /// Whether all that was promised to it is over.
-    pub fn free(&self, now: Micros, gateway: MemberId) -> bool {
-        now >= self.free_at(gateway)
+    /// Whether all promises to this owner have expired.
+    pub fn has_expired(&self, now: Micros, gateway: MemberId) -> bool {
+        now >= self.expires_at(gateway)
     }
 }
 
@@ -155,55 +163,62 @@
 mod tests {
     use super::*;
 
-    const TERMS: Terms = Terms { lease: 2_400_000, silence: 3_000_000 };
+    const TERMS: LeaseTerms = LeaseTerms { lease: 2_400_000, promise: 3_000_000 };
 
     #[test]
-    fn an_owners_lease_is_over_before_the_holder_is_free_however_clocks_run() {
-        assert_eq!(Terms::new(3_000_000), TERMS);
-        // In true time: asked at 0, answered at once, the worst for the owner; rates a tenth apart both ways.
+    fn a_lease_ends_before_the_holders_promise_despite_clock_drift() {
+        assert_eq!(LeaseTerms::new(3_000_000), TERMS);
+        // In real time: requested at 0 and answered at once, which is the worst case for the owner. The clock rates
+        // differ by a tenth in both directions.
         for (owner, holder) in [(9, 11), (11, 9), (10, 10), (9, 9), (11, 11)] {
             let mut lease = Lease::new(TERMS);
-            let mut promises = Promises::new(TERMS, 0);
+            let mut promises = HolderPromises::new(TERMS, 0);
             let start = 10_000_000;
             let at = |rate: u64, time: u64| (start + time) * rate / 10;
             promises.grant(at(holder, 0), 7, 1).expect("long started");
-            lease.granted(at(owner, 0), 1, 1, at(owner, 0));
-            let both = (0..5_000)
-                .map(|ms| ms * 1_000)
-                .find(|time| lease.may(at(owner, *time), 1) && promises.free(at(holder, *time), 7));
+            lease.record_grant(at(owner, 0), 1, 1, at(owner, 0));
+            let both = (0..5_000).map(|ms| ms * 1_000).find(|time| {
+                lease.allows_send(at(owner, *time), 1) && promises.has_expired(at(holder, *time), 7)
+            });
             assert_eq!(both, None, "{owner} {holder}");
-            assert!(lease.may(at(owner, 2_000_000), 1) && promises.free(at(holder, 3_400_000), 7));
+            assert!(
+                lease.allows_send(at(owner, 2_000_000), 1) && promises.has_expired(at(holder, 3_400_000), 7)
+            );
         }
     }
 
     #[test]
-    fn an_owner_that_stood_still_finds_its_lease_over() {
+    fn a_stalled_owner_finds_its_lease_expired() {
         let mut lease = Lease::new(TERMS);
-        lease.granted(1_000_000, 1, 1, 900_000);
-        lease.granted(1_000_000, 2, 1, 500_000);
-        lease.granted(1_000_000, 3, 1, 2_000_000);
-        assert!(lease.may(1_000_000, 2) && !lease.may(1_000_000, 3) && lease.may(Micros::MAX - 1, 0));
-        assert!(!lease.may(500_000 + TERMS.lease, 2) && lease.may(500_000 + TERMS.lease, 1));
-        assert!(!lease.may(31_000_000, 1));
-        // A late answer does not put it back, another life of a holder stands for itself.
-        lease.granted(2_000_000, 1, 1, 100_000);
-        assert_eq!(lease.until(1), 900_000 + TERMS.lease);
-        lease.granted(2_000_000, 1, 2, 100_000);
-        assert_eq!(lease.until(1), 500_000 + TERMS.lease);
-        lease.drop_all();
-        assert!(!lease.may(0, 1));
+        lease.record_grant(1_000_000, 1, 1, 900_000);
+        lease.record_grant(1_000_000, 2, 1, 500_000);
+        lease.record_grant(1_000_000, 3, 1, 2_000_000);
+        assert!(
+            lease.allows_send(1_000_000, 2)
+                && !lease.allows_send(1_000_000, 3)
+                && lease.allows_send(Micros::MAX - 1, 0)
+        );
+        assert!(!lease.allows_send(500_000 + TERMS.lease, 2) && lease.allows_send(500_000 + TERMS.lease, 1));
+        assert!(!lease.allows_send(31_000_000, 1));
+        // A late answer does not shorten the lease, and each life of a holder counts separately.
+        lease.record_grant(2_000_000, 1, 1, 100_000);
+        assert_eq!(lease.valid_until(1), 900_000 + TERMS.lease);
+        lease.record_grant(2_000_000, 1, 2, 100_000);
+        assert_eq!(lease.valid_until(1), 500_000 + TERMS.lease);
+        lease.revoke_all();
+        assert!(!lease.allows_send(0, 1));
     }
 
     #[test]
-    fn a_holder_that_forgot_waits_and_one_that_took_over_grants_nothing() {
-        let mut promises = Promises::new(TERMS, 5);
-        assert_eq!(promises.grant(6, 4, 1), Err(Refused::Young));
-        assert!(!promises.free(3_000_004, 4) && promises.free(3_000_005, 4));
+    fn a_restarted_holder_waits_and_one_that_fenced_a_life_grants_nothing() {
+        let mut promises = HolderPromises::new(TERMS, 5);
+        assert_eq!(promises.grant(6, 4, 1), Err(LeaseRefusal::Starting));
+        assert!(!promises.has_expired(3_000_004, 4) && promises.has_expired(3_000_005, 4));
         assert_eq!(promises.grant(4_000_000, 4, 9), Ok(()));
-        assert!(!promises.free(6_999_999, 4));
-        promises.close(4, 9);
-        promises.close(4, 8);
-        assert_eq!(promises.grant(8_000_000, 4, 9), Err(Refused::Taken { gateway: 4, life: 9 }));
-        assert_eq!((promises.free_at(4), promises.grant(8_000_000, 4, 10)), (7_000_000, Ok(())));
+        assert!(!promises.has_expired(6_999_999, 4));
+        promises.fence(4, 9);
+        promises.fence(4, 8);
+        assert_eq!(promises.grant(8_000_000, 4, 9), Err(LeaseRefusal::TakenOver { gateway: 4, life: 9 }));
+        assert_eq!((promises.expires_at(4), promises.grant(8_000_000, 4, 10)), (7_000_000, Ok(())));
     }
 }
--- a/crates/pending/src/lib.rs
+++ b/crates/pending/src/lib.rs
@@ -1,43 +1,50 @@
-//! Kept calls: what was accepted, is about to be sent and has ended is held by gateways of other sites, and done by
-//! them where a site is lost. Free of I/O: inputs and times in, outputs and a next time out.
+//! Replicated write-ahead journals of accepted events.
+//!
+//! Each gateway appends to its journal that an event was accepted, is about to be sent and has ended, and replicates
+//! these entries to gateways of other sites (holders). When a gateway or a site is lost, other gateways take over its
+//! pending events. The crate does no I/O: it takes inputs and the current time, and returns outputs and the time of
+//! the next wake-up.
 #![warn(missing_docs)]
 
-mod choose;
 mod claims;
-mod ends;
 mod entry;
 mod error;
-mod glance;
 mod holder;
+mod holder_progress;
+mod holder_selection;
+mod inspect;
+mod interface;
 mod journal;
-mod kept;
 mod lease;
-mod neighbour;
 mod owner;
-mod rebuild;
-mod seam;
+mod pending_events;
+mod recovery;
+mod resolution;
+mod simulation;
 mod takeover;
+mod takeover_messages;
 mod types;
 mod wire;
-mod words;
-mod world;
 
-pub use ends::{Case, End, Sent, end};
-pub use error::{Fault, Unkept, WireError};
-pub use glance::{Glance, glance};
+pub use error::{JournalFault, ReplicationError, WireError};
 #[doc(hidden)]
-pub use holder::Planted;
-pub use journal::Written;
-pub use kept::Pending;
-pub use lease::{Lease, Promises, Refused, Terms};
-pub use owner::{owner, taken};
-pub use rebuild::Heirs;
+pub use holder::HolderFault;
+pub use inspect::{FrameFact, inspect_frame};
+pub use interface::{Input, Output, PendingSettings};
+pub use journal::JournalCounts;
+pub use lease::{HolderPromises, Lease, LeaseRefusal, LeaseTerms};
+pub use owner::{owner, taken_over};
+pub use pending_events::PendingEvents;
+pub use recovery::Recovery;
 #[doc(hidden)]
-pub use rebuild::Planted as HeirsPlanted;
-pub use seam::{Input, Output, PendingSettings};
+pub use recovery::RecoveryFault;
+pub use resolution::{FirstSend, RecoveryCase, Resolution, resolve};
+pub use simulation::{FrameDamage, SimulatedGateway, SimulatedOutput, SimulatedSites};
 #[doc(hidden)]
-pub use takeover::Planted as WatchPlanted;
-pub use takeover::{Return, Step as ReturnStep, Turn, Watch};
-pub use types::{Accepted, Again, Entry, Key, Outcome, Source, Step, WallMs};
-pub use words::{Copy, Counted, Fate, Gone, Heir, HeirsSettings, Say, Stand, Why, Word};
-pub use world::{Damage, Gateway, Said, Sites};
+pub use takeover::TakeoverFault;
+pub use takeover::{Rejoin, RejoinAction, TakeoverAction, TakeoverMonitor};
+pub use takeover_messages::{
+    ClaimDecision, ClaimReply, EventStatus, JournalLoss, JournalSnapshot, LossReason, RecoveryCounts,
+    RecoveryOutput, RecoverySettings, TakeoverMessage,
+};
+pub use types::{Accepted, Entry, Key, Outcome, RepeatSafety, Source, Step, WallMs};
--- a/crates/pending/src/takeover.rs
+++ b/crates/pending/src/takeover.rs
@@ -1,71 +1,79 @@
-//! When what a lost site or gateway had pending is done by others, and what one that returns does first. Never by the
-//! view alone: what was promised to it has run out, and the voters have given a permit.
+//! When the events of a lost site or gateway are taken over, and what a returning gateway does first. The membership
+//! view alone never suffices: all promises to the lost gateway must have expired, and the voters must have granted a
+//! permit.
 
-use crate::lease::Promises;
+use crate::lease::HolderPromises;
 use basaltward_membership::{MemberId, Micros, SiteMap};
 use basaltward_permits::{Observations, PermitState, Subject};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The voters are asked again after this; whoever is not the first to ask waits as long for each that is.
-const AGAIN: Micros = 300_000;
-/// So many ask one after another, the others with the last.
-const TURNS: u64 = 8;
+/// Retry interval of requests to voters and peers. Gateways that request the same permit start this much after one
+/// another.
+const RETRY_INTERVAL: Micros = 300_000;
+/// Up to this many gateways request one after another; all further ones request together with the last.
+const MAX_REQUEST_RANK: u64 = 8;
 
-/// What is to be done.
+/// An action of [`TakeoverMonitor`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Turn {
-    /// Ask the voters for the permit: `PermitRequest::Acquire`.
-    Ask(Subject),
-    /// What these lives of its gateways and all before them had pending is others' now: [`crate::Heirs::begin`].
+pub enum TakeoverAction {
+    /// Request the permit from the voters: `PermitRequest::Acquire`.
+    RequestPermit(Subject),
+    /// Take over the events of these lives of the gateways and of all earlier ones: [`crate::Recovery::take_over`].
     Begin {
-        /// Who is lost.
+        /// The lost site or gateway.
         subject: Subject,
-        /// The permit's number.
+        /// Number of the permit.
         permit: u16,
-        /// Its gateways, each with its last life that is over.
+        /// Its gateways, each with its last life that has ended.
         lives: Vec<(MemberId, u64)>,
     },
-    /// The permit is over: its subject has learnt what was done.
-    Back(Subject),
-    /// We are taken over ourselves: nothing pending of this life is ours any more, see [`Return`].
-    Lost,
+    /// The permit was returned: its subject knows what became of its events.
+    Returned(Subject),
+    /// This gateway itself was taken over: pending events of this life belong to others, see [`Rejoin`].
+    LostOwnership,
 }
 
-/// Who is taken over, as one gateway sees it.
+/// Tracks which sites and gateways are taken over, as seen by one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Watch {
+pub struct TakeoverMonitor {
     sites: Vec<u8>,
     own: MemberId,
-    /// Since when it is seen to be lost and all that we promised has run out, and when we ask next.
-    lost: BTreeMap<Subject, Micros>,
-    /// Permits that stand, and whether we have begun.
-    taken: BTreeMap<Subject, (u16, bool)>,
-    planted: Option<Planted>,
+    /// Lost subjects to which all promises have expired, each with the time of the next permit request.
+    next_request: BTreeMap<Subject, Micros>,
+    /// Current permits, each with its number and whether this gateway has begun the takeover.
+    permits: BTreeMap<Subject, (u16, bool)>,
+    injected_fault: Option<TakeoverFault>,
 }
 
-/// Faults that checkers must find.
+/// Faults that tests inject and have to detect.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Planted {
-    /// Who is seen to be lost is taken over at once.
-    ByTheViewAlone,
+pub enum TakeoverFault {
+    /// A subject is taken over as soon as the view shows it as lost.
+    IgnoresPermits,
 }
 
-impl Watch {
-    /// Nobody is taken over.
-    pub fn new(places: &SiteMap) -> Self {
-        let sites = (0..places.len() as MemberId).filter_map(|of| places.site_of(of)).collect();
-        Self { sites, own: places.own(), lost: BTreeMap::new(), taken: BTreeMap::new(), planted: None }
+impl TakeoverMonitor {
+    /// Nothing is taken over yet.
+    pub fn new(site_map: &SiteMap) -> Self {
+        let sites = (0..site_map.len() as MemberId).filter_map(|of| site_map.site_of(of)).collect();
+        Self {
+            sites,
+            own: site_map.own(),
+            next_request: BTreeMap::new(),
+            permits: BTreeMap::new(),
+            injected_fault: None,
+        }
     }
 
     #[doc(hidden)]
-    pub fn plant(&mut self, planted: Planted) {
-        self.planted = Some(planted);
+    pub fn inject_fault(&mut self, fault: TakeoverFault) {
+        self.injected_fault = Some(fault);
     }
 
-    /// Whether its permit stands and we do what it had pending.
+    /// Whether there is a permit for the subject and this gateway has begun to take over its events.
     pub fn has_begun(&self, subject: Subject) -> bool {
-        self.taken.get(&subject).is_some_and(|(_, begun)| *begun)
+        self.permits.get(&subject).is_some_and(|(_, begun)| *begun)
     }
 
     fn members(&self, subject: Subject) -> Vec<MemberId> {
@@ -79,213 +87,221 @@
         }
     }
 
-    /// Our turn among those who would ask about one of its members.
-    fn turn(&self, members: &[MemberId]) -> u64 {
+    /// Position of this gateway in the order in which gateways request the permit for these members.
+    fn request_rank(&self, members: &[MemberId]) -> u64 {
         let size = self.sites.len().max(1) as u64;
         let first = members.first().map_or(0, |of| u64::from(*of));
-        ((u64::from(self.own) + size - first) % size).min(TURNS)
+        ((u64::from(self.own) + size - first) % size).min(MAX_REQUEST_RANK)
     }
 
-    /// Looks at what the view shows (see `basaltward_permits::sites`) and at what is agreed. `life` is the latest that
-    /// is known of a gateway, by the view or by a journal. Asked again by [`Watch::next_due`] and when either changes.
-    pub fn look(
+    /// Evaluates the membership view (see `basaltward_permits::sites`) and the agreed permits. `life` returns the
+    /// latest known life of a gateway, from the view or a journal. Called again at [`TakeoverMonitor::next_due`] and
+    /// when either input changes.
+    pub fn update(
         &mut self,
         now: Micros,
         observations: &Observations,
         permit_state: &PermitState,
         life: impl Fn(MemberId) -> u64,
-        promises: &mut Promises,
-        out: &mut Vec<Turn>,
+        promises: &mut HolderPromises,
+        out: &mut Vec<TakeoverAction>,
     ) {
         let lost = observations.iter().filter(|(of, seen)| of.allows_takeover() && seen.in_use_for.is_none());
         let lost: BTreeSet<Subject> = lost.map(|(of, _)| *of).collect();
-        self.lost.retain(|of, _| lost.contains(of));
+        self.next_request.retain(|of, _| lost.contains(of));
         for subject in lost {
             let members = self.members(subject);
             if members.contains(&self.own) || members.is_empty() {
                 continue;
             }
-            if self.planted == Some(Planted::ByTheViewAlone) {
-                self.begin(subject, 0, &members, &life, promises, out);
+            if self.injected_fault == Some(TakeoverFault::IgnoresPermits) {
+                self.begin_takeover(subject, 0, &members, &life, promises, out);
                 continue;
             }
-            let free = members.iter().all(|of| promises.free(now, *of));
-            if permit_state.permit(subject).is_some() || !free {
+            let expired = members.iter().all(|of| promises.has_expired(now, *of));
+            if permit_state.permit(subject).is_some() || !expired {
                 continue;
             }
-            let turn = self.turn(&members);
-            let next = self.lost.entry(subject).or_insert(now + AGAIN * turn);
+            let rank = self.request_rank(&members);
+            let next = self.next_request.entry(subject).or_insert(now + RETRY_INTERVAL * rank);
             if now >= *next {
-                *next = now + AGAIN * (TURNS + 1);
-                out.push(Turn::Ask(subject));
+                *next = now + RETRY_INTERVAL * (MAX_REQUEST_RANK + 1);
+                out.push(TakeoverAction::RequestPermit(subject));
             }
         }
         for permit in permit_state.permits.iter().filter(|permit| permit.subject.allows_takeover()) {
-            self.permitted(now, permit.subject, permit.number, &life, promises, out);
+            self.on_permit(now, permit.subject, permit.number, &life, promises, out);
         }
-        let over = |of: &Subject| permit_state.permit(*of).is_none() && self.planted.is_none();
-        let over: Vec<Subject> = self.taken.keys().copied().filter(over).collect();
-        for subject in over {
-            self.taken.remove(&subject);
-            out.push(Turn::Back(subject));
+        let returned = |of: &Subject| permit_state.permit(*of).is_none() && self.injected_fault.is_none();
+        let returned: Vec<Subject> = self.permits.keys().copied().filter(returned).collect();
+        for subject in returned {
+            self.permits.remove(&subject);
+            out.push(TakeoverAction::Returned(subject));
         }
     }
 
-    fn permitted(
+    fn on_permit(
         &mut self,
         now: Micros,
         subject: Subject,
         permit: u16,
         life: &impl Fn(MemberId) -> u64,
-        promises: &mut Promises,
-        out: &mut Vec<Turn>,
+        promises: &mut HolderPromises,
+        out: &mut Vec<TakeoverAction>,
     ) {
         let members = self.members(subject);
-        let known = self.taken.get(&subject).copied();
+        let known = self.permits.get(&subject).copied();
         if known == Some((permit, true)) {
             return;
         }
         if members.contains(&self.own) {
-            self.taken.insert(subject, (permit, true));
-            out.push(Turn::Lost);
+            self.permits.insert(subject, (permit, true));
+            out.push(TakeoverAction::LostOwnership);
             return;
         }
-        self.taken.insert(subject, (permit, false));
-        // From here on nothing is promised, so that what was promised does run out.
-        members.iter().for_each(|of| promises.close(*of, life(*of)));
-        if members.iter().all(|of| promises.free(now, *of)) {
-            self.begin(subject, permit, &members, life, promises, out);
+        self.permits.insert(subject, (permit, false));
+        // From here on no promise is renewed, so the existing ones expire.
+        members.iter().for_each(|of| promises.fence(*of, life(*of)));
+        if members.iter().all(|of| promises.has_expired(now, *of)) {
+            self.begin_takeover(subject, permit, &members, life, promises, out);
         }
     }
 
-    fn begin(
+    fn begin_takeover(
         &mut self,
         subject: Subject,
         permit: u16,
         members: &[MemberId],
         life: &impl Fn(MemberId) -> u64,
-        promises: &mut Promises,
-        out: &mut Vec<Turn>,
+        promises: &mut HolderPromises,
+        out: &mut Vec<TakeoverAction>,
     ) {
-        if self.taken.insert(subject, (permit, true)) == Some((permit, true)) {
+        if self.permits.insert(subject, (permit, true)) == Some((permit, true)) {
             return;
         }
-        members.iter().for_each(|of| promises.close(*of, life(*of)));
-        let lives = members.iter().map(|of| (*of, promises.closed(*of).unwrap_or(0))).collect();
-        out.push(Turn::Begin { subject, permit, lives });
+        members.iter().for_each(|of| promises.fence(*of, life(*of)));
+        let lives = members.iter().map(|of| (*of, promises.fenced_life(*of).unwrap_or(0))).collect();
+        out.push(TakeoverAction::Begin { subject, permit, lives });
     }
 
-    /// When to look again though nothing has changed.
+    /// When to call [`TakeoverMonitor::update`] again even if no input has changed.
     pub fn next_due(&self, now: Micros) -> Micros {
-        let waits = self.taken.values().any(|(_, begun)| !begun);
-        let asks = self.lost.values().min().copied();
-        asks.into_iter().chain(waits.then_some(now + AGAIN)).min().unwrap_or(Micros::MAX)
+        let waiting = self.permits.values().any(|(_, begun)| !begun);
+        let requests = self.next_request.values().min().copied();
+        requests.into_iter().chain(waiting.then_some(now + RETRY_INTERVAL)).min().unwrap_or(Micros::MAX)
     }
 }
 
-/// What a gateway that begins, or that was taken over, has to do before it takes kept events.
+/// An action of a gateway that has started or was taken over, before it accepts events.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
-    /// Ask the voters whether this is taken over: `PermitRequest::Reclaim`.
-    Home(Subject),
-    /// Ask this peer what was done in our place: [`crate::Word::Back`].
-    Learn(MemberId),
-    /// Tell the voters that we have learnt it: `PermitRequest::Return`.
-    Done(Subject, u16),
-    /// Kept events are taken from now on.
-    Takes,
+pub enum RejoinAction {
+    /// Ask the voters whether the subject was taken over: `PermitRequest::Reclaim`.
+    Reclaim(Subject),
+    /// Ask a peer what became of the pending events: [`crate::TakeoverMessage::ReturnQuery`].
+    QueryPeer(MemberId),
+    /// Return a permit to the voters, as all peers have answered: `PermitRequest::Return`.
+    ReturnPermit(Subject, u16),
+    /// Events are accepted from now on.
+    Ready,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Stage {
-    Asking,
-    Learning,
-    Ending,
-    Home,
+enum RejoinStage {
+    /// Asking the voters for the takeover permits of this site and gateway.
+    Reclaiming,
+    /// Asking the live peers what became of the pending events.
+    QueryingPeers,
+    /// Returning the takeover permits to the voters.
+    ReturningPermits,
+    /// Accepting events.
+    Ready,
 }
 
-/// See [`Step`].
+/// The sequence of actions by which a gateway rejoins, see [`RejoinAction`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Return {
-    /// What may be taken over with us, with the permit's number once that is known.
+pub struct Rejoin {
+    /// This site and this gateway, each with the number of its takeover permit (0 if none) once known.
     permits: BTreeMap<Subject, Option<u16>>,
-    /// Peers that have told all.
-    told: BTreeSet<MemberId>,
-    stage: Stage,
-    again: Micros,
+    /// Peers that have reported everything.
+    answered_peers: BTreeSet<MemberId>,
+    stage: RejoinStage,
+    next_retry: Micros,
 }
 
-impl Return {
-    /// Of a life that begins now.
-    pub fn new(places: &SiteMap, now: Micros) -> Self {
-        let subjects = [Subject::Site(places.own_site()), Subject::Gateway(places.own())];
+impl Rejoin {
+    /// For a life that starts now.
+    pub fn new(site_map: &SiteMap, now: Micros) -> Self {
+        let subjects = [Subject::Site(site_map.own_site()), Subject::Gateway(site_map.own())];
         let permits = subjects.map(|subject| (subject, None)).into();
-        Self { permits, told: BTreeSet::new(), stage: Stage::Asking, again: now }
+        Self { permits, answered_peers: BTreeSet::new(), stage: RejoinStage::Reclaiming, next_retry: now }
     }
 
-    /// Whether kept events may be taken.
-    pub fn is_home(&self) -> bool {
-        self.stage == Stage::Home
+    /// Whether events may be accepted.
+    pub fn is_ready(&self) -> bool {
+        self.stage == RejoinStage::Ready
     }
 
-    /// The voters have answered `PermitRequest::Reclaim`, after any life of ours that it knows of began.
-    pub fn answered(&mut self, subject: Subject, permit: u16) {
-        if self.stage == Stage::Asking {
+    /// The voters have answered `PermitRequest::Reclaim`, and the permit state is from after this life has started.
+    pub fn on_reclaim_reply(&mut self, subject: Subject, permit: u16) {
+        if self.stage == RejoinStage::Reclaiming {
             self.permits.entry(subject).and_modify(|known| *known = Some(permit));
         }
     }
 
-    /// A peer has told all that was done in our place.
-    pub fn learnt(&mut self, from: MemberId) {
-        self.told.insert(from);
+    /// A peer has reported all that became of the pending events.
+    pub fn on_peer_answered(&mut self, from: MemberId) {
+        self.answered_peers.insert(from);
     }
 
-    /// The voters have answered `PermitRequest::Return`, or that no such permit stands.
-    pub fn ended(&mut self, subject: Subject) {
-        if self.stage == Stage::Ending {
+    /// The voters have answered `PermitRequest::Return`, or there is no such permit.
+    pub fn on_permit_returned(&mut self, subject: Subject) {
+        if self.stage == RejoinStage::ReturningPermits {
             self.permits.remove(&subject);
         }
     }
 
-    /// Does what is next. `live` are our peers that live: one of them that has not told all is waited for.
-    pub fn wake(&mut self, now: Micros, live: &[MemberId], out: &mut Vec<Step>) {
+    /// Performs the next actions. `live` lists the live peers; a live peer that has not reported everything is waited
+    /// for.
+    pub fn wake(&mut self, now: Micros, live: &[MemberId], out: &mut Vec<RejoinAction>) {
         let was = self.stage;
-        if self.stage == Stage::Asking && self.permits.values().all(Option::is_some) {
-            self.stage = Stage::Learning;
+        if self.stage == RejoinStage::Reclaiming && self.permits.values().all(Option::is_some) {
+            self.stage = RejoinStage::QueryingPeers;
         }
-        // Nobody who lives may be cut off from all who know: the majority of the voters has answered before.
-        if self.stage == Stage::Learning && live.iter().all(|of| self.told.contains(of)) {
+        // A live peer can't be cut off from all gateways that know, as a majority of the voters has answered before.
+        if self.stage == RejoinStage::QueryingPeers && live.iter().all(|of| self.answered_peers.contains(of))
+        {
             self.permits.retain(|_, number| number.is_some_and(|number| number != 0));
-            self.stage = Stage::Ending;
+            self.stage = RejoinStage::ReturningPermits;
         }
-        if self.stage == Stage::Ending && self.permits.is_empty() {
-            self.stage = Stage::Home;
-            out.push(Step::Takes);
+        if self.stage == RejoinStage::ReturningPermits && self.permits.is_empty() {
+            self.stage = RejoinStage::Ready;
+            out.push(RejoinAction::Ready);
         }
-        if now < self.again && was == self.stage {
+        if now < self.next_retry && was == self.stage {
             return;
         }
-        self.again = now + AGAIN;
+        self.next_retry = now + RETRY_INTERVAL;
         match self.stage {
-            Stage::Asking => {
+            RejoinStage::Reclaiming => {
                 let open = self.permits.iter().filter(|(_, number)| number.is_none());
-                out.extend(open.map(|(subject, _)| Step::Home(*subject)));
+                out.extend(open.map(|(subject, _)| RejoinAction::Reclaim(*subject)));
             }
-            Stage::Learning => {
-                let open = live.iter().filter(|of| !self.told.contains(of));
-                out.extend(open.map(|of| Step::Learn(*of)));
+            RejoinStage::QueryingPeers => {
+                let open = live.iter().filter(|of| !self.answered_peers.contains(of));
+                out.extend(open.map(|of| RejoinAction::QueryPeer(*of)));
             }
-            Stage::Ending => {
-                let number =
-                    |(subject, number): (&Subject, &Option<u16>)| Some(Step::Done(*subject, (*number)?));
+            RejoinStage::ReturningPermits => {
+                let number = |(subject, number): (&Subject, &Option<u16>)| {
+                    Some(RejoinAction::ReturnPermit(*subject, (*number)?))
+                };
                 out.extend(self.permits.iter().filter_map(number));
             }
-            Stage::Home => self.again = Micros::MAX,
+            RejoinStage::Ready => self.next_retry = Micros::MAX,
         }
     }
 
-    /// When [`Return::wake`] is due.
+    /// When [`Rejoin::wake`] is due.
     pub fn next_due(&self) -> Micros {
-        self.again
+        self.next_retry
     }
 }
