--- a/crates/bench/src/agreed.rs
+++ b/crates/bench/src/agreed.rs
@@ -2,6 +2,7 @@
 //! fleet gives permits, until another leader does, and until a halt is at all; and what it costs.
 
 use crate::fleet::spread;
+use basaltward_faulttest::{Bed, BedSpec, Loss};
 use basaltward_membership::{LinkFaults, MemberId, Micros};
 use basaltward_net::monotonic;
 use basaltward_peers::send_operator_command;
@@ -9,7 +10,6 @@
     Bounds, Denied, Limit, Observation, Observations, OperatorCommand, OperatorReply, PermitRequest,
     PermitSettings, Subject, VirtualFleet, worker_subject,
 };
-use basaltward_trial::{Bed, BedSpec, Loss};
 use std::error::Error;
 use std::time::Duration;
 
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -1,7 +1,7 @@
 //! The fleet's view between processes of the program, in the bed: how long until all agree, and what a member
 //! costs. The program stands beside this one.
 
-use basaltward_trial::{Bed, BedSpec, Loss};
+use basaltward_faulttest::{Bed, BedSpec, Loss};
 use std::error::Error;
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,7 @@
 }
 
 fn spent(bed: &Bed) -> f64 {
-    bed.schedulers.iter().filter_map(basaltward_trial::Process::pid).map(spent_ms).sum()
+    bed.schedulers.iter().filter_map(basaltward_faulttest::Process::pid).map(spent_ms).sum()
 }
 
 fn spread(mut values: Vec<Option<Duration>>) -> String {
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -1,11 +1,11 @@
 use crate::args::Trial as Options;
 use crate::{Failed, records};
-use basaltward_net::monotonic;
-use basaltward_rules::Record;
-use basaltward_trial::{
+use basaltward_faulttest::{
     CSV_HEADER, HollowScript, Party, Script, SitesScript, SitesVerdict, Told, Verdict, judge, judge_sites,
     lanes, load, picture, rows, run as play, run_hollow, run_sites,
 };
+use basaltward_net::monotonic;
+use basaltward_rules::Record;
 use std::fs::{OpenOptions, create_dir_all, write};
 use std::io::Write;
 
@@ -117,7 +117,7 @@
 }
 
 /// The timeline, and files of it and of all records where they are wanted.
-fn keep(options: &Options, all: &[Record], lanes: &[basaltward_trial::Lane]) -> Result<(), Failed> {
+fn keep(options: &Options, all: &[Record], lanes: &[basaltward_faulttest::Lane]) -> Result<(), Failed> {
     let mut text = String::new();
     for (name, spells) in lanes {
         text += name;
--- a/crates/cli/tests/agreed.rs
+++ b/crates/cli/tests/agreed.rs
@@ -1,7 +1,7 @@
 //! Drains, releases and halts between processes, with calls in flight and parts that fail.
+use basaltward_faulttest::{Bed, BedSpec, Fleet, Verdict, judge};
 use basaltward_permits::{Bounds, Limit};
 use basaltward_rules::{Observation, Record};
-use basaltward_trial::{Bed, BedSpec, Fleet, Verdict, judge};
 use std::path::Path;
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
--- a/crates/cli/tests/hollow.rs
+++ b/crates/cli/tests/hollow.rs
@@ -1,7 +1,7 @@
 //! Hollow members beside processes of the program.
+use basaltward_faulttest::{Told, Value, load, run_hollow};
 use basaltward_membership::StatusResponse;
 use basaltward_peers::fetch_membership;
-use basaltward_trial::{Told, Value, load, run_hollow};
 use rustix::process::{Pid, Signal, kill_process, test_kill_process};
 use std::io::{BufRead, BufReader, Lines, Read};
 use std::net::SocketAddr;
--- a/crates/cli/tests/sites.rs
+++ b/crates/cli/tests/sites.rs
@@ -1,6 +1,6 @@
 //! Sites of gateways and workers as processes, with faults between them, and faults planted that the judge must
 //! find.
-use basaltward_trial::{
+use basaltward_faulttest::{
     Fleet, LoadSpec, SiteAct, SiteBed, SiteLink, SiteSpec, SiteStep, SitesScript, SitesSpec, Who,
     judge_sites, run_sites,
 };
--- a/crates/cli/tests/trial.rs
+++ b/crates/cli/tests/trial.rs
@@ -1,8 +1,8 @@
 //! Many processes of the program with faults between them, and faults planted that the judge must find.
-use basaltward_membership::{FleetShare, MemberState};
-use basaltward_trial::{
+use basaltward_faulttest::{
     Bed, BedSpec, Change, Fleet, Loss, Party, Script, Stream, Told, Verdict, Way, judge, load, run,
 };
+use basaltward_membership::{FleetShare, MemberState};
 use rustix::process::{Pid, Signal, kill_process};
 use std::path::Path;
 use std::time::Duration;
@@ -39,7 +39,7 @@
     assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
     let (asked, served, ..) = verdict.calls;
     assert!(served * 10 > asked * 8, "{served} of {asked} served");
-    let ups = |p: &basaltward_trial::Process| p.changes.iter().filter(|(_, c)| *c == Change::Up).count();
+    let ups = |p: &basaltward_faulttest::Process| p.changes.iter().filter(|(_, c)| *c == Change::Up).count();
     assert_eq!(
         bed.schedulers.iter().filter(|p| ups(p) == 2).count(),
         2,
--- a/crates/cli/tests/view.rs
+++ b/crates/cli/tests/view.rs
@@ -1,6 +1,6 @@
 //! The view between processes: flapping, one-way cuts, a new list, doubled names, and a fault planted in one.
+use basaltward_faulttest::{Bed, BedSpec, Fleet, Loss, Party, Verdict, Way, judge};
 use basaltward_membership::{FleetShare, MemberState};
-use basaltward_trial::{Bed, BedSpec, Fleet, Loss, Party, Verdict, Way, judge};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
--- a/crates/trial/tests/hollow.rs
+++ b/crates/faulttest/tests/hollow.rs
@@ -1,5 +1,5 @@
 //! Hollow members without processes: links, needs, the system's table of sockets, scripts, rows.
-use basaltward_trial::{
+use basaltward_faulttest::{
     Conditions, Cut, Delays, HollowAct, HollowError, HollowReport, HollowScript, Machine, Needs, Row, Told,
     Topology, Value, dropped, drops_at, load, rows,
 };
--- a/crates/trial/tests/relay.rs
+++ b/crates/faulttest/tests/relay.rs
@@ -1,5 +1,5 @@
 //! The relays by themselves, between plain sockets.
-use basaltward_trial::{Laying, Loss, Party, Relay, Shaping, Stream, Way};
+use basaltward_faulttest::{Laying, Loss, Party, Relay, Shaping, Stream, Way};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::time::Duration;
