--- a/crates/faulttest/src/capture.rs
+++ b/crates/faulttest/src/capture.rs
@@ -1,6 +1,6 @@
 //! What the relays see of calls that one gateway hands to another, and of kept events on journals' connections.
 
-use crate::way::{Party, Way};
+use crate::link::{Party, Way};
 use basaltward_http::{Decoded, Limits, RequestDecoder};
 use basaltward_net::Micros;
 use basaltward_peers::Channel;
--- a/crates/faulttest/src/checker.rs
+++ b/crates/faulttest/src/checker.rs
@@ -1,9 +1,9 @@
 //! The verdict on a run: the five rules over all that was recorded, and what holds for a fleet of processes.
 
-use crate::bed::{Bed, CLASSES};
+use crate::cluster::{Bed, CLASSES};
+use crate::link::{Party, Way};
+use crate::network::Ways;
 use crate::process::{Change, Process};
-use crate::way::{Party, Way};
-use crate::ways::Ways;
 use basaltward_net::Micros;
 use basaltward_rules::{
     Breach, ClassRule, FinalAnswer, Observation, Record, RepeatRule, RuleSettings, check,
--- a/crates/faulttest/src/bed.rs
+++ b/crates/faulttest/src/cluster.rs
@@ -2,10 +2,10 @@
 
 use crate::Loss;
 use crate::clients::{ClientSpec, Clients};
+use crate::link::{Party, Stream, Way};
+use crate::network::Ways;
 use crate::process::{Process, ProcessError};
 use crate::relay::Laying;
-use crate::way::{Party, Stream, Way};
-use crate::ways::Ways;
 use crate::workspace::{Workspace, party, whole};
 use basaltward_config::ConfigError;
 use basaltward_membership::StatusResponse;
--- a/crates/faulttest/src/hollow/error.rs
+++ b/crates/faulttest/src/hollow/error.rs
@@ -1,4 +1,4 @@
-use crate::bed::TrialError;
+use crate::cluster::TrialError;
 use basaltward_net::NetError;
 use basaltward_peers::PeerError;
 use thiserror::Error;
--- a/crates/faulttest/src/hollow/mod.rs
+++ b/crates/faulttest/src/hollow/mod.rs
@@ -9,26 +9,26 @@
 //! cross loopback untouched, so all real processes stand in one zone.
 
 mod conditions;
-mod drops;
+mod counters;
 mod error;
-mod load;
-mod needs;
 mod probe;
-mod real;
+mod real_members;
 mod report;
+mod resources;
 mod run;
 mod script;
 mod shard;
 mod shards;
+mod socket_drops;
 mod topology;
 
 pub use conditions::{Conditions, Cut, Delays};
-pub use drops::{dropped, drops_at};
+pub use counters::{Load, Window};
 pub use error::HollowError;
-pub use load::{Load, Window};
-pub use needs::{Machine, Needs};
 pub use report::{CSV_HEADER, HollowReport, Row, Value, rows};
+pub use resources::{Machine, Needs};
 pub use run::run_hollow;
 pub(crate) use script::hollow;
 pub use script::{HollowAct, HollowScript, HollowSpec, HollowStep};
+pub use socket_drops::{dropped, drops_at};
 pub use topology::Topology;
--- a/crates/faulttest/src/hollow/real.rs
+++ b/crates/faulttest/src/hollow/real_members.rs
@@ -2,9 +2,9 @@
 
 use super::error::HollowError;
 use super::script::HollowSpec;
-use crate::bed::{BedSpec, TrialError, configuration, target};
+use crate::cluster::{BedSpec, TrialError, configuration, target};
+use crate::link::Party;
 use crate::process::Process;
-use crate::way::Party;
 use crate::workspace::Workspace;
 use basaltward_net::Micros;
 use basaltward_permits::Bounds;
--- a/crates/faulttest/src/hollow/run.rs
+++ b/crates/faulttest/src/hollow/run.rs
@@ -1,15 +1,15 @@
 //! Plays a script of hollow members: steps one after another, each measured until all members agree.
 
 use super::conditions::{Conditions, Cut};
-use super::drops::{dropped, drops_at};
+use super::counters::{Load, Window};
 use super::error::HollowError;
-use super::load::{Load, Window};
-use super::needs::{Machine, Needs, resident_bytes};
 use super::probe::Probe;
-use super::real::Real;
+use super::real_members::Real;
 use super::report::{HollowReport, Value};
+use super::resources::{Machine, Needs, resident_bytes};
 use super::script::{HollowAct, HollowScript, HollowSpec};
 use super::shards::{Shards, Shared, SharedState};
+use super::socket_drops::{dropped, drops_at};
 use crate::workspace::Workspace;
 use basaltward_membership::MemberId;
 use basaltward_net::{Io, IoEvent, IoLimits, Micros, Signals};
--- a/crates/faulttest/src/hollow/shard.rs
+++ b/crates/faulttest/src/hollow/shard.rs
@@ -2,8 +2,8 @@
 //! their way.
 
 use super::conditions::Conditions;
+use super::counters::{LATE_US, Load};
 use super::error::HollowError;
-use super::load::{LATE_US, Load};
 use super::shards::{Command, Look, Shared};
 use basaltward_membership::{MemberId, MemberState};
 use basaltward_net::{Io, IoEvent, Micros, thread_time};
--- a/crates/faulttest/src/hollow/shards.rs
+++ b/crates/faulttest/src/hollow/shards.rs
@@ -1,8 +1,8 @@
 //! The loops of hollow members as their owner has them: commands in, looks out.
 
 use super::conditions::Conditions;
+use super::counters::Load;
 use super::error::HollowError;
-use super::load::Load;
 use super::script::HollowSpec;
 use super::shard::Shard;
 use basaltward_membership::MemberId;
--- a/crates/faulttest/src/ways.rs
+++ b/crates/faulttest/src/network.rs
@@ -1,9 +1,9 @@
 //! The relays of a bed, with what was done to each way when, and what crossed one that was cut.
 
 use crate::Loss;
+use crate::link::{Stream, Way};
 use crate::relay::Relay;
 use crate::shaping::Shaping;
-use crate::way::{Stream, Way};
 use basaltward_net::{Micros, monotonic};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/faulttest/src/relay.rs
+++ b/crates/faulttest/src/relay.rs
@@ -6,9 +6,9 @@
 
 use crate::Loss;
 use crate::capture::{Captured, Reads};
-use crate::relaying::Running;
+use crate::link::{Party, Stream, Way};
+use crate::relay_loop::Running;
 use crate::shaping::Shaping;
-use crate::way::{Party, Stream, Way};
 use basaltward_net::{Io, IoLimits, Micros, NetError, Waker, bind};
 use crossbeam_queue::SegQueue;
 use std::collections::BTreeMap;
--- a/crates/faulttest/src/relaying.rs
+++ b/crates/faulttest/src/relay_loop.rs
@@ -1,9 +1,9 @@
 //! The loop of the relays: what it does with each connection and datagram.
 
 use crate::capture::Capture;
+use crate::link::{Stream, Way};
 use crate::relay::{Command, Counts, Pair, Route, Shared};
 use crate::shaping::{Item, Lane, Shaping};
-use crate::way::{Stream, Way};
 use basaltward_net::{ConnId, EndReason, Io, IoEvent, Micros, NetError, bind, monotonic};
 use basaltward_timers::Timers;
 use rand::rngs::StdRng;
--- a/crates/faulttest/src/script.rs
+++ b/crates/faulttest/src/script.rs
@@ -1,10 +1,10 @@
 //! A trial by a script: a fleet, and what happens to it when.
 
 use crate::Loss;
-use crate::bed::{Bed, BedSpec, TrialError};
+use crate::cluster::{Bed, BedSpec, TrialError};
 use crate::hollow::{HollowScript, hollow};
+use crate::link::{Party, Stream, Way};
 use crate::site_script::{SitesScript, sites};
-use crate::way::{Party, Stream, Way};
 use basaltward_config::xml::{Element, parse_validated};
 use basaltward_config::{ConfigError, Fault};
 use basaltward_net::{Micros, monotonic};
--- a/crates/faulttest/src/site_checker.rs
+++ b/crates/faulttest/src/site_checker.rs
@@ -4,8 +4,8 @@
 use crate::capture::Handed;
 use crate::checker::{Fleet, Front, Verdict, common, ends};
 use crate::kept_checker::kept;
-use crate::site_bed::SiteBed;
-use crate::way::Party;
+use crate::link::Party;
+use crate::site_cluster::SiteBed;
 use basaltward_net::Micros;
 use basaltward_play::rule_settings;
 use basaltward_rules::{FinalAnswer, Observation, Record, RepeatRule, RuleSettings};
@@ -204,7 +204,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::way::Way;
+    use crate::link::Way;
     use basaltward_rules::ClassRule;
 
     fn records(told: &[(&str, Observation)]) -> Vec<Record> {
--- a/crates/faulttest/src/site_bed.rs
+++ b/crates/faulttest/src/site_cluster.rs
@@ -1,15 +1,15 @@
 //! A bed of sites: gateways and workers as processes of their own, with relays on all ways between them.
 
-use crate::bed::{TrialError, live};
 use crate::capture::Reads;
+use crate::cluster::{TrialError, live};
+use crate::link::{Party, Way};
+use crate::network::Ways;
 use crate::process::{Launch, Process};
 use crate::relay::Laying;
 use crate::shaping::Shaping;
-use crate::site_files::{Reach, write_files};
-use crate::site_load::plans;
+use crate::site_config::{Reach, write_files};
 use crate::site_spec::{SiteLink, SitesSpec};
-use crate::way::{Party, Way};
-use crate::ways::Ways;
+use crate::site_workload::plans;
 use crate::workspace::{Workspace, whole};
 use basaltward_config::Config;
 use basaltward_membership::StatusResponse;
--- a/crates/faulttest/src/site_script.rs
+++ b/crates/faulttest/src/site_script.rs
@@ -1,7 +1,7 @@
 //! A trial of sites by a script: what happens to which of them, or to the links between them, when.
 
-use crate::bed::{Bed, TrialError};
-use crate::site_bed::{SiteBed, Who};
+use crate::cluster::{Bed, TrialError};
+use crate::site_cluster::{SiteBed, Who};
 use crate::site_spec::{CLASSES, LoadSpec, SiteLink, SiteSpec, SitesSpec};
 use basaltward_config::Fault;
 use basaltward_config::xml::Element;
--- a/crates/faulttest/src/site_spec.rs
+++ b/crates/faulttest/src/site_spec.rs
@@ -1,8 +1,8 @@
 //! Sites of gateways with workers of their own, the links between them, and what clients ask where.
 
 use crate::Loss;
+use crate::link::Stream;
 use crate::shaping::Shaping;
-use crate::way::Stream;
 use basaltward_net::Micros;
 use std::collections::BTreeMap;
 use std::ops::Range;
--- a/crates/faulttest/src/timeline.rs
+++ b/crates/faulttest/src/timeline.rs
@@ -1,8 +1,8 @@
 //! The course of a run, a lane for each scheduler: who was up, stalled, stopped, cut off when.
 
+use crate::link::{Party, Way};
 use crate::process::Change;
 use crate::process::Process;
-use crate::way::{Party, Way};
 use basaltward_net::Micros;
 use svg::Document;
 use svg::node::Text as Letters;
