--- a/crates/bench/src/agreed.rs
+++ b/crates/bench/src/agreed.rs
@@ -2,7 +2,7 @@
 //! fleet gives permits, until another leader does, and until a halt is at all; and what it costs.
 
 use crate::fleet::spread;
-use basaltward_faulttest::{Bed, BedSpec, Loss};
+use basaltward_faulttest::{Cluster, ClusterSpec, Loss};
 use basaltward_membership::{LinkFaults, MemberId, Micros};
 use basaltward_net::monotonic;
 use basaltward_peers::send_operator_command;
@@ -119,9 +119,9 @@
 pub fn processes(schedulers: usize, lost: f64, rounds: usize) -> Result<(), Box<dyn Error>> {
     let program = std::env::current_exe()?.with_file_name("basaltward");
     let (work_ms, pause_ms, seed) = (5, 50, 1);
-    let spec = BedSpec { program, schedulers, workers: 4, work_ms, pause_ms, seed, bounds: Some(wide()) };
+    let spec = ClusterSpec { program, schedulers, workers: 4, work_ms, pause_ms, seed, bounds: Some(wide()) };
     let bed = {
-        let mut bed = Bed::start(spec)?;
+        let mut bed = Cluster::start(spec)?;
         bed.loss_of_all(Loss { loss_rate: lost, ..Loss::default() });
         bed
     };
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -1,7 +1,7 @@
 //! The fleet's view between processes of the program, in the bed: how long until all agree, and what a member
 //! costs. The program stands beside this one.
 
-use basaltward_faulttest::{Bed, BedSpec, Loss};
+use basaltward_faulttest::{Cluster, ClusterSpec, Loss};
 use std::error::Error;
 use std::time::{Duration, Instant};
 
@@ -16,7 +16,7 @@
     (ticks(11) + ticks(12)) * 10.0
 }
 
-fn spent(bed: &Bed) -> f64 {
+fn spent(bed: &Cluster) -> f64 {
     bed.schedulers.iter().filter_map(basaltward_faulttest::Process::pid).map(spent_ms).sum()
 }
 
@@ -36,7 +36,7 @@
     );
     for &schedulers in counts {
         let (work_ms, pause_ms, seed) = (5, 50, 1);
-        let spec = BedSpec {
+        let spec = ClusterSpec {
             program: program.clone(),
             schedulers,
             workers: 1,
@@ -45,7 +45,7 @@
             seed,
             bounds: None,
         };
-        let mut bed = Bed::start(spec)?;
+        let mut bed = Cluster::start(spec)?;
         let all: Vec<_> = (0..schedulers).collect();
         let half: Vec<_> = (0..schedulers / 2).collect();
         let start = bed.agreement(&all, PATIENCE);
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -1,8 +1,8 @@
 use crate::args::Trial as Options;
 use crate::{Failed, records};
 use basaltward_faulttest::{
-    CSV_HEADER, HollowScript, Party, Script, SitesScript, SitesVerdict, Told, Verdict, judge, judge_sites,
-    lanes, load, picture, rows, run as play, run_hollow, run_sites,
+    CSV_HEADER, HollowScript, LoadedScript, Party, Script, SitesScript, SitesVerdict, Verdict, check_cluster,
+    check_sites, csv_rows, lanes, load, picture, run as play, run_hollow, run_sites,
 };
 use basaltward_net::monotonic;
 use basaltward_rules::Record;
@@ -15,16 +15,16 @@
     let told =
         load(&options.script, &program, options.seed).map_err(|error| Failed::Input(error.to_string()))?;
     match told {
-        Told::Fleet(script) => fleet(options, &script),
-        Told::Sites(script) => sites(options, &script),
-        Told::Hollow(script) => hollow(options, &script),
+        LoadedScript::Fleet(script) => fleet(options, &script),
+        LoadedScript::Sites(script) => sites(options, &script),
+        LoadedScript::Hollow(script) => hollow(options, &script),
     }
 }
 
 fn hollow(options: &Options, script: &HollowScript) -> Result<(), Failed> {
     let report = run_hollow(script, &mut |line| println!("{line}"))?;
     let command = format!("basaltward trial {}", options.script.display());
-    let lines = rows(&report, &command);
+    let lines = csv_rows(&report, &command);
     lines.iter().for_each(|line| println!("{line}"));
     if let Some(path) = &options.csv {
         let fresh = !path.exists();
@@ -53,7 +53,7 @@
     let mut bed = play(script)?;
     let end = monotonic();
     let all = bed.finish()?;
-    let verdict = judge(&bed, &all);
+    let verdict = check_cluster(&bed, &all);
     let parties = bed.schedulers.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
     keep(options, &all, &lanes(parties, &bed.ways.faults, (bed.began, end)))?;
     tell(&verdict)
@@ -73,7 +73,7 @@
     let mut bed = run_sites(script)?;
     let end = monotonic();
     let (all, _) = bed.finish()?;
-    let told = judge_sites(&bed, &all);
+    let told = check_sites(&bed, &all);
     let gateways = bed.gateways.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
     let workers = bed.workers.iter().enumerate().map(|(w, process)| (Party::Worker(w), process));
     keep(options, &all, &lanes(gateways.chain(workers), &bed.ways.faults, (bed.began, end)))?;
--- a/crates/cli/tests/agreed.rs
+++ b/crates/cli/tests/agreed.rs
@@ -1,5 +1,5 @@
 //! Drains, releases and halts between processes, with calls in flight and parts that fail.
-use basaltward_faulttest::{Bed, BedSpec, Fleet, Verdict, judge};
+use basaltward_faulttest::{Cluster, ClusterSpec, FleetViolation, Verdict, check_cluster};
 use basaltward_permits::{Bounds, Limit};
 use basaltward_rules::{Observation, Record};
 use std::path::Path;
@@ -9,15 +9,15 @@
 /// How long a new fleet may take until it knows what is out, and gives permits.
 const READY: Duration = Duration::from_secs(60);
 
-fn bed(schedulers: usize, workers: usize, bounds: Bounds) -> Bed {
+fn bed(schedulers: usize, workers: usize, bounds: Bounds) -> Cluster {
     bed_of(Path::new(env!("CARGO_BIN_EXE_basaltward")), schedulers, workers, bounds)
 }
 
-fn bed_of(program: &Path, schedulers: usize, workers: usize, bounds: Bounds) -> Bed {
+fn bed_of(program: &Path, schedulers: usize, workers: usize, bounds: Bounds) -> Cluster {
     let program = program.into();
     let spec =
-        BedSpec { program, schedulers, workers, work_ms: 5, pause_ms: 10, seed: 1, bounds: Some(bounds) };
-    let mut bed = Bed::start(spec).expect("a bed");
+        ClusterSpec { program, schedulers, workers, work_ms: 5, pause_ms: 10, seed: 1, bounds: Some(bounds) };
+    let mut bed = Cluster::start(spec).expect("a bed");
     bed.call();
     bed
 }
@@ -34,7 +34,7 @@
 }
 
 /// Asks through a scheduler, as an operator does.
-fn fleet(bed: &Bed, through: usize, args: &[&str]) -> Output {
+fn fleet(bed: &Cluster, through: usize, args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_basaltward"));
     command.arg("fleet").args(args).arg("--of").arg(bed.peers[through].to_string());
     command.output().expect("it runs")
@@ -44,19 +44,19 @@
     String::from_utf8_lossy(&[&output.stdout[..], &output.stderr[..]].concat()).into_owned()
 }
 
-fn done(bed: &Bed, through: usize, args: &[&str]) -> String {
+fn done(bed: &Cluster, through: usize, args: &[&str]) -> String {
     let output = fleet(bed, through, args);
     assert!(output.status.success(), "{args:?}: {}", says(&output));
     says(&output)
 }
 
-fn denied(bed: &Bed, through: usize, args: &[&str], why: &str) {
+fn denied(bed: &Cluster, through: usize, args: &[&str], why: &str) {
     let output = fleet(bed, through, args);
     assert!(output.status.code() == Some(1) && says(&output).contains(why), "{args:?}: {}", says(&output));
 }
 
 /// Waits until a scheduler's status holds these words.
-fn shows(bed: &Bed, through: usize, words: &str) {
+fn shows(bed: &Cluster, through: usize, words: &str) {
     let until = Instant::now() + READY;
     loop {
         let told = says(&fleet(bed, through, &["status"]));
@@ -69,19 +69,19 @@
 }
 
 /// The number of the scheduler that this one takes for leader.
-fn leader(bed: &Bed, through: usize) -> usize {
+fn leader(bed: &Cluster, through: usize) -> usize {
     let told = done(bed, through, &["status"]);
     let number = told.split("leader n").nth(1).and_then(|rest| rest.split(['\n', ',']).next());
     number.and_then(|number| number.parse().ok()).unwrap_or_else(|| panic!("{told}"))
 }
 
-fn finished(mut bed: Bed) -> (Verdict, Vec<Record>) {
+fn finished(mut bed: Cluster) -> (Verdict, Vec<Record>) {
     let records = bed.finish().expect("it ends");
-    (judge(&bed, &records), records)
+    (check_cluster(&bed, &records), records)
 }
 
 /// How many calls a worker has begun so far.
-fn ran(bed: &Bed, worker: &str) -> usize {
+fn ran(bed: &Cluster, worker: &str) -> usize {
     let mut count = 0;
     bed.recorder.wait_until(Duration::ZERO, |all| {
         count = all
@@ -258,5 +258,5 @@
     done(&bed, 0, &["drain", "s-0", "--wait", "60"]);
     done(&bed, 0, &["drain", "s-1", "--wait", "60"]);
     let (verdict, _) = finished(bed);
-    assert!(verdict.fleet.contains(&Fleet::TooMany("workers", 2)), "{:?}", verdict.fleet);
+    assert!(verdict.fleet.contains(&FleetViolation::TooMany("workers", 2)), "{:?}", verdict.fleet);
 }
--- a/crates/cli/tests/sites.rs
+++ b/crates/cli/tests/sites.rs
@@ -1,8 +1,8 @@
 //! Sites of gateways and workers as processes, with faults between them, and faults planted that the judge must
 //! find.
 use basaltward_faulttest::{
-    Fleet, LoadSpec, SiteAct, SiteBed, SiteLink, SiteSpec, SiteStep, SitesScript, SitesSpec, Who,
-    judge_sites, run_sites,
+    FleetViolation, LoadSpec, ProcessSelector, SiteAction, SiteCluster, SiteLink, SiteSpec, SiteStep,
+    SitesScript, SitesSpec, check_sites, run_sites,
 };
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -52,17 +52,17 @@
     let silent = SiteLink { silent: true, ..slow };
     let broken = SiteLink { broken: true, ..slow };
     let acts = [
-        (300, SiteAct::Link(0, 1, slow)),
-        (600, SiteAct::Kill(Who::Gateway(1))),
-        (1_000, SiteAct::Link(1, 0, silent)),
-        (1_300, SiteAct::Start(Who::Gateway(1))),
-        (1_500, SiteAct::Link(0, 1, broken)),
+        (300, SiteAction::Link(0, 1, slow)),
+        (600, SiteAction::Kill(ProcessSelector::Gateway(1))),
+        (1_000, SiteAction::Link(1, 0, silent)),
+        (1_300, SiteAction::Start(ProcessSelector::Gateway(1))),
+        (1_500, SiteAction::Link(0, 1, broken)),
     ];
     let steps = acts.map(|(ms, act)| SiteStep { at: ms * 1_000, act }).to_vec();
     let spec = spec(vec![load(0, None, 0.0), load(1, None, 0.0)]);
     let mut bed = run_sites(&SitesScript { spec, span: 2_000_000, steps }).expect("it runs");
     let (records, _) = bed.finish().expect("it ends");
-    let told = judge_sites(&bed, &records);
+    let told = check_sites(&bed, &records);
     assert!(told.verdict.is_good(), "{:?} {:?}", told.verdict.rules, told.verdict.fleet);
     assert!(told.sites.iter().all(|site| site.served > 10), "{:?}", told.sites);
     let datagrams: u64 = bed.ways.relay.counts().values().map(|c| c.datagrams.0).sum();
@@ -70,7 +70,7 @@
 }
 
 /// A call as one gateway hands it to another, with hops that no gateway may give it.
-fn handed_twice(bed: &SiteBed) {
+fn handed_twice(bed: &SiteCluster) {
     let mut stream = TcpStream::connect(bed.fronts[0][2]).expect("connected");
     let call = "POST /functions/view-0 HTTP/1.1\r\nHost: b\r\nce-specversion: 1.0\r\nce-id: 1\r\nce-source: planted\r\n\
                 ce-type: t\r\nce-hops: 2\r\nce-handedby: n0\r\nContent-Length: 0\r\n\r\n";
@@ -89,12 +89,12 @@
     let mut bed = run_sites(&script).expect("it runs");
     handed_twice(&bed);
     let (records, _) = bed.finish().expect("it ends");
-    let told = judge_sites(&bed, &records).verdict;
-    let twice = told.fleet.iter().filter(|fault| matches!(fault, Fleet::Twice(..))).count();
+    let told = check_sites(&bed, &records).verdict;
+    let twice = told.fleet.iter().filter(|fault| matches!(fault, FleetViolation::Twice(..))).count();
     assert!(twice > 5, "{:?}", told.fleet);
-    assert!(told.fleet.contains(&Fleet::Hops("planted#1".into(), 2)), "{:?}", told.fleet);
+    assert!(told.fleet.contains(&FleetViolation::Hops("planted#1".into(), 2)), "{:?}", told.fleet);
     assert!(
-        told.fleet.iter().all(|fault| matches!(fault, Fleet::Twice(..) | Fleet::Hops(..))),
+        told.fleet.iter().all(|fault| matches!(fault, FleetViolation::Twice(..) | FleetViolation::Hops(..))),
         "{:?}",
         told.fleet
     );
--- a/crates/cli/tests/trial.rs
+++ b/crates/cli/tests/trial.rs
@@ -1,6 +1,7 @@
 //! Many processes of the program with faults between them, and faults planted that the judge must find.
 use basaltward_faulttest::{
-    Bed, BedSpec, Change, Fleet, Loss, Party, Script, Stream, Told, Verdict, Way, judge, load, run,
+    Change, Cluster, ClusterSpec, ConnectionMode, FleetViolation, Link, LoadedScript, Loss, Party, Script,
+    Verdict, check_cluster, load, run,
 };
 use basaltward_membership::{FleetShare, MemberState};
 use rustix::process::{Pid, Signal, kill_process};
@@ -9,19 +10,19 @@
 
 const EIGHT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/trial/eight.xml");
 
-fn spec(schedulers: usize, workers: usize) -> BedSpec {
+fn spec(schedulers: usize, workers: usize) -> ClusterSpec {
     let program = env!("CARGO_BIN_EXE_basaltward").into();
-    BedSpec { program, schedulers, workers, work_ms: 5, pause_ms: 5, seed: 1, bounds: None }
+    ClusterSpec { program, schedulers, workers, work_ms: 5, pause_ms: 5, seed: 1, bounds: None }
 }
 
-fn finished(mut bed: Bed) -> (Bed, Verdict) {
+fn finished(mut bed: Cluster) -> (Cluster, Verdict) {
     let records = bed.finish().expect("it ends");
-    let verdict = judge(&bed, &records);
+    let verdict = check_cluster(&bed, &records);
     (bed, verdict)
 }
 
 /// Waits until workers have begun so many calls.
-fn ran(bed: &Bed, count: usize) {
+fn ran(bed: &Cluster, count: usize) {
     let calls =
         |r: &basaltward_rules::Record| matches!(r.observation, basaltward_rules::Observation::Ran { .. });
     let enough = |all: &[_]| all.iter().filter(|r| calls(r)).count() >= count;
@@ -31,7 +32,7 @@
 #[test]
 fn eight_processes_keep_the_rules_while_parts_fail() {
     let told = load(Path::new(EIGHT), Path::new(env!("CARGO_BIN_EXE_basaltward")), Some(3));
-    let Told::Fleet(Script { fleet, span, steps }) = told.expect("a good script") else {
+    let LoadedScript::Fleet(Script { fleet, span, steps }) = told.expect("a good script") else {
         panic!("a script of a fleet");
     };
     let bed = run(&Script { fleet, span, steps }).expect("it runs");
@@ -49,7 +50,7 @@
 
 #[test]
 fn a_process_that_ends_by_itself_is_found() {
-    let mut bed = Bed::start(spec(2, 1)).expect("a bed");
+    let mut bed = Cluster::start(spec(2, 1)).expect("a bed");
     bed.call();
     ran(&bed, 20);
     // Behind the bed's back.
@@ -58,12 +59,12 @@
     let now = bed.recorder.wait_until(Duration::from_millis(300), |_| false);
     assert!(!now);
     let (_, verdict) = finished(bed);
-    assert_eq!(verdict.fleet, [Fleet::Crashed("n1".into())]);
+    assert_eq!(verdict.fleet, [FleetViolation::Crashed("n1".into())]);
 }
 
 #[test]
 fn an_effect_twice_is_found() {
-    let bed = Bed::start_as(spec(1, 1), |exec| {
+    let bed = Cluster::start_as(spec(1, 1), |exec| {
         let mut acts = vec![basaltward_standins::Act::Run];
         acts.extend(exec.serve());
         acts
@@ -84,7 +85,7 @@
 #[test]
 fn a_stall_that_the_bed_knows_nothing_of_breaks_the_rule_on_answers() {
     let verdicts = [true, false].map(|known| {
-        let mut bed = Bed::start(spec(2, 1)).expect("a bed");
+        let mut bed = Cluster::start(spec(2, 1)).expect("a bed");
         bed.call();
         ran(&bed, 20);
         let pid = bed.schedulers[0].pid().and_then(|pid| Pid::from_raw(pid as i32)).expect("it runs");
@@ -107,16 +108,16 @@
 
 #[test]
 fn a_cut_worker_holds_up_no_call() {
-    let mut bed = Bed::start(spec(2, 3)).expect("a bed");
+    let mut bed = Cluster::start(spec(2, 3)).expect("a bed");
     bed.call();
     ran(&bed, 100);
-    for (number, stream) in [(0, Stream::Stall), (1, Stream::Refuse)] {
-        let way = Way { from: Party::Scheduler(number), to: Party::Worker(0) };
+    for (number, stream) in [(0, ConnectionMode::Stall), (1, ConnectionMode::Refuse)] {
+        let way = Link { from: Party::Scheduler(number), to: Party::Worker(0) };
         bed.stream(way, stream);
     }
     ran(&bed, 400);
     for number in 0..2 {
-        bed.stream(Way { from: Party::Scheduler(number), to: Party::Worker(0) }, Stream::Pass);
+        bed.stream(Link { from: Party::Scheduler(number), to: Party::Worker(0) }, ConnectionMode::Pass);
     }
     ran(&bed, 500);
     let (bed, verdict) = finished(bed);
@@ -128,20 +129,20 @@
 /// What a fault leads to: all that run and reach one another agree again, in this time.
 const AGREE: Duration = Duration::from_secs(20);
 
-fn all(bed: &Bed) -> Vec<usize> {
+fn all(bed: &Cluster) -> Vec<usize> {
     (0..bed.schedulers.len()).collect()
 }
 
 #[test]
 fn eight_processes_agree_on_deaths_stalls_cuts_and_returns_with_calls_in_flight() {
-    let mut bed = Bed::start(spec(8, 3)).expect("a bed");
+    let mut bed = Cluster::start(spec(8, 3)).expect("a bed");
     bed.call();
     let everybody = all(&bed);
     assert!(bed.agreement(&everybody, AGREE).is_some(), "start");
     // What all have served is told to each, by the board.
     let until = std::time::Instant::now() + AGREE;
     let told =
-        |bed: &Bed| bed.view(5).is_ok_and(|view| view.calls.first().is_some_and(|served| *served > 500));
+        |bed: &Cluster| bed.view(5).is_ok_and(|view| view.calls.first().is_some_and(|served| *served > 500));
     while !told(&bed) {
         assert!(std::time::Instant::now() < until, "{:?}", bed.view(5));
         std::thread::sleep(Duration::from_millis(50));
@@ -177,18 +178,18 @@
 /// A planted fault: one member's word comes to another as a third one's.
 #[test]
 fn a_word_from_anothers_place_is_found_by_the_judge() {
-    let bed = Bed::start(spec(3, 1)).expect("a bed");
+    let bed = Cluster::start(spec(3, 1)).expect("a bed");
     let everybody = all(&bed);
     assert!(bed.agreement(&everybody, AGREE).is_some(), "start");
     let reached = bed.reach(0, 1);
     let stranger = std::net::UdpSocket::bind("127.0.0.1:0").expect("bound");
     stranger.send_to(b"\x01 not of us", reached).expect("sent");
-    let strange = |bed: &Bed| bed.ways.relay.counts().values().map(|c| c.strange).sum::<u64>();
+    let strange = |bed: &Cluster| bed.ways.relay.counts().values().map(|c| c.strange).sum::<u64>();
     let until = std::time::Instant::now() + AGREE;
     while strange(&bed) == 0 && std::time::Instant::now() < until {
         std::thread::sleep(Duration::from_millis(5));
     }
     let (_, verdict) = finished(bed);
-    let way = Way { from: Party::Scheduler(0), to: Party::Scheduler(1) };
-    assert_eq!(verdict.fleet, [Fleet::Strange(way, 1)]);
+    let way = Link { from: Party::Scheduler(0), to: Party::Scheduler(1) };
+    assert_eq!(verdict.fleet, [FleetViolation::Strange(way, 1)]);
 }
--- a/crates/cli/tests/view.rs
+++ b/crates/cli/tests/view.rs
@@ -1,5 +1,5 @@
 //! The view between processes: flapping, one-way cuts, a new list, doubled names, and a fault planted in one.
-use basaltward_faulttest::{Bed, BedSpec, Fleet, Loss, Party, Verdict, Way, judge};
+use basaltward_faulttest::{Cluster, ClusterSpec, FleetViolation, Link, Loss, Party, Verdict, check_cluster};
 use basaltward_membership::{FleetShare, MemberState};
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -7,9 +7,9 @@
 /// What a fault leads to: all that run and reach one another agree again, in this time.
 const AGREE: Duration = Duration::from_secs(20);
 
-fn bed(schedulers: usize) -> (Bed, Vec<usize>) {
+fn bed(schedulers: usize) -> (Cluster, Vec<usize>) {
     let program = env!("CARGO_BIN_EXE_basaltward").into();
-    let bed = Bed::start(BedSpec {
+    let bed = Cluster::start(ClusterSpec {
         program,
         schedulers,
         workers: 2,
@@ -24,13 +24,13 @@
     (bed, everybody)
 }
 
-fn finished(mut bed: Bed) -> Verdict {
+fn finished(mut bed: Cluster) -> Verdict {
     let records = bed.finish().expect("it ends");
-    judge(&bed, &records)
+    check_cluster(&bed, &records)
 }
 
 /// Waits until a scheduler's view is as wanted.
-fn sees(bed: &Bed, who: usize, wanted: impl Fn(&basaltward_membership::StatusResponse) -> bool) {
+fn sees(bed: &Cluster, who: usize, wanted: impl Fn(&basaltward_membership::StatusResponse) -> bool) {
     let until = Instant::now() + AGREE;
     while !bed.view(who).is_ok_and(|view| wanted(&view)) {
         assert!(Instant::now() < until, "n{who}: {:?}", bed.view(who));
@@ -54,7 +54,7 @@
         for loss in [cut, Loss::default()] {
             for other in (0..8).filter(|other| *other != 2) {
                 let (one, other) = (Party::Scheduler(2), Party::Scheduler(other));
-                let way = if hears { Way { from: one, to: other } } else { Way { from: other, to: one } };
+                let way = if hears { Link { from: one, to: other } } else { Link { from: other, to: one } };
                 bed.loss(way, loss);
             }
             if loss == cut && hears {
@@ -116,7 +116,7 @@
     bed.up(1).expect("it comes up");
     // Word of the earlier life from one member comes when the later one has long spoken for itself.
     let late = Duration::from_millis(2_000).as_micros() as u64;
-    let way = Way { from: Party::Scheduler(3), to: Party::Scheduler(1) };
+    let way = Link { from: Party::Scheduler(3), to: Party::Scheduler(1) };
     bed.loss(way, Loss { delay_range: (late, late + 100_000), ..Loss::default() });
     for _ in 0..3 {
         bed.kill(2);
@@ -129,12 +129,12 @@
     }
     let verdict = finished(bed);
     assert!(
-        verdict.fleet.iter().any(|f| matches!(f, Fleet::RanBack(by, 2) if by == "n1")),
+        verdict.fleet.iter().any(|f| matches!(f, FleetViolation::RanBack(by, 2) if by == "n1")),
         "{:?}",
         verdict.fleet
     );
     assert!(
-        verdict.fleet.iter().all(|f| matches!(f, Fleet::RanBack(by, _) if by == "n1")),
+        verdict.fleet.iter().all(|f| matches!(f, FleetViolation::RanBack(by, _) if by == "n1")),
         "{:?}",
         verdict.fleet
     );
--- a/crates/faulttest/src/capture.rs
+++ b/crates/faulttest/src/capture.rs
@@ -1,6 +1,6 @@
 //! What the relays see of calls that one gateway hands to another, and of kept events on journals' connections.
 
-use crate::link::{Party, Way};
+use crate::link::{Link, Party};
 use basaltward_http::{Decoded, Limits, RequestDecoder};
 use basaltward_net::Micros;
 use basaltward_peers::Channel;
@@ -14,11 +14,11 @@
 
 /// A call that crossed from one gateway to another's front.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Handed {
+pub struct ForwardedCall {
     /// When.
     pub t: Micros,
     /// From whom to whom.
-    pub way: Way,
+    pub way: Link,
     /// The event, as records name it.
     pub event: String,
     /// How often it was handed over by then, as it says itself.
@@ -27,7 +27,7 @@
 
 /// What one gateway has told another of kept events.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Noted {
+pub struct JournalMessage {
     /// When it arrived.
     pub t: Micros,
     /// Who says it.
@@ -38,7 +38,7 @@
     pub what: Glance,
 }
 
-impl fmt::Display for Noted {
+impl fmt::Display for JournalMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} n{}-n{}: ", self.t, self.from, self.to)?;
         let line = |source: &Source, number: &u64| format!("n{}/{:x} {number}", source.gateway, source.life);
@@ -74,16 +74,16 @@
 
 /// All that was seen.
 #[derive(Clone, Debug, Default)]
-pub struct Captured {
+pub struct CapturedTraffic {
     /// Calls handed over.
-    pub handed: Vec<Handed>,
+    pub handed: Vec<ForwardedCall>,
     /// Of kept events.
-    pub noted: Vec<Noted>,
+    pub noted: Vec<JournalMessage>,
 }
 
 /// What is read on a way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reads {
+pub enum CaptureProtocol {
     /// Calls, from who began.
     Calls,
     /// Frames between gateways, both ways.
@@ -100,24 +100,24 @@
 /// Reads what crosses on one connection in one direction.
 pub(crate) struct Capture {
     decoder: Decoder,
-    way: Way,
+    way: Link,
     near: bool,
 }
 
 impl Capture {
     /// None where nothing is to be read in that direction.
-    pub fn new(reads: Reads, way: Way, near: bool) -> Option<Self> {
+    pub fn new(reads: CaptureProtocol, way: Link, near: bool) -> Option<Self> {
         let limits = Limits { body: 64 << 20, ..Limits::default() };
         let decoder = match reads {
-            Reads::Calls if !near => return None,
-            Reads::Calls => Decoder::Calls(Box::new(RequestDecoder::new(limits)), BytesMut::new()),
-            Reads::Frames => Decoder::Frames(basaltward_peers::FrameDecoder::new(FRAME_BYTES)),
+            CaptureProtocol::Calls if !near => return None,
+            CaptureProtocol::Calls => Decoder::Calls(Box::new(RequestDecoder::new(limits)), BytesMut::new()),
+            CaptureProtocol::Frames => Decoder::Frames(basaltward_peers::FrameDecoder::new(FRAME_BYTES)),
         };
         Some(Self { decoder, way, near })
     }
 
     /// Adds what is whole with these bytes.
-    pub fn take(&mut self, t: Micros, bytes: &[u8], out: &mut Captured) {
+    pub fn take(&mut self, t: Micros, bytes: &[u8], out: &mut CapturedTraffic) {
         let good = match &mut self.decoder {
             Decoder::Calls(decoder, seen) => {
                 seen.extend_from_slice(bytes);
@@ -137,9 +137,9 @@
 
 fn calls(
     t: Micros,
-    way: Way,
+    way: Link,
     (decoder, seen): (&mut RequestDecoder, &mut BytesMut),
-    out: &mut Vec<Handed>,
+    out: &mut Vec<ForwardedCall>,
 ) -> bool {
     loop {
         match decoder.decode(seen) {
@@ -147,7 +147,7 @@
                 let field = |name: &str| request.headers.get(name);
                 let Some((source, id)) = field("ce-source").zip(field("ce-id")) else { continue };
                 let hops = field("ce-hops").and_then(|hops| hops.parse().ok());
-                out.push(Handed { t, way, event: format!("{source}#{id}"), hops });
+                out.push(ForwardedCall { t, way, event: format!("{source}#{id}"), hops });
             }
             Ok(_) => return true,
             Err(_) => return false,
@@ -157,9 +157,9 @@
 
 fn frames(
     t: Micros,
-    (way, near): (Way, bool),
+    (way, near): (Link, bool),
     decoder: &mut basaltward_peers::FrameDecoder,
-    out: &mut Vec<Noted>,
+    out: &mut Vec<JournalMessage>,
 ) -> bool {
     let (Party::Scheduler(began), Party::Journal(reached)) = (way.from, way.to) else { return false };
     let (from, to) = if near { (began, reached) } else { (reached, began) };
@@ -167,7 +167,7 @@
         match decoder.next_frame() {
             Ok(Some(frame)) if frame.channel == Channel::Pending as u8 => {
                 let seen = glance(&frame.payload, ENTRY_BYTES).unwrap_or_default();
-                out.extend(seen.into_iter().map(|what| Noted { t, from, to, what }));
+                out.extend(seen.into_iter().map(|what| JournalMessage { t, from, to, what }));
             }
             Ok(Some(_)) => {}
             Ok(None) => return true,
--- a/crates/faulttest/src/checker.rs
+++ b/crates/faulttest/src/checker.rs
@@ -1,8 +1,8 @@
 //! The verdict on a run: the five rules over all that was recorded, and what holds for a fleet of processes.
 
-use crate::cluster::{Bed, CLASSES};
-use crate::link::{Party, Way};
-use crate::network::Ways;
+use crate::cluster::{CLASSES, Cluster};
+use crate::link::{Link, Party};
+use crate::network::Network;
 use crate::process::{Change, Process};
 use basaltward_net::Micros;
 use basaltward_rules::{
@@ -17,15 +17,15 @@
 
 /// What a fleet has done wrong that no rule names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fleet {
+pub enum FleetViolation {
     /// A process ended though nobody told it to.
     Crashed(String),
     /// It ended after SIGTERM, but not well.
     EndedBadly(String),
     /// It sent a datagram longer than the platform allows.
-    TooLong(Way, u64),
+    TooLong(Link, u64),
     /// It sent datagrams from an address that is not its own.
-    Strange(Way, u64),
+    Strange(Link, u64),
     /// A scheduler, in one life, went back from a later life of another to an earlier one.
     RanBack(String, u16),
     /// More may be out by what is agreed than the bound allows: of schedulers or workers, so many.
@@ -33,7 +33,7 @@
     /// Two schedulers hold something else under one epoch and count.
     Forked((u64, u16), u32),
     /// Bytes crossed a way that was cut: the bed itself is broken.
-    Leaked(Way, u64),
+    Leaked(Link, u64),
     /// A keyed or unsafe event had more than one effect, at these workers.
     Twice(String, Vec<String>),
     /// An event was handed over so often.
@@ -44,7 +44,7 @@
     Untrue(String),
 }
 
-impl fmt::Display for Fleet {
+impl fmt::Display for FleetViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Crashed(name) => write!(f, "{name} ended by itself"),
@@ -74,7 +74,7 @@
     /// Broken rules.
     pub rules: Vec<Breach>,
     /// What else is wrong.
-    pub fleet: Vec<Fleet>,
+    pub fleet: Vec<FleetViolation>,
     /// Calls asked, and of them served, refused and failed.
     pub calls: (u64, u64, u64, u64),
     /// Calls whose scheduler stood still, or whose way was cut, before they were answered: nothing is owed.
@@ -89,7 +89,7 @@
 }
 
 /// Judges a run that has finished.
-pub fn judge(bed: &Bed, records: &[Record]) -> Verdict {
+pub fn check_cluster(bed: &Cluster, records: &[Record]) -> Verdict {
     let schedulers: Vec<_> = bed.schedulers.iter().enumerate().collect();
     let fronts: Vec<_> =
         schedulers.iter().map(|(i, p)| (bed.listens[*i], Party::Scheduler(*i), *p)).collect();
@@ -107,7 +107,7 @@
 pub(crate) fn common(
     records: &[Record],
     rules: &RuleSettings,
-    (fronts, ways): (&[Front], &Ways),
+    (fronts, ways): (&[Front], &Network),
 ) -> (Verdict, Vec<Record>) {
     let mut verdict = Verdict::default();
     let (records, excused) = excuse(records, &spells(fronts, ways));
@@ -124,25 +124,28 @@
     verdict.rules = check(&records, rules);
     verdict.fleet.extend(fronts.iter().flat_map(|(_, party, process)| ends(*party, process)));
     for (way, counts) in ways.relay.counts() {
-        let found = [(counts.too_long, Fleet::TooLong as fn(_, _) -> _), (counts.strange, Fleet::Strange)];
+        let found = [
+            (counts.too_long, FleetViolation::TooLong as fn(_, _) -> _),
+            (counts.strange, FleetViolation::Strange),
+        ];
         verdict.fleet.extend(found.into_iter().filter(|(n, _)| *n > 0).map(|(n, what)| what(way, n)));
     }
-    verdict.fleet.extend(ways.leaks.iter().map(|(way, bytes)| Fleet::Leaked(*way, *bytes)));
+    verdict.fleet.extend(ways.leaks.iter().map(|(way, bytes)| FleetViolation::Leaked(*way, *bytes)));
     (verdict, records)
 }
 
 /// Ends of a process that nobody asked for, or that were not good.
-pub(crate) fn ends(party: Party, process: &Process) -> Vec<Fleet> {
+pub(crate) fn ends(party: Party, process: &Process) -> Vec<FleetViolation> {
     let end = |(_, change): &(Micros, Change)| match change {
-        Change::Crashed => Some(Fleet::Crashed(party.to_string())),
-        Change::Ended(false) => Some(Fleet::EndedBadly(party.to_string())),
+        Change::Crashed => Some(FleetViolation::Crashed(party.to_string())),
+        Change::Ended(false) => Some(FleetViolation::EndedBadly(party.to_string())),
         _ => None,
     };
     process.changes.iter().filter_map(end).collect()
 }
 
 /// What each believed of the others' lives never runs back while it lives itself.
-fn ran_back(records: &[Record]) -> BTreeSet<Fleet> {
+fn ran_back(records: &[Record]) -> BTreeSet<FleetViolation> {
     let mut known: BTreeMap<(&str, u16), (u64, u32)> = BTreeMap::new();
     let mut found = BTreeSet::new();
     for Record { observer: by, observation: what, .. } in records {
@@ -151,7 +154,7 @@
             Observation::MemberState { member: of, start, refutations: bump, .. } => {
                 let held = known.entry((by, *of)).or_default();
                 if (*start, *bump) < *held {
-                    found.insert(Fleet::RanBack(by.clone(), *of));
+                    found.insert(FleetViolation::RanBack(by.clone(), *of));
                 }
                 *held = (*start, *bump);
             }
@@ -162,7 +165,7 @@
 }
 
 /// What is agreed is one thing at all, and permits no more to be out than the bound allows.
-fn permitted(bed: &Bed, records: &[Record]) -> BTreeSet<Fleet> {
+fn permitted(bed: &Cluster, records: &[Record]) -> BTreeSet<FleetViolation> {
     let mut found = BTreeSet::new();
     let Some(bounds) = bed.spec.bounds else { return found };
     let of = [
@@ -173,12 +176,12 @@
     for Record { observation: what, .. } in records {
         let Observation::PermitsUpdated { epoch, version, permits } = what else { continue };
         if *known.entry((*epoch, *version)).or_insert(permits) != permits {
-            found.insert(Fleet::Forked(*epoch, *version));
+            found.insert(FleetViolation::Forked(*epoch, *version));
         }
         for (what, kind, most) in of {
             let count = permits.iter().filter(|permit| permit.starts_with(kind)).count();
             if count > most {
-                found.insert(Fleet::TooMany(what, count));
+                found.insert(FleetViolation::TooMany(what, count));
             }
         }
     }
@@ -186,7 +189,7 @@
 }
 
 /// When clients of each scheduler's address could not reach it, by the bed's own faults: from, until.
-fn spells(fronts: &[Front], ways: &Ways) -> BTreeMap<String, Vec<(Micros, Micros)>> {
+fn spells(fronts: &[Front], ways: &Network) -> BTreeMap<String, Vec<(Micros, Micros)>> {
     let mut all: BTreeMap<String, Vec<(Micros, Micros)>> = BTreeMap::new();
     for (listens, party, process) in fronts {
         let spells = all.entry(listens.to_string()).or_default();
@@ -202,7 +205,7 @@
             }
         }
         spells.extend(since.map(|from| (from, Micros::MAX)));
-        let way = Way { from: Party::Clients, to: *party };
+        let way = Link { from: Party::Clients, to: *party };
         let mut since = None;
         for (t, _, what) in ways.faults.iter().filter(|(_, on, _)| *on == way) {
             match (what.as_str(), since) {
--- a/crates/faulttest/src/cluster.rs
+++ b/crates/faulttest/src/cluster.rs
@@ -2,10 +2,10 @@
 
 use crate::Loss;
 use crate::clients::{ClientSpec, Clients};
-use crate::link::{Party, Stream, Way};
-use crate::network::Ways;
+use crate::link::{ConnectionMode, Link, Party};
+use crate::network::Network;
 use crate::process::{Process, ProcessError};
-use crate::relay::Laying;
+use crate::relay::RelayBuilder;
 use crate::workspace::{Workspace, party, whole};
 use basaltward_config::ConfigError;
 use basaltward_membership::StatusResponse;
@@ -24,7 +24,7 @@
 
 /// Why a bed can't be made or used.
 #[derive(Debug, Error)]
-pub enum TrialError {
+pub enum HarnessError {
     /// A file, a folder or a socket can't be had.
     #[error("system: {0}")]
     System(#[from] std::io::Error),
@@ -47,7 +47,7 @@
 
 /// A fleet.
 #[derive(Clone, Debug)]
-pub struct BedSpec {
+pub struct ClusterSpec {
     /// The program.
     pub program: PathBuf,
     /// Schedulers, at most 200.
@@ -70,9 +70,9 @@
 const FUNCTIONS: u64 = 20;
 
 /// A running fleet. What it started ends with it.
-pub struct Bed {
+pub struct Cluster {
     /// What it was made by.
-    pub spec: BedSpec,
+    pub spec: ClusterSpec,
     /// The schedulers, by number.
     pub schedulers: Vec<Process>,
     /// Where each listens.
@@ -80,7 +80,7 @@
     /// Where each takes datagrams.
     pub peers: Vec<SocketAddr>,
     /// The relays on all ways.
-    pub ways: Ways,
+    pub ways: Network,
     /// The bulletin.
     pub board: Board,
     /// The workers, by number.
@@ -102,12 +102,12 @@
     Party::Scheduler(number).to_string()
 }
 
-impl Bed {
+impl Cluster {
     /// Starts all of it, and waits until every scheduler serves.
     ///
     /// # Errors
     /// Where a part can't be had or a scheduler does not come up.
-    pub fn start(spec: BedSpec) -> Result<Self, TrialError> {
+    pub fn start(spec: ClusterSpec) -> Result<Self, HarnessError> {
         let work = Duration::from_millis(spec.work_ms);
         Self::start_as(spec, move |exec| {
             let mut acts = vec![Act::Wait(work)];
@@ -121,9 +121,9 @@
     /// # Errors
     /// As [`Bed::start`].
     pub fn start_as(
-        spec: BedSpec,
+        spec: ClusterSpec,
         script: impl Fn(&Exec) -> Vec<Act> + Clone + Send + Sync + 'static,
-    ) -> Result<Self, TrialError> {
+    ) -> Result<Self, HarnessError> {
         let workspace = Workspace::new()?;
         let who = |from: SocketAddr| party(from).map(name).unwrap_or_default();
         let recorder = Recorder::memory();
@@ -136,26 +136,26 @@
         let all = 0..spec.schedulers;
         let listens = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
         let peers = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
-        let mut laying = Laying::new()?;
+        let mut laying = RelayBuilder::new()?;
         let mesh = laying.mesh(&peers)?;
         let (mut schedulers, mut reached) = (Vec::new(), Vec::new());
         for i in all {
             let from = Party::Scheduler(i);
-            let to = |to| Way { from, to };
+            let to = |to| Link { from, to };
             let bulletin = laying.route(to(Party::Bulletin), board.address(), None)?;
             let mut targets = Vec::new();
             for (w, worker) in workers.iter().enumerate() {
                 let at = laying.route(to(Party::Worker(w)), worker.address(), Some(workspace.ip(i)))?;
                 targets.push(target(&Party::Worker(w).to_string(), at, "Ready"));
             }
-            reached.push(laying.route(Way { from: Party::Clients, to: from }, listens[i], None)?);
+            reached.push(laying.route(Link { from: Party::Clients, to: from }, listens[i], None)?);
             let config = workspace.file(&format!("n{i}.json"));
             let told = configuration(&spec, i, (listens[i], peers[i], bulletin), &mesh[i], &targets);
             std::fs::write(&config, told.to_string())?;
             let records = workspace.file(&format!("n{i}.records"));
             schedulers.push(Process::scheduler(&name(i), &spec.program, &config, &records));
         }
-        let ways = Ways::new(laying.start(spec.seed)?);
+        let ways = Network::new(laying.start(spec.seed)?);
         let (began, clients) = (monotonic(), None);
         let mut bed = Self {
             spec,
@@ -187,7 +187,7 @@
     ///
     /// # Errors
     /// Where it does not come up.
-    pub fn up(&mut self, i: usize) -> Result<(), TrialError> {
+    pub fn up(&mut self, i: usize) -> Result<(), HarnessError> {
         Ok(self.schedulers[i].start()?)
     }
 
@@ -202,7 +202,7 @@
     ///
     /// # Errors
     /// Where it does not end.
-    pub fn stop(&mut self, i: usize) -> Result<(), TrialError> {
+    pub fn stop(&mut self, i: usize) -> Result<(), HarnessError> {
         self.schedulers[i].stop();
         Ok(self.schedulers[i].join()?)
     }
@@ -212,7 +212,7 @@
     ///
     /// # Errors
     /// Where a file can't be read or written.
-    pub fn list(&self, size: usize) -> Result<(), TrialError> {
+    pub fn list(&self, size: usize) -> Result<(), HarnessError> {
         for (i, mesh) in self.mesh.iter().enumerate().take(size) {
             let peers = mesh.iter().take(size).map(ToString::to_string).collect();
             self.rewrite(i, |told| told["peers"] = peers)?;
@@ -224,11 +224,11 @@
     ///
     /// # Errors
     /// Where the file can't be read or written.
-    pub fn version(&self, i: usize, name: &str) -> Result<(), TrialError> {
+    pub fn version(&self, i: usize, name: &str) -> Result<(), HarnessError> {
         self.rewrite(i, |told| told["fleet"]["permits"]["version"] = name.into())
     }
 
-    fn rewrite(&self, i: usize, change: impl FnOnce(&mut serde_json::Value)) -> Result<(), TrialError> {
+    fn rewrite(&self, i: usize, change: impl FnOnce(&mut serde_json::Value)) -> Result<(), HarnessError> {
         let path = self.workspace.file(&format!("n{i}.json"));
         let text = std::fs::read_to_string(&path)?;
         let mut told: serde_json::Value = serde_json::from_str(&text).map_err(std::io::Error::from)?;
@@ -248,12 +248,12 @@
     }
 
     /// What becomes of the connections of a way from now on.
-    pub fn stream(&mut self, way: Way, stream: Stream) {
+    pub fn stream(&mut self, way: Link, stream: ConnectionMode) {
         self.ways.stream(way, stream);
     }
 
     /// What becomes of the datagrams of a way from now on.
-    pub fn loss(&mut self, way: Way, loss: Loss) {
+    pub fn loss(&mut self, way: Link, loss: Loss) {
         self.ways.loss(way, loss);
     }
 
@@ -263,7 +263,7 @@
         let all = 0..self.schedulers.len();
         for (from, to) in all.clone().flat_map(|i| all.clone().map(move |j| (i, j))) {
             if from != to {
-                self.loss(Way { from: Party::Scheduler(from), to: Party::Scheduler(to) }, loss);
+                self.loss(Link { from: Party::Scheduler(from), to: Party::Scheduler(to) }, loss);
             }
         }
     }
@@ -272,19 +272,19 @@
     /// Connections stay open and silent, as when a zone is cut.
     pub fn cut(&mut self, group: &[usize], cut: bool) {
         let (stream, loss) = match cut {
-            true => (Stream::Stall, Loss { loss_rate: 1.0, ..self.usual }),
-            false => (Stream::Pass, self.usual),
+            true => (ConnectionMode::Stall, Loss { loss_rate: 1.0, ..self.usual }),
+            false => (ConnectionMode::Pass, self.usual),
         };
         for &i in group {
             let own = Party::Scheduler(i);
-            self.stream(Way { from: Party::Clients, to: own }, stream);
-            self.stream(Way { from: own, to: Party::Bulletin }, stream);
+            self.stream(Link { from: Party::Clients, to: own }, stream);
+            self.stream(Link { from: own, to: Party::Bulletin }, stream);
             for w in 0..self.workers.len() {
-                self.stream(Way { from: own, to: Party::Worker(w) }, stream);
+                self.stream(Link { from: own, to: Party::Worker(w) }, stream);
             }
             for j in (0..self.schedulers.len()).filter(|j| !group.contains(j)) {
                 let other = Party::Scheduler(j);
-                for way in [Way { from: own, to: other }, Way { from: other, to: own }] {
+                for way in [Link { from: own, to: other }, Link { from: other, to: own }] {
                     self.loss(way, loss);
                 }
             }
@@ -300,7 +300,7 @@
     ///
     /// # Errors
     /// Where it does not answer.
-    pub fn view(&self, i: usize) -> Result<StatusResponse, TrialError> {
+    pub fn view(&self, i: usize) -> Result<StatusResponse, HarnessError> {
         Ok(fetch_membership(self.peers[i])?)
     }
 
@@ -337,7 +337,7 @@
     ///
     /// # Errors
     /// Where a scheduler does not end or records can't be read.
-    pub fn finish(&mut self) -> Result<Vec<Record>, TrialError> {
+    pub fn finish(&mut self) -> Result<Vec<Record>, HarnessError> {
         if let Some(clients) = &mut self.clients {
             clients.stop();
         }
@@ -359,7 +359,7 @@
     }
 }
 
-impl Drop for Bed {
+impl Drop for Cluster {
     fn drop(&mut self) {
         // Before the folder goes with the workspace.
         self.clients = None;
@@ -380,7 +380,7 @@
 }
 
 pub(crate) fn configuration(
-    spec: &BedSpec,
+    spec: &ClusterSpec,
     number: usize,
     (listen, peer_listen, bulletin): (SocketAddr, SocketAddr, SocketAddr),
     peers: &[SocketAddr],
--- a/crates/faulttest/src/hollow/conditions.rs
+++ b/crates/faulttest/src/hollow/conditions.rs
@@ -25,7 +25,7 @@
 
 /// Who is cut off from all others; inside, all reach one another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum Partition {
     /// A zone.
     Zone(usize),
     /// A region.
@@ -34,7 +34,7 @@
 
 /// How the links are at a time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Conditions {
+pub struct NetworkConditions {
     /// Where members stand.
     pub topology: Topology,
     /// One-way delays.
@@ -46,10 +46,10 @@
     /// Share of datagrams that come twice.
     pub doubled: f64,
     /// Who is cut off.
-    pub cut: Option<Cut>,
+    pub cut: Option<Partition>,
 }
 
-impl Conditions {
+impl NetworkConditions {
     /// The delays after which a datagram's copies arrive: none where it is lost, two where it is doubled.
     pub fn fate(&self, from: MemberId, to: MemberId, rng: &mut impl RngExt) -> [Option<Micros>; 2] {
         if self.is_cut(from, to) || rng.random_bool(self.lost) {
@@ -62,8 +62,10 @@
 
     fn is_cut(&self, from: MemberId, to: MemberId) -> bool {
         match self.cut {
-            Some(Cut::Zone(zone)) => (self.topology.zone(from) == zone) != (self.topology.zone(to) == zone),
-            Some(Cut::Region(region)) => {
+            Some(Partition::Zone(zone)) => {
+                (self.topology.zone(from) == zone) != (self.topology.zone(to) == zone)
+            }
+            Some(Partition::Region(region)) => {
                 (self.topology.region(from) == region) != (self.topology.region(to) == region)
             }
             None => false,
--- a/crates/faulttest/src/hollow/counters.rs
+++ b/crates/faulttest/src/hollow/counters.rs
@@ -8,7 +8,7 @@
 
 /// Counts of one or all loops since their start; times are of the loops' own threads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Load {
+pub struct LoopCounters {
     /// Datagrams that members sent, those that were lost on purpose among them.
     pub datagrams: u64,
     /// Their bytes, without the system's headers.
@@ -37,14 +37,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Window {
     /// Counts of all loops.
-    pub load: Load,
+    pub load: LoopCounters,
     /// How long it was.
     pub span_us: Micros,
     /// Hollow members that ran.
     pub members: usize,
 }
 
-impl Load {
+impl LoopCounters {
     /// Adds the counts of another loop.
     pub fn add(&mut self, other: &Self) {
         self.datagrams += other.datagrams;
--- a/crates/faulttest/src/hollow/error.rs
+++ b/crates/faulttest/src/hollow/error.rs
@@ -1,4 +1,4 @@
-use crate::cluster::TrialError;
+use crate::cluster::HarnessError;
 use basaltward_net::NetError;
 use basaltward_peers::PeerError;
 use thiserror::Error;
@@ -53,7 +53,7 @@
     Ended,
     /// A real process or what it needs.
     #[error(transparent)]
-    Real(#[from] TrialError),
+    Real(#[from] HarnessError),
     /// The system.
     #[error("system: {0}")]
     System(#[from] std::io::Error),
--- a/crates/faulttest/src/hollow/real_members.rs
+++ b/crates/faulttest/src/hollow/real_members.rs
@@ -2,7 +2,7 @@
 
 use super::error::HollowError;
 use super::script::HollowSpec;
-use crate::cluster::{BedSpec, TrialError, configuration, target};
+use crate::cluster::{ClusterSpec, HarnessError, configuration, target};
 use crate::link::Party;
 use crate::process::Process;
 use crate::workspace::Workspace;
@@ -39,7 +39,7 @@
         })?;
         let board = Board::start(2)?;
         let targets = [target(&Party::Worker(0).to_string(), worker.address(), "Ready")];
-        let bed = BedSpec {
+        let bed = ClusterSpec {
             program: spec.program.clone(),
             schedulers: spec.real.max(1),
             workers: 1,
@@ -70,7 +70,7 @@
             let threads: Vec<_> = wanted.map(|(process, _)| scope.spawn(|| process.start())).collect();
             threads.into_iter().filter_map(|thread| thread.join().ok()).collect()
         });
-        started.into_iter().collect::<Result<(), _>>().map_err(TrialError::from)?;
+        started.into_iter().collect::<Result<(), _>>().map_err(HarnessError::from)?;
         Ok(())
     }
 
--- a/crates/faulttest/src/hollow/report.rs
+++ b/crates/faulttest/src/hollow/report.rs
@@ -57,7 +57,7 @@
 }
 
 /// The rows of a report as lines without the header; `command` names how it was made, without commas.
-pub fn rows(report: &HollowReport, command: &str) -> Vec<String> {
+pub fn csv_rows(report: &HollowReport, command: &str) -> Vec<String> {
     let line = |(series, row): (&&str, &Row)| {
         let value = match row.value {
             Value::Measured(value) => format!("{value:.0}"),
--- a/crates/faulttest/src/hollow/resources.rs
+++ b/crates/faulttest/src/hollow/resources.rs
@@ -22,7 +22,7 @@
 
 /// Estimates for one trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Needs {
+pub struct ResourceEstimate {
     /// Descriptors of this process.
     pub descriptors: usize,
     /// Bytes of memory, over all processes.
@@ -33,14 +33,14 @@
 
 /// What the machine allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Machine {
+pub struct MachineLimits {
     /// Descriptors that this process may have (soft limit; it is not raised).
     pub descriptors: usize,
     /// All memory, in bytes.
     pub memory_bytes: u64,
 }
 
-impl Needs {
+impl ResourceEstimate {
     /// The estimate for so many hollow and real members on so many loops.
     pub fn new(hollow: usize, real: usize, loops: usize) -> Self {
         let members = (hollow + real) as u64;
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// What does not fit.
-    pub fn check(&self, machine: &Machine) -> Result<(), HollowError> {
+    pub fn check(&self, machine: &MachineLimits) -> Result<(), HollowError> {
         let half = machine.memory_bytes / 2;
         if self.processes > MOST_PROCESSES {
             return Err(HollowError::Processes { needed: self.processes, limit: MOST_PROCESSES });
@@ -71,7 +71,7 @@
     }
 }
 
-impl Machine {
+impl MachineLimits {
     /// This process's limit and this machine's memory.
     ///
     /// # Errors
--- a/crates/faulttest/src/hollow/run.rs
+++ b/crates/faulttest/src/hollow/run.rs
@@ -1,15 +1,15 @@
 //! Plays a script of hollow members: steps one after another, each measured until all members agree.
 
-use super::conditions::{Conditions, Cut};
-use super::counters::{Load, Window};
+use super::conditions::{NetworkConditions, Partition};
+use super::counters::{LoopCounters, Window};
 use super::error::HollowError;
 use super::probe::Probe;
 use super::real_members::Real;
 use super::report::{HollowReport, Value};
-use super::resources::{Machine, Needs, resident_bytes};
-use super::script::{HollowAct, HollowScript, HollowSpec};
+use super::resources::{MachineLimits, ResourceEstimate, resident_bytes};
+use super::script::{HollowAction, HollowScript, HollowSpec};
 use super::shards::{Shards, Shared, SharedState};
-use super::socket_drops::{dropped, drops_at};
+use super::socket_drops::{socket_drops, total_drops};
 use crate::workspace::Workspace;
 use basaltward_membership::MemberId;
 use basaltward_net::{Io, IoEvent, IoLimits, Micros, Signals};
@@ -45,8 +45,8 @@
 /// no error: the report says so.
 pub fn run_hollow(script: &HollowScript, tell: &mut dyn FnMut(String)) -> Result<HollowReport, HollowError> {
     let spec = &script.spec;
-    let needs = Needs::new(spec.count, spec.real, spec.loops);
-    let machine = Machine::read()?;
+    let needs = ResourceEstimate::new(spec.count, spec.real, spec.loops);
+    let machine = MachineLimits::read()?;
     tell(format!(
         "{} hollow members on {} loops and {} real processes; needs {} of {} descriptors, about {} of {} MB of \
          memory, {} processes",
@@ -144,7 +144,7 @@
         let took = spec.now() - opened;
         run.say(format!("all members started, hollow ones within {} ms", took / 1_000));
         // Members are on their way from the first on; the fleet is whole with the last.
-        run.settle("start", Some("settle_start_ms"), spec.now(), Load::default())?;
+        run.settle("start", Some("settle_start_ms"), spec.now(), LoopCounters::default())?;
         Ok(run)
     }
 
@@ -186,8 +186,8 @@
         Ok(self.shared.state.read().map_err(|_| HollowError::Ended)?.running.clone())
     }
 
-    fn load(&mut self, reset: bool) -> Result<Load, HollowError> {
-        let mut load = Load::default();
+    fn load(&mut self, reset: bool) -> Result<LoopCounters, HollowError> {
+        let mut load = LoopCounters::default();
         self.shards.look(reset)?.iter().for_each(|look| load.add(&look.load));
         Ok(load)
     }
@@ -195,7 +195,7 @@
     /// Sums what the system has dropped at sockets so far; those that close are asked before.
     fn drops(&mut self) -> u64 {
         let table = std::fs::read_to_string("/proc/net/udp").unwrap_or_default();
-        dropped(&mut self.drops, drops_at(self.host, &table))
+        total_drops(&mut self.drops, socket_drops(self.host, &table))
     }
 
     fn agreement(&mut self) -> Result<Agreement, HollowError> {
@@ -225,7 +225,7 @@
         what: &str,
         series: Option<&'static str>,
         event: Micros,
-        before: Load,
+        before: LoopCounters,
     ) -> Result<(), HollowError> {
         let mut told = event;
         let settled = loop {
@@ -275,34 +275,34 @@
         Ok(())
     }
 
-    fn window(&mut self, from: Micros, before: Load) -> Result<Window, HollowError> {
+    fn window(&mut self, from: Micros, before: LoopCounters) -> Result<Window, HollowError> {
         let load = self.load(true)?.since(&before);
         let members = self.running()?.iter().skip(self.script.spec.real).filter(|runs| **runs).count();
         Ok(Window { load, span_us: self.now() - from, members })
     }
 
-    fn step(&mut self, index: usize, act: HollowAct) -> Result<(), HollowError> {
+    fn step(&mut self, index: usize, act: HollowAction) -> Result<(), HollowError> {
         match act {
-            HollowAct::Quiet { after, span } => {
+            HollowAction::Quiet { after, span } => {
                 self.wait(self.now() + after)?;
                 self.quiet(span)
             }
-            HollowAct::Loss { lost, doubled } => {
+            HollowAction::Loss { lost, doubled } => {
                 self.say(format!("from now on lost {lost}, doubled {doubled}"));
                 self.change(|state| (state.conditions.lost, state.conditions.doubled) = (lost, doubled))
             }
-            HollowAct::KillMembers(count) => {
+            HollowAction::KillMembers(count) => {
                 let members = self.neighbours(index, count)?;
                 let series = if count == 1 { "settle_kill_one_ms" } else { "settle_kill_rack_ms" };
                 self.kill(&members, &format!("kill of {count}"), series)
             }
-            HollowAct::KillZone(zone) => {
+            HollowAction::KillZone(zone) => {
                 let members = self.shared.spec.conditions.topology.members_of_zone(zone);
                 self.kill(&members, &format!("kill of zone {zone}"), "settle_kill_zone_ms")
             }
-            HollowAct::Permit => self.permit(index),
-            HollowAct::Start => self.restart(),
-            HollowAct::Cut(cut, span) => self.cut(cut, span),
+            HollowAction::Permit => self.permit(index),
+            HollowAction::Start => self.restart(),
+            HollowAction::Cut(cut, span) => self.cut(cut, span),
         }
     }
 
@@ -392,10 +392,10 @@
         self.settle("start again", None, event, before)
     }
 
-    fn cut(&mut self, cut: Cut, span: Micros) -> Result<(), HollowError> {
+    fn cut(&mut self, cut: Partition, span: Micros) -> Result<(), HollowError> {
         let (name, series) = match cut {
-            Cut::Zone(zone) => (format!("zone {zone}"), None),
-            Cut::Region(region) => (format!("region {region}"), Some("settle_heal_region_ms")),
+            Partition::Zone(zone) => (format!("zone {zone}"), None),
+            Partition::Region(region) => (format!("region {region}"), Some("settle_heal_region_ms")),
         };
         self.set_cut(Some(cut))?;
         self.say(format!("{name} cut off"));
@@ -412,8 +412,8 @@
         self.settle(&format!("heal of {name}"), series, event, before)
     }
 
-    fn set_cut(&self, cut: Option<Cut>) -> Result<(), HollowError> {
-        self.change(|state| state.conditions = Conditions { cut, ..state.conditions })
+    fn set_cut(&self, cut: Option<Partition>) -> Result<(), HollowError> {
+        self.change(|state| state.conditions = NetworkConditions { cut, ..state.conditions })
     }
 
     /// Ends all, and tells what was measured.
--- a/crates/faulttest/src/hollow/script.rs
+++ b/crates/faulttest/src/hollow/script.rs
@@ -1,6 +1,6 @@
 //! The part of a script that asks for hollow members.
 
-use super::conditions::{Conditions, Cut, Delays};
+use super::conditions::{Delays, NetworkConditions, Partition};
 use super::topology::Topology;
 use basaltward_config::Fault;
 use basaltward_config::xml::Element;
@@ -24,7 +24,7 @@
     /// Real members: the first of the list.
     pub real: usize,
     /// How links are at first.
-    pub conditions: Conditions,
+    pub conditions: NetworkConditions,
     /// Whether members agree on who may be out, with the usual bounds.
     pub permits: bool,
     /// Calls that each hollow member tells of in a second, on average.
@@ -43,7 +43,7 @@
 
 /// What a step does. All but the first three are followed by waiting until all members agree.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum HollowAct {
+pub enum HollowAction {
     /// Nothing, for a time: what members spend at rest is measured.
     Quiet {
         /// Not measured yet for so long: what members saved up for a storm is renewed.
@@ -68,14 +68,14 @@
     /// All that are dead start again.
     Start,
     /// A zone or region is cut off for a time; the waiting begins as the cut ends.
-    Cut(Cut, Micros),
+    Cut(Partition, Micros),
 }
 
 /// A step of a script, with its place in it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HollowStep {
     /// What happens.
-    pub act: HollowAct,
+    pub act: HollowAction,
 }
 
 /// A trial of hollow members.
@@ -144,7 +144,7 @@
     if pace > 1 && real > 0 {
         faults.push(part.fault("pace: 1 beside real members, whose clock is the machine's"));
     }
-    let conditions = Conditions { topology, delays, jitter, lost, doubled, cut: None };
+    let conditions = NetworkConditions { topology, delays, jitter, lost, doubled, cut: None };
     HollowSpec {
         program: program.into(),
         count,
@@ -177,24 +177,24 @@
     let act = match (node.attribute("do").unwrap_or_default(), zone, region, members, lasts) {
         ("quiet", None, None, None, Some(span)) => {
             let after = node.parse_attribute::<Micros>("after-ms", faults).unwrap_or_default() * 1_000;
-            HollowAct::Quiet { after, span }
+            HollowAction::Quiet { after, span }
         }
         ("loss", None, None, None, None) => {
             let mut share = |name: &str| node.parse_attribute::<f64>(name, faults).unwrap_or(0.0);
-            HollowAct::Loss { lost: share("lost"), doubled: share("doubled") }
+            HollowAction::Loss { lost: share("lost"), doubled: share("doubled") }
         }
-        ("start", None, None, None, None) => HollowAct::Start,
-        ("permit", None, None, None, None) if spec.permits => HollowAct::Permit,
-        ("kill", Some(zone), None, None, None) => HollowAct::KillZone(zone),
+        ("start", None, None, None, None) => HollowAction::Start,
+        ("permit", None, None, None, None) if spec.permits => HollowAction::Permit,
+        ("kill", Some(zone), None, None, None) => HollowAction::KillZone(zone),
         ("kill", None, None, Some(members), None) => {
             let most = most_neighbours(spec);
             if members > most {
                 faults.push(node.fault(format!("members: at most {most}, the hollow members of one zone")));
             }
-            HollowAct::KillMembers(members)
+            HollowAction::KillMembers(members)
         }
-        ("cut", Some(zone), None, None, Some(lasts)) => HollowAct::Cut(Cut::Zone(zone), lasts),
-        ("cut", None, Some(region), None, Some(lasts)) => HollowAct::Cut(Cut::Region(region), lasts),
+        ("cut", Some(zone), None, None, Some(lasts)) => HollowAction::Cut(Partition::Zone(zone), lasts),
+        ("cut", None, Some(region), None, Some(lasts)) => HollowAction::Cut(Partition::Region(region), lasts),
         (told, ..) => {
             let needs = match told {
                 "quiet" => "for-ms, after-ms at most",
--- a/crates/faulttest/src/hollow/shard.rs
+++ b/crates/faulttest/src/hollow/shard.rs
@@ -1,8 +1,8 @@
 //! One loop of hollow members: a thread with an epoll loop, a socket for each member, and the datagrams that are on
 //! their way.
 
-use super::conditions::Conditions;
-use super::counters::{LATE_US, Load};
+use super::conditions::NetworkConditions;
+use super::counters::{LATE_US, LoopCounters};
 use super::error::HollowError;
 use super::shards::{Command, Look, Shared};
 use basaltward_membership::{MemberId, MemberState};
@@ -59,7 +59,7 @@
 pub(crate) struct Shard {
     io: Io,
     shared: Arc<Shared>,
-    conditions: Conditions,
+    conditions: NetworkConditions,
     running: Vec<bool>,
     /// Of the shared state as it was copied.
     version: u64,
@@ -71,7 +71,7 @@
     sequence: u64,
     wakes: BTreeSet<(Micros, MemberId)>,
     rng: StdRng,
-    load: Load,
+    load: LoopCounters,
     events: Vec<Event>,
 }
 
@@ -93,7 +93,7 @@
             due: BinaryHeap::new(),
             sequence: 0,
             wakes: BTreeSet::new(),
-            load: Load::default(),
+            load: LoopCounters::default(),
             events: Vec::new(),
         }
     }
@@ -327,7 +327,7 @@
     }
 }
 
-impl Load {
+impl LoopCounters {
     /// Something was done so late after its time.
     fn count_late(&mut self, late: Micros) {
         self.done += 1;
--- a/crates/faulttest/src/hollow/shards.rs
+++ b/crates/faulttest/src/hollow/shards.rs
@@ -1,7 +1,7 @@
 //! The loops of hollow members as their owner has them: commands in, looks out.
 
-use super::conditions::Conditions;
-use super::counters::Load;
+use super::conditions::NetworkConditions;
+use super::counters::LoopCounters;
 use super::error::HollowError;
 use super::script::HollowSpec;
 use super::shard::Shard;
@@ -23,7 +23,7 @@
 }
 
 pub(crate) struct SharedState {
-    pub conditions: Conditions,
+    pub conditions: NetworkConditions,
     /// By number.
     pub running: Vec<bool>,
     /// Counts the changes.
@@ -37,7 +37,7 @@
     pub views: BTreeMap<u32, usize>,
     /// The digest of the first member, where its view is that those live who run.
     pub right: Option<u32>,
-    pub load: Load,
+    pub load: LoopCounters,
 }
 
 /// What a loop is told to do; each but the last is answered.
--- a/crates/faulttest/src/hollow/socket_drops.rs
+++ b/crates/faulttest/src/hollow/socket_drops.rs
@@ -5,7 +5,7 @@
 
 /// Drops of each IPv4 socket of datagrams at this host, by the socket's inode, from the text of `/proc/net/udp`. Lines
 /// that can't be read are left out.
-pub fn drops_at(host: Ipv4Addr, table: &str) -> BTreeMap<u64, u64> {
+pub fn socket_drops(host: Ipv4Addr, table: &str) -> BTreeMap<u64, u64> {
     let local = format!("{:08X}:", u32::from_le_bytes(host.octets()));
     let read = |line: &str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
@@ -18,7 +18,7 @@
 }
 
 /// Adds the drops that a table shows to those known, each socket's largest count; gives the sum over all sockets seen.
-pub fn dropped(known: &mut BTreeMap<u64, u64>, seen: BTreeMap<u64, u64>) -> u64 {
+pub fn total_drops(known: &mut BTreeMap<u64, u64>, seen: BTreeMap<u64, u64>) -> u64 {
     for (inode, drops) in seen {
         let most = known.entry(inode).or_default();
         *most = drops.max(*most);
--- a/crates/faulttest/src/kept_checker.rs
+++ b/crates/faulttest/src/kept_checker.rs
@@ -1,7 +1,7 @@
 //! Kept events as they crossed the relays: each that its holders have acknowledged ends, in one way and a true one.
 
-use crate::capture::{Noted, event_name};
-use crate::checker::Fleet;
+use crate::capture::{JournalMessage, event_name};
+use crate::checker::FleetViolation;
 use basaltward_net::{Clock, Micros};
 use basaltward_pending::{Glance, Key, Outcome, Source, Step};
 use basaltward_rules::{Observation, Record};
@@ -60,10 +60,14 @@
 }
 
 /// Judges what was noted until the last record.
-pub(crate) fn kept(noted: &[Noted], holders: usize, records: &[Record]) -> (Kept, Vec<Fleet>) {
+pub(crate) fn kept(
+    noted: &[JournalMessage],
+    holders: usize,
+    records: &[Record],
+) -> (Kept, Vec<FleetViolation>) {
     let clock = Clock::read();
     let (mut events, mut journals) = (BTreeMap::<Key, Event>::new(), BTreeMap::<Source, Journal>::new());
-    for Noted { from, to, what, .. } in noted {
+    for JournalMessage { from, to, what, .. } in noted {
         if let Glance::Line(source, number, _) = what {
             journals.entry(*source).or_default().seen.insert(*number);
         }
@@ -111,9 +115,9 @@
         }
         if event.twice(&journals) || end.is_none() && event.deadline + LATE_US < last {
             let ways = ways.into_iter().map(str::to_owned).collect();
-            wrong.push(Fleet::Ended(event.name.clone(), ways));
+            wrong.push(FleetViolation::Ended(event.name.clone(), ways));
         } else if end == Some("refused") && ran.contains(event.name.as_str()) {
-            wrong.push(Fleet::Untrue(event.name.clone()));
+            wrong.push(FleetViolation::Untrue(event.name.clone()));
         }
     }
     ((count, counts), wrong)
@@ -146,8 +150,8 @@
     }
 
     /// What is wrong with an event that is accepted at 0, held by 1, and after which this is told by 0.
-    fn wrong(told: Vec<Glance>, records: &[Record]) -> Vec<Fleet> {
-        let noted = |from: usize, what| Noted { t: 0, from, to: 1 - from, what };
+    fn wrong(told: Vec<Glance>, records: &[Record]) -> Vec<FleetViolation> {
+        let noted = |from: usize, what| JournalMessage { t: 0, from, to: 1 - from, what };
         let mut all = vec![noted(0, accepted(5)), noted(1, Glance::Held(SOURCE, 5))];
         all.extend(told.into_iter().map(|what| noted(0, what)));
         kept(&all, 1, records).1
@@ -158,12 +162,12 @@
         let name = || "s#1".to_owned();
         assert_eq!(wrong(vec![ended(6, Outcome::Served)], &ran()), []);
         assert_eq!(wrong(vec![Glance::Over(KEY, Outcome::Failed)], &ran()), []);
-        assert_eq!(wrong(vec![], &ran()), [Fleet::Ended(name(), vec![])]);
+        assert_eq!(wrong(vec![], &ran()), [FleetViolation::Ended(name(), vec![])]);
         assert_eq!(wrong(vec![], &ran()[..1]), [], "its time is not over");
         let two = vec!["refused".to_owned(), "served".to_owned()];
         let both = vec![ended(6, Outcome::Served), ended(7, Outcome::Refused)];
-        assert_eq!(wrong(both, &ran()), [Fleet::Ended(name(), two)]);
-        assert_eq!(wrong(vec![ended(6, Outcome::Refused)], &ran()), [Fleet::Untrue(name())]);
+        assert_eq!(wrong(both, &ran()), [FleetViolation::Ended(name(), two)]);
+        assert_eq!(wrong(vec![ended(6, Outcome::Refused)], &ran()), [FleetViolation::Untrue(name())]);
         assert_eq!(wrong(vec![ended(6, Outcome::Refused)], &ran()[1..]), []);
         let anew = vec![ended(6, Outcome::Refused), accepted(8), ended(9, Outcome::Served)];
         assert_eq!(wrong(anew, &ran()), [], "turned away, and taken when it came again");
@@ -173,7 +177,7 @@
 
     #[test]
     fn what_too_few_hold_is_owed_nothing() {
-        let noted = |from: usize, what| Noted { t: 0, from, to: 1 - from, what };
+        let noted = |from: usize, what| JournalMessage { t: 0, from, to: 1 - from, what };
         let all = [noted(0, accepted(5)), noted(1, Glance::Held(SOURCE, 4))];
         assert_eq!(kept(&all, 1, &ran()), ((0, BTreeMap::new()), vec![]));
         let all = [noted(0, accepted(5)), noted(1, Glance::Held(SOURCE, 5))];
--- a/crates/faulttest/src/lib.rs
+++ b/crates/faulttest/src/lib.rs
@@ -29,21 +29,22 @@
 
 /// What becomes of the datagrams of a way, in one direction: the same as in virtual time.
 pub use basaltward_membership::LinkFaults as Loss;
-pub use capture::{Captured, Handed, Noted, Reads};
-pub use checker::{Fleet, Verdict, judge};
-pub use cluster::{Bed, BedSpec, TrialError};
+pub use capture::{CaptureProtocol, CapturedTraffic, ForwardedCall, JournalMessage};
+pub use checker::{FleetViolation, Verdict, check_cluster};
+pub use cluster::{Cluster, ClusterSpec, HarnessError};
 pub use hollow::{
-    CSV_HEADER, Conditions, Cut, Delays, HollowAct, HollowError, HollowReport, HollowScript, HollowSpec,
-    HollowStep, Load, Machine, Needs, Row, Topology, Value, Window, dropped, drops_at, rows, run_hollow,
+    CSV_HEADER, Delays, HollowAction, HollowError, HollowReport, HollowScript, HollowSpec, HollowStep,
+    LoopCounters, MachineLimits, NetworkConditions, Partition, ResourceEstimate, Row, Topology, Value,
+    Window, csv_rows, run_hollow, socket_drops, total_drops,
 };
-pub use link::{Party, Stream, Way};
-pub use network::Ways;
+pub use link::{ConnectionMode, Link, Party};
+pub use network::Network;
 pub use process::{Change, Launch, Process, ProcessError};
-pub use relay::{Counts, Laying, Relay};
-pub use script::{Act, Script, Step, Told, load, run};
+pub use relay::{LinkCounts, Relay, RelayBuilder};
+pub use script::{Act, LoadedScript, Script, Step, load, run};
 pub use shaping::Shaping;
-pub use site_checker::{SiteCalls, SitesVerdict, judge_sites};
-pub use site_cluster::{SiteBed, Who};
-pub use site_script::{SiteAct, SiteStep, SitesScript, run_sites};
+pub use site_checker::{SiteCalls, SitesVerdict, check_sites};
+pub use site_cluster::{ProcessSelector, SiteCluster};
+pub use site_script::{SiteAction, SiteStep, SitesScript, run_sites};
 pub use site_spec::{LoadSpec, SiteLink, SiteSpec, SitesSpec};
 pub use timeline::{Lane, lanes, picture};
--- a/crates/faulttest/src/link.rs
+++ b/crates/faulttest/src/link.rs
@@ -31,14 +31,14 @@
 
 /// A way from who connects or sends to who is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Way {
+pub struct Link {
     /// Who begins.
     pub from: Party,
     /// Who is reached.
     pub to: Party,
 }
 
-impl fmt::Display for Way {
+impl fmt::Display for Link {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}-{}", self.from, self.to)
     }
@@ -46,7 +46,7 @@
 
 /// What becomes of the connections of a way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Stream {
+pub enum ConnectionMode {
     /// They carry.
     #[default]
     Pass,
--- a/crates/faulttest/src/relay.rs
+++ b/crates/faulttest/src/relay.rs
@@ -5,8 +5,8 @@
 //! its sender.
 
 use crate::Loss;
-use crate::capture::{Captured, Reads};
-use crate::link::{Party, Stream, Way};
+use crate::capture::{CaptureProtocol, CapturedTraffic};
+use crate::link::{ConnectionMode, Link, Party};
 use crate::relay_loop::Running;
 use crate::shaping::Shaping;
 use basaltward_net::{Io, IoLimits, Micros, NetError, Waker, bind};
@@ -19,7 +19,7 @@
 
 /// What crossed one way, from who began to who was reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct LinkCounts {
     /// Connections begun.
     pub connections: u64,
     /// Bytes from who began, and back.
@@ -39,13 +39,13 @@
 }
 
 pub(crate) struct Route {
-    pub way: Way,
+    pub way: Link,
     pub address: SocketAddr,
     pub target: SocketAddr,
     /// Where connections go out from.
     pub from: Option<IpAddr>,
     pub listener: Option<usize>,
-    pub stream: Stream,
+    pub stream: ConnectionMode,
     /// From who began, and back.
     pub shapings: [Shaping; 2],
     /// When all that was sent so far has left, in each direction, where its rate has a bound.
@@ -53,14 +53,14 @@
     /// The next bytes from who began are changed.
     pub change: bool,
     /// What of it is read as it crosses.
-    pub reads: Option<Reads>,
+    pub reads: Option<CaptureProtocol>,
     /// Pieces so far: how late each is follows from the seed and this.
     pub count: u64,
 }
 
 /// A socket that one scheduler takes for another.
 pub(crate) struct Pair {
-    pub way: Way,
+    pub way: Link,
     /// Who sends to it.
     pub sender: SocketAddr,
     /// Its number among the sockets of the loop, and that of the one its datagrams leave from.
@@ -72,18 +72,18 @@
 }
 
 pub(crate) enum Command {
-    Stream(Way, Stream),
-    Shape(Way, [Shaping; 2]),
-    Change(Way),
-    Loss(Way, Loss),
+    Stream(Link, ConnectionMode),
+    Shape(Link, [Shaping; 2]),
+    Change(Link),
+    Loss(Link, Loss),
     Stop,
 }
 
 #[derive(Default)]
 pub(crate) struct Shared {
     pub commands: SegQueue<(Command, SyncSender<()>)>,
-    pub counts: Mutex<BTreeMap<Way, Counts>>,
-    pub captured: Mutex<Captured>,
+    pub counts: Mutex<BTreeMap<Link, LinkCounts>>,
+    pub captured: Mutex<CapturedTraffic>,
 }
 
 /// Tells the relays from outside.
@@ -94,13 +94,13 @@
 }
 
 /// Relays being laid.
-pub struct Laying {
+pub struct RelayBuilder {
     io: Io,
     routes: Vec<Route>,
     pairs: Vec<Pair>,
 }
 
-impl Laying {
+impl RelayBuilder {
     /// None yet.
     ///
     /// # Errors
@@ -116,7 +116,7 @@
     /// Where the system refuses the listener.
     pub fn route(
         &mut self,
-        way: Way,
+        way: Link,
         target: SocketAddr,
         from: Option<IpAddr>,
     ) -> Result<SocketAddr, NetError> {
@@ -127,7 +127,7 @@
             target,
             from,
             listener: Some(number),
-            stream: Stream::Pass,
+            stream: ConnectionMode::Pass,
             shapings: Default::default(),
             free: [0; 2],
             change: false,
@@ -138,7 +138,7 @@
     }
 
     /// Has what goes on the way laid last read as it crosses.
-    pub fn capture(&mut self, reads: Reads) {
+    pub fn capture(&mut self, reads: CaptureProtocol) {
         self.routes.iter_mut().last().into_iter().for_each(|route| route.reads = Some(reads));
     }
 
@@ -161,7 +161,7 @@
             for j in (0..peers.len()).filter(|j| *j != i) {
                 // Sockets are numbered as they are made, and so are the pairs.
                 debug_assert_eq!(sockets[i][j].0, self.pairs.len());
-                let way = Way { from: Party::Scheduler(i), to: Party::Scheduler(j) };
+                let way = Link { from: Party::Scheduler(i), to: Party::Scheduler(j) };
                 let (sender, out, target) = (peers[i], sockets[j][i].0, peers[j]);
                 self.pairs.push(Pair { way, sender, out, target, loss: Loss::default(), count: 0 });
             }
@@ -192,32 +192,32 @@
     }
 
     /// What becomes of the connections of a way, from now on.
-    pub fn stream(&self, way: Way, stream: Stream) {
+    pub fn stream(&self, way: Link, stream: ConnectionMode) {
         self.tell(Command::Stream(way, stream));
     }
 
     /// How bytes of a way travel from now on, from who began and back.
-    pub fn shapings(&self, way: Way, shapings: [Shaping; 2]) {
+    pub fn shapings(&self, way: Link, shapings: [Shaping; 2]) {
         self.tell(Command::Shape(way, shapings));
     }
 
     /// The next bytes of a way from who began are changed: one of them, once.
-    pub fn change(&self, way: Way) {
+    pub fn change(&self, way: Link) {
         self.tell(Command::Change(way));
     }
 
     /// What becomes of the datagrams of a way, from now on.
-    pub fn loss(&self, way: Way, loss: Loss) {
+    pub fn loss(&self, way: Link, loss: Loss) {
         self.tell(Command::Loss(way, loss));
     }
 
     /// What has crossed each way so far.
-    pub fn counts(&self) -> BTreeMap<Way, Counts> {
+    pub fn counts(&self) -> BTreeMap<Link, LinkCounts> {
         self.shared.counts.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// What was read on tapped ways so far.
-    pub fn captured(&self) -> Captured {
+    pub fn captured(&self) -> CapturedTraffic {
         self.shared.captured.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
--- a/crates/faulttest/src/relay_loop.rs
+++ b/crates/faulttest/src/relay_loop.rs
@@ -1,8 +1,8 @@
 //! The loop of the relays: what it does with each connection and datagram.
 
 use crate::capture::Capture;
-use crate::link::{Stream, Way};
-use crate::relay::{Command, Counts, Pair, Route, Shared};
+use crate::link::{ConnectionMode, Link};
+use crate::relay::{Command, LinkCounts, Pair, Route, Shared};
 use crate::shaping::{Item, Lane, Shaping};
 use basaltward_net::{ConnId, EndReason, Io, IoEvent, Micros, NetError, bind, monotonic};
 use basaltward_timers::Timers;
@@ -105,7 +105,7 @@
         }
     }
 
-    fn count(&self, way: Way, change: impl FnOnce(&mut Counts)) {
+    fn count(&self, way: Link, change: impl FnOnce(&mut LinkCounts)) {
         let mut counts = self.shared.counts.lock().unwrap_or_else(PoisonError::into_inner);
         let counts = counts.entry(way).or_default();
         change(counts);
@@ -118,14 +118,14 @@
         self.halves.iter().filter_map(here).collect()
     }
 
-    fn set(&mut self, way: Way, stream: Stream) -> Result<(), NetError> {
+    fn set(&mut self, way: Link, stream: ConnectionMode) -> Result<(), NetError> {
         for number in 0..self.routes.len() {
             let route = &mut self.routes[number];
             if route.way != way || route.stream == stream {
                 continue;
             }
             route.stream = stream;
-            if stream == Stream::Refuse {
+            if stream == ConnectionMode::Refuse {
                 if let Some(listener) = route.listener.take() {
                     self.io.stop_listening(listener);
                 }
@@ -143,7 +143,7 @@
         Ok(())
     }
 
-    fn set_shapings(&mut self, way: Way, shapings: [Shaping; 2]) {
+    fn set_shapings(&mut self, way: Link, shapings: [Shaping; 2]) {
         for number in 0..self.routes.len() {
             if self.routes[number].way == way {
                 self.routes[number].shapings = shapings;
@@ -193,7 +193,7 @@
     /// Whether a half's bytes travel.
     fn carries(&self, half: &Half) -> bool {
         let route = &self.routes[half.route];
-        route.stream == Stream::Pass && !route.shapings[usize::from(!half.near)].silent
+        route.stream == ConnectionMode::Pass && !route.shapings[usize::from(!half.near)].silent
     }
 
     /// Moves what has come on one half towards the other.
--- a/crates/faulttest/src/script.rs
+++ b/crates/faulttest/src/script.rs
@@ -1,9 +1,9 @@
 //! A trial by a script: a fleet, and what happens to it when.
 
 use crate::Loss;
-use crate::cluster::{Bed, BedSpec, TrialError};
+use crate::cluster::{Cluster, ClusterSpec, HarnessError};
 use crate::hollow::{HollowScript, hollow};
-use crate::link::{Party, Stream, Way};
+use crate::link::{ConnectionMode, Link, Party};
 use crate::site_script::{SitesScript, sites};
 use basaltward_config::xml::{Element, parse_validated};
 use basaltward_config::{ConfigError, Fault};
@@ -33,7 +33,7 @@
     /// The datagrams of one way.
     OneWay(usize, usize, Loss),
     /// The connections of a way.
-    Stream(Way, Stream),
+    Stream(Link, ConnectionMode),
 }
 
 /// An act at its time.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 pub struct Script {
     /// The fleet.
-    pub fleet: BedSpec,
+    pub fleet: ClusterSpec,
     /// How long clients call.
     pub span: Micros,
     /// What happens, by time.
@@ -58,7 +58,7 @@
 
 /// What a script is of.
 #[derive(Clone, Debug)]
-pub enum Told {
+pub enum LoadedScript {
     /// A fleet of schedulers.
     Fleet(Script),
     /// Sites of gateways.
@@ -71,16 +71,16 @@
 ///
 /// # Errors
 /// All faults of the file.
-pub fn load(path: &Path, program: &Path, seed: Option<u64>) -> Result<Told, ConfigError> {
+pub fn load(path: &Path, program: &Path, seed: Option<u64>) -> Result<LoadedScript, ConfigError> {
     let told = path.display().to_string();
     let text =
         std::fs::read_to_string(path).map_err(|source| ConfigError::File { path: told.clone(), source })?;
     parse_validated(&text, &told, SCHEMA, |root, faults| {
         let seed = seed.or_else(|| root.parse_attribute("seed", faults)).unwrap_or(1);
         match (root.child("sites"), root.child("hollow")) {
-            (Some(_), _) => Told::Sites(sites(root, program, seed, faults)),
-            (None, Some(part)) => Told::Hollow(hollow(part, program, seed, faults)),
-            (None, None) => Told::Fleet(script(root, program, seed, faults)),
+            (Some(_), _) => LoadedScript::Sites(sites(root, program, seed, faults)),
+            (None, Some(part)) => LoadedScript::Hollow(hollow(part, program, seed, faults)),
+            (None, None) => LoadedScript::Fleet(script(root, program, seed, faults)),
         }
     })
 }
@@ -88,7 +88,7 @@
 fn script(root: Element, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> Script {
     let part = root.child("fleet").unwrap_or(root);
     let mut number = |name: &str, absent: u64| part.parse_attribute::<u64>(name, faults).unwrap_or(absent);
-    let fleet = BedSpec {
+    let fleet = ClusterSpec {
         program: program.into(),
         schedulers: number("schedulers", 1) as usize,
         workers: number("workers", 1) as usize,
@@ -111,7 +111,7 @@
 struct Reader<'a> {
     node: Element<'a>,
     index: u64,
-    fleet: &'a BedSpec,
+    fleet: &'a ClusterSpec,
 }
 
 impl Reader<'_> {
@@ -119,7 +119,7 @@
     fn who(&self, name: &str, count: usize, faults: &mut Vec<Fault>) -> Option<usize> {
         let told = self.node.attribute(name);
         if told == Some("any") {
-            return Some(Bed::draw(self.fleet.seed, self.index, count));
+            return Some(Cluster::draw(self.fleet.seed, self.index, count));
         }
         let number = told.and_then(|text| text.parse().ok()).filter(|n| *n < count);
         if number.is_none() {
@@ -160,8 +160,8 @@
         let lasts = self.node.parse_attribute::<u64>("for-ms", faults).map(|ms| ms * 1_000);
         let told = self.node.attribute("do").unwrap_or_default();
         let schedulers = self.fleet.schedulers;
-        let way = |to, scheduler| Way { from: Party::Scheduler(scheduler), to };
-        let worker = |stream: Stream, faults: &mut Vec<Fault>| {
+        let way = |to, scheduler| Link { from: Party::Scheduler(scheduler), to };
+        let worker = |stream: ConnectionMode, faults: &mut Vec<Fault>| {
             let scheduler = self.who("scheduler", schedulers, faults)?;
             let worker = self.who("worker", self.fleet.workers, faults)?;
             Some((Act::Stream(way(Party::Worker(worker), scheduler), stream), scheduler, worker))
@@ -194,12 +194,13 @@
             "late-bulletin" => {
                 let Some(one) = self.who("scheduler", schedulers, faults) else { return };
                 let way = way(Party::Bulletin, one);
-                (Act::Stream(way, Stream::Stall), Some(Act::Stream(way, Stream::Pass)))
+                (Act::Stream(way, ConnectionMode::Stall), Some(Act::Stream(way, ConnectionMode::Pass)))
             }
             _ => {
-                let stream = if told == "refuse-worker" { Stream::Refuse } else { Stream::Stall };
+                let stream =
+                    if told == "refuse-worker" { ConnectionMode::Refuse } else { ConnectionMode::Stall };
                 let Some((act, one, to)) = worker(stream, faults) else { return };
-                (act, Some(Act::Stream(way(Party::Worker(to), one), Stream::Pass)))
+                (act, Some(Act::Stream(way(Party::Worker(to), one), ConnectionMode::Pass)))
             }
         };
         steps.push(Step { at, act: acts.0 });
@@ -213,7 +214,7 @@
     ///
     /// # Errors
     /// Where a scheduler does not come up or does not end.
-    pub fn perform(&self, bed: &mut Bed) -> Result<(), TrialError> {
+    pub fn perform(&self, bed: &mut Cluster) -> Result<(), HarnessError> {
         match self {
             Self::Kill(one) => bed.kill(*one),
             Self::Stop(one) => bed.stop(*one)?,
@@ -224,7 +225,7 @@
             Self::Cut(group, cut) => bed.cut(group, *cut),
             Self::Loss(loss) => bed.loss_of_all(*loss),
             Self::OneWay(from, to, loss) => {
-                bed.loss(Way { from: Party::Scheduler(*from), to: Party::Scheduler(*to) }, *loss);
+                bed.loss(Link { from: Party::Scheduler(*from), to: Party::Scheduler(*to) }, *loss);
             }
             Self::Stream(way, stream) => bed.stream(*way, *stream),
         }
@@ -236,8 +237,8 @@
 ///
 /// # Errors
 /// Where the bed can't be made, or a scheduler is not as the script has it.
-pub fn run(script: &Script) -> Result<Bed, TrialError> {
-    let mut bed = Bed::start(script.fleet.clone())?;
+pub fn run(script: &Script) -> Result<Cluster, HarnessError> {
+    let mut bed = Cluster::start(script.fleet.clone())?;
     bed.call();
     let began = monotonic();
     let until = |at: Micros| {
--- a/crates/faulttest/src/site_checker.rs
+++ b/crates/faulttest/src/site_checker.rs
@@ -1,11 +1,11 @@
 //! The verdict on a run of sites, over all processes as one: from what crossed the relays and what clients,
 //! gateways and workers recorded.
 
-use crate::capture::Handed;
-use crate::checker::{Fleet, Front, Verdict, common, ends};
+use crate::capture::ForwardedCall;
+use crate::checker::{FleetViolation, Front, Verdict, common, ends};
 use crate::kept_checker::kept;
 use crate::link::Party;
-use crate::site_cluster::SiteBed;
+use crate::site_cluster::SiteCluster;
 use basaltward_net::Micros;
 use basaltward_play::rule_settings;
 use basaltward_rules::{FinalAnswer, Observation, Record, RepeatRule, RuleSettings};
@@ -55,7 +55,7 @@
 }
 
 /// Judges a run that has finished.
-pub fn judge_sites(bed: &SiteBed, records: &[Record]) -> SitesVerdict {
+pub fn check_sites(bed: &SiteCluster, records: &[Record]) -> SitesVerdict {
     let gateways = bed.gateways.iter().zip(&bed.listens).enumerate();
     let fronts: Vec<Front> = gateways.map(|(i, (p, at))| (*at, Party::Scheduler(i), p)).collect();
     let mut rules = rule_settings(&bed.config, &[]);
@@ -85,7 +85,7 @@
 }
 
 impl<'a> Asked<'a> {
-    fn of(bed: &SiteBed, records: &'a [Record]) -> Self {
+    fn of(bed: &SiteCluster, records: &'a [Record]) -> Self {
         let gateways: BTreeMap<_, _> =
             bed.listens.iter().enumerate().map(|(i, at)| (at.to_string(), i)).collect();
         let (mut first, mut at) = (BTreeMap::new(), BTreeSet::new());
@@ -102,7 +102,7 @@
 
 /// No keyed or unsafe event has two effects, whichever sites ran it. One that a worker has run again after it
 /// had lost its memory of keys is the bed's own doing.
-fn twice(records: &[Record], rules: &RuleSettings, asked: &Asked) -> Vec<Fleet> {
+fn twice(records: &[Record], rules: &RuleSettings, asked: &Asked) -> Vec<FleetViolation> {
     let (mut ran, mut born) = (BTreeMap::<&str, Vec<(Micros, &str)>>::new(), BTreeMap::<&str, Micros>::new());
     let mut found = BTreeSet::new();
     for record in records {
@@ -127,27 +127,27 @@
         }
     }
     let at = |event: &str| ran[event].iter().map(|(_, by)| (*by).to_owned()).collect();
-    found.into_iter().map(|event| Fleet::Twice(event.to_owned(), at(event))).collect()
+    found.into_iter().map(|event| FleetViolation::Twice(event.to_owned(), at(event))).collect()
 }
 
 /// A call is handed over once at most: by what it says itself, and by the ways on which it was seen.
-fn hops(handed: &[Handed], asked: &Asked) -> BTreeSet<Fleet> {
+fn hops(handed: &[ForwardedCall], asked: &Asked) -> BTreeSet<FleetViolation> {
     let mut found = BTreeSet::new();
     let mut reached: BTreeSet<(&str, usize)> = BTreeSet::new();
-    for Handed { way, event, hops, .. } in handed {
+    for ForwardedCall { way, event, hops, .. } in handed {
         let (Party::Scheduler(from), Party::Scheduler(to)) = (way.from, way.to) else { continue };
         let told = hops.unwrap_or(1);
         // Who got it from a gateway and from no client hands it on.
         let passed = reached.contains(&(event, from)) && !asked.at.contains(&(event, from));
         if told > 1 || passed {
-            found.insert(Fleet::Hops(event.clone(), told.max(2)));
+            found.insert(FleetViolation::Hops(event.clone(), told.max(2)));
         }
         reached.insert((event, to));
     }
     found
 }
 
-fn by_site(bed: &SiteBed, records: &[Record], handed: &[Handed], asked: &Asked) -> Vec<SiteCalls> {
+fn by_site(bed: &SiteCluster, records: &[Record], handed: &[ForwardedCall], asked: &Asked) -> Vec<SiteCalls> {
     let blank = SiteCalls { ran_at: vec![0; bed.spec.sites.len()], ..SiteCalls::default() };
     let mut sites = vec![blank; bed.spec.sites.len()];
     let (of, at) = &bed.of;
@@ -192,7 +192,7 @@
             _ => {}
         }
     }
-    for Handed { way, .. } in handed {
+    for ForwardedCall { way, .. } in handed {
         if let Party::Scheduler(from) = way.from {
             sites[of[from]].handed += 1;
         }
@@ -204,7 +204,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::link::Way;
+    use crate::link::Link;
     use basaltward_rules::ClassRule;
 
     fn records(told: &[(&str, Observation)]) -> Vec<Record> {
@@ -260,13 +260,13 @@
 
     #[test]
     fn a_second_hop_is_found_by_what_it_says_and_by_where_it_was_seen() {
-        let handed = |from, to, hops| Handed {
+        let handed = |from, to, hops| ForwardedCall {
             t: 0,
-            way: Way { from: Party::Scheduler(from), to: Party::Scheduler(to) },
+            way: Link { from: Party::Scheduler(from), to: Party::Scheduler(to) },
             event: "e".into(),
             hops,
         };
-        let count = |all: &[Handed]| hops(all, &asked("safe")).len();
+        let count = |all: &[ForwardedCall]| hops(all, &asked("safe")).len();
         assert_eq!(
             count(&[handed(0, 1, Some(1)), handed(0, 2, Some(1))]),
             0,
--- a/crates/faulttest/src/site_cluster.rs
+++ b/crates/faulttest/src/site_cluster.rs
@@ -1,11 +1,11 @@
 //! A bed of sites: gateways and workers as processes of their own, with relays on all ways between them.
 
-use crate::capture::Reads;
-use crate::cluster::{TrialError, live};
-use crate::link::{Party, Way};
-use crate::network::Ways;
+use crate::capture::CaptureProtocol;
+use crate::cluster::{HarnessError, live};
+use crate::link::{Link, Party};
+use crate::network::Network;
 use crate::process::{Launch, Process};
-use crate::relay::Laying;
+use crate::relay::RelayBuilder;
 use crate::shaping::Shaping;
 use crate::site_config::{Reach, write_files};
 use crate::site_spec::{SiteLink, SitesSpec};
@@ -25,7 +25,7 @@
 
 /// Which processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Who {
+pub enum ProcessSelector {
     /// All of a site.
     Site(usize),
     /// A gateway, by its number among all.
@@ -35,7 +35,7 @@
 }
 
 /// Running sites. What they started ends with them.
-pub struct SiteBed {
+pub struct SiteCluster {
     /// What it was made by.
     pub spec: SitesSpec,
     /// The gateways, by number.
@@ -51,7 +51,7 @@
     /// Where each takes datagrams.
     pub tells: Vec<SocketAddr>,
     /// The relays on all ways.
-    pub ways: Ways,
+    pub ways: Network,
     /// What clients saw.
     pub recorder: Recorder,
     /// When clients began.
@@ -72,12 +72,12 @@
     workspace.file(&format!("{party}.records"))
 }
 
-impl SiteBed {
+impl SiteCluster {
     /// Starts all of it, and waits until everybody serves.
     ///
     /// # Errors
     /// Where a part can't be had or a process does not come up.
-    pub fn start(spec: SitesSpec) -> Result<Self, TrialError> {
+    pub fn start(spec: SitesSpec) -> Result<Self, HarnessError> {
         let workspace = Workspace::new()?;
         let (of, at) = (spec.gateways(), spec.workers());
         let count = of.len();
@@ -85,7 +85,7 @@
         let (listens, tells, journals) = (addresses()?, addresses()?, addresses()?);
         let worker_at = |w| workspace.reserve(count + w);
         let worker_at = (0..at.len()).map(worker_at).collect::<Result<Vec<SocketAddr>, _>>()?;
-        let mut laying = Laying::new()?;
+        let mut laying = RelayBuilder::new()?;
         let mesh = laying.mesh(&tells)?;
         let mut known = BTreeMap::new();
         let (mut gateways, mut reached, mut config) = (Vec::new(), Vec::new(), None);
@@ -99,21 +99,21 @@
                     reaches.push(Reach { tell, front: listens[j], journal: journals[j] });
                     continue;
                 }
-                let front = laying.route(Way { from, to: Party::Scheduler(j) }, listens[j], None)?;
-                laying.capture(Reads::Calls);
-                let journal = laying.route(Way { from, to: Party::Journal(j) }, journals[j], None)?;
-                laying.capture(Reads::Frames);
+                let front = laying.route(Link { from, to: Party::Scheduler(j) }, listens[j], None)?;
+                laying.capture(CaptureProtocol::Calls);
+                let journal = laying.route(Link { from, to: Party::Journal(j) }, journals[j], None)?;
+                laying.capture(CaptureProtocol::Frames);
                 reaches.push(Reach { tell, front, journal });
             }
             fronts.push(reaches.iter().map(|reach| reach.front).collect());
             let mut workers = Vec::new();
             for w in (0..at.len()).filter(|w| at[*w] == of[i]) {
                 let to = Party::Worker(w);
-                let address = laying.route(Way { from, to }, worker_at[w], None)?;
+                let address = laying.route(Link { from, to }, worker_at[w], None)?;
                 known.insert(address.to_string(), to.to_string());
                 workers.push((w, address));
             }
-            reached.push(laying.route(Way { from: Party::Clients, to: from }, listens[i], None)?);
+            reached.push(laying.route(Link { from: Party::Clients, to: from }, listens[i], None)?);
             let path = write_files(&spec, &workspace, i, &reaches, &workers)?;
             config.get_or_insert(basaltward_config::load(&path)?);
             let args = ["--log", "info,basaltward::call=off", "serve", "--config"]
@@ -143,8 +143,8 @@
             Process::new(&party.to_string(), &spec.program, launch)
         };
         let workers = worker_at.iter().enumerate().map(worker).collect();
-        let ways = Ways::new(laying.start(spec.seed)?);
-        let config = config.ok_or(TrialError::Empty)?;
+        let ways = Network::new(laying.start(spec.seed)?);
+        let config = config.ok_or(HarnessError::Empty)?;
         let recorder = Recorder::memory();
         let (began, links, clients) = (monotonic(), BTreeMap::new(), None);
         let of = (of, at);
@@ -170,7 +170,7 @@
             bed.link(from, to, bed.spec.link(from, to));
         }
         for site in 0..bed.spec.sites.len() {
-            bed.up(Who::Site(site))?;
+            bed.up(ProcessSelector::Site(site))?;
         }
         Ok(bed)
     }
@@ -191,15 +191,15 @@
     }
 
     /// Gateways and workers that are meant.
-    fn meant(&self, who: Who) -> (Vec<usize>, Vec<usize>) {
+    fn meant(&self, who: ProcessSelector) -> (Vec<usize>, Vec<usize>) {
         match who {
-            Who::Site(site) => (self.gateways_of(site), self.workers_of(site)),
-            Who::Gateway(one) => (vec![one], Vec::new()),
-            Who::Worker(one) => (Vec::new(), vec![one]),
+            ProcessSelector::Site(site) => (self.gateways_of(site), self.workers_of(site)),
+            ProcessSelector::Gateway(one) => (vec![one], Vec::new()),
+            ProcessSelector::Worker(one) => (Vec::new(), vec![one]),
         }
     }
 
-    fn each(&mut self, who: Who, mut act: impl FnMut(&mut Process)) {
+    fn each(&mut self, who: ProcessSelector, mut act: impl FnMut(&mut Process)) {
         let (gateways, workers) = self.meant(who);
         gateways.into_iter().for_each(|i| act(&mut self.gateways[i]));
         workers.into_iter().for_each(|w| act(&mut self.workers[w]));
@@ -209,7 +209,7 @@
     ///
     /// # Errors
     /// Where one does not come up.
-    pub fn up(&mut self, who: Who) -> Result<(), TrialError> {
+    pub fn up(&mut self, who: ProcessSelector) -> Result<(), HarnessError> {
         let (gateways, workers) = self.meant(who);
         workers.into_iter().try_for_each(|w| self.workers[w].start())?;
         gateways.into_iter().try_for_each(|i| self.gateways[i].start())?;
@@ -218,27 +218,27 @@
     }
 
     /// Nobody listens where these did, or they do again.
-    fn shut(&mut self, who: Who, shut: bool) {
+    fn shut(&mut self, who: ProcessSelector, shut: bool) {
         let (gateways, workers) = self.meant(who);
         let all = 0..self.gateways.len();
         for i in gateways {
-            self.ways.shut(Way { from: Party::Clients, to: Party::Scheduler(i) }, shut);
+            self.ways.shut(Link { from: Party::Clients, to: Party::Scheduler(i) }, shut);
             for from in all.clone().filter(|from| *from != i).map(Party::Scheduler) {
                 for to in [Party::Scheduler(i), Party::Journal(i)] {
-                    self.ways.shut(Way { from, to }, shut);
+                    self.ways.shut(Link { from, to }, shut);
                 }
             }
         }
         for w in workers {
             let here = self.of.1[w];
             for i in self.gateways_of(here) {
-                self.ways.shut(Way { from: Party::Scheduler(i), to: Party::Worker(w) }, shut);
+                self.ways.shut(Link { from: Party::Scheduler(i), to: Party::Worker(w) }, shut);
             }
         }
     }
 
     /// Kills outright.
-    pub fn kill(&mut self, who: Who) {
+    pub fn kill(&mut self, who: ProcessSelector) {
         self.each(who, Process::kill);
         self.shut(who, true);
         for i in self.meant(who).0 {
@@ -251,7 +251,7 @@
     ///
     /// # Errors
     /// Where one does not end.
-    pub fn stop(&mut self, who: Who) -> Result<(), TrialError> {
+    pub fn stop(&mut self, who: ProcessSelector) -> Result<(), HarnessError> {
         self.each(who, Process::stop);
         let mut ended = Ok(());
         self.each(who, |process| ended = std::mem::replace(&mut ended, Ok(())).and(process.join()));
@@ -260,7 +260,7 @@
     }
 
     /// Stands still from now on, or goes on.
-    pub fn stall(&mut self, who: Who, still: bool) {
+    pub fn stall(&mut self, who: ProcessSelector, still: bool) {
         self.each(who, if still { Process::stall } else { Process::resume });
     }
 
@@ -276,18 +276,18 @@
         for i in self.gateways_of(from) {
             for j in self.gateways_of(to).into_iter().filter(|j| *j != i) {
                 let (own, other) = (Party::Scheduler(i), Party::Scheduler(j));
-                self.ways.loss(Way { from: own, to: other }, link.loss());
+                self.ways.loss(Link { from: own, to: other }, link.loss());
                 for to in [other, Party::Journal(j)] {
-                    self.connections(Way { from: own, to }, (&link, &back));
+                    self.connections(Link { from: own, to }, (&link, &back));
                 }
                 for to in [own, Party::Journal(i)] {
-                    self.connections(Way { from: other, to }, (&back, &link));
+                    self.connections(Link { from: other, to }, (&back, &link));
                 }
             }
         }
     }
 
-    fn connections(&mut self, way: Way, (forth, back): (&SiteLink, &SiteLink)) {
+    fn connections(&mut self, way: Link, (forth, back): (&SiteLink, &SiteLink)) {
         let shapings: [Shaping; 2] = [forth.shaping(), back.shaping()];
         self.ways.shapings(way, shapings);
         let stream = if back.broken { back.stream() } else { forth.stream() };
@@ -298,7 +298,7 @@
     pub fn change(&mut self, from: usize, to: usize) {
         for i in self.gateways_of(from) {
             for j in self.gateways_of(to) {
-                self.ways.relay.change(Way { from: Party::Scheduler(i), to: Party::Journal(j) });
+                self.ways.relay.change(Link { from: Party::Scheduler(i), to: Party::Journal(j) });
             }
         }
     }
@@ -307,7 +307,7 @@
     ///
     /// # Errors
     /// Where it does not answer.
-    pub fn view(&self, i: usize) -> Result<StatusResponse, TrialError> {
+    pub fn view(&self, i: usize) -> Result<StatusResponse, HarnessError> {
         Ok(fetch_membership(self.tells[i])?)
     }
 
@@ -334,7 +334,7 @@
     ///
     /// # Errors
     /// Where the system refuses their loop or thread.
-    pub fn call(&mut self) -> Result<(), TrialError> {
+    pub fn call(&mut self) -> Result<(), HarnessError> {
         let clients = Clients::through(self.reached.clone(), self.listens.clone(), self.recorder.clone())?;
         let plans = plans(&self.spec, &self.of.0);
         self.began = monotonic();
@@ -347,8 +347,8 @@
     ///
     /// # Errors
     /// Where a process does not end or records can't be read.
-    pub fn finish(&mut self) -> Result<(Vec<Record>, Tally), TrialError> {
-        let clients = self.clients.take().map(|thread| thread.join().map_err(|_| TrialError::Clients));
+    pub fn finish(&mut self) -> Result<(Vec<Record>, Tally), HarnessError> {
+        let clients = self.clients.take().map(|thread| thread.join().map_err(|_| HarnessError::Clients));
         let tally = clients.transpose()?.transpose()?.unwrap_or_default();
         // Gateways first: they finish what they have.
         for process in self.gateways.iter_mut().chain(&mut self.workers) {
@@ -384,7 +384,7 @@
     }
 }
 
-impl Drop for SiteBed {
+impl Drop for SiteCluster {
     fn drop(&mut self) {
         // Before the folder goes with the workspace.
         self.gateways.clear();
--- a/crates/faulttest/src/site_script.rs
+++ b/crates/faulttest/src/site_script.rs
@@ -1,7 +1,7 @@
 //! A trial of sites by a script: what happens to which of them, or to the links between them, when.
 
-use crate::cluster::{Bed, TrialError};
-use crate::site_cluster::{SiteBed, Who};
+use crate::cluster::{Cluster, HarnessError};
+use crate::site_cluster::{ProcessSelector, SiteCluster};
 use crate::site_spec::{CLASSES, LoadSpec, SiteLink, SiteSpec, SitesSpec};
 use basaltward_config::Fault;
 use basaltward_config::xml::Element;
@@ -18,15 +18,15 @@
 
 /// What happens at a time.
 #[derive(Clone, Debug, PartialEq)]
-pub enum SiteAct {
+pub enum SiteAction {
     /// Killed outright.
-    Kill(Who),
+    Kill(ProcessSelector),
     /// Told to stop, and waited for.
-    Stop(Who),
+    Stop(ProcessSelector),
     /// Started, where it is down.
-    Start(Who),
+    Start(ProcessSelector),
     /// Stands still, or goes on.
-    Stall(Who, bool),
+    Stall(ProcessSelector, bool),
     /// A link from one site to another.
     Link(usize, usize, SiteLink),
     /// The next bytes on journals' connections from one site to another are changed.
@@ -39,7 +39,7 @@
     /// From the start of the run.
     pub at: Micros,
     /// What happens.
-    pub act: SiteAct,
+    pub act: SiteAction,
 }
 
 /// A trial of sites.
@@ -199,7 +199,7 @@
     }
 
     /// Whom `site`, and `gateway` or `worker` by its number there, name; `any` is drawn.
-    fn who(&self, node: Element, index: u64, faults: &mut Vec<Fault>) -> Option<Who> {
+    fn who(&self, node: Element, index: u64, faults: &mut Vec<Fault>) -> Option<ProcessSelector> {
         let Some(site) = self.site(node, "site", faults) else {
             faults.push(node.fault("this act needs site"));
             return None;
@@ -208,7 +208,7 @@
         let mut one = |name: &str, count: usize| {
             let text = node.attribute(name)?;
             let number = match text {
-                "any" => Some(Bed::draw(self.spec.seed, index, count)),
+                "any" => Some(Cluster::draw(self.spec.seed, index, count)),
                 text => text.parse().ok().filter(|n| *n < count),
             };
             if number.is_none() {
@@ -218,19 +218,19 @@
         };
         let before = |all: Vec<usize>| all.iter().position(|s| *s == site).unwrap_or(0);
         if let Some(gateway) = one("gateway", told.gateways) {
-            return Some(Who::Gateway(before(self.spec.gateways()) + gateway));
+            return Some(ProcessSelector::Gateway(before(self.spec.gateways()) + gateway));
         }
         if let Some(worker) = one("worker", told.workers) {
-            return Some(Who::Worker(before(self.spec.workers()) + worker));
+            return Some(ProcessSelector::Worker(before(self.spec.workers()) + worker));
         }
-        Some(Who::Site(site))
+        Some(ProcessSelector::Site(site))
     }
 
     /// A step, and its end where it has one.
     fn step(&mut self, node: Element, index: u64, faults: &mut Vec<Fault>) {
         let at = node.parse_attribute::<u64>("ms", faults).unwrap_or(0) * 1_000;
         let lasts = node.parse_attribute::<u64>("for-ms", faults).map(|ms| ms * 1_000);
-        let add = |steps: &mut Vec<SiteStep>, act: SiteAct, end: Option<SiteAct>| {
+        let add = |steps: &mut Vec<SiteStep>, act: SiteAction, end: Option<SiteAction>| {
             steps.push(SiteStep { at, act });
             steps.extend(lasts.zip(end).map(|(lasts, act)| SiteStep { at: at + lasts, act }));
         };
@@ -239,10 +239,10 @@
             "kill" | "stop" | "start" | "stall" => {
                 let Some(who) = self.who(node, index, faults) else { return };
                 let (act, end) = match what {
-                    "kill" => (SiteAct::Kill(who), Some(SiteAct::Start(who))),
-                    "stop" => (SiteAct::Stop(who), Some(SiteAct::Start(who))),
-                    "start" => (SiteAct::Start(who), None),
-                    _ => (SiteAct::Stall(who, true), Some(SiteAct::Stall(who, false))),
+                    "kill" => (SiteAction::Kill(who), Some(SiteAction::Start(who))),
+                    "stop" => (SiteAction::Stop(who), Some(SiteAction::Start(who))),
+                    "start" => (SiteAction::Start(who), None),
+                    _ => (SiteAction::Stall(who, true), Some(SiteAction::Stall(who, false))),
                 };
                 add(&mut self.steps, act, end);
             }
@@ -251,16 +251,16 @@
                 let value = format!("{}:{}", at / 1_000, lasts.unwrap_or(20_000_000) / 1_000);
                 let of = self.spec.gateways();
                 let meant = |i: &usize| match who {
-                    Who::Site(site) => of[*i] == site,
-                    Who::Gateway(one) => *i == one,
-                    Who::Worker(_) => false,
+                    ProcessSelector::Site(site) => of[*i] == site,
+                    ProcessSelector::Gateway(one) => *i == one,
+                    ProcessSelector::Worker(_) => false,
                 };
                 let vars = (0..of.len()).filter(meant).map(|i| (i, STALL_CONTROL.to_owned(), value.clone()));
                 self.spec.vars.extend(vars);
             }
             "change-byte" => {
                 for (from, to) in self.pairs(node, faults) {
-                    add(&mut self.steps, SiteAct::Change(from, to), None);
+                    add(&mut self.steps, SiteAction::Change(from, to), None);
                 }
             }
             _ => {
@@ -272,19 +272,23 @@
                         "stalled" | "one-way" => SiteLink { silent: true, ..usual },
                         _ => link,
                     };
-                    add(&mut self.steps, SiteAct::Link(from, to, link), Some(SiteAct::Link(from, to, usual)));
+                    add(
+                        &mut self.steps,
+                        SiteAction::Link(from, to, link),
+                        Some(SiteAction::Link(from, to, usual)),
+                    );
                 }
             }
         }
     }
 }
 
-impl SiteAct {
+impl SiteAction {
     /// Does it.
     ///
     /// # Errors
     /// Where a process does not come up or does not end.
-    pub fn perform(&self, bed: &mut SiteBed) -> Result<(), TrialError> {
+    pub fn perform(&self, bed: &mut SiteCluster) -> Result<(), HarnessError> {
         match self {
             Self::Kill(who) => bed.kill(*who),
             Self::Stop(who) => bed.stop(*who)?,
@@ -301,8 +305,8 @@
 ///
 /// # Errors
 /// Where the bed can't be made, or a process is not as the script has it.
-pub fn run_sites(script: &SitesScript) -> Result<SiteBed, TrialError> {
-    let mut bed = SiteBed::start(script.spec.clone())?;
+pub fn run_sites(script: &SitesScript) -> Result<SiteCluster, HarnessError> {
+    let mut bed = SiteCluster::start(script.spec.clone())?;
     // Clients come once the gateways know of one another; those that never agree are called all the same.
     let _ = bed.spec.alone || bed.agreement(AGREE);
     bed.call()?;
--- a/crates/faulttest/src/site_spec.rs
+++ b/crates/faulttest/src/site_spec.rs
@@ -1,7 +1,7 @@
 //! Sites of gateways with workers of their own, the links between them, and what clients ask where.
 
 use crate::Loss;
-use crate::link::Stream;
+use crate::link::ConnectionMode;
 use crate::shaping::Shaping;
 use basaltward_net::Micros;
 use std::collections::BTreeMap;
@@ -63,8 +63,8 @@
         Loss { loss_rate: lost, duplicate_rate: self.doubled, delay_range: self.late }
     }
 
-    pub(crate) fn stream(&self) -> Stream {
-        if self.broken { Stream::Refuse } else { Stream::Pass }
+    pub(crate) fn stream(&self) -> ConnectionMode {
+        if self.broken { ConnectionMode::Refuse } else { ConnectionMode::Pass }
     }
 }
 
--- a/crates/faulttest/src/timeline.rs
+++ b/crates/faulttest/src/timeline.rs
@@ -1,6 +1,6 @@
 //! The course of a run, a lane for each scheduler: who was up, stalled, stopped, cut off when.
 
-use crate::link::{Party, Way};
+use crate::link::{Link, Party};
 use crate::process::Change;
 use crate::process::Process;
 use basaltward_net::Micros;
@@ -25,7 +25,7 @@
 /// The lanes of processes from `began` until `end`, cut where their clients' ways were.
 pub fn lanes<'a>(
     processes: impl Iterator<Item = (Party, &'a Process)>,
-    faults: &[(Micros, Way, String)],
+    faults: &[(Micros, Link, String)],
     (began, end): (Micros, Micros),
 ) -> Vec<Lane> {
     let lane = |(party, process): (Party, &Process)| {
--- a/crates/faulttest/tests/hollow.rs
+++ b/crates/faulttest/tests/hollow.rs
@@ -1,7 +1,8 @@
 //! Hollow members without processes: links, needs, the system's table of sockets, scripts, rows.
 use basaltward_faulttest::{
-    Conditions, Cut, Delays, HollowAct, HollowError, HollowReport, HollowScript, Machine, Needs, Row, Told,
-    Topology, Value, dropped, drops_at, load, rows,
+    Delays, HollowAction, HollowError, HollowReport, HollowScript, LoadedScript, MachineLimits,
+    NetworkConditions, Partition, ResourceEstimate, Row, Topology, Value, csv_rows, load, socket_drops,
+    total_drops,
 };
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -11,29 +12,29 @@
 const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/trial");
 
 /// Four zones of ten in two regions.
-fn links() -> Conditions {
+fn links() -> NetworkConditions {
     let topology = Topology { members: 40, zones: 4, regions: 2 };
-    Conditions { topology, delays: Delays::default(), jitter: 0.0, lost: 0.0, doubled: 0.0, cut: None }
+    NetworkConditions { topology, delays: Delays::default(), jitter: 0.0, lost: 0.0, doubled: 0.0, cut: None }
 }
 
 #[test]
 fn a_link_has_the_delay_of_its_places_and_a_cut_loses_both_directions_and_nothing_inside() {
     let mut rng = StdRng::seed_from_u64(1);
-    let mut fate = |links: &Conditions, from, to| links.fate(from, to, &mut rng)[0];
+    let mut fate = |links: &NetworkConditions, from, to| links.fate(from, to, &mut rng)[0];
     // Members 0 and 5 share a zone, 0 and 15 a region, 0 and 25 nothing.
     let cases = [(0, 5, 300), (0, 15, 1_500), (0, 25, 60_000)];
     for (one, other, delay) in cases {
         assert_eq!(fate(&links(), one, other), Some(delay));
         assert_eq!(fate(&links(), other, one), Some(delay));
     }
-    let late = fate(&Conditions { jitter: 0.5, ..links() }, 0, 25).expect("it arrives");
+    let late = fate(&NetworkConditions { jitter: 0.5, ..links() }, 0, 25).expect("it arrives");
     assert!((60_001..=90_000).contains(&late), "{late}");
     for (cut, lost) in [
-        (Cut::Zone(1), [false, true, false]),
-        (Cut::Zone(0), [false, true, true]),
-        (Cut::Region(1), [false, false, true]),
+        (Partition::Zone(1), [false, true, false]),
+        (Partition::Zone(0), [false, true, true]),
+        (Partition::Region(1), [false, false, true]),
     ] {
-        let links = Conditions { cut: Some(cut), ..links() };
+        let links = NetworkConditions { cut: Some(cut), ..links() };
         for ((one, other, _), lost) in cases.into_iter().zip(lost) {
             assert_eq!(fate(&links, one, other).is_none(), lost, "{cut:?} {one} {other}");
             assert_eq!(fate(&links, other, one).is_none(), lost, "{cut:?} {other} {one}");
@@ -44,7 +45,7 @@
 #[test]
 fn datagrams_are_lost_and_doubled_by_their_shares() {
     let mut rng = StdRng::seed_from_u64(1);
-    let links = Conditions { lost: 0.2, doubled: 0.1, ..links() };
+    let links = NetworkConditions { lost: 0.2, doubled: 0.1, ..links() };
     let fates: Vec<_> = (0..10_000).map(|_| links.fate(0, 1, &mut rng)).collect();
     let lost = fates.iter().filter(|fate| fate[0].is_none()).count();
     let doubled = fates.iter().filter(|fate| fate[1].is_some()).count();
@@ -64,17 +65,17 @@
 
 #[test]
 fn what_does_not_fit_the_machine_is_refused_by_what_it_lacks() {
-    let machine = Machine { descriptors: 20_000, memory_bytes: 24 << 30 };
-    let needs = Needs::new(1_870, 30, 4);
+    let machine = MachineLimits { descriptors: 20_000, memory_bytes: 24 << 30 };
+    let needs = ResourceEstimate::new(1_870, 30, 4);
     assert!(needs.check(&machine).is_ok(), "{needs:?}");
-    let few = Machine { descriptors: needs.descriptors - 1, ..machine };
+    let few = MachineLimits { descriptors: needs.descriptors - 1, ..machine };
     assert!(matches!(needs.check(&few), Err(HollowError::Descriptors { .. })));
-    let small = Machine { memory_bytes: needs.memory_bytes * 2 - 2, ..machine };
+    let small = MachineLimits { memory_bytes: needs.memory_bytes * 2 - 2, ..machine };
     assert!(matches!(needs.check(&small), Err(HollowError::Memory { .. })));
-    let just = Machine { memory_bytes: needs.memory_bytes * 2, descriptors: needs.descriptors };
+    let just = MachineLimits { memory_bytes: needs.memory_bytes * 2, descriptors: needs.descriptors };
     assert!(needs.check(&just).is_ok());
-    assert!(matches!(Needs::new(10, 400, 1).check(&machine), Err(HollowError::Processes { .. })));
-    assert!(matches!(Needs::new(10_000, 0, 4).check(&machine), Err(HollowError::Memory { .. })));
+    assert!(matches!(ResourceEstimate::new(10, 400, 1).check(&machine), Err(HollowError::Processes { .. })));
+    assert!(matches!(ResourceEstimate::new(10_000, 0, 4).check(&machine), Err(HollowError::Memory { .. })));
 }
 
 /// Two sockets of ours, one of another host, and a line that is none.
@@ -88,13 +89,13 @@
 fn drops_are_read_by_host_and_kept_after_a_socket_is_gone() {
     let mut known = BTreeMap::new();
     let host = [127, 64, 5, 250].into();
-    let seen = drops_at(host, TABLE);
+    let seen = socket_drops(host, TABLE);
     assert_eq!(seen, BTreeMap::from([(9001, 7), (9002, 0)]));
-    assert_eq!(dropped(&mut known, seen), 7);
+    assert_eq!(total_drops(&mut known, seen), 7);
     // The first is closed, and a third has its address.
     let later = TABLE.replace("9001 2 0000000000000000 7", "9004 2 0000000000000000 2");
-    assert_eq!(dropped(&mut known, drops_at(host, &later)), 9);
-    assert_eq!(dropped(&mut known, drops_at(host, &later)), 9);
+    assert_eq!(total_drops(&mut known, socket_drops(host, &later)), 9);
+    assert_eq!(total_drops(&mut known, socket_drops(host, &later)), 9);
 }
 
 #[test]
@@ -103,7 +104,7 @@
     report.rows.insert("settle_start_ms", Row { value: Value::Measured(1_234.4), unit: "ms" });
     report.rows.insert("settle_kill_one_ms", Row { value: Value::Unsettled, unit: "ms" });
     assert_eq!(
-        rows(&report, "basaltward trial x.xml"),
+        csv_rows(&report, "basaltward trial x.xml"),
         [
             "settle_kill_one_ms,300,unsettled,ms,0.05,1,basaltward trial x.xml",
             "settle_start_ms,300,1234,ms,0.05,1,basaltward trial x.xml"
@@ -117,7 +118,7 @@
     let told = load(&path, Path::new("program"), None);
     std::fs::remove_file(&path).expect("removed");
     match told {
-        Ok(Told::Hollow(script)) => Ok(script),
+        Ok(LoadedScript::Hollow(script)) => Ok(script),
         Ok(_) => panic!("not of hollow members"),
         Err(error) => Err(error.to_string()),
     }
@@ -143,12 +144,12 @@
     assert_eq!(
         acts,
         [
-            HollowAct::Quiet { after: 0, span: 10_000 },
-            HollowAct::KillMembers(11),
-            HollowAct::KillZone(3),
-            HollowAct::Start,
-            HollowAct::Cut(Cut::Region(1), 10_000),
-            HollowAct::Loss { lost: 0.2, doubled: 0.0 },
+            HollowAction::Quiet { after: 0, span: 10_000 },
+            HollowAction::KillMembers(11),
+            HollowAction::KillZone(3),
+            HollowAction::Start,
+            HollowAction::Cut(Partition::Region(1), 10_000),
+            HollowAction::Loss { lost: 0.2, doubled: 0.0 },
         ]
     );
 }
@@ -194,7 +195,7 @@
         ("hollow-1900-slow", 1_900),
     ] {
         let told = load(&Path::new(EXAMPLES).join(format!("{name}.xml")), Path::new("program"), None);
-        let Ok(Told::Hollow(script)) = told else { panic!("{name}: {told:?}") };
+        let Ok(LoadedScript::Hollow(script)) = told else { panic!("{name}: {told:?}") };
         assert_eq!(script.spec.members(), members, "{name}");
     }
 }
--- a/crates/faulttest/tests/relay.rs
+++ b/crates/faulttest/tests/relay.rs
@@ -1,10 +1,10 @@
 //! The relays by themselves, between plain sockets.
-use basaltward_faulttest::{Laying, Loss, Party, Relay, Shaping, Stream, Way};
+use basaltward_faulttest::{ConnectionMode, Link, Loss, Party, Relay, RelayBuilder, Shaping};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::time::Duration;
 
-const WAY: Way = Way { from: Party::Scheduler(0), to: Party::Worker(0) };
+const WAY: Link = Link { from: Party::Scheduler(0), to: Party::Worker(0) };
 
 /// An echo on every connection, until the listener's last connection ends.
 fn echo() -> SocketAddr {
@@ -26,7 +26,7 @@
 }
 
 fn relayed() -> (Relay, SocketAddr) {
-    let mut laying = Laying::new().expect("a loop");
+    let mut laying = RelayBuilder::new().expect("a loop");
     let address = laying.route(WAY, echo(), None).expect("a way");
     (laying.start(1).expect("relays"), address)
 }
@@ -49,7 +49,7 @@
     let mut before = connect(address);
     before.write_all(b"one").expect("written");
     says(&mut before, b"one");
-    relay.stream(WAY, Stream::Stall);
+    relay.stream(WAY, ConnectionMode::Stall);
     let mut during = connect(address);
     before.write_all(b"two").expect("written");
     during.write_all(b"three").expect("written");
@@ -59,7 +59,7 @@
     assert!(matches!(silent.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut), "{silent}");
     assert_eq!(relay.counts()[&WAY].bytes, (3, 3), "nothing crosses");
     before.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
-    relay.stream(WAY, Stream::Pass);
+    relay.stream(WAY, ConnectionMode::Pass);
     says(&mut before, b"two");
     says(&mut during, b"three");
 }
@@ -67,17 +67,17 @@
 #[test]
 fn an_end_during_a_stall_is_heard_after_it() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let mut laying = Laying::new().expect("a loop");
+    let mut laying = RelayBuilder::new().expect("a loop");
     let address = laying.route(WAY, listener.local_addr().expect("bound"), None).expect("a way");
     let relay = laying.start(1).expect("relays");
     let mut stream = connect(address);
     let (far, _) = listener.accept().expect("accepted");
-    relay.stream(WAY, Stream::Stall);
+    relay.stream(WAY, ConnectionMode::Stall);
     drop(far);
     stream.set_read_timeout(Some(Duration::from_millis(200))).expect("set");
     assert!(stream.read(&mut [0]).is_err(), "not heard yet");
     stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
-    relay.stream(WAY, Stream::Pass);
+    relay.stream(WAY, ConnectionMode::Pass);
     assert_eq!(stream.read(&mut [0]).expect("the end"), 0);
 }
 
@@ -87,11 +87,11 @@
     let mut stream = connect(address);
     stream.write_all(b"one").expect("written");
     says(&mut stream, b"one");
-    relay.stream(WAY, Stream::Refuse);
+    relay.stream(WAY, ConnectionMode::Refuse);
     assert!(stream.read(&mut [0]).is_err(), "reset");
     let refused = TcpStream::connect(address).expect_err("refused");
     assert_eq!(refused.kind(), ErrorKind::ConnectionRefused);
-    relay.stream(WAY, Stream::Pass);
+    relay.stream(WAY, ConnectionMode::Pass);
     let mut stream = connect(address);
     stream.write_all(b"two").expect("written");
     says(&mut stream, b"two");
@@ -102,10 +102,10 @@
     let sockets: Vec<_> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").expect("bound")).collect();
     sockets.iter().for_each(|s| s.set_read_timeout(Some(Duration::from_millis(400))).expect("set"));
     let peers: Vec<_> = sockets.iter().map(|s| s.local_addr().expect("bound")).collect();
-    let mut laying = Laying::new().expect("a loop");
+    let mut laying = RelayBuilder::new().expect("a loop");
     let mesh = laying.mesh(&peers).expect("a mesh");
     let relay = laying.start(seed).expect("relays");
-    relay.loss(Way { from: Party::Scheduler(0), to: Party::Scheduler(1) }, loss);
+    relay.loss(Link { from: Party::Scheduler(0), to: Party::Scheduler(1) }, loss);
     (relay, sockets, mesh)
 }
 
@@ -146,9 +146,9 @@
     assert_eq!(sockets[0].recv_from(&mut bytes).expect("it came").0, 300);
     assert!(sockets[1].recv_from(&mut bytes).is_err());
     let counts = relay.counts();
-    let back = counts[&Way { from: Party::Scheduler(1), to: Party::Scheduler(0) }];
+    let back = counts[&Link { from: Party::Scheduler(1), to: Party::Scheduler(0) }];
     assert_eq!((back.datagrams, back.delivered, back.too_long, back.strange), ((1, 300), 1, 1, 1));
-    assert_eq!(counts[&Way { from: Party::Scheduler(0), to: Party::Scheduler(1) }].delivered, 0);
+    assert_eq!(counts[&Link { from: Party::Scheduler(0), to: Party::Scheduler(1) }].delivered, 0);
 }
 
 /// Puts courses on the one way, from who began and back.
