--- a/crates/bench/src/agreed.rs
+++ b/crates/bench/src/agreed.rs
@@ -2,7 +2,7 @@
 //! fleet gives permits, until another leader does, and until a halt is at all; and what it costs.
 
 use crate::fleet::spread;
-use basaltward_faulttest::{Cluster, ClusterSpec, Loss};
+use basaltward_faulttest::{Cluster, ClusterSpec, DatagramFaults};
 use basaltward_membership::{LinkFaults, MemberId, Micros};
 use basaltward_net::monotonic;
 use basaltward_peers::send_operator_command;
@@ -122,7 +122,7 @@
     let spec = ClusterSpec { program, schedulers, workers: 4, work_ms, pause_ms, seed, bounds: Some(wide()) };
     let bed = {
         let mut bed = Cluster::start(spec)?;
-        bed.loss_of_all(Loss { loss_rate: lost, ..Loss::default() });
+        bed.set_all_datagram_faults(DatagramFaults { loss_rate: lost, ..DatagramFaults::default() });
         bed
     };
     let ask = |by: usize, request: PermitRequest| {
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -1,7 +1,7 @@
 //! The fleet's view between processes of the program, in the bed: how long until all agree, and what a member
 //! costs. The program stands beside this one.
 
-use basaltward_faulttest::{Cluster, ClusterSpec, Loss};
+use basaltward_faulttest::{Cluster, ClusterSpec, DatagramFaults};
 use std::error::Error;
 use std::time::{Duration, Instant};
 
@@ -48,8 +48,8 @@
         let mut bed = Cluster::start(spec)?;
         let all: Vec<_> = (0..schedulers).collect();
         let half: Vec<_> = (0..schedulers / 2).collect();
-        let start = bed.agreement(&all, PATIENCE);
-        bed.loss_of_all(Loss { loss_rate: lost, ..Loss::default() });
+        let start = bed.wait_for_agreement(&all, PATIENCE);
+        bed.set_all_datagram_faults(DatagramFaults { loss_rate: lost, ..DatagramFaults::default() });
         let (before, from) = (spent(&bed), Instant::now());
         std::thread::sleep(Duration::from_secs(10));
         let cost = (spent(&bed) - before) / from.elapsed().as_secs_f64() / schedulers as f64;
@@ -57,17 +57,17 @@
         for round in 0..rounds {
             let victim = round % schedulers;
             bed.kill(victim);
-            death.push(bed.agreement(&all, PATIENCE));
-            bed.up(victim)?;
-            back.push(bed.agreement(&all, PATIENCE));
+            death.push(bed.wait_for_agreement(&all, PATIENCE));
+            bed.start_scheduler(victim)?;
+            back.push(bed.wait_for_agreement(&all, PATIENCE));
             bed.stop(victim)?;
-            leave.push(bed.agreement(&all, PATIENCE));
-            bed.up(victim)?;
-            bed.agreement(&all, PATIENCE);
-            bed.cut(&half, true);
+            leave.push(bed.wait_for_agreement(&all, PATIENCE));
+            bed.start_scheduler(victim)?;
+            bed.wait_for_agreement(&all, PATIENCE);
+            bed.set_partition(&half, true);
             std::thread::sleep(Duration::from_secs(6));
-            bed.cut(&half, false);
-            heal.push(bed.agreement(&all, PATIENCE));
+            bed.set_partition(&half, false);
+            heal.push(bed.wait_for_agreement(&all, PATIENCE));
         }
         let told = [death, back, leave, heal].map(spread).join(" | ");
         println!("{schedulers} | {} | {told} | {cost:.1}", spread(vec![start]));
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -34,10 +34,10 @@
             writeln!(file, "{line}")?;
         }
     }
-    report.failed.iter().for_each(|failed| println!("{failed} did not end as it should"));
-    report.late.iter().for_each(|step| println!("void, as the machine was too busy: {step}"));
-    report.unsettled.iter().for_each(|step| println!("unsettled: {step}"));
-    if report.is_good() { Ok(()) } else { Err(Failed::Run("the run is not good".into())) }
+    report.failed_processes.iter().for_each(|failed| println!("{failed} did not end as it should"));
+    report.overloaded_steps.iter().for_each(|step| println!("void, as the machine was too busy: {step}"));
+    report.unsettled_steps.iter().for_each(|step| println!("unsettled: {step}"));
+    if report.passed() { Ok(()) } else { Err(Failed::Run("the run is not good".into())) }
 }
 
 fn fleet(options: &Options, script: &Script) -> Result<(), Failed> {
@@ -55,7 +55,7 @@
     let all = bed.finish()?;
     let verdict = check_cluster(&bed, &all);
     let parties = bed.schedulers.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
-    keep(options, &all, &lanes(parties, &bed.ways.faults, (bed.began, end)))?;
+    keep(options, &all, &lanes(parties, &bed.network.faults, (bed.began, end)))?;
     tell(&verdict)
 }
 
@@ -76,13 +76,13 @@
     let told = check_sites(&bed, &all);
     let gateways = bed.gateways.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
     let workers = bed.workers.iter().enumerate().map(|(w, process)| (Party::Worker(w), process));
-    keep(options, &all, &lanes(gateways.chain(workers), &bed.ways.faults, (bed.began, end)))?;
+    keep(options, &all, &lanes(gateways.chain(workers), &bed.network.faults, (bed.began, end)))?;
     if let Some(folder) = &options.records {
         for (number, process) in bed.gateways.iter().enumerate() {
             write(folder.join(format!("n{number}.log")), process.said().join("\n"))?;
         }
         let noted: Vec<_> =
-            bed.ways.relay.captured().noted.iter().map(|noted| format!("{noted}\n")).collect();
+            bed.network.relay.captured().noted.iter().map(|noted| format!("{noted}\n")).collect();
         write(folder.join("kept.txt"), noted.concat())?;
     }
     shares(script, &told);
@@ -142,9 +142,9 @@
         "calls {asked}: served {served}, refused {refused}, failed {failed}, excused {}",
         verdict.excused
     );
-    verdict.rules.iter().take(20).for_each(|breach| println!("{breach}"));
-    verdict.fleet.iter().take(20).for_each(|fault| println!("{fault}"));
-    match verdict.is_good() {
+    verdict.rule_breaches.iter().take(20).for_each(|breach| println!("{breach}"));
+    verdict.violations.iter().take(20).for_each(|fault| println!("{fault}"));
+    match verdict.passed() {
         true => println!("all rules kept, nothing wrong with the fleet"),
         false => return Err(Failed::Run("the run is not good".into())),
     }
--- a/crates/cli/tests/agreed.rs
+++ b/crates/cli/tests/agreed.rs
@@ -18,7 +18,7 @@
     let spec =
         ClusterSpec { program, schedulers, workers, work_ms: 5, pause_ms: 10, seed: 1, bounds: Some(bounds) };
     let mut bed = Cluster::start(spec).expect("a bed");
-    bed.call();
+    bed.start_clients();
     bed
 }
 
@@ -111,7 +111,7 @@
     }
     // The bound is kept by whoever is leader next.
     denied(&bed, other, &["drain", "s-4", "--wait", "4"], "2 would be out, 1 may be");
-    bed.up(of).expect("it comes up");
+    bed.start_scheduler(of).expect("it comes up");
     // Whoever starts anew hears of the drain before long.
     shows(&bed, of, "Worker(");
     assert_eq!(ran(&bed, "s-3"), there, "nothing new has gone there");
@@ -124,7 +124,7 @@
     // Once it is warm another may go.
     done(&bed, other, &["drain", "s-4", "--wait", "60"]);
     let (verdict, records) = finished(bed);
-    assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
+    assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
     let leaving = |r: &&Record| matches!(&r.observation, Observation::WorkerState { worker, state } if worker == "s-3" && state == "leaving");
     assert!(records.iter().filter(leaving).count() >= 5, "the module of each heard of it");
 }
@@ -174,9 +174,9 @@
         for i in 0..4 {
             if !gone.contains(&i) && folder.join(format!("go.{i}")).exists() {
                 assert!(bed.running().len() == 4, "one after another");
-                bed.version(i, "b").expect("written");
+                bed.set_permits_version(i, "b").expect("written");
                 bed.stop(i).expect("it ends");
-                bed.up(i).expect("it comes up");
+                bed.start_scheduler(i).expect("it comes up");
                 gone.push(i);
                 std::fs::write(folder.join(format!("done.{i}")), "").expect("written");
                 if gone.len() == 2 {
@@ -194,7 +194,7 @@
     shows(&bed, 1, "4 run version");
     std::fs::remove_dir_all(&folder).expect("removed");
     let (verdict, _) = finished(bed);
-    assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
+    assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
     let (asked, served, ..) = verdict.calls;
     assert!(served * 10 > asked * 9, "{served} of {asked} served");
 }
@@ -230,20 +230,20 @@
         let of = leader(&bed, 0);
         bed.kill(of);
         std::thread::sleep(Duration::from_secs(2));
-        bed.up(of).expect("it comes up");
+        bed.start_scheduler(of).expect("it comes up");
         let voter = [0, 1, 3, 4, 6].into_iter().find(|voter| *voter != of).expect("another voter");
         bed.schedulers[voter].stall();
         std::thread::sleep(Duration::from_secs(5));
         bed.schedulers[voter].resume();
-        bed.cut(&[4, 5, 6, 7], true);
+        bed.set_partition(&[4, 5, 6, 7], true);
         std::thread::sleep(Duration::from_secs(6));
-        bed.cut(&[4, 5, 6, 7], false);
+        bed.set_partition(&[4, 5, 6, 7], false);
         for operator in operators {
             operator.join().expect("drained, and back");
         }
     });
     let (verdict, records) = finished(bed);
-    assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
+    assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
     let agreed =
         records.iter().filter(|r| matches!(r.observation, Observation::PermitsUpdated { .. })).count();
     assert!(agreed > 40, "{agreed}");
@@ -258,5 +258,9 @@
     done(&bed, 0, &["drain", "s-0", "--wait", "60"]);
     done(&bed, 0, &["drain", "s-1", "--wait", "60"]);
     let (verdict, _) = finished(bed);
-    assert!(verdict.fleet.contains(&FleetViolation::TooMany("workers", 2)), "{:?}", verdict.fleet);
+    assert!(
+        verdict.violations.contains(&FleetViolation::PermitBoundExceeded("workers", 2)),
+        "{:?}",
+        verdict.violations
+    );
 }
--- a/crates/cli/tests/hollow.rs
+++ b/crates/cli/tests/hollow.rs
@@ -19,11 +19,11 @@
     let mut lines = Vec::new();
     let report = run_hollow(&script, &mut |line| lines.push(line)).expect("it runs");
     let lines = lines.join("\n");
-    assert_eq!((&report.unsettled, &report.failed), (&Vec::new(), &Vec::new()), "{lines}");
+    assert_eq!((&report.unsettled_steps, &report.failed_processes), (&Vec::new(), &Vec::new()), "{lines}");
     let halves =
         lines.lines().any(|line| line.contains("region 1 cut off: most common view held by 42 of 63"));
     assert!(halves, "both sides hold a view of their own at the end of the cut\n{lines}");
-    if !report.late.is_empty() {
+    if !report.overloaded_steps.is_empty() {
         // The machine was too busy for figures to count; the verdict above holds all the same.
         return;
     }
--- a/crates/cli/tests/sites.rs
+++ b/crates/cli/tests/sites.rs
@@ -58,20 +58,20 @@
         (1_300, SiteAction::Start(ProcessSelector::Gateway(1))),
         (1_500, SiteAction::Link(0, 1, broken)),
     ];
-    let steps = acts.map(|(ms, act)| SiteStep { at: ms * 1_000, act }).to_vec();
+    let steps = acts.map(|(ms, act)| SiteStep { at: ms * 1_000, action: act }).to_vec();
     let spec = spec(vec![load(0, None, 0.0), load(1, None, 0.0)]);
     let mut bed = run_sites(&SitesScript { spec, span: 2_000_000, steps }).expect("it runs");
     let (records, _) = bed.finish().expect("it ends");
     let told = check_sites(&bed, &records);
-    assert!(told.verdict.is_good(), "{:?} {:?}", told.verdict.rules, told.verdict.fleet);
+    assert!(told.verdict.passed(), "{:?} {:?}", told.verdict.rule_breaches, told.verdict.violations);
     assert!(told.sites.iter().all(|site| site.served > 10), "{:?}", told.sites);
-    let datagrams: u64 = bed.ways.relay.counts().values().map(|c| c.datagrams.0).sum();
+    let datagrams: u64 = bed.network.relay.counts().values().map(|c| c.datagrams.0).sum();
     assert!(datagrams > 20, "{datagrams} datagrams between gateways");
 }
 
 /// A call as one gateway hands it to another, with hops that no gateway may give it.
 fn handed_twice(bed: &SiteCluster) {
-    let mut stream = TcpStream::connect(bed.fronts[0][2]).expect("connected");
+    let mut stream = TcpStream::connect(bed.front_addresses[0][2]).expect("connected");
     let call = "POST /functions/view-0 HTTP/1.1\r\nHost: b\r\nce-specversion: 1.0\r\nce-id: 1\r\nce-source: planted\r\n\
                 ce-type: t\r\nce-hops: 2\r\nce-handedby: n0\r\nContent-Length: 0\r\n\r\n";
     stream.write_all(call.as_bytes()).expect("written");
@@ -90,12 +90,20 @@
     handed_twice(&bed);
     let (records, _) = bed.finish().expect("it ends");
     let told = check_sites(&bed, &records).verdict;
-    let twice = told.fleet.iter().filter(|fault| matches!(fault, FleetViolation::Twice(..))).count();
-    assert!(twice > 5, "{:?}", told.fleet);
-    assert!(told.fleet.contains(&FleetViolation::Hops("planted#1".into(), 2)), "{:?}", told.fleet);
+    let twice =
+        told.violations.iter().filter(|fault| matches!(fault, FleetViolation::DuplicateEffect(..))).count();
+    assert!(twice > 5, "{:?}", told.violations);
     assert!(
-        told.fleet.iter().all(|fault| matches!(fault, FleetViolation::Twice(..) | FleetViolation::Hops(..))),
+        told.violations.contains(&FleetViolation::TooManyHops("planted#1".into(), 2)),
         "{:?}",
-        told.fleet
+        told.violations
+    );
+    assert!(
+        told.violations.iter().all(|fault| matches!(
+            fault,
+            FleetViolation::DuplicateEffect(..) | FleetViolation::TooManyHops(..)
+        )),
+        "{:?}",
+        told.violations
     );
 }
--- a/crates/cli/tests/trial.rs
+++ b/crates/cli/tests/trial.rs
@@ -1,7 +1,7 @@
 //! Many processes of the program with faults between them, and faults planted that the judge must find.
 use basaltward_faulttest::{
-    Change, Cluster, ClusterSpec, ConnectionMode, FleetViolation, Link, LoadedScript, Loss, Party, Script,
-    Verdict, check_cluster, load, run,
+    Change, Cluster, ClusterSpec, ConnectionMode, DatagramFaults, FleetViolation, Link, LoadedScript, Party,
+    Script, Verdict, check_cluster, load, run,
 };
 use basaltward_membership::{FleetShare, MemberState};
 use rustix::process::{Pid, Signal, kill_process};
@@ -37,7 +37,7 @@
     };
     let bed = run(&Script { fleet, span, steps }).expect("it runs");
     let (bed, verdict) = finished(bed);
-    assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
+    assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
     let (asked, served, ..) = verdict.calls;
     assert!(served * 10 > asked * 8, "{served} of {asked} served");
     let ups = |p: &basaltward_faulttest::Process| p.changes.iter().filter(|(_, c)| *c == Change::Up).count();
@@ -51,7 +51,7 @@
 #[test]
 fn a_process_that_ends_by_itself_is_found() {
     let mut bed = Cluster::start(spec(2, 1)).expect("a bed");
-    bed.call();
+    bed.start_clients();
     ran(&bed, 20);
     // Behind the bed's back.
     let pid = bed.schedulers[1].pid().and_then(|pid| Pid::from_raw(pid as i32)).expect("it runs");
@@ -59,26 +59,26 @@
     let now = bed.recorder.wait_until(Duration::from_millis(300), |_| false);
     assert!(!now);
     let (_, verdict) = finished(bed);
-    assert_eq!(verdict.fleet, [FleetViolation::Crashed("n1".into())]);
+    assert_eq!(verdict.violations, [FleetViolation::Crashed("n1".into())]);
 }
 
 #[test]
 fn an_effect_twice_is_found() {
-    let bed = Cluster::start_as(spec(1, 1), |exec| {
+    let bed = Cluster::start_with_worker(spec(1, 1), |exec| {
         let mut acts = vec![basaltward_standins::Act::Run];
         acts.extend(exec.serve());
         acts
     });
     let mut bed = bed.expect("a bed");
-    bed.call();
+    bed.start_clients();
     ran(&bed, 20);
     let (_, verdict) = finished(bed);
     assert!(
-        verdict.rules.iter().any(|b| b.rule == 2 && b.message.contains("ran 2 times")),
+        verdict.rule_breaches.iter().any(|b| b.rule == 2 && b.message.contains("ran 2 times")),
         "{:?}",
-        verdict.rules
+        verdict.rule_breaches
     );
-    assert!(verdict.rules.iter().all(|b| b.rule == 2), "{:?}", verdict.rules);
+    assert!(verdict.rule_breaches.iter().all(|b| b.rule == 2), "{:?}", verdict.rule_breaches);
 }
 
 /// The judge excuses what a stall of the bed's own keeps from its answer, and nothing else.
@@ -86,7 +86,7 @@
 fn a_stall_that_the_bed_knows_nothing_of_breaks_the_rule_on_answers() {
     let verdicts = [true, false].map(|known| {
         let mut bed = Cluster::start(spec(2, 1)).expect("a bed");
-        bed.call();
+        bed.start_clients();
         ran(&bed, 20);
         let pid = bed.schedulers[0].pid().and_then(|pid| Pid::from_raw(pid as i32)).expect("it runs");
         if known {
@@ -102,27 +102,30 @@
         }
         finished(bed).1
     });
-    assert!(verdicts[0].is_good() && verdicts[0].excused > 0, "{:?}", verdicts[0]);
-    assert!(verdicts[1].rules.iter().any(|b| b.rule == 1), "{:?}", verdicts[1]);
+    assert!(verdicts[0].passed() && verdicts[0].excused > 0, "{:?}", verdicts[0]);
+    assert!(verdicts[1].rule_breaches.iter().any(|b| b.rule == 1), "{:?}", verdicts[1]);
 }
 
 #[test]
 fn a_cut_worker_holds_up_no_call() {
     let mut bed = Cluster::start(spec(2, 3)).expect("a bed");
-    bed.call();
+    bed.start_clients();
     ran(&bed, 100);
     for (number, stream) in [(0, ConnectionMode::Stall), (1, ConnectionMode::Refuse)] {
         let way = Link { from: Party::Scheduler(number), to: Party::Worker(0) };
-        bed.stream(way, stream);
+        bed.set_connection_mode(way, stream);
     }
     ran(&bed, 400);
     for number in 0..2 {
-        bed.stream(Link { from: Party::Scheduler(number), to: Party::Worker(0) }, ConnectionMode::Pass);
+        bed.set_connection_mode(
+            Link { from: Party::Scheduler(number), to: Party::Worker(0) },
+            ConnectionMode::Pass,
+        );
     }
     ran(&bed, 500);
     let (bed, verdict) = finished(bed);
-    assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
-    assert!(bed.ways.leaks.is_empty());
+    assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
+    assert!(bed.network.leaks.is_empty());
     assert_eq!(verdict.excused, 0);
 }
 
@@ -136,42 +139,47 @@
 #[test]
 fn eight_processes_agree_on_deaths_stalls_cuts_and_returns_with_calls_in_flight() {
     let mut bed = Cluster::start(spec(8, 3)).expect("a bed");
-    bed.call();
+    bed.start_clients();
     let everybody = all(&bed);
-    assert!(bed.agreement(&everybody, AGREE).is_some(), "start");
+    assert!(bed.wait_for_agreement(&everybody, AGREE).is_some(), "start");
     // What all have served is told to each, by the board.
     let until = std::time::Instant::now() + AGREE;
-    let told =
-        |bed: &Cluster| bed.view(5).is_ok_and(|view| view.calls.first().is_some_and(|served| *served > 500));
+    let told = |bed: &Cluster| {
+        bed.fetch_view(5).is_ok_and(|view| view.calls.first().is_some_and(|served| *served > 500))
+    };
     while !told(&bed) {
-        assert!(std::time::Instant::now() < until, "{:?}", bed.view(5));
+        assert!(std::time::Instant::now() < until, "{:?}", bed.fetch_view(5));
         std::thread::sleep(Duration::from_millis(50));
     }
-    bed.loss_of_all(Loss { loss_rate: 0.05, duplicate_rate: 0.02, ..Loss::default() });
+    bed.set_all_datagram_faults(DatagramFaults {
+        loss_rate: 0.05,
+        duplicate_rate: 0.02,
+        ..DatagramFaults::default()
+    });
     bed.kill(2);
-    assert!(bed.agreement(&everybody, AGREE).is_some(), "a death");
-    bed.up(2).expect("it comes up");
-    assert!(bed.agreement(&everybody, AGREE).is_some(), "a return");
+    assert!(bed.wait_for_agreement(&everybody, AGREE).is_some(), "a death");
+    bed.start_scheduler(2).expect("it comes up");
+    assert!(bed.wait_for_agreement(&everybody, AGREE).is_some(), "a return");
     bed.schedulers[3].stall();
-    assert!(bed.agreement(&everybody, AGREE).is_some(), "one stands still");
+    assert!(bed.wait_for_agreement(&everybody, AGREE).is_some(), "one stands still");
     bed.schedulers[3].resume();
-    assert!(bed.agreement(&everybody, AGREE).is_some(), "it goes on");
-    let refuted = bed.view(3).expect("it answers").members[3].incarnation.bump;
+    assert!(bed.wait_for_agreement(&everybody, AGREE).is_some(), "it goes on");
+    let refuted = bed.fetch_view(3).expect("it answers").members[3].incarnation.bump;
     assert!(refuted > 0, "it was taken for gone and has said otherwise");
-    bed.cut(&[5, 6, 7], true);
-    assert!(bed.agreement(&[0, 1, 2, 3, 4], AGREE).is_some(), "the larger part");
-    assert!(bed.agreement(&[5, 6, 7], AGREE).is_some(), "the smaller part");
-    let parts = [0, 6].map(|i| bed.view(i).expect("it answers").part);
+    bed.set_partition(&[5, 6, 7], true);
+    assert!(bed.wait_for_agreement(&[0, 1, 2, 3, 4], AGREE).is_some(), "the larger part");
+    assert!(bed.wait_for_agreement(&[5, 6, 7], AGREE).is_some(), "the smaller part");
+    let parts = [0, 6].map(|i| bed.fetch_view(i).expect("it answers").part);
     assert_eq!(parts, [FleetShare::Majority, FleetShare::Minority]);
-    bed.cut(&[5, 6, 7], false);
-    assert!(bed.agreement(&everybody, AGREE).is_some(), "healed");
+    bed.set_partition(&[5, 6, 7], false);
+    assert!(bed.wait_for_agreement(&everybody, AGREE).is_some(), "healed");
     bed.stop(1).expect("it ends");
-    assert!(bed.agreement(&everybody, AGREE).is_some(), "one has left");
-    let left = bed.view(0).expect("it answers").members[1].state;
+    assert!(bed.wait_for_agreement(&everybody, AGREE).is_some(), "one has left");
+    let left = bed.fetch_view(0).expect("it answers").members[1].state;
     assert_eq!(left, MemberState::Stopped);
     let (bed, verdict) = finished(bed);
-    assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
-    let crossed: u64 = bed.ways.relay.counts().values().map(|c| c.datagrams.0).sum();
+    assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
+    let crossed: u64 = bed.network.relay.counts().values().map(|c| c.datagrams.0).sum();
     assert!(crossed > 500, "{crossed} datagrams crossed the relays");
 }
 
@@ -180,16 +188,16 @@
 fn a_word_from_anothers_place_is_found_by_the_judge() {
     let bed = Cluster::start(spec(3, 1)).expect("a bed");
     let everybody = all(&bed);
-    assert!(bed.agreement(&everybody, AGREE).is_some(), "start");
-    let reached = bed.reach(0, 1);
+    assert!(bed.wait_for_agreement(&everybody, AGREE).is_some(), "start");
+    let reached = bed.peer_relay_address(0, 1);
     let stranger = std::net::UdpSocket::bind("127.0.0.1:0").expect("bound");
     stranger.send_to(b"\x01 not of us", reached).expect("sent");
-    let strange = |bed: &Cluster| bed.ways.relay.counts().values().map(|c| c.strange).sum::<u64>();
+    let strange = |bed: &Cluster| bed.network.relay.counts().values().map(|c| c.wrong_source).sum::<u64>();
     let until = std::time::Instant::now() + AGREE;
     while strange(&bed) == 0 && std::time::Instant::now() < until {
         std::thread::sleep(Duration::from_millis(5));
     }
     let (_, verdict) = finished(bed);
     let way = Link { from: Party::Scheduler(0), to: Party::Scheduler(1) };
-    assert_eq!(verdict.fleet, [FleetViolation::Strange(way, 1)]);
+    assert_eq!(verdict.violations, [FleetViolation::WrongSource(way, 1)]);
 }
--- a/crates/cli/tests/view.rs
+++ b/crates/cli/tests/view.rs
@@ -1,5 +1,7 @@
 //! The view between processes: flapping, one-way cuts, a new list, doubled names, and a fault planted in one.
-use basaltward_faulttest::{Cluster, ClusterSpec, FleetViolation, Link, Loss, Party, Verdict, check_cluster};
+use basaltward_faulttest::{
+    Cluster, ClusterSpec, DatagramFaults, FleetViolation, Link, Party, Verdict, check_cluster,
+};
 use basaltward_membership::{FleetShare, MemberState};
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -20,7 +22,7 @@
     });
     let everybody: Vec<_> = (0..schedulers).collect();
     let bed = bed.expect("a bed");
-    assert!(bed.agreement(&everybody, AGREE).is_some(), "start");
+    assert!(bed.wait_for_agreement(&everybody, AGREE).is_some(), "start");
     (bed, everybody)
 }
 
@@ -32,8 +34,8 @@
 /// Waits until a scheduler's view is as wanted.
 fn sees(bed: &Cluster, who: usize, wanted: impl Fn(&basaltward_membership::StatusResponse) -> bool) {
     let until = Instant::now() + AGREE;
-    while !bed.view(who).is_ok_and(|view| wanted(&view)) {
-        assert!(Instant::now() < until, "n{who}: {:?}", bed.view(who));
+    while !bed.fetch_view(who).is_ok_and(|view| wanted(&view)) {
+        assert!(Instant::now() < until, "n{who}: {:?}", bed.fetch_view(who));
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -41,21 +43,21 @@
 #[test]
 fn all_agree_after_flapping_and_one_way_cuts_with_calls_in_flight() {
     let (mut bed, everybody) = bed(8);
-    bed.call();
+    bed.start_clients();
     for _ in 0..3 {
         bed.kill(4);
         std::thread::sleep(Duration::from_millis(500));
-        bed.up(4).expect("it comes up");
+        bed.start_scheduler(4).expect("it comes up");
     }
-    assert!(bed.agreement(&everybody, AGREE).is_some(), "one flapped");
+    assert!(bed.wait_for_agreement(&everybody, AGREE).is_some(), "one flapped");
     // First it can't be heard, then it can't hear: taken for gone each time, and back by its own word.
     for hears in [true, false] {
-        let cut = Loss { loss_rate: 1.0, ..Loss::default() };
-        for loss in [cut, Loss::default()] {
+        let cut = DatagramFaults { loss_rate: 1.0, ..DatagramFaults::default() };
+        for loss in [cut, DatagramFaults::default()] {
             for other in (0..8).filter(|other| *other != 2) {
                 let (one, other) = (Party::Scheduler(2), Party::Scheduler(other));
                 let way = if hears { Link { from: one, to: other } } else { Link { from: other, to: one } };
-                bed.loss(way, loss);
+                bed.set_datagram_faults(way, loss);
             }
             if loss == cut && hears {
                 sees(&bed, 0, |view| view.members[2].state == MemberState::Gone);
@@ -63,12 +65,12 @@
                 sees(&bed, 2, |view| view.part == FleetShare::Alone);
             }
         }
-        assert!(bed.agreement(&everybody, AGREE).is_some(), "hears: {hears}");
+        assert!(bed.wait_for_agreement(&everybody, AGREE).is_some(), "hears: {hears}");
     }
-    let refuted = bed.view(0).expect("it answers").members[2].incarnation.bump;
+    let refuted = bed.fetch_view(0).expect("it answers").members[2].incarnation.bump;
     assert!(refuted > 0, "n2 has said that it lives");
     let verdict = finished(bed);
-    assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
+    assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
 }
 
 #[test]
@@ -78,20 +80,20 @@
         if size == 5 {
             bed.stop(5).expect("it ends");
         }
-        bed.list(size).expect("files written");
+        bed.set_member_count(size).expect("files written");
         for i in 0..5 {
             bed.schedulers[i].reread();
             sees(&bed, i, |view| usize::from(view.size) == size);
         }
         if size == 6 {
-            bed.up(5).expect("it comes up");
+            bed.start_scheduler(5).expect("it comes up");
         }
-        assert!(bed.agreement(&everybody[..there], AGREE).is_some(), "a list of {size}");
-        let parts: Vec<_> = (0..there).map(|i| bed.view(i).expect("it answers").part).collect();
+        assert!(bed.wait_for_agreement(&everybody[..there], AGREE).is_some(), "a list of {size}");
+        let parts: Vec<_> = (0..there).map(|i| bed.fetch_view(i).expect("it answers").part).collect();
         assert_eq!(parts, vec![FleetShare::Whole; there]);
     }
     let verdict = finished(bed);
-    assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
+    assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
 }
 
 #[test]
@@ -99,10 +101,10 @@
     let (bed, everybody) = bed(3);
     let mut twin = bed.schedulers[1].twin();
     assert!(twin.start().is_err() && twin.pid().is_none());
-    assert!(bed.agreement(&everybody, AGREE).is_some(), "the first goes on");
-    assert!(bed.view(0).expect("it answers").members.iter().all(|e| e.incarnation.bump == 0));
+    assert!(bed.wait_for_agreement(&everybody, AGREE).is_some(), "the first goes on");
+    assert!(bed.fetch_view(0).expect("it answers").members.iter().all(|e| e.incarnation.bump == 0));
     let verdict = finished(bed);
-    assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
+    assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
 }
 
 /// A planted fault: one process takes the word of an earlier life.
@@ -113,29 +115,32 @@
     assert!(planted.exists(), "`cargo build --example planted` builds it, and so does `cargo test`");
     bed.kill(1);
     bed.schedulers[1].set_program(&planted);
-    bed.up(1).expect("it comes up");
+    bed.start_scheduler(1).expect("it comes up");
     // Word of the earlier life from one member comes when the later one has long spoken for itself.
     let late = Duration::from_millis(2_000).as_micros() as u64;
     let way = Link { from: Party::Scheduler(3), to: Party::Scheduler(1) };
-    bed.loss(way, Loss { delay_range: (late, late + 100_000), ..Loss::default() });
+    bed.set_datagram_faults(
+        way,
+        DatagramFaults { delay_range: (late, late + 100_000), ..DatagramFaults::default() },
+    );
     for _ in 0..3 {
         bed.kill(2);
         sees(&bed, 0, |view| view.members[2].state == MemberState::Gone);
         sees(&bed, 3, |view| view.members[2].state == MemberState::Gone);
-        bed.up(2).expect("it comes up");
+        bed.start_scheduler(2).expect("it comes up");
         sees(&bed, 0, |view| view.members[2].state == MemberState::Up);
         // As long as the last such word is on its way.
         std::thread::sleep(Duration::from_micros(late + 500_000));
     }
     let verdict = finished(bed);
     assert!(
-        verdict.fleet.iter().any(|f| matches!(f, FleetViolation::RanBack(by, 2) if by == "n1")),
+        verdict.violations.iter().any(|f| matches!(f, FleetViolation::StaleMemberState(by, 2) if by == "n1")),
         "{:?}",
-        verdict.fleet
+        verdict.violations
     );
     assert!(
-        verdict.fleet.iter().all(|f| matches!(f, FleetViolation::RanBack(by, _) if by == "n1")),
+        verdict.violations.iter().all(|f| matches!(f, FleetViolation::StaleMemberState(by, _) if by == "n1")),
         "{:?}",
-        verdict.fleet
+        verdict.violations
     );
 }
--- a/crates/faulttest/src/checker.rs
+++ b/crates/faulttest/src/checker.rs
@@ -21,49 +21,51 @@
     /// A process ended though nobody told it to.
     Crashed(String),
     /// It ended after SIGTERM, but not well.
-    EndedBadly(String),
+    UncleanExit(String),
     /// It sent a datagram longer than the platform allows.
-    TooLong(Link, u64),
+    OversizedDatagram(Link, u64),
     /// It sent datagrams from an address that is not its own.
-    Strange(Link, u64),
+    WrongSource(Link, u64),
     /// A scheduler, in one life, went back from a later life of another to an earlier one.
-    RanBack(String, u16),
+    StaleMemberState(String, u16),
     /// More may be out by what is agreed than the bound allows: of schedulers or workers, so many.
-    TooMany(&'static str, usize),
+    PermitBoundExceeded(&'static str, usize),
     /// Two schedulers hold something else under one epoch and count.
-    Forked((u64, u16), u32),
+    PermitFork((u64, u16), u32),
     /// Bytes crossed a way that was cut: the bed itself is broken.
-    Leaked(Link, u64),
+    LinkLeak(Link, u64),
     /// A keyed or unsafe event had more than one effect, at these workers.
-    Twice(String, Vec<String>),
+    DuplicateEffect(String, Vec<String>),
     /// An event was handed over so often.
-    Hops(String, u32),
+    TooManyHops(String, u32),
     /// A kept event that was acknowledged did not end in one way, but in these.
-    Ended(String, Vec<String>),
+    WrongEnd(String, Vec<String>),
     /// An event was said to have run nowhere, though it ran.
-    Untrue(String),
+    FalseRefusal(String),
 }
 
 impl fmt::Display for FleetViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Crashed(name) => write!(f, "{name} ended by itself"),
-            Self::EndedBadly(name) => write!(f, "{name} did not end well after SIGTERM"),
-            Self::TooLong(way, count) => write!(f, "{way}: {count} datagrams of more than 256 bytes"),
-            Self::Strange(way, count) => write!(f, "{way}: {count} datagrams from another's address"),
-            Self::RanBack(by, of) => write!(f, "{by} went back to an earlier life of n{of}"),
-            Self::TooMany(what, count) => write!(f, "{count} {what} may be out at once"),
-            Self::Forked((ms, by), version) => {
+            Self::UncleanExit(name) => write!(f, "{name} did not end well after SIGTERM"),
+            Self::OversizedDatagram(way, count) => {
+                write!(f, "{way}: {count} datagrams of more than 256 bytes")
+            }
+            Self::WrongSource(way, count) => write!(f, "{way}: {count} datagrams from another's address"),
+            Self::StaleMemberState(by, of) => write!(f, "{by} went back to an earlier life of n{of}"),
+            Self::PermitBoundExceeded(what, count) => write!(f, "{count} {what} may be out at once"),
+            Self::PermitFork((ms, by), version) => {
                 write!(f, "two are agreed under epoch {ms} of n{by}, version {version}")
             }
-            Self::Leaked(way, bytes) => write!(f, "{way}: {bytes} bytes crossed it while it was cut"),
-            Self::Twice(event, at) => write!(f, "{event}: effects at {}", at.join(", ")),
-            Self::Hops(event, hops) => write!(f, "{event}: handed over {hops} times"),
-            Self::Ended(event, ways) if ways.is_empty() => {
+            Self::LinkLeak(way, bytes) => write!(f, "{way}: {bytes} bytes crossed it while it was cut"),
+            Self::DuplicateEffect(event, at) => write!(f, "{event}: effects at {}", at.join(", ")),
+            Self::TooManyHops(event, hops) => write!(f, "{event}: handed over {hops} times"),
+            Self::WrongEnd(event, ways) if ways.is_empty() => {
                 write!(f, "{event}: acknowledged as kept, and has no end")
             }
-            Self::Ended(event, ways) => write!(f, "{event}: ended as {}", ways.join(" and as ")),
-            Self::Untrue(event) => write!(f, "{event}: said to have run nowhere, but ran"),
+            Self::WrongEnd(event, ways) => write!(f, "{event}: ended as {}", ways.join(" and as ")),
+            Self::FalseRefusal(event) => write!(f, "{event}: said to have run nowhere, but ran"),
         }
     }
 }
@@ -72,9 +74,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     /// Broken rules.
-    pub rules: Vec<Breach>,
+    pub rule_breaches: Vec<Breach>,
     /// What else is wrong.
-    pub fleet: Vec<FleetViolation>,
+    pub violations: Vec<FleetViolation>,
     /// Calls asked, and of them served, refused and failed.
     pub calls: (u64, u64, u64, u64),
     /// Calls whose scheduler stood still, or whose way was cut, before they were answered: nothing is owed.
@@ -83,8 +85,8 @@
 
 impl Verdict {
     /// Whether nothing is wrong.
-    pub fn is_good(&self) -> bool {
-        self.rules.is_empty() && self.fleet.is_empty()
+    pub fn passed(&self) -> bool {
+        self.rule_breaches.is_empty() && self.violations.is_empty()
     }
 }
 
@@ -93,9 +95,9 @@
     let schedulers: Vec<_> = bed.schedulers.iter().enumerate().collect();
     let fronts: Vec<_> =
         schedulers.iter().map(|(i, p)| (bed.listens[*i], Party::Scheduler(*i), *p)).collect();
-    let (mut verdict, records) = common(records, &rules(), (&fronts, &bed.ways));
-    verdict.fleet.extend(ran_back(&records));
-    verdict.fleet.extend(permitted(bed, &records));
+    let (mut verdict, records) = common(records, &rules(), (&fronts, &bed.network));
+    verdict.violations.extend(ran_back(&records));
+    verdict.violations.extend(permitted(bed, &records));
     verdict
 }
 
@@ -121,16 +123,16 @@
             _ => {}
         }
     }
-    verdict.rules = check(&records, rules);
-    verdict.fleet.extend(fronts.iter().flat_map(|(_, party, process)| ends(*party, process)));
+    verdict.rule_breaches = check(&records, rules);
+    verdict.violations.extend(fronts.iter().flat_map(|(_, party, process)| ends(*party, process)));
     for (way, counts) in ways.relay.counts() {
         let found = [
-            (counts.too_long, FleetViolation::TooLong as fn(_, _) -> _),
-            (counts.strange, FleetViolation::Strange),
+            (counts.oversized, FleetViolation::OversizedDatagram as fn(_, _) -> _),
+            (counts.wrong_source, FleetViolation::WrongSource),
         ];
-        verdict.fleet.extend(found.into_iter().filter(|(n, _)| *n > 0).map(|(n, what)| what(way, n)));
+        verdict.violations.extend(found.into_iter().filter(|(n, _)| *n > 0).map(|(n, what)| what(way, n)));
     }
-    verdict.fleet.extend(ways.leaks.iter().map(|(way, bytes)| FleetViolation::Leaked(*way, *bytes)));
+    verdict.violations.extend(ways.leaks.iter().map(|(way, bytes)| FleetViolation::LinkLeak(*way, *bytes)));
     (verdict, records)
 }
 
@@ -138,7 +140,7 @@
 pub(crate) fn ends(party: Party, process: &Process) -> Vec<FleetViolation> {
     let end = |(_, change): &(Micros, Change)| match change {
         Change::Crashed => Some(FleetViolation::Crashed(party.to_string())),
-        Change::Ended(false) => Some(FleetViolation::EndedBadly(party.to_string())),
+        Change::Ended(false) => Some(FleetViolation::UncleanExit(party.to_string())),
         _ => None,
     };
     process.changes.iter().filter_map(end).collect()
@@ -154,7 +156,7 @@
             Observation::MemberState { member: of, start, refutations: bump, .. } => {
                 let held = known.entry((by, *of)).or_default();
                 if (*start, *bump) < *held {
-                    found.insert(FleetViolation::RanBack(by.clone(), *of));
+                    found.insert(FleetViolation::StaleMemberState(by.clone(), *of));
                 }
                 *held = (*start, *bump);
             }
@@ -176,12 +178,12 @@
     for Record { observation: what, .. } in records {
         let Observation::PermitsUpdated { epoch, version, permits } = what else { continue };
         if *known.entry((*epoch, *version)).or_insert(permits) != permits {
-            found.insert(FleetViolation::Forked(*epoch, *version));
+            found.insert(FleetViolation::PermitFork(*epoch, *version));
         }
         for (what, kind, most) in of {
             let count = permits.iter().filter(|permit| permit.starts_with(kind)).count();
             if count > most {
-                found.insert(FleetViolation::TooMany(what, count));
+                found.insert(FleetViolation::PermitBoundExceeded(what, count));
             }
         }
     }
--- a/crates/faulttest/src/cluster.rs
+++ b/crates/faulttest/src/cluster.rs
@@ -1,6 +1,6 @@
 //! The bed: a fleet of processes with its stand-ins, its relays and its records.
 
-use crate::Loss;
+use crate::DatagramFaults;
 use crate::clients::{ClientSpec, Clients};
 use crate::link::{ConnectionMode, Link, Party};
 use crate::network::Network;
@@ -80,7 +80,7 @@
     /// Where each takes datagrams.
     pub peers: Vec<SocketAddr>,
     /// The relays on all ways.
-    pub ways: Network,
+    pub network: Network,
     /// The bulletin.
     pub board: Board,
     /// The workers, by number.
@@ -88,7 +88,7 @@
     /// What clients and workers saw.
     pub recorder: Recorder,
     /// What becomes of datagrams where no other fault is on their way.
-    usual: Loss,
+    usual: DatagramFaults,
     /// Where each reaches the others, by number.
     mesh: Vec<Vec<SocketAddr>>,
     /// When it began.
@@ -109,7 +109,7 @@
     /// Where a part can't be had or a scheduler does not come up.
     pub fn start(spec: ClusterSpec) -> Result<Self, HarnessError> {
         let work = Duration::from_millis(spec.work_ms);
-        Self::start_as(spec, move |exec| {
+        Self::start_with_worker(spec, move |exec| {
             let mut acts = vec![Act::Wait(work)];
             acts.extend(exec.serve());
             acts
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// As [`Bed::start`].
-    pub fn start_as(
+    pub fn start_with_worker(
         spec: ClusterSpec,
         script: impl Fn(&Exec) -> Vec<Act> + Clone + Send + Sync + 'static,
     ) -> Result<Self, HarnessError> {
@@ -162,11 +162,11 @@
             schedulers,
             listens,
             peers,
-            ways,
+            network: ways,
             board,
             workers,
             recorder,
-            usual: Loss::default(),
+            usual: DatagramFaults::default(),
             mesh,
             began,
             clients,
@@ -174,7 +174,7 @@
             workspace,
         };
         for i in 0..bed.schedulers.len() {
-            bed.up(i)?;
+            bed.start_scheduler(i)?;
         }
         Ok(bed)
     }
@@ -187,7 +187,7 @@
     ///
     /// # Errors
     /// Where it does not come up.
-    pub fn up(&mut self, i: usize) -> Result<(), HarnessError> {
+    pub fn start_scheduler(&mut self, i: usize) -> Result<(), HarnessError> {
         Ok(self.schedulers[i].start()?)
     }
 
@@ -212,7 +212,7 @@
     ///
     /// # Errors
     /// Where a file can't be read or written.
-    pub fn list(&self, size: usize) -> Result<(), HarnessError> {
+    pub fn set_member_count(&self, size: usize) -> Result<(), HarnessError> {
         for (i, mesh) in self.mesh.iter().enumerate().take(size) {
             let peers = mesh.iter().take(size).map(ToString::to_string).collect();
             self.rewrite(i, |told| told["peers"] = peers)?;
@@ -224,7 +224,7 @@
     ///
     /// # Errors
     /// Where the file can't be read or written.
-    pub fn version(&self, i: usize, name: &str) -> Result<(), HarnessError> {
+    pub fn set_permits_version(&self, i: usize, name: &str) -> Result<(), HarnessError> {
         self.rewrite(i, |told| told["fleet"]["permits"]["version"] = name.into())
     }
 
@@ -239,7 +239,7 @@
     }
 
     /// Clients begin to call every scheduler.
-    pub fn call(&mut self) {
+    pub fn start_clients(&mut self) {
         let classes = CLASSES.iter().map(|(name, patience, _)| ((*name).to_owned(), *patience)).collect();
         let pause = Duration::from_millis(self.spec.pause_ms);
         let spec = ClientSpec { classes, functions: FUNCTIONS, pause };
@@ -248,51 +248,54 @@
     }
 
     /// What becomes of the connections of a way from now on.
-    pub fn stream(&mut self, way: Link, stream: ConnectionMode) {
-        self.ways.stream(way, stream);
+    pub fn set_connection_mode(&mut self, way: Link, stream: ConnectionMode) {
+        self.network.set_connection_mode(way, stream);
     }
 
     /// What becomes of the datagrams of a way from now on.
-    pub fn loss(&mut self, way: Link, loss: Loss) {
-        self.ways.loss(way, loss);
+    pub fn set_datagram_faults(&mut self, way: Link, loss: DatagramFaults) {
+        self.network.set_datagram_faults(way, loss);
     }
 
     /// What becomes of all datagrams from now on, and of those of a way that is taken up again.
-    pub fn loss_of_all(&mut self, loss: Loss) {
+    pub fn set_all_datagram_faults(&mut self, loss: DatagramFaults) {
         self.usual = loss;
         let all = 0..self.schedulers.len();
         for (from, to) in all.clone().flat_map(|i| all.clone().map(move |j| (i, j))) {
             if from != to {
-                self.loss(Link { from: Party::Scheduler(from), to: Party::Scheduler(to) }, loss);
+                self.set_datagram_faults(
+                    Link { from: Party::Scheduler(from), to: Party::Scheduler(to) },
+                    loss,
+                );
             }
         }
     }
 
     /// Cuts a group of schedulers off from all others, from workers, bulletin and clients, or takes it up again.
     /// Connections stay open and silent, as when a zone is cut.
-    pub fn cut(&mut self, group: &[usize], cut: bool) {
+    pub fn set_partition(&mut self, group: &[usize], cut: bool) {
         let (stream, loss) = match cut {
-            true => (ConnectionMode::Stall, Loss { loss_rate: 1.0, ..self.usual }),
+            true => (ConnectionMode::Stall, DatagramFaults { loss_rate: 1.0, ..self.usual }),
             false => (ConnectionMode::Pass, self.usual),
         };
         for &i in group {
             let own = Party::Scheduler(i);
-            self.stream(Link { from: Party::Clients, to: own }, stream);
-            self.stream(Link { from: own, to: Party::Bulletin }, stream);
+            self.set_connection_mode(Link { from: Party::Clients, to: own }, stream);
+            self.set_connection_mode(Link { from: own, to: Party::Bulletin }, stream);
             for w in 0..self.workers.len() {
-                self.stream(Link { from: own, to: Party::Worker(w) }, stream);
+                self.set_connection_mode(Link { from: own, to: Party::Worker(w) }, stream);
             }
             for j in (0..self.schedulers.len()).filter(|j| !group.contains(j)) {
                 let other = Party::Scheduler(j);
                 for way in [Link { from: own, to: other }, Link { from: other, to: own }] {
-                    self.loss(way, loss);
+                    self.set_datagram_faults(way, loss);
                 }
             }
         }
     }
 
     /// Where a scheduler reaches another with its datagrams.
-    pub fn reach(&self, from: usize, to: usize) -> SocketAddr {
+    pub fn peer_relay_address(&self, from: usize, to: usize) -> SocketAddr {
         self.mesh[from][to]
     }
 
@@ -300,7 +303,7 @@
     ///
     /// # Errors
     /// Where it does not answer.
-    pub fn view(&self, i: usize) -> Result<StatusResponse, HarnessError> {
+    pub fn fetch_view(&self, i: usize) -> Result<StatusResponse, HarnessError> {
         Ok(fetch_membership(self.peers[i])?)
     }
 
@@ -310,17 +313,17 @@
     }
 
     /// Whether all of a group hold the same view, and in it those of the group that run, and no others, are live.
-    pub fn agrees(&self, group: &[usize]) -> bool {
+    pub fn views_agree(&self, group: &[usize]) -> bool {
         let up: Vec<_> = self.running().into_iter().filter(|i| group.contains(i)).collect();
-        let views: Vec<_> = up.iter().filter_map(|i| self.view(*i).ok()).collect();
+        let views: Vec<_> = up.iter().filter_map(|i| self.fetch_view(*i).ok()).collect();
         views.len() == up.len() && views.iter().all(|view| view.digest == views[0].digest && live(view) == up)
     }
 
     /// Waits until [`Bed::agrees`]; how long that took, or nothing where it does not within this time.
-    pub fn agreement(&self, group: &[usize], within: Duration) -> Option<Duration> {
+    pub fn wait_for_agreement(&self, group: &[usize], within: Duration) -> Option<Duration> {
         let began = std::time::Instant::now();
         while began.elapsed() < within {
-            if self.agrees(group) {
+            if self.views_agree(group) {
                 return Some(began.elapsed());
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -329,7 +332,7 @@
     }
 
     /// A number drawn below `below`, the same for the same seed and step.
-    pub fn draw(seed: u64, step: u64, below: usize) -> usize {
+    pub fn seeded_index(seed: u64, step: u64, below: usize) -> usize {
         StdRng::seed_from_u64(seed ^ step << 32).random_range(0..below.max(1))
     }
 
--- a/crates/faulttest/src/hollow/report.rs
+++ b/crates/faulttest/src/hollow/report.rs
@@ -33,11 +33,11 @@
     /// By series.
     pub rows: BTreeMap<&'static str, Row>,
     /// Steps after which members did not agree in time.
-    pub unsettled: Vec<String>,
+    pub unsettled_steps: Vec<String>,
     /// Steps whose figures do not count: the machine was too busy for the loops to keep time.
-    pub late: Vec<String>,
+    pub overloaded_steps: Vec<String>,
     /// Real processes that ended by themselves, or not well.
-    pub failed: Vec<String>,
+    pub failed_processes: Vec<String>,
 }
 
 impl HollowReport {
@@ -51,8 +51,10 @@
     }
 
     /// Whether every step settled in time that counts, and no process failed.
-    pub fn is_good(&self) -> bool {
-        self.unsettled.is_empty() && self.late.is_empty() && self.failed.is_empty()
+    pub fn passed(&self) -> bool {
+        self.unsettled_steps.is_empty()
+            && self.overloaded_steps.is_empty()
+            && self.failed_processes.is_empty()
     }
 }
 
--- a/crates/faulttest/src/hollow/run.rs
+++ b/crates/faulttest/src/hollow/run.rs
@@ -62,7 +62,7 @@
     needs.check(&machine)?;
     let mut run = Run::start(script, tell)?;
     for (index, step) in script.steps.iter().enumerate() {
-        run.step(index, step.act)?;
+        run.step(index, step.action)?;
     }
     run.finish()
 }
@@ -255,11 +255,11 @@
             told_window(&window)
         ));
         if settled.is_none() {
-            self.report.unsettled.push(what.to_owned());
+            self.report.unsettled_steps.push(what.to_owned());
         }
         if window.late_share() > MOST_LATE {
             self.say(format!("{what}: the loops were late, its figures do not count"));
-            self.report.late.push(what.to_owned());
+            self.report.overloaded_steps.push(what.to_owned());
             return Ok(());
         }
         let value = settled.map_or(Value::Unsettled, |took| Value::Measured(took as f64 / 1e3));
@@ -302,7 +302,7 @@
             }
             HollowAction::Permit => self.permit(index),
             HollowAction::Start => self.restart(),
-            HollowAction::Cut(cut, span) => self.cut(cut, span),
+            HollowAction::Partition(cut, span) => self.cut(cut, span),
         }
     }
 
@@ -317,7 +317,7 @@
         }
         if window.late_share() > MOST_LATE {
             self.say("quiet: the loops were late, its figures do not count".to_owned());
-            self.report.late.push("quiet".to_owned());
+            self.report.overloaded_steps.push("quiet".to_owned());
             return Ok(());
         }
         self.report.add("bytes_per_s_quiet", "B/s", Value::Measured(window.bytes_per_s()));
@@ -343,7 +343,7 @@
             }
             if self.now() >= event + spec.settle_us {
                 self.say(format!("permit for n{out} through n{through}: none after {took} ms: {told:?}"));
-                self.report.unsettled.push("permit".to_owned());
+                self.report.unsettled_steps.push("permit".to_owned());
                 return Ok(());
             }
             self.wait(self.now() + LOOK_US)?;
@@ -427,9 +427,9 @@
 load.datagrams, load.refused, load.received
 ));
         let running = self.running()?;
-        self.report.failed = self.real.crashed(&running);
+        self.report.failed_processes = self.real.crashed(&running);
         let ended = self.real.finish();
-        self.report.failed.extend(ended);
+        self.report.failed_processes.extend(ended);
         Ok(self.report.clone())
     }
 }
--- a/crates/faulttest/src/hollow/script.rs
+++ b/crates/faulttest/src/hollow/script.rs
@@ -68,14 +68,14 @@
     /// All that are dead start again.
     Start,
     /// A zone or region is cut off for a time; the waiting begins as the cut ends.
-    Cut(Partition, Micros),
+    Partition(Partition, Micros),
 }
 
 /// A step of a script, with its place in it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HollowStep {
     /// What happens.
-    pub act: HollowAction,
+    pub action: HollowAction,
 }
 
 /// A trial of hollow members.
@@ -193,8 +193,10 @@
             }
             HollowAction::KillMembers(members)
         }
-        ("cut", Some(zone), None, None, Some(lasts)) => HollowAction::Cut(Partition::Zone(zone), lasts),
-        ("cut", None, Some(region), None, Some(lasts)) => HollowAction::Cut(Partition::Region(region), lasts),
+        ("cut", Some(zone), None, None, Some(lasts)) => HollowAction::Partition(Partition::Zone(zone), lasts),
+        ("cut", None, Some(region), None, Some(lasts)) => {
+            HollowAction::Partition(Partition::Region(region), lasts)
+        }
         (told, ..) => {
             let needs = match told {
                 "quiet" => "for-ms, after-ms at most",
@@ -208,7 +210,7 @@
             return None;
         }
     };
-    (faults.len() == before).then_some(HollowStep { act })
+    (faults.len() == before).then_some(HollowStep { action: act })
 }
 
 /// Hollow members in the zone that is drawn from: any but the first, where there are several.
--- a/crates/faulttest/src/kept_checker.rs
+++ b/crates/faulttest/src/kept_checker.rs
@@ -115,9 +115,9 @@
         }
         if event.twice(&journals) || end.is_none() && event.deadline + LATE_US < last {
             let ways = ways.into_iter().map(str::to_owned).collect();
-            wrong.push(FleetViolation::Ended(event.name.clone(), ways));
+            wrong.push(FleetViolation::WrongEnd(event.name.clone(), ways));
         } else if end == Some("refused") && ran.contains(event.name.as_str()) {
-            wrong.push(FleetViolation::Untrue(event.name.clone()));
+            wrong.push(FleetViolation::FalseRefusal(event.name.clone()));
         }
     }
     ((count, counts), wrong)
@@ -162,12 +162,12 @@
         let name = || "s#1".to_owned();
         assert_eq!(wrong(vec![ended(6, Outcome::Served)], &ran()), []);
         assert_eq!(wrong(vec![Glance::Over(KEY, Outcome::Failed)], &ran()), []);
-        assert_eq!(wrong(vec![], &ran()), [FleetViolation::Ended(name(), vec![])]);
+        assert_eq!(wrong(vec![], &ran()), [FleetViolation::WrongEnd(name(), vec![])]);
         assert_eq!(wrong(vec![], &ran()[..1]), [], "its time is not over");
         let two = vec!["refused".to_owned(), "served".to_owned()];
         let both = vec![ended(6, Outcome::Served), ended(7, Outcome::Refused)];
-        assert_eq!(wrong(both, &ran()), [FleetViolation::Ended(name(), two)]);
-        assert_eq!(wrong(vec![ended(6, Outcome::Refused)], &ran()), [FleetViolation::Untrue(name())]);
+        assert_eq!(wrong(both, &ran()), [FleetViolation::WrongEnd(name(), two)]);
+        assert_eq!(wrong(vec![ended(6, Outcome::Refused)], &ran()), [FleetViolation::FalseRefusal(name())]);
         assert_eq!(wrong(vec![ended(6, Outcome::Refused)], &ran()[1..]), []);
         let anew = vec![ended(6, Outcome::Refused), accepted(8), ended(9, Outcome::Served)];
         assert_eq!(wrong(anew, &ran()), [], "turned away, and taken when it came again");
--- a/crates/faulttest/src/lib.rs
+++ b/crates/faulttest/src/lib.rs
@@ -28,7 +28,7 @@
 mod workspace;
 
 /// What becomes of the datagrams of a way, in one direction: the same as in virtual time.
-pub use basaltward_membership::LinkFaults as Loss;
+pub use basaltward_membership::LinkFaults as DatagramFaults;
 pub use capture::{CaptureProtocol, CapturedTraffic, ForwardedCall, JournalMessage};
 pub use checker::{FleetViolation, Verdict, check_cluster};
 pub use cluster::{Cluster, ClusterSpec, HarnessError};
@@ -41,7 +41,7 @@
 pub use network::Network;
 pub use process::{Change, Launch, Process, ProcessError};
 pub use relay::{LinkCounts, Relay, RelayBuilder};
-pub use script::{Act, LoadedScript, Script, Step, load, run};
+pub use script::{Action, LoadedScript, Script, Step, load, run};
 pub use shaping::Shaping;
 pub use site_checker::{SiteCalls, SitesVerdict, check_sites};
 pub use site_cluster::{ProcessSelector, SiteCluster};
--- a/crates/faulttest/src/network.rs
+++ b/crates/faulttest/src/network.rs
@@ -1,100 +1,103 @@
-//! The relays of a bed, with what was done to each way when, and what crossed one that was cut.
+//! The relays of a cluster, with a log of the faults set on each link and of bytes that crossed a stopped link.
 
-use crate::Loss;
+use crate::DatagramFaults;
 use crate::link::{ConnectionMode, Link};
 use crate::relay::Relay;
 use crate::shaping::Shaping;
 use basaltward_net::{Micros, monotonic};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// See the module.
+/// The simulated network: sets faults on links through the [`Relay`] and logs them.
 pub struct Network {
     /// The relays.
     pub relay: Relay,
-    /// Faults put on ways, with their time.
+    /// Log of the faults set on links, with the time of each; `pass` ends a fault of the connections.
     pub faults: Vec<(Micros, Link, String)>,
-    /// Bytes that crossed a way while it was cut.
+    /// Bytes that crossed a link while it was stopped, which the relay must not allow.
     pub leaks: Vec<(Link, u64)>,
-    /// Bytes in each direction of a way as it was closed there.
-    closed: BTreeMap<Link, [Option<u64>; 2]>,
-    streams: BTreeMap<Link, ConnectionMode>,
+    /// Byte counts per direction at the time when that direction of the link was stopped.
+    bytes_when_stopped: BTreeMap<Link, [Option<u64>; 2]>,
+    connection_modes: BTreeMap<Link, ConnectionMode>,
     shapings: BTreeMap<Link, [Shaping; 2]>,
-    /// Nobody listens at their ends.
-    shut: BTreeSet<Link>,
+    /// Links whose target process is down.
+    target_down: BTreeSet<Link>,
 }
 
 impl Network {
-    /// No faults yet.
+    /// A network without faults.
     pub fn new(relay: Relay) -> Self {
-        let (closed, streams, shapings, shut) = Default::default();
-        Self { relay, faults: Vec::new(), leaks: Vec::new(), closed, streams, shapings, shut }
+        let (bytes_when_stopped, connection_modes, shapings, target_down) = Default::default();
+        let (faults, leaks) = (Vec::new(), Vec::new());
+        Self { relay, faults, leaks, bytes_when_stopped, connection_modes, shapings, target_down }
     }
 
-    /// What becomes of the connections of a way from now on.
-    pub fn stream(&mut self, way: Link, stream: ConnectionMode) {
-        if self.streams.insert(way, stream).unwrap_or_default() == stream {
+    /// Sets how the connections of a link are treated from now on.
+    pub fn set_connection_mode(&mut self, link: Link, mode: ConnectionMode) {
+        if self.connection_modes.insert(link, mode).unwrap_or_default() == mode {
             return;
         }
-        self.settle(way, |ways| {
-            if !ways.shut.contains(&way) {
-                ways.relay.stream(way, stream);
+        self.change_link(link, |network| {
+            if !network.target_down.contains(&link) {
+                network.relay.set_connection_mode(link, mode);
             }
         });
-        self.note(way, format!("{stream:?}").to_lowercase());
+        self.log_fault(link, format!("{mode:?}").to_lowercase());
     }
 
-    /// Nobody listens at the end of a way, or somebody does again: a relay would else take connections in its place.
-    /// That is no fault of the way.
-    pub fn shut(&mut self, way: Link, shut: bool) {
-        let changed = if shut { self.shut.insert(way) } else { self.shut.remove(&way) };
+    /// Records whether the target process of a link is down. While it is, the relay refuses connections, which it would
+    /// otherwise accept in place of the process. This is not logged as a fault of the link.
+    pub fn set_target_down(&mut self, link: Link, down: bool) {
+        let changed = if down { self.target_down.insert(link) } else { self.target_down.remove(&link) };
         if changed {
-            let stream = if shut {
+            let mode = if down {
                 ConnectionMode::Refuse
             } else {
-                self.streams.get(&way).copied().unwrap_or_default()
+                self.connection_modes.get(&link).copied().unwrap_or_default()
             };
-            self.relay.stream(way, stream);
+            self.relay.set_connection_mode(link, mode);
         }
     }
 
-    /// How bytes of a way travel from now on, from who began and back.
-    pub fn shapings(&mut self, way: Link, shapings: [Shaping; 2]) {
-        if self.shapings.insert(way, shapings).unwrap_or_default() == shapings {
+    /// Sets delay, loss and rate of the bytes on a link's connections from now on: from the connecting side, and back.
+    pub fn set_shaping(&mut self, link: Link, shapings: [Shaping; 2]) {
+        if self.shapings.insert(link, shapings).unwrap_or_default() == shapings {
             return;
         }
-        self.settle(way, |ways| ways.relay.shapings(way, shapings));
-        self.note(way, format!("courses {shapings:?}"));
+        self.change_link(link, |network| network.relay.set_shaping(link, shapings));
+        self.log_fault(link, format!("shaping {shapings:?}"));
     }
 
-    /// What becomes of the datagrams of a way from now on.
-    pub fn loss(&mut self, way: Link, loss: Loss) {
-        self.relay.loss(way, loss);
-        self.note(way, format!("lost {:.2}, doubled {:.2}", loss.loss_rate, loss.duplicate_rate));
+    /// Sets loss, duplication and delay of a link's datagrams from now on.
+    pub fn set_datagram_faults(&mut self, link: Link, faults: DatagramFaults) {
+        self.relay.set_datagram_faults(link, faults);
+        self.log_fault(link, format!("lost {:.2}, doubled {:.2}", faults.loss_rate, faults.duplicate_rate));
     }
 
-    fn note(&mut self, way: Link, what: String) {
-        self.faults.push((monotonic(), way, what));
+    fn log_fault(&mut self, link: Link, description: String) {
+        self.faults.push((monotonic(), link, description));
     }
 
-    fn carried(&self, way: Link) -> [u64; 2] {
-        self.relay.counts().get(&way).map_or([0; 2], |c| [c.bytes.0, c.bytes.1])
+    fn bytes_carried(&self, link: Link) -> [u64; 2] {
+        self.relay.counts().get(&link).map_or([0; 2], |c| [c.bytes.0, c.bytes.1])
     }
 
-    /// Changes a way. What was closed is looked at before: what waits at the relay crosses it then.
-    fn settle(&mut self, way: Link, change: impl FnOnce(&Self)) {
-        let carried = self.carried(way);
-        for (before, now) in self.closed.remove(&way).unwrap_or_default().iter().zip(carried) {
+    /// Changes a link. Leaks of stopped directions are measured before the change, because bytes queued at the relay
+    /// cross the link as soon as it is opened.
+    fn change_link(&mut self, link: Link, change: impl FnOnce(&Self)) {
+        let carried = self.bytes_carried(link);
+        for (before, now) in self.bytes_when_stopped.remove(&link).unwrap_or_default().iter().zip(carried) {
             let leaked = before.map_or(0, |before| now - before);
-            self.leaks.extend((leaked > 0).then_some((way, leaked)));
+            self.leaks.extend((leaked > 0).then_some((link, leaked)));
         }
         change(self);
-        let stopped = self.streams.get(&way).is_some_and(|stream| *stream != ConnectionMode::Pass);
-        let shapings = self.shapings.get(&way).copied().unwrap_or_default();
-        let carried = self.carried(way);
-        let close = |direction: usize| (stopped || shapings[direction].silent).then_some(carried[direction]);
-        let closed = [close(0), close(1)];
-        if closed != [None; 2] {
-            self.closed.insert(way, closed);
+        let stopped = self.connection_modes.get(&link).is_some_and(|mode| *mode != ConnectionMode::Pass);
+        let shapings = self.shapings.get(&link).copied().unwrap_or_default();
+        let carried = self.bytes_carried(link);
+        let bytes_if_stopped =
+            |direction: usize| (stopped || shapings[direction].blackhole).then_some(carried[direction]);
+        let bytes = [bytes_if_stopped(0), bytes_if_stopped(1)];
+        if bytes != [None; 2] {
+            self.bytes_when_stopped.insert(link, bytes);
         }
     }
 }
--- a/crates/faulttest/src/relay.rs
+++ b/crates/faulttest/src/relay.rs
@@ -4,7 +4,7 @@
 //! it, so that both ends name an attempt alike. A datagram leaves from the address at which its receiver knows
 //! its sender.
 
-use crate::Loss;
+use crate::DatagramFaults;
 use crate::capture::{CaptureProtocol, CapturedTraffic};
 use crate::link::{ConnectionMode, Link, Party};
 use crate::relay_loop::Running;
@@ -29,11 +29,11 @@
     /// Datagrams delivered, doubles included.
     pub delivered: u64,
     /// Longer than the platform allows.
-    pub too_long: u64,
+    pub oversized: u64,
     /// From an address that is not the sender's.
-    pub strange: u64,
+    pub wrong_source: u64,
     /// Bytes that the relay has changed.
-    pub changed: u64,
+    pub corrupted: u64,
     /// When anything was last carried.
     pub last: Micros,
 }
@@ -66,7 +66,7 @@
     /// Its number among the sockets of the loop, and that of the one its datagrams leave from.
     pub out: usize,
     pub target: SocketAddr,
-    pub loss: Loss,
+    pub loss: DatagramFaults,
     /// Datagrams of this way so far: what becomes of each follows from the seed and this.
     pub count: u64,
 }
@@ -75,7 +75,7 @@
     Stream(Link, ConnectionMode),
     Shape(Link, [Shaping; 2]),
     Change(Link),
-    Loss(Link, Loss),
+    Loss(Link, DatagramFaults),
     Stop,
 }
 
@@ -163,7 +163,7 @@
                 debug_assert_eq!(sockets[i][j].0, self.pairs.len());
                 let way = Link { from: Party::Scheduler(i), to: Party::Scheduler(j) };
                 let (sender, out, target) = (peers[i], sockets[j][i].0, peers[j]);
-                self.pairs.push(Pair { way, sender, out, target, loss: Loss::default(), count: 0 });
+                self.pairs.push(Pair { way, sender, out, target, loss: DatagramFaults::default(), count: 0 });
             }
         }
         Ok(sockets.into_iter().map(|all| all.into_iter().map(|(_, address)| address).collect()).collect())
@@ -192,22 +192,22 @@
     }
 
     /// What becomes of the connections of a way, from now on.
-    pub fn stream(&self, way: Link, stream: ConnectionMode) {
+    pub fn set_connection_mode(&self, way: Link, stream: ConnectionMode) {
         self.tell(Command::Stream(way, stream));
     }
 
     /// How bytes of a way travel from now on, from who began and back.
-    pub fn shapings(&self, way: Link, shapings: [Shaping; 2]) {
+    pub fn set_shaping(&self, way: Link, shapings: [Shaping; 2]) {
         self.tell(Command::Shape(way, shapings));
     }
 
     /// The next bytes of a way from who began are changed: one of them, once.
-    pub fn change(&self, way: Link) {
+    pub fn corrupt_byte(&self, way: Link) {
         self.tell(Command::Change(way));
     }
 
     /// What becomes of the datagrams of a way, from now on.
-    pub fn loss(&self, way: Link, loss: Loss) {
+    pub fn set_datagram_faults(&self, way: Link, loss: DatagramFaults) {
         self.tell(Command::Loss(way, loss));
     }
 
--- a/crates/faulttest/src/relay_loop.rs
+++ b/crates/faulttest/src/relay_loop.rs
@@ -193,7 +193,7 @@
     /// Whether a half's bytes travel.
     fn carries(&self, half: &Half) -> bool {
         let route = &self.routes[half.route];
-        route.stream == ConnectionMode::Pass && !route.shapings[usize::from(!half.near)].silent
+        route.stream == ConnectionMode::Pass && !route.shapings[usize::from(!half.near)].blackhole
     }
 
     /// Moves what has come on one half towards the other.
@@ -258,7 +258,7 @@
                     let length = bytes.len() as u64;
                     self.count(way, |c| {
                         *(if near { &mut c.bytes.0 } else { &mut c.bytes.1 }) += length;
-                        c.changed += u64::from(changed);
+                        c.corrupted += u64::from(changed);
                     });
                 }
                 Some(Item::End(how)) => {
@@ -306,7 +306,7 @@
             let Some(pair) = self.pairs.get_mut(number) else { return };
             let Pair { way, sender, loss, .. } = *pair;
             if from != sender {
-                self.count(way, |c| c.strange += 1);
+                self.count(way, |c| c.wrong_source += 1);
                 continue;
             }
             pair.count += 1;
@@ -327,7 +327,7 @@
             self.count(way, |c| {
                 c.datagrams.0 += 1;
                 c.datagrams.1 += length as u64;
-                c.too_long += u64::from(length > ALLOWED);
+                c.oversized += u64::from(length > ALLOWED);
             });
         }
     }
--- a/crates/faulttest/src/script.rs
+++ b/crates/faulttest/src/script.rs
@@ -1,6 +1,6 @@
 //! A trial by a script: a fleet, and what happens to it when.
 
-use crate::Loss;
+use crate::DatagramFaults;
 use crate::cluster::{Cluster, ClusterSpec, HarnessError};
 use crate::hollow::{HollowScript, hollow};
 use crate::link::{ConnectionMode, Link, Party};
@@ -15,7 +15,7 @@
 
 /// What happens at a time.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// A scheduler is killed outright.
     Kill(usize),
     /// A scheduler is told to stop, and waited for.
@@ -25,15 +25,15 @@
     /// A scheduler stands still, or goes on.
     Stall(usize, bool),
     /// A scheduler reads its configuration anew.
-    Reread(usize),
+    ReloadConfig(usize),
     /// A group is cut off from everybody, or taken up again.
-    Cut(Vec<usize>, bool),
+    Partition(Vec<usize>, bool),
     /// All datagrams.
-    Loss(Loss),
+    AllDatagrams(DatagramFaults),
     /// The datagrams of one way.
-    OneWay(usize, usize, Loss),
+    OneWayDatagrams(usize, usize, DatagramFaults),
     /// The connections of a way.
-    Stream(Link, ConnectionMode),
+    Connections(Link, ConnectionMode),
 }
 
 /// An act at its time.
@@ -42,7 +42,7 @@
     /// From the start of the run.
     pub at: Micros,
     /// What happens.
-    pub act: Act,
+    pub action: Action,
 }
 
 /// A trial.
@@ -119,7 +119,7 @@
     fn who(&self, name: &str, count: usize, faults: &mut Vec<Fault>) -> Option<usize> {
         let told = self.node.attribute(name);
         if told == Some("any") {
-            return Some(Cluster::draw(self.fleet.seed, self.index, count));
+            return Some(Cluster::seeded_index(self.fleet.seed, self.index, count));
         }
         let number = told.and_then(|text| text.parse().ok()).filter(|n| *n < count);
         if number.is_none() {
@@ -140,14 +140,14 @@
         good.then_some(group)
     }
 
-    fn loss(&self, faults: &mut Vec<Fault>) -> Loss {
+    fn loss(&self, faults: &mut Vec<Fault>) -> DatagramFaults {
         let share = |name: &str, faults: &mut Vec<Fault>| {
             self.node.parse_attribute::<f64>(name, faults).unwrap_or(0.0)
         };
-        let usual = Loss::default();
+        let usual = DatagramFaults::default();
         let late =
             self.node.parse_attribute::<u64>("late-ms", faults).map_or(usual.delay_range.1, |ms| ms * 1_000);
-        Loss {
+        DatagramFaults {
             loss_rate: share("lost", faults),
             duplicate_rate: share("doubled", faults),
             delay_range: (usual.delay_range.0, late),
@@ -164,52 +164,61 @@
         let worker = |stream: ConnectionMode, faults: &mut Vec<Fault>| {
             let scheduler = self.who("scheduler", schedulers, faults)?;
             let worker = self.who("worker", self.fleet.workers, faults)?;
-            Some((Act::Stream(way(Party::Worker(worker), scheduler), stream), scheduler, worker))
+            Some((Action::Connections(way(Party::Worker(worker), scheduler), stream), scheduler, worker))
         };
         let acts = match told {
             "kill" | "stop" | "start" | "reread" => {
                 let Some(one) = self.who("scheduler", schedulers, faults) else { return };
                 match told {
-                    "kill" => (Act::Kill(one), Some(Act::Start(one))),
-                    "stop" => (Act::Stop(one), Some(Act::Start(one))),
-                    "start" => (Act::Start(one), None),
-                    _ => (Act::Reread(one), None),
+                    "kill" => (Action::Kill(one), Some(Action::Start(one))),
+                    "stop" => (Action::Stop(one), Some(Action::Start(one))),
+                    "start" => (Action::Start(one), None),
+                    _ => (Action::ReloadConfig(one), None),
                 }
             }
             "stall" => {
                 let Some(one) = self.who("scheduler", schedulers, faults) else { return };
-                (Act::Stall(one, true), Some(Act::Stall(one, false)))
+                (Action::Stall(one, true), Some(Action::Stall(one, false)))
             }
             "cut" => {
                 let Some(group) = self.group(faults) else { return };
-                (Act::Cut(group.clone(), true), Some(Act::Cut(group, false)))
+                (Action::Partition(group.clone(), true), Some(Action::Partition(group, false)))
             }
-            "loss" => (Act::Loss(self.loss(faults)), Some(Act::Loss(Loss::default()))),
+            "loss" => (
+                Action::AllDatagrams(self.loss(faults)),
+                Some(Action::AllDatagrams(DatagramFaults::default())),
+            ),
             "one-way" => {
                 let Some(one) = self.who("scheduler", schedulers, faults) else { return };
                 let Some(to) = self.who("to", schedulers, faults) else { return };
-                let end = Act::OneWay(one, to, Loss::default());
-                (Act::OneWay(one, to, Loss { loss_rate: 1.0, ..self.loss(faults) }), Some(end))
+                let end = Action::OneWayDatagrams(one, to, DatagramFaults::default());
+                (
+                    Action::OneWayDatagrams(one, to, DatagramFaults { loss_rate: 1.0, ..self.loss(faults) }),
+                    Some(end),
+                )
             }
             "late-bulletin" => {
                 let Some(one) = self.who("scheduler", schedulers, faults) else { return };
                 let way = way(Party::Bulletin, one);
-                (Act::Stream(way, ConnectionMode::Stall), Some(Act::Stream(way, ConnectionMode::Pass)))
+                (
+                    Action::Connections(way, ConnectionMode::Stall),
+                    Some(Action::Connections(way, ConnectionMode::Pass)),
+                )
             }
             _ => {
                 let stream =
                     if told == "refuse-worker" { ConnectionMode::Refuse } else { ConnectionMode::Stall };
                 let Some((act, one, to)) = worker(stream, faults) else { return };
-                (act, Some(Act::Stream(way(Party::Worker(to), one), ConnectionMode::Pass)))
+                (act, Some(Action::Connections(way(Party::Worker(to), one), ConnectionMode::Pass)))
             }
         };
-        steps.push(Step { at, act: acts.0 });
-        let end = lasts.zip(acts.1).map(|(lasts, act)| Step { at: at + lasts, act });
+        steps.push(Step { at, action: acts.0 });
+        let end = lasts.zip(acts.1).map(|(lasts, act)| Step { at: at + lasts, action: act });
         steps.extend(end);
     }
 }
 
-impl Act {
+impl Action {
     /// Does it.
     ///
     /// # Errors
@@ -218,16 +227,19 @@
         match self {
             Self::Kill(one) => bed.kill(*one),
             Self::Stop(one) => bed.stop(*one)?,
-            Self::Start(one) => bed.up(*one)?,
+            Self::Start(one) => bed.start_scheduler(*one)?,
             Self::Stall(one, true) => bed.schedulers[*one].stall(),
             Self::Stall(one, false) => bed.schedulers[*one].resume(),
-            Self::Reread(one) => bed.schedulers[*one].reread(),
-            Self::Cut(group, cut) => bed.cut(group, *cut),
-            Self::Loss(loss) => bed.loss_of_all(*loss),
-            Self::OneWay(from, to, loss) => {
-                bed.loss(Link { from: Party::Scheduler(*from), to: Party::Scheduler(*to) }, *loss);
+            Self::ReloadConfig(one) => bed.schedulers[*one].reread(),
+            Self::Partition(group, cut) => bed.set_partition(group, *cut),
+            Self::AllDatagrams(loss) => bed.set_all_datagram_faults(*loss),
+            Self::OneWayDatagrams(from, to, loss) => {
+                bed.set_datagram_faults(
+                    Link { from: Party::Scheduler(*from), to: Party::Scheduler(*to) },
+                    *loss,
+                );
             }
-            Self::Stream(way, stream) => bed.stream(*way, *stream),
+            Self::Connections(way, stream) => bed.set_connection_mode(*way, *stream),
         }
         Ok(())
     }
@@ -239,14 +251,14 @@
 /// Where the bed can't be made, or a scheduler is not as the script has it.
 pub fn run(script: &Script) -> Result<Cluster, HarnessError> {
     let mut bed = Cluster::start(script.fleet.clone())?;
-    bed.call();
+    bed.start_clients();
     let began = monotonic();
     let until = |at: Micros| {
         std::thread::sleep(Duration::from_micros((began + at).saturating_sub(monotonic())));
     };
     for step in script.steps.iter().take_while(|step| step.at <= script.span) {
         until(step.at);
-        step.act.perform(&mut bed)?;
+        step.action.perform(&mut bed)?;
     }
     until(script.span);
     Ok(bed)
--- a/crates/faulttest/src/shaping.rs
+++ b/crates/faulttest/src/shaping.rs
@@ -22,7 +22,7 @@
     /// Bytes a second over all connections; none without a bound.
     pub rate: Option<u64>,
     /// Nothing is carried, and connections stay open.
-    pub silent: bool,
+    pub blackhole: bool,
 }
 
 impl Shaping {
--- a/crates/faulttest/src/site_checker.rs
+++ b/crates/faulttest/src/site_checker.rs
@@ -61,16 +61,16 @@
     let mut rules = rule_settings(&bed.config, &[]);
     let workers = (0..bed.workers.len()).map(|w| (Party::Worker(w).to_string(), w as u64));
     rules.groups = workers.collect();
-    let (mut verdict, records) = common(records, &rules, (&fronts, &bed.ways));
+    let (mut verdict, records) = common(records, &rules, (&fronts, &bed.network));
     for (w, process) in bed.workers.iter().enumerate() {
-        verdict.fleet.extend(ends(Party::Worker(w), process));
+        verdict.violations.extend(ends(Party::Worker(w), process));
     }
-    let captured = bed.ways.relay.captured();
+    let captured = bed.network.relay.captured();
     let asked = Asked::of(bed, &records);
-    verdict.fleet.extend(twice(&records, &rules, &asked));
-    verdict.fleet.extend(hops(&captured.handed, &asked));
+    verdict.violations.extend(twice(&records, &rules, &asked));
+    verdict.violations.extend(hops(&captured.handed, &asked));
     let (kept, wrong) = kept(&captured.noted, bed.spec.holders, &records);
-    verdict.fleet.extend(wrong);
+    verdict.violations.extend(wrong);
     SitesVerdict { sites: by_site(bed, &records, &captured.handed, &asked), kept, verdict }
 }
 
@@ -127,7 +127,7 @@
         }
     }
     let at = |event: &str| ran[event].iter().map(|(_, by)| (*by).to_owned()).collect();
-    found.into_iter().map(|event| FleetViolation::Twice(event.to_owned(), at(event))).collect()
+    found.into_iter().map(|event| FleetViolation::DuplicateEffect(event.to_owned(), at(event))).collect()
 }
 
 /// A call is handed over once at most: by what it says itself, and by the ways on which it was seen.
@@ -140,7 +140,7 @@
         // Who got it from a gateway and from no client hands it on.
         let passed = reached.contains(&(event, from)) && !asked.at.contains(&(event, from));
         if told > 1 || passed {
-            found.insert(FleetViolation::Hops(event.clone(), told.max(2)));
+            found.insert(FleetViolation::TooManyHops(event.clone(), told.max(2)));
         }
         reached.insert((event, to));
     }
--- a/crates/faulttest/src/site_cluster.rs
+++ b/crates/faulttest/src/site_cluster.rs
@@ -45,13 +45,13 @@
     /// Where each gateway listens.
     pub listens: Vec<SocketAddr>,
     /// Where clients reach each gateway.
-    pub reached: Vec<SocketAddr>,
+    pub client_addresses: Vec<SocketAddr>,
     /// Where each gateway reaches the fronts of all, by number.
-    pub fronts: Vec<Vec<SocketAddr>>,
+    pub front_addresses: Vec<Vec<SocketAddr>>,
     /// Where each takes datagrams.
     pub tells: Vec<SocketAddr>,
     /// The relays on all ways.
-    pub ways: Network,
+    pub network: Network,
     /// What clients saw.
     pub recorder: Recorder,
     /// When clients began.
@@ -153,10 +153,10 @@
             gateways,
             workers,
             listens,
-            reached,
-            fronts,
+            client_addresses: reached,
+            front_addresses: fronts,
             tells,
-            ways,
+            network: ways,
             recorder,
             began,
             config,
@@ -222,17 +222,17 @@
         let (gateways, workers) = self.meant(who);
         let all = 0..self.gateways.len();
         for i in gateways {
-            self.ways.shut(Link { from: Party::Clients, to: Party::Scheduler(i) }, shut);
+            self.network.set_target_down(Link { from: Party::Clients, to: Party::Scheduler(i) }, shut);
             for from in all.clone().filter(|from| *from != i).map(Party::Scheduler) {
                 for to in [Party::Scheduler(i), Party::Journal(i)] {
-                    self.ways.shut(Link { from, to }, shut);
+                    self.network.set_target_down(Link { from, to }, shut);
                 }
             }
         }
         for w in workers {
             let here = self.of.1[w];
             for i in self.gateways_of(here) {
-                self.ways.shut(Link { from: Party::Scheduler(i), to: Party::Worker(w) }, shut);
+                self.network.set_target_down(Link { from: Party::Scheduler(i), to: Party::Worker(w) }, shut);
             }
         }
     }
@@ -265,18 +265,18 @@
     }
 
     /// How the link from one site to another is now.
-    pub fn link_now(&self, from: usize, to: usize) -> SiteLink {
+    pub fn current_link(&self, from: usize, to: usize) -> SiteLink {
         self.links.get(&(from, to)).copied().unwrap_or_else(SiteLink::within)
     }
 
     /// How the link from one site to another is from now on.
     pub fn link(&mut self, from: usize, to: usize, link: SiteLink) {
         self.links.insert((from, to), link);
-        let back = self.link_now(to, from);
+        let back = self.current_link(to, from);
         for i in self.gateways_of(from) {
             for j in self.gateways_of(to).into_iter().filter(|j| *j != i) {
                 let (own, other) = (Party::Scheduler(i), Party::Scheduler(j));
-                self.ways.loss(Link { from: own, to: other }, link.loss());
+                self.network.set_datagram_faults(Link { from: own, to: other }, link.loss());
                 for to in [other, Party::Journal(j)] {
                     self.connections(Link { from: own, to }, (&link, &back));
                 }
@@ -289,16 +289,16 @@
 
     fn connections(&mut self, way: Link, (forth, back): (&SiteLink, &SiteLink)) {
         let shapings: [Shaping; 2] = [forth.shaping(), back.shaping()];
-        self.ways.shapings(way, shapings);
+        self.network.set_shaping(way, shapings);
         let stream = if back.broken { back.stream() } else { forth.stream() };
-        self.ways.stream(way, stream);
+        self.network.set_connection_mode(way, stream);
     }
 
     /// The next bytes on every journal's connection from one site to another are changed, one of them once.
-    pub fn change(&mut self, from: usize, to: usize) {
+    pub fn corrupt_byte(&mut self, from: usize, to: usize) {
         for i in self.gateways_of(from) {
             for j in self.gateways_of(to) {
-                self.ways.relay.change(Link { from: Party::Scheduler(i), to: Party::Journal(j) });
+                self.network.relay.corrupt_byte(Link { from: Party::Scheduler(i), to: Party::Journal(j) });
             }
         }
     }
@@ -307,22 +307,22 @@
     ///
     /// # Errors
     /// Where it does not answer.
-    pub fn view(&self, i: usize) -> Result<StatusResponse, HarnessError> {
+    pub fn fetch_view(&self, i: usize) -> Result<StatusResponse, HarnessError> {
         Ok(fetch_membership(self.tells[i])?)
     }
 
     /// Whether all gateways that run hold the same view, and in it those that run, and no others, are live.
-    pub fn agrees(&self) -> bool {
+    pub fn views_agree(&self) -> bool {
         let up: Vec<_> = (0..self.gateways.len()).filter(|i| self.gateways[*i].runs()).collect();
-        let views: Vec<_> = up.iter().filter_map(|i| self.view(*i).ok()).collect();
+        let views: Vec<_> = up.iter().filter_map(|i| self.fetch_view(*i).ok()).collect();
         views.len() == up.len() && views.iter().all(|view| view.digest == views[0].digest && live(view) == up)
     }
 
     /// Waits until [`SiteBed::agrees`]; false where it does not within this time.
-    pub fn agreement(&self, within: Duration) -> bool {
+    pub fn wait_for_agreement(&self, within: Duration) -> bool {
         let began = std::time::Instant::now();
         while began.elapsed() < within {
-            if self.agrees() {
+            if self.views_agree() {
                 return true;
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -334,8 +334,9 @@
     ///
     /// # Errors
     /// Where the system refuses their loop or thread.
-    pub fn call(&mut self) -> Result<(), HarnessError> {
-        let clients = Clients::through(self.reached.clone(), self.listens.clone(), self.recorder.clone())?;
+    pub fn start_clients(&mut self) -> Result<(), HarnessError> {
+        let clients =
+            Clients::through(self.client_addresses.clone(), self.listens.clone(), self.recorder.clone())?;
         let plans = plans(&self.spec, &self.of.0);
         self.began = monotonic();
         let run = move || clients.run(plans);
--- a/crates/faulttest/src/site_script.rs
+++ b/crates/faulttest/src/site_script.rs
@@ -30,7 +30,7 @@
     /// A link from one site to another.
     Link(usize, usize, SiteLink),
     /// The next bytes on journals' connections from one site to another are changed.
-    Change(usize, usize),
+    CorruptByte(usize, usize),
 }
 
 /// An act at its time.
@@ -39,7 +39,7 @@
     /// From the start of the run.
     pub at: Micros,
     /// What happens.
-    pub act: SiteAction,
+    pub action: SiteAction,
 }
 
 /// A trial of sites.
@@ -208,7 +208,7 @@
         let mut one = |name: &str, count: usize| {
             let text = node.attribute(name)?;
             let number = match text {
-                "any" => Some(Cluster::draw(self.spec.seed, index, count)),
+                "any" => Some(Cluster::seeded_index(self.spec.seed, index, count)),
                 text => text.parse().ok().filter(|n| *n < count),
             };
             if number.is_none() {
@@ -231,8 +231,8 @@
         let at = node.parse_attribute::<u64>("ms", faults).unwrap_or(0) * 1_000;
         let lasts = node.parse_attribute::<u64>("for-ms", faults).map(|ms| ms * 1_000);
         let add = |steps: &mut Vec<SiteStep>, act: SiteAction, end: Option<SiteAction>| {
-            steps.push(SiteStep { at, act });
-            steps.extend(lasts.zip(end).map(|(lasts, act)| SiteStep { at: at + lasts, act }));
+            steps.push(SiteStep { at, action: act });
+            steps.extend(lasts.zip(end).map(|(lasts, act)| SiteStep { at: at + lasts, action: act }));
         };
         let what = node.attribute("do").unwrap_or_default();
         match what {
@@ -260,7 +260,7 @@
             }
             "change-byte" => {
                 for (from, to) in self.pairs(node, faults) {
-                    add(&mut self.steps, SiteAction::Change(from, to), None);
+                    add(&mut self.steps, SiteAction::CorruptByte(from, to), None);
                 }
             }
             _ => {
@@ -295,7 +295,7 @@
             Self::Start(who) => bed.up(*who)?,
             Self::Stall(who, still) => bed.stall(*who, *still),
             Self::Link(from, to, link) => bed.link(*from, *to, *link),
-            Self::Change(from, to) => bed.change(*from, *to),
+            Self::CorruptByte(from, to) => bed.corrupt_byte(*from, *to),
         }
         Ok(())
     }
@@ -308,15 +308,15 @@
 pub fn run_sites(script: &SitesScript) -> Result<SiteCluster, HarnessError> {
     let mut bed = SiteCluster::start(script.spec.clone())?;
     // Clients come once the gateways know of one another; those that never agree are called all the same.
-    let _ = bed.spec.alone || bed.agreement(AGREE);
-    bed.call()?;
+    let _ = bed.spec.alone || bed.wait_for_agreement(AGREE);
+    bed.start_clients()?;
     let began = bed.began;
     let until = |at: Micros| {
         std::thread::sleep(Duration::from_micros((began + at).saturating_sub(monotonic())));
     };
     for step in script.steps.iter().take_while(|step| step.at <= script.span) {
         until(step.at);
-        step.act.perform(&mut bed)?;
+        step.action.perform(&mut bed)?;
     }
     until(script.span);
     Ok(bed)
--- a/crates/faulttest/src/site_spec.rs
+++ b/crates/faulttest/src/site_spec.rs
@@ -1,6 +1,6 @@
 //! Sites of gateways with workers of their own, the links between them, and what clients ask where.
 
-use crate::Loss;
+use crate::DatagramFaults;
 use crate::link::ConnectionMode;
 use crate::shaping::Shaping;
 use basaltward_net::Micros;
@@ -55,12 +55,12 @@
     }
 
     pub(crate) fn shaping(&self) -> Shaping {
-        Shaping { late: self.late, lost: self.lost, rate: self.rate, silent: self.silent }
+        Shaping { late: self.late, lost: self.lost, rate: self.rate, blackhole: self.silent }
     }
 
-    pub(crate) fn loss(&self) -> Loss {
+    pub(crate) fn loss(&self) -> DatagramFaults {
         let lost = if self.silent || self.broken { 1.0 } else { self.lost };
-        Loss { loss_rate: lost, duplicate_rate: self.doubled, delay_range: self.late }
+        DatagramFaults { loss_rate: lost, duplicate_rate: self.doubled, delay_range: self.late }
     }
 
     pub(crate) fn stream(&self) -> ConnectionMode {
--- a/crates/faulttest/tests/hollow.rs
+++ b/crates/faulttest/tests/hollow.rs
@@ -140,7 +140,7 @@
     let script = read(GOOD, "good").expect("good");
     assert_eq!((script.spec.members(), script.spec.real, script.spec.loops, script.spec.seed), (44, 4, 1, 9));
     assert_eq!(script.spec.conditions.delays, Delays { zone_us: 300, zones_us: 1_500, regions_us: 60_000 });
-    let acts: Vec<_> = script.steps.iter().map(|step| step.act).collect();
+    let acts: Vec<_> = script.steps.iter().map(|step| step.action).collect();
     assert_eq!(
         acts,
         [
@@ -148,7 +148,7 @@
             HollowAction::KillMembers(11),
             HollowAction::KillZone(3),
             HollowAction::Start,
-            HollowAction::Cut(Partition::Region(1), 10_000),
+            HollowAction::Partition(Partition::Region(1), 10_000),
             HollowAction::Loss { lost: 0.2, doubled: 0.0 },
         ]
     );
--- a/crates/faulttest/tests/relay.rs
+++ b/crates/faulttest/tests/relay.rs
@@ -1,5 +1,5 @@
 //! The relays by themselves, between plain sockets.
-use basaltward_faulttest::{ConnectionMode, Link, Loss, Party, Relay, RelayBuilder, Shaping};
+use basaltward_faulttest::{ConnectionMode, DatagramFaults, Link, Party, Relay, RelayBuilder, Shaping};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::time::Duration;
@@ -49,7 +49,7 @@
     let mut before = connect(address);
     before.write_all(b"one").expect("written");
     says(&mut before, b"one");
-    relay.stream(WAY, ConnectionMode::Stall);
+    relay.set_connection_mode(WAY, ConnectionMode::Stall);
     let mut during = connect(address);
     before.write_all(b"two").expect("written");
     during.write_all(b"three").expect("written");
@@ -59,7 +59,7 @@
     assert!(matches!(silent.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut), "{silent}");
     assert_eq!(relay.counts()[&WAY].bytes, (3, 3), "nothing crosses");
     before.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
-    relay.stream(WAY, ConnectionMode::Pass);
+    relay.set_connection_mode(WAY, ConnectionMode::Pass);
     says(&mut before, b"two");
     says(&mut during, b"three");
 }
@@ -72,12 +72,12 @@
     let relay = laying.start(1).expect("relays");
     let mut stream = connect(address);
     let (far, _) = listener.accept().expect("accepted");
-    relay.stream(WAY, ConnectionMode::Stall);
+    relay.set_connection_mode(WAY, ConnectionMode::Stall);
     drop(far);
     stream.set_read_timeout(Some(Duration::from_millis(200))).expect("set");
     assert!(stream.read(&mut [0]).is_err(), "not heard yet");
     stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
-    relay.stream(WAY, ConnectionMode::Pass);
+    relay.set_connection_mode(WAY, ConnectionMode::Pass);
     assert_eq!(stream.read(&mut [0]).expect("the end"), 0);
 }
 
@@ -87,32 +87,32 @@
     let mut stream = connect(address);
     stream.write_all(b"one").expect("written");
     says(&mut stream, b"one");
-    relay.stream(WAY, ConnectionMode::Refuse);
+    relay.set_connection_mode(WAY, ConnectionMode::Refuse);
     assert!(stream.read(&mut [0]).is_err(), "reset");
     let refused = TcpStream::connect(address).expect_err("refused");
     assert_eq!(refused.kind(), ErrorKind::ConnectionRefused);
-    relay.stream(WAY, ConnectionMode::Pass);
+    relay.set_connection_mode(WAY, ConnectionMode::Pass);
     let mut stream = connect(address);
     stream.write_all(b"two").expect("written");
     says(&mut stream, b"two");
 }
 
 /// Two parties, each at its socket, with where it reaches the other.
-fn pair(seed: u64, loss: Loss) -> (Relay, Vec<UdpSocket>, Vec<Vec<SocketAddr>>) {
+fn pair(seed: u64, loss: DatagramFaults) -> (Relay, Vec<UdpSocket>, Vec<Vec<SocketAddr>>) {
     let sockets: Vec<_> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").expect("bound")).collect();
     sockets.iter().for_each(|s| s.set_read_timeout(Some(Duration::from_millis(400))).expect("set"));
     let peers: Vec<_> = sockets.iter().map(|s| s.local_addr().expect("bound")).collect();
     let mut laying = RelayBuilder::new().expect("a loop");
     let mesh = laying.mesh(&peers).expect("a mesh");
     let relay = laying.start(seed).expect("relays");
-    relay.loss(Link { from: Party::Scheduler(0), to: Party::Scheduler(1) }, loss);
+    relay.set_datagram_faults(Link { from: Party::Scheduler(0), to: Party::Scheduler(1) }, loss);
     (relay, sockets, mesh)
 }
 
 /// What arrives of a hundred datagrams, numbered, in order of their numbers.
 fn arrived(seed: u64) -> Vec<u8> {
     let (_relay, sockets, mesh) =
-        pair(seed, Loss { loss_rate: 0.3, duplicate_rate: 0.2, delay_range: (0, 20_000) });
+        pair(seed, DatagramFaults { loss_rate: 0.3, duplicate_rate: 0.2, delay_range: (0, 20_000) });
     for number in 0..100 {
         sockets[0].send_to(&[number], mesh[0][1]).expect("sent");
     }
@@ -137,7 +137,7 @@
 
 #[test]
 fn a_cut_in_one_direction_leaves_the_other_and_what_is_not_allowed_is_counted() {
-    let (relay, sockets, mesh) = pair(1, Loss { loss_rate: 1.0, ..Loss::default() });
+    let (relay, sockets, mesh) = pair(1, DatagramFaults { loss_rate: 1.0, ..DatagramFaults::default() });
     sockets[0].send_to(b"lost", mesh[0][1]).expect("sent");
     sockets[1].send_to(&[7; 300], mesh[1][0]).expect("sent");
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("bound");
@@ -147,13 +147,13 @@
     assert!(sockets[1].recv_from(&mut bytes).is_err());
     let counts = relay.counts();
     let back = counts[&Link { from: Party::Scheduler(1), to: Party::Scheduler(0) }];
-    assert_eq!((back.datagrams, back.delivered, back.too_long, back.strange), ((1, 300), 1, 1, 1));
+    assert_eq!((back.datagrams, back.delivered, back.oversized, back.wrong_source), ((1, 300), 1, 1, 1));
     assert_eq!(counts[&Link { from: Party::Scheduler(0), to: Party::Scheduler(1) }].delivered, 0);
 }
 
 /// Puts courses on the one way, from who began and back.
 fn shaping(relay: &Relay, forth: Shaping, back: Shaping) {
-    relay.shapings(WAY, [forth, back]);
+    relay.set_shaping(WAY, [forth, back]);
 }
 
 #[test]
@@ -199,7 +199,7 @@
 fn a_way_that_is_silent_in_one_direction_carries_the_other() {
     let (relay, address) = relayed();
     let mut stream = connect(address);
-    let silent = Shaping { silent: true, ..Shaping::default() };
+    let silent = Shaping { blackhole: true, ..Shaping::default() };
     shaping(&relay, Shaping::default(), silent);
     stream.write_all(b"one").expect("written");
     stream.set_read_timeout(Some(Duration::from_millis(200))).expect("set");
@@ -214,10 +214,10 @@
 fn one_byte_is_changed_once() {
     let (relay, address) = relayed();
     let mut stream = connect(address);
-    relay.change(WAY);
+    relay.corrupt_byte(WAY);
     for (said, comes) in [(b"abc", b"a7c"), (b"abc", b"abc")] {
         stream.write_all(said).expect("written");
         says(&mut stream, comes);
     }
-    assert_eq!(relay.counts()[&WAY].changed, 1);
+    assert_eq!(relay.counts()[&WAY].corrupted, 1);
 }
