--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -2,7 +2,7 @@
 use crate::{Failed, records};
 use basaltward_faulttest::{
     CSV_HEADER, HollowScript, LoadedScript, Party, Script, SitesScript, SitesVerdict, Verdict, check_cluster,
-    check_sites, csv_rows, lanes, load, picture, run as play, run_hollow, run_sites,
+    check_sites, csv_rows, load, run as play, run_hollow, run_sites, timeline_lanes, timeline_svg,
 };
 use basaltward_net::monotonic;
 use basaltward_rules::Record;
@@ -55,7 +55,7 @@
     let all = bed.finish()?;
     let verdict = check_cluster(&bed, &all);
     let parties = bed.schedulers.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
-    keep(options, &all, &lanes(parties, &bed.network.faults, (bed.began, end)))?;
+    keep(options, &all, &timeline_lanes(parties, &bed.network.faults, (bed.began, end)))?;
     tell(&verdict)
 }
 
@@ -76,13 +76,13 @@
     let told = check_sites(&bed, &all);
     let gateways = bed.gateways.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
     let workers = bed.workers.iter().enumerate().map(|(w, process)| (Party::Worker(w), process));
-    keep(options, &all, &lanes(gateways.chain(workers), &bed.network.faults, (bed.began, end)))?;
+    keep(options, &all, &timeline_lanes(gateways.chain(workers), &bed.network.faults, (bed.began, end)))?;
     if let Some(folder) = &options.records {
         for (number, process) in bed.gateways.iter().enumerate() {
             write(folder.join(format!("n{number}.log")), process.said().join("\n"))?;
         }
         let noted: Vec<_> =
-            bed.network.relay.captured().noted.iter().map(|noted| format!("{noted}\n")).collect();
+            bed.network.relay.captured().journal_messages.iter().map(|noted| format!("{noted}\n")).collect();
         write(folder.join("kept.txt"), noted.concat())?;
     }
     shares(script, &told);
@@ -98,31 +98,35 @@
         println!(
             "asked at {name}: {}, served {}, refused {}, failed {}; ran {}; handed over {}; \
              p50 {:.1} ms, p99 {:.1} ms",
-            site.asked,
+            site.attempts,
             site.served,
             site.refused,
             site.failed,
             ran.join(", "),
-            site.handed,
+            site.forwarded,
             site.latency(0.5) as f64 / 1e3,
             site.latency(0.99) as f64 / 1e3
         );
-        let seconds: Vec<_> = site.seconds.iter().map(u64::to_string).collect();
-        let (came, taken) = site.again;
+        let seconds: Vec<_> = site.served_per_second.iter().map(u64::to_string).collect();
+        let (came, taken) = site.retried;
         println!("  came again {came}, not refused {taken}; served each second {}", seconds.join(" "));
     }
-    let (kept, ends) = &told.kept;
+    let (kept, ends) = &told.kept_events;
     let ends: Vec<_> = ends.iter().map(|(how, count)| format!(", {how} {count}")).collect();
     println!("kept events acknowledged {kept}{}", ends.concat());
 }
 
 /// The timeline, and files of it and of all records where they are wanted.
-fn keep(options: &Options, all: &[Record], lanes: &[basaltward_faulttest::Lane]) -> Result<(), Failed> {
+fn keep(
+    options: &Options,
+    all: &[Record],
+    lanes: &[basaltward_faulttest::TimelineLane],
+) -> Result<(), Failed> {
     let mut text = String::new();
     for (name, spells) in lanes {
         text += name;
         for spell in spells {
-            text += &format!("  {} {}-{}", spell.what, spell.from / 1_000, spell.until / 1_000);
+            text += &format!("  {} {}-{}", spell.state, spell.from / 1_000, spell.until / 1_000);
         }
         text.push('\n');
     }
@@ -130,7 +134,7 @@
         create_dir_all(folder)?;
         records::write(&folder.join("records"), all)?;
         write(folder.join("timeline.txt"), &text)?;
-        write(folder.join("timeline.svg"), picture(lanes))?;
+        write(folder.join("timeline.svg"), timeline_svg(lanes))?;
     }
     print!("{text}");
     Ok(())
--- a/crates/cli/tests/sites.rs
+++ b/crates/cli/tests/sites.rs
@@ -20,16 +20,16 @@
         rate: 40.0,
         span: 0..2_000_000,
         patience: 2_000_000,
-        repeats,
+        duplicate_share: repeats,
         retries: 1,
-        honour: false,
-        insists: false,
+        honour_retry_after: false,
+        retry_uncertain: false,
         tenant: String::new(),
     }
 }
 
 fn spec(loads: Vec<LoadSpec>) -> SitesSpec {
-    let link = SiteLink { late: (5_000, 8_000), ..SiteLink::default() };
+    let link = SiteLink { delay_range: (5_000, 8_000), ..SiteLink::default() };
     SitesSpec {
         program: env!("CARGO_BIN_EXE_basaltward").into(),
         sites: vec![site("a"), site("b")],
@@ -37,19 +37,19 @@
         work_ms: 10,
         load_ms: 50,
         holders: 0,
-        alone: false,
+        standalone: false,
         tenants: Vec::new(),
         links: BTreeMap::from([((0, 1), link), ((1, 0), link)]),
         loads,
-        vars: Vec::new(),
+        env: Vec::new(),
         seed: 5,
     }
 }
 
 #[test]
 fn two_sites_keep_the_rules_while_links_and_gateways_fail() {
-    let slow = SiteLink { late: (100_000, 150_000), lost: 0.1, ..SiteLink::default() };
-    let silent = SiteLink { silent: true, ..slow };
+    let slow = SiteLink { delay_range: (100_000, 150_000), loss_rate: 0.1, ..SiteLink::default() };
+    let silent = SiteLink { blackhole: true, ..slow };
     let broken = SiteLink { broken: true, ..slow };
     let acts = [
         (300, SiteAction::Link(0, 1, slow)),
@@ -82,7 +82,7 @@
 #[test]
 fn two_effects_of_one_event_and_a_second_hop_are_found() {
     let script = SitesScript {
-        spec: SitesSpec { alone: true, ..spec(vec![load(0, Some(2), 1.0)]) },
+        spec: SitesSpec { standalone: true, ..spec(vec![load(0, Some(2), 1.0)]) },
         span: 2_000_000,
         steps: Vec::new(),
     };
--- a/crates/cli/tests/trial.rs
+++ b/crates/cli/tests/trial.rs
@@ -1,7 +1,7 @@
 //! Many processes of the program with faults between them, and faults planted that the judge must find.
 use basaltward_faulttest::{
-    Change, Cluster, ClusterSpec, ConnectionMode, DatagramFaults, FleetViolation, Link, LoadedScript, Party,
-    Script, Verdict, check_cluster, load, run,
+    Cluster, ClusterSpec, ConnectionMode, DatagramFaults, FleetViolation, Link, LoadedScript, Party, Script,
+    StateChange, Verdict, check_cluster, load, run,
 };
 use basaltward_membership::{FleetShare, MemberState};
 use rustix::process::{Pid, Signal, kill_process};
@@ -40,7 +40,8 @@
     assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
     let (asked, served, ..) = verdict.calls;
     assert!(served * 10 > asked * 8, "{served} of {asked} served");
-    let ups = |p: &basaltward_faulttest::Process| p.changes.iter().filter(|(_, c)| *c == Change::Up).count();
+    let ups =
+        |p: &basaltward_faulttest::Process| p.changes.iter().filter(|(_, c)| *c == StateChange::Up).count();
     assert_eq!(
         bed.schedulers.iter().filter(|p| ups(p) == 2).count(),
         2,
--- a/crates/cli/tests/view.rs
+++ b/crates/cli/tests/view.rs
@@ -82,7 +82,7 @@
         }
         bed.set_member_count(size).expect("files written");
         for i in 0..5 {
-            bed.schedulers[i].reread();
+            bed.schedulers[i].reload_config();
             sees(&bed, i, |view| usize::from(view.size) == size);
         }
         if size == 6 {
--- a/crates/faulttest/src/capture.rs
+++ b/crates/faulttest/src/capture.rs
@@ -16,9 +16,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardedCall {
     /// When.
-    pub t: Micros,
+    pub time: Micros,
     /// From whom to whom.
-    pub way: Link,
+    pub link: Link,
     /// The event, as records name it.
     pub event: String,
     /// How often it was handed over by then, as it says itself.
@@ -29,20 +29,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JournalMessage {
     /// When it arrived.
-    pub t: Micros,
+    pub time: Micros,
     /// Who says it.
     pub from: usize,
     /// To whom.
     pub to: usize,
     /// What.
-    pub what: Glance,
+    pub content: Glance,
 }
 
 impl fmt::Display for JournalMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} n{}-n{}: ", self.t, self.from, self.to)?;
+        write!(f, "{} n{}-n{}: ", self.time, self.from, self.to)?;
         let line = |source: &Source, number: &u64| format!("n{}/{:x} {number}", source.gateway, source.life);
-        match &self.what {
+        match &self.content {
             Glance::Line(source, number, step) => match step {
                 Step::Accepted(a) => write!(
                     f,
@@ -76,9 +76,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct CapturedTraffic {
     /// Calls handed over.
-    pub handed: Vec<ForwardedCall>,
+    pub forwarded_calls: Vec<ForwardedCall>,
     /// Of kept events.
-    pub noted: Vec<JournalMessage>,
+    pub journal_messages: Vec<JournalMessage>,
 }
 
 /// What is read on a way.
@@ -121,11 +121,11 @@
         let good = match &mut self.decoder {
             Decoder::Calls(decoder, seen) => {
                 seen.extend_from_slice(bytes);
-                calls(t, self.way, (decoder, seen), &mut out.handed)
+                calls(t, self.way, (decoder, seen), &mut out.forwarded_calls)
             }
             Decoder::Frames(decoder) => {
                 decoder.push(&mut bytes.into());
-                frames(t, (self.way, self.near), decoder, &mut out.noted)
+                frames(t, (self.way, self.near), decoder, &mut out.journal_messages)
             }
             Decoder::Lost => true,
         };
@@ -147,7 +147,7 @@
                 let field = |name: &str| request.headers.get(name);
                 let Some((source, id)) = field("ce-source").zip(field("ce-id")) else { continue };
                 let hops = field("ce-hops").and_then(|hops| hops.parse().ok());
-                out.push(ForwardedCall { t, way, event: format!("{source}#{id}"), hops });
+                out.push(ForwardedCall { time: t, link: way, event: format!("{source}#{id}"), hops });
             }
             Ok(_) => return true,
             Err(_) => return false,
@@ -167,7 +167,7 @@
         match decoder.next_frame() {
             Ok(Some(frame)) if frame.channel == Channel::Pending as u8 => {
                 let seen = glance(&frame.payload, ENTRY_BYTES).unwrap_or_default();
-                out.extend(seen.into_iter().map(|what| JournalMessage { t, from, to, what }));
+                out.extend(seen.into_iter().map(|what| JournalMessage { time: t, from, to, content: what }));
             }
             Ok(Some(_)) => {}
             Ok(None) => return true,
--- a/crates/faulttest/src/checker.rs
+++ b/crates/faulttest/src/checker.rs
@@ -3,7 +3,7 @@
 use crate::cluster::{CLASSES, Cluster};
 use crate::link::{Link, Party};
 use crate::network::Network;
-use crate::process::{Change, Process};
+use crate::process::{Process, StateChange};
 use basaltward_net::Micros;
 use basaltward_rules::{
     Breach, ClassRule, FinalAnswer, Observation, Record, RepeatRule, RuleSettings, check,
@@ -138,9 +138,9 @@
 
 /// Ends of a process that nobody asked for, or that were not good.
 pub(crate) fn ends(party: Party, process: &Process) -> Vec<FleetViolation> {
-    let end = |(_, change): &(Micros, Change)| match change {
-        Change::Crashed => Some(FleetViolation::Crashed(party.to_string())),
-        Change::Ended(false) => Some(FleetViolation::UncleanExit(party.to_string())),
+    let end = |(_, change): &(Micros, StateChange)| match change {
+        StateChange::Crashed => Some(FleetViolation::Crashed(party.to_string())),
+        StateChange::Ended(false) => Some(FleetViolation::UncleanExit(party.to_string())),
         _ => None,
     };
     process.changes.iter().filter_map(end).collect()
@@ -198,12 +198,12 @@
         let mut since = None;
         for (t, change) in &process.changes {
             match change {
-                Change::Stalled => since = Some(*t),
-                Change::Resumed => spells.extend(since.take().map(|from| (from, *t + AFTER_US))),
-                Change::Killed | Change::Ended(_) => drop(since.get_or_insert(*t)),
+                StateChange::Stalled => since = Some(*t),
+                StateChange::Resumed => spells.extend(since.take().map(|from| (from, *t + AFTER_US))),
+                StateChange::Killed | StateChange::Ended(_) => drop(since.get_or_insert(*t)),
                 // Who comes up again has nothing left to catch up with.
-                Change::Up => spells.extend(since.take().map(|from| (from, *t))),
-                Change::Stopping | Change::Crashed => {}
+                StateChange::Up => spells.extend(since.take().map(|from| (from, *t))),
+                StateChange::Stopping | StateChange::Crashed => {}
             }
         }
         spells.extend(since.map(|from| (from, Micros::MAX)));
--- a/crates/faulttest/src/cluster.rs
+++ b/crates/faulttest/src/cluster.rs
@@ -309,7 +309,7 @@
 
     /// Schedulers whose process runs and is not stalled.
     pub fn running(&self) -> Vec<usize> {
-        (0..self.schedulers.len()).filter(|i| self.schedulers[*i].runs()).collect()
+        (0..self.schedulers.len()).filter(|i| self.schedulers[*i].is_running()).collect()
     }
 
     /// Whether all of a group hold the same view, and in it those of the group that run, and no others, are live.
@@ -346,7 +346,7 @@
         }
         for process in &mut self.schedulers {
             process.resume();
-            if !process.crashed() {
+            if !process.check_crashed() {
                 process.stop();
             }
         }
--- a/crates/faulttest/src/hollow/conditions.rs
+++ b/crates/faulttest/src/hollow/conditions.rs
@@ -9,17 +9,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delays {
     /// Inside a zone.
-    pub zone_us: Micros,
+    pub within_zone_us: Micros,
     /// Between two zones of a region.
-    pub zones_us: Micros,
+    pub between_zones_us: Micros,
     /// Between regions.
-    pub regions_us: Micros,
+    pub between_regions_us: Micros,
 }
 
 impl Default for Delays {
     /// The hop times of the capacity plan.
     fn default() -> Self {
-        Self { zone_us: 300, zones_us: 1_500, regions_us: 60_000 }
+        Self { within_zone_us: 300, between_zones_us: 1_500, between_regions_us: 60_000 }
     }
 }
 
@@ -42,26 +42,26 @@
     /// A datagram takes up to this share of its delay longer, drawn evenly.
     pub jitter: f64,
     /// Share of datagrams lost.
-    pub lost: f64,
+    pub loss_rate: f64,
     /// Share of datagrams that come twice.
-    pub doubled: f64,
+    pub duplicate_rate: f64,
     /// Who is cut off.
-    pub cut: Option<Partition>,
+    pub partition: Option<Partition>,
 }
 
 impl NetworkConditions {
     /// The delays after which a datagram's copies arrive: none where it is lost, two where it is doubled.
-    pub fn fate(&self, from: MemberId, to: MemberId, rng: &mut impl RngExt) -> [Option<Micros>; 2] {
-        if self.is_cut(from, to) || rng.random_bool(self.lost) {
+    pub fn copy_delays(&self, from: MemberId, to: MemberId, rng: &mut impl RngExt) -> [Option<Micros>; 2] {
+        if self.is_cut(from, to) || rng.random_bool(self.loss_rate) {
             return [None, None];
         }
-        let doubled = rng.random_bool(self.doubled);
+        let doubled = rng.random_bool(self.duplicate_rate);
         let mut late = || Some(self.delay(from, to, rng.random_range(0.0..=1.0)));
         [late(), doubled.then(late).flatten()]
     }
 
     fn is_cut(&self, from: MemberId, to: MemberId) -> bool {
-        match self.cut {
+        match self.partition {
             Some(Partition::Zone(zone)) => {
                 (self.topology.zone(from) == zone) != (self.topology.zone(to) == zone)
             }
@@ -76,11 +76,11 @@
     fn delay(&self, from: MemberId, to: MemberId, share: f64) -> Micros {
         let (here, there) = (self.topology.zone(from), self.topology.zone(to));
         let least = if here == there {
-            self.delays.zone_us
+            self.delays.within_zone_us
         } else if self.topology.region_of_zone(here) == self.topology.region_of_zone(there) {
-            self.delays.zones_us
+            self.delays.between_zones_us
         } else {
-            self.delays.regions_us
+            self.delays.between_regions_us
         };
         least + (least as f64 * self.jitter * share) as Micros
     }
--- a/crates/faulttest/src/hollow/counters.rs
+++ b/crates/faulttest/src/hollow/counters.rs
@@ -16,7 +16,7 @@
     /// Datagrams that members received.
     pub received: u64,
     /// Datagrams that the system did not take.
-    pub refused: u64,
+    pub send_failures: u64,
     /// Processor time.
     pub cpu_us: Micros,
     /// Most bytes that one member sent within one second of the clock, since the last look.
@@ -25,7 +25,7 @@
     pub worst_late_us: Micros,
     /// Datagrams carried and members woken, and how many of them more than 20 ms after their time: with more than a few
     /// the machine was too busy for the figures to count.
-    pub done: u64,
+    pub operations: u64,
     /// See `done`.
     pub late: u64,
     /// Members that run, added up, believed to be gone by another one's news: a member counts once for each that
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Window {
     /// Counts of all loops.
-    pub load: LoopCounters,
+    pub counters: LoopCounters,
     /// How long it was.
     pub span_us: Micros,
     /// Hollow members that ran.
@@ -50,10 +50,10 @@
         self.datagrams += other.datagrams;
         self.bytes += other.bytes;
         self.received += other.received;
-        self.refused += other.refused;
+        self.send_failures += other.send_failures;
         self.cpu_us += other.cpu_us;
         self.false_deaths += other.false_deaths;
-        self.done += other.done;
+        self.operations += other.operations;
         self.late += other.late;
         self.worst_second_bytes = self.worst_second_bytes.max(other.worst_second_bytes);
         self.worst_late_us = self.worst_late_us.max(other.worst_late_us);
@@ -65,10 +65,10 @@
             datagrams: self.datagrams - earlier.datagrams,
             bytes: self.bytes - earlier.bytes,
             received: self.received - earlier.received,
-            refused: self.refused - earlier.refused,
+            send_failures: self.send_failures - earlier.send_failures,
             cpu_us: self.cpu_us.saturating_sub(earlier.cpu_us),
             false_deaths: self.false_deaths - earlier.false_deaths,
-            done: self.done - earlier.done,
+            operations: self.operations - earlier.operations,
             late: self.late - earlier.late,
             ..*self
         }
@@ -83,16 +83,16 @@
 
     /// Share of what loops did that was done late.
     pub fn late_share(&self) -> f64 {
-        self.load.late as f64 / self.load.done.max(1) as f64
+        self.counters.late as f64 / self.counters.operations.max(1) as f64
     }
 
     /// Bytes that a member sent in a second, on average.
     pub fn bytes_per_s(&self) -> f64 {
-        self.each(self.load.bytes)
+        self.each(self.counters.bytes)
     }
 
     /// Microseconds of processor time that a member took in a second, on average, its share of the loop included.
     pub fn cpu_us_per_s(&self) -> f64 {
-        self.each(self.load.cpu_us)
+        self.each(self.counters.cpu_us)
     }
 }
--- a/crates/faulttest/src/hollow/real_members.rs
+++ b/crates/faulttest/src/hollow/real_members.rs
@@ -89,7 +89,7 @@
     pub fn crashed(&mut self, running: &[bool]) -> Vec<String> {
         let all = self.processes.iter_mut().zip(running).enumerate();
         let crashed = all.filter_map(|(number, (process, runs))| {
-            (*runs && process.crashed()).then(|| Party::Scheduler(number).to_string())
+            (*runs && process.check_crashed()).then(|| Party::Scheduler(number).to_string())
         });
         crashed.collect()
     }
--- a/crates/faulttest/src/hollow/report.rs
+++ b/crates/faulttest/src/hollow/report.rs
@@ -29,7 +29,7 @@
     /// Members, hollow and real.
     pub size: usize,
     /// Share of datagrams lost as the trial began.
-    pub lost: f64,
+    pub loss_rate: f64,
     /// By series.
     pub rows: BTreeMap<&'static str, Row>,
     /// Steps after which members did not agree in time.
@@ -65,7 +65,7 @@
             Value::Measured(value) => format!("{value:.0}"),
             Value::Unsettled => "unsettled".into(),
         };
-        format!("{series},{},{value},{},{},1,{command}", report.size, row.unit, report.lost)
+        format!("{series},{},{value},{},{},1,{command}", report.size, row.unit, report.loss_rate)
     };
     report.rows.iter().map(line).collect()
 }
--- a/crates/faulttest/src/hollow/run.rs
+++ b/crates/faulttest/src/hollow/run.rs
@@ -113,8 +113,11 @@
         let shared = Arc::new(Shared { spec: spec.clone(), peers, numbers, state });
         let idle_bytes = resident_bytes();
         let shards = Shards::start(&shared)?;
-        let report =
-            HollowReport { size: spec.members(), lost: spec.conditions.lost, ..HollowReport::default() };
+        let report = HollowReport {
+            size: spec.members(),
+            loss_rate: spec.conditions.loss_rate,
+            ..HollowReport::default()
+        };
         let (probe, began, drops) = (Probe::new()?, spec.now(), BTreeMap::new());
         let mut run = Self {
             script,
@@ -266,7 +269,7 @@
         if let Some(series) = series {
             self.report.add(series, "ms", value);
         }
-        let worst = window.load.worst_second_bytes as f64;
+        let worst = window.counters.worst_second_bytes as f64;
         self.report.add("bytes_per_s_storm_worst", "B/s", Value::Measured(worst));
         self.report.add("cpu_us_per_s_storm", "us/s", Value::Measured(window.cpu_us_per_s()));
         let held = resident_bytes().saturating_sub(self.idle_bytes) as f64;
@@ -278,18 +281,20 @@
     fn window(&mut self, from: Micros, before: LoopCounters) -> Result<Window, HollowError> {
         let load = self.load(true)?.since(&before);
         let members = self.running()?.iter().skip(self.script.spec.real).filter(|runs| **runs).count();
-        Ok(Window { load, span_us: self.now() - from, members })
+        Ok(Window { counters: load, span_us: self.now() - from, members })
     }
 
     fn step(&mut self, index: usize, act: HollowAction) -> Result<(), HollowError> {
         match act {
-            HollowAction::Quiet { after, span } => {
+            HollowAction::MeasureIdle { after, span } => {
                 self.wait(self.now() + after)?;
                 self.quiet(span)
             }
             HollowAction::Loss { lost, doubled } => {
                 self.say(format!("from now on lost {lost}, doubled {doubled}"));
-                self.change(|state| (state.conditions.lost, state.conditions.doubled) = (lost, doubled))
+                self.change(|state| {
+                    (state.conditions.loss_rate, state.conditions.duplicate_rate) = (lost, doubled)
+                })
             }
             HollowAction::KillMembers(count) => {
                 let members = self.neighbours(index, count)?;
@@ -413,7 +418,7 @@
     }
 
     fn set_cut(&self, cut: Option<Partition>) -> Result<(), HollowError> {
-        self.change(|state| state.conditions = NetworkConditions { cut, ..state.conditions })
+        self.change(|state| state.conditions = NetworkConditions { partition: cut, ..state.conditions })
     }
 
     /// Ends all, and tells what was measured.
@@ -424,7 +429,7 @@
         self.say(format!(
 "end: hollow members sent {} datagrams, {} that the system did not take, received {}; {drops} dropped at \
              sockets",
-load.datagrams, load.refused, load.received
+load.datagrams, load.send_failures, load.received
 ));
         let running = self.running()?;
         self.report.failed_processes = self.real.crashed(&running);
@@ -445,11 +450,11 @@
         "a member sent {:.0} B/s, at worst {} B in a second, took {:.0} us/s; {} false deaths believed; {:.2}% done late, \
          by {:.0} ms at worst",
         window.bytes_per_s(),
-        window.load.worst_second_bytes,
+        window.counters.worst_second_bytes,
         window.cpu_us_per_s(),
-        window.load.false_deaths,
+        window.counters.false_deaths,
         window.late_share() * 100.0,
-        window.load.worst_late_us as f64 / 1e3
+        window.counters.worst_late_us as f64 / 1e3
     )
 }
 
--- a/crates/faulttest/src/hollow/script.rs
+++ b/crates/faulttest/src/hollow/script.rs
@@ -28,7 +28,7 @@
     /// Whether members agree on who may be out, with the usual bounds.
     pub permits: bool,
     /// Calls that each hollow member tells of in a second, on average.
-    pub calls_per_s: f64,
+    pub calls_per_member_s: f64,
     /// Hollow members start evenly over this time.
     pub start_us: Micros,
     /// How long the fleet may take to agree after each step.
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HollowAction {
     /// Nothing, for a time: what members spend at rest is measured.
-    Quiet {
+    MeasureIdle {
         /// Not measured yet for so long: what members saved up for a storm is renewed.
         after: Micros,
         /// Measured for so long.
@@ -125,9 +125,9 @@
     let mut share = |name: &str, absent: f64| part.parse_attribute(name, faults).unwrap_or(absent);
     let mut delay = |name: &str, absent: Micros| (share(name, absent as f64 / 1e3) * 1e3) as Micros;
     let delays = Delays {
-        zone_us: delay("zone-ms", usual.zone_us),
-        zones_us: delay("zones-ms", usual.zones_us),
-        regions_us: delay("regions-ms", usual.regions_us),
+        within_zone_us: delay("zone-ms", usual.within_zone_us),
+        between_zones_us: delay("zones-ms", usual.between_zones_us),
+        between_regions_us: delay("regions-ms", usual.between_regions_us),
     };
     let (jitter, calls_per_s) = (share("jitter", 0.1), share("calls-per-s", CALLS_PER_S));
     let (lost, doubled) = (share("lost", 0.0), share("doubled", 0.0));
@@ -144,14 +144,21 @@
     if pace > 1 && real > 0 {
         faults.push(part.fault("pace: 1 beside real members, whose clock is the machine's"));
     }
-    let conditions = NetworkConditions { topology, delays, jitter, lost, doubled, cut: None };
+    let conditions = NetworkConditions {
+        topology,
+        delays,
+        jitter,
+        loss_rate: lost,
+        duplicate_rate: doubled,
+        partition: None,
+    };
     HollowSpec {
         program: program.into(),
         count,
         real,
         conditions,
         permits: part.bool_attribute("permits").unwrap_or_default(),
-        calls_per_s,
+        calls_per_member_s: calls_per_s,
         start_us,
         settle_us,
         loops,
@@ -177,7 +184,7 @@
     let act = match (node.attribute("do").unwrap_or_default(), zone, region, members, lasts) {
         ("quiet", None, None, None, Some(span)) => {
             let after = node.parse_attribute::<Micros>("after-ms", faults).unwrap_or_default() * 1_000;
-            HollowAction::Quiet { after, span }
+            HollowAction::MeasureIdle { after, span }
         }
         ("loss", None, None, None, None) => {
             let mut share = |name: &str| node.parse_attribute::<f64>(name, faults).unwrap_or(0.0);
--- a/crates/faulttest/src/hollow/shard.rs
+++ b/crates/faulttest/src/hollow/shard.rs
@@ -228,7 +228,7 @@
             let sender = self.shared.numbers.get(&from).copied();
             match sender.filter(|sender| usize::from(*sender) < self.shared.spec.real) {
                 Some(real) => {
-                    let fate = self.conditions.fate(real, number, &mut self.rng);
+                    let fate = self.conditions.copy_delays(real, number, &mut self.rng);
                     for late in fate.into_iter().flatten() {
                         self.put_off(late, number, false, from, &bytes[..length]);
                     }
@@ -271,7 +271,7 @@
             self.load.count_late(now - due.at);
             if due.sent {
                 let taken = self.io.send_by_system(member.transport.socket(), due.other, &due.bytes);
-                self.load.refused += u64::from(!taken);
+                self.load.send_failures += u64::from(!taken);
             } else {
                 self.deliver(due.of, due.other, due.bytes);
             }
@@ -288,7 +288,7 @@
                 self.wakes.remove(&(at, number));
                 continue;
             };
-            member.draw_calls(now, self.shared.spec.calls_per_s);
+            member.draw_calls(now, self.shared.spec.calls_per_member_s);
             member.transport.wake(&mut self.io, now, |_| 0, &mut self.events);
             self.follow_up(number);
         }
@@ -312,7 +312,7 @@
                 continue;
             };
             self.load.count(member, now, sent.bytes.len() as u64);
-            let fate = self.conditions.fate(number, to, &mut member.rng);
+            let fate = self.conditions.copy_delays(number, to, &mut member.rng);
             for late in fate.into_iter().flatten() {
                 self.put_off(late, number, true, sent.to, &sent.bytes);
             }
@@ -330,7 +330,7 @@
 impl LoopCounters {
     /// Something was done so late after its time.
     fn count_late(&mut self, late: Micros) {
-        self.done += 1;
+        self.operations += 1;
         self.late += u64::from(late > LATE_US);
         self.worst_late_us = self.worst_late_us.max(late);
     }
--- a/crates/faulttest/src/kept_checker.rs
+++ b/crates/faulttest/src/kept_checker.rs
@@ -67,7 +67,7 @@
 ) -> (Kept, Vec<FleetViolation>) {
     let clock = Clock::read();
     let (mut events, mut journals) = (BTreeMap::<Key, Event>::new(), BTreeMap::<Source, Journal>::new());
-    for JournalMessage { from, to, what, .. } in noted {
+    for JournalMessage { from, to, content: what, .. } in noted {
         if let Glance::Line(source, number, _) = what {
             journals.entry(*source).or_default().seen.insert(*number);
         }
@@ -151,7 +151,7 @@
 
     /// What is wrong with an event that is accepted at 0, held by 1, and after which this is told by 0.
     fn wrong(told: Vec<Glance>, records: &[Record]) -> Vec<FleetViolation> {
-        let noted = |from: usize, what| JournalMessage { t: 0, from, to: 1 - from, what };
+        let noted = |from: usize, what| JournalMessage { time: 0, from, to: 1 - from, content: what };
         let mut all = vec![noted(0, accepted(5)), noted(1, Glance::Held(SOURCE, 5))];
         all.extend(told.into_iter().map(|what| noted(0, what)));
         kept(&all, 1, records).1
@@ -177,7 +177,7 @@
 
     #[test]
     fn what_too_few_hold_is_owed_nothing() {
-        let noted = |from: usize, what| JournalMessage { t: 0, from, to: 1 - from, what };
+        let noted = |from: usize, what| JournalMessage { time: 0, from, to: 1 - from, content: what };
         let all = [noted(0, accepted(5)), noted(1, Glance::Held(SOURCE, 4))];
         assert_eq!(kept(&all, 1, &ran()), ((0, BTreeMap::new()), vec![]));
         let all = [noted(0, accepted(5)), noted(1, Glance::Held(SOURCE, 5))];
--- a/crates/faulttest/src/lib.rs
+++ b/crates/faulttest/src/lib.rs
@@ -39,7 +39,7 @@
 };
 pub use link::{ConnectionMode, Link, Party};
 pub use network::Network;
-pub use process::{Change, Launch, Process, ProcessError};
+pub use process::{Launch, Process, ProcessError, StateChange};
 pub use relay::{LinkCounts, Relay, RelayBuilder};
 pub use script::{Action, LoadedScript, Script, Step, load, run};
 pub use shaping::Shaping;
@@ -47,4 +47,4 @@
 pub use site_cluster::{ProcessSelector, SiteCluster};
 pub use site_script::{SiteAction, SiteStep, SitesScript, run_sites};
 pub use site_spec::{LoadSpec, SiteLink, SiteSpec, SitesSpec};
-pub use timeline::{Lane, lanes, picture};
+pub use timeline::{TimelineLane, timeline_lanes, timeline_svg};
--- a/crates/faulttest/src/process.rs
+++ b/crates/faulttest/src/process.rs
@@ -31,7 +31,7 @@
 
 /// What became of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum StateChange {
     /// It serves.
     Up,
     /// SIGTERM was sent.
@@ -54,9 +54,9 @@
     /// Its arguments.
     pub args: Vec<OsString>,
     /// Variables set for it; one without a value is taken away.
-    pub vars: Vec<(String, Option<OsString>)>,
+    pub env: Vec<(String, Option<OsString>)>,
     /// It serves once it has said a line that holds this.
-    pub says: &'static str,
+    pub ready_line: &'static str,
 }
 
 /// A process of the program, or its place while there is none.
@@ -68,7 +68,7 @@
     child: Option<Child>,
     stalled: bool,
     /// What became of it, with the time.
-    pub changes: Vec<(Micros, Change)>,
+    pub changes: Vec<(Micros, StateChange)>,
     said: Said,
 }
 
@@ -91,7 +91,7 @@
         let mut args: Vec<OsString> = ["--log", "info", "node", "--records"].map(Into::into).to_vec();
         args.push(records.into());
         let vars = vec![("NODE_CONFIG".into(), Some(config.into())), ("NODE_LISTEN".into(), None)];
-        Self::new(name, program, Launch { args, vars, says: "serving" })
+        Self::new(name, program, Launch { args, env: vars, ready_line: "serving" })
     }
 
     /// Another program from its next start on.
@@ -114,7 +114,7 @@
     }
 
     /// Whether there is one, and it does not stand still.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.child.is_some() && !self.stalled
     }
 
@@ -123,7 +123,7 @@
         self.said.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
     }
 
-    fn note(&mut self, change: Change) {
+    fn note(&mut self, change: StateChange) {
         self.changes.push((monotonic(), change));
     }
 
@@ -135,7 +135,7 @@
         self.kill();
         let mut command = Command::new(&self.program);
         command.args(&self.launch.args);
-        for (name, value) in &self.launch.vars {
+        for (name, value) in &self.launch.env {
             match value {
                 Some(value) => command.env(name, value),
                 None => command.env_remove(name),
@@ -147,11 +147,11 @@
             [child.stdout.take().map(|s| Box::new(s) as _), child.stderr.take().map(|s| Box::new(s) as _)];
         self.child = Some(child);
         for stream in streams.into_iter().flatten() {
-            listen(stream, self.launch.says, (tell.clone(), self.said.clone()));
+            listen(stream, self.launch.ready_line, (tell.clone(), self.said.clone()));
         }
         drop(tell);
         if serving.recv_timeout(PATIENCE).is_ok() {
-            self.note(Change::Up);
+            self.note(StateChange::Up);
             return Ok(());
         }
         self.kill();
@@ -166,7 +166,7 @@
     }
 
     /// Has it read its configuration anew.
-    pub fn reread(&self) {
+    pub fn reload_config(&self) {
         self.signal(Signal::HUP);
     }
 
@@ -174,7 +174,7 @@
     pub fn stall(&mut self) {
         if self.child.is_some() && !std::mem::replace(&mut self.stalled, true) {
             self.signal(Signal::STOP);
-            self.note(Change::Stalled);
+            self.note(StateChange::Stalled);
         }
     }
 
@@ -182,7 +182,7 @@
     pub fn resume(&mut self) {
         if self.child.is_some() && std::mem::take(&mut self.stalled) {
             self.signal(Signal::CONT);
-            self.note(Change::Resumed);
+            self.note(StateChange::Resumed);
         }
     }
 
@@ -192,14 +192,14 @@
             let _ = child.kill();
             let _ = child.wait();
             self.stalled = false;
-            self.note(Change::Killed);
+            self.note(StateChange::Killed);
         }
     }
 
     /// Sends SIGTERM.
     pub fn stop(&mut self) {
         if self.child.is_some() {
-            self.note(Change::Stopping);
+            self.note(StateChange::Stopping);
             self.signal(Signal::TERM);
         }
     }
@@ -213,7 +213,7 @@
         let until = std::time::Instant::now() + PATIENCE;
         while std::time::Instant::now() < until {
             if let Some(status) = child.try_wait()? {
-                self.note(Change::Ended(status.success()));
+                self.note(StateChange::Ended(status.success()));
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(5));
@@ -224,11 +224,11 @@
     }
 
     /// Looks whether it has ended by itself; true where it did.
-    pub fn crashed(&mut self) -> bool {
+    pub fn check_crashed(&mut self) -> bool {
         let status: Option<ExitStatus> = self.child.as_mut().and_then(|c| c.try_wait().ok()).flatten();
         if status.is_some() {
             self.child = None;
-            self.note(Change::Crashed);
+            self.note(StateChange::Crashed);
         }
         status.is_some()
     }
--- a/crates/faulttest/src/relay_loop.rs
+++ b/crates/faulttest/src/relay_loop.rs
@@ -227,7 +227,7 @@
         let (now, late) = (monotonic(), self.late(conn));
         let Some(half) = self.halves.get_mut(&conn) else { return };
         let (route, direction) = (&mut self.routes[half.route], usize::from(!half.near));
-        half.lane.push(now, bytes, (route.shapings[direction].rate, &mut route.free[direction]), late);
+        half.lane.push(now, bytes, (route.shapings[direction].bytes_per_s, &mut route.free[direction]), late);
     }
 
     /// Gives the other half what arrives by now.
--- a/crates/faulttest/src/script.rs
+++ b/crates/faulttest/src/script.rs
@@ -230,7 +230,7 @@
             Self::Start(one) => bed.start_scheduler(*one)?,
             Self::Stall(one, true) => bed.schedulers[*one].stall(),
             Self::Stall(one, false) => bed.schedulers[*one].resume(),
-            Self::ReloadConfig(one) => bed.schedulers[*one].reread(),
+            Self::ReloadConfig(one) => bed.schedulers[*one].reload_config(),
             Self::Partition(group, cut) => bed.set_partition(group, *cut),
             Self::AllDatagrams(loss) => bed.set_all_datagram_faults(*loss),
             Self::OneWayDatagrams(from, to, loss) => {
--- a/crates/faulttest/src/shaping.rs
+++ b/crates/faulttest/src/shaping.rs
@@ -16,11 +16,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Shaping {
     /// How late bytes arrive, at least and at most.
-    pub late: (Micros, Micros),
+    pub delay_range: (Micros, Micros),
     /// Share of the pieces that are lost and sent again, which makes them and all behind them late.
-    pub lost: f64,
+    pub loss_rate: f64,
     /// Bytes a second over all connections; none without a bound.
-    pub rate: Option<u64>,
+    pub bytes_per_s: Option<u64>,
     /// Nothing is carried, and connections stay open.
     pub blackhole: bool,
 }
@@ -28,8 +28,8 @@
 impl Shaping {
     /// How late a piece arrives.
     pub(crate) fn draw(&self, rng: &mut impl RngExt) -> Micros {
-        let (least, most) = self.late;
-        let again = (0..MOST_AGAIN).take_while(|_| rng.random::<f64>() < self.lost).count();
+        let (least, most) = self.delay_range;
+        let again = (0..MOST_AGAIN).take_while(|_| rng.random::<f64>() < self.loss_rate).count();
         rng.random_range(least..=most.max(least)) + again as Micros * AGAIN_US
     }
 }
--- a/crates/faulttest/src/site_checker.rs
+++ b/crates/faulttest/src/site_checker.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SiteCalls {
     /// Tries sent to its gateways.
-    pub asked: u64,
+    pub attempts: u64,
     /// Of them served, refused and failed.
     pub served: u64,
     /// See `served`.
@@ -26,13 +26,13 @@
     /// another site too counts for that one where it ran there.
     pub ran_at: Vec<u64>,
     /// Calls that its gateways handed to others, as they crossed the relays.
-    pub handed: u64,
+    pub forwarded: u64,
     /// Times from a try to its reply, of those served, sorted.
     pub latencies: Vec<Micros>,
     /// Tries of clients that had been refused and came again, and of them those that were not refused.
-    pub again: (u64, u64),
+    pub retried: (u64, u64),
     /// Served in each second from the clients' beginning.
-    pub seconds: Vec<u64>,
+    pub served_per_second: Vec<u64>,
 }
 
 impl SiteCalls {
@@ -51,7 +51,7 @@
     /// Calls by the site at which they were asked.
     pub sites: Vec<SiteCalls>,
     /// Kept events that were acknowledged, and of them those that ended, by how.
-    pub kept: (u64, BTreeMap<String, u64>),
+    pub kept_events: (u64, BTreeMap<String, u64>),
 }
 
 /// Judges a run that has finished.
@@ -68,10 +68,14 @@
     let captured = bed.network.relay.captured();
     let asked = Asked::of(bed, &records);
     verdict.violations.extend(twice(&records, &rules, &asked));
-    verdict.violations.extend(hops(&captured.handed, &asked));
-    let (kept, wrong) = kept(&captured.noted, bed.spec.holders, &records);
+    verdict.violations.extend(hops(&captured.forwarded_calls, &asked));
+    let (kept, wrong) = kept(&captured.journal_messages, bed.spec.holders, &records);
     verdict.violations.extend(wrong);
-    SitesVerdict { sites: by_site(bed, &records, &captured.handed, &asked), kept, verdict }
+    SitesVerdict {
+        sites: by_site(bed, &records, &captured.forwarded_calls, &asked),
+        kept_events: kept,
+        verdict,
+    }
 }
 
 /// What clients asked.
@@ -134,7 +138,7 @@
 fn hops(handed: &[ForwardedCall], asked: &Asked) -> BTreeSet<FleetViolation> {
     let mut found = BTreeSet::new();
     let mut reached: BTreeSet<(&str, usize)> = BTreeSet::new();
-    for ForwardedCall { way, event, hops, .. } in handed {
+    for ForwardedCall { link: way, event, hops, .. } in handed {
         let (Party::Scheduler(from), Party::Scheduler(to)) = (way.from, way.to) else { continue };
         let told = hops.unwrap_or(1);
         // Who got it from a gateway and from no client hands it on.
@@ -160,20 +164,20 @@
                 let Some(gateway) = asked.gateways.get(to) else { continue };
                 let again = refused.contains(event);
                 tries.insert(*tried, (*t, of[*gateway], event, again));
-                sites[of[*gateway]].asked += 1;
-                sites[of[*gateway]].again.0 += u64::from(again);
+                sites[of[*gateway]].attempts += 1;
+                sites[of[*gateway]].retried.0 += u64::from(again);
             }
             Observation::Answered { request_id: tried, answer, .. } => {
                 let Some((began, site, event, again)) = tries.get(tried) else { continue };
                 let site = &mut sites[*site];
-                site.again.1 += u64::from(*again && *answer != FinalAnswer::Refused);
+                site.retried.1 += u64::from(*again && *answer != FinalAnswer::Refused);
                 match answer {
                     FinalAnswer::Served => {
                         site.served += 1;
                         site.latencies.push(t - began);
                         let second = (t.saturating_sub(bed.began) / 1_000_000) as usize;
-                        site.seconds.resize(site.seconds.len().max(second + 1), 0);
-                        site.seconds[second] += 1;
+                        site.served_per_second.resize(site.served_per_second.len().max(second + 1), 0);
+                        site.served_per_second[second] += 1;
                     }
                     FinalAnswer::Refused => {
                         site.refused += 1;
@@ -192,9 +196,9 @@
             _ => {}
         }
     }
-    for ForwardedCall { way, .. } in handed {
+    for ForwardedCall { link: way, .. } in handed {
         if let Party::Scheduler(from) = way.from {
-            sites[of[from]].handed += 1;
+            sites[of[from]].forwarded += 1;
         }
     }
     sites.iter_mut().for_each(|site| site.latencies.sort_unstable());
@@ -261,8 +265,8 @@
     #[test]
     fn a_second_hop_is_found_by_what_it_says_and_by_where_it_was_seen() {
         let handed = |from, to, hops| ForwardedCall {
-            t: 0,
-            way: Link { from: Party::Scheduler(from), to: Party::Scheduler(to) },
+            time: 0,
+            link: Link { from: Party::Scheduler(from), to: Party::Scheduler(to) },
             event: "e".into(),
             hops,
         };
--- a/crates/faulttest/src/site_cluster.rs
+++ b/crates/faulttest/src/site_cluster.rs
@@ -121,9 +121,9 @@
                 .into_iter()
                 .chain([path.into()])
                 .collect();
-            let vars = spec.vars.iter().filter(|(who, ..)| *who == i);
+            let vars = spec.env.iter().filter(|(who, ..)| *who == i);
             let vars = vars.map(|(_, name, value)| (name.clone(), Some(value.into()))).collect();
-            let launch = Launch { args, vars, says: "listening on" };
+            let launch = Launch { args, env: vars, ready_line: "listening on" };
             gateways.push(Process::new(&from.to_string(), &spec.program, launch));
         }
         let worker = |(w, address): (usize, &SocketAddr)| {
@@ -139,7 +139,7 @@
                 ("--load-ms", spec.load_ms.to_string()),
             ];
             args.extend(told.into_iter().flat_map(|(name, value)| [name.into(), value.into()]));
-            let launch = Launch { args, vars: Vec::new(), says: "worker on" };
+            let launch = Launch { args, env: Vec::new(), ready_line: "worker on" };
             Process::new(&party.to_string(), &spec.program, launch)
         };
         let workers = worker_at.iter().enumerate().map(worker).collect();
@@ -313,7 +313,7 @@
 
     /// Whether all gateways that run hold the same view, and in it those that run, and no others, are live.
     pub fn views_agree(&self) -> bool {
-        let up: Vec<_> = (0..self.gateways.len()).filter(|i| self.gateways[*i].runs()).collect();
+        let up: Vec<_> = (0..self.gateways.len()).filter(|i| self.gateways[*i].is_running()).collect();
         let views: Vec<_> = up.iter().filter_map(|i| self.fetch_view(*i).ok()).collect();
         views.len() == up.len() && views.iter().all(|view| view.digest == views[0].digest && live(view) == up)
     }
@@ -354,7 +354,7 @@
         // Gateways first: they finish what they have.
         for process in self.gateways.iter_mut().chain(&mut self.workers) {
             process.resume();
-            if !process.crashed() {
+            if !process.check_crashed() {
                 process.stop();
                 process.join()?;
             }
--- a/crates/faulttest/src/site_config.rs
+++ b/crates/faulttest/src/site_config.rs
@@ -67,7 +67,7 @@
         if repeat == "keyed" {
             let _ = write!(text, " group=\"cell\" window-ms=\"{WINDOW_MS}\"");
         }
-        if repeat != "safe" && spec.holders > 0 && !spec.alone {
+        if repeat != "safe" && spec.holders > 0 && !spec.standalone {
             let _ = write!(text, " pending=\"kept\" holders=\"{}\"", spec.holders);
         }
         text.push_str("/>\n");
@@ -92,7 +92,7 @@
         text.push_str("  </tenants>\n");
     }
     let _ = writeln!(text, "  <repeats remember-ms=\"{WINDOW_MS}\"/>");
-    if !spec.alone {
+    if !spec.standalone {
         text.push_str(&peers(spec, own, reaches));
     }
     let _ = writeln!(text, "  <records file=\"n{own}.records\"/>\n</basaltward>");
--- a/crates/faulttest/src/site_script.rs
+++ b/crates/faulttest/src/site_script.rs
@@ -92,11 +92,11 @@
         work_ms: number(&own, "work-ms", 20, faults),
         load_ms: number(&own, "load-ms", 500, faults),
         holders,
-        alone: own.bool_attribute("alone").unwrap_or(false),
+        standalone: own.bool_attribute("alone").unwrap_or(false),
         tenants,
         links: BTreeMap::new(),
         loads: Vec::new(),
-        vars: Vec::new(),
+        env: Vec::new(),
         seed,
     };
     let mut read = Reader { spec, span, steps: Vec::new() };
@@ -151,14 +151,14 @@
     /// A link as an element tells it, on top of what it is else.
     fn link(&self, node: Element, usual: SiteLink, faults: &mut Vec<Fault>) -> SiteLink {
         let micros = |ms: f64| (ms * 1_000.0) as Micros;
-        let (least, most) = usual.late;
+        let (least, most) = usual.delay_range;
         let delay = node.parse_attribute("delay-ms", faults).map_or(least, micros);
         let jitter = node.parse_attribute("jitter-ms", faults).map_or(most - least, micros);
         SiteLink {
-            late: (delay, delay + jitter),
-            lost: node.parse_attribute("lost", faults).unwrap_or(usual.lost),
-            doubled: node.parse_attribute("doubled", faults).unwrap_or(usual.doubled),
-            rate: node.parse_attribute("bytes-per-s", faults).or(usual.rate),
+            delay_range: (delay, delay + jitter),
+            loss_rate: node.parse_attribute("lost", faults).unwrap_or(usual.loss_rate),
+            duplicate_rate: node.parse_attribute("doubled", faults).unwrap_or(usual.duplicate_rate),
+            bytes_per_s: node.parse_attribute("bytes-per-s", faults).or(usual.bytes_per_s),
             ..usual
         }
     }
@@ -190,10 +190,10 @@
             rate: node.parse_attribute("rate", faults).unwrap_or(10.0),
             span,
             patience,
-            repeats: node.parse_attribute("repeats", faults).unwrap_or(0.0),
+            duplicate_share: node.parse_attribute("repeats", faults).unwrap_or(0.0),
             retries: node.parse_attribute("retries", faults).unwrap_or(0),
-            honour: node.bool_attribute("honour").unwrap_or(true),
-            insists: node.bool_attribute("insists").unwrap_or(false),
+            honour_retry_after: node.bool_attribute("honour").unwrap_or(true),
+            retry_uncertain: node.bool_attribute("insists").unwrap_or(false),
             tenant,
         })
     }
@@ -256,7 +256,7 @@
                     ProcessSelector::Worker(_) => false,
                 };
                 let vars = (0..of.len()).filter(meant).map(|i| (i, STALL_CONTROL.to_owned(), value.clone()));
-                self.spec.vars.extend(vars);
+                self.spec.env.extend(vars);
             }
             "change-byte" => {
                 for (from, to) in self.pairs(node, faults) {
@@ -269,7 +269,7 @@
                     let link = self.link(node, usual, faults);
                     let link = match what {
                         "cut" => SiteLink { broken: true, ..usual },
-                        "stalled" | "one-way" => SiteLink { silent: true, ..usual },
+                        "stalled" | "one-way" => SiteLink { blackhole: true, ..usual },
                         _ => link,
                     };
                     add(
@@ -308,7 +308,7 @@
 pub fn run_sites(script: &SitesScript) -> Result<SiteCluster, HarnessError> {
     let mut bed = SiteCluster::start(script.spec.clone())?;
     // Clients come once the gateways know of one another; those that never agree are called all the same.
-    let _ = bed.spec.alone || bed.wait_for_agreement(AGREE);
+    let _ = bed.spec.standalone || bed.wait_for_agreement(AGREE);
     bed.start_clients()?;
     let began = bed.began;
     let until = |at: Micros| {
--- a/crates/faulttest/src/site_spec.rs
+++ b/crates/faulttest/src/site_spec.rs
@@ -35,15 +35,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SiteLink {
     /// How late all is, at least and at most.
-    pub late: (Micros, Micros),
+    pub delay_range: (Micros, Micros),
     /// Share of datagrams that are lost; what is lost of a connection is sent again.
-    pub lost: f64,
+    pub loss_rate: f64,
     /// Share of datagrams that come twice.
-    pub doubled: f64,
+    pub duplicate_rate: f64,
     /// Bytes a second of each way between two gateways.
-    pub rate: Option<u64>,
+    pub bytes_per_s: Option<u64>,
     /// Nothing is carried, and connections stay open.
-    pub silent: bool,
+    pub blackhole: bool,
     /// Connections break and are refused, datagrams are lost.
     pub broken: bool,
 }
@@ -51,16 +51,21 @@
 impl SiteLink {
     /// Within a site.
     pub(crate) fn within() -> Self {
-        Self { late: WITHIN_US, ..Self::default() }
+        Self { delay_range: WITHIN_US, ..Self::default() }
     }
 
     pub(crate) fn shaping(&self) -> Shaping {
-        Shaping { late: self.late, lost: self.lost, rate: self.rate, blackhole: self.silent }
+        Shaping {
+            delay_range: self.delay_range,
+            loss_rate: self.loss_rate,
+            bytes_per_s: self.bytes_per_s,
+            blackhole: self.blackhole,
+        }
     }
 
     pub(crate) fn loss(&self) -> DatagramFaults {
-        let lost = if self.silent || self.broken { 1.0 } else { self.lost };
-        DatagramFaults { loss_rate: lost, duplicate_rate: self.doubled, delay_range: self.late }
+        let lost = if self.blackhole || self.broken { 1.0 } else { self.loss_rate };
+        DatagramFaults { loss_rate: lost, duplicate_rate: self.duplicate_rate, delay_range: self.delay_range }
     }
 
     pub(crate) fn stream(&self) -> ConnectionMode {
@@ -84,13 +89,13 @@
     /// How long a client waits in all.
     pub patience: Micros,
     /// Share of the keyed and unsafe events that are sent to a further gateway of any site as well, at once.
-    pub repeats: f64,
+    pub duplicate_share: f64,
     /// Further tries of a client that was not served.
     pub retries: u32,
     /// A client comes again when a refusal says, not at once.
-    pub honour: bool,
+    pub honour_retry_after: bool,
     /// A client repeats keyed and unsafe events too whose answer says that they may have run.
-    pub insists: bool,
+    pub retry_uncertain: bool,
     /// Its tenant; empty without.
     pub tenant: String,
 }
@@ -111,7 +116,7 @@
     /// Neighbours that hold each keyed and unsafe event; with none they are not kept.
     pub holders: usize,
     /// Gateways are told nothing of one another.
-    pub alone: bool,
+    pub standalone: bool,
     /// Tenants with their quotas, a second.
     pub tenants: Vec<(String, f64)>,
     /// Links by site and site; a pair that is not named is joined as within a site.
@@ -119,7 +124,7 @@
     /// What clients ask.
     pub loads: Vec<LoadSpec>,
     /// Variables for gateways by number.
-    pub vars: Vec<(usize, String, String)>,
+    pub env: Vec<(usize, String, String)>,
     /// Every random choice follows from it.
     pub seed: u64,
 }
--- a/crates/faulttest/src/site_workload.rs
+++ b/crates/faulttest/src/site_workload.rs
@@ -27,7 +27,7 @@
             let function = rng.random_range(load.functions.clone());
             let id = format!("{number}-{event}");
             let first = plan(load, at as Micros, (gateway, class, function), id);
-            if CLASSES[class].1 != "safe" && rng.random::<f64>() < load.repeats {
+            if CLASSES[class].1 != "safe" && rng.random::<f64>() < load.duplicate_share {
                 // The same event at another gateway, of any site, while the first is in hand.
                 let other = (gateway + rng.random_range(1..of.len().max(2))) % of.len();
                 let at = first.at + rng.random_range(0..20_000);
@@ -45,8 +45,8 @@
         most: load.retries,
         wait: AGAIN_US,
         leave_after: None,
-        after_failure: load.insists || repeat == "safe",
-        honour: load.honour,
+        after_failure: load.retry_uncertain || repeat == "safe",
+        honour: load.honour_retry_after,
     };
     Plan {
         at,
--- a/crates/faulttest/src/timeline.rs
+++ b/crates/faulttest/src/timeline.rs
@@ -1,8 +1,8 @@
 //! The course of a run, a lane for each scheduler: who was up, stalled, stopped, cut off when.
 
 use crate::link::{Link, Party};
-use crate::process::Change;
 use crate::process::Process;
+use crate::process::StateChange;
 use basaltward_net::Micros;
 use svg::Document;
 use svg::node::Text as Letters;
@@ -10,39 +10,39 @@
 
 /// One spell of a lane, from and until, in microseconds of the run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Spell {
+pub struct Interval {
     /// When it begins.
     pub from: Micros,
     /// When it ends.
     pub until: Micros,
     /// `up`, `stalled`, `stopping`, `cut`.
-    pub what: &'static str,
+    pub state: &'static str,
 }
 
 /// A scheduler's name with its spells by time.
-pub type Lane = (String, Vec<Spell>);
+pub type TimelineLane = (String, Vec<Interval>);
 
 /// The lanes of processes from `began` until `end`, cut where their clients' ways were.
-pub fn lanes<'a>(
+pub fn timeline_lanes<'a>(
     processes: impl Iterator<Item = (Party, &'a Process)>,
     faults: &[(Micros, Link, String)],
     (began, end): (Micros, Micros),
-) -> Vec<Lane> {
+) -> Vec<TimelineLane> {
     let lane = |(party, process): (Party, &Process)| {
         let mut spells = Vec::new();
         let mut open: Option<(Micros, &'static str)> = None;
-        let mut turn = |t: Micros, next: Option<&'static str>, spells: &mut Vec<Spell>| {
+        let mut turn = |t: Micros, next: Option<&'static str>, spells: &mut Vec<Interval>| {
             let at = t.saturating_sub(began);
-            let ended = open.take().map(|(from, what)| Spell { from, until: at, what });
+            let ended = open.take().map(|(from, what)| Interval { from, until: at, state: what });
             spells.extend(ended);
             open = next.map(|what| (at, what));
         };
         for (t, change) in &process.changes {
             let next = match change {
-                Change::Up | Change::Resumed => Some("up"),
-                Change::Stalled => Some("stalled"),
-                Change::Stopping => Some("stopping"),
-                Change::Ended(_) | Change::Killed | Change::Crashed => None,
+                StateChange::Up | StateChange::Resumed => Some("up"),
+                StateChange::Stalled => Some("stalled"),
+                StateChange::Stopping => Some("stopping"),
+                StateChange::Ended(_) | StateChange::Killed | StateChange::Crashed => None,
             };
             turn(*t, next, &mut spells);
         }
@@ -56,11 +56,11 @@
             if what != "pass" {
                 since.get_or_insert(at);
             } else if let Some(from) = since.take() {
-                spells.push(Spell { from, until: at, what: "cut" });
+                spells.push(Interval { from, until: at, state: "cut" });
             }
         }
         let until = end.saturating_sub(began);
-        spells.extend(since.map(|from| Spell { from, until, what: "cut" }));
+        spells.extend(since.map(|from| Interval { from, until, state: "cut" }));
         (party.to_string(), spells)
     };
     processes.map(lane).collect()
@@ -71,7 +71,7 @@
 const ROW: f64 = 18.0;
 
 /// The lanes as a picture.
-pub fn picture(lanes: &[Lane]) -> String {
+pub fn timeline_svg(lanes: &[TimelineLane]) -> String {
     let end = lanes.iter().flat_map(|(_, s)| s.iter().map(|s| s.until)).max().unwrap_or(1).max(1) as f64;
     let x = |t: Micros| LEFT + t as f64 / end * WIDTH;
     let height = ROW * (lanes.len() as f64 + 2.0);
@@ -92,13 +92,13 @@
         let top = ROW * (row as f64 + 1.0);
         page = page.add(text(4.0, top + 12.0, name.clone()));
         for spell in spells {
-            let (color, inset) = match spell.what {
+            let (color, inset) = match spell.state {
                 "up" => ("#7fb37f", 3.0),
                 "stalled" => ("#d9a441", 3.0),
                 "stopping" => ("#8899bb", 3.0),
                 _ => ("#b34a4a", 9.0),
             };
-            let told = format!("{name} {} {}-{} ms", spell.what, spell.from / 1_000, spell.until / 1_000);
+            let told = format!("{name} {} {}-{} ms", spell.state, spell.from / 1_000, spell.until / 1_000);
             let bar = Rectangle::new()
                 .set("x", x(spell.from))
                 .set("y", top + inset)
--- a/crates/faulttest/tests/hollow.rs
+++ b/crates/faulttest/tests/hollow.rs
@@ -14,13 +14,20 @@
 /// Four zones of ten in two regions.
 fn links() -> NetworkConditions {
     let topology = Topology { members: 40, zones: 4, regions: 2 };
-    NetworkConditions { topology, delays: Delays::default(), jitter: 0.0, lost: 0.0, doubled: 0.0, cut: None }
+    NetworkConditions {
+        topology,
+        delays: Delays::default(),
+        jitter: 0.0,
+        loss_rate: 0.0,
+        duplicate_rate: 0.0,
+        partition: None,
+    }
 }
 
 #[test]
 fn a_link_has_the_delay_of_its_places_and_a_cut_loses_both_directions_and_nothing_inside() {
     let mut rng = StdRng::seed_from_u64(1);
-    let mut fate = |links: &NetworkConditions, from, to| links.fate(from, to, &mut rng)[0];
+    let mut fate = |links: &NetworkConditions, from, to| links.copy_delays(from, to, &mut rng)[0];
     // Members 0 and 5 share a zone, 0 and 15 a region, 0 and 25 nothing.
     let cases = [(0, 5, 300), (0, 15, 1_500), (0, 25, 60_000)];
     for (one, other, delay) in cases {
@@ -34,7 +41,7 @@
         (Partition::Zone(0), [false, true, true]),
         (Partition::Region(1), [false, false, true]),
     ] {
-        let links = NetworkConditions { cut: Some(cut), ..links() };
+        let links = NetworkConditions { partition: Some(cut), ..links() };
         for ((one, other, _), lost) in cases.into_iter().zip(lost) {
             assert_eq!(fate(&links, one, other).is_none(), lost, "{cut:?} {one} {other}");
             assert_eq!(fate(&links, other, one).is_none(), lost, "{cut:?} {other} {one}");
@@ -45,8 +52,8 @@
 #[test]
 fn datagrams_are_lost_and_doubled_by_their_shares() {
     let mut rng = StdRng::seed_from_u64(1);
-    let links = NetworkConditions { lost: 0.2, doubled: 0.1, ..links() };
-    let fates: Vec<_> = (0..10_000).map(|_| links.fate(0, 1, &mut rng)).collect();
+    let links = NetworkConditions { loss_rate: 0.2, duplicate_rate: 0.1, ..links() };
+    let fates: Vec<_> = (0..10_000).map(|_| links.copy_delays(0, 1, &mut rng)).collect();
     let lost = fates.iter().filter(|fate| fate[0].is_none()).count();
     let doubled = fates.iter().filter(|fate| fate[1].is_some()).count();
     assert!((1_800..2_200).contains(&lost), "{lost}");
@@ -100,7 +107,7 @@
 
 #[test]
 fn rows_tell_what_was_not_reached() {
-    let mut report = HollowReport { size: 300, lost: 0.05, ..HollowReport::default() };
+    let mut report = HollowReport { size: 300, loss_rate: 0.05, ..HollowReport::default() };
     report.rows.insert("settle_start_ms", Row { value: Value::Measured(1_234.4), unit: "ms" });
     report.rows.insert("settle_kill_one_ms", Row { value: Value::Unsettled, unit: "ms" });
     assert_eq!(
@@ -139,12 +146,15 @@
 fn a_script_is_read_with_its_usual_figures() {
     let script = read(GOOD, "good").expect("good");
     assert_eq!((script.spec.members(), script.spec.real, script.spec.loops, script.spec.seed), (44, 4, 1, 9));
-    assert_eq!(script.spec.conditions.delays, Delays { zone_us: 300, zones_us: 1_500, regions_us: 60_000 });
+    assert_eq!(
+        script.spec.conditions.delays,
+        Delays { within_zone_us: 300, between_zones_us: 1_500, between_regions_us: 60_000 }
+    );
     let acts: Vec<_> = script.steps.iter().map(|step| step.action).collect();
     assert_eq!(
         acts,
         [
-            HollowAction::Quiet { after: 0, span: 10_000 },
+            HollowAction::MeasureIdle { after: 0, span: 10_000 },
             HollowAction::KillMembers(11),
             HollowAction::KillZone(3),
             HollowAction::Start,
--- a/crates/faulttest/tests/relay.rs
+++ b/crates/faulttest/tests/relay.rs
@@ -159,7 +159,7 @@
 #[test]
 fn late_bytes_come_in_order_and_before_the_end_behind_them() {
     let (relay, address) = relayed();
-    let late = Shaping { late: (40_000, 160_000), ..Shaping::default() };
+    let late = Shaping { delay_range: (40_000, 160_000), ..Shaping::default() };
     shaping(&relay, late, late);
     let mut stream = connect(address);
     let began = std::time::Instant::now();
@@ -184,7 +184,7 @@
 #[test]
 fn a_slow_way_carries_its_rate_and_loses_nothing() {
     let (relay, address) = relayed();
-    let slow = Shaping { rate: Some(20_000), ..Shaping::default() };
+    let slow = Shaping { bytes_per_s: Some(20_000), ..Shaping::default() };
     shaping(&relay, slow, Shaping::default());
     let mut stream = connect(address);
     let bytes: Vec<u8> = (0..6_000).map(|n| (n % 251) as u8).collect();
