--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -79,7 +79,7 @@
     keep(options, &all, &timeline_lanes(gateways.chain(workers), &bed.network.faults, (bed.began, end)))?;
     if let Some(folder) = &options.records {
         for (number, process) in bed.gateways.iter().enumerate() {
-            write(folder.join(format!("n{number}.log")), process.said().join("\n"))?;
+            write(folder.join(format!("n{number}.log")), process.output().join("\n"))?;
         }
         let noted: Vec<_> =
             bed.network.relay.captured().journal_messages.iter().map(|noted| format!("{noted}\n")).collect();
--- a/crates/faulttest/src/capture.rs
+++ b/crates/faulttest/src/capture.rs
@@ -1,4 +1,4 @@
-//! What the relays see of calls that one gateway hands to another, and of kept events on journals' connections.
+//! Decodes calls forwarded between gateways and journal messages about kept events as they cross the relays.
 
 use crate::link::{Link, Party};
 use basaltward_http::{Decoded, Limits, RequestDecoder};
@@ -8,33 +8,34 @@
 use bytes::BytesMut;
 use std::fmt;
 
-/// Longest payload of a frame, and longest event of a kept call: no gateway of a bed has more.
-const FRAME_BYTES: usize = 256 << 10;
-const ENTRY_BYTES: usize = 64 << 10;
+/// Maximum payload of a frame; gateways of a cluster send none that is longer.
+const MAX_FRAME_BYTES: usize = 256 << 10;
+/// Maximum size of the event of a kept call; gateways of a cluster accept none that is longer.
+const MAX_ENTRY_BYTES: usize = 64 << 10;
 
-/// A call that crossed from one gateway to another's front.
+/// A call that one gateway forwarded to the front of another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardedCall {
-    /// When.
+    /// When it crossed the relay.
     pub time: Micros,
-    /// From whom to whom.
+    /// The sending and the receiving gateway.
     pub link: Link,
-    /// The event, as records name it.
+    /// Name of the event as in records: `source#id`.
     pub event: String,
-    /// How often it was handed over by then, as it says itself.
+    /// How often the call has been forwarded, according to its `ce-hops` header; none without a valid header.
     pub hops: Option<u32>,
 }
 
-/// What one gateway has told another of kept events.
+/// A message about kept events that one gateway sent to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JournalMessage {
-    /// When it arrived.
+    /// When it crossed the relay.
     pub time: Micros,
-    /// Who says it.
+    /// Number of the sending gateway.
     pub from: usize,
-    /// To whom.
+    /// Number of the receiving gateway.
     pub to: usize,
-    /// What.
+    /// The decoded message.
     pub content: Glance,
 }
 
@@ -65,79 +66,79 @@
     }
 }
 
-/// An accepted event's name, as records have it.
+/// Name of an accepted event as in records: `source#id`.
 pub(crate) fn event_name(accepted: &Accepted) -> String {
-    let told: serde_json::Value = serde_json::from_slice(&accepted.event).unwrap_or_default();
-    let part = |name: &str| told[name].as_str().unwrap_or_default().to_owned();
+    let event: serde_json::Value = serde_json::from_slice(&accepted.event).unwrap_or_default();
+    let part = |name: &str| event[name].as_str().unwrap_or_default().to_owned();
     format!("{}#{}", part("source"), part("id"))
 }
 
-/// All that was seen.
+/// Everything that was decoded on captured links.
 #[derive(Clone, Debug, Default)]
 pub struct CapturedTraffic {
-    /// Calls handed over.
+    /// Calls forwarded between gateways.
     pub forwarded_calls: Vec<ForwardedCall>,
-    /// Of kept events.
+    /// Journal messages about kept events.
     pub journal_messages: Vec<JournalMessage>,
 }
 
-/// What is read on a way.
+/// What a captured link carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CaptureProtocol {
-    /// Calls, from who began.
+    /// Calls over HTTP; only the direction from the connecting side is decoded.
     Calls,
-    /// Frames between gateways, both ways.
+    /// Frames between gateways, in both directions.
     Frames,
 }
 
 enum Decoder {
     Calls(Box<RequestDecoder>, BytesMut),
     Frames(basaltward_peers::FrameDecoder),
-    /// What crosses is something else, and not looked at any further.
-    Lost,
+    /// The bytes could not be decoded; the rest of the connection is ignored.
+    Undecodable,
 }
 
-/// Reads what crosses on one connection in one direction.
+/// Decodes one direction of one connection.
 pub(crate) struct Capture {
     decoder: Decoder,
-    way: Link,
-    near: bool,
+    link: Link,
+    from_connector: bool,
 }
 
 impl Capture {
-    /// None where nothing is to be read in that direction.
-    pub fn new(reads: CaptureProtocol, way: Link, near: bool) -> Option<Self> {
+    /// A decoder for one direction: bytes from the connecting side or towards it. None if that direction is not decoded.
+    pub fn new(protocol: CaptureProtocol, link: Link, from_connector: bool) -> Option<Self> {
         let limits = Limits { body: 64 << 20, ..Limits::default() };
-        let decoder = match reads {
-            CaptureProtocol::Calls if !near => return None,
+        let decoder = match protocol {
+            CaptureProtocol::Calls if !from_connector => return None,
             CaptureProtocol::Calls => Decoder::Calls(Box::new(RequestDecoder::new(limits)), BytesMut::new()),
-            CaptureProtocol::Frames => Decoder::Frames(basaltward_peers::FrameDecoder::new(FRAME_BYTES)),
+            CaptureProtocol::Frames => Decoder::Frames(basaltward_peers::FrameDecoder::new(MAX_FRAME_BYTES)),
         };
-        Some(Self { decoder, way, near })
+        Some(Self { decoder, link, from_connector })
     }
 
-    /// Adds what is whole with these bytes.
+    /// Adds what is complete with these bytes to `out`.
     pub fn take(&mut self, t: Micros, bytes: &[u8], out: &mut CapturedTraffic) {
-        let good = match &mut self.decoder {
+        let decodable = match &mut self.decoder {
             Decoder::Calls(decoder, seen) => {
                 seen.extend_from_slice(bytes);
-                calls(t, self.way, (decoder, seen), &mut out.forwarded_calls)
+                calls(t, self.link, (decoder, seen), &mut out.forwarded_calls)
             }
             Decoder::Frames(decoder) => {
                 decoder.push(&mut bytes.into());
-                frames(t, (self.way, self.near), decoder, &mut out.journal_messages)
+                frames(t, (self.link, self.from_connector), decoder, &mut out.journal_messages)
             }
-            Decoder::Lost => true,
+            Decoder::Undecodable => true,
         };
-        if !good {
-            self.decoder = Decoder::Lost;
+        if !decodable {
+            self.decoder = Decoder::Undecodable;
         }
     }
 }
 
 fn calls(
     t: Micros,
-    way: Link,
+    link: Link,
     (decoder, seen): (&mut RequestDecoder, &mut BytesMut),
     out: &mut Vec<ForwardedCall>,
 ) -> bool {
@@ -147,7 +148,7 @@
                 let field = |name: &str| request.headers.get(name);
                 let Some((source, id)) = field("ce-source").zip(field("ce-id")) else { continue };
                 let hops = field("ce-hops").and_then(|hops| hops.parse().ok());
-                out.push(ForwardedCall { time: t, link: way, event: format!("{source}#{id}"), hops });
+                out.push(ForwardedCall { time: t, link, event: format!("{source}#{id}"), hops });
             }
             Ok(_) => return true,
             Err(_) => return false,
@@ -157,16 +158,16 @@
 
 fn frames(
     t: Micros,
-    (way, near): (Link, bool),
+    (link, from_connector): (Link, bool),
     decoder: &mut basaltward_peers::FrameDecoder,
     out: &mut Vec<JournalMessage>,
 ) -> bool {
-    let (Party::Scheduler(began), Party::Journal(reached)) = (way.from, way.to) else { return false };
-    let (from, to) = if near { (began, reached) } else { (reached, began) };
+    let (Party::Scheduler(connector), Party::Journal(acceptor)) = (link.from, link.to) else { return false };
+    let (from, to) = if from_connector { (connector, acceptor) } else { (acceptor, connector) };
     loop {
         match decoder.next_frame() {
             Ok(Some(frame)) if frame.channel == Channel::Pending as u8 => {
-                let seen = glance(&frame.payload, ENTRY_BYTES).unwrap_or_default();
+                let seen = glance(&frame.payload, MAX_ENTRY_BYTES).unwrap_or_default();
                 out.extend(seen.into_iter().map(|what| JournalMessage { time: t, from, to, content: what }));
             }
             Ok(Some(_)) => {}
--- a/crates/faulttest/src/checker.rs
+++ b/crates/faulttest/src/checker.rs
@@ -1,4 +1,4 @@
-//! The verdict on a run: the five rules over all that was recorded, and what holds for a fleet of processes.
+//! Checker of a finished run: checks the five rules over the recorded history and the invariants of a fleet of processes.
 
 use crate::cluster::{CLASSES, Cluster};
 use crate::link::{Link, Party};
@@ -12,35 +12,35 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// After a fault ends clients and schedulers need this long to be at each other again.
-const AFTER_US: Micros = 1_500_000;
+/// Time that clients and schedulers need to reconnect after a fault has ended.
+const RECOVERY_US: Micros = 1_500_000;
 
-/// What a fleet has done wrong that no rule names.
+/// Violations by a fleet of processes that none of the five rules covers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FleetViolation {
-    /// A process ended though nobody told it to.
+    /// A process exited without having been stopped.
     Crashed(String),
-    /// It ended after SIGTERM, but not well.
+    /// A process exited after SIGTERM with a failure status.
     UncleanExit(String),
-    /// It sent a datagram longer than the platform allows.
+    /// A process sent so many datagrams of more than the 256 bytes that the platform allows.
     OversizedDatagram(Link, u64),
-    /// It sent datagrams from an address that is not its own.
+    /// A process sent so many datagrams from an address that is not its own.
     WrongSource(Link, u64),
-    /// A scheduler, in one life, went back from a later life of another to an earlier one.
+    /// A scheduler, without a restart, went from a later incarnation of the given member back to an earlier one.
     StaleMemberState(String, u16),
-    /// More may be out by what is agreed than the bound allows: of schedulers or workers, so many.
+    /// The agreed permits allow so many schedulers or workers to be down at once, more than the bound.
     PermitBoundExceeded(&'static str, usize),
-    /// Two schedulers hold something else under one epoch and count.
+    /// Two schedulers have different permits under the same epoch and version.
     PermitFork((u64, u16), u32),
-    /// Bytes crossed a way that was cut: the bed itself is broken.
+    /// So many bytes crossed a link while it was cut, which is a fault of the harness itself.
     LinkLeak(Link, u64),
-    /// A keyed or unsafe event had more than one effect, at these workers.
+    /// A keyed or unsafe event took effect more than once, at these workers.
     DuplicateEffect(String, Vec<String>),
-    /// An event was handed over so often.
+    /// An event was forwarded this often; the limit is one hop.
     TooManyHops(String, u32),
-    /// A kept event that was acknowledged did not end in one way, but in these.
+    /// An acknowledged kept event ended without an outcome or with several; these are the outcomes.
     WrongEnd(String, Vec<String>),
-    /// An event was said to have run nowhere, though it ran.
+    /// An event was reported as not executed, though a worker executed it.
     FalseRefusal(String),
 }
 
@@ -49,70 +49,71 @@
         match self {
             Self::Crashed(name) => write!(f, "{name} ended by itself"),
             Self::UncleanExit(name) => write!(f, "{name} did not end well after SIGTERM"),
-            Self::OversizedDatagram(way, count) => {
-                write!(f, "{way}: {count} datagrams of more than 256 bytes")
+            Self::OversizedDatagram(link, count) => {
+                write!(f, "{link}: {count} datagrams of more than 256 bytes")
             }
-            Self::WrongSource(way, count) => write!(f, "{way}: {count} datagrams from another's address"),
+            Self::WrongSource(link, count) => write!(f, "{link}: {count} datagrams from another's address"),
             Self::StaleMemberState(by, of) => write!(f, "{by} went back to an earlier life of n{of}"),
             Self::PermitBoundExceeded(what, count) => write!(f, "{count} {what} may be out at once"),
             Self::PermitFork((ms, by), version) => {
                 write!(f, "two are agreed under epoch {ms} of n{by}, version {version}")
             }
-            Self::LinkLeak(way, bytes) => write!(f, "{way}: {bytes} bytes crossed it while it was cut"),
+            Self::LinkLeak(link, bytes) => write!(f, "{link}: {bytes} bytes crossed it while it was cut"),
             Self::DuplicateEffect(event, at) => write!(f, "{event}: effects at {}", at.join(", ")),
             Self::TooManyHops(event, hops) => write!(f, "{event}: handed over {hops} times"),
-            Self::WrongEnd(event, ways) if ways.is_empty() => {
+            Self::WrongEnd(event, outcomes) if outcomes.is_empty() => {
                 write!(f, "{event}: acknowledged as kept, and has no end")
             }
-            Self::WrongEnd(event, ways) => write!(f, "{event}: ended as {}", ways.join(" and as ")),
+            Self::WrongEnd(event, outcomes) => write!(f, "{event}: ended as {}", outcomes.join(" and as ")),
             Self::FalseRefusal(event) => write!(f, "{event}: said to have run nowhere, but ran"),
         }
     }
 }
 
-/// What a run came to.
+/// Result of checking a run.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Broken rules.
+    /// Breaches of the five rules.
     pub rule_breaches: Vec<Breach>,
-    /// What else is wrong.
+    /// Other violations by the fleet.
     pub violations: Vec<FleetViolation>,
-    /// Calls asked, and of them served, refused and failed.
+    /// Calls sent, and of these served, refused and failed.
     pub calls: (u64, u64, u64, u64),
-    /// Calls whose scheduler stood still, or whose way was cut, before they were answered: nothing is owed.
+    /// Calls that an injected fault (a paused or stopped scheduler, a cut link) kept from being answered; the rules do not
+    /// apply to them.
     pub excused: u64,
 }
 
 impl Verdict {
-    /// Whether nothing is wrong.
+    /// Whether there are no breaches and no violations.
     pub fn passed(&self) -> bool {
         self.rule_breaches.is_empty() && self.violations.is_empty()
     }
 }
 
-/// Judges a run that has finished.
-pub fn check_cluster(bed: &Cluster, records: &[Record]) -> Verdict {
-    let schedulers: Vec<_> = bed.schedulers.iter().enumerate().collect();
-    let fronts: Vec<_> =
-        schedulers.iter().map(|(i, p)| (bed.listens[*i], Party::Scheduler(*i), *p)).collect();
-    let (mut verdict, records) = common(records, &rules(), (&fronts, &bed.network));
-    verdict.violations.extend(ran_back(&records));
-    verdict.violations.extend(permitted(bed, &records));
+/// Checks a finished run.
+pub fn check_cluster(cluster: &Cluster, records: &[Record]) -> Verdict {
+    let schedulers: Vec<_> = cluster.schedulers.iter().enumerate().collect();
+    let call_targets: Vec<_> =
+        schedulers.iter().map(|(i, p)| (cluster.listens[*i], Party::Scheduler(*i), *p)).collect();
+    let (mut verdict, records) = check_common(records, &rules(), (&call_targets, &cluster.network));
+    verdict.violations.extend(stale_member_states(&records));
+    verdict.violations.extend(permit_violations(cluster, &records));
     verdict
 }
 
-/// A process that clients call: its own address, who it is, and what became of it.
-pub(crate) type Front<'a> = (SocketAddr, Party, &'a Process);
+/// A process that clients call: its own address, its party and its state changes.
+pub(crate) type CallTarget<'a> = (SocketAddr, Party, &'a Process);
 
-/// What holds for all beds: the rules, with what the bed's own faults excuse taken out, and processes and ways as
-/// they should be. Gives the records that were judged.
-pub(crate) fn common(
+/// Checks that apply to every cluster: the rules, without the calls that injected faults excuse, and the invariants of
+/// processes and network. Also returns the records that were checked.
+pub(crate) fn check_common(
     records: &[Record],
     rules: &RuleSettings,
-    (fronts, ways): (&[Front], &Network),
+    (call_targets, network): (&[CallTarget], &Network),
 ) -> (Verdict, Vec<Record>) {
     let mut verdict = Verdict::default();
-    let (records, excused) = excuse(records, &spells(fronts, ways));
+    let (records, excused) = excuse(records, &fault_intervals(call_targets, network));
     verdict.excused = excused;
     for record in &records {
         match &record.observation {
@@ -124,20 +125,24 @@
         }
     }
     verdict.rule_breaches = check(&records, rules);
-    verdict.violations.extend(fronts.iter().flat_map(|(_, party, process)| ends(*party, process)));
-    for (way, counts) in ways.relay.counts() {
+    verdict
+        .violations
+        .extend(call_targets.iter().flat_map(|(_, party, process)| exit_violations(*party, process)));
+    for (link, counts) in network.relay.counts() {
         let found = [
             (counts.oversized, FleetViolation::OversizedDatagram as fn(_, _) -> _),
             (counts.wrong_source, FleetViolation::WrongSource),
         ];
-        verdict.violations.extend(found.into_iter().filter(|(n, _)| *n > 0).map(|(n, what)| what(way, n)));
+        verdict.violations.extend(found.into_iter().filter(|(n, _)| *n > 0).map(|(n, what)| what(link, n)));
     }
-    verdict.violations.extend(ways.leaks.iter().map(|(way, bytes)| FleetViolation::LinkLeak(*way, *bytes)));
+    verdict
+        .violations
+        .extend(network.leaks.iter().map(|(link, bytes)| FleetViolation::LinkLeak(*link, *bytes)));
     (verdict, records)
 }
 
-/// Ends of a process that nobody asked for, or that were not good.
-pub(crate) fn ends(party: Party, process: &Process) -> Vec<FleetViolation> {
+/// Unexpected exits and failed stops of a process.
+pub(crate) fn exit_violations(party: Party, process: &Process) -> Vec<FleetViolation> {
     let end = |(_, change): &(Micros, StateChange)| match change {
         StateChange::Crashed => Some(FleetViolation::Crashed(party.to_string())),
         StateChange::Ended(false) => Some(FleetViolation::UncleanExit(party.to_string())),
@@ -146,13 +151,13 @@
     process.changes.iter().filter_map(end).collect()
 }
 
-/// What each believed of the others' lives never runs back while it lives itself.
-fn ran_back(records: &[Record]) -> BTreeSet<FleetViolation> {
+/// Between two of its own restarts, a scheduler never goes back to an earlier incarnation of another member.
+fn stale_member_states(records: &[Record]) -> BTreeSet<FleetViolation> {
     let mut known: BTreeMap<(&str, u16), (u64, u32)> = BTreeMap::new();
     let mut found = BTreeSet::new();
     for Record { observer: by, observation: what, .. } in records {
         match what {
-            Observation::Up { .. } => known.retain(|(who, _), _| who != by),
+            Observation::Up { .. } => known.retain(|(observer, _), _| observer != by),
             Observation::MemberState { member: of, start, refutations: bump, .. } => {
                 let held = known.entry((by, *of)).or_default();
                 if (*start, *bump) < *held {
@@ -166,13 +171,13 @@
     found
 }
 
-/// What is agreed is one thing at all, and permits no more to be out than the bound allows.
-fn permitted(bed: &Cluster, records: &[Record]) -> BTreeSet<FleetViolation> {
+/// All schedulers agree on the same permits per epoch and version, and these never exceed the bounds.
+fn permit_violations(cluster: &Cluster, records: &[Record]) -> BTreeSet<FleetViolation> {
     let mut found = BTreeSet::new();
-    let Some(bounds) = bed.spec.bounds else { return found };
+    let Some(bounds) = cluster.spec.bounds else { return found };
     let of = [
-        ("schedulers", "scheduler ", bounds.schedulers.to_count(bed.schedulers.len())),
-        ("workers", "worker ", bounds.workers.to_count(bed.workers.len())),
+        ("schedulers", "scheduler ", bounds.schedulers.to_count(cluster.schedulers.len())),
+        ("workers", "worker ", bounds.workers.to_count(cluster.workers.len())),
     ];
     let mut known: BTreeMap<((u64, u16), u32), &Vec<String>> = BTreeMap::new();
     for Record { observation: what, .. } in records {
@@ -190,84 +195,93 @@
     found
 }
 
-/// When clients of each scheduler's address could not reach it, by the bed's own faults: from, until.
-fn spells(fronts: &[Front], ways: &Network) -> BTreeMap<String, Vec<(Micros, Micros)>> {
+/// Intervals in which injected faults kept clients from a scheduler, by its address.
+fn fault_intervals(
+    call_targets: &[CallTarget],
+    network: &Network,
+) -> BTreeMap<String, Vec<(Micros, Micros)>> {
     let mut all: BTreeMap<String, Vec<(Micros, Micros)>> = BTreeMap::new();
-    for (listens, party, process) in fronts {
-        let spells = all.entry(listens.to_string()).or_default();
+    for (listens, party, process) in call_targets {
+        let fault_intervals = all.entry(listens.to_string()).or_default();
         let mut since = None;
         for (t, change) in &process.changes {
             match change {
                 StateChange::Stalled => since = Some(*t),
-                StateChange::Resumed => spells.extend(since.take().map(|from| (from, *t + AFTER_US))),
+                StateChange::Resumed => {
+                    fault_intervals.extend(since.take().map(|from| (from, *t + RECOVERY_US)))
+                }
                 StateChange::Killed | StateChange::Ended(_) => drop(since.get_or_insert(*t)),
-                // Who comes up again has nothing left to catch up with.
-                StateChange::Up => spells.extend(since.take().map(|from| (from, *t))),
+                // After a restart there is no backlog to recover from.
+                StateChange::Up => fault_intervals.extend(since.take().map(|from| (from, *t))),
                 StateChange::Stopping | StateChange::Crashed => {}
             }
         }
-        spells.extend(since.map(|from| (from, Micros::MAX)));
-        let way = Link { from: Party::Clients, to: *party };
+        fault_intervals.extend(since.map(|from| (from, Micros::MAX)));
+        let link = Link { from: Party::Clients, to: *party };
         let mut since = None;
-        for (t, _, what) in ways.faults.iter().filter(|(_, on, _)| *on == way) {
+        for (t, _, what) in network.faults.iter().filter(|(_, on, _)| *on == link) {
             match (what.as_str(), since) {
                 ("pass", Some(from)) => {
-                    spells.push((from, *t + AFTER_US));
+                    fault_intervals.push((from, *t + RECOVERY_US));
                     since = None;
                 }
                 ("pass", None) | (_, Some(_)) => {}
                 (_, None) => since = Some(*t),
             }
         }
-        spells.extend(since.map(|from| (from, Micros::MAX)));
+        fault_intervals.extend(since.map(|from| (from, Micros::MAX)));
     }
     all
 }
 
-/// Who could not be answered in time by the bed's own fault has left. Answers that came in time stay, and so
-/// does all that rule 2 looks at.
-fn excuse(records: &[Record], spells: &BTreeMap<String, Vec<(Micros, Micros)>>) -> (Vec<Record>, u64) {
+/// Turns each call that injected faults kept from being answered in time into one whose client left at the deadline.
+/// Answers that came in time stay, and so do all records that rule 2 needs.
+fn excuse(
+    records: &[Record],
+    fault_intervals: &BTreeMap<String, Vec<(Micros, Micros)>>,
+) -> (Vec<Record>, u64) {
     let mut ended = BTreeMap::new();
     for record in records {
-        if let Observation::Answered { request_id: tried, .. }
-        | Observation::ConnectionLost { request_id: tried } = &record.observation
+        if let Observation::Answered { request_id, .. } | Observation::ConnectionLost { request_id } =
+            &record.observation
         {
-            ended.entry(*tried).or_insert(record);
+            ended.entry(*request_id).or_insert(record);
         }
     }
-    let mut touched = BTreeMap::new();
+    let mut excused = BTreeMap::new();
     for record in records {
-        let Observation::RequestSent { request_id: tried, to, deadline, .. } = &record.observation else {
+        let Observation::RequestSent { request_id, to, deadline, .. } = &record.observation else {
             continue;
         };
-        let end = ended.get(tried);
+        let end = ended.get(request_id);
         let in_time =
             |r: &&Record| matches!(r.observation, Observation::Answered { .. }) && r.time <= *deadline;
         if end.is_some_and(in_time) {
             continue;
         }
         let until = end.map_or(*deadline, |r| r.time);
-        let here = spells.get(to).map(Vec::as_slice).unwrap_or_default();
-        if here.iter().any(|(from, to)| *from <= until && record.time <= *to) {
-            touched.insert(*tried, *deadline);
+        let intervals = fault_intervals.get(to).map(Vec::as_slice).unwrap_or_default();
+        if intervals.iter().any(|(from, to)| *from <= until && record.time <= *to) {
+            excused.insert(*request_id, *deadline);
         }
     }
     let kept = |record: &&Record| match &record.observation {
-        Observation::Answered { request_id: tried, .. }
-        | Observation::ConnectionLost { request_id: tried } => !touched.contains_key(tried),
+        Observation::Answered { request_id, .. } | Observation::ConnectionLost { request_id } => {
+            !excused.contains_key(request_id)
+        }
         _ => true,
     };
     let mut all: Vec<_> = records.iter().filter(kept).cloned().collect();
-    let left = touched.iter().map(|(tried, deadline)| {
-        let (t, what) = (*deadline, Observation::ClientLeft { request_id: *tried });
+    let left = excused.iter().map(|(request_id, deadline)| {
+        let (t, what) = (*deadline, Observation::ClientLeft { request_id: *request_id });
         Record { time: t, observer: "client".into(), observation: what }
     });
     all.extend(left);
     all.sort_by_key(|record| record.time);
-    (all, touched.len() as u64)
+    (all, excused.len() as u64)
 }
 
-/// The rules as the bed's configuration has them.
+/// The settings of the rules that match the cluster's configuration.
 fn rules() -> RuleSettings {
     let class = |(name, _, repeat): &(&str, u64, &str)| {
         let repeat = if *repeat == "unsafe" { RepeatRule::Unsafe } else { RepeatRule::Safe };
@@ -276,7 +290,7 @@
     RuleSettings {
         classes: CLASSES.iter().map(class).collect(),
         groups: BTreeMap::new(),
-        // The rules' grace on sockets.
+        // The grace that the rules allow when calls cross real sockets.
         drain_grace: 1_050_000,
         load_window: 0,
         load_free: 0.0,
--- a/crates/faulttest/src/clients.rs
+++ b/crates/faulttest/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients that call without pause: each waits for its answer, then calls again, and is patient for a told
-//! time. Everything that they see is recorded.
+//! Closed-loop clients: each sends a call, waits for its answer up to the patience of the class, pauses and calls again.
+//! Everything that they observe is recorded.
 
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{FinalAnswer, Observation, Recorder};
@@ -11,50 +11,51 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// The rules on sockets allow an answer this much more than its time.
-const SLACK_US: Micros = 50_000;
+/// How much later than the deadline an answer may arrive when it crosses real sockets.
+const DEADLINE_SLACK_US: Micros = 50_000;
 
-/// What clients ask.
+/// What clients call.
 #[derive(Clone, Debug)]
 pub struct ClientSpec {
-    /// Classes, each with its patience in milliseconds; asked in turn.
+    /// Classes with the patience of their clients in milliseconds, called in turn.
     pub classes: Vec<(String, u64)>,
-    /// Functions, asked in turn.
+    /// Number of functions, called in turn.
     pub functions: u64,
     /// Pause between an answer and the next call.
     pub pause: Duration,
 }
 
-/// Clients of several schedulers, a thread for each.
+/// ClientThread client thread per scheduler.
 pub struct Clients {
-    over: Arc<AtomicBool>,
+    stopping: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-struct One {
+struct ClientThread {
     spec: ClientSpec,
     recorder: Recorder,
-    over: Arc<AtomicBool>,
-    tried: Arc<AtomicU64>,
-    /// Where it connects, and the scheduler's own address.
+    stopping: Arc<AtomicBool>,
+    next_request_id: Arc<AtomicU64>,
+    /// The relay address to connect to, and the scheduler's own address.
     to: (SocketAddr, SocketAddr),
 }
 
 impl Clients {
-    /// One for each of these: where it connects, and the scheduler's own address.
+    /// Starts a client for each pair of relay address to connect to and scheduler's own address.
     pub fn start(spec: &ClientSpec, recorder: &Recorder, to: &[(SocketAddr, SocketAddr)]) -> Self {
-        let (over, tried) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(1)));
+        let (stopping, next_request_id) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(1)));
         let start = |to: (SocketAddr, SocketAddr)| {
-            let (spec, recorder, over, tried) = (spec.clone(), recorder.clone(), over.clone(), tried.clone());
-            std::thread::spawn(move || One { spec, recorder, over, tried, to }.run())
+            let (spec, recorder, stopping, next_request_id) =
+                (spec.clone(), recorder.clone(), stopping.clone(), next_request_id.clone());
+            std::thread::spawn(move || ClientThread { spec, recorder, stopping, next_request_id, to }.run())
         };
         let threads = to.iter().copied().map(start).collect();
-        Self { over, threads }
+        Self { stopping, threads }
     }
 
-    /// Has them stop once what they asked is answered.
+    /// Stops the clients once their current calls have ended.
     pub fn stop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stopping.store(true, Ordering::SeqCst);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
@@ -67,34 +68,34 @@
     }
 }
 
-impl One {
+impl ClientThread {
     fn run(&self) {
         let mut client = None;
-        while !self.over.load(Ordering::SeqCst) {
-            let number = self.tried.fetch_add(1, Ordering::SeqCst);
+        while !self.stopping.load(Ordering::SeqCst) {
+            let number = self.next_request_id.fetch_add(1, Ordering::SeqCst);
             let (class, patience) = &self.spec.classes[number as usize % self.spec.classes.len()];
-            // Longer than its time: a late answer is recorded, and so found.
+            // Waits 2 s longer than the patience, so that a late answer is recorded and the checker finds it.
             let wait = Duration::from_millis(*patience) + Duration::from_secs(2);
-            let open = client.take().or_else(|| FrontClient::connect(self.to.0, wait).ok());
-            let Some(mut open) = open else {
+            let connection = client.take().or_else(|| FrontClient::connect(self.to.0, wait).ok());
+            let Some(mut connection) = connection else {
                 std::thread::sleep(Duration::from_millis(20));
                 continue;
             };
-            if self.call(&mut open, number, class, *patience) {
-                client = Some(open);
+            if self.call(&mut connection, number, class, *patience) {
+                client = Some(connection);
             }
             std::thread::sleep(self.spec.pause);
         }
     }
 
-    fn put(&self, what: Observation) {
-        self.recorder.put(monotonic(), "client", what);
+    fn record(&self, observation: Observation) {
+        self.recorder.put(monotonic(), "client", observation);
     }
 
-    /// One call; false where its connection is of no more use.
-    fn call(&self, client: &mut FrontClient, tried: u64, class: &str, patience: u64) -> bool {
+    /// Sends one call and records its result. Returns false if the connection cannot be used any more.
+    fn call(&self, client: &mut FrontClient, request_id: u64, class: &str, patience: u64) -> bool {
         let (event, function) =
-            (format!("{tried:016x}"), format!("{:016x}", 1 + tried % self.spec.functions));
+            (format!("{request_id:016x}"), format!("{:016x}", 1 + request_id % self.spec.functions));
         let timeout = patience.to_string();
         let fields = [
             ("kind", class),
@@ -103,31 +104,31 @@
             ("subject", function.as_str()),
             ("props", "memory_mb:64;lanes:8;load_ms:20"),
         ];
-        let deadline = monotonic() + patience * 1_000 + SLACK_US;
+        let deadline = monotonic() + patience * 1_000 + DEADLINE_SLACK_US;
         let (class, to) = (class.to_owned(), self.to.1.to_string());
-        let asked = Observation::RequestSent {
-            request_id: tried,
+        let sent = Observation::RequestSent {
+            request_id,
             event: event.clone(),
             class,
             tenant: String::new(),
             to,
             deadline,
         };
-        self.put(asked);
-        let told = client.submit(&fields, event.as_bytes()).and_then(|_| client.read());
-        match told {
+        self.record(sent);
+        let result = client.submit(&fields, event.as_bytes()).and_then(|_| client.read());
+        match result {
             Ok(Some((_, reply))) => {
                 let (answer, status) = match &reply {
                     FrontReply::Served(_) => (FinalAnswer::Served, 200),
                     FrontReply::Rejected(_) => (FinalAnswer::Refused, 503),
                     FrontReply::Crashed | FrontReply::Exception => (FinalAnswer::Failed, 500),
                 };
-                self.put(Observation::Answered { request_id: tried, answer, status });
+                self.record(Observation::Answered { request_id, answer, status });
                 true
             }
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => false,
             Ok(None) | Err(_) => {
-                self.put(Observation::ConnectionLost { request_id: tried });
+                self.record(Observation::ConnectionLost { request_id });
                 false
             }
         }
--- a/crates/faulttest/src/cluster.rs
+++ b/crates/faulttest/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The bed: a fleet of processes with its stand-ins, its relays and its records.
+//! A cluster of scheduler processes with stand-ins for bulletin, workers and clients, relays between them, and records.
 
 use crate::DatagramFaults;
 use crate::clients::{ClientSpec, Clients};
@@ -6,7 +6,7 @@
 use crate::network::Network;
 use crate::process::{Process, ProcessError};
 use crate::relay::RelayBuilder;
-use crate::workspace::{Workspace, party, whole};
+use crate::workspace::{Workspace, party_number, read_complete_records};
 use basaltward_config::ConfigError;
 use basaltward_membership::StatusResponse;
 use basaltward_net::{Micros, NetError, monotonic};
@@ -22,79 +22,79 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a bed can't be made or used.
+/// Errors of starting or controlling a cluster.
 #[derive(Debug, Error)]
 pub enum HarnessError {
-    /// A file, a folder or a socket can't be had.
+    /// A file, directory, socket or thread failed.
     #[error("system: {0}")]
     System(#[from] std::io::Error),
-    /// The relays.
+    /// The relays failed.
     #[error("relays: {0}")]
     Relay(#[from] NetError),
-    /// A scheduler's process.
+    /// A process did not start or stop.
     #[error("{0}")]
     Process(#[from] ProcessError),
-    /// The settings that a bed writes.
+    /// A gateway's settings, as the harness wrote them, are invalid.
     #[error("settings of a gateway: {0}")]
     Settings(#[from] ConfigError),
-    /// There are no gateways.
-    #[error("a bed of sites needs a gateway: give a site at least one")]
+    /// The script has sites but no gateways.
+    #[error("a cluster of sites needs at least one gateway")]
     Empty,
-    /// The clients' thread is gone.
-    #[error("the clients have panicked")]
+    /// The thread of the clients panicked.
+    #[error("the thread of the clients panicked")]
     Clients,
 }
 
-/// A fleet.
+/// Parameters of a cluster of schedulers.
 #[derive(Clone, Debug)]
 pub struct ClusterSpec {
-    /// The program.
+    /// The program that the processes run.
     pub program: PathBuf,
-    /// Schedulers, at most 200.
+    /// Number of schedulers, at most 200.
     pub schedulers: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// How long a call runs, in milliseconds.
+    /// Execution time of a call in milliseconds.
     pub work_ms: u64,
     /// Pause of a client between an answer and its next call, in milliseconds.
     pub pause_ms: u64,
-    /// How many may be out at once, where the fleet is to agree on that.
+    /// Bounds on how many may be down at once by a permit, if the fleet uses permits.
     pub bounds: Option<Bounds>,
-    /// Every random choice follows from it.
+    /// Seed of every random choice.
     pub seed: u64,
 }
 
-/// Classes with their patience in milliseconds, and whether they may run twice.
+/// Classes with the patience of their clients in milliseconds, and whether a call may run twice.
 pub(crate) const CLASSES: [(&str, u64, &str); 2] = [("view", 3_000, "safe"), ("extract", 3_000, "unsafe")];
-/// Functions that clients ask for.
+/// Number of functions that clients call.
 const FUNCTIONS: u64 = 20;
 
-/// A running fleet. What it started ends with it.
+/// A running cluster. Dropping it ends everything that it started.
 pub struct Cluster {
-    /// What it was made by.
+    /// The parameters of the cluster.
     pub spec: ClusterSpec,
     /// The schedulers, by number.
     pub schedulers: Vec<Process>,
-    /// Where each listens.
+    /// Listen address of each scheduler for calls.
     pub listens: Vec<SocketAddr>,
-    /// Where each takes datagrams.
+    /// Address of each scheduler for datagrams of its peers.
     pub peers: Vec<SocketAddr>,
-    /// The relays on all ways.
+    /// The relays on all links.
     pub network: Network,
-    /// The bulletin.
+    /// The stand-in for the bulletin.
     pub board: Board,
     /// The workers, by number.
     pub workers: Vec<LineWorker>,
-    /// What clients and workers saw.
+    /// Records of clients and workers.
     pub recorder: Recorder,
-    /// What becomes of datagrams where no other fault is on their way.
-    usual: DatagramFaults,
-    /// Where each reaches the others, by number.
+    /// Faults of datagrams on links without a fault of their own.
+    default_faults: DatagramFaults,
+    /// Relay addresses by which each scheduler reaches each other, by number.
     mesh: Vec<Vec<SocketAddr>>,
-    /// When it began.
+    /// Start of the run.
     pub began: Micros,
     clients: Option<Clients>,
-    reached: Vec<SocketAddr>,
+    client_addresses: Vec<SocketAddr>,
     workspace: Workspace,
 }
 
@@ -103,10 +103,10 @@
 }
 
 impl Cluster {
-    /// Starts all of it, and waits until every scheduler serves.
+    /// Starts the cluster and waits until every scheduler is ready.
     ///
     /// # Errors
-    /// Where a part can't be had or a scheduler does not come up.
+    /// A socket, file or thread failed, or a scheduler did not become ready.
     pub fn start(spec: ClusterSpec) -> Result<Self, HarnessError> {
         let work = Duration::from_millis(spec.work_ms);
         Self::start_with_worker(spec, move |exec| {
@@ -116,48 +116,48 @@
         })
     }
 
-    /// As [`Bed::start`], with workers that do with each call what this says.
+    /// Like [`Cluster::start`], with workers that handle each call by `script`.
     ///
     /// # Errors
-    /// As [`Bed::start`].
+    /// See [`Cluster::start`].
     pub fn start_with_worker(
         spec: ClusterSpec,
         script: impl Fn(&Exec) -> Vec<Act> + Clone + Send + Sync + 'static,
     ) -> Result<Self, HarnessError> {
         let workspace = Workspace::new()?;
-        let who = |from: SocketAddr| party(from).map(name).unwrap_or_default();
+        let scheduler_name = |from: SocketAddr| party_number(from).map(name).unwrap_or_default();
         let recorder = Recorder::memory();
         let worker = |i: usize| {
             let script = script.clone();
-            LineWorker::start_for(&Party::Worker(i).to_string(), recorder.clone(), who, script)
+            LineWorker::start_for(&Party::Worker(i).to_string(), recorder.clone(), scheduler_name, script)
         };
         let workers = (0..spec.workers).map(worker).collect::<Result<Vec<_>, _>>()?;
         let board = Board::start(2)?;
         let all = 0..spec.schedulers;
         let listens = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
         let peers = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
-        let mut laying = RelayBuilder::new()?;
-        let mesh = laying.mesh(&peers)?;
-        let (mut schedulers, mut reached) = (Vec::new(), Vec::new());
+        let mut relays = RelayBuilder::new()?;
+        let mesh = relays.mesh(&peers)?;
+        let (mut schedulers, mut client_addresses) = (Vec::new(), Vec::new());
         for i in all {
             let from = Party::Scheduler(i);
             let to = |to| Link { from, to };
-            let bulletin = laying.route(to(Party::Bulletin), board.address(), None)?;
+            let bulletin = relays.route(to(Party::Bulletin), board.address(), None)?;
             let mut targets = Vec::new();
             for (w, worker) in workers.iter().enumerate() {
-                let at = laying.route(to(Party::Worker(w)), worker.address(), Some(workspace.ip(i)))?;
+                let at = relays.route(to(Party::Worker(w)), worker.address(), Some(workspace.ip(i)))?;
                 targets.push(target(&Party::Worker(w).to_string(), at, "Ready"));
             }
-            reached.push(laying.route(Link { from: Party::Clients, to: from }, listens[i], None)?);
+            client_addresses.push(relays.route(Link { from: Party::Clients, to: from }, listens[i], None)?);
             let config = workspace.file(&format!("n{i}.json"));
-            let told = configuration(&spec, i, (listens[i], peers[i], bulletin), &mesh[i], &targets);
-            std::fs::write(&config, told.to_string())?;
+            let settings = configuration(&spec, i, (listens[i], peers[i], bulletin), &mesh[i], &targets);
+            std::fs::write(&config, settings.to_string())?;
             let records = workspace.file(&format!("n{i}.records"));
             schedulers.push(Process::scheduler(&name(i), &spec.program, &config, &records));
         }
-        let ways = Network::new(laying.start(spec.seed)?);
+        let ways = Network::new(relays.start(spec.seed)?);
         let (began, clients) = (monotonic(), None);
-        let mut bed = Self {
+        let mut cluster = Self {
             spec,
             schedulers,
             listens,
@@ -166,160 +166,160 @@
             board,
             workers,
             recorder,
-            usual: DatagramFaults::default(),
+            default_faults: DatagramFaults::default(),
             mesh,
             began,
             clients,
-            reached,
+            client_addresses,
             workspace,
         };
-        for i in 0..bed.schedulers.len() {
-            bed.start_scheduler(i)?;
+        for i in 0..cluster.schedulers.len() {
+            cluster.start_scheduler(i)?;
         }
-        Ok(bed)
+        Ok(cluster)
     }
 
-    fn put(&self, i: usize, what: Observation) {
-        self.recorder.put(monotonic(), &name(i), what);
+    fn record(&self, i: usize, observation: Observation) {
+        self.recorder.put(monotonic(), &name(i), observation);
     }
 
-    /// Starts a scheduler that is down, under its name and address.
+    /// Starts a scheduler under the same name and address again.
     ///
     /// # Errors
-    /// Where it does not come up.
+    /// It did not become ready.
     pub fn start_scheduler(&mut self, i: usize) -> Result<(), HarnessError> {
         Ok(self.schedulers[i].start()?)
     }
 
-    /// Kills a scheduler outright.
+    /// Kills a scheduler with SIGKILL.
     pub fn kill(&mut self, i: usize) {
         self.schedulers[i].kill();
-        // It could not say so itself.
-        self.put(i, Observation::Down { killed: true });
+        // A killed process cannot record its own end.
+        self.record(i, Observation::Down { killed: true });
     }
 
-    /// Sends SIGTERM to a scheduler and waits for its end.
+    /// Sends SIGTERM to a scheduler and waits until it exits.
     ///
     /// # Errors
-    /// Where it does not end.
+    /// It did not exit in time.
     pub fn stop(&mut self, i: usize) -> Result<(), HarnessError> {
         self.schedulers[i].stop();
         Ok(self.schedulers[i].join()?)
     }
 
-    /// The list of members has this many from now on: the files of those in it are written anew. Each hears of it
-    /// by [`Process::reread`] or its next start.
+    /// Sets the number of members in the list: rewrites the configuration files of those members. A scheduler uses its new
+    /// file after [`Process::reload_config`] or its next start.
     ///
     /// # Errors
-    /// Where a file can't be read or written.
+    /// A file cannot be read or written.
     pub fn set_member_count(&self, size: usize) -> Result<(), HarnessError> {
         for (i, mesh) in self.mesh.iter().enumerate().take(size) {
             let peers = mesh.iter().take(size).map(ToString::to_string).collect();
-            self.rewrite(i, |told| told["peers"] = peers)?;
+            self.rewrite(i, |settings| settings["peers"] = peers)?;
         }
         Ok(())
     }
 
-    /// A scheduler's configuration is of this version from its next start on.
+    /// Sets the permits version in a scheduler's configuration, in effect from its next start on.
     ///
     /// # Errors
-    /// Where the file can't be read or written.
+    /// The file cannot be read or written.
     pub fn set_permits_version(&self, i: usize, name: &str) -> Result<(), HarnessError> {
-        self.rewrite(i, |told| told["fleet"]["permits"]["version"] = name.into())
+        self.rewrite(i, |settings| settings["fleet"]["permits"]["version"] = name.into())
     }
 
     fn rewrite(&self, i: usize, change: impl FnOnce(&mut serde_json::Value)) -> Result<(), HarnessError> {
         let path = self.workspace.file(&format!("n{i}.json"));
         let text = std::fs::read_to_string(&path)?;
-        let mut told: serde_json::Value = serde_json::from_str(&text).map_err(std::io::Error::from)?;
-        change(&mut told);
-        let fresh = path.with_extension("new");
-        std::fs::write(&fresh, told.to_string())?;
-        Ok(std::fs::rename(&fresh, &path)?)
+        let mut settings: serde_json::Value = serde_json::from_str(&text).map_err(std::io::Error::from)?;
+        change(&mut settings);
+        let new_path = path.with_extension("new");
+        std::fs::write(&new_path, settings.to_string())?;
+        Ok(std::fs::rename(&new_path, &path)?)
     }
 
-    /// Clients begin to call every scheduler.
+    /// Starts the clients: one for each scheduler.
     pub fn start_clients(&mut self) {
         let classes = CLASSES.iter().map(|(name, patience, _)| ((*name).to_owned(), *patience)).collect();
         let pause = Duration::from_millis(self.spec.pause_ms);
         let spec = ClientSpec { classes, functions: FUNCTIONS, pause };
-        let to: Vec<_> = self.reached.iter().copied().zip(self.listens.iter().copied()).collect();
+        let to: Vec<_> = self.client_addresses.iter().copied().zip(self.listens.iter().copied()).collect();
         self.clients = Some(Clients::start(&spec, &self.recorder, &to));
     }
 
-    /// What becomes of the connections of a way from now on.
-    pub fn set_connection_mode(&mut self, way: Link, stream: ConnectionMode) {
-        self.network.set_connection_mode(way, stream);
+    /// Sets how the connections of a link are treated from now on.
+    pub fn set_connection_mode(&mut self, link: Link, mode: ConnectionMode) {
+        self.network.set_connection_mode(link, mode);
     }
 
-    /// What becomes of the datagrams of a way from now on.
-    pub fn set_datagram_faults(&mut self, way: Link, loss: DatagramFaults) {
-        self.network.set_datagram_faults(way, loss);
+    /// Sets loss, duplication and delay of a link's datagrams from now on.
+    pub fn set_datagram_faults(&mut self, link: Link, faults: DatagramFaults) {
+        self.network.set_datagram_faults(link, faults);
     }
 
-    /// What becomes of all datagrams from now on, and of those of a way that is taken up again.
-    pub fn set_all_datagram_faults(&mut self, loss: DatagramFaults) {
-        self.usual = loss;
+    /// Sets the datagram faults of all links from now on, and of links whose partition ends later.
+    pub fn set_all_datagram_faults(&mut self, faults: DatagramFaults) {
+        self.default_faults = faults;
         let all = 0..self.schedulers.len();
         for (from, to) in all.clone().flat_map(|i| all.clone().map(move |j| (i, j))) {
             if from != to {
                 self.set_datagram_faults(
                     Link { from: Party::Scheduler(from), to: Party::Scheduler(to) },
-                    loss,
+                    faults,
                 );
             }
         }
     }
 
-    /// Cuts a group of schedulers off from all others, from workers, bulletin and clients, or takes it up again.
-    /// Connections stay open and silent, as when a zone is cut.
+    /// Starts or ends a partition that cuts a group of schedulers off from all others and from workers, bulletin and clients.
+    /// Connections stay open and silent, as when a zone loses its network.
     pub fn set_partition(&mut self, group: &[usize], cut: bool) {
-        let (stream, loss) = match cut {
-            true => (ConnectionMode::Stall, DatagramFaults { loss_rate: 1.0, ..self.usual }),
-            false => (ConnectionMode::Pass, self.usual),
+        let (mode, faults) = match cut {
+            true => (ConnectionMode::Stall, DatagramFaults { loss_rate: 1.0, ..self.default_faults }),
+            false => (ConnectionMode::Pass, self.default_faults),
         };
         for &i in group {
             let own = Party::Scheduler(i);
-            self.set_connection_mode(Link { from: Party::Clients, to: own }, stream);
-            self.set_connection_mode(Link { from: own, to: Party::Bulletin }, stream);
+            self.set_connection_mode(Link { from: Party::Clients, to: own }, mode);
+            self.set_connection_mode(Link { from: own, to: Party::Bulletin }, mode);
             for w in 0..self.workers.len() {
-                self.set_connection_mode(Link { from: own, to: Party::Worker(w) }, stream);
+                self.set_connection_mode(Link { from: own, to: Party::Worker(w) }, mode);
             }
             for j in (0..self.schedulers.len()).filter(|j| !group.contains(j)) {
                 let other = Party::Scheduler(j);
-                for way in [Link { from: own, to: other }, Link { from: other, to: own }] {
-                    self.set_datagram_faults(way, loss);
+                for link in [Link { from: own, to: other }, Link { from: other, to: own }] {
+                    self.set_datagram_faults(link, faults);
                 }
             }
         }
     }
 
-    /// Where a scheduler reaches another with its datagrams.
+    /// The relay address by which one scheduler reaches another with its datagrams.
     pub fn peer_relay_address(&self, from: usize, to: usize) -> SocketAddr {
         self.mesh[from][to]
     }
 
-    /// What a scheduler believes of the fleet, asked as an operator asks.
+    /// Fetches a scheduler's membership view by an operator's status request.
     ///
     /// # Errors
-    /// Where it does not answer.
+    /// It did not answer.
     pub fn fetch_view(&self, i: usize) -> Result<StatusResponse, HarnessError> {
         Ok(fetch_membership(self.peers[i])?)
     }
 
-    /// Schedulers whose process runs and is not stalled.
+    /// Schedulers whose process runs and is not paused.
     pub fn running(&self) -> Vec<usize> {
         (0..self.schedulers.len()).filter(|i| self.schedulers[*i].is_running()).collect()
     }
 
-    /// Whether all of a group hold the same view, and in it those of the group that run, and no others, are live.
+    /// Whether all running schedulers of a group have the same view, in which exactly these schedulers are live.
     pub fn views_agree(&self, group: &[usize]) -> bool {
         let up: Vec<_> = self.running().into_iter().filter(|i| group.contains(i)).collect();
         let views: Vec<_> = up.iter().filter_map(|i| self.fetch_view(*i).ok()).collect();
         views.len() == up.len() && views.iter().all(|view| view.digest == views[0].digest && live(view) == up)
     }
 
-    /// Waits until [`Bed::agrees`]; how long that took, or nothing where it does not within this time.
+    /// Waits until [`Cluster::views_agree`]. Returns how long that took, or none if it took longer than `within`.
     pub fn wait_for_agreement(&self, group: &[usize], within: Duration) -> Option<Duration> {
         let began = std::time::Instant::now();
         while began.elapsed() < within {
@@ -331,15 +331,15 @@
         None
     }
 
-    /// A number drawn below `below`, the same for the same seed and step.
+    /// Draws a number below `below`; the same seed and step give the same number.
     pub fn seeded_index(seed: u64, step: u64, below: usize) -> usize {
         StdRng::seed_from_u64(seed ^ step << 32).random_range(0..below.max(1))
     }
 
-    /// Clients stop, schedulers are stopped, and all records are taken, by time.
+    /// Stops clients and schedulers and returns all records, sorted by time.
     ///
     /// # Errors
-    /// Where a scheduler does not end or records can't be read.
+    /// A scheduler did not exit in time, or records cannot be read.
     pub fn finish(&mut self) -> Result<Vec<Record>, HarnessError> {
         if let Some(clients) = &mut self.clients {
             clients.stop();
@@ -355,7 +355,7 @@
         }
         let mut records = self.recorder.take();
         for i in 0..self.schedulers.len() {
-            records.extend(whole(&self.workspace.file(&format!("n{i}.records")))?);
+            records.extend(read_complete_records(&self.workspace.file(&format!("n{i}.records")))?);
         }
         records.sort_by_key(|record| record.time);
         Ok(records)
@@ -364,24 +364,25 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        // Before the folder goes with the workspace.
+        // Processes must end before the workspace deletes its directory.
         self.clients = None;
         self.schedulers.clear();
     }
 }
 
-/// Whom a view takes for live.
+/// Numbers of the members that are live in a view.
 pub(crate) fn live(view: &StatusResponse) -> Vec<usize> {
     let all = view.members.iter().enumerate();
     all.filter(|(_, seen)| seen.state.is_live()).map(|(i, _)| i).collect()
 }
 
-/// One entry of the bulletin.
+/// One entry of the bulletin's list of workers.
 pub(crate) fn target(uid: &str, at: SocketAddr, state: &str) -> serde_json::Value {
     json!({"uid": uid, "endpoint": at.to_string(), "az": "east", "model": "std", "pod_group": 0,
 "state": state, "capacity_hint": 1, "boot_ms": 0})
 }
 
+/// Configuration of one scheduler. `targets` is its list of workers.
 pub(crate) fn configuration(
     spec: &ClusterSpec,
     number: usize,
--- a/crates/faulttest/src/kept_checker.rs
+++ b/crates/faulttest/src/kept_checker.rs
@@ -1,4 +1,5 @@
-//! Kept events as they crossed the relays: each that its holders have acknowledged ends, in one way and a true one.
+//! Checks kept events by the journal messages that crossed the relays: each event that enough holders acknowledged must
+//! end, with one outcome, and that outcome must be true.
 
 use crate::capture::{JournalMessage, event_name};
 use crate::checker::FleetViolation;
@@ -7,13 +8,13 @@
 use basaltward_rules::{Observation, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is pending is closed by its deadline, or by this much later: heirs wait for leases and permits.
-const LATE_US: Micros = 2_000_000;
+/// A pending event must end by its deadline plus this: heirs first wait for leases and permits.
+const END_SLACK_US: Micros = 2_000_000;
 
-/// Kept events acknowledged, and how many of them ended how.
-pub(crate) type Kept = (u64, BTreeMap<String, u64>);
+/// Number of acknowledged kept events, and of these the number per outcome.
+pub(crate) type KeptCounts = (u64, BTreeMap<String, u64>);
 
-fn name(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "served",
         Outcome::Refused => "refused",
@@ -21,57 +22,59 @@
     }
 }
 
-/// What was seen of one event.
+/// Captured state of one event.
 #[derive(Default)]
 struct Event {
     name: String,
     deadline: Micros,
-    /// Enough holders had acknowledged it at some journal.
+    /// Whether enough holders acknowledged it to some journal.
     acknowledged: bool,
-    /// Lines by which it was accepted (none) or ended.
+    /// Journal lines that accepted the event (none) or ended it (with the outcome).
     lines: BTreeMap<(Source, u64), Option<&'static str>>,
-    /// How it ended by what heirs tell one another.
-    over: BTreeSet<&'static str>,
+    /// Outcomes that heirs report to one another.
+    heir_outcomes: BTreeSet<&'static str>,
 }
 
 impl Event {
-    fn ways(&self) -> BTreeSet<&'static str> {
-        self.lines.values().flatten().chain(&self.over).copied().collect()
+    fn outcomes(&self) -> BTreeSet<&'static str> {
+        self.lines.values().flatten().chain(&self.heir_outcomes).copied().collect()
     }
 
-    /// Whether a journal ends it twice: each time it was accepted it may end once. Of a line that went without its
-    /// bytes nobody knows whether it was accepted by it.
-    fn twice(&self, journals: &BTreeMap<Source, Journal>) -> bool {
+    /// Whether a journal ends the event twice without accepting it again in between. A line between the two that was not
+    /// captured may have accepted it, so the two ends count only if all lines between them were captured.
+    fn ended_twice(&self, journals: &BTreeMap<Source, Journal>) -> bool {
         let lines: Vec<_> = self.lines.iter().collect();
         lines.windows(2).any(|pair| {
             let ((source, first), (other, second)) = (pair[0].0, pair[1].0);
-            let seen = |n| journals.get(source).is_some_and(|journal| journal.seen.contains(&n));
-            source == other && pair.iter().all(|(_, how)| how.is_some()) && (first + 1..*second).all(seen)
+            let captured =
+                |n| journals.get(source).is_some_and(|journal| journal.captured_lines.contains(&n));
+            source == other && pair.iter().all(|(_, how)| how.is_some()) && (first + 1..*second).all(captured)
         })
     }
 }
 
-/// One journal: its lines by which events were accepted, to whom they went, and who holds them.
+/// Captured state of one journal.
 #[derive(Default)]
 struct Journal {
-    /// Lines that were seen with their bytes.
-    seen: BTreeSet<u64>,
+    /// Numbers of the lines whose content was captured.
+    captured_lines: BTreeSet<u64>,
+    /// Lines that accepted an event: its key, the gateways the line was sent to, and those that acknowledged it.
     accepted: BTreeMap<u64, (Key, BTreeSet<usize>, BTreeSet<usize>)>,
 }
 
-/// Judges what was noted until the last record.
-pub(crate) fn kept(
-    noted: &[JournalMessage],
+/// Checks all journal messages until the time of the last record.
+pub(crate) fn check_kept_events(
+    messages: &[JournalMessage],
     holders: usize,
     records: &[Record],
-) -> (Kept, Vec<FleetViolation>) {
+) -> (KeptCounts, Vec<FleetViolation>) {
     let clock = Clock::read();
     let (mut events, mut journals) = (BTreeMap::<Key, Event>::new(), BTreeMap::<Source, Journal>::new());
-    for JournalMessage { from, to, content: what, .. } in noted {
-        if let Glance::Line(source, number, _) = what {
-            journals.entry(*source).or_default().seen.insert(*number);
+    for JournalMessage { from, to, content, .. } in messages {
+        if let Glance::Line(source, number, _) = content {
+            journals.entry(*source).or_default().captured_lines.insert(*number);
         }
-        match what {
+        match content {
             Glance::Line(source, number, Step::Accepted(accepted)) => {
                 let event = events.entry(accepted.key).or_default();
                 event.name = event_name(accepted);
@@ -83,11 +86,11 @@
             }
             Glance::Line(source, number, Step::Ended { key, outcome, .. }) => {
                 let event = events.entry(*key).or_default();
-                event.lines.insert((*source, *number), Some(name(*outcome)));
+                event.lines.insert((*source, *number), Some(outcome_name(*outcome)));
             }
             Glance::Line(_, _, Step::Sending { .. }) => {}
             Glance::Over(key, outcome) => {
-                events.entry(*key).or_default().over.insert(name(*outcome));
+                events.entry(*key).or_default().heir_outcomes.insert(outcome_name(*outcome));
             }
             Glance::Held(source, through) => {
                 let Some(journal) = journals.get_mut(source) else { continue };
@@ -104,23 +107,23 @@
         _ => None,
     });
     let (ran, last) = (ran.collect::<BTreeSet<_>>(), records.last().map_or(0, |record| record.time));
-    let (mut count, mut counts, mut wrong) = (0, BTreeMap::<String, u64>::new(), Vec::new());
+    let (mut acknowledged, mut counts, mut violations) = (0, BTreeMap::<String, u64>::new(), Vec::new());
     for event in events.values().filter(|event| event.acknowledged) {
-        count += 1;
-        let ways = event.ways();
-        // A repeat that was turned away is no end of the event itself.
-        let end = ["served", "failed", "refused"].into_iter().find(|how| ways.contains(how));
+        acknowledged += 1;
+        let outcomes = event.outcomes();
+        // A refused repeat does not end the event itself, so `refused` counts only without another outcome.
+        let end = ["served", "failed", "refused"].into_iter().find(|how| outcomes.contains(how));
         if let Some(how) = end {
             *counts.entry(how.to_owned()).or_default() += 1;
         }
-        if event.twice(&journals) || end.is_none() && event.deadline + LATE_US < last {
-            let ways = ways.into_iter().map(str::to_owned).collect();
-            wrong.push(FleetViolation::WrongEnd(event.name.clone(), ways));
+        if event.ended_twice(&journals) || end.is_none() && event.deadline + END_SLACK_US < last {
+            let outcomes = outcomes.into_iter().map(str::to_owned).collect();
+            violations.push(FleetViolation::WrongEnd(event.name.clone(), outcomes));
         } else if end == Some("refused") && ran.contains(event.name.as_str()) {
-            wrong.push(FleetViolation::FalseRefusal(event.name.clone()));
+            violations.push(FleetViolation::FalseRefusal(event.name.clone()));
         }
     }
-    ((count, counts), wrong)
+    ((acknowledged, counts), violations)
 }
 
 #[cfg(test)]
@@ -149,39 +152,42 @@
         vec![record(1, Observation::Ran { event, attempt }), record(u64::MAX, Observation::Stopping)]
     }
 
-    /// What is wrong with an event that is accepted at 0, held by 1, and after which this is told by 0.
-    fn wrong(told: Vec<Glance>, records: &[Record]) -> Vec<FleetViolation> {
-        let noted = |from: usize, what| JournalMessage { time: 0, from, to: 1 - from, content: what };
-        let mut all = vec![noted(0, accepted(5)), noted(1, Glance::Held(SOURCE, 5))];
-        all.extend(told.into_iter().map(|what| noted(0, what)));
-        kept(&all, 1, records).1
+    /// Violations after gateway 0 accepted the event, gateway 1 acknowledged it and gateway 0 sent `messages`.
+    fn violations(messages: Vec<Glance>, records: &[Record]) -> Vec<FleetViolation> {
+        let message = |from: usize, what| JournalMessage { time: 0, from, to: 1 - from, content: what };
+        let mut all = vec![message(0, accepted(5)), message(1, Glance::Held(SOURCE, 5))];
+        all.extend(messages.into_iter().map(|what| message(0, what)));
+        check_kept_events(&all, 1, records).1
     }
 
     #[test]
-    fn a_kept_event_ends_once_and_truly() {
+    fn acknowledged_event_ends_once_with_a_true_outcome() {
         let name = || "s#1".to_owned();
-        assert_eq!(wrong(vec![ended(6, Outcome::Served)], &ran()), []);
-        assert_eq!(wrong(vec![Glance::Over(KEY, Outcome::Failed)], &ran()), []);
-        assert_eq!(wrong(vec![], &ran()), [FleetViolation::WrongEnd(name(), vec![])]);
-        assert_eq!(wrong(vec![], &ran()[..1]), [], "its time is not over");
+        assert_eq!(violations(vec![ended(6, Outcome::Served)], &ran()), []);
+        assert_eq!(violations(vec![Glance::Over(KEY, Outcome::Failed)], &ran()), []);
+        assert_eq!(violations(vec![], &ran()), [FleetViolation::WrongEnd(name(), vec![])]);
+        assert_eq!(violations(vec![], &ran()[..1]), [], "the deadline has not passed");
         let two = vec!["refused".to_owned(), "served".to_owned()];
         let both = vec![ended(6, Outcome::Served), ended(7, Outcome::Refused)];
-        assert_eq!(wrong(both, &ran()), [FleetViolation::WrongEnd(name(), two)]);
-        assert_eq!(wrong(vec![ended(6, Outcome::Refused)], &ran()), [FleetViolation::FalseRefusal(name())]);
-        assert_eq!(wrong(vec![ended(6, Outcome::Refused)], &ran()[1..]), []);
-        let anew = vec![ended(6, Outcome::Refused), accepted(8), ended(9, Outcome::Served)];
-        assert_eq!(wrong(anew, &ran()), [], "turned away, and taken when it came again");
-        let unseen = vec![ended(6, Outcome::Refused), ended(8, Outcome::Served)];
-        assert_eq!(wrong(unseen, &ran()), [], "it may have been accepted anew by line 7");
+        assert_eq!(violations(both, &ran()), [FleetViolation::WrongEnd(name(), two)]);
+        assert_eq!(
+            violations(vec![ended(6, Outcome::Refused)], &ran()),
+            [FleetViolation::FalseRefusal(name())]
+        );
+        assert_eq!(violations(vec![ended(6, Outcome::Refused)], &ran()[1..]), []);
+        let repeated = vec![ended(6, Outcome::Refused), accepted(8), ended(9, Outcome::Served)];
+        assert_eq!(violations(repeated, &ran()), [], "refused, and accepted when it was repeated");
+        let not_captured = vec![ended(6, Outcome::Refused), ended(8, Outcome::Served)];
+        assert_eq!(violations(not_captured, &ran()), [], "line 7 may have accepted it again");
     }
 
     #[test]
-    fn what_too_few_hold_is_owed_nothing() {
-        let noted = |from: usize, what| JournalMessage { time: 0, from, to: 1 - from, content: what };
-        let all = [noted(0, accepted(5)), noted(1, Glance::Held(SOURCE, 4))];
-        assert_eq!(kept(&all, 1, &ran()), ((0, BTreeMap::new()), vec![]));
-        let all = [noted(0, accepted(5)), noted(1, Glance::Held(SOURCE, 5))];
-        assert_eq!(kept(&all, 2, &ran()).0.0, 0);
-        assert_eq!(kept(&all, 1, &ran()).0.0, 1);
+    fn event_with_too_few_holders_is_not_checked() {
+        let message = |from: usize, what| JournalMessage { time: 0, from, to: 1 - from, content: what };
+        let all = [message(0, accepted(5)), message(1, Glance::Held(SOURCE, 4))];
+        assert_eq!(check_kept_events(&all, 1, &ran()), ((0, BTreeMap::new()), vec![]));
+        let all = [message(0, accepted(5)), message(1, Glance::Held(SOURCE, 5))];
+        assert_eq!(check_kept_events(&all, 2, &ran()).0.0, 0);
+        assert_eq!(check_kept_events(&all, 1, &ran()).0.0, 1);
     }
 }
--- a/crates/faulttest/src/lib.rs
+++ b/crates/faulttest/src/lib.rs
@@ -1,8 +1,8 @@
-//! A bed of many processes of the program on loopback: schedulers as their platform starts them, a stand-in
-//! bulletin, workers and clients, and between all of them relays that put faults on told ways at told times.
+//! Fault-injection harness: runs a cluster of many processes of the program on loopback, with stand-ins for the
+//! bulletin, workers and clients, injects network and process faults by a script, and checks the recorded history.
 //!
-//! Every party reaches every other at an address set aside for it, so that each pair and direction can be
-//! treated apart. Whatever a bed started it ends, by pid, also when its owner fails.
+//! Every party reaches every other party through a relay address of that pair, so that faults can be set on each pair
+//! and direction alone. A cluster stops every process that it started, by pid, also when a test panics.
 #![warn(missing_docs)]
 
 mod capture;
@@ -27,7 +27,7 @@
 mod timeline;
 mod workspace;
 
-/// What becomes of the datagrams of a way, in one direction: the same as in virtual time.
+/// Loss, duplication and delay of a link's datagrams in one direction; the simulation in virtual time uses the same type.
 pub use basaltward_membership::LinkFaults as DatagramFaults;
 pub use capture::{CaptureProtocol, CapturedTraffic, ForwardedCall, JournalMessage};
 pub use checker::{FleetViolation, Verdict, check_cluster};
--- a/crates/faulttest/src/link.rs
+++ b/crates/faulttest/src/link.rs
@@ -1,13 +1,13 @@
-//! Who speaks to whom, and what is wrong on the way.
+//! Links between the parties of a cluster and how their connections are treated.
 
 use std::fmt;
 
-/// One end of a way.
+/// One end of a link. The printed names are those in records, logs and timelines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Party {
     /// A scheduler or gateway, by its number.
     Scheduler(usize),
-    /// Where a gateway takes connections of its peers.
+    /// The address at which a gateway, by its number, accepts its peers' connections for journals of kept events.
     Journal(usize),
     /// A worker, by its number.
     Worker(usize),
@@ -29,12 +29,12 @@
     }
 }
 
-/// A way from who connects or sends to who is reached.
+/// A directed link, from the party that connects or sends to the party that it reaches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Link {
-    /// Who begins.
+    /// The party that connects or sends.
     pub from: Party,
-    /// Who is reached.
+    /// The party that accepts or receives.
     pub to: Party,
 }
 
@@ -44,14 +44,14 @@
     }
 }
 
-/// What becomes of the connections of a way.
+/// How the relay treats the connections of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ConnectionMode {
-    /// They carry.
+    /// Bytes are forwarded.
     #[default]
     Pass,
-    /// They stay open and carry nothing; new ones stand and stay silent.
+    /// Connections stay open but nothing is forwarded; new connections are accepted and stay silent.
     Stall,
-    /// They break, and new ones are refused.
+    /// Open connections are reset and new ones are refused.
     Refuse,
 }
--- a/crates/faulttest/src/process.rs
+++ b/crates/faulttest/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of the program: started, stalled, stopped, killed by pid, and started again.
+//! A child process of the program that can be started, paused, stopped, killed by pid and started again.
 
 use basaltward_net::{Micros, monotonic};
 use rustix::process::{Pid, Signal, kill_process};
@@ -12,81 +12,81 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a start or an orderly end may take, on a loaded machine too.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of a start or a graceful stop; long enough for a loaded machine.
+const START_STOP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a process is not as it should be.
+/// Errors of starting or stopping a process.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// It can't be started or waited for.
+    /// The system failed to start the process or to wait for it.
     #[error("process: {0}")]
     System(#[from] std::io::Error),
-    /// It has not said that it serves.
-    #[error("{0} did not come up")]
+    /// The process did not print its ready line within 20 s.
+    #[error("{0} did not become ready within 20 s")]
     NotUp(String),
-    /// It has not ended after SIGTERM.
+    /// The process did not exit within 20 s after SIGTERM.
     #[error("{0} did not end")]
     NotDown(String),
 }
 
-/// What became of a process.
+/// A change in the state of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateChange {
-    /// It serves.
+    /// It is ready.
     Up,
     /// SIGTERM was sent.
     Stopping,
-    /// It has ended by itself after SIGTERM, well or not.
+    /// It exited after SIGTERM; true for exit status 0.
     Ended(bool),
-    /// It was killed.
+    /// It was killed with SIGKILL.
     Killed,
-    /// It stands still, and goes on.
+    /// It was paused with SIGSTOP.
     Stalled,
-    /// It goes on.
+    /// It was resumed with SIGCONT.
     Resumed,
-    /// It has ended though nobody told it to.
+    /// It exited without having been stopped.
     Crashed,
 }
 
-/// How a process is started.
+/// Command line and environment of a process.
 #[derive(Clone, Debug, Default)]
 pub struct Launch {
-    /// Its arguments.
+    /// Arguments.
     pub args: Vec<OsString>,
-    /// Variables set for it; one without a value is taken away.
+    /// Environment variables to set; those without a value are removed.
     pub env: Vec<(String, Option<OsString>)>,
-    /// It serves once it has said a line that holds this.
+    /// The process is ready once it prints a line that contains this text.
     pub ready_line: &'static str,
 }
 
-/// A process of the program, or its place while there is none.
+/// A process of the program, running or not.
 pub struct Process {
     name: String,
     program: PathBuf,
-    /// How its next start is made.
+    /// Command line and environment of the next start.
     pub launch: Launch,
     child: Option<Child>,
     stalled: bool,
-    /// What became of it, with the time.
+    /// State changes with their times.
     pub changes: Vec<(Micros, StateChange)>,
-    said: Said,
+    output: OutputLines,
 }
 
-/// The last lines that a process has said.
-type Said = Arc<Mutex<VecDeque<String>>>;
+/// The last output lines of a process.
+type OutputLines = Arc<Mutex<VecDeque<String>>>;
 
-/// Lines kept of each process.
-const MOST_LINES: usize = 1_000;
+/// Number of output lines retained per process.
+const MAX_LINES: usize = 1_000;
 
 impl Process {
-    /// A place for a process of this program.
+    /// A process of this program, not started yet.
     pub fn new(name: &str, program: &Path, launch: Launch) -> Self {
         let (name, program) = (name.into(), program.into());
-        let (changes, said) = Default::default();
-        Self { name, program, launch, child: None, stalled: false, changes, said }
+        let (changes, output) = Default::default();
+        Self { name, program, launch, child: None, stalled: false, changes, output }
     }
 
-    /// A place for a scheduler of this program and configuration, whose records go to a file.
+    /// A scheduler process with this configuration that writes its records to a file; not started yet.
     pub fn scheduler(name: &str, program: &Path, config: &Path, records: &Path) -> Self {
         let mut args: Vec<OsString> = ["--log", "info", "node", "--records"].map(Into::into).to_vec();
         args.push(records.into());
@@ -94,12 +94,12 @@
         Self::new(name, program, Launch { args, env: vars, ready_line: "serving" })
     }
 
-    /// Another program from its next start on.
+    /// Sets the program for the next starts.
     pub fn set_program(&mut self, program: &Path) {
         self.program = program.into();
     }
 
-    /// A place for a second one under the same name and configuration.
+    /// A second process with the same name and configuration, whose records go to a file of their own; not started yet.
     pub fn twin(&self) -> Self {
         let mut launch = self.launch.clone();
         if let Some(records) = launch.args.last_mut() {
@@ -108,29 +108,29 @@
         Self::new(&self.name, &self.program, launch)
     }
 
-    /// Its process id, while there is one.
+    /// The process id, if the process exists.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Whether there is one, and it does not stand still.
+    /// Whether the process exists and is not paused.
     pub fn is_running(&self) -> bool {
         self.child.is_some() && !self.stalled
     }
 
-    /// The last lines that it has said, in all its lives.
-    pub fn said(&self) -> Vec<String> {
-        self.said.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
+    /// The last output lines, over all starts of the process.
+    pub fn output(&self) -> Vec<String> {
+        self.output.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
     }
 
-    fn note(&mut self, change: StateChange) {
+    fn log_change(&mut self, change: StateChange) {
         self.changes.push((monotonic(), change));
     }
 
-    /// Starts it and waits until it says that it serves.
+    /// Starts the process and waits until it prints its ready line. One that still runs is killed before.
     ///
     /// # Errors
-    /// Where it does not.
+    /// The process cannot be started or is not ready within 20 s; it is killed then.
     pub fn start(&mut self) -> Result<(), ProcessError> {
         self.kill();
         let mut command = Command::new(&self.program);
@@ -142,16 +142,16 @@
             };
         }
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn()?;
-        let (tell, serving) = sync_channel(1);
+        let (ready, is_ready) = sync_channel(1);
         let streams =
             [child.stdout.take().map(|s| Box::new(s) as _), child.stderr.take().map(|s| Box::new(s) as _)];
         self.child = Some(child);
         for stream in streams.into_iter().flatten() {
-            listen(stream, self.launch.ready_line, (tell.clone(), self.said.clone()));
+            read_output(stream, self.launch.ready_line, (ready.clone(), self.output.clone()));
         }
-        drop(tell);
-        if serving.recv_timeout(PATIENCE).is_ok() {
-            self.note(StateChange::Up);
+        drop(ready);
+        if is_ready.recv_timeout(START_STOP_TIMEOUT).is_ok() {
+            self.log_change(StateChange::Up);
             return Ok(());
         }
         self.kill();
@@ -165,55 +165,55 @@
         }
     }
 
-    /// Has it read its configuration anew.
+    /// Sends SIGHUP: the process reloads its configuration.
     pub fn reload_config(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// It stands still from now on.
+    /// Pauses the process with SIGSTOP.
     pub fn stall(&mut self) {
         if self.child.is_some() && !std::mem::replace(&mut self.stalled, true) {
             self.signal(Signal::STOP);
-            self.note(StateChange::Stalled);
+            self.log_change(StateChange::Stalled);
         }
     }
 
-    /// It goes on.
+    /// Resumes the paused process with SIGCONT.
     pub fn resume(&mut self) {
         if self.child.is_some() && std::mem::take(&mut self.stalled) {
             self.signal(Signal::CONT);
-            self.note(StateChange::Resumed);
+            self.log_change(StateChange::Resumed);
         }
     }
 
-    /// Kills it outright, if there is one.
+    /// Kills the process with SIGKILL, if it exists.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
             let _ = child.wait();
             self.stalled = false;
-            self.note(StateChange::Killed);
+            self.log_change(StateChange::Killed);
         }
     }
 
     /// Sends SIGTERM.
     pub fn stop(&mut self) {
         if self.child.is_some() {
-            self.note(StateChange::Stopping);
+            self.log_change(StateChange::Stopping);
             self.signal(Signal::TERM);
         }
     }
 
-    /// Waits for its end after [`Process::stop`].
+    /// Waits until the process exits after [`Process::stop`].
     ///
     /// # Errors
-    /// Where it does not end.
+    /// The process did not exit within 20 s; it is killed then.
     pub fn join(&mut self) -> Result<(), ProcessError> {
         let Some(mut child) = self.child.take() else { return Ok(()) };
-        let until = std::time::Instant::now() + PATIENCE;
+        let until = std::time::Instant::now() + START_STOP_TIMEOUT;
         while std::time::Instant::now() < until {
             if let Some(status) = child.try_wait()? {
-                self.note(StateChange::Ended(status.success()));
+                self.log_change(StateChange::Ended(status.success()));
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(5));
@@ -223,12 +223,12 @@
         Err(ProcessError::NotDown(self.name.clone()))
     }
 
-    /// Looks whether it has ended by itself; true where it did.
+    /// Checks whether the process has exited by itself, and logs that as a crash.
     pub fn check_crashed(&mut self) -> bool {
         let status: Option<ExitStatus> = self.child.as_mut().and_then(|c| c.try_wait().ok()).flatten();
         if status.is_some() {
             self.child = None;
-            self.note(StateChange::Crashed);
+            self.log_change(StateChange::Crashed);
         }
         status.is_some()
     }
@@ -240,19 +240,24 @@
     }
 }
 
-/// Reads lines away on a thread of its own; tells once one holds a word.
-fn listen(stream: Box<dyn Read + Send>, word: &'static str, (tell, said): (SyncSender<()>, Said)) {
+/// Reads output lines on a thread of its own, so that the process never blocks on a full pipe, and signals `ready` at the
+/// first line that contains `ready_line`.
+fn read_output(
+    stream: Box<dyn Read + Send>,
+    ready_line: &'static str,
+    (ready, output): (SyncSender<()>, OutputLines),
+) {
     std::thread::spawn(move || {
-        let mut tell = Some(tell);
+        let mut ready = Some(ready);
         for line in BufReader::new(stream).lines().map_while(Result::ok) {
-            if let Some(tell) = tell.take_if(|_| line.contains(word)) {
-                let _ = tell.try_send(());
+            if let Some(ready) = ready.take_if(|_| line.contains(ready_line)) {
+                let _ = ready.try_send(());
             }
-            let mut said = said.lock().unwrap_or_else(PoisonError::into_inner);
-            if said.len() == MOST_LINES {
-                said.pop_front();
+            let mut output = output.lock().unwrap_or_else(PoisonError::into_inner);
+            if output.len() == MAX_LINES {
+                output.pop_front();
             }
-            said.push_back(line);
+            output.push_back(line);
         }
     });
 }
--- a/crates/faulttest/src/relay.rs
+++ b/crates/faulttest/src/relay.rs
@@ -1,13 +1,13 @@
-//! The relays: one loop that stands on every way.
+//! The relays: one event loop that forwards the connections and datagrams of all links.
 //!
-//! A connection keeps the port it came from on its second half, under the address of the scheduler that began
-//! it, so that both ends name an attempt alike. A datagram leaves from the address at which its receiver knows
-//! its sender.
+//! The outgoing half of a relayed connection uses the source port of the incoming half and the IP address of the
+//! connecting scheduler, so that both ends derive the same name for an attempt. A datagram leaves from the address under
+//! which the receiver knows the sender.
 
 use crate::DatagramFaults;
 use crate::capture::{CaptureProtocol, CapturedTraffic};
 use crate::link::{ConnectionMode, Link, Party};
-use crate::relay_loop::Running;
+use crate::relay_loop::RelayLoop;
 use crate::shaping::Shaping;
 use basaltward_net::{Io, IoLimits, Micros, NetError, Waker, bind};
 use crossbeam_queue::SegQueue;
@@ -17,65 +17,66 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread::JoinHandle;
 
-/// What crossed one way, from who began to who was reached.
+/// Traffic counters of one link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkCounts {
-    /// Connections begun.
+    /// Connections accepted.
     pub connections: u64,
-    /// Bytes from who began, and back.
+    /// Bytes from the connecting side, and back.
     pub bytes: (u64, u64),
-    /// Datagrams sent, and their bytes.
+    /// Datagrams received from the sender, and their bytes.
     pub datagrams: (u64, u64),
-    /// Datagrams delivered, doubles included.
+    /// Datagrams delivered, duplicates included.
     pub delivered: u64,
-    /// Longer than the platform allows.
+    /// Datagrams longer than the 256 bytes that the platform allows.
     pub oversized: u64,
-    /// From an address that is not the sender's.
+    /// Datagrams from an address that is not the sender's; they are dropped.
     pub wrong_source: u64,
-    /// Bytes that the relay has changed.
+    /// Bytes that the relay corrupted.
     pub corrupted: u64,
-    /// When anything was last carried.
-    pub last: Micros,
+    /// Time of the last change of these counters.
+    pub last_activity: Micros,
 }
 
+/// A relayed link for connections.
 pub(crate) struct Route {
-    pub way: Link,
+    pub link: Link,
     pub address: SocketAddr,
     pub target: SocketAddr,
-    /// Where connections go out from.
+    /// Source address of outgoing connections, if it matters.
     pub from: Option<IpAddr>,
     pub listener: Option<usize>,
-    pub stream: ConnectionMode,
-    /// From who began, and back.
+    pub mode: ConnectionMode,
+    /// From the connecting side, and back.
     pub shapings: [Shaping; 2],
-    /// When all that was sent so far has left, in each direction, where its rate has a bound.
+    /// With a rate limit: the time at which everything queued so far has been sent, per direction.
     pub free: [Micros; 2],
-    /// The next bytes from who began are changed.
-    pub change: bool,
-    /// What of it is read as it crosses.
-    pub reads: Option<CaptureProtocol>,
-    /// Pieces so far: how late each is follows from the seed and this.
+    /// One byte of the next chunk from the connecting side is to be corrupted.
+    pub corrupt_next: bool,
+    /// How the traffic is decoded as it crosses, if at all.
+    pub capture: Option<CaptureProtocol>,
+    /// Chunks so far: the delay of each follows from the seed and this count.
     pub count: u64,
 }
 
-/// A socket that one scheduler takes for another.
+/// The socket to which one scheduler sends its datagrams for another.
 pub(crate) struct Pair {
-    pub way: Link,
-    /// Who sends to it.
+    pub link: Link,
+    /// Address from which the scheduler must send.
     pub sender: SocketAddr,
-    /// Its number among the sockets of the loop, and that of the one its datagrams leave from.
-    pub out: usize,
+    /// Number of the loop's socket from which its datagrams are forwarded.
+    pub out_socket: usize,
     pub target: SocketAddr,
-    pub loss: DatagramFaults,
-    /// Datagrams of this way so far: what becomes of each follows from the seed and this.
+    pub faults: DatagramFaults,
+    /// Datagrams so far: loss, duplication and delay of each follow from the seed and this count.
     pub count: u64,
 }
 
 pub(crate) enum Command {
-    Stream(Link, ConnectionMode),
+    ConnectionMode(Link, ConnectionMode),
     Shape(Link, [Shaping; 2]),
-    Change(Link),
-    Loss(Link, DatagramFaults),
+    CorruptByte(Link),
+    DatagramFaults(Link, DatagramFaults),
     Stop,
 }
 
@@ -86,14 +87,14 @@
     pub captured: Mutex<CapturedTraffic>,
 }
 
-/// Tells the relays from outside.
+/// Controls the running relays and reads their counters. They stop when it is dropped.
 pub struct Relay {
     shared: Arc<Shared>,
     waker: Waker,
     thread: Option<JoinHandle<Result<(), NetError>>>,
 }
 
-/// Relays being laid.
+/// Sets up the links before the relays start.
 pub struct RelayBuilder {
     io: Io,
     routes: Vec<Route>,
@@ -101,52 +102,53 @@
 }
 
 impl RelayBuilder {
-    /// None yet.
+    /// A builder without links.
     ///
     /// # Errors
-    /// Where the system refuses the loop.
+    /// The system cannot create the event loop.
     pub fn new() -> Result<Self, NetError> {
         let io = Io::new(IoLimits { connections: 20_000, ..IoLimits::default() })?;
         Ok(Self { io, routes: Vec::new(), pairs: Vec::new() })
     }
 
-    /// A way for connections; gives the address at which its target is reached.
+    /// Adds a link for connections and returns the relay address that leads to `target`. Outgoing connections use `from` as
+    /// their source address, if given.
     ///
     /// # Errors
-    /// Where the system refuses the listener.
+    /// The system cannot create the listener.
     pub fn route(
         &mut self,
-        way: Link,
+        link: Link,
         target: SocketAddr,
         from: Option<IpAddr>,
     ) -> Result<SocketAddr, NetError> {
         let (number, address) = self.io.listen(bind(([127, 0, 0, 1], 0).into(), false)?)?;
         self.routes.push(Route {
-            way,
+            link,
             address,
             target,
             from,
             listener: Some(number),
-            stream: ConnectionMode::Pass,
+            mode: ConnectionMode::Pass,
             shapings: Default::default(),
             free: [0; 2],
-            change: false,
-            reads: None,
+            corrupt_next: false,
+            capture: None,
             count: 0,
         });
         Ok(address)
     }
 
-    /// Has what goes on the way laid last read as it crosses.
-    pub fn capture(&mut self, reads: CaptureProtocol) {
-        self.routes.iter_mut().last().into_iter().for_each(|route| route.reads = Some(reads));
+    /// Decodes the traffic of the link that was added last.
+    pub fn capture(&mut self, protocol: CaptureProtocol) {
+        self.routes.iter_mut().last().into_iter().for_each(|route| route.capture = Some(protocol));
     }
 
-    /// Ways for datagrams between all of these; gives for each where it reaches the others, by number, its own
-    /// address in its own place.
+    /// Adds datagram links between all `peers`. Returns for each peer the relay addresses that lead to the others, by number,
+    /// with its own address at its own index.
     ///
     /// # Errors
-    /// Where the system refuses the sockets.
+    /// The system cannot create the sockets.
     pub fn mesh(&mut self, peers: &[SocketAddr]) -> Result<Vec<Vec<SocketAddr>>, NetError> {
         let mut sockets = vec![Vec::new(); peers.len()];
         for (i, own) in peers.iter().enumerate() {
@@ -159,64 +161,71 @@
         }
         for i in 0..peers.len() {
             for j in (0..peers.len()).filter(|j| *j != i) {
-                // Sockets are numbered as they are made, and so are the pairs.
+                // Sockets and pairs are numbered in the same order of creation.
                 debug_assert_eq!(sockets[i][j].0, self.pairs.len());
-                let way = Link { from: Party::Scheduler(i), to: Party::Scheduler(j) };
-                let (sender, out, target) = (peers[i], sockets[j][i].0, peers[j]);
-                self.pairs.push(Pair { way, sender, out, target, loss: DatagramFaults::default(), count: 0 });
+                let link = Link { from: Party::Scheduler(i), to: Party::Scheduler(j) };
+                let (sender, out_socket, target) = (peers[i], sockets[j][i].0, peers[j]);
+                self.pairs.push(Pair {
+                    link,
+                    sender,
+                    out_socket,
+                    target,
+                    faults: DatagramFaults::default(),
+                    count: 0,
+                });
             }
         }
         Ok(sockets.into_iter().map(|all| all.into_iter().map(|(_, address)| address).collect()).collect())
     }
 
-    /// Sets them going.
+    /// Starts the relays.
     ///
     /// # Errors
-    /// Where the system refuses the thread.
+    /// The system cannot start the thread.
     pub fn start(self, seed: u64) -> Result<Relay, NetError> {
         let shared = Arc::new(Shared::default());
         let waker = self.io.waker();
-        let running = Running::new(self.io, (self.routes, self.pairs), seed, shared.clone());
+        let running = RelayLoop::new(self.io, (self.routes, self.pairs), seed, shared.clone());
         let thread = std::thread::Builder::new().name("relays".into()).spawn(|| running.run())?;
         Ok(Relay { shared, waker, thread: Some(thread) })
     }
 }
 
 impl Relay {
-    fn tell(&self, command: Command) {
-        let (done, told) = sync_channel(1);
+    fn execute(&self, command: Command) {
+        let (done, executed) = sync_channel(1);
         self.shared.commands.push((command, done));
         self.waker.wake();
-        // Once it returns the fault is there; an error says that the loop has ended, and nothing passes at all.
-        let _ = told.recv();
+        // Returns once the fault is in effect. An error means that the loop has ended and nothing is forwarded at all.
+        let _ = executed.recv();
     }
 
-    /// What becomes of the connections of a way, from now on.
-    pub fn set_connection_mode(&self, way: Link, stream: ConnectionMode) {
-        self.tell(Command::Stream(way, stream));
+    /// Sets how the connections of a link are treated from now on.
+    pub fn set_connection_mode(&self, link: Link, mode: ConnectionMode) {
+        self.execute(Command::ConnectionMode(link, mode));
     }
 
-    /// How bytes of a way travel from now on, from who began and back.
-    pub fn set_shaping(&self, way: Link, shapings: [Shaping; 2]) {
-        self.tell(Command::Shape(way, shapings));
+    /// Sets delay, loss and rate of the bytes on a link's connections from now on: from the connecting side, and back.
+    pub fn set_shaping(&self, link: Link, shapings: [Shaping; 2]) {
+        self.execute(Command::Shape(link, shapings));
     }
 
-    /// The next bytes of a way from who began are changed: one of them, once.
-    pub fn corrupt_byte(&self, way: Link) {
-        self.tell(Command::Change(way));
+    /// Corrupts one byte of the next chunk from the connecting side, once.
+    pub fn corrupt_byte(&self, link: Link) {
+        self.execute(Command::CorruptByte(link));
     }
 
-    /// What becomes of the datagrams of a way, from now on.
-    pub fn set_datagram_faults(&self, way: Link, loss: DatagramFaults) {
-        self.tell(Command::Loss(way, loss));
+    /// Sets loss, duplication and delay of a link's datagrams from now on.
+    pub fn set_datagram_faults(&self, link: Link, faults: DatagramFaults) {
+        self.execute(Command::DatagramFaults(link, faults));
     }
 
-    /// What has crossed each way so far.
+    /// Traffic counters of each link so far.
     pub fn counts(&self) -> BTreeMap<Link, LinkCounts> {
         self.shared.counts.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// What was read on tapped ways so far.
+    /// Everything decoded on captured links so far.
     pub fn captured(&self) -> CapturedTraffic {
         self.shared.captured.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -224,7 +233,7 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.tell(Command::Stop);
+        self.execute(Command::Stop);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/faulttest/src/script.rs
+++ b/crates/faulttest/src/script.rs
@@ -32,7 +32,7 @@
     AllDatagrams(DatagramFaults),
     /// The datagrams of one way.
     OneWayDatagrams(usize, usize, DatagramFaults),
-    /// The connections of a way.
+    /// The connections of a link.
     Connections(Link, ConnectionMode),
 }
 
@@ -160,11 +160,11 @@
         let lasts = self.node.parse_attribute::<u64>("for-ms", faults).map(|ms| ms * 1_000);
         let told = self.node.attribute("do").unwrap_or_default();
         let schedulers = self.fleet.schedulers;
-        let way = |to, scheduler| Link { from: Party::Scheduler(scheduler), to };
+        let link = |to, scheduler| Link { from: Party::Scheduler(scheduler), to };
         let worker = |stream: ConnectionMode, faults: &mut Vec<Fault>| {
             let scheduler = self.who("scheduler", schedulers, faults)?;
             let worker = self.who("worker", self.fleet.workers, faults)?;
-            Some((Action::Connections(way(Party::Worker(worker), scheduler), stream), scheduler, worker))
+            Some((Action::Connections(link(Party::Worker(worker), scheduler), stream), scheduler, worker))
         };
         let acts = match told {
             "kill" | "stop" | "start" | "reread" => {
@@ -199,17 +199,17 @@
             }
             "late-bulletin" => {
                 let Some(one) = self.who("scheduler", schedulers, faults) else { return };
-                let way = way(Party::Bulletin, one);
+                let link = link(Party::Bulletin, one);
                 (
-                    Action::Connections(way, ConnectionMode::Stall),
-                    Some(Action::Connections(way, ConnectionMode::Pass)),
+                    Action::Connections(link, ConnectionMode::Stall),
+                    Some(Action::Connections(link, ConnectionMode::Pass)),
                 )
             }
             _ => {
                 let stream =
                     if told == "refuse-worker" { ConnectionMode::Refuse } else { ConnectionMode::Stall };
                 let Some((act, one, to)) = worker(stream, faults) else { return };
-                (act, Some(Action::Connections(way(Party::Worker(to), one), ConnectionMode::Pass)))
+                (act, Some(Action::Connections(link(Party::Worker(to), one), ConnectionMode::Pass)))
             }
         };
         steps.push(Step { at, action: acts.0 });
@@ -239,7 +239,7 @@
                     *loss,
                 );
             }
-            Self::Connections(way, stream) => bed.set_connection_mode(*way, *stream),
+            Self::Connections(link, stream) => bed.set_connection_mode(*link, *stream),
         }
         Ok(())
     }
--- a/crates/faulttest/src/shaping.rs
+++ b/crates/faulttest/src/shaping.rs
@@ -1,107 +1,109 @@
-//! What becomes of bytes on their way in one direction: late, slow, or not carried at all. Their order stays.
+//! Delay, loss, rate limit and blackholing of the bytes on connections, per direction. The order of bytes is kept.
 
 use basaltward_net::{EndReason, Micros};
 use bytes::BytesMut;
 use rand::RngExt;
 use std::collections::VecDeque;
 
-/// Bytes of one connection and direction under way, past which nothing more is read from who sends them.
-pub(crate) const MOST_BYTES: usize = 1 << 20;
+/// Bytes queued for one direction of a connection at which the relay stops reading from the sender.
+pub(crate) const MAX_QUEUED_BYTES: usize = 1 << 20;
 
-/// What a lost piece is later by, and how often one is lost at most.
-const AGAIN_US: Micros = 200_000;
-const MOST_AGAIN: u32 = 6;
+/// Extra delay for each loss of a chunk, as of a TCP retransmission.
+const RETRANSMIT_US: Micros = 200_000;
+/// How often one chunk is lost at most.
+const MAX_RETRANSMITS: u32 = 6;
 
-/// One direction of a way.
+/// Faults of the bytes on a link's connections in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Shaping {
-    /// How late bytes arrive, at least and at most.
+    /// Minimum and maximum delay in microseconds, drawn evenly for each chunk.
     pub delay_range: (Micros, Micros),
-    /// Share of the pieces that are lost and sent again, which makes them and all behind them late.
+    /// Share of chunks that are lost and retransmitted, which delays them and everything queued behind them.
     pub loss_rate: f64,
-    /// Bytes a second over all connections; none without a bound.
+    /// Rate limit in bytes per second over all connections of the link; none for no limit.
     pub bytes_per_s: Option<u64>,
-    /// Nothing is carried, and connections stay open.
+    /// Nothing is forwarded, but connections stay open.
     pub blackhole: bool,
 }
 
 impl Shaping {
-    /// How late a piece arrives.
+    /// Draws the delay of a chunk.
     pub(crate) fn draw(&self, rng: &mut impl RngExt) -> Micros {
         let (least, most) = self.delay_range;
-        let again = (0..MOST_AGAIN).take_while(|_| rng.random::<f64>() < self.loss_rate).count();
-        rng.random_range(least..=most.max(least)) + again as Micros * AGAIN_US
+        let retransmits = (0..MAX_RETRANSMITS).take_while(|_| rng.random::<f64>() < self.loss_rate).count();
+        rng.random_range(least..=most.max(least)) + retransmits as Micros * RETRANSMIT_US
     }
 }
 
-/// What travels.
+/// An item in a delay queue.
 pub(crate) enum Item {
     Bytes(BytesMut),
-    /// The connection's end, behind all that was sent before it.
+    /// The end of the connection, delivered after everything that was sent before it.
     End(EndReason),
 }
 
-/// What is under way in one direction of one connection.
+/// Bytes in flight in one direction of one connection, each chunk with its delivery time.
 #[derive(Default)]
-pub(crate) struct Lane {
-    waiting: VecDeque<(Micros, Item)>,
-    last: Micros,
+pub(crate) struct DelayQueue {
+    items: VecDeque<(Micros, Item)>,
+    /// Latest delivery time so far; no later item is delivered earlier.
+    last_due: Micros,
     bytes: usize,
-    /// For when a timer is set.
-    pub armed: Option<Micros>,
+    /// The time for which a delivery timer is set, if any.
+    pub timer: Option<Micros>,
 }
 
-impl Lane {
-    /// Takes bytes in. `free` is when the way has sent all before them, `late` their own delay.
+impl DelayQueue {
+    /// Queues bytes. With a rate limit, `free` is the time at which the link has sent all earlier bytes; `delay` is added.
     pub fn push(
         &mut self,
         now: Micros,
         bytes: BytesMut,
         (rate, free): (Option<u64>, &mut Micros),
-        late: Micros,
+        delay: Micros,
     ) {
         let Some(rate) = rate.map(|rate| rate.max(1)) else {
-            return self.put(now + late, Item::Bytes(bytes));
+            return self.put(now + delay, Item::Bytes(bytes));
         };
         let mut rest = bytes;
-        // A slow way gives a little every twentieth of a second, not all at the end.
-        let piece = (rate / 20).max(1) as usize;
+        // A slow link delivers a chunk every twentieth of a second instead of everything at the end.
+        let chunk = (rate / 20).max(1) as usize;
         while !rest.is_empty() {
-            let next = rest.split_to(piece.min(rest.len()));
+            let next = rest.split_to(chunk.min(rest.len()));
             *free = (*free).max(now) + next.len() as u64 * 1_000_000 / rate;
-            self.put(*free + late, Item::Bytes(next));
+            self.put(*free + delay, Item::Bytes(next));
         }
     }
 
-    /// The end of who sends.
-    pub fn end(&mut self, now: Micros, how: EndReason, late: Micros) {
-        self.put(now + late, Item::End(how));
+    /// Queues the end of the connection.
+    pub fn end(&mut self, now: Micros, reason: EndReason, delay: Micros) {
+        self.put(now + delay, Item::End(reason));
     }
 
     fn put(&mut self, due: Micros, item: Item) {
-        self.last = self.last.max(due);
+        self.last_due = self.last_due.max(due);
         if let Item::Bytes(bytes) = &item {
             self.bytes += bytes.len();
         }
-        self.waiting.push_back((self.last, item));
+        self.items.push_back((self.last_due, item));
     }
 
-    /// What arrives by now.
-    pub fn due(&mut self, now: Micros) -> Option<Item> {
-        let (_, item) = self.waiting.pop_front_if(|(due, _)| *due <= now)?;
+    /// Takes the next item that is due.
+    pub fn pop_due(&mut self, now: Micros) -> Option<Item> {
+        let (_, item) = self.items.pop_front_if(|(due, _)| *due <= now)?;
         if let Item::Bytes(bytes) = &item {
             self.bytes -= bytes.len();
         }
         Some(item)
     }
 
-    /// When something arrives next.
-    pub fn next(&self) -> Option<Micros> {
-        self.waiting.front().map(|(due, _)| *due)
+    /// Delivery time of the next item.
+    pub fn next_due(&self) -> Option<Micros> {
+        self.items.front().map(|(due, _)| *due)
     }
 
-    /// Whether more may be read.
-    pub fn has_room(&self) -> bool {
-        self.bytes < MOST_BYTES
+    /// Whether the relay may read more from the sender.
+    pub fn has_capacity(&self) -> bool {
+        self.bytes < MAX_QUEUED_BYTES
     }
 }
--- a/crates/faulttest/src/site_checker.rs
+++ b/crates/faulttest/src/site_checker.rs
@@ -1,9 +1,9 @@
-//! The verdict on a run of sites, over all processes as one: from what crossed the relays and what clients,
-//! gateways and workers recorded.
+//! Checker of a finished run of sites, over all processes together: from the traffic that crossed the relays and from the
+//! records of clients, gateways and workers.
 
 use crate::capture::ForwardedCall;
-use crate::checker::{FleetViolation, Front, Verdict, common, ends};
-use crate::kept_checker::kept;
+use crate::checker::{CallTarget, FleetViolation, Verdict, check_common, exit_violations};
+use crate::kept_checker::check_kept_events;
 use crate::link::Party;
 use crate::site_cluster::SiteCluster;
 use basaltward_net::Micros;
@@ -11,87 +11,87 @@
 use basaltward_rules::{FinalAnswer, Observation, Record, RepeatRule, RuleSettings};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What became of the calls asked at one site.
+/// Results of the calls that clients sent to one site.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SiteCalls {
-    /// Tries sent to its gateways.
+    /// Attempts sent to its gateways.
     pub attempts: u64,
-    /// Of them served, refused and failed.
+    /// Attempts that were served.
     pub served: u64,
-    /// See `served`.
+    /// Attempts that were refused.
     pub refused: u64,
-    /// See `served`.
+    /// Attempts that failed.
     pub failed: u64,
-    /// Calls asked first at this site that workers of each site have run, by site. What a client has asked at
-    /// another site too counts for that one where it ran there.
+    /// Calls sent to this site first, counted by the site whose workers executed them. A call that a client also sent to
+    /// another site counts for that site if it ran there.
     pub ran_at: Vec<u64>,
-    /// Calls that its gateways handed to others, as they crossed the relays.
+    /// Calls that its gateways forwarded to others, as captured by the relays.
     pub forwarded: u64,
-    /// Times from a try to its reply, of those served, sorted.
+    /// Latencies of served attempts in microseconds, sorted.
     pub latencies: Vec<Micros>,
-    /// Tries of clients that had been refused and came again, and of them those that were not refused.
+    /// Retries after a refusal, and how many of them were not refused.
     pub retried: (u64, u64),
-    /// Served in each second from the clients' beginning.
+    /// Calls served in each second since the clients' start.
     pub served_per_second: Vec<u64>,
 }
 
 impl SiteCalls {
-    /// A latency, by its place among all.
+    /// A percentile of the latencies; `share` from 0 to 1. 0 without any.
     pub fn latency(&self, share: f64) -> Micros {
         let last = self.latencies.len().saturating_sub(1);
         self.latencies.get((last as f64 * share) as usize).copied().unwrap_or(0)
     }
 }
 
-/// What a run of sites came to.
+/// Result of checking a run of sites.
 #[derive(Clone, Debug, Default)]
 pub struct SitesVerdict {
-    /// Broken rules, and what else is wrong.
+    /// Breaches of the rules and other violations.
     pub verdict: Verdict,
-    /// Calls by the site at which they were asked.
+    /// Results of calls, by the site they were sent to.
     pub sites: Vec<SiteCalls>,
-    /// Kept events that were acknowledged, and of them those that ended, by how.
+    /// Number of acknowledged kept events, and of these the number per outcome.
     pub kept_events: (u64, BTreeMap<String, u64>),
 }
 
-/// Judges a run that has finished.
-pub fn check_sites(bed: &SiteCluster, records: &[Record]) -> SitesVerdict {
-    let gateways = bed.gateways.iter().zip(&bed.listens).enumerate();
-    let fronts: Vec<Front> = gateways.map(|(i, (p, at))| (*at, Party::Scheduler(i), p)).collect();
-    let mut rules = rule_settings(&bed.config, &[]);
-    let workers = (0..bed.workers.len()).map(|w| (Party::Worker(w).to_string(), w as u64));
+/// Checks a finished run.
+pub fn check_sites(cluster: &SiteCluster, records: &[Record]) -> SitesVerdict {
+    let gateways = cluster.gateways.iter().zip(&cluster.listens).enumerate();
+    let call_targets: Vec<CallTarget> = gateways.map(|(i, (p, at))| (*at, Party::Scheduler(i), p)).collect();
+    let mut rules = rule_settings(&cluster.config, &[]);
+    let workers = (0..cluster.workers.len()).map(|w| (Party::Worker(w).to_string(), w as u64));
     rules.groups = workers.collect();
-    let (mut verdict, records) = common(records, &rules, (&fronts, &bed.network));
-    for (w, process) in bed.workers.iter().enumerate() {
-        verdict.violations.extend(ends(Party::Worker(w), process));
+    let (mut verdict, records) = check_common(records, &rules, (&call_targets, &cluster.network));
+    for (w, process) in cluster.workers.iter().enumerate() {
+        verdict.violations.extend(exit_violations(Party::Worker(w), process));
     }
-    let captured = bed.network.relay.captured();
-    let asked = Asked::of(bed, &records);
-    verdict.violations.extend(twice(&records, &rules, &asked));
-    verdict.violations.extend(hops(&captured.forwarded_calls, &asked));
-    let (kept, wrong) = kept(&captured.journal_messages, bed.spec.holders, &records);
+    let captured = cluster.network.relay.captured();
+    let sent = SentCalls::from_records(cluster, &records);
+    verdict.violations.extend(duplicate_effects(&records, &rules, &sent));
+    verdict.violations.extend(hop_violations(&captured.forwarded_calls, &sent));
+    let (kept, wrong) = check_kept_events(&captured.journal_messages, cluster.spec.holders, &records);
     verdict.violations.extend(wrong);
     SitesVerdict {
-        sites: by_site(bed, &records, &captured.forwarded_calls, &asked),
+        sites: by_site(cluster, &records, &captured.forwarded_calls, &sent),
         kept_events: kept,
         verdict,
     }
 }
 
-/// What clients asked.
-struct Asked<'a> {
-    /// The first try of each event: its class, and the gateway's number.
+/// Calls that clients sent.
+struct SentCalls<'a> {
+    /// The first attempt of each event: its class and the gateway's number.
     first: BTreeMap<&'a str, (&'a str, usize)>,
-    /// All events with the gateways at which they were asked.
+    /// Events with each gateway they were sent to.
     at: BTreeSet<(&'a str, usize)>,
-    /// Gateways by address.
+    /// Gateway numbers by address.
     gateways: BTreeMap<String, usize>,
 }
 
-impl<'a> Asked<'a> {
-    fn of(bed: &SiteCluster, records: &'a [Record]) -> Self {
+impl<'a> SentCalls<'a> {
+    fn from_records(cluster: &SiteCluster, records: &'a [Record]) -> Self {
         let gateways: BTreeMap<_, _> =
-            bed.listens.iter().enumerate().map(|(i, at)| (at.to_string(), i)).collect();
+            cluster.listens.iter().enumerate().map(|(i, at)| (at.to_string(), i)).collect();
         let (mut first, mut at) = (BTreeMap::new(), BTreeSet::new());
         for record in records {
             let Observation::RequestSent { event, class, to, .. } = &record.observation else { continue };
@@ -104,25 +104,27 @@
     }
 }
 
-/// No keyed or unsafe event has two effects, whichever sites ran it. One that a worker has run again after it
-/// had lost its memory of keys is the bed's own doing.
-fn twice(records: &[Record], rules: &RuleSettings, asked: &Asked) -> Vec<FleetViolation> {
-    let (mut ran, mut born) = (BTreeMap::<&str, Vec<(Micros, &str)>>::new(), BTreeMap::<&str, Micros>::new());
+/// No keyed or unsafe event may take effect twice, at whichever sites it ran. A keyed event that a restarted worker ran
+/// again is excused: the restart, an injected fault, lost the worker's memory of keys.
+fn duplicate_effects(records: &[Record], rules: &RuleSettings, sent: &SentCalls) -> Vec<FleetViolation> {
+    let (mut ran, mut started) =
+        (BTreeMap::<&str, Vec<(Micros, &str)>>::new(), BTreeMap::<&str, Micros>::new());
     let mut found = BTreeSet::new();
     for record in records {
         match &record.observation {
-            Observation::WorkerStarted { .. } => drop(born.insert(&record.observer, record.time)),
+            Observation::WorkerStarted { .. } => drop(started.insert(&record.observer, record.time)),
             Observation::Ran { event, .. } => {
-                let repeat = asked.first.get(event.as_str()).and_then(|(class, _)| rules.classes.get(*class));
-                let here: &str = &record.observer;
+                let repeat = sent.first.get(event.as_str()).and_then(|(class, _)| rules.classes.get(*class));
+                let worker: &str = &record.observer;
                 let all = ran.entry(event).or_default();
-                let lost = |(t, by): &&(Micros, &str)| *by == here && born.get(here).is_some_and(|b| t < b);
+                let lost =
+                    |(t, by): &&(Micros, &str)| *by == worker && started.get(worker).is_some_and(|b| t < b);
                 let counts = match repeat.map(|class| class.repeat) {
                     Some(RepeatRule::Unsafe) => all.len(),
                     Some(RepeatRule::Keyed { .. }) => all.iter().filter(|ran| !lost(ran)).count(),
                     Some(RepeatRule::Safe) | None => 0,
                 };
-                all.push((record.time, here));
+                all.push((record.time, worker));
                 if counts > 0 {
                     found.insert(event.as_str());
                 }
@@ -134,48 +136,53 @@
     found.into_iter().map(|event| FleetViolation::DuplicateEffect(event.to_owned(), at(event))).collect()
 }
 
-/// A call is handed over once at most: by what it says itself, and by the ways on which it was seen.
-fn hops(handed: &[ForwardedCall], asked: &Asked) -> BTreeSet<FleetViolation> {
+/// A call may be forwarded at most once, both by its own hop count and by the links on which it was captured.
+fn hop_violations(forwarded: &[ForwardedCall], sent: &SentCalls) -> BTreeSet<FleetViolation> {
     let mut found = BTreeSet::new();
     let mut reached: BTreeSet<(&str, usize)> = BTreeSet::new();
-    for ForwardedCall { link: way, event, hops, .. } in handed {
-        let (Party::Scheduler(from), Party::Scheduler(to)) = (way.from, way.to) else { continue };
-        let told = hops.unwrap_or(1);
-        // Who got it from a gateway and from no client hands it on.
-        let passed = reached.contains(&(event, from)) && !asked.at.contains(&(event, from));
-        if told > 1 || passed {
-            found.insert(FleetViolation::TooManyHops(event.clone(), told.max(2)));
+    for ForwardedCall { link, event, hops, .. } in forwarded {
+        let (Party::Scheduler(from), Party::Scheduler(to)) = (link.from, link.to) else { continue };
+        let reported = hops.unwrap_or(1);
+        // The sender received the call from a gateway and not from a client, so this is a second hop.
+        let second_hop = reached.contains(&(event, from)) && !sent.at.contains(&(event, from));
+        if reported > 1 || second_hop {
+            found.insert(FleetViolation::TooManyHops(event.clone(), reported.max(2)));
         }
         reached.insert((event, to));
     }
     found
 }
 
-fn by_site(bed: &SiteCluster, records: &[Record], handed: &[ForwardedCall], asked: &Asked) -> Vec<SiteCalls> {
-    let blank = SiteCalls { ran_at: vec![0; bed.spec.sites.len()], ..SiteCalls::default() };
-    let mut sites = vec![blank; bed.spec.sites.len()];
-    let (of, at) = &bed.of;
+fn by_site(
+    cluster: &SiteCluster,
+    records: &[Record],
+    forwarded: &[ForwardedCall],
+    sent: &SentCalls,
+) -> Vec<SiteCalls> {
+    let blank = SiteCalls { ran_at: vec![0; cluster.spec.sites.len()], ..SiteCalls::default() };
+    let mut sites = vec![blank; cluster.spec.sites.len()];
+    let (of, at) = &cluster.sites_of;
     let workers: BTreeMap<_, _> =
         at.iter().enumerate().map(|(w, s)| (Party::Worker(w).to_string(), *s)).collect();
-    let (mut tries, mut refused) = (BTreeMap::new(), BTreeSet::new());
+    let (mut attempts_by_id, mut refused) = (BTreeMap::new(), BTreeSet::new());
     for Record { time: t, observer: by, observation: what } in records {
         match what {
-            Observation::RequestSent { request_id: tried, event, to, .. } => {
-                let Some(gateway) = asked.gateways.get(to) else { continue };
+            Observation::RequestSent { request_id, event, to, .. } => {
+                let Some(gateway) = sent.gateways.get(to) else { continue };
                 let again = refused.contains(event);
-                tries.insert(*tried, (*t, of[*gateway], event, again));
+                attempts_by_id.insert(*request_id, (*t, of[*gateway], event, again));
                 sites[of[*gateway]].attempts += 1;
                 sites[of[*gateway]].retried.0 += u64::from(again);
             }
-            Observation::Answered { request_id: tried, answer, .. } => {
-                let Some((began, site, event, again)) = tries.get(tried) else { continue };
+            Observation::Answered { request_id, answer, .. } => {
+                let Some((began, site, event, again)) = attempts_by_id.get(request_id) else { continue };
                 let site = &mut sites[*site];
                 site.retried.1 += u64::from(*again && *answer != FinalAnswer::Refused);
                 match answer {
                     FinalAnswer::Served => {
                         site.served += 1;
                         site.latencies.push(t - began);
-                        let second = (t.saturating_sub(bed.began) / 1_000_000) as usize;
+                        let second = (t.saturating_sub(cluster.began) / 1_000_000) as usize;
                         site.served_per_second.resize(site.served_per_second.len().max(second + 1), 0);
                         site.served_per_second[second] += 1;
                     }
@@ -187,8 +194,8 @@
                 }
             }
             Observation::Ran { event, .. } => {
-                if let Some(((_, gateway), at)) = asked.first.get(event.as_str()).zip(workers.get(by)) {
-                    let there = (0..of.len()).any(|i| of[i] == *at && asked.at.contains(&(event, i)));
+                if let Some(((_, gateway), at)) = sent.first.get(event.as_str()).zip(workers.get(by)) {
+                    let there = (0..of.len()).any(|i| of[i] == *at && sent.at.contains(&(event, i)));
                     let asked_at = if there { *at } else { of[*gateway] };
                     sites[asked_at].ran_at[*at] += 1;
                 }
@@ -196,8 +203,8 @@
             _ => {}
         }
     }
-    for ForwardedCall { link: way, .. } in handed {
-        if let Party::Scheduler(from) = way.from {
+    for ForwardedCall { link, .. } in forwarded {
+        if let Party::Scheduler(from) = link.from {
             sites[of[from]].forwarded += 1;
         }
     }
@@ -211,22 +218,22 @@
     use crate::link::Link;
     use basaltward_rules::ClassRule;
 
-    fn records(told: &[(&str, Observation)]) -> Vec<Record> {
+    fn records(observations: &[(&str, Observation)]) -> Vec<Record> {
         let record = |(t, (by, what)): (usize, &(&str, Observation))| Record {
             time: t as Micros,
             observer: (*by).into(),
             observation: what.clone(),
         };
-        told.iter().enumerate().map(record).collect()
+        observations.iter().enumerate().map(record).collect()
     }
 
     fn ran(at: &str) -> (&str, Observation) {
         (at, Observation::Ran { event: "e".into(), attempt: "n0/0:1".into() })
     }
 
-    fn asked(class: &'static str) -> Asked<'static> {
+    fn sent(class: &'static str) -> SentCalls<'static> {
         let (first, at) = (BTreeMap::from([("e", (class, 0))]), BTreeSet::from([("e", 0)]));
-        Asked { first, at, gateways: BTreeMap::new() }
+        SentCalls { first, at, gateways: BTreeMap::new() }
     }
 
     fn rules() -> RuleSettings {
@@ -250,33 +257,35 @@
     }
 
     #[test]
-    fn two_effects_are_found_wherever_they_are() {
+    fn duplicate_effects_are_found_across_workers() {
         let both = records(&[ran("s-0"), ran("s-4")]);
-        let found = |class: &'static str, records: &[Record]| twice(records, &rules(), &asked(class)).len();
+        let found = |class: &'static str, records: &[Record]| {
+            duplicate_effects(records, &rules(), &sent(class)).len()
+        };
         assert_eq!((found("safe", &both), found("keyed", &both), found("unsafe", &both)), (0, 1, 1));
-        // A worker that was started anew has lost its keys: that is the bed's doing, but excuses no unsafe event.
-        let born = ("s-0", Observation::WorkerStarted { capacity: 1.0, warm: true });
-        let anew = records(&[born.clone(), ran("s-0"), born.clone(), ran("s-0")]);
-        assert_eq!((found("keyed", &anew), found("unsafe", &anew)), (0, 1));
-        let same_life = records(&[born, ran("s-0"), ran("s-0")]);
-        assert_eq!(found("keyed", &same_life), 1);
+        // A restarted worker has lost its memory of keys. This excuses a repeated keyed event, but no unsafe event.
+        let started = ("s-0", Observation::WorkerStarted { capacity: 1.0, warm: true });
+        let restarted = records(&[started.clone(), ran("s-0"), started.clone(), ran("s-0")]);
+        assert_eq!((found("keyed", &restarted), found("unsafe", &restarted)), (0, 1));
+        let not_restarted = records(&[started, ran("s-0"), ran("s-0")]);
+        assert_eq!(found("keyed", &not_restarted), 1);
     }
 
     #[test]
-    fn a_second_hop_is_found_by_what_it_says_and_by_where_it_was_seen() {
-        let handed = |from, to, hops| ForwardedCall {
+    fn second_hop_is_found_by_its_hop_count_and_by_captured_links() {
+        let forwarded = |from, to, hops| ForwardedCall {
             time: 0,
             link: Link { from: Party::Scheduler(from), to: Party::Scheduler(to) },
             event: "e".into(),
             hops,
         };
-        let count = |all: &[ForwardedCall]| hops(all, &asked("safe")).len();
+        let count = |all: &[ForwardedCall]| hop_violations(all, &sent("safe")).len();
         assert_eq!(
-            count(&[handed(0, 1, Some(1)), handed(0, 2, Some(1))]),
+            count(&[forwarded(0, 1, Some(1)), forwarded(0, 2, Some(1))]),
             0,
-            "tried at two sites, a hop each"
+            "sent to two sites, one hop each"
         );
-        assert_eq!(count(&[handed(0, 1, Some(2))]), 1);
-        assert_eq!(count(&[handed(0, 1, Some(1)), handed(1, 2, Some(1))]), 1, "it lies about its hops");
+        assert_eq!(count(&[forwarded(0, 1, Some(2))]), 1);
+        assert_eq!(count(&[forwarded(0, 1, Some(1)), forwarded(1, 2, Some(1))]), 1, "the hop count is wrong");
     }
 }
--- a/crates/faulttest/src/site_cluster.rs
+++ b/crates/faulttest/src/site_cluster.rs
@@ -1,4 +1,4 @@
-//! A bed of sites: gateways and workers as processes of their own, with relays on all ways between them.
+//! A cluster of sites: gateways and workers as processes of their own, with relays on all links between them.
 
 use crate::capture::CaptureProtocol;
 use crate::cluster::{HarnessError, live};
@@ -7,10 +7,10 @@
 use crate::process::{Launch, Process};
 use crate::relay::RelayBuilder;
 use crate::shaping::Shaping;
-use crate::site_config::{Reach, write_files};
+use crate::site_config::{GatewayAddresses, write_files};
 use crate::site_spec::{SiteLink, SitesSpec};
 use crate::site_workload::plans;
-use crate::workspace::{Workspace, whole};
+use crate::workspace::{Workspace, read_complete_records};
 use basaltward_config::Config;
 use basaltward_membership::StatusResponse;
 use basaltward_net::{Micros, NetError, monotonic};
@@ -23,278 +23,284 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Which processes.
+/// Selects the processes of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSelector {
-    /// All of a site.
+    /// All gateways and workers of a site.
     Site(usize),
-    /// A gateway, by its number among all.
+    /// A gateway, by its number in the cluster.
     Gateway(usize),
-    /// A worker, by its number among all.
+    /// A worker, by its number in the cluster.
     Worker(usize),
 }
 
-/// Running sites. What they started ends with them.
+/// A running cluster of sites. Dropping it ends everything that it started.
 pub struct SiteCluster {
-    /// What it was made by.
+    /// The parameters of the cluster.
     pub spec: SitesSpec,
     /// The gateways, by number.
     pub gateways: Vec<Process>,
     /// The workers, by number.
     pub workers: Vec<Process>,
-    /// Where each gateway listens.
+    /// Listen address of each gateway for calls.
     pub listens: Vec<SocketAddr>,
-    /// Where clients reach each gateway.
+    /// Relay address by which clients reach each gateway.
     pub client_addresses: Vec<SocketAddr>,
-    /// Where each gateway reaches the fronts of all, by number.
+    /// Addresses by which each gateway reaches the fronts of all gateways, by number.
     pub front_addresses: Vec<Vec<SocketAddr>>,
-    /// Where each takes datagrams.
-    pub tells: Vec<SocketAddr>,
-    /// The relays on all ways.
+    /// Address of each gateway for datagrams of its peers.
+    pub datagram_addresses: Vec<SocketAddr>,
+    /// The relays on all links.
     pub network: Network,
-    /// What clients saw.
+    /// Records of the clients.
     pub recorder: Recorder,
-    /// When clients began.
+    /// Start of the clients.
     pub began: Micros,
-    /// Settings of the first gateway: the rules follow from them.
+    /// Settings of the first gateway; the settings of the checked rules derive from them.
     pub config: Config,
-    /// Sites of gateways and workers, by number.
-    pub(crate) of: (Vec<usize>, Vec<usize>),
+    /// Site of each gateway and of each worker, by number.
+    pub(crate) sites_of: (Vec<usize>, Vec<usize>),
     links: BTreeMap<(usize, usize), SiteLink>,
-    /// Names of workers by every address at which they are known.
-    known: BTreeMap<String, String>,
+    /// Names of workers by their own and their relay addresses.
+    worker_names: BTreeMap<String, String>,
     clients: Option<JoinHandle<Result<Tally, NetError>>>,
     workspace: Workspace,
 }
 
-/// Files of a party's records.
+/// Path of a process's file of records.
 fn records(workspace: &Workspace, party: Party) -> std::path::PathBuf {
     workspace.file(&format!("{party}.records"))
 }
 
 impl SiteCluster {
-    /// Starts all of it, and waits until everybody serves.
+    /// Starts the cluster and waits until every process is ready.
     ///
     /// # Errors
-    /// Where a part can't be had or a process does not come up.
+    /// A socket, file or thread failed, or a process did not become ready.
     pub fn start(spec: SitesSpec) -> Result<Self, HarnessError> {
         let workspace = Workspace::new()?;
         let (of, at) = (spec.gateways(), spec.workers());
         let count = of.len();
         let addresses = || (0..count).map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>();
-        let (listens, tells, journals) = (addresses()?, addresses()?, addresses()?);
+        let (listens, datagram_addresses, journals) = (addresses()?, addresses()?, addresses()?);
         let worker_at = |w| workspace.reserve(count + w);
         let worker_at = (0..at.len()).map(worker_at).collect::<Result<Vec<SocketAddr>, _>>()?;
-        let mut laying = RelayBuilder::new()?;
-        let mesh = laying.mesh(&tells)?;
-        let mut known = BTreeMap::new();
-        let (mut gateways, mut reached, mut config) = (Vec::new(), Vec::new(), None);
-        let mut fronts = Vec::new();
+        let mut relays = RelayBuilder::new()?;
+        let mesh = relays.mesh(&datagram_addresses)?;
+        let mut worker_names = BTreeMap::new();
+        let (mut gateways, mut client_addresses, mut config) = (Vec::new(), Vec::new(), None);
+        let mut front_addresses = Vec::new();
         for i in 0..count {
             let from = Party::Scheduler(i);
-            let mut reaches = Vec::new();
+            let mut addresses_of_peers = Vec::new();
             for j in 0..count {
-                let tell = mesh[i][j];
+                let datagrams = mesh[i][j];
                 if i == j {
-                    reaches.push(Reach { tell, front: listens[j], journal: journals[j] });
+                    addresses_of_peers.push(GatewayAddresses {
+                        datagrams,
+                        front: listens[j],
+                        journal: journals[j],
+                    });
                     continue;
                 }
-                let front = laying.route(Link { from, to: Party::Scheduler(j) }, listens[j], None)?;
-                laying.capture(CaptureProtocol::Calls);
-                let journal = laying.route(Link { from, to: Party::Journal(j) }, journals[j], None)?;
-                laying.capture(CaptureProtocol::Frames);
-                reaches.push(Reach { tell, front, journal });
+                let front = relays.route(Link { from, to: Party::Scheduler(j) }, listens[j], None)?;
+                relays.capture(CaptureProtocol::Calls);
+                let journal = relays.route(Link { from, to: Party::Journal(j) }, journals[j], None)?;
+                relays.capture(CaptureProtocol::Frames);
+                addresses_of_peers.push(GatewayAddresses { datagrams, front, journal });
             }
-            fronts.push(reaches.iter().map(|reach| reach.front).collect());
+            front_addresses.push(addresses_of_peers.iter().map(|addresses| addresses.front).collect());
             let mut workers = Vec::new();
             for w in (0..at.len()).filter(|w| at[*w] == of[i]) {
                 let to = Party::Worker(w);
-                let address = laying.route(Link { from, to }, worker_at[w], None)?;
-                known.insert(address.to_string(), to.to_string());
+                let address = relays.route(Link { from, to }, worker_at[w], None)?;
+                worker_names.insert(address.to_string(), to.to_string());
                 workers.push((w, address));
             }
-            reached.push(laying.route(Link { from: Party::Clients, to: from }, listens[i], None)?);
-            let path = write_files(&spec, &workspace, i, &reaches, &workers)?;
+            client_addresses.push(relays.route(Link { from: Party::Clients, to: from }, listens[i], None)?);
+            let path = write_files(&spec, &workspace, i, &addresses_of_peers, &workers)?;
             config.get_or_insert(basaltward_config::load(&path)?);
             let args = ["--log", "info,basaltward::call=off", "serve", "--config"]
                 .map(OsString::from)
                 .into_iter()
                 .chain([path.into()])
                 .collect();
-            let vars = spec.env.iter().filter(|(who, ..)| *who == i);
+            let vars = spec.env.iter().filter(|(gateway, ..)| *gateway == i);
             let vars = vars.map(|(_, name, value)| (name.clone(), Some(value.into()))).collect();
             let launch = Launch { args, env: vars, ready_line: "listening on" };
             gateways.push(Process::new(&from.to_string(), &spec.program, launch));
         }
         let worker = |(w, address): (usize, &SocketAddr)| {
             let (party, site) = (Party::Worker(w), &spec.sites[at[w]]);
-            known.insert(address.to_string(), party.to_string());
+            worker_names.insert(address.to_string(), party.to_string());
             let mut args: Vec<OsString> = vec!["worker".into(), "--records".into()];
             args.push(records(&workspace, party).into());
-            let told = [
+            let options = [
                 ("--listen", address.to_string()),
                 ("--cores", site.cores.to_string()),
                 ("--memory-mb", site.memory_mb.to_string()),
                 ("--work-ms", spec.work_ms.to_string()),
                 ("--load-ms", spec.load_ms.to_string()),
             ];
-            args.extend(told.into_iter().flat_map(|(name, value)| [name.into(), value.into()]));
+            args.extend(options.into_iter().flat_map(|(name, value)| [name.into(), value.into()]));
             let launch = Launch { args, env: Vec::new(), ready_line: "worker on" };
             Process::new(&party.to_string(), &spec.program, launch)
         };
         let workers = worker_at.iter().enumerate().map(worker).collect();
-        let ways = Network::new(laying.start(spec.seed)?);
+        let ways = Network::new(relays.start(spec.seed)?);
         let config = config.ok_or(HarnessError::Empty)?;
         let recorder = Recorder::memory();
         let (began, links, clients) = (monotonic(), BTreeMap::new(), None);
-        let of = (of, at);
-        let mut bed = Self {
+        let sites_of = (of, at);
+        let mut cluster = Self {
             spec,
             gateways,
             workers,
             listens,
-            client_addresses: reached,
-            front_addresses: fronts,
-            tells,
+            client_addresses,
+            front_addresses,
+            datagram_addresses,
             network: ways,
             recorder,
             began,
             config,
-            of,
+            sites_of,
             links,
-            known,
+            worker_names,
             clients,
             workspace,
         };
-        for (from, to) in bed.pairs() {
-            bed.link(from, to, bed.spec.link(from, to));
+        for (from, to) in cluster.pairs() {
+            cluster.set_link(from, to, cluster.spec.link(from, to));
         }
-        for site in 0..bed.spec.sites.len() {
-            bed.up(ProcessSelector::Site(site))?;
+        for site in 0..cluster.spec.sites.len() {
+            cluster.up(ProcessSelector::Site(site))?;
         }
-        Ok(bed)
+        Ok(cluster)
     }
 
-    /// All sites by pairs, each with itself too.
+    /// All ordered pairs of sites, including each site with itself.
     fn pairs(&self) -> Vec<(usize, usize)> {
         let all = 0..self.spec.sites.len();
         all.clone().flat_map(|from| all.clone().map(move |to| (from, to))).collect()
     }
 
-    /// Gateways of a site.
+    /// Numbers of a site's gateways.
     pub fn gateways_of(&self, site: usize) -> Vec<usize> {
-        (0..self.of.0.len()).filter(|i| self.of.0[*i] == site).collect()
+        (0..self.sites_of.0.len()).filter(|i| self.sites_of.0[*i] == site).collect()
     }
 
     fn workers_of(&self, site: usize) -> Vec<usize> {
-        (0..self.of.1.len()).filter(|w| self.of.1[*w] == site).collect()
+        (0..self.sites_of.1.len()).filter(|w| self.sites_of.1[*w] == site).collect()
     }
 
-    /// Gateways and workers that are meant.
-    fn meant(&self, who: ProcessSelector) -> (Vec<usize>, Vec<usize>) {
-        match who {
+    /// Numbers of the selected gateways and workers.
+    fn selected(&self, selector: ProcessSelector) -> (Vec<usize>, Vec<usize>) {
+        match selector {
             ProcessSelector::Site(site) => (self.gateways_of(site), self.workers_of(site)),
             ProcessSelector::Gateway(one) => (vec![one], Vec::new()),
             ProcessSelector::Worker(one) => (Vec::new(), vec![one]),
         }
     }
 
-    fn each(&mut self, who: ProcessSelector, mut act: impl FnMut(&mut Process)) {
-        let (gateways, workers) = self.meant(who);
-        gateways.into_iter().for_each(|i| act(&mut self.gateways[i]));
-        workers.into_iter().for_each(|w| act(&mut self.workers[w]));
+    fn for_each_process(&mut self, selector: ProcessSelector, mut action: impl FnMut(&mut Process)) {
+        let (gateways, workers) = self.selected(selector);
+        gateways.into_iter().for_each(|i| action(&mut self.gateways[i]));
+        workers.into_iter().for_each(|w| action(&mut self.workers[w]));
     }
 
-    /// Starts who is down, under its name and address: workers first.
+    /// Starts the selected processes under the same names and addresses again, workers first.
     ///
     /// # Errors
-    /// Where one does not come up.
-    pub fn up(&mut self, who: ProcessSelector) -> Result<(), HarnessError> {
-        let (gateways, workers) = self.meant(who);
+    /// A process did not become ready.
+    pub fn up(&mut self, selector: ProcessSelector) -> Result<(), HarnessError> {
+        let (gateways, workers) = self.selected(selector);
         workers.into_iter().try_for_each(|w| self.workers[w].start())?;
         gateways.into_iter().try_for_each(|i| self.gateways[i].start())?;
-        self.shut(who, false);
+        self.set_down(selector, false);
         Ok(())
     }
 
-    /// Nobody listens where these did, or they do again.
-    fn shut(&mut self, who: ProcessSelector, shut: bool) {
-        let (gateways, workers) = self.meant(who);
+    /// Records at the relays whether the selected processes are down.
+    fn set_down(&mut self, selector: ProcessSelector, down: bool) {
+        let (gateways, workers) = self.selected(selector);
         let all = 0..self.gateways.len();
         for i in gateways {
-            self.network.set_target_down(Link { from: Party::Clients, to: Party::Scheduler(i) }, shut);
+            self.network.set_target_down(Link { from: Party::Clients, to: Party::Scheduler(i) }, down);
             for from in all.clone().filter(|from| *from != i).map(Party::Scheduler) {
                 for to in [Party::Scheduler(i), Party::Journal(i)] {
-                    self.network.set_target_down(Link { from, to }, shut);
+                    self.network.set_target_down(Link { from, to }, down);
                 }
             }
         }
         for w in workers {
-            let here = self.of.1[w];
+            let here = self.sites_of.1[w];
             for i in self.gateways_of(here) {
-                self.network.set_target_down(Link { from: Party::Scheduler(i), to: Party::Worker(w) }, shut);
+                self.network.set_target_down(Link { from: Party::Scheduler(i), to: Party::Worker(w) }, down);
             }
         }
     }
 
-    /// Kills outright.
-    pub fn kill(&mut self, who: ProcessSelector) {
-        self.each(who, Process::kill);
-        self.shut(who, true);
-        for i in self.meant(who).0 {
-            // It could not say so itself. It has one loop.
+    /// Kills the selected processes with SIGKILL.
+    pub fn kill(&mut self, selector: ProcessSelector) {
+        self.for_each_process(selector, Process::kill);
+        self.set_down(selector, true);
+        for i in self.selected(selector).0 {
+            // A killed process cannot record its own end. Each gateway runs a single loop, number 0.
             self.recorder.put(monotonic(), &format!("n{i}/0"), Observation::Down { killed: true });
         }
     }
 
-    /// Sends SIGTERM and waits for the end.
+    /// Sends SIGTERM to the selected processes and waits until they exit.
     ///
     /// # Errors
-    /// Where one does not end.
-    pub fn stop(&mut self, who: ProcessSelector) -> Result<(), HarnessError> {
-        self.each(who, Process::stop);
+    /// A process did not exit in time.
+    pub fn stop(&mut self, selector: ProcessSelector) -> Result<(), HarnessError> {
+        self.for_each_process(selector, Process::stop);
         let mut ended = Ok(());
-        self.each(who, |process| ended = std::mem::replace(&mut ended, Ok(())).and(process.join()));
-        self.shut(who, true);
+        self.for_each_process(selector, |process| {
+            ended = std::mem::replace(&mut ended, Ok(())).and(process.join())
+        });
+        self.set_down(selector, true);
         Ok(ended?)
     }
 
-    /// Stands still from now on, or goes on.
-    pub fn stall(&mut self, who: ProcessSelector, still: bool) {
-        self.each(who, if still { Process::stall } else { Process::resume });
+    /// Pauses or resumes the selected processes.
+    pub fn stall(&mut self, selector: ProcessSelector, paused: bool) {
+        self.for_each_process(selector, if paused { Process::stall } else { Process::resume });
     }
 
-    /// How the link from one site to another is now.
+    /// Current state of the link from one site to another.
     pub fn current_link(&self, from: usize, to: usize) -> SiteLink {
         self.links.get(&(from, to)).copied().unwrap_or_else(SiteLink::within)
     }
 
-    /// How the link from one site to another is from now on.
-    pub fn link(&mut self, from: usize, to: usize, link: SiteLink) {
+    /// Sets the state of the link from one site to another.
+    pub fn set_link(&mut self, from: usize, to: usize, link: SiteLink) {
         self.links.insert((from, to), link);
         let back = self.current_link(to, from);
         for i in self.gateways_of(from) {
             for j in self.gateways_of(to).into_iter().filter(|j| *j != i) {
                 let (own, other) = (Party::Scheduler(i), Party::Scheduler(j));
-                self.network.set_datagram_faults(Link { from: own, to: other }, link.loss());
+                self.network.set_datagram_faults(Link { from: own, to: other }, link.datagram_faults());
                 for to in [other, Party::Journal(j)] {
-                    self.connections(Link { from: own, to }, (&link, &back));
+                    self.set_connection_faults(Link { from: own, to }, (&link, &back));
                 }
                 for to in [own, Party::Journal(i)] {
-                    self.connections(Link { from: other, to }, (&back, &link));
+                    self.set_connection_faults(Link { from: other, to }, (&back, &link));
                 }
             }
         }
     }
 
-    fn connections(&mut self, way: Link, (forth, back): (&SiteLink, &SiteLink)) {
-        let shapings: [Shaping; 2] = [forth.shaping(), back.shaping()];
-        self.network.set_shaping(way, shapings);
-        let stream = if back.broken { back.stream() } else { forth.stream() };
-        self.network.set_connection_mode(way, stream);
+    fn set_connection_faults(&mut self, link: Link, (there, back): (&SiteLink, &SiteLink)) {
+        let shapings: [Shaping; 2] = [there.shaping(), back.shaping()];
+        self.network.set_shaping(link, shapings);
+        let mode = if back.broken { back.connection_mode() } else { there.connection_mode() };
+        self.network.set_connection_mode(link, mode);
     }
 
-    /// The next bytes on every journal's connection from one site to another are changed, one of them once.
+    /// Corrupts one byte of the next chunk on every journal connection from one site to another, once.
     pub fn corrupt_byte(&mut self, from: usize, to: usize) {
         for i in self.gateways_of(from) {
             for j in self.gateways_of(to) {
@@ -303,22 +309,22 @@
         }
     }
 
-    /// What a gateway believes of all, asked as an operator asks.
+    /// Fetches a gateway's membership view by an operator's status request.
     ///
     /// # Errors
-    /// Where it does not answer.
+    /// It did not answer.
     pub fn fetch_view(&self, i: usize) -> Result<StatusResponse, HarnessError> {
-        Ok(fetch_membership(self.tells[i])?)
+        Ok(fetch_membership(self.datagram_addresses[i])?)
     }
 
-    /// Whether all gateways that run hold the same view, and in it those that run, and no others, are live.
+    /// Whether all running gateways have the same view, in which exactly these gateways are live.
     pub fn views_agree(&self) -> bool {
         let up: Vec<_> = (0..self.gateways.len()).filter(|i| self.gateways[*i].is_running()).collect();
         let views: Vec<_> = up.iter().filter_map(|i| self.fetch_view(*i).ok()).collect();
         views.len() == up.len() && views.iter().all(|view| view.digest == views[0].digest && live(view) == up)
     }
 
-    /// Waits until [`SiteBed::agrees`]; false where it does not within this time.
+    /// Waits until [`SiteCluster::views_agree`]. Returns false if it took longer than `within`.
     pub fn wait_for_agreement(&self, within: Duration) -> bool {
         let began = std::time::Instant::now();
         while began.elapsed() < within {
@@ -330,28 +336,29 @@
         false
     }
 
-    /// Clients begin to call, by the loads of the spec.
+    /// Starts the clients, which follow the loads of the parameters.
     ///
     /// # Errors
-    /// Where the system refuses their loop or thread.
+    /// The system cannot create the event loop or the thread of the clients.
     pub fn start_clients(&mut self) -> Result<(), HarnessError> {
         let clients =
             Clients::through(self.client_addresses.clone(), self.listens.clone(), self.recorder.clone())?;
-        let plans = plans(&self.spec, &self.of.0);
+        let plans = plans(&self.spec, &self.sites_of.0);
         self.began = monotonic();
         let run = move || clients.run(plans);
         self.clients = Some(std::thread::Builder::new().name("clients".into()).spawn(run)?);
         Ok(())
     }
 
-    /// Waits for the clients, stops everybody and takes all records, by time, with workers by their names.
+    /// Waits for the clients, stops all processes and returns all records, sorted by time, with workers' addresses replaced
+    /// by their names.
     ///
     /// # Errors
-    /// Where a process does not end or records can't be read.
+    /// A process did not exit in time, or records cannot be read.
     pub fn finish(&mut self) -> Result<(Vec<Record>, Tally), HarnessError> {
         let clients = self.clients.take().map(|thread| thread.join().map_err(|_| HarnessError::Clients));
         let tally = clients.transpose()?.transpose()?.unwrap_or_default();
-        // Gateways first: they finish what they have.
+        // Gateways first, so that they can finish their calls at the workers.
         for process in self.gateways.iter_mut().chain(&mut self.workers) {
             process.resume();
             if !process.check_crashed() {
@@ -362,7 +369,7 @@
         let mut all = self.recorder.take();
         let gateways = (0..self.gateways.len()).map(Party::Scheduler);
         for party in gateways.chain((0..self.workers.len()).map(Party::Worker)) {
-            all.extend(whole(&records(&self.workspace, party))?);
+            all.extend(read_complete_records(&records(&self.workspace, party))?);
         }
         all.iter_mut().for_each(|record| self.name_workers(record));
         all.sort_by_key(|record| record.time);
@@ -370,16 +377,16 @@
     }
 
     fn name_workers(&self, record: &mut Record) {
-        let name = |told: &mut String| {
-            if let Some(name) = self.known.get(told) {
-                told.clone_from(name);
+        let rename = |worker: &mut String| {
+            if let Some(name) = self.worker_names.get(worker) {
+                worker.clone_from(name);
             }
         };
-        name(&mut record.observer);
+        rename(&mut record.observer);
         match &mut record.observation {
             Observation::WorkerState { worker, .. }
             | Observation::Sent { worker, .. }
-            | Observation::Ordered { worker, .. } => name(worker),
+            | Observation::Ordered { worker, .. } => rename(worker),
             _ => {}
         }
     }
@@ -387,7 +394,7 @@
 
 impl Drop for SiteCluster {
     fn drop(&mut self) {
-        // Before the folder goes with the workspace.
+        // Processes must end before the workspace deletes its directory.
         self.gateways.clear();
         self.workers.clear();
     }
--- a/crates/faulttest/src/site_config.rs
+++ b/crates/faulttest/src/site_config.rs
@@ -1,4 +1,4 @@
-//! The settings of one gateway of a bed of sites, as its operator would write them.
+//! Writes the settings file and the roster of each gateway of a cluster of sites.
 
 use crate::site_spec::{CLASSES, COPY_MB, LANES, SitesSpec};
 use crate::workspace::Workspace;
@@ -8,27 +8,28 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Longest patience of a client, and how long workers drop a keyed repeat.
+/// Deadline of every class, and the maximum patience of a client.
 pub(crate) const DEADLINE_MS: u64 = 10_000;
-const WINDOW_MS: u64 = 12_000;
+/// How long workers drop a repeated keyed event.
+const REPEAT_WINDOW_MS: u64 = 12_000;
 
-/// Where one gateway is reached by another, or by itself.
+/// Addresses by which a gateway is reached by another gateway, or its own.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Reach {
-    pub tell: SocketAddr,
+pub(crate) struct GatewayAddresses {
+    pub datagrams: SocketAddr,
     pub front: SocketAddr,
     pub journal: SocketAddr,
 }
 
-/// Where a worker is reached by one gateway, by its number.
+/// Number of a worker and the relay address by which one gateway reaches it.
 pub(crate) type Worker = (usize, SocketAddr);
 
-/// Writes settings and roster of a gateway; gives the file of its settings.
+/// Writes settings and roster of gateway `own`; returns the path of its settings.
 pub(crate) fn write_files(
     spec: &SitesSpec,
     workspace: &Workspace,
     own: usize,
-    reaches: &[Reach],
+    addresses: &[GatewayAddresses],
     workers: &[Worker],
 ) -> std::io::Result<PathBuf> {
     let entry = |(number, address): &Worker| Entry {
@@ -37,7 +38,7 @@
         started: None,
         kind: 0,
         zone: 0,
-        // A process remembers the keys that reached it, and no other's.
+        // Each worker process is a cell of its own, because it remembers only the keys of calls that reached itself.
         cell: *number as u64,
         size: 1.0,
     };
@@ -45,17 +46,17 @@
     let entries: Vec<_> = workers.iter().map(entry).collect();
     write(&workspace.file(&format!("n{own}.roster.xml")), &names, &entries)?;
     let path = workspace.file(&format!("n{own}.xml"));
-    std::fs::write(&path, settings(spec, own, reaches))?;
+    std::fs::write(&path, settings(spec, own, addresses))?;
     Ok(path)
 }
 
-fn settings(spec: &SitesSpec, own: usize, reaches: &[Reach]) -> String {
+fn settings(spec: &SitesSpec, own: usize, addresses: &[GatewayAddresses]) -> String {
     let of = spec.gateways();
     let site = of[own];
     let first = of.iter().position(|s| *s == site).unwrap_or(0);
     let (index, count) = (own - first, spec.sites[site].gateways);
     let mut text = String::from("<basaltward xmlns=\"urn:basaltward:config:1\">\n");
-    let at = reaches[own];
+    let at = addresses[own];
     let _ = writeln!(text, "  <gateway name=\"n{own}\" index=\"{index}\" count=\"{count}\"/>");
     let _ = writeln!(text, "  <listen address=\"{}\"/>", at.front);
     let _ = writeln!(text, "  <roster file=\"n{own}.roster.xml\"/>");
@@ -65,7 +66,7 @@
         let _ = write!(text, "    <class name=\"{class}\" aim-ms=\"750\" deadline-ms=\"{DEADLINE_MS}\"");
         let _ = write!(text, " repeat=\"{repeat}\"");
         if repeat == "keyed" {
-            let _ = write!(text, " group=\"cell\" window-ms=\"{WINDOW_MS}\"");
+            let _ = write!(text, " group=\"cell\" window-ms=\"{REPEAT_WINDOW_MS}\"");
         }
         if repeat != "safe" && spec.holders > 0 && !spec.standalone {
             let _ = write!(text, " pending=\"kept\" holders=\"{}\"", spec.holders);
@@ -91,24 +92,24 @@
         }
         text.push_str("  </tenants>\n");
     }
-    let _ = writeln!(text, "  <repeats remember-ms=\"{WINDOW_MS}\"/>");
+    let _ = writeln!(text, "  <repeats remember-ms=\"{REPEAT_WINDOW_MS}\"/>");
     if !spec.standalone {
-        text.push_str(&peers(spec, own, reaches));
+        text.push_str(&peers(spec, own, addresses));
     }
     let _ = writeln!(text, "  <records file=\"n{own}.records\"/>\n</basaltward>");
     text
 }
 
-fn peers(spec: &SitesSpec, own: usize, reaches: &[Reach]) -> String {
-    let (of, at) = (spec.gateways(), reaches[own]);
+fn peers(spec: &SitesSpec, own: usize, addresses: &[GatewayAddresses]) -> String {
+    let (of, at) = (spec.gateways(), addresses[own]);
     let mut text =
-        format!("  <sites fleet=\"trial\" listen=\"{}\" journal-listen=\"{}\"", at.tell, at.journal);
+        format!("  <sites fleet=\"trial\" listen=\"{}\" journal-listen=\"{}\"", at.datagrams, at.journal);
     text.push_str(" operators=\"127.0.0.1\">\n");
-    for (site, told) in spec.sites.iter().enumerate() {
-        let _ = writeln!(text, "    <site name=\"{}\">", told.name);
+    for (site, site_spec) in spec.sites.iter().enumerate() {
+        let _ = writeln!(text, "    <site name=\"{}\">", site_spec.name);
         for number in (0..of.len()).filter(|i| of[*i] == site) {
-            let Reach { tell, front, journal } = reaches[number];
-            let _ = write!(text, "      <peer name=\"n{number}\" tell=\"{tell}\"");
+            let GatewayAddresses { datagrams, front, journal } = addresses[number];
+            let _ = write!(text, "      <peer name=\"n{number}\" tell=\"{datagrams}\"");
             let _ = writeln!(text, " front=\"{front}\" journal=\"{journal}\"/>");
         }
         text.push_str("    </site>\n");
--- a/crates/faulttest/src/site_script.rs
+++ b/crates/faulttest/src/site_script.rs
@@ -294,7 +294,7 @@
             Self::Stop(who) => bed.stop(*who)?,
             Self::Start(who) => bed.up(*who)?,
             Self::Stall(who, still) => bed.stall(*who, *still),
-            Self::Link(from, to, link) => bed.link(*from, *to, *link),
+            Self::Link(from, to, link) => bed.set_link(*from, *to, *link),
             Self::CorruptByte(from, to) => bed.corrupt_byte(*from, *to),
         }
         Ok(())
--- a/crates/faulttest/src/site_spec.rs
+++ b/crates/faulttest/src/site_spec.rs
@@ -1,4 +1,4 @@
-//! Sites of gateways with workers of their own, the links between them, and what clients ask where.
+//! Parameters of a cluster of sites: gateways and workers of each site, links between sites, and load of the clients.
 
 use crate::DatagramFaults;
 use crate::link::ConnectionMode;
@@ -8,50 +8,51 @@
 use std::ops::Range;
 use std::path::PathBuf;
 
-/// Classes: name, how an event of it may be repeated.
+/// Classes with their name and repeat rule.
 pub(crate) const CLASSES: [(&str, &str); 3] = [("view", "safe"), ("note", "keyed"), ("extract", "unsafe")];
-/// How late anything is within a site.
-const WITHIN_US: (Micros, Micros) = (50, 300);
-/// Memory of one copy, and calls that it runs at once.
+/// Minimum and maximum one-way delay within a site.
+const WITHIN_SITE_US: (Micros, Micros) = (50, 300);
+/// Memory of one copy, in MB.
 pub(crate) const COPY_MB: u64 = 400;
+/// Calls that one copy runs concurrently.
 pub(crate) const LANES: u32 = 4;
 
 /// One site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteSpec {
-    /// Its name.
+    /// Name of the site.
     pub name: String,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Calls that one worker runs at once.
+    /// Calls that one worker runs concurrently.
     pub cores: u32,
-    /// Memory of one worker, MB.
+    /// Memory of one worker, in MB.
     pub memory_mb: u64,
 }
 
-/// A link from one site to another, in this direction.
+/// The directed link from one site to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SiteLink {
-    /// How late all is, at least and at most.
+    /// Minimum and maximum delay of bytes and datagrams, in microseconds.
     pub delay_range: (Micros, Micros),
-    /// Share of datagrams that are lost; what is lost of a connection is sent again.
+    /// Share of datagrams that are lost; lost chunks of connections are retransmitted.
     pub loss_rate: f64,
-    /// Share of datagrams that come twice.
+    /// Share of datagrams that are duplicated.
     pub duplicate_rate: f64,
-    /// Bytes a second of each way between two gateways.
+    /// Rate limit in bytes per second of each link between two gateways; none for no limit.
     pub bytes_per_s: Option<u64>,
-    /// Nothing is carried, and connections stay open.
+    /// Nothing is forwarded, but connections stay open.
     pub blackhole: bool,
-    /// Connections break and are refused, datagrams are lost.
+    /// Connections are reset and refused, and datagrams are lost.
     pub broken: bool,
 }
 
 impl SiteLink {
-    /// Within a site.
+    /// The link within a site.
     pub(crate) fn within() -> Self {
-        Self { delay_range: WITHIN_US, ..Self::default() }
+        Self { delay_range: WITHIN_SITE_US, ..Self::default() }
     }
 
     pub(crate) fn shaping(&self) -> Shaping {
@@ -63,69 +64,69 @@
         }
     }
 
-    pub(crate) fn loss(&self) -> DatagramFaults {
-        let lost = if self.blackhole || self.broken { 1.0 } else { self.loss_rate };
-        DatagramFaults { loss_rate: lost, duplicate_rate: self.duplicate_rate, delay_range: self.delay_range }
+    pub(crate) fn datagram_faults(&self) -> DatagramFaults {
+        let loss_rate = if self.blackhole || self.broken { 1.0 } else { self.loss_rate };
+        DatagramFaults { loss_rate, duplicate_rate: self.duplicate_rate, delay_range: self.delay_range }
     }
 
-    pub(crate) fn stream(&self) -> ConnectionMode {
+    pub(crate) fn connection_mode(&self) -> ConnectionMode {
         if self.broken { ConnectionMode::Refuse } else { ConnectionMode::Pass }
     }
 }
 
-/// What clients of a site ask.
+/// Load of the clients of one site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadSpec {
-    /// At whose gateways, by position.
+    /// Index of the site whose gateways the clients call.
     pub site: usize,
-    /// A class alone, or all of them in turn.
+    /// The class of all calls; none to draw the class of each call.
     pub class: Option<usize>,
-    /// Functions of each class, by number.
+    /// Numbers of the called functions of each class.
     pub functions: Range<usize>,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// From when until when.
+    /// Time span in which clients send calls, in microseconds of the run.
     pub span: Range<Micros>,
-    /// How long a client waits in all.
+    /// Total time that a client waits, retries included, in microseconds.
     pub patience: Micros,
-    /// Share of the keyed and unsafe events that are sent to a further gateway of any site as well, at once.
+    /// Share of keyed and unsafe events that are also sent to another gateway of any site while the first is in flight.
     pub duplicate_share: f64,
-    /// Further tries of a client that was not served.
+    /// Maximum retries of a client that was not served.
     pub retries: u32,
-    /// A client comes again when a refusal says, not at once.
+    /// Clients retry at the time that a refusal states, instead of at once.
     pub honour_retry_after: bool,
-    /// A client repeats keyed and unsafe events too whose answer says that they may have run.
+    /// Clients also retry keyed and unsafe events whose answer says that they may have run.
     pub retry_uncertain: bool,
-    /// Its tenant; empty without.
+    /// Tenant of the calls; empty for none.
     pub tenant: String,
 }
 
-/// A bed of sites.
+/// Parameters of a cluster of sites.
 #[derive(Clone, Debug)]
 pub struct SitesSpec {
-    /// The program.
+    /// The program that the processes run.
     pub program: PathBuf,
-    /// The sites, at most 8 with 40 gateways in all.
+    /// The sites: at most 8, with at most 40 gateways in total.
     pub sites: Vec<SiteSpec>,
-    /// Functions of each class.
+    /// Number of functions of each class.
     pub functions: usize,
-    /// How long a call runs, in milliseconds.
+    /// Execution time of a call in milliseconds.
     pub work_ms: u64,
-    /// How long a copy takes to load, in milliseconds.
+    /// Load time of a copy in milliseconds.
     pub load_ms: u64,
-    /// Neighbours that hold each keyed and unsafe event; with none they are not kept.
+    /// Number of peers that hold each keyed and unsafe event; with 0 these events are not kept.
     pub holders: usize,
-    /// Gateways are told nothing of one another.
+    /// Gateways have no configured peers.
     pub standalone: bool,
-    /// Tenants with their quotas, a second.
+    /// Tenants with their quotas in calls per second.
     pub tenants: Vec<(String, f64)>,
-    /// Links by site and site; a pair that is not named is joined as within a site.
+    /// Links by source and target site; a missing pair has the link of a single site.
     pub links: BTreeMap<(usize, usize), SiteLink>,
-    /// What clients ask.
+    /// Loads of the clients.
     pub loads: Vec<LoadSpec>,
-    /// Variables for gateways by number.
+    /// Environment variables of gateways: the gateway's number, name and value.
     pub env: Vec<(usize, String, String)>,
-    /// Every random choice follows from it.
+    /// Seed of every random choice.
     pub seed: u64,
 }
 
--- a/crates/faulttest/src/site_workload.rs
+++ b/crates/faulttest/src/site_workload.rs
@@ -1,4 +1,4 @@
-//! What clients of each site ask, and when: drawn by the seed before the run.
+//! Plans the calls of each site's clients, drawn by the seed before the run.
 
 use crate::site_spec::{CLASSES, LoadSpec, SitesSpec};
 use basaltward_net::Micros;
@@ -6,29 +6,29 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// How long a client that heeds no refusal waits before its next try.
-const AGAIN_US: Micros = 50_000;
+/// Delay before the next attempt of a client that ignores the retry time in a refusal.
+const RETRY_DELAY_US: Micros = 50_000;
 
-/// All events of a run; `of` gives the site of each gateway.
+/// All calls of a run; `of` gives the site of each gateway.
 pub(crate) fn plans(spec: &SitesSpec, of: &[usize]) -> Vec<Plan> {
     let mut all = Vec::new();
     for (number, load) in spec.loads.iter().enumerate() {
         let mut rng = StdRng::seed_from_u64(spec.seed ^ (number as u64) << 48);
-        let here: Vec<usize> = (0..of.len()).filter(|i| of[*i] == load.site).collect();
+        let gateways: Vec<usize> = (0..of.len()).filter(|i| of[*i] == load.site).collect();
         let mut at = load.span.start as f64;
         for event in 0_u64.. {
-            // Arrivals by chance, at a told rate.
+            // Poisson arrivals at the configured rate.
             at += -(1.0 - rng.random::<f64>()).ln() * 1e6 / load.rate.max(1e-3);
-            if at >= load.span.end as f64 || here.is_empty() {
+            if at >= load.span.end as f64 || gateways.is_empty() {
                 break;
             }
             let class = load.class.unwrap_or(rng.random_range(0..CLASSES.len()));
-            let gateway = here[rng.random_range(0..here.len())];
+            let gateway = gateways[rng.random_range(0..gateways.len())];
             let function = rng.random_range(load.functions.clone());
             let id = format!("{number}-{event}");
             let first = plan(load, at as Micros, (gateway, class, function), id);
             if CLASSES[class].1 != "safe" && rng.random::<f64>() < load.duplicate_share {
-                // The same event at another gateway, of any site, while the first is in hand.
+                // Sends the same event to another gateway of any site while the first attempt is in flight.
                 let other = (gateway + rng.random_range(1..of.len().max(2))) % of.len();
                 let at = first.at + rng.random_range(0..20_000);
                 all.push(Plan { at, gateway: other, ..first.clone() });
@@ -43,7 +43,7 @@
     let (name, repeat) = CLASSES[class];
     let retries = Retries {
         most: load.retries,
-        wait: AGAIN_US,
+        wait: RETRY_DELAY_US,
         leave_after: None,
         after_failure: load.retry_uncertain || repeat == "safe",
         honour: load.honour_retry_after,
--- a/crates/faulttest/src/timeline.rs
+++ b/crates/faulttest/src/timeline.rs
@@ -1,41 +1,41 @@
-//! The course of a run, a lane for each scheduler: who was up, stalled, stopped, cut off when.
+//! Timeline of a run with one lane per process: when it was up, stalled, stopping or cut off from its clients.
 
 use crate::link::{Link, Party};
 use crate::process::Process;
 use crate::process::StateChange;
 use basaltward_net::Micros;
 use svg::Document;
-use svg::node::Text as Letters;
+use svg::node::Text as TextNode;
 use svg::node::element::{Line, Rectangle, Text, Title};
 
-/// One spell of a lane, from and until, in microseconds of the run.
+/// One interval of a lane, in microseconds since the start of the run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Interval {
-    /// When it begins.
+    /// Start of the interval.
     pub from: Micros,
-    /// When it ends.
+    /// End of the interval.
     pub until: Micros,
-    /// `up`, `stalled`, `stopping`, `cut`.
+    /// `up`, `stalled`, `stopping` or `cut`.
     pub state: &'static str,
 }
 
-/// A scheduler's name with its spells by time.
+/// A process's name with its intervals.
 pub type TimelineLane = (String, Vec<Interval>);
 
-/// The lanes of processes from `began` until `end`, cut where their clients' ways were.
+/// The lanes of processes from `began` until `end`, with `cut` intervals from the faults on the clients' links to them.
 pub fn timeline_lanes<'a>(
     processes: impl Iterator<Item = (Party, &'a Process)>,
     faults: &[(Micros, Link, String)],
     (began, end): (Micros, Micros),
 ) -> Vec<TimelineLane> {
     let lane = |(party, process): (Party, &Process)| {
-        let mut spells = Vec::new();
-        let mut open: Option<(Micros, &'static str)> = None;
-        let mut turn = |t: Micros, next: Option<&'static str>, spells: &mut Vec<Interval>| {
+        let mut intervals = Vec::new();
+        let mut current: Option<(Micros, &'static str)> = None;
+        let mut change_state = |t: Micros, next: Option<&'static str>, intervals: &mut Vec<Interval>| {
             let at = t.saturating_sub(began);
-            let ended = open.take().map(|(from, what)| Interval { from, until: at, state: what });
-            spells.extend(ended);
-            open = next.map(|what| (at, what));
+            let ended = current.take().map(|(from, what)| Interval { from, until: at, state: what });
+            intervals.extend(ended);
+            current = next.map(|what| (at, what));
         };
         for (t, change) in &process.changes {
             let next = match change {
@@ -44,68 +44,70 @@
                 StateChange::Stopping => Some("stopping"),
                 StateChange::Ended(_) | StateChange::Killed | StateChange::Crashed => None,
             };
-            turn(*t, next, &mut spells);
+            change_state(*t, next, &mut intervals);
         }
-        turn(end, None, &mut spells);
+        change_state(end, None, &mut intervals);
         let mut since = None;
-        for (t, way, what) in faults {
-            if way.from != Party::Clients || way.to != party {
+        for (t, link, what) in faults {
+            if link.from != Party::Clients || link.to != party {
                 continue;
             }
             let at = t.saturating_sub(began);
             if what != "pass" {
                 since.get_or_insert(at);
             } else if let Some(from) = since.take() {
-                spells.push(Interval { from, until: at, state: "cut" });
+                intervals.push(Interval { from, until: at, state: "cut" });
             }
         }
         let until = end.saturating_sub(began);
-        spells.extend(since.map(|from| Interval { from, until, state: "cut" }));
-        (party.to_string(), spells)
+        intervals.extend(since.map(|from| Interval { from, until, state: "cut" }));
+        (party.to_string(), intervals)
     };
     processes.map(lane).collect()
 }
 
-const LEFT: f64 = 60.0;
-const WIDTH: f64 = 900.0;
-const ROW: f64 = 18.0;
+const LABEL_WIDTH: f64 = 60.0;
+const CHART_WIDTH: f64 = 900.0;
+const ROW_HEIGHT: f64 = 18.0;
 
-/// The lanes as a picture.
+/// Draws the lanes as an SVG image.
 pub fn timeline_svg(lanes: &[TimelineLane]) -> String {
     let end = lanes.iter().flat_map(|(_, s)| s.iter().map(|s| s.until)).max().unwrap_or(1).max(1) as f64;
-    let x = |t: Micros| LEFT + t as f64 / end * WIDTH;
-    let height = ROW * (lanes.len() as f64 + 2.0);
-    let text = |x: f64, y: f64, letters: String| {
-        Text::new("").set("x", x).set("y", y).set("font-size", 11).add(Letters::new(letters))
+    let x = |t: Micros| LABEL_WIDTH + t as f64 / end * CHART_WIDTH;
+    let height = ROW_HEIGHT * (lanes.len() as f64 + 2.0);
+    let text = |x: f64, y: f64, label: String| {
+        Text::new("").set("x", x).set("y", y).set("font-size", 11).add(TextNode::new(label))
     };
-    let (whole_width, font) = (LEFT + WIDTH + 40.0, "sans-serif");
+    let (page_width, font) = (LABEL_WIDTH + CHART_WIDTH + 40.0, "sans-serif");
     let mut page = Document::new()
-        .set("viewBox", (0.0, 0.0, whole_width, height))
-        .set("width", whole_width)
+        .set("viewBox", (0.0, 0.0, page_width, height))
+        .set("width", page_width)
         .set("font-family", font);
     for second in 0..=(end / 1e6) as u64 {
         let at = x(second * 1_000_000);
-        let line = Line::new().set("x1", at).set("x2", at).set("y1", ROW).set("y2", height - ROW);
+        let line =
+            Line::new().set("x1", at).set("x2", at).set("y1", ROW_HEIGHT).set("y2", height - ROW_HEIGHT);
         page = page.add(line.set("stroke", "#dddddd")).add(text(at, height - 4.0, format!("{second} s")));
     }
-    for (row, (name, spells)) in lanes.iter().enumerate() {
-        let top = ROW * (row as f64 + 1.0);
+    for (row, (name, intervals)) in lanes.iter().enumerate() {
+        let top = ROW_HEIGHT * (row as f64 + 1.0);
         page = page.add(text(4.0, top + 12.0, name.clone()));
-        for spell in spells {
-            let (color, inset) = match spell.state {
+        for interval in intervals {
+            let (color, inset) = match interval.state {
                 "up" => ("#7fb37f", 3.0),
                 "stalled" => ("#d9a441", 3.0),
                 "stopping" => ("#8899bb", 3.0),
                 _ => ("#b34a4a", 9.0),
             };
-            let told = format!("{name} {} {}-{} ms", spell.state, spell.from / 1_000, spell.until / 1_000);
+            let tooltip =
+                format!("{name} {} {}-{} ms", interval.state, interval.from / 1_000, interval.until / 1_000);
             let bar = Rectangle::new()
-                .set("x", x(spell.from))
+                .set("x", x(interval.from))
                 .set("y", top + inset)
-                .set("width", (x(spell.until) - x(spell.from)).max(1.0))
-                .set("height", ROW - 3.0 - inset)
+                .set("width", (x(interval.until) - x(interval.from)).max(1.0))
+                .set("height", ROW_HEIGHT - 3.0 - inset)
                 .set("fill", color);
-            page = page.add(bar.add(Title::new(told)));
+            page = page.add(bar.add(Title::new(tooltip)));
         }
     }
     page.to_string()
