--- a/crates/faulttest/src/hollow/conditions.rs
+++ b/crates/faulttest/src/hollow/conditions.rs
@@ -1,4 +1,4 @@
-//! What becomes of a datagram between two members: delay by zones and regions, loss, cuts.
+//! Simulated network between members: delays by zone and region, loss, duplication, jitter and partitions.
 
 use super::topology::Topology;
 use basaltward_membership::MemberId;
@@ -8,56 +8,56 @@
 /// One-way delays, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delays {
-    /// Inside a zone.
+    /// Within a zone.
     pub within_zone_us: Micros,
-    /// Between two zones of a region.
+    /// Between zones of the same region.
     pub between_zones_us: Micros,
     /// Between regions.
     pub between_regions_us: Micros,
 }
 
 impl Default for Delays {
-    /// The hop times of the capacity plan.
+    /// The delays that the capacity plan assumes.
     fn default() -> Self {
         Self { within_zone_us: 300, between_zones_us: 1_500, between_regions_us: 60_000 }
     }
 }
 
-/// Who is cut off from all others; inside, all reach one another.
+/// A set of members that is cut off from all others; its members still reach one another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Partition {
-    /// A zone.
+    /// The members of a zone.
     Zone(usize),
-    /// A region.
+    /// The members of a region.
     Region(usize),
 }
 
-/// How the links are at a time.
+/// State of the simulated network.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkConditions {
-    /// Where members stand.
+    /// Zones and regions of the members.
     pub topology: Topology,
     /// One-way delays.
     pub delays: Delays,
-    /// A datagram takes up to this share of its delay longer, drawn evenly.
+    /// Maximum extra delay as a share of the delay, drawn evenly for each datagram.
     pub jitter: f64,
-    /// Share of datagrams lost.
+    /// Share of datagrams that are lost.
     pub loss_rate: f64,
-    /// Share of datagrams that come twice.
+    /// Share of the remaining datagrams that are duplicated.
     pub duplicate_rate: f64,
-    /// Who is cut off.
+    /// The current partition, if any.
     pub partition: Option<Partition>,
 }
 
 impl NetworkConditions {
-    /// The delays after which a datagram's copies arrive: none where it is lost, two where it is doubled.
+    /// Draws the delays of a datagram's copies: no copy if it is lost, two if it is duplicated.
     pub fn copy_delays(&self, from: MemberId, to: MemberId, rng: &mut impl RngExt) -> [Option<Micros>; 2] {
         if self.is_cut(from, to) || rng.random_bool(self.loss_rate) {
             return [None, None];
         }
-        let doubled = rng.random_bool(self.duplicate_rate);
-        let mut late = || Some(self.delay(from, to, rng.random_range(0.0..=1.0)));
-        [late(), doubled.then(late).flatten()]
+        let duplicated = rng.random_bool(self.duplicate_rate);
+        let mut delay = || Some(self.delay(from, to, rng.random_range(0.0..=1.0)));
+        [delay(), duplicated.then(delay).flatten()]
     }
 
     fn is_cut(&self, from: MemberId, to: MemberId) -> bool {
@@ -72,16 +72,16 @@
         }
     }
 
-    /// The delay of a way with this share of the jitter.
+    /// The delay between two members with this share of the jitter.
     fn delay(&self, from: MemberId, to: MemberId, share: f64) -> Micros {
         let (here, there) = (self.topology.zone(from), self.topology.zone(to));
-        let least = if here == there {
+        let base = if here == there {
             self.delays.within_zone_us
         } else if self.topology.region_of_zone(here) == self.topology.region_of_zone(there) {
             self.delays.between_zones_us
         } else {
             self.delays.between_regions_us
         };
-        least + (least as f64 * self.jitter * share) as Micros
+        base + (base as f64 * self.jitter * share) as Micros
     }
 }
--- a/crates/faulttest/src/hollow/counters.rs
+++ b/crates/faulttest/src/hollow/counters.rs
@@ -1,46 +1,44 @@
-//! What hollow members have spent, counted by their loops.
+//! Counters of traffic and processor time of hollow members, kept by their event loops.
 
 use basaltward_net::Micros;
 
-/// What a loop does later than this counts as late: a tenth of the round trip that members count on would be 7 ms, and
-/// half of it is where answers begin to come too late.
+/// Delay from which an operation of a loop counts as late. A tenth of the round trip that members assume would be 7 ms;
+/// from half of the round trip on, answers begin to miss their timeouts.
 pub(crate) const LATE_US: Micros = 20_000;
 
-/// Counts of one or all loops since their start; times are of the loops' own threads.
+/// Counters of one or all event loops since their start. Processor time is that of the loops' threads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoopCounters {
-    /// Datagrams that members sent, those that were lost on purpose among them.
+    /// Datagrams sent by members, including those dropped by injected loss.
     pub datagrams: u64,
-    /// Their bytes, without the system's headers.
+    /// Payload bytes of these datagrams, without IP and UDP headers.
     pub bytes: u64,
-    /// Datagrams that members received.
+    /// Datagrams received by members.
     pub received: u64,
-    /// Datagrams that the system did not take.
+    /// Datagrams that the system did not accept for sending.
     pub send_failures: u64,
-    /// Processor time.
+    /// Processor time in microseconds.
     pub cpu_us: Micros,
-    /// Most bytes that one member sent within one second of the clock, since the last look.
+    /// Maximum number of bytes that one member sent within one second of the clock, since the last reset.
     pub worst_second_bytes: u64,
-    /// How late after its time a loop has carried a datagram or woken a member at worst, since the last look.
+    /// Maximum delay in microseconds with which a loop delivered a datagram or woke a member, since the last reset.
     pub worst_late_us: Micros,
-    /// Datagrams carried and members woken, and how many of them more than 20 ms after their time: with more than a few
-    /// the machine was too busy for the figures to count.
+    /// Operations: datagrams delivered and members woken.
     pub operations: u64,
-    /// See `done`.
+    /// Operations more than 20 ms late. If these are more than a few, the machine was too busy for valid measurements.
     pub late: u64,
-    /// Members that run, added up, believed to be gone by another one's news: a member counts once for each that
-    /// believed it.
+    /// False deaths: running members that another member considered gone, counted once for each such observer.
     pub false_deaths: u64,
 }
 
-/// What was spent between two looks.
+/// Difference of the counters between two readings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Window {
-    /// Counts of all loops.
+    /// Counters of all loops in the window.
     pub counters: LoopCounters,
-    /// How long it was.
+    /// Length of the window in microseconds.
     pub span_us: Micros,
-    /// Hollow members that ran.
+    /// Number of hollow members that ran.
     pub members: usize,
 }
 
@@ -59,7 +57,7 @@
         self.worst_late_us = self.worst_late_us.max(other.worst_late_us);
     }
 
-    /// What was added since an earlier look.
+    /// The difference to an earlier reading; maxima are kept as they are.
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             datagrams: self.datagrams - earlier.datagrams,
@@ -76,23 +74,23 @@
 }
 
 impl Window {
-    /// A figure of all members as one of one member in one second.
-    fn each(&self, total: u64) -> f64 {
+    /// Converts a total over all members to one member and one second.
+    fn per_member_per_s(&self, total: u64) -> f64 {
         total as f64 * 1e6 / (self.span_us.max(1) as f64 * self.members.max(1) as f64)
     }
 
-    /// Share of what loops did that was done late.
+    /// Share of late operations.
     pub fn late_share(&self) -> f64 {
         self.counters.late as f64 / self.counters.operations.max(1) as f64
     }
 
-    /// Bytes that a member sent in a second, on average.
+    /// Average bytes per second sent by a member.
     pub fn bytes_per_s(&self) -> f64 {
-        self.each(self.counters.bytes)
+        self.per_member_per_s(self.counters.bytes)
     }
 
-    /// Microseconds of processor time that a member took in a second, on average, its share of the loop included.
+    /// Average processor time of a member in microseconds per second, including its share of the event loop.
     pub fn cpu_us_per_s(&self) -> f64 {
-        self.each(self.counters.cpu_us)
+        self.per_member_per_s(self.counters.cpu_us)
     }
 }
--- a/crates/faulttest/src/hollow/error.rs
+++ b/crates/faulttest/src/hollow/error.rs
@@ -3,61 +3,63 @@
 use basaltward_peers::PeerError;
 use thiserror::Error;
 
-/// Why a trial of hollow members can't be run.
+/// Errors of a run with hollow members.
 #[derive(Debug, Error)]
 pub enum HollowError {
-    /// More descriptors than the process may have.
+    /// The run needs more descriptors than the process may open.
     #[error(
-        "needs {needed} descriptors and may have {limit}: take fewer members, or raise the limit (ulimit -n)"
+        "needs {needed} file descriptors but the limit is {limit}: use fewer members, or raise the limit (ulimit -n)"
     )]
     Descriptors {
-        /// Needed.
+        /// Number needed.
         needed: usize,
-        /// The process's soft limit.
+        /// Soft limit of the process.
         limit: usize,
     },
-    /// More memory than half of the machine's.
-    #[error("needs {needed_mb} MB and half of the machine's memory is {half_mb} MB: take fewer members")]
+    /// The run needs more than half of the machine's memory.
+    #[error("needs {needed_mb} MB but half of the machine's memory is {half_mb} MB: use fewer members")]
     Memory {
-        /// Estimated, hollow and real members together.
+        /// Estimate for hollow and real members together.
         needed_mb: u64,
-        /// Half of the machine's.
+        /// Half of the machine's memory.
         half_mb: u64,
     },
-    /// More processes than a trial may start.
-    #[error("needs {needed} processes, at most {limit}: take fewer real members")]
+    /// The run needs more processes than allowed.
+    #[error("needs {needed} processes but the limit is {limit}: use fewer real members")]
     Processes {
-        /// Needed.
+        /// Number needed.
         needed: usize,
-        /// The bound.
+        /// Maximum number of processes.
         limit: usize,
     },
-    /// No free ports for all members at their host.
-    #[error("{found} of {needed} ports are free at {host}: end what else uses them, or take fewer members")]
+    /// Not enough free ports for all members at their address.
+    #[error(
+        "only {found} of {needed} ports are free at {host}: stop other users of these ports, or use fewer members"
+    )]
     Ports {
-        /// Free.
+        /// Number of free ports.
         found: usize,
-        /// Needed.
+        /// Number needed.
         needed: usize,
-        /// The loopback address.
+        /// Loopback address of the members.
         host: std::net::Ipv4Addr,
     },
-    /// A hollow member can't be made.
+    /// A hollow member could not be started.
     #[error("hollow member: {0}")]
     Member(#[from] PeerError),
-    /// A loop.
-    #[error("loop: {0}")]
+    /// An event loop could not be created or failed.
+    #[error("event loop: {0}")]
     Loop(#[from] NetError),
-    /// A loop has ended before it was told to.
-    #[error("a loop of hollow members has ended: its cause stands above, if any")]
+    /// The event loop of hollow members ended unexpectedly.
+    #[error("an event loop of hollow members ended unexpectedly; its cause, if known, is printed above")]
     Ended,
-    /// A real process or what it needs.
+    /// A real process, or the stand-ins and files it needs, failed.
     #[error(transparent)]
     Real(#[from] HarnessError),
-    /// The system.
+    /// A system call failed.
     #[error("system: {0}")]
     System(#[from] std::io::Error),
-    /// SIGINT or SIGTERM came.
-    #[error("ended by signal {0}: processes and sockets are closed")]
+    /// SIGINT or SIGTERM was received.
+    #[error("ended by signal {0}; processes are stopped and sockets closed")]
     Signal(i32),
 }
--- a/crates/faulttest/src/hollow/probe.rs
+++ b/crates/faulttest/src/hollow/probe.rs
@@ -1,13 +1,13 @@
-//! Asks real processes for the digests of their views, all at once, as an operator asks.
+//! Queries real processes for the digests of their membership views by operators' status requests, all at once.
 
 use basaltward_membership::{MAX_DATAGRAM_BYTES, StatusRequest, StatusResponse};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// How long answers are waited for: they come within a few milliseconds from a process that is not busy.
-const PATIENCE: Duration = Duration::from_millis(150);
+/// Timeout for answers; a process that is not busy answers within a few milliseconds.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// A socket for questions.
+/// A socket for status requests.
 pub(crate) struct Probe {
     socket: UdpSocket,
     tag: u32,
@@ -20,18 +20,18 @@
         Ok(Self { socket, tag: 0 })
     }
 
-    /// Asks each; the digests of those that answered in time, in no order.
-    pub fn digests(&mut self, of: &[SocketAddr]) -> Vec<u32> {
+    /// Queries the processes at these addresses and returns the digests that arrived in time, in no particular order.
+    pub fn digests(&mut self, addresses: &[SocketAddr]) -> Vec<u32> {
         self.tag = self.tag.wrapping_add(1);
-        let question = StatusRequest { tag: self.tag, first: 0 }.encode();
-        for at in of {
-            // A question that is not taken is one without an answer.
-            let _ = self.socket.send_to(&question, at);
+        let request = StatusRequest { tag: self.tag, first: 0 }.encode();
+        for address in addresses {
+            // A request that cannot be sent counts as unanswered.
+            let _ = self.socket.send_to(&request, address);
         }
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + ANSWER_TIMEOUT;
         let mut digests = Vec::new();
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
-        while digests.len() < of.len() && Instant::now() < until {
+        while digests.len() < addresses.len() && Instant::now() < until {
             let Ok((length, _)) = self.socket.recv_from(&mut bytes) else { continue };
             match StatusResponse::decode(&bytes[..length]) {
                 Ok(answer) if answer.tag == self.tag => digests.push(answer.digest),
--- a/crates/faulttest/src/hollow/real_members.rs
+++ b/crates/faulttest/src/hollow/real_members.rs
@@ -1,4 +1,4 @@
-//! The real members: processes of the program, with the bulletin and the worker that a scheduler wants.
+//! The real members: scheduler processes of the program, with the stand-ins for bulletin and worker that they need.
 
 use super::error::HollowError;
 use super::script::HollowSpec;
@@ -13,20 +13,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a call runs at the worker; no client calls here.
+/// Execution time of a call at the worker; no client sends calls in these runs.
 const WORK: Duration = Duration::from_millis(5);
 
-/// Real processes. They end with the value.
+/// Real processes; they are killed on drop.
 pub(crate) struct Real {
-    /// By number: the first members of the list.
+    /// The processes by number; they are the first members of the list.
     pub processes: Vec<Process>,
-    // Held for as long as processes run.
+    // The stand-ins must exist as long as the processes run.
     _board: Board,
     _worker: LineWorker,
 }
 
 impl Real {
-    /// Writes their configurations and starts all of them at once.
+    /// Writes the configurations and starts all processes concurrently.
     pub fn start(
         spec: &HollowSpec,
         workspace: &Workspace,
@@ -39,7 +39,7 @@
         })?;
         let board = Board::start(2)?;
         let targets = [target(&Party::Worker(0).to_string(), worker.address(), "Ready")];
-        let bed = ClusterSpec {
+        let cluster = ClusterSpec {
             program: spec.program.clone(),
             schedulers: spec.real.max(1),
             workers: 1,
@@ -52,8 +52,9 @@
         for number in 0..spec.real {
             let listen = workspace.reserve(number)?;
             let config = workspace.file(&format!("n{number}.json"));
-            let told = configuration(&bed, number, (listen, peers[number], board.address()), peers, &targets);
-            std::fs::write(&config, told.to_string())?;
+            let settings =
+                configuration(&cluster, number, (listen, peers[number], board.address()), peers, &targets);
+            std::fs::write(&config, settings.to_string())?;
             let records = workspace.file(&format!("n{number}.records"));
             let name = Party::Scheduler(number).to_string();
             processes.push(Process::scheduler(&name, &spec.program, &config, &records));
@@ -63,29 +64,29 @@
         Ok(real)
     }
 
-    /// Starts those that are wanted, all at once, and waits until each serves.
-    pub fn start_all(&mut self, wanted: &[bool]) -> Result<(), HollowError> {
+    /// Starts the processes that are marked, concurrently, and waits until each is ready.
+    pub fn start_all(&mut self, marked: &[bool]) -> Result<(), HollowError> {
         let started: Vec<Result<(), _>> = std::thread::scope(|scope| {
-            let wanted = self.processes.iter_mut().zip(wanted).filter(|(_, wanted)| **wanted);
-            let threads: Vec<_> = wanted.map(|(process, _)| scope.spawn(|| process.start())).collect();
+            let marked = self.processes.iter_mut().zip(marked).filter(|(_, marked)| **marked);
+            let threads: Vec<_> = marked.map(|(process, _)| scope.spawn(|| process.start())).collect();
             threads.into_iter().filter_map(|thread| thread.join().ok()).collect()
         });
         started.into_iter().collect::<Result<(), _>>().map_err(HarnessError::from)?;
         Ok(())
     }
 
-    /// Processor time that those that run have used, and how many there are; none where one can't be read.
+    /// Total processor time of the running processes in microseconds, and their number; none if it cannot be read for one.
     pub fn cpu_us(&self) -> Option<(Micros, usize)> {
         let pids: Vec<_> = self.processes.iter().filter_map(Process::pid).collect();
         let used = pids.iter().map(|pid| {
-            let told = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).ok()?;
-            // Of the first thread, which carries everything: nanoseconds on a processor.
-            Some(told.split_whitespace().next()?.parse::<Micros>().ok()? / 1_000)
+            let text = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).ok()?;
+            // Nanoseconds on a processor of the first thread, which does all the work.
+            Some(text.split_whitespace().next()?.parse::<Micros>().ok()? / 1_000)
         });
         Some((used.sum::<Option<Micros>>()?, pids.len()))
     }
 
-    /// Names of those that should run and have ended by themselves.
+    /// Names of the processes that should run but have exited.
     pub fn crashed(&mut self, running: &[bool]) -> Vec<String> {
         let all = self.processes.iter_mut().zip(running).enumerate();
         let crashed = all.filter_map(|(number, (process, runs))| {
@@ -94,7 +95,7 @@
         crashed.collect()
     }
 
-    /// Tells all to stop and waits for their end; names of those that did not end well.
+    /// Stops all processes and waits until they exit; returns the errors of those that did not.
     pub fn finish(&mut self) -> Vec<String> {
         self.processes.iter_mut().for_each(Process::stop);
         let join = |process: &mut Process| process.join().err().map(|error| error.to_string());
--- a/crates/faulttest/src/hollow/report.rs
+++ b/crates/faulttest/src/hollow/report.rs
@@ -1,47 +1,47 @@
-//! What a trial of hollow members has measured.
+//! Measurements of a run with hollow members.
 
 use std::collections::BTreeMap;
 
-/// The first line of a file of measured rows.
+/// Header line of the CSV file.
 pub const CSV_HEADER: &str = "series,size,value,unit,lost,seeds,command";
 
-/// A measured figure.
+/// A measured value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Value {
     /// In the row's unit.
     Measured(f64),
-    /// Not reached in the stated time.
+    /// The members did not agree within the time limit.
     Unsettled,
 }
 
-/// One figure of a trial.
+/// One measurement of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Row {
-    /// The figure.
+    /// The value.
     pub value: Value,
-    /// Its unit.
+    /// The unit of the value.
     pub unit: &'static str,
 }
 
-/// The figures of a trial.
+/// The measurements of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HollowReport {
-    /// Members, hollow and real.
+    /// Number of members, hollow and real.
     pub size: usize,
-    /// Share of datagrams lost as the trial began.
+    /// Injected loss rate at the start of the run.
     pub loss_rate: f64,
-    /// By series.
+    /// Measurements by series.
     pub rows: BTreeMap<&'static str, Row>,
-    /// Steps after which members did not agree in time.
+    /// Steps after which the members did not agree within the time limit.
     pub unsettled_steps: Vec<String>,
-    /// Steps whose figures do not count: the machine was too busy for the loops to keep time.
+    /// Steps whose measurements are void because the machine was too busy for the event loops to keep time.
     pub overloaded_steps: Vec<String>,
-    /// Real processes that ended by themselves, or not well.
+    /// Real processes that exited by themselves or did not stop properly.
     pub failed_processes: Vec<String>,
 }
 
 impl HollowReport {
-    /// Adds a figure; of several in one series the worst stands.
+    /// Adds a measurement. A series keeps its worst value.
     pub(crate) fn add(&mut self, series: &'static str, unit: &'static str, value: Value) {
         let row = self.rows.entry(series).or_insert(Row { value, unit });
         row.value = match (row.value, value) {
@@ -50,7 +50,7 @@
         };
     }
 
-    /// Whether every step settled in time that counts, and no process failed.
+    /// Whether every step settled in time with valid measurements, and no process failed.
     pub fn passed(&self) -> bool {
         self.unsettled_steps.is_empty()
             && self.overloaded_steps.is_empty()
@@ -58,7 +58,7 @@
     }
 }
 
-/// The rows of a report as lines without the header; `command` names how it was made, without commas.
+/// The CSV lines of a report, without the header. `command` is the command that made it; it must not contain commas.
 pub fn csv_rows(report: &HollowReport, command: &str) -> Vec<String> {
     let line = |(series, row): (&&str, &Row)| {
         let value = match row.value {
--- a/crates/faulttest/src/hollow/resources.rs
+++ b/crates/faulttest/src/hollow/resources.rs
@@ -1,47 +1,47 @@
-//! What a trial will take of the machine, known before it starts.
+//! Estimates the resources that a run needs and checks them against the machine before it starts.
 
 use super::error::HollowError;
 use rustix::process::{Resource, getrlimit};
 
-/// Descriptors beside the members' sockets: standard streams, probe, files, the bulletin and the worker of real
-/// processes with their connections.
+/// Descriptors in addition to the members' sockets: standard streams, the probe's socket, files, and the stand-ins for
+/// bulletin and worker with their connections.
 const OTHER_DESCRIPTORS: usize = 128;
-/// Descriptors of one loop: epoll, waker and its far end.
+/// Descriptors of one event loop: epoll and the two ends of the waker.
 const LOOP_DESCRIPTORS: usize = 4;
-/// Descriptors for one real process: its two streams, and its connections to the bulletin and the worker.
+/// Descriptors for one real process: its two output streams and its connections to bulletin and worker.
 const REAL_DESCRIPTORS: usize = 6;
-/// Bytes that a member holds for each member of the list: address twice, entry, facts, news. Measured 300 to 370 at 300
-/// to 1,900 members.
+/// Memory of one member for each member in its list: the address twice, the entry, facts and pending gossip. Measured at
+/// 300 to 370 bytes with 300 to 1,900 members.
 const PAIR_BYTES: u64 = 500;
-/// Bytes of a member whatever the list.
+/// Fixed memory of a hollow member in bytes, independent of the list.
 const MEMBER_BYTES: u64 = 64 << 10;
-/// Bytes of a real process whatever the list.
+/// Fixed memory of a real process in bytes, independent of the list.
 const REAL_BYTES: u64 = 32 << 20;
-/// Most processes of one trial, this one among them.
-const MOST_PROCESSES: usize = 300;
+/// Maximum number of processes of one run, including this one.
+const MAX_PROCESSES: usize = 300;
 
-/// Estimates for one trial.
+/// Estimated resources of one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceEstimate {
-    /// Descriptors of this process.
+    /// File descriptors of this process.
     pub descriptors: usize,
-    /// Bytes of memory, over all processes.
+    /// Memory of all processes in bytes.
     pub memory_bytes: u64,
-    /// Processes, this one among them.
+    /// Number of processes, including this one.
     pub processes: usize,
 }
 
-/// What the machine allows.
+/// Limits of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MachineLimits {
-    /// Descriptors that this process may have (soft limit; it is not raised).
+    /// File descriptors that this process may open (the soft limit; it is not raised).
     pub descriptors: usize,
-    /// All memory, in bytes.
+    /// Total memory in bytes.
     pub memory_bytes: u64,
 }
 
 impl ResourceEstimate {
-    /// The estimate for so many hollow and real members on so many loops.
+    /// The estimate for these numbers of hollow members, real members and event loops.
     pub fn new(hollow: usize, real: usize, loops: usize) -> Self {
         let members = (hollow + real) as u64;
         let list = members * PAIR_BYTES;
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Whether it fits: all descriptors, half of the memory, a few hundred processes.
+    /// Checks the estimate against the machine: all descriptors, half of the memory and 300 processes may be used.
     ///
     /// # Errors
-    /// What does not fit.
+    /// The resource that does not suffice.
     pub fn check(&self, machine: &MachineLimits) -> Result<(), HollowError> {
         let half = machine.memory_bytes / 2;
-        if self.processes > MOST_PROCESSES {
-            return Err(HollowError::Processes { needed: self.processes, limit: MOST_PROCESSES });
+        if self.processes > MAX_PROCESSES {
+            return Err(HollowError::Processes { needed: self.processes, limit: MAX_PROCESSES });
         }
         if self.descriptors > machine.descriptors {
             return Err(HollowError::Descriptors { needed: self.descriptors, limit: machine.descriptors });
@@ -72,26 +72,26 @@
 }
 
 impl MachineLimits {
-    /// This process's limit and this machine's memory.
+    /// Reads the descriptor limit of this process and the memory of this machine.
     ///
     /// # Errors
-    /// Where the system does not say how much memory there is.
+    /// `/proc/meminfo` cannot be read or has no `MemTotal`.
     pub fn read() -> std::io::Result<Self> {
         let limit = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
-        let told = std::fs::read_to_string("/proc/meminfo")?;
-        let unknown = || std::io::Error::other("/proc/meminfo tells no MemTotal");
-        let memory_bytes = kilobytes(&told, "MemTotal:").ok_or_else(unknown)? << 10;
+        let text = std::fs::read_to_string("/proc/meminfo")?;
+        let unknown = || std::io::Error::other("/proc/meminfo has no MemTotal");
+        let memory_bytes = kilobytes(&text, "MemTotal:").ok_or_else(unknown)? << 10;
         Ok(Self { descriptors: usize::try_from(limit).unwrap_or(usize::MAX), memory_bytes })
     }
 }
 
-/// Bytes of memory that this process holds now.
+/// Resident memory of this process in bytes.
 pub(crate) fn resident_bytes() -> u64 {
-    let told = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    kilobytes(&told, "VmRSS:").unwrap_or_default() << 10
+    let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
+    kilobytes(&text, "VmRSS:").unwrap_or_default() << 10
 }
 
-/// The figure of a line `name   123 kB`.
+/// The number in a line like `name   123 kB`.
 fn kilobytes(text: &str, name: &str) -> Option<u64> {
     let line = text.lines().find_map(|line| line.strip_prefix(name))?;
     line.split_whitespace().next()?.parse().ok()
--- a/crates/faulttest/src/hollow/run.rs
+++ b/crates/faulttest/src/hollow/run.rs
@@ -1,4 +1,4 @@
-//! Plays a script of hollow members: steps one after another, each measured until all members agree.
+//! Runs a script of hollow members: performs the steps one after another and measures each until all members agree.
 
 use super::conditions::{NetworkConditions, Partition};
 use super::counters::{LoopCounters, Window};
@@ -23,44 +23,44 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
 use std::sync::{Arc, RwLock};
 
-/// Between two looks at whether all agree: the resolution of settle times.
-const LOOK_US: Micros = 50_000;
-/// Share of what loops do that may be late for a step's figures to count.
-const MOST_LATE: f64 = 0.01;
-/// Between two progress lines.
+/// Interval of the agreement checks, and so the resolution of settle times.
+const AGREEMENT_CHECK_US: Micros = 50_000;
+/// Maximum share of late operations of the event loops for a step's measurements to be valid.
+const MAX_LATE_SHARE: f64 = 0.01;
+/// Interval of progress lines.
 const PROGRESS_US: Micros = 2_000_000;
-/// Between two parts of the members that start, where they start over a time.
-const START_PART_US: Micros = 100_000;
-/// Host of all members among the addresses of a trial.
+/// Interval between two batches of starting members, if the start is spread over a time.
+const START_BATCH_US: Micros = 100_000;
+/// Party number of the loopback address that all members share.
 const HOST: usize = 240;
-/// First port of members, below those that the system gives out by itself.
+/// First port for members. The range is below the system's ephemeral ports.
 const FIRST_PORT: u16 = 10_000;
-/// The last one.
-const LAST_PORT: u16 = 32_000;
+/// End of the port range, exclusive.
+const END_PORT: u16 = 32_000;
 
-/// Plays a script; `tell` takes the lines of its timeline.
+/// Runs a script. `print` receives the lines of the timeline.
 ///
 /// # Errors
-/// Where it would not fit the machine, a part can't be had, or a signal ends it. A fleet that does not agree in time is
-/// no error: the report says so.
-pub fn run_hollow(script: &HollowScript, tell: &mut dyn FnMut(String)) -> Result<HollowReport, HollowError> {
+/// The run exceeds the limits of the machine, a socket, file or process failed, or a signal ended the run. A fleet that
+/// does not agree in time is not an error; the report lists such steps.
+pub fn run_hollow(script: &HollowScript, print: &mut dyn FnMut(String)) -> Result<HollowReport, HollowError> {
     let spec = &script.spec;
-    let needs = ResourceEstimate::new(spec.count, spec.real, spec.loops);
+    let estimate = ResourceEstimate::new(spec.count, spec.real, spec.loops);
     let machine = MachineLimits::read()?;
-    tell(format!(
+    print(format!(
         "{} hollow members on {} loops and {} real processes; needs {} of {} descriptors, about {} of {} MB of \
          memory, {} processes",
         spec.count,
         spec.loops,
         spec.real,
-        needs.descriptors,
+        estimate.descriptors,
         machine.descriptors,
-        needs.memory_bytes >> 20,
+        estimate.memory_bytes >> 20,
         machine.memory_bytes >> 20,
-        needs.processes
+        estimate.processes
     ));
-    needs.check(&machine)?;
-    let mut run = Run::start(script, tell)?;
+    estimate.check(&machine)?;
+    let mut run = Run::start(script, print)?;
     for (index, step) in script.steps.iter().enumerate() {
         run.step(index, step.action)?;
     }
@@ -69,13 +69,13 @@
 
 struct Run<'a> {
     script: &'a HollowScript,
-    tell: &'a mut dyn FnMut(String),
-    // Loops and processes end before the folder goes with the workspace.
+    print: &'a mut dyn FnMut(String),
+    // Declared before the workspace, so that event loops and processes end before it deletes its directory.
     shards: Shards,
     real: Real,
     _workspace: Workspace,
     shared: Arc<Shared>,
-    /// Brings signals while nothing else is to be done.
+    /// Receives signals while the run waits.
     io: Io,
     probe: Probe,
     began: Micros,
@@ -85,18 +85,21 @@
     report: HollowReport,
 }
 
-/// How far members agree.
+/// How many members agree on a view.
 struct Agreement {
+    /// Whether all members have the same view and it is correct.
     all: bool,
-    /// Members whose view is the most common one, of how many, and how many views there are.
+    /// Number of members with the most common view.
     most: usize,
+    /// Number of running members.
     members: usize,
+    /// Number of different views.
     views: usize,
 }
 
 impl<'a> Run<'a> {
     /// Starts all members and waits until they agree.
-    fn start(script: &'a HollowScript, tell: &'a mut dyn FnMut(String)) -> Result<Self, HollowError> {
+    fn start(script: &'a HollowScript, print: &'a mut dyn FnMut(String)) -> Result<Self, HollowError> {
         let spec = &script.spec;
         let mut io = Io::new(IoLimits::default())?;
         io.watch_signals(Signals::register(&[Signal::INT.as_raw(), Signal::TERM.as_raw()])?)?;
@@ -105,7 +108,7 @@
             IpAddr::V4(host) => host,
             IpAddr::V6(_) => Ipv4Addr::LOCALHOST,
         };
-        let peers = addresses(host, spec.members())?;
+        let peers = free_addresses(host, spec.members())?;
         let real = Real::start(spec, &workspace, &peers)?;
         let numbers: HashMap<_, _> = peers.iter().enumerate().map(|(n, at)| (*at, n as MemberId)).collect();
         let running = vec![true; spec.members()];
@@ -121,7 +124,7 @@
         let (probe, began, drops) = (Probe::new()?, spec.now(), BTreeMap::new());
         let mut run = Self {
             script,
-            tell,
+            print,
             shards,
             real,
             _workspace: workspace,
@@ -135,18 +138,18 @@
             report,
         };
         if let (Some(first), Some(last)) = (run.shared.peers.first(), run.shared.peers.last()) {
-            let told = format!("members at {first} to {last}, real ones first");
-            run.say(told);
+            let line = format!("members at {first} to {last}, real ones first");
+            run.print_line(line);
         }
         let all: Vec<_> = (spec.real as MemberId..spec.members() as MemberId).collect();
         let opened = spec.now();
-        for (part, members) in all.chunks(part_of_start(spec)).enumerate() {
+        for (batch, members) in all.chunks(start_batch_size(spec)).enumerate() {
             run.shards.open(members)?;
-            run.wait(opened + (part as Micros * START_PART_US).min(spec.start_us))?;
+            run.wait(opened + (batch as Micros * START_BATCH_US).min(spec.start_us))?;
         }
         let took = spec.now() - opened;
-        run.say(format!("all members started, hollow ones within {} ms", took / 1_000));
-        // Members are on their way from the first on; the fleet is whole with the last.
+        run.print_line(format!("all members started, hollow ones within {} ms", took / 1_000));
+        // Members gossip from the first start on, but the settle time counts from the start of the last member.
         run.settle("start", Some("settle_start_ms"), spec.now(), LoopCounters::default())?;
         Ok(run)
     }
@@ -155,21 +158,21 @@
         self.script.spec.now()
     }
 
-    fn say(&mut self, text: String) {
+    fn print_line(&mut self, text: String) {
         let at = (self.now() - self.began) as f64 / 1e6;
-        (self.tell)(format!("{at:8.2} s  {text}"));
+        (self.print)(format!("{at:8.2} s  {text}"));
     }
 
-    /// Lets time pass.
+    /// Waits until a time.
     ///
     /// # Errors
-    /// As soon as a signal comes.
+    /// A signal arrived.
     fn wait(&mut self, until: Micros) -> Result<(), HollowError> {
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         while let left @ 1.. = until.saturating_sub(self.now()) {
             let left = self.script.spec.machine_time(left);
-            self.io.turn(Some(left), &mut happened)?;
-            for event in happened.drain(..) {
+            self.io.turn(Some(left), &mut events)?;
+            for event in events.drain(..) {
                 if let IoEvent::Signal(signal) = event {
                     return Err(HollowError::Signal(signal));
                 }
@@ -178,7 +181,7 @@
         Ok(())
     }
 
-    fn change(&self, change: impl FnOnce(&mut SharedState)) -> Result<(), HollowError> {
+    fn update_state(&self, change: impl FnOnce(&mut SharedState)) -> Result<(), HollowError> {
         let mut state = self.shared.state.write().map_err(|_| HollowError::Ended)?;
         change(&mut state);
         state.version += 1;
@@ -189,13 +192,14 @@
         Ok(self.shared.state.read().map_err(|_| HollowError::Ended)?.running.clone())
     }
 
-    fn load(&mut self, reset: bool) -> Result<LoopCounters, HollowError> {
-        let mut load = LoopCounters::default();
-        self.shards.look(reset)?.iter().for_each(|look| load.add(&look.load));
-        Ok(load)
+    fn counters(&mut self, reset: bool) -> Result<LoopCounters, HollowError> {
+        let mut counters = LoopCounters::default();
+        self.shards.status(reset)?.iter().for_each(|status| counters.add(&status.counters));
+        Ok(counters)
     }
 
-    /// Sums what the system has dropped at sockets so far; those that close are asked before.
+    /// Total of datagrams that the kernel dropped at sockets so far. Must be called before sockets are closed, as their counts
+    /// are gone afterwards.
     fn drops(&mut self) -> u64 {
         let table = std::fs::read_to_string("/proc/net/udp").unwrap_or_default();
         total_drops(&mut self.drops, socket_drops(self.host, &table))
@@ -207,22 +211,23 @@
             .filter(|number| running[*number])
             .map(|number| self.shared.peers[number])
             .collect();
-        let looks = self.shards.look(false)?;
+        let statuses = self.shards.status(false)?;
         let mut views: BTreeMap<u32, usize> = BTreeMap::new();
-        for (digest, count) in looks.iter().flat_map(|look| &look.views) {
+        for (digest, count) in statuses.iter().flat_map(|status| &status.views) {
             *views.entry(*digest).or_default() += count;
         }
-        let right = looks.iter().find_map(|look| look.right);
+        let correct = statuses.iter().find_map(|status| status.correct_digest);
         for digest in self.probe.digests(&real) {
             *views.entry(digest).or_default() += 1;
         }
         let members = running.iter().filter(|runs| **runs).count();
         let most = views.values().copied().max().unwrap_or_default();
-        let all = most == members && right.is_some_and(|right| views.contains_key(&right));
+        let all = most == members && correct.is_some_and(|correct| views.contains_key(&correct));
         Ok(Agreement { all, most, members, views: views.len() })
     }
 
-    /// Waits until all agree since an event, and adds what that took, under its series if it has one, and cost.
+    /// Waits until all members agree after an event. Adds the settle time to the report, if it has a series, and the traffic
+    /// and processor time since `before`.
     fn settle(
         &mut self,
         what: &str,
@@ -230,7 +235,7 @@
         event: Micros,
         before: LoopCounters,
     ) -> Result<(), HollowError> {
-        let mut told = event;
+        let mut last_progress = event;
         let settled = loop {
             let now = self.now();
             let agreement = self.agreement()?;
@@ -240,12 +245,12 @@
             if now >= event + self.script.spec.settle_us {
                 break None;
             }
-            if now >= told + PROGRESS_US {
-                told = now;
+            if now >= last_progress + PROGRESS_US {
+                last_progress = now;
                 let Agreement { most, members, views, .. } = agreement;
-                self.say(format!("{what}: {most} of {members} agree, {views} views"));
+                self.print_line(format!("{what}: {most} of {members} agree, {views} views"));
             }
-            self.wait(now + LOOK_US)?;
+            self.wait(now + AGREEMENT_CHECK_US)?;
         };
         let window = self.window(event, before)?;
         let drops = self.drops();
@@ -253,15 +258,15 @@
             Some(took) => format!("settled in {} ms", took / 1_000),
             None => format!("unsettled after {} ms", self.script.spec.settle_us / 1_000),
         };
-        self.say(format!(
+        self.print_line(format!(
             "{what}: {outcome}; {}; {drops} datagrams dropped at sockets",
-            told_window(&window)
+            describe_window(&window)
         ));
         if settled.is_none() {
             self.report.unsettled_steps.push(what.to_owned());
         }
-        if window.late_share() > MOST_LATE {
-            self.say(format!("{what}: the loops were late, its figures do not count"));
+        if window.late_share() > MAX_LATE_SHARE {
+            self.print_line(format!("{what}: the loops were late, its figures do not count"));
             self.report.overloaded_steps.push(what.to_owned());
             return Ok(());
         }
@@ -279,21 +284,22 @@
     }
 
     fn window(&mut self, from: Micros, before: LoopCounters) -> Result<Window, HollowError> {
-        let load = self.load(true)?.since(&before);
+        let counters = self.counters(true)?.since(&before);
         let members = self.running()?.iter().skip(self.script.spec.real).filter(|runs| **runs).count();
-        Ok(Window { counters: load, span_us: self.now() - from, members })
+        Ok(Window { counters, span_us: self.now() - from, members })
     }
 
-    fn step(&mut self, index: usize, act: HollowAction) -> Result<(), HollowError> {
-        match act {
+    fn step(&mut self, index: usize, action: HollowAction) -> Result<(), HollowError> {
+        match action {
             HollowAction::MeasureIdle { after, span } => {
                 self.wait(self.now() + after)?;
-                self.quiet(span)
+                self.measure_idle(span)
             }
-            HollowAction::Loss { lost, doubled } => {
-                self.say(format!("from now on lost {lost}, doubled {doubled}"));
-                self.change(|state| {
-                    (state.conditions.loss_rate, state.conditions.duplicate_rate) = (lost, doubled)
+            HollowAction::Loss { loss_rate, duplicate_rate } => {
+                self.print_line(format!("from now on lost {loss_rate}, doubled {duplicate_rate}"));
+                self.update_state(|state| {
+                    (state.conditions.loss_rate, state.conditions.duplicate_rate) =
+                        (loss_rate, duplicate_rate)
                 })
             }
             HollowAction::KillMembers(count) => {
@@ -307,21 +313,21 @@
             }
             HollowAction::Permit => self.permit(index),
             HollowAction::Start => self.restart(),
-            HollowAction::Partition(cut, span) => self.cut(cut, span),
+            HollowAction::Partition(partition, span) => self.partition(partition, span),
         }
     }
 
-    fn quiet(&mut self, span: Micros) -> Result<(), HollowError> {
-        let (from, before, real) = (self.now(), self.load(true)?, self.real.cpu_us());
+    fn measure_idle(&mut self, span: Micros) -> Result<(), HollowError> {
+        let (from, before, real) = (self.now(), self.counters(true)?, self.real.cpu_us());
         self.wait(from + span)?;
         let window = self.window(from, before)?;
-        self.say(format!("quiet: {}", told_window(&window)));
+        self.print_line(format!("quiet: {}", describe_window(&window)));
         if let (Some((before, _)), Some((after, count @ 1..))) = (real, self.real.cpu_us()) {
             let each = (after - before) as f64 * 1e6 / (window.span_us as f64 * count as f64);
-            self.say(format!("quiet: a real process took {each:.0} us/s"));
+            self.print_line(format!("quiet: a real process took {each:.0} us/s"));
         }
-        if window.late_share() > MOST_LATE {
-            self.say("quiet: the loops were late, its figures do not count".to_owned());
+        if window.late_share() > MAX_LATE_SHARE {
+            self.print_line("quiet: the loops were late, its figures do not count".to_owned());
             self.report.overloaded_steps.push("quiet".to_owned());
             return Ok(());
         }
@@ -330,37 +336,41 @@
         Ok(())
     }
 
-    /// Asks until one may be out, and tells how long that took.
+    /// Queries until a member may be taken down, and prints how long that took.
     fn permit(&mut self, index: usize) -> Result<(), HollowError> {
         let (spec, running) = (&self.script.spec, self.running()?);
         let mut all: Vec<_> = (spec.real..spec.members()).filter(|member| running[*member]).collect();
         let mut rng = StdRng::seed_from_u64(spec.seed ^ (index as u64) << 32);
         all.shuffle(&mut rng);
-        let [through, out, ..] = all[..] else { return Ok(()) };
-        let subject = Subject::Scheduler(out as MemberId);
+        let [through, subject_number, ..] = all[..] else { return Ok(()) };
+        let subject = Subject::Scheduler(subject_number as MemberId);
         let (event, at) = (self.now(), self.shared.peers[through]);
         loop {
-            let told = send_operator_command(at, OperatorCommand::Request(PermitRequest::Check(subject)));
+            let reply = send_operator_command(at, OperatorCommand::Request(PermitRequest::Check(subject)));
             let took = (self.now() - event) / 1_000;
-            if let Ok(OperatorReply::Answer(Ok(_))) = told {
-                self.say(format!("permit for n{out} through n{through}: yes after {took} ms"));
+            if let Ok(OperatorReply::Answer(Ok(_))) = reply {
+                self.print_line(format!(
+                    "permit for n{subject_number} through n{through}: yes after {took} ms"
+                ));
                 return Ok(());
             }
             if self.now() >= event + spec.settle_us {
-                self.say(format!("permit for n{out} through n{through}: none after {took} ms: {told:?}"));
+                self.print_line(format!(
+                    "permit for n{subject_number} through n{through}: none after {took} ms: {reply:?}"
+                ));
                 self.report.unsettled_steps.push("permit".to_owned());
                 return Ok(());
             }
-            self.wait(self.now() + LOOK_US)?;
+            self.wait(self.now() + AGREEMENT_CHECK_US)?;
         }
     }
 
-    /// Hollow members of one zone that run, next to one another in the list.
+    /// Running hollow members of one zone that are adjacent in the list.
     fn neighbours(&self, index: usize, count: usize) -> Result<Vec<MemberId>, HollowError> {
         let (spec, running) = (&self.script.spec, self.running()?);
         let mut rng = StdRng::seed_from_u64(spec.seed ^ (index as u64) << 32);
         let topology = spec.conditions.topology;
-        // Real members stand in the first zone.
+        // Real members are in the first zone.
         let zone = if topology.zones > 1 { rng.random_range(1..topology.zones) } else { 0 };
         let mut members = topology.members_of_zone(zone);
         members.retain(|member| usize::from(*member) >= spec.real && running[usize::from(*member)]);
@@ -370,8 +380,10 @@
 
     fn kill(&mut self, members: &[MemberId], what: &str, series: &'static str) -> Result<(), HollowError> {
         self.drops();
-        let before = self.load(true)?;
-        self.change(|state| members.iter().for_each(|member| state.running[usize::from(*member)] = false))?;
+        let before = self.counters(true)?;
+        self.update_state(|state| {
+            members.iter().for_each(|member| state.running[usize::from(*member)] = false)
+        })?;
         let from = self.now();
         let real = self.script.spec.real;
         for member in members.iter().map(|member| usize::from(*member)).filter(|member| *member < real) {
@@ -379,7 +391,11 @@
         }
         self.shards.kill(members)?;
         let event = self.now();
-        self.say(format!("{what}: {} members dead within {} ms", members.len(), (event - from) / 1_000));
+        self.print_line(format!(
+            "{what}: {} members dead within {} ms",
+            members.len(),
+            (event - from) / 1_000
+        ));
         self.settle(what, Some(series), event, before)
     }
 
@@ -387,49 +403,51 @@
         let (spec, running) = (&self.script.spec, self.running()?);
         let down: Vec<_> = (0..spec.members()).filter(|member| !running[*member]).collect();
         let (real, hollow): (Vec<_>, Vec<_>) = down.iter().partition(|member| **member < spec.real);
-        let before = self.load(true)?;
-        let wanted: Vec<_> = (0..spec.real).map(|number| real.contains(&number)).collect();
-        self.real.start_all(&wanted)?;
+        let before = self.counters(true)?;
+        let marked: Vec<_> = (0..spec.real).map(|number| real.contains(&number)).collect();
+        self.real.start_all(&marked)?;
         self.shards.open(&hollow.iter().map(|member| *member as MemberId).collect::<Vec<_>>())?;
-        self.change(|state| state.running.fill(true))?;
+        self.update_state(|state| state.running.fill(true))?;
         let event = self.now();
-        self.say(format!("start of {}", down.len()));
+        self.print_line(format!("start of {}", down.len()));
         self.settle("start again", None, event, before)
     }
 
-    fn cut(&mut self, cut: Partition, span: Micros) -> Result<(), HollowError> {
-        let (name, series) = match cut {
+    fn partition(&mut self, partition: Partition, span: Micros) -> Result<(), HollowError> {
+        let (name, series) = match partition {
             Partition::Zone(zone) => (format!("zone {zone}"), None),
             Partition::Region(region) => (format!("region {region}"), Some("settle_heal_region_ms")),
         };
-        self.set_cut(Some(cut))?;
-        self.say(format!("{name} cut off"));
+        self.set_partition(Some(partition))?;
+        self.print_line(format!("{name} cut off"));
         let until = self.now() + span;
         while self.now() < until {
             self.wait(until.min(self.now() + PROGRESS_US * 5))?;
             let Agreement { most, members, views, .. } = self.agreement()?;
-            self.say(format!("{name} cut off: most common view held by {most} of {members}, {views} views"));
+            self.print_line(format!(
+                "{name} cut off: most common view held by {most} of {members}, {views} views"
+            ));
         }
-        let before = self.load(true)?;
-        self.set_cut(None)?;
+        let before = self.counters(true)?;
+        self.set_partition(None)?;
         let event = self.now();
-        self.say(format!("{name} joined again"));
+        self.print_line(format!("{name} joined again"));
         self.settle(&format!("heal of {name}"), series, event, before)
     }
 
-    fn set_cut(&self, cut: Option<Partition>) -> Result<(), HollowError> {
-        self.change(|state| state.conditions = NetworkConditions { partition: cut, ..state.conditions })
+    fn set_partition(&self, partition: Option<Partition>) -> Result<(), HollowError> {
+        self.update_state(|state| state.conditions = NetworkConditions { partition, ..state.conditions })
     }
 
-    /// Ends all, and tells what was measured.
+    /// Stops everything and returns the report.
     fn finish(mut self) -> Result<HollowReport, HollowError> {
-        let load = self.load(false)?;
+        let counters = self.counters(false)?;
         let drops = self.drops();
         self.report.add("datagrams_lost_at_socket", "datagrams", Value::Measured(drops as f64));
-        self.say(format!(
+        self.print_line(format!(
 "end: hollow members sent {} datagrams, {} that the system did not take, received {}; {drops} dropped at \
              sockets",
-load.datagrams, load.send_failures, load.received
+counters.datagrams, counters.send_failures, counters.received
 ));
         let running = self.running()?;
         self.report.failed_processes = self.real.crashed(&running);
@@ -439,13 +457,13 @@
     }
 }
 
-/// Members that start at once, where they start over a time.
-fn part_of_start(spec: &HollowSpec) -> usize {
-    let parts = (spec.start_us / START_PART_US).max(1) as usize;
-    spec.count.div_ceil(parts).max(1)
+/// Number of members per batch, if the start is spread over a time.
+fn start_batch_size(spec: &HollowSpec) -> usize {
+    let batches = (spec.start_us / START_BATCH_US).max(1) as usize;
+    spec.count.div_ceil(batches).max(1)
 }
 
-fn told_window(window: &Window) -> String {
+fn describe_window(window: &Window) -> String {
     format!(
         "a member sent {:.0} B/s, at worst {} B in a second, took {:.0} us/s; {} false deaths believed; {:.2}% done late, \
          by {:.0} ms at worst",
@@ -458,9 +476,9 @@
     )
 }
 
-/// An address for each member, free as it is looked at: one host, a port each.
-fn addresses(host: Ipv4Addr, needed: usize) -> Result<Vec<SocketAddr>, HollowError> {
-    let ports = (FIRST_PORT..LAST_PORT).map(|port| SocketAddr::from((host, port)));
+/// An address for each member: the same loopback address with a port each that is free now.
+fn free_addresses(host: Ipv4Addr, needed: usize) -> Result<Vec<SocketAddr>, HollowError> {
+    let ports = (FIRST_PORT..END_PORT).map(|port| SocketAddr::from((host, port)));
     let found: Vec<_> = ports.filter(|at| UdpSocket::bind(at).is_ok()).take(needed).collect();
     match found.len() == needed {
         true => Ok(found),
--- a/crates/faulttest/src/hollow/shard.rs
+++ b/crates/faulttest/src/hollow/shard.rs
@@ -1,10 +1,10 @@
-//! One loop of hollow members: a thread with an epoll loop, a socket for each member, and the datagrams that are on
-//! their way.
+//! One event loop of hollow members: a thread with an epoll loop, a socket for each member, and a queue of delayed
+//! datagrams.
 
 use super::conditions::NetworkConditions;
 use super::counters::{LATE_US, LoopCounters};
 use super::error::HollowError;
-use super::shards::{Command, Look, Shared};
+use super::shards::{Command, LoopStatus, Shared};
 use basaltward_membership::{MemberId, MemberState};
 use basaltward_net::{Io, IoEvent, Micros, thread_time};
 use basaltward_peers::{Event, PeerConfig, PeerTransport};
@@ -17,61 +17,63 @@
 use std::sync::Arc;
 use std::sync::mpsc::Receiver;
 
-/// The name of the fleet, as real members are told it.
+/// Name of the fleet, the same as in the configuration of real members.
 const FLEET: &str = "trial";
-/// Datagrams taken from one socket in one turn, as the program takes them.
-const BATCH: usize = 64;
-/// Datagrams and wakes that are carried out in one turn, so that sockets get their turn.
+/// Maximum number of datagrams read from one socket per turn, as in the program.
+const READ_BATCH: usize = 64;
+/// Maximum number of due datagrams, and of due wakeups, per turn, so that sockets are not starved.
 const DUE_BATCH: usize = 1_000;
-/// Longest datagram that is read: more than the codec takes.
+/// Receive buffer; longer than the longest datagram that the codec accepts.
 const READ_BYTES: usize = 512;
-/// Longest wait of a turn.
-const IDLE_US: Micros = 100_000;
+/// Maximum wait in one turn.
+const MAX_WAIT_US: Micros = 100_000;
 
 struct Member {
     transport: PeerTransport,
-    /// Tells one life of a number from the next.
+    /// Distinguishes this start of the member from earlier and later ones.
     life: u32,
-    /// When it is woken next.
-    armed: Micros,
+    /// Time of the next wakeup.
+    next_wake: Micros,
     rng: StdRng,
-    /// Until when its calls are drawn.
-    drawn: Micros,
-    /// A second of the clock, and the bytes sent in it.
+    /// Time until which calls have been drawn.
+    drawn_until: Micros,
+    /// The current second of the clock, and the bytes sent in it.
     second: (Micros, u64),
 }
 
-/// A datagram on its way.
+/// A delayed datagram.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Due {
+struct DelayedDatagram {
     at: Micros,
     sequence: u64,
-    /// The hollow member that sends or receives it, in this life.
-    of: MemberId,
+    /// The hollow member that sends or receives it.
+    member: MemberId,
+    /// The start of the member that it belongs to.
     life: u32,
-    sent: bool,
-    /// The other end.
+    /// Whether the hollow member sends it; otherwise it receives it.
+    outgoing: bool,
+    /// Address of the other end.
     other: SocketAddr,
     bytes: Vec<u8>,
 }
 
-/// See the module.
+/// An event loop with its members.
 pub(crate) struct Shard {
     io: Io,
     shared: Arc<Shared>,
     conditions: NetworkConditions,
     running: Vec<bool>,
-    /// Of the shared state as it was copied.
+    /// Version of the shared state that was copied last.
     version: u64,
     members: BTreeMap<MemberId, Member>,
-    /// Whose each socket is.
+    /// The member of each socket.
     owners: Vec<Option<MemberId>>,
-    lives: u32,
-    due: BinaryHeap<Reverse<Due>>,
+    starts: u32,
+    delayed: BinaryHeap<Reverse<DelayedDatagram>>,
     sequence: u64,
     wakes: BTreeSet<(Micros, MemberId)>,
     rng: StdRng,
-    load: LoopCounters,
+    counters: LoopCounters,
     events: Vec<Event>,
 }
 
@@ -89,25 +91,25 @@
             version: 0,
             members: BTreeMap::new(),
             owners: Vec::new(),
-            lives: 0,
-            due: BinaryHeap::new(),
+            starts: 0,
+            delayed: BinaryHeap::new(),
             sequence: 0,
             wakes: BTreeSet::new(),
-            load: LoopCounters::default(),
+            counters: LoopCounters::default(),
             events: Vec::new(),
         }
     }
 
-    /// Runs until it is told to stop or the system fails it.
+    /// Runs until it receives [`Command::Stop`] or a system call fails.
     pub fn run(mut self, commands: &Receiver<Command>) {
-        let mut happened = Vec::new();
+        let mut io_events = Vec::new();
         loop {
-            if let Err(why) = self.io.turn(Some(self.wait()), &mut happened) {
-                eprintln!("a loop of hollow members has ended: {why}");
+            if let Err(error) = self.io.turn(Some(self.wait()), &mut io_events) {
+                eprintln!("the event loop of hollow members failed: {error}");
                 return;
             }
             self.copy_state();
-            for event in happened.drain(..) {
+            for event in io_events.drain(..) {
                 match event {
                     IoEvent::Datagrams(socket) => self.read(socket),
                     IoEvent::Woken => {
@@ -115,26 +117,26 @@
                             if matches!(command, Command::Stop) {
                                 return;
                             }
-                            self.obey(command);
+                            self.execute(command);
                         }
                     }
                     _ => {}
                 }
             }
-            self.carry();
-            self.wake();
+            self.deliver_due();
+            self.wake_due();
         }
     }
 
     fn wait(&self) -> Micros {
-        let carried = self.due.peek().map_or(Micros::MAX, |Reverse(due)| due.at);
-        let woken = self.wakes.first().map_or(Micros::MAX, |(at, _)| *at);
-        let left = carried.min(woken).saturating_sub(self.shared.spec.now());
-        self.shared.spec.machine_time(left).min(IDLE_US)
+        let next_delivery = self.delayed.peek().map_or(Micros::MAX, |Reverse(due)| due.at);
+        let next_wake = self.wakes.first().map_or(Micros::MAX, |(at, _)| *at);
+        let left = next_delivery.min(next_wake).saturating_sub(self.shared.spec.now());
+        self.shared.spec.machine_time(left).min(MAX_WAIT_US)
     }
 
     fn copy_state(&mut self) {
-        // A poisoned lock belongs to an owner that has failed and will tell us to stop.
+        // The lock is poisoned only if the controlling thread panicked; it then stops this loop.
         let Ok(state) = self.shared.state.read() else { return };
         if state.version != self.version {
             self.version = state.version;
@@ -143,10 +145,10 @@
         }
     }
 
-    fn obey(&mut self, command: Command) {
-        // Whoever asks may have changed the state since this turn began.
+    fn execute(&mut self, command: Command) {
+        // The sender of the command may have changed the shared state since this turn began.
         self.copy_state();
-        // Whoever asked may have given up.
+        // Failed replies are ignored: the sender may no longer wait for them.
         match command {
             Command::Open(members, reply) => {
                 let opened = members.into_iter().try_for_each(|member| self.open(member));
@@ -156,10 +158,10 @@
                 members.iter().for_each(|member| self.kill(*member));
                 let _ = reply.send(());
             }
-            Command::Look { reset, reply } => {
-                let _ = reply.send(self.look());
+            Command::Status { reset, reply } => {
+                let _ = reply.send(self.status());
                 if reset {
-                    (self.load.worst_second_bytes, self.load.worst_late_us) = (0, 0);
+                    (self.counters.worst_second_bytes, self.counters.worst_late_us) = (0, 0);
                 }
             }
             Command::Stop => {}
@@ -189,48 +191,50 @@
             self.owners.resize(socket + 1, None);
         }
         self.owners[socket] = Some(member);
-        self.lives += 1;
-        let armed = transport.next_due().max(now);
-        self.wakes.insert((armed, member));
-        let rng = StdRng::seed_from_u64(spec.seed ^ u64::from(member) << 32 ^ u64::from(self.lives));
-        let (life, drawn, second) = (self.lives, now, (0, 0));
-        self.members.insert(member, Member { transport, life, armed, rng, drawn, second });
+        self.starts += 1;
+        let next_wake = transport.next_due().max(now);
+        self.wakes.insert((next_wake, member));
+        let rng = StdRng::seed_from_u64(spec.seed ^ u64::from(member) << 32 ^ u64::from(self.starts));
+        let (life, drawn_until, second) = (self.starts, now, (0, 0));
+        self.members.insert(member, Member { transport, life, next_wake, rng, drawn_until, second });
         Ok(())
     }
 
     fn kill(&mut self, number: MemberId) {
         let Some(member) = self.members.remove(&number) else { return };
-        self.wakes.remove(&(member.armed, number));
+        self.wakes.remove(&(member.next_wake, number));
         let socket = member.transport.socket();
         self.owners[socket] = None;
         self.io.close_datagrams(socket);
     }
 
-    fn look(&mut self) -> Look {
-        self.load.cpu_us = thread_time();
-        let mut look = Look { load: self.load, ..Look::default() };
+    fn status(&mut self) -> LoopStatus {
+        self.counters.cpu_us = thread_time();
+        let mut status = LoopStatus { counters: self.counters, ..LoopStatus::default() };
         for member in self.members.values() {
-            *look.views.entry(member.transport.membership().digest()).or_default() += 1;
+            *status.views.entry(member.transport.membership().digest()).or_default() += 1;
         }
-        let Some(first) = self.members.values().next() else { return look };
+        let Some(first) = self.members.values().next() else { return status };
         let view = first.transport.membership();
         let mut all = view.members().iter().zip(&self.running);
-        look.right = all.all(|(entry, runs)| entry.state.is_live() == *runs).then_some(view.digest());
-        look
+        status.correct_digest =
+            all.all(|(entry, runs)| entry.state.is_live() == *runs).then_some(view.digest());
+        status
     }
 
-    /// Takes what waits at a socket: from hollow members it has had its delay, from real ones it has it before it.
+    /// Reads a member's socket. Datagrams of hollow members were delayed before they were sent; those of real members are
+    /// delayed now.
     fn read(&mut self, socket: usize) {
         let Some(number) = self.owners.get(socket).copied().flatten() else { return };
         let mut bytes = [0; READ_BYTES];
-        for _ in 0..BATCH {
+        for _ in 0..READ_BATCH {
             let Some((length, from)) = self.io.receive_from_system(socket, &mut bytes) else { break };
             let sender = self.shared.numbers.get(&from).copied();
             match sender.filter(|sender| usize::from(*sender) < self.shared.spec.real) {
                 Some(real) => {
-                    let fate = self.conditions.copy_delays(real, number, &mut self.rng);
-                    for late in fate.into_iter().flatten() {
-                        self.put_off(late, number, false, from, &bytes[..length]);
+                    let delays = self.conditions.copy_delays(real, number, &mut self.rng);
+                    for delay in delays.into_iter().flatten() {
+                        self.delay_datagram(delay, number, false, from, &bytes[..length]);
                     }
                 }
                 None => self.deliver(number, from, bytes[..length].to_vec()),
@@ -238,52 +242,67 @@
         }
     }
 
-    fn put_off(&mut self, late: Micros, of: MemberId, sent: bool, other: SocketAddr, bytes: &[u8]) {
-        let Some(member) = self.members.get(&of) else { return };
+    fn delay_datagram(
+        &mut self,
+        delay: Micros,
+        number: MemberId,
+        outgoing: bool,
+        other: SocketAddr,
+        bytes: &[u8],
+    ) {
+        let Some(member) = self.members.get(&number) else { return };
         self.sequence += 1;
-        let (at, sequence, life) = (self.shared.spec.now() + late, self.sequence, member.life);
-        self.due.push(Reverse(Due { at, sequence, of, life, sent, other, bytes: bytes.to_vec() }));
+        let (at, sequence, life) = (self.shared.spec.now() + delay, self.sequence, member.life);
+        self.delayed.push(Reverse(DelayedDatagram {
+            at,
+            sequence,
+            member: number,
+            life,
+            outgoing,
+            other,
+            bytes: bytes.to_vec(),
+        }));
     }
 
-    /// A member hears a datagram.
+    /// Passes a datagram to a member.
     fn deliver(&mut self, number: MemberId, from: SocketAddr, bytes: Vec<u8>) {
         let Some(member) = self.members.get_mut(&number) else { return };
-        self.load.received += 1;
+        self.counters.received += 1;
         self.io.inject_datagram(member.transport.socket(), from, bytes);
         let now = self.shared.spec.now();
         member.transport.receive(&mut self.io, now, &mut self.events);
         self.follow_up(number);
     }
 
-    /// Carries datagrams whose delay is over.
-    fn carry(&mut self) {
+    /// Sends or delivers the delayed datagrams that are due.
+    fn deliver_due(&mut self) {
         for _ in 0..DUE_BATCH {
             let now = self.shared.spec.now();
-            let Some(Reverse(due)) = self.due.peek() else { return };
+            let Some(Reverse(due)) = self.delayed.peek() else { return };
             if due.at > now {
                 return;
             }
-            let Some(Reverse(due)) = self.due.pop() else { return };
-            let Some(member) = self.members.get(&due.of).filter(|member| member.life == due.life) else {
-                // It died meanwhile.
+            let Some(Reverse(due)) = self.delayed.pop() else { return };
+            let Some(member) = self.members.get(&due.member).filter(|member| member.life == due.life) else {
+                // The member was killed in the meantime.
                 continue;
             };
-            self.load.count_late(now - due.at);
-            if due.sent {
-                let taken = self.io.send_by_system(member.transport.socket(), due.other, &due.bytes);
-                self.load.send_failures += u64::from(!taken);
+            self.counters.count_operation(now - due.at);
+            if due.outgoing {
+                let accepted = self.io.send_by_system(member.transport.socket(), due.other, &due.bytes);
+                self.counters.send_failures += u64::from(!accepted);
             } else {
-                self.deliver(due.of, due.other, due.bytes);
+                self.deliver(due.member, due.other, due.bytes);
             }
         }
     }
 
-    /// Wakes members whose time has come.
-    fn wake(&mut self) {
+    /// Wakes the members whose wakeup is due.
+    fn wake_due(&mut self) {
         for _ in 0..DUE_BATCH {
             let now = self.shared.spec.now();
             let Some((at, number)) = self.wakes.first().copied().filter(|(at, _)| *at <= now) else { return };
-            self.load.count_late(now - at);
+            self.counters.count_operation(now - at);
             let Some(member) = self.members.get_mut(&number) else {
                 self.wakes.remove(&(at, number));
                 continue;
@@ -294,12 +313,12 @@
         }
     }
 
-    /// Sends what a member has put out, counts what it believes, and sees to its next wake.
+    /// After a member has run: counts false deaths in its view, sends its datagrams and schedules its next wakeup.
     fn follow_up(&mut self, number: MemberId) {
         for event in std::mem::take(&mut self.events) {
             if let Event::MemberChanged { member: of, state: MemberState::Gone, .. } = event {
                 let runs = self.running.get(usize::from(of)).copied().unwrap_or_default();
-                self.load.false_deaths += u64::from(runs);
+                self.counters.false_deaths += u64::from(runs);
             }
         }
         let now = self.shared.spec.now();
@@ -307,36 +326,36 @@
             let to = self.shared.numbers.get(&sent.to).copied();
             let Some(member) = self.members.get_mut(&number) else { return };
             let Some(to) = to else {
-                // An operator has asked.
+                // The receiver is not a member: this answers an operator's request.
                 self.io.send_by_system(sent.socket, sent.to, &sent.bytes);
                 continue;
             };
-            self.load.count(member, now, sent.bytes.len() as u64);
-            let fate = self.conditions.copy_delays(number, to, &mut member.rng);
-            for late in fate.into_iter().flatten() {
-                self.put_off(late, number, true, sent.to, &sent.bytes);
+            self.counters.count_sent(member, now, sent.bytes.len() as u64);
+            let delays = self.conditions.copy_delays(number, to, &mut member.rng);
+            for delay in delays.into_iter().flatten() {
+                self.delay_datagram(delay, number, true, sent.to, &sent.bytes);
             }
         }
         let Some(member) = self.members.get_mut(&number) else { return };
-        let armed = member.transport.next_due().max(now);
-        if armed != member.armed {
-            self.wakes.remove(&(member.armed, number));
-            self.wakes.insert((armed, number));
-            member.armed = armed;
+        let next_wake = member.transport.next_due().max(now);
+        if next_wake != member.next_wake {
+            self.wakes.remove(&(member.next_wake, number));
+            self.wakes.insert((next_wake, number));
+            member.next_wake = next_wake;
         }
     }
 }
 
 impl LoopCounters {
-    /// Something was done so late after its time.
-    fn count_late(&mut self, late: Micros) {
+    /// Counts an operation with its delay.
+    fn count_operation(&mut self, delay: Micros) {
         self.operations += 1;
-        self.late += u64::from(late > LATE_US);
-        self.worst_late_us = self.worst_late_us.max(late);
+        self.late += u64::from(delay > LATE_US);
+        self.worst_late_us = self.worst_late_us.max(delay);
     }
 
-    /// A member has sent so many bytes.
-    fn count(&mut self, member: &mut Member, now: Micros, bytes: u64) {
+    /// Counts a datagram sent by a member.
+    fn count_sent(&mut self, member: &mut Member, now: Micros, bytes: u64) {
         self.datagrams += 1;
         self.bytes += bytes;
         let second = now / 1_000_000;
@@ -349,10 +368,10 @@
 }
 
 impl Member {
-    /// Calls served since this was last asked: drawn evenly about the told rate.
+    /// Draws and counts the calls served since the last draw, evenly distributed around the configured rate.
     fn draw_calls(&mut self, now: Micros, calls_per_s: f64) {
-        let mean = calls_per_s * now.saturating_sub(self.drawn) as f64 / 1e6;
-        self.drawn = now;
+        let mean = calls_per_s * now.saturating_sub(self.drawn_until) as f64 / 1e6;
+        self.drawn_until = now;
         let drawn = mean * self.rng.random_range(0.0..2.0);
         let calls = drawn as u64 + u64::from(self.rng.random_bool(drawn.fract()));
         (0..calls).for_each(|_| self.transport.count_call(0));
--- a/crates/faulttest/src/hollow/shards.rs
+++ b/crates/faulttest/src/hollow/shards.rs
@@ -1,4 +1,4 @@
-//! The loops of hollow members as their owner has them: commands in, looks out.
+//! Controls the event loops of hollow members: sends them commands and collects their status.
 
 use super::conditions::NetworkConditions;
 use super::counters::LoopCounters;
@@ -13,42 +13,43 @@
 use std::sync::{Arc, RwLock};
 use std::thread::JoinHandle;
 
-/// What all loops share.
+/// State shared by all event loops.
 pub(crate) struct Shared {
     pub spec: HollowSpec,
     pub peers: Vec<SocketAddr>,
+    /// Member numbers by address.
     pub numbers: HashMap<SocketAddr, MemberId>,
-    /// How links are now, and who runs.
+    /// The part that steps change.
     pub state: RwLock<SharedState>,
 }
 
 pub(crate) struct SharedState {
     pub conditions: NetworkConditions,
-    /// By number.
+    /// Whether each member runs, by number.
     pub running: Vec<bool>,
-    /// Counts the changes.
+    /// Incremented at every change.
     pub version: u64,
 }
 
-/// What the members of a loop believe, and what they have spent.
+/// Status of one event loop.
 #[derive(Debug, Default)]
-pub(crate) struct Look {
-    /// How many have each digest.
+pub(crate) struct LoopStatus {
+    /// Number of members by the digest of their view.
     pub views: BTreeMap<u32, usize>,
-    /// The digest of the first member, where its view is that those live who run.
-    pub right: Option<u32>,
-    pub load: LoopCounters,
+    /// Digest of the first member's view, if exactly the running members are live in it.
+    pub correct_digest: Option<u32>,
+    pub counters: LoopCounters,
 }
 
-/// What a loop is told to do; each but the last is answered.
+/// Commands to an event loop. Each but the last is answered.
 pub(crate) enum Command {
     Open(Vec<MemberId>, SyncSender<Result<(), HollowError>>),
     Kill(Vec<MemberId>, SyncSender<()>),
-    Look { reset: bool, reply: SyncSender<Look> },
+    Status { reset: bool, reply: SyncSender<LoopStatus> },
     Stop,
 }
 
-/// All loops. They end with the value.
+/// All event loops; they are stopped on drop.
 pub(crate) struct Shards(Vec<Handle>);
 
 struct Handle {
@@ -58,7 +59,7 @@
 }
 
 impl Shards {
-    /// Starts loops without members.
+    /// Starts the event loops, without members.
     pub fn start(shared: &Arc<Shared>) -> Result<Self, HollowError> {
         let handle = |number: usize| {
             let io = Io::new(IoLimits::default())?;
@@ -66,7 +67,7 @@
             let shard = Shard::new(io, shared.clone(), number as u64);
             let name = format!("hollow-{number}");
             let thread = std::thread::Builder::new().name(name).spawn(move || {
-                // A thousand members would else write a thousand logs.
+                // Without this, a thousand members would write a thousand logs.
                 let _silent = tracing::subscriber::set_default(tracing::subscriber::NoSubscriber::new());
                 shard.run(&receiver);
             })?;
@@ -75,8 +76,8 @@
         Ok(Self((0..shared.spec.loops).map(handle).collect::<Result<_, HollowError>>()?))
     }
 
-    /// Has each loop do something with those of the members that are its own; its answers, in no order.
-    fn each<T>(&self, command: impl Fn(usize, SyncSender<T>) -> Command) -> Result<Vec<T>, HollowError> {
+    /// Sends a command to each event loop and returns the answers, in no particular order.
+    fn broadcast<T>(&self, command: impl Fn(usize, SyncSender<T>) -> Command) -> Result<Vec<T>, HollowError> {
         let (reply, answers) = sync_channel(self.0.len());
         for (number, handle) in self.0.iter().enumerate() {
             handle.commands.send(command(number, reply.clone())).map_err(|_| HollowError::Ended)?;
@@ -87,30 +88,32 @@
         if answers.len() == self.0.len() { Ok(answers) } else { Err(HollowError::Ended) }
     }
 
-    fn share(&self, members: &[MemberId], shard: usize) -> Vec<MemberId> {
+    fn members_of_shard(&self, members: &[MemberId], shard: usize) -> Vec<MemberId> {
         members.iter().copied().filter(|member| usize::from(*member) % self.0.len() == shard).collect()
     }
 
-    /// Members start, under their numbers and addresses.
+    /// Starts members under their numbers and addresses.
     pub fn open(&self, members: &[MemberId]) -> Result<(), HollowError> {
-        self.each(|shard, reply| Command::Open(self.share(members, shard), reply))?.into_iter().collect()
+        self.broadcast(|shard, reply| Command::Open(self.members_of_shard(members, shard), reply))?
+            .into_iter()
+            .collect()
     }
 
-    /// Members die: their sockets are closed.
+    /// Kills members: their sockets are closed without a message to the others.
     pub fn kill(&self, members: &[MemberId]) -> Result<(), HollowError> {
-        self.each(|shard, reply| Command::Kill(self.share(members, shard), reply)).map(drop)
+        self.broadcast(|shard, reply| Command::Kill(self.members_of_shard(members, shard), reply)).map(drop)
     }
 
-    /// What members believe, and what they have spent since the start. `reset` begins what is counted as the worst anew.
-    pub fn look(&self, reset: bool) -> Result<Vec<Look>, HollowError> {
-        self.each(|_, reply| Command::Look { reset, reply })
+    /// Status of all event loops, with counters since the start. `reset` then resets the maxima.
+    pub fn status(&self, reset: bool) -> Result<Vec<LoopStatus>, HollowError> {
+        self.broadcast(|_, reply| Command::Status { reset, reply })
     }
 }
 
 impl Drop for Shards {
     fn drop(&mut self) {
         for handle in &mut self.0 {
-            // One that has ended takes no command, and is joined all the same.
+            // A loop that has ended accepts no command; its thread is joined below all the same.
             let _ = handle.commands.send(Command::Stop);
             handle.waker.wake();
         }
--- a/crates/faulttest/src/hollow/socket_drops.rs
+++ b/crates/faulttest/src/hollow/socket_drops.rs
@@ -1,27 +1,28 @@
-//! Datagrams that the system dropped at sockets, from its table of them.
+//! Datagrams that the kernel dropped at sockets, read from `/proc/net/udp`.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// Drops of each IPv4 socket of datagrams at this host, by the socket's inode, from the text of `/proc/net/udp`. Lines
-/// that can't be read are left out.
+/// Parses `/proc/net/udp`: drop counts of the IPv4 UDP sockets bound to `host`, by the socket's inode. Lines that cannot
+/// be parsed are skipped.
 pub fn socket_drops(host: Ipv4Addr, table: &str) -> BTreeMap<u64, u64> {
     let local = format!("{:08X}:", u32::from_le_bytes(host.octets()));
-    let read = |line: &str| {
+    let parse = |line: &str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         let at = fields.get(1)?;
         let inode = fields.get(9)?.parse().ok()?;
         let drops = fields.get(12)?.parse().ok()?;
         at.starts_with(&local).then_some((inode, drops))
     };
-    table.lines().filter_map(read).collect()
+    table.lines().filter_map(parse).collect()
 }
 
-/// Adds the drops that a table shows to those known, each socket's largest count; gives the sum over all sockets seen.
+/// Merges the counts of a table into `known`, keeping the largest count of each socket, and returns the sum over all
+/// sockets seen so far, closed ones included.
 pub fn total_drops(known: &mut BTreeMap<u64, u64>, seen: BTreeMap<u64, u64>) -> u64 {
     for (inode, drops) in seen {
-        let most = known.entry(inode).or_default();
-        *most = drops.max(*most);
+        let count = known.entry(inode).or_default();
+        *count = drops.max(*count);
     }
     known.values().sum()
 }
--- a/crates/faulttest/src/hollow/topology.rs
+++ b/crates/faulttest/src/hollow/topology.rs
@@ -1,15 +1,15 @@
-//! Which zone and region each member stands in.
+//! Assignment of members to zones and regions.
 
 use basaltward_membership::MemberId;
 
-/// Members in zones of nearly equal size, zones in regions: both by contiguous numbers.
+/// Members in zones of nearly equal size, and zones in regions. Both are assigned by contiguous numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Topology {
-    /// Members in all.
+    /// Number of members.
     pub members: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Regions, at most as many as zones.
+    /// Number of regions, at most the number of zones.
     pub regions: usize,
 }
 
--- a/crates/faulttest/src/script.rs
+++ b/crates/faulttest/src/script.rs
@@ -1,10 +1,10 @@
-//! A trial by a script: a fleet, and what happens to it when.
+//! Loads scripts of faults and runs those for a cluster of schedulers.
 
 use crate::DatagramFaults;
 use crate::cluster::{Cluster, ClusterSpec, HarnessError};
-use crate::hollow::{HollowScript, hollow};
+use crate::hollow::{HollowScript, read_hollow};
 use crate::link::{ConnectionMode, Link, Party};
-use crate::site_script::{SitesScript, sites};
+use crate::site_script::{SitesScript, read_sites};
 use basaltward_config::xml::{Element, parse_validated};
 use basaltward_config::{ConfigError, Fault};
 use basaltward_net::{Micros, monotonic};
@@ -13,81 +13,81 @@
 
 const SCHEMA: &str = include_str!("../trial.xsd");
 
-/// What happens at a time.
+/// A fault or other action of a script.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A scheduler is killed outright.
+    /// Kills a scheduler with SIGKILL.
     Kill(usize),
-    /// A scheduler is told to stop, and waited for.
+    /// Stops a scheduler with SIGTERM and waits until it exits.
     Stop(usize),
-    /// A scheduler that is down is started.
+    /// Starts a scheduler that is down.
     Start(usize),
-    /// A scheduler stands still, or goes on.
+    /// Pauses (true) or resumes a scheduler.
     Stall(usize, bool),
-    /// A scheduler reads its configuration anew.
+    /// Has a scheduler reload its configuration.
     ReloadConfig(usize),
-    /// A group is cut off from everybody, or taken up again.
+    /// Starts (true) or ends a partition that cuts a group of schedulers off from all other parties.
     Partition(Vec<usize>, bool),
-    /// All datagrams.
+    /// Sets the faults of all datagrams.
     AllDatagrams(DatagramFaults),
-    /// The datagrams of one way.
+    /// Sets the faults of the datagrams from one scheduler to another.
     OneWayDatagrams(usize, usize, DatagramFaults),
-    /// The connections of a link.
+    /// Sets how the connections of a link are treated.
     Connections(Link, ConnectionMode),
 }
 
-/// An act at its time.
+/// An action with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// From the start of the run.
+    /// Time from the start of the run, in microseconds.
     pub at: Micros,
-    /// What happens.
+    /// The action.
     pub action: Action,
 }
 
-/// A trial.
+/// A script for a cluster of schedulers.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// The fleet.
+    /// Parameters of the cluster.
     pub fleet: ClusterSpec,
-    /// How long clients call.
+    /// How long clients call, in microseconds.
     pub span: Micros,
-    /// What happens, by time.
+    /// Actions, sorted by time.
     pub steps: Vec<Step>,
 }
 
-/// What a script is of.
+/// A script by the kind of cluster that it is for.
 #[derive(Clone, Debug)]
 pub enum LoadedScript {
-    /// A fleet of schedulers.
+    /// A cluster of schedulers.
     Fleet(Script),
-    /// Sites of gateways.
+    /// A cluster of sites with gateways.
     Sites(SitesScript),
-    /// Hollow members beside real ones.
+    /// Hollow members beside real members.
     Hollow(HollowScript),
 }
 
-/// Reads a script; the program is the one that its processes run. `seed` goes before the script's.
+/// Loads a script. Its processes will run `program`; `seed` overrides the script's.
 ///
 /// # Errors
-/// All faults of the file.
+/// The file cannot be read, or all faults found in it.
 pub fn load(path: &Path, program: &Path, seed: Option<u64>) -> Result<LoadedScript, ConfigError> {
-    let told = path.display().to_string();
-    let text =
-        std::fs::read_to_string(path).map_err(|source| ConfigError::File { path: told.clone(), source })?;
-    parse_validated(&text, &told, SCHEMA, |root, faults| {
+    let path_text = path.display().to_string();
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| ConfigError::File { path: path_text.clone(), source })?;
+    parse_validated(&text, &path_text, SCHEMA, |root, faults| {
         let seed = seed.or_else(|| root.parse_attribute("seed", faults)).unwrap_or(1);
         match (root.child("sites"), root.child("hollow")) {
-            (Some(_), _) => LoadedScript::Sites(sites(root, program, seed, faults)),
-            (None, Some(part)) => LoadedScript::Hollow(hollow(part, program, seed, faults)),
-            (None, None) => LoadedScript::Fleet(script(root, program, seed, faults)),
+            (Some(_), _) => LoadedScript::Sites(read_sites(root, program, seed, faults)),
+            (None, Some(part)) => LoadedScript::Hollow(read_hollow(part, program, seed, faults)),
+            (None, None) => LoadedScript::Fleet(read_fleet(root, program, seed, faults)),
         }
     })
 }
 
-fn script(root: Element, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> Script {
+fn read_fleet(root: Element, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> Script {
     let part = root.child("fleet").unwrap_or(root);
-    let mut number = |name: &str, absent: u64| part.parse_attribute::<u64>(name, faults).unwrap_or(absent);
+    let mut number = |name: &str, default: u64| part.parse_attribute::<u64>(name, faults).unwrap_or(default);
     let fleet = ClusterSpec {
         program: program.into(),
         schedulers: number("schedulers", 1) as usize,
@@ -100,10 +100,10 @@
     let span = number("ms", 1_000) * 1_000;
     let mut steps = Vec::new();
     for (index, node) in root.children_named("at").into_iter().enumerate() {
-        let read = Reader { node, index: index as u64, fleet: &fleet };
-        read.step(faults, &mut steps);
+        let reader = Reader { node, index: index as u64, fleet: &fleet };
+        reader.step(faults, &mut steps);
     }
-    // Stable: of two at one time the one written first goes first.
+    // A stable sort: actions at the same time stay in the order of the script.
     steps.sort_by_key(|step: &Step| step.at);
     Script { fleet, span, steps }
 }
@@ -115,61 +115,63 @@
 }
 
 impl Reader<'_> {
-    /// A told number below `count`, or one drawn by the seed and the step's place in the script.
-    fn who(&self, name: &str, count: usize, faults: &mut Vec<Fault>) -> Option<usize> {
-        let told = self.node.attribute(name);
-        if told == Some("any") {
+    /// The number in an attribute, below `count`; for `any`, one drawn by the seed and the step's index in the script.
+    fn number(&self, name: &str, count: usize, faults: &mut Vec<Fault>) -> Option<usize> {
+        let text = self.node.attribute(name);
+        if text == Some("any") {
             return Some(Cluster::seeded_index(self.fleet.seed, self.index, count));
         }
-        let number = told.and_then(|text| text.parse().ok()).filter(|n| *n < count);
+        let number = text.and_then(|text| text.parse().ok()).filter(|n| *n < count);
         if number.is_none() {
             let most = count.saturating_sub(1);
-            faults.push(self.node.fault(format!("this act needs {name}, any or from 0 to {most}")));
+            faults.push(self.node.fault(format!("this action needs {name}, any or from 0 to {most}")));
         }
         number
     }
 
     fn group(&self, faults: &mut Vec<Fault>) -> Option<Vec<usize>> {
-        let told = self.node.attribute("group").unwrap_or_default();
-        let group: Vec<usize> = told.split_whitespace().filter_map(|n| n.parse().ok()).collect();
-        let good = !group.is_empty() && group.iter().all(|n| *n < self.fleet.schedulers);
-        if !good {
+        let text = self.node.attribute("group").unwrap_or_default();
+        let group: Vec<usize> = text.split_whitespace().filter_map(|n| n.parse().ok()).collect();
+        let valid = !group.is_empty() && group.iter().all(|n| *n < self.fleet.schedulers);
+        if !valid {
             let most = self.fleet.schedulers - 1;
-            faults.push(self.node.fault(format!("this act needs group, numbers from 0 to {most}")));
+            faults.push(self.node.fault(format!("this action needs group, numbers from 0 to {most}")));
         }
-        good.then_some(group)
+        valid.then_some(group)
     }
 
-    fn loss(&self, faults: &mut Vec<Fault>) -> DatagramFaults {
+    fn datagram_faults(&self, faults: &mut Vec<Fault>) -> DatagramFaults {
         let share = |name: &str, faults: &mut Vec<Fault>| {
             self.node.parse_attribute::<f64>(name, faults).unwrap_or(0.0)
         };
-        let usual = DatagramFaults::default();
-        let late =
-            self.node.parse_attribute::<u64>("late-ms", faults).map_or(usual.delay_range.1, |ms| ms * 1_000);
+        let defaults = DatagramFaults::default();
+        let max_delay = self
+            .node
+            .parse_attribute::<u64>("late-ms", faults)
+            .map_or(defaults.delay_range.1, |ms| ms * 1_000);
         DatagramFaults {
             loss_rate: share("lost", faults),
             duplicate_rate: share("doubled", faults),
-            delay_range: (usual.delay_range.0, late),
+            delay_range: (defaults.delay_range.0, max_delay),
         }
     }
 
-    /// The step, and its end where it has one.
+    /// Reads a step: its action and, with `for-ms`, the action that ends it.
     fn step(&self, faults: &mut Vec<Fault>, steps: &mut Vec<Step>) {
         let at = self.node.parse_attribute::<u64>("ms", faults).unwrap_or(0) * 1_000;
-        let lasts = self.node.parse_attribute::<u64>("for-ms", faults).map(|ms| ms * 1_000);
-        let told = self.node.attribute("do").unwrap_or_default();
+        let duration = self.node.parse_attribute::<u64>("for-ms", faults).map(|ms| ms * 1_000);
+        let name = self.node.attribute("do").unwrap_or_default();
         let schedulers = self.fleet.schedulers;
         let link = |to, scheduler| Link { from: Party::Scheduler(scheduler), to };
-        let worker = |stream: ConnectionMode, faults: &mut Vec<Fault>| {
-            let scheduler = self.who("scheduler", schedulers, faults)?;
-            let worker = self.who("worker", self.fleet.workers, faults)?;
-            Some((Action::Connections(link(Party::Worker(worker), scheduler), stream), scheduler, worker))
+        let worker = |mode: ConnectionMode, faults: &mut Vec<Fault>| {
+            let scheduler = self.number("scheduler", schedulers, faults)?;
+            let worker = self.number("worker", self.fleet.workers, faults)?;
+            Some((Action::Connections(link(Party::Worker(worker), scheduler), mode), scheduler, worker))
         };
-        let acts = match told {
+        let actions = match name {
             "kill" | "stop" | "start" | "reread" => {
-                let Some(one) = self.who("scheduler", schedulers, faults) else { return };
-                match told {
+                let Some(one) = self.number("scheduler", schedulers, faults) else { return };
+                match name {
                     "kill" => (Action::Kill(one), Some(Action::Start(one))),
                     "stop" => (Action::Stop(one), Some(Action::Start(one))),
                     "start" => (Action::Start(one), None),
@@ -177,7 +179,7 @@
                 }
             }
             "stall" => {
-                let Some(one) = self.who("scheduler", schedulers, faults) else { return };
+                let Some(one) = self.number("scheduler", schedulers, faults) else { return };
                 (Action::Stall(one, true), Some(Action::Stall(one, false)))
             }
             "cut" => {
@@ -185,20 +187,24 @@
                 (Action::Partition(group.clone(), true), Some(Action::Partition(group, false)))
             }
             "loss" => (
-                Action::AllDatagrams(self.loss(faults)),
+                Action::AllDatagrams(self.datagram_faults(faults)),
                 Some(Action::AllDatagrams(DatagramFaults::default())),
             ),
             "one-way" => {
-                let Some(one) = self.who("scheduler", schedulers, faults) else { return };
-                let Some(to) = self.who("to", schedulers, faults) else { return };
+                let Some(one) = self.number("scheduler", schedulers, faults) else { return };
+                let Some(to) = self.number("to", schedulers, faults) else { return };
                 let end = Action::OneWayDatagrams(one, to, DatagramFaults::default());
                 (
-                    Action::OneWayDatagrams(one, to, DatagramFaults { loss_rate: 1.0, ..self.loss(faults) }),
+                    Action::OneWayDatagrams(
+                        one,
+                        to,
+                        DatagramFaults { loss_rate: 1.0, ..self.datagram_faults(faults) },
+                    ),
                     Some(end),
                 )
             }
             "late-bulletin" => {
-                let Some(one) = self.who("scheduler", schedulers, faults) else { return };
+                let Some(one) = self.number("scheduler", schedulers, faults) else { return };
                 let link = link(Party::Bulletin, one);
                 (
                     Action::Connections(link, ConnectionMode::Stall),
@@ -206,60 +212,60 @@
                 )
             }
             _ => {
-                let stream =
-                    if told == "refuse-worker" { ConnectionMode::Refuse } else { ConnectionMode::Stall };
-                let Some((act, one, to)) = worker(stream, faults) else { return };
-                (act, Some(Action::Connections(link(Party::Worker(to), one), ConnectionMode::Pass)))
+                let mode =
+                    if name == "refuse-worker" { ConnectionMode::Refuse } else { ConnectionMode::Stall };
+                let Some((action, one, to)) = worker(mode, faults) else { return };
+                (action, Some(Action::Connections(link(Party::Worker(to), one), ConnectionMode::Pass)))
             }
         };
-        steps.push(Step { at, action: acts.0 });
-        let end = lasts.zip(acts.1).map(|(lasts, act)| Step { at: at + lasts, action: act });
+        steps.push(Step { at, action: actions.0 });
+        let end = duration.zip(actions.1).map(|(duration, action)| Step { at: at + duration, action });
         steps.extend(end);
     }
 }
 
 impl Action {
-    /// Does it.
+    /// Performs the action.
     ///
     /// # Errors
-    /// Where a scheduler does not come up or does not end.
-    pub fn perform(&self, bed: &mut Cluster) -> Result<(), HarnessError> {
+    /// A scheduler did not start or exit in time.
+    pub fn perform(&self, cluster: &mut Cluster) -> Result<(), HarnessError> {
         match self {
-            Self::Kill(one) => bed.kill(*one),
-            Self::Stop(one) => bed.stop(*one)?,
-            Self::Start(one) => bed.start_scheduler(*one)?,
-            Self::Stall(one, true) => bed.schedulers[*one].stall(),
-            Self::Stall(one, false) => bed.schedulers[*one].resume(),
-            Self::ReloadConfig(one) => bed.schedulers[*one].reload_config(),
-            Self::Partition(group, cut) => bed.set_partition(group, *cut),
-            Self::AllDatagrams(loss) => bed.set_all_datagram_faults(*loss),
-            Self::OneWayDatagrams(from, to, loss) => {
-                bed.set_datagram_faults(
+            Self::Kill(one) => cluster.kill(*one),
+            Self::Stop(one) => cluster.stop(*one)?,
+            Self::Start(one) => cluster.start_scheduler(*one)?,
+            Self::Stall(one, true) => cluster.schedulers[*one].stall(),
+            Self::Stall(one, false) => cluster.schedulers[*one].resume(),
+            Self::ReloadConfig(one) => cluster.schedulers[*one].reload_config(),
+            Self::Partition(group, cut) => cluster.set_partition(group, *cut),
+            Self::AllDatagrams(faults) => cluster.set_all_datagram_faults(*faults),
+            Self::OneWayDatagrams(from, to, faults) => {
+                cluster.set_datagram_faults(
                     Link { from: Party::Scheduler(*from), to: Party::Scheduler(*to) },
-                    *loss,
+                    *faults,
                 );
             }
-            Self::Connections(link, stream) => bed.set_connection_mode(*link, *stream),
+            Self::Connections(link, mode) => cluster.set_connection_mode(*link, *mode),
         }
         Ok(())
     }
 }
 
-/// Plays a script; gives the bed, its clients still calling, to be finished and judged.
+/// Runs a script. Returns the cluster with its clients still calling, to be finished and checked.
 ///
 /// # Errors
-/// Where the bed can't be made, or a scheduler is not as the script has it.
+/// The cluster cannot be started, or an action failed.
 pub fn run(script: &Script) -> Result<Cluster, HarnessError> {
-    let mut bed = Cluster::start(script.fleet.clone())?;
-    bed.start_clients();
+    let mut cluster = Cluster::start(script.fleet.clone())?;
+    cluster.start_clients();
     let began = monotonic();
-    let until = |at: Micros| {
+    let sleep_until = |at: Micros| {
         std::thread::sleep(Duration::from_micros((began + at).saturating_sub(monotonic())));
     };
     for step in script.steps.iter().take_while(|step| step.at <= script.span) {
-        until(step.at);
-        step.action.perform(&mut bed)?;
+        sleep_until(step.at);
+        step.action.perform(&mut cluster)?;
     }
-    until(script.span);
-    Ok(bed)
+    sleep_until(script.span);
+    Ok(cluster)
 }
--- a/crates/faulttest/src/site_script.rs
+++ b/crates/faulttest/src/site_script.rs
@@ -1,4 +1,4 @@
-//! A trial of sites by a script: what happens to which of them, or to the links between them, when.
+//! Reads and runs scripts of faults for a cluster of sites.
 
 use crate::cluster::{Cluster, HarnessError};
 use crate::site_cluster::{ProcessSelector, SiteCluster};
@@ -10,111 +10,111 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Tells a gateway from when and for how long its control thread stands still, counted from its start.
+/// Environment variable that makes a gateway stall its control thread: `start:duration` in ms since the process's start.
 const STALL_CONTROL: &str = "BASALTWARD_PLANT_STALL_CONTROL_MS";
 
-/// All gateways agree on who lives by then.
-const AGREE: Duration = Duration::from_secs(10);
+/// Time in which all gateways should agree on which members are live.
+const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What happens at a time.
+/// A fault or other action of a script.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SiteAction {
-    /// Killed outright.
+    /// Kills processes with SIGKILL.
     Kill(ProcessSelector),
-    /// Told to stop, and waited for.
+    /// Stops processes with SIGTERM and waits until they exit.
     Stop(ProcessSelector),
-    /// Started, where it is down.
+    /// Starts processes that are down.
     Start(ProcessSelector),
-    /// Stands still, or goes on.
+    /// Pauses (true) or resumes processes.
     Stall(ProcessSelector, bool),
-    /// A link from one site to another.
+    /// Sets the state of the link from one site to another.
     Link(usize, usize, SiteLink),
-    /// The next bytes on journals' connections from one site to another are changed.
+    /// Corrupts one byte of the next chunk on each journal connection from one site to another.
     CorruptByte(usize, usize),
 }
 
-/// An act at its time.
+/// An action with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteStep {
-    /// From the start of the run.
+    /// Time from the start of the run, in microseconds.
     pub at: Micros,
-    /// What happens.
+    /// The action.
     pub action: SiteAction,
 }
 
-/// A trial of sites.
+/// A script for a cluster of sites.
 #[derive(Clone, Debug)]
 pub struct SitesScript {
-    /// The bed.
+    /// Parameters of the cluster.
     pub spec: SitesSpec,
-    /// How long it runs.
+    /// Duration of the run, in microseconds.
     pub span: Micros,
-    /// What happens, by time.
+    /// Actions, sorted by time.
     pub steps: Vec<SiteStep>,
 }
 
-/// Reads a script's `sites`.
-pub(crate) fn sites(root: Element, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> SitesScript {
-    let own = root.child("sites").unwrap_or(root);
-    let number = |node: &Element, name: &str, absent: u64, faults: &mut Vec<Fault>| {
-        node.parse_attribute::<u64>(name, faults).unwrap_or(absent)
+/// Reads the `sites` element of a script.
+pub(crate) fn read_sites(root: Element, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> SitesScript {
+    let element = root.child("sites").unwrap_or(root);
+    let number = |node: &Element, name: &str, default: u64, faults: &mut Vec<Fault>| {
+        node.parse_attribute::<u64>(name, faults).unwrap_or(default)
     };
-    let mut told = Vec::new();
-    for node in own.children_named("site") {
-        told.push(SiteSpec {
+    let mut sites = Vec::new();
+    for node in element.children_named("site") {
+        sites.push(SiteSpec {
             name: node.attribute("name").unwrap_or_default().into(),
             gateways: number(&node, "gateways", 1, faults) as usize,
             workers: number(&node, "workers", 1, faults) as usize,
             cores: number(&node, "cores", 4, faults) as u32,
             memory_mb: number(&node, "memory-mb", 4_000, faults),
         });
-        if told.iter().filter(|site| site.name == told[told.len() - 1].name).count() > 1 {
-            faults.push(node.fault("a site of this name stands before"));
+        if sites.iter().filter(|site| site.name == sites[sites.len() - 1].name).count() > 1 {
+            faults.push(node.fault("another site has the same name"));
         }
     }
-    let holders = number(&own, "holders", 0, faults) as usize;
-    let gateways: usize = told.iter().map(|site: &SiteSpec| site.gateways).sum();
+    let holders = number(&element, "holders", 0, faults) as usize;
+    let gateways: usize = sites.iter().map(|site: &SiteSpec| site.gateways).sum();
     if holders >= gateways && holders > 0 {
-        faults.push(own.fault(format!("holders must be below the number of gateways, {gateways}")));
+        faults.push(element.fault(format!("holders must be below the number of gateways, {gateways}")));
     }
-    let span = number(&own, "ms", 1_000, faults) * 1_000;
+    let span = number(&element, "ms", 1_000, faults) * 1_000;
     let tenant = |node: &Element, faults: &mut Vec<Fault>| {
         (
             node.attribute("name").unwrap_or_default().to_owned(),
             node.parse_attribute("quota-per-s", faults).unwrap_or(1.0),
         )
     };
-    let tenants = own.children_named("tenant").iter().map(|node| tenant(node, faults)).collect();
+    let tenants = element.children_named("tenant").iter().map(|node| tenant(node, faults)).collect();
     let spec = SitesSpec {
         program: program.into(),
-        sites: told,
-        functions: number(&own, "functions", 4, faults) as usize,
-        work_ms: number(&own, "work-ms", 20, faults),
-        load_ms: number(&own, "load-ms", 500, faults),
+        sites,
+        functions: number(&element, "functions", 4, faults) as usize,
+        work_ms: number(&element, "work-ms", 20, faults),
+        load_ms: number(&element, "load-ms", 500, faults),
         holders,
-        standalone: own.bool_attribute("alone").unwrap_or(false),
+        standalone: element.bool_attribute("alone").unwrap_or(false),
         tenants,
         links: BTreeMap::new(),
         loads: Vec::new(),
         env: Vec::new(),
         seed,
     };
-    let mut read = Reader { spec, span, steps: Vec::new() };
-    for node in own.children_named("link") {
-        let link = read.link(node, SiteLink::default(), faults);
-        let pairs = read.pairs(node, faults);
-        read.spec.links.extend(pairs.into_iter().map(|pair| (pair, link)));
+    let mut reader = Reader { spec, span, steps: Vec::new() };
+    for node in element.children_named("link") {
+        let link = reader.link(node, SiteLink::default(), faults);
+        let pairs = reader.pairs(node, faults);
+        reader.spec.links.extend(pairs.into_iter().map(|pair| (pair, link)));
     }
-    for node in own.children_named("load") {
-        let load = read.load(node, faults);
-        read.spec.loads.extend(load);
+    for node in element.children_named("load") {
+        let load = reader.load(node, faults);
+        reader.spec.loads.extend(load);
     }
-    for (index, node) in own.children_named("at").into_iter().enumerate() {
-        read.step(node, index as u64, faults);
+    for (index, node) in element.children_named("at").into_iter().enumerate() {
+        reader.step(node, index as u64, faults);
     }
-    // Stable: of two at one time the one written first goes first.
-    read.steps.sort_by_key(|step| step.at);
-    SitesScript { spec: read.spec, span: read.span, steps: read.steps }
+    // A stable sort: actions at the same time stay in the order of the script.
+    reader.steps.sort_by_key(|step| step.at);
+    SitesScript { spec: reader.spec, span: reader.span, steps: reader.steps }
 }
 
 struct Reader {
@@ -124,50 +124,51 @@
 }
 
 impl Reader {
-    /// The site that an attribute names.
+    /// Index of the site named in an attribute.
     fn site(&self, node: Element, name: &str, faults: &mut Vec<Fault>) -> Option<usize> {
-        let told = node.attribute(name)?;
-        let site = self.spec.sites.iter().position(|site| site.name == told);
+        let site_name = node.attribute(name)?;
+        let site = self.spec.sites.iter().position(|site| site.name == site_name);
         if site.is_none() {
-            faults.push(node.fault(format!("{name}: no site is named {told:?}")));
+            faults.push(node.fault(format!("{name}: no site is named {site_name:?}")));
         }
         site
     }
 
-    /// Ordered pairs of sites that `site` and `to` name, both ways: without them, all.
+    /// Ordered pairs of the sites named by `site` and `to`, in both directions unless one-way. A missing attribute means all
+    /// sites.
     fn pairs(&self, node: Element, faults: &mut Vec<Fault>) -> Vec<(usize, usize)> {
         let (site, to) = (self.site(node, "site", faults), self.site(node, "to", faults));
         let one_way =
             node.attribute("do") == Some("one-way") || node.bool_attribute("one-way").unwrap_or(false);
         if one_way && (site.is_none() || to.is_none()) {
-            faults.push(node.fault("one way alone needs site and to"));
+            faults.push(node.fault("one-way needs site and to"));
         }
         let all = 0..self.spec.sites.len();
         let pairs = all.clone().flat_map(|a| all.clone().map(move |b| (a, b))).filter(|(a, b)| a != b);
-        let forth = |a: usize, b: usize| site.is_none_or(|s| s == a) && to.is_none_or(|t| t == b);
-        pairs.filter(|(a, b)| forth(*a, *b) || !one_way && forth(*b, *a)).collect()
+        let matches = |a: usize, b: usize| site.is_none_or(|s| s == a) && to.is_none_or(|t| t == b);
+        pairs.filter(|(a, b)| matches(*a, *b) || !one_way && matches(*b, *a)).collect()
     }
 
-    /// A link as an element tells it, on top of what it is else.
-    fn link(&self, node: Element, usual: SiteLink, faults: &mut Vec<Fault>) -> SiteLink {
+    /// The link that an element describes; missing attributes are taken from `base`.
+    fn link(&self, node: Element, base: SiteLink, faults: &mut Vec<Fault>) -> SiteLink {
         let micros = |ms: f64| (ms * 1_000.0) as Micros;
-        let (least, most) = usual.delay_range;
+        let (least, most) = base.delay_range;
         let delay = node.parse_attribute("delay-ms", faults).map_or(least, micros);
         let jitter = node.parse_attribute("jitter-ms", faults).map_or(most - least, micros);
         SiteLink {
             delay_range: (delay, delay + jitter),
-            loss_rate: node.parse_attribute("lost", faults).unwrap_or(usual.loss_rate),
-            duplicate_rate: node.parse_attribute("doubled", faults).unwrap_or(usual.duplicate_rate),
-            bytes_per_s: node.parse_attribute("bytes-per-s", faults).or(usual.bytes_per_s),
-            ..usual
+            loss_rate: node.parse_attribute("lost", faults).unwrap_or(base.loss_rate),
+            duplicate_rate: node.parse_attribute("doubled", faults).unwrap_or(base.duplicate_rate),
+            bytes_per_s: node.parse_attribute("bytes-per-s", faults).or(base.bytes_per_s),
+            ..base
         }
     }
 
     fn load(&self, node: Element, faults: &mut Vec<Fault>) -> Option<LoadSpec> {
         let site = self.site(node, "site", faults)?;
-        let class = node.attribute("class").map(|told| CLASSES.iter().position(|(name, _)| *name == told));
+        let class = node.attribute("class").map(|class| CLASSES.iter().position(|(name, _)| *name == class));
         if class == Some(None) {
-            faults.push(node.fault("class is view, note or extract"));
+            faults.push(node.fault("class must be view, note or extract"));
         }
         let mut millis = |name: &str| node.parse_attribute::<u64>(name, faults).map(|ms| ms * 1_000);
         let span = millis("from-ms").unwrap_or(0)..millis("until-ms").unwrap_or(self.span);
@@ -177,7 +178,7 @@
             .parse_attribute::<usize>("functions", faults)
             .unwrap_or(self.spec.functions.saturating_sub(first));
         if count == 0 || first + count > self.spec.functions {
-            faults.push(node.fault(format!("functions end past the last of {}", self.spec.functions)));
+            faults.push(node.fault(format!("functions exceed the {} of the class", self.spec.functions)));
         }
         let tenant = node.attribute("tenant").unwrap_or_default().to_owned();
         if !tenant.is_empty() && !self.spec.tenants.iter().any(|(name, _)| *name == tenant) {
@@ -198,64 +199,66 @@
         })
     }
 
-    /// Whom `site`, and `gateway` or `worker` by its number there, name; `any` is drawn.
-    fn who(&self, node: Element, index: u64, faults: &mut Vec<Fault>) -> Option<ProcessSelector> {
+    /// The processes named by `site` and optionally `gateway` or `worker`, a number within the site; `any` is drawn.
+    fn processes(&self, node: Element, index: u64, faults: &mut Vec<Fault>) -> Option<ProcessSelector> {
         let Some(site) = self.site(node, "site", faults) else {
-            faults.push(node.fault("this act needs site"));
+            faults.push(node.fault("this action needs site"));
             return None;
         };
-        let told = self.spec.sites.get(site)?;
-        let mut one = |name: &str, count: usize| {
+        let site_spec = self.spec.sites.get(site)?;
+        let mut number_of = |name: &str, count: usize| {
             let text = node.attribute(name)?;
             let number = match text {
                 "any" => Some(Cluster::seeded_index(self.spec.seed, index, count)),
                 text => text.parse().ok().filter(|n| *n < count),
             };
             if number.is_none() {
-                faults.push(node.fault(format!("{name}: any or from 0 to {}", count.saturating_sub(1))));
+                faults
+                    .push(node.fault(format!("{name} must be any or from 0 to {}", count.saturating_sub(1))));
             }
             number
         };
-        let before = |all: Vec<usize>| all.iter().position(|s| *s == site).unwrap_or(0);
-        if let Some(gateway) = one("gateway", told.gateways) {
-            return Some(ProcessSelector::Gateway(before(self.spec.gateways()) + gateway));
+        let first_of_site = |all: Vec<usize>| all.iter().position(|s| *s == site).unwrap_or(0);
+        if let Some(gateway) = number_of("gateway", site_spec.gateways) {
+            return Some(ProcessSelector::Gateway(first_of_site(self.spec.gateways()) + gateway));
         }
-        if let Some(worker) = one("worker", told.workers) {
-            return Some(ProcessSelector::Worker(before(self.spec.workers()) + worker));
+        if let Some(worker) = number_of("worker", site_spec.workers) {
+            return Some(ProcessSelector::Worker(first_of_site(self.spec.workers()) + worker));
         }
         Some(ProcessSelector::Site(site))
     }
 
-    /// A step, and its end where it has one.
+    /// Reads a step: its action and, with `for-ms`, the action that ends it.
     fn step(&mut self, node: Element, index: u64, faults: &mut Vec<Fault>) {
         let at = node.parse_attribute::<u64>("ms", faults).unwrap_or(0) * 1_000;
-        let lasts = node.parse_attribute::<u64>("for-ms", faults).map(|ms| ms * 1_000);
-        let add = |steps: &mut Vec<SiteStep>, act: SiteAction, end: Option<SiteAction>| {
-            steps.push(SiteStep { at, action: act });
-            steps.extend(lasts.zip(end).map(|(lasts, act)| SiteStep { at: at + lasts, action: act }));
+        let duration = node.parse_attribute::<u64>("for-ms", faults).map(|ms| ms * 1_000);
+        let add = |steps: &mut Vec<SiteStep>, action: SiteAction, end: Option<SiteAction>| {
+            steps.push(SiteStep { at, action });
+            steps.extend(duration.zip(end).map(|(duration, action)| SiteStep { at: at + duration, action }));
         };
-        let what = node.attribute("do").unwrap_or_default();
-        match what {
+        let name = node.attribute("do").unwrap_or_default();
+        match name {
             "kill" | "stop" | "start" | "stall" => {
-                let Some(who) = self.who(node, index, faults) else { return };
-                let (act, end) = match what {
-                    "kill" => (SiteAction::Kill(who), Some(SiteAction::Start(who))),
-                    "stop" => (SiteAction::Stop(who), Some(SiteAction::Start(who))),
-                    "start" => (SiteAction::Start(who), None),
-                    _ => (SiteAction::Stall(who, true), Some(SiteAction::Stall(who, false))),
+                let Some(selector) = self.processes(node, index, faults) else { return };
+                let (action, end) = match name {
+                    "kill" => (SiteAction::Kill(selector), Some(SiteAction::Start(selector))),
+                    "stop" => (SiteAction::Stop(selector), Some(SiteAction::Start(selector))),
+                    "start" => (SiteAction::Start(selector), None),
+                    _ => (SiteAction::Stall(selector, true), Some(SiteAction::Stall(selector, false))),
                 };
-                add(&mut self.steps, act, end);
+                add(&mut self.steps, action, end);
             }
             "stall-control" => {
-                let Some(who) = self.who(node, index, faults) else { return };
-                let value = format!("{}:{}", at / 1_000, lasts.unwrap_or(20_000_000) / 1_000);
+                let Some(selector) = self.processes(node, index, faults) else { return };
+                let value = format!("{}:{}", at / 1_000, duration.unwrap_or(20_000_000) / 1_000);
                 let of = self.spec.gateways();
-                let meant = |i: &usize| match who {
+                let selected = |i: &usize| match selector {
                     ProcessSelector::Site(site) => of[*i] == site,
                     ProcessSelector::Gateway(one) => *i == one,
                     ProcessSelector::Worker(_) => false,
                 };
-                let vars = (0..of.len()).filter(meant).map(|i| (i, STALL_CONTROL.to_owned(), value.clone()));
+                let vars =
+                    (0..of.len()).filter(selected).map(|i| (i, STALL_CONTROL.to_owned(), value.clone()));
                 self.spec.env.extend(vars);
             }
             "change-byte" => {
@@ -267,7 +270,7 @@
                 for (from, to) in self.pairs(node, faults) {
                     let usual = self.spec.link(from, to);
                     let link = self.link(node, usual, faults);
-                    let link = match what {
+                    let link = match name {
                         "cut" => SiteLink { broken: true, ..usual },
                         "stalled" | "one-way" => SiteLink { blackhole: true, ..usual },
                         _ => link,
@@ -284,40 +287,40 @@
 }
 
 impl SiteAction {
-    /// Does it.
+    /// Performs the action.
     ///
     /// # Errors
-    /// Where a process does not come up or does not end.
-    pub fn perform(&self, bed: &mut SiteCluster) -> Result<(), HarnessError> {
+    /// A process did not start or exit in time.
+    pub fn perform(&self, cluster: &mut SiteCluster) -> Result<(), HarnessError> {
         match self {
-            Self::Kill(who) => bed.kill(*who),
-            Self::Stop(who) => bed.stop(*who)?,
-            Self::Start(who) => bed.up(*who)?,
-            Self::Stall(who, still) => bed.stall(*who, *still),
-            Self::Link(from, to, link) => bed.set_link(*from, *to, *link),
-            Self::CorruptByte(from, to) => bed.corrupt_byte(*from, *to),
+            Self::Kill(selector) => cluster.kill(*selector),
+            Self::Stop(selector) => cluster.stop(*selector)?,
+            Self::Start(selector) => cluster.up(*selector)?,
+            Self::Stall(selector, paused) => cluster.stall(*selector, *paused),
+            Self::Link(from, to, link) => cluster.set_link(*from, *to, *link),
+            Self::CorruptByte(from, to) => cluster.corrupt_byte(*from, *to),
         }
         Ok(())
     }
 }
 
-/// Plays a script; gives the bed, its last clients perhaps still waiting, to be finished and judged.
+/// Runs a script. Returns the cluster, whose last clients may still be waiting, to be finished and checked.
 ///
 /// # Errors
-/// Where the bed can't be made, or a process is not as the script has it.
+/// The cluster cannot be started, or an action failed.
 pub fn run_sites(script: &SitesScript) -> Result<SiteCluster, HarnessError> {
-    let mut bed = SiteCluster::start(script.spec.clone())?;
-    // Clients come once the gateways know of one another; those that never agree are called all the same.
-    let _ = bed.spec.standalone || bed.wait_for_agreement(AGREE);
-    bed.start_clients()?;
-    let began = bed.began;
-    let until = |at: Micros| {
+    let mut cluster = SiteCluster::start(script.spec.clone())?;
+    // Clients start once the gateways agree on the live members, or after the timeout if they do not.
+    let _ = cluster.spec.standalone || cluster.wait_for_agreement(AGREEMENT_TIMEOUT);
+    cluster.start_clients()?;
+    let began = cluster.began;
+    let sleep_until = |at: Micros| {
         std::thread::sleep(Duration::from_micros((began + at).saturating_sub(monotonic())));
     };
     for step in script.steps.iter().take_while(|step| step.at <= script.span) {
-        until(step.at);
-        step.action.perform(&mut bed)?;
+        sleep_until(step.at);
+        step.action.perform(&mut cluster)?;
     }
-    until(script.span);
-    Ok(bed)
+    sleep_until(script.span);
+    Ok(cluster)
 }
--- a/crates/faulttest/tests/hollow.rs
+++ b/crates/faulttest/tests/hollow.rs
@@ -1,4 +1,4 @@
-//! Hollow members without processes: links, needs, the system's table of sockets, scripts, rows.
+//! Hollow members without processes: simulated network, resource estimate, socket drops, scripts and CSV rows.
 use basaltward_faulttest::{
     Delays, HollowAction, HollowError, HollowReport, HollowScript, LoadedScript, MachineLimits,
     NetworkConditions, Partition, ResourceEstimate, Row, Topology, Value, csv_rows, load, socket_drops,
@@ -11,8 +11,8 @@
 
 const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/trial");
 
-/// Four zones of ten in two regions.
-fn links() -> NetworkConditions {
+/// A network without faults: four zones of ten members in two regions.
+fn network() -> NetworkConditions {
     let topology = Topology { members: 40, zones: 4, regions: 2 };
     NetworkConditions {
         topology,
@@ -25,43 +25,44 @@
 }
 
 #[test]
-fn a_link_has_the_delay_of_its_places_and_a_cut_loses_both_directions_and_nothing_inside() {
+fn delay_depends_on_zones_and_a_partition_drops_both_directions_across_it_only() {
     let mut rng = StdRng::seed_from_u64(1);
-    let mut fate = |links: &NetworkConditions, from, to| links.copy_delays(from, to, &mut rng)[0];
-    // Members 0 and 5 share a zone, 0 and 15 a region, 0 and 25 nothing.
+    let mut first_delay = |network: &NetworkConditions, from, to| network.copy_delays(from, to, &mut rng)[0];
+    // Members 0 and 5 share a zone, 0 and 15 a region; 0 and 25 share neither.
     let cases = [(0, 5, 300), (0, 15, 1_500), (0, 25, 60_000)];
     for (one, other, delay) in cases {
-        assert_eq!(fate(&links(), one, other), Some(delay));
-        assert_eq!(fate(&links(), other, one), Some(delay));
+        assert_eq!(first_delay(&network(), one, other), Some(delay));
+        assert_eq!(first_delay(&network(), other, one), Some(delay));
     }
-    let late = fate(&NetworkConditions { jitter: 0.5, ..links() }, 0, 25).expect("it arrives");
-    assert!((60_001..=90_000).contains(&late), "{late}");
-    for (cut, lost) in [
+    let delay = first_delay(&NetworkConditions { jitter: 0.5, ..network() }, 0, 25)
+        .expect("the datagram is not lost");
+    assert!((60_001..=90_000).contains(&delay), "{delay}");
+    for (partition, lost) in [
         (Partition::Zone(1), [false, true, false]),
         (Partition::Zone(0), [false, true, true]),
         (Partition::Region(1), [false, false, true]),
     ] {
-        let links = NetworkConditions { partition: Some(cut), ..links() };
+        let network = NetworkConditions { partition: Some(partition), ..network() };
         for ((one, other, _), lost) in cases.into_iter().zip(lost) {
-            assert_eq!(fate(&links, one, other).is_none(), lost, "{cut:?} {one} {other}");
-            assert_eq!(fate(&links, other, one).is_none(), lost, "{cut:?} {other} {one}");
+            assert_eq!(first_delay(&network, one, other).is_none(), lost, "{partition:?} {one} {other}");
+            assert_eq!(first_delay(&network, other, one).is_none(), lost, "{partition:?} {other} {one}");
         }
     }
 }
 
 #[test]
-fn datagrams_are_lost_and_doubled_by_their_shares() {
+fn loss_and_duplication_follow_their_rates() {
     let mut rng = StdRng::seed_from_u64(1);
-    let links = NetworkConditions { loss_rate: 0.2, duplicate_rate: 0.1, ..links() };
-    let fates: Vec<_> = (0..10_000).map(|_| links.copy_delays(0, 1, &mut rng)).collect();
-    let lost = fates.iter().filter(|fate| fate[0].is_none()).count();
-    let doubled = fates.iter().filter(|fate| fate[1].is_some()).count();
+    let network = NetworkConditions { loss_rate: 0.2, duplicate_rate: 0.1, ..network() };
+    let delays: Vec<_> = (0..10_000).map(|_| network.copy_delays(0, 1, &mut rng)).collect();
+    let lost = delays.iter().filter(|copies| copies[0].is_none()).count();
+    let doubled = delays.iter().filter(|copies| copies[1].is_some()).count();
     assert!((1_800..2_200).contains(&lost), "{lost}");
-    assert!((680..920).contains(&doubled), "{doubled} of those that are not lost");
+    assert!((680..920).contains(&doubled), "{doubled} duplicated of those not lost");
 }
 
 #[test]
-fn zones_are_of_nearly_one_size_and_hold_every_member_once() {
+fn zones_have_nearly_equal_sizes_and_contain_every_member_once() {
     let topology = Topology { members: 1_900, zones: 7, regions: 2 };
     let zones: Vec<_> = (0..7).map(|zone| topology.members_of_zone(zone)).collect();
     assert!(zones.iter().all(|zone| (271..=272).contains(&zone.len())));
@@ -71,21 +72,21 @@
 }
 
 #[test]
-fn what_does_not_fit_the_machine_is_refused_by_what_it_lacks() {
+fn run_beyond_the_machine_limits_is_refused_with_the_missing_resource() {
     let machine = MachineLimits { descriptors: 20_000, memory_bytes: 24 << 30 };
-    let needs = ResourceEstimate::new(1_870, 30, 4);
-    assert!(needs.check(&machine).is_ok(), "{needs:?}");
-    let few = MachineLimits { descriptors: needs.descriptors - 1, ..machine };
-    assert!(matches!(needs.check(&few), Err(HollowError::Descriptors { .. })));
-    let small = MachineLimits { memory_bytes: needs.memory_bytes * 2 - 2, ..machine };
-    assert!(matches!(needs.check(&small), Err(HollowError::Memory { .. })));
-    let just = MachineLimits { memory_bytes: needs.memory_bytes * 2, descriptors: needs.descriptors };
-    assert!(needs.check(&just).is_ok());
+    let estimate = ResourceEstimate::new(1_870, 30, 4);
+    assert!(estimate.check(&machine).is_ok(), "{estimate:?}");
+    let few = MachineLimits { descriptors: estimate.descriptors - 1, ..machine };
+    assert!(matches!(estimate.check(&few), Err(HollowError::Descriptors { .. })));
+    let small = MachineLimits { memory_bytes: estimate.memory_bytes * 2 - 2, ..machine };
+    assert!(matches!(estimate.check(&small), Err(HollowError::Memory { .. })));
+    let just = MachineLimits { memory_bytes: estimate.memory_bytes * 2, descriptors: estimate.descriptors };
+    assert!(estimate.check(&just).is_ok());
     assert!(matches!(ResourceEstimate::new(10, 400, 1).check(&machine), Err(HollowError::Processes { .. })));
     assert!(matches!(ResourceEstimate::new(10_000, 0, 4).check(&machine), Err(HollowError::Memory { .. })));
 }
 
-/// Two sockets of ours, one of another host, and a line that is none.
+/// Two sockets of the tested address, one of another address, and an incomplete line.
 const TABLE: &str = "   sl  local_address rem_address   st tx_queue rx_queue tr tm->when retrnsmt   uid  timeout inode ref pointer drops
   601: FA05407F:2710 00000000:0000 07 00000000:00000000 00:00000000 00000000     0        0 9001 2 0000000000000000 7
   602: FA05407F:2711 00000000:0000 07 00000000:00000300 00:00000000 00000000     0        0 9002 2 0000000000000000 0
@@ -93,20 +94,20 @@
   torn";
 
 #[test]
-fn drops_are_read_by_host_and_kept_after_a_socket_is_gone() {
+fn drops_are_read_by_address_and_counted_after_a_socket_is_closed() {
     let mut known = BTreeMap::new();
     let host = [127, 64, 5, 250].into();
     let seen = socket_drops(host, TABLE);
     assert_eq!(seen, BTreeMap::from([(9001, 7), (9002, 0)]));
     assert_eq!(total_drops(&mut known, seen), 7);
-    // The first is closed, and a third has its address.
+    // The first socket was closed, and a third one now has its address.
     let later = TABLE.replace("9001 2 0000000000000000 7", "9004 2 0000000000000000 2");
     assert_eq!(total_drops(&mut known, socket_drops(host, &later)), 9);
     assert_eq!(total_drops(&mut known, socket_drops(host, &later)), 9);
 }
 
 #[test]
-fn rows_tell_what_was_not_reached() {
+fn csv_rows_mark_series_that_did_not_settle() {
     let mut report = HollowReport { size: 300, loss_rate: 0.05, ..HollowReport::default() };
     report.rows.insert("settle_start_ms", Row { value: Value::Measured(1_234.4), unit: "ms" });
     report.rows.insert("settle_kill_one_ms", Row { value: Value::Unsettled, unit: "ms" });
@@ -122,16 +123,16 @@
 fn read(text: &str, name: &str) -> Result<HollowScript, String> {
     let path: PathBuf = std::env::temp_dir().join(format!("hollow-{}-{name}.xml", std::process::id()));
     std::fs::write(&path, text).expect("written");
-    let told = load(&path, Path::new("program"), None);
+    let loaded = load(&path, Path::new("program"), None);
     std::fs::remove_file(&path).expect("removed");
-    match told {
+    match loaded {
         Ok(LoadedScript::Hollow(script)) => Ok(script),
-        Ok(_) => panic!("not of hollow members"),
+        Ok(_) => panic!("not a script of hollow members"),
         Err(error) => Err(error.to_string()),
     }
 }
 
-const GOOD: &str = r#"<trial xmlns="urn:basaltward:trial:1" seed="9">
+const VALID_SCRIPT: &str = r#"<trial xmlns="urn:basaltward:trial:1" seed="9">
   <hollow count="40" real="4" zones="4" regions="2" lost="0.05">
     <step do="quiet" for-ms="10"/>
     <step do="kill" members="11"/>
@@ -143,29 +144,29 @@
 </trial>"#;
 
 #[test]
-fn a_script_is_read_with_its_usual_figures() {
-    let script = read(GOOD, "good").expect("good");
+fn script_is_read_with_default_values() {
+    let script = read(VALID_SCRIPT, "good").expect("valid script");
     assert_eq!((script.spec.members(), script.spec.real, script.spec.loops, script.spec.seed), (44, 4, 1, 9));
     assert_eq!(
         script.spec.conditions.delays,
         Delays { within_zone_us: 300, between_zones_us: 1_500, between_regions_us: 60_000 }
     );
-    let acts: Vec<_> = script.steps.iter().map(|step| step.action).collect();
+    let actions: Vec<_> = script.steps.iter().map(|step| step.action).collect();
     assert_eq!(
-        acts,
+        actions,
         [
             HollowAction::MeasureIdle { after: 0, span: 10_000 },
             HollowAction::KillMembers(11),
             HollowAction::KillZone(3),
             HollowAction::Start,
             HollowAction::Partition(Partition::Region(1), 10_000),
-            HollowAction::Loss { lost: 0.2, doubled: 0.0 },
+            HollowAction::Loss { loss_rate: 0.2, duplicate_rate: 0.0 },
         ]
     );
 }
 
 #[test]
-fn bad_values_are_refused_by_line_and_field() {
+fn invalid_values_are_refused_with_line_and_field() {
     let cases = [
         ("count=\"40\"", "count=\"0\"", 2, "count"),
         ("count=\"40\"", "count=\"10001\"", 2, "count"),
@@ -187,16 +188,19 @@
         ("lost=\"0.2\"", "lost=\"-1\"", 8, "lost"),
     ];
     for (number, (from, to, line, field)) in cases.into_iter().enumerate() {
-        let text = GOOD.replace(from, to);
-        assert_ne!(text, GOOD, "{from}");
-        let why = read(&text, &number.to_string()).expect_err(to);
-        assert!(why.contains(&format!("line {line}")) || why.contains(&format!(":{line}:")), "{to}: {why}");
-        assert!(why.contains(field), "{to}: {why}");
+        let text = VALID_SCRIPT.replace(from, to);
+        assert_ne!(text, VALID_SCRIPT, "{from}");
+        let error = read(&text, &number.to_string()).expect_err(to);
+        assert!(
+            error.contains(&format!("line {line}")) || error.contains(&format!(":{line}:")),
+            "{to}: {error}"
+        );
+        assert!(error.contains(field), "{to}: {error}");
     }
 }
 
 #[test]
-fn the_examples_are_good() {
+fn example_scripts_are_valid() {
     for (name, members) in [
         ("hollow", 63),
         ("hollow-300", 300),
@@ -204,8 +208,8 @@
         ("hollow-1900", 1_900),
         ("hollow-1900-slow", 1_900),
     ] {
-        let told = load(&Path::new(EXAMPLES).join(format!("{name}.xml")), Path::new("program"), None);
-        let Ok(LoadedScript::Hollow(script)) = told else { panic!("{name}: {told:?}") };
+        let loaded = load(&Path::new(EXAMPLES).join(format!("{name}.xml")), Path::new("program"), None);
+        let Ok(LoadedScript::Hollow(script)) = loaded else { panic!("{name}: {loaded:?}") };
         assert_eq!(script.spec.members(), members, "{name}");
     }
 }
