--- a/crates/bench/src/agreed.rs
+++ b/crates/bench/src/agreed.rs
@@ -126,7 +126,7 @@
         bed
     };
     let ask = |by: usize, request: PermitRequest| {
-        send_operator_command(bed.peers[by], OperatorCommand::Request(request))
+        send_operator_command(bed.peer_addresses[by], OperatorCommand::Request(request))
     };
     let permit = |by: usize, of: Subject, patience: Duration| {
         let from = monotonic();
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -55,7 +55,7 @@
     let all = bed.finish()?;
     let verdict = check_cluster(&bed, &all);
     let parties = bed.schedulers.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
-    keep(options, &all, &timeline_lanes(parties, &bed.network.faults, (bed.began, end)))?;
+    keep(options, &all, &timeline_lanes(parties, &bed.network.fault_log, (bed.started_at, end)))?;
     tell(&verdict)
 }
 
@@ -76,7 +76,11 @@
     let told = check_sites(&bed, &all);
     let gateways = bed.gateways.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
     let workers = bed.workers.iter().enumerate().map(|(w, process)| (Party::Worker(w), process));
-    keep(options, &all, &timeline_lanes(gateways.chain(workers), &bed.network.faults, (bed.began, end)))?;
+    keep(
+        options,
+        &all,
+        &timeline_lanes(gateways.chain(workers), &bed.network.fault_log, (bed.clients_started_at, end)),
+    )?;
     if let Some(folder) = &options.records {
         for (number, process) in bed.gateways.iter().enumerate() {
             write(folder.join(format!("n{number}.log")), process.output().join("\n"))?;
--- a/crates/cli/tests/agreed.rs
+++ b/crates/cli/tests/agreed.rs
@@ -36,7 +36,7 @@
 /// Asks through a scheduler, as an operator does.
 fn fleet(bed: &Cluster, through: usize, args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_basaltward"));
-    command.arg("fleet").args(args).arg("--of").arg(bed.peers[through].to_string());
+    command.arg("fleet").args(args).arg("--of").arg(bed.peer_addresses[through].to_string());
     command.output().expect("it runs")
 }
 
@@ -157,7 +157,7 @@
     std::fs::write(&run, text).expect("written");
     let mode = std::os::unix::fs::PermissionsExt::from_mode(0o755);
     std::fs::set_permissions(&run, mode).expect("it may be run");
-    let through = bed.peers.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
+    let through = bed.peer_addresses.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
     let begin = || {
         let mut command = Command::new(env!("CARGO_BIN_EXE_basaltward"));
         command.args(["fleet", "release", "--to", "b", "--wait", "100", "--run"]).arg(&run);
@@ -205,7 +205,7 @@
 fn a_wave_of_drains_ends_whole_through_a_kill_a_stall_and_a_cut() {
     let most = Limit::Number(2);
     let mut bed = bed(8, 12, Bounds { workers: most, workers_of_zone: most, ..one() });
-    let through = bed.peers.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
+    let through = bed.peer_addresses.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
     let ask = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_basaltward"));
         command.arg("fleet").args(args).args(["--of", &through]).output().expect("it runs")
--- a/crates/cli/tests/sites.rs
+++ b/crates/cli/tests/sites.rs
@@ -17,7 +17,7 @@
         site,
         class,
         functions: 0..2,
-        rate: 40.0,
+        calls_per_s: 40.0,
         span: 0..2_000_000,
         patience: 2_000_000,
         duplicate_share: repeats,
--- a/crates/faulttest/src/checker.rs
+++ b/crates/faulttest/src/checker.rs
@@ -95,7 +95,7 @@
 pub fn check_cluster(cluster: &Cluster, records: &[Record]) -> Verdict {
     let schedulers: Vec<_> = cluster.schedulers.iter().enumerate().collect();
     let call_targets: Vec<_> =
-        schedulers.iter().map(|(i, p)| (cluster.listens[*i], Party::Scheduler(*i), *p)).collect();
+        schedulers.iter().map(|(i, p)| (cluster.listen_addresses[*i], Party::Scheduler(*i), *p)).collect();
     let (mut verdict, records) = check_common(records, &rules(), (&call_targets, &cluster.network));
     verdict.violations.extend(stale_member_states(&records));
     verdict.violations.extend(permit_violations(cluster, &records));
@@ -145,7 +145,7 @@
 pub(crate) fn exit_violations(party: Party, process: &Process) -> Vec<FleetViolation> {
     let end = |(_, change): &(Micros, StateChange)| match change {
         StateChange::Crashed => Some(FleetViolation::Crashed(party.to_string())),
-        StateChange::Ended(false) => Some(FleetViolation::UncleanExit(party.to_string())),
+        StateChange::Exited(false) => Some(FleetViolation::UncleanExit(party.to_string())),
         _ => None,
     };
     process.changes.iter().filter_map(end).collect()
@@ -210,7 +210,7 @@
                 StateChange::Resumed => {
                     fault_intervals.extend(since.take().map(|from| (from, *t + RECOVERY_US)))
                 }
-                StateChange::Killed | StateChange::Ended(_) => drop(since.get_or_insert(*t)),
+                StateChange::Killed | StateChange::Exited(_) => drop(since.get_or_insert(*t)),
                 // After a restart there is no backlog to recover from.
                 StateChange::Up => fault_intervals.extend(since.take().map(|from| (from, *t))),
                 StateChange::Stopping | StateChange::Crashed => {}
@@ -219,7 +219,7 @@
         fault_intervals.extend(since.map(|from| (from, Micros::MAX)));
         let link = Link { from: Party::Clients, to: *party };
         let mut since = None;
-        for (t, _, what) in network.faults.iter().filter(|(_, on, _)| *on == link) {
+        for (t, _, what) in network.fault_log.iter().filter(|(_, on, _)| *on == link) {
             match (what.as_str(), since) {
                 ("pass", Some(from)) => {
                     fault_intervals.push((from, *t + RECOVERY_US));
--- a/crates/faulttest/src/cluster.rs
+++ b/crates/faulttest/src/cluster.rs
@@ -39,10 +39,10 @@
     Settings(#[from] ConfigError),
     /// The script has sites but no gateways.
     #[error("a cluster of sites needs at least one gateway")]
-    Empty,
+    NoGateways,
     /// The thread of the clients panicked.
     #[error("the thread of the clients panicked")]
-    Clients,
+    ClientsPanicked,
 }
 
 /// Parameters of a cluster of schedulers.
@@ -76,9 +76,9 @@
     /// The schedulers, by number.
     pub schedulers: Vec<Process>,
     /// Listen address of each scheduler for calls.
-    pub listens: Vec<SocketAddr>,
+    pub listen_addresses: Vec<SocketAddr>,
     /// Address of each scheduler for datagrams of its peers.
-    pub peers: Vec<SocketAddr>,
+    pub peer_addresses: Vec<SocketAddr>,
     /// The relays on all links.
     pub network: Network,
     /// The stand-in for the bulletin.
@@ -92,7 +92,7 @@
     /// Relay addresses by which each scheduler reaches each other, by number.
     mesh: Vec<Vec<SocketAddr>>,
     /// Start of the run.
-    pub began: Micros,
+    pub started_at: Micros,
     clients: Option<Clients>,
     client_addresses: Vec<SocketAddr>,
     workspace: Workspace,
@@ -160,15 +160,15 @@
         let mut cluster = Self {
             spec,
             schedulers,
-            listens,
-            peers,
+            listen_addresses: listens,
+            peer_addresses: peers,
             network: ways,
             board,
             workers,
             recorder,
             default_faults: DatagramFaults::default(),
             mesh,
-            began,
+            started_at: began,
             clients,
             client_addresses,
             workspace,
@@ -243,7 +243,8 @@
         let classes = CLASSES.iter().map(|(name, patience, _)| ((*name).to_owned(), *patience)).collect();
         let pause = Duration::from_millis(self.spec.pause_ms);
         let spec = ClientSpec { classes, functions: FUNCTIONS, pause };
-        let to: Vec<_> = self.client_addresses.iter().copied().zip(self.listens.iter().copied()).collect();
+        let to: Vec<_> =
+            self.client_addresses.iter().copied().zip(self.listen_addresses.iter().copied()).collect();
         self.clients = Some(Clients::start(&spec, &self.recorder, &to));
     }
 
@@ -304,7 +305,7 @@
     /// # Errors
     /// It did not answer.
     pub fn fetch_view(&self, i: usize) -> Result<StatusResponse, HarnessError> {
-        Ok(fetch_membership(self.peers[i])?)
+        Ok(fetch_membership(self.peer_addresses[i])?)
     }
 
     /// Schedulers whose process runs and is not paused.
--- a/crates/faulttest/src/hollow/counters.rs
+++ b/crates/faulttest/src/hollow/counters.rs
@@ -20,13 +20,13 @@
     /// Processor time in microseconds.
     pub cpu_us: Micros,
     /// Maximum number of bytes that one member sent within one second of the clock, since the last reset.
-    pub worst_second_bytes: u64,
+    pub max_bytes_per_second: u64,
     /// Maximum delay in microseconds with which a loop delivered a datagram or woke a member, since the last reset.
-    pub worst_late_us: Micros,
+    pub max_late_us: Micros,
     /// Operations: datagrams delivered and members woken.
     pub operations: u64,
     /// Operations more than 20 ms late. If these are more than a few, the machine was too busy for valid measurements.
-    pub late: u64,
+    pub late_operations: u64,
     /// False deaths: running members that another member considered gone, counted once for each such observer.
     pub false_deaths: u64,
 }
@@ -52,9 +52,9 @@
         self.cpu_us += other.cpu_us;
         self.false_deaths += other.false_deaths;
         self.operations += other.operations;
-        self.late += other.late;
-        self.worst_second_bytes = self.worst_second_bytes.max(other.worst_second_bytes);
-        self.worst_late_us = self.worst_late_us.max(other.worst_late_us);
+        self.late_operations += other.late_operations;
+        self.max_bytes_per_second = self.max_bytes_per_second.max(other.max_bytes_per_second);
+        self.max_late_us = self.max_late_us.max(other.max_late_us);
     }
 
     /// The difference to an earlier reading; maxima are kept as they are.
@@ -67,7 +67,7 @@
             cpu_us: self.cpu_us.saturating_sub(earlier.cpu_us),
             false_deaths: self.false_deaths - earlier.false_deaths,
             operations: self.operations - earlier.operations,
-            late: self.late - earlier.late,
+            late_operations: self.late_operations - earlier.late_operations,
             ..*self
         }
     }
@@ -81,7 +81,7 @@
 
     /// Share of late operations.
     pub fn late_share(&self) -> f64 {
-        self.counters.late as f64 / self.counters.operations.max(1) as f64
+        self.counters.late_operations as f64 / self.counters.operations.max(1) as f64
     }
 
     /// Average bytes per second sent by a member.
--- a/crates/faulttest/src/hollow/real_members.rs
+++ b/crates/faulttest/src/hollow/real_members.rs
@@ -41,7 +41,7 @@
         let targets = [target(&Party::Worker(0).to_string(), worker.address(), "Ready")];
         let cluster = ClusterSpec {
             program: spec.program.clone(),
-            schedulers: spec.real.max(1),
+            schedulers: spec.real_members.max(1),
             workers: 1,
             work_ms: WORK.as_millis() as u64,
             pause_ms: 0,
@@ -49,7 +49,7 @@
             seed: spec.seed,
         };
         let mut processes = Vec::new();
-        for number in 0..spec.real {
+        for number in 0..spec.real_members {
             let listen = workspace.reserve(number)?;
             let config = workspace.file(&format!("n{number}.json"));
             let settings =
@@ -60,7 +60,7 @@
             processes.push(Process::scheduler(&name, &spec.program, &config, &records));
         }
         let mut real = Self { processes, _board: board, _worker: worker };
-        real.start_all(&vec![true; spec.real])?;
+        real.start_all(&vec![true; spec.real_members])?;
         Ok(real)
     }
 
--- a/crates/faulttest/src/hollow/run.rs
+++ b/crates/faulttest/src/hollow/run.rs
@@ -45,14 +45,14 @@
 /// does not agree in time is not an error; the report lists such steps.
 pub fn run_hollow(script: &HollowScript, print: &mut dyn FnMut(String)) -> Result<HollowReport, HollowError> {
     let spec = &script.spec;
-    let estimate = ResourceEstimate::new(spec.count, spec.real, spec.loops);
+    let estimate = ResourceEstimate::new(spec.hollow_members, spec.real_members, spec.loops);
     let machine = MachineLimits::read()?;
     print(format!(
         "{} hollow members on {} loops and {} real processes; needs {} of {} descriptors, about {} of {} MB of \
          memory, {} processes",
-        spec.count,
+        spec.hollow_members,
         spec.loops,
-        spec.real,
+        spec.real_members,
         estimate.descriptors,
         machine.descriptors,
         estimate.memory_bytes >> 20,
@@ -141,7 +141,7 @@
             let line = format!("members at {first} to {last}, real ones first");
             run.print_line(line);
         }
-        let all: Vec<_> = (spec.real as MemberId..spec.members() as MemberId).collect();
+        let all: Vec<_> = (spec.real_members as MemberId..spec.members() as MemberId).collect();
         let opened = spec.now();
         for (batch, members) in all.chunks(start_batch_size(spec)).enumerate() {
             run.shards.open(members)?;
@@ -207,7 +207,7 @@
 
     fn agreement(&mut self) -> Result<Agreement, HollowError> {
         let running = self.running()?;
-        let real: Vec<SocketAddr> = (0..self.script.spec.real)
+        let real: Vec<SocketAddr> = (0..self.script.spec.real_members)
             .filter(|number| running[*number])
             .map(|number| self.shared.peers[number])
             .collect();
@@ -274,18 +274,19 @@
         if let Some(series) = series {
             self.report.add(series, "ms", value);
         }
-        let worst = window.counters.worst_second_bytes as f64;
+        let worst = window.counters.max_bytes_per_second as f64;
         self.report.add("bytes_per_s_storm_worst", "B/s", Value::Measured(worst));
         self.report.add("cpu_us_per_s_storm", "us/s", Value::Measured(window.cpu_us_per_s()));
         let held = resident_bytes().saturating_sub(self.idle_bytes) as f64;
-        let each = held / self.script.spec.count.max(1) as f64;
+        let each = held / self.script.spec.hollow_members.max(1) as f64;
         self.report.add("memory_bytes_member", "B", Value::Measured(each));
         Ok(())
     }
 
     fn window(&mut self, from: Micros, before: LoopCounters) -> Result<Window, HollowError> {
         let counters = self.counters(true)?.since(&before);
-        let members = self.running()?.iter().skip(self.script.spec.real).filter(|runs| **runs).count();
+        let members =
+            self.running()?.iter().skip(self.script.spec.real_members).filter(|runs| **runs).count();
         Ok(Window { counters, span_us: self.now() - from, members })
     }
 
@@ -312,7 +313,7 @@
                 self.kill(&members, &format!("kill of zone {zone}"), "settle_kill_zone_ms")
             }
             HollowAction::Permit => self.permit(index),
-            HollowAction::Start => self.restart(),
+            HollowAction::StartDeadMembers => self.restart(),
             HollowAction::Partition(partition, span) => self.partition(partition, span),
         }
     }
@@ -339,7 +340,7 @@
     /// Queries until a member may be taken down, and prints how long that took.
     fn permit(&mut self, index: usize) -> Result<(), HollowError> {
         let (spec, running) = (&self.script.spec, self.running()?);
-        let mut all: Vec<_> = (spec.real..spec.members()).filter(|member| running[*member]).collect();
+        let mut all: Vec<_> = (spec.real_members..spec.members()).filter(|member| running[*member]).collect();
         let mut rng = StdRng::seed_from_u64(spec.seed ^ (index as u64) << 32);
         all.shuffle(&mut rng);
         let [through, subject_number, ..] = all[..] else { return Ok(()) };
@@ -373,7 +374,7 @@
         // Real members are in the first zone.
         let zone = if topology.zones > 1 { rng.random_range(1..topology.zones) } else { 0 };
         let mut members = topology.members_of_zone(zone);
-        members.retain(|member| usize::from(*member) >= spec.real && running[usize::from(*member)]);
+        members.retain(|member| usize::from(*member) >= spec.real_members && running[usize::from(*member)]);
         let first = rng.random_range(0..=members.len().saturating_sub(count));
         Ok(members.into_iter().skip(first).take(count).collect())
     }
@@ -385,7 +386,7 @@
             members.iter().for_each(|member| state.running[usize::from(*member)] = false)
         })?;
         let from = self.now();
-        let real = self.script.spec.real;
+        let real = self.script.spec.real_members;
         for member in members.iter().map(|member| usize::from(*member)).filter(|member| *member < real) {
             self.real.processes[member].kill();
         }
@@ -402,9 +403,9 @@
     fn restart(&mut self) -> Result<(), HollowError> {
         let (spec, running) = (&self.script.spec, self.running()?);
         let down: Vec<_> = (0..spec.members()).filter(|member| !running[*member]).collect();
-        let (real, hollow): (Vec<_>, Vec<_>) = down.iter().partition(|member| **member < spec.real);
+        let (real, hollow): (Vec<_>, Vec<_>) = down.iter().partition(|member| **member < spec.real_members);
         let before = self.counters(true)?;
-        let marked: Vec<_> = (0..spec.real).map(|number| real.contains(&number)).collect();
+        let marked: Vec<_> = (0..spec.real_members).map(|number| real.contains(&number)).collect();
         self.real.start_all(&marked)?;
         self.shards.open(&hollow.iter().map(|member| *member as MemberId).collect::<Vec<_>>())?;
         self.update_state(|state| state.running.fill(true))?;
@@ -460,7 +461,7 @@
 /// Number of members per batch, if the start is spread over a time.
 fn start_batch_size(spec: &HollowSpec) -> usize {
     let batches = (spec.start_us / START_BATCH_US).max(1) as usize;
-    spec.count.div_ceil(batches).max(1)
+    spec.hollow_members.div_ceil(batches).max(1)
 }
 
 fn describe_window(window: &Window) -> String {
@@ -468,11 +469,11 @@
         "a member sent {:.0} B/s, at worst {} B in a second, took {:.0} us/s; {} false deaths believed; {:.2}% done late, \
          by {:.0} ms at worst",
         window.bytes_per_s(),
-        window.counters.worst_second_bytes,
+        window.counters.max_bytes_per_second,
         window.cpu_us_per_s(),
         window.counters.false_deaths,
         window.late_share() * 100.0,
-        window.counters.worst_late_us as f64 / 1e3
+        window.counters.max_late_us as f64 / 1e3
     )
 }
 
--- a/crates/faulttest/src/hollow/script.rs
+++ b/crates/faulttest/src/hollow/script.rs
@@ -22,9 +22,9 @@
     /// The program that the real members run.
     pub program: PathBuf,
     /// Number of hollow members.
-    pub count: usize,
+    pub hollow_members: usize,
     /// Number of real members; they come first in the list.
-    pub real: usize,
+    pub real_members: usize,
     /// Initial state of the simulated network.
     pub conditions: NetworkConditions,
     /// Whether members agree on permits, with the default bounds.
@@ -68,7 +68,7 @@
     /// Kills all members of a zone at once.
     KillZone(usize),
     /// Starts all dead members again.
-    Start,
+    StartDeadMembers,
     /// Partitions a zone or region for a time in microseconds; the run waits for agreement after the partition has ended.
     Partition(Partition, Micros),
 }
@@ -102,7 +102,7 @@
 
     /// Total number of hollow and real members.
     pub fn members(&self) -> usize {
-        self.count + self.real
+        self.hollow_members + self.real_members
     }
 }
 
@@ -152,8 +152,8 @@
         NetworkConditions { topology, delays, jitter, loss_rate, duplicate_rate, partition: None };
     HollowSpec {
         program: program.into(),
-        count,
-        real,
+        hollow_members: count,
+        real_members: real,
         conditions,
         permits: part.bool_attribute("permits").unwrap_or_default(),
         calls_per_member_s: calls_per_s,
@@ -188,7 +188,7 @@
             let mut share = |name: &str| node.parse_attribute::<f64>(name, faults).unwrap_or(0.0);
             HollowAction::Loss { loss_rate: share("lost"), duplicate_rate: share("doubled") }
         }
-        ("start", None, None, None, None) => HollowAction::Start,
+        ("start", None, None, None, None) => HollowAction::StartDeadMembers,
         ("permit", None, None, None, None) if spec.permits => HollowAction::Permit,
         ("kill", Some(zone), None, None, None) => HollowAction::KillZone(zone),
         ("kill", None, None, Some(members), None) => {
@@ -224,7 +224,7 @@
 fn max_neighbours(spec: &HollowSpec) -> usize {
     let topology = spec.conditions.topology;
     match topology.zones {
-        0 | 1 => spec.count,
+        0 | 1 => spec.hollow_members,
         zones => topology.members / zones,
     }
 }
--- a/crates/faulttest/src/hollow/shard.rs
+++ b/crates/faulttest/src/hollow/shard.rs
@@ -161,7 +161,7 @@
             Command::Status { reset, reply } => {
                 let _ = reply.send(self.status());
                 if reset {
-                    (self.counters.worst_second_bytes, self.counters.worst_late_us) = (0, 0);
+                    (self.counters.max_bytes_per_second, self.counters.max_late_us) = (0, 0);
                 }
             }
             Command::Stop => {}
@@ -230,7 +230,7 @@
         for _ in 0..READ_BATCH {
             let Some((length, from)) = self.io.receive_from_system(socket, &mut bytes) else { break };
             let sender = self.shared.numbers.get(&from).copied();
-            match sender.filter(|sender| usize::from(*sender) < self.shared.spec.real) {
+            match sender.filter(|sender| usize::from(*sender) < self.shared.spec.real_members) {
                 Some(real) => {
                     let delays = self.conditions.copy_delays(real, number, &mut self.rng);
                     for delay in delays.into_iter().flatten() {
@@ -350,8 +350,8 @@
     /// Counts an operation with its delay.
     fn count_operation(&mut self, delay: Micros) {
         self.operations += 1;
-        self.late += u64::from(delay > LATE_US);
-        self.worst_late_us = self.worst_late_us.max(delay);
+        self.late_operations += u64::from(delay > LATE_US);
+        self.max_late_us = self.max_late_us.max(delay);
     }
 
     /// Counts a datagram sent by a member.
@@ -363,7 +363,7 @@
             member.second = (second, 0);
         }
         member.second.1 += bytes;
-        self.worst_second_bytes = self.worst_second_bytes.max(member.second.1);
+        self.max_bytes_per_second = self.max_bytes_per_second.max(member.second.1);
     }
 }
 
--- a/crates/faulttest/src/network.rs
+++ b/crates/faulttest/src/network.rs
@@ -12,7 +12,7 @@
     /// The relays.
     pub relay: Relay,
     /// Log of the faults set on links, with the time of each; `pass` ends a fault of the connections.
-    pub faults: Vec<(Micros, Link, String)>,
+    pub fault_log: Vec<(Micros, Link, String)>,
     /// Bytes that crossed a link while it was stopped, which the relay must not allow.
     pub leaks: Vec<(Link, u64)>,
     /// Byte counts per direction at the time when that direction of the link was stopped.
@@ -28,7 +28,7 @@
     pub fn new(relay: Relay) -> Self {
         let (bytes_when_stopped, connection_modes, shapings, target_down) = Default::default();
         let (faults, leaks) = (Vec::new(), Vec::new());
-        Self { relay, faults, leaks, bytes_when_stopped, connection_modes, shapings, target_down }
+        Self { relay, fault_log: faults, leaks, bytes_when_stopped, connection_modes, shapings, target_down }
     }
 
     /// Sets how the connections of a link are treated from now on.
@@ -74,7 +74,7 @@
     }
 
     fn log_fault(&mut self, link: Link, description: String) {
-        self.faults.push((monotonic(), link, description));
+        self.fault_log.push((monotonic(), link, description));
     }
 
     fn bytes_carried(&self, link: Link) -> [u64; 2] {
--- a/crates/faulttest/src/process.rs
+++ b/crates/faulttest/src/process.rs
@@ -37,7 +37,7 @@
     /// SIGTERM was sent.
     Stopping,
     /// It exited after SIGTERM; true for exit status 0.
-    Ended(bool),
+    Exited(bool),
     /// It was killed with SIGKILL.
     Killed,
     /// It was paused with SIGSTOP.
@@ -213,7 +213,7 @@
         let until = std::time::Instant::now() + START_STOP_TIMEOUT;
         while std::time::Instant::now() < until {
             if let Some(status) = child.try_wait()? {
-                self.log_change(StateChange::Ended(status.success()));
+                self.log_change(StateChange::Exited(status.success()));
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(5));
--- a/crates/faulttest/src/site_checker.rs
+++ b/crates/faulttest/src/site_checker.rs
@@ -56,7 +56,7 @@
 
 /// Checks a finished run.
 pub fn check_sites(cluster: &SiteCluster, records: &[Record]) -> SitesVerdict {
-    let gateways = cluster.gateways.iter().zip(&cluster.listens).enumerate();
+    let gateways = cluster.gateways.iter().zip(&cluster.listen_addresses).enumerate();
     let call_targets: Vec<CallTarget> = gateways.map(|(i, (p, at))| (*at, Party::Scheduler(i), p)).collect();
     let mut rules = rule_settings(&cluster.config, &[]);
     let workers = (0..cluster.workers.len()).map(|w| (Party::Worker(w).to_string(), w as u64));
@@ -91,7 +91,7 @@
 impl<'a> SentCalls<'a> {
     fn from_records(cluster: &SiteCluster, records: &'a [Record]) -> Self {
         let gateways: BTreeMap<_, _> =
-            cluster.listens.iter().enumerate().map(|(i, at)| (at.to_string(), i)).collect();
+            cluster.listen_addresses.iter().enumerate().map(|(i, at)| (at.to_string(), i)).collect();
         let (mut first, mut at) = (BTreeMap::new(), BTreeSet::new());
         for record in records {
             let Observation::RequestSent { event, class, to, .. } = &record.observation else { continue };
@@ -182,7 +182,7 @@
                     FinalAnswer::Served => {
                         site.served += 1;
                         site.latencies.push(t - began);
-                        let second = (t.saturating_sub(cluster.began) / 1_000_000) as usize;
+                        let second = (t.saturating_sub(cluster.clients_started_at) / 1_000_000) as usize;
                         site.served_per_second.resize(site.served_per_second.len().max(second + 1), 0);
                         site.served_per_second[second] += 1;
                     }
--- a/crates/faulttest/src/site_cluster.rs
+++ b/crates/faulttest/src/site_cluster.rs
@@ -43,7 +43,7 @@
     /// The workers, by number.
     pub workers: Vec<Process>,
     /// Listen address of each gateway for calls.
-    pub listens: Vec<SocketAddr>,
+    pub listen_addresses: Vec<SocketAddr>,
     /// Relay address by which clients reach each gateway.
     pub client_addresses: Vec<SocketAddr>,
     /// Addresses by which each gateway reaches the fronts of all gateways, by number.
@@ -55,7 +55,7 @@
     /// Records of the clients.
     pub recorder: Recorder,
     /// Start of the clients.
-    pub began: Micros,
+    pub clients_started_at: Micros,
     /// Settings of the first gateway; the settings of the checked rules derive from them.
     pub config: Config,
     /// Site of each gateway and of each worker, by number.
@@ -148,7 +148,7 @@
         };
         let workers = worker_at.iter().enumerate().map(worker).collect();
         let ways = Network::new(relays.start(spec.seed)?);
-        let config = config.ok_or(HarnessError::Empty)?;
+        let config = config.ok_or(HarnessError::NoGateways)?;
         let recorder = Recorder::memory();
         let (began, links, clients) = (monotonic(), BTreeMap::new(), None);
         let sites_of = (of, at);
@@ -156,13 +156,13 @@
             spec,
             gateways,
             workers,
-            listens,
+            listen_addresses: listens,
             client_addresses,
             front_addresses,
             datagram_addresses,
             network: ways,
             recorder,
-            began,
+            clients_started_at: began,
             config,
             sites_of,
             links,
@@ -174,7 +174,7 @@
             cluster.set_link(from, to, cluster.spec.link(from, to));
         }
         for site in 0..cluster.spec.sites.len() {
-            cluster.up(ProcessSelector::Site(site))?;
+            cluster.start_processes(ProcessSelector::Site(site))?;
         }
         Ok(cluster)
     }
@@ -213,7 +213,7 @@
     ///
     /// # Errors
     /// A process did not become ready.
-    pub fn up(&mut self, selector: ProcessSelector) -> Result<(), HarnessError> {
+    pub fn start_processes(&mut self, selector: ProcessSelector) -> Result<(), HarnessError> {
         let (gateways, workers) = self.selected(selector);
         workers.into_iter().try_for_each(|w| self.workers[w].start())?;
         gateways.into_iter().try_for_each(|i| self.gateways[i].start())?;
@@ -341,10 +341,13 @@
     /// # Errors
     /// The system cannot create the event loop or the thread of the clients.
     pub fn start_clients(&mut self) -> Result<(), HarnessError> {
-        let clients =
-            Clients::through(self.client_addresses.clone(), self.listens.clone(), self.recorder.clone())?;
+        let clients = Clients::through(
+            self.client_addresses.clone(),
+            self.listen_addresses.clone(),
+            self.recorder.clone(),
+        )?;
         let plans = plans(&self.spec, &self.sites_of.0);
-        self.began = monotonic();
+        self.clients_started_at = monotonic();
         let run = move || clients.run(plans);
         self.clients = Some(std::thread::Builder::new().name("clients".into()).spawn(run)?);
         Ok(())
@@ -356,7 +359,8 @@
     /// # Errors
     /// A process did not exit in time, or records cannot be read.
     pub fn finish(&mut self) -> Result<(Vec<Record>, Tally), HarnessError> {
-        let clients = self.clients.take().map(|thread| thread.join().map_err(|_| HarnessError::Clients));
+        let clients =
+            self.clients.take().map(|thread| thread.join().map_err(|_| HarnessError::ClientsPanicked));
         let tally = clients.transpose()?.transpose()?.unwrap_or_default();
         // Gateways first, so that they can finish their calls at the workers.
         for process in self.gateways.iter_mut().chain(&mut self.workers) {
--- a/crates/faulttest/src/site_script.rs
+++ b/crates/faulttest/src/site_script.rs
@@ -188,7 +188,7 @@
             site,
             class: class.flatten(),
             functions: first..first + count.max(1),
-            rate: node.parse_attribute("rate", faults).unwrap_or(10.0),
+            calls_per_s: node.parse_attribute("rate", faults).unwrap_or(10.0),
             span,
             patience,
             duplicate_share: node.parse_attribute("repeats", faults).unwrap_or(0.0),
@@ -295,7 +295,7 @@
         match self {
             Self::Kill(selector) => cluster.kill(*selector),
             Self::Stop(selector) => cluster.stop(*selector)?,
-            Self::Start(selector) => cluster.up(*selector)?,
+            Self::Start(selector) => cluster.start_processes(*selector)?,
             Self::Stall(selector, paused) => cluster.stall(*selector, *paused),
             Self::Link(from, to, link) => cluster.set_link(*from, *to, *link),
             Self::CorruptByte(from, to) => cluster.corrupt_byte(*from, *to),
@@ -313,7 +313,7 @@
     // Clients start once the gateways agree on the live members, or after the timeout if they do not.
     let _ = cluster.spec.standalone || cluster.wait_for_agreement(AGREEMENT_TIMEOUT);
     cluster.start_clients()?;
-    let began = cluster.began;
+    let began = cluster.clients_started_at;
     let sleep_until = |at: Micros| {
         std::thread::sleep(Duration::from_micros((began + at).saturating_sub(monotonic())));
     };
--- a/crates/faulttest/src/site_spec.rs
+++ b/crates/faulttest/src/site_spec.rs
@@ -84,7 +84,7 @@
     /// Numbers of the called functions of each class.
     pub functions: Range<usize>,
     /// Calls per second.
-    pub rate: f64,
+    pub calls_per_s: f64,
     /// Time span in which clients send calls, in microseconds of the run.
     pub span: Range<Micros>,
     /// Total time that a client waits, retries included, in microseconds.
--- a/crates/faulttest/src/site_workload.rs
+++ b/crates/faulttest/src/site_workload.rs
@@ -18,7 +18,7 @@
         let mut at = load.span.start as f64;
         for event in 0_u64.. {
             // Poisson arrivals at the configured rate.
-            at += -(1.0 - rng.random::<f64>()).ln() * 1e6 / load.rate.max(1e-3);
+            at += -(1.0 - rng.random::<f64>()).ln() * 1e6 / load.calls_per_s.max(1e-3);
             if at >= load.span.end as f64 || gateways.is_empty() {
                 break;
             }
--- a/crates/faulttest/src/timeline.rs
+++ b/crates/faulttest/src/timeline.rs
@@ -42,7 +42,7 @@
                 StateChange::Up | StateChange::Resumed => Some("up"),
                 StateChange::Stalled => Some("stalled"),
                 StateChange::Stopping => Some("stopping"),
-                StateChange::Ended(_) | StateChange::Killed | StateChange::Crashed => None,
+                StateChange::Exited(_) | StateChange::Killed | StateChange::Crashed => None,
             };
             change_state(*t, next, &mut intervals);
         }
--- a/crates/faulttest/tests/hollow.rs
+++ b/crates/faulttest/tests/hollow.rs
@@ -146,7 +146,10 @@
 #[test]
 fn script_is_read_with_default_values() {
     let script = read(VALID_SCRIPT, "good").expect("valid script");
-    assert_eq!((script.spec.members(), script.spec.real, script.spec.loops, script.spec.seed), (44, 4, 1, 9));
+    assert_eq!(
+        (script.spec.members(), script.spec.real_members, script.spec.loops, script.spec.seed),
+        (44, 4, 1, 9)
+    );
     assert_eq!(
         script.spec.conditions.delays,
         Delays { within_zone_us: 300, between_zones_us: 1_500, between_regions_us: 60_000 }
@@ -158,7 +161,7 @@
             HollowAction::MeasureIdle { after: 0, span: 10_000 },
             HollowAction::KillMembers(11),
             HollowAction::KillZone(3),
-            HollowAction::Start,
+            HollowAction::StartDeadMembers,
             HollowAction::Partition(Partition::Region(1), 10_000),
             HollowAction::Loss { loss_rate: 0.2, duplicate_rate: 0.0 },
         ]
