--- a/crates/faulttest/src/capture.rs
+++ b/crates/faulttest/src/capture.rs
@@ -117,16 +117,16 @@
         Some(Self { decoder, link, from_connector })
     }
 
-    /// Adds what is complete with these bytes to `out`.
-    pub fn take(&mut self, t: Micros, bytes: &[u8], out: &mut CapturedTraffic) {
+    /// Decodes bytes that crossed the relay at `time`. Adds what they complete to `out`.
+    pub fn decode(&mut self, time: Micros, bytes: &[u8], out: &mut CapturedTraffic) {
         let decodable = match &mut self.decoder {
-            Decoder::Calls(decoder, seen) => {
-                seen.extend_from_slice(bytes);
-                calls(t, self.link, (decoder, seen), &mut out.forwarded_calls)
+            Decoder::Calls(decoder, buffer) => {
+                buffer.extend_from_slice(bytes);
+                decode_calls(time, self.link, (decoder, buffer), &mut out.forwarded_calls)
             }
             Decoder::Frames(decoder) => {
                 decoder.push(&mut bytes.into());
-                frames(t, (self.link, self.from_connector), decoder, &mut out.journal_messages)
+                decode_frames(time, (self.link, self.from_connector), decoder, &mut out.journal_messages)
             }
             Decoder::Undecodable => true,
         };
@@ -136,19 +136,20 @@
     }
 }
 
-fn calls(
-    t: Micros,
+/// Decodes forwarded calls from the buffered bytes. Returns false if these are not valid HTTP.
+fn decode_calls(
+    time: Micros,
     link: Link,
-    (decoder, seen): (&mut RequestDecoder, &mut BytesMut),
+    (decoder, buffer): (&mut RequestDecoder, &mut BytesMut),
     out: &mut Vec<ForwardedCall>,
 ) -> bool {
     loop {
-        match decoder.decode(seen) {
+        match decoder.decode(buffer) {
             Ok(Decoded::Message(request)) => {
                 let field = |name: &str| request.headers.get(name);
                 let Some((source, id)) = field("ce-source").zip(field("ce-id")) else { continue };
                 let hops = field("ce-hops").and_then(|hops| hops.parse().ok());
-                out.push(ForwardedCall { time: t, link, event: format!("{source}#{id}"), hops });
+                out.push(ForwardedCall { time, link, event: format!("{source}#{id}"), hops });
             }
             Ok(_) => return true,
             Err(_) => return false,
@@ -156,8 +157,9 @@
     }
 }
 
-fn frames(
-    t: Micros,
+/// Decodes journal messages from frames. Returns false if the bytes are not valid frames.
+fn decode_frames(
+    time: Micros,
     (link, from_connector): (Link, bool),
     decoder: &mut basaltward_peers::FrameDecoder,
     out: &mut Vec<JournalMessage>,
@@ -167,8 +169,8 @@
     loop {
         match decoder.next_frame() {
             Ok(Some(frame)) if frame.channel == Channel::Pending as u8 => {
-                let seen = glance(&frame.payload, MAX_ENTRY_BYTES).unwrap_or_default();
-                out.extend(seen.into_iter().map(|what| JournalMessage { time: t, from, to, content: what }));
+                let messages = glance(&frame.payload, MAX_ENTRY_BYTES).unwrap_or_default();
+                out.extend(messages.into_iter().map(|content| JournalMessage { time, from, to, content }));
             }
             Ok(Some(_)) => {}
             Ok(None) => return true,
--- a/crates/faulttest/src/checker.rs
+++ b/crates/faulttest/src/checker.rs
@@ -22,25 +22,26 @@
     Crashed(String),
     /// A process exited after SIGTERM with a failure status.
     UncleanExit(String),
-    /// A process sent so many datagrams of more than the 256 bytes that the platform allows.
+    /// Datagrams of more than the 256 bytes that the platform allows: the link and their number.
     OversizedDatagram(Link, u64),
-    /// A process sent so many datagrams from an address that is not its own.
+    /// Datagrams from an address that is not the sender's own: the link and their number.
     WrongSource(Link, u64),
-    /// A scheduler, without a restart, went from a later incarnation of the given member back to an earlier one.
+    /// A scheduler went back from a later incarnation of a member to an earlier one without a restart in between: its name and
+    /// the member's number.
     StaleMemberState(String, u16),
-    /// The agreed permits allow so many schedulers or workers to be down at once, more than the bound.
+    /// The agreed permits allow more schedulers or workers to be down at once than the bound: which of them, and how many.
     PermitBoundExceeded(&'static str, usize),
-    /// Two schedulers have different permits under the same epoch and version.
+    /// Two schedulers have different permits under this epoch and version.
     PermitFork((u64, u16), u32),
-    /// So many bytes crossed a link while it was cut, which is a fault of the harness itself.
+    /// Bytes crossed a link while it was cut, which is a fault of the harness itself: the link and their number.
     LinkLeak(Link, u64),
-    /// A keyed or unsafe event took effect more than once, at these workers.
+    /// A keyed or unsafe event took effect more than once: its name and the workers.
     DuplicateEffect(String, Vec<String>),
-    /// An event was forwarded this often; the limit is one hop.
+    /// A call was forwarded more than once: the event's name and the number of hops.
     TooManyHops(String, u32),
-    /// An acknowledged kept event ended without an outcome or with several; these are the outcomes.
+    /// An acknowledged kept event did not end, or a journal ended it twice: its name and the outcomes.
     WrongEnd(String, Vec<String>),
-    /// An event was reported as not executed, though a worker executed it.
+    /// An event was refused as not executed, though a worker executed it.
     FalseRefusal(String),
 }
 
@@ -159,11 +160,11 @@
         match what {
             Observation::Up { .. } => known.retain(|(observer, _), _| observer != by),
             Observation::MemberState { member: of, start, refutations: bump, .. } => {
-                let held = known.entry((by, *of)).or_default();
-                if (*start, *bump) < *held {
+                let latest = known.entry((by, *of)).or_default();
+                if (*start, *bump) < *latest {
                     found.insert(FleetViolation::StaleMemberState(by.clone(), *of));
                 }
-                *held = (*start, *bump);
+                *latest = (*start, *bump);
             }
             _ => {}
         }
@@ -175,7 +176,7 @@
 fn permit_violations(cluster: &Cluster, records: &[Record]) -> BTreeSet<FleetViolation> {
     let mut found = BTreeSet::new();
     let Some(bounds) = cluster.spec.bounds else { return found };
-    let of = [
+    let limits = [
         ("schedulers", "scheduler ", bounds.schedulers.to_count(cluster.schedulers.len())),
         ("workers", "worker ", bounds.workers.to_count(cluster.workers.len())),
     ];
@@ -185,9 +186,9 @@
         if *known.entry((*epoch, *version)).or_insert(permits) != permits {
             found.insert(FleetViolation::PermitFork(*epoch, *version));
         }
-        for (what, kind, most) in of {
+        for (what, kind, max) in limits {
             let count = permits.iter().filter(|permit| permit.starts_with(kind)).count();
-            if count > most {
+            if count > max {
                 found.insert(FleetViolation::PermitBoundExceeded(what, count));
             }
         }
@@ -201,35 +202,33 @@
     network: &Network,
 ) -> BTreeMap<String, Vec<(Micros, Micros)>> {
     let mut all: BTreeMap<String, Vec<(Micros, Micros)>> = BTreeMap::new();
-    for (listens, party, process) in call_targets {
-        let fault_intervals = all.entry(listens.to_string()).or_default();
+    for (address, party, process) in call_targets {
+        let intervals = all.entry(address.to_string()).or_default();
         let mut since = None;
         for (t, change) in &process.changes {
             match change {
                 StateChange::Stalled => since = Some(*t),
-                StateChange::Resumed => {
-                    fault_intervals.extend(since.take().map(|from| (from, *t + RECOVERY_US)))
-                }
+                StateChange::Resumed => intervals.extend(since.take().map(|from| (from, *t + RECOVERY_US))),
                 StateChange::Killed | StateChange::Exited(_) => drop(since.get_or_insert(*t)),
                 // After a restart there is no backlog to recover from.
-                StateChange::Up => fault_intervals.extend(since.take().map(|from| (from, *t))),
+                StateChange::Up => intervals.extend(since.take().map(|from| (from, *t))),
                 StateChange::Stopping | StateChange::Crashed => {}
             }
         }
-        fault_intervals.extend(since.map(|from| (from, Micros::MAX)));
+        intervals.extend(since.map(|from| (from, Micros::MAX)));
         let link = Link { from: Party::Clients, to: *party };
         let mut since = None;
         for (t, _, what) in network.fault_log.iter().filter(|(_, on, _)| *on == link) {
             match (what.as_str(), since) {
                 ("pass", Some(from)) => {
-                    fault_intervals.push((from, *t + RECOVERY_US));
+                    intervals.push((from, *t + RECOVERY_US));
                     since = None;
                 }
                 ("pass", None) | (_, Some(_)) => {}
                 (_, None) => since = Some(*t),
             }
         }
-        fault_intervals.extend(since.map(|from| (from, Micros::MAX)));
+        intervals.extend(since.map(|from| (from, Micros::MAX)));
     }
     all
 }
--- a/crates/faulttest/src/cluster.rs
+++ b/crates/faulttest/src/cluster.rs
@@ -155,14 +155,14 @@
             let records = workspace.file(&format!("n{i}.records"));
             schedulers.push(Process::scheduler(&name(i), &spec.program, &config, &records));
         }
-        let ways = Network::new(relays.start(spec.seed)?);
+        let network = Network::new(relays.start(spec.seed)?);
         let (began, clients) = (monotonic(), None);
         let mut cluster = Self {
             spec,
             schedulers,
             listen_addresses: listens,
             peer_addresses: peers,
-            network: ways,
+            network,
             board,
             workers,
             recorder,
--- a/crates/faulttest/src/process.rs
+++ b/crates/faulttest/src/process.rs
@@ -21,8 +21,8 @@
     /// The system failed to start the process or to wait for it.
     #[error("process: {0}")]
     System(#[from] std::io::Error),
-    /// The process did not print its ready line within 20 s.
-    #[error("{0} did not become ready within 20 s")]
+    /// The process exited before it was ready, or did not print its ready line within 20 s.
+    #[error("{0} did not become ready")]
     NotUp(String),
     /// The process did not exit within 20 s after SIGTERM.
     #[error("{0} did not end")]
@@ -130,7 +130,7 @@
     /// Starts the process and waits until it prints its ready line. One that still runs is killed before.
     ///
     /// # Errors
-    /// The process cannot be started or is not ready within 20 s; it is killed then.
+    /// The process cannot be started, exits before it is ready or is not ready within 20 s; it is killed then.
     pub fn start(&mut self) -> Result<(), ProcessError> {
         self.kill();
         let mut command = Command::new(&self.program);
--- a/crates/faulttest/src/relay_loop.rs
+++ b/crates/faulttest/src/relay_loop.rs
@@ -18,6 +18,7 @@
 
 /// One half of a relayed connection.
 struct Half {
+    /// Index of its route.
     route: usize,
     other: ConnId,
     /// Whether this is the accepted half, which faces the connecting party.
@@ -27,9 +28,12 @@
     capture: Option<Capture>,
 }
 
+/// What a timer delivers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
+    /// A datagram, by its number.
     Datagram(u64),
+    /// The items of a connection half's queue that are due.
     Queue(ConnId),
 }
 
@@ -50,8 +54,8 @@
 
 impl RelayLoop {
     pub fn new(io: Io, (routes, pairs): (Vec<Route>, Vec<Pair>), seed: u64, shared: Arc<Shared>) -> Self {
-        let of = |(number, route): (usize, &Route)| Some((route.listener?, number));
-        let listeners = routes.iter().enumerate().filter_map(of).collect();
+        let by_listener = |(number, route): (usize, &Route)| Some((route.listener?, number));
+        let listeners = routes.iter().enumerate().filter_map(by_listener).collect();
         Self {
             io,
             routes,
@@ -261,7 +265,7 @@
                     if let Some(capture) = &mut half.capture {
                         let mut captured =
                             self.shared.captured.lock().unwrap_or_else(PoisonError::into_inner);
-                        capture.take(now, &bytes, &mut captured);
+                        capture.decode(now, &bytes, &mut captured);
                     }
                     let length = bytes.len() as u64;
                     self.count(link, |c| {
--- a/crates/faulttest/src/site_checker.rs
+++ b/crates/faulttest/src/site_checker.rs
@@ -69,13 +69,10 @@
     let sent = SentCalls::from_records(cluster, &records);
     verdict.violations.extend(duplicate_effects(&records, &rules, &sent));
     verdict.violations.extend(hop_violations(&captured.forwarded_calls, &sent));
-    let (kept, wrong) = check_kept_events(&captured.journal_messages, cluster.spec.holders, &records);
-    verdict.violations.extend(wrong);
-    SitesVerdict {
-        sites: by_site(cluster, &records, &captured.forwarded_calls, &sent),
-        kept_events: kept,
-        verdict,
-    }
+    let (kept_events, kept_violations) =
+        check_kept_events(&captured.journal_messages, cluster.spec.holders, &records);
+    verdict.violations.extend(kept_violations);
+    SitesVerdict { sites: by_site(cluster, &records, &captured.forwarded_calls, &sent), kept_events, verdict }
 }
 
 /// Calls that clients sent.
@@ -153,6 +150,7 @@
     found
 }
 
+/// Results of calls by site.
 fn by_site(
     cluster: &SiteCluster,
     records: &[Record],
@@ -169,15 +167,15 @@
         match what {
             Observation::RequestSent { request_id, event, to, .. } => {
                 let Some(gateway) = sent.gateways.get(to) else { continue };
-                let again = refused.contains(event);
-                attempts_by_id.insert(*request_id, (*t, of[*gateway], event, again));
+                let is_retry = refused.contains(event);
+                attempts_by_id.insert(*request_id, (*t, of[*gateway], event, is_retry));
                 sites[of[*gateway]].attempts += 1;
-                sites[of[*gateway]].retried.0 += u64::from(again);
+                sites[of[*gateway]].retried.0 += u64::from(is_retry);
             }
             Observation::Answered { request_id, answer, .. } => {
-                let Some((began, site, event, again)) = attempts_by_id.get(request_id) else { continue };
+                let Some((began, site, event, is_retry)) = attempts_by_id.get(request_id) else { continue };
                 let site = &mut sites[*site];
-                site.retried.1 += u64::from(*again && *answer != FinalAnswer::Refused);
+                site.retried.1 += u64::from(*is_retry && *answer != FinalAnswer::Refused);
                 match answer {
                     FinalAnswer::Served => {
                         site.served += 1;
@@ -196,8 +194,8 @@
             Observation::Ran { event, .. } => {
                 if let Some(((_, gateway), at)) = sent.first.get(event.as_str()).zip(workers.get(by)) {
                     let there = (0..of.len()).any(|i| of[i] == *at && sent.at.contains(&(event, i)));
-                    let asked_at = if there { *at } else { of[*gateway] };
-                    sites[asked_at].ran_at[*at] += 1;
+                    let counted_site = if there { *at } else { of[*gateway] };
+                    sites[counted_site].ran_at[*at] += 1;
                 }
             }
             _ => {}
--- a/crates/faulttest/src/site_cluster.rs
+++ b/crates/faulttest/src/site_cluster.rs
@@ -147,7 +147,7 @@
             Process::new(&party.to_string(), &spec.program, launch)
         };
         let workers = worker_at.iter().enumerate().map(worker).collect();
-        let ways = Network::new(relays.start(spec.seed)?);
+        let network = Network::new(relays.start(spec.seed)?);
         let config = config.ok_or(HarnessError::NoGateways)?;
         let recorder = Recorder::memory();
         let (began, links, clients) = (monotonic(), BTreeMap::new(), None);
@@ -160,7 +160,7 @@
             client_addresses,
             front_addresses,
             datagram_addresses,
-            network: ways,
+            network,
             recorder,
             clients_started_at: began,
             config,
--- a/crates/faulttest/src/site_script.rs
+++ b/crates/faulttest/src/site_script.rs
@@ -268,17 +268,17 @@
             }
             _ => {
                 for (from, to) in self.pairs(node, faults) {
-                    let usual = self.spec.link(from, to);
-                    let link = self.link(node, usual, faults);
+                    let normal = self.spec.link(from, to);
+                    let link = self.link(node, normal, faults);
                     let link = match name {
-                        "cut" => SiteLink { broken: true, ..usual },
-                        "stalled" | "one-way" => SiteLink { blackhole: true, ..usual },
+                        "cut" => SiteLink { broken: true, ..normal },
+                        "stalled" | "one-way" => SiteLink { blackhole: true, ..normal },
                         _ => link,
                     };
                     add(
                         &mut self.steps,
                         SiteAction::Link(from, to, link),
-                        Some(SiteAction::Link(from, to, usual)),
+                        Some(SiteAction::Link(from, to, normal)),
                     );
                 }
             }
--- a/crates/faulttest/src/site_spec.rs
+++ b/crates/faulttest/src/site_spec.rs
@@ -93,7 +93,7 @@
     pub duplicate_share: f64,
     /// Maximum retries of a client that was not served.
     pub retries: u32,
-    /// Clients retry at the time that a refusal states, instead of at once.
+    /// Clients retry at the time that a refusal states, instead of after a fixed short delay.
     pub honour_retry_after: bool,
     /// Clients also retry keyed and unsafe events whose answer says that they may have run.
     pub retry_uncertain: bool,
