--- a/crates/faulttest/src/capture.rs
+++ b/crates/faulttest/src/capture.rs
@@ -106,7 +106,8 @@
 }
 
 impl Capture {
-    /// A decoder for one direction: bytes from the connecting side or towards it. None if that direction is not decoded.
+    /// A decoder for one direction: bytes from the connecting side or towards it. None if that direction is not
+    /// decoded.
     pub fn new(protocol: CaptureProtocol, link: Link, from_connector: bool) -> Option<Self> {
         let limits = Limits { body: 64 << 20, ..Limits::default() };
         let decoder = match protocol {
--- a/crates/faulttest/src/checker.rs
+++ b/crates/faulttest/src/checker.rs
@@ -1,4 +1,5 @@
-//! Checker of a finished run: checks the five rules over the recorded history and the invariants of a fleet of processes.
+//! Checker of a finished run: checks the five rules over the recorded history and the invariants of a fleet of
+//! processes.
 
 use crate::cluster::{CLASSES, Cluster};
 use crate::link::{Link, Party};
@@ -26,10 +27,11 @@
     OversizedDatagram(Link, u64),
     /// Datagrams from an address that is not the sender's own: the link and their number.
     WrongSource(Link, u64),
-    /// A scheduler went back from a later incarnation of a member to an earlier one without a restart in between: its name and
-    /// the member's number.
+    /// A scheduler went back from a later incarnation of a member to an earlier one without a restart in between: its
+    /// name and the member's number.
     StaleMemberState(String, u16),
-    /// The agreed permits allow more schedulers or workers to be down at once than the bound: which of them, and how many.
+    /// The agreed permits allow more schedulers or workers to be down at once than the bound: which of them, and how
+    /// many.
     PermitBoundExceeded(&'static str, usize),
     /// Two schedulers have different permits under this epoch and version.
     PermitFork((u64, u16), u32),
@@ -80,8 +82,8 @@
     pub violations: Vec<FleetViolation>,
     /// Calls sent, and of these served, refused and failed.
     pub calls: (u64, u64, u64, u64),
-    /// Calls that an injected fault (a paused or stopped scheduler, a cut link) kept from being answered; the rules do not
-    /// apply to them.
+    /// Calls that an injected fault (a paused or stopped scheduler, a cut link) kept from being answered; the rules
+    /// do not apply to them.
     pub excused: u64,
 }
 
--- a/crates/faulttest/src/clients.rs
+++ b/crates/faulttest/src/clients.rs
@@ -1,5 +1,5 @@
-//! Closed-loop clients: each sends a call, waits for its answer up to the patience of the class, pauses and calls again.
-//! Everything that they observe is recorded.
+//! Closed-loop clients: each sends a call, waits for its answer up to the patience of the class, pauses and calls
+//! again. Everything that they observe is recorded.
 
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{FinalAnswer, Observation, Recorder};
@@ -25,7 +25,7 @@
     pub pause: Duration,
 }
 
-/// ClientThread client thread per scheduler.
+/// One client thread per scheduler.
 pub struct Clients {
     stopping: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
--- a/crates/faulttest/src/cluster.rs
+++ b/crates/faulttest/src/cluster.rs
@@ -207,8 +207,8 @@
         Ok(self.schedulers[i].join()?)
     }
 
-    /// Sets the number of members in the list: rewrites the configuration files of those members. A scheduler uses its new
-    /// file after [`Process::reload_config`] or its next start.
+    /// Sets the number of members in the list: rewrites the configuration files of those members. A scheduler uses
+    /// its new file after [`Process::reload_config`] or its next start.
     ///
     /// # Errors
     /// A file cannot be read or written.
@@ -272,8 +272,8 @@
         }
     }
 
-    /// Starts or ends a partition that cuts a group of schedulers off from all others and from workers, bulletin and clients.
-    /// Connections stay open and silent, as when a zone loses its network.
+    /// Starts or ends a partition that cuts a group of schedulers off from all others and from workers, bulletin and
+    /// clients. Connections stay open and silent, as when a zone loses its network.
     pub fn set_partition(&mut self, group: &[usize], cut: bool) {
         let (mode, faults) = match cut {
             true => (ConnectionMode::Stall, DatagramFaults { loss_rate: 1.0, ..self.default_faults }),
--- a/crates/faulttest/src/hollow/mod.rs
+++ b/crates/faulttest/src/hollow/mod.rs
@@ -1,12 +1,12 @@
 //! Hollow members: hundreds to thousands of fleet members in one process, beside real processes of the program.
 //!
-//! A hollow member (the term is that of hollow nodes in Kubernetes) runs the program's own membership code (state machine,
-//! codec and socket handling) on a socket of its own. It serves no calls; the call counts that it gossips are random. Real
-//! and hollow members have the same list of addresses and exchange the same datagrams over loopback.
+//! A hollow member (the term is that of hollow nodes in Kubernetes) runs the program's own membership code (state
+//! machine, codec and socket handling) on a socket of its own. It serves no calls; the call counts that it gossips
+//! are random. Real and hollow members have the same list of addresses and exchange the same datagrams over loopback.
 //!
-//! The process of the hollow members injects delays, losses and partitions: into datagrams of a hollow member before they
-//! are written to the socket, and into datagrams of a real process before the hollow member processes them. Datagrams
-//! between two real processes cross loopback without faults, so all real processes are in one zone.
+//! The process of the hollow members injects delays, losses and partitions: into datagrams of a hollow member before
+//! they are written to the socket, and into datagrams of a real process before the hollow member processes them.
+//! Datagrams between two real processes cross loopback without faults, so all real processes are in one zone.
 
 mod conditions;
 mod counters;
--- a/crates/faulttest/src/hollow/real_members.rs
+++ b/crates/faulttest/src/hollow/real_members.rs
@@ -75,7 +75,8 @@
         Ok(())
     }
 
-    /// Total processor time of the running processes in microseconds, and their number; none if it cannot be read for one.
+    /// Total processor time of the running processes in microseconds, and their number; none if it cannot be read for
+    /// one.
     pub fn cpu_us(&self) -> Option<(Micros, usize)> {
         let pids: Vec<_> = self.processes.iter().filter_map(Process::pid).collect();
         let used = pids.iter().map(|pid| {
--- a/crates/faulttest/src/hollow/resources.rs
+++ b/crates/faulttest/src/hollow/resources.rs
@@ -10,8 +10,8 @@
 const LOOP_DESCRIPTORS: usize = 4;
 /// Descriptors for one real process: its two output streams and its connections to bulletin and worker.
 const REAL_DESCRIPTORS: usize = 6;
-/// Memory of one member for each member in its list: the address twice, the entry, facts and pending gossip. Measured at
-/// 300 to 370 bytes with 300 to 1,900 members.
+/// Memory of one member for each member in its list: the address twice, the entry, facts and pending gossip. Measured
+/// at 300 to 370 bytes with 300 to 1,900 members.
 const PAIR_BYTES: u64 = 500;
 /// Fixed memory of a hollow member in bytes, independent of the list.
 const MEMBER_BYTES: u64 = 64 << 10;
--- a/crates/faulttest/src/hollow/run.rs
+++ b/crates/faulttest/src/hollow/run.rs
@@ -198,8 +198,8 @@
         Ok(counters)
     }
 
-    /// Total of datagrams that the kernel dropped at sockets so far. Must be called before sockets are closed, as their counts
-    /// are gone afterwards.
+    /// Total of datagrams that the kernel dropped at sockets so far. Must be called before sockets are closed, as
+    /// their counts are gone afterwards.
     fn drops(&mut self) -> u64 {
         let table = std::fs::read_to_string("/proc/net/udp").unwrap_or_default();
         total_drops(&mut self.drops, socket_drops(self.host, &table))
@@ -226,8 +226,8 @@
         Ok(Agreement { all, most, members, views: views.len() })
     }
 
-    /// Waits until all members agree after an event. Adds the settle time to the report, if it has a series, and the traffic
-    /// and processor time since `before`.
+    /// Waits until all members agree after an event. Adds the settle time to the report, if it has a series, and the
+    /// traffic and processor time since `before`.
     fn settle(
         &mut self,
         what: &str,
--- a/crates/faulttest/src/hollow/script.rs
+++ b/crates/faulttest/src/hollow/script.rs
@@ -30,7 +30,7 @@
     /// Whether members agree on permits, with the default bounds.
     pub permits: bool,
     /// Average number of calls per second that each hollow member reports.
-    pub calls_per_member_s: f64,
+    pub calls_per_s: f64,
     /// Time over which the starts of hollow members are spread evenly, in microseconds.
     pub start_us: Micros,
     /// Time limit for the fleet to agree after each step, in microseconds.
@@ -60,8 +60,8 @@
         /// Share of datagrams that are duplicated.
         duplicate_rate: f64,
     },
-    /// Queries a hollow member drawn by the seed, as an operator does, whether another may be taken down, until it answers
-    /// yes.
+    /// Queries a hollow member drawn by the seed, as an operator does, whether another may be taken down, until it
+    /// answers yes.
     Permit,
     /// Kills this number of hollow members at once: neighbours in the list within one zone, drawn by the seed.
     KillMembers(usize),
@@ -69,7 +69,8 @@
     KillZone(usize),
     /// Starts all dead members again.
     StartDeadMembers,
-    /// Partitions a zone or region for a time in microseconds; the run waits for agreement after the partition has ended.
+    /// Partitions a zone or region for a time in microseconds; the run waits for agreement after the partition has
+    /// ended.
     Partition(Partition, Micros),
 }
 
@@ -156,7 +157,7 @@
         real_members: real,
         conditions,
         permits: part.bool_attribute("permits").unwrap_or_default(),
-        calls_per_member_s: calls_per_s,
+        calls_per_s,
         start_us,
         settle_us,
         loops,
--- a/crates/faulttest/src/hollow/shard.rs
+++ b/crates/faulttest/src/hollow/shard.rs
@@ -222,8 +222,8 @@
         status
     }
 
-    /// Reads a member's socket. Datagrams of hollow members were delayed before they were sent; those of real members are
-    /// delayed now.
+    /// Reads a member's socket. Datagrams of hollow members were delayed before they were sent; those of real members
+    /// are delayed now.
     fn read(&mut self, socket: usize) {
         let Some(number) = self.owners.get(socket).copied().flatten() else { return };
         let mut bytes = [0; READ_BYTES];
@@ -307,7 +307,7 @@
                 self.wakes.remove(&(at, number));
                 continue;
             };
-            member.draw_calls(now, self.shared.spec.calls_per_member_s);
+            member.draw_calls(now, self.shared.spec.calls_per_s);
             member.transport.wake(&mut self.io, now, |_| 0, &mut self.events);
             self.follow_up(number);
         }
--- a/crates/faulttest/src/hollow/socket_drops.rs
+++ b/crates/faulttest/src/hollow/socket_drops.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// Parses `/proc/net/udp`: drop counts of the IPv4 UDP sockets bound to `host`, by the socket's inode. Lines that cannot
-/// be parsed are skipped.
+/// Parses `/proc/net/udp`: drop counts of the IPv4 UDP sockets bound to `host`, by the socket's inode. Lines that
+/// cannot be parsed are skipped.
 pub fn socket_drops(host: Ipv4Addr, table: &str) -> BTreeMap<u64, u64> {
     let local = format!("{:08X}:", u32::from_le_bytes(host.octets()));
     let parse = |line: &str| {
--- a/crates/faulttest/src/kept_checker.rs
+++ b/crates/faulttest/src/kept_checker.rs
@@ -40,8 +40,8 @@
         self.lines.values().flatten().chain(&self.heir_outcomes).copied().collect()
     }
 
-    /// Whether a journal ends the event twice without accepting it again in between. A line between the two that was not
-    /// captured may have accepted it, so the two ends count only if all lines between them were captured.
+    /// Whether a journal ends the event twice without accepting it again in between. A line between the two that was
+    /// not captured may have accepted it, so the two ends count only if all lines between them were captured.
     fn ended_twice(&self, journals: &BTreeMap<Source, Journal>) -> bool {
         let lines: Vec<_> = self.lines.iter().collect();
         lines.windows(2).any(|pair| {
--- a/crates/faulttest/src/lib.rs
+++ b/crates/faulttest/src/lib.rs
@@ -27,7 +27,8 @@
 mod timeline;
 mod workspace;
 
-/// Loss, duplication and delay of a link's datagrams in one direction; the simulation in virtual time uses the same type.
+/// Loss, duplication and delay of a link's datagrams in one direction; the simulation in virtual time uses the same
+/// type.
 pub use basaltward_membership::LinkFaults as DatagramFaults;
 pub use capture::{CaptureProtocol, CapturedTraffic, ForwardedCall, JournalMessage};
 pub use checker::{FleetViolation, Verdict, check_cluster};
--- a/crates/faulttest/src/process.rs
+++ b/crates/faulttest/src/process.rs
@@ -240,8 +240,8 @@
     }
 }
 
-/// Reads output lines on a thread of its own, so that the process never blocks on a full pipe, and signals `ready` at the
-/// first line that contains `ready_line`.
+/// Reads output lines on a thread of its own, so that the process never blocks on a full pipe, and signals `ready` at
+/// the first line that contains `ready_line`.
 fn read_output(
     stream: Box<dyn Read + Send>,
     ready_line: &'static str,
--- a/crates/faulttest/src/relay.rs
+++ b/crates/faulttest/src/relay.rs
@@ -1,8 +1,8 @@
 //! The relays: one event loop that forwards the connections and datagrams of all links.
 //!
 //! The outgoing half of a relayed connection uses the source port of the incoming half and the IP address of the
-//! connecting scheduler, so that both ends derive the same name for an attempt. A datagram leaves from the address under
-//! which the receiver knows the sender.
+//! connecting scheduler, so that both ends derive the same name for an attempt. A datagram leaves from the address
+//! under which the receiver knows the sender.
 
 use crate::DatagramFaults;
 use crate::capture::{CaptureProtocol, CapturedTraffic};
@@ -111,8 +111,8 @@
         Ok(Self { io, routes: Vec::new(), pairs: Vec::new() })
     }
 
-    /// Adds a link for connections and returns the relay address that leads to `target`. Outgoing connections use `from` as
-    /// their source address, if given.
+    /// Adds a link for connections and returns the relay address that leads to `target`. Outgoing connections use
+    /// `from` as their source address, if given.
     ///
     /// # Errors
     /// The system cannot create the listener.
@@ -144,8 +144,8 @@
         self.routes.iter_mut().last().into_iter().for_each(|route| route.capture = Some(protocol));
     }
 
-    /// Adds datagram links between all `peers`. Returns for each peer the relay addresses that lead to the others, by number,
-    /// with its own address at its own index.
+    /// Adds datagram links between all `peers`. Returns for each peer the relay addresses that lead to the others, by
+    /// number, with its own address at its own index.
     ///
     /// # Errors
     /// The system cannot create the sockets.
--- a/crates/faulttest/src/relay_loop.rs
+++ b/crates/faulttest/src/relay_loop.rs
@@ -183,7 +183,8 @@
         let Route { link, target, from, capture: protocol, .. } = self.routes[number];
         let port = self.io.peer_address(conn).map_or(0, |peer| peer.port());
         let with_same_port = from.and_then(|ip| self.io.connect_from(Some((ip, port).into()), target).ok());
-        // The port may be in use at that address. The only consequence is that the two ends name the connection differently.
+        // The port may be in use at that address. The only consequence is that the two ends name the connection
+        // differently.
         let with_any_port = || from.and_then(|ip| self.io.connect_from(Some((ip, 0).into()), target).ok());
         let other = with_same_port.or_else(with_any_port).or_else(|| self.io.connect(target).ok());
         let Some(other) = other else { return self.io.reset(conn) };
--- a/crates/faulttest/src/shaping.rs
+++ b/crates/faulttest/src/shaping.rs
@@ -54,7 +54,8 @@
 }
 
 impl DelayQueue {
-    /// Queues bytes. With a rate limit, `free` is the time at which the link has sent all earlier bytes; `delay` is added.
+    /// Queues bytes. With a rate limit, `free` is the time at which the link has sent all earlier bytes; `delay` is
+    /// added.
     pub fn push(
         &mut self,
         now: Micros,
--- a/crates/faulttest/src/site_checker.rs
+++ b/crates/faulttest/src/site_checker.rs
@@ -1,5 +1,5 @@
-//! Checker of a finished run of sites, over all processes together: from the traffic that crossed the relays and from the
-//! records of clients, gateways and workers.
+//! Checker of a finished run of sites, over all processes together: from the traffic that crossed the relays and from
+//! the records of clients, gateways and workers.
 
 use crate::capture::ForwardedCall;
 use crate::checker::{CallTarget, FleetViolation, Verdict, check_common, exit_violations};
@@ -22,8 +22,8 @@
     pub refused: u64,
     /// Attempts that failed.
     pub failed: u64,
-    /// Calls sent to this site first, counted by the site whose workers executed them. A call that a client also sent to
-    /// another site counts for that site if it ran there.
+    /// Calls sent to this site first, counted by the site whose workers executed them. A call that a client also sent
+    /// to another site counts for that site if it ran there.
     pub ran_at: Vec<u64>,
     /// Calls that its gateways forwarded to others, as captured by the relays.
     pub forwarded: u64,
--- a/crates/faulttest/src/site_cluster.rs
+++ b/crates/faulttest/src/site_cluster.rs
@@ -353,8 +353,8 @@
         Ok(())
     }
 
-    /// Waits for the clients, stops all processes and returns all records, sorted by time, with workers' addresses replaced
-    /// by their names.
+    /// Waits for the clients, stops all processes and returns all records, sorted by time, with workers' addresses
+    /// replaced by their names.
     ///
     /// # Errors
     /// A process did not exit in time, or records cannot be read.
--- a/crates/faulttest/src/site_script.rs
+++ b/crates/faulttest/src/site_script.rs
@@ -10,7 +10,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Environment variable that makes a gateway stall its control thread: `start:duration` in ms since the process's start.
+/// Environment variable that makes a gateway stall its control thread: `start:duration` in ms since the process's
+/// start.
 const STALL_CONTROL: &str = "BASALTWARD_PLANT_STALL_CONTROL_MS";
 
 /// Time in which all gateways should agree on which members are live.
@@ -134,8 +135,8 @@
         site
     }
 
-    /// Ordered pairs of the sites named by `site` and `to`, in both directions unless one-way. A missing attribute means all
-    /// sites.
+    /// Ordered pairs of the sites named by `site` and `to`, in both directions unless one-way. A missing attribute
+    /// means all sites.
     fn pairs(&self, node: Element, faults: &mut Vec<Fault>) -> Vec<(usize, usize)> {
         let (site, to) = (self.site(node, "site", faults), self.site(node, "to", faults));
         let one_way =
--- a/crates/faulttest/src/workspace.rs
+++ b/crates/faulttest/src/workspace.rs
@@ -62,7 +62,8 @@
     let text = std::fs::read_to_string(path)?;
     let incomplete = |line: &&str| serde_json::from_str::<Record>(line).is_err();
     if text.lines().any(|line| incomplete(&line)) {
-        // A process that is started again appends to the incomplete line, so any line may be affected, not only the last.
+        // A process that is started again appends to the incomplete line, so any line may be affected, not only the
+        // last.
         let complete: Vec<_> = text.lines().filter(|line| !incomplete(line)).collect();
         std::fs::write(path, complete.join("\n"))?;
     }
