--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -1,8 +1,9 @@
 use crate::args::Trial as Options;
 use crate::{Failed, records};
 use basaltward_faulttest::{
-    CSV_HEADER, HollowScript, LoadedScript, Party, Script, SitesScript, SitesVerdict, Verdict, check_cluster,
-    check_sites, csv_rows, load, run as play, run_hollow, run_sites, timeline_lanes, timeline_svg,
+    CSV_HEADER, FleetScript, HollowScript, LoadedScript, Party, SitesScript, SitesVerdict, Verdict,
+    check_cluster, check_sites, csv_rows, load_script, run_fleet as play, run_hollow, run_sites,
+    timeline_lanes, timeline_svg,
 };
 use basaltward_net::monotonic;
 use basaltward_rules::Record;
@@ -12,8 +13,8 @@
 /// Runs processes of this program by a script and judges them.
 pub fn run(options: &Options) -> Result<(), Failed> {
     let program = std::env::current_exe()?;
-    let told =
-        load(&options.script, &program, options.seed).map_err(|error| Failed::Input(error.to_string()))?;
+    let told = load_script(&options.script, &program, options.seed)
+        .map_err(|error| Failed::Input(error.to_string()))?;
     match told {
         LoadedScript::Fleet(script) => fleet(options, &script),
         LoadedScript::Sites(script) => sites(options, &script),
@@ -40,8 +41,8 @@
     if report.passed() { Ok(()) } else { Err(Failed::Run("the run is not good".into())) }
 }
 
-fn fleet(options: &Options, script: &Script) -> Result<(), Failed> {
-    let fleet = &script.fleet;
+fn fleet(options: &Options, script: &FleetScript) -> Result<(), Failed> {
+    let fleet = &script.spec;
     println!(
         "{}: {} schedulers, {} workers, {} steps, seed {}",
         options.script.display(),
--- a/crates/cli/tests/hollow.rs
+++ b/crates/cli/tests/hollow.rs
@@ -1,5 +1,5 @@
 //! Hollow members beside processes of the program.
-use basaltward_faulttest::{LoadedScript, Value, load, run_hollow};
+use basaltward_faulttest::{LoadedScript, Value, load_script, run_hollow};
 use basaltward_membership::StatusResponse;
 use basaltward_peers::fetch_membership;
 use rustix::process::{Pid, Signal, kill_process, test_kill_process};
@@ -14,7 +14,7 @@
 
 #[test]
 fn sixty_hollow_and_three_real_members_agree_after_each_fault() {
-    let told = load(Path::new(SMALL), Path::new(PROGRAM), None).expect("a good script");
+    let told = load_script(Path::new(SMALL), Path::new(PROGRAM), None).expect("a good script");
     let LoadedScript::Hollow(script) = told else { panic!("a script of hollow members") };
     let mut lines = Vec::new();
     let report = run_hollow(&script, &mut |line| lines.push(line)).expect("it runs");
--- a/crates/cli/tests/trial.rs
+++ b/crates/cli/tests/trial.rs
@@ -1,7 +1,7 @@
 //! Many processes of the program with faults between them, and faults planted that the judge must find.
 use basaltward_faulttest::{
-    Cluster, ClusterSpec, ConnectionMode, DatagramFaults, FleetViolation, Link, LoadedScript, Party, Script,
-    StateChange, Verdict, check_cluster, load, run,
+    Cluster, ClusterSpec, ConnectionMode, DatagramFaults, FleetScript, FleetViolation, Link, LoadedScript,
+    Party, StateChange, Verdict, check_cluster, load_script, run_fleet,
 };
 use basaltward_membership::{FleetShare, MemberState};
 use rustix::process::{Pid, Signal, kill_process};
@@ -31,11 +31,11 @@
 
 #[test]
 fn eight_processes_keep_the_rules_while_parts_fail() {
-    let told = load(Path::new(EIGHT), Path::new(env!("CARGO_BIN_EXE_basaltward")), Some(3));
-    let LoadedScript::Fleet(Script { fleet, span, steps }) = told.expect("a good script") else {
+    let told = load_script(Path::new(EIGHT), Path::new(env!("CARGO_BIN_EXE_basaltward")), Some(3));
+    let LoadedScript::Fleet(FleetScript { spec: fleet, span, steps }) = told.expect("a good script") else {
         panic!("a script of a fleet");
     };
-    let bed = run(&Script { fleet, span, steps }).expect("it runs");
+    let bed = run_fleet(&FleetScript { spec: fleet, span, steps }).expect("it runs");
     let (bed, verdict) = finished(bed);
     assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
     let (asked, served, ..) = verdict.calls;
--- a/crates/faulttest/src/cluster.rs
+++ b/crates/faulttest/src/cluster.rs
@@ -137,18 +137,22 @@
         let listens = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
         let peers = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
         let mut relays = RelayBuilder::new()?;
-        let mesh = relays.mesh(&peers)?;
+        let mesh = relays.add_datagram_mesh(&peers)?;
         let (mut schedulers, mut client_addresses) = (Vec::new(), Vec::new());
         for i in all {
             let from = Party::Scheduler(i);
             let to = |to| Link { from, to };
-            let bulletin = relays.route(to(Party::Bulletin), board.address(), None)?;
+            let bulletin = relays.add_link(to(Party::Bulletin), board.address(), None)?;
             let mut targets = Vec::new();
             for (w, worker) in workers.iter().enumerate() {
-                let at = relays.route(to(Party::Worker(w)), worker.address(), Some(workspace.ip(i)))?;
+                let at = relays.add_link(to(Party::Worker(w)), worker.address(), Some(workspace.ip(i)))?;
                 targets.push(target(&Party::Worker(w).to_string(), at, "Ready"));
             }
-            client_addresses.push(relays.route(Link { from: Party::Clients, to: from }, listens[i], None)?);
+            client_addresses.push(relays.add_link(
+                Link { from: Party::Clients, to: from },
+                listens[i],
+                None,
+            )?);
             let config = workspace.file(&format!("n{i}.json"));
             let settings = configuration(&spec, i, (listens[i], peers[i], bulletin), &mesh[i], &targets);
             std::fs::write(&config, settings.to_string())?;
--- a/crates/faulttest/src/lib.rs
+++ b/crates/faulttest/src/lib.rs
@@ -42,7 +42,7 @@
 pub use network::Network;
 pub use process::{Launch, Process, ProcessError, StateChange};
 pub use relay::{LinkCounts, Relay, RelayBuilder};
-pub use script::{Action, LoadedScript, Script, Step, load, run};
+pub use script::{FleetAction, FleetScript, FleetStep, LoadedScript, load_script, run_fleet};
 pub use shaping::Shaping;
 pub use site_checker::{SiteCalls, SitesVerdict, check_sites};
 pub use site_cluster::{ProcessSelector, SiteCluster};
--- a/crates/faulttest/src/relay.rs
+++ b/crates/faulttest/src/relay.rs
@@ -116,7 +116,7 @@
     ///
     /// # Errors
     /// The system cannot create the listener.
-    pub fn route(
+    pub fn add_link(
         &mut self,
         link: Link,
         target: SocketAddr,
@@ -140,7 +140,7 @@
     }
 
     /// Decodes the traffic of the link that was added last.
-    pub fn capture(&mut self, protocol: CaptureProtocol) {
+    pub fn capture_last_link(&mut self, protocol: CaptureProtocol) {
         self.routes.iter_mut().last().into_iter().for_each(|route| route.capture = Some(protocol));
     }
 
@@ -149,7 +149,7 @@
     ///
     /// # Errors
     /// The system cannot create the sockets.
-    pub fn mesh(&mut self, peers: &[SocketAddr]) -> Result<Vec<Vec<SocketAddr>>, NetError> {
+    pub fn add_datagram_mesh(&mut self, peers: &[SocketAddr]) -> Result<Vec<Vec<SocketAddr>>, NetError> {
         let mut sockets = vec![Vec::new(); peers.len()];
         for (i, own) in peers.iter().enumerate() {
             for j in 0..peers.len() {
--- a/crates/faulttest/src/script.rs
+++ b/crates/faulttest/src/script.rs
@@ -15,7 +15,7 @@
 
 /// A fault or other action of a script.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Action {
+pub enum FleetAction {
     /// Kills a scheduler with SIGKILL.
     Kill(usize),
     /// Stops a scheduler with SIGTERM and waits until it exits.
@@ -38,29 +38,29 @@
 
 /// An action with its time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
+pub struct FleetStep {
     /// Time from the start of the run, in microseconds.
     pub at: Micros,
     /// The action.
-    pub action: Action,
+    pub action: FleetAction,
 }
 
 /// A script for a cluster of schedulers.
 #[derive(Clone, Debug)]
-pub struct Script {
+pub struct FleetScript {
     /// Parameters of the cluster.
-    pub fleet: ClusterSpec,
+    pub spec: ClusterSpec,
     /// How long clients call, in microseconds.
     pub span: Micros,
     /// Actions, sorted by time.
-    pub steps: Vec<Step>,
+    pub steps: Vec<FleetStep>,
 }
 
 /// A script by the kind of cluster that it is for.
 #[derive(Clone, Debug)]
 pub enum LoadedScript {
     /// A cluster of schedulers.
-    Fleet(Script),
+    Fleet(FleetScript),
     /// A cluster of sites with gateways.
     Sites(SitesScript),
     /// Hollow members beside real members.
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 /// The file cannot be read, or all faults found in it.
-pub fn load(path: &Path, program: &Path, seed: Option<u64>) -> Result<LoadedScript, ConfigError> {
+pub fn load_script(path: &Path, program: &Path, seed: Option<u64>) -> Result<LoadedScript, ConfigError> {
     let path_text = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|source| ConfigError::File { path: path_text.clone(), source })?;
@@ -85,7 +85,7 @@
     })
 }
 
-fn read_fleet(root: Element, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> Script {
+fn read_fleet(root: Element, program: &Path, seed: u64, faults: &mut Vec<Fault>) -> FleetScript {
     let part = root.child("fleet").unwrap_or(root);
     let mut number = |name: &str, default: u64| part.parse_attribute::<u64>(name, faults).unwrap_or(default);
     let fleet = ClusterSpec {
@@ -104,8 +104,8 @@
         reader.step(faults, &mut steps);
     }
     // A stable sort: actions at the same time stay in the order of the script.
-    steps.sort_by_key(|step: &Step| step.at);
-    Script { fleet, span, steps }
+    steps.sort_by_key(|step: &FleetStep| step.at);
+    FleetScript { spec: fleet, span, steps }
 }
 
 struct Reader<'a> {
@@ -157,7 +157,7 @@
     }
 
     /// Reads a step: its action and, with `for-ms`, the action that ends it.
-    fn step(&self, faults: &mut Vec<Fault>, steps: &mut Vec<Step>) {
+    fn step(&self, faults: &mut Vec<Fault>, steps: &mut Vec<FleetStep>) {
         let at = self.node.parse_attribute::<u64>("ms", faults).unwrap_or(0) * 1_000;
         let duration = self.node.parse_attribute::<u64>("for-ms", faults).map(|ms| ms * 1_000);
         let name = self.node.attribute("do").unwrap_or_default();
@@ -166,36 +166,36 @@
         let worker = |mode: ConnectionMode, faults: &mut Vec<Fault>| {
             let scheduler = self.number("scheduler", schedulers, faults)?;
             let worker = self.number("worker", self.fleet.workers, faults)?;
-            Some((Action::Connections(link(Party::Worker(worker), scheduler), mode), scheduler, worker))
+            Some((FleetAction::Connections(link(Party::Worker(worker), scheduler), mode), scheduler, worker))
         };
         let actions = match name {
             "kill" | "stop" | "start" | "reread" => {
                 let Some(one) = self.number("scheduler", schedulers, faults) else { return };
                 match name {
-                    "kill" => (Action::Kill(one), Some(Action::Start(one))),
-                    "stop" => (Action::Stop(one), Some(Action::Start(one))),
-                    "start" => (Action::Start(one), None),
-                    _ => (Action::ReloadConfig(one), None),
+                    "kill" => (FleetAction::Kill(one), Some(FleetAction::Start(one))),
+                    "stop" => (FleetAction::Stop(one), Some(FleetAction::Start(one))),
+                    "start" => (FleetAction::Start(one), None),
+                    _ => (FleetAction::ReloadConfig(one), None),
                 }
             }
             "stall" => {
                 let Some(one) = self.number("scheduler", schedulers, faults) else { return };
-                (Action::Stall(one, true), Some(Action::Stall(one, false)))
+                (FleetAction::Stall(one, true), Some(FleetAction::Stall(one, false)))
             }
             "cut" => {
                 let Some(group) = self.group(faults) else { return };
-                (Action::Partition(group.clone(), true), Some(Action::Partition(group, false)))
+                (FleetAction::Partition(group.clone(), true), Some(FleetAction::Partition(group, false)))
             }
             "loss" => (
-                Action::AllDatagrams(self.datagram_faults(faults)),
-                Some(Action::AllDatagrams(DatagramFaults::default())),
+                FleetAction::AllDatagrams(self.datagram_faults(faults)),
+                Some(FleetAction::AllDatagrams(DatagramFaults::default())),
             ),
             "one-way" => {
                 let Some(one) = self.number("scheduler", schedulers, faults) else { return };
                 let Some(to) = self.number("to", schedulers, faults) else { return };
-                let end = Action::OneWayDatagrams(one, to, DatagramFaults::default());
+                let end = FleetAction::OneWayDatagrams(one, to, DatagramFaults::default());
                 (
-                    Action::OneWayDatagrams(
+                    FleetAction::OneWayDatagrams(
                         one,
                         to,
                         DatagramFaults { loss_rate: 1.0, ..self.datagram_faults(faults) },
@@ -207,24 +207,24 @@
                 let Some(one) = self.number("scheduler", schedulers, faults) else { return };
                 let link = link(Party::Bulletin, one);
                 (
-                    Action::Connections(link, ConnectionMode::Stall),
-                    Some(Action::Connections(link, ConnectionMode::Pass)),
+                    FleetAction::Connections(link, ConnectionMode::Stall),
+                    Some(FleetAction::Connections(link, ConnectionMode::Pass)),
                 )
             }
             _ => {
                 let mode =
                     if name == "refuse-worker" { ConnectionMode::Refuse } else { ConnectionMode::Stall };
                 let Some((action, one, to)) = worker(mode, faults) else { return };
-                (action, Some(Action::Connections(link(Party::Worker(to), one), ConnectionMode::Pass)))
+                (action, Some(FleetAction::Connections(link(Party::Worker(to), one), ConnectionMode::Pass)))
             }
         };
-        steps.push(Step { at, action: actions.0 });
-        let end = duration.zip(actions.1).map(|(duration, action)| Step { at: at + duration, action });
+        steps.push(FleetStep { at, action: actions.0 });
+        let end = duration.zip(actions.1).map(|(duration, action)| FleetStep { at: at + duration, action });
         steps.extend(end);
     }
 }
 
-impl Action {
+impl FleetAction {
     /// Performs the action.
     ///
     /// # Errors
@@ -255,8 +255,8 @@
 ///
 /// # Errors
 /// The cluster cannot be started, or an action failed.
-pub fn run(script: &Script) -> Result<Cluster, HarnessError> {
-    let mut cluster = Cluster::start(script.fleet.clone())?;
+pub fn run_fleet(script: &FleetScript) -> Result<Cluster, HarnessError> {
+    let mut cluster = Cluster::start(script.spec.clone())?;
     cluster.start_clients();
     let began = monotonic();
     let sleep_until = |at: Micros| {
--- a/crates/faulttest/src/site_cluster.rs
+++ b/crates/faulttest/src/site_cluster.rs
@@ -86,7 +86,7 @@
         let worker_at = |w| workspace.reserve(count + w);
         let worker_at = (0..at.len()).map(worker_at).collect::<Result<Vec<SocketAddr>, _>>()?;
         let mut relays = RelayBuilder::new()?;
-        let mesh = relays.mesh(&datagram_addresses)?;
+        let mesh = relays.add_datagram_mesh(&datagram_addresses)?;
         let mut worker_names = BTreeMap::new();
         let (mut gateways, mut client_addresses, mut config) = (Vec::new(), Vec::new(), None);
         let mut front_addresses = Vec::new();
@@ -103,21 +103,25 @@
                     });
                     continue;
                 }
-                let front = relays.route(Link { from, to: Party::Scheduler(j) }, listens[j], None)?;
-                relays.capture(CaptureProtocol::Calls);
-                let journal = relays.route(Link { from, to: Party::Journal(j) }, journals[j], None)?;
-                relays.capture(CaptureProtocol::Frames);
+                let front = relays.add_link(Link { from, to: Party::Scheduler(j) }, listens[j], None)?;
+                relays.capture_last_link(CaptureProtocol::Calls);
+                let journal = relays.add_link(Link { from, to: Party::Journal(j) }, journals[j], None)?;
+                relays.capture_last_link(CaptureProtocol::Frames);
                 addresses_of_peers.push(GatewayAddresses { datagrams, front, journal });
             }
             front_addresses.push(addresses_of_peers.iter().map(|addresses| addresses.front).collect());
             let mut workers = Vec::new();
             for w in (0..at.len()).filter(|w| at[*w] == of[i]) {
                 let to = Party::Worker(w);
-                let address = relays.route(Link { from, to }, worker_at[w], None)?;
+                let address = relays.add_link(Link { from, to }, worker_at[w], None)?;
                 worker_names.insert(address.to_string(), to.to_string());
                 workers.push((w, address));
             }
-            client_addresses.push(relays.route(Link { from: Party::Clients, to: from }, listens[i], None)?);
+            client_addresses.push(relays.add_link(
+                Link { from: Party::Clients, to: from },
+                listens[i],
+                None,
+            )?);
             let path = write_files(&spec, &workspace, i, &addresses_of_peers, &workers)?;
             config.get_or_insert(basaltward_config::load(&path)?);
             let args = ["--log", "info,basaltward::call=off", "serve", "--config"]
--- a/crates/faulttest/tests/hollow.rs
+++ b/crates/faulttest/tests/hollow.rs
@@ -1,8 +1,8 @@
 //! Hollow members without processes: simulated network, resource estimate, socket drops, scripts and CSV rows.
 use basaltward_faulttest::{
     Delays, HollowAction, HollowError, HollowReport, HollowScript, LoadedScript, MachineLimits,
-    NetworkConditions, Partition, ResourceEstimate, Row, Topology, Value, csv_rows, load, socket_drops,
-    total_drops,
+    NetworkConditions, Partition, ResourceEstimate, Row, Topology, Value, csv_rows, load_script,
+    socket_drops, total_drops,
 };
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -123,7 +123,7 @@
 fn read(text: &str, name: &str) -> Result<HollowScript, String> {
     let path: PathBuf = std::env::temp_dir().join(format!("hollow-{}-{name}.xml", std::process::id()));
     std::fs::write(&path, text).expect("written");
-    let loaded = load(&path, Path::new("program"), None);
+    let loaded = load_script(&path, Path::new("program"), None);
     std::fs::remove_file(&path).expect("removed");
     match loaded {
         Ok(LoadedScript::Hollow(script)) => Ok(script),
@@ -211,7 +211,8 @@
         ("hollow-1900", 1_900),
         ("hollow-1900-slow", 1_900),
     ] {
-        let loaded = load(&Path::new(EXAMPLES).join(format!("{name}.xml")), Path::new("program"), None);
+        let loaded =
+            load_script(&Path::new(EXAMPLES).join(format!("{name}.xml")), Path::new("program"), None);
         let Ok(LoadedScript::Hollow(script)) = loaded else { panic!("{name}: {loaded:?}") };
         assert_eq!(script.spec.members(), members, "{name}");
     }
--- a/crates/faulttest/tests/relay.rs
+++ b/crates/faulttest/tests/relay.rs
@@ -27,7 +27,7 @@
 
 fn relayed_echo_server() -> (Relay, SocketAddr) {
     let mut builder = RelayBuilder::new().expect("event loop");
-    let address = builder.route(LINK, start_echo_server(), None).expect("link added");
+    let address = builder.add_link(LINK, start_echo_server(), None).expect("link added");
     (builder.start(1).expect("relays started"), address)
 }
 
@@ -68,7 +68,7 @@
 fn close_during_a_stall_is_forwarded_after_it() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let mut builder = RelayBuilder::new().expect("event loop");
-    let address = builder.route(LINK, listener.local_addr().expect("bound"), None).expect("link added");
+    let address = builder.add_link(LINK, listener.local_addr().expect("bound"), None).expect("link added");
     let relay = builder.start(1).expect("relays started");
     let mut stream = connect(address);
     let (far, _) = listener.accept().expect("accepted");
@@ -103,7 +103,7 @@
     sockets.iter().for_each(|s| s.set_read_timeout(Some(Duration::from_millis(400))).expect("timeout set"));
     let peers: Vec<_> = sockets.iter().map(|s| s.local_addr().expect("bound")).collect();
     let mut builder = RelayBuilder::new().expect("event loop");
-    let mesh = builder.mesh(&peers).expect("links added");
+    let mesh = builder.add_datagram_mesh(&peers).expect("links added");
     let relay = builder.start(seed).expect("relays started");
     relay.set_datagram_faults(Link { from: Party::Scheduler(0), to: Party::Scheduler(1) }, faults);
     (relay, sockets, mesh)
