--- a/crates/faulttest/src/hollow/script.rs
+++ b/crates/faulttest/src/hollow/script.rs
@@ -180,7 +180,7 @@
     let region = below("region", regions, faults);
     let members = node.parse_attribute::<usize>("members", faults);
     let before = faults.len();
-    let act = match (node.attribute("do").unwrap_or_default(), zone, region, members, duration) {
+    let action = match (node.attribute("do").unwrap_or_default(), zone, region, members, duration) {
         ("quiet", None, None, None, Some(span)) => {
             let after = node.parse_attribute::<Micros>("after-ms", faults).unwrap_or_default() * 1_000;
             HollowAction::MeasureIdle { after, span }
@@ -202,8 +202,8 @@
             HollowAction::KillMembers(members)
         }
         ("cut", Some(zone), None, None, Some(span)) => HollowAction::Partition(Partition::Zone(zone), span),
-        ("cut", None, Some(region), None, Some(lasts)) => {
-            HollowAction::Partition(Partition::Region(region), lasts)
+        ("cut", None, Some(region), None, Some(span)) => {
+            HollowAction::Partition(Partition::Region(region), span)
         }
         (name, ..) => {
             let needs = match name {
@@ -218,7 +218,7 @@
             return None;
         }
     };
-    (faults.len() == before).then_some(HollowStep { action: act })
+    (faults.len() == before).then_some(HollowStep { action })
 }
 
 /// Number of hollow members in the zone that victims are drawn from: any but the first, if there are several zones.
