--- a/crates/bench/src/agreed.rs
+++ b/crates/bench/src/agreed.rs
@@ -2,6 +2,7 @@
 //! fleet gives permits, until another leader does, and until a halt is at all; and what it costs.
 
 use crate::fleet::spread;
+use basaltward_faulttest::{Cluster, ClusterSpec, DatagramFaults};
 use basaltward_membership::{LinkFaults, MemberId, Micros};
 use basaltward_net::monotonic;
 use basaltward_peers::send_operator_command;
@@ -9,7 +10,6 @@
     Bounds, Denied, Limit, Observation, Observations, OperatorCommand, OperatorReply, PermitRequest,
     PermitSettings, Subject, VirtualFleet, worker_subject,
 };
-use basaltward_trial::{Bed, BedSpec, Loss};
 use std::error::Error;
 use std::time::Duration;
 
@@ -119,14 +119,14 @@
 pub fn processes(schedulers: usize, lost: f64, rounds: usize) -> Result<(), Box<dyn Error>> {
     let program = std::env::current_exe()?.with_file_name("basaltward");
     let (work_ms, pause_ms, seed) = (5, 50, 1);
-    let spec = BedSpec { program, schedulers, workers: 4, work_ms, pause_ms, seed, bounds: Some(wide()) };
+    let spec = ClusterSpec { program, schedulers, workers: 4, work_ms, pause_ms, seed, bounds: Some(wide()) };
     let bed = {
-        let mut bed = Bed::start(spec)?;
-        bed.loss_of_all(Loss { loss_rate: lost, ..Loss::default() });
+        let mut bed = Cluster::start(spec)?;
+        bed.set_all_datagram_faults(DatagramFaults { loss_rate: lost, ..DatagramFaults::default() });
         bed
     };
     let ask = |by: usize, request: PermitRequest| {
-        send_operator_command(bed.peers[by], OperatorCommand::Request(request))
+        send_operator_command(bed.peer_addresses[by], OperatorCommand::Request(request))
     };
     let permit = |by: usize, of: Subject, patience: Duration| {
         let from = monotonic();
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -2,31 +2,32 @@
 
 use crate::args::Trial as Options;
 use crate::{CommandError, records};
+use basaltward_faulttest::{
+    CSV_HEADER, FleetScript, HollowScript, LoadedScript, Party, SitesScript, SitesVerdict, Verdict,
+    check_cluster, check_sites, csv_rows, load_script, run_fleet as run_script, run_hollow, run_sites,
+    timeline_lanes, timeline_svg,
+};
 use basaltward_net::monotonic;
 use basaltward_rules::Record;
-use basaltward_trial::{
-    CSV_HEADER, HollowScript, Party, Script, SitesScript, SitesVerdict, Told, Verdict, judge, judge_sites,
-    lanes, load, picture, rows, run as run_script, run_hollow, run_sites,
-};
 use std::fs::{OpenOptions, create_dir_all, write};
 use std::io::Write;
 
 /// Runs processes of this program as a script prescribes and checks the result.
 pub fn run(options: &Options) -> Result<(), CommandError> {
     let program = std::env::current_exe()?;
-    let script = load(&options.script, &program, options.seed)
+    let script = load_script(&options.script, &program, options.seed)
         .map_err(|error| CommandError::Input(error.to_string()))?;
     match script {
-        Told::Fleet(script) => run_fleet_trial(options, &script),
-        Told::Sites(script) => run_sites_trial(options, &script),
-        Told::Hollow(script) => run_hollow_trial(options, &script),
+        LoadedScript::Fleet(script) => run_fleet_trial(options, &script),
+        LoadedScript::Sites(script) => run_sites_trial(options, &script),
+        LoadedScript::Hollow(script) => run_hollow_trial(options, &script),
     }
 }
 
 fn run_hollow_trial(options: &Options, script: &HollowScript) -> Result<(), CommandError> {
     let report = run_hollow(script, &mut |line| println!("{line}"))?;
     let command = format!("basaltward trial {}", options.script.display());
-    let lines = rows(&report, &command);
+    let lines = csv_rows(&report, &command);
     lines.iter().for_each(|line| println!("{line}"));
     if let Some(path) = &options.csv {
         let is_new = !path.exists();
@@ -36,14 +37,14 @@
             writeln!(file, "{line}")?;
         }
     }
-    report.failed.iter().for_each(|failed| println!("{failed} did not exit as expected"));
-    report.late.iter().for_each(|step| println!("void, as the machine was too busy: {step}"));
-    report.unsettled.iter().for_each(|step| println!("unsettled: {step}"));
-    if report.is_good() { Ok(()) } else { Err(CommandError::Run("the trial failed".into())) }
+    report.failed_processes.iter().for_each(|failed| println!("{failed} did not exit as expected"));
+    report.overloaded_steps.iter().for_each(|step| println!("void, as the machine was too busy: {step}"));
+    report.unsettled_steps.iter().for_each(|step| println!("unsettled: {step}"));
+    if report.passed() { Ok(()) } else { Err(CommandError::Run("the trial failed".into())) }
 }
 
-fn run_fleet_trial(options: &Options, script: &Script) -> Result<(), CommandError> {
-    let fleet = &script.fleet;
+fn run_fleet_trial(options: &Options, script: &FleetScript) -> Result<(), CommandError> {
+    let fleet = &script.spec;
     println!(
         "{}: {} schedulers, {} workers, {} steps, seed {}",
         options.script.display(),
@@ -55,9 +56,13 @@
     let mut bed = run_script(script)?;
     let ended_at = monotonic();
     let records = bed.finish()?;
-    let verdict = judge(&bed, &records);
+    let verdict = check_cluster(&bed, &records);
     let parties = bed.schedulers.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
-    write_timeline(options, &records, &lanes(parties, &bed.ways.faults, (bed.began, ended_at)))?;
+    write_timeline(
+        options,
+        &records,
+        &timeline_lanes(parties, &bed.network.fault_log, (bed.started_at, ended_at)),
+    )?;
     print_verdict(&verdict)
 }
 
@@ -75,19 +80,20 @@
     let mut bed = run_sites(script)?;
     let ended_at = monotonic();
     let (records, _) = bed.finish()?;
-    let verdict = judge_sites(&bed, &records);
+    let verdict = check_sites(&bed, &records);
     let gateways = bed.gateways.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
     let workers = bed.workers.iter().enumerate().map(|(w, process)| (Party::Worker(w), process));
     write_timeline(
         options,
         &records,
-        &lanes(gateways.chain(workers), &bed.ways.faults, (bed.began, ended_at)),
+        &timeline_lanes(gateways.chain(workers), &bed.network.fault_log, (bed.clients_started_at, ended_at)),
     )?;
     if let Some(folder) = &options.records {
         for (number, process) in bed.gateways.iter().enumerate() {
-            write(folder.join(format!("n{number}.log")), process.said().join("\n"))?;
+            write(folder.join(format!("n{number}.log")), process.output().join("\n"))?;
         }
-        let notes: Vec<_> = bed.ways.relay.captured().noted.iter().map(|note| format!("{note}\n")).collect();
+        let notes: Vec<_> =
+            bed.network.relay.captured().journal_messages.iter().map(|note| format!("{note}\n")).collect();
         write(folder.join("kept.txt"), notes.concat())?;
     }
     print_site_shares(script, &verdict);
@@ -103,23 +109,23 @@
         println!(
             "asked at {name}: {}, served {}, refused {}, failed {}; ran {}; handed over {}; \
              p50 {:.1} ms, p99 {:.1} ms",
-            site.asked,
+            site.attempts,
             site.served,
             site.refused,
             site.failed,
             ran.join(", "),
-            site.handed,
+            site.forwarded,
             site.latency(0.5) as f64 / 1e3,
             site.latency(0.99) as f64 / 1e3
         );
-        let seconds: Vec<_> = site.seconds.iter().map(u64::to_string).collect();
-        let (retries, not_refused) = site.again;
+        let seconds: Vec<_> = site.served_per_second.iter().map(u64::to_string).collect();
+        let (retries, not_refused) = site.retried;
         println!(
             "  retries after a refusal {retries}, not refused {not_refused}; served each second {}",
             seconds.join(" ")
         );
     }
-    let (acknowledged, ends) = &verdict.kept;
+    let (acknowledged, ends) = &verdict.kept_events;
     let ends: Vec<_> = ends.iter().map(|(how, count)| format!(", {how} {count}")).collect();
     println!("kept events acknowledged {acknowledged}{}", ends.concat());
 }
@@ -128,13 +134,13 @@
 fn write_timeline(
     options: &Options,
     records: &[Record],
-    lanes: &[basaltward_trial::Lane],
+    lanes: &[basaltward_faulttest::TimelineLane],
 ) -> Result<(), CommandError> {
     let mut text = String::new();
     for (name, spells) in lanes {
         text += name;
         for spell in spells {
-            text += &format!("  {} {}-{}", spell.what, spell.from / 1_000, spell.until / 1_000);
+            text += &format!("  {} {}-{}", spell.state, spell.from / 1_000, spell.until / 1_000);
         }
         text.push('\n');
     }
@@ -142,7 +148,7 @@
         create_dir_all(folder)?;
         records::write(&folder.join("records"), records)?;
         write(folder.join("timeline.txt"), &text)?;
-        write(folder.join("timeline.svg"), picture(lanes))?;
+        write(folder.join("timeline.svg"), timeline_svg(lanes))?;
     }
     print!("{text}");
     Ok(())
@@ -154,9 +160,9 @@
         "calls {calls}: served {served}, refused {refused}, failed {failed}, excused {}",
         verdict.excused
     );
-    verdict.rules.iter().take(20).for_each(|breach| println!("{breach}"));
-    verdict.fleet.iter().take(20).for_each(|fault| println!("{fault}"));
-    match verdict.is_good() {
+    verdict.rule_breaches.iter().take(20).for_each(|breach| println!("{breach}"));
+    verdict.violations.iter().take(20).for_each(|fault| println!("{fault}"));
+    match verdict.passed() {
         true => println!("all rules kept, nothing wrong with the fleet"),
         false => return Err(CommandError::Run("the trial failed".into())),
     }
--- a/crates/cli/tests/hollow.rs
+++ b/crates/cli/tests/hollow.rs
@@ -1,7 +1,7 @@
 //! Trials of hollow members (the membership code of many members in one process) and a few real scheduler processes.
+use basaltward_faulttest::{LoadedScript, Value, load_script, run_hollow};
 use basaltward_membership::StatusResponse;
 use basaltward_peers::fetch_membership;
-use basaltward_trial::{Told, Value, load, run_hollow};
 use rustix::process::{Pid, Signal, kill_process, test_kill_process};
 use std::io::{BufRead, BufReader, Lines, Read};
 use std::net::SocketAddr;
@@ -14,16 +14,16 @@
 
 #[test]
 fn sixty_hollow_and_three_real_members_agree_after_each_fault() {
-    let script = load(Path::new(SMALL_TRIAL), Path::new(PROGRAM), None).expect("a valid script");
-    let Told::Hollow(script) = script else { panic!("not a script of hollow members") };
+    let script = load_script(Path::new(SMALL_TRIAL), Path::new(PROGRAM), None).expect("a valid script");
+    let LoadedScript::Hollow(script) = script else { panic!("not a script of hollow members") };
     let mut lines = Vec::new();
     let report = run_hollow(&script, &mut |line| lines.push(line)).expect("it runs");
     let lines = lines.join("\n");
-    assert_eq!((&report.unsettled, &report.failed), (&Vec::new(), &Vec::new()), "{lines}");
+    assert_eq!((&report.unsettled_steps, &report.failed_processes), (&Vec::new(), &Vec::new()), "{lines}");
     let split =
         lines.lines().any(|line| line.contains("region 1 cut off: most common view held by 42 of 63"));
     assert!(split, "each side has its own view at the end of the cut\n{lines}");
-    if !report.late.is_empty() {
+    if !report.overloaded_steps.is_empty() {
         // The machine was too busy for its figures to count; the checks above hold regardless.
         return;
     }
--- a/crates/cli/tests/operator_commands.rs
+++ b/crates/cli/tests/operator_commands.rs
@@ -1,7 +1,7 @@
 //! Drains, releases and halts of a fleet of processes, with calls in flight and parts that fail.
+use basaltward_faulttest::{Cluster, ClusterSpec, FleetViolation, Verdict, check_cluster};
 use basaltward_permits::{Bounds, Limit};
 use basaltward_rules::{Observation, Record};
-use basaltward_trial::{Bed, BedSpec, Fleet, Verdict, judge};
 use std::path::Path;
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
@@ -10,17 +10,17 @@
 const READY_LIMIT: Duration = Duration::from_secs(60);
 
 /// Starts a fleet with clients that call it.
-fn start_fleet(schedulers: usize, workers: usize, bounds: Bounds) -> Bed {
+fn start_fleet(schedulers: usize, workers: usize, bounds: Bounds) -> Cluster {
     start_fleet_of(Path::new(env!("CARGO_BIN_EXE_basaltward")), schedulers, workers, bounds)
 }
 
 /// Like [`start_fleet`], with another program as the scheduler.
-fn start_fleet_of(program: &Path, schedulers: usize, workers: usize, bounds: Bounds) -> Bed {
+fn start_fleet_of(program: &Path, schedulers: usize, workers: usize, bounds: Bounds) -> Cluster {
     let program = program.into();
     let spec =
-        BedSpec { program, schedulers, workers, work_ms: 5, pause_ms: 10, seed: 1, bounds: Some(bounds) };
-    let mut bed = Bed::start(spec).expect("the fleet starts");
-    bed.call();
+        ClusterSpec { program, schedulers, workers, work_ms: 5, pause_ms: 10, seed: 1, bounds: Some(bounds) };
+    let mut bed = Cluster::start(spec).expect("the fleet starts");
+    bed.start_clients();
     bed
 }
 
@@ -37,9 +37,9 @@
 }
 
 /// Runs a `fleet` subcommand that contacts one scheduler, as an operator does.
-fn run_fleet_command(bed: &Bed, through: usize, args: &[&str]) -> Output {
+fn run_fleet_command(bed: &Cluster, through: usize, args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_basaltward"));
-    command.arg("fleet").args(args).arg("--of").arg(bed.peers[through].to_string());
+    command.arg("fleet").args(args).arg("--of").arg(bed.peer_addresses[through].to_string());
     command.output().expect("the command runs")
 }
 
@@ -49,14 +49,14 @@
 }
 
 /// Runs a `fleet` subcommand that has to succeed; returns its output.
-fn succeed(bed: &Bed, through: usize, args: &[&str]) -> String {
+fn succeed(bed: &Cluster, through: usize, args: &[&str]) -> String {
     let output = run_fleet_command(bed, through, args);
     assert!(output.status.success(), "{args:?}: {}", text_of(&output));
     text_of(&output)
 }
 
 /// Runs a `fleet` subcommand that has to fail with this reason.
-fn expect_denial(bed: &Bed, through: usize, args: &[&str], reason: &str) {
+fn expect_denial(bed: &Cluster, through: usize, args: &[&str], reason: &str) {
     let output = run_fleet_command(bed, through, args);
     assert!(
         output.status.code() == Some(1) && text_of(&output).contains(reason),
@@ -66,7 +66,7 @@
 }
 
 /// Waits until a scheduler's status contains this text.
-fn wait_for_status(bed: &Bed, through: usize, text: &str) {
+fn wait_for_status(bed: &Cluster, through: usize, text: &str) {
     let deadline = Instant::now() + READY_LIMIT;
     loop {
         let status = text_of(&run_fleet_command(bed, through, &["status"]));
@@ -79,20 +79,20 @@
 }
 
 /// The number of the leader as this scheduler knows it.
-fn leader(bed: &Bed, through: usize) -> usize {
+fn leader(bed: &Cluster, through: usize) -> usize {
     let status = succeed(bed, through, &["status"]);
     let number = status.split("leader n").nth(1).and_then(|rest| rest.split(['\n', ',']).next());
     number.and_then(|number| number.parse().ok()).unwrap_or_else(|| panic!("{status}"))
 }
 
 /// Stops the fleet and checks its records.
-fn stop_and_check(mut bed: Bed) -> (Verdict, Vec<Record>) {
+fn stop_and_check(mut bed: Cluster) -> (Verdict, Vec<Record>) {
     let records = bed.finish().expect("it stops");
-    (judge(&bed, &records), records)
+    (check_cluster(&bed, &records), records)
 }
 
 /// How many calls a worker has started so far.
-fn calls_started(bed: &Bed, worker: &str) -> usize {
+fn calls_started(bed: &Cluster, worker: &str) -> usize {
     let mut count = 0;
     bed.recorder.wait_until(Duration::ZERO, |all| {
         count = all
@@ -124,7 +124,7 @@
     }
     // The new leader keeps the bound.
     expect_denial(&bed, other, &["drain", "s-4", "--wait", "4"], "2 would be out, 1 may be");
-    bed.up(old_leader).expect("it starts");
+    bed.start_scheduler(old_leader).expect("it starts");
     // The restarted scheduler soon receives the drain.
     wait_for_status(&bed, old_leader, "Worker(");
     assert_eq!(calls_started(&bed, "s-3"), at_drain, "a call was sent to the drained worker");
@@ -137,7 +137,7 @@
     // Once it is warm, another worker may be drained.
     succeed(&bed, other, &["drain", "s-4", "--wait", "60"]);
     let (verdict, records) = stop_and_check(bed);
-    assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
+    assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
     let leaving = |record: &&Record| matches!(&record.observation, Observation::WorkerState { worker, state } if worker == "s-3" && state == "leaving");
     assert!(records.iter().filter(leaving).count() >= 5, "every scheduler's module is notified of the drain");
 }
@@ -170,7 +170,7 @@
     std::fs::write(&run, text).expect("the file is written");
     let mode = std::os::unix::fs::PermissionsExt::from_mode(0o755);
     std::fs::set_permissions(&run, mode).expect("the permissions are set");
-    let through = bed.peers.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
+    let through = bed.peer_addresses.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
     let start_release = || {
         let mut command = Command::new(env!("CARGO_BIN_EXE_basaltward"));
         command.args(["fleet", "release", "--to", "b", "--wait", "100", "--run"]).arg(&run);
@@ -187,9 +187,9 @@
         for i in 0..4 {
             if !restarted.contains(&i) && folder.join(format!("go.{i}")).exists() {
                 assert!(bed.running().len() == 4, "another scheduler is down already");
-                bed.version(i, "b").expect("the file is written");
+                bed.set_permits_version(i, "b").expect("the file is written");
                 bed.stop(i).expect("it stops");
-                bed.up(i).expect("it starts");
+                bed.start_scheduler(i).expect("it starts");
                 restarted.push(i);
                 std::fs::write(folder.join(format!("done.{i}")), "").expect("the file is written");
                 if restarted.len() == 2 {
@@ -207,7 +207,7 @@
     wait_for_status(&bed, 1, "4 run version");
     std::fs::remove_dir_all(&folder).expect("the folder is removed");
     let (verdict, _) = stop_and_check(bed);
-    assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
+    assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
     let (calls, served, ..) = verdict.calls;
     assert!(served * 10 > calls * 9, "{served} of {calls} served");
 }
@@ -218,7 +218,7 @@
 fn all_drains_complete_through_a_kill_a_stall_and_a_cut() {
     let most = Limit::Number(2);
     let mut bed = start_fleet(8, 12, Bounds { workers: most, workers_of_zone: most, ..one_at_once() });
-    let through = bed.peers.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
+    let through = bed.peer_addresses.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
     let run_command = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_basaltward"));
         command.arg("fleet").args(args).args(["--of", &through]).output().expect("the command runs")
@@ -243,20 +243,20 @@
         let old_leader = leader(&bed, 0);
         bed.kill(old_leader);
         std::thread::sleep(Duration::from_secs(2));
-        bed.up(old_leader).expect("it starts");
+        bed.start_scheduler(old_leader).expect("it starts");
         let voter = [0, 1, 3, 4, 6].into_iter().find(|voter| *voter != old_leader).expect("another voter");
         bed.schedulers[voter].stall();
         std::thread::sleep(Duration::from_secs(5));
         bed.schedulers[voter].resume();
-        bed.cut(&[4, 5, 6, 7], true);
+        bed.set_partition(&[4, 5, 6, 7], true);
         std::thread::sleep(Duration::from_secs(6));
-        bed.cut(&[4, 5, 6, 7], false);
+        bed.set_partition(&[4, 5, 6, 7], false);
         for operator in operators {
             operator.join().expect("the drain is permitted and ended");
         }
     });
     let (verdict, records) = stop_and_check(bed);
-    assert!(verdict.is_good(), "{:?} {:?}", verdict.rules, verdict.fleet);
+    assert!(verdict.passed(), "{:?} {:?}", verdict.rule_breaches, verdict.violations);
     let agreed = records
         .iter()
         .filter(|record| matches!(record.observation, Observation::PermitsUpdated { .. }))
@@ -275,5 +275,9 @@
     succeed(&bed, 0, &["drain", "s-0", "--wait", "60"]);
     succeed(&bed, 0, &["drain", "s-1", "--wait", "60"]);
     let (verdict, _) = stop_and_check(bed);
-    assert!(verdict.fleet.contains(&Fleet::TooMany("workers", 2)), "{:?}", verdict.fleet);
+    assert!(
+        verdict.violations.contains(&FleetViolation::PermitBoundExceeded("workers", 2)),
+        "{:?}",
+        verdict.violations
+    );
 }
--- a/crates/cli/tests/sites.rs
+++ b/crates/cli/tests/sites.rs
@@ -1,8 +1,8 @@
 //! Sites of gateways and workers as processes, with faults between them; and injected faults that the checker must
 //! detect.
-use basaltward_trial::{
-    Fleet, LoadSpec, SiteAct, SiteBed, SiteLink, SiteSpec, SiteStep, SitesScript, SitesSpec, Who,
-    judge_sites, run_sites,
+use basaltward_faulttest::{
+    FleetViolation, LoadSpec, ProcessSelector, SiteAction, SiteCluster, SiteLink, SiteSpec, SiteStep,
+    SitesScript, SitesSpec, check_sites, run_sites,
 };
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -17,19 +17,19 @@
         site,
         class,
         functions: 0..2,
-        rate: 40.0,
+        calls_per_s: 40.0,
         span: 0..2_000_000,
         patience: 2_000_000,
-        repeats,
+        duplicate_share: repeats,
         retries: 1,
-        honour: false,
-        insists: false,
+        honour_retry_after: false,
+        retry_uncertain: false,
         tenant: String::new(),
     }
 }
 
 fn spec(loads: Vec<LoadSpec>) -> SitesSpec {
-    let link = SiteLink { late: (5_000, 8_000), ..SiteLink::default() };
+    let link = SiteLink { delay_range: (5_000, 8_000), ..SiteLink::default() };
     SitesSpec {
         program: env!("CARGO_BIN_EXE_basaltward").into(),
         sites: vec![site("a"), site("b")],
@@ -37,41 +37,41 @@
         work_ms: 10,
         load_ms: 50,
         holders: 0,
-        alone: false,
+        standalone: false,
         tenants: Vec::new(),
         links: BTreeMap::from([((0, 1), link), ((1, 0), link)]),
         loads,
-        vars: Vec::new(),
+        env: Vec::new(),
         seed: 5,
     }
 }
 
 #[test]
 fn two_sites_keep_the_rules_while_links_and_gateways_fail() {
-    let slow = SiteLink { late: (100_000, 150_000), lost: 0.1, ..SiteLink::default() };
-    let silent = SiteLink { silent: true, ..slow };
+    let slow = SiteLink { delay_range: (100_000, 150_000), loss_rate: 0.1, ..SiteLink::default() };
+    let silent = SiteLink { blackhole: true, ..slow };
     let broken = SiteLink { broken: true, ..slow };
     let acts = [
-        (300, SiteAct::Link(0, 1, slow)),
-        (600, SiteAct::Kill(Who::Gateway(1))),
-        (1_000, SiteAct::Link(1, 0, silent)),
-        (1_300, SiteAct::Start(Who::Gateway(1))),
-        (1_500, SiteAct::Link(0, 1, broken)),
+        (300, SiteAction::Link(0, 1, slow)),
+        (600, SiteAction::Kill(ProcessSelector::Gateway(1))),
+        (1_000, SiteAction::Link(1, 0, silent)),
+        (1_300, SiteAction::Start(ProcessSelector::Gateway(1))),
+        (1_500, SiteAction::Link(0, 1, broken)),
     ];
-    let steps = acts.map(|(ms, act)| SiteStep { at: ms * 1_000, act }).to_vec();
+    let steps = acts.map(|(ms, act)| SiteStep { at: ms * 1_000, action: act }).to_vec();
     let spec = spec(vec![load(0, None, 0.0), load(1, None, 0.0)]);
     let mut bed = run_sites(&SitesScript { spec, span: 2_000_000, steps }).expect("it runs");
     let (records, _) = bed.finish().expect("it stops");
-    let verdict = judge_sites(&bed, &records);
-    assert!(verdict.verdict.is_good(), "{:?} {:?}", verdict.verdict.rules, verdict.verdict.fleet);
+    let verdict = check_sites(&bed, &records);
+    assert!(verdict.verdict.passed(), "{:?} {:?}", verdict.verdict.rule_breaches, verdict.verdict.violations);
     assert!(verdict.sites.iter().all(|site| site.served > 10), "{:?}", verdict.sites);
-    let datagrams: u64 = bed.ways.relay.counts().values().map(|c| c.datagrams.0).sum();
+    let datagrams: u64 = bed.network.relay.counts().values().map(|c| c.datagrams.0).sum();
     assert!(datagrams > 20, "{datagrams} datagrams between gateways");
 }
 
 /// Sends a call as one gateway hands it over to another, but with more hops than a gateway may set.
-fn send_call_on_second_hop(bed: &SiteBed) {
-    let mut stream = TcpStream::connect(bed.fronts[0][2]).expect("the connection is accepted");
+fn send_call_on_second_hop(bed: &SiteCluster) {
+    let mut stream = TcpStream::connect(bed.front_addresses[0][2]).expect("the connection is accepted");
     let call = "POST /functions/view-0 HTTP/1.1\r\nHost: b\r\nce-specversion: 1.0\r\nce-id: 1\r\nce-source: injected\r\n\
                 ce-type: t\r\nce-hops: 2\r\nce-handedby: n0\r\nContent-Length: 0\r\n\r\n";
     stream.write_all(call.as_bytes()).expect("the call is sent");
@@ -82,20 +82,31 @@
 #[test]
 fn two_effects_of_one_event_and_a_second_hop_are_detected() {
     let script = SitesScript {
-        spec: SitesSpec { alone: true, ..spec(vec![load(0, Some(2), 1.0)]) },
+        spec: SitesSpec { standalone: true, ..spec(vec![load(0, Some(2), 1.0)]) },
         span: 2_000_000,
         steps: Vec::new(),
     };
     let mut bed = run_sites(&script).expect("it runs");
     send_call_on_second_hop(&bed);
     let (records, _) = bed.finish().expect("it stops");
-    let verdict = judge_sites(&bed, &records).verdict;
-    let twice = verdict.fleet.iter().filter(|fault| matches!(fault, Fleet::Twice(..))).count();
-    assert!(twice > 5, "{:?}", verdict.fleet);
-    assert!(verdict.fleet.contains(&Fleet::Hops("injected#1".into(), 2)), "{:?}", verdict.fleet);
+    let verdict = check_sites(&bed, &records).verdict;
+    let twice = verdict
+        .violations
+        .iter()
+        .filter(|fault| matches!(fault, FleetViolation::DuplicateEffect(..)))
+        .count();
+    assert!(twice > 5, "{:?}", verdict.violations);
     assert!(
-        verdict.fleet.iter().all(|fault| matches!(fault, Fleet::Twice(..) | Fleet::Hops(..))),
+        verdict.violations.contains(&FleetViolation::TooManyHops("injected#1".into(), 2)),
         "{:?}",
-        verdict.fleet
+        verdict.violations
+    );
+    assert!(
+        verdict.violations.iter().all(|fault| matches!(
+            fault,
+            FleetViolation::DuplicateEffect(..) | FleetViolation::TooManyHops(..)
+        )),
+        "{:?}",
+        verdict.violations
     );
 }
