--- a/crates/bench/src/capacity/page.rs
+++ b/crates/bench/src/capacity/page.rs
@@ -1,7 +1,7 @@
-//! The capacity page as text, from the plan, the assumptions and measured points alone: the same points give the same
-//! bytes.
+//! Writes the text of the capacity page from the plan, the assumptions and measured points alone, so the same points
+//! give the same bytes.
 
-use super::decide::{Decision, NEAR, Ranked, decide};
+use super::decide::{Decision, NEAR_TIE_FACTOR, Ranked, decide};
 use super::measure::SOURCES;
 use super::plan::{Assumptions, Plan, Role};
 use super::plot_name;
@@ -10,18 +10,18 @@
 use super::sensitivity;
 use std::fmt::Write;
 
-/// The page.
-pub fn page(plan: &Plan, open: &Assumptions, points: &Points) -> String {
-    let model = Model { plan, open, points };
+/// The text of the page.
+pub fn page(plan: &Plan, assumptions: &Assumptions, points: &Points) -> String {
+    let model = Model { plan, assumptions, points };
     let sections = model.sections();
     let mut out = String::new();
-    head(&mut out);
-    top(&mut out, &sections);
-    given(&mut out, plan, open);
+    introduction(&mut out);
+    roles_table(&mut out, &sections);
+    plan_and_assumptions(&mut out, plan, assumptions);
     sections.iter().for_each(|section| role(&mut out, section));
-    scale(&mut out, &model);
+    scale_runs(&mut out, &model);
     own_plots(&mut out, points);
-    sensitivity(&mut out, plan, open, points);
+    sensitivity(&mut out, plan, assumptions, points);
     decision(&mut out, &sections);
     out
 }
@@ -31,7 +31,7 @@
     _ = writeln!(out, "{text}");
 }
 
-fn head(out: &mut String) {
+fn introduction(out: &mut String) {
     line(
         out,
         "# Capacity: the size to design for\n\n\
@@ -48,7 +48,7 @@
     );
 }
 
-/// A share of the budgets as text.
+/// The budget shares of a role as text.
 fn share(role: Role) -> String {
     let share = role.share();
     let percent = |part: f64| format!("{}%", (part * 100.0).round());
@@ -59,7 +59,7 @@
     ratio.map_or("not run".into(), figure)
 }
 
-fn top(out: &mut String, sections: &[Section]) {
+fn roles_table(out: &mut String, sections: &[Section]) {
     line(out, "## Roles\n");
     line(
         out,
@@ -69,16 +69,17 @@
     line(out, "| role | budget share | largest need | need | budget | ratio | holds | mechanism |");
     line(out, "| --- | --- | --- | --- | --- | --- | --- | --- |");
     for section in sections {
-        let worst = section.worst();
-        let text = |value: fn(&Need) -> f64| worst.map_or("not run".into(), |need| figure(value(need)));
-        let what = worst
+        let largest_need = section.largest_need();
+        let text =
+            |value: fn(&Need) -> f64| largest_need.map_or("not run".into(), |need| figure(value(need)));
+        let what = largest_need
             .map_or("-".into(), |need| format!("{}: {} ({})", need.resource.name(), need.what, need.label()));
-        let holds = match section.holds() {
+        let holds = match section.is_within_budget() {
             Some(true) => "yes",
             Some(false) => "**no**",
             None => "as far as run",
         };
-        let mechanism = match (section.missing, section.holds()) {
+        let mechanism = match (section.missing, section.is_within_budget()) {
             (Some(missing), Some(false)) => format!("{}; missing: {}", section.mechanism, missing.name()),
             _ => section.mechanism.into(),
         };
@@ -97,7 +98,7 @@
     line(out, "");
 }
 
-fn given(out: &mut String, plan: &Plan, open: &Assumptions) {
+fn plan_and_assumptions(out: &mut String, plan: &Plan, assumptions: &Assumptions) {
     let table = |out: &mut String, rows: Vec<(&str, f64, &str)>| {
         line(out, "| variable | value | unit |\n| --- | --- | --- |");
         for (name, value, unit) in rows {
@@ -113,15 +114,15 @@
             "So one scheduler takes calls_per_s / schedulers = {} calls a second and may spend {} us of processor time a \
              second on control, {} us a call if all of it went to calls; a change of configuration comes each {} s; {} \
              schedulers stand in a zone (arithmetic).\n",
-            figure(plan.calls_of_one()),
+            figure(plan.calls_per_scheduler()),
             figure(plan.processor_us_per_s()),
-            figure(plan.processor_us_per_s() / plan.calls_of_one()),
+            figure(plan.processor_us_per_s() / plan.calls_per_scheduler()),
             figure(1.0 / plan.changes_per_s()),
             figure(plan.schedulers / plan.zones)
         ),
     );
     line(out, "## Assumptions that the plan leaves open\n");
-    table(out, open.rows(plan));
+    table(out, assumptions.rows(plan));
 }
 
 fn role(out: &mut String, section: &Section) {
@@ -154,23 +155,23 @@
 }
 
 fn slopes(out: &mut String, section: &Section) {
-    let mut told = Vec::new();
+    let mut unique = Vec::new();
     for slope in section.needs.iter().flat_map(|need| &need.slopes) {
-        if !told.contains(&slope) {
-            told.push(slope);
+        if !unique.contains(&slope) {
+            unique.push(slope);
         }
     }
-    if told.is_empty() {
+    if unique.is_empty() {
         return;
     }
     line(out, "| slope | fit | command |\n| --- | --- | --- |");
-    for slope in told {
+    for slope in unique {
         line(out, &format!("| {} | {} | `{}` |", slope.series, slope.text, slope.command));
     }
     line(out, "");
 }
 
-/// Plots of what this command measures.
+/// The plots of the points that this command measures.
 fn own_plots(out: &mut String, points: &Points) {
     line(out, "## Plots of the slopes\n");
     for file in points.files().filter(|file| is_own(file)) {
@@ -190,8 +191,8 @@
     }
 }
 
-/// Series of other commands, whatever they are called.
-fn scale(out: &mut String, model: &Model) {
+/// All series that other commands measured.
+fn scale_runs(out: &mut String, model: &Model) {
     line(out, "## Scale runs\n");
     let others = model.points.files().filter(|file| !is_own(file) && ![MEMBERSHIP, HOLLOW].contains(file));
     for file in [MEMBERSHIP, HOLLOW].into_iter().chain(others) {
@@ -221,34 +222,35 @@
     let points = model.points.series(file, name);
     let size = model.plan.schedulers;
     let reading = |point: &Point| point.value().map_or("unsettled".into(), figure);
-    let told = points.iter().map(|point| format!("{} = {}", figure(point.size), reading(point)));
-    let told: Vec<String> = told.collect();
+    let values = points.iter().map(|point| format!("{} = {}", figure(point.size), reading(point)));
+    let values: Vec<String> = values.collect();
     let fit = model.power(file, name);
-    let here = points.iter().find(|point| point.size == size);
-    let at = match (here, fit) {
+    let at_plan_size = points.iter().find(|point| point.size == size);
+    let plan_value = match (at_plan_size, fit) {
         (Some(point), _) => format!("{} (measured)", reading(point)),
         (None, Some((base, slope, _))) => {
             format!("{} (extrapolated)", figure((base + slope * size.ln()).exp()))
         }
         (None, None) => "not run".into(),
     };
-    let text =
-        |of: fn(&super::points::Point) -> &str| points.first().map_or("-", |point| of(point)).to_string();
+    let text = |field: fn(&super::points::Point) -> &str| {
+        points.first().map_or("-", |point| field(point)).to_string()
+    };
     let row = [
         name.into(),
-        told.join(", "),
+        values.join(", "),
         text(|point| &point.unit),
         text(|point| &point.lost),
         text(|point| &point.seeds),
         fit.map_or("-".into(), |(_, slope, _)| figure(slope)),
         fit.map_or("-".into(), |(.., residual)| format!("{:.1}%", residual * 100.0)),
-        at,
+        plan_value,
         format!("`{}`", model.points.commands(file, name).unwrap_or_default()),
     ];
     format!("| {} |", row.join(" | "))
 }
 
-fn sensitivity(out: &mut String, plan: &Plan, open: &Assumptions, points: &Points) {
+fn sensitivity(out: &mut String, plan: &Plan, assumptions: &Assumptions, points: &Points) {
     line(out, "## Sensitivity\n");
     line(
         out,
@@ -257,7 +259,7 @@
     let names: Vec<&str> = Role::ALL.iter().map(|role| role.name()).collect();
     line(out, &format!("| case | {} | missing first |", names.join(" | ")));
     line(out, &format!("| --- |{} --- |", " --- |".repeat(names.len())));
-    let rows = sensitivity::run(plan, open, points);
+    let rows = sensitivity::run(plan, assumptions, points);
     let usual: Vec<String> = rows[0].ratios.iter().map(|ratio| ratio_text(*ratio)).collect();
     for (at, row) in rows.into_iter().enumerate() {
         let same = |(ratio, usual): (Option<f64>, &String)| {
@@ -271,7 +273,7 @@
     line(out, "");
 }
 
-/// A mechanism in a word or two.
+/// A short name of a mechanism.
 fn short(missing: Missing) -> &'static str {
     match missing {
         Missing::ZonedMembership => "membership by zones",
@@ -289,28 +291,28 @@
     line(
         out,
         &format!(
-            "The role with the largest ratio of need to budget; near ties are those within a factor of {NEAR} of it, and \
-             among them the mechanism that others stand on comes first.\n"
+            "The role with the largest ratio of need to budget; near ties are those within a factor of {NEAR_TIE_FACTOR} of it, \
+             and among them the mechanism that others stand on comes first.\n"
         ),
     );
     line(out, "| role past its budget | ratio | near tie | waits for |\n| --- | --- | --- | --- |");
     for (at, Ranked { role, ratio, missing }) in decision.ranked.iter().enumerate() {
-        let near = if at < decision.near { "yes" } else { "no" };
+        let near_tie = if at < decision.near_ties { "yes" } else { "no" };
         let missing = missing.map_or("no new mechanism", Missing::name);
-        line(out, &format!("| {} | {} | {near} | {missing} |", role.name(), figure(*ratio)));
+        line(out, &format!("| {} | {} | {near_tie} | {missing} |", role.name(), figure(*ratio)));
     }
     line(out, "");
     line(out, &reason(&decision));
 }
 
-/// What would come first were the largest ratios left out one by one: whether the decision hangs on a single role.
-fn without(decision: &Decision) -> String {
+/// Repeats the decision with the largest ratios left out one by one, which shows whether it depends on a single role.
+fn decision_without_largest(decision: &Decision) -> String {
     let mut rest = decision.ranked.as_slice();
     let (mut names, mut cases) = (Vec::new(), Vec::new());
     while let Some((largest, fewer)) = rest.split_first() {
         names.push(largest.role.name());
         rest = fewer;
-        let Some(next) = super::decide::first_of(rest) else { break };
+        let Some(next) = super::decide::decide_ranked(rest) else { break };
         cases.push(format!("without {}: {}", names.join(", "), short(next.first)));
         if next.first != decision.first {
             break;
@@ -323,27 +325,30 @@
 }
 
 fn reason(decision: &Decision) -> String {
-    let Decision { ranked, near, first, by_dependence } = decision;
+    let Decision { ranked, near_ties, first, is_by_dependency } = decision;
     let largest = &ranked[0];
-    let ties: Vec<&str> = ranked[1..*near].iter().map(|of| of.role.name()).collect();
+    let ties: Vec<&str> = ranked[1..*near_ties].iter().map(|tie| tie.role.name()).collect();
     let ties = if ties.is_empty() {
         "no other role is a near tie".into()
     } else {
         format!("near ties: {}", ties.join(", "))
     };
     let waiting: Vec<&str> =
-        ranked.iter().filter(|of| of.missing == Some(*first)).map(|of| of.role.name()).collect();
-    let above: Vec<&str> =
-        Missing::ALL.into_iter().filter(|of| super::decide::stands_on(*of, *first)).map(short).collect();
-    let why = match by_dependence {
+        ranked.iter().filter(|role| role.missing == Some(*first)).map(|ranked| ranked.role.name()).collect();
+    let dependents: Vec<&str> = Missing::ALL
+        .into_iter()
+        .filter(|mechanism| super::decide::depends_on(*mechanism, *first))
+        .map(short)
+        .collect();
+    let why = match is_by_dependency {
         true => "a near tie on which the mechanism of the largest ratio stands",
         false => "that of the largest ratio",
     };
-    let above = if above.is_empty() { "none".into() } else { above.join(", ") };
-    let without = without(decision);
+    let dependents = if dependents.is_empty() { "none".into() } else { dependents.join(", ") };
+    let without = decision_without_largest(decision);
     format!(
         "Largest: {}, {} times its budget; {ties}.\n\n**Missing first: {}** ({why}). Roles past their budget that wait for \
-         it: {}. Missing mechanisms that stand on it: {above}.\n\n{without}",
+         it: {}. Missing mechanisms that stand on it: {dependents}.\n\n{without}",
         largest.role.name(),
         figure(largest.ratio),
         first.name(),
--- a/crates/bench/src/capacity/plan.rs
+++ b/crates/bench/src/capacity/plan.rs
@@ -1,20 +1,20 @@
-//! The size that the capacity page is computed for: the users' plan, what the plan leaves open, and how the budget of
-//! a scheduler is divided among roles. Every variable of every formula on the page is a field here.
+//! The size that the capacity page is computed for: the users' plan, assumptions about what the plan leaves open, and
+//! how the budget of a scheduler is divided among roles. Every variable of every formula on the page is a field here.
 
-/// The users' plan. Nothing here is a guess.
+/// The users' plan: figures that the users stated, no assumptions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// Scheduler processes.
     pub schedulers: f64,
-    /// Instances of functions that stand at one time.
+    /// Instances of functions that are loaded at one time.
     pub instances: f64,
     /// Functions.
     pub functions: f64,
-    /// Calls a second of the whole fleet.
+    /// Calls a second, over the whole fleet.
     pub calls_per_s: f64,
-    /// Calls a second below which "most" functions are called: less than once a minute.
+    /// Most functions are called less often than this many times a second, which is once a minute.
     pub rare_calls_per_s: f64,
-    /// A cold start is answered within this many seconds for 99 in 100.
+    /// 99 in 100 cold starts are answered within this many seconds.
     pub cold_start_s: f64,
     /// Regions.
     pub regions: f64,
@@ -24,22 +24,22 @@
     pub changes_per_day: f64,
     /// A change is in force everywhere within this many seconds.
     pub change_in_force_s: f64,
-    /// Share of one core that a scheduler spends for control.
+    /// Share of one core that a scheduler may spend on control.
     pub core_share: f64,
-    /// Memory that a scheduler spends for control, bytes.
+    /// Memory that a scheduler may spend on control, bytes.
     pub memory_bytes: f64,
-    /// Bytes a second that a scheduler spends for control.
+    /// Bytes a second that a scheduler may spend on control.
     pub bytes_per_s: f64,
     /// Machines set aside for control.
     pub control_machines: f64,
     /// Machines that fail on an ordinary day.
     pub failures_per_day: f64,
-    /// Machines that are restarted or replaced on a day.
+    /// Machines that are restarted or replaced in a day.
     pub restarts_per_day: f64,
 }
 
 impl Plan {
-    /// The figures as the users gave them.
+    /// The figures as the users stated them.
     pub const USERS: Self = Self {
         schedulers: 1_900.0,
         instances: 310_000.0,
@@ -59,12 +59,12 @@
         restarts_per_day: 220.0,
     };
 
-    /// Calls a second that one scheduler takes.
-    pub fn calls_of_one(&self) -> f64 {
+    /// Calls a second that one scheduler receives.
+    pub fn calls_per_scheduler(&self) -> f64 {
         self.calls_per_s / self.schedulers
     }
 
-    /// Processor time for control, microseconds a second.
+    /// Processor time that a scheduler may spend on control, microseconds a second.
     pub fn processor_us_per_s(&self) -> f64 {
         self.core_share * 1e6
     }
@@ -74,7 +74,7 @@
         self.changes_per_day / DAY_S
     }
 
-    /// The page's table: name, value, unit.
+    /// Rows of the page's table: name, value, unit.
     pub fn rows(&self) -> Vec<(&'static str, f64, &'static str)> {
         vec![
             ("schedulers", self.schedulers, "processes"),
@@ -99,40 +99,41 @@
 /// Seconds of a day.
 pub const DAY_S: f64 = 86_400.0;
 
-/// What the plan leaves open: guesses, one by one varied in the sensitivity run.
+/// Assumptions about what the plan leaves open. The sensitivity analysis varies them one at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assumptions {
     /// Workers of the fleet.
     pub workers: f64,
-    /// Calls of functions fall as rank to this power; none for the least by which the median function is rare.
+    /// Exponent by which calls fall with a function's rank; `None` for the smallest exponent with which the median
+    /// function is called less often than [`Plan::rare_calls_per_s`].
     pub skew: Option<f64>,
-    /// An instance that is not used stands so long, seconds.
+    /// How long an unused instance stays loaded, seconds.
     pub keep_s: f64,
-    /// Time between two starts of one instance's place, seconds: how long an instance lives on the average.
+    /// Mean time from an instance's start to its end, seconds.
     pub instance_life_s: f64,
-    /// One way inside a zone, seconds.
+    /// One-way delay inside a zone, seconds.
     pub hop_zone_s: f64,
-    /// One way between zones, seconds.
+    /// One-way delay between zones, seconds.
     pub hop_zones_s: f64,
-    /// One way between regions, seconds.
+    /// One-way delay between regions, seconds.
     pub hop_regions_s: f64,
     /// Share of a cold start's time that control may take.
     pub cold_control_share: f64,
-    /// A scheduler that starts has what it needs after this, seconds.
+    /// Time in which a starting scheduler has to receive the state that it needs, seconds.
     pub start_s: f64,
-    /// Members agree after a start, a death or a healed partition within this, seconds.
+    /// Time in which members have to agree after a start, a death or a healed partition, seconds.
     pub settle_s: f64,
-    /// Pairs of class and tenant that admission control tells apart.
+    /// Pairs of class and tenant that admission control distinguishes.
     pub pairs: f64,
-    /// Share of calls whose events are kept in journals.
+    /// Share of calls whose events are stored in journals.
     pub kept_share: f64,
     /// Bytes of a change of configuration.
     pub change_bytes: f64,
-    /// Starts of one worker a day.
+    /// How often one worker starts in a day.
     pub worker_starts_per_day: f64,
-    /// A scheduler's restart holds its permit so long, seconds.
+    /// How long the restart of a scheduler holds its permit, seconds.
     pub permit_s: f64,
-    /// Hours of a day in which the day's restarts fall.
+    /// Number of hours over which the restarts of a day are spread.
     pub restart_hours: f64,
     /// Cores of a control machine that control may use.
     pub control_cores: f64,
@@ -141,7 +142,7 @@
 }
 
 impl Assumptions {
-    /// The middle of what is thought likely.
+    /// The middle of the range that is considered likely.
     pub const USUAL: Self = Self {
         workers: 5_000.0,
         skew: None,
@@ -163,49 +164,52 @@
         control_bytes_per_s: 60e6,
     };
 
-    /// The same with its skew worked out, which takes a while.
+    /// The same assumptions with the skew computed, so that it need not be searched for again, which is slow.
     pub fn resolved(&self, plan: &Plan) -> Self {
         Self { skew: Some(self.skew(plan)), ..self.clone() }
     }
 
-    /// The power by which calls fall with a function's rank: as given, or the least by which a function in the
-    /// middle of the list is called less often than the plan says of most.
+    /// The exponent by which calls fall with a function's rank: as given, or the smallest with which the function of
+    /// median rank is called less often than the plan states for most functions.
     pub fn skew(&self, plan: &Plan) -> f64 {
         if let Some(given) = self.skew {
             return given;
         }
-        let middle = |skew: f64| plan.calls_per_s * (plan.functions / 2.0).powf(-skew) / weights(plan, skew);
+        let median_calls_per_s =
+            |skew: f64| plan.calls_per_s * (plan.functions / 2.0).powf(-skew) / weight_sum(plan, skew);
         let (mut low, mut high) = (0.0, 4.0);
         for _ in 0..50 {
             let skew = (low + high) / 2.0;
-            if middle(skew) > plan.rare_calls_per_s { low = skew } else { high = skew }
+            if median_calls_per_s(skew) > plan.rare_calls_per_s { low = skew } else { high = skew }
         }
         high
     }
 
-    /// Functions that one scheduler holds: those called there within the four spans for which it remembers one.
+    /// Functions that one scheduler holds: those called there within four times [`Self::keep_s`], after which it
+    /// forgets a function.
     pub fn functions_held(&self, plan: &Plan) -> f64 {
         let (skew, span) = (self.skew(plan), self.keep_s * 4.0);
-        let calls = plan.calls_of_one() * span / weights(plan, skew);
+        let calls = plan.calls_per_scheduler() * span / weight_sum(plan, skew);
         let held = |rank: u64| 1.0 - (-calls * (rank as f64).powf(-skew)).exp();
         (1..=plan.functions as u64).map(held).sum()
     }
 
-    /// Share of a scheduler's calls that find no place of their function known there: none came for keep_s.
+    /// Share of a scheduler's calls for a function of which it knows no copy, because none was called there for
+    /// [`Self::keep_s`].
     pub fn new_share(&self, plan: &Plan) -> f64 {
         let skew = self.skew(plan);
-        let calls = plan.calls_of_one() / weights(plan, skew);
+        let calls = plan.calls_per_scheduler() / weight_sum(plan, skew);
         let rate = |rank: u64| calls * (rank as f64).powf(-skew);
         let new = |rank: u64| rate(rank) * (-rate(rank) * self.keep_s).exp();
-        (1..=plan.functions as u64).map(new).sum::<f64>() / plan.calls_of_one()
+        (1..=plan.functions as u64).map(new).sum::<f64>() / plan.calls_per_scheduler()
     }
 
-    /// Starts of instances a second, as many as ends.
+    /// Instances that start in a second; as many end.
     pub fn starts_per_s(&self, plan: &Plan) -> f64 {
         plan.instances / self.instance_life_s
     }
 
-    /// The page's table: name, value, unit.
+    /// Rows of the page's table: name, value, unit.
     pub fn rows(&self, plan: &Plan) -> Vec<(&'static str, f64, &'static str)> {
         vec![
             ("workers", self.workers, "workers"),
@@ -253,37 +257,37 @@
     }
 }
 
-fn weights(plan: &Plan, skew: f64) -> f64 {
+fn weight_sum(plan: &Plan, skew: f64) -> f64 {
     (1..=plan.functions as u64).map(|rank| (rank as f64).powf(-skew)).sum()
 }
 
-/// A part of the program with a state and a cost of its own.
+/// A part of the program with its own state and cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// The scheduler's decision module.
     Module,
-    /// Where instances stand.
+    /// The directory of the workers on which instances are loaded.
     Directory,
-    /// Who is a member and lives.
+    /// The view of which schedulers are members and live.
     Membership,
-    /// Who may be out of use.
+    /// Permits to take a scheduler or worker out of use.
     Permits,
-    /// What the fleet turns away.
+    /// Admission control, which refuses calls under overload.
     Admission,
-    /// Which site answers.
+    /// Routing of calls between sites.
     Routing,
-    /// Kept events.
+    /// Journals of stored events.
     Journals,
-    /// How a change of configuration reaches everyone.
+    /// Distribution of configuration changes.
     Configuration,
-    /// The list of workers.
+    /// The watch on the list of workers.
     Watch,
-    /// The machines set aside.
+    /// The machines set aside for control.
     ControlMachines,
 }
 
 impl Role {
-    /// All, in the page's order.
+    /// All roles, in the order of the page.
     pub const ALL: [Self; 10] = [
         Self::Module,
         Self::Directory,
@@ -297,7 +301,7 @@
         Self::ControlMachines,
     ];
 
-    /// As the page calls it.
+    /// The name of the role on the page.
     pub fn name(self) -> &'static str {
         match self {
             Self::Module => "scheduler's decision module",
@@ -313,7 +317,8 @@
         }
     }
 
-    /// Its share of what a scheduler may spend for control. A choice of this page; shares of a resource sum to 1.
+    /// The share of a scheduler's control budget that this role gets. These shares are a design choice of the page; for
+    /// each resource they sum to 1.
     pub fn share(self) -> Share {
         let share = |processor, memory, bandwidth| Share { processor, memory, bandwidth };
         match self {
@@ -331,13 +336,13 @@
     }
 }
 
-/// Parts of a scheduler's budget, 0 to 1.
+/// Shares of a scheduler's budget, 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
-    /// Of the processor time.
+    /// Share of the processor time.
     pub processor: f64,
-    /// Of the memory.
+    /// Share of the memory.
     pub memory: f64,
-    /// Of the bytes a second.
+    /// Share of the bytes a second.
     pub bandwidth: f64,
 }
--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -1,29 +1,29 @@
-//! What each role needs at the plan's size: formulas in the plan's variables, their slopes from measured points, the
-//! budget and the ratio of the two.
+//! What each role needs at the plan's size: formulas in the variables of the plan, with slopes from measured points,
+//! and the ratio of need to budget.
 
 use super::fit::{Fit, fit};
-use super::measure::BY_FUNCTIONS;
+use super::measure::FUNCTIONS_SUFFIX;
 use super::plan::{Assumptions, DAY_S, Plan, Role};
 use super::points::{Points, Reading};
 use basaltward_membership::MembershipSettings;
 use basaltward_permits::{MAX_PERMITS, PermitSettings};
 use basaltward_site_routing::FunctionSpec;
 
-/// How a figure came to be.
+/// How a figure was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Basis {
-    /// By the formula and constants of the code alone.
+    /// Computed from the formula and constants of the code alone.
     Arithmetic,
-    /// By slopes that were measured up to this size.
+    /// Computed from slopes that were measured up to this size.
     Measured,
-    /// By slopes that were measured at smaller sizes.
+    /// Computed from slopes that were measured at smaller sizes only.
     Extrapolated,
     /// No run is on record.
     NotRun,
 }
 
 impl Basis {
-    /// As the page labels it.
+    /// The label on the page.
     pub fn name(self) -> &'static str {
         match self {
             Self::Arithmetic => "arithmetic",
@@ -34,25 +34,26 @@
     }
 }
 
-/// What a budget is for.
+/// A resource that has a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resource {
-    /// Microseconds a second.
+    /// Processor time, in microseconds a second.
     Processor,
-    /// Bytes.
+    /// Memory, in bytes.
     Memory,
-    /// Bytes a second.
+    /// Network traffic, in bytes a second.
     Bandwidth,
-    /// Seconds.
+    /// Time, in seconds.
     Time,
-    /// Machines.
+    /// Number of machines.
     Machines,
-    /// A constant of the code: it says what no longer fits, but is no budget of the plan and decides nothing.
+    /// A limit set by a constant of the code. A need over it is reported, but it is not a budget of the plan and does
+    /// not count in the decision.
     Bound,
 }
 
 impl Resource {
-    /// As the page calls it.
+    /// The name on the page.
     pub fn name(self) -> &'static str {
         match self {
             Self::Processor => "processor, us/s",
@@ -65,73 +66,75 @@
     }
 }
 
-/// A slope that a need rests on.
+/// A fitted slope from which a need is computed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Slope {
-    /// Its series.
+    /// The file and series that were fitted.
     pub series: String,
-    /// The fit with its error, as text.
+    /// The fit with its standard errors, as text.
     pub text: String,
-    /// What measured it.
+    /// The command that measured the series.
     pub command: String,
 }
 
-/// One line of a role's section.
+/// One need of a role: a line of its section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Need {
-    /// Of what.
+    /// The resource that is needed.
     pub resource: Resource,
-    /// In words.
+    /// Short description.
     pub what: &'static str,
-    /// In the variables of the plan and of the assumptions.
+    /// Formula in the variables of the plan and of the assumptions.
     pub formula: String,
-    /// At the plan's size; none where a slope was not measured.
+    /// The need at the plan's size; `None` where a slope was not measured.
     pub value: Option<f64>,
-    /// How it came to be.
+    /// How the value was obtained.
     pub basis: Basis,
-    /// How many times past the largest measured size it lies; 1 or less where it was measured so far.
-    pub reach: f64,
-    /// What it rests on.
+    /// The size divided by the largest measured size; 1 or less where the size was measured.
+    pub extrapolation: f64,
+    /// The slopes from which the value is computed.
     pub slopes: Vec<Slope>,
-    /// In the same unit.
+    /// The budget, in the unit of the value.
     pub budget: f64,
 }
 
 impl Need {
-    /// Need over budget.
+    /// The need divided by the budget.
     pub fn ratio(&self) -> Option<f64> {
         self.value.map(|value| value / self.budget)
     }
 
-    /// How it came to be, and how far past what was measured.
+    /// The basis as the page labels it, with the factor of an extrapolation.
     pub fn label(&self) -> String {
         match self.basis {
-            Basis::Extrapolated => format!("extrapolated {} times past the largest run", figure(self.reach)),
+            Basis::Extrapolated => {
+                format!("extrapolated {} times past the largest run", figure(self.extrapolation))
+            }
             basis => basis.name().into(),
         }
     }
 
-    /// Whether it counts in the decision.
-    pub fn counts(&self) -> bool {
+    /// Whether the need counts in the decision.
+    pub fn counts_in_decision(&self) -> bool {
         self.resource != Resource::Bound
     }
 }
 
-/// A mechanism that does not stand yet.
+/// A mechanism that is not implemented yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Missing {
-    /// Full views of a zone, summaries between zones.
+    /// Membership with full views inside a zone and summaries between zones.
     ZonedMembership,
-    /// Each function's places held by few, asked for on need.
+    /// A directory in which few schedulers hold the entries of each function and others query them when needed.
     PartitionedDirectory,
-    /// A function's candidates before ratios of all workers.
+    /// An index of candidate workers for a function, so that not all workers have to be ranked.
     CandidateIndex,
-    /// Changes with versions, told to all, with a word of who is behind.
+    /// Versioned configuration changes that are sent to all schedulers, with a report of those that are behind.
     VersionedConfiguration,
 }
 
 impl Missing {
-    /// All of them.
+    /// All mechanisms.
     pub const ALL: [Self; 4] = [
         Self::ZonedMembership,
         Self::PartitionedDirectory,
@@ -139,7 +142,7 @@
         Self::VersionedConfiguration,
     ];
 
-    /// As the page calls it.
+    /// The name on the page.
     pub fn name(self) -> &'static str {
         match self {
             Self::ZonedMembership => {
@@ -153,51 +156,51 @@
         }
     }
 
-    /// The missing mechanisms that this one is built on.
-    pub fn stands_on(self) -> &'static [Self] {
+    /// The missing mechanisms that this one directly depends on.
+    pub fn depends_on(self) -> &'static [Self] {
         match self {
             Self::ZonedMembership => &[],
-            // Who holds a function's places, and who answers a change, is who is a member.
+            // The holders of a function's entries and the receivers of a change are chosen among the members.
             Self::PartitionedDirectory | Self::VersionedConfiguration => &[Self::ZonedMembership],
-            // Candidates come from what the directory knows.
+            // Candidates come from the directory.
             Self::CandidateIndex => &[Self::PartitionedDirectory],
         }
     }
 }
 
-/// A role's section.
+/// The section of a role on the page.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Section {
-    /// Whose.
+    /// The role.
     pub role: Role,
-    /// What state it holds.
+    /// The state that the role holds.
     pub state: &'static str,
-    /// Messages in and out.
+    /// The messages that it receives and sends.
     pub messages: &'static str,
-    /// Its needs.
+    /// The needs of the role.
     pub needs: Vec<Need>,
-    /// What carries it today.
+    /// The mechanism that is implemented today.
     pub mechanism: &'static str,
-    /// What would, where that does not do.
+    /// The missing mechanism that would replace it; `None` where none is needed.
     pub missing: Option<Missing>,
-    /// What else a reader has to know.
+    /// Further remarks for the reader of the page.
     pub notes: Vec<String>,
 }
 
 impl Section {
-    /// The need with the largest ratio of those that count.
-    pub fn worst(&self) -> Option<&Need> {
-        let known = self.needs.iter().filter(|need| need.counts() && need.value.is_some());
+    /// The need with the largest ratio, of those that count in the decision.
+    pub fn largest_need(&self) -> Option<&Need> {
+        let known = self.needs.iter().filter(|need| need.counts_in_decision() && need.value.is_some());
         known.max_by(|a, b| a.ratio().partial_cmp(&b.ratio()).unwrap_or(std::cmp::Ordering::Equal))
     }
 
-    /// Its largest ratio.
+    /// The largest ratio of the role.
     pub fn ratio(&self) -> Option<f64> {
-        self.worst().and_then(Need::ratio)
+        self.largest_need().and_then(Need::ratio)
     }
 
-    /// Whether every need is within its budget, none where one was not run.
-    pub fn holds(&self) -> Option<bool> {
+    /// Whether every need is within its budget. `None` where the measured needs are, but others were not run.
+    pub fn is_within_budget(&self) -> Option<bool> {
         if self.needs.iter().any(|need| need.ratio().is_some_and(|ratio| ratio > 1.0)) {
             return Some(false);
         }
@@ -205,11 +208,11 @@
     }
 }
 
-/// A fit with what it was made of.
+/// A fit with its description.
 struct Fitted {
     fit: Fit,
     slope: Slope,
-    /// Powers in place of a line: logarithms were fitted.
+    /// True for a power law, fitted as a line through logarithms.
     is_power: bool,
 }
 
@@ -222,14 +225,14 @@
         self.fit.at(x)
     }
 
-    /// How many times past what was measured this lies.
-    fn reach(&self, x: &[f64]) -> f64 {
-        let most = self.fit.most.iter().map(|most| if self.is_power { most.exp() } else { *most });
-        x.iter().zip(most).map(|(x, most)| x / most.max(f64::MIN_POSITIVE)).fold(0.0, f64::max)
+    /// The largest ratio of a regressor to its largest measured value.
+    fn extrapolation(&self, x: &[f64]) -> f64 {
+        let largest = self.fit.max_regressors.iter().map(|max| if self.is_power { max.exp() } else { *max });
+        x.iter().zip(largest).map(|(x, largest)| x / largest.max(f64::MIN_POSITIVE)).fold(0.0, f64::max)
     }
 }
 
-/// The greater part of three figures that a reader takes in.
+/// Formats a number with about three significant digits and grouped thousands.
 pub fn figure(value: f64) -> String {
     let size = value.abs();
     let text = match size {
@@ -254,58 +257,61 @@
     format!("{sign}{grouped}{rest}")
 }
 
-/// The plan, the assumptions and what was measured.
+/// The capacity model: the plan, the assumptions and the measured points.
 pub struct Model<'a> {
     /// The users' plan.
     pub plan: &'a Plan,
-    /// What it leaves open.
-    pub open: &'a Assumptions,
+    /// Assumptions about what the plan leaves open.
+    pub assumptions: &'a Assumptions,
     /// Measured points.
     pub points: &'a Points,
 }
 
-/// A value with how it came to be and what it rests on.
-struct Value {
+/// A value with its basis and the slopes from which it is computed.
+struct Estimate {
     value: Option<f64>,
     basis: Basis,
-    reach: f64,
+    extrapolation: f64,
     slopes: Vec<Slope>,
 }
 
-/// Sizes within a thousandth past the largest measured one count as measured.
-const REACHED: f64 = 1.001;
+/// Sizes up to a thousandth above the largest measured one count as measured.
+const MEASURED_UP_TO: f64 = 1.001;
 
-impl Value {
+impl Estimate {
     fn arithmetic(value: f64) -> Self {
-        Self { value: Some(value), basis: Basis::Arithmetic, reach: 0.0, slopes: Vec::new() }
+        Self { value: Some(value), basis: Basis::Arithmetic, extrapolation: 0.0, slopes: Vec::new() }
     }
 
-    /// From fits, each with where it is taken; none of it where one is missing.
-    fn of<const N: usize>(fits: [(&Option<Fitted>, &[f64]); N], join: impl Fn([f64; N]) -> f64) -> Self {
+    /// Combines the values of fits, each evaluated at its point. There is no value where one of the fits is missing.
+    fn from_fits<const N: usize>(
+        fits: [(&Option<Fitted>, &[f64]); N],
+        join: impl Fn([f64; N]) -> f64,
+    ) -> Self {
         let mut values = [0.0; N];
-        let (mut reach, mut slopes) = (0.0, Vec::new());
+        let (mut extrapolation, mut slopes) = (0.0, Vec::new());
         for (value, (fitted, x)) in values.iter_mut().zip(fits) {
             let Some(fitted) = fitted else {
-                return Self { value: None, basis: Basis::NotRun, reach, slopes };
+                return Self { value: None, basis: Basis::NotRun, extrapolation, slopes };
             };
             *value = fitted.at(x);
-            reach = f64::max(reach, fitted.reach(x));
+            extrapolation = f64::max(extrapolation, fitted.extrapolation(x));
             slopes.push(fitted.slope.clone());
         }
-        let basis = if reach > REACHED { Basis::Extrapolated } else { Basis::Measured };
-        Self { value: Some(join(values)), basis, reach, slopes }
+        let basis = if extrapolation > MEASURED_UP_TO { Basis::Extrapolated } else { Basis::Measured };
+        Self { value: Some(join(values)), basis, extrapolation, slopes }
     }
 }
 
-/// Files of points that other commands write.
+/// Points of the `scale` command: members in virtual time.
 pub const MEMBERSHIP: &str = "membership.csv";
-/// Of hollow members beside real processes.
+/// Points of hollow members that run beside real processes.
 pub const HOLLOW: &str = "hollow.csv";
-/// Members in virtual time at small sizes, measured by this command.
-pub const SMALL: &str = "membership-small.csv";
+/// Points of members in virtual time at small sizes, measured by this command.
+pub const MEMBERSHIP_SMALL: &str = "membership-small.csv";
 
 impl Model<'_> {
-    /// All sections.
+    /// The sections of all roles.
     pub fn sections(&self) -> Vec<Section> {
         Role::ALL.map(|role| self.section(role)).to_vec()
     }
@@ -343,14 +349,14 @@
         Slope { series: format!("{file}: {series}"), text, command: command.into() }
     }
 
-    /// Sizes and values of a series, without those that did not settle, and what measured it.
+    /// Sizes and values of a series, without points that did not settle, and the command that measured it.
     fn values(&self, file: &str, series: &str) -> Option<(Vec<(f64, f64)>, String)> {
         let points = self.points.series(file, series);
         let command = self.points.commands(file, series)?;
         Some((points.iter().filter_map(|point| Some((point.size, point.value()?))).collect(), command))
     }
 
-    /// A line through a series.
+    /// Fits a line to a series.
     fn line(&self, file: &str, series: &str, name: &str) -> Option<Fitted> {
         let (points, command) = self.values(file, series)?;
         let rows: Vec<Vec<f64>> = points.iter().map(|(size, _)| vec![*size]).collect();
@@ -360,7 +366,7 @@
         Some(Fitted { fit, slope, is_power: false })
     }
 
-    /// A power law through a series: a line through logarithms.
+    /// Fits a power law to a series, as a line through logarithms: intercept and slope of the line, relative residual.
     pub fn power(&self, file: &str, series: &str) -> Option<(f64, f64, f64)> {
         let fitted = self.power_fit(file, series)?;
         Some((fitted.fit.coefficients[0], fitted.fit.coefficients[1], fitted.fit.residual))
@@ -372,18 +378,18 @@
         let rows: Vec<Vec<f64>> = points.iter().map(|(size, _)| vec![size.ln()]).collect();
         let values: Vec<f64> = points.iter().map(|(_, value)| value.ln()).collect();
         let mut fit = fit(&rows, &values)?;
-        // Of the values, not of their logarithms.
+        // The residual is that of the values, not of their logarithms.
         let left = |(size, value): &(f64, f64)| (fit.at(&[size.ln()]).exp() / value - 1.0).powi(2);
         fit.residual = (points.iter().map(left).sum::<f64>() / points.len() as f64).sqrt();
         let slope = Self::slope(file, series, &command, &fit, &["ln members"], true);
         Some(Fitted { fit, slope, is_power: true })
     }
 
-    /// The module's figures over workers and functions: their product too, as a call for a function not held ranks
-    /// all workers.
+    /// Fits a series of the decision module over workers and functions held. The cost of calls for functions that are
+    /// not held, which rank all workers, is measured by a series of its own.
     fn plane(&self, series: &str) -> Option<Fitted> {
         let file = "module.csv";
-        let start = format!("{series}{BY_FUNCTIONS}");
+        let start = format!("{series}{FUNCTIONS_SUFFIX}");
         let (mut rows, mut values, mut command) = (Vec::new(), Vec::new(), String::new());
         for name in self.points.names(file) {
             let Some(functions) = name.strip_prefix(&start).and_then(|of| of.parse::<f64>().ok()) else {
@@ -400,12 +406,19 @@
         Some(Fitted { fit, slope, is_power: false })
     }
 
-    fn need(&self, resource: Resource, what: &'static str, formula: &str, value: Value, budget: f64) -> Need {
-        let Value { value, basis, reach, slopes } = value;
-        Need { resource, what, formula: formula.into(), value, basis, reach, slopes, budget }
+    fn need(
+        &self,
+        resource: Resource,
+        what: &'static str,
+        formula: &str,
+        value: Estimate,
+        budget: f64,
+    ) -> Need {
+        let Estimate { value, basis, extrapolation, slopes } = value;
+        Need { resource, what, formula: formula.into(), value, basis, extrapolation, slopes, budget }
     }
 
-    /// A scheduler's budget that falls to a role.
+    /// The part of a scheduler's budget that a role gets.
     fn budget(&self, role: Role, resource: Resource) -> f64 {
         let (plan, share) = (self.plan, role.share());
         match resource {
@@ -416,13 +429,13 @@
         }
     }
 
-    fn of_share(
+    fn need_of_share(
         &self,
         role: Role,
         resource: Resource,
         what: &'static str,
         formula: &str,
-        value: Value,
+        value: Estimate,
     ) -> Need {
         self.need(resource, what, formula, value, self.budget(role, resource))
     }
@@ -430,26 +443,28 @@
     // ---- roles -------------------------------------------------------------------------------------------
 
     fn module(&self) -> Section {
-        let (role, plan, open) = (Role::Module, self.plan, self.open);
-        let (workers, functions, calls) = (open.workers, open.functions_held(plan), plan.calls_of_one());
+        let (role, plan, assumptions) = (Role::Module, self.plan, self.assumptions);
+        let (workers, functions, calls) =
+            (assumptions.workers, assumptions.functions_held(plan), plan.calls_per_scheduler());
         let at: &[f64] = &[workers, functions];
         let (call, sweep) = (self.plane("module_call_us"), self.plane("module_sweep_us_per_s"));
-        let (new, share) = (self.line("module.csv", "module_new_us", "workers"), open.new_share(plan));
-        let processor = Value::of([(&call, at), (&new, &[workers]), (&sweep, at)], |[call, new, sweep]| {
-            calls * ((1.0 - share) * call + share * new) + sweep
-        });
+        let (new, share) = (self.line("module.csv", "module_new_us", "workers"), assumptions.new_share(plan));
+        let processor =
+            Estimate::from_fits([(&call, at), (&new, &[workers]), (&sweep, at)], |[call, new, sweep]| {
+                calls * ((1.0 - share) * call + share * new) + sweep
+            });
         let (by_functions, by_workers) = (
             self.line("memory.csv", "module_memory_by_functions", "functions"),
             self.line("memory.csv", "module_memory_by_workers", "workers"),
         );
-        let memory =
-            Value::of([(&by_functions, &[functions]), (&by_workers, &[workers])], |[functions, workers]| {
-                functions + workers
-            });
-        // The module's own patience with questions, then a question and its answer between zones.
-        let cold = MODULE_ASK_S + 2.0 * open.hop_zones_s;
+        let memory = Estimate::from_fits(
+            [(&by_functions, &[functions]), (&by_workers, &[workers])],
+            |[functions, workers]| functions + workers,
+        );
+        // The module waits this long for answers to probes; then one probe and its answer between zones.
+        let cold = MODULE_PROBE_WAIT_S + 2.0 * assumptions.hop_zones_s;
         let needs = vec![
-self.of_share(
+self.need_of_share(
 role,
 Resource::Processor,
 "all its events",
@@ -457,7 +472,7 @@
                  + sweep_us_per_s(workers, functions_held)",
 processor,
 ),
-self.of_share(
+self.need_of_share(
 role,
 Resource::Memory,
 "functions, their places and workers",
@@ -468,8 +483,8 @@
 Resource::Time,
 "a cold start's questions",
 "0.015 s of patience with questions + 2 x hop_zones_s",
-Value::arithmetic(cold),
-plan.cold_start_s * open.cold_control_share,
+Estimate::arithmetic(cold),
+plan.cold_start_s * assumptions.cold_control_share,
 ),
 ];
         Section {
@@ -485,67 +500,68 @@
             notes: vec![format!(
                 "One question to another region takes 2 x hop_regions_s = {} s, of {} s that control may take of a cold \
                  start (arithmetic): questions have to stay within a region.",
-                figure(2.0 * open.hop_regions_s),
-                figure(plan.cold_start_s * open.cold_control_share)
+                figure(2.0 * assumptions.hop_regions_s),
+                figure(plan.cold_start_s * assumptions.cold_control_share)
             )],
         }
     }
 
     fn directory(&self) -> Section {
-        let (role, plan, open) = (Role::Directory, self.plan, self.open);
-        let told = self.line("directory.csv", "directory_told_bytes", "updates");
-        let heard = self.line("directory.csv", "directory_heard_us", "updates");
+        let (role, plan, assumptions) = (Role::Directory, self.plan, self.assumptions);
+        let update_bytes = self.line("directory.csv", "directory_told_bytes", "updates");
+        let update_us = self.line("directory.csv", "directory_heard_us", "updates");
         let memory = self.line("memory.csv", "directory_memory", "facts");
-        // What was told is told again after a quarter to a half of keep_s.
-        let updates = 2.0 * open.starts_per_s(plan) + plan.instances / (open.keep_s * REFRESH);
+        // An entry is published again after a quarter to a half of keep_s.
+        let updates =
+            2.0 * assumptions.starts_per_s(plan) + plan.instances / (assumptions.keep_s * REFRESH_SHARE);
         let slope = |fitted: &Option<Fitted>, times: f64| {
-            // A rate: the slope alone, without what a run costs once.
-            let value = Value::of([(fitted, &[0.0])], |_| 0.0);
+            // A rate uses the slope alone: the intercept is the one-time cost of a run.
+            let value = Estimate::from_fits([(fitted, &[0.0])], |_| 0.0);
             let each = fitted.as_ref().map(|fitted| fitted.fit.coefficients[1]);
-            Value { value: each.map(|each| each * times), ..value }
+            Estimate { value: each.map(|each| each * times), ..value }
         };
         let needs = vec![
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Bandwidth,
                 "starts, ends and refreshes told to all",
                 "(2 x instances / instance_life_s + instances / (3/8 x keep_s)) x bytes an update",
-                slope(&told, updates),
+                slope(&update_bytes, updates),
             ),
             self.need(
                 Resource::Bandwidth,
                 "all that stands, for a scheduler that starts, of its whole budget",
                 "instances x bytes an update / start_s",
-                slope(&told, plan.instances / open.start_s),
+                slope(&update_bytes, plan.instances / assumptions.start_s),
                 plan.bytes_per_s,
             ),
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Processor,
                 "updates heard",
                 "(2 x instances / instance_life_s + instances / (3/8 x keep_s)) x us an update",
-                slope(&heard, updates),
+                slope(&update_us, updates),
             ),
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Memory,
                 "a fact for each instance",
                 "bytes(instances)",
-                Value::of([(&memory, &[plan.instances])], |[bytes]| bytes),
+                Estimate::from_fits([(&memory, &[plan.instances])], |[bytes]| bytes),
             ),
             self.need(
                 Resource::Bound,
                 "facts held",
                 "instances, of 16,384 facts held at most",
-                Value::arithmetic(plan.instances),
-                DIRECTORY_FACTS,
+                Estimate::arithmetic(plan.instances),
+                DIRECTORY_MAX_FACTS,
             ),
             self.need(
                 Resource::Bound,
                 "functions by name",
                 "functions_held, of 8,192 names held at most",
-                Value::arithmetic(open.functions_held(plan)),
-                DIRECTORY_NAMES,
+                Estimate::arithmetic(assumptions.functions_held(plan)),
+                DIRECTORY_MAX_FUNCTIONS,
             ),
         ];
         Section {
@@ -565,12 +581,12 @@
     }
 
     fn membership(&self) -> Section {
-        let (role, plan, open) = (Role::Membership, self.plan, self.open);
+        let (role, plan, assumptions) = (Role::Membership, self.plan, self.assumptions);
         let members: &[f64] = &[plan.schedulers];
-        let value = |series: &str, scale: f64| self.of_members(series, scale);
+        let value = |series: &str, scale: f64| self.membership_series(series, scale);
         let time = |what, series: &str| {
             let formula = format!("{series}(schedulers) / 1000");
-            self.need(Resource::Time, what, &formula, value(series, 1e-3), open.settle_s)
+            self.need(Resource::Time, what, &formula, value(series, 1e-3), assumptions.settle_s)
         };
         let rate = MembershipSettings::new(2, 0, 0, 0).bytes_per_s as f64;
         let memory = self.line("memory.csv", "membership_memory", "members");
@@ -581,7 +597,7 @@
             time("a zone at once", "settle_kill_zone_ms"),
             time("all agree after regions are joined again", "settle_heal_region_ms"),
         ];
-        needs.push(self.of_share(
+        needs.push(self.need_of_share(
             role,
             Resource::Bandwidth,
             "quiet",
@@ -597,15 +613,15 @@
         ));
         for (what, series) in [("quiet", "cpu_us_per_s_quiet"), ("in a storm", "cpu_us_per_s_storm")] {
             let formula = format!("{series}(schedulers)");
-            needs.push(self.of_share(role, Resource::Processor, what, &formula, value(series, 1.0)));
+            needs.push(self.need_of_share(role, Resource::Processor, what, &formula, value(series, 1.0)));
         }
-        needs.push(self.of_share(
+        needs.push(self.need_of_share(
             role,
             Resource::Memory,
             "one view",
             "bytes(schedulers)",
             match self.points.series(MEMBERSHIP, "memory_bytes_member").is_empty() {
-                true => Value::of([(&memory, members)], |[bytes]| bytes),
+                true => Estimate::from_fits([(&memory, members)], |[bytes]| bytes),
                 false => value("memory_bytes_member", 1.0),
             },
         ));
@@ -627,15 +643,17 @@
         }
     }
 
-    /// A series at the plan's size: the point where one was measured, else by its fit.
-    fn stated(&self, file: &str, series: &str, scale: f64, fitted: &Option<Fitted>) -> Value {
+    /// A series at the plan's size: the measured point if there is one, else the value of the fit.
+    fn at_plan_size(&self, file: &str, series: &str, scale: f64, fitted: &Option<Fitted>) -> Estimate {
         let points = self.points.series(file, series);
         let unsettled = points.iter().filter(|point| point.reading == Reading::Unsettled);
         let unsettled: Vec<String> = unsettled.map(|point| figure(point.size)).collect();
         let here = points.iter().find(|point| point.size == self.plan.schedulers);
-        let by_fit = Value::of([(fitted, &[self.plan.schedulers])], |[value]| value * scale);
+        let by_fit = Estimate::from_fits([(fitted, &[self.plan.schedulers])], |[value]| value * scale);
         let mut value = match here.and_then(|point| point.value()) {
-            Some(value) => Value { value: Some(value * scale), basis: Basis::Measured, reach: 1.0, ..by_fit },
+            Some(value) => {
+                Estimate { value: Some(value * scale), basis: Basis::Measured, extrapolation: 1.0, ..by_fit }
+            }
             None => by_fit,
         };
         if let Some(slope) = value.slopes.first_mut().filter(|_| !unsettled.is_empty()) {
@@ -644,64 +662,67 @@
         value
     }
 
-    /// A series of the scale runs, of small fleets where there are none.
-    fn of_members(&self, series: &str, scale: f64) -> Value {
-        let file = if self.points.series(MEMBERSHIP, series).is_empty() { SMALL } else { MEMBERSHIP };
-        self.stated(file, series, scale, &self.power_fit(file, series))
+    /// A series of the scale runs at the plan's size; of the runs of small fleets where there are no scale runs.
+    fn membership_series(&self, series: &str, scale: f64) -> Estimate {
+        let file =
+            if self.points.series(MEMBERSHIP, series).is_empty() { MEMBERSHIP_SMALL } else { MEMBERSHIP };
+        self.at_plan_size(file, series, scale, &self.power_fit(file, series))
     }
 
     fn permits(&self) -> Section {
-        let (role, plan, open) = (Role::Permits, self.plan, self.open);
+        let (role, plan, assumptions) = (Role::Permits, self.plan, self.assumptions);
         let all = self.line("permits.csv", "permits_all_bytes_per_s", "members");
         let request = self.line("permits.csv", "permits_request_us", "subjects");
-        let sight = self.line("memory.csv", "permits_sight_memory", "subjects");
-        let subjects: &[f64] = &[plan.schedulers + open.workers];
-        let requests = 2.0 * plan.restarts_per_day / (open.restart_hours * 3_600.0);
-        let each = Value::of([(&all, &[plan.schedulers])], |[bytes]| bytes / plan.schedulers);
+        let observations = self.line("memory.csv", "permits_sight_memory", "subjects");
+        let subjects: &[f64] = &[plan.schedulers + assumptions.workers];
+        let requests = 2.0 * plan.restarts_per_day / (assumptions.restart_hours * 3_600.0);
+        let each = Estimate::from_fits([(&all, &[plan.schedulers])], |[bytes]| bytes / plan.schedulers);
         let leader = all.as_ref().map(|all| all.fit.coefficients[0].max(0.0) + all.fit.coefficients[1]);
-        let of_leader = Value { value: leader, ..Value::of([(&all, &[plan.schedulers])], |[bytes]| bytes) };
-        let standing = plan.restarts_per_day * open.permit_s / (open.restart_hours * 3_600.0);
-        let most = standing + 3.0 * standing.sqrt();
+        let leader_bytes =
+            Estimate { value: leader, ..Estimate::from_fits([(&all, &[plan.schedulers])], |[bytes]| bytes) };
+        let mean_permits =
+            plan.restarts_per_day * assumptions.permit_s / (assumptions.restart_hours * 3_600.0);
+        let permits = mean_permits + 3.0 * mean_permits.sqrt();
         let settings = PermitSettings::new(plan.schedulers as u16, 0, 0, 0);
         let voters = settings.voters.len();
         let needs = vec![
-self.of_share(
+self.need_of_share(
 role,
 Resource::Bandwidth,
 "a member, mean",
 "all_bytes_per_s(schedulers) / schedulers",
 each,
 ),
-self.of_share(
+self.need_of_share(
 role,
 Resource::Bandwidth,
 "the leader at most: its intercept and a member's slope",
 "all_bytes_per_s(0) + slope",
-of_leader,
+leader_bytes,
 ),
-self.of_share(
+self.need_of_share(
 role,
 Resource::Processor,
 "requests at the leader",
 "2 x restarts_per_day / (restart_hours x 3600) x request_us(schedulers + workers)",
-Value::of([(&request, subjects)], |[us]| us * requests),
+Estimate::from_fits([(&request, subjects)], |[us]| us * requests),
 ),
-self.of_share(
+self.need_of_share(
 role,
 Resource::Memory,
 "what the leader sees, while it answers",
 "bytes(schedulers + workers)",
-Value::of([(&sight, subjects)], |[bytes]| bytes),
+Estimate::from_fits([(&observations, subjects)], |[bytes]| bytes),
 ),
 self.need(
 Resource::Bound,
 "permits at once",
 "restarts_per_day x permit_s / (restart_hours x 3600) + 3 x its root, of 12 permits in a datagram",
-Value::arithmetic(most),
+Estimate::arithmetic(permits),
 MAX_PERMITS as f64,
 ),
 ];
-        let release = plan.schedulers * open.permit_s / MAX_PERMITS as f64 / 3_600.0;
+        let release = plan.schedulers * assumptions.permit_s / MAX_PERMITS as f64 / 3_600.0;
         Section {
             role,
             state: "A replicated state of up to 12 permits, a release plan and a halt, in one datagram; what is seen of \
@@ -726,42 +747,43 @@
     }
 
     fn admission(&self) -> Section {
-        let (role, plan, open) = (Role::Admission, self.plan, self.open);
+        let (role, plan, assumptions) = (Role::Admission, self.plan, self.assumptions);
         let facts = self.line("admission.csv", "admission_facts_per_s", "pairs");
         let carried = self.line("admission.csv", "fact_carried_bytes", "members");
         let table = self.line("admission.csv", "admission_table_us", "members");
         let memory = self.line("memory.csv", "admission_memory", "members");
-        // Each member passes a fact on so many times: by the logarithm of the members, not by a line.
-        let per_fact = self.carried_at(&carried);
+        // How often each member passes a fact on grows with the logarithm of the members, not linearly.
+        let per_fact = self.fact_bytes_at_plan_size(&carried);
         let members: &[f64] = &[plan.schedulers];
-        let told = Value::of([(&facts, &[open.pairs])], |[facts]| facts * plan.schedulers);
-        let bandwidth = Value {
-            value: told.value.zip(per_fact).map(|(told, bytes)| told * bytes),
+        let published =
+            Estimate::from_fits([(&facts, &[assumptions.pairs])], |[facts]| facts * plan.schedulers);
+        let bandwidth = Estimate {
+            value: published.value.zip(per_fact).map(|(facts, bytes)| facts * bytes),
             basis: if per_fact.is_some() { Basis::Extrapolated } else { Basis::NotRun },
-            reach: carried.as_ref().map_or(0.0, |fitted| fitted.reach(members)),
-            slopes: told.slopes.into_iter().chain(carried.map(|fitted| fitted.slope)).collect(),
+            extrapolation: carried.as_ref().map_or(0.0, |fitted| fitted.extrapolation(members)),
+            slopes: published.slopes.into_iter().chain(carried.map(|fitted| fitted.slope)).collect(),
         };
         let needs = vec![
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Bandwidth,
                 "facts of load, told by all to all",
                 "schedulers x facts_per_s(pairs) x bytes that each member sends for one fact",
                 bandwidth,
             ),
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Processor,
                 "a table each 100 ms",
                 "10 x table_us(schedulers)",
-                Value::of([(&table, members)], |[us]| us * TABLES_PER_S),
+                Estimate::from_fits([(&table, members)], |[us]| us * TABLES_PER_S),
             ),
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Memory,
                 "the load of all others",
                 "bytes(schedulers)",
-                Value::of([(&memory, members)], |[bytes]| bytes),
+                Estimate::from_fits([(&memory, members)], |[bytes]| bytes),
             ),
         ];
         Section {
@@ -780,10 +802,10 @@
 }
     }
 
-    /// Bytes a member sends for one fact at the plan's size: as measured at the largest size, with the times a fact is
-    /// passed on at both sizes.
-    fn carried_at(&self, fitted: &Option<Fitted>) -> Option<f64> {
-        let largest = fitted.as_ref()?.fit.most[0];
+    /// Bytes that a member sends for one fact at the plan's size: the measurement at the largest size, scaled by how
+    /// often a fact is passed on at the two sizes.
+    fn fact_bytes_at_plan_size(&self, fitted: &Option<Fitted>) -> Option<f64> {
+        let largest = fitted.as_ref()?.fit.max_regressors[0];
         let points = self.points.series("admission.csv", "fact_carried_bytes");
         let measured = points.iter().find(|point| point.size == largest)?.value()?;
         let repeats =
@@ -794,42 +816,42 @@
     fn routing(&self) -> Section {
         let (role, plan) = (Role::Routing, self.plan);
         let file = "routing.csv";
-        let value = |series: &str| self.stated(file, series, 1.0, &self.line(file, series, "gateways"));
-        let each = |one: Value, other: Value| Value {
-            value: one.value.zip(other.value).map(|(one, other)| (one + other) * TELLS_PER_S),
+        let value = |series: &str| self.at_plan_size(file, series, 1.0, &self.line(file, series, "gateways"));
+        let each = |one: Estimate, other: Estimate| Estimate {
+            value: one.value.zip(other.value).map(|(one, other)| (one + other) * ROUTE_REPORTS_PER_S),
             basis: one.basis.max(other.basis),
-            reach: one.reach.max(other.reach),
+            extrapolation: one.extrapolation.max(other.extrapolation),
             slopes: one.slopes.into_iter().chain(other.slopes).collect(),
         };
         let memory = self.line("memory.csv", "routing_memory", "functions");
         let needs = vec![
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Bandwidth,
                 "the teller of a site",
                 "teller_bytes_per_s(schedulers), 7 sites, 200 functions",
                 value("routing_teller_bytes_per_s"),
             ),
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Bandwidth,
                 "the median gateway",
                 "median_bytes_per_s(schedulers)",
                 value("routing_median_bytes_per_s"),
             ),
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Processor,
                 "telling and a table, each 250 ms",
                 "4 x (tell_us(schedulers) + table_us(schedulers))",
                 each(value("routing_tell_us"), value("routing_table_us")),
             ),
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Memory,
                 "functions at 7 sites, nothing told yet",
                 "bytes(functions)",
-                Value::of([(&memory, &[plan.functions])], |[bytes]| bytes),
+                Estimate::from_fits([(&memory, &[plan.functions])], |[bytes]| bytes),
             ),
         ];
         Section {
@@ -849,37 +871,37 @@
     }
 
     fn journals(&self) -> Section {
-        let (role, plan, open) = (Role::Journals, self.plan, self.open);
-        let kept = plan.calls_of_one() * open.kept_share;
+        let (role, plan, assumptions) = (Role::Journals, self.plan, self.assumptions);
+        let stored_per_s = plan.calls_per_scheduler() * assumptions.kept_share;
         let bytes = self.line("journals.csv", "journals_event_bytes", "event bytes");
         let us = self.line("journals.csv", "journals_events_us", "events");
         let memory = self.line("memory.csv", "journals_memory", "events");
         let each = |fitted: &Option<Fitted>, times: f64| {
-            let value = Value::of([(fitted, &[0.0])], |_| 0.0);
+            let value = Estimate::from_fits([(fitted, &[0.0])], |_| 0.0);
             let slope = fitted.as_ref().map(|fitted| fitted.fit.coefficients[1] * times);
-            Value { value: slope, ..value }
+            Estimate { value: slope, ..value }
         };
         let needs = vec![
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Bandwidth,
                 "entries, the events' own bytes left out",
                 "calls_per_s / schedulers x kept_share x event_bytes(0)",
-                Value::of([(&bytes, &[0.0])], |[bytes]| bytes * kept),
+                Estimate::from_fits([(&bytes, &[0.0])], |[bytes]| bytes * stored_per_s),
             ),
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Processor,
                 "as writer and as another's holder",
                 "calls_per_s / schedulers x kept_share x us an event",
-                each(&us, kept),
+                each(&us, stored_per_s),
             ),
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Memory,
                 "at writer and holder, 60 s of them with 500 bytes each",
                 "calls_per_s / schedulers x kept_share x 60 s x bytes an event",
-                each(&memory, kept * JOURNAL_S),
+                each(&memory, stored_per_s * JOURNAL_RETENTION_S),
             ),
         ];
         Section {
@@ -896,30 +918,30 @@
     }
 
     fn configuration(&self) -> Section {
-        let (role, plan, open) = (Role::Configuration, self.plan, self.open);
-        let told = self.of_members("settle_kill_one_ms", 1e-3);
+        let (role, plan, assumptions) = (Role::Configuration, self.plan, self.assumptions);
+        let in_force = self.membership_series("settle_kill_one_ms", 1e-3);
         let state = plan.functions * (size_of::<FunctionSpec>() + FUNCTION_NAME_BYTES) as f64;
         let needs = vec![
             self.need(
                 Resource::Time,
                 "until in force everywhere, if today's membership told it as it tells a death",
                 "settle_kill_one_ms(schedulers) / 1000",
-                told,
+                in_force,
                 plan.change_in_force_s,
             ),
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Bandwidth,
                 "each change once to each scheduler",
                 "changes_per_day / 86400 x change_bytes",
-                Value::arithmetic(plan.changes_per_s() * open.change_bytes),
+                Estimate::arithmetic(plan.changes_per_s() * assumptions.change_bytes),
             ),
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Memory,
                 "a line a function",
                 "functions x (bytes of FunctionTold + 24)",
-                Value::arithmetic(state),
+                Estimate::arithmetic(state),
             ),
         ];
         Section {
@@ -943,20 +965,21 @@
     }
 
     fn watch(&self) -> Section {
-        let (role, plan, open) = (Role::Watch, self.plan, self.open);
+        let (role, plan, assumptions) = (Role::Watch, self.plan, self.assumptions);
         let bytes = self.line("watch.csv", "watch_list_bytes", "workers");
         let parse = self.line("watch.csv", "watch_parse_us", "workers");
         let memory = self.line("memory.csv", "watch_memory", "workers");
-        let workers: &[f64] = &[open.workers];
-        // Leaving, gone and started again, and a line each second that says that all is told.
-        let changes = 3.0 * open.workers * open.worker_starts_per_day / DAY_S;
+        let workers: &[f64] = &[assumptions.workers];
+        // Each start of a worker causes three changes: leaving, gone and started again. In addition the list sends a
+        // line each second that confirms that it is complete.
+        let changes = 3.0 * assumptions.workers * assumptions.worker_starts_per_day / DAY_S;
         let slope = |fitted: &Option<Fitted>, times: f64, beside: f64| {
-            let value = Value::of([(fitted, workers)], |_| 0.0);
+            let value = Estimate::from_fits([(fitted, workers)], |_| 0.0);
             let each = fitted.as_ref().map(|fitted| fitted.fit.coefficients[1] * times + beside);
-            Value { value: each, ..value }
+            Estimate { value: each, ..value }
         };
         let needs = vec![
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Bandwidth,
                 "changes and a line a second",
@@ -967,22 +990,22 @@
                 Resource::Bandwidth,
                 "the whole list, for a scheduler that starts, of its whole budget",
                 "list_bytes(workers) / start_s",
-                Value::of([(&bytes, workers)], |[bytes]| bytes / open.start_s),
+                Estimate::from_fits([(&bytes, workers)], |[bytes]| bytes / assumptions.start_s),
                 plan.bytes_per_s,
             ),
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Processor,
                 "changes read",
                 "3 x workers x worker_starts_per_day / 86400 x us a worker",
                 slope(&parse, changes, 0.0),
             ),
-            self.of_share(
+            self.need_of_share(
                 role,
                 Resource::Memory,
                 "the list",
                 "bytes(workers)",
-                Value::of([(&memory, workers)], |[bytes]| bytes),
+                Estimate::from_fits([(&memory, workers)], |[bytes]| bytes),
             ),
         ];
         let whole = bytes.as_ref().map(|bytes| bytes.at(workers) * plan.schedulers);
@@ -1003,17 +1026,17 @@
     }
 
     fn control_machines(&self) -> Section {
-        let (role, plan, open) = (Role::ControlMachines, self.plan, self.open);
+        let (role, plan, assumptions) = (Role::ControlMachines, self.plan, self.assumptions);
         let bytes = self.line("watch.csv", "watch_list_bytes", "workers");
         let parse = self.line("watch.csv", "watch_parse_us", "workers");
-        let workers: &[f64] = &[open.workers];
-        let of_one = plan.schedulers / plan.control_machines;
-        let changes = 3.0 * open.workers * open.worker_starts_per_day / DAY_S;
+        let workers: &[f64] = &[assumptions.workers];
+        let per_machine = plan.schedulers / plan.control_machines;
+        let changes = 3.0 * assumptions.workers * assumptions.worker_starts_per_day / DAY_S;
         let slope = |fitted: &Option<Fitted>, join: &dyn Fn(f64) -> f64| {
-            let value = Value::of([(fitted, workers)], |_| 0.0);
-            Value { value: fitted.as_ref().map(|fitted| join(fitted.fit.coefficients[1])), ..value }
+            let value = Estimate::from_fits([(fitted, workers)], |_| 0.0);
+            Estimate { value: fitted.as_ref().map(|fitted| join(fitted.fit.coefficients[1])), ..value }
         };
-        let config = plan.changes_per_s() * open.change_bytes;
+        let config = plan.changes_per_s() * assumptions.change_bytes;
         let quorum = (plan.control_machines / 2.0).floor() + 1.0;
         let left = plan.control_machines - (plan.control_machines / plan.regions).ceil();
         let needs = vec![
@@ -1021,28 +1044,28 @@
 Resource::Bandwidth,
 "changes of configuration and of the list, to its part of the schedulers",
 "schedulers / control_machines x (changes_per_day / 86400 x change_bytes + list changes)",
-slope(&bytes, &|each| of_one * (config + changes * each + WATCH_LINE_BYTES)),
-open.control_bytes_per_s,
+slope(&bytes, &|each| per_machine * (config + changes * each + WATCH_LINE_BYTES)),
+assumptions.control_bytes_per_s,
 ),
 self.need(
 Resource::Bandwidth,
 "whole lists to its part, all of which start",
 "schedulers / control_machines x list_bytes(workers) / start_s",
-Value::of([(&bytes, workers)], |[bytes]| of_one * bytes / open.start_s),
-open.control_bytes_per_s,
+Estimate::from_fits([(&bytes, workers)], |[bytes]| per_machine * bytes / assumptions.start_s),
+assumptions.control_bytes_per_s,
 ),
 self.need(
 Resource::Processor,
 "an entry read or written, to its part, all of which start",
 "schedulers / control_machines x workers x us a worker / start_s",
-slope(&parse, &|each| of_one * open.workers * each / open.start_s),
-open.control_cores * 1e6,
+slope(&parse, &|each| per_machine * assumptions.workers * each / assumptions.start_s),
+assumptions.control_cores * 1e6,
 ),
 self.need(
 Resource::Machines,
 "a majority while one region is lost",
 "floor(control_machines / 2) + 1, of control_machines - ceil(control_machines / regions) left",
-Value::arithmetic(quorum),
+Estimate::arithmetic(quorum),
 left,
 ),
 ];
@@ -1064,20 +1087,21 @@
     }
 }
 
-/// The module's patience with its questions (`ASK` of `src/control.rs`), seconds.
-const MODULE_ASK_S: f64 = 0.015;
-/// What was told of an instance is told again after this part of keep_s, mean (`Words::refresh`).
-const REFRESH: f64 = 0.375;
-/// `MOST_FACTS` and `MOST_NAMES` of `crates/node/src/words.rs`.
-const DIRECTORY_FACTS: f64 = 16_384.0;
-const DIRECTORY_NAMES: f64 = 8_192.0;
-/// `STEP` of `crates/shed`: a table each 100 ms.
+/// How long the decision module waits for answers to probes (`QUERY_WAIT_US` of `src/control.rs`), seconds.
+const MODULE_PROBE_WAIT_S: f64 = 0.015;
+/// Mean time after which an entry of the directory is published again, as a part of keep_s.
+const REFRESH_SHARE: f64 = 0.375;
+/// `MAX_OBSERVATIONS` of `crates/node/src/instance_directory.rs`.
+const DIRECTORY_MAX_FACTS: f64 = 16_384.0;
+/// `MAX_FUNCTIONS` of the same file.
+const DIRECTORY_MAX_FUNCTIONS: f64 = 8_192.0;
+/// Admission control computes a table each 100 ms (`TABLE_INTERVAL` of `crates/admission`).
 const TABLES_PER_S: f64 = 10.0;
-/// Routes are told each 250 ms.
-const TELLS_PER_S: f64 = 4.0;
-/// For how long a kept event is counted as held, seconds.
-const JOURNAL_S: f64 = 60.0;
-/// The line that a list tells each second.
+/// Site routing publishes its counts each 250 ms.
+const ROUTE_REPORTS_PER_S: f64 = 4.0;
+/// How long a journaled event is assumed to be held, seconds.
+const JOURNAL_RETENTION_S: f64 = 60.0;
+/// The line that the watch sends each second.
 const WATCH_LINE_BYTES: f64 = 12.0;
-/// A function's name in memory.
+/// Memory of a function's name.
 const FUNCTION_NAME_BYTES: usize = 24;
--- a/crates/bench/src/echo.rs
+++ b/crates/bench/src/echo.rs
@@ -1,4 +1,5 @@
-//! A worker that answers every call at once, as cheaply as this project can: what is measured is in front.
+//! A worker that answers every call at once with as little work as possible, so that measurements show the cost of
+//! what is in front of it.
 
 use basaltward_gateway::fields;
 use basaltward_http::{Body, Decoded, HeadWriter, Limits, Method, RequestDecoder};
@@ -7,16 +8,19 @@
 use std::error::Error;
 use std::net::SocketAddr;
 
-/// Starts it on a thread that lasts as long as the process.
+/// Starts the worker on a thread that runs as long as the process, and returns its address.
+///
+/// # Errors
+/// If the socket can't be opened or the thread can't be started.
 pub fn start() -> Result<SocketAddr, Box<dyn Error>> {
     let mut io = Io::new(IoLimits::default())?;
     let (_, address) = io.listen(bind(([127, 0, 0, 1], 0).into(), false)?)?;
     std::thread::Builder::new().name("echo".into()).spawn(move || {
         let mut conns: HashMap<ConnId, RequestDecoder> = HashMap::new();
-        let mut happened = Vec::new();
-        while io.turn(None, &mut happened).is_ok() {
-            for happened in happened.drain(..) {
-                match happened {
+        let mut events = Vec::new();
+        while io.turn(None, &mut events).is_ok() {
+            for event in events.drain(..) {
+                match event {
                     IoEvent::Accepted { conn, .. } => {
                         conns.insert(conn, RequestDecoder::new(Limits::default()));
                     }
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -1,12 +1,12 @@
-//! The fleet's view in virtual time: how long until all agree after a join, a leave, a death and a healed
-//! partition, how often a live member is taken for gone, and what it costs.
+//! Membership in virtual time: the time until all members agree after a join, a leave, a death and a healed partition,
+//! how often a live member is declared gone, and the traffic.
 
 use basaltward_membership::{LinkFaults, MemberId, MembershipSettings, Micros, VirtualCluster};
 use std::error::Error;
 
-const S: Micros = 1_000_000;
+const SECOND_US: Micros = 1_000_000;
 
-/// Milliseconds: median and the 99th part from the top, or `-` for those that never came.
+/// Median and 99th percentile in milliseconds; `-` for values that were not reached.
 pub fn spread(mut values: Vec<Option<Micros>>) -> String {
     values.sort_by_key(|v| v.unwrap_or(Micros::MAX));
     let at = |share: f64| values.get(((values.len() as f64 * share) as usize).min(values.len() - 1));
@@ -15,17 +15,18 @@
     format!("{} / {}", text(at(0.5)), text(at(0.99)))
 }
 
-/// A settled fleet.
-fn settled(settings: MembershipSettings, link: LinkFaults) -> VirtualCluster {
+/// A cluster of which all members were started and have agreed.
+fn settled_cluster(settings: MembershipSettings, link: LinkFaults) -> VirtualCluster {
     let mut cluster = VirtualCluster::new(settings, link);
     cluster.node_ids().for_each(|of| cluster.start(of));
     let all: Vec<_> = cluster.node_ids().collect();
-    cluster.run_until_condition(60 * S, |cluster| cluster.agrees(&all));
-    cluster.run_for(5 * S);
+    cluster.run_until_condition(60 * SECOND_US, |cluster| cluster.agrees(&all));
+    cluster.run_for(5 * SECOND_US);
     cluster
 }
 
-/// Measures and prints.
+/// Measures and prints. `bytes_per_s` and `burst` bound the traffic of a member; `hours` of virtual time are run to
+/// count live members declared gone.
 pub fn run(
     sizes: &[MemberId],
     lost: f64,
@@ -34,7 +35,9 @@
     hours: f64,
 ) -> Result<(), Box<dyn Error>> {
     println!("{:.0}% lost, {seeds} seeds; milliseconds until all agree, p50 / p99", lost * 100.0);
-    println!("size | start | death | leave | join | heal after 6 s | bytes/s a member quiet | in the storms");
+    println!(
+        "size | start | death | leave | join | heal after 6 s | bytes/s per member quiet | during the faults"
+    );
     let link = LinkFaults { loss_rate: lost, ..LinkFaults::default() };
     for &size in sizes {
         let settings = |seed| {
@@ -49,30 +52,30 @@
             let all: Vec<_> = cluster.node_ids().collect();
             all.iter().for_each(|of| cluster.start(*of));
             let took = |cluster: &mut VirtualCluster| {
-                let (from, until) = (cluster.now, cluster.now + 60 * S);
+                let (from, until) = (cluster.now, cluster.now + 60 * SECOND_US);
                 cluster.run_until_condition(until, |cluster| cluster.agrees(&all)).map(|at| at - from)
             };
             start.push(took(&mut cluster));
-            cluster.run_for(5 * S);
+            cluster.run_for(5 * SECOND_US);
             let (before, from) = (cluster.counters().sent.1, cluster.now);
-            cluster.run_for(10 * S);
+            cluster.run_for(10 * SECOND_US);
             let rate = |bytes: u64, span: Micros| bytes as f64 * 1e6 / span as f64 / f64::from(size);
             quiet += rate(cluster.counters().sent.1 - before, cluster.now - from);
             let victim = (seed % u64::from(size)) as MemberId;
             let (before, from) = (cluster.counters().sent.1, cluster.now);
             cluster.kill(victim);
             death.push(took(&mut cluster));
-            cluster.run_for(S);
+            cluster.run_for(SECOND_US);
             cluster.start(victim);
             join.push(took(&mut cluster));
-            cluster.run_for(S);
+            cluster.run_for(SECOND_US);
             cluster.stop(victim);
             leave.push(took(&mut cluster));
             cluster.start(victim);
-            cluster.run_for(5 * S);
+            cluster.run_for(5 * SECOND_US);
             let half: Vec<_> = (0..size / 2).collect();
             cluster.set_isolated(&half, true);
-            cluster.run_for(6 * S);
+            cluster.run_for(6 * SECOND_US);
             cluster.set_isolated(&half, false);
             heal.push(took(&mut cluster));
             storm += rate(cluster.counters().sent.1 - before, cluster.now - from);
@@ -88,12 +91,12 @@
             storm / seeds as f64
         );
         if hours > 0.0 {
-            let mut cluster = settled(settings(1), link);
+            let mut cluster = settled_cluster(settings(1), link);
             let before = cluster.counters();
             cluster.run_for((hours * 3_600.0 * 1e6) as Micros);
             let counts = cluster.counters();
             println!(
-                "{size}: in {hours} h {} suspicions, {} times a live member taken for gone, {:.0} bytes/s a member",
+                "{size}: in {hours} h {} suspicions, {} times a live member declared gone, {:.0} bytes/s per member",
                 counts.suspicions - before.suspicions,
                 counts.declared_gone - before.declared_gone,
                 (counts.sent.1 - before.sent.1) as f64 / (hours * 3_600.0) / f64::from(size)
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,5 +1,5 @@
-//! Measurements. Each compares in one run, repeats in turn and prints the spread; `docs/measurements.md` has
-//! the figures.
+//! Benchmarks of the gateway and its parts. Each command compares its variants within one run, alternates between them
+//! over several rounds and prints the spread. `docs/measurements.md` lists the results.
 
 mod agreed;
 mod capacity;
@@ -34,191 +34,193 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Latency and calls a second: straight to a worker, through the gateway, through a plain proxy
+    /// Latency and throughput of calls directly to a worker, through the gateway and through a plain proxy
     Path {
-        /// Repetitions of all three
+        /// Number of rounds of all three
         #[arg(long, default_value_t = 5)]
         rounds: usize,
-        /// Calls in each
+        /// Calls in each measurement
         #[arg(long, default_value_t = 40_000)]
         calls: u64,
-        /// Connections for the calls a second; latency is measured with one
+        /// Connections for the throughput measurement; latency is measured with one
         #[arg(long, default_value_t = 64)]
         connections: usize,
     },
-    /// The module's own time a call
+    /// Processor time of the decision module per call
     Module {
-        /// Workers
+        /// Number of workers
         #[arg(long, default_value_t = 60)]
         workers: usize,
-        /// Functions
+        /// Number of functions
         #[arg(long, default_value_t = 2_000)]
         functions: usize,
-        /// Calls in each round
+        /// Calls in each measurement round
         #[arg(long, default_value_t = 100_000)]
         calls: u64,
-        /// Rounds
+        /// Number of rounds
         #[arg(long, default_value_t = 5)]
         rounds: usize,
     },
-    /// The module's time a call and an event while calls wait, with a digest of all it decides
+    /// Processor time of the decision module per call and per event while calls wait, with a digest of its decisions
     Jam {
-        /// A fleet of 120 of which 40 are silent, and calls that wait for functions nobody can load
+        /// Use a fleet of 120 workers, of which 40 are silent, and waiting calls for functions that no worker can load
         #[arg(long)]
         large: bool,
-        /// How many wait, given for each run
+        /// Numbers of waiting calls, one run for each
         #[arg(long, value_delimiter = ',', default_value = "0,1000,20000")]
         waiting: Vec<u64>,
-        /// Rounds
+        /// Number of rounds
         #[arg(long, default_value_t = 3)]
         rounds: usize,
-        /// What all draws follow from
+        /// Seed of all random draws
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// The fleet's view in virtual time: times until all agree, wrong beliefs, bytes
+    /// Membership in virtual time: times until all members agree, live members declared gone, bytes
     Fleet {
-        /// Members, given for each run
+        /// Numbers of members, one run for each
         #[arg(long, value_delimiter = ',', default_value = "3,10,50,300")]
         sizes: Vec<u16>,
         /// Share of datagrams lost
         #[arg(long, default_value_t = 0.05)]
         lost: f64,
-        /// Seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 20)]
         seeds: u64,
         /// Bytes that a member may send in a second
         #[arg(long, default_value_t = 1_000)]
         rate: u64,
-        /// And at once after a quiet time
+        /// Bytes that a member may send at once after a quiet time
         #[arg(long)]
         burst: Option<u64>,
-        /// Virtual hours for the count of wrong beliefs
+        /// Virtual hours over which live members declared gone are counted
         #[arg(long, default_value_t = 0.0)]
         hours: f64,
     },
-    /// Membership at sizes up to thousands in zones and regions, in virtual time: times until all agree, bytes, processor
-    /// time, memory
+    /// Membership of up to thousands of members in zones and regions, in virtual time: times until all agree, bytes,
+    /// processor time, memory
     Scale(scale::Args),
-    /// The fleet's view between processes of the program, which has to be built beside this one
+    /// Membership between processes of the program, which has to be built in the same folder as this one
     Processes {
-        /// How many, given for each run
+        /// Numbers of processes, one run for each
         #[arg(long, value_delimiter = ',', default_value = "8,40")]
         counts: Vec<usize>,
         /// Share of datagrams lost
         #[arg(long, default_value_t = 0.05)]
         lost: f64,
-        /// Rounds of a death, a return, a leave and a cut
+        /// Rounds of a death, a restart, a leave and a partition
         #[arg(long, default_value_t = 5)]
         rounds: usize,
     },
-    /// What the fleet agrees on, in virtual time: times from asking to a permit, of a halt, of another leader
+    /// Permits by quorum in virtual time: times from a request to a permit, until a halt reaches all, until a new
+    /// leader
     Agreed {
-        /// Members, given for each run
+        /// Numbers of members, one run for each
         #[arg(long, value_delimiter = ',', default_value = "8,50,300")]
         sizes: Vec<u16>,
         /// Share of datagrams lost
         #[arg(long, default_value_t = 0.05)]
         lost: f64,
-        /// Seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 5)]
         seeds: u64,
-        /// Between so many processes of the program in place of virtual time; it has to be built beside this one
+        /// Measure between this many processes of the program, built in the same folder, instead of in virtual time
         #[arg(long)]
         processes: Option<usize>,
     },
-    /// Goodput at multiples of what the workers can do: offered, served, refused, failed, times, loop lag
+    /// Goodput at multiples of the workers' capacity: calls offered, served, refused and failed, times, loop lag
     Overload {
         /// Multiples of the workers' capacity
         #[arg(long, value_delimiter = ',', default_value = "0.5,0.8,1,1.5,2,5,10")]
         multiples: Vec<f64>,
-        /// Span of each load in seconds
+        /// Duration of each load in seconds
         #[arg(long, default_value_t = 10.0)]
         seconds: f64,
         /// Work of a call in milliseconds
         #[arg(long, default_value_t = 20.0)]
         work_ms: f64,
-        /// Connections held open beside
+        /// Idle connections held open during the load
         #[arg(long, default_value_t = 0)]
         idle: usize,
-        /// Further tries of a client that was refused
+        /// How often a client retries a call that was refused
         #[arg(long, default_value_t = 0)]
         retries: u32,
-        /// Two tenants within their quotas, the multiples being a third one's of its own
+        /// Run two tenants within their quotas and a third at the multiples of its own
         #[arg(long)]
         tenants: bool,
-        /// What all draws follow from
+        /// Seed of all random draws
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Overload answered by four sites as one beside each gateway for itself, in virtual time
+    /// Admission control under overload in virtual time: four sites with shared admission, and gateways that decide
+    /// alone
     Shed {
         /// Multiples of the workers' capacity
         #[arg(long, value_delimiter = ',', default_value = "1,2,5,10")]
         multiples: Vec<f64>,
-        /// Seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 20)]
         seeds: u64,
-        /// Span of each load in seconds
+        /// Duration of each load in seconds
         #[arg(long, default_value_t = 20)]
         seconds: usize,
     },
-    /// Links between peers: how soon a frame is there, what one costs, what many cost that are quiet
+    /// Links between peers: delivery time of a frame, processor time per frame, cost of idle links
     Peers {
-        /// Times that a link is made
+        /// How often a link is opened
         #[arg(long, default_value_t = 500)]
         rounds: usize,
-        /// Frames of each size
+        /// Number of frames of each size
         #[arg(long, default_value_t = 500_000)]
         frames: usize,
-        /// Links that stand
+        /// Number of open idle links
         #[arg(long, default_value_t = 1_000)]
         links: u16,
     },
-    /// Which site answers: worth and latency on five days in virtual time against other ways to choose, the swing of a
-    /// site that all see at once, and bytes and time as sites grow
+    /// Site routing: value and latency of calls on five days in virtual time under several policies, how much the load
+    /// swings between sites, and bytes and time as the number of sites grows
     Route {
-        /// Seeds of each day
+        /// Number of seeds of each day
         #[arg(long, default_value_t = 3)]
         seeds: u64,
-        /// Days, by their names; all where none is given
+        /// Names of the days; all if none is given
         #[arg(long, value_delimiter = ',')]
         days: Vec<String>,
-        /// Measure how it grows in place of the days, and draw it into this file
+        /// Measure growth instead of the days, and draw it into this file
         #[arg(long)]
         grow: Option<std::path::PathBuf>,
     },
     /// Memory of an idle connection
     Memory {
-        /// Connections
+        /// Number of connections
         #[arg(long, default_value_t = 5_000)]
         connections: usize,
     },
-    /// Kept events: bytes on the wire and held, time added, events a second, memory of one
+    /// Journaled events: bytes on the wire, added latency, memory per event, events a second
     Pending {
-        /// Events of each count
+        /// Number of events in each measurement
         #[arg(long, default_value_t = 51_200)]
         events: u64,
-        /// Rounds of what is measured on this host
+        /// Number of rounds of measurements on this host
         #[arg(long, default_value_t = 5)]
         rounds: usize,
-        /// Seeds of what is in virtual time
+        /// Number of seeds of measurements in virtual time
         #[arg(long, default_value_t = 3)]
         seeds: u64,
     },
-    /// What each role needs at the size of the users' plan: measures slopes, writes the capacity page and its plots
+    /// Needs of each role at the size of the users' plan: measures slopes, writes the capacity page and its plots
     Capacity(capacity::Options),
-    /// Part of `capacity`: the memory of one state, in a process of its own
+    /// Part of `capacity`: measures the memory of one state in a process of its own
     #[command(hide = true)]
     CapacityProbe {
-        /// What is built
+        /// The state to build
         probe: capacity::Probe,
-        /// Of which size
+        /// The size of the state
         size: u32,
     },
-    /// Decode a typical event so many times; for a tool that counts instructions
+    /// Decode a typical event repeatedly, for a tool that counts instructions
     Parse {
-        /// How many times
+        /// How many times to decode it
         #[arg(long, default_value_t = 10_000)]
         times: u64,
     },
@@ -256,7 +258,7 @@
     }
 }
 
-/// Median with the least and the greatest.
+/// Median with minimum and maximum as text; `-` for no values.
 pub fn spread(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     match values.as_slice() {
--- a/crates/bench/src/memory.rs
+++ b/crates/bench/src/memory.rs
@@ -1,4 +1,4 @@
-//! Memory that idle connections take in the gateway's process.
+//! Memory of idle connections in the gateway's process.
 
 use crate::{echo, path};
 use basaltward_play::Folder;
@@ -6,16 +6,23 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Memory that this process has.
+/// Resident memory of this process, bytes. Assumes pages of 4096 bytes.
+///
+/// # Errors
+/// If `/proc/self/statm` can't be read.
 pub fn resident() -> Result<f64, Box<dyn Error>> {
     let text = std::fs::read_to_string("/proc/self/statm")?;
-    let pages: f64 = text.split_whitespace().nth(1).ok_or("no resident size")?.parse()?;
+    let pages: f64 =
+        text.split_whitespace().nth(1).ok_or("/proc/self/statm has no resident size")?.parse()?;
     Ok(pages * 4096.0)
 }
 
 const CALL: &[u8] = b"POST /functions/echo HTTP/1.1\r\nHost: h\r\nce-specversion: 1.0\r\nce-id: ";
 
-/// Opens connections, makes a call on each so that all have been used, and prints what they take.
+/// Opens connections, makes a call on each so that all have been used, and prints their memory.
+///
+/// # Errors
+/// If a connection fails or a call is not served.
 pub fn run(connections: usize) -> Result<(), Box<dyn Error>> {
     let folder = Folder::new()?;
     let gateway = path::gateway(&folder, echo::start()?)?;
@@ -28,7 +35,7 @@
             _ => Err("a call was not served".into()),
         }
     };
-    // Warm: what is kept for calls and repeats is there before the first reading.
+    // Warm-up: memory for calls and repeat guards is allocated before the first reading.
     let mut first = TcpStream::connect(gateway.address())?;
     for id in 0..connections {
         call(id, &mut first)?;
--- a/crates/bench/src/module.rs
+++ b/crates/bench/src/module.rs
@@ -1,4 +1,4 @@
-//! The controller alone, driven with ready answers: processor time of its events, its memory.
+//! Drives the controller alone with simulated answers and measures the processor time of its events.
 
 use crate::spread;
 use basaltward::{
@@ -10,50 +10,51 @@
 use std::error::Error;
 use std::time::{Duration, Instant};
 
-/// The module's own timer: it looks over what waits, sums and placements.
-const SWEEP: u64 = 0;
-/// How long a load takes.
+/// Token of the module's periodic timer, at which it goes over waiting calls, sums and placements.
+const SWEEP_TOKEN: u64 = 0;
+/// How long loading a copy takes.
 const LOAD_US: Micros = 1_000;
-/// Calls for functions that are to be held come this fast.
+/// Interval between the calls that fill in the functions.
 const FILL_GAP_US: Micros = 1_000;
-/// Workers while functions are filled in: enough to place them, and cheap to look over.
+/// Workers in the list while functions are filled in: enough to place them, and few enough that ranking them is cheap.
 const FILL_WORKERS: usize = 60;
 
-/// What a controller is driven with.
+/// The load with which a controller is driven.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
-    /// Workers in its list.
+    /// Workers in the list.
     pub workers: usize,
-    /// Functions called.
+    /// Functions that are called.
     pub functions: usize,
-    /// Calls measured.
+    /// Number of calls that are measured.
     pub calls: u64,
     /// Calls a second.
     pub calls_per_s: f64,
-    /// Calls fall as a function's rank to this power.
+    /// Exponent by which calls fall with a function's rank.
     pub skew: f64,
     /// Schedulers that share the fleet.
     pub schedulers: u32,
-    /// Answers come after this.
+    /// Time until a call is answered, microseconds.
     pub answer_us: Micros,
-    /// An idle copy stays at least so long; none for the settings' usual time.
+    /// Minimum time for which an idle copy stays loaded, microseconds; `None` for the default of the settings.
     pub keep_us: Option<Micros>,
-    /// Memory of a worker and of a copy, MB.
+    /// Memory of a worker and memory of a copy, MB.
     pub memory_mb: (f64, f64),
-    /// Each function is called once, at few workers, before anything is measured, so that all are held.
-    pub filled: bool,
-    /// Calls made before those that are measured.
+    /// Whether each function is called once, at few workers, before measuring, so that the controller holds all of
+    /// them.
+    pub prefilled: bool,
+    /// Number of calls made before those that are measured.
     pub warm_up: u64,
-    /// Calls a second of the whole fleet, by which workers tell how many calls of a function they hold; none for a
-    /// fleet that tells of no crowd.
+    /// Calls a second of the whole fleet, from which the crowd that workers report is computed; `None` to report a
+    /// crowd of 0.
     pub fleet_calls_per_s: Option<f64>,
-    /// Every measured call is for a function that was never called.
-    pub all_new: bool,
+    /// Whether every measured call is for a function that was never called before.
+    pub only_new_functions: bool,
 }
 
 impl Load {
-    /// One scheduler that serves everybody at a thousand calls a second.
-    pub fn of_one(workers: usize, functions: usize, calls: u64) -> Self {
+    /// The load of a single scheduler that serves all clients, a thousand calls a second.
+    pub fn single_scheduler(workers: usize, functions: usize, calls: u64) -> Self {
         Self {
             workers,
             functions,
@@ -64,25 +65,25 @@
             answer_us: 5_000,
             keep_us: None,
             memory_mb: (100_000.0, 100.0),
-            filled: false,
+            prefilled: false,
             warm_up: 0,
             fleet_calls_per_s: None,
-            all_new: false,
+            only_new_functions: false,
         }
     }
 }
 
-/// What the measured calls came to.
+/// Cost of the measured calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Microseconds a call, all events but sweeps.
+    /// Microseconds a call over all events except sweeps.
     pub call_us: f64,
-    /// Microseconds that sweeps take in a second.
+    /// Microseconds a second spent in sweeps.
     pub sweep_us_per_s: f64,
-    /// The worst single event.
+    /// Microseconds of the slowest single event.
     pub worst_us: f64,
-    /// How often a worker was weighed as a place, for each call.
-    pub looks_per_call: f64,
+    /// How many placements on a worker were evaluated, for each call.
+    pub evaluations_per_call: f64,
 }
 
 impl Cost {
@@ -92,7 +93,7 @@
     }
 }
 
-/// Calls that one copy runs at once.
+/// Calls that one copy runs concurrently.
 const LANES: u32 = 4;
 
 enum Due {
@@ -101,28 +102,28 @@
     Loaded(Action),
 }
 
-/// A controller with what is under way around it.
+/// A controller with the simulated timers, answers and loads that are outstanding.
 pub struct Driver {
     controller: Controller,
     load: Load,
     due: BTreeMap<(Micros, u64), Due>,
-    number: u64,
+    sequence: u64,
     sent: BTreeMap<RequestId, usize>,
     popularity: Popularity,
-    /// Which function each call in hand is for.
+    /// The rank of the function of each call in flight.
     ranks: BTreeMap<RequestId, usize>,
     now: Micros,
     calls: u64,
-    spent: Duration,
-    swept: Duration,
+    event_time: Duration,
+    sweep_time: Duration,
     worst: Duration,
 }
 
 impl Driver {
-    /// A controller with its list of workers, and with its functions where they are to be filled in.
+    /// A controller with its list of workers and, if the load is prefilled, its functions.
     ///
     /// # Errors
-    /// Where the settings can't be used.
+    /// If the settings are invalid.
     pub fn new(load: Load) -> Result<Self, SettingsError> {
         let classes = vec![Class::new(500_000, 2_000_000, Repeat::Safe)];
         let mut settings = Settings::new(classes, vec![load.memory_mb.0]);
@@ -131,52 +132,52 @@
         let mut driver = Self {
             controller: Controller::new(settings, 1)?,
             due: BTreeMap::new(),
-            number: 0,
+            sequence: 0,
             sent: BTreeMap::new(),
             popularity: Popularity::new(load.functions, load.skew),
             ranks: BTreeMap::new(),
             now: 0,
             calls: 0,
-            spent: Duration::ZERO,
-            swept: Duration::ZERO,
+            event_time: Duration::ZERO,
+            sweep_time: Duration::ZERO,
             worst: Duration::ZERO,
             load,
         };
-        if driver.load.filled {
-            driver.list(FILL_WORKERS.min(driver.load.workers));
+        if driver.load.prefilled {
+            driver.set_workers(FILL_WORKERS.min(driver.load.workers));
             for rank in 1..=driver.load.functions {
-                driver.call(driver.now + FILL_GAP_US, rank);
+                driver.submit_call(driver.now + FILL_GAP_US, rank);
             }
         }
-        driver.list(driver.load.workers);
+        driver.set_workers(driver.load.workers);
         Ok(driver)
     }
 
-    fn list(&mut self, workers: usize) {
+    fn set_workers(&mut self, workers: usize) {
         let member = |i: usize| Member::active(&format!("10.0.{}.{}:7000", i / 250, i % 250));
         let members = (0..workers).map(member).collect();
-        self.tell(self.now, Event::Members { kind: MembersKind::Whole, members });
+        self.deliver(self.now, Event::Members { kind: MembersKind::Whole, members });
     }
 
-    fn call(&mut self, at: Micros, rank: usize) {
-        self.until(at);
+    fn submit_call(&mut self, at: Micros, rank: usize) {
+        self.run_until(at);
         self.now = at;
         self.calls += 1;
         self.ranks.insert(RequestId(self.calls), rank);
         let request = Request::new(self.calls, &format!("f{rank}"), self.load.memory_mb.1, 4, 2_000_000);
-        self.tell(at, Event::Request(request));
+        self.deliver(at, Event::Request(request));
     }
 
-    fn tell(&mut self, now: Micros, event: Event) {
+    fn deliver(&mut self, now: Micros, event: Event) {
         let mut actions = Vec::new();
-        let sweeps = event == Event::Timer { token: SWEEP };
+        let is_sweep = event == Event::Timer { token: SWEEP_TOKEN };
         let start = Instant::now();
         self.controller.handle(now, event, &mut actions);
         let took = start.elapsed();
-        *if sweeps { &mut self.swept } else { &mut self.spent } += took;
+        *if is_sweep { &mut self.sweep_time } else { &mut self.event_time } += took;
         self.worst = self.worst.max(took);
         for action in actions {
-            self.number += 1;
+            self.sequence += 1;
             let (at, due) = match action {
                 Action::Timer { after, token } => (now + after, Due::Timer(token)),
                 Action::Send { id, worker, .. } => {
@@ -187,11 +188,11 @@
                 load @ Action::Load { .. } => (now + LOAD_US, Due::Loaded(load)),
                 _ => continue,
             };
-            self.due.insert((at, self.number), due);
+            self.due.insert((at, self.sequence), due);
         }
     }
 
-    fn until(&mut self, time: Micros) {
+    fn run_until(&mut self, time: Micros) {
         while let Some(entry) = self.due.first_entry().filter(|e| e.key().0 <= time) {
             let ((now, _), due) = entry.remove_entry();
             let event = match due {
@@ -217,12 +218,12 @@
                 }
                 Due::Loaded(_) => continue,
             };
-            self.tell(now, event);
+            self.deliver(now, event);
         }
     }
 
-    /// Calls of a function that a worker holds while this one is answered: those of the whole fleet, over as many
-    /// workers as have the lanes for them.
+    /// Calls of a function that a worker holds while a call is answered: those of the whole fleet, divided by the
+    /// number of workers that provide the lanes for them.
     fn crowd(&self, rank: usize) -> u32 {
         let fleet = self.load.fleet_calls_per_s.unwrap_or(0.0);
         let held = fleet * self.popularity.share(rank) * self.load.answer_us as f64 / 1e6;
@@ -230,40 +231,41 @@
         (held / holders).round() as u32
     }
 
-    /// Makes the calls and measures them.
+    /// Makes the warm-up calls, then the measured ones.
     pub fn run(&mut self) -> Cost {
-        // A multiplicative congruence in place of a random source: the same calls in every build.
+        // A linear congruential generator in place of a random source gives the same calls in every build.
         let mut state = 0x2545_f491_4f6c_dd1d_u64;
-        self.calls_of(self.load.warm_up, &mut state);
-        (self.spent, self.swept, self.worst) = Default::default();
-        let looks = self.controller.placements_evaluated();
+        self.make_calls(self.load.warm_up, &mut state);
+        (self.event_time, self.sweep_time, self.worst) = Default::default();
+        let evaluations = self.controller.placements_evaluated();
         let (wall, used) = (monotonic(), thread_time());
-        self.calls_of(self.load.calls, &mut state);
-        // On a busy machine others run in between: that part of the wall time is not ours.
-        let ours = (thread_time() - used) as f64 / (monotonic() - wall).max(1) as f64;
-        let us = |spent: Duration| spent.as_secs_f64() * 1e6 * ours.min(1.0);
+        self.make_calls(self.load.calls, &mut state);
+        // On a busy machine other processes run in between, so wall time is scaled by this thread's processor share.
+        let cpu_share = (thread_time() - used) as f64 / (monotonic() - wall).max(1) as f64;
+        let us = |event_time: Duration| event_time.as_secs_f64() * 1e6 * cpu_share.min(1.0);
         let calls = self.load.calls.max(1) as f64;
         Cost {
-            call_us: us(self.spent) / calls,
-            sweep_us_per_s: us(self.swept) / (calls / self.load.calls_per_s),
+            call_us: us(self.event_time) / calls,
+            sweep_us_per_s: us(self.sweep_time) / (calls / self.load.calls_per_s),
             worst_us: self.worst.as_secs_f64() * 1e6,
-            looks_per_call: (self.controller.placements_evaluated() - looks) as f64 / calls,
+            evaluations_per_call: (self.controller.placements_evaluated() - evaluations) as f64 / calls,
         }
     }
 
-    fn calls_of(&mut self, calls: u64, state: &mut u64) {
+    fn make_calls(&mut self, calls: u64, state: &mut u64) {
         let began = self.now;
         for call in 0..calls {
             *state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             let drawn = self.popularity.rank((*state >> 11) as f64 / (1u64 << 53) as f64);
-            let rank = if self.load.all_new { self.load.functions + 1 + call as usize } else { drawn };
+            let rank =
+                if self.load.only_new_functions { self.load.functions + 1 + call as usize } else { drawn };
             let at = began + (call as f64 * 1e6 / self.load.calls_per_s) as Micros;
-            self.call(at.max(self.now), rank);
+            self.submit_call(at.max(self.now), rank);
         }
     }
 }
 
-/// Which function a call is for: weights fall with rank, drawn by their sums.
+/// The distribution of calls over functions: weights fall with rank, and a rank is drawn by their cumulative sums.
 struct Popularity {
     sums: Vec<f64>,
 }
@@ -278,23 +280,26 @@
         Self { sums: (1..=functions).map(weight).collect() }
     }
 
-    /// The share of all calls that falls to a rank.
+    /// The share of all calls that go to the function of a rank.
     fn share(&self, rank: usize) -> f64 {
         let sum =
             |ranks: usize| ranks.checked_sub(1).and_then(|at| self.sums.get(at)).copied().unwrap_or(0.0);
         (sum(rank) - sum(rank - 1)).max(0.0) / self.sums.last().copied().unwrap_or(1.0)
     }
 
-    /// The rank, from 1, that a number from 0 to 1 stands for.
-    fn rank(&self, drawn: f64) -> usize {
-        let wanted = drawn * self.sums.last().copied().unwrap_or(0.0);
-        (self.sums.partition_point(|sum| *sum < wanted) + 1).min(self.sums.len())
+    /// The rank, from 1, at a quantile between 0 and 1.
+    fn rank(&self, quantile: f64) -> usize {
+        let target = quantile * self.sums.last().copied().unwrap_or(0.0);
+        (self.sums.partition_point(|sum| *sum < target) + 1).min(self.sums.len())
     }
 }
 
-/// Measures and prints; popularity falls as 1 / rank.
+/// Measures and prints. Popularity falls as 1 / rank.
+///
+/// # Errors
+/// If the settings are invalid.
 pub fn run(workers: usize, functions: usize, calls: u64, rounds: usize) -> Result<(), Box<dyn Error>> {
-    let load = Load::of_one(workers, functions, calls);
+    let load = Load::single_scheduler(workers, functions, calls);
     let rate = load.calls_per_s;
     let (mut means, mut worsts) = (Vec::new(), Vec::new());
     for _ in 0..rounds {
--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -1,4 +1,4 @@
-//! Goodput by load: calls offered in open loop at multiples of what the stand-in workers can do.
+//! Goodput by load: calls offered in open loop at multiples of the capacity of stand-in workers.
 
 use basaltward_config::read;
 use basaltward_net::Micros;
@@ -14,26 +14,26 @@
 
 const CONFIG: &str = include_str!("../../../examples/config/demo.xml");
 const WORKERS: usize = 4;
-/// Half of the capacity at most is offered for so long before each load, so that copies stand.
+/// Time before each load during which at most half of the capacity is offered, so that copies are loaded.
 const WARM_US: Micros = 4_000_000;
-/// After the load as before it, to see how service comes back.
-const AFTER_US: Micros = 3_000_000;
-/// Of a load's span this first part is not counted: the queue fills.
-const SETTLE: f64 = 0.3;
+/// Time after each load during which at most half of the capacity is offered, to see how service recovers.
+const RECOVERY_US: Micros = 3_000_000;
+/// First part of a load's span that is not counted, as the queues are still filling.
+const SETTLE_SHARE: f64 = 0.3;
 
-/// What is offered.
+/// The load that is offered.
 pub struct Load {
     /// Multiples of the capacity.
     pub multiples: Vec<f64>,
-    /// Span of each load.
+    /// Duration of each load, seconds.
     pub seconds: f64,
-    /// Work of a call.
+    /// Work of a call, microseconds.
     pub work: Micros,
-    /// Connections held open beside.
+    /// Idle connections held open during the load.
     pub idle: usize,
-    /// Further tries of a client that was refused.
+    /// How often a client retries a call that was refused.
     pub retries: u32,
-    /// What all draws follow from.
+    /// Seed of the random arrivals.
     pub seed: u64,
 }
 
@@ -60,7 +60,7 @@
     let until = WARM_US + (load.seconds * 1e6) as Micros;
     let mut plans: Vec<Plan> = Vec::new();
     let mut at = 0.0;
-    while (at as Micros) < until + AFTER_US {
+    while (at as Micros) < until + RECOVERY_US {
         let loaded = (WARM_US..until).contains(&(at as Micros));
         let rate = capacity * if loaded { multiple } else { multiple.min(0.5) };
         at += -(1.0 - rng.random::<f64>()).ln() * 1e6 / rate;
@@ -69,9 +69,9 @@
     plans
 }
 
-/// Counts of the events first asked within a span, and the times of those served within it.
+/// Counts of the events first sent and of the answers received within a span, with the times of the answers.
 #[derive(Default)]
-struct Told {
+struct Counts {
     offered: usize,
     served: usize,
     refused: usize,
@@ -80,53 +80,51 @@
     refusals: Vec<Micros>,
 }
 
-fn count(records: &[Record], from: Micros, until: Micros) -> Told {
-    let mut asked: HashMap<u64, (Micros, &str)> = HashMap::new();
+fn count(records: &[Record], from: Micros, until: Micros) -> Counts {
+    let mut sent: HashMap<u64, (Micros, &str)> = HashMap::new();
     let mut first: HashMap<&str, Micros> = HashMap::new();
-    let mut told = Told::default();
+    let mut counts = Counts::default();
     for record in records {
         match &record.observation {
-            Observation::RequestSent { request_id: tried, event, .. } => {
-                asked.insert(*tried, (record.time, event));
+            Observation::RequestSent { request_id, event, .. } => {
+                sent.insert(*request_id, (record.time, event));
                 if !first.contains_key(event.as_str()) {
                     first.insert(event, record.time);
-                    told.offered += usize::from((from..until).contains(&record.time));
+                    counts.offered += usize::from((from..until).contains(&record.time));
                 }
             }
-            Observation::Answered { request_id: tried, answer, .. }
-                if (from..until).contains(&record.time) =>
-            {
-                let Some((at, event)) = asked.get(tried) else { continue };
+            Observation::Answered { request_id, answer, .. } if (from..until).contains(&record.time) => {
+                let Some((at, event)) = sent.get(request_id) else { continue };
                 match answer {
                     FinalAnswer::Served => {
-                        told.served += 1;
-                        told.times.push(record.time - first.get(event).unwrap_or(at));
+                        counts.served += 1;
+                        counts.times.push(record.time - first.get(event).unwrap_or(at));
                     }
                     FinalAnswer::Refused => {
-                        told.refused += 1;
-                        told.refusals.push(record.time - at);
+                        counts.refused += 1;
+                        counts.refusals.push(record.time - at);
                     }
-                    _ => told.failed += 1,
+                    _ => counts.failed += 1,
                 }
             }
             _ => {}
         }
     }
-    told
+    counts
 }
 
-/// Share of the events first asked within a span that were served, whenever.
-fn share(records: &[Record], from: Micros, until: Micros) -> f64 {
-    let mut tries: HashMap<u64, &str> = HashMap::new();
+/// Share of the events first sent within a span that were served, at any time.
+fn served_share(records: &[Record], from: Micros, until: Micros) -> f64 {
+    let mut events_by_request: HashMap<u64, &str> = HashMap::new();
     let mut events: HashMap<&str, (Micros, bool)> = HashMap::new();
     for record in records {
         match &record.observation {
-            Observation::RequestSent { request_id: tried, event, .. } => {
-                tries.insert(*tried, event);
+            Observation::RequestSent { request_id, event, .. } => {
+                events_by_request.insert(*request_id, event);
                 events.entry(event).or_insert((record.time, false));
             }
-            Observation::Answered { request_id: tried, answer: FinalAnswer::Served, .. } => {
-                let event = tries.get(tried).and_then(|event| events.get_mut(event));
+            Observation::Answered { request_id, answer: FinalAnswer::Served, .. } => {
+                let event = events_by_request.get(request_id).and_then(|event| events.get_mut(event));
                 event.into_iter().for_each(|(_, served)| *served = true);
             }
             _ => {}
@@ -136,20 +134,24 @@
     within().filter(|(_, served)| *served).count() as f64 / within().count().max(1) as f64
 }
 
-fn at(times: &mut [Micros], share: f64) -> f64 {
+/// A quantile of times, in milliseconds; sorts them.
+fn at(times: &mut [Micros], served_share: f64) -> f64 {
     times.sort_unstable();
-    let index = (times.len() as f64 * share) as usize;
+    let index = (times.len() as f64 * served_share) as usize;
     times.get(index.min(times.len().saturating_sub(1))).map_or(f64::NAN, |t| *t as f64 / 1e3)
 }
 
-/// Measures and prints the curve.
+/// Measures and prints the table of goodput by load.
+///
+/// # Errors
+/// If the bed or the clients can't be started.
 pub fn run(load: &Load) -> Result<(), Box<dyn Error>> {
     let spec = WorkerSpec { work: load.work, ..WorkerSpec::default() };
     let capacity = WORKERS as f64 * f64::from(spec.cores) * 1e6 / load.work as f64;
     let (work, seed) = (load.work as f64 / 1e3, load.seed);
     println!(
         "{WORKERS} workers of {} cores, {work} ms a call: {capacity:.0} calls a second; {} s each, {} idle \
-         connections, {} further tries, seed {seed}",
+         connections, {} retries, seed {seed}",
         spec.cores, load.seconds, load.idle, load.retries
     );
     println!(
@@ -160,7 +162,8 @@
     for multiple in &load.multiples {
         let mut config = read(CONFIG, Path::new("demo.xml"))?;
         config.client_limits.connections = config.client_limits.connections.max(load.idle + 10_000);
-        // Room for all that is served within the time that it is remembered, or guards would be the limit.
+        // Enough repeat guards for all calls served during the time for which they are remembered, or guards would be
+        // the limit.
         config.repeats.guards_per_tenant = (capacity * 15.0) as usize;
         let recorder = Recorder::memory();
         let bed = Bed::start(&config, 1, vec![spec.clone(); WORKERS], recorder.clone())?;
@@ -172,12 +175,13 @@
         let rules = rule_settings(&bed.config, &bed.roster.entries);
         bed.stop()?;
         let records = recorder.take();
-        let asked = |r: &&Record| matches!(r.observation, Observation::RequestSent { .. });
-        let start = records.iter().find(asked).map_or(0, |r| r.time);
+        let is_request = |r: &&Record| matches!(r.observation, Observation::RequestSent { .. });
+        let start = records.iter().find(is_request).map_or(0, |r| r.time);
         let span = (load.seconds * 1e6) as Micros;
-        let (from, until) = (start + WARM_US + (span as f64 * SETTLE) as Micros, start + WARM_US + span);
-        let mut told = count(&records, from, until);
-        let after = |from: Micros, until: Micros| format!("{:.2}", share(&records, from, until));
+        let (from, until) =
+            (start + WARM_US + (span as f64 * SETTLE_SHARE) as Micros, start + WARM_US + span);
+        let mut counts = count(&records, from, until);
+        let after = |from: Micros, until: Micros| format!("{:.2}", served_share(&records, from, until));
         let lag = records.iter().filter_map(|r| match r.observation {
             Observation::Lagged { longest_turn: turn, longest_wait: waited, .. } => Some(turn.max(waited)),
             _ => None,
@@ -188,17 +192,17 @@
         println!(
             "| {multiple} | {:.0} | {:.0} | {:.2} | {:.0} | {:.0} | {:.0} | {:.0} | {:.0} | {:.0} | {lag} | {} | \
              {} | {} |",
-            told.offered as f64 / seconds,
-            told.served as f64 / seconds,
-            told.served as f64 / seconds / capacity,
-            told.refused as f64 / seconds,
-            told.failed as f64 / seconds,
-            at(&mut told.times, 0.5),
-            at(&mut told.times, 0.99),
-            at(&mut told.refusals, 0.5),
-            at(&mut told.refusals, 0.99),
+            counts.offered as f64 / seconds,
+            counts.served as f64 / seconds,
+            counts.served as f64 / seconds / capacity,
+            counts.refused as f64 / seconds,
+            counts.failed as f64 / seconds,
+            at(&mut counts.times, 0.5),
+            at(&mut counts.times, 0.99),
+            at(&mut counts.refusals, 0.5),
+            at(&mut counts.refusals, 0.99),
             after(until, until + 2_000_000),
-            after(until + 2_000_000, until + AFTER_US),
+            after(until + 2_000_000, until + RECOVERY_US),
             if breaches.is_empty() { "kept".into() } else { format!("{} broken", breaches.len()) },
         );
         breaches.iter().take(3).for_each(|breach| println!("{breach}"));
@@ -206,8 +210,11 @@
     Ok(())
 }
 
-/// Two tenants within their quotas, beside a third at a multiple of its own: what each is served, alone and
-/// beside it.
+/// Two tenants within their quotas and a third at a multiple of its own: measures the share of calls of each that is
+/// served.
+///
+/// # Errors
+/// If the bed or the clients can't be started.
 pub fn fair(load: &Load) -> Result<(), Box<dyn Error>> {
     let spec = WorkerSpec { work: load.work, ..WorkerSpec::default() };
     let capacity = WORKERS as f64 * f64::from(spec.cores) * 1e6 / load.work as f64;
@@ -241,21 +248,21 @@
         let rules = rule_settings(&bed.config, &bed.roster.entries);
         bed.stop()?;
         let records = recorder.take();
-        let asked = |r: &&Record| matches!(r.observation, Observation::RequestSent { .. });
-        let start = records.iter().find(asked).map_or(0, |r| r.time);
+        let is_request = |r: &&Record| matches!(r.observation, Observation::RequestSent { .. });
+        let start = records.iter().find(is_request).map_or(0, |r| r.time);
         let span = start + WARM_US..start + until;
         let of = |name: &str| -> Vec<Record> {
-            let mut tries = std::collections::HashSet::new();
-            let mine = records.iter().filter(|r| match &r.observation {
-                Observation::RequestSent { request_id: tried, tenant, .. } => {
-                    tenant == name && tries.insert(*tried)
+            let mut request_ids = std::collections::HashSet::new();
+            let of_tenant = records.iter().filter(|r| match &r.observation {
+                Observation::RequestSent { request_id, tenant, .. } => {
+                    tenant == name && request_ids.insert(*request_id)
                 }
-                Observation::Answered { request_id: tried, .. } => tries.contains(tried),
+                Observation::Answered { request_id, .. } => request_ids.contains(request_id),
                 _ => false,
             });
-            mine.cloned().collect()
+            of_tenant.cloned().collect()
         };
-        let served = |name: &str| share(&of(name), span.start, span.end);
+        let served = |name: &str| served_share(&of(name), span.start, span.end);
         let mut a = count(&of("a"), span.start, span.end);
         let (early, late) = (at(&mut a.refusals, 0.1), at(&mut a.refusals, 0.5));
         let third = count(&of("third"), span.start, span.end).served as f64 / (quota * load.seconds);
--- a/crates/bench/src/parse.rs
+++ b/crates/bench/src/parse.rs
@@ -1,4 +1,4 @@
-//! The parser on a typical event, alone.
+//! Decodes a typical event with the HTTP and CloudEvents parsers alone.
 
 use basaltward_cloudevents::from_http;
 use basaltward_http::{Decoded, Limits, RequestDecoder};
@@ -12,7 +12,10 @@
     ce-tenant: norte\r\nce-timeoutms: 2500\r\nContent-Type: application/json\r\nContent-Length: 38\r\n\r\n\
     {\"sheet\":\"27-s\",\"zoom\":14,\"layer\":\"p1\"}";
 
-/// Decodes; prints only how often.
+/// Decodes the event `times` times and prints only the count, so that a tool can count instructions.
+///
+/// # Errors
+/// If the event can't be decoded.
 pub fn run(times: u64) -> Result<(), Box<dyn Error>> {
     let mut decoder = RequestDecoder::new(Limits::default());
     let mut events = 0;
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -1,4 +1,5 @@
-//! Straight, through the gateway, through the proxy: in turn, round after round.
+//! Latency and throughput of calls directly to a worker, through the gateway and through a reference proxy, measured in
+//! turn in each round.
 
 use crate::{echo, load, proxy, spread};
 use basaltward_gateway::Gateway;
@@ -16,7 +17,10 @@
   <workers connections="256"/>
 </basaltward>"#;
 
-/// A gateway with one loop in front of the echo worker.
+/// Starts a gateway with one event loop in front of the echo worker.
+///
+/// # Errors
+/// If the configuration can't be written or the gateway can't be started.
 pub fn gateway(folder: &Folder, worker: SocketAddr) -> Result<Gateway, Box<dyn Error>> {
     let roster = format!(
         "<roster xmlns=\"urn:basaltward:roster:1\"><worker address=\"{worker}\" kind=\"std\"/></roster>"
@@ -27,6 +31,9 @@
 }
 
 /// Measures and prints.
+///
+/// # Errors
+/// If a connection fails or an answer is not 200.
 pub fn run(rounds: usize, calls: u64, connections: usize) -> Result<(), Box<dyn Error>> {
     let folder = Folder::new()?;
     let worker = echo::start()?;
@@ -37,26 +44,26 @@
         load::run(to, connections, calls.min(5_000), first)?;
         first += calls;
     }
-    let (mut one, mut many) = ([const { Vec::new() }; 3], [const { Vec::new() }; 3]);
+    let (mut single, mut many) = ([const { Vec::new() }; 3], [const { Vec::new() }; 3]);
     for _ in 0..rounds {
         for (index, (name, to)) in targets.iter().enumerate() {
-            for (into, conns, calls) in [(&mut one, 1, calls / 4), (&mut many, connections, calls)] {
+            for (into, conns, calls) in [(&mut single, 1, calls / 4), (&mut many, connections, calls)] {
                 let round = load::run(*to, conns, calls.max(1), first)?;
                 first += calls + 1;
-                if round.bad > 0 {
-                    return Err(format!("{name}: {} answers were not 200", round.bad).into());
+                if round.errors > 0 {
+                    return Err(format!("{name}: {} answers were not 200", round.errors).into());
                 }
                 into[index].push(round);
             }
         }
     }
-    println!("{rounds} rounds, median of them (least to greatest); times in microseconds");
+    println!("{rounds} rounds, median (minimum to maximum); times in microseconds");
     for (index, (name, _)) in targets.iter().enumerate() {
         let at = |rounds: &[load::Round], q: f64| {
             spread(rounds.iter().map(|r| r.times.value_at_quantile(q) as f64).collect())
         };
         println!("{name}");
-        for (rounds, conns) in [(&one[index], 1), (&many[index], connections)] {
+        for (rounds, conns) in [(&single[index], 1), (&many[index], connections)] {
             println!(
                 "  {conns:3} connections: p50 {}  p99 {}  p99.9 {}  calls/s {}",
                 at(rounds, 0.5),
@@ -66,15 +73,16 @@
             );
         }
     }
-    let rate = |of: &[load::Round], other: &[load::Round]| {
-        spread(of.iter().zip(other).map(|(a, b)| a.rate / b.rate).collect())
+    let rate_ratio = |gateway: &[load::Round], proxy: &[load::Round]| {
+        spread(gateway.iter().zip(proxy).map(|(a, b)| a.rate / b.rate).collect())
     };
-    let added = |of: &load::Round, straight: &load::Round| of.times.mean() - straight.times.mean();
-    let ratios = one[1].iter().zip(&one[2]).zip(&one[0]).map(|((g, p), s)| added(g, s) / added(p, s));
-    println!("gateway over proxy, {connections} connections: calls/s x {}", rate(&many[1], &many[2]));
+    let added = |round: &load::Round, direct: &load::Round| round.times.mean() - direct.times.mean();
+    let ratios =
+        single[1].iter().zip(&single[2]).zip(&single[0]).map(|((g, p), s)| added(g, s) / added(p, s));
+    println!("gateway over proxy, {connections} connections: calls/s x {}", rate_ratio(&many[1], &many[2]));
     println!("gateway over proxy, 1 connection: added mean time x {}", spread(ratios.collect()));
     let median = |r: &load::Round| r.times.value_at_quantile(0.5) as f64;
-    let ratios = one[1].iter().zip(&one[2]).zip(&one[0]);
+    let ratios = single[1].iter().zip(&single[2]).zip(&single[0]);
     let ratios = ratios.map(|((g, p), s)| (median(g) - median(s)) / (median(p) - median(s)).max(1.0));
     println!("gateway over proxy, 1 connection: added median x {}", spread(ratios.collect()));
     gateway.stop();
--- a/crates/bench/src/pending.rs
+++ b/crates/bench/src/pending.rs
@@ -1,5 +1,5 @@
-//! Kept events: bytes on the wire and in memory, the time that it takes until one is held, in virtual time, and how
-//! many a writer and a holder do in a second of a core.
+//! Journaled events: bytes on the wire and in memory, the time until an event is held, in virtual time, and how many
+//! events a writer and a holder process in a second on one core.
 
 use crate::memory::resident;
 use basaltward_membership::{LinkFaults, MemberId, Micros, SiteMap};
@@ -12,8 +12,8 @@
 use std::time::Instant;
 
 fn settings(own: MemberId) -> Result<PendingSettings, Box<dyn Error>> {
-    let places = SiteMap::new(vec![0, 1], own).ok_or("not in the list")?;
-    let settings = PendingSettings::new(places, u64::from(own) + 1, vec![1], 1);
+    let site_map = SiteMap::new(vec![0, 1], own).ok_or("the member is not in the list of sites")?;
+    let settings = PendingSettings::new(site_map, u64::from(own) + 1, vec![1], 1);
     Ok(PendingSettings { bytes: 1 << 30, ..settings })
 }
 
@@ -41,73 +41,81 @@
     Step::Ended { key: Key(key), outcome: Outcome::Served, answer: vec![b'y'; answer] }
 }
 
-/// A writer, its holder, and what went between them.
+/// A writer (index 0) and its holder (index 1), with counts of the traffic between them by sender.
 struct Pair {
     both: [Pending; 2],
     now: Micros,
-    wire: [usize; 2],
+    /// Bytes sent.
+    bytes_sent: [usize; 2],
+    /// Frames sent.
     frames: [usize; 2],
 }
 
-const WALL: u64 = 1_800_000_000_000;
+/// Wall clock of the runs, milliseconds since the Unix epoch.
+const WALL_MS: u64 = 1_800_000_000_000;
 
 impl Pair {
     fn new() -> Result<Self, Box<dyn Error>> {
         let mut both = [Pending::new(settings(0)?, 0), Pending::new(settings(1)?, 0)];
         let mut out = Vec::new();
-        both[0].handle(0, WALL, Input::Live(vec![true; 2]), &mut out);
-        both[0].handle(0, WALL, Input::LinkUp { of: 1, life: 2 }, &mut out);
-        both[1].handle(0, WALL, Input::LinkUp { of: 0, life: 1 }, &mut out);
+        both[0].handle(0, WALL_MS, Input::Live(vec![true; 2]), &mut out);
+        both[0].handle(0, WALL_MS, Input::LinkUp { of: 1, life: 2 }, &mut out);
+        both[1].handle(0, WALL_MS, Input::LinkUp { of: 0, life: 1 }, &mut out);
         for subject in [Subject::Site(0), Subject::Gateway(0)] {
-            both[0].handle(0, WALL, Input::Home { subject, permit: 0 }, &mut out);
+            both[0].handle(0, WALL_MS, Input::Home { subject, permit: 0 }, &mut out);
         }
-        let mut pair = Self { both, now: 4_000_000, wire: [0; 2], frames: [0; 2] };
+        let mut pair = Self { both, now: 4_000_000, bytes_sent: [0; 2], frames: [0; 2] };
         while !pair.both[0].takes() {
             pair.turn(std::iter::empty());
         }
-        (pair.wire, pair.frames) = ([0; 2], [0; 2]);
+        (pair.bytes_sent, pair.frames) = ([0; 2], [0; 2]);
         Ok(pair)
     }
 
-    /// A turn of the writer's control thread: all that loops say, then what follows until nothing is on its way.
+    /// One turn of the writer's control thread: handles the steps, then delivers frames until none is in flight.
+    /// Returns how many events were reported as held or allowed to be sent.
     fn turn(&mut self, steps: impl Iterator<Item = Step>) -> usize {
-        let (mut told, mut out) = (0, Vec::new());
+        let (mut reported, mut out) = (0, Vec::new());
         self.now += 1;
-        steps.for_each(|step| self.both[0].handle(self.now, WALL, Input::Step(step), &mut out));
-        self.both[0].wake(self.now, WALL, &mut out);
+        steps.for_each(|step| self.both[0].handle(self.now, WALL_MS, Input::Step(step), &mut out));
+        self.both[0].wake(self.now, WALL_MS, &mut out);
         let mut from = 0;
         while !out.is_empty() {
             let mut back = Vec::new();
             for output in out {
                 match output {
                     Output::Send { to, bytes } => {
-                        self.wire[from] += bytes.len();
+                        self.bytes_sent[from] += bytes.len();
                         self.frames[from] += 1;
                         let frame = Input::Frame { from: from as MemberId, bytes };
-                        self.both[usize::from(to)].handle(self.now, WALL, frame, &mut back);
+                        self.both[usize::from(to)].handle(self.now, WALL_MS, frame, &mut back);
                     }
-                    Output::Held { .. } | Output::May { .. } => told += 1,
+                    Output::Held { .. } | Output::May { .. } => reported += 1,
                     _ => {}
                 }
             }
             from = 1 - from;
             out = back;
         }
-        told
+        reported
     }
 }
 
-/// What went between a writer and its holder.
+/// Traffic between a writer and its holder.
 pub struct Traffic {
-    /// Bytes to the holder.
-    pub there: usize,
-    /// Bytes back.
-    pub back: usize,
-    /// Frames to the holder.
+    /// Bytes from the writer to the holder.
+    pub bytes_to_holder: usize,
+    /// Bytes from the holder to the writer.
+    pub bytes_to_writer: usize,
+    /// Frames from the writer to the holder.
     pub frames: usize,
 }
 
-/// So many events from their coming to their end, in turns of so many, with events and answers of so many bytes.
+/// The traffic of `events` events from acceptance to end, in turns of `batch` events, with events and answers of `body`
+/// bytes.
+///
+/// # Errors
+/// If the settings are invalid.
 pub fn traffic(events: u128, batch: usize, body: usize) -> Result<Traffic, Box<dyn Error>> {
     let mut pair = Pair::new()?;
     for first in (0..events).step_by(batch) {
@@ -118,29 +126,34 @@
             pair.turn(keys.clone().map(step));
         }
     }
-    let [there, back] = pair.wire;
-    Ok(Traffic { there, back, frames: pair.frames[0] })
+    let [bytes_to_holder, bytes_to_writer] = pair.bytes_sent;
+    Ok(Traffic { bytes_to_holder, bytes_to_writer, frames: pair.frames[0] })
 }
 
 fn bytes(events: u128) -> Result<(), Box<dyn Error>> {
-    println!("bytes a kept event, one holder: event and answer | turn | to the holder | back | frames there");
+    println!(
+        "bytes per stored event, one holder: event and answer | batch | to the holder | to the writer | frames to the holder"
+    );
     for body in [0, 500, 4_000] {
         for batch in [1, 16, 256] {
-            let told = traffic(events, batch, body)?;
+            let traffic = traffic(events, batch, body)?;
             let per = |count: usize| count as f64 / events as f64;
             println!(
                 "{body:>5} | {batch:>3} | {:>7.0} | {:>4.0} | {:.2}",
-                per(told.there),
-                per(told.back),
-                per(told.frames)
+                per(traffic.bytes_to_holder),
+                per(traffic.bytes_to_writer),
+                per(traffic.frames)
             );
         }
     }
     Ok(())
 }
 
-/// A writer and a holder of so many events that have ended, kept so that their memory can be read.
-pub fn held(events: u128, body: usize) -> Result<impl Sized, Box<dyn Error>> {
+/// A writer and a holder of `events` events that have ended, for measuring their memory.
+///
+/// # Errors
+/// If the settings are invalid.
+pub fn ended_events(events: u128, body: usize) -> Result<impl Sized, Box<dyn Error>> {
     let mut pair = Pair::new()?;
     let batches = || (0..events).step_by(64).map(|first| first..first + 64);
     batches().for_each(|keys| _ = pair.turn(keys.map(|key| accepted(key, body))));
@@ -151,12 +164,12 @@
 
 fn memory(events: u128) -> Result<(), Box<dyn Error>> {
     println!(
-        "memory of {events} events, bytes each at writer and holder: event | stage | counted | resident, both"
+        "memory of {events} events, bytes each at writer and holder: event | stage | counted | resident, both together"
     );
     for body in [0, 500] {
         let mut pair = Pair::new()?;
         let before = resident()?;
-        let told = |pair: &Pair, stage: &str| -> Result<(), Box<dyn Error>> {
+        let print = |pair: &Pair, stage: &str| -> Result<(), Box<dyn Error>> {
             let per = |bytes: f64| bytes / events as f64;
             let (own, held) = (pair.both[0].own_size().0, pair.both[1].held_size().0);
             let resident = per(resident()? - before);
@@ -170,108 +183,117 @@
         let batches = || (0..events).step_by(64).map(|first| first..first + 64);
         batches().for_each(|keys| _ = pair.turn(keys.map(|key| accepted(key, body))));
         batches().for_each(|keys| _ = pair.turn(keys.map(sending)));
-        told(&pair, "pending")?;
+        print(&pair, "pending")?;
         batches().for_each(|keys| _ = pair.turn(keys.map(|key| ended(key, 100))));
-        told(&pair, "ended, answers of 100 kept")?;
+        print(&pair, "ended, with stored answers of 100 bytes")?;
     }
     Ok(())
 }
 
-/// Seconds for so many events, in turns of so many.
-pub fn spin(events: u128, batch: usize, body: usize) -> Result<f64, Box<dyn Error>> {
+/// Seconds in which a writer and a holder process `events` events from acceptance to end, in turns of `batch` events.
+///
+/// # Errors
+/// If the settings are invalid or not every event was held and allowed to be sent.
+pub fn run_seconds(events: u128, batch: usize, body: usize) -> Result<f64, Box<dyn Error>> {
     let mut pair = Pair::new()?;
-    let began = Instant::now();
-    let mut told = 0;
+    let start = Instant::now();
+    let mut reported = 0;
     for first in (0..events).step_by(batch) {
         let keys = first..first + batch as u128;
-        told += pair.turn(keys.clone().map(|key| accepted(key, body)));
-        told += pair.turn(keys.clone().map(sending));
-        told += pair.turn(keys.map(|key| ended(key, 100)));
+        reported += pair.turn(keys.clone().map(|key| accepted(key, body)));
+        reported += pair.turn(keys.clone().map(sending));
+        reported += pair.turn(keys.map(|key| ended(key, 100)));
     }
-    let took = began.elapsed().as_secs_f64();
-    if told as u128 != 2 * events { Err("not all were held".into()) } else { Ok(took) }
+    let took = start.elapsed().as_secs_f64();
+    if reported as u128 != 2 * events { Err("not all events were held and sent".into()) } else { Ok(took) }
 }
 
-/// Seconds for what is done of events that aren't kept: the same steps are made and dropped.
-fn unkept(events: u128, body: usize) -> f64 {
-    let began = Instant::now();
+/// Seconds for the baseline without a journal: the same steps are built and dropped.
+fn baseline_seconds(events: u128, body: usize) -> f64 {
+    let start = Instant::now();
     let made = (0..events).flat_map(|key| [accepted(key, body), sending(key), ended(key, 100)]);
     made.for_each(|step| _ = std::hint::black_box(step));
-    began.elapsed().as_secs_f64()
+    start.elapsed().as_secs_f64()
 }
 
 fn rate(events: u128, rounds: usize) -> Result<(), Box<dyn Error>> {
     println!(
-        "writer and holder on one core, 500 bytes an event, {rounds} rounds: turn | events/s | entries/s | us an event"
+        "writer and holder on one core, 500 bytes an event, {rounds} rounds: batch | events/s | entries/s | us per event"
     );
     for batch in [1, 16, 256] {
-        let took: Result<Vec<f64>, _> = (0..rounds).map(|_| spin(events, batch, 500)).collect();
+        let took: Result<Vec<f64>, _> = (0..rounds).map(|_| run_seconds(events, batch, 500)).collect();
         let took = took?;
         let each = |of: f64| crate::spread(took.iter().map(|took| of * events as f64 / took).collect());
         let us = took.iter().map(|took| took * 1e6 / events as f64).collect();
         println!("{batch:>3} | {} | {} | {}", each(1.0), each(3.0), crate::spread(us));
     }
-    let took = (0..rounds).map(|_| unkept(events, 500) * 1e6 / events as f64).collect();
-    println!("  - | the same steps made and dropped, us an event: {}", crate::spread(took));
+    let took = (0..rounds).map(|_| baseline_seconds(events, 500) * 1e6 / events as f64).collect();
+    println!("  - | baseline: the same steps built and dropped, us per event: {}", crate::spread(took));
     Ok(())
 }
 
-/// Times until an event is held, and until its first byte may leave after that was said.
-fn times(late: (Micros, Micros), together: bool, seed: u64) -> Result<[Vec<Micros>; 2], Box<dyn Error>> {
+/// Times from acceptance until an event is held, and from the request to send it until it may be sent. With `together`
+/// the request follows acceptance at once, and the second time counts from acceptance.
+fn times(
+    delay_range: (Micros, Micros),
+    together: bool,
+    seed: u64,
+) -> Result<[Vec<Micros>; 2], Box<dyn Error>> {
     let sites = vec![0, 0, 1, 1, 2, 2];
-    let places = SiteMap::new(sites.clone(), 0).ok_or("not in the list")?;
-    let settings = PendingSettings::new(places, 0, vec![1], seed);
-    let mut world =
-        Sites::new(sites, settings, LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: late });
-    world.start_all();
-    world.run(world.net.now + 8_000_000);
-    world.net.outputs.clear();
-    let (mut began, mut times) = (BTreeMap::new(), [Vec::new(), Vec::new()]);
+    let site_map = SiteMap::new(sites.clone(), 0).ok_or("the member is not in the list of sites")?;
+    let settings = PendingSettings::new(site_map, 0, vec![1], seed);
+    let mut cluster =
+        Sites::new(sites, settings, LinkFaults { loss_rate: 0.0, duplicate_rate: 0.0, delay_range });
+    cluster.start_all();
+    cluster.run(cluster.net.now + 8_000_000);
+    cluster.net.outputs.clear();
+    let (mut started, mut times) = (BTreeMap::new(), [Vec::new(), Vec::new()]);
     let mut key = 0;
     for _ in 0..20_000 {
-        world.run(world.net.now + 100);
-        for (at, of, said) in std::mem::take(&mut world.net.outputs) {
-            match said {
+        cluster.run(cluster.net.now + 100);
+        for (at, of, output) in std::mem::take(&mut cluster.net.outputs) {
+            match output {
                 Said::Told(Output::Held { key }) => {
-                    times[0].push(at - began[&key]);
+                    times[0].push(at - started[&key]);
                     if !together {
-                        began.insert(key, world.net.now);
-                        world.step(of, sending(key.0));
+                        started.insert(key, cluster.net.now);
+                        cluster.step(of, sending(key.0));
                     }
                 }
                 Said::Told(Output::May { key, .. }) => {
-                    times[1].push(at - began[&key]);
-                    world.step(of, ended(key.0, 100));
+                    times[1].push(at - started[&key]);
+                    cluster.step(of, ended(key.0, 100));
                 }
                 _ => {}
             }
         }
-        if world.net.random_below(10) == 0 {
-            let of = world.net.random_below(6) as MemberId;
+        if cluster.net.random_below(10) == 0 {
+            let of = cluster.net.random_below(6) as MemberId;
             key += 1;
-            began.insert(Key(key), world.net.now);
-            world.step(of, accepted(key, 500));
+            started.insert(Key(key), cluster.net.now);
+            cluster.step(of, accepted(key, 500));
             if together {
-                world.step(of, sending(key));
+                cluster.step(of, sending(key));
             }
         }
     }
     Ok(times)
 }
 
-fn added(seeds: u64) -> Result<(), Box<dyn Error>> {
+fn print_added_latency(seeds: u64) -> Result<(), Box<dyn Error>> {
     println!(
-        "ms in virtual time, 3 sites of 2 gateways, 1,000 events a second, {seeds} seeds, p50 / p99: one way | \
-         accepted until held | said to be sent until it may | both said at once, until it may"
+        "ms in virtual time, 3 sites of 2 gateways, 1,000 events a second, {seeds} seeds, p50 / p99: one-way delay | \
+         accepted until held | send requested until allowed | both requested at once, until allowed"
     );
     for ms in [0, 5, 40] {
-        // In order, as within a connection: a frame that overtakes another would cost a round that it does not there.
-        let late = (ms * 1_000, ms * 1_000);
-        let mut all = [Vec::new(), Vec::new(), Vec::new()];
+        // A constant delay delivers frames in order, as a connection does. A reordered frame would cost a round trip
+        // that it does not cost on a connection.
+        let delay_range = (ms * 1_000, ms * 1_000);
+        let mut collected = [Vec::new(), Vec::new(), Vec::new()];
         for seed in 0..seeds {
-            let [held, may] = times(late, false, seed)?;
-            let [_, both] = times(late, true, seed)?;
-            all.iter_mut().zip([held, may, both]).for_each(|(all, more)| all.extend(more));
+            let [held, allowed] = times(delay_range, false, seed)?;
+            let [_, both] = times(delay_range, true, seed)?;
+            collected.iter_mut().zip([held, allowed, both]).for_each(|(all, more)| all.extend(more));
         }
         let text = |values: &mut Vec<Micros>| {
             values.sort_unstable();
@@ -279,17 +301,20 @@
                 |share: usize| values.get(values.len() * share / 100).map_or(f64::NAN, |at| *at as f64 / 1e3);
             format!("{:.1} / {:.1}", at(50), at(99))
         };
-        let [held, may, both] = &mut all;
-        println!("{ms:>2} | {} | {} | {}", text(held), text(may), text(both));
+        let [held, allowed, both] = &mut collected;
+        println!("{ms:>2} | {} | {} | {}", text(held), text(allowed), text(both));
     }
     Ok(())
 }
 
 /// Measures and prints.
+///
+/// # Errors
+/// If the settings are invalid or the resident size can't be read.
 pub fn run(events: u64, rounds: usize, seeds: u64) -> Result<(), Box<dyn Error>> {
     let events = u128::from(events.next_multiple_of(256));
     bytes(2_560.min(events))?;
-    added(seeds)?;
+    print_added_latency(seeds)?;
     memory(events)?;
     rate(events, rounds)
 }
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -1,14 +1,15 @@
-//! The fleet's view between processes of the program, in the bed: how long until all agree, and what a member
-//! costs. The program stands beside this one.
+//! Membership between processes of the program in the test bed: the time until all members agree, and the processor
+//! time of a member. The program has to be in the same folder as this one.
 
 use basaltward_trial::{Bed, BedSpec, Loss};
 use std::error::Error;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Members that have not agreed after this time count as not agreed.
+const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Processor time of a process so far, in milliseconds, by the system's ticks of ten.
-fn spent_ms(pid: u32) -> f64 {
+/// Processor time that a process has used, in milliseconds, counted in the system's ticks of 10 ms.
+fn processor_ms(pid: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let after = text.rsplit_once(')').map_or("", |(_, after)| after);
     let ticks =
@@ -16,10 +17,12 @@
     (ticks(11) + ticks(12)) * 10.0
 }
 
-fn spent(bed: &Bed) -> f64 {
-    bed.schedulers.iter().filter_map(basaltward_trial::Process::pid).map(spent_ms).sum()
+/// Processor time that all schedulers of the bed have used, in milliseconds.
+fn total_processor_ms(bed: &Bed) -> f64 {
+    bed.schedulers.iter().filter_map(basaltward_trial::Process::pid).map(processor_ms).sum()
 }
 
+/// Median and 99th percentile in milliseconds; `-` for those that did not agree.
 fn spread(mut values: Vec<Option<Duration>>) -> String {
     values.sort_by_key(|v| v.unwrap_or(Duration::MAX));
     let at = |share: f64| values[((values.len() as f64 * share) as usize).min(values.len() - 1)];
@@ -28,6 +31,9 @@
 }
 
 /// Measures and prints.
+///
+/// # Errors
+/// If a process can't be started or stopped.
 pub fn run(counts: &[usize], lost: f64, rounds: usize) -> Result<(), Box<dyn Error>> {
     let program = std::env::current_exe()?.with_file_name("basaltward");
     println!("{:.0}% lost, {rounds} rounds, no calls; milliseconds until all agree, p50 / p99", lost * 100.0);
@@ -48,29 +54,29 @@
         let mut bed = Bed::start(spec)?;
         let all: Vec<_> = (0..schedulers).collect();
         let half: Vec<_> = (0..schedulers / 2).collect();
-        let start = bed.agreement(&all, PATIENCE);
+        let start = bed.agreement(&all, AGREEMENT_TIMEOUT);
         bed.loss_of_all(Loss { loss_rate: lost, ..Loss::default() });
-        let (before, from) = (spent(&bed), Instant::now());
+        let (before, from) = (total_processor_ms(&bed), Instant::now());
         std::thread::sleep(Duration::from_secs(10));
-        let cost = (spent(&bed) - before) / from.elapsed().as_secs_f64() / schedulers as f64;
-        let (mut death, mut back, mut leave, mut heal) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+        let cost = (total_processor_ms(&bed) - before) / from.elapsed().as_secs_f64() / schedulers as f64;
+        let (mut death, mut rejoin, mut leave, mut heal) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         for round in 0..rounds {
             let victim = round % schedulers;
             bed.kill(victim);
-            death.push(bed.agreement(&all, PATIENCE));
+            death.push(bed.agreement(&all, AGREEMENT_TIMEOUT));
             bed.up(victim)?;
-            back.push(bed.agreement(&all, PATIENCE));
+            rejoin.push(bed.agreement(&all, AGREEMENT_TIMEOUT));
             bed.stop(victim)?;
-            leave.push(bed.agreement(&all, PATIENCE));
+            leave.push(bed.agreement(&all, AGREEMENT_TIMEOUT));
             bed.up(victim)?;
-            bed.agreement(&all, PATIENCE);
+            bed.agreement(&all, AGREEMENT_TIMEOUT);
             bed.cut(&half, true);
             std::thread::sleep(Duration::from_secs(6));
             bed.cut(&half, false);
-            heal.push(bed.agreement(&all, PATIENCE));
+            heal.push(bed.agreement(&all, AGREEMENT_TIMEOUT));
         }
-        let told = [death, back, leave, heal].map(spread).join(" | ");
-        println!("{schedulers} | {} | {told} | {cost:.1}", spread(vec![start]));
+        let columns = [death, rejoin, leave, heal].map(spread).join(" | ");
+        println!("{schedulers} | {} | {columns} | {cost:.1}", spread(vec![start]));
     }
     Ok(())
 }
--- a/crates/bench/src/proxy.rs
+++ b/crates/bench/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A minimal reverse proxy on hyper and tokio, one thread: the yardstick.
+//! A minimal single-threaded reverse proxy on hyper and tokio, as the reference for the gateway.
 
 use http_body_util::combinators::BoxBody;
 use hyper::body::{Bytes, Incoming};
@@ -11,9 +11,12 @@
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-type Failed = Box<dyn Error + Send + Sync>;
+type ProxyError = Box<dyn Error + Send + Sync>;
 
-/// Starts it on a thread that lasts as long as the process.
+/// Starts the proxy on a thread that runs as long as the process, and returns its address.
+///
+/// # Errors
+/// If the socket can't be opened or the thread can't be started.
 pub fn start(to: SocketAddr) -> Result<SocketAddr, Box<dyn Error>> {
     let listener = std::net::TcpListener::bind(("127.0.0.1", 0))?;
     listener.set_nonblocking(true)?;
@@ -21,14 +24,14 @@
     std::thread::Builder::new().name("proxy".into()).spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         if let Ok(runtime) = runtime {
-            // Ends with the process.
+            // Runs until the process ends.
             let _ = runtime.block_on(serve(listener, to));
         }
     })?;
     Ok(address)
 }
 
-async fn serve(listener: std::net::TcpListener, to: SocketAddr) -> Result<(), Failed> {
+async fn serve(listener: std::net::TcpListener, to: SocketAddr) -> Result<(), ProxyError> {
     let listener = TcpListener::from_std(listener)?;
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
@@ -48,7 +51,7 @@
     client: Client<HttpConnector, Incoming>,
     to: SocketAddr,
     mut request: Request<Incoming>,
-) -> Result<Response<BoxBody<Bytes, hyper::Error>>, Failed> {
+) -> Result<Response<BoxBody<Bytes, hyper::Error>>, ProxyError> {
     let path = request.uri().path_and_query().map_or("/", |p| p.as_str());
     *request.uri_mut() =
         Uri::builder().scheme("http").authority(to.to_string()).path_and_query(path).build()?;
--- a/crates/bench/src/route.rs
+++ b/crates/bench/src/route.rs
@@ -1,5 +1,5 @@
-//! Which site answers, in virtual time: what calls are worth and how long they take on five days by our choice, by plain
-//! ones and by one that sees all sites at once.
+//! Choice of the site that answers a call, in virtual time: value and latency of calls on five days under site routing,
+//! under simple policies and under an oracle that sees the state of all sites at once.
 
 mod days;
 pub mod grow;
@@ -9,6 +9,7 @@
 use std::error::Error;
 use std::path::Path;
 
+/// The policies with the names under which they are printed; the oracle comes last, as the reference of the others.
 const POLICIES: [(&str, Policy); 7] = [
     ("ours", Policy::SiteRouting),
     ("home only", Policy::HomeOnly),
@@ -19,14 +20,15 @@
     ("oracle", Policy::Oracle),
 ];
 
-/// What a day came to under a policy.
-struct Sum {
-    worth: f64,
+/// Results of a day under a policy.
+struct DayResult {
+    value: f64,
     p50: u64,
     p99: u64,
-    handed: f64,
+    handed_over: f64,
     loads: u64,
-    /// Greatest change of the share handed over from one second to the next, in the mean over sites and seconds.
+    /// Mean change, from one second to the next, of the calls that a site answers for others, relative to their mean
+    /// number.
     swing: f64,
 }
 
@@ -34,74 +36,78 @@
     sorted.get(((sorted.len() as f64 * share) as usize).min(sorted.len().max(1) - 1)).copied().unwrap_or(0)
 }
 
-/// Mean change of what a site does for others from one second to the next, against the mean of what it does.
-fn swing(ended: &[CompletedCall]) -> f64 {
-    let last = ended.iter().map(|e| e.arrived_at / 1_000_000).max().unwrap_or(0) as usize;
-    let sites = ended.iter().map(|e| usize::from(e.answered_by)).max().unwrap_or(0) + 1;
-    let mut done = vec![vec![0.0; last + 1]; sites];
-    for e in ended.iter().filter(|e| e.answered_by != e.site) {
-        done[usize::from(e.answered_by)][(e.arrived_at / 1_000_000) as usize] += 1.0;
+/// Mean change, from one second to the next, of the calls that a site answers for others, relative to their mean
+/// number.
+fn swing(completed: &[CompletedCall]) -> f64 {
+    let last = completed.iter().map(|e| e.arrived_at / 1_000_000).max().unwrap_or(0) as usize;
+    let sites = completed.iter().map(|e| usize::from(e.answered_by)).max().unwrap_or(0) + 1;
+    let mut answered = vec![vec![0.0; last + 1]; sites];
+    for e in completed.iter().filter(|e| e.answered_by != e.site) {
+        answered[usize::from(e.answered_by)][(e.arrived_at / 1_000_000) as usize] += 1.0;
     }
-    let changes: f64 = done.iter().flat_map(|s| s.windows(2).map(|w| f64::abs(w[1] - w[0]))).sum();
-    let all: f64 = done.iter().flatten().sum();
+    let changes: f64 = answered.iter().flat_map(|s| s.windows(2).map(|w| f64::abs(w[1] - w[0]))).sum();
+    let all: f64 = answered.iter().flatten().sum();
     if all > 0.0 { changes / all } else { 0.0 }
 }
 
-fn play(day: Day, policy: Policy, seeds: u64) -> Result<Sum, Box<dyn Error>> {
-    let (mut ended, mut loads, mut swings) = (Vec::new(), 0, 0.0);
+fn play(day: Day, policy: Policy, seeds: u64) -> Result<DayResult, Box<dyn Error>> {
+    let (mut completed, mut loads, mut swings) = (Vec::new(), 0, 0.0);
     for seed in 1..=seeds {
         let world = days::play(day, policy, seed)?;
         loads += world.loads_started();
         swings += swing(&world.completed);
-        ended.extend(world.completed);
+        completed.extend(world.completed);
     }
-    let mut took: Vec<_> = ended.iter().map(|e| e.latency.unwrap_or(u64::MAX)).collect();
+    let mut took: Vec<_> = completed.iter().map(|e| e.latency.unwrap_or(u64::MAX)).collect();
     took.sort_unstable();
-    let all = ended.len().max(1) as f64;
-    Ok(Sum {
-        worth: ended.iter().map(|e| e.value).sum::<f64>() / all,
+    let all = completed.len().max(1) as f64;
+    Ok(DayResult {
+        value: completed.iter().map(|e| e.value).sum::<f64>() / all,
         p50: quantile(&took, 0.5),
         p99: quantile(&took, 0.99),
-        handed: ended.iter().filter(|e| e.hops > 0).count() as f64 / all,
+        handed_over: completed.iter().filter(|e| e.hops > 0).count() as f64 / all,
         loads: loads / seeds.max(1),
         swing: swings / seeds.max(1) as f64,
     })
 }
 
-/// Measures and prints.
+/// Measures and prints; with `grow`, measures growth instead and draws it into that file.
+///
+/// # Errors
+/// If a simulation fails or the plot can't be written.
 pub fn run(seeds: u64, days: &[String], grow: Option<&Path>) -> Result<(), Box<dyn Error>> {
     if let Some(to) = grow {
         return grow::run(to);
     }
-    let asked = |name: &str| days.is_empty() || days.iter().any(|day| day == name);
+    let is_selected = |name: &str| days.is_empty() || days.iter().any(|day| day == name);
     println!(
-        "{seeds} seeds; worth of a call, latency in ms (late: none in its time), share handed over, loads, swing"
+        "{seeds} seeds; value of a call, latency in ms (late: not answered in time), share handed over, loads, swing"
     );
-    println!("day | choice | worth | of the oracle | p50 | p99 | handed over | loads a day | swing");
-    for (name, day) in DAYS.into_iter().filter(|(name, _)| asked(name)) {
+    println!("day | policy | value | relative to oracle | p50 | p99 | handed over | loads a day | swing");
+    for (name, day) in DAYS.into_iter().filter(|(name, _)| is_selected(name)) {
         let sums: Vec<_> = std::thread::scope(|scope| {
             let running: Vec<_> = POLICIES
                 .iter()
-                .map(|(of, policy)| {
-                    (of, scope.spawn(|| play(day, *policy, seeds).map_err(|e| e.to_string())))
+                .map(|(policy_name, policy)| {
+                    (policy_name, scope.spawn(|| play(day, *policy, seeds).map_err(|e| e.to_string())))
                 })
                 .collect();
-            running.into_iter().map(|(of, run)| (of, run.join())).collect()
+            running.into_iter().map(|(policy_name, run)| (policy_name, run.join())).collect()
         });
         let mut rows = Vec::new();
-        for (of, sum) in sums {
-            rows.push((of, sum.map_err(|_| "a day's thread has ended")??));
+        for (policy_name, sum) in sums {
+            rows.push((policy_name, sum.map_err(|_| "the thread of a simulation panicked")??));
         }
-        let best = rows.last().map_or(1.0, |(_, sum)| sum.worth);
+        let best = rows.last().map_or(1.0, |(_, sum)| sum.value);
         let ms = |us: u64| if us == u64::MAX { "late".into() } else { format!("{:.0}", us as f64 / 1e3) };
-        for (of, s) in rows {
+        for (policy_name, s) in rows {
             println!(
-                "{name} | {of} | {:.4} | {:.3} | {} | {} | {:.3} | {} | {:.2}",
-                s.worth,
-                s.worth / best,
+                "{name} | {policy_name} | {:.4} | {:.3} | {} | {} | {:.3} | {} | {:.2}",
+                s.value,
+                s.value / best,
                 ms(s.p50),
                 ms(s.p99),
-                s.handed,
+                s.handed_over,
                 s.loads,
                 s.swing
             );
--- a/crates/bench/src/scale/fleet.rs
+++ b/crates/bench/src/scale/fleet.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet in zones and regions: members are started, killed and cut off, and are looked at by a checker
-//! that costs a comparison of one digest a member.
+//! A simulated fleet in zones and regions whose members are started, killed and partitioned. A checker tests for
+//! agreement by comparing one digest per member.
 
 use super::layout::Layout;
 use super::meter::{ByteMeter, STEP_US, TimedView};
@@ -10,35 +10,35 @@
 
 /// One virtual second in microseconds.
 pub const SECOND_US: Micros = 1_000_000;
-/// How often the fleet is looked at: the resolution of all times.
-const LOOK_US: Micros = 10_000;
-/// The wall clock at the beginning of a run, in milliseconds since the beginning of 2026.
+/// Interval at which agreement is checked: the resolution of all measured times.
+const CHECK_INTERVAL_US: Micros = 10_000;
+/// The wall clock at the start of a run, in milliseconds since the start of 2026.
 const EPOCH_MS: u64 = 28_000_000_000;
-/// Members are as old as if each had been started at some time of a day: an update then takes the bytes that it takes
-/// in a fleet that is restarted machine by machine, not the few of one that began in one millisecond.
+/// Start times of members are spread over a day. An update then takes as many bytes as in a fleet that is restarted
+/// machine by machine; in a fleet that was started within one millisecond it would take fewer.
 const START_SPREAD_MS: u64 = 86_400_000;
 
-/// How a wait ended.
+/// The outcome of waiting for agreement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settled {
-    /// All agree, after so many microseconds.
+    /// All members agree, after this many microseconds.
     After(Micros),
-    /// They did not within the virtual bound, so many microseconds.
+    /// The members did not agree within the bound of virtual time, in microseconds.
     NotWithin(Micros),
-    /// The run's bound of wall time came first.
+    /// The bound of wall time of the run was reached first.
     OutOfTime,
 }
 
-/// What a span of virtual time cost.
+/// Cost of a span of virtual time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Virtual microseconds.
+    /// Length of the span, virtual microseconds.
     pub span: Micros,
     /// Bytes sent by all members.
     pub bytes: u64,
-    /// Most bytes of one member within a second.
+    /// Most bytes that one member sent within a second.
     pub worst_bytes_per_s: u64,
-    /// Time spent in the state machines.
+    /// Time spent in the state machines of all members.
     pub processor: Duration,
 }
 
@@ -49,13 +49,13 @@
     layout: Layout,
     meter: ByteMeter,
     deadline: Instant,
-    /// Processor time of members that have ended.
+    /// Processor time of members that no longer run.
     ended: Duration,
     next_step: Micros,
 }
 
 impl Fleet {
-    /// A fleet of which nobody is started; it ends waits at `deadline`.
+    /// A fleet of which no member is started; it ends waits at `deadline`.
     pub fn new(settings: MembershipSettings, layout: Layout, lost: f64, deadline: Instant) -> Self {
         let mut net = VirtualNetwork::new(
             settings.size,
@@ -68,7 +68,7 @@
         Self { net, settings, layout, meter, deadline, ended: Duration::ZERO, next_step }
     }
 
-    /// All members' numbers.
+    /// The numbers of all members.
     pub fn members(&self) -> Vec<MemberId> {
         self.net.node_ids().collect()
     }
@@ -78,13 +78,13 @@
         self.net.node(member).map(|timed| &timed.view)
     }
 
-    /// Starts members, which know nothing of earlier lives.
+    /// Starts members, without any state of an earlier run.
     ///
     /// # Errors
-    /// Where the settings can't be used.
+    /// If the settings are invalid.
     pub fn start(&mut self, members: &[MemberId]) -> Result<(), SettingsError> {
         for &own in members {
-            // A later life never begins before an earlier one: restarts come after the day.
+            // A restart must not have an earlier start time than the run before it, so restarts come after the day.
             let age_ms = self.net.random_below(START_SPREAD_MS);
             let since_first = if self.net.start_count(own) == 0 { 0 } else { START_SPREAD_MS };
             let start = EPOCH_MS + since_first + self.net.now / 1_000 + age_ms * u64::from(since_first == 0);
@@ -96,7 +96,7 @@
         Ok(())
     }
 
-    /// Kills members outright.
+    /// Kills members, which don't announce that they leave.
     pub fn kill(&mut self, members: &[MemberId]) {
         for member in members {
             let ended = self.net.kill(*member);
@@ -104,20 +104,20 @@
         }
     }
 
-    /// Cuts the regions off from each other, or joins them again.
+    /// Partitions the regions from each other, or heals the partition.
     pub fn set_regions_apart(&mut self, apart: bool) {
         self.net.set_delays(self.layout.delays(apart));
     }
 
     /// Lets virtual time pass.
-    pub fn pass(&mut self, span: Micros) {
+    pub fn advance_by(&mut self, span: Micros) {
         let until = self.net.now + span;
         while self.net.now < until && !self.is_out_of_time() {
             self.advance(until);
         }
     }
 
-    /// Waits until all that run agree, at most `bound` microseconds.
+    /// Waits until all running members agree, at most `bound` microseconds.
     pub fn settle(&mut self, bound: Micros) -> Settled {
         let from = self.net.now;
         while self.net.now < from + bound {
@@ -132,8 +132,8 @@
         Settled::NotWithin(bound)
     }
 
-    /// Whether all that run hold the same view, and a true one: live is who runs. Views are compared by their digests;
-    /// one of them is looked at entry by entry.
+    /// Whether all running members hold the same view, and exactly the running members are live in it. Views are
+    /// compared by their digests; only one of them is checked entry by entry.
     pub fn is_agreed(&self) -> bool {
         let mut views = self.net.node_ids().filter_map(|member| self.view(member));
         let Some(first) = views.next() else { return true };
@@ -143,8 +143,8 @@
             })
     }
 
-    /// How many members hold the view that most of them hold, and how many of all entries are right, in parts of 1.
-    pub fn progress(&self) -> f64 {
+    /// Share of the entries, over all views of running members, that state correctly whether a member runs; 0 to 1.
+    pub fn correct_share(&self) -> f64 {
         let views: Vec<_> = self.net.node_ids().filter_map(|member| self.view(member)).collect();
         let up: Vec<_> = self.net.node_ids().map(|member| self.net.node(member).is_some()).collect();
         let right = |view: &&Membership| {
@@ -153,30 +153,30 @@
         views.iter().map(right).sum::<usize>() as f64 / (views.len() * up.len()).max(1) as f64
     }
 
-    /// Whether the run has used its wall time.
+    /// Whether the run has reached its bound of wall time.
     pub fn is_out_of_time(&self) -> bool {
         Instant::now() >= self.deadline
     }
 
-    /// Runs an act and tells what it cost.
+    /// Runs `act` and returns its result and cost.
     pub fn measure<T>(&mut self, act: impl FnOnce(&mut Self) -> T) -> (T, Cost) {
         self.meter.take_sum();
         self.meter.take_worst();
         let (from, before) = (self.net.now, self.spent());
-        let done = act(self);
+        let result = act(self);
         let cost = Cost {
             span: self.net.now - from,
             bytes: self.meter.take_sum(),
             worst_bytes_per_s: self.meter.take_worst(),
             processor: self.spent() - before,
         };
-        (done, cost)
+        (result, cost)
     }
 
     fn advance(&mut self, until: Micros) {
-        let next = (self.net.now + LOOK_US).min(until).min(self.next_step);
+        let next = (self.net.now + CHECK_INTERVAL_US).min(until).min(self.next_step);
         self.net.run_until(next);
-        // What changed is not looked at; by millions it would be most of the memory.
+        // Outputs are not used; millions of them would take most of the memory.
         self.net.outputs.clear();
         if self.net.now >= self.next_step {
             let totals =
--- a/crates/bench/src/scale/layout.rs
+++ b/crates/bench/src/scale/layout.rs
@@ -1,4 +1,4 @@
-//! Where the members of a simulated fleet stand, and how long a datagram takes between two of them.
+//! Placement of the members of a simulated fleet in zones and regions, and the delay of a datagram between two of them.
 //!
 //! Members are numbered zone by zone; zones are spread over the regions in order, the first region taking the larger
 //! part. A delay is drawn between the stated one-way time and a tenth above it.
@@ -6,16 +6,16 @@
 use basaltward_membership::{DelayFn, MemberId, Micros};
 use std::ops::Range;
 
-/// Availability zones over all regions, by the plan that the capacity page starts from.
+/// Number of availability zones over all regions, as in the plan of the capacity page.
 pub const ZONES: MemberId = 7;
-/// Zones of the first region; the others are the second region's.
+/// Zones in the first region; the others are in the second.
 const ZONES_OF_FIRST_REGION: MemberId = 4;
 /// Members that one switch serves.
 const RACK_MEMBERS: MemberId = 40;
-/// A delay varies by this part of itself.
+/// A delay varies by the one-way time divided by this.
 const JITTER_DIVISOR: Micros = 10;
 
-/// One-way times of a datagram that is not lost, in microseconds.
+/// One-way times of a datagram, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OneWayUs {
     /// Between two members of one zone.
@@ -23,10 +23,10 @@
     /// Between zones of one region.
     pub region: Micros,
     /// Between regions.
-    pub far: Micros,
+    pub between_regions: Micros,
 }
 
-/// The places of a fleet's members.
+/// Placement of the members of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Layout {
     size: MemberId,
@@ -61,16 +61,16 @@
         first..(first + RACK_MEMBERS).min(self.size)
     }
 
-    /// The delays between all; none between regions where `regions_apart`.
+    /// The delay range of each pair of members; `None`, which loses the datagram, between regions if `regions_apart`.
     pub fn delays(self, regions_apart: bool) -> DelayFn {
         Box::new(move |from, to| {
-            let apart = self.in_first_region(from) != self.in_first_region(to);
+            let is_between_regions = self.in_first_region(from) != self.in_first_region(to);
             let one_way = match self.zone_of(from) == self.zone_of(to) {
                 true => self.one_way.zone,
-                false if apart => self.one_way.far,
+                false if is_between_regions => self.one_way.between_regions,
                 false => self.one_way.region,
             };
-            (!(regions_apart && apart)).then_some((one_way, one_way + one_way / JITTER_DIVISOR))
+            (!(regions_apart && is_between_regions)).then_some((one_way, one_way + one_way / JITTER_DIVISOR))
         })
     }
 }
--- a/crates/bench/src/scale/meter.rs
+++ b/crates/bench/src/scale/meter.rs
@@ -1,15 +1,15 @@
-//! What a simulated member costs: bytes over any second, and the processor time that its state machine takes.
+//! Meters of a simulated member: bytes sent within a second, and processor time of its state machine.
 
 use basaltward_membership::{MemberId, Membership, Micros, Output, VirtualNode};
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Step in which bytes are read, in microseconds.
+/// Interval at which byte counters are read, in microseconds.
 pub const STEP_US: Micros = 100_000;
-/// Steps of the window over which bytes are summed: one second.
-const STEPS_OF_WINDOW: usize = 10;
+/// Number of steps in the window over which bytes are summed, which is one second.
+const WINDOW_STEPS: usize = 10;
 
-/// A view whose processor time is counted: wall time spent inside its calls, so an upper bound on a busy machine.
+/// A view whose processor time is measured as wall time inside its calls, which on a busy machine is an upper bound.
 pub struct TimedView {
     /// The state machine under test.
     pub view: Membership,
@@ -17,7 +17,7 @@
 }
 
 impl TimedView {
-    /// A view that has used no time yet.
+    /// Wraps a view, with no time spent.
     pub fn new(view: Membership) -> Self {
         Self { view, spent: Cell::default() }
     }
@@ -27,8 +27,8 @@
         self.spent.get()
     }
 
-    fn count_since(&self, begin: Instant) {
-        self.spent.set(self.spent.get() + begin.elapsed());
+    fn count_since(&self, start: Instant) {
+        self.spent.set(self.spent.get() + start.elapsed());
     }
 }
 
@@ -36,21 +36,21 @@
     type Out = Output;
 
     fn handle(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Vec<Output>) {
-        let begin = Instant::now();
+        let start = Instant::now();
         self.view.handle(now, from, bytes, out);
-        self.count_since(begin);
+        self.count_since(start);
     }
 
     fn wake(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let begin = Instant::now();
+        let start = Instant::now();
         self.view.wake(now, out);
-        self.count_since(begin);
+        self.count_since(start);
     }
 
     fn next_due(&self) -> Micros {
-        let begin = Instant::now();
+        let start = Instant::now();
         let due = self.view.next_due();
-        self.count_since(begin);
+        self.count_since(start);
         due
     }
 
@@ -59,15 +59,16 @@
     }
 }
 
-/// Bytes that one member sent, step by step.
+/// Bytes that one member sent in each step of the window.
 #[derive(Clone, Debug, Default)]
 struct Sender {
-    /// Its total at the last step; a restart begins again at 0.
+    /// The counter of the member at the last step; a restart resets it to 0.
     total: u64,
-    steps: [u64; STEPS_OF_WINDOW],
+    steps: [u64; WINDOW_STEPS],
 }
 
-/// Bytes sent by all members, over every window of a second that begins at a step.
+/// Bytes sent by all members: their sum, and the maximum of one member over every one-second window that begins at a
+/// step.
 #[derive(Clone, Debug)]
 pub struct ByteMeter {
     senders: Vec<Sender>,
@@ -77,14 +78,14 @@
 }
 
 impl ByteMeter {
-    /// A meter of `size` members that have sent nothing.
+    /// A meter for `size` members that have sent nothing.
     pub fn new(size: MemberId) -> Self {
         Self { senders: vec![Sender::default(); size.into()], step: 0, worst: 0, sum: 0 }
     }
 
-    /// Takes each member's total at the end of a step of [`STEP_US`]; a member that is down has none.
+    /// Records the byte counter of each member at the end of a step of [`STEP_US`]; `None` for a member that is down.
     pub fn end_step(&mut self, totals: impl Iterator<Item = Option<u64>>) {
-        let slot = self.step % STEPS_OF_WINDOW;
+        let slot = self.step % WINDOW_STEPS;
         for (sender, total) in self.senders.iter_mut().zip(totals) {
             let total = total.unwrap_or(0);
             let sent = if total >= sender.total { total - sender.total } else { total };
@@ -95,12 +96,12 @@
         self.step += 1;
     }
 
-    /// The most that one member sent within a second since the last call.
+    /// The most bytes that one member sent within a second, since the last call.
     pub fn take_worst(&mut self) -> u64 {
         std::mem::take(&mut self.worst)
     }
 
-    /// What all sent together since the last call.
+    /// The bytes that all members sent together since the last call.
     pub fn take_sum(&mut self) -> u64 {
         std::mem::take(&mut self.sum)
     }
--- a/crates/bench/src/scale/mod.rs
+++ b/crates/bench/src/scale/mod.rs
@@ -1,7 +1,8 @@
 //! Membership at sizes up to thousands, in virtual time: how long a fleet in zones and regions takes to settle after a
-//! start and after faults, and what a member spends on it.
+//! start and after faults, and the cost for each member.
 //!
-//! Each size is bounded twice: a wait by virtual time ("not settled within"), a run by wall time ("not run to its end").
+//! There are two bounds: each wait is bounded by virtual time ("not settled within") and each run by wall time ("not
+//! run to its end").
 
 mod fleet;
 mod layout;
@@ -20,28 +21,28 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// What is run.
+/// Arguments of the command.
 #[derive(clap::Args, Clone)]
 pub struct Args {
-    /// Members, given for each run
+    /// Numbers of members, one run for each
     #[arg(long, value_delimiter = ',', default_value = "100,200,400,800,1600,1900")]
     sizes: Vec<MemberId>,
     /// Share of datagrams lost
     #[arg(long, default_value_t = 0.05)]
     lost: f64,
-    /// Seeds of each size
+    /// Number of seeds of each size
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Append rows to this file, with a header where it is new
+    /// Append rows to this file, with a header if it is new
     #[arg(long)]
     csv: Option<PathBuf>,
-    /// Virtual seconds after which a wait is given up
+    /// Virtual seconds after which a wait counts as not settled
     #[arg(long, default_value_t = 120)]
     bound_s: u64,
     /// Wall seconds after which one run of one size ends
     #[arg(long, default_value_t = 900)]
     wall_s: u64,
-    /// Period of probes in milliseconds, in place of the usual one
+    /// Period of probes in milliseconds, in place of the default
     #[arg(long)]
     period_ms: Option<u64>,
     /// Longest round trip that members expect, in milliseconds; by default the largest that the period allows
@@ -50,34 +51,37 @@
     /// One-way time between regions in milliseconds
     #[arg(long, default_value_t = 60)]
     between_regions_ms: u64,
-    /// Bytes that a member may send in a second, in place of the usual
+    /// Bytes that a member may send in a second, in place of the default
     #[arg(long)]
     rate: Option<u64>,
-    /// And at once after a quiet time
+    /// Bytes that a member may send at once after a quiet time
     #[arg(long)]
     burst: Option<u64>,
 }
 
 impl Args {
-    /// The usual settings with what the command changes. A probe has three round trips; with its period a third of
-    /// which is below the round trip between regions, probes over regions go through others as well.
+    /// The default settings with the changes of the arguments. The period of a probe has to cover three round trips.
+    /// If a third of it is below the round trip between regions, probes between regions also go through other members.
     fn settings(&self, size: MemberId, seed: u64) -> MembershipSettings {
-        let usual = MembershipSettings::new(size, 0, 0, seed);
-        let period = self.period_ms.map_or(usual.period, |ms| ms * 1_000);
+        let defaults = MembershipSettings::new(size, 0, 0, seed);
+        let period = self.period_ms.map_or(defaults.period, |ms| ms * 1_000);
         MembershipSettings {
             period,
             round_trip: self.round_trip_ms.map_or(period / 3, |ms| ms * 1_000),
-            bytes_per_s: self.rate.unwrap_or(usual.bytes_per_s),
-            burst: self.burst.unwrap_or(usual.burst),
-            ..usual
+            bytes_per_s: self.rate.unwrap_or(defaults.bytes_per_s),
+            burst: self.burst.unwrap_or(defaults.burst),
+            ..defaults
         }
     }
 
     fn layout(&self, size: MemberId) -> Layout {
-        Layout::new(size, OneWayUs { zone: 300, region: 1_500, far: self.between_regions_ms * 1_000 })
+        Layout::new(
+            size,
+            OneWayUs { zone: 300, region: 1_500, between_regions: self.between_regions_ms * 1_000 },
+        )
     }
 
-    /// The command that measures one size, with what differs from the usual.
+    /// The command line that measures one size, with the arguments that differ from the defaults.
     fn command(&self, size: MemberId) -> String {
         let mut command = format!("basaltward-bench scale --sizes {size} --seeds {}", self.seeds);
         let changed = [
@@ -101,16 +105,16 @@
         let layout = self.layout(size);
         let mut runs = Vec::new();
         for seed in 1..=self.seeds {
-            let (begin, settings) = (Instant::now(), self.settings(size, seed));
-            let deadline = begin + Duration::from_secs(self.wall_s);
+            let (start, settings) = (Instant::now(), self.settings(size, seed));
+            let deadline = start + Duration::from_secs(self.wall_s);
             let mut fleet = Fleet::new(settings, layout, self.lost, deadline);
             let bound: Micros = self.bound_s * SECOND_US;
             let mut progress = |what: &str| {
-                eprintln!("{size} members, seed {seed}, {:.0} s: {what}", begin.elapsed().as_secs_f64());
+                eprintln!("{size} members, seed {seed}, {:.0} s: {what}", start.elapsed().as_secs_f64());
             };
             runs.push(phases::play(&mut fleet, &layout, bound, &mut progress)?);
             if fleet.is_out_of_time() {
-                progress("ended by its bound of wall time, what is missing was not run");
+                progress("stopped by the wall time bound; the remaining steps were not run");
             }
         }
         Ok(SizeReport { size, lost: self.lost, runs, command: self.command(size) })
@@ -120,17 +124,17 @@
 /// Measures, prints the table and appends the rows.
 ///
 /// # Errors
-/// Where the settings can't be used or the file of rows can't be written.
+/// If the settings are invalid or the CSV file can't be written.
 pub fn run(args: &Args) -> Result<(), Box<dyn Error>> {
-    let usual = args.settings(args.sizes.first().copied().unwrap_or(1), 1);
+    let defaults = args.settings(args.sizes.first().copied().unwrap_or(1), 1);
     println!(
-        "{:.0}% lost, {} seeds, period {} ms, round trip {} ms, {} B/s and {} B at once; one way {} ms between regions",
+        "{:.0}% lost, {} seeds, period {} ms, round trip {} ms, {} B/s and {} B at once; one-way delay {} ms between regions",
         args.lost * 100.0,
         args.seeds,
-        usual.period / 1_000,
-        usual.round_trip / 1_000,
-        usual.bytes_per_s,
-        usual.burst,
+        defaults.period / 1_000,
+        defaults.round_trip / 1_000,
+        defaults.bytes_per_s,
+        defaults.burst,
         args.between_regions_ms,
     );
     println!(
--- a/crates/bench/src/scale/phases.rs
+++ b/crates/bench/src/scale/phases.rs
@@ -1,4 +1,5 @@
-//! The script of one run: start of all, quiet, one member killed, a rack, a zone, regions apart and healed.
+//! The script of one run: start of all members, a quiet time, the kill of one member, of a rack and of a zone, and a
+//! partition of the regions that heals.
 
 use super::fleet::{Cost, Fleet, SECOND_US, Settled};
 use super::layout::Layout;
@@ -7,46 +8,46 @@
 use std::error::Error;
 use std::time::Duration;
 
-/// Virtual time after a storm before quiet is measured.
+/// Virtual time that a fleet is left alone after it has settled, before the next step.
 const CALM_US: Micros = 5 * SECOND_US;
-/// Virtual time over which quiet is measured.
+/// Virtual time over which the cost of a quiet fleet is measured.
 const QUIET_US: Micros = 10 * SECOND_US;
-/// For so long the regions are apart.
-const APART_US: Micros = 60 * SECOND_US;
+/// Virtual time for which the regions are partitioned.
+const PARTITION_US: Micros = 60 * SECOND_US;
 /// The zone that is killed.
 const ZONE_KILLED: MemberId = 2;
 
-/// What one run measured; `None` where its wall time ended before.
+/// Measurements of one run; `None` for those not reached within its wall time.
 #[derive(Debug, Default)]
 pub struct Measured {
-    /// Times until all agree.
+    /// Time until all members agree after the start of all.
     pub start: Option<Settled>,
-    /// After one member was killed.
+    /// Time until all members agree after one was killed.
     pub kill_one: Option<Settled>,
-    /// After a rack.
+    /// Time until all members agree after a rack was killed.
     pub kill_rack: Option<Settled>,
-    /// After a zone.
+    /// Time until all members agree after a zone was killed.
     pub kill_zone: Option<Settled>,
-    /// After the regions were joined again.
+    /// Time until all members agree after the partition of the regions healed.
     pub heal_region: Option<Settled>,
-    /// Bytes a second of a member in quiet times.
+    /// Bytes a second per member while the fleet is quiet.
     pub bytes_quiet: Option<f64>,
-    /// Most bytes of one member in a second of any storm.
+    /// Most bytes of one member in a second of any storm, which is the time from a fault until all members agree.
     pub bytes_storm_worst: Option<u64>,
-    /// Processor microseconds a second of a member.
+    /// Processor microseconds a second per member while the fleet is quiet.
     pub processor_quiet: Option<f64>,
-    /// The same while the fleet settles.
+    /// Processor microseconds a second per member during the storms.
     pub processor_storm: Option<f64>,
-    /// Resident bytes a member, network and meters of the simulation included.
+    /// Resident bytes per member, including network and meters of the simulation.
     pub memory: Option<f64>,
-    /// Each storm by name: outcome and cost.
+    /// Name, outcome and cost of each storm.
     pub storms: Vec<(&'static str, Settled, Cost)>,
 }
 
-/// Plays the script.
+/// Runs the script; `report` receives a line for each storm.
 ///
 /// # Errors
-/// Where the settings can't be used or the process's memory can't be read.
+/// If the settings are invalid or the resident size of the process can't be read.
 pub fn play(
     fleet: &mut Fleet,
     layout: &Layout,
@@ -63,8 +64,8 @@
     let mut storms = Storms { members: all.len(), ..Storms::default() };
     measured.start = storms.add("start of all", started.0?, started.1, report, fleet);
     measured.memory = Some((resident()? - before).max(0.0) / all.len() as f64);
-    fleet.pass(CALM_US);
-    let ((), quiet) = fleet.measure(|fleet| fleet.pass(QUIET_US));
+    fleet.advance_by(CALM_US);
+    let ((), quiet) = fleet.measure(|fleet| fleet.advance_by(QUIET_US));
     if quiet.span == QUIET_US {
         measured.bytes_quiet = Some(quiet.bytes as f64 / seconds(quiet.span) / all.len() as f64);
         measured.processor_quiet = Some(micros(quiet.processor) / seconds(quiet.span) / all.len() as f64);
@@ -81,16 +82,16 @@
             fleet.settle(bound)
         });
         *value = storms.add(name, settled, cost, report, fleet);
-        let (back, cost) = fleet.measure(|fleet| -> Result<Settled, Box<dyn Error>> {
+        let (restarted, cost) = fleet.measure(|fleet| -> Result<Settled, Box<dyn Error>> {
             fleet.start(killed)?;
             Ok(fleet.settle(bound))
         });
-        storms.add("  and its return", back?, cost, report, fleet);
-        fleet.pass(CALM_US);
+        storms.add("  and restart", restarted?, cost, report, fleet);
+        fleet.advance_by(CALM_US);
     }
     let ((), cost) = fleet.measure(|fleet| {
         fleet.set_regions_apart(true);
-        fleet.pass(APART_US);
+        fleet.advance_by(PARTITION_US);
     });
     storms.worst = storms.worst.max(cost.worst_bytes_per_s);
     let (healed, cost) = fleet.measure(|fleet| {
@@ -105,7 +106,7 @@
     Ok(measured)
 }
 
-/// The storms of a run, summed.
+/// The storms of a run and their sums.
 #[derive(Default)]
 struct Storms {
     members: usize,
@@ -131,13 +132,13 @@
         self.span += cost.span;
         self.processor += cost.processor;
         self.all.push((name, settled, cost));
-        let right = match settled {
+        let correct = match settled {
             Settled::After(_) => String::new(),
-            _ => format!(", {:.3}% of entries right", fleet.progress() * 100.0),
+            _ => format!(", {:.3}% of entries correct", fleet.correct_share() * 100.0),
         };
         let mean = cost.bytes as f64 / seconds(cost.span) / self.members as f64;
         report(&format!(
-            "{name}: {}{right}; {mean:.0} B/s a member, worst second {} B, {:.0} us/s",
+            "{name}: {}{correct}; {mean:.0} B/s per member, worst second {} B, {:.0} us/s",
             super::report::settled_text(Some(settled)),
             cost.worst_bytes_per_s,
             micros(cost.processor) / seconds(cost.span) / self.members as f64,
--- a/crates/bench/src/scale/report.rs
+++ b/crates/bench/src/scale/report.rs
@@ -1,28 +1,28 @@
-//! The table and the rows of comma separated values that the capacity page reads.
+//! The printed table and the CSV rows that the capacity page reads.
 
 use super::fleet::Settled;
 use super::phases::Measured;
 use basaltward_membership::MemberId;
 use std::fmt::Write;
 
-/// The first line of the file of rows.
+/// The header line of the CSV file.
 pub const HEADER: &str = "series,size,value,unit,lost,seeds,command";
-/// In place of a time that was not reached within the virtual bound.
+/// Written in place of a time that was not reached within the bound of virtual time.
 const UNSETTLED: &str = "unsettled";
 
-/// The runs of one size, one of each seed.
+/// The runs of one size, one for each seed.
 pub struct SizeReport {
-    /// Members.
+    /// Number of members.
     pub size: MemberId,
-    /// Share of datagrams lost.
+    /// Share of datagrams lost, 0 to 1.
     pub lost: f64,
-    /// What was measured, by seed.
+    /// Measurements, by seed.
     pub runs: Vec<Measured>,
-    /// The command that measures this size.
+    /// The command line that measures this size.
     pub command: String,
 }
 
-/// A time in the form of the table.
+/// An outcome as text of the table.
 pub fn settled_text(settled: Option<Settled>) -> String {
     match settled {
         Some(Settled::After(us)) => format!("{} ms", us / 1_000),
@@ -31,7 +31,7 @@
     }
 }
 
-/// The upper median; one that did not settle is later than all that did. `None` where a run had no value.
+/// The upper median, where an outcome that did not settle is later than all that did. `None` if a run has no value.
 fn median_settled(values: Vec<Option<Settled>>) -> Option<Settled> {
     let mut values = values.into_iter().collect::<Option<Vec<_>>>()?;
     values.sort_by_key(|value| match value {
@@ -49,31 +49,31 @@
 
 impl SizeReport {
     fn times(&self) -> [(&'static str, Option<Settled>); 5] {
-        let of =
+        let median_of =
             |pick: fn(&Measured) -> Option<Settled>| median_settled(self.runs.iter().map(pick).collect());
         [
-            ("settle_start_ms", of(|run| run.start)),
-            ("settle_kill_one_ms", of(|run| run.kill_one)),
-            ("settle_kill_rack_ms", of(|run| run.kill_rack)),
-            ("settle_kill_zone_ms", of(|run| run.kill_zone)),
-            ("settle_heal_region_ms", of(|run| run.heal_region)),
+            ("settle_start_ms", median_of(|run| run.start)),
+            ("settle_kill_one_ms", median_of(|run| run.kill_one)),
+            ("settle_kill_rack_ms", median_of(|run| run.kill_rack)),
+            ("settle_kill_zone_ms", median_of(|run| run.kill_zone)),
+            ("settle_heal_region_ms", median_of(|run| run.heal_region)),
         ]
     }
 
     fn costs(&self) -> [(&'static str, Option<f64>, &'static str); 5] {
-        let of = |pick: fn(&Measured) -> Option<f64>| median(self.runs.iter().map(pick).collect());
+        let median_of = |pick: fn(&Measured) -> Option<f64>| median(self.runs.iter().map(pick).collect());
         let worst = self.runs.iter().map(|run| run.bytes_storm_worst).collect::<Option<Vec<_>>>();
         let worst = worst.and_then(|all| all.into_iter().max()).map(|bytes| bytes as f64);
         [
-            ("bytes_per_s_quiet", of(|run| run.bytes_quiet), "B/s"),
+            ("bytes_per_s_quiet", median_of(|run| run.bytes_quiet), "B/s"),
             ("bytes_per_s_storm_worst", worst, "B/s"),
-            ("cpu_us_per_s_quiet", of(|run| run.processor_quiet), "us/s"),
-            ("cpu_us_per_s_storm", of(|run| run.processor_storm), "us/s"),
-            ("memory_bytes_member", of(|run| run.memory), "B"),
+            ("cpu_us_per_s_quiet", median_of(|run| run.processor_quiet), "us/s"),
+            ("cpu_us_per_s_storm", median_of(|run| run.processor_storm), "us/s"),
+            ("memory_bytes_member", median_of(|run| run.memory), "B"),
         ]
     }
 
-    /// The rows of this size; a value for which a run's wall time did not suffice has none.
+    /// The CSV rows of this size, without values that a run did not reach within its wall time.
     pub fn rows(&self) -> String {
         let mut rows = String::new();
         let mut row = |series: &str, value: &str, unit: &str| {
@@ -94,7 +94,7 @@
         rows
     }
 
-    /// The line of the table.
+    /// The line of the printed table.
     pub fn line(&self) -> String {
         let times = self.times().map(|(_, settled)| settled_text(settled));
         let costs = self.costs().map(|(_, value, _)| value.map_or("-".into(), |value| format!("{value:.0}")));
