--- a/crates/bench/src/scale/tests.rs
+++ b/crates/bench/src/scale/tests.rs
@@ -1,4 +1,4 @@
-//! The command's own parts: meters, layout, the checker and the rows.
+//! Tests of the parts of the command: meters, layout, the checker and the CSV rows.
 
 use super::fleet::{Fleet, SECOND_US, Settled};
 use super::layout::{Layout, OneWayUs, ZONES};
@@ -8,7 +8,7 @@
 use basaltward_membership::{MemberId, MembershipSettings};
 use std::time::{Duration, Instant};
 
-const ONE_WAY: OneWayUs = OneWayUs { zone: 300, region: 1_500, far: 60_000 };
+const ONE_WAY: OneWayUs = OneWayUs { zone: 300, region: 1_500, between_regions: 60_000 };
 
 fn fleet(size: MemberId, wall: Duration) -> (Fleet, Layout) {
     let layout = Layout::new(size, ONE_WAY);
@@ -17,9 +17,9 @@
 }
 
 #[test]
-fn a_window_of_a_second_is_found_wherever_it_begins() {
+fn byte_meter_finds_the_worst_second_at_any_step() {
     let mut meter = ByteMeter::new(2);
-    // One member sends 70 bytes in each step for six steps over a border of whole seconds, then restarts.
+    // One member sends 70 bytes in each of six steps, across a boundary of whole seconds, then restarts.
     let totals = [0, 0, 0, 0, 0, 0, 0, 70, 140, 210, 280, 350, 420, 420];
     totals.iter().for_each(|total| meter.end_step([Some(*total), Some(5)].into_iter()));
     meter.end_step([None, Some(5)].into_iter());
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn zones_share_the_members_and_regions_apart_carry_nothing() {
+fn zones_are_of_equal_size_and_partitioned_regions_lose_all_datagrams() {
     let layout = Layout::new(1_900, ONE_WAY);
     let sizes: Vec<_> = (0..ZONES).map(|zone| layout.members_of_zone(zone).len()).collect();
     assert!(sizes.iter().all(|size| (271..=272).contains(size)) && sizes.iter().sum::<usize>() == 1_900);
@@ -43,26 +43,26 @@
     assert_eq!((apart(0, far), apart(far, 0), apart(0, other)), (None, None, Some((1_500, 1_650))));
 }
 
-/// The checker compares digests; it has to see one member that is behind, and one that all hold for live though it is
-/// dead.
+/// The checker compares digests. It has to notice a single member that is behind, and also a dead member that all
+/// views, with equal digests, hold for live.
 #[test]
-fn the_checker_sees_one_member_that_differs_and_one_that_all_are_wrong_about() {
+fn checker_detects_one_differing_view_and_an_error_common_to_all_views() {
     let (mut fleet, _) = fleet(20, Duration::from_secs(60));
     let all = fleet.members();
-    fleet.start(&all[..19]).expect("good settings");
-    assert!(!fleet.is_agreed(), "nobody knows of anybody yet");
+    fleet.start(&all[..19]).expect("valid settings");
+    assert!(!fleet.is_agreed(), "no member has received anything yet");
     assert!(matches!(fleet.settle(30 * SECOND_US), Settled::After(_)));
     fleet.kill(&[7]);
-    assert!(!fleet.is_agreed(), "all hold a dead member for live");
+    assert!(!fleet.is_agreed(), "all views hold a dead member for live");
     assert!(matches!(fleet.settle(30 * SECOND_US), Settled::After(_)));
-    fleet.start(&all[19..]).expect("good settings");
-    assert!(!fleet.is_agreed(), "one that has just begun knows of nobody");
+    fleet.start(&all[19..]).expect("valid settings");
+    assert!(!fleet.is_agreed(), "a member that has just started has an empty view");
 }
 
 #[test]
-fn a_small_fleet_plays_the_whole_script() {
+fn small_fleet_completes_the_whole_script() {
     let (mut fleet, layout) = fleet(42, Duration::from_secs(120));
-    let measured = phases::play(&mut fleet, &layout, 60 * SECOND_US, &mut |_| {}).expect("good settings");
+    let measured = phases::play(&mut fleet, &layout, 60 * SECOND_US, &mut |_| {}).expect("valid settings");
     let settled =
         [measured.start, measured.kill_one, measured.kill_rack, measured.kill_zone, measured.heal_region];
     assert!(settled.iter().all(|at| matches!(at, Some(Settled::After(us)) if *us > 10_000)), "{settled:?}");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_value_that_was_not_reached_is_said_and_one_that_was_not_run_has_no_row() {
+fn unsettled_value_has_a_row_and_value_that_was_not_run_has_none() {
     let runs = vec![
         Measured {
             start: Some(Settled::After(1_234_000)),
@@ -89,6 +89,6 @@
     let report = SizeReport { size: 800, lost: 0.05, runs, command: "c".into() };
     assert_eq!(report.rows(), "settle_start_ms,800,unsettled,ms,0.05,2,c\n");
     let (mut fleet, layout) = fleet(42, Duration::ZERO);
-    let measured = phases::play(&mut fleet, &layout, SECOND_US, &mut |_| {}).expect("good settings");
+    let measured = phases::play(&mut fleet, &layout, SECOND_US, &mut |_| {}).expect("valid settings");
     assert_eq!((measured.start, measured.bytes_quiet), (None, None));
 }
--- a/crates/bench/src/shed.rs
+++ b/crates/bench/src/shed.rs
@@ -1,90 +1,107 @@
-//! Overload answered by four sites as one beside each gateway for itself, in virtual time, on the same seeds: goodput
-//! at multiples of what the workers can do, the time to come back, and tenants beside one at ten times its quota.
+//! Admission control under overload in virtual time: four sites with shared admission compared with gateways that each
+//! decide alone, on the same seeds. Measures goodput at multiples of the workers' capacity, the time to recover, and
+//! the service of tenants within their quotas beside one at ten times its quota.
 
 use basaltward_admission::{Action, ArrivalStream, SecondStats, Simulation, SimulationConfig};
 use basaltward_membership::{LinkFaults, MembershipSettings, Micros, SHED_KEYS, Site, VirtualCluster};
 use std::error::Error;
 
-const S: Micros = 1_000_000;
-/// Before the load, and seconds of it that are not counted.
-const QUIET: usize = 10;
+const SECOND_US: Micros = 1_000_000;
+/// Seconds of half load before the overload begins.
+const QUIET_S: usize = 10;
 
-struct Ran {
+/// Result of a simulation.
+struct SimulationResult {
     seconds: Vec<SecondStats>,
     capacity: f64,
 }
 
-fn ran(bed: &SimulationConfig, seed: u64, span: usize, acts: Vec<(Micros, Action)>) -> Ran {
-    let mut world = Simulation::new(bed.clone(), seed, acts);
-    world.run_until(span as Micros * S);
-    world.seconds.resize_with(span, SecondStats::default);
-    Ran { seconds: world.seconds, capacity: bed.capacity() }
+fn result(
+    config: &SimulationConfig,
+    seed: u64,
+    span: usize,
+    actions: Vec<(Micros, Action)>,
+) -> SimulationResult {
+    let mut simulation = Simulation::new(config.clone(), seed, actions);
+    simulation.run_until(span as Micros * SECOND_US);
+    simulation.seconds.resize_with(span, SecondStats::default);
+    SimulationResult { seconds: simulation.seconds, capacity: config.capacity() }
 }
 
 fn mean(seconds: &[SecondStats], of: impl Fn(&SecondStats) -> f64) -> f64 {
     seconds.iter().map(of).sum::<f64>() / seconds.len().max(1) as f64
 }
 
-/// Both ways for each seed, joined as two texts.
-fn both(seeds: u64, bed: &SimulationConfig, measure: impl Fn(&SimulationConfig, u64) -> f64) -> String {
-    let of = |as_one: bool| {
-        let bed = SimulationConfig { shared_admission: as_one, ..bed.clone() };
-        crate::spread((1..=seeds).map(|seed| measure(&bed, seed)).collect())
+/// Measures all seeds with shared admission and without it, and joins the two results as columns of a table.
+fn compare(seeds: u64, config: &SimulationConfig, measure: impl Fn(&SimulationConfig, u64) -> f64) -> String {
+    let column = |shared_admission: bool| {
+        let config = SimulationConfig { shared_admission, ..config.clone() };
+        crate::spread((1..=seeds).map(|seed| measure(&config, seed)).collect())
     };
-    format!("{} | {}", of(true), of(false))
+    format!("{} | {}", column(true), column(false))
 }
 
-/// Seconds after the load's end until goodput is whole for good: what comes, or what the workers can do, but for 5%.
-fn back(ran: &Ran, end: usize) -> f64 {
-    // Over a second and the next, as the count of one second by itself scatters.
-    let whole = |pair: &[SecondStats]| {
-        let came = mean(pair, |second| f64::from(second.first_attempts)).min(ran.capacity);
-        mean(pair, |second| f64::from(second.served)) >= 0.95 * came - 3.0 * came.sqrt() / 2f64.sqrt()
+/// Seconds after the end of the load until goodput stays at 95% of the arrivals or of the capacity, whichever is less,
+/// minus three standard deviations of the count.
+fn recovery_seconds(result: &SimulationResult, end: usize) -> f64 {
+    // Averaged over two consecutive seconds, as the counts of single seconds scatter.
+    let has_recovered = |pair: &[SecondStats]| {
+        let arrivals = mean(pair, |second| f64::from(second.first_attempts)).min(result.capacity);
+        mean(pair, |second| f64::from(second.served)) >= 0.95 * arrivals - 3.0 * arrivals.sqrt() / 2f64.sqrt()
     };
-    let last = ran.seconds[end..].windows(2).rposition(|pair| !whole(pair));
+    let last = result.seconds[end..].windows(2).rposition(|pair| !has_recovered(pair));
     last.map_or(0.0, |last| last as f64 + 1.0)
 }
 
 /// Measures and prints.
 pub fn run(multiples: &[f64], seeds: u64, seconds: usize) -> Result<(), Box<dyn Error>> {
     println!(
-        "4 sites of 2 gateways and 10 workers, {seeds} seeds, clients go on for 5 s, half of them honour Retry-After"
+        "4 sites of 2 gateways and 10 workers, {seeds} seeds, clients retry for 5 s, half of them honour Retry-After"
+    );
+    println!(
+        "goodput as a share of capacity, median (least to greatest)\nload | shared | each gateway alone"
     );
-    println!("goodput as a share of capacity, median (least to greatest)\nload | as one | each for itself");
     for &multiple in multiples {
-        let bed = SimulationConfig {
-            load_steps: vec![(0, 0.5), (QUIET as Micros * S, multiple)],
+        let config = SimulationConfig {
+            load_steps: vec![(0, 0.5), (QUIET_S as Micros * SECOND_US, multiple)],
             ..SimulationConfig::new()
         };
-        let goodput = |bed: &SimulationConfig, seed| {
-            let ran = ran(bed, seed, QUIET + 5 + seconds, Vec::new());
-            mean(&ran.seconds[QUIET + 5..], |second| f64::from(second.served)) / ran.capacity
+        let goodput = |config: &SimulationConfig, seed| {
+            let result = result(config, seed, QUIET_S + 5 + seconds, Vec::new());
+            mean(&result.seconds[QUIET_S + 5..], |second| f64::from(second.served)) / result.capacity
         };
-        println!("{multiple} | {}", both(seeds, &bed, goodput));
+        println!("{multiple} | {}", compare(seeds, &config, goodput));
     }
     println!(
-        "\nseconds until goodput is whole after 10 s at five times capacity, then 0.8\ncase | as one | each for itself"
+        "\nseconds until goodput has recovered after 10 s at five times capacity, then 0.8\ncase | shared | each gateway alone"
     );
-    let end = QUIET + 10;
-    let load = vec![(0, 0.5), (QUIET as Micros * S, 5.0), (end as Micros * S, 0.8)];
-    let half = [0, 2, 4, 6].map(|of| ((QUIET as Micros + 5) * S, Action::Kill(of))).to_vec();
-    let split = vec![((QUIET as Micros + 5) * S, Action::Partition(vec![0, 1, 2, 3]))];
-    let cases = [("as is", Vec::new()), ("half of the gateways killed", half), ("the view split", split)];
-    for (name, acts) in cases {
-        let bed = SimulationConfig { load_steps: load.clone(), ..SimulationConfig::new() };
+    let end = QUIET_S + 10;
+    let load = vec![(0, 0.5), (QUIET_S as Micros * SECOND_US, 5.0), (end as Micros * SECOND_US, 0.8)];
+    let half = [0, 2, 4, 6].map(|of| ((QUIET_S as Micros + 5) * SECOND_US, Action::Kill(of))).to_vec();
+    let partition = vec![((QUIET_S as Micros + 5) * SECOND_US, Action::Partition(vec![0, 1, 2, 3]))];
+    let cases = [
+        ("no fault", Vec::new()),
+        ("half of the gateways killed", half),
+        ("membership partitioned", partition),
+    ];
+    for (name, actions) in cases {
+        let config = SimulationConfig { load_steps: load.clone(), ..SimulationConfig::new() };
         println!(
             "{name} | {}",
-            both(seeds, &bed, |bed, seed| back(&ran(bed, seed, end + 20, acts.clone()), end))
+            compare(seeds, &config, |config, seed| recovery_seconds(
+                &result(config, seed, end + 20, actions.clone()),
+                end
+            ))
         );
     }
     println!(
-        "\nshare served of two tenants within their quotas beside one at ten times\ncase | as one | each for itself"
+        "\nshare served of two tenants within their quotas beside one at ten times\ncase | shared | each gateway alone"
     );
     for (name, site) in [("at all sites", None), ("at one site", Some(0))] {
-        let bed = tenants(site);
-        let served = |bed: &SimulationConfig, seed| {
-            let ran = ran(bed, seed, QUIET + 5 + seconds, Vec::new());
-            let sum = |of: fn(&SecondStats) -> f64| mean(&ran.seconds[QUIET + 5..], of);
+        let config = tenants_config(site);
+        let served = |config: &SimulationConfig, seed| {
+            let result = result(config, seed, QUIET_S + 5 + seconds, Vec::new());
+            let sum = |of: fn(&SecondStats) -> f64| mean(&result.seconds[QUIET_S + 5..], of);
             let first = sum(|second| {
                 [0, 1].map(|t| f64::from(*second.first_attempts_by_tenant.get(&t).unwrap_or(&0))).iter().sum()
             });
@@ -93,68 +110,70 @@
             });
             good / first
         };
-        println!("{name} | {}", both(seeds, &bed, served));
+        println!("{name} | {}", compare(seeds, &config, served));
     }
-    ages();
+    print_fact_ages();
     Ok(())
 }
 
-/// How old the newest word of another is, by the bytes that a view may send: three facts of 30 bytes, told each 500 ms.
-fn ages() {
+/// The age of the newest fact received from each other gateway, by the bytes that a member may send. Each gateway
+/// publishes three facts of 30 bytes each 500 ms.
+fn print_fact_ages() {
     println!(
         "\nage of peers' facts in ms, p50 / p99, 5% of datagrams lost, by bytes a second\ngateways | 1000 | 4000 | 16000"
     );
     for size in [8, 32] {
-        let of = |bytes_per_s| {
+        let spread_at = |bytes_per_s| {
             let settings = MembershipSettings { bytes_per_s, ..MembershipSettings::new(size, 0, 0, 1) };
-            let mut world =
+            let mut simulation =
                 VirtualCluster::new(settings, LinkFaults { loss_rate: 0.05, ..LinkFaults::default() });
-            let all: Vec<_> = world.node_ids().collect();
-            all.iter().for_each(|of| world.start(*of));
-            world.run_until_condition(60 * S, |world| world.agrees(&all));
-            let mut ages = Vec::new();
+            let all: Vec<_> = simulation.node_ids().collect();
+            all.iter().for_each(|of| simulation.start(*of));
+            simulation.run_until_condition(60 * SECOND_US, |simulation| simulation.agrees(&all));
+            let mut print_fact_ages = Vec::new();
             for step in 0..120_u64 {
                 let value: Vec<u8> =
                     (0..30).map(|at| if at < 8 { (step >> (at * 8)) as u8 } else { 7 }).collect();
                 for of in &all {
                     let facts = SHED_KEYS.take(3);
                     facts.for_each(|key| {
-                        world.with_node(*of, |view, now, _| {
-                            view.publish_fact(now, key, &value, 5 * S);
+                        simulation.with_node(*of, |view, now, _| {
+                            view.publish_fact(now, key, &value, 5 * SECOND_US);
                         })
                     });
                 }
-                world.run_for(500_000);
+                simulation.run_for(500_000);
                 for (of, other) in all.iter().flat_map(|of| all.iter().map(move |other| (*of, *other))) {
-                    let now = world.clock(of);
-                    let told = world.membership(of).and_then(|view| view.fact(now, other, SHED_KEYS.start));
-                    let told =
-                        told.and_then(|told| told.first_chunk::<8>()).map(|told| u64::from_le_bytes(*told));
+                    let now = simulation.clock(of);
+                    let fact =
+                        simulation.membership(of).and_then(|view| view.fact(now, other, SHED_KEYS.start));
+                    let published =
+                        fact.and_then(|fact| fact.first_chunk::<8>()).map(|bytes| u64::from_le_bytes(*bytes));
                     if step > 20 && of != other {
-                        ages.push(told.map(|told| (step - told + 1) * 500_000));
+                        print_fact_ages.push(published.map(|published| (step - published + 1) * 500_000));
                     }
                 }
             }
-            crate::fleet::spread(ages)
+            crate::fleet::spread(print_fact_ages)
         };
-        println!("{size} | {} | {} | {}", of(1_000), of(4_000), of(16_000));
+        println!("{size} | {} | {} | {}", spread_at(1_000), spread_at(4_000), spread_at(16_000));
     }
 }
 
-/// Two tenants that ask for 80% of their quotas, and one at ten times its own, at all sites or at one.
-fn tenants(site: Option<Site>) -> SimulationConfig {
+/// Two tenants at 80% of their quotas, and a third at ten times its own, at all sites or at one.
+fn tenants_config(site: Option<Site>) -> SimulationConfig {
     let third = SimulationConfig::new().capacity() / 3.0;
     let stream = |tenant, rate| ArrivalStream { site: None, class: 0, tenant, rate, ignores_load: true };
-    let hog = ArrivalStream { site, tenant: 2, rate: third, ..stream(2, third) };
+    let greedy = ArrivalStream { site, tenant: 2, rate: third, ..stream(2, third) };
     SimulationConfig {
         quotas: vec![third; 3],
         over_share_value: 0.1,
         streams: vec![
             stream(0, third * 0.8),
             stream(1, third * 0.8),
-            ArrivalStream { ignores_load: false, ..hog },
+            ArrivalStream { ignores_load: false, ..greedy },
         ],
-        load_steps: vec![(0, 0.5), (QUIET as Micros * S, 10.0)],
+        load_steps: vec![(0, 0.5), (QUIET_S as Micros * SECOND_US, 10.0)],
         ..SimulationConfig::new()
     }
 }
--- a/crates/peers/src/event.rs
+++ b/crates/peers/src/event.rs
@@ -38,9 +38,9 @@
 pub enum Channel {
     /// Journals of stored calls (`crates/pending`).
     Pending = 1,
-    /// Choice of sites (`crates/route`).
+    /// Choice of sites (`crates/site-routing`).
     Route = 2,
-    /// Shares and budgets (`crates/shed`).
+    /// Shares and budgets (`crates/admission`).
     Shed = 3,
 }
 
