--- a/crates/bench/src/agreed.rs
+++ b/crates/bench/src/agreed.rs
@@ -36,8 +36,8 @@
     let mut seen = fleet.answers.len();
     fleet.submit(by, PermitRequest::Acquire(of));
     while fleet.net.now < from + timeout {
-        let new_leader = fleet.net.now + 2_000;
-        fleet.run(new_leader);
+        let next = fleet.net.now + 2_000;
+        fleet.run(next);
         let answers = fleet.answers[seen..].iter();
         let answer =
             answers.filter(|a| a.request == PermitRequest::Acquire(of)).map(|a| (a.at, a.answer)).next_back();
--- a/crates/bench/src/capacity/measure.rs
+++ b/crates/bench/src/capacity/measure.rs
@@ -211,12 +211,14 @@
 
 /// How long an unused instance stays loaded.
 const KEEP_US: Micros = 600 * SECOND_US;
+/// Workers over which the entries are spread.
 const DIRECTORY_WORKERS: usize = 64;
 
 fn worker_address(at: usize) -> String {
     format!("10.0.0.{at}:7000")
 }
 
+/// An empty directory of scheduler `own`, of 1,900 schedulers, with its list of workers.
 fn new_directory(own: u32) -> InstanceDirectory {
     let mut directory = InstanceDirectory::new(0, (own, 1_899), KEEP_US);
     let members: Vec<Member> = (0..DIRECTORY_WORKERS).map(|at| Member::active(&worker_address(at))).collect();
@@ -273,6 +275,7 @@
 const SETTLE_TIMEOUT: Micros = 60 * SECOND_US;
 /// Share of datagrams lost, 0 to 1.
 const LOSS_RATE: f64 = 0.05;
+/// Seeds over which the values are averaged.
 const SEEDS: u64 = 3;
 
 /// Settling times and traffic of small fleets in virtual time, used where no scale run is on record.
@@ -433,6 +436,7 @@
 
 /// Facts a second of the whole fleet while the cost of one is measured. Few, so that the datagrams can carry them all.
 const FACTS_PER_S: u64 = 5;
+/// Length of the value of a fact.
 const FACT_BYTES: usize = 30;
 /// Time over which bytes are counted, without facts and with them.
 const SPAN_S: u64 = 20;
--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -276,7 +276,7 @@
 }
 
 /// Sizes up to a thousandth above the largest measured one count as measured.
-const MEASURED_UP_TO: f64 = 1.001;
+const MAX_MEASURED_EXTRAPOLATION: f64 = 1.001;
 
 impl Estimate {
     fn arithmetic(value: f64) -> Self {
@@ -298,7 +298,8 @@
             extrapolation = f64::max(extrapolation, fitted.extrapolation(x));
             slopes.push(fitted.slope.clone());
         }
-        let basis = if extrapolation > MEASURED_UP_TO { Basis::Extrapolated } else { Basis::Measured };
+        let basis =
+            if extrapolation > MAX_MEASURED_EXTRAPOLATION { Basis::Extrapolated } else { Basis::Measured };
         Self { value: Some(join(values)), basis, extrapolation, slopes }
     }
 }
@@ -356,7 +357,7 @@
         Some((points.iter().filter_map(|point| Some((point.size, point.value()?))).collect(), command))
     }
 
-    /// Fits a line to a series.
+    /// Fits a line to a series; `name` is the regressor's name in the description of the fit.
     fn line(&self, file: &str, series: &str, name: &str) -> Option<Fitted> {
         let (points, command) = self.values(file, series)?;
         let rows: Vec<Vec<f64>> = points.iter().map(|(size, _)| vec![*size]).collect();
@@ -379,8 +380,8 @@
         let values: Vec<f64> = points.iter().map(|(_, value)| value.ln()).collect();
         let mut fit = fit(&rows, &values)?;
         // The residual is that of the values, not of their logarithms.
-        let left = |(size, value): &(f64, f64)| (fit.at(&[size.ln()]).exp() / value - 1.0).powi(2);
-        fit.residual = (points.iter().map(left).sum::<f64>() / points.len() as f64).sqrt();
+        let squared_error = |(size, value): &(f64, f64)| (fit.at(&[size.ln()]).exp() / value - 1.0).powi(2);
+        fit.residual = (points.iter().map(squared_error).sum::<f64>() / points.len() as f64).sqrt();
         let slope = Self::slope(file, series, &command, &fit, &["ln members"], true);
         Some(Fitted { fit, slope, is_power: true })
     }
@@ -429,6 +430,7 @@
         }
     }
 
+    /// A need whose budget is the role's share of a scheduler's budget.
     fn need_of_share(
         &self,
         role: Role,
--- a/crates/bench/src/jam.rs
+++ b/crates/bench/src/jam.rs
@@ -66,6 +66,7 @@
     aim_and_deadline: (20_000_000, 60_000_000),
 };
 
+/// A simulated event that happens when it is due.
 enum Due {
     Timer(u64),
     Done(WorkerId, RequestId, usize, Micros),
@@ -76,6 +77,7 @@
     Stuck(u64),
 }
 
+/// The state of a simulated worker.
 #[derive(Default)]
 struct WorkerModel {
     running: usize,
@@ -83,6 +85,7 @@
     copies: BTreeMap<basaltward::FunctionId, u32>,
 }
 
+/// A controller with the simulated fleet around it.
 struct Run {
     shape: Shape,
     controller: Controller,
@@ -92,8 +95,9 @@
     attempts: HashMap<RequestId, usize>,
     functions: HashMap<RequestId, basaltward::FunctionId>,
     workers: BTreeMap<WorkerId, WorkerModel>,
-    spent: Duration,
+    module_time: Duration,
     worst: Duration,
+    /// FNV-1a hash of the time and Debug text of all actions.
     digest: u64,
     actions: u64,
     events: u64,
@@ -120,7 +124,7 @@
         let start = Instant::now();
         self.controller.handle(now, event, &mut actions);
         let took = start.elapsed();
-        self.spent += took;
+        self.module_time += took;
         self.worst = self.worst.max(took);
         self.events += 1;
         for action in actions {
@@ -294,7 +298,7 @@
         attempts: HashMap::new(),
         functions: HashMap::new(),
         workers: BTreeMap::new(),
-        spent: Duration::ZERO,
+        module_time: Duration::ZERO,
         worst: Duration::ZERO,
         digest: 0xcbf2_9ce4_8422_2325,
         actions: 0,
@@ -316,10 +320,10 @@
     let steady = (shape.rate * shape.span as f64 / 1e6) as u64;
     (0..steady).for_each(|i| add(&mut run, warm + 1 + i * shape.span / steady, Due::Request));
     run.run_until(warm);
-    (run.spent, run.worst, run.events) = (Duration::ZERO, Duration::ZERO, 0);
+    (run.module_time, run.worst, run.events) = (Duration::ZERO, Duration::ZERO, 0);
     run.run_until(warm + shape.span);
-    let spent = run.spent.as_secs_f64() * 1e6;
-    let (call_us, event_us) = (spent / steady as f64, spent / run.events as f64);
+    let module_time = run.module_time.as_secs_f64() * 1e6;
+    let (call_us, event_us) = (module_time / steady as f64, module_time / run.events as f64);
     let worst_ms = run.worst.as_secs_f64() * 1e3;
     Ok(RunResult { call_us, event_us, worst_ms, actions: run.actions, digest: run.digest })
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -235,7 +235,7 @@
         Command::Overload { multiples, seconds, work_ms, idle, retries, tenants, seed } => {
             let work = (work_ms * 1e3) as u64;
             let load = overload::Load { multiples, seconds, work, idle, retries, seed };
-            if tenants { overload::fair(&load) } else { overload::run(&load) }
+            if tenants { overload::run_tenants(&load) } else { overload::run(&load) }
         }
         Command::Jam { large, waiting, rounds, seed } => jam::run(&waiting, rounds, seed, large),
         Command::Fleet { sizes, lost, seeds, rate, burst, hours } => {
--- a/crates/bench/src/module.rs
+++ b/crates/bench/src/module.rs
@@ -88,7 +88,7 @@
 
 impl Cost {
     /// Microseconds a call, sweeps included.
-    pub fn whole_us(&self, calls_per_s: f64) -> f64 {
+    pub fn total_us(&self, calls_per_s: f64) -> f64 {
         self.call_us + self.sweep_us_per_s / calls_per_s
     }
 }
@@ -96,6 +96,7 @@
 /// Calls that one copy runs concurrently.
 const LANES: u32 = 4;
 
+/// An event that the driver delivers to the controller when it is due.
 enum Due {
     Timer(u64),
     Answer(RequestId, usize, WorkerId),
@@ -106,9 +107,11 @@
 pub struct Driver {
     controller: Controller,
     load: Load,
+    /// Outstanding events by time and order of insertion.
     due: BTreeMap<(Micros, u64), Due>,
     sequence: u64,
-    sent: BTreeMap<RequestId, usize>,
+    /// Number of attempts of each call in flight.
+    attempts: BTreeMap<RequestId, usize>,
     popularity: Popularity,
     /// The rank of the function of each call in flight.
     ranks: BTreeMap<RequestId, usize>,
@@ -133,7 +136,7 @@
             controller: Controller::new(settings, 1)?,
             due: BTreeMap::new(),
             sequence: 0,
-            sent: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             popularity: Popularity::new(load.functions, load.skew),
             ranks: BTreeMap::new(),
             now: 0,
@@ -181,9 +184,9 @@
             let (at, due) = match action {
                 Action::Timer { after, token } => (now + after, Due::Timer(token)),
                 Action::Send { id, worker, .. } => {
-                    let attempt = self.sent.entry(id).or_insert(0);
-                    *attempt += 1;
-                    (now + self.load.answer_us, Due::Answer(id, *attempt - 1, worker))
+                    let attempts = self.attempts.entry(id).or_insert(0);
+                    *attempts += 1;
+                    (now + self.load.answer_us, Due::Answer(id, *attempts - 1, worker))
                 }
                 load @ Action::Load { .. } => (now + LOAD_US, Due::Loaded(load)),
                 _ => continue,
@@ -198,7 +201,7 @@
             let event = match due {
                 Due::Timer(token) => Event::Timer { token },
                 Due::Answer(id, attempt, worker) => {
-                    self.sent.remove(&id);
+                    self.attempts.remove(&id);
                     let rank = self.ranks.remove(&id);
                     let crowd = rank.map_or(0, |rank| self.crowd(rank));
                     Event::Outcome(Outcome {
@@ -242,7 +245,7 @@
         self.make_calls(self.load.calls, &mut state);
         // On a busy machine other processes run in between, so wall time is scaled by this thread's processor share.
         let cpu_share = (thread_time() - used) as f64 / (monotonic() - wall).max(1) as f64;
-        let us = |event_time: Duration| event_time.as_secs_f64() * 1e6 * cpu_share.min(1.0);
+        let us = |time: Duration| time.as_secs_f64() * 1e6 * cpu_share.min(1.0);
         let calls = self.load.calls.max(1) as f64;
         Cost {
             call_us: us(self.event_time) / calls,
@@ -253,13 +256,13 @@
     }
 
     fn make_calls(&mut self, calls: u64, state: &mut u64) {
-        let began = self.now;
+        let start = self.now;
         for call in 0..calls {
             *state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             let drawn = self.popularity.rank((*state >> 11) as f64 / (1u64 << 53) as f64);
             let rank =
                 if self.load.only_new_functions { self.load.functions + 1 + call as usize } else { drawn };
-            let at = began + (call as f64 * 1e6 / self.load.calls_per_s) as Micros;
+            let at = start + (call as f64 * 1e6 / self.load.calls_per_s) as Micros;
             self.submit_call(at.max(self.now), rank);
         }
     }
@@ -304,11 +307,11 @@
     let (mut means, mut worsts) = (Vec::new(), Vec::new());
     for _ in 0..rounds {
         let cost = Driver::new(load.clone())?.run();
-        means.push(cost.whole_us(rate));
+        means.push(cost.total_us(rate));
         worsts.push(cost.worst_us / 1e3);
     }
     println!("{workers} workers, {functions} functions, {calls} calls at {rate} a second, {rounds} rounds");
-    println!("module's time a call, all its events: {} us", spread(means));
+    println!("module time per call, all events: {} us", spread(means));
     println!("worst single event: {} ms", spread(worsts));
     Ok(())
 }
--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -135,9 +135,9 @@
 }
 
 /// A quantile of times, in milliseconds; sorts them.
-fn at(times: &mut [Micros], served_share: f64) -> f64 {
+fn quantile_ms(times: &mut [Micros], quantile: f64) -> f64 {
     times.sort_unstable();
-    let index = (times.len() as f64 * served_share) as usize;
+    let index = (times.len() as f64 * quantile) as usize;
     times.get(index.min(times.len().saturating_sub(1))).map_or(f64::NAN, |t| *t as f64 / 1e3)
 }
 
@@ -197,10 +197,10 @@
             counts.served as f64 / seconds / capacity,
             counts.refused as f64 / seconds,
             counts.failed as f64 / seconds,
-            at(&mut counts.times, 0.5),
-            at(&mut counts.times, 0.99),
-            at(&mut counts.refusals, 0.5),
-            at(&mut counts.refusals, 0.99),
+            quantile_ms(&mut counts.times, 0.5),
+            quantile_ms(&mut counts.times, 0.99),
+            quantile_ms(&mut counts.refusals, 0.5),
+            quantile_ms(&mut counts.refusals, 0.99),
             after(until, until + 2_000_000),
             after(until + 2_000_000, until + RECOVERY_US),
             if breaches.is_empty() { "kept".into() } else { format!("{} broken", breaches.len()) },
@@ -215,7 +215,7 @@
 ///
 /// # Errors
 /// If the bed or the clients can't be started.
-pub fn fair(load: &Load) -> Result<(), Box<dyn Error>> {
+pub fn run_tenants(load: &Load) -> Result<(), Box<dyn Error>> {
     let spec = WorkerSpec { work: load.work, ..WorkerSpec::default() };
     let capacity = WORKERS as f64 * f64::from(spec.cores) * 1e6 / load.work as f64;
     let quota = capacity * 0.3;
@@ -251,7 +251,7 @@
         let is_request = |r: &&Record| matches!(r.observation, Observation::RequestSent { .. });
         let start = records.iter().find(is_request).map_or(0, |r| r.time);
         let span = start + WARM_US..start + until;
-        let of = |name: &str| -> Vec<Record> {
+        let records_of = |name: &str| -> Vec<Record> {
             let mut request_ids = std::collections::HashSet::new();
             let of_tenant = records.iter().filter(|r| match &r.observation {
                 Observation::RequestSent { request_id, tenant, .. } => {
@@ -262,10 +262,10 @@
             });
             of_tenant.cloned().collect()
         };
-        let served = |name: &str| served_share(&of(name), span.start, span.end);
-        let mut a = count(&of("a"), span.start, span.end);
-        let (early, late) = (at(&mut a.refusals, 0.1), at(&mut a.refusals, 0.5));
-        let third = count(&of("third"), span.start, span.end).served as f64 / (quota * load.seconds);
+        let served = |name: &str| served_share(&records_of(name), span.start, span.end);
+        let mut a = count(&records_of("a"), span.start, span.end);
+        let (early, late) = (quantile_ms(&mut a.refusals, 0.1), quantile_ms(&mut a.refusals, 0.5));
+        let third = count(&records_of("third"), span.start, span.end).served as f64 / (quota * load.seconds);
         let broken = check(&records, &rules).len();
         println!(
             "| {multiple} | {:.3} | {:.3} | {early:.0} | {late:.0} | {third:.2} | {broken} broken |",
--- a/crates/bench/src/peers.rs
+++ b/crates/bench/src/peers.rs
@@ -134,7 +134,7 @@
     Ok(())
 }
 
-/// Runs peers that complete the handshake and answer keep-alive requests, and do nothing else, until `stop` is set.
+/// Runs peers that complete the handshake and answer pings, and do nothing else, until `stop` is set.
 fn run_idle_peers(at: SocketAddr, links: u16, stop: &AtomicBool) -> std::io::Result<()> {
     let fleet = crc32fast::hash(b"bench");
     let mut all = Vec::new();
@@ -158,7 +158,7 @@
                     break;
                 }
                 let frame = held.split_to(8 + length);
-                // A keep-alive request: the answer carries the same tag.
+                // A ping: the answer carries the same tag.
                 if frame[8] == 0 && frame[9] == 1 {
                     let mut answer = BytesMut::new();
                     write_frame(0, &[&[2], &frame[10..]].concat(), &mut answer);
--- a/crates/bench/src/pending.rs
+++ b/crates/bench/src/pending.rs
@@ -43,7 +43,7 @@
 
 /// A writer (index 0) and its holder (index 1), with counts of the traffic between them by sender.
 struct Pair {
-    both: [Pending; 2],
+    nodes: [Pending; 2],
     now: Micros,
     /// Bytes sent.
     bytes_sent: [usize; 2],
@@ -56,16 +56,16 @@
 
 impl Pair {
     fn new() -> Result<Self, Box<dyn Error>> {
-        let mut both = [Pending::new(settings(0)?, 0), Pending::new(settings(1)?, 0)];
+        let mut nodes = [Pending::new(settings(0)?, 0), Pending::new(settings(1)?, 0)];
         let mut out = Vec::new();
-        both[0].handle(0, WALL_MS, Input::Live(vec![true; 2]), &mut out);
-        both[0].handle(0, WALL_MS, Input::LinkUp { of: 1, life: 2 }, &mut out);
-        both[1].handle(0, WALL_MS, Input::LinkUp { of: 0, life: 1 }, &mut out);
+        nodes[0].handle(0, WALL_MS, Input::Live(vec![true; 2]), &mut out);
+        nodes[0].handle(0, WALL_MS, Input::LinkUp { of: 1, life: 2 }, &mut out);
+        nodes[1].handle(0, WALL_MS, Input::LinkUp { of: 0, life: 1 }, &mut out);
         for subject in [Subject::Site(0), Subject::Gateway(0)] {
-            both[0].handle(0, WALL_MS, Input::Home { subject, permit: 0 }, &mut out);
+            nodes[0].handle(0, WALL_MS, Input::Home { subject, permit: 0 }, &mut out);
         }
-        let mut pair = Self { both, now: 4_000_000, bytes_sent: [0; 2], frames: [0; 2] };
-        while !pair.both[0].takes() {
+        let mut pair = Self { nodes, now: 4_000_000, bytes_sent: [0; 2], frames: [0; 2] };
+        while !pair.nodes[0].takes() {
             pair.turn(std::iter::empty());
         }
         (pair.bytes_sent, pair.frames) = ([0; 2], [0; 2]);
@@ -77,8 +77,8 @@
     fn turn(&mut self, steps: impl Iterator<Item = Step>) -> usize {
         let (mut reported, mut out) = (0, Vec::new());
         self.now += 1;
-        steps.for_each(|step| self.both[0].handle(self.now, WALL_MS, Input::Step(step), &mut out));
-        self.both[0].wake(self.now, WALL_MS, &mut out);
+        steps.for_each(|step| self.nodes[0].handle(self.now, WALL_MS, Input::Step(step), &mut out));
+        self.nodes[0].wake(self.now, WALL_MS, &mut out);
         let mut from = 0;
         while !out.is_empty() {
             let mut back = Vec::new();
@@ -88,7 +88,7 @@
                         self.bytes_sent[from] += bytes.len();
                         self.frames[from] += 1;
                         let frame = Input::Frame { from: from as MemberId, bytes };
-                        self.both[usize::from(to)].handle(self.now, WALL_MS, frame, &mut back);
+                        self.nodes[usize::from(to)].handle(self.now, WALL_MS, frame, &mut back);
                     }
                     Output::Held { .. } | Output::May { .. } => reported += 1,
                     _ => {}
@@ -130,7 +130,7 @@
     Ok(Traffic { bytes_to_holder, bytes_to_writer, frames: pair.frames[0] })
 }
 
-fn bytes(events: u128) -> Result<(), Box<dyn Error>> {
+fn print_bytes(events: u128) -> Result<(), Box<dyn Error>> {
     println!(
         "bytes per stored event, one holder: event and answer | batch | to the holder | to the writer | frames to the holder"
     );
@@ -162,7 +162,7 @@
     Ok(pair)
 }
 
-fn memory(events: u128) -> Result<(), Box<dyn Error>> {
+fn print_memory(events: u128) -> Result<(), Box<dyn Error>> {
     println!(
         "memory of {events} events, bytes each at writer and holder: event | stage | counted | resident, both together"
     );
@@ -171,7 +171,7 @@
         let before = resident()?;
         let print = |pair: &Pair, stage: &str| -> Result<(), Box<dyn Error>> {
             let per = |bytes: f64| bytes / events as f64;
-            let (own, held) = (pair.both[0].own_size().0, pair.both[1].held_size().0);
+            let (own, held) = (pair.nodes[0].own_size().0, pair.nodes[1].held_size().0);
             let resident = per(resident()? - before);
             println!(
                 "{body:>5} | {stage} | {:.0} + {:.0} | {resident:.0}",
@@ -211,21 +211,22 @@
 /// Seconds for the baseline without a journal: the same steps are built and dropped.
 fn baseline_seconds(events: u128, body: usize) -> f64 {
     let start = Instant::now();
-    let made = (0..events).flat_map(|key| [accepted(key, body), sending(key), ended(key, 100)]);
-    made.for_each(|step| _ = std::hint::black_box(step));
+    let steps = (0..events).flat_map(|key| [accepted(key, body), sending(key), ended(key, 100)]);
+    steps.for_each(|step| _ = std::hint::black_box(step));
     start.elapsed().as_secs_f64()
 }
 
-fn rate(events: u128, rounds: usize) -> Result<(), Box<dyn Error>> {
+fn print_rates(events: u128, rounds: usize) -> Result<(), Box<dyn Error>> {
     println!(
         "writer and holder on one core, 500 bytes an event, {rounds} rounds: batch | events/s | entries/s | us per event"
     );
     for batch in [1, 16, 256] {
         let took: Result<Vec<f64>, _> = (0..rounds).map(|_| run_seconds(events, batch, 500)).collect();
         let took = took?;
-        let each = |of: f64| crate::spread(took.iter().map(|took| of * events as f64 / took).collect());
+        let rate =
+            |entries: f64| crate::spread(took.iter().map(|took| entries * events as f64 / took).collect());
         let us = took.iter().map(|took| took * 1e6 / events as f64).collect();
-        println!("{batch:>3} | {} | {} | {}", each(1.0), each(3.0), crate::spread(us));
+        println!("{batch:>3} | {} | {} | {}", rate(1.0), rate(3.0), crate::spread(us));
     }
     let took = (0..rounds).map(|_| baseline_seconds(events, 500) * 1e6 / events as f64).collect();
     println!("  - | baseline: the same steps built and dropped, us per event: {}", crate::spread(took));
@@ -313,8 +314,8 @@
 /// If the settings are invalid or the resident size can't be read.
 pub fn run(events: u64, rounds: usize, seeds: u64) -> Result<(), Box<dyn Error>> {
     let events = u128::from(events.next_multiple_of(256));
-    bytes(2_560.min(events))?;
+    print_bytes(2_560.min(events))?;
     print_added_latency(seeds)?;
-    memory(events)?;
-    rate(events, rounds)
+    print_memory(events)?;
+    print_rates(events, rounds)
 }
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -38,7 +38,7 @@
     let program = std::env::current_exe()?.with_file_name("basaltward");
     println!("{:.0}% lost, {rounds} rounds, no calls; milliseconds until all agree, p50 / p99", lost * 100.0);
     println!(
-        "processes | start | death | return | leave | half cut off for 6 s, healed | ms of processor a member a second"
+        "processes | start | death | restart | leave | half partitioned for 6 s, healed | processor ms per member per second"
     );
     for &schedulers in counts {
         let (work_ms, pause_ms, seed) = (5, 50, 1);
@@ -59,13 +59,13 @@
         let (before, from) = (total_processor_ms(&bed), Instant::now());
         std::thread::sleep(Duration::from_secs(10));
         let cost = (total_processor_ms(&bed) - before) / from.elapsed().as_secs_f64() / schedulers as f64;
-        let (mut death, mut rejoin, mut leave, mut heal) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+        let (mut death, mut restart, mut leave, mut heal) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         for round in 0..rounds {
             let victim = round % schedulers;
             bed.kill(victim);
             death.push(bed.agreement(&all, AGREEMENT_TIMEOUT));
             bed.up(victim)?;
-            rejoin.push(bed.agreement(&all, AGREEMENT_TIMEOUT));
+            restart.push(bed.agreement(&all, AGREEMENT_TIMEOUT));
             bed.stop(victim)?;
             leave.push(bed.agreement(&all, AGREEMENT_TIMEOUT));
             bed.up(victim)?;
@@ -75,7 +75,7 @@
             bed.cut(&half, false);
             heal.push(bed.agreement(&all, AGREEMENT_TIMEOUT));
         }
-        let columns = [death, rejoin, leave, heal].map(spread).join(" | ");
+        let columns = [death, restart, leave, heal].map(spread).join(" | ");
         println!("{schedulers} | {} | {columns} | {cost:.1}", spread(vec![start]));
     }
     Ok(())
--- a/crates/bench/src/route.rs
+++ b/crates/bench/src/route.rs
@@ -22,10 +22,15 @@
 
 /// Results of a day under a policy.
 struct DayResult {
+    /// Mean value of a call.
     value: f64,
+    /// Median latency, microseconds; `u64::MAX` for calls that were not answered in time.
     p50: u64,
+    /// 99th percentile of the latency, in the same way.
     p99: u64,
+    /// Share of the calls that were handed over to another site.
     handed_over: f64,
+    /// Copies loaded, per seed.
     loads: u64,
     /// Mean change, from one second to the next, of the calls that a site answers for others, relative to their mean
     /// number.
@@ -53,10 +58,10 @@
 fn play(day: Day, policy: Policy, seeds: u64) -> Result<DayResult, Box<dyn Error>> {
     let (mut completed, mut loads, mut swings) = (Vec::new(), 0, 0.0);
     for seed in 1..=seeds {
-        let world = days::play(day, policy, seed)?;
-        loads += world.loads_started();
-        swings += swing(&world.completed);
-        completed.extend(world.completed);
+        let simulation = days::play(day, policy, seed)?;
+        loads += simulation.loads_started();
+        swings += swing(&simulation.completed);
+        completed.extend(simulation.completed);
     }
     let mut took: Vec<_> = completed.iter().map(|e| e.latency.unwrap_or(u64::MAX)).collect();
     took.sort_unstable();
@@ -85,7 +90,7 @@
     );
     println!("day | policy | value | relative to oracle | p50 | p99 | handed over | loads a day | swing");
     for (name, day) in DAYS.into_iter().filter(|(name, _)| is_selected(name)) {
-        let sums: Vec<_> = std::thread::scope(|scope| {
+        let results: Vec<_> = std::thread::scope(|scope| {
             let running: Vec<_> = POLICIES
                 .iter()
                 .map(|(policy_name, policy)| {
@@ -95,21 +100,21 @@
             running.into_iter().map(|(policy_name, run)| (policy_name, run.join())).collect()
         });
         let mut rows = Vec::new();
-        for (policy_name, sum) in sums {
-            rows.push((policy_name, sum.map_err(|_| "the thread of a simulation panicked")??));
+        for (policy_name, result) in results {
+            rows.push((policy_name, result.map_err(|_| "the thread of a simulation panicked")??));
         }
-        let best = rows.last().map_or(1.0, |(_, sum)| sum.value);
+        let best = rows.last().map_or(1.0, |(_, result)| result.value);
         let ms = |us: u64| if us == u64::MAX { "late".into() } else { format!("{:.0}", us as f64 / 1e3) };
-        for (policy_name, s) in rows {
+        for (policy_name, result) in rows {
             println!(
                 "{name} | {policy_name} | {:.4} | {:.3} | {} | {} | {:.3} | {} | {:.2}",
-                s.value,
-                s.value / best,
-                ms(s.p50),
-                ms(s.p99),
-                s.handed_over,
-                s.loads,
-                s.swing
+                result.value,
+                result.value / best,
+                ms(result.p50),
+                ms(result.p99),
+                result.handed_over,
+                result.loads,
+                result.swing
             );
         }
     }
--- a/crates/bench/src/route/days.rs
+++ b/crates/bench/src/route/days.rs
@@ -21,7 +21,7 @@
     HotSpot,
     /// One site of four fails for twenty seconds; its clients go to the next.
     SiteLost,
-    /// A hot spot, while the link to its neighbour has a delay of 400 ms for twenty seconds.
+    /// One site at 1.6 times its capacity, while its link to a neighbour has a delay of 400 ms for twenty seconds.
     SlowLink,
     /// No copy is loaded anywhere, and four in five functions are called only once in some seconds.
     ColdStart,
@@ -40,12 +40,12 @@
 pub fn functions(count: u32, seed: u64) -> Vec<ModelFunction> {
     let mut rng = StdRng::seed_from_u64(seed);
     let function = |_| {
-        let service = rng.random_range(20_000..80_000);
-        let set_load = rng.random_range(500_000..1_500_000);
+        let service_time = rng.random_range(20_000..80_000);
+        let load_time = rng.random_range(500_000..1_500_000);
         let (aim, deadline) = (400_000, 3_000_000);
         let memory_mb = rng.random_range(2..=8) * 128;
-        let spec = FunctionSpec { memory_mb, lanes: 4, load_time: Some(set_load), aim, deadline };
-        ModelFunction { spec, service_time: service, load_time: set_load }
+        let spec = FunctionSpec { memory_mb, lanes: 4, load_time: Some(load_time), aim, deadline };
+        ModelFunction { spec, service_time, load_time }
     };
     (0..count).map(function).collect()
 }
--- a/crates/bench/src/scale/fleet.rs
+++ b/crates/bench/src/scale/fleet.rs
@@ -105,8 +105,8 @@
     }
 
     /// Partitions the regions from each other, or heals the partition.
-    pub fn set_regions_apart(&mut self, apart: bool) {
-        self.net.set_delays(self.layout.delays(apart));
+    pub fn set_regions_partitioned(&mut self, partitioned: bool) {
+        self.net.set_delays(self.layout.delays(partitioned));
     }
 
     /// Lets virtual time pass.
@@ -147,10 +147,10 @@
     pub fn correct_share(&self) -> f64 {
         let views: Vec<_> = self.net.node_ids().filter_map(|member| self.view(member)).collect();
         let up: Vec<_> = self.net.node_ids().map(|member| self.net.node(member).is_some()).collect();
-        let right = |view: &&Membership| {
+        let correct_entries = |view: &&Membership| {
             view.members().iter().zip(&up).filter(|(entry, up)| entry.state.is_live() == **up).count()
         };
-        views.iter().map(right).sum::<usize>() as f64 / (views.len() * up.len()).max(1) as f64
+        views.iter().map(correct_entries).sum::<usize>() as f64 / (views.len() * up.len()).max(1) as f64
     }
 
     /// Whether the run has reached its bound of wall time.
--- a/crates/bench/src/scale/layout.rs
+++ b/crates/bench/src/scale/layout.rs
@@ -61,8 +61,8 @@
         first..(first + RACK_MEMBERS).min(self.size)
     }
 
-    /// The delay range of each pair of members; `None`, which loses the datagram, between regions if `regions_apart`.
-    pub fn delays(self, regions_apart: bool) -> DelayFn {
+    /// The delay range of each pair of members; `None`, which loses the datagram, between regions if `partitioned`.
+    pub fn delays(self, partitioned: bool) -> DelayFn {
         Box::new(move |from, to| {
             let is_between_regions = self.in_first_region(from) != self.in_first_region(to);
             let one_way = match self.zone_of(from) == self.zone_of(to) {
@@ -70,7 +70,7 @@
                 false if is_between_regions => self.one_way.between_regions,
                 false => self.one_way.region,
             };
-            (!(regions_apart && is_between_regions)).then_some((one_way, one_way + one_way / JITTER_DIVISOR))
+            (!(partitioned && is_between_regions)).then_some((one_way, one_way + one_way / JITTER_DIVISOR))
         })
     }
 }
--- a/crates/bench/src/scale/phases.rs
+++ b/crates/bench/src/scale/phases.rs
@@ -90,12 +90,12 @@
         fleet.advance_by(CALM_US);
     }
     let ((), cost) = fleet.measure(|fleet| {
-        fleet.set_regions_apart(true);
+        fleet.set_regions_partitioned(true);
         fleet.advance_by(PARTITION_US);
     });
     storms.worst = storms.worst.max(cost.worst_bytes_per_s);
     let (healed, cost) = fleet.measure(|fleet| {
-        fleet.set_regions_apart(false);
+        fleet.set_regions_partitioned(false);
         fleet.settle(bound)
     });
     measured.heal_region = storms.add("heal of a region", healed, cost, report, fleet);
--- a/crates/bench/src/shed.rs
+++ b/crates/bench/src/shed.rs
@@ -10,13 +10,14 @@
 /// Seconds of half load before the overload begins.
 const QUIET_S: usize = 10;
 
-/// Result of a simulation.
+/// Result of a simulation: statistics of each second, and the capacity of the workers in calls a second.
 struct SimulationResult {
     seconds: Vec<SecondStats>,
     capacity: f64,
 }
 
-fn result(
+/// Runs a simulation of `span` seconds.
+fn simulate(
     config: &SimulationConfig,
     seed: u64,
     span: usize,
@@ -59,7 +60,7 @@
         "4 sites of 2 gateways and 10 workers, {seeds} seeds, clients retry for 5 s, half of them honour Retry-After"
     );
     println!(
-        "goodput as a share of capacity, median (least to greatest)\nload | shared | each gateway alone"
+        "goodput as a share of capacity, median (minimum to maximum)\nload | shared | each gateway alone"
     );
     for &multiple in multiples {
         let config = SimulationConfig {
@@ -67,7 +68,7 @@
             ..SimulationConfig::new()
         };
         let goodput = |config: &SimulationConfig, seed| {
-            let result = result(config, seed, QUIET_S + 5 + seconds, Vec::new());
+            let result = simulate(config, seed, QUIET_S + 5 + seconds, Vec::new());
             mean(&result.seconds[QUIET_S + 5..], |second| f64::from(second.served)) / result.capacity
         };
         println!("{multiple} | {}", compare(seeds, &config, goodput));
@@ -89,7 +90,7 @@
         println!(
             "{name} | {}",
             compare(seeds, &config, |config, seed| recovery_seconds(
-                &result(config, seed, end + 20, actions.clone()),
+                &simulate(config, seed, end + 20, actions.clone()),
                 end
             ))
         );
@@ -100,7 +101,7 @@
     for (name, site) in [("at all sites", None), ("at one site", Some(0))] {
         let config = tenants_config(site);
         let served = |config: &SimulationConfig, seed| {
-            let result = result(config, seed, QUIET_S + 5 + seconds, Vec::new());
+            let result = simulate(config, seed, QUIET_S + 5 + seconds, Vec::new());
             let sum = |of: fn(&SecondStats) -> f64| mean(&result.seconds[QUIET_S + 5..], of);
             let first = sum(|second| {
                 [0, 1].map(|t| f64::from(*second.first_attempts_by_tenant.get(&t).unwrap_or(&0))).iter().sum()
@@ -125,36 +126,35 @@
     for size in [8, 32] {
         let spread_at = |bytes_per_s| {
             let settings = MembershipSettings { bytes_per_s, ..MembershipSettings::new(size, 0, 0, 1) };
-            let mut simulation =
+            let mut cluster =
                 VirtualCluster::new(settings, LinkFaults { loss_rate: 0.05, ..LinkFaults::default() });
-            let all: Vec<_> = simulation.node_ids().collect();
-            all.iter().for_each(|of| simulation.start(*of));
-            simulation.run_until_condition(60 * SECOND_US, |simulation| simulation.agrees(&all));
-            let mut print_fact_ages = Vec::new();
+            let all: Vec<_> = cluster.node_ids().collect();
+            all.iter().for_each(|of| cluster.start(*of));
+            cluster.run_until_condition(60 * SECOND_US, |cluster| cluster.agrees(&all));
+            let mut ages = Vec::new();
             for step in 0..120_u64 {
                 let value: Vec<u8> =
                     (0..30).map(|at| if at < 8 { (step >> (at * 8)) as u8 } else { 7 }).collect();
                 for of in &all {
                     let facts = SHED_KEYS.take(3);
                     facts.for_each(|key| {
-                        simulation.with_node(*of, |view, now, _| {
+                        cluster.with_node(*of, |view, now, _| {
                             view.publish_fact(now, key, &value, 5 * SECOND_US);
                         })
                     });
                 }
-                simulation.run_for(500_000);
+                cluster.run_for(500_000);
                 for (of, other) in all.iter().flat_map(|of| all.iter().map(move |other| (*of, *other))) {
-                    let now = simulation.clock(of);
-                    let fact =
-                        simulation.membership(of).and_then(|view| view.fact(now, other, SHED_KEYS.start));
+                    let now = cluster.clock(of);
+                    let fact = cluster.membership(of).and_then(|view| view.fact(now, other, SHED_KEYS.start));
                     let published =
                         fact.and_then(|fact| fact.first_chunk::<8>()).map(|bytes| u64::from_le_bytes(*bytes));
                     if step > 20 && of != other {
-                        print_fact_ages.push(published.map(|published| (step - published + 1) * 500_000));
+                        ages.push(published.map(|published| (step - published + 1) * 500_000));
                     }
                 }
             }
-            crate::fleet::spread(print_fact_ages)
+            crate::fleet::spread(ages)
         };
         println!("{size} | {} | {} | {}", spread_at(1_000), spread_at(4_000), spread_at(16_000));
     }
