--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -54,7 +54,7 @@
         /// Number of functions
         #[arg(long, default_value_t = 2_000)]
         functions: usize,
-        /// Calls in each measurement round
+        /// Calls in each round
         #[arg(long, default_value_t = 100_000)]
         calls: u64,
         /// Number of rounds
--- a/crates/bench/src/route/grow.rs
+++ b/crates/bench/src/route/grow.rs
@@ -31,7 +31,7 @@
     pub median_bytes_per_s: f64,
     /// Length of the longest frame, bytes.
     longest_frame: usize,
-    /// Mean time in which a site's reporter builds its frames, microseconds.
+    /// Mean time in which a site's coordinator builds its frames, microseconds.
     pub build_us: f64,
     /// Mean time in which a gateway builds its table, microseconds.
     pub table_us: f64,
@@ -97,7 +97,7 @@
             if is_measured {
                 table_times.push(start.elapsed().as_nanos() as f64 / 1e3);
                 bytes[own] += built.iter().map(|(_, bytes)| bytes.len() as u64).sum::<u64>();
-                // Only the reporter of a site sends more than one frame.
+                // Only the coordinator of a site sends more than one frame.
                 if built.len() > 1 {
                     build_times.push(took.as_nanos() as f64 / 1e3);
                 }
@@ -140,7 +140,7 @@
         "{FUNCTIONS} functions called at all gateways, counts published each 250 ms; bytes a second, microseconds"
     );
     println!(
-        "sites | gateways | total bytes/s | max of a gateway | median gateway | longest frame | reporter's build | a table"
+        "sites | gateways | total bytes/s | max of a gateway | median gateway | longest frame | coordinator's build | a table"
     );
     let mut samples = Vec::new();
     for sites in SITES {
