--- a/crates/bench/src/memory.rs
+++ b/crates/bench/src/memory.rs
@@ -1,7 +1,7 @@
 //! Memory that idle connections take in the gateway's process.
 
 use crate::{echo, path};
-use basaltward_play::Folder;
+use basaltward_scenario::Folder;
 use std::error::Error;
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -2,8 +2,8 @@
 
 use basaltward_config::read;
 use basaltward_net::Micros;
-use basaltward_play::{Bed, rule_settings};
 use basaltward_rules::{FinalAnswer, Observation, Record, Recorder, check};
+use basaltward_scenario::{Bed, rule_settings};
 use basaltward_standins::{Clients, Plan, Retries, WorkerSpec};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -2,8 +2,8 @@
 
 use crate::{echo, load, proxy, spread};
 use basaltward_gateway::Gateway;
-use basaltward_play::Folder;
 use basaltward_rules::Recorder;
+use basaltward_scenario::Folder;
 use std::error::Error;
 use std::net::SocketAddr;
 
--- a/crates/cli/src/play.rs
+++ b/crates/cli/src/play.rs
@@ -1,8 +1,8 @@
 use crate::args::{Judge, Play};
 use crate::serve::settings;
 use crate::{Failed, records, report};
-use basaltward_play::{load, play, rule_settings};
 use basaltward_rules::{check, read_records, service};
+use basaltward_scenario::{load, play, rule_settings};
 
 /// Plays a scripted day and judges it.
 pub fn run(options: &Play) -> Result<(), Failed> {
--- a/crates/play/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use basaltward_config::Config;
 use basaltward_http::{Decoded, Limits, Method, Response, ResponseDecoder};
-use basaltward_play::{Bed, rule_settings};
 use basaltward_rules::{Breach, Observation, Record, Recorder, check};
+use basaltward_scenario::{Bed, rule_settings};
 use basaltward_standins::WorkerSpec;
 use bytes::BytesMut;
 use std::io::{Read, Write};
--- a/crates/play/tests/hard_cases.rs
+++ b/crates/scenario/tests/hard_cases.rs
@@ -2,8 +2,8 @@
 mod common;
 
 use basaltward::WorkerState;
-use basaltward_play::{Bed, rule_settings};
 use basaltward_rules::{Observation, Recorder};
+use basaltward_scenario::{Bed, rule_settings};
 use basaltward_standins::{Clients, Fault, Plan, Retries, WorkerSpec};
 use common::*;
 
--- a/crates/play/tests/loops.rs
+++ b/crates/scenario/tests/loops.rs
@@ -3,8 +3,8 @@
 
 use basaltward_config::Config;
 use basaltward_gateway::LoopMode;
-use basaltward_play::Bed;
 use basaltward_rules::{Observation, Record, Recorder};
+use basaltward_scenario::Bed;
 use basaltward_standins::{Clients, Plan, Retries, Tally};
 use common::*;
 use std::collections::BTreeSet;
--- a/crates/play/tests/sites.rs
+++ b/crates/scenario/tests/sites.rs
@@ -4,8 +4,8 @@
 use basaltward_config::{
     Config, JournalConfig, ReplicationConfig, SitePeerConfig, SitesConfig, UnreplicatedPolicy,
 };
-use basaltward_play::Bed;
 use basaltward_rules::{Observation, Recorder};
+use basaltward_scenario::Bed;
 use common::*;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
--- a/crates/trial/src/site_checker.rs
+++ b/crates/trial/src/site_checker.rs
@@ -7,8 +7,8 @@
 use crate::site_bed::SiteBed;
 use crate::way::Party;
 use basaltward_net::Micros;
-use basaltward_play::rule_settings;
 use basaltward_rules::{FinalAnswer, Observation, Record, RepeatRule, RuleSettings};
+use basaltward_scenario::rule_settings;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What became of the calls asked at one site.
