--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -1,10 +1,10 @@
 //! Goodput by load: calls offered in open loop at multiples of what the stand-in workers can do.
 
 use basaltward_config::read;
+use basaltward_fakes::{Clients, Plan, Retries, WorkerSpec};
 use basaltward_net::Micros;
 use basaltward_rules::{FinalAnswer, Observation, Record, Recorder, check};
 use basaltward_scenario::{Bed, rule_settings};
-use basaltward_standins::{Clients, Plan, Retries, WorkerSpec};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::HashMap;
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,9 +1,9 @@
 use crate::args::Demo;
 use crate::{Failed, report};
+use basaltward_fakes::{Clients, Plan, Retries, WorkerSpec};
 use basaltward_net::{Io, IoLimits, Signals, monotonic};
 use basaltward_rules::Recorder;
 use basaltward_scenario::Bed;
-use basaltward_standins::{Clients, Plan, Retries, WorkerSpec};
 use std::path::Path;
 use std::time::Duration;
 
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,8 +1,8 @@
 //! What a run came to, in a few lines.
 
 use crate::Failed;
+use basaltward_fakes::Tally;
 use basaltward_rules::{Breach, Record, Service, late_answers};
-use basaltward_standins::Tally;
 
 /// Breaches printed of each rule.
 const MOST: usize = 5;
--- a/crates/cli/src/worker.rs
+++ b/crates/cli/src/worker.rs
@@ -1,7 +1,7 @@
 use crate::args::Worker;
 use crate::records::Records;
 use crate::{Failed, demo};
-use basaltward_standins::{Fleet, StoreSpec, WorkerSpec};
+use basaltward_fakes::{Fleet, StoreSpec, WorkerSpec};
 
 /// Runs stand-in workers until interrupted.
 pub fn run(options: &Worker) -> Result<(), Failed> {
--- a/crates/cli/tests/crossings/killed.rs
+++ b/crates/cli/tests/crossings/killed.rs
@@ -2,8 +2,8 @@
 //! client has one final answer.
 use crate::common::{Limits, TEST_TIMEOUT, bulletin_entry, config_json, wait_until_delivered};
 use crate::process::{file, freeze, signal, start};
+use basaltward_fakes::{Act, Board, Exec, FrontClient, FrontReply, LineWorker, answer};
 use basaltward_rules::Recorder;
-use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker, answer};
 use rustix::process::Signal;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/cli/tests/crossings/ready.rs
+++ b/crates/cli/tests/crossings/ready.rs
@@ -1,8 +1,8 @@
 //! The program stands still for a while: once it says that it is ready, it serves.
 use crate::common::{Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send, wait_until_delivered};
 use crate::process::{file, freeze, signal, start, thaw};
+use basaltward_fakes::{Board, FrontClient, FrontReply, LineWorker};
 use basaltward_rules::Recorder;
-use basaltward_standins::{Board, FrontClient, FrontReply, LineWorker};
 use rustix::process::Signal;
 use std::net::SocketAddr;
 use std::process::Child;
--- a/crates/cli/tests/crossings/restarts.rs
+++ b/crates/cli/tests/crossings/restarts.rs
@@ -2,9 +2,9 @@
 //! by itself before SIGKILL may come.
 use crate::common::{Call, Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send};
 use crate::process::{end, file, signal, start};
+use basaltward_fakes::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
-use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
 use rustix::process::Signal;
 use std::net::SocketAddr;
 use std::os::unix::process::ExitStatusExt;
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -4,8 +4,8 @@
 mod common;
 mod process;
 
+use basaltward_fakes::{Board, FrontClient, FrontReply, LineWorker};
 use basaltward_rules::Recorder;
-use basaltward_standins::{Board, FrontClient, FrontReply, LineWorker};
 use common::{Limits, TEST_TIMEOUT, bulletin_entry, config_json};
 use process::{file, program, signal, start, start_heard};
 use rustix::process::{Pid, Resource, Rlimit, Signal, getrlimit, prlimit};
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -9,9 +9,9 @@
 mod common;
 mod process;
 
+use basaltward_fakes::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
-use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
 use common::{Call, Limits, bulletin_entry, config_json, fields};
 use process::{file, signal, start};
 use rustix::process::Signal;
--- a/crates/cli/tests/stalls.rs
+++ b/crates/cli/tests/stalls.rs
@@ -4,9 +4,9 @@
 mod common;
 mod process;
 
+use basaltward_fakes::{Board, Exec, FrontClient, FrontReply, LineWorker, answer};
 use basaltward_net::monotonic;
 use basaltward_rules::{Observation, Recorder};
-use basaltward_standins::{Board, Exec, FrontClient, FrontReply, LineWorker, answer};
 use common::{
     ABANDON_METHODS, Call, Limits, TEST_TIMEOUT, abandon, bulletin_entry, call, config_json, send,
     wait_until_delivered,
--- a/crates/cli/tests/unseen_drains.rs
+++ b/crates/cli/tests/unseen_drains.rs
@@ -6,9 +6,9 @@
 mod common;
 mod process;
 
+use basaltward_fakes::{Act, Board, Exec, FrontClient, FrontReply, LineWorker, TurnedAway};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
-use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker, TurnedAway};
 use common::{Call, Limits, TEST_TIMEOUT, bulletin_entry, config_json, send};
 use process::{file, start_heard};
 use rustix::process::Signal;
--- a/crates/kv/tests/histories.rs
+++ b/crates/kv/tests/histories.rs
@@ -1,6 +1,6 @@
 //! Random histories of a registry: what the follower tells is compared, step by step, with what was true.
+use basaltward_fakes::{KvStore, Past};
 use basaltward_kv::*;
-use basaltward_standins::{KvStore, Past};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
--- a/crates/node/tests/cold_worker.rs
+++ b/crates/node/tests/cold_worker.rs
@@ -8,10 +8,10 @@
 #[allow(dead_code)]
 mod common;
 
+use basaltward_fakes::{Act, Board, Exec, FrontClient, LineWorker, answer};
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::{Control, Node};
 use basaltward_rules::{Observation, Recorder};
-use basaltward_standins::{Act, Board, Exec, FrontClient, LineWorker, answer};
 use common::{Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/node/tests/sockets/answers.rs
+++ b/crates/node/tests/sockets/answers.rs
@@ -1,8 +1,8 @@
 //! What a client receives for a call, whatever happens at its worker.
 
 use crate::common::*;
+use basaltward_fakes::{Act, Exec, FrontReply, answer};
 use basaltward_rules::Observation;
-use basaltward_standins::{Act, Exec, FrontReply, answer};
 use std::time::Duration;
 
 fn serve(_: usize, exec: &Exec) -> Vec<Act> {
--- a/crates/node/tests/sockets/bulletin_outage.rs
+++ b/crates/node/tests/sockets/bulletin_outage.rs
@@ -2,9 +2,9 @@
 //! events: from then on a draining worker gets neither calls nor load orders.
 
 use crate::common::*;
+use basaltward_fakes::FrontReply;
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{Observation, Record, check};
-use basaltward_standins::FrontReply;
 use std::time::Duration;
 
 pub const MS: Micros = 1_000;
--- a/crates/node/tests/sockets/client_disconnects.rs
+++ b/crates/node/tests/sockets/client_disconnects.rs
@@ -3,8 +3,8 @@
 //! process.
 
 use crate::common::*;
+use basaltward_fakes::{Act, Exec, LineWorker, answer};
 use basaltward_rules::Observation;
-use basaltward_standins::{Act, Exec, LineWorker, answer};
 use rustix::net::sockopt::set_socket_recv_buffer_size;
 use std::time::Instant;
 
--- a/crates/node/tests/sockets/common.rs
+++ b/crates/node/tests/sockets/common.rs
@@ -1,12 +1,12 @@
 //! Harness that runs a live scheduler on loopback between stand-in workers, a stand-in bulletin and clients, and
 //! checks the recorded events against the rules.
 
+use basaltward_fakes::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::{Control, Node};
 use basaltward_rules::{
     Breach, ClassRule, FinalAnswer, Observation, Record, Recorder, RepeatRule, RuleSettings, check,
 };
-use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
 use rustix::net::sockopt::set_socket_linger;
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Shutdown, SocketAddr};
--- a/crates/node/tests/sockets/connection_races.rs
+++ b/crates/node/tests/sockets/connection_races.rs
@@ -3,8 +3,8 @@
 
 use crate::common::*;
 use crate::unsent_requests::{large_call, load_copies, served, wait_until_processed};
+use basaltward_fakes::{Act, Exec, FrontReply, LineWorker, answer};
 use basaltward_rules::{Observation, Record};
-use basaltward_standins::{Act, Exec, FrontReply, LineWorker, answer};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::os::fd::AsRawFd;
 use std::process::Command;
--- a/crates/node/tests/sockets/delayed_sends.rs
+++ b/crates/node/tests/sockets/delayed_sends.rs
@@ -2,9 +2,9 @@
 //! rules must hold as of its arrival.
 
 use crate::common::*;
+use basaltward_fakes::{Act, Exec, LineWorker, answer};
 use basaltward_net::Micros;
 use basaltward_rules::{Observation, Record};
-use basaltward_standins::{Act, Exec, LineWorker, answer};
 use std::time::{Duration, Instant};
 
 const MS: Micros = 1_000;
@@ -39,7 +39,7 @@
     let mut harness = Harness::with_config(limits, 1, with_keyed_class, script);
     let mut client = harness.client();
     let timeout = "6000";
-    let submit = |client: &mut basaltward_standins::FrontClient, id: &str| {
+    let submit = |client: &mut basaltward_fakes::FrontClient, id: &str| {
         let one = call(1, "extract");
         let mut fields = fields(&one, timeout).to_vec();
         fields[1].1 = id;
@@ -50,8 +50,7 @@
     let until = Instant::now() + TEST_TIMEOUT;
     for number in 1.. {
         submit(&mut client, &format!("{number:016x}"));
-        if matches!(client.read().expect("reply read"), Some((_, basaltward_standins::FrontReply::Served(_))))
-        {
+        if matches!(client.read().expect("reply read"), Some((_, basaltward_fakes::FrontReply::Served(_)))) {
             break;
         }
         assert!(Instant::now() < until, "no call was served");
@@ -89,7 +88,7 @@
     harness.workers[0].plug().expect("accept queue blocked");
     let mut client = harness.client();
     // Functions without a copy anywhere, one after another: each needs a load order.
-    let send_call = |client: &mut basaltward_standins::FrontClient, number: u64| {
+    let send_call = |client: &mut basaltward_fakes::FrontClient, number: u64| {
         let one = Call { function: format!("{number:016x}"), timeout_ms: 3_500, ..call(number, "view") };
         send(client, &one);
     };
--- a/crates/node/tests/sockets/descriptor_exhaustion.rs
+++ b/crates/node/tests/sockets/descriptor_exhaustion.rs
@@ -2,7 +2,7 @@
 //! break. The process limit itself is covered by the tests of the program and of the event loop.
 
 use crate::common::*;
-use basaltward_standins::{Exec, LineWorker};
+use basaltward_fakes::{Exec, LineWorker};
 use std::time::{Duration, Instant};
 
 #[test]
--- a/crates/node/tests/sockets/fleet_changes.rs
+++ b/crates/node/tests/sockets/fleet_changes.rs
@@ -2,8 +2,8 @@
 //! planned restarts.
 
 use crate::common::*;
+use basaltward_fakes::{Act, Board, Exec, FrontReply, LineWorker};
 use basaltward_rules::{Observation, Record, check};
-use basaltward_standins::{Act, Board, Exec, FrontReply, LineWorker};
 use std::time::Duration;
 
 fn serve(_: usize, exec: &Exec) -> Vec<Act> {
--- a/crates/node/tests/sockets/fragmentation.rs
+++ b/crates/node/tests/sockets/fragmentation.rs
@@ -1,9 +1,9 @@
 //! Requests and answers that arrive byte by byte, or in segments with arbitrary boundaries.
 
 use crate::common::*;
+use basaltward_fakes::{Act, Exec, FrontClient, FrontReply, answer};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
-use basaltward_standins::{Act, Exec, FrontClient, FrontReply, answer};
 use basaltward_thrift::write;
 use bytes::BytesMut;
 use std::collections::HashMap;
--- a/crates/node/tests/sockets/gossip.rs
+++ b/crates/node/tests/sockets/gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip between schedulers about loaded copies, which replaces probes of workers.
 
 use crate::common::*;
-use basaltward_standins::{Exec, FrontReply};
+use basaltward_fakes::{Exec, FrontReply};
 use std::net::UdpSocket;
 
 /// The datagram that reports a copy of the function at the worker, seen just now.
--- a/crates/node/tests/sockets/half_open_connections.rs
+++ b/crates/node/tests/sockets/half_open_connections.rs
@@ -2,8 +2,8 @@
 //! nothing on it, and resets it later.
 
 use crate::common::*;
+use basaltward_fakes::{Act, Exec, FrontReply};
 use basaltward_rules::Observation;
-use basaltward_standins::{Act, Exec, FrontReply};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
--- a/crates/node/tests/sockets/invalid_requests.rs
+++ b/crates/node/tests/sockets/invalid_requests.rs
@@ -2,7 +2,7 @@
 //! affected.
 
 use crate::common::*;
-use basaltward_standins::FrontReply;
+use basaltward_fakes::FrontReply;
 use std::time::{Duration, Instant};
 
 const CLOSED_WITHIN: Duration = Duration::from_secs(3);
--- a/crates/node/tests/sockets/lease_expiry.rs
+++ b/crates/node/tests/sockets/lease_expiry.rs
@@ -3,8 +3,8 @@
 //! probed.
 
 use crate::common::*;
+use basaltward_fakes::{Exec, LineWorker};
 use basaltward_rules::{Observation, Record, check};
-use basaltward_standins::{Exec, LineWorker};
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
--- a/crates/node/tests/sockets/limits.rs
+++ b/crates/node/tests/sockets/limits.rs
@@ -2,9 +2,9 @@
 //! requests as allowed.
 
 use crate::common::*;
+use basaltward_fakes::{Act, Exec, FrontClient, FrontReply};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
-use basaltward_standins::{Act, Exec, FrontClient, FrontReply};
 use basaltward_thrift::write;
 use bytes::BytesMut;
 use std::io::Write;
--- a/crates/node/tests/sockets/local_connect_errors.rs
+++ b/crates/node/tests/sockets/local_connect_errors.rs
@@ -1,9 +1,9 @@
 //! System calls that fail briefly on the scheduler's own machine are not held against a worker and fail no call.
 
 use crate::common::*;
+use basaltward_fakes::{Exec, FrontReply};
 use basaltward_net::{Errno, Micros, SystemCall, monotonic};
 use basaltward_rules::Observation;
-use basaltward_standins::{Exec, FrontReply};
 
 /// Upper bound on the delay that the failures add to a call, also on a loaded machine: soon after it a worker would
 /// be considered gone.
--- a/crates/node/tests/sockets/planned_restart.rs
+++ b/crates/node/tests/sockets/planned_restart.rs
@@ -3,9 +3,9 @@
 //! plus 0.7 s after SIGTERM.
 
 use crate::common::*;
+use basaltward_fakes::{Act, Exec, FrontClient, FrontReply};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
-use basaltward_standins::{Act, Exec, FrontClient, FrontReply};
 use basaltward_thrift::{
     ClientRequest as Request, FrameLimits, ServerReply, next_frame, read_request, write,
 };
--- a/crates/node/tests/sockets/readiness.rs
+++ b/crates/node/tests/sockets/readiness.rs
@@ -2,8 +2,8 @@
 //! reload. Readiness after a stall is covered by the program's own tests.
 
 use crate::common::*;
+use basaltward_fakes::{Board, FrontClient, FrontReply};
 use basaltward_rules::check;
-use basaltward_standins::{Board, FrontClient, FrontReply};
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
--- a/crates/node/tests/sockets/reload.rs
+++ b/crates/node/tests/sockets/reload.rs
@@ -4,9 +4,9 @@
     Calls, FUNCTIONS, LATE, MS, SILENCE_LIMIT, busy_harness, sent_after, state_received,
 };
 use crate::common::*;
+use basaltward_fakes::{Board, FrontReply, LineWorker};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{Observation, Record, check};
-use basaltward_standins::{Board, FrontReply, LineWorker};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 }
 
 /// Sends calls of both classes without reading the answers.
-fn send_wave(harness: &mut Harness, calls: &mut Calls) -> (basaltward_standins::FrontClient, Vec<Submitted>) {
+fn send_wave(harness: &mut Harness, calls: &mut Calls) -> (basaltward_fakes::FrontClient, Vec<Submitted>) {
     let mut client = harness.client();
     let mut asked = Vec::new();
     for _ in 0..WAVE_SIZE {
@@ -35,7 +35,7 @@
 }
 
 /// Reads the answers to [`send_wave`], all of which must be served.
-fn expect_served(harness: &Harness, (mut client, asked): (basaltward_standins::FrontClient, Vec<Submitted>)) {
+fn expect_served(harness: &Harness, (mut client, asked): (basaltward_fakes::FrontClient, Vec<Submitted>)) {
     let replies = read_all(harness, &mut client, &asked);
     let bad: Vec<_> = replies.iter().filter(|(_, reply)| !matches!(reply, FrontReply::Served(_))).collect();
     assert!(replies.len() == asked.len() && bad.is_empty(), "{} of {}, {bad:?}", replies.len(), asked.len());
--- a/crates/node/tests/sockets/shutdown.rs
+++ b/crates/node/tests/sockets/shutdown.rs
@@ -2,9 +2,9 @@
 //! meet in one turn, and connections not yet accepted, are covered by the program's own tests.
 
 use crate::common::*;
+use basaltward_fakes::{Act, Exec, FrontClient, FrontReply};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
-use basaltward_standins::{Act, Exec, FrontClient, FrontReply};
 use std::time::{Duration, Instant};
 
 const MS: Micros = 1_000;
--- a/crates/node/tests/sockets/slow_workers.rs
+++ b/crates/node/tests/sockets/slow_workers.rs
@@ -1,9 +1,9 @@
 //! Workers that hang, connections that are established late, and answers that arrive twice.
 
 use crate::common::*;
+use basaltward_fakes::{Act, Exec, FrontReply, LineWorker, answer};
 use basaltward_net::monotonic;
 use basaltward_rules::{Observation, Record};
-use basaltward_standins::{Act, Exec, FrontReply, LineWorker, answer};
 use std::sync::mpsc;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
--- a/crates/node/tests/sockets/tenants_and_keys.rs
+++ b/crates/node/tests/sockets/tenants_and_keys.rs
@@ -2,7 +2,7 @@
 //! key.
 
 use crate::common::*;
-use basaltward_standins::{Act, Exec, FrontClient, FrontReply, answer};
+use basaltward_fakes::{Act, Exec, FrontClient, FrontReply, answer};
 use std::sync::{Arc, Mutex, mpsc};
 
 const FUNCTION: &str = "7f3a9c21e0b4d655";
--- a/crates/node/tests/sockets/unread_requests.rs
+++ b/crates/node/tests/sockets/unread_requests.rs
@@ -2,9 +2,9 @@
 //! complete, however late the worker reads again.
 
 use crate::common::*;
+use basaltward_fakes::{Act, Exec};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
-use basaltward_standins::{Act, Exec};
 use std::time::Duration;
 
 const MS: Micros = 1_000;
--- a/crates/node/tests/sockets/unsent_requests.rs
+++ b/crates/node/tests/sockets/unsent_requests.rs
@@ -2,9 +2,9 @@
 //! worker drains or the connection breaks.
 
 use crate::common::*;
+use basaltward_fakes::{Exec, FrontClient, FrontReply, LineWorker};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{Observation, Record};
-use basaltward_standins::{Exec, FrontClient, FrontReply, LineWorker};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Sender, channel};
--- a/crates/node/tests/sockets/watch.rs
+++ b/crates/node/tests/sockets/watch.rs
@@ -1,8 +1,8 @@
 //! Event ordering on the watch of the worker list, also while the configuration is reloaded.
 
 use crate::common::*;
+use basaltward_fakes::{Act, Board, Exec, FrontReply, answer};
 use basaltward_rules::{Observation, Record, check};
-use basaltward_standins::{Act, Board, Exec, FrontReply, answer};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
--- a/crates/scenario/src/bed.rs
+++ b/crates/scenario/src/bed.rs
@@ -2,11 +2,11 @@
 
 use basaltward::{Group, Repeat, WorkerState};
 use basaltward_config::Config;
+use basaltward_fakes::{Fleet, FleetError, StoreSpec, WorkerSpec};
 use basaltward_gateway::{Gateway, GatewayError, LoopMode};
 use basaltward_net::Clock;
 use basaltward_roster::{Entry, Names, write};
 use basaltward_rules::{ClassRule, Recorder, RepeatRule, RuleSettings};
-use basaltward_standins::{Fleet, FleetError, StoreSpec, WorkerSpec};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/scenario/src/calls.rs
+++ b/crates/scenario/src/calls.rs
@@ -1,8 +1,8 @@
 //! The events of a day, drawn from its seed.
 
 use crate::script::{Act, Script};
+use basaltward_fakes::{Plan, Retries};
 use basaltward_net::Micros;
-use basaltward_standins::{Plan, Retries};
 use rand::rngs::StdRng;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_distr::weighted::WeightedIndex;
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,7 +1,7 @@
 use basaltward_config::xml::{Element, parse_validated};
 use basaltward_config::{Config, ConfigError, Fault};
+use basaltward_fakes::{Retries, WorkerSpec};
 use basaltward_net::Micros;
-use basaltward_standins::{Retries, WorkerSpec};
 use std::path::Path;
 
 const SCHEMA: &str = include_str!("../play.xsd");
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Act {
     /// A fault of a worker, and its end after a span.
-    Worker(usize, basaltward_standins::Fault, Option<(Micros, basaltward_standins::Fault)>),
+    Worker(usize, basaltward_fakes::Fault, Option<(Micros, basaltward_fakes::Fault)>),
     /// A worker drains; the roster says so after its lag, and after the span that it is gone.
     Drain(usize, Micros),
     /// A worker's process dies, and is back, cold, after the span.
@@ -155,7 +155,7 @@
 }
 
 fn step(node: &Element, workers: usize, gateways: usize, faults: &mut Vec<Fault>) -> Option<Step> {
-    use basaltward_standins::Fault as Does;
+    use basaltward_fakes::Fault as Does;
     let at = micros(node.parse_attribute("ms", faults)?);
     let told = node.attribute("do").unwrap_or_default();
     let span = node.parse_attribute::<f64>("for-ms", faults).map(micros);
--- a/crates/scenario/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -2,10 +2,10 @@
 #![allow(dead_code, missing_docs, reason = "each test uses its part")]
 
 use basaltward_config::Config;
+use basaltward_fakes::WorkerSpec;
 use basaltward_http::{Decoded, Limits, Method, Response, ResponseDecoder};
 use basaltward_rules::{Breach, Observation, Record, Recorder, check};
 use basaltward_scenario::{Bed, rule_settings};
-use basaltward_standins::WorkerSpec;
 use bytes::BytesMut;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/scenario/tests/hard_cases.rs
+++ b/crates/scenario/tests/hard_cases.rs
@@ -2,9 +2,9 @@
 mod common;
 
 use basaltward::WorkerState;
+use basaltward_fakes::{Clients, Fault, Plan, Retries, WorkerSpec};
 use basaltward_rules::{Observation, Recorder};
 use basaltward_scenario::{Bed, rule_settings};
-use basaltward_standins::{Clients, Fault, Plan, Retries, WorkerSpec};
 use common::*;
 
 fn plan(function: &str, class: &str, id: usize) -> Plan {
--- a/crates/scenario/tests/loops.rs
+++ b/crates/scenario/tests/loops.rs
@@ -2,10 +2,10 @@
 mod common;
 
 use basaltward_config::Config;
+use basaltward_fakes::{Clients, Plan, Retries, Tally};
 use basaltward_gateway::LoopMode;
 use basaltward_rules::{Observation, Record, Recorder};
 use basaltward_scenario::Bed;
-use basaltward_standins::{Clients, Plan, Retries, Tally};
 use common::*;
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/trial/src/clients.rs
+++ b/crates/trial/src/clients.rs
@@ -1,9 +1,9 @@
 //! Clients that call without pause: each waits for its answer, then calls again, and is patient for a told
 //! time. Everything that they see is recorded.
 
+use basaltward_fakes::{FrontClient, FrontReply};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{FinalAnswer, Observation, Recorder};
-use basaltward_standins::{FrontClient, FrontReply};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/trial/src/hollow/real.rs
+++ b/crates/trial/src/hollow/real.rs
@@ -6,10 +6,10 @@
 use crate::process::Process;
 use crate::way::Party;
 use crate::workspace::Workspace;
+use basaltward_fakes::{Act, Board, LineWorker};
 use basaltward_net::Micros;
 use basaltward_permits::Bounds;
 use basaltward_rules::Recorder;
-use basaltward_standins::{Act, Board, LineWorker};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/trial/src/site_load.rs
+++ b/crates/trial/src/site_load.rs
@@ -1,8 +1,8 @@
 //! What clients of each site ask, and when: drawn by the seed before the run.
 
 use crate::site_spec::{CLASSES, LoadSpec, SitesSpec};
+use basaltward_fakes::{Plan, Retries};
 use basaltward_net::Micros;
-use basaltward_standins::{Plan, Retries};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
