--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -1,8 +1,8 @@
 //! A fleet of stand-in workers on one loop: HTTP around the model, and scripted faults.
 
-use crate::keys::Keys;
-use crate::model::{Call, CopyNote, Reply, Worker, WorkerSpec};
+use crate::dedup::Keys;
 use crate::store::{Store, StoreSpec};
+use crate::worker_model::{Call, CopyNote, Reply, Worker, WorkerSpec};
 use basaltward_http::{Body, Decoded, HeadWriter, Limits, Method, Request, RequestDecoder};
 use basaltward_net::{ConnId, Io, IoEvent, IoLimits, Micros, NetError, Waker, bind, monotonic};
 use basaltward_rules::{Observation, Recorder};
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -2,21 +2,21 @@
 //! speak the same protocols over loopback sockets, do as a script tells them, and record what crossed.
 #![warn(missing_docs)]
 
-mod board;
+mod bulletin;
 mod clients;
+mod dedup;
 mod fleet;
 mod front_client;
-mod keys;
 mod kv_store;
 mod line_worker;
-mod model;
 mod store;
+mod worker_model;
 
-pub use board::Board;
+pub use bulletin::Board;
 pub use clients::{Clients, Plan, Retries, Tally};
 pub use fleet::{Fault, Fleet, FleetError};
 pub use front_client::{FrontClient, FrontReply};
 pub use kv_store::{KvStore, Past, View, Written};
 pub use line_worker::{Act, Exec, LineWorker, TurnedAway, answer};
-pub use model::WorkerSpec;
 pub use store::StoreSpec;
+pub use worker_model::WorkerSpec;
--- a/crates/fakes/src/model.rs
+++ b/crates/fakes/src/worker_model.rs
@@ -1,7 +1,7 @@
 //! What a worker does with calls and orders: copies, lanes, cores, memory, loads, a cold start. No I/O and no
 //! clock; the fleet's loop hands it what comes and carries its answers.
 
-use crate::keys::{Keys, Known};
+use crate::dedup::{Keys, Known};
 use crate::store::Store;
 use basaltward_net::Micros;
 use basaltward_timers::Timers;
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -2,11 +2,11 @@
 //! and a verdict on what crossed the sockets.
 #![warn(missing_docs)]
 
-mod bed;
-mod calls;
-mod day;
+mod harness;
+mod runner;
 mod script;
+mod workload;
 
-pub use bed::{Bed, BedError, Folder, Roster, rule_settings};
-pub use day::{DayError, Verdict, play};
+pub use harness::{Bed, BedError, Folder, Roster, rule_settings};
+pub use runner::{DayError, Verdict, play};
 pub use script::{Act, Script, Step, load};
--- a/crates/scenario/src/day.rs
+++ b/crates/scenario/src/runner.rs
@@ -1,8 +1,8 @@
 //! A day played over loopback sockets.
 
-use crate::bed::{Bed, BedError, rule_settings, wall};
-use crate::calls;
+use crate::harness::{Bed, BedError, rule_settings, wall};
 use crate::script::{Act, Script};
+use crate::workload;
 use basaltward::WorkerState;
 use basaltward_fakes::{Clients, Fault, Tally};
 use basaltward_gateway::Gateway;
@@ -79,7 +79,7 @@
         day.later.set(step.at, Later::Step(index));
     }
     let clients = Clients::new(day.bed.addresses.clone(), recorder.clone())?;
-    let plans = calls::draw(script);
+    let plans = workload::draw(script);
     // What happens to gateways and workers has a thread of its own: starting a gateway or waiting for a fault
     // to be done takes milliseconds, in which the clients would read no answers.
     let tally = std::thread::scope(|scope| {
