--- a/crates/cli/tests/crossings/killed.rs
+++ b/crates/cli/tests/crossings/killed.rs
@@ -2,7 +2,9 @@
 //! client has one final answer.
 use crate::common::{Limits, TEST_TIMEOUT, bulletin_entry, config_json, wait_until_delivered};
 use crate::process::{file, freeze, signal, start};
-use basaltward_fakes::{Act, Board, Exec, FrontClient, FrontReply, LineWorker, answer};
+use basaltward_fakes::{
+    ExecRequest, FakeBulletin, FrontClient, FrontReply, LineWorker, WorkerAction, answer_line,
+};
 use basaltward_rules::Recorder;
 use rustix::process::Signal;
 use std::collections::HashMap;
@@ -25,7 +27,7 @@
     schedulers: Vec<(Child, SocketAddr, PathBuf)>,
     workers: Vec<LineWorker>,
     effects: Arc<Mutex<Effects>>,
-    _boards: Vec<Board>,
+    _boards: Vec<FakeBulletin>,
 }
 
 /// A class whose workers discard repeats by its key.
@@ -38,18 +40,18 @@
 const HELD: &[u8] = b"held";
 const BROKEN: &[u8] = b"broken";
 
-fn run(effects: &Mutex<Effects>, exec: &Exec) -> Vec<Act> {
+fn run(effects: &Mutex<Effects>, exec: &ExecRequest) -> Vec<WorkerAction> {
     let mut effects = effects.lock().expect("sound");
     let key = exec.fields.split(',').find_map(|field| field.strip_prefix("uniq=")).map(str::to_owned);
     let known = key.as_ref().is_some_and(|key| effects.keys.contains(key));
     effects.keys.extend(key);
     if known {
-        return vec![Act::Write(answer(&exec.id, "OK", "detail=up", &exec.turned()))];
+        return vec![WorkerAction::Write(answer_line(&exec.id, "OK", "detail=up", &exec.reversed_body()))];
     }
     *effects.ran.entry(exec.body.clone()).or_default() += 1;
     match exec.body.as_slice() {
-        body if body.starts_with(HELD) => vec![Act::Run],
-        body if body.starts_with(BROKEN) => vec![Act::Run, Act::Reset],
+        body if body.starts_with(HELD) => vec![WorkerAction::Run],
+        body if body.starts_with(BROKEN) => vec![WorkerAction::Run, WorkerAction::Reset],
         _ => exec.serve(),
     }
 }
@@ -59,15 +61,15 @@
         let effects: Arc<Mutex<Effects>> = Arc::default();
         let start_one = |n| {
             let effects = effects.clone();
-            let script = move |exec: &Exec| run(&effects, exec);
+            let script = move |exec: &ExecRequest| run(&effects, exec);
             LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("a worker")
         };
         let workers: Vec<_> = (0..2).map(start_one).collect();
         let one = |(n, w): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), w.address(), "Ready");
         let targets = workers.iter().enumerate().map(one).collect::<Vec<_>>().join(",");
-        let boards: Vec<_> = (0..2).map(|_| Board::start(2).expect("a bulletin")).collect();
+        let boards: Vec<_> = (0..2).map(|_| FakeBulletin::start(2).expect("a bulletin")).collect();
         let limits = Limits { connect_ms: 3_000, ..Limits::default() };
-        let scheduler = |(n, board): (usize, &Board)| {
+        let scheduler = |(n, board): (usize, &FakeBulletin)| {
             let config =
                 file(&format!("{name}-{n}"), &with_keyed(&config_json(limits, board.address(), &targets)));
             let (child, to) = start(&config);
@@ -197,7 +199,7 @@
 fn what_waited_for_its_worker_at_a_killed_scheduler_runs_once_where_it_is_repeated() {
     let mut bed = Bed::new("killed-waits");
     let waits = Op { class: "extract", body: b"waits".to_vec(), key: None };
-    bed.workers.iter().for_each(|w| w.plug().expect("plugged"));
+    bed.workers.iter().for_each(|w| w.block_new_connections().expect("plugged"));
     bed.workers.iter().for_each(LineWorker::reset_all);
     let mut client = bed.client(0);
     send(&mut client, &waits, 0x100);
@@ -206,7 +208,7 @@
         client.heartbeat().and_then(|_| client.read()).expect("alive");
     }
     bed.kill(vec![client]);
-    bed.workers.iter().for_each(LineWorker::unplug);
+    bed.workers.iter().for_each(LineWorker::unblock_new_connections);
     // By now the system would have tried again what a living one had begun.
     std::thread::sleep(Duration::from_millis(1_300));
     assert_eq!(bed.ran(&waits.body), 0, "nothing of it had left");
--- a/crates/cli/tests/crossings/ready.rs
+++ b/crates/cli/tests/crossings/ready.rs
@@ -1,7 +1,7 @@
 //! The program stands still for a while: once it says that it is ready, it serves.
 use crate::common::{Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send, wait_until_delivered};
 use crate::process::{file, freeze, signal, start, thaw};
-use basaltward_fakes::{Board, FrontClient, FrontReply, LineWorker};
+use basaltward_fakes::{FakeBulletin, FrontClient, FrontReply, LineWorker};
 use basaltward_rules::Recorder;
 use rustix::process::Signal;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
     let workers = [0, 1].map(|n| {
         LineWorker::start(&format!("s-{n}"), Recorder::none(), |exec| exec.serve()).expect("a worker")
     });
-    let board = Board::start(2).expect("a bulletin");
+    let board = FakeBulletin::start(2).expect("a bulletin");
     let entry = |n: usize, state: &str| bulletin_entry(&format!("s-{n}"), workers[n].address(), state);
     let config = file(
         "stalled",
@@ -78,9 +78,9 @@
         let asked: Vec<_> =
             (10..).zip(&mut waiting).map(|(n, c)| send(c, &call(number + n, "view"))).collect();
         workers.iter().for_each(LineWorker::close_all);
-        board.cut();
+        board.disconnect_all();
         // Its worker counts on less: one of the two is told to drain.
-        board.tell(&entry(0, "Terminating"));
+        board.publish(&entry(0, "Terminating"));
         std::thread::sleep(Duration::from_millis(stall));
         let at = front.stream().local_addr().expect("it stands");
         wait_until_delivered(at, to, "revoke");
@@ -95,7 +95,7 @@
             let told = client.read().expect("told");
             assert!(told.as_ref().is_some_and(|(seqid, _)| *seqid == asked), "{when}: {told:?}");
         }
-        board.tell(&entry(0, "Ready"));
+        board.publish(&entry(0, "Ready"));
         number += 1_000;
     }
     signal(&running.0, Signal::TERM);
--- a/crates/cli/tests/crossings/restarts.rs
+++ b/crates/cli/tests/crossings/restarts.rs
@@ -2,7 +2,7 @@
 //! by itself before SIGKILL may come.
 use crate::common::{Call, Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send};
 use crate::process::{end, file, signal, start};
-use basaltward_fakes::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
+use basaltward_fakes::{ExecRequest, FakeBulletin, FrontClient, FrontReply, LineWorker, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
 use rustix::process::Signal;
@@ -45,11 +45,11 @@
 }
 
 /// One in sixteen is held by its worker without an answer: its time has to end it.
-fn script(exec: &Exec) -> Vec<Act> {
-    if exec.nth % 16 == 15 {
-        return vec![Act::Run];
+fn script(exec: &ExecRequest) -> Vec<WorkerAction> {
+    if exec.arrival_index % 16 == 15 {
+        return vec![WorkerAction::Run];
     }
-    let mut acts = vec![Act::Wait(Duration::from_millis(3))];
+    let mut acts = vec![WorkerAction::Wait(Duration::from_millis(3))];
     acts.extend(exec.serve());
     acts
 }
@@ -60,14 +60,14 @@
     to: SocketAddr,
     config: std::path::PathBuf,
     _workers: Vec<LineWorker>,
-    _board: Board,
+    _board: FakeBulletin,
 }
 
 impl Bed {
     fn new(name: &str) -> Self {
         let start_one = |n| LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("a worker");
         let workers: Vec<_> = (0..4).map(start_one).collect();
-        let board = Board::start(2).expect("a bulletin");
+        let board = FakeBulletin::start(2).expect("a bulletin");
         let one = |(n, w): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), w.address(), "Ready");
         let targets = workers.iter().enumerate().map(one).collect::<Vec<_>>().join(",");
         let config = file(name, &config_json(Limits::default(), board.address(), &targets));
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -4,7 +4,7 @@
 mod common;
 mod process;
 
-use basaltward_fakes::{Board, FrontClient, FrontReply, LineWorker};
+use basaltward_fakes::{FakeBulletin, FrontClient, FrontReply, LineWorker};
 use basaltward_rules::Recorder;
 use common::{Limits, TEST_TIMEOUT, bulletin_entry, config_json};
 use process::{file, program, signal, start, start_heard};
@@ -84,7 +84,7 @@
 #[test]
 fn signals_together_and_twice_do_no_harm() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let board = Board::start(2).expect("a bulletin");
+    let board = FakeBulletin::start(2).expect("a bulletin");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let config = file("signals", &config_json(Limits::default(), board.address(), &targets));
     let (mut child, to) = start(&config);
@@ -100,7 +100,7 @@
 #[test]
 fn ten_thousand_clients_functions_and_many_workers_leave_nothing_behind() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let board = Board::start(2).expect("a bulletin");
+    let board = FakeBulletin::start(2).expect("a bulletin");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let long = config_json(Limits::default(), board.address(), &targets);
     // What is idle for 0.2 s is forgotten, and no timer lasts for seconds, so that the test need not last for
@@ -114,8 +114,8 @@
             if number % 5 == 0 {
                 // A new worker at the address of the one that goes.
                 let name = |n: u64| format!("s-{n}");
-                board.tell(&bulletin_entry(&name(generation + 1), worker.address(), "Ready"));
-                board.tell(&bulletin_entry(&name(generation), worker.address(), "Gone"));
+                board.publish(&bulletin_entry(&name(generation + 1), worker.address(), "Ready"));
+                board.publish(&bulletin_entry(&name(generation), worker.address(), "Gone"));
                 generation += 1;
             }
             let told = call(to, number);
@@ -184,7 +184,8 @@
 #[test]
 fn a_bad_configuration_at_a_signal_changes_nothing_and_is_named_in_one_line() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let (old, new) = (Board::start(2).expect("a bulletin"), Board::start(2).expect("a bulletin"));
+    let (old, new) =
+        (FakeBulletin::start(2).expect("a bulletin"), FakeBulletin::start(2).expect("a bulletin"));
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let first = config_json(Limits::default(), old.address(), &targets);
     let config = file("again", &first);
@@ -206,13 +207,13 @@
         // It is read again every 0.1 s meanwhile.
         assert!(never_said(&lines, "configuration", Duration::from_millis(350)), "{named}: said twice");
     }
-    assert_eq!((new.asked().len(), old.standing()), (0, 1));
+    assert_eq!((new.received_requests().len(), old.open_connections()), (0, 1));
     // The good one that follows is taken without a further signal, and it is the last word.
     std::fs::write(&config, &good).expect("written");
     assert!(said(&lines, "configuration read").contains(&new.address().to_string()));
-    new.tell(&bulletin_entry("s-9", worker.address(), "Gone"));
+    new.publish(&bulletin_entry("s-9", worker.address(), "Gone"));
     let until = Instant::now() + TEST_TIMEOUT;
-    while (old.standing(), new.standing()) != (0, 1) {
+    while (old.open_connections(), new.open_connections()) != (0, 1) {
         assert!(Instant::now() < until, "the new one is never followed alone");
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -225,7 +226,8 @@
 #[test]
 fn a_good_signal_while_a_bad_configuration_waits_is_taken_at_once() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let (old, new) = (Board::start(2).expect("a bulletin"), Board::start(2).expect("a bulletin"));
+    let (old, new) =
+        (FakeBulletin::start(2).expect("a bulletin"), FakeBulletin::start(2).expect("a bulletin"));
     let first =
         config_json(Limits::default(), old.address(), &bulletin_entry("s-0", worker.address(), "Ready"));
     let good = first.replace(&old.address().to_string(), &new.address().to_string());
@@ -252,7 +254,8 @@
 #[test]
 fn a_second_signal_has_a_bad_configuration_read_again_for_as_long_as_the_first() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let (old, new) = (Board::start(2).expect("a bulletin"), Board::start(2).expect("a bulletin"));
+    let (old, new) =
+        (FakeBulletin::start(2).expect("a bulletin"), FakeBulletin::start(2).expect("a bulletin"));
     let first =
         config_json(Limits::default(), old.address(), &bulletin_entry("s-0", worker.address(), "Ready"));
     let good = first.replace(&old.address().to_string(), &new.address().to_string());
@@ -276,7 +279,8 @@
 #[test]
 fn other_settings_at_a_signal_leave_those_in_force_and_are_named() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let (old, new) = (Board::start(2).expect("a bulletin"), Board::start(2).expect("a bulletin"));
+    let (old, new) =
+        (FakeBulletin::start(2).expect("a bulletin"), FakeBulletin::start(2).expect("a bulletin"));
     let first =
         config_json(Limits::default(), old.address(), &bulletin_entry("s-0", worker.address(), "Ready"));
     let config = file("other", &first);
@@ -290,7 +294,7 @@
     assert!(line.contains("seed, settings") && !line.contains("listen"), "{line}");
     // The bulletin is taken, the classes are those of the start.
     let until = Instant::now() + TEST_TIMEOUT;
-    while new.standing() != 1 {
+    while new.open_connections() != 1 {
         assert!(Instant::now() < until, "the new one is never followed");
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -355,7 +359,7 @@
 #[test]
 fn with_no_descriptor_left_it_waits_and_then_goes_on() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let board = Board::start(2).expect("a bulletin");
+    let board = FakeBulletin::start(2).expect("a bulletin");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let config = file("short", &config_json(Limits::default(), board.address(), &targets));
     let (mut child, to) = start(&config);
@@ -368,7 +372,7 @@
         (0..20).map(|_| FrontClient::connect(to, TEST_TIMEOUT).expect("connected")).collect();
     // The bulletin and the worker end what stands, and new connections to them need descriptors too.
     worker.reset_all();
-    board.cut();
+    board.disconnect_all();
     let before = ticks(&child);
     std::thread::sleep(Duration::from_secs(1));
     let used = ticks(&child) - before;
@@ -385,7 +389,7 @@
 #[test]
 fn a_flood_of_large_bodies_and_clients_that_do_not_read_stay_within_memory() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let board = Board::start(2).expect("a bulletin");
+    let board = FakeBulletin::start(2).expect("a bulletin");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let limits = Limits::default();
     let config = file("flood", &config_json(limits, board.address(), &targets));
@@ -409,8 +413,8 @@
                         ("props", "memory_mb:64;lanes:8;load_ms:20"),
                     ];
                     let done = match number % 2 {
-                        0 if sent == 0 => client.raw(b"\x03\x93\x87\x00"),
-                        0 => client.raw(&body),
+                        0 if sent == 0 => client.send_raw_bytes(b"\x03\x93\x87\x00"),
+                        0 => client.send_raw_bytes(&body),
                         _ => client.submit(&fields, &body).map(drop),
                     };
                     if done.is_err() {
@@ -434,7 +438,7 @@
 #[test]
 fn one_whose_address_the_system_refuses_for_a_moment_starts_all_the_same() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("a worker");
-    let board = Board::start(2).expect("a bulletin");
+    let board = FakeBulletin::start(2).expect("a bulletin");
     let config = file(
         "patient",
         &config_json(Limits::default(), board.address(), &bulletin_entry("s-0", worker.address(), "Ready")),
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -9,7 +9,7 @@
 mod common;
 mod process;
 
-use basaltward_fakes::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
+use basaltward_fakes::{ExecRequest, FakeBulletin, FrontClient, FrontReply, LineWorker, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
 use common::{Call, Limits, bulletin_entry, config_json, fields};
@@ -118,7 +118,7 @@
 }
 
 impl Budgets {
-    fn told(&self, exec: &Exec) {
+    fn told(&self, exec: &ExecRequest) {
         let until = self.until.lock().expect("sound").get(&exec.id).copied();
         let budget =
             exec.fields.split("budget=").nth(1).and_then(|rest| rest.split(',').next()?.parse().ok());
@@ -135,7 +135,7 @@
     config: PathBuf,
     hang: &'static AtomicBool,
     budgets: &'static Budgets,
-    board: Board,
+    board: FakeBulletin,
     workers: Vec<LineWorker>,
 }
 
@@ -143,16 +143,16 @@
     fn new(scenario: &Scenario) -> Self {
         let hang: &'static AtomicBool = Box::leak(Box::default());
         let budgets: &'static Budgets = Box::leak(Box::default());
-        let script = move |exec: &Exec| {
+        let script = move |exec: &ExecRequest| {
             budgets.told(exec);
-            match hang.load(Ordering::SeqCst) || exec.nth % 16 == 15 {
-                true => vec![Act::Run],
-                false => [vec![Act::Wait(Duration::from_millis(2))], exec.serve()].concat(),
+            match hang.load(Ordering::SeqCst) || exec.arrival_index % 16 == 15 {
+                true => vec![WorkerAction::Run],
+                false => [vec![WorkerAction::Wait(Duration::from_millis(2))], exec.serve()].concat(),
             }
         };
         let start_one = |n| LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("a worker");
         let workers: Vec<_> = (0..4).map(start_one).collect();
-        let board = Board::start(2).expect("a bulletin");
+        let board = FakeBulletin::start(2).expect("a bulletin");
         let one = |(n, w): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), w.address(), "Ready");
         let targets = workers.iter().enumerate().map(one).collect::<Vec<_>>().join(",");
         let limits = Limits { deadline_ms: scenario.deadline_ms, ..Limits::default() };
@@ -177,16 +177,16 @@
     /// Discovery goes down and two workers drain; gives until when new work may come to them.
     fn drain_unseen(&self) -> Micros {
         let down = monotonic();
-        self.board.down();
+        self.board.stop_listening();
         std::thread::sleep(Duration::from_millis(100));
-        self.workers[..2].iter().for_each(|worker| worker.drain(true));
+        self.workers[..2].iter().for_each(|worker| worker.set_draining(true));
         std::thread::sleep(Duration::from_micros(TOLD + GRACE));
         down + TOLD + GRACE + CROSSING + MACHINE
     }
 
     /// What came to workers that drained later than that.
     fn past(&self, until: Micros) -> Vec<String> {
-        let came = self.workers.iter().flat_map(LineWorker::turned_away);
+        let came = self.workers.iter().flat_map(LineWorker::rejected_while_draining);
         came.filter(|one| one.at > until).map(|one| format!("past told and grace: {one:?}")).collect()
     }
 }
@@ -245,9 +245,9 @@
     let fields = fields(one, &timeout);
     let written = match apart {
         None => client.submit(&fields, &one.body),
-        Some(apart) => client.half(&fields, &one.body).and_then(|(seqid, rest)| {
+        Some(apart) => client.submit_half(&fields, &one.body).and_then(|(seqid, rest)| {
             std::thread::sleep(apart);
-            client.raw(&rest).map(|()| seqid)
+            client.send_raw_bytes(&rest).map(|()| seqid)
         }),
     };
     let sent = monotonic();
@@ -375,7 +375,7 @@
     phase.term.store(term, Ordering::SeqCst);
     cluster.hang.store(scenario.workers_hang, Ordering::SeqCst);
     if scenario.discovery_down && !scenario.unseen_drains {
-        cluster.board.down();
+        cluster.board.stop_listening();
     }
     let mut signals = scenario.signals.iter().peekable();
     let mut ended = None;
--- a/crates/cli/tests/stalls.rs
+++ b/crates/cli/tests/stalls.rs
@@ -4,7 +4,7 @@
 mod common;
 mod process;
 
-use basaltward_fakes::{Board, Exec, FrontClient, FrontReply, LineWorker, answer};
+use basaltward_fakes::{ExecRequest, FakeBulletin, FrontClient, FrontReply, LineWorker, answer_line};
 use basaltward_net::monotonic;
 use basaltward_rules::{Observation, Recorder};
 use common::{
@@ -25,16 +25,16 @@
     workers: Vec<LineWorker>,
     config: PathBuf,
     recorder: Recorder,
-    _board: Board,
+    _board: FakeBulletin,
 }
 
 impl Bed {
     fn new(name: &str, limits: Limits, workers: usize) -> Self {
         let recorder = Recorder::memory();
-        let held = |exec: &Exec| if exec.id.starts_with('f') { Vec::new() } else { exec.serve() };
+        let held = |exec: &ExecRequest| if exec.id.starts_with('f') { Vec::new() } else { exec.serve() };
         let start_one = |n| LineWorker::start(&format!("s-{n}"), recorder.clone(), held).expect("a worker");
         let workers: Vec<_> = (0..workers).map(start_one).collect();
-        let board = Board::start(2).expect("a bulletin");
+        let board = FakeBulletin::start(2).expect("a bulletin");
         let one = |(n, w): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), w.address(), "Ready");
         let targets = workers.iter().enumerate().map(one).collect::<Vec<_>>().join(",");
         let config = file(name, &config_json(limits, board.address(), &targets));
@@ -80,7 +80,7 @@
     }
 
     fn lines(&self) -> Vec<String> {
-        self.workers.iter().flat_map(LineWorker::lines).collect()
+        self.workers.iter().flat_map(LineWorker::received_lines).collect()
     }
 
     fn execs(&self, id: &str) -> usize {
@@ -105,7 +105,7 @@
     for way in ABANDON_METHODS {
         let bed = Bed::new(&format!("left-answer-{way}"), Limits::default(), 1);
         bed.passes(1);
-        bed.workers[0].hold_orders();
+        bed.workers[0].hold_order_answers();
         let mut client = bed.client();
         let one = Call { function: "00000000000000f0".into(), ..held(2, "extract") };
         let seqid = send(&mut client, &one);
@@ -121,8 +121,8 @@
         let line = asked().expect("it was asked");
         let (words, port) = line.split_once(" from=").expect("a port");
         let tag = words.split(' ').nth(1).expect("a tag");
-        let stands = answer(tag, "OK", "slots_up=1", b"");
-        bed.workers[0].say(port.parse().expect("a port"), &stands).expect("it stands");
+        let stands = answer_line(tag, "OK", "slots_up=1", b"");
+        bed.workers[0].write_to_port(port.parse().expect("a port"), &stands).expect("it stands");
         let left = abandon(client, &[seqid], way);
         thaw(&bed.child);
         (10..13).for_each(|n| bed.passes(n));
@@ -137,7 +137,7 @@
         let limits = Limits { connect_ms: 3_000, ..Limits::default() };
         let bed = Bed::new(&format!("left-connection-{way}"), limits, 1);
         bed.passes(1);
-        bed.workers.iter().for_each(|w| w.plug().expect("plugged"));
+        bed.workers.iter().for_each(|w| w.block_new_connections().expect("plugged"));
         bed.workers.iter().for_each(LineWorker::reset_all);
         let mut client = bed.client();
         let one = held(number as u64, "extract");
@@ -147,7 +147,7 @@
             client.heartbeat().and_then(|_| client.read()).expect("alive");
         }
         freeze(&bed.child);
-        bed.workers.iter().for_each(LineWorker::unplug);
+        bed.workers.iter().for_each(LineWorker::unblock_new_connections);
         // The system tries again a second after the first packet.
         std::thread::sleep(Duration::from_millis(1_300));
         let left = abandon(client, &[seqid], way);
@@ -217,7 +217,7 @@
             ("props", "memory_mb:64;lanes:8;load_ms:20"),
         ];
         let halved = open.as_mut().filter(|_| which == "halved");
-        let half = halved.map(|open| open.half(&fields, &one.body).expect("sent"));
+        let half = halved.map(|open| open.submit_half(&fields, &one.body).expect("sent"));
         freeze(&bed.child);
         for sent in [Signal::HUP, Signal::TERM, Signal::TERM, Signal::HUP] {
             signal(&bed.child, sent);
@@ -226,7 +226,7 @@
         let mut client = open.unwrap_or_else(|| bed.client());
         let asked = match half {
             Some((asked, rest)) => {
-                client.raw(&rest).expect("sent");
+                client.send_raw_bytes(&rest).expect("sent");
                 asked
             }
             None => send(&mut client, &one),
@@ -246,8 +246,8 @@
 
 #[test]
 fn a_signal_before_it_is_ready_ends_it_and_breaks_nothing() {
-    let worker = LineWorker::start("s-0", Recorder::none(), Exec::serve).expect("a worker");
-    let board = Board::start(2).expect("a bulletin");
+    let worker = LineWorker::start("s-0", Recorder::none(), ExecRequest::serve).expect("a worker");
+    let board = FakeBulletin::start(2).expect("a bulletin");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let config = file("early", &config_json(Limits::default(), board.address(), &targets));
     for round in 0..20u64 {
@@ -292,7 +292,7 @@
         let seqid = send(&mut client, &one);
         let (worker, port) = bed.holder(&one.id);
         freeze(&bed.child);
-        worker.say(port, &answer(&one.id, "OK", "detail=up", b"late")).expect("it stands");
+        worker.write_to_port(port, &answer_line(&one.id, "OK", "detail=up", b"late")).expect("it stands");
         client = abandon(client, &[seqid], "revoke").expect("it stands");
         thaw(&bed.child);
         // What is asked next is what is answered next.
@@ -312,7 +312,7 @@
         let seqid = send(&mut client, &one);
         let (worker, port) = bed.holder(&one.id);
         freeze(&bed.child);
-        worker.say(port, &answer(&one.id, "OK", "detail=up", b"late")).expect("it stands");
+        worker.write_to_port(port, &answer_line(&one.id, "OK", "detail=up", b"late")).expect("it stands");
         // Its time has to pass.
         std::thread::sleep(Duration::from_millis(300));
         thaw(&bed.child);
@@ -337,7 +337,7 @@
     let (mut unread, mut late) = (bed.client(), held(2, "view"));
     late.timeout_ms = 400;
     send(&mut unread, &late);
-    worker.say(port, &answer(&one.id, "MISS", "-", b"")).expect("it stands");
+    worker.write_to_port(port, &answer_line(&one.id, "MISS", "-", b"")).expect("it stands");
     let began = monotonic();
     // What stands still has no event to wait for.
     std::thread::sleep(Duration::from_millis(1_000));
--- a/crates/cli/tests/trial.rs
+++ b/crates/cli/tests/trial.rs
@@ -64,7 +64,7 @@
 #[test]
 fn an_effect_twice_is_found() {
     let bed = Bed::start_as(spec(1, 1), |exec| {
-        let mut acts = vec![basaltward_fakes::Act::Run];
+        let mut acts = vec![basaltward_fakes::WorkerAction::Run];
         acts.extend(exec.serve());
         acts
     });
--- a/crates/cli/tests/unseen_drains.rs
+++ b/crates/cli/tests/unseen_drains.rs
@@ -6,7 +6,9 @@
 mod common;
 mod process;
 
-use basaltward_fakes::{Act, Board, Exec, FrontClient, FrontReply, LineWorker, TurnedAway};
+use basaltward_fakes::{
+    ExecRequest, FakeBulletin, FrontClient, FrontReply, LineWorker, RejectedLine, WorkerAction,
+};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
 use common::{Call, Limits, TEST_TIMEOUT, bulletin_entry, config_json, send};
@@ -130,7 +132,7 @@
 
 struct Played {
     /// New work that came past what the rule allows.
-    breaches: Vec<TurnedAway>,
+    breaches: Vec<RejectedLine>,
     /// New work that came to workers that drained, in all.
     turned_away: usize,
     /// Questions to all workers.
@@ -144,17 +146,18 @@
 
 struct Bed {
     scenario: Scenario,
-    board: Board,
+    board: FakeBulletin,
     workers: Vec<LineWorker>,
     number: AtomicU64,
 }
 
 impl Bed {
     fn new(scenario: Scenario) -> Self {
-        let script = |exec: &Exec| [vec![Act::Wait(Duration::from_millis(3))], exec.serve()].concat();
+        let script =
+            |exec: &ExecRequest| [vec![WorkerAction::Wait(Duration::from_millis(3))], exec.serve()].concat();
         let worker = |n| LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("a worker");
         let workers = (0..WORKERS).map(worker).collect();
-        let board = Board::start(2).expect("a bulletin");
+        let board = FakeBulletin::start(2).expect("a bulletin");
         Self { scenario, board, workers, number: AtomicU64::new(0) }
     }
 
@@ -203,7 +206,7 @@
             let flaps = self.cut(began, &schedulers, scope);
             let mut drained = Vec::new();
             let mut drain = |worker: usize| {
-                self.workers[worker].drain(true);
+                self.workers[worker].set_draining(true);
                 drained.push((worker, monotonic()));
             };
             sleep_until(began + FIRST_DRAINS);
@@ -235,7 +238,7 @@
                 Trouble::NobodyLeft => {
                     (3..WORKERS).for_each(&mut drain);
                     sleep_until(began + THIRD_DRAIN + ALONE);
-                    self.workers[4].drain(false);
+                    self.workers[4].set_draining(false);
                 }
                 _ => {}
             }
@@ -248,7 +251,7 @@
             let told = began + told_after;
             drained.into_iter().map(|(worker, at)| (worker, at.max(told) + GRACE + SLACK)).collect::<Vec<_>>()
         });
-        let came = |worker: usize| self.workers[worker].turned_away();
+        let came = |worker: usize| self.workers[worker].rejected_while_draining();
         let late = |(worker, until): &(usize, Micros)| {
             came(*worker).into_iter().filter(|one| one.at > *until).collect::<Vec<_>>()
         };
@@ -270,8 +273,8 @@
         scope: &'scope std::thread::Scope<'scope, '_>,
     ) -> Option<std::thread::ScopedJoinHandle<'scope, ()>> {
         match self.scenario.outage {
-            Outage::Refuses => self.board.down(),
-            Outage::Silent => self.board.silence(true),
+            Outage::Refuses => self.board.stop_listening(),
+            Outage::Silent => self.board.set_silent(true),
             Outage::Moves => {
                 let nobody = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr());
                 let nobody = nobody.expect("a port").to_string();
@@ -281,17 +284,17 @@
                     std::fs::write(&scheduler.config, moved).expect("written");
                     process::signal(&scheduler.child, Signal::HUP);
                 }
-                self.board.silence(true);
+                self.board.set_silent(true);
             }
             Outage::Flaps => {
-                self.board.down();
-                self.board.silence(true);
+                self.board.stop_listening();
+                self.board.set_silent(true);
                 return Some(scope.spawn(move || {
                     for nth in 1..=3 {
                         sleep_until(began + nth * 3 * S);
-                        self.board.up().expect("its port is free");
+                        self.board.resume_listening().expect("its port is free");
                         sleep_until(began + nth * 3 * S + 300 * MS);
-                        self.board.down();
+                        self.board.stop_listening();
                     }
                 }));
             }
@@ -302,23 +305,23 @@
     /// Discovery is back, and tells of the drains.
     fn heal(&self) {
         if matches!(self.scenario.outage, Outage::Refuses | Outage::Flaps) {
-            self.board.up().expect("its port is free");
+            self.board.resume_listening().expect("its port is free");
         }
-        self.board.silence(false);
+        self.board.set_silent(false);
         let gone = if self.scenario.trouble == Trouble::NobodyLeft { WORKERS } else { 3 };
         let drains: Vec<_> = (0..gone).filter(|n| *n != 4).map(|n| self.entry(n, "Terminating")).collect();
-        self.board.tell(&drains.join(","));
+        self.board.publish(&drains.join(","));
     }
 }
 
 /// Calls that came to a worker.
 fn calls(worker: &LineWorker) -> usize {
-    worker.lines().iter().filter(|line| line.starts_with("exec ")).count()
+    worker.received_lines().iter().filter(|line| line.starts_with("exec ")).count()
 }
 
 /// Questions that came to a worker.
 fn questions(worker: &LineWorker) -> usize {
-    worker.lines().iter().filter(|line| line.starts_with("load ")).count()
+    worker.received_lines().iter().filter(|line| line.starts_with("load ")).count()
 }
 
 fn sleep_until(at: Micros) {
--- a/crates/fakes/src/bulletin.rs
+++ b/crates/fakes/src/bulletin.rs
@@ -49,7 +49,7 @@
 }
 
 /// A stand-in bulletin.
-pub struct Board {
+pub struct FakeBulletin {
     address: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
     accepts: Mutex<Option<JoinHandle<()>>>,
@@ -59,7 +59,7 @@
     state.0.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Board {
+impl FakeBulletin {
     /// A bulletin whose next event has this number.
     ///
     /// # Errors
@@ -87,14 +87,14 @@
     }
 
     /// Tells one more event; `targets` are its entries, as JSON.
-    pub fn tell(&self, targets: &str) {
+    pub fn publish(&self, targets: &str) {
         let mut state = lock(&self.state);
         let event = state.hold(targets);
         state.say(&event);
     }
 
     /// Tells one more event that holds the whole list.
-    pub fn tell_whole(&self, targets: &str) {
+    pub fn publish_full_list(&self, targets: &str) {
         let mut state = lock(&self.state);
         let event = state.hold_as(targets, true);
         state.say(&event);
@@ -102,7 +102,7 @@
 
     /// Holds one more event, tells the first half of its line and nothing more on the connections that stand, which it
     /// leaves open.
-    pub fn stall(&self, targets: &str) {
+    pub fn stall_mid_event(&self, targets: &str) {
         let mut state = lock(&self.state);
         let event = state.hold(targets);
         state.say(&event[..event.len() / 2]);
@@ -111,14 +111,14 @@
     }
 
     /// Tells several events in one write.
-    pub fn tell_together(&self, events: &[&str]) {
+    pub fn publish_batch(&self, events: &[&str]) {
         let mut state = lock(&self.state);
         let text: String = events.iter().map(|targets| state.hold(targets)).collect();
         state.say(&text);
     }
 
     /// Holds one more event, tells the first half of its line and ends every connection, by a reset where told so.
-    pub fn break_off(&self, targets: &str, reset: bool) {
+    pub fn disconnect_mid_event(&self, targets: &str, reset: bool) {
         let mut state = lock(&self.state);
         let event = state.hold(targets);
         state.say(&event[..event.len() / 2]);
@@ -131,7 +131,7 @@
     }
 
     /// Speaks again after [`Board::silence`]: tells all events on every connection that stands, so late.
-    pub fn speak(&self) {
+    pub fn resume_and_resend(&self) {
         let mut state = lock(&self.state);
         state.silent = false;
         let text = state.events.concat();
@@ -139,38 +139,38 @@
     }
 
     /// Connections that have asked and that their scheduler has not ended.
-    pub fn standing(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         let state = lock(&self.state);
         state.open.iter().chain(&state.hushed).filter(|stream| stands(stream)).count()
     }
 
     /// Writes these bytes to whoever listens.
-    pub fn garble(&self, text: &str) {
+    pub fn send_raw(&self, text: &str) {
         lock(&self.state).say(text);
     }
 
     /// Ends every connection.
-    pub fn cut(&self) {
+    pub fn disconnect_all(&self) {
         for stream in lock(&self.state).open.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
     /// Ends every connection and refuses new ones. Once this returns nobody is accepted.
-    pub fn down(&self) {
+    pub fn stop_listening(&self) {
         lock(&self.state).down = true;
         // Wakes the thread that accepts, whose end closes the listener.
         let _ = TcpStream::connect(self.address);
         let accepts = self.accepts.lock().unwrap_or_else(PoisonError::into_inner).take();
         let _ = accepts.map(JoinHandle::join);
-        self.cut();
+        self.disconnect_all();
     }
 
     /// Listens again at the same address, after [`Board::down`].
     ///
     /// # Errors
     /// Where the system refuses the socket.
-    pub fn up(&self) -> io::Result<()> {
+    pub fn resume_listening(&self) -> io::Result<()> {
         let listener = TcpListener::bind(self.address)?;
         lock(&self.state).down = false;
         let mut accepts = self.accepts.lock().unwrap_or_else(PoisonError::into_inner);
@@ -179,19 +179,19 @@
     }
 
     /// Leaves the connections that stand open and says nothing more on them.
-    pub fn hush(&self) {
+    pub fn mute_open_connections(&self) {
         let mut state = lock(&self.state);
         let mut open = std::mem::take(&mut state.open);
         state.hushed.append(&mut open);
     }
 
     /// Says nothing more on the connections that stand, or on any.
-    pub fn silence(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         lock(&self.state).silent = silent;
     }
 
     /// What the connections so far asked.
-    pub fn asked(&self) -> Vec<String> {
+    pub fn received_requests(&self) -> Vec<String> {
         lock(&self.state).asked.clone()
     }
 }
@@ -235,11 +235,11 @@
     Ok(())
 }
 
-impl Drop for Board {
+impl Drop for FakeBulletin {
     fn drop(&mut self) {
         lock(&self.state).over = true;
         self.state.1.notify_all();
-        self.cut();
+        self.disconnect_all();
         // Wakes the thread that accepts.
         let _ = TcpStream::connect(self.address);
     }
--- a/crates/fakes/src/front_client.rs
+++ b/crates/fakes/src/front_client.rs
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     /// Where the connection is over.
-    pub fn half(&mut self, fields: &[(&str, &str)], body: &[u8]) -> io::Result<(i32, Vec<u8>)> {
+    pub fn submit_half(&mut self, fields: &[(&str, &str)], body: &[u8]) -> io::Result<(i32, Vec<u8>)> {
         self.seqid += 1;
         let mut out = BytesMut::new();
         write::submit(&mut out, self.seqid, fields, body);
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     /// Where the connection is over.
-    pub fn raw(&mut self, bytes: &[u8]) -> io::Result<()> {
+    pub fn send_raw_bytes(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
 
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -12,11 +12,11 @@
 mod store;
 mod worker_model;
 
-pub use bulletin::Board;
+pub use bulletin::FakeBulletin;
 pub use clients::{Clients, Plan, Retries, Tally};
 pub use fleet::{Fault, Fleet, FleetError};
 pub use front_client::{FrontClient, FrontReply};
-pub use kv_store::{KvStore, Past, View, Written};
-pub use line_worker::{Act, Exec, LineWorker, TurnedAway, answer};
+pub use kv_store::{Change, HistoryError, KvStore, Snapshot};
+pub use line_worker::{ExecRequest, LineWorker, RejectedLine, WorkerAction, answer_line};
 pub use store::StoreSpec;
 pub use worker_model::WorkerSpec;
--- a/crates/fakes/src/line_worker.rs
+++ b/crates/fakes/src/line_worker.rs
@@ -13,7 +13,7 @@
 
 /// A request as it came.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Exec {
+pub struct ExecRequest {
     /// Its id.
     pub id: String,
     /// Its fields, as written.
@@ -21,12 +21,12 @@
     /// Its body.
     pub body: Vec<u8>,
     /// How many came to this worker before it.
-    pub nth: usize,
+    pub arrival_index: usize,
 }
 
 /// What a worker does about a request, in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum WorkerAction {
     /// Runs it: its effect happens.
     Run,
     /// Writes these bytes.
@@ -40,19 +40,22 @@
 }
 
 /// An answer line with its body.
-pub fn answer(id: &str, word: &str, fields: &str, body: &[u8]) -> Vec<u8> {
+pub fn answer_line(id: &str, word: &str, fields: &str, body: &[u8]) -> Vec<u8> {
     let head = format!("{id} {word} {fields} {}\r\n", body.len());
     [head.as_bytes(), body, b"\r\n"].concat()
 }
 
-impl Exec {
+impl ExecRequest {
     /// Runs and answers with the body turned round.
-    pub fn serve(&self) -> Vec<Act> {
-        vec![Act::Run, Act::Write(answer(&self.id, "OK", "detail=up", &self.turned()))]
+    pub fn serve(&self) -> Vec<WorkerAction> {
+        vec![
+            WorkerAction::Run,
+            WorkerAction::Write(answer_line(&self.id, "OK", "detail=up", &self.reversed_body())),
+        ]
     }
 
     /// Its body backwards: what [`Exec::serve`] answers with.
-    pub fn turned(&self) -> Vec<u8> {
+    pub fn reversed_body(&self) -> Vec<u8> {
         self.body.iter().rev().copied().collect()
     }
 }
@@ -66,7 +69,7 @@
     Shut,
 }
 
-type Script = dyn Fn(&Exec) -> Vec<Act> + Send + Sync;
+type Script = dyn Fn(&ExecRequest) -> Vec<WorkerAction> + Send + Sync;
 
 type Who = dyn Fn(SocketAddr) -> String + Send + Sync;
 
@@ -88,12 +91,12 @@
     /// It takes no new work and says so.
     drains: AtomicBool,
     /// New work that came while it drained.
-    turned_away: Mutex<Vec<TurnedAway>>,
+    turned_away: Mutex<Vec<RejectedLine>>,
 }
 
 /// New work that came to a worker that drains.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TurnedAway {
+pub struct RejectedLine {
     /// When its line had come, in microseconds.
     pub at: u64,
     /// Where it came from.
@@ -117,20 +120,20 @@
     pub fn start(
         name: &str,
         recorder: Recorder,
-        script: impl Fn(&Exec) -> Vec<Act> + Send + Sync + 'static,
+        script: impl Fn(&ExecRequest) -> Vec<WorkerAction> + Send + Sync + 'static,
     ) -> io::Result<Self> {
-        Self::start_for(name, recorder, |_| "n0".into(), script)
+        Self::start_for_schedulers(name, recorder, |_| "n0".into(), script)
     }
 
     /// As [`LineWorker::start`], for several schedulers, told apart by where they come from.
     ///
     /// # Errors
     /// As [`LineWorker::start`].
-    pub fn start_for(
+    pub fn start_for_schedulers(
         name: &str,
         recorder: Recorder,
         who: impl Fn(SocketAddr) -> String + Send + Sync + 'static,
-        script: impl Fn(&Exec) -> Vec<Act> + Send + Sync + 'static,
+        script: impl Fn(&ExecRequest) -> Vec<WorkerAction> + Send + Sync + 'static,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -171,12 +174,12 @@
     }
 
     /// Every line that came so far.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn received_lines(&self) -> Vec<String> {
         lock(&self.shared.lines).clone()
     }
 
     /// When orders to load came, in microseconds; those that only ask are left out.
-    pub fn ordered(&self) -> Vec<u64> {
+    pub fn load_order_times(&self) -> Vec<u64> {
         lock(&self.shared.ordered).clone()
     }
 
@@ -184,7 +187,7 @@
     ///
     /// # Errors
     /// Where no such connection stands.
-    pub fn say(&self, port: u16, bytes: &[u8]) -> io::Result<()> {
+    pub fn write_to_port(&self, port: u16, bytes: &[u8]) -> io::Result<()> {
         let open = lock(&self.shared.open);
         let from = |stream: &&TcpStream| stream.peer_addr().is_ok_and(|from| from.port() == port);
         let mut stream = open.iter().find(from).ok_or(io::ErrorKind::NotConnected)?;
@@ -196,24 +199,24 @@
     ///
     /// # Errors
     /// Where the system refuses it.
-    pub fn narrow(&self) -> io::Result<()> {
+    pub fn shrink_receive_buffers(&self) -> io::Result<()> {
         Ok(rustix::net::sockopt::set_socket_recv_buffer_size(&self.listener, 4 << 10)?)
     }
 
     /// From now on orders get no answer but by [`LineWorker::say`]. Its line is recorded with the port that it came
     /// from, as in `ensure TAG path=F,slots_up=1 from=40000`.
-    pub fn hold_orders(&self) {
+    pub fn hold_order_answers(&self) {
         self.shared.holds_orders.store(true, Ordering::SeqCst);
     }
 
     /// From now on it drains, or takes work again: while it drains calls and orders to load are answered `BUSY`, probes
     /// `DOWN`; a question for copies is answered as ever.
-    pub fn drain(&self, drains: bool) {
+    pub fn set_draining(&self, drains: bool) {
         self.shared.drains.store(drains, Ordering::SeqCst);
     }
 
     /// Calls and orders to load that came while it drained.
-    pub fn turned_away(&self) -> Vec<TurnedAway> {
+    pub fn rejected_while_draining(&self) -> Vec<RejectedLine> {
         lock(&self.shared.turned_away).clone()
     }
 
@@ -223,7 +226,7 @@
     ///
     /// # Errors
     /// Where the system refuses a socket.
-    pub fn plug(&self) -> io::Result<()> {
+    pub fn block_new_connections(&self) -> io::Result<()> {
         *lock(&self.shared.gate.0) = Gate::Closes;
         rustix::net::listen(&self.listener, 0)?;
         // One connection that the thread holds, one that fills the system's queue. Where a caller was quicker, that one
@@ -242,7 +245,7 @@
     }
 
     /// Accepts again.
-    pub fn unplug(&self) {
+    pub fn unblock_new_connections(&self) {
         *lock(&self.shared.gate.0) = Gate::Open;
         self.shared.gate.1.notify_all();
     }
@@ -264,7 +267,7 @@
 
 impl Drop for LineWorker {
     fn drop(&mut self) {
-        self.unplug();
+        self.unblock_new_connections();
         self.close_all();
         // Wakes the thread that accepts, which then finds nobody left.
         let _ = TcpStream::connect(self.address);
@@ -323,10 +326,10 @@
                     reader.read_exact(&mut body)?;
                     body.truncate(length);
                     let nth = self.came.fetch_add(1, Ordering::SeqCst);
-                    let exec = Exec { id: id.into(), fields: fields.into(), body, nth };
+                    let exec = ExecRequest { id: id.into(), fields: fields.into(), body, arrival_index: nth };
                     if self.drains.load(Ordering::SeqCst) {
                         self.turn_away(from, &told);
-                        out.write_all(&answer(id, "BUSY", "-", b""))?;
+                        out.write_all(&answer_line(id, "BUSY", "-", b""))?;
                         continue;
                     }
                     if !self.act(&exec, from, stream)? {
@@ -335,17 +338,17 @@
                 }
                 ["health" | "load", tag] => {
                     let word = if self.drains.load(Ordering::SeqCst) { "DOWN" } else { "UP" };
-                    out.write_all(&answer(tag, word, "-", b""))?;
+                    out.write_all(&answer_line(tag, word, "-", b""))?;
                 }
                 ["ensure", ..] if held => {}
                 ["ensure", tag, _] if !told.ends_with("slots_up=0") && self.drains.load(Ordering::SeqCst) => {
                     self.turn_away(from, &told);
-                    out.write_all(&answer(tag, "BUSY", "slots_up=0", b""))?;
+                    out.write_all(&answer_line(tag, "BUSY", "slots_up=0", b""))?;
                 }
                 ["ensure", tag, fields] => {
                     let count = fields.rsplit_once("slots_up=").and_then(|(_, n)| n.parse().ok());
                     let stand = format!("slots_up={}", count.unwrap_or(0u32).max(1));
-                    out.write_all(&answer(tag, "OK", &stand, b""))?;
+                    out.write_all(&answer_line(tag, "OK", &stand, b""))?;
                 }
                 ["drop" | "release", _] => {}
                 _ => return Err(io::ErrorKind::InvalidData.into()),
@@ -354,24 +357,24 @@
     }
 
     fn turn_away(&self, from: SocketAddr, line: &str) {
-        lock(&self.turned_away).push(TurnedAway { at: monotonic(), from, line: line.into() });
+        lock(&self.turned_away).push(RejectedLine { at: monotonic(), from, line: line.into() });
     }
 
     /// Does what the script says; false where the connection is over.
-    fn act(&self, exec: &Exec, from: SocketAddr, mut stream: &TcpStream) -> io::Result<bool> {
+    fn act(&self, exec: &ExecRequest, from: SocketAddr, mut stream: &TcpStream) -> io::Result<bool> {
         let attempt = || format!("{}:{}@{}", (self.who)(from), exec.id, from.port());
         let put = |what| self.recorder.put(monotonic(), &self.name, what);
         put(Observation::Arrived { event: exec.id.clone(), attempt: attempt(), work: 1 });
         for act in (self.script)(exec) {
             match act {
-                Act::Run => put(Observation::Ran { event: exec.id.clone(), attempt: attempt() }),
-                Act::Write(bytes) => stream.write_all(&bytes)?,
-                Act::Wait(span) => std::thread::sleep(span),
-                Act::Reset => {
+                WorkerAction::Run => put(Observation::Ran { event: exec.id.clone(), attempt: attempt() }),
+                WorkerAction::Write(bytes) => stream.write_all(&bytes)?,
+                WorkerAction::Wait(span) => std::thread::sleep(span),
+                WorkerAction::Reset => {
                     reset(stream);
                     return Ok(false);
                 }
-                Act::Close => return Ok(false),
+                WorkerAction::Close => return Ok(false),
             }
         }
         Ok(true)
--- a/crates/kv/tests/histories.rs
+++ b/crates/kv/tests/histories.rs
@@ -1,5 +1,5 @@
 //! Random histories of a registry: what the follower tells is compared, step by step, with what was true.
-use basaltward_fakes::{KvStore, Past};
+use basaltward_fakes::{HistoryError, KvStore};
 use basaltward_kv::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -54,13 +54,13 @@
     }
 
     fn note(&mut self) {
-        let view = self.store.at(self.store.revision()).expect("the present");
+        let view = self.store.snapshot_at(self.store.revision()).expect("the present");
         let plain = view.into_iter().map(|(k, (v, _))| (k, v)).collect();
-        self.truth.insert((self.store.cluster, self.store.revision()), plain);
+        self.truth.insert((self.store.cluster_id, self.store.revision()), plain);
     }
 
     fn header(&self) -> Header {
-        Header { cluster: self.store.cluster, revision: self.store.revision() }
+        Header { cluster: self.store.cluster_id, revision: self.store.revision() }
     }
 
     fn done(&mut self, actions: Vec<Do>) {
@@ -104,9 +104,9 @@
         match self.question.take() {
             Some(Ask::Range { from, revision, limit }) => {
                 let at = if revision == 0 { self.store.revision() } else { revision };
-                match self.store.at(at) {
-                    Err(Past::Compacted(oldest)) => self.hear(Heard::Compacted(oldest)),
-                    Err(Past::Future) => self.hear(Heard::Broken),
+                match self.store.snapshot_at(at) {
+                    Err(HistoryError::Compacted(oldest)) => self.hear(Heard::Compacted(oldest)),
+                    Err(HistoryError::Future) => self.hear(Heard::Broken),
                     Ok(view) => {
                         let all = view.into_iter().filter(|(key, _)| *key >= from && key.starts_with(PREFIX));
                         let all: Vec<_> = all
@@ -120,8 +120,8 @@
             }
             Some(Ask::Watch { revision }) => {
                 let revision = revision + self.off;
-                match self.store.since(revision).map(drop) {
-                    Err(Past::Compacted(oldest)) => self.hear(Heard::Compacted(oldest)),
+                match self.store.changes_since(revision).map(drop) {
+                    Err(HistoryError::Compacted(oldest)) => self.hear(Heard::Compacted(oldest)),
                     _ => {
                         self.watch = Some(revision);
                         self.hear(Heard::Watching(header));
@@ -136,7 +136,7 @@
     fn deliver(&mut self) {
         let Some(from) = self.watch else { return };
         let most = self.rng.random_range(1..4);
-        let Ok(since) = self.store.since(from) else { return self.hear(Heard::Compacted(0)) };
+        let Ok(since) = self.store.changes_since(from) else { return self.hear(Heard::Compacted(0)) };
         let steps: Vec<_> = since.take(most).map(|(at, changes)| (at, changes.clone())).collect();
         let header = self.header();
         let Some(last) = steps.last().map(|(at, _)| *at) else { return self.hear(Heard::Progress(header)) };
@@ -213,7 +213,7 @@
             self.wake();
             self.answer();
         }
-        let truth = &self.truth[&(self.store.cluster, self.store.revision())];
+        let truth = &self.truth[&(self.store.cluster_id, self.store.revision())];
         let view: Plain = self.follower.view().iter().map(|(k, kv)| (k.clone(), kv.value.clone())).collect();
         if view != *truth || self.told.as_ref() != Some(truth) {
             self.wrong.get_or_insert(format!("in the end: {view:?}, true {truth:?}"));
--- a/crates/node/tests/cold_worker.rs
+++ b/crates/node/tests/cold_worker.rs
@@ -8,7 +8,7 @@
 #[allow(dead_code)]
 mod common;
 
-use basaltward_fakes::{Act, Board, Exec, FrontClient, LineWorker, answer};
+use basaltward_fakes::{ExecRequest, FakeBulletin, FrontClient, LineWorker, WorkerAction, answer_line};
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::{Control, Node};
 use basaltward_rules::{Observation, Recorder};
@@ -88,13 +88,17 @@
 }
 
 /// Serves up to the capacity within a second, and nothing once `rejecting` is set.
-fn serve_up_to_capacity(exec: &Exec, arrivals: &Mutex<VecDeque<Micros>>, rejecting: &AtomicBool) -> Vec<Act> {
+fn serve_up_to_capacity(
+    exec: &ExecRequest,
+    arrivals: &Mutex<VecDeque<Micros>>,
+    rejecting: &AtomicBool,
+) -> Vec<WorkerAction> {
     let (now, mut arrivals) = (monotonic(), arrivals.lock().expect("lock not poisoned"));
     while arrivals.front().is_some_and(|at| at + SECOND <= now) {
         arrivals.pop_front();
     }
     if rejecting.load(Ordering::SeqCst) || arrivals.len() as f64 >= CAPACITY {
-        return vec![Act::Write(answer(&exec.id, "BUSY", "-", b""))];
+        return vec![WorkerAction::Write(answer_line(&exec.id, "BUSY", "-", b""))];
     }
     arrivals.push_back(now);
     exec.serve()
@@ -171,13 +175,13 @@
     let workers: Vec<_> = (0..=WARM)
         .map(|n| {
             let (rejecting, arrivals) = (rejecting.clone(), Mutex::default());
-            let script = move |exec: &Exec| {
+            let script = move |exec: &ExecRequest| {
                 if n < WARM { serve_up_to_capacity(exec, &arrivals, &rejecting) } else { exec.serve() }
             };
             LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("worker started")
         })
         .collect();
-    let board = Board::start(2).expect("bulletin started");
+    let board = FakeBulletin::start(2).expect("bulletin started");
     let entry = |n: usize, state: &str| bulletin_entry(&format!("s-{n}"), workers[n].address(), state);
     let known: Vec<_> = (0..WARM).map(|n| entry(n, "Ready")).collect();
     let start_one = |index| Scheduler::start(index, 0, board.address(), &known.join(","), &fleet);
@@ -198,10 +202,10 @@
     let wall = if reported { wall } else { 0 };
     let cold = entry(WARM, "Ready").replace("\"boot_ms\":0", &format!("\"boot_ms\":{wall}"));
     let change = [cold, entry(0, "Terminating")];
-    board.tell(&change.join(","));
+    board.publish(&change.join(","));
     sleep_until(start + RESTART_AFTER);
     // The restarted third has no record of what it has sent; clients of the old processes switch to the new ones.
-    let new_board = Board::start(2).expect("bulletin started");
+    let new_board = FakeBulletin::start(2).expect("bulletin started");
     let full_list: Vec<_> = change.into_iter().chain((1..WARM).map(|n| entry(n, "Ready"))).collect();
     for index in (0..SCHEDULERS).step_by(3) {
         let new = Scheduler::start(index, 1, new_board.address(), &full_list.join(","), &fleet);
@@ -234,13 +238,13 @@
     let workers: Vec<_> = (0..=WARM)
         .map(|n| {
             let (rejecting, arrivals) = (rejecting.clone(), Mutex::default());
-            let script = move |exec: &Exec| {
+            let script = move |exec: &ExecRequest| {
                 if n < WARM { serve_up_to_capacity(exec, &arrivals, &rejecting) } else { exec.serve() }
             };
             LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("worker started")
         })
         .collect();
-    let board = Board::start(2).expect("bulletin started");
+    let board = FakeBulletin::start(2).expect("bulletin started");
     let entry = |n: usize| bulletin_entry(&format!("s-{n}"), workers[n].address(), "Ready");
     let known = (0..=WARM).map(entry).collect::<Vec<_>>().join(",");
     let start_one = |index| Scheduler::start(index, 0, board.address(), &known, &fleet);
@@ -255,7 +259,7 @@
         })
         .collect();
     sleep_until(monotonic() + WARM_UP);
-    board.silence(true);
+    board.set_silent(true);
     // The lease of the list and the grace have passed: schedulers now go by the workers' own reports.
     sleep_until(monotonic() + SILENCE);
     let start = monotonic();
--- a/crates/node/tests/sockets/answers.rs
+++ b/crates/node/tests/sockets/answers.rs
@@ -1,11 +1,11 @@
 //! What a client receives for a call, whatever happens at its worker.
 
 use crate::common::*;
-use basaltward_fakes::{Act, Exec, FrontReply, answer};
+use basaltward_fakes::{ExecRequest, FrontReply, WorkerAction, answer_line};
 use basaltward_rules::Observation;
 use std::time::Duration;
 
-fn serve(_: usize, exec: &Exec) -> Vec<Act> {
+fn serve(_: usize, exec: &ExecRequest) -> Vec<WorkerAction> {
     exec.serve()
 }
 
@@ -36,20 +36,28 @@
 #[test]
 fn an_unsafe_call_is_retried_only_if_it_never_ran() {
     // The first attempt ends in each of these ways in turn; the second is served.
-    type End = fn(&Exec) -> Vec<Act>;
+    type End = fn(&ExecRequest) -> Vec<WorkerAction>;
     let cases: [(End, bool); 7] = [
-        (|e| vec![Act::Write(answer(&e.id, "MISS", "-", b""))], true),
-        (|e| vec![Act::Write(answer(&e.id, "BUSY", "company=3", b""))], true),
-        (|e| vec![Act::Write(answer(&e.id, "VOID", "-", b""))], true),
-        (|e| vec![Act::Run, Act::Write(answer(&e.id, "ERR", "-", b""))], false),
-        (|_| vec![Act::Run, Act::Reset], false),
-        (|_| vec![Act::Run, Act::Close], false),
-        (|e| vec![Act::Run, Act::Write(format!("{} OK - 3000000000\r\nxx", e.id).into_bytes())], false),
+        (|e| vec![WorkerAction::Write(answer_line(&e.id, "MISS", "-", b""))], true),
+        (|e| vec![WorkerAction::Write(answer_line(&e.id, "BUSY", "company=3", b""))], true),
+        (|e| vec![WorkerAction::Write(answer_line(&e.id, "VOID", "-", b""))], true),
+        (|e| vec![WorkerAction::Run, WorkerAction::Write(answer_line(&e.id, "ERR", "-", b""))], false),
+        (|_| vec![WorkerAction::Run, WorkerAction::Reset], false),
+        (|_| vec![WorkerAction::Run, WorkerAction::Close], false),
+        (
+            |e| {
+                vec![
+                    WorkerAction::Run,
+                    WorkerAction::Write(format!("{} OK - 3000000000\r\nxx", e.id).into_bytes()),
+                ]
+            },
+            false,
+        ),
     ];
     for (number, (end, retried)) in cases.into_iter().enumerate() {
-        let script = move |_: usize, exec: &Exec| {
+        let script = move |_: usize, exec: &ExecRequest| {
             let second = exec.body.starts_with(b"second");
-            if exec.nth == 0 && !second { end(exec) } else { exec.serve() }
+            if exec.arrival_index == 0 && !second { end(exec) } else { exec.serve() }
         };
         let mut harness = Harness::new(Limits::default(), 1, script);
         let call = call(1, "extract");
@@ -69,11 +77,11 @@
 
 #[test]
 fn duplicate_unknown_and_late_answers_are_discarded() {
-    let script = |_: usize, exec: &Exec| {
-        let unknown_id = answer("00000000000000ff", "OK", "-", b"not yours");
-        let mut acts = vec![Act::Write(unknown_id)];
+    let script = |_: usize, exec: &ExecRequest| {
+        let unknown_id = answer_line("00000000000000ff", "OK", "-", b"not yours");
+        let mut acts = vec![WorkerAction::Write(unknown_id)];
         acts.extend(exec.serve());
-        acts.push(Act::Write(answer(&exec.id, "OK", "detail=up", b"a second copy")));
+        acts.push(WorkerAction::Write(answer_line(&exec.id, "OK", "detail=up", b"a second copy")));
         acts
     };
     let mut harness = Harness::new(Limits { sockets: 32, ..Limits::default() }, 1, script);
@@ -90,8 +98,8 @@
 #[test]
 fn malformed_answers_are_never_forwarded_and_safe_calls_are_retried() {
     let noise: [&[u8]; 4] = [b"\xff\xfe\0\r\n", b"x x x x\r\n", &[b'y'; 5_000], b"zz OK - -1\r\n"];
-    let script = move |_: usize, exec: &Exec| match exec.nth % 3 {
-        0 => vec![Act::Run, Act::Write(noise[exec.nth / 3 % 4].to_vec())],
+    let script = move |_: usize, exec: &ExecRequest| match exec.arrival_index % 3 {
+        0 => vec![WorkerAction::Run, WorkerAction::Write(noise[exec.arrival_index / 3 % 4].to_vec())],
         _ => exec.serve(),
     };
     let mut harness = Harness::new(Limits::default(), 3, script);
@@ -108,17 +116,17 @@
 
 #[test]
 fn a_call_to_a_silent_worker_is_answered_by_its_deadline() {
-    let mut harness = Harness::new(Limits::default(), 1, |_, _| vec![Act::Run]);
+    let mut harness = Harness::new(Limits::default(), 1, |_, _| vec![WorkerAction::Run]);
     for (number, class) in ["view", "extract"].into_iter().enumerate() {
         let mut one = call(number as u64, class);
         one.timeout_ms = 400;
         assert!(matches!(harness.call(&one), FrontReply::Crashed | FrontReply::Rejected(_)));
     }
     // The calls are given up at the worker, too, which reads the drop shortly after the client has its answer.
-    let dropped = |n: u64| harness.workers[0].lines().contains(&format!("drop {n:016x}"));
+    let dropped = |n: u64| harness.workers[0].received_lines().contains(&format!("drop {n:016x}"));
     let until = std::time::Instant::now() + TEST_TIMEOUT;
     while !(0..2).all(dropped) {
-        assert!(std::time::Instant::now() < until, "{:?}", harness.workers[0].lines());
+        assert!(std::time::Instant::now() < until, "{:?}", harness.workers[0].received_lines());
         std::thread::yield_now();
     }
     assert_eq!(harness.check_rules(), []);
@@ -126,7 +134,9 @@
 
 #[test]
 fn a_revoked_call_gets_no_answer_and_is_dropped_at_the_worker() {
-    let script = |_: usize, exec: &Exec| if exec.nth == 0 { vec![Act::Run] } else { exec.serve() };
+    let script = |_: usize, exec: &ExecRequest| {
+        if exec.arrival_index == 0 { vec![WorkerAction::Run] } else { exec.serve() }
+    };
     let mut harness = Harness::new(Limits::default(), 1, script);
     let mut client = harness.client();
     let (first, second) = (call(1, "extract"), call(2, "view"));
@@ -140,7 +150,7 @@
     );
     let asked = harness.submit(&mut client, &second);
     assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
-    assert!(harness.workers[0].lines().contains(&format!("drop {}", first.id)));
+    assert!(harness.workers[0].received_lines().contains(&format!("drop {}", first.id)));
     assert_eq!(harness.check_rules(), []);
 }
 
@@ -160,8 +170,8 @@
 
 #[test]
 fn requests_share_connections_when_descriptors_are_scarce() {
-    let script = |_: usize, exec: &Exec| {
-        let mut acts = vec![Act::Wait(Duration::from_millis(2))];
+    let script = |_: usize, exec: &ExecRequest| {
+        let mut acts = vec![WorkerAction::Wait(Duration::from_millis(2))];
         acts.extend(exec.serve());
         acts
     };
--- a/crates/node/tests/sockets/bulletin_outage.rs
+++ b/crates/node/tests/sockets/bulletin_outage.rs
@@ -68,13 +68,18 @@
     let mut harness = Harness::new(Limits::default(), 2, |_, exec| exec.serve());
     let mut calls = Calls { next: 0 };
     calls.send(&mut harness, FUNCTIONS);
-    let execs = |i: &usize| harness.workers[*i].lines().iter().filter(|l| l.starts_with("exec")).count();
+    let execs =
+        |i: &usize| harness.workers[*i].received_lines().iter().filter(|l| l.starts_with("exec")).count();
     let busiest = (0..2).max_by_key(execs).expect("two workers");
     (harness, calls, busiest)
 }
 
 pub fn announce(harness: &Harness, busiest: usize, state: &str) -> Micros {
-    harness.board.tell(&bulletin_entry(&format!("s-{busiest}"), harness.workers[busiest].address(), state));
+    harness.board.publish(&bulletin_entry(
+        &format!("s-{busiest}"),
+        harness.workers[busiest].address(),
+        state,
+    ));
     monotonic()
 }
 
@@ -82,11 +87,11 @@
 fn changes_made_while_the_bulletin_was_down_apply_once_it_is_reachable() {
     let (mut harness, mut calls, busiest) = busy_harness();
     let uid = format!("s-{busiest}");
-    harness.board.down();
+    harness.board.stop_listening();
     let began = announce(&harness, busiest, "Terminating");
     // What is sent meanwhile can't be known to be wrong.
     calls.send_until(&mut harness, began + 1_200 * MS);
-    harness.board.up().expect("bulletin listens again");
+    harness.board.resume_listening().expect("bulletin listens again");
     let up = monotonic();
     harness.wait_for(
 |what| matches!(what, Observation::WorkerState { worker, state } if *worker == uid && state == "leaving"),
@@ -109,7 +114,7 @@
 fn a_silent_watch_is_replaced_before_its_withheld_changes_take_effect() {
     let (mut harness, mut calls, busiest) = busy_harness();
     let uid = format!("s-{busiest}");
-    harness.board.hush();
+    harness.board.mute_open_connections();
     let began = announce(&harness, busiest, "Gone");
     let reported = |all: &[Record]| state_received(all, &uid, "gone") < Micros::MAX;
     while !harness.recorder.wait_until(Duration::ZERO, reported) && monotonic() < began + SILENCE_LIMIT {
@@ -140,16 +145,16 @@
         format!("{{\"no\":{no},\"roster\":{{\"rev\":{no},\"all\":{all},\"targets\":[{ready}]}}}}\n")
     };
     for _ in 0..3 {
-        harness.board.garble(&(replay(1, true) + &replay(2, false) + "{\"no\":2}\n{\"no\":3}\n"));
+        harness.board.send_raw(&(replay(1, true) + &replay(2, false) + "{\"no\":2}\n{\"no\":3}\n"));
         calls.send(&mut harness, 30);
     }
     // A later event is processed in order: everything before it has been read.
-    harness.board.tell(&bulletin_entry("s-9", at, "Gone"));
+    harness.board.publish(&bulletin_entry("s-9", at, "Gone"));
     harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-9"));
     calls.send(&mut harness, 30);
     let back = monotonic();
     // The same entry under a new event number does reactivate the worker, and the check finds its calls.
-    harness.board.tell(&ready);
+    harness.board.publish(&ready);
     harness
 .wait_for(
 |what| matches!(what, Observation::WorkerState { worker, state } if *worker == uid && state == "active"),
--- a/crates/node/tests/sockets/client_disconnects.rs
+++ b/crates/node/tests/sockets/client_disconnects.rs
@@ -3,7 +3,7 @@
 //! process.
 
 use crate::common::*;
-use basaltward_fakes::{Act, Exec, LineWorker, answer};
+use basaltward_fakes::{ExecRequest, LineWorker, WorkerAction, answer_line};
 use basaltward_rules::Observation;
 use rustix::net::sockopt::set_socket_recv_buffer_size;
 use std::time::Instant;
@@ -13,8 +13,8 @@
     Call { id: format!("f{number:015x}"), timeout_ms: 60_000, ..call(number, class) }
 }
 
-fn hold_calls(_: usize, exec: &Exec) -> Vec<Act> {
-    if exec.id.starts_with('f') { vec![Act::Run] } else { exec.serve() }
+fn hold_calls(_: usize, exec: &ExecRequest) -> Vec<WorkerAction> {
+    if exec.id.starts_with('f') { vec![WorkerAction::Run] } else { exec.serve() }
 }
 
 fn wait_until_run(harness: &Harness, call: &Call) {
@@ -23,17 +23,21 @@
 
 fn execs(harness: &Harness, call: &Call) -> usize {
     let of = format!("exec {}", call.id);
-    harness.workers.iter().flat_map(LineWorker::lines).filter(|line| line.starts_with(&of)).count()
+    harness.workers.iter().flat_map(LineWorker::received_lines).filter(|line| line.starts_with(&of)).count()
 }
 
 /// Waits for a matching line at the first worker.
 fn wait_for_line(harness: &Harness, found: impl Fn(&str) -> bool) -> String {
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
-        if let Some(line) = harness.workers[0].lines().into_iter().find(|line| found(line)) {
+        if let Some(line) = harness.workers[0].received_lines().into_iter().find(|line| found(line)) {
             return line;
         }
-        assert!(Instant::now() < until, "no such line at the worker: {:?}", harness.workers[0].lines());
+        assert!(
+            Instant::now() < until,
+            "no such line at the worker: {:?}",
+            harness.workers[0].received_lines()
+        );
         std::thread::yield_now();
     }
 }
@@ -105,13 +109,13 @@
 #[test]
 fn an_abandoned_call_that_waits_for_a_load_is_never_sent() {
     for method in ABANDON_METHODS {
-        let miss = |_: usize, exec: &Exec| match exec.id.starts_with('f') {
-            true => vec![Act::Write(answer(&exec.id, "MISS", "-", b""))],
+        let miss = |_: usize, exec: &ExecRequest| match exec.id.starts_with('f') {
+            true => vec![WorkerAction::Write(answer_line(&exec.id, "MISS", "-", b""))],
             false => exec.serve(),
         };
         let mut harness = Harness::new(Limits::default(), 1, miss);
         wait_until_served(&mut harness);
-        harness.workers[0].hold_orders();
+        harness.workers[0].hold_order_answers();
         let mut client = harness.client();
         let one = Call { function: "00000000000000f0".into(), ..held_call(1, "extract") };
         let asked = harness.submit(&mut client, &one);
@@ -120,14 +124,16 @@
         let remaining = abandon(client, &[asked.seqid], method);
         // The scheduler has processed the leaving once calls of another client have completed, a turn or two later.
         (10..13).for_each(|n| drop(harness.call(&call(n, "view"))));
-        for order in harness.workers[0].lines().iter().filter(|line| line.contains(&one.function)) {
+        for order in harness.workers[0].received_lines().iter().filter(|line| line.contains(&one.function)) {
             let Some((command, port)) = order.split_once(" from=") else { continue };
             let tag = command.split(' ').nth(1).expect("a tag");
-            let loaded = answer(tag, "OK", "slots_up=1", b"");
-            harness.workers[0].say(port.parse().expect("port known"), &loaded).expect("connection open");
+            let loaded = answer_line(tag, "OK", "slots_up=1", b"");
+            harness.workers[0]
+                .write_to_port(port.parse().expect("port known"), &loaded)
+                .expect("connection open");
         }
         (20..25).for_each(|n| drop(harness.call(&call(n, "view"))));
-        assert_eq!(execs(&harness, &one), before, "{method}: {:?}", harness.workers[0].lines());
+        assert_eq!(execs(&harness, &one), before, "{method}: {:?}", harness.workers[0].received_lines());
         drop(remaining);
         harness.control.stop();
     }
@@ -139,7 +145,7 @@
         let limits = Limits { connect_ms: 3_000, ..Limits::default() };
         let mut harness = Harness::new(limits, 1, hold_calls);
         wait_until_served(&mut harness);
-        harness.workers[0].plug().expect("accept queue blocked");
+        harness.workers[0].block_new_connections().expect("accept queue blocked");
         harness.workers[0].reset_all();
         let (mut client, mut other) = (harness.client(), harness.client());
         let (one, second) = (held_call(1, "extract"), Call { timeout_ms: 60_000, ..call(2, "extract") });
@@ -148,10 +154,10 @@
         harness.wait_for(|what| matches!(what, Observation::Accepted { event } if *event == second.id));
         let remaining = abandon(client, &[asked.seqid], method);
         other.heartbeat().and_then(|_| other.read()).expect("heartbeat answered");
-        harness.workers[0].unplug();
+        harness.workers[0].unblock_new_connections();
         // The other client's call is sent on the connection that is now established.
         assert!(harness.read(&mut other, &[&waits]).is_some());
-        assert_eq!(execs(&harness, &one), 0, "{method}: {:?}", harness.workers[0].lines());
+        assert_eq!(execs(&harness, &one), 0, "{method}: {:?}", harness.workers[0].received_lines());
         drop(remaining);
         harness.control.stop();
     }
@@ -160,8 +166,8 @@
 #[test]
 fn an_abandoned_call_that_waits_for_its_next_attempt_is_never_sent() {
     for method in ABANDON_METHODS {
-        let void = |_: usize, exec: &Exec| match exec.id.starts_with('f') {
-            true => vec![Act::Write(answer(&exec.id, "VOID", "-", b""))],
+        let void = |_: usize, exec: &ExecRequest| match exec.id.starts_with('f') {
+            true => vec![WorkerAction::Write(answer_line(&exec.id, "VOID", "-", b""))],
             false => exec.serve(),
         };
         let mut harness = Harness::new(Limits::default(), 1, void);
@@ -171,27 +177,32 @@
         wait_for_line(&harness, |line| line.starts_with("exec"));
         // Rejected by the only worker, the call waits for another, and the scheduler meanwhile probes for capacity.
         let sent = |line: &str| line.starts_with("exec");
-        let probed = || harness.workers[0].lines().iter().skip_while(|line| !sent(line)).count() > 1;
+        let probed = || harness.workers[0].received_lines().iter().skip_while(|line| !sent(line)).count() > 1;
         let until = Instant::now() + TEST_TIMEOUT;
         while !probed() {
-            assert!(Instant::now() < until, "{:?}", harness.workers[0].lines());
+            assert!(Instant::now() < until, "{:?}", harness.workers[0].received_lines());
             std::thread::yield_now();
         }
         let remaining = abandon(std::mem::replace(client, harness.client()), &[asked], method);
         client.heartbeat().and_then(|_| client.read()).expect("heartbeat answered");
-        let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
-        harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
+        let other =
+            LineWorker::start("s-1", harness.recorder.clone(), ExecRequest::serve).expect("worker started");
+        harness.board.publish(&bulletin_entry("s-1", other.address(), "Ready"));
         let until = Instant::now() + TEST_TIMEOUT;
         for number in 100.. {
             let next = Call { function: format!("{number:016x}"), ..call(number, "view") };
             drop(harness.call(&next));
-            if other.lines().iter().filter(|line| sent(line)).count() > 2 {
+            if other.received_lines().iter().filter(|line| sent(line)).count() > 2 {
                 break;
             }
             assert!(Instant::now() < until, "the new worker was never used");
         }
-        assert_eq!(execs(&harness, &one), 1, "{method}: {:?}", harness.workers[0].lines());
-        assert!(!other.lines().iter().any(|line| line.contains(&one.id)), "{method}: {:?}", other.lines());
+        assert_eq!(execs(&harness, &one), 1, "{method}: {:?}", harness.workers[0].received_lines());
+        assert!(
+            !other.received_lines().iter().any(|line| line.contains(&one.id)),
+            "{method}: {:?}",
+            other.received_lines()
+        );
         drop(remaining);
         harness.control.stop();
     }
--- a/crates/node/tests/sockets/common.rs
+++ b/crates/node/tests/sockets/common.rs
@@ -1,7 +1,7 @@
 //! Harness that runs a live scheduler on loopback between stand-in workers, a stand-in bulletin and clients, and
 //! checks the recorded events against the rules.
 
-use basaltward_fakes::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
+use basaltward_fakes::{ExecRequest, FakeBulletin, FrontClient, FrontReply, LineWorker, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::{Control, Node};
 use basaltward_rules::{
@@ -24,7 +24,7 @@
 pub struct Harness {
     pub recorder: Recorder,
     pub workers: Vec<LineWorker>,
-    pub board: Board,
+    pub board: FakeBulletin,
     pub address: SocketAddr,
     pub control: Control,
     pub config: PathBuf,
@@ -62,7 +62,7 @@
     pub fn new(
         limits: Limits,
         workers: usize,
-        script: impl Fn(usize, &Exec) -> Vec<Act> + Clone + Send + Sync + 'static,
+        script: impl Fn(usize, &ExecRequest) -> Vec<WorkerAction> + Clone + Send + Sync + 'static,
     ) -> Self {
         Self::with_config(limits, workers, |text| text, script)
     }
@@ -72,7 +72,7 @@
         limits: Limits,
         workers: usize,
         edit: impl Fn(String) -> String,
-        script: impl Fn(usize, &Exec) -> Vec<Act> + Clone + Send + Sync + 'static,
+        script: impl Fn(usize, &ExecRequest) -> Vec<WorkerAction> + Clone + Send + Sync + 'static,
     ) -> Self {
         Self::build(limits, workers, edit, |_| (), script)
     }
@@ -82,7 +82,7 @@
         limits: Limits,
         workers: usize,
         plant: impl FnOnce(&mut Node),
-        script: impl Fn(usize, &Exec) -> Vec<Act> + Clone + Send + Sync + 'static,
+        script: impl Fn(usize, &ExecRequest) -> Vec<WorkerAction> + Clone + Send + Sync + 'static,
     ) -> Self {
         Self::build(limits, workers, |text| text, plant, script)
     }
@@ -92,7 +92,7 @@
         workers: usize,
         edit: impl Fn(String) -> String,
         plant: impl FnOnce(&mut Node),
-        script: impl Fn(usize, &Exec) -> Vec<Act> + Clone + Send + Sync + 'static,
+        script: impl Fn(usize, &ExecRequest) -> Vec<WorkerAction> + Clone + Send + Sync + 'static,
     ) -> Self {
         let recorder = Recorder::memory();
         let worker = |i: usize| {
@@ -101,7 +101,7 @@
                 .expect("worker started")
         };
         let workers: Vec<_> = (0..workers).map(worker).collect();
-        let board = Board::start(2).expect("bulletin started");
+        let board = FakeBulletin::start(2).expect("bulletin started");
         let number = NEXT_HARNESS.fetch_add(1, Ordering::SeqCst);
         let config =
             std::env::temp_dir().join(format!("basaltward-node-{}-{number}.json", std::process::id()));
--- a/crates/node/tests/sockets/connection_races.rs
+++ b/crates/node/tests/sockets/connection_races.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use crate::unsent_requests::{large_call, load_copies, served, wait_until_processed};
-use basaltward_fakes::{Act, Exec, FrontReply, LineWorker, answer};
+use basaltward_fakes::{ExecRequest, FrontReply, LineWorker, WorkerAction, answer_line};
 use basaltward_rules::{Observation, Record};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::os::fd::AsRawFd;
@@ -16,8 +16,8 @@
 fn an_answer_that_crosses_its_drop_is_not_matched_to_a_new_request_with_the_same_id() {
     let (go, held) = channel::<()>();
     let held = Arc::new(Mutex::new(held));
-    let script = move |_: usize, exec: &Exec| match exec.body.as_slice() {
-        b"held" => vec![Act::Run],
+    let script = move |_: usize, exec: &ExecRequest| match exec.body.as_slice() {
+        b"held" => vec![WorkerAction::Run],
         b"another" => {
             let _ = held.lock().expect("lock not poisoned").recv();
             exec.serve()
@@ -34,15 +34,21 @@
     let port = port_of(&harness, &first.id);
     client.revoke(asked.seqid).expect("bytes sent");
     let dropped = format!("drop {}", first.id);
-    wait_until(|| harness.workers[0].lines().contains(&dropped));
+    wait_until(|| harness.workers[0].received_lines().contains(&dropped));
     // The client reuses the id; the first answer arrives while the second request is in flight.
     let second = Call { body: b"another".to_vec(), ..first.clone() };
     let asked = harness.submit(&mut client, &second);
     wait_until(|| {
-        harness.workers[0].lines().iter().filter(|line| line.contains(&format!("exec {}", first.id))).count()
+        harness.workers[0]
+            .received_lines()
+            .iter()
+            .filter(|line| line.contains(&format!("exec {}", first.id)))
+            .count()
             == 2
     });
-    harness.workers[0].say(port, &answer(&first.id, "OK", "detail=up", b"dleh")).expect("connection open");
+    harness.workers[0]
+        .write_to_port(port, &answer_line(&first.id, "OK", "detail=up", b"dleh"))
+        .expect("connection open");
     wait_until_processed(&harness);
     go.send(()).expect("receiver alive");
     assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
@@ -165,7 +171,7 @@
     // From its first request on a connection the worker reads nothing more on it, not even its end.
     let (go, wait) = channel::<()>();
     let wait = Arc::new(Mutex::new(wait));
-    let script = move |_: usize, exec: &Exec| {
+    let script = move |_: usize, exec: &ExecRequest| {
         if exec.id.starts_with("00000000000001") {
             let _ = wait.lock().expect("lock not poisoned").recv();
         }
@@ -193,7 +199,7 @@
 fn an_answer_of_a_removed_worker_arrives_after_another_took_over_its_address() {
     let (go, wait) = channel::<()>();
     let wait = Arc::new(Mutex::new(wait));
-    let script = move |_: usize, exec: &Exec| {
+    let script = move |_: usize, exec: &ExecRequest| {
         if exec.body == b"held" {
             let _ = wait.lock().expect("lock not poisoned").recv();
         }
@@ -207,7 +213,7 @@
     let open = harness.submit(&mut client, &held);
     let old = port_of(&harness, &held.id);
     let at = harness.workers[0].address();
-    harness.board.tell(&format!(
+    harness.board.publish(&format!(
         "{},{}",
         bulletin_entry("s-0", at, "Gone"),
         bulletin_entry("s-9", at, "Ready")
@@ -230,7 +236,7 @@
     let connecting = || held_ends(to).iter().any(|s| s.state == CONNECTING);
     let warm = call(1, "view");
     assert_eq!(harness.call(&warm), served(&warm));
-    harness.workers[0].plug().expect("accept queue blocked");
+    harness.workers[0].block_new_connections().expect("accept queue blocked");
     harness.workers[0].reset_all();
     wait_until_processed(&harness);
     let mut client = harness.client();
@@ -264,7 +270,9 @@
         assert!(run.status.success(), "{}", String::from_utf8_lossy(&run.stderr));
         return;
     }
-    let script = |_: usize, exec: &Exec| if exec.body == b"held" { vec![Act::Run] } else { exec.serve() };
+    let script = |_: usize, exec: &ExecRequest| {
+        if exec.body == b"held" { vec![WorkerAction::Run] } else { exec.serve() }
+    };
     let mut harness = Harness::new(Limits::default(), 1, script);
     let warm = call(1, "view");
     assert_eq!(harness.call(&warm), served(&warm));
--- a/crates/node/tests/sockets/delayed_sends.rs
+++ b/crates/node/tests/sockets/delayed_sends.rs
@@ -2,7 +2,7 @@
 //! rules must hold as of its arrival.
 
 use crate::common::*;
-use basaltward_fakes::{Act, Exec, LineWorker, answer};
+use basaltward_fakes::{ExecRequest, LineWorker, WorkerAction, answer_line};
 use basaltward_net::Micros;
 use basaltward_rules::{Observation, Record};
 use std::time::{Duration, Instant};
@@ -27,11 +27,11 @@
 fn a_keyed_request_is_not_delivered_again_after_its_key_window() {
     // The first worker reports a possible run late in the window; connections to the second are established a second
     // late.
-    let script = |at: usize, exec: &Exec| match at == 0 && exec.id.starts_with('f') {
+    let script = |at: usize, exec: &ExecRequest| match at == 0 && exec.id.starts_with('f') {
         true => vec![
-            Act::Run,
-            Act::Wait(Duration::from_millis(1_000)),
-            Act::Write(answer(&exec.id, "ERR", "-", b"")),
+            WorkerAction::Run,
+            WorkerAction::Wait(Duration::from_millis(1_000)),
+            WorkerAction::Write(answer_line(&exec.id, "ERR", "-", b"")),
         ],
         false => exec.serve(),
     };
@@ -57,14 +57,14 @@
     }
     let other = LineWorker::start("s-1", harness.recorder.clone(), move |exec| script(1, exec))
         .expect("worker started");
-    other.plug().expect("accept queue blocked");
-    harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
+    other.block_new_connections().expect("accept queue blocked");
+    harness.board.publish(&bulletin_entry("s-1", other.address(), "Ready"));
     harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-1"));
     let id = "f000000000000001";
     submit(&mut client, id);
     harness.wait_for(|what| matches!(what, Observation::Arrived { event, .. } if event == id));
     std::thread::sleep(Duration::from_millis(1_400));
-    other.unplug();
+    other.unblock_new_connections();
     client.read().expect("reply read").expect("a reply before the connection closes");
     std::thread::sleep(Duration::from_millis(300));
     let arrived = arrivals(&harness.finish(), id);
@@ -83,9 +83,10 @@
         )
     };
     let limits = Limits { connect_ms: 1_300, ..Limits::default() };
-    let miss = |_: usize, exec: &Exec| vec![Act::Write(answer(&exec.id, "MISS", "-", b""))];
+    let miss =
+        |_: usize, exec: &ExecRequest| vec![WorkerAction::Write(answer_line(&exec.id, "MISS", "-", b""))];
     let harness = Harness::with_config(limits, 1, with_order_limit, miss);
-    harness.workers[0].plug().expect("accept queue blocked");
+    harness.workers[0].block_new_connections().expect("accept queue blocked");
     let mut client = harness.client();
     // Functions without a copy anywhere, one after another: each needs a load order.
     let send_call = |client: &mut basaltward_fakes::FrontClient, number: u64| {
@@ -99,7 +100,7 @@
     let mut number = 5;
     while began.elapsed() < Duration::from_millis(5_000) {
         if began.elapsed() > Duration::from_millis(500) {
-            harness.workers[0].unplug();
+            harness.workers[0].unblock_new_connections();
         }
         if number < 48 {
             send_call(&mut client, number);
@@ -107,7 +108,7 @@
         }
         std::thread::sleep(Duration::from_millis(100));
     }
-    let arrived = harness.workers[0].ordered();
+    let arrived = harness.workers[0].load_order_times();
     assert!(arrived.len() > FREE, "too few orders to check the limit: {arrived:?}");
     for (last, at) in arrived.iter().enumerate() {
         let within = arrived[..=last].iter().filter(|t| **t + WINDOW > *at).count();
--- a/crates/node/tests/sockets/descriptor_exhaustion.rs
+++ b/crates/node/tests/sockets/descriptor_exhaustion.rs
@@ -2,7 +2,7 @@
 //! break. The process limit itself is covered by the tests of the program and of the event loop.
 
 use crate::common::*;
-use basaltward_fakes::{Exec, LineWorker};
+use basaltward_fakes::{ExecRequest, LineWorker};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -10,7 +10,7 @@
     let limits = Limits { sockets: 64, ..Limits::default() };
     let mut harness = Harness::new(limits, 1, |_, exec| exec.serve());
     wait_until_served(&mut harness);
-    harness.board.down();
+    harness.board.stop_listening();
     // More connections than may be open, each used once and then kept. Left alone, the scheduler would close the
     // first of them six seconds later.
     let began = Instant::now();
@@ -35,14 +35,15 @@
     }
     wait_until_served(&mut harness);
     assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
-    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
-    harness.board.up().expect("bulletin listens again");
-    harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
+    let other =
+        LineWorker::start("s-1", harness.recorder.clone(), ExecRequest::serve).expect("worker started");
+    harness.board.resume_listening().expect("bulletin listens again");
+    harness.board.publish(&bulletin_entry("s-1", other.address(), "Ready"));
     let until = Instant::now() + TEST_TIMEOUT;
     for number in 100.. {
         let one = Call { function: format!("{number:016x}"), ..call(number, "view") };
         drop(harness.call(&one));
-        if other.lines().iter().any(|line| line.starts_with("exec")) {
+        if other.received_lines().iter().any(|line| line.starts_with("exec")) {
             break;
         }
         assert!(Instant::now() < until, "the scheduler never reconnected to the bulletin");
--- a/crates/node/tests/sockets/fleet_changes.rs
+++ b/crates/node/tests/sockets/fleet_changes.rs
@@ -2,11 +2,11 @@
 //! planned restarts.
 
 use crate::common::*;
-use basaltward_fakes::{Act, Board, Exec, FrontReply, LineWorker};
+use basaltward_fakes::{ExecRequest, FakeBulletin, FrontReply, LineWorker, WorkerAction};
 use basaltward_rules::{Observation, Record, check};
 use std::time::Duration;
 
-fn serve(_: usize, exec: &Exec) -> Vec<Act> {
+fn serve(_: usize, exec: &ExecRequest) -> Vec<WorkerAction> {
     exec.serve()
 }
 
@@ -35,25 +35,25 @@
         assert!(matches!(harness.call(&call(number, "view")), FrontReply::Served(_)));
     }
     let at = harness.workers[0].address();
-    harness.board.tell(&bulletin_entry("s-0", at, "Terminating"));
+    harness.board.publish(&bulletin_entry("s-0", at, "Terminating"));
     wait_for_state(&harness, "s-0", "leaving");
     // The scheduler closes its connections to the worker; once the worker has closed them too, it has read everything
     // in flight.
     wait_until_closed(at);
-    let before = harness.workers[0].lines().len();
+    let before = harness.workers[0].received_lines().len();
     for number in 100..140 {
         assert!(matches!(harness.call(&call(number, "extract")), FrontReply::Served(_)));
     }
-    assert_eq!(harness.workers[0].lines().len(), before);
+    assert_eq!(harness.workers[0].received_lines().len(), before);
     // A worker with another uid takes over the address, and the second worker goes.
-    harness.board.tell(&bulletin_entry("s-0", at, "Gone"));
-    harness.board.tell(&bulletin_entry("s-9", at, "Ready"));
-    harness.board.tell(&bulletin_entry("s-1", harness.workers[1].address(), "Gone"));
+    harness.board.publish(&bulletin_entry("s-0", at, "Gone"));
+    harness.board.publish(&bulletin_entry("s-9", at, "Ready"));
+    harness.board.publish(&bulletin_entry("s-1", harness.workers[1].address(), "Gone"));
     wait_for_state(&harness, "s-1", "gone");
     for number in 200..220 {
         assert!(matches!(harness.call(&call(number, "view")), FrontReply::Served(_)));
     }
-    assert!(harness.workers[0].lines().len() > before);
+    assert!(harness.workers[0].received_lines().len() > before);
     let records = harness.finish();
     assert_eq!(written_after(&records, "s-0", "leaving"), Vec::<&Record>::new());
     // The stand-in still records under its old uid, so only the scheduler's records tell the two apart.
@@ -65,22 +65,22 @@
     let mut harness = Harness::new(Limits::default(), 1, serve);
     let new =
         LineWorker::start("s-7", harness.recorder.clone(), |exec| exec.serve()).expect("worker started");
-    harness.board.tell(&bulletin_entry("s-7", new.address(), "Ready"));
+    harness.board.publish(&bulletin_entry("s-7", new.address(), "Ready"));
     wait_for_state(&harness, "s-7", "active");
-    harness.board.cut();
-    harness.board.tell(&bulletin_entry("s-8", new.address(), "Ready"));
+    harness.board.disconnect_all();
+    harness.board.publish(&bulletin_entry("s-8", new.address(), "Ready"));
     wait_for_state(&harness, "s-8", "active");
-    harness.board.garble("{\"no\":4,\"roster\":{\"rev\":4,\"targ\n");
-    harness.board.tell(&bulletin_entry("s-10", new.address(), "Ready"));
+    harness.board.send_raw("{\"no\":4,\"roster\":{\"rev\":4,\"targ\n");
+    harness.board.publish(&bulletin_entry("s-10", new.address(), "Ready"));
     wait_for_state(&harness, "s-10", "active");
     // Silent while open: the scheduler drops the connection after a bound, and the next one delivers the missed
     // events.
-    harness.board.silence(true);
-    harness.board.tell(&bulletin_entry("s-11", new.address(), "Ready"));
-    harness.board.silence(false);
+    harness.board.set_silent(true);
+    harness.board.publish(&bulletin_entry("s-11", new.address(), "Ready"));
+    harness.board.set_silent(false);
     wait_for_state(&harness, "s-11", "active");
     assert!(matches!(harness.call(&call(1, "view")), FrontReply::Served(_)));
-    let asked = harness.board.asked();
+    let asked = harness.board.received_requests();
     assert!(asked.len() >= 3 && asked[0] == "after 1", "{asked:?}");
     assert_eq!(harness.check_rules(), []);
 }
@@ -89,10 +89,10 @@
 fn a_reload_switches_bulletins_only_once_the_configuration_file_is_complete() {
     let mut harness = Harness::new(Limits::default(), 1, serve);
     assert!(matches!(harness.call(&call(1, "view")), FrontReply::Served(_)));
-    let next = Board::start(2).expect("bulletin started");
+    let next = FakeBulletin::start(2).expect("bulletin started");
     let new =
         LineWorker::start("s-5", harness.recorder.clone(), |exec| exec.serve()).expect("worker started");
-    next.tell(&bulletin_entry("s-5", new.address(), "Ready"));
+    next.publish(&bulletin_entry("s-5", new.address(), "Ready"));
     let whole = config_json(Limits::default(), next.address(), "");
     // The file is half written at the signal and complete a little later; the signal comes twice, as signals may.
     std::fs::write(&harness.config, &whole[..whole.len() / 2]).expect("configuration written");
@@ -101,10 +101,10 @@
     assert!(matches!(harness.call(&call(2, "view")), FrontReply::Served(_)));
     std::fs::write(&harness.config, &whole).expect("configuration written");
     wait_for_state(&harness, "s-5", "active");
-    assert_eq!(next.asked(), ["after 1"]);
+    assert_eq!(next.received_requests(), ["after 1"]);
     // The worker known before stays, and event numbers continue.
-    harness.board.cut();
-    next.tell(&bulletin_entry("s-5", new.address(), "Gone"));
+    harness.board.disconnect_all();
+    next.publish(&bulletin_entry("s-5", new.address(), "Gone"));
     wait_for_state(&harness, "s-5", "gone");
     assert!(matches!(harness.call(&call(3, "view")), FrontReply::Served(_)));
     assert_eq!(harness.check_rules(), []);
@@ -112,8 +112,8 @@
 
 #[test]
 fn a_planned_restart_answers_requests_that_arrive_after_the_stop() {
-    let script = |_: usize, exec: &Exec| {
-        let mut acts = vec![Act::Wait(Duration::from_millis(50))];
+    let script = |_: usize, exec: &ExecRequest| {
+        let mut acts = vec![WorkerAction::Wait(Duration::from_millis(50))];
         acts.extend(exec.serve());
         acts
     };
@@ -137,8 +137,8 @@
 
 #[test]
 fn an_idle_connection_is_not_evicted_by_new_clients_during_shutdown() {
-    let script = |_: usize, exec: &Exec| {
-        let mut acts = vec![Act::Wait(Duration::from_millis(50))];
+    let script = |_: usize, exec: &ExecRequest| {
+        let mut acts = vec![WorkerAction::Wait(Duration::from_millis(50))];
         acts.extend(exec.serve());
         acts
     };
--- a/crates/node/tests/sockets/fragmentation.rs
+++ b/crates/node/tests/sockets/fragmentation.rs
@@ -1,7 +1,7 @@
 //! Requests and answers that arrive byte by byte, or in segments with arbitrary boundaries.
 
 use crate::common::*;
-use basaltward_fakes::{Act, Exec, FrontClient, FrontReply, answer};
+use basaltward_fakes::{ExecRequest, FrontClient, FrontReply, WorkerAction, answer_line};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
 use basaltward_thrift::write;
@@ -42,12 +42,12 @@
 /// Writes these bytes one by one.
 fn send_byte_by_byte(client: &mut FrontClient, bytes: &[u8]) {
     for byte in bytes {
-        client.raw(&[*byte]).expect("bytes sent");
+        client.send_raw_bytes(&[*byte]).expect("bytes sent");
         std::thread::sleep(BYTE_INTERVAL);
     }
 }
 
-fn serve(_: usize, exec: &Exec) -> Vec<Act> {
+fn serve(_: usize, exec: &ExecRequest) -> Vec<WorkerAction> {
     exec.serve()
 }
 
@@ -72,22 +72,27 @@
         .collect();
     threads.into_iter().for_each(|thread| thread.join().expect("client thread ended"));
     // A revoke may arrive byte by byte as well.
-    let holding = Harness::new(
-        Limits::default(),
-        1,
-        |_, exec: &Exec| if exec.nth == 0 { vec![] } else { exec.serve() },
-    );
+    let holding =
+        Harness::new(
+            Limits::default(),
+            1,
+            |_, exec: &ExecRequest| if exec.arrival_index == 0 { vec![] } else { exec.serve() },
+        );
     let mut client = holding.client();
     let (first, second) = (call(1, "extract"), call(2, "extract"));
-    client.raw(&frame(1, &first)).expect("bytes sent");
+    client.send_raw_bytes(&frame(1, &first)).expect("bytes sent");
     holding.wait_for(|what| matches!(what, Observation::Arrived { .. }));
     let mut revoke = BytesMut::new();
     write::revoke(&mut revoke, 2, 1);
     send_byte_by_byte(&mut client, &revoke);
-    client.raw(&frame(3, &second)).expect("bytes sent");
+    client.send_raw_bytes(&frame(3, &second)).expect("bytes sent");
     expect_reply(&mut client, 3, &second, "after a revoke sent byte by byte");
     let dropped = format!("drop {}", first.id);
-    assert!(holding.workers[0].lines().contains(&dropped), "{:?}", holding.workers[0].lines());
+    assert!(
+        holding.workers[0].received_lines().contains(&dropped),
+        "{:?}",
+        holding.workers[0].received_lines()
+    );
 }
 
 #[test]
@@ -98,9 +103,9 @@
     for at in 1..length {
         let (seqid, one) = (at as i32, call(FIRST_NUMBER + at as u64, "view"));
         let bytes = frame(seqid, &one);
-        client.raw(&bytes[..at]).expect("bytes sent");
+        client.send_raw_bytes(&bytes[..at]).expect("bytes sent");
         wait_until_read(&mut marker);
-        client.raw(&bytes[at..]).expect("bytes sent");
+        client.send_raw_bytes(&bytes[at..]).expect("bytes sent");
         expect_reply(&mut client, seqid, &one, &format!("split after byte {at}"));
     }
 }
@@ -121,14 +126,14 @@
             open.insert(seqid, reversed(&one));
         }
         let (last, rest) = (open.remove(&seqid).expect("the last one"), bytes.split_off(3 * length + at));
-        client.raw(&bytes).expect("bytes sent");
+        client.send_raw_bytes(&bytes).expect("bytes sent");
         for _ in 0..3 {
             let (seqid, reply) =
                 client.read().expect("reply read").expect("a reply before the connection closes");
             assert_eq!(open.remove(&seqid), Some(reply), "followed by {at} bytes");
         }
         wait_until_read(&mut marker);
-        client.raw(&rest).expect("bytes sent");
+        client.send_raw_bytes(&rest).expect("bytes sent");
         assert_eq!(
             client.read().expect("reply read"),
             Some((seqid, last)),
@@ -145,14 +150,14 @@
     let until = monotonic() + 3_500 * MS;
     let one = |seqid: i32| call(FIRST_NUMBER + seqid as u64, "view");
     let half = frame(1, &one(1)).len() / 2;
-    client.raw(&frame(1, &one(1))[..half]).expect("bytes sent");
+    client.send_raw_bytes(&frame(1, &one(1))[..half]).expect("bytes sent");
     for seqid in 1.. {
         let (this, ends) = (one(seqid), monotonic() > until);
         let mut bytes = frame(seqid, &this)[half..].to_vec();
         if !ends {
             bytes.extend(&frame(seqid + 1, &one(seqid + 1))[..half]);
         }
-        client.raw(&bytes).expect("bytes sent");
+        client.send_raw_bytes(&bytes).expect("bytes sent");
         expect_reply(&mut client, seqid, &this, "a partial request follows");
         if ends {
             return;
@@ -163,10 +168,12 @@
 
 #[test]
 fn answers_received_byte_by_byte_are_forwarded_complete_and_in_time() {
-    let slow = |_: usize, exec: &Exec| {
-        let bytes = answer(&exec.id, "OK", "detail=up", &exec.turned());
-        let each = bytes.into_iter().flat_map(|byte| [Act::Write(vec![byte]), Act::Wait(BYTE_INTERVAL)]);
-        std::iter::once(Act::Run).chain(each).collect()
+    let slow = |_: usize, exec: &ExecRequest| {
+        let bytes = answer_line(&exec.id, "OK", "detail=up", &exec.reversed_body());
+        let each = bytes
+            .into_iter()
+            .flat_map(|byte| [WorkerAction::Write(vec![byte]), WorkerAction::Wait(BYTE_INTERVAL)]);
+        std::iter::once(WorkerAction::Run).chain(each).collect()
     };
     let mut harness = Harness::new(Limits::default(), 2, slow);
     let mut client = harness.client();
@@ -196,22 +203,27 @@
     let (mut marker, mut client) = (harness.client(), harness.client());
     let served = |one: &Call, fields: &str| {
         let body: Vec<_> = one.body.iter().rev().copied().collect();
-        answer(&one.id, "OK", fields, &body)
+        answer_line(&one.id, "OK", fields, &body)
     };
     let length = served(&call(FIRST_NUMBER, "view"), "detail=up").len();
     for at in 1..length {
         let seqids = [2 * at as i32 - 1, 2 * at as i32];
         let calls = seqids.map(|seqid| call(FIRST_NUMBER + seqid as u64, "view"));
-        calls.iter().zip(seqids).for_each(|(one, seqid)| client.raw(&frame(seqid, one)).expect("bytes sent"));
+        calls
+            .iter()
+            .zip(seqids)
+            .for_each(|(one, seqid)| client.send_raw_bytes(&frame(seqid, one)).expect("bytes sent"));
         let ports = calls.each_ref().map(|one| source_port(&harness, one));
         assert_eq!(ports[0], ports[1]);
         // The complete answer to the first call, followed by a part of the answer to the second, whose line is
         // longer: the end of the next line may come before the offset up to which this line had been searched.
         let (whole, bytes) = (served(&calls[0], "-"), served(&calls[1], "detail=up"));
-        harness.workers[0].say(ports[0], &[&whole[..], &bytes[..at]].concat()).expect("connection open");
+        harness.workers[0]
+            .write_to_port(ports[0], &[&whole[..], &bytes[..at]].concat())
+            .expect("connection open");
         expect_reply(&mut client, seqids[0], &calls[0], &format!("followed by {at} bytes"));
         wait_until_read(&mut marker);
-        harness.workers[0].say(ports[1], &bytes[at..]).expect("connection open");
+        harness.workers[0].write_to_port(ports[1], &bytes[at..]).expect("connection open");
         expect_reply(&mut client, seqids[1], &calls[1], &format!("split after byte {at}"));
     }
 }
--- a/crates/node/tests/sockets/gossip.rs
+++ b/crates/node/tests/sockets/gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip between schedulers about loaded copies, which replaces probes of workers.
 
 use crate::common::*;
-use basaltward_fakes::{Exec, FrontReply};
+use basaltward_fakes::{ExecRequest, FrontReply};
 use std::net::UdpSocket;
 
 /// The datagram that reports a copy of the function at the worker, seen just now.
@@ -12,7 +12,7 @@
 
 fn lines(harness: &Harness, command: &str, function: &str) -> Vec<usize> {
     let of = |line: &&String| line.starts_with(command) && line.contains(function);
-    harness.workers.iter().map(|worker| worker.lines().iter().filter(of).count()).collect()
+    harness.workers.iter().map(|worker| worker.received_lines().iter().filter(of).count()).collect()
 }
 
 #[test]
@@ -20,7 +20,7 @@
     let peer = UdpSocket::bind("127.0.0.1:0").expect("socket bound");
     peer.set_read_timeout(Some(TEST_TIMEOUT)).expect("timeout set");
     let limits = Limits { peer: peer.local_addr().ok(), ..Limits::default() };
-    let mut harness = Harness::new(limits, 3, |_: usize, exec: &Exec| exec.serve());
+    let mut harness = Harness::new(limits, 3, |_: usize, exec: &ExecRequest| exec.serve());
     let of = |number, function: &str| Call { function: function.into(), ..call(number, "view") };
     let (first, second, third) = ("00000000000000aa", "00000000000000bb", "00000000000000cc");
 
--- a/crates/node/tests/sockets/half_open_connections.rs
+++ b/crates/node/tests/sockets/half_open_connections.rs
@@ -2,7 +2,7 @@
 //! nothing on it, and resets it later.
 
 use crate::common::*;
-use basaltward_fakes::{Act, Exec, FrontReply};
+use basaltward_fakes::{ExecRequest, FrontReply, WorkerAction};
 use basaltward_rules::Observation;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,8 +18,8 @@
     let script = {
         let half_open = half_open.clone();
         // A worker without the state of the connection processes nothing that comes on it.
-        move |_: usize, exec: &Exec| match half_open.swap(false, Ordering::SeqCst) {
-            true => vec![Act::Wait(RESET_DELAY), Act::Reset],
+        move |_: usize, exec: &ExecRequest| match half_open.swap(false, Ordering::SeqCst) {
+            true => vec![WorkerAction::Wait(RESET_DELAY), WorkerAction::Reset],
             false => exec.serve(),
         }
     };
--- a/crates/node/tests/sockets/invalid_requests.rs
+++ b/crates/node/tests/sockets/invalid_requests.rs
@@ -59,7 +59,7 @@
     let mut client = harness.client();
     client.submit(&fields("", None), &[0; (16 << 10) + 1]).expect("bytes sent");
     assert_eq!(client.read().expect("reply read"), Some((1, FrontReply::Rejected(None))));
-    assert!(harness.workers[0].lines().iter().all(|line| !line.starts_with("exec")));
+    assert!(harness.workers[0].received_lines().iter().all(|line| !line.starts_with("exec")));
     assert_eq!(harness.check_rules(), []);
 }
 
@@ -81,7 +81,7 @@
     let mut clients: Vec<_> = bad.iter().map(|_| harness.client()).collect();
     let began = Instant::now();
     for (client, bytes) in clients.iter_mut().zip(bad) {
-        client.raw(bytes).expect("bytes sent");
+        client.send_raw_bytes(bytes).expect("bytes sent");
     }
     for (client, bytes) in clients.iter_mut().zip(bad) {
         assert_eq!(client.read().expect("connection closed cleanly"), None, "{bytes:?}");
@@ -105,7 +105,7 @@
     for id in ["00000000000000ab", "00000000000000ac"] {
         basaltward_thrift::write::submit(&mut wire, 7, &fields("req", Some(id)), b"x");
     }
-    client.raw(&wire).expect("bytes sent");
+    client.send_raw_bytes(&wire).expect("bytes sent");
     assert_eq!(client.read().expect("connection closed cleanly"), None);
     // More requests than may be open on a connection.
     let mut client = harness.client();
--- a/crates/node/tests/sockets/lease_expiry.rs
+++ b/crates/node/tests/sockets/lease_expiry.rs
@@ -3,7 +3,7 @@
 //! probed.
 
 use crate::common::*;
-use basaltward_fakes::{Exec, LineWorker};
+use basaltward_fakes::{ExecRequest, LineWorker};
 use basaltward_rules::{Observation, Record, check};
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
@@ -26,7 +26,7 @@
 fn silence_bulletin(harness: &Harness) -> Instant {
     std::thread::sleep(Duration::from_millis(1_200));
     let silent = Instant::now();
-    harness.board.silence(true);
+    harness.board.set_silent(true);
     silent
 }
 
@@ -46,10 +46,11 @@
     let mut harness = Harness::with_config(limits, 1, with_lease, |_, exec| exec.serve());
     wait_until_served(&mut harness);
     // The only remaining worker has no established connection, and none can be established for now.
-    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
-    other.plug().expect("accept queue blocked");
+    let other =
+        LineWorker::start("s-1", harness.recorder.clone(), ExecRequest::serve).expect("worker started");
+    other.block_new_connections().expect("accept queue blocked");
     let drains = bulletin_entry("s-0", harness.workers[0].address(), "Terminating");
-    harness.board.tell(&format!("{},{drains}", bulletin_entry("s-1", other.address(), "Ready")));
+    harness.board.publish(&format!("{},{drains}", bulletin_entry("s-1", other.address(), "Ready")));
     harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-1"));
     let silent = silence_bulletin(&harness);
     // The last confirmation of the list came up to a second before the silence.
@@ -59,10 +60,10 @@
     let one = Call { timeout_ms: 7_000, ..call(9 << 40, "extract") };
     let asked = harness.submit(&mut client, &one);
     wait_until(silent + LEASE_EXPIRY + Duration::from_millis(300));
-    other.unplug();
+    other.unblock_new_connections();
     harness.read(&mut client, &[&asked]).expect("a reply before the connection closes");
     let records = harness.finish();
-    let lines = other.lines();
+    let lines = other.received_lines();
     let first = |word: &str| lines.iter().position(|line| line.starts_with(word));
     assert!(first("load").is_some_and(|probed| first("exec").is_none_or(|sent| probed < sent)), "{lines:?}");
     assert!(withdrawn(&records) > 0, "nothing was withdrawn: the call was decided on after the lease");
@@ -73,7 +74,7 @@
 fn unsent_calls_are_withdrawn_once_the_lease_expires() {
     let (go, held) = channel::<()>();
     let held = Arc::new(Mutex::new(held));
-    let unread = move |_: usize, exec: &Exec| {
+    let unread = move |_: usize, exec: &ExecRequest| {
         if exec.id == format!("{:016x}", 1) {
             let _ = held.lock().expect("lock not poisoned").recv_timeout(TEST_TIMEOUT);
         }
@@ -82,10 +83,10 @@
     let limits =
         Limits { sockets: 30, memory_mb: 64, streams: 128, deadline_ms: 12_000, ..Limits::default() };
     let mut harness = Harness::with_config(limits, 1, with_lease, unread);
-    harness.workers[0].narrow().expect("receive buffer reduced");
+    harness.workers[0].shrink_receive_buffers().expect("receive buffer reduced");
     let at = harness.workers[0].address();
     let others: Vec<_> = (1..4).map(|n| bulletin_entry(&format!("t-{n}"), at, "Terminating")).collect();
-    harness.board.tell(&others.join(","));
+    harness.board.publish(&others.join(","));
     harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "t-3"));
     wait_until_served(&mut harness);
     let silent = silence_bulletin(&harness);
@@ -107,6 +108,6 @@
     let records = harness.finish();
     let count = withdrawn(&records);
     assert!(count > 0, "nothing was withdrawn: all requests had left at once");
-    let probed = harness.workers[0].lines().iter().any(|line| line.starts_with("load"));
+    let probed = harness.workers[0].received_lines().iter().any(|line| line.starts_with("load"));
     assert!(probed, "{count} were withdrawn, and their worker was never probed");
 }
--- a/crates/node/tests/sockets/limits.rs
+++ b/crates/node/tests/sockets/limits.rs
@@ -2,7 +2,7 @@
 //! requests as allowed.
 
 use crate::common::*;
-use basaltward_fakes::{Act, Exec, FrontClient, FrontReply};
+use basaltward_fakes::{ExecRequest, FrontClient, FrontReply, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
 use basaltward_thrift::write;
@@ -41,7 +41,8 @@
 #[test]
 fn requests_with_almost_no_time_left_are_answered_and_keep_their_connection() {
     // A worker silently drops a request whose time has run out.
-    let silent = |_: usize, exec: &Exec| if exec.id.starts_with('f') { Vec::new() } else { exec.serve() };
+    let silent =
+        |_: usize, exec: &ExecRequest| if exec.id.starts_with('f') { Vec::new() } else { exec.serve() };
     let mut harness = Harness::new(Limits::default(), 1, silent);
     wait_until_served(&mut harness);
     let mut client = harness.client();
@@ -65,7 +66,8 @@
 
 #[test]
 fn at_the_open_request_limit_a_revoke_and_a_new_request_may_arrive_in_one_segment() {
-    let unanswered = |_: usize, exec: &Exec| if exec.id.starts_with('f') { Vec::new() } else { exec.serve() };
+    let unanswered =
+        |_: usize, exec: &ExecRequest| if exec.id.starts_with('f') { Vec::new() } else { exec.serve() };
     let mut harness = Harness::new(Limits::default(), 1, unanswered);
     wait_until_served(&mut harness);
     let mut client = harness.client();
@@ -97,9 +99,9 @@
     std::thread::sleep(before);
     let one = call(monotonic(), "view");
     let timeout = one.timeout_ms.to_string();
-    let (_, rest) = client.half(&fields(&one, &timeout), &one.body).expect("bytes sent");
+    let (_, rest) = client.submit_half(&fields(&one, &timeout), &one.body).expect("bytes sent");
     std::thread::sleep(Duration::from_millis(50));
-    client.raw(&rest).expect("bytes sent");
+    client.send_raw_bytes(&rest).expect("bytes sent");
     client.read().expect("reply read").map(|(_, reply)| reply)
 }
 
@@ -117,7 +119,9 @@
 
 #[test]
 fn the_budget_sent_to_a_worker_never_exceeds_the_client_timeout() {
-    let slow = |_: usize, exec: &Exec| [vec![Act::Wait(Duration::from_millis(5))], exec.serve()].concat();
+    let slow = |_: usize, exec: &ExecRequest| {
+        [vec![WorkerAction::Wait(Duration::from_millis(5))], exec.serve()].concat()
+    };
     let mut harness = Harness::new(Limits::default(), 1, slow);
     wait_until_served(&mut harness);
     let mut client = harness.client();
@@ -126,7 +130,7 @@
         let asked = harness.submit(&mut client, &one);
         harness.read(&mut client, &[&asked]).expect("a reply before the connection closes");
         let of = format!("exec {}", one.id);
-        let lines = harness.workers[0].lines();
+        let lines = harness.workers[0].received_lines();
         for line in lines.iter().filter(|line| line.starts_with(&of)) {
             let budget =
                 line.split("budget=").nth(1).and_then(|rest| rest.split([',', ' ']).next()?.parse().ok());
--- a/crates/node/tests/sockets/local_connect_errors.rs
+++ b/crates/node/tests/sockets/local_connect_errors.rs
@@ -1,7 +1,7 @@
 //! System calls that fail briefly on the scheduler's own machine are not held against a worker and fail no call.
 
 use crate::common::*;
-use basaltward_fakes::{Exec, FrontReply};
+use basaltward_fakes::{ExecRequest, FrontReply};
 use basaltward_net::{Errno, Micros, SystemCall, monotonic};
 use basaltward_rules::Observation;
 
@@ -15,7 +15,8 @@
         let plant = |node: &mut basaltward_node::Node| {
             node.inject_system_call_failures(SystemCall::Connect, error, 12)
         };
-        let mut harness = Harness::with_failures(Limits::default(), 1, plant, |_, exec: &Exec| exec.serve());
+        let mut harness =
+            Harness::with_failures(Limits::default(), 1, plant, |_, exec: &ExecRequest| exec.serve());
         for (number, class) in [(1, "extract"), (2, "view")] {
             let one = call(number, class);
             let began = monotonic();
--- a/crates/node/tests/sockets/planned_restart.rs
+++ b/crates/node/tests/sockets/planned_restart.rs
@@ -3,7 +3,7 @@
 //! plus 0.7 s after SIGTERM.
 
 use crate::common::*;
-use basaltward_fakes::{Act, Exec, FrontClient, FrontReply};
+use basaltward_fakes::{ExecRequest, FrontClient, FrontReply, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
 use basaltward_thrift::{
@@ -44,7 +44,7 @@
     let timeout = call.timeout_ms.to_string();
     let fields = fields(call, &timeout);
     match half {
-        true => client.half(&fields, &call.body),
+        true => client.submit_half(&fields, &call.body),
         false => Ok((client.submit(&fields, &call.body)?, Vec::new())),
     }
 }
@@ -102,7 +102,7 @@
                 client.as_mut().and_then(|c| write_request(c, &call, *before > 0).ok().map(|put| (c, put)));
             let sent = sent.and_then(|(client, (seqid, rest))| {
                 sleep_until(term + at);
-                client.raw(&rest).ok().map(|()| seqid)
+                client.send_raw_bytes(&rest).ok().map(|()| seqid)
             });
             let timeout = self.timeout_ms * MS;
             numbers.push(sent);
@@ -188,8 +188,8 @@
     now
 }
 
-fn slow(_: usize, exec: &Exec) -> Vec<Act> {
-    let mut acts = vec![Act::Wait(Duration::from_millis(20))];
+fn slow(_: usize, exec: &ExecRequest) -> Vec<WorkerAction> {
+    let mut acts = vec![WorkerAction::Wait(Duration::from_millis(20))];
     acts.extend(exec.serve());
     acts
 }
@@ -353,7 +353,7 @@
     // The workers hang: each request ends by its timeout or by the restart.
     const LONG_MS: u64 = 8_000;
     let mut harness =
-        Harness::new(Limits { deadline_ms: LONG_MS, ..Limits::default() }, 2, |_, _| vec![Act::Run]);
+        Harness::new(Limits { deadline_ms: LONG_MS, ..Limits::default() }, 2, |_, _| vec![WorkerAction::Run]);
     let mut before = harness.client();
     let long = |number| Call { timeout_ms: LONG_MS, ..call(number, "extract") };
     let asked: Vec<_> = (1..=8).map(|number| harness.submit(&mut before, &long(number))).collect();
--- a/crates/node/tests/sockets/readiness.rs
+++ b/crates/node/tests/sockets/readiness.rs
@@ -2,7 +2,7 @@
 //! reload. Readiness after a stall is covered by the program's own tests.
 
 use crate::common::*;
-use basaltward_fakes::{Board, FrontClient, FrontReply};
+use basaltward_fakes::{FakeBulletin, FrontClient, FrontReply};
 use basaltward_rules::check;
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
@@ -33,13 +33,13 @@
 }
 
 /// How the bulletin announces the workers, none of which is in the configuration.
-type Announce = fn(&Board, &str);
+type Announce = fn(&FakeBulletin, &str);
 
 #[test]
 fn a_scheduler_without_workers_is_not_ready_until_one_that_takes_calls_is_listed() {
     let variants: [(&str, Announce); 2] = [
-        ("an update", |board, entry| board.tell(entry)),
-        ("a full list", |board, entry| board.tell_whole(entry)),
+        ("an update", |board, entry| board.publish(entry)),
+        ("a full list", |board, entry| board.publish_full_list(entry)),
     ];
     for (what, announce) in variants {
         let without_workers = |text: String| {
@@ -56,7 +56,7 @@
         }
         // A draining worker takes no calls.
         let at = harness.workers[0].address();
-        harness.board.tell(&bulletin_entry("s-9", unused_address(), "Terminating"));
+        harness.board.publish(&bulletin_entry("s-9", unused_address(), "Terminating"));
         harness
 .wait_for(
 |what| matches!(what, basaltward_rules::Observation::WorkerState { worker, .. } if worker == "s-9"),
@@ -95,8 +95,10 @@
     let mut harness = Harness::new(Limits::default(), 2, |_, exec| exec.serve());
     let mut front = harness.client();
     wait_until_ready(&mut front);
-    let (reachable, first) =
-        (Board::start(2).expect("bulletin started"), std::fs::read_to_string(&harness.config).expect("read"));
+    let (reachable, first) = (
+        FakeBulletin::start(2).expect("bulletin started"),
+        std::fs::read_to_string(&harness.config).expect("read"),
+    );
     let old = harness.board.address().to_string();
     let moved = |to: SocketAddr| first.replace(&old, &to.to_string());
     // A reachable bulletin, one that refuses connections, a truncated file, and the first one again.
--- a/crates/node/tests/sockets/reload.rs
+++ b/crates/node/tests/sockets/reload.rs
@@ -4,7 +4,7 @@
     Calls, FUNCTIONS, LATE, MS, SILENCE_LIMIT, busy_harness, sent_after, state_received,
 };
 use crate::common::*;
-use basaltward_fakes::{Board, FrontReply, LineWorker};
+use basaltward_fakes::{FakeBulletin, FrontReply, LineWorker};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{Observation, Record, check};
 use std::collections::{BTreeMap, BTreeSet};
@@ -61,32 +61,32 @@
         let (uid, at) = (format!("s-{busiest}"), harness.workers[busiest].address());
         let (ready, leaving) = (bulletin_entry(&uid, at, "Ready"), bulletin_entry(&uid, at, "Terminating"));
         // Listed as ready before the drain: the new bulletin must not bring this state back.
-        harness.board.tell(&ready);
-        let new = Board::start(2).expect("bulletin started");
-        new.tell(&ready);
+        harness.board.publish(&ready);
+        let new = FakeBulletin::start(2).expect("bulletin started");
+        new.publish(&ready);
         let text = std::fs::read_to_string(&harness.config).expect("configuration file readable");
         let moved = text.replace(&harness.board.address().to_string(), &new.address().to_string());
         std::fs::write(&harness.config, moved).expect("configuration written");
         let open = send_wave(&mut harness, &mut calls);
         let began = monotonic();
         if matches!(drain, Drain::OldThenNew | Drain::OldAlone) {
-            harness.board.tell(&leaving);
+            harness.board.publish(&leaving);
         }
         if drain == Drain::OldAlone {
-            new.silence(true);
+            new.set_silent(true);
         }
         harness.control.reload();
         match drain {
-            Drain::OldThenNew | Drain::NewAlone => new.tell(&leaving),
+            Drain::OldThenNew | Drain::NewAlone => new.publish(&leaving),
             Drain::OldAlone => {}
             Drain::NewOnceAsked => {
                 let until = began + TEST_TIMEOUT.as_micros() as Micros;
-                while new.asked().is_empty() {
+                while new.received_requests().is_empty() {
                     assert!(monotonic() < until, "the new bulletin was never queried");
                     std::thread::sleep(Duration::from_millis(1));
                 }
-                harness.board.cut();
-                new.tell(&leaving);
+                harness.board.disconnect_all();
+                new.publish(&leaving);
             }
         }
         expect_served(&harness, open);
@@ -95,7 +95,7 @@
         if drain != Drain::OldAlone {
             let replayed =
                 format!("{{\"no\":2,\"roster\":{{\"rev\":2,\"all\":false,\"targets\":[{ready}]}}}}\n");
-            new.garble(&replayed);
+            new.send_raw(&replayed);
         }
         for _ in 0..8 {
             let open = send_wave(&mut harness, &mut calls);
@@ -120,19 +120,24 @@
     // Events arrive for longer than a silence is tolerated: each restarts the timeout, if the machine sends them in
     // time.
     for _ in 0..5 {
-        let (before, until, mut longest) = (harness.board.asked().len(), monotonic() + 2_500 * MS, 0);
+        let (before, until, mut longest) =
+            (harness.board.received_requests().len(), monotonic() + 2_500 * MS, 0);
         while monotonic() < until {
             let sent = monotonic();
-            harness.board.tell(&bulletin_entry("s-8", ([127, 0, 0, 1], 9).into(), "Gone"));
+            harness.board.publish(&bulletin_entry("s-8", ([127, 0, 0, 1], 9).into(), "Gone"));
             calls.send_until(&mut harness, sent + 50 * MS);
             longest = longest.max(monotonic() - sent);
         }
         if longest < 500 * MS {
-            assert_eq!(harness.board.asked().len(), before, "the scheduler dropped an active bulletin");
+            assert_eq!(
+                harness.board.received_requests().len(),
+                before,
+                "the scheduler dropped an active bulletin"
+            );
             break;
         }
     }
-    harness.board.stall(&bulletin_entry(&uid, at, "Gone"));
+    harness.board.stall_mid_event(&bulletin_entry(&uid, at, "Gone"));
     let began = monotonic();
     let received = |all: &[Record]| state_received(all, &uid, "gone") < Micros::MAX;
     while !harness.recorder.wait_until(Duration::ZERO, received) && monotonic() < began + SILENCE_LIMIT {
@@ -172,7 +177,7 @@
         bulletin_entry(&format!("s-{n}"), harness.workers[n].address(), state)
     };
     // The fourth worker is not known at first.
-    harness.board.tell(&entry(&harness, 3, "Gone"));
+    harness.board.publish(&entry(&harness, 3, "Gone"));
     wait_for_state(&harness, "s-3", "gone");
     let mut functions = BTreeMap::new();
     let mut number = 0;
@@ -190,24 +195,24 @@
     // calls.
     let mut known = 0..FUNCTIONS;
     send_calls(&mut harness, &mut functions, known.clone());
-    let serves = |worker: &LineWorker| worker.lines().iter().any(|line| line.starts_with("exec "));
+    let serves = |worker: &LineWorker| worker.received_lines().iter().any(|line| line.starts_with("exec "));
     while !harness.workers[..3].iter().all(serves) {
         assert!(known.end < 20 * FUNCTIONS, "one of the workers was never used");
         known.end += 1;
         send_calls(&mut harness, &mut functions, known.end - 1..known.end);
     }
     send_calls(&mut harness, &mut functions, known.clone());
-    let lines = harness.workers[0].lines().len();
+    let lines = harness.workers[0].received_lines().len();
     // One stays as it is, one drains, one is no longer listed, and one is new.
     let list = [entry(&harness, 0, "Ready"), entry(&harness, 1, "Terminating"), entry(&harness, 3, "Ready")];
-    harness.board.tell_whole(&list.join(","));
+    harness.board.publish_full_list(&list.join(","));
     wait_for_state(&harness, "s-3", "active");
     let full_list_at = monotonic();
     (0..2).for_each(|_| send_calls(&mut harness, &mut functions, known.clone()));
-    let orders: Vec<_> = harness.workers[0].lines().split_off(lines);
+    let orders: Vec<_> = harness.workers[0].received_lines().split_off(lines);
     // The new worker is used once it is the only one.
     let alone_at = monotonic();
-    harness.board.tell(&entry(&harness, 0, "Gone"));
+    harness.board.publish(&entry(&harness, 0, "Gone"));
     wait_for_state(&harness, "s-0", "gone");
     send_calls(&mut harness, &mut functions, 0..10);
     let records = harness.finish();
--- a/crates/node/tests/sockets/shutdown.rs
+++ b/crates/node/tests/sockets/shutdown.rs
@@ -2,7 +2,7 @@
 //! meet in one turn, and connections not yet accepted, are covered by the program's own tests.
 
 use crate::common::*;
-use basaltward_fakes::{Act, Exec, FrontClient, FrontReply};
+use basaltward_fakes::{ExecRequest, FrontClient, FrontReply, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
 use std::time::{Duration, Instant};
@@ -67,8 +67,8 @@
 
 #[test]
 fn a_second_signal_and_an_invalid_configuration_do_not_affect_shutdown() {
-    let slow = |_: usize, exec: &Exec| {
-        let mut acts = vec![Act::Wait(Duration::from_millis(20))];
+    let slow = |_: usize, exec: &ExecRequest| {
+        let mut acts = vec![WorkerAction::Wait(Duration::from_millis(20))];
         acts.extend(exec.serve());
         acts
     };
--- a/crates/node/tests/sockets/slow_workers.rs
+++ b/crates/node/tests/sockets/slow_workers.rs
@@ -1,7 +1,7 @@
 //! Workers that hang, connections that are established late, and answers that arrive twice.
 
 use crate::common::*;
-use basaltward_fakes::{Act, Exec, FrontReply, LineWorker, answer};
+use basaltward_fakes::{ExecRequest, FrontReply, LineWorker, WorkerAction, answer_line};
 use basaltward_net::monotonic;
 use basaltward_rules::{Observation, Record};
 use std::sync::mpsc;
@@ -14,7 +14,7 @@
 
 /// The `exec` lines that a worker received.
 fn execs(worker: &LineWorker) -> Vec<String> {
-    worker.lines().into_iter().filter(|line| line.starts_with("exec")).collect()
+    worker.received_lines().into_iter().filter(|line| line.starts_with("exec")).collect()
 }
 
 /// Sends batches of calls for 30 functions. Returns, for the later half of them, the share that reached the first of
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_hung_worker_loses_its_share_and_others_serve_its_safe_calls() {
-    let script = |worker: usize, exec: &Exec| if worker == 0 { Vec::new() } else { exec.serve() };
+    let script = |worker: usize, exec: &ExecRequest| if worker == 0 { Vec::new() } else { exec.serve() };
     let mut harness = Harness::new(Limits::default(), 3, script);
     let (share, unserved) = later_half(&mut harness);
     assert!(share < MAX_HUNG_SHARE && unserved == 0, "{share} {unserved}");
@@ -74,7 +74,7 @@
     let mut harness = Harness::new(limits, 1, |_, exec| exec.serve());
     // A copy is loaded, and there is no connection for a probe.
     assert_eq!(harness.call(&call(1, "extract")), served(&call(1, "extract")));
-    harness.workers[0].plug().expect("accept queue blocked");
+    harness.workers[0].block_new_connections().expect("accept queue blocked");
     harness.workers[0].reset_all();
     let mut client = harness.client();
     let (mut short, long) = (call(2, "extract"), call(3, "extract"));
@@ -86,7 +86,7 @@
     assert_eq!(number, first.seqid);
     assert!(matches!(reply, FrontReply::Crashed | FrontReply::Rejected(_)), "{reply:?}");
     assert!(execs(&harness.workers[0]).iter().all(|line| line.contains(&call(1, "extract").id)));
-    harness.workers[0].unplug();
+    harness.workers[0].unblock_new_connections();
     assert_eq!(harness.read(&mut client, &open), Some((second.seqid, served(&long))));
     let waited = (monotonic() - began) / 1_000;
     assert!(waited >= 900, "the connection was established after only {waited} ms");
@@ -106,7 +106,7 @@
     for number in 0..20 {
         assert_eq!(harness.call(&call(number, "extract")), served(&call(number, "extract")));
     }
-    harness.workers[0].plug().expect("accept queue blocked");
+    harness.workers[0].block_new_connections().expect("accept queue blocked");
     harness.workers[0].reset_all();
     let before = execs(&harness.workers[0]).len();
     for number in 100..120 {
@@ -115,7 +115,7 @@
         assert_eq!(harness.call(&one), served(&one), "{number}");
     }
     assert_eq!(execs(&harness.workers[0]).len(), before);
-    harness.workers[0].unplug();
+    harness.workers[0].unblock_new_connections();
     assert_eq!(harness.check_rules(), []);
 }
 
@@ -134,11 +134,11 @@
 fn a_duplicate_answer_is_not_matched_to_a_later_request_with_the_same_id() {
     let (go, held) = mpsc::channel();
     let held = Arc::new(Mutex::new(held));
-    let script = move |_: usize, exec: &Exec| {
+    let script = move |_: usize, exec: &ExecRequest| {
         if exec.body == b"another body" {
             held.lock().expect("lock not poisoned").recv().expect("test releases the answer");
         }
-        let mut acts = vec![Act::Wait(Duration::from_millis(10))];
+        let mut acts = vec![WorkerAction::Wait(Duration::from_millis(10))];
         acts.extend(exec.serve());
         acts
     };
@@ -157,9 +157,10 @@
     assert!(twice, "the second request was never sent");
     // A duplicate of the first answer, on the connection of the first; the answer to the second request follows a
     // little later.
-    let again = answer(&first.id, "OK", "detail=up", &first.body.iter().rev().copied().collect::<Vec<_>>());
+    let again =
+        answer_line(&first.id, "OK", "detail=up", &first.body.iter().rev().copied().collect::<Vec<_>>());
     let port = attempt_ports.lock().expect("lock not poisoned")[0];
-    harness.workers[0].say(port, &again).expect("connection open");
+    harness.workers[0].write_to_port(port, &again).expect("connection open");
     std::thread::sleep(Duration::from_millis(5));
     go.send(()).expect("receiver alive");
     assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
--- a/crates/node/tests/sockets/tenants_and_keys.rs
+++ b/crates/node/tests/sockets/tenants_and_keys.rs
@@ -2,7 +2,7 @@
 //! key.
 
 use crate::common::*;
-use basaltward_fakes::{Act, Exec, FrontClient, FrontReply, answer};
+use basaltward_fakes::{ExecRequest, FrontClient, FrontReply, WorkerAction, answer_line};
 use std::sync::{Arc, Mutex, mpsc};
 
 const FUNCTION: &str = "7f3a9c21e0b4d655";
@@ -40,10 +40,10 @@
     let seen: Arc<Mutex<Vec<String>>> = Arc::default();
     let worker_seen = seen.clone();
     // The first attempt breaks after it has run; the class allows another within its window.
-    let script = move |_: usize, exec: &Exec| {
+    let script = move |_: usize, exec: &ExecRequest| {
         let mut seen = worker_seen.lock().expect("lock not poisoned");
         seen.push(exec.fields.clone());
-        if seen.len() == 1 { vec![Act::Reset] } else { exec.serve() }
+        if seen.len() == 1 { vec![WorkerAction::Reset] } else { exec.serve() }
     };
     let mut harness = Harness::with_config(Limits::default(), 2, settings, script);
     let mut client = harness.client();
@@ -56,7 +56,7 @@
 
 #[test]
 fn invalid_keys_and_unknown_tenants_are_rejected_and_reach_no_worker() {
-    let script = |_: usize, exec: &Exec| exec.serve();
+    let script = |_: usize, exec: &ExecRequest| exec.serve();
     let mut harness = Harness::with_config(Limits::default(), 1, settings, script);
     let long = "k".repeat(65);
     let cases: [(&str, &[(&str, &str)]); 8] = [
@@ -74,7 +74,7 @@
         let reply = call_for_reply(&mut harness.client(), number as u64 + 1, class, more);
         assert!(matches!(reply, FrontReply::Rejected(_)), "{number}: {reply:?}");
     }
-    let sent = harness.workers[0].lines();
+    let sent = harness.workers[0].received_lines();
     assert!(!sent.iter().any(|line| line.starts_with("exec")), "{sent:?}");
     assert_eq!(call_for_reply(&mut harness.client(), 99, "view", &[("owner", "south")]), served());
     harness.finish();
@@ -83,11 +83,11 @@
 #[test]
 fn a_tenant_within_its_quota_is_served_while_another_far_exceeds_its_own() {
     let (rejected, rejections) = mpsc::channel();
-    let script = move |_: usize, exec: &Exec| match exec.id.as_str() {
+    let script = move |_: usize, exec: &ExecRequest| match exec.id.as_str() {
         // Workers reject all calls of the first tenant for lack of capacity.
         id if id < "0000000000000100" => {
             let _ = rejected.send(());
-            vec![Act::Write(answer(id, "BUSY", "company=8", b""))]
+            vec![WorkerAction::Write(answer_line(id, "BUSY", "company=8", b""))]
         }
         _ => exec.serve(),
     };
--- a/crates/node/tests/sockets/unread_requests.rs
+++ b/crates/node/tests/sockets/unread_requests.rs
@@ -2,7 +2,7 @@
 //! complete, however late the worker reads again.
 
 use crate::common::*;
-use basaltward_fakes::{Act, Exec};
+use basaltward_fakes::{ExecRequest, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
 use std::time::Duration;
@@ -16,10 +16,10 @@
 const BODY_SIZE: usize = 16 << 10;
 
 /// Serves the first request, then reads nothing for a while.
-fn stop_reading(_: usize, exec: &Exec) -> Vec<Act> {
+fn stop_reading(_: usize, exec: &ExecRequest) -> Vec<WorkerAction> {
     let mut acts = exec.serve();
-    if exec.nth == 0 {
-        acts.push(Act::Wait(UNREAD_PERIOD));
+    if exec.arrival_index == 0 {
+        acts.push(WorkerAction::Wait(UNREAD_PERIOD));
     }
     acts
 }
@@ -28,7 +28,7 @@
 /// was, and when the request arrived complete at the worker, if it did.
 fn abandon_unread(method: &str) -> (Micros, Option<Micros>) {
     let mut harness = Harness::new(Limits { connect_ms: 100, ..Limits::default() }, 1, stop_reading);
-    harness.workers[0].narrow().expect("receive buffer reduced");
+    harness.workers[0].shrink_receive_buffers().expect("receive buffer reduced");
     wait_until_served(&mut harness);
     let mut client = harness.client();
     let timeout_ms = if method == "deadline" { 800 } else { 8_000 };
--- a/crates/node/tests/sockets/unsent_requests.rs
+++ b/crates/node/tests/sockets/unsent_requests.rs
@@ -2,7 +2,7 @@
 //! worker drains or the connection breaks.
 
 use crate::common::*;
-use basaltward_fakes::{Exec, FrontClient, FrontReply, LineWorker};
+use basaltward_fakes::{ExecRequest, FrontClient, FrontReply, LineWorker};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{Observation, Record};
 use std::collections::BTreeMap;
@@ -37,14 +37,14 @@
 fn with_unread_connection(limits: Limits) -> (Harness, Sender<()>) {
     let (go, held) = channel();
     let held = Arc::new(Mutex::new(held));
-    let script = move |_: usize, exec: &Exec| {
+    let script = move |_: usize, exec: &ExecRequest| {
         if exec.id == format!("{:016x}", 0) {
             let _ = held.lock().expect("lock not poisoned").recv();
         }
         exec.serve()
     };
     let mut harness = Harness::new(Limits { sockets: 30, memory_mb: 64, streams: 128, ..limits }, 1, script);
-    harness.workers[0].narrow().expect("receive buffer reduced");
+    harness.workers[0].shrink_receive_buffers().expect("receive buffer reduced");
     limit_to_one_connection(&harness);
     load_copies(&mut harness);
     (harness, go)
@@ -62,7 +62,7 @@
 fn limit_to_one_connection(harness: &Harness) {
     let at = harness.workers[0].address();
     let others: Vec<_> = (1..4).map(|n| bulletin_entry(&format!("t-{n}"), at, "Terminating")).collect();
-    harness.board.tell(&others.join(","));
+    harness.board.publish(&others.join(","));
     harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "t-3"));
 }
 
@@ -135,7 +135,7 @@
 fn commands_for(harness: &Harness, id: &str) -> Vec<String> {
     let of = |line: &String| line.split(' ').nth(1) == Some(id);
     harness.workers[0]
-        .lines()
+        .received_lines()
         .into_iter()
         .filter(of)
         .map(|l| l.split(' ').next().unwrap_or("").to_owned())
@@ -185,8 +185,9 @@
     let all = fill_connection(&mut harness, &mut clients, [timeout_ms, 8_000]);
     let given = sent(&harness);
     let (gone, remaining): (Vec<_>, Vec<_>) = all.iter().partition(|(at, ..)| *at == 0);
-    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
-    harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
+    let other =
+        LineWorker::start("s-1", harness.recorder.clone(), ExecRequest::serve).expect("worker started");
+    harness.board.publish(&bulletin_entry("s-1", other.address(), "Ready"));
     harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-1"));
     let [first, mut second] = clients;
     let _remaining_client = leave(&harness, first, &gone);
@@ -265,7 +266,8 @@
     let mut clients = [harness.client(), harness.client()];
     let all = fill_connection(&mut harness, &mut clients, [8_000; 2]);
     let given = sent(&harness);
-    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
+    let other =
+        LineWorker::start("s-1", harness.recorder.clone(), ExecRequest::serve).expect("worker started");
     update_list(&harness, other.address());
     harness.wait_for(
 |what| matches!(what, Observation::WorkerState { worker, state } if worker == "s-0" && state != "active"),
@@ -293,7 +295,7 @@
 fn unsent_requests_of_a_draining_worker_go_to_another() {
     remove_worker(|harness, other| {
         let drains = bulletin_entry("s-0", harness.workers[0].address(), "Terminating");
-        harness.board.tell(&format!("{drains},{}", bulletin_entry("s-1", other, "Ready")));
+        harness.board.publish(&format!("{drains},{}", bulletin_entry("s-1", other, "Ready")));
     });
 }
 
@@ -303,7 +305,7 @@
         let only = bulletin_entry("s-1", other, "Ready");
         harness
             .board
-            .garble(&format!("{{\"no\":3,\"roster\":{{\"rev\":3,\"all\":true,\"targets\":[{only}]}}}}\n"));
+            .send_raw(&format!("{{\"no\":3,\"roster\":{{\"rev\":3,\"all\":true,\"targets\":[{only}]}}}}\n"));
     });
 }
 
@@ -313,7 +315,7 @@
     let mut harness = Harness::new(limits, 1, |_, exec| exec.serve());
     limit_to_one_connection(&harness);
     load_copies(&mut harness);
-    harness.workers[0].plug().expect("accept queue blocked");
+    harness.workers[0].block_new_connections().expect("accept queue blocked");
     harness.workers[0].reset_all();
     wait_until_processed(&harness);
     let mut client = harness.client();
@@ -325,7 +327,7 @@
     }
     wait_until_processed(&harness);
     assert!(sent(&harness).len() == 8, "the connection was established already");
-    harness.workers[0].unplug();
+    harness.workers[0].unblock_new_connections();
     let replies = read_all(&harness, &mut client, &asked);
     for (call, asked) in calls.iter().zip(&asked) {
         assert!(replies[&asked.seqid] == served(call), "{}: {:.80?}", call.id, replies[&asked.seqid]);
@@ -340,8 +342,9 @@
     let all = fill_connection(&mut harness, &mut clients, [8_000; 2]);
     let given = sent(&harness);
     // The worker is avoided for a while after so many failures: another one serves the rest.
-    let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
-    harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
+    let other =
+        LineWorker::start("s-1", harness.recorder.clone(), ExecRequest::serve).expect("worker started");
+    harness.board.publish(&bulletin_entry("s-1", other.address(), "Ready"));
     harness.wait_for(|what| matches!(what, Observation::WorkerState { worker, .. } if worker == "s-1"));
     harness.workers[0].reset_all();
     wait_until_processed(&harness);
--- a/crates/node/tests/sockets/watch.rs
+++ b/crates/node/tests/sockets/watch.rs
@@ -1,12 +1,12 @@
 //! Event ordering on the watch of the worker list, also while the configuration is reloaded.
 
 use crate::common::*;
-use basaltward_fakes::{Act, Board, Exec, FrontReply, answer};
+use basaltward_fakes::{ExecRequest, FakeBulletin, FrontReply, WorkerAction, answer_line};
 use basaltward_rules::{Observation, Record, check};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-fn serve(_: usize, exec: &Exec) -> Vec<Act> {
+fn serve(_: usize, exec: &ExecRequest) -> Vec<WorkerAction> {
     exec.serve()
 }
 
@@ -52,16 +52,16 @@
 fn an_event_truncated_in_transit_is_received_again_complete() {
     for reset in [false, true] {
         let mut harness = Harness::new(Limits::default(), 2, serve);
-        wait_until("the bulletin is queried", || harness.board.standing() == 1);
+        wait_until("the bulletin is queried", || harness.board.open_connections() == 1);
         let leaving = bulletin_entry("s-0", harness.workers[0].address(), "Terminating");
-        harness.board.break_off(&leaving, reset);
+        harness.board.disconnect_mid_event(&leaving, reset);
         wait_for_state(&harness, "s-0", "leaving");
-        harness.board.tell(&absent_worker("s-9", "Gone"));
+        harness.board.publish(&absent_worker("s-9", "Gone"));
         wait_for_state(&harness, "s-9", "gone");
         for number in 0..20 {
             expect_call_served(&mut harness, number);
         }
-        let asked = harness.board.asked();
+        let asked = harness.board.received_requests();
         assert_eq!(asked.iter().filter(|a| **a != "after 1" && **a != "after 2").count(), 0, "{asked:?}");
         let records = harness.finish();
         assert_eq!((count(&records, "s-0", "leaving"), count(&records, "s-9", "gone")), (1, 1));
@@ -72,28 +72,28 @@
 #[test]
 fn a_late_reply_of_the_old_bulletin_is_ignored_once_the_new_one_has_replied() {
     let mut harness = Harness::new(Limits::default(), 2, serve);
-    wait_until("the bulletin is queried", || harness.board.standing() == 1);
+    wait_until("the bulletin is queried", || harness.board.open_connections() == 1);
     // The old bulletin disconnects, is queried again and delays its reply.
-    harness.board.silence(true);
-    harness.board.cut();
-    wait_until("the bulletin is queried again", || harness.board.standing() == 1);
-    let new = Board::start(2).expect("bulletin started");
-    new.tell(&bulletin_entry("s-0", harness.workers[0].address(), "Terminating"));
+    harness.board.set_silent(true);
+    harness.board.disconnect_all();
+    wait_until("the bulletin is queried again", || harness.board.open_connections() == 1);
+    let new = FakeBulletin::start(2).expect("bulletin started");
+    new.publish(&bulletin_entry("s-0", harness.workers[0].address(), "Terminating"));
     set_bulletin(&harness, harness.board.address(), new.address());
     harness.control.reload();
     wait_for_state(&harness, "s-0", "leaving");
     // Only now it replies, with event numbers that the new bulletin has not sent yet.
     for uid in ["old-2", "old-3", "old-4"] {
-        harness.board.tell(&absent_worker(uid, "Ready"));
+        harness.board.publish(&absent_worker(uid, "Ready"));
     }
-    harness.board.speak();
-    wait_until("the old connection has ended", || harness.board.standing() == 0);
-    new.tell(&absent_worker("s-9", "Gone"));
+    harness.board.resume_and_resend();
+    wait_until("the old connection has ended", || harness.board.open_connections() == 0);
+    new.publish(&absent_worker("s-9", "Gone"));
     wait_for_state(&harness, "s-9", "gone");
     for number in 0..20 {
         expect_call_served(&mut harness, number);
     }
-    assert_eq!((new.asked(), new.standing()), (vec!["after 1".to_owned()], 1));
+    assert_eq!((new.received_requests(), new.open_connections()), (vec!["after 1".to_owned()], 1));
     let records = harness.finish();
     let old = records.iter().any(
         |r| matches!(&r.observation, Observation::WorkerState { worker, .. } if worker.starts_with("old")),
@@ -105,20 +105,20 @@
 #[test]
 fn events_of_the_old_bulletin_apply_once_until_the_new_one_replies() {
     let mut harness = Harness::new(Limits::default(), 2, serve);
-    wait_until("the bulletin is queried", || harness.board.standing() == 1);
-    let new = Board::start(2).expect("bulletin started");
-    new.silence(true);
+    wait_until("the bulletin is queried", || harness.board.open_connections() == 1);
+    let new = FakeBulletin::start(2).expect("bulletin started");
+    new.set_silent(true);
     set_bulletin(&harness, harness.board.address(), new.address());
     harness.control.reload();
-    wait_until("the new bulletin is queried", || new.standing() == 1);
+    wait_until("the new bulletin is queried", || new.open_connections() == 1);
     let leaving = bulletin_entry("s-0", harness.workers[0].address(), "Terminating");
-    harness.board.tell(&leaving);
+    harness.board.publish(&leaving);
     wait_for_state(&harness, "s-0", "leaving");
-    new.tell(&leaving);
-    new.tell(&absent_worker("s-9", "Gone"));
-    new.speak();
+    new.publish(&leaving);
+    new.publish(&absent_worker("s-9", "Gone"));
+    new.resume_and_resend();
     wait_for_state(&harness, "s-9", "gone");
-    wait_until("the old bulletin is disconnected", || harness.board.standing() == 0);
+    wait_until("the old bulletin is disconnected", || harness.board.open_connections() == 0);
     expect_call_served(&mut harness, 1);
     let records = harness.finish();
     assert_eq!((count(&records, "s-0", "leaving"), count(&records, "s-9", "gone")), (1, 1));
@@ -128,23 +128,25 @@
 #[test]
 fn switching_bulletins_back_and_forth_leaves_one_connection_to_the_last() {
     let mut harness = Harness::new(Limits::default(), 1, serve);
-    wait_until("the bulletin is queried", || harness.board.standing() == 1);
-    harness.board.tell(&absent_worker("s-8", "Gone"));
+    wait_until("the bulletin is queried", || harness.board.open_connections() == 1);
+    harness.board.publish(&absent_worker("s-8", "Gone"));
     wait_for_state(&harness, "s-8", "gone");
-    let (other, original) = (Board::start(2).expect("bulletin started"), harness.board.address());
-    other.silence(true);
+    let (other, original) = (FakeBulletin::start(2).expect("bulletin started"), harness.board.address());
+    other.set_silent(true);
     for turn in 1..=5 {
         set_bulletin(&harness, original, other.address());
         harness.control.reload();
-        wait_until("the other bulletin is queried", || other.standing() == 1);
+        wait_until("the other bulletin is queried", || other.open_connections() == 1);
         set_bulletin(&harness, other.address(), original);
         harness.control.reload();
-        wait_until("the bulletin is queried again", || harness.board.asked().len() == turn + 1);
-        wait_until("one connection is left", || (harness.board.standing(), other.standing()) == (1, 0));
+        wait_until("the bulletin is queried again", || harness.board.received_requests().len() == turn + 1);
+        wait_until("one connection is left", || {
+            (harness.board.open_connections(), other.open_connections()) == (1, 0)
+        });
     }
-    harness.board.tell(&absent_worker("s-9", "Gone"));
+    harness.board.publish(&absent_worker("s-9", "Gone"));
     wait_for_state(&harness, "s-9", "gone");
-    assert_eq!((harness.board.standing(), harness.board.asked().len()), (1, 6));
+    assert_eq!((harness.board.open_connections(), harness.board.received_requests().len()), (1, 6));
     expect_call_served(&mut harness, 1);
     assert_eq!(count(&harness.finish(), "s-9", "gone"), 1);
 }
@@ -152,19 +154,19 @@
 #[test]
 fn reconnects_to_a_bulletin_that_keeps_failing_are_rate_limited() {
     let mut harness = Harness::new(Limits::default(), 1, serve);
-    wait_until("the bulletin is queried", || harness.board.standing() == 1);
+    wait_until("the bulletin is queried", || harness.board.open_connections() == 1);
     let began = Instant::now();
     let mut breaks = 0;
     // Each time a valid event, followed by one with a gap in the numbers.
     while began.elapsed() < Duration::from_secs(3) {
-        if harness.board.asked().len() > breaks {
-            breaks = harness.board.asked().len();
-            harness.board.garble("{\"no\":1}\n{\"no\":7}\n");
+        if harness.board.received_requests().len() > breaks {
+            breaks = harness.board.received_requests().len();
+            harness.board.send_raw("{\"no\":1}\n{\"no\":7}\n");
         }
         std::thread::sleep(Duration::from_millis(1));
     }
     assert!((3..=14).contains(&breaks), "{breaks} in 3 s");
-    harness.board.tell(&absent_worker("s-9", "Gone"));
+    harness.board.publish(&absent_worker("s-9", "Gone"));
     wait_for_state(&harness, "s-9", "gone");
     expect_call_served(&mut harness, 1);
     assert_eq!(check(&harness.finish(), &rule_settings()), []);
@@ -174,25 +176,29 @@
 fn a_removed_worker_and_a_new_one_at_its_address_may_arrive_in_any_order() {
     for variant in [0, 1, 2, 3] {
         // The old worker's answer is in flight while its end and the new worker are announced.
-        let slow = |_: usize, exec: &Exec| match exec.nth {
+        let slow = |_: usize, exec: &ExecRequest| match exec.arrival_index {
             0 => {
-                let served = answer(&exec.id, "OK", "detail=up", &exec.turned());
-                vec![Act::Run, Act::Wait(Duration::from_millis(300)), Act::Write(served)]
+                let served = answer_line(&exec.id, "OK", "detail=up", &exec.reversed_body());
+                vec![
+                    WorkerAction::Run,
+                    WorkerAction::Wait(Duration::from_millis(300)),
+                    WorkerAction::Write(served),
+                ]
             }
             _ => exec.serve(),
         };
         let mut harness = Harness::new(Limits::default(), 1, slow);
         let at = harness.workers[0].address();
-        wait_until("the bulletin is queried", || harness.board.standing() == 1);
+        wait_until("the bulletin is queried", || harness.board.open_connections() == 1);
         let mut client = harness.client();
         let asked = harness.submit(&mut client, &call(1, "extract"));
         harness.wait_for(|what| matches!(what, Observation::Arrived { .. }));
         let (gone, ready) = (bulletin_entry("s-0", at, "Gone"), bulletin_entry("s-9", at, "Ready"));
         match variant {
-            0 => harness.board.tell(&format!("{gone},{ready}")),
-            1 => harness.board.tell(&format!("{ready},{gone}")),
-            2 => harness.board.tell_together(&[&gone, &ready]),
-            _ => harness.board.tell_together(&[&ready, &gone]),
+            0 => harness.board.publish(&format!("{gone},{ready}")),
+            1 => harness.board.publish(&format!("{ready},{gone}")),
+            2 => harness.board.publish_batch(&[&gone, &ready]),
+            _ => harness.board.publish_batch(&[&ready, &gone]),
         }
         wait_for_state(&harness, "s-9", "active");
         wait_for_state(&harness, "s-0", "gone");
@@ -233,11 +239,12 @@
 #[test]
 fn a_drain_and_a_return_in_one_read_apply_in_order() {
     let mut harness = Harness::new(Limits::default(), 2, serve);
-    wait_until("the bulletin is queried", || harness.board.standing() == 1);
+    wait_until("the bulletin is queried", || harness.board.open_connections() == 1);
     for number in 0..20 {
         expect_call_served(&mut harness, number);
     }
-    let execs = |i: &usize| harness.workers[*i].lines().iter().filter(|l| l.starts_with("exec")).count();
+    let execs =
+        |i: &usize| harness.workers[*i].received_lines().iter().filter(|l| l.starts_with("exec")).count();
     let busiest = (0..2).max_by_key(execs).expect("two workers");
     let entry = |at: usize, state| bulletin_entry(&format!("s-{at}"), harness.workers[at].address(), state);
     // The worker with most of the calls drains, in an event that first lists it as ready; the other one drains and
@@ -249,7 +256,7 @@
         format!("{},{}", entry(busiest, "Ready"), entry(busiest, "Terminating")),
         absent_worker("s-8", "Gone"),
     ];
-    harness.board.tell_together(&events.iter().map(String::as_str).collect::<Vec<_>>());
+    harness.board.publish_batch(&events.iter().map(String::as_str).collect::<Vec<_>>());
     wait_for_state(&harness, "s-8", "gone");
     for number in 20..40 {
         expect_call_served(&mut harness, number);
@@ -281,16 +288,16 @@
 #[test]
 fn a_line_of_one_mebibyte_is_accepted_and_a_longer_one_only_closes_its_connection() {
     let mut harness = Harness::new(Limits::default(), 1, serve);
-    wait_until("the bulletin is queried", || harness.board.standing() == 1);
-    harness.board.garble(&long_event(2, (1 << 20) - 1, "s-2"));
+    wait_until("the bulletin is queried", || harness.board.open_connections() == 1);
+    harness.board.send_raw(&long_event(2, (1 << 20) - 1, "s-2"));
     wait_for_state(&harness, "s-2", "gone");
-    harness.board.garble(&long_event(3, 1 << 20, "s-3"));
+    harness.board.send_raw(&long_event(3, 1 << 20, "s-3"));
     wait_for_state(&harness, "s-3", "gone");
-    assert_eq!(harness.board.asked(), ["after 1"]);
-    harness.board.garble(&long_event(4, (1 << 20) + 1, "s-4"));
-    wait_until("the bulletin is queried again", || harness.board.asked().len() == 2);
+    assert_eq!(harness.board.received_requests(), ["after 1"]);
+    harness.board.send_raw(&long_event(4, (1 << 20) + 1, "s-4"));
+    wait_until("the bulletin is queried again", || harness.board.received_requests().len() == 2);
     expect_call_served(&mut harness, 1);
-    assert_eq!(harness.board.asked()[1], "after 3");
+    assert_eq!(harness.board.received_requests()[1], "after 3");
     let records = harness.finish();
     assert_eq!(count(&records, "s-4", "gone"), 0);
     assert_eq!(check(&records, &rule_settings()), []);
@@ -308,16 +315,16 @@
     ];
     for (nth, bad) in bad.iter().enumerate() {
         let mut harness = Harness::new(Limits::default(), 1, serve);
-        wait_until("the bulletin is queried", || harness.board.standing() == 1);
+        wait_until("the bulletin is queried", || harness.board.open_connections() == 1);
         // The valid entry of the same event must not be applied on its own.
         let line =
             format!("{{\"no\":2,\"roster\":{{\"targets\":[{},{bad}]}}}}\n", absent_worker("s-4", "Gone"));
-        harness.board.garble(&line);
-        wait_until("the bulletin is queried again", || harness.board.asked().len() == 2);
-        harness.board.tell(&absent_worker("s-9", "Gone"));
+        harness.board.send_raw(&line);
+        wait_until("the bulletin is queried again", || harness.board.received_requests().len() == 2);
+        harness.board.publish(&absent_worker("s-9", "Gone"));
         wait_for_state(&harness, "s-9", "gone");
         expect_call_served(&mut harness, 1);
-        assert_eq!(harness.board.asked()[1], "after 1", "{nth}");
+        assert_eq!(harness.board.received_requests()[1], "after 1", "{nth}");
         let records = harness.finish();
         assert_eq!((count(&records, "s-4", "gone"), count(&records, "s-9", "gone")), (0, 1), "{nth}");
     }
--- a/crates/node/tests/wall_clock_steps.rs
+++ b/crates/node/tests/wall_clock_steps.rs
@@ -5,7 +5,7 @@
 #[allow(dead_code)]
 mod common;
 
-use basaltward_fakes::{Act, Board, Exec, FrontClient, LineWorker, answer};
+use basaltward_fakes::{ExecRequest, FakeBulletin, FrontClient, LineWorker, WorkerAction, answer_line};
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::Node;
 use basaltward_rules::{Observation, Recorder};
@@ -59,14 +59,14 @@
     let workers: Vec<_> = (0..=WARM)
         .map(|n| {
             let rejecting = rejecting.clone();
-            let script = move |exec: &Exec| match n < WARM && rejecting.load(Ordering::SeqCst) {
-                true => vec![Act::Write(answer(&exec.id, "BUSY", "-", b""))],
+            let script = move |exec: &ExecRequest| match n < WARM && rejecting.load(Ordering::SeqCst) {
+                true => vec![WorkerAction::Write(answer_line(&exec.id, "BUSY", "-", b""))],
                 false => exec.serve(),
             };
             LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("worker started")
         })
         .collect();
-    let board = Board::start(2).expect("bulletin started");
+    let board = FakeBulletin::start(2).expect("bulletin started");
     let entry = |n: usize| bulletin_entry(&format!("s-{n}"), workers[n].address(), "Ready");
     let known: Vec<_> = (0..WARM).map(entry).collect();
     let name = format!("basaltward-clocks-{}-{number}.json", std::process::id());
@@ -101,7 +101,7 @@
     let start = monotonic();
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).expect("clock after 1970").as_millis() as i64;
     let boot = wall + case.reported_offset / 1_000;
-    board.tell(&entry(WARM).replace("\"boot_ms\":0", &format!("\"boot_ms\":{boot}")));
+    board.publish(&entry(WARM).replace("\"boot_ms\":0", &format!("\"boot_ms\":{boot}")));
     let cold = format!("s-{WARM}");
     let announced =
         |what: &Observation| matches!(what, Observation::WorkerState { worker, .. } if *worker == cold);
--- a/crates/trial/src/bed.rs
+++ b/crates/trial/src/bed.rs
@@ -8,7 +8,7 @@
 use crate::ways::Ways;
 use crate::workspace::{Workspace, party, whole};
 use basaltward_config::ConfigError;
-use basaltward_fakes::{Act, Board, Exec, LineWorker};
+use basaltward_fakes::{ExecRequest, FakeBulletin, LineWorker, WorkerAction};
 use basaltward_membership::StatusResponse;
 use basaltward_net::{Micros, NetError, monotonic};
 use basaltward_peers::fetch_membership;
@@ -82,7 +82,7 @@
     /// The relays on all ways.
     pub ways: Ways,
     /// The bulletin.
-    pub board: Board,
+    pub board: FakeBulletin,
     /// The workers, by number.
     pub workers: Vec<LineWorker>,
     /// What clients and workers saw.
@@ -110,7 +110,7 @@
     pub fn start(spec: BedSpec) -> Result<Self, TrialError> {
         let work = Duration::from_millis(spec.work_ms);
         Self::start_as(spec, move |exec| {
-            let mut acts = vec![Act::Wait(work)];
+            let mut acts = vec![WorkerAction::Wait(work)];
             acts.extend(exec.serve());
             acts
         })
@@ -122,17 +122,17 @@
     /// As [`Bed::start`].
     pub fn start_as(
         spec: BedSpec,
-        script: impl Fn(&Exec) -> Vec<Act> + Clone + Send + Sync + 'static,
+        script: impl Fn(&ExecRequest) -> Vec<WorkerAction> + Clone + Send + Sync + 'static,
     ) -> Result<Self, TrialError> {
         let workspace = Workspace::new()?;
         let who = |from: SocketAddr| party(from).map(name).unwrap_or_default();
         let recorder = Recorder::memory();
         let worker = |i: usize| {
             let script = script.clone();
-            LineWorker::start_for(&Party::Worker(i).to_string(), recorder.clone(), who, script)
+            LineWorker::start_for_schedulers(&Party::Worker(i).to_string(), recorder.clone(), who, script)
         };
         let workers = (0..spec.workers).map(worker).collect::<Result<Vec<_>, _>>()?;
-        let board = Board::start(2)?;
+        let board = FakeBulletin::start(2)?;
         let all = 0..spec.schedulers;
         let listens = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
         let peers = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
--- a/crates/trial/src/hollow/real.rs
+++ b/crates/trial/src/hollow/real.rs
@@ -6,7 +6,7 @@
 use crate::process::Process;
 use crate::way::Party;
 use crate::workspace::Workspace;
-use basaltward_fakes::{Act, Board, LineWorker};
+use basaltward_fakes::{FakeBulletin, LineWorker, WorkerAction};
 use basaltward_net::Micros;
 use basaltward_permits::Bounds;
 use basaltward_rules::Recorder;
@@ -21,7 +21,7 @@
     /// By number: the first members of the list.
     pub processes: Vec<Process>,
     // Held for as long as processes run.
-    _board: Board,
+    _board: FakeBulletin,
     _worker: LineWorker,
 }
 
@@ -33,11 +33,11 @@
         peers: &[SocketAddr],
     ) -> Result<Self, HollowError> {
         let worker = LineWorker::start(&Party::Worker(0).to_string(), Recorder::memory(), |exec| {
-            let mut acts = vec![Act::Wait(WORK)];
+            let mut acts = vec![WorkerAction::Wait(WORK)];
             acts.extend(exec.serve());
             acts
         })?;
-        let board = Board::start(2)?;
+        let board = FakeBulletin::start(2)?;
         let targets = [target(&Party::Worker(0).to_string(), worker.address(), "Ready")];
         let bed = BedSpec {
             program: spec.program.clone(),
