--- a/crates/bench/src/memory.rs
+++ b/crates/bench/src/memory.rs
@@ -1,7 +1,7 @@
 //! Memory that idle connections take in the gateway's process.
 
 use crate::{echo, path};
-use basaltward_scenario::Folder;
+use basaltward_scenario::TempDir;
 use std::error::Error;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -17,7 +17,7 @@
 
 /// Opens connections, makes a call on each so that all have been used, and prints what they take.
 pub fn run(connections: usize) -> Result<(), Box<dyn Error>> {
-    let folder = Folder::new()?;
+    let folder = TempDir::new()?;
     let gateway = path::gateway(&folder, echo::start()?)?;
     let call = |id: usize, stream: &mut TcpStream| -> Result<(), Box<dyn Error>> {
         stream.write_all(CALL)?;
--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -1,10 +1,10 @@
 //! Goodput by load: calls offered in open loop at multiples of what the stand-in workers can do.
 
 use basaltward_config::read;
-use basaltward_fakes::{Clients, Plan, Retries, WorkerSpec};
+use basaltward_fakes::{Clients, PlannedEvent, RetryPolicy, WorkerSpec};
 use basaltward_net::Micros;
 use basaltward_rules::{FinalAnswer, Observation, Record, Recorder, check};
-use basaltward_scenario::{Bed, rule_settings};
+use basaltward_scenario::{Harness, rule_settings};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::HashMap;
@@ -39,26 +39,26 @@
 
 const FUNCTIONS: [(&str, &str); 3] = [("echo", "view"), ("annotate", "note"), ("certify", "extract")];
 
-fn plan(load: &Load, at: f64, number: usize, tenant: &str) -> Plan {
+fn plan(load: &Load, at: f64, number: usize, tenant: &str) -> PlannedEvent {
     let (function, class) = FUNCTIONS[number % 3];
-    Plan {
-        at: at as Micros,
+    PlannedEvent {
+        send_at: at as Micros,
         gateway: 0,
         function: function.into(),
         class: class.into(),
         tenant: tenant.into(),
         id: number.to_string(),
-        patience: 2_500_000,
+        timeout: 2_500_000,
         work: Some(load.work),
         payload: 100,
-        retries: Retries { most: load.retries, wait: 100_000, ..Retries::default() },
+        retry_policy: RetryPolicy { max_retries: load.retries, delay: 100_000, ..RetryPolicy::default() },
     }
 }
 
-fn plans(load: &Load, multiple: f64, capacity: f64) -> Vec<Plan> {
+fn plans(load: &Load, multiple: f64, capacity: f64) -> Vec<PlannedEvent> {
     let mut rng = StdRng::seed_from_u64(load.seed);
     let until = WARM_US + (load.seconds * 1e6) as Micros;
-    let mut plans: Vec<Plan> = Vec::new();
+    let mut plans: Vec<PlannedEvent> = Vec::new();
     let mut at = 0.0;
     while (at as Micros) < until + AFTER_US {
         let loaded = (WARM_US..until).contains(&(at as Micros));
@@ -144,7 +144,7 @@
 
 /// Measures and prints the curve.
 pub fn run(load: &Load) -> Result<(), Box<dyn Error>> {
-    let spec = WorkerSpec { work: load.work, ..WorkerSpec::default() };
+    let spec = WorkerSpec { default_work: load.work, ..WorkerSpec::default() };
     let capacity = WORKERS as f64 * f64::from(spec.cores) * 1e6 / load.work as f64;
     let (work, seed) = (load.work as f64 / 1e3, load.seed);
     println!(
@@ -163,7 +163,7 @@
         // Room for all that is served within the time that it is remembered, or guards would be the limit.
         config.repeats.guards_per_tenant = (capacity * 15.0) as usize;
         let recorder = Recorder::memory();
-        let bed = Bed::start(&config, 1, vec![spec.clone(); WORKERS], recorder.clone())?;
+        let bed = Harness::start(&config, 1, vec![spec.clone(); WORKERS], recorder.clone())?;
         let idle = (0..load.idle).map(|_| TcpStream::connect(bed.addresses[0]));
         let idle = idle.collect::<Result<Vec<_>, _>>()?;
         let clients = Clients::new(bed.addresses.clone(), recorder.clone())?;
@@ -209,7 +209,7 @@
 /// Two tenants within their quotas, beside a third at a multiple of its own: what each is served, alone and
 /// beside it.
 pub fn fair(load: &Load) -> Result<(), Box<dyn Error>> {
-    let spec = WorkerSpec { work: load.work, ..WorkerSpec::default() };
+    let spec = WorkerSpec { default_work: load.work, ..WorkerSpec::default() };
     let capacity = WORKERS as f64 * f64::from(spec.cores) * 1e6 / load.work as f64;
     let quota = capacity * 0.3;
     println!(
@@ -225,7 +225,7 @@
         config.tenants = ["a", "b", "third"].map(String::from).into();
         config.controller.tenant_quotas = vec![quota; 3];
         let recorder = Recorder::memory();
-        let bed = Bed::start(&config, 1, vec![spec.clone(); WORKERS], recorder.clone())?;
+        let bed = Harness::start(&config, 1, vec![spec.clone(); WORKERS], recorder.clone())?;
         let mut rng = StdRng::seed_from_u64(load.seed);
         let until = WARM_US + (load.seconds * 1e6) as Micros;
         let mut plans = Vec::new();
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -3,7 +3,7 @@
 use crate::{echo, load, proxy, spread};
 use basaltward_gateway::Gateway;
 use basaltward_rules::Recorder;
-use basaltward_scenario::Folder;
+use basaltward_scenario::TempDir;
 use std::error::Error;
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
 </basaltward>"#;
 
 /// A gateway with one loop in front of the echo worker.
-pub fn gateway(folder: &Folder, worker: SocketAddr) -> Result<Gateway, Box<dyn Error>> {
+pub fn gateway(folder: &TempDir, worker: SocketAddr) -> Result<Gateway, Box<dyn Error>> {
     let roster = format!(
         "<roster xmlns=\"urn:basaltward:roster:1\"><worker address=\"{worker}\" kind=\"std\"/></roster>"
     );
@@ -28,7 +28,7 @@
 
 /// Measures and prints.
 pub fn run(rounds: usize, calls: u64, connections: usize) -> Result<(), Box<dyn Error>> {
-    let folder = Folder::new()?;
+    let folder = TempDir::new()?;
     let worker = echo::start()?;
     let gateway = gateway(&folder, worker)?;
     let targets = [("straight", worker), ("gateway", gateway.address()), ("proxy", proxy::start(worker)?)];
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,9 +1,9 @@
 use crate::args::Demo;
 use crate::{Failed, report};
-use basaltward_fakes::{Clients, Plan, Retries, WorkerSpec};
+use basaltward_fakes::{Clients, PlannedEvent, RetryPolicy, WorkerSpec};
 use basaltward_net::{Io, IoLimits, Signals, monotonic};
 use basaltward_rules::Recorder;
-use basaltward_scenario::Bed;
+use basaltward_scenario::Harness;
 use std::path::Path;
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 pub fn run(options: &Demo) -> Result<(), Failed> {
     let config = basaltward_config::read(CONFIG, Path::new("demo.xml"))?;
     let specs = vec![WorkerSpec::default(); options.workers.clamp(1, 1_000)];
-    let bed = Bed::start(&config, 1, specs, Recorder::none())?;
+    let bed = Harness::start(&config, 1, specs, Recorder::none())?;
     let address = bed.addresses[0];
     println!("gateway on http://{address} with {} stand-in workers; try", bed.fleet.addresses().len());
     println!(
@@ -31,19 +31,19 @@
     Ok(())
 }
 
-fn plan(number: usize, rate: f64) -> Plan {
+fn plan(number: usize, rate: f64) -> PlannedEvent {
     let (function, class) = [("echo", "view"), ("annotate", "note"), ("certify", "extract")][number % 3];
-    Plan {
-        at: (number as f64 / rate.max(0.1) * 1e6) as u64,
+    PlannedEvent {
+        send_at: (number as f64 / rate.max(0.1) * 1e6) as u64,
         gateway: 0,
         function: function.into(),
         class: class.into(),
         tenant: String::new(),
         id: number.to_string(),
-        patience: 2_500_000,
+        timeout: 2_500_000,
         work: None,
         payload: 200,
-        retries: Retries::default(),
+        retry_policy: RetryPolicy::default(),
     }
 }
 
--- a/crates/cli/src/play.rs
+++ b/crates/cli/src/play.rs
@@ -2,7 +2,7 @@
 use crate::serve::settings;
 use crate::{Failed, records, report};
 use basaltward_rules::{check, read_records, service};
-use basaltward_scenario::{load, play, rule_settings};
+use basaltward_scenario::{load, rule_settings, run_scenario};
 
 /// Plays a scripted day and judges it.
 pub fn run(options: &Play) -> Result<(), Failed> {
@@ -16,7 +16,7 @@
         script.steps.len(),
         script.seed
     );
-    let verdict = play(&script)?;
+    let verdict = run_scenario(&script)?;
     if let Some(path) = &options.records {
         records::write(path, &verdict.records)?;
     }
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,14 +1,14 @@
 //! What a run came to, in a few lines.
 
 use crate::Failed;
-use basaltward_fakes::Tally;
+use basaltward_fakes::ClientStats;
 use basaltward_rules::{Breach, Record, Service, late_answers};
 
 /// Breaches printed of each rule.
 const MOST: usize = 5;
 
 /// Prints counts and times.
-pub fn tally(tally: &Tally) {
+pub fn tally(tally: &ClientStats) {
     let mut times = tally.latencies.clone();
     times.sort_unstable();
     let at = |q: f64| {
@@ -17,7 +17,7 @@
     };
     println!(
         "{} events: {} served, {} refused, {} failed, {} unanswered; {} tries",
-        tally.events, tally.served, tally.refused, tally.failed, tally.unanswered, tally.tries
+        tally.events, tally.served, tally.refused, tally.failed, tally.unanswered, tally.attempts
     );
     println!("served after: median {} ms, 99% {} ms, longest {} ms", at(0.5), at(0.99), at(1.0));
 }
--- a/crates/cli/src/worker.rs
+++ b/crates/cli/src/worker.rs
@@ -10,8 +10,8 @@
     let spec = WorkerSpec {
         cores: options.cores.max(1),
         memory_mb: options.memory_mb,
-        work: (options.work_ms.max(0.0) * 1e3) as u64,
-        load: (load * 3 / 5, load * 2 / 5),
+        default_work: (options.work_ms.max(0.0) * 1e3) as u64,
+        fetch_and_start: (load * 3 / 5, load * 2 / 5),
         load_on_miss: options.load_on_miss,
         ..WorkerSpec::default()
     };
--- a/crates/fakes/src/clients.rs
+++ b/crates/fakes/src/clients.rs
@@ -15,24 +15,24 @@
 
 /// What a client does when a try brings no reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Retries {
+pub struct RetryPolicy {
     /// Further tries at most.
-    pub most: u32,
+    pub max_retries: u32,
     /// How long it waits before each.
-    pub wait: Micros,
+    pub delay: Micros,
     /// It gives a try up after this and repeats it at once.
-    pub leave_after: Option<Micros>,
+    pub abandon_after: Option<Micros>,
     /// A failure may be repeated too, not just a refusal or a broken connection.
-    pub after_failure: bool,
+    pub retry_failures: bool,
     /// Where a refusal says when to come again, it waits for so long in place of `wait`.
-    pub honour: bool,
+    pub honor_retry_after: bool,
 }
 
 /// One event to be sent.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct PlannedEvent {
     /// When, from the start of the run.
-    pub at: Micros,
+    pub send_at: Micros,
     /// To which gateway, by position.
     pub gateway: usize,
     /// The function called.
@@ -44,22 +44,22 @@
     /// The event's id; its source is `/clients`.
     pub id: String,
     /// How long the client waits in all.
-    pub patience: Micros,
+    pub timeout: Micros,
     /// Work of the call, where told.
     pub work: Option<Micros>,
     /// Bytes of payload.
     pub payload: usize,
     /// What it does without a reply.
-    pub retries: Retries,
+    pub retry_policy: RetryPolicy,
 }
 
 /// What a run came to, by event: a client's further tries count with its first.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct ClientStats {
     /// Events.
     pub events: usize,
     /// Tries sent.
-    pub tries: u64,
+    pub attempts: u64,
     /// Events served.
     pub served: usize,
     /// Events whose last try was refused, failed, or ended without an answer.
@@ -109,7 +109,7 @@
     /// How records name them.
     named: Vec<SocketAddr>,
     recorder: Recorder,
-    plans: Vec<Plan>,
+    plans: Vec<PlannedEvent>,
     progress: Vec<Progress>,
     conns: HashMap<ConnId, Conn>,
     idle: Vec<Vec<ConnId>>,
@@ -117,7 +117,7 @@
     due: Timers<Due>,
     next: u64,
     open: usize,
-    tally: Tally,
+    tally: ClientStats,
 }
 
 impl Clients {
@@ -126,14 +126,14 @@
     /// # Errors
     /// Where the system refuses a loop.
     pub fn new(gateways: Vec<SocketAddr>, recorder: Recorder) -> Result<Self, NetError> {
-        Self::through(gateways.clone(), gateways, recorder)
+        Self::with_recorded_addresses(gateways.clone(), gateways, recorder)
     }
 
     /// Clients that reach gateways at other addresses than these have themselves, by which records name them.
     ///
     /// # Errors
     /// Where the system refuses a loop.
-    pub fn through(
+    pub fn with_recorded_addresses(
         gateways: Vec<SocketAddr>,
         named: Vec<SocketAddr>,
         recorder: Recorder,
@@ -151,7 +151,7 @@
             due: Timers::default(),
             next: 1,
             open: 0,
-            tally: Tally::default(),
+            tally: ClientStats::default(),
         })
     }
 
@@ -159,12 +159,12 @@
     ///
     /// # Errors
     /// Where the loop itself fails.
-    pub fn run(mut self, plans: Vec<Plan>) -> Result<Tally, NetError> {
+    pub fn run(mut self, plans: Vec<PlannedEvent>) -> Result<ClientStats, NetError> {
         let start = monotonic();
         self.open = plans.len();
         self.progress = vec![Progress::default(); plans.len()];
         for (index, plan) in plans.iter().enumerate() {
-            self.due.set(start + plan.at, Due::Try(index));
+            self.due.set(start + plan.send_at, Due::Try(index));
         }
         self.plans = plans;
         let mut happened = Vec::new();
@@ -206,7 +206,7 @@
         }
         // Repeats go to other gateways in turn, as a plain front layer would send them.
         let tries = self.progress[plan].tries as usize;
-        let stays = self.plans[plan].retries.leave_after.is_some();
+        let stays = self.plans[plan].retry_policy.abandon_after.is_some();
         let gateway = (self.plans[plan].gateway + if stays { 0 } else { tries }) % self.gateways.len();
         self.progress[plan].tries += 1;
         let trial = self.next;
@@ -245,7 +245,7 @@
         trial.asked = true;
         let (plan, progress) = (&self.plans[trial.plan], &mut self.progress[trial.plan]);
         let first = *progress.first.get_or_insert(now);
-        let left = (first + plan.patience).saturating_sub(now).max(1_000);
+        let left = (first + plan.timeout).saturating_sub(now).max(1_000);
         let deadline = now + left / 1_000 * 1_000;
         let Some(out) = self.io.output(trial.conn) else { return };
         let gateway = self.conns.get(&trial.conn).map_or(plan.gateway, |conn| conn.gateway);
@@ -257,7 +257,7 @@
         let head = head.maybe("ce-tenant", Some(&plan.tenant).filter(|t| !t.is_empty()));
         let head = head.maybe("ce-workus", plan.work.map(|w| w.to_string()));
         head.body(Body::Whole(&vec![b'x'; plan.payload]));
-        self.tally.tries += 1;
+        self.tally.attempts += 1;
         if self.recorder.is_enabled() {
             let what = Observation::RequestSent {
                 request_id: id,
@@ -269,7 +269,9 @@
             };
             self.recorder.put(now, "clients", what);
         }
-        if let Some(leave) = plan.retries.leave_after.filter(|_| progress.tries <= plan.retries.most) {
+        if let Some(leave) =
+            plan.retry_policy.abandon_after.filter(|_| progress.tries <= plan.retry_policy.max_retries)
+        {
             self.due.set(now + leave, Due::Leave(id));
         }
         self.due.set(deadline + LATE_US, Due::GiveUp(id));
@@ -320,18 +322,18 @@
         }
         // 502: whoever sees to the event can't be reached, and tells its repeats apart.
         let harmless = answer == FinalAnswer::Refused || response.status == 502;
-        let repeat = harmless || answer == FinalAnswer::Failed && plan.retries.after_failure;
+        let repeat = harmless || answer == FinalAnswer::Failed && plan.retry_policy.retry_failures;
         let again = response.headers.get("retry-after").and_then(|told| told.parse::<Micros>().ok());
-        let again = again.filter(|_| plan.retries.honour).map(|seconds| seconds * 1_000_000);
-        let wait = again.unwrap_or(plan.retries.wait);
+        let again = again.filter(|_| plan.retry_policy.honor_retry_after).map(|seconds| seconds * 1_000_000);
+        let wait = again.unwrap_or(plan.retry_policy.delay);
         self.next_or_done(now, trial.plan, repeat, wait);
     }
 
     /// Repeats the event where its client does, else it has come to its end.
     fn next_or_done(&mut self, now: Micros, index: usize, repeat: bool, wait: Micros) {
         let (plan, progress) = (&self.plans[index], &mut self.progress[index]);
-        let until = progress.first.unwrap_or(now) + plan.patience;
-        if repeat && progress.tries <= plan.retries.most && now + wait + LEAST_US < until {
+        let until = progress.first.unwrap_or(now) + plan.timeout;
+        if repeat && progress.tries <= plan.retry_policy.max_retries && now + wait + LEAST_US < until {
             self.due.set(now + wait, Due::Try(index));
         } else if !std::mem::replace(&mut progress.done, true) {
             self.open -= 1;
@@ -364,7 +366,7 @@
             self.recorder.put(now, "clients", Observation::ConnectionLost { request_id: id });
         }
         // Not connected: never sent, so any class may try again.
-        let repeat = !known.ready || self.plans[trial.plan].retries.after_failure;
-        self.next_or_done(now, trial.plan, repeat, self.plans[trial.plan].retries.wait.max(20_000));
+        let repeat = !known.ready || self.plans[trial.plan].retry_policy.retry_failures;
+        self.next_or_done(now, trial.plan, repeat, self.plans[trial.plan].retry_policy.delay.max(20_000));
     }
 }
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -144,7 +144,7 @@
     }
 
     /// Does something to a worker, by position; it is done when this returns.
-    pub fn fault(&self, worker: usize, fault: Fault) {
+    pub fn inject_fault(&self, worker: usize, fault: Fault) {
         let (done, wait) = sync_channel(1);
         let _ = self.faults.send(Some((worker, fault, done)));
         self.waker.wake();
@@ -224,7 +224,7 @@
             for index in 0..self.servers.len() {
                 let mut replies = Vec::new();
                 let server = &mut self.servers[index];
-                let keys = self.keys.entry(server.spec.group).or_default();
+                let keys = self.keys.entry(server.spec.key_group).or_default();
                 server.model.wake(now, (&mut self.store, keys), &mut replies);
                 self.answer_all_of(now, index, replies);
             }
@@ -237,7 +237,7 @@
         if let Some(Pending { token, .. }) = known.token {
             self.by_token.remove(&token);
             let (server, mut replies) = (&mut self.servers[known.server], Vec::new());
-            let keys = self.keys.entry(server.spec.group).or_default();
+            let keys = self.keys.entry(server.spec.key_group).or_default();
             server.model.cancel(keys, token, &mut replies);
             self.answer_all(monotonic(), replies);
         }
@@ -269,8 +269,8 @@
                 }
                 let server = &mut self.servers[index];
                 server.model.fallen = true;
-                let keys = self.keys.entry(server.spec.group).or_default();
-                let repeats = keys.died(index, server.spec.forgets);
+                let keys = self.keys.entry(server.spec.key_group).or_default();
+                let repeats = keys.died(index, server.spec.loses_keys_when_killed);
                 let reply = |token| Reply::Ok { token, copy: CopyNote::Stood, crowd: 0 };
                 self.answer_all(now, repeats.into_iter().map(reply).collect());
             }
@@ -317,7 +317,7 @@
         let mut replies = Vec::new();
         let (path, query) = request.target().split_once('?').unwrap_or((request.target(), ""));
         let server = &mut self.servers[index];
-        let keys = self.keys.entry(server.spec.group).or_default();
+        let keys = self.keys.entry(server.spec.key_group).or_default();
         let needs =
             (number("basaltward-memory-mb").unwrap_or(1.0), number("basaltward-lanes").unwrap_or(1.0) as u32);
         let copies = path.strip_prefix("/functions/").and_then(|p| p.strip_suffix("/copies"));
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -13,7 +13,7 @@
 mod worker_model;
 
 pub use bulletin::FakeBulletin;
-pub use clients::{Clients, Plan, Retries, Tally};
+pub use clients::{ClientStats, Clients, PlannedEvent, RetryPolicy};
 pub use fleet::{Fault, Fleet, FleetError};
 pub use front_client::{FrontClient, FrontReply};
 pub use kv_store::{Change, HistoryError, KvStore, Snapshot};
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -6,14 +6,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreSpec {
     /// Fetches that it serves at full speed; more share it.
-    pub at_once: u32,
+    pub full_speed_fetches: u32,
     /// Fetches past which it turns further ones away.
     pub most: u32,
 }
 
 impl Default for StoreSpec {
     fn default() -> Self {
-        Self { at_once: 8, most: 64 }
+        Self { full_speed_fetches: 8, most: 64 }
     }
 }
 
@@ -36,7 +36,7 @@
             return None;
         }
         self.out += 1;
-        let crowd = (f64::from(self.out) / f64::from(self.spec.at_once)).max(1.0);
+        let crowd = (f64::from(self.out) / f64::from(self.spec.full_speed_fetches)).max(1.0);
         Some((usual as f64 * crowd * self.slow) as Micros)
     }
 
--- a/crates/fakes/src/worker_model.rs
+++ b/crates/fakes/src/worker_model.rs
@@ -17,29 +17,29 @@
     /// Memory for copies, MB.
     pub memory_mb: f64,
     /// Work of a call that tells none of its own, in microseconds.
-    pub work: Micros,
+    pub default_work: Micros,
     /// How long a load takes: the fetch from the store, then the start.
-    pub load: (Micros, Micros),
+    pub fetch_and_start: (Micros, Micros),
     /// Loads under way at once; further orders wait.
-    pub loads: usize,
+    pub max_concurrent_loads: usize,
     /// Calls held for one function, past which it answers full.
-    pub queue: usize,
+    pub queue_limit: usize,
     /// An idle copy goes after this.
-    pub keep: Micros,
+    pub idle_timeout: Micros,
     /// A call without a copy loads one and waits, instead of the answer miss.
     pub load_on_miss: bool,
     /// Share of its capacity at the start, and how long until it has all.
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// See `cold_from`.
-    pub warm_within: Micros,
+    pub warm_up_time: Micros,
     /// Workers of the same group share their memory of keys.
-    pub group: u64,
+    pub key_group: u64,
     /// A worker's keys go with it when it is killed, as if each remembered for itself.
-    pub forgets: bool,
+    pub loses_keys_when_killed: bool,
     /// Sent more than this multiple of its present capacity ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... over this span while cold, it falls over.
-    pub fall: Micros,
+    pub overload_window: Micros,
 }
 
 impl Default for WorkerSpec {
@@ -48,18 +48,18 @@
             cores: 4,
             speed: 1.0,
             memory_mb: 12_096.0,
-            work: 5_000,
-            load: (300_000, 200_000),
-            loads: 4,
-            queue: 64,
-            keep: 10_000_000,
+            default_work: 5_000,
+            fetch_and_start: (300_000, 200_000),
+            max_concurrent_loads: 4,
+            queue_limit: 64,
+            idle_timeout: 10_000_000,
             load_on_miss: false,
-            cold_from: 0.2,
-            warm_within: 10_000_000,
-            group: 0,
-            forgets: false,
-            tip_multiple: 4.0,
-            fall: 1_500_000,
+            initial_capacity_share: 0.2,
+            warm_up_time: 10_000_000,
+            key_group: 0,
+            loses_keys_when_killed: false,
+            overload_multiple: 4.0,
+            overload_window: 1_500_000,
         }
     }
 }
@@ -201,8 +201,8 @@
     /// The share of its capacity that it has by now.
     fn warmth(&self, now: Micros) -> f64 {
         self.born.map_or(1.0, |born| {
-            let age = now.saturating_sub(born) as f64 / self.spec.warm_within.max(1) as f64;
-            (self.spec.cold_from + (1.0 - self.spec.cold_from) * age).min(1.0)
+            let age = now.saturating_sub(born) as f64 / self.spec.warm_up_time.max(1) as f64;
+            (self.spec.initial_capacity_share + (1.0 - self.spec.initial_capacity_share) * age).min(1.0)
         })
     }
 
@@ -216,7 +216,7 @@
     }
 
     pub fn work_of(&self, call: &Call) -> Micros {
-        call.work.unwrap_or(self.spec.work)
+        call.work.unwrap_or(self.spec.default_work)
     }
 
     pub fn call(
@@ -251,7 +251,7 @@
                 return out.push(Reply::Ok { token, copy: CopyNote::Stood, crowd: 0 });
             }
         }
-        if crowd >= self.spec.queue {
+        if crowd >= self.spec.queue_limit {
             unseen(keys, &call, out);
             return out.push(Reply::Full { token });
         }
@@ -277,12 +277,12 @@
     fn tips(&mut self, now: Micros, work: f64) -> bool {
         let warmth = self.warmth(now);
         self.arrived.push_back((now, work));
-        while self.arrived.front().is_some_and(|(at, _)| at + self.spec.fall < now) {
+        while self.arrived.front().is_some_and(|(at, _)| at + self.spec.overload_window < now) {
             self.arrived.pop_front();
         }
         let sent: f64 = self.arrived.iter().map(|(_, work)| work).sum();
-        let can = self.capacity() * warmth * self.spec.fall as f64;
-        warmth < 1.0 && sent > self.spec.tip_multiple * can + work
+        let can = self.capacity() * warmth * self.spec.overload_window as f64;
+        warmth < 1.0 && sent > self.spec.overload_multiple * can + work
     }
 
     /// An order to hold copies, or the question how many stand.
@@ -338,7 +338,7 @@
 
     /// Begins to load a copy; false where no memory can be had or the store turns it away.
     fn load(&mut self, now: Micros, store: &mut Store, name: &str) -> bool {
-        if self.loading.len() >= self.spec.loads {
+        if self.loading.len() >= self.spec.max_concurrent_loads {
             self.waiting_loads.push_back(name.to_owned());
             if let Some(known) = self.copies.get_mut(name) {
                 known.loading += 1;
@@ -353,7 +353,7 @@
         if !self.make_room(name, needed) {
             return false;
         }
-        let Some(took) = store.begin(self.spec.load.0) else { return false };
+        let Some(took) = store.begin(self.spec.fetch_and_start.0) else { return false };
         self.number += 1;
         self.loading.insert(self.number, (name.to_owned(), true));
         self.due.set(now + took, Due::Fetched(self.number));
@@ -407,7 +407,7 @@
                 let Some(waiting) = known.queue.pop_front() else { break };
                 known.busy += 1;
                 known.last = now;
-                let work = waiting.call.work.unwrap_or(self.spec.work) as f64;
+                let work = waiting.call.work.unwrap_or(self.spec.default_work) as f64;
                 let (event, attempt) = (waiting.call.event.clone(), waiting.call.attempt.clone());
                 out.push(Reply::Ran { event, attempt });
                 self.due.set(now + (work / pace) as Micros, Due::Call(waiting.call.token));
@@ -431,7 +431,7 @@
                     store.end();
                     if let Some((_, fetching)) = self.loading.get_mut(&number) {
                         *fetching = false;
-                        self.due.set(now + self.spec.load.1, Due::Loaded(number));
+                        self.due.set(now + self.spec.fetch_and_start.1, Due::Loaded(number));
                     }
                 }
                 Due::Loaded(number) => {
@@ -439,7 +439,7 @@
                     self.next_load(now, (store, keys), out);
                 }
                 Due::Idle => {
-                    let keep = self.spec.keep;
+                    let keep = self.spec.idle_timeout;
                     for known in self.copies.values_mut().filter(|c| c.busy == 0 && c.last + keep <= now) {
                         known.standing = 0;
                     }
@@ -470,7 +470,7 @@
         let kept: Vec<u64> = known.orders.iter().filter(|(_, n)| *n <= standing).map(|(t, _)| *t).collect();
         known.orders.retain(|(_, n)| *n > standing);
         out.extend(kept.into_iter().map(|token| Reply::Copies { token, count: standing, kept: true }));
-        self.due.set(now + self.spec.keep + 1, Due::Idle);
+        self.due.set(now + self.spec.idle_timeout + 1, Due::Idle);
     }
 
     fn finish(&mut self, now: Micros, keys: &mut Keys, token: u64, out: &mut Vec<Reply>) {
@@ -479,7 +479,7 @@
             known.busy -= 1;
             known.last = now;
         }
-        self.due.set(now + self.spec.keep + 1, Due::Idle);
+        self.due.set(now + self.spec.idle_timeout + 1, Due::Idle);
         out.push(Reply::Ok { token, copy, crowd });
         if call.window.is_some() {
             let reply = |token| Reply::Ok { token, copy: CopyNote::Stood, crowd };
--- a/crates/scenario/src/harness.rs
+++ b/crates/scenario/src/harness.rs
@@ -14,7 +14,7 @@
 
 /// Why a bed can't be made or ended badly.
 #[derive(Debug, Error)]
-pub enum BedError {
+pub enum HarnessError {
     /// A file or folder can't be had.
     #[error("file: {0}")]
     File(#[from] std::io::Error),
@@ -27,9 +27,9 @@
 }
 
 /// A folder for temporary files that goes with the value.
-pub struct Folder(PathBuf);
+pub struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     /// A fresh folder.
     ///
     /// # Errors
@@ -49,21 +49,21 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 /// The fleet's workers as a roster file lists them.
-pub struct Roster {
+pub struct RosterFile {
     path: PathBuf,
     names: Names,
     /// The entries, by position in the fleet.
     pub entries: Vec<Entry>,
 }
 
-impl Roster {
+impl RosterFile {
     fn new(path: PathBuf, names: Names, workers: &[SocketAddr]) -> std::io::Result<Self> {
         let entry = |address: &SocketAddr| Entry {
             address: address.to_string(),
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// As [`Roster::save`].
-    pub fn set(&mut self, worker: usize, state: WorkerState) -> std::io::Result<()> {
+    pub fn set_state(&mut self, worker: usize, state: WorkerState) -> std::io::Result<()> {
         self.entries[worker].state = state;
         self.save()
     }
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     /// As [`Roster::save`].
-    pub fn restarted(&mut self, worker: usize, wall: u64) -> std::io::Result<()> {
+    pub fn set_restarted(&mut self, worker: usize, wall: u64) -> std::io::Result<()> {
         let entry = &mut self.entries[worker];
         (entry.state, entry.started) = (WorkerState::Active, Some(wall));
         self.save()
@@ -121,13 +121,13 @@
 }
 
 /// A fleet with its roster, and gateways on top.
-pub struct Bed {
+pub struct Harness {
     /// Settings of the first gateway; the others differ in their number and address.
     pub config: Config,
     /// The workers.
     pub fleet: Fleet,
     /// Their list.
-    pub roster: Roster,
+    pub roster: RosterFile,
     /// The gateways, by position; `None` for one that is down.
     pub gateways: Vec<Option<Gateway>>,
     /// Where each listens, also while it is down.
@@ -136,10 +136,10 @@
     pub recorder: Recorder,
     /// What the loops of a gateway know of one another.
     loops: LoopMode,
-    _folder: Folder,
+    _folder: TempDir,
 }
 
-impl Bed {
+impl Harness {
     /// Starts a fleet by `specs`, and `gateways` of them by `config`, all on ports that the system chooses.
     ///
     /// # Errors
@@ -149,22 +149,22 @@
         gateways: u32,
         specs: Vec<WorkerSpec>,
         recorder: Recorder,
-    ) -> Result<Self, BedError> {
-        Self::start_as(config, gateways, specs, recorder, LoopMode::Coordinated)
+    ) -> Result<Self, HarnessError> {
+        Self::start_with_mode(config, gateways, specs, recorder, LoopMode::Coordinated)
     }
 
     /// As [`Bed::start`], with what the loops of each gateway know of one another.
     ///
     /// # Errors
     /// As [`Bed::start`].
-    pub fn start_as(
+    pub fn start_with_mode(
         config: &Config,
         gateways: u32,
         specs: Vec<WorkerSpec>,
         recorder: Recorder,
         loops: LoopMode,
-    ) -> Result<Self, BedError> {
-        let folder = Folder::new()?;
+    ) -> Result<Self, HarnessError> {
+        let folder = TempDir::new()?;
         let config = Config {
             roster_file: folder.path().join("roster.xml"),
             // Other sites have to know the address before.
@@ -174,7 +174,7 @@
         };
         let fleet = Fleet::start(specs, &[], StoreSpec::default(), recorder.clone())?;
         let names = Names { kinds: config.worker_kinds.clone(), zones: config.zones.clone() };
-        let roster = Roster::new(config.roster_file.clone(), names, fleet.addresses())?;
+        let roster = RosterFile::new(config.roster_file.clone(), names, fleet.addresses())?;
         let mut bed = Self {
             config,
             fleet,
@@ -197,7 +197,7 @@
     ///
     /// # Errors
     /// Where it can't start.
-    pub fn start_gateway(&mut self, index: usize) -> Result<(), BedError> {
+    pub fn start_gateway(&mut self, index: usize) -> Result<(), HarnessError> {
         let config = Config {
             gateway_index: index as u32,
             name: format!("gateway-{index}"),
@@ -219,7 +219,7 @@
     ///
     /// # Errors
     /// Where a loop had failed.
-    pub fn stop(self) -> Result<(), BedError> {
+    pub fn stop(self) -> Result<(), HarnessError> {
         for gateway in self.gateways.iter().flatten() {
             gateway.stop();
         }
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -7,6 +7,6 @@
 mod script;
 mod workload;
 
-pub use harness::{Bed, BedError, Folder, Roster, rule_settings};
-pub use runner::{DayError, Verdict, play};
-pub use script::{Act, Script, Step, load};
+pub use harness::{Harness, HarnessError, RosterFile, TempDir, rule_settings};
+pub use runner::{ScenarioError, Verdict, run_scenario};
+pub use script::{Action, Scenario, TimedAction, load};
--- a/crates/scenario/src/runner.rs
+++ b/crates/scenario/src/runner.rs
@@ -1,10 +1,10 @@
 //! A day played over loopback sockets.
 
-use crate::harness::{Bed, BedError, rule_settings, wall};
-use crate::script::{Act, Script};
+use crate::harness::{Harness, HarnessError, rule_settings, wall};
+use crate::script::{Action, Scenario};
 use crate::workload;
 use basaltward::WorkerState;
-use basaltward_fakes::{Clients, Fault, Tally};
+use basaltward_fakes::{ClientStats, Clients, Fault};
 use basaltward_gateway::Gateway;
 use basaltward_net::{Micros, NetError, monotonic};
 use basaltward_rules::{Breach, Record, Recorder, Service, check, service};
@@ -15,10 +15,10 @@
 
 /// Why a day could not be played to its end.
 #[derive(Debug, Error)]
-pub enum DayError {
+pub enum ScenarioError {
     /// Gateways, workers or their files.
     #[error(transparent)]
-    Bed(#[from] BedError),
+    Bed(#[from] HarnessError),
     /// The clients' loop.
     #[error("clients: {0}")]
     Net(#[from] NetError),
@@ -30,7 +30,7 @@
 /// What a day came to.
 pub struct Verdict {
     /// By event, as the clients saw it.
-    pub tally: Tally,
+    pub tally: ClientStats,
     /// Broken rules.
     pub breaches: Vec<Breach>,
     /// The service figure.
@@ -58,21 +58,21 @@
 }
 
 struct Day<'a> {
-    script: &'a Script,
-    bed: Bed,
+    script: &'a Scenario,
+    bed: Harness,
     later: Timers<Later>,
     /// Gateways on their way out, by position.
     ending: Vec<(usize, Gateway)>,
-    failed: Option<BedError>,
+    failed: Option<HarnessError>,
 }
 
 /// Plays a day to its end, all random choices drawn from its seed, and judges it.
 ///
 /// # Errors
 /// Where something of the day could not run; a broken rule is part of the verdict.
-pub fn play(script: &Script) -> Result<Verdict, DayError> {
+pub fn run_scenario(script: &Scenario) -> Result<Verdict, ScenarioError> {
     let recorder = Recorder::memory();
-    let bed = Bed::start(&script.config, script.gateways, script.workers.clone(), recorder.clone())?;
+    let bed = Harness::start(&script.config, script.gateways, script.workers.clone(), recorder.clone())?;
     let rules = rule_settings(&bed.config, &bed.roster.entries);
     let mut day = Day { script, bed, later: Timers::default(), ending: Vec::new(), failed: None };
     for (index, step) in script.steps.iter().enumerate() {
@@ -92,9 +92,9 @@
         day.direct(monotonic(), &ended);
         clients.join()
     });
-    let tally = tally.map_err(|_| DayError::Panicked)??;
+    let tally = tally.map_err(|_| ScenarioError::Panicked)??;
     for (_, gateway) in day.ending {
-        gateway.join().map_err(BedError::from)?;
+        gateway.join().map_err(HarnessError::from)?;
     }
     day.bed.stop()?;
     if let Some(error) = day.failed {
@@ -129,30 +129,30 @@
         }
     }
 
-    fn act(&mut self, now: Micros, later: Later) -> Result<(), BedError> {
-        let lag = self.script.roster_lag;
+    fn act(&mut self, now: Micros, later: Later) -> Result<(), HarnessError> {
+        let lag = self.script.roster_delay;
         match later {
-            Later::Step(index) => match self.script.steps[index].act {
-                Act::Worker(worker, fault, end) => {
-                    self.bed.fleet.fault(worker, fault);
+            Later::Step(index) => match self.script.steps[index].action {
+                Action::WorkerFault(worker, fault, end) => {
+                    self.bed.fleet.inject_fault(worker, fault);
                     if let Some((span, _)) = end {
                         self.later.set(now + span, Later::End(index));
                     }
                 }
-                Act::Drain(worker, span) => {
-                    self.bed.fleet.fault(worker, Fault::Drain(true));
+                Action::Drain(worker, span) => {
+                    self.bed.fleet.inject_fault(worker, Fault::Drain(true));
                     self.later.set(now + lag, Later::Listed(worker, Listed::Leaving));
                     self.later.set(now + span.max(lag), Later::Listed(worker, Listed::Gone));
                     self.later.set(now + span, Later::Restart(worker));
                 }
-                Act::Kill(worker, span) => {
-                    self.bed.fleet.fault(worker, Fault::Kill);
+                Action::Kill(worker, span) => {
+                    self.bed.fleet.inject_fault(worker, Fault::Kill);
                     if span > lag {
                         self.later.set(now + lag, Later::Listed(worker, Listed::Gone));
                     }
                     self.later.set(now + span, Later::Restart(worker));
                 }
-                Act::Gateway(index, span, kill) => {
+                Action::RestartGateway(index, span, kill) => {
                     if let Some(gateway) = self.bed.take_gateway(index) {
                         if kill {
                             gateway.kill()
@@ -163,25 +163,27 @@
                         self.later.set(now + span, Later::GatewayUp(index));
                     }
                 }
-                Act::EmptyRoster(span) => {
+                Action::EmptyRoster(span) => {
                     self.bed.roster.save_empty()?;
                     self.later.set(now + span, Later::FillRoster);
                 }
-                Act::Surge(..) | Act::EarlyLeavers { .. } => {}
+                Action::Surge(..) | Action::EarlyLeavers { .. } => {}
             },
             Later::End(index) => {
-                if let Act::Worker(worker, _, Some((_, end))) = self.script.steps[index].act {
-                    self.bed.fleet.fault(worker, end);
+                if let Action::WorkerFault(worker, _, Some((_, end))) = self.script.steps[index].action {
+                    self.bed.fleet.inject_fault(worker, end);
                 }
             }
             Later::Restart(worker) => {
-                self.bed.fleet.fault(worker, Fault::Kill);
-                self.bed.fleet.fault(worker, Fault::Restart);
+                self.bed.fleet.inject_fault(worker, Fault::Kill);
+                self.bed.fleet.inject_fault(worker, Fault::Restart);
                 self.later.set(now + lag, Later::Listed(worker, Listed::Started(wall())));
             }
-            Later::Listed(worker, Listed::Leaving) => self.bed.roster.set(worker, WorkerState::Leaving)?,
-            Later::Listed(worker, Listed::Gone) => self.bed.roster.set(worker, WorkerState::Gone)?,
-            Later::Listed(worker, Listed::Started(at)) => self.bed.roster.restarted(worker, at)?,
+            Later::Listed(worker, Listed::Leaving) => {
+                self.bed.roster.set_state(worker, WorkerState::Leaving)?
+            }
+            Later::Listed(worker, Listed::Gone) => self.bed.roster.set_state(worker, WorkerState::Gone)?,
+            Later::Listed(worker, Listed::Started(at)) => self.bed.roster.set_restarted(worker, at)?,
             Later::FillRoster => self.bed.roster.save()?,
             Later::GatewayUp(index) => self.gateway_up(now, index)?,
         }
@@ -189,7 +191,7 @@
     }
 
     /// Starts a gateway again once the one before has ended: it needs the same address.
-    fn gateway_up(&mut self, now: Micros, index: usize) -> Result<(), BedError> {
+    fn gateway_up(&mut self, now: Micros, index: usize) -> Result<(), HarnessError> {
         match self.ending.iter().position(|(i, _)| *i == index) {
             Some(at) if !self.ending[at].1.is_finished() => {
                 self.later.set(now + 5_000, Later::GatewayUp(index));
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,6 +1,6 @@
 use basaltward_config::xml::{Element, parse_validated};
 use basaltward_config::{Config, ConfigError, Fault};
-use basaltward_fakes::{Retries, WorkerSpec};
+use basaltward_fakes::{RetryPolicy, WorkerSpec};
 use basaltward_net::Micros;
 use std::path::Path;
 
@@ -8,15 +8,15 @@
 
 /// What happens at a told time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// A fault of a worker, and its end after a span.
-    Worker(usize, basaltward_fakes::Fault, Option<(Micros, basaltward_fakes::Fault)>),
+    WorkerFault(usize, basaltward_fakes::Fault, Option<(Micros, basaltward_fakes::Fault)>),
     /// A worker drains; the roster says so after its lag, and after the span that it is gone.
     Drain(usize, Micros),
     /// A worker's process dies, and is back, cold, after the span.
     Kill(usize, Micros),
     /// A gateway is killed or stopped, and back after the span.
-    Gateway(usize, Micros, bool),
+    RestartGateway(usize, Micros, bool),
     /// The roster is empty for a span.
     EmptyRoster(Micros),
     /// The rate of calls is so many times higher for a span.
@@ -26,9 +26,9 @@
         /// Share of the events.
         share: f64,
         /// They leave after this.
-        leave: Micros,
+        disconnect_after: Micros,
         /// And repeat so often.
-        repeats: u32,
+        max_repeats: u32,
         /// How long the spell lasts.
         span: Micros,
     },
@@ -36,22 +36,22 @@
 
 /// An act at its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Step {
+pub struct TimedAction {
     /// From the start of the day.
     pub at: Micros,
     /// What happens.
-    pub act: Act,
+    pub action: Action,
 }
 
 /// A day.
 #[derive(Clone, Debug)]
-pub struct Script {
+pub struct Scenario {
     /// Settings of the gateways.
     pub config: Config,
     /// Every random choice follows from it.
     pub seed: u64,
     /// How much later the roster tells of a worker's change.
-    pub roster_lag: Micros,
+    pub roster_delay: Micros,
     /// The workers.
     pub workers: Vec<WorkerSpec>,
     /// Number of gateways.
@@ -63,22 +63,22 @@
     /// Mean work of a call.
     pub work: Micros,
     /// Popularity of functions falls as 1 / rank to this power.
-    pub skew: f64,
+    pub popularity_exponent: f64,
     /// Bytes of payload.
     pub payload: usize,
     /// What clients do without a reply.
-    pub retries: Retries,
+    pub retries: RetryPolicy,
     /// A client's patience is drawn between this share of its class's deadline and all of it.
-    pub least_patience: f64,
+    pub min_timeout_share: f64,
     /// What happens, by time.
-    pub steps: Vec<Step>,
+    pub steps: Vec<TimedAction>,
 }
 
 /// Reads a script and the settings that it names.
 ///
 /// # Errors
 /// All faults of either file.
-pub fn load(path: &Path) -> Result<Script, ConfigError> {
+pub fn load(path: &Path) -> Result<Scenario, ConfigError> {
     let told = path.display().to_string();
     let text =
         std::fs::read_to_string(path).map_err(|source| ConfigError::File { path: told.clone(), source })?;
@@ -95,7 +95,7 @@
     (millis * 1e3).round() as Micros
 }
 
-fn script(root: Element, mut config: Config, faults: &mut Vec<Fault>) -> Script {
+fn script(root: Element, mut config: Config, faults: &mut Vec<Fault>) -> Scenario {
     let part = |name: &str| root.child(name).unwrap_or(root);
     let (workers, clients) = (part("workers"), part("clients"));
     let number = |node: &Element, name: &str, absent: f64, faults: &mut Vec<Fault>| {
@@ -110,51 +110,51 @@
     let spec = WorkerSpec {
         cores: number(&workers, "cores", 4.0, faults) as u32,
         memory_mb: config.controller.copies.kind_memory_mb.first().copied().unwrap_or(usual.memory_mb),
-        work,
-        load: (
+        default_work: work,
+        fetch_and_start: (
             micros(number(&workers, "fetch-ms", 300.0, faults)),
             micros(number(&workers, "start-ms", 200.0, faults)),
         ),
-        keep: micros(number(&workers, "keep-ms", 10_000.0, faults)),
-        queue: number(&workers, "queue", 32.0, faults) as usize,
-        forgets: workers.parse_attribute("forgets-keys", faults).unwrap_or(false),
+        idle_timeout: micros(number(&workers, "keep-ms", 10_000.0, faults)),
+        queue_limit: number(&workers, "queue", 32.0, faults) as usize,
+        loses_keys_when_killed: workers.parse_attribute("forgets-keys", faults).unwrap_or(false),
         load_on_miss: config.controller.copies.load_on_miss,
-        cold_from: rules.cold_from,
-        warm_within: rules.warm_within,
-        tip_multiple: rules.overload_multiple,
-        fall: rules.overload_span,
+        initial_capacity_share: rules.cold_from,
+        warm_up_time: rules.warm_within,
+        overload_multiple: rules.overload_multiple,
+        overload_window: rules.overload_span,
         ..usual
     };
     let slow = (number(&workers, "slow-share", 0.0, faults) * count as f64).round() as usize;
     let specs =
         (0..count).map(|index| WorkerSpec { speed: if index < slow { 0.75 } else { 1.0 }, ..spec.clone() });
-    let mut steps: Vec<Step> = Vec::new();
+    let mut steps: Vec<TimedAction> = Vec::new();
     for node in root.children_named("at") {
         steps.extend(step(&node, count, gateways as usize, faults));
     }
     steps.sort_by_key(|step| step.at);
-    Script {
+    Scenario {
         seed: number(&root, "seed", 0.0, faults) as u64,
-        roster_lag: micros(number(&root, "roster-lag-ms", 0.0, faults)),
+        roster_delay: micros(number(&root, "roster-lag-ms", 0.0, faults)),
         workers: specs.collect(),
         gateways,
         rate: number(&clients, "rate", 1.0, faults),
         span: (number(&clients, "seconds", 1.0, faults) * 1e6) as Micros,
         work,
-        skew: number(&clients, "skew", 1.0, faults),
+        popularity_exponent: number(&clients, "skew", 1.0, faults),
         payload: number(&clients, "payload", 200.0, faults) as usize,
-        retries: Retries {
-            most: number(&clients, "retries", 0.0, faults) as u32,
-            wait: micros(number(&clients, "retry-wait-ms", 100.0, faults)),
-            ..Retries::default()
+        retries: RetryPolicy {
+            max_retries: number(&clients, "retries", 0.0, faults) as u32,
+            delay: micros(number(&clients, "retry-wait-ms", 100.0, faults)),
+            ..RetryPolicy::default()
         },
-        least_patience: number(&clients, "least-patience", 1.0, faults),
+        min_timeout_share: number(&clients, "least-patience", 1.0, faults),
         steps,
         config,
     }
 }
 
-fn step(node: &Element, workers: usize, gateways: usize, faults: &mut Vec<Fault>) -> Option<Step> {
+fn step(node: &Element, workers: usize, gateways: usize, faults: &mut Vec<Fault>) -> Option<TimedAction> {
     use basaltward_fakes::Fault as Does;
     let at = micros(node.parse_attribute("ms", faults)?);
     let told = node.attribute("do").unwrap_or_default();
@@ -169,27 +169,29 @@
     };
     let mut worker = || position("worker", workers);
     let act = match told {
-        "drain" => Act::Drain(worker()?, span.unwrap_or(3_000_000)),
+        "drain" => Action::Drain(worker()?, span.unwrap_or(3_000_000)),
         "kill" | "restart" => {
-            Act::Kill(worker()?, span.unwrap_or(if told == "kill" { 2_000_000 } else { 1 }))
-        }
-        "kill-gateway" | "stop-gateway" => {
-            Act::Gateway(position("gateway", gateways)?, span.unwrap_or(500_000), told == "kill-gateway")
+            Action::Kill(worker()?, span.unwrap_or(if told == "kill" { 2_000_000 } else { 1 }))
         }
-        "empty-roster" => Act::EmptyRoster(span.unwrap_or(1_000_000)),
+        "kill-gateway" | "stop-gateway" => Action::RestartGateway(
+            position("gateway", gateways)?,
+            span.unwrap_or(500_000),
+            told == "kill-gateway",
+        ),
+        "empty-roster" => Action::EmptyRoster(span.unwrap_or(1_000_000)),
         "surge" => {
-            Act::Surge(node.parse_attribute("times", faults).unwrap_or(2.0), span.unwrap_or(3_000_000))
+            Action::Surge(node.parse_attribute("times", faults).unwrap_or(2.0), span.unwrap_or(3_000_000))
         }
-        "early-leavers" => Act::EarlyLeavers {
+        "early-leavers" => Action::EarlyLeavers {
             share: node.parse_attribute("share", faults).unwrap_or(0.5),
-            leave: micros(node.parse_attribute("leave-ms", faults).unwrap_or(100.0)),
-            repeats: node.parse_attribute("repeats", faults).unwrap_or(10),
+            disconnect_after: micros(node.parse_attribute("leave-ms", faults).unwrap_or(100.0)),
+            max_repeats: node.parse_attribute("repeats", faults).unwrap_or(10),
             span: span.unwrap_or(3_000_000),
         },
         "store" => {
             let times = node.parse_attribute("times", faults).unwrap_or(5.0);
             let end = (span.unwrap_or(5_000_000), Does::StoreSlow(1.0));
-            Act::Worker(0, Does::StoreSlow(times), Some(end))
+            Action::WorkerFault(0, Does::StoreSlow(times), Some(end))
         }
         _ => {
             let worker = worker()?;
@@ -204,8 +206,8 @@
                 "too-long" => (Does::TooLong(true), Does::TooLong(false)),
                 _ => (Does::CloseAfter(true), Does::CloseAfter(false)),
             };
-            Act::Worker(worker, begin, Some((span.unwrap_or(3_000_000), end)))
+            Action::WorkerFault(worker, begin, Some((span.unwrap_or(3_000_000), end)))
         }
     };
-    Some(Step { at, act })
+    Some(TimedAction { at, action: act })
 }
--- a/crates/scenario/src/workload.rs
+++ b/crates/scenario/src/workload.rs
@@ -1,7 +1,7 @@
 //! The events of a day, drawn from its seed.
 
-use crate::script::{Act, Script};
-use basaltward_fakes::{Plan, Retries};
+use crate::script::{Action, Scenario};
+use basaltward_fakes::{PlannedEvent, RetryPolicy};
 use basaltward_net::Micros;
 use rand::rngs::StdRng;
 use rand::{Rng, RngExt, SeedableRng};
@@ -10,11 +10,11 @@
 
 /// Every event of the day: arrivals by a Poisson process, popularity by Zipf's law, work by a gamma
 /// distribution of shape 4 around its mean.
-pub fn draw(script: &Script) -> Vec<Plan> {
+pub fn draw(script: &Scenario) -> Vec<PlannedEvent> {
     let mut rng = StdRng::seed_from_u64(script.seed);
     let mut plans = Vec::new();
     let config = &script.config;
-    let popularity = Zipf::new(config.functions.len() as f64, script.skew).ok();
+    let popularity = Zipf::new(config.functions.len() as f64, script.popularity_exponent).ok();
     let work = Gamma::new(4.0, script.work as f64 / 4.0).ok();
     let quotas = &config.controller.tenant_quotas;
     let tenants = WeightedIndex::new(quotas.iter().copied()).ok();
@@ -28,43 +28,48 @@
         let rank = popularity.map_or(1.0, |zipf| zipf.sample(&mut rng));
         let function = &config.functions[(rank as usize).clamp(1, config.functions.len()) - 1];
         let class = &config.controller.classes[function.class];
-        let share = rng.random_range(script.least_patience.min(1.0)..=1.0);
+        let share = rng.random_range(script.min_timeout_share.min(1.0)..=1.0);
         let tenant = tenants.as_ref().map(|t| t.sample(&mut rng)).and_then(|t| config.tenants.get(t));
-        plans.push(Plan {
-            at: at as Micros,
+        plans.push(PlannedEvent {
+            send_at: at as Micros,
             gateway: rng.random_range(0..script.gateways as usize),
             function: function.name.to_string(),
             class: config.classes[function.class].clone(),
             tenant: tenant.cloned().unwrap_or_default(),
             id: plans.len().to_string(),
-            patience: ((class.deadline as f64 * share) as Micros).max(1_000),
+            timeout: ((class.deadline as f64 * share) as Micros).max(1_000),
             work: work.map(|w| (w.sample(&mut rng) as Micros).max(100)),
             payload: script.payload,
-            retries: retries(script, at as Micros, class.repeat == basaltward::Repeat::Safe, &mut rng),
+            retry_policy: retries(script, at as Micros, class.repeat == basaltward::Repeat::Safe, &mut rng),
         });
     }
 }
 
 /// How many times the usual rate, with all surges of this moment.
-fn surge(script: &Script, at: Micros) -> f64 {
-    let within = script.steps.iter().filter_map(|step| match step.act {
-        Act::Surge(times, span) if (step.at..step.at + span).contains(&at) => Some(times),
+fn surge(script: &Scenario, at: Micros) -> f64 {
+    let within = script.steps.iter().filter_map(|step| match step.action {
+        Action::Surge(times, span) if (step.at..step.at + span).contains(&at) => Some(times),
         _ => None,
     });
     within.product()
 }
 
-fn retries(script: &Script, at: Micros, safe: bool, rng: &mut impl Rng) -> Retries {
-    let spell = script.steps.iter().find_map(|step| match step.act {
-        Act::EarlyLeavers { share, leave, repeats, span } if (step.at..step.at + span).contains(&at) => {
+fn retries(script: &Scenario, at: Micros, safe: bool, rng: &mut impl Rng) -> RetryPolicy {
+    let spell = script.steps.iter().find_map(|step| match step.action {
+        Action::EarlyLeavers { share, disconnect_after: leave, max_repeats: repeats, span }
+            if (step.at..step.at + span).contains(&at) =>
+        {
             Some((share, leave, repeats))
         }
         _ => None,
     });
     match spell.filter(|(share, ..)| rng.random_bool(*share)) {
-        Some((_, leave, repeats)) => {
-            Retries { most: repeats, wait: 0, leave_after: Some(leave), ..Retries::default() }
-        }
-        None => Retries { after_failure: safe, ..script.retries },
+        Some((_, leave, repeats)) => RetryPolicy {
+            max_retries: repeats,
+            delay: 0,
+            abandon_after: Some(leave),
+            ..RetryPolicy::default()
+        },
+        None => RetryPolicy { retry_failures: safe, ..script.retries },
     }
 }
--- a/crates/scenario/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use basaltward_fakes::WorkerSpec;
 use basaltward_http::{Decoded, Limits, Method, Response, ResponseDecoder};
 use basaltward_rules::{Breach, Observation, Record, Recorder, check};
-use basaltward_scenario::{Bed, rule_settings};
+use basaltward_scenario::{Harness, rule_settings};
 use bytes::BytesMut;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -41,11 +41,11 @@
 
 /// A worker that loads within a few milliseconds.
 pub fn worker() -> WorkerSpec {
-    WorkerSpec { load: (10_000, 10_000), work: 1_000, cores: 16, ..WorkerSpec::default() }
+    WorkerSpec { fetch_and_start: (10_000, 10_000), default_work: 1_000, cores: 16, ..WorkerSpec::default() }
 }
 
-pub fn bed(config: &Config, workers: usize) -> Bed {
-    Bed::start(config, 1, vec![worker(); workers], Recorder::memory()).expect("a bed")
+pub fn bed(config: &Config, workers: usize) -> Harness {
+    Harness::start(config, 1, vec![worker(); workers], Recorder::memory()).expect("a bed")
 }
 
 /// An event as the bytes of a request.
@@ -110,7 +110,7 @@
 }
 
 /// Waits until an event has begun to run; gives the worker's position.
-pub fn wait_running(bed: &Bed, id: &str) -> usize {
+pub fn wait_running(bed: &Harness, id: &str) -> usize {
     let name = format!("/clients#{id}");
     let mut by = String::new();
     let found = bed.recorder.wait_until(LONG, |records| {
@@ -127,7 +127,7 @@
 }
 
 /// Waits until the gateway was told this state of a worker.
-pub fn wait_told(bed: &Bed, worker: usize, wanted: &str) {
+pub fn wait_told(bed: &Harness, worker: usize, wanted: &str) {
     let address = bed.fleet.addresses()[worker].to_string();
     let told = |r: &Record| matches!(&r.observation, Observation::WorkerState { worker, state } if *worker == address && state == wanted);
     assert!(bed.recorder.wait_until(LONG, |records| records.iter().any(told)), "never told {wanted}");
@@ -135,7 +135,7 @@
 
 /// Stops a bed and judges what crossed its sockets. Plain clients leave no records of their own: the rules
 /// that gateways and workers show are judged.
-pub fn judge(bed: Bed) -> (Vec<Record>, Vec<Breach>) {
+pub fn judge(bed: Harness) -> (Vec<Record>, Vec<Breach>) {
     let rules = rule_settings(&bed.config, &bed.roster.entries);
     let recorder = bed.recorder.clone();
     bed.stop().expect("an orderly end");
--- a/crates/scenario/tests/hard_cases.rs
+++ b/crates/scenario/tests/hard_cases.rs
@@ -2,23 +2,23 @@
 mod common;
 
 use basaltward::WorkerState;
-use basaltward_fakes::{Clients, Fault, Plan, Retries, WorkerSpec};
+use basaltward_fakes::{Clients, Fault, PlannedEvent, RetryPolicy, WorkerSpec};
 use basaltward_rules::{Observation, Recorder};
-use basaltward_scenario::{Bed, rule_settings};
+use basaltward_scenario::{Harness, rule_settings};
 use common::*;
 
-fn plan(function: &str, class: &str, id: usize) -> Plan {
-    Plan {
-        at: 0,
+fn plan(function: &str, class: &str, id: usize) -> PlannedEvent {
+    PlannedEvent {
+        send_at: 0,
         gateway: 0,
         function: function.into(),
         class: class.into(),
         tenant: String::new(),
         id: id.to_string(),
-        patience: 8_000_000,
+        timeout: 8_000_000,
         work: None,
         payload: 10,
-        retries: Retries::default(),
+        retry_policy: RetryPolicy::default(),
     }
 }
 
@@ -54,8 +54,8 @@
     let mut client = Client::new(to);
     client.send(&event("stamp", "long", "ce-workus: 300000\r\n", "x"));
     let worker = wait_running(&bed, "long");
-    bed.fleet.fault(worker, Fault::Drain(true));
-    bed.roster.set(worker, WorkerState::Leaving).expect("listed");
+    bed.fleet.inject_fault(worker, Fault::Drain(true));
+    bed.roster.set_state(worker, WorkerState::Leaving).expect("listed");
     wait_told(&bed, worker, "leaving");
     for id in 0..20 {
         assert_eq!(status(to, "stamp", &id.to_string()), 200);
@@ -78,7 +78,7 @@
         let mut client = Client::new(bed.addresses[0]);
         client.send(&event(function, "e", "ce-workus: 400000\r\n", "x"));
         let worker = wait_running(&bed, "e");
-        bed.fleet.fault(worker, Fault::Kill);
+        bed.fleet.inject_fault(worker, Fault::Kill);
         let answer = client.answer().expect("an answer");
         assert_eq!(answer.status, expected, "{function}");
         if expected != 200 {
@@ -97,14 +97,14 @@
 
 #[test]
 fn workers_that_forget_their_keys_when_killed_are_caught() {
-    let forgetful = WorkerSpec { forgets: true, ..worker() };
-    let bed = Bed::start(&config(), 1, vec![forgetful; 2], Recorder::memory()).expect("a bed");
+    let forgetful = WorkerSpec { loses_keys_when_killed: true, ..worker() };
+    let bed = Harness::start(&config(), 1, vec![forgetful; 2], Recorder::memory()).expect("a bed");
     // As a client that leaves records: the checker must know the event's class.
     let (to, recorder) = (bed.addresses[0], bed.recorder.clone());
-    let plans = vec![Plan { work: Some(400_000), ..plan("note", "keyed", 0) }];
+    let plans = vec![PlannedEvent { work: Some(400_000), ..plan("note", "keyed", 0) }];
     let clients = std::thread::spawn(move || Clients::new(vec![to], recorder).expect("clients").run(plans));
     let worker = wait_running(&bed, "0");
-    bed.fleet.fault(worker, Fault::Kill);
+    bed.fleet.inject_fault(worker, Fault::Kill);
     assert_eq!(clients.join().expect("no panic").expect("run").served, 1);
     let (records, breaches) = judge(bed);
     assert_eq!((runs(&records, "0"), breaches.len(), breaches[0].rule), (2, 1, 2), "{breaches:?}");
@@ -148,9 +148,9 @@
     let bed = bed(&config(), 1);
     let to = bed.addresses[0];
     assert_eq!(status(to, "stamp", "before"), 200);
-    bed.fleet.fault(0, Fault::TooLong(true));
+    bed.fleet.inject_fault(0, Fault::TooLong(true));
     assert_eq!(status(to, "stamp", "long"), 500);
-    bed.fleet.fault(0, Fault::TooLong(false));
+    bed.fleet.inject_fault(0, Fault::TooLong(false));
     assert_eq!(status(to, "view", "after"), 200);
     let (records, breaches) = judge(bed);
     assert_eq!((runs(&records, "long"), breaches), (1, Vec::new()));
@@ -238,14 +238,14 @@
     let to = bed.addresses[0];
     assert_eq!(status(to, "view", "before"), 200);
     // The call may find the restarted worker before the roster tells of it, and gets the answer miss.
-    bed.fleet.fault(0, Fault::Kill);
-    bed.fleet.fault(0, Fault::Restart);
+    bed.fleet.inject_fault(0, Fault::Kill);
+    bed.fleet.inject_fault(0, Fault::Restart);
     let born = |r: &basaltward_rules::Record| {
         matches!(r.observation, Observation::WorkerStarted { warm: false, .. })
     };
     assert!(bed.recorder.wait_until(LONG, |records| records.iter().any(born)));
     let wall = basaltward_net::Clock::read().wall();
-    bed.roster.restarted(0, wall).expect("listed");
+    bed.roster.set_restarted(0, wall).expect("listed");
     assert_eq!(status(to, "view", "after"), 200);
     let (records, breaches) = judge(bed);
     let at = records.iter().position(born).expect("born");
@@ -260,13 +260,13 @@
     // The guard left out: an unsafe event's record is dropped at once, which the settings' check refuses.
     let mut config = config();
     config.repeats.retention = 0;
-    let bed = Bed::start(&config, 1, vec![worker()], Recorder::memory()).expect("a bed");
+    let bed = Harness::start(&config, 1, vec![worker()], Recorder::memory()).expect("a bed");
     let to = bed.addresses[0];
     let rules = rule_settings(&bed.config, &bed.roster.entries);
-    let repeat = Retries { most: 1, leave_after: Some(50_000), ..Retries::default() };
-    let twice = |id| Plan { work: Some(1_000), ..plan("stamp", "unsafe", id) };
-    let again = |id| Plan { at: 300_000, ..twice(id) };
-    let plans = vec![Plan { retries: repeat, ..twice(1) }, again(1), twice(2), again(2)];
+    let repeat = RetryPolicy { max_retries: 1, abandon_after: Some(50_000), ..RetryPolicy::default() };
+    let twice = |id| PlannedEvent { work: Some(1_000), ..plan("stamp", "unsafe", id) };
+    let again = |id| PlannedEvent { send_at: 300_000, ..twice(id) };
+    let plans = vec![PlannedEvent { retry_policy: repeat, ..twice(1) }, again(1), twice(2), again(2)];
     let recorder = bed.recorder.clone();
     Clients::new(vec![to], recorder.clone()).expect("clients").run(plans).expect("run");
     bed.stop().expect("an orderly end");
@@ -290,7 +290,7 @@
         let bed = bed(&config(), 1);
         let to = bed.addresses[0];
         assert_eq!(status(to, "stamp", "before"), 200, "{name}");
-        bed.fleet.fault(0, fault);
+        bed.fleet.inject_fault(0, fault);
         let mut client = Client::new(to);
         client.send(&event("stamp", "e", "ce-timeoutms: 400\r\n", "x"));
         let answer = client.answer().expect("an answer").status;
@@ -315,7 +315,7 @@
     let bed = bed(&config(), 2);
     let to = bed.addresses[0];
     for worker in 0..2 {
-        bed.fleet.fault(worker, Fault::CloseAfter(true));
+        bed.fleet.inject_fault(worker, Fault::CloseAfter(true));
     }
     for id in 0..40 {
         assert_eq!(status(to, "view", &id.to_string()), 200);
--- a/crates/scenario/tests/loops.rs
+++ b/crates/scenario/tests/loops.rs
@@ -2,10 +2,10 @@
 mod common;
 
 use basaltward_config::Config;
-use basaltward_fakes::{Clients, Plan, Retries, Tally};
+use basaltward_fakes::{ClientStats, Clients, PlannedEvent, RetryPolicy};
 use basaltward_gateway::LoopMode;
 use basaltward_rules::{Observation, Record, Recorder};
-use basaltward_scenario::Bed;
+use basaltward_scenario::Harness;
 use common::*;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,22 +17,22 @@
 /// The class of each of [`FUNCTIONS`].
 const CLASSES: [&str; 3] = ["safe", "keyed", "unsafe"];
 
-fn plan(function: usize, id: &str) -> Plan {
-    Plan {
-        at: 0,
+fn plan(function: usize, id: &str) -> PlannedEvent {
+    PlannedEvent {
+        send_at: 0,
         gateway: 0,
         function: FUNCTIONS[function].into(),
         class: CLASSES[function].into(),
         tenant: String::new(),
         id: id.into(),
-        patience: 6_000_000,
+        timeout: 6_000_000,
         work: None,
         payload: 10,
-        retries: Retries::default(),
+        retry_policy: RetryPolicy::default(),
     }
 }
 
-fn run(bed: &Bed, plans: Vec<Plan>) -> Tally {
+fn run(bed: &Harness, plans: Vec<PlannedEvent>) -> ClientStats {
     Clients::new(bed.addresses.clone(), bed.recorder.clone()).expect("clients").run(plans).expect("run")
 }
 
@@ -46,7 +46,7 @@
     for function in 0..3 {
         let bed = bed(&four(), 3);
         // At once, so each on a connection of its own; the system spreads them over the loops.
-        let plans = (0..32).map(|_| Plan { work: Some(150_000), ..plan(function, "e") }).collect();
+        let plans = (0..32).map(|_| PlannedEvent { work: Some(150_000), ..plan(function, "e") }).collect();
         assert_eq!(run(&bed, plans).served, 32, "{function}");
         let (records, breaches) = judge(bed);
         assert_eq!((runs(&records, "e"), breaches), (1, Vec::new()), "{function}");
@@ -60,9 +60,10 @@
 
 #[test]
 fn loops_that_know_nothing_of_each_other_are_caught() {
-    let bed = Bed::start_as(&four(), 1, vec![worker(); 3], Recorder::memory(), LoopMode::Independent)
-        .expect("a bed");
-    run(&bed, (0..32).map(|_| Plan { work: Some(150_000), ..plan(2, "e") }).collect());
+    let bed =
+        Harness::start_with_mode(&four(), 1, vec![worker(); 3], Recorder::memory(), LoopMode::Independent)
+            .expect("a bed");
+    run(&bed, (0..32).map(|_| PlannedEvent { work: Some(150_000), ..plan(2, "e") }).collect());
     let (records, breaches) = judge(bed);
     assert!(runs(&records, "e") > 1 && breaches.iter().all(|b| b.rule == 2) && !breaches.is_empty());
 }
--- a/crates/scenario/tests/sites.rs
+++ b/crates/scenario/tests/sites.rs
@@ -5,7 +5,7 @@
     Config, JournalConfig, ReplicationConfig, SitePeerConfig, SitesConfig, UnreplicatedPolicy,
 };
 use basaltward_rules::{Observation, Recorder};
-use basaltward_scenario::Bed;
+use basaltward_scenario::Harness;
 use common::*;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
@@ -54,8 +54,8 @@
     (0..count).map(one).collect()
 }
 
-fn start(config: &Config, recorder: &Recorder) -> Bed {
-    Bed::start(config, 1, vec![worker(); 2], recorder.clone()).expect("a bed")
+fn start(config: &Config, recorder: &Recorder) -> Harness {
+    Harness::start(config, 1, vec![worker(); 2], recorder.clone()).expect("a bed")
 }
 
 /// Waits until an event of this function is served: the sites have found each other.
--- a/crates/trial/src/site_bed.rs
+++ b/crates/trial/src/site_bed.rs
@@ -12,7 +12,7 @@
 use crate::ways::Ways;
 use crate::workspace::{Workspace, whole};
 use basaltward_config::Config;
-use basaltward_fakes::{Clients, Tally};
+use basaltward_fakes::{ClientStats, Clients};
 use basaltward_membership::StatusResponse;
 use basaltward_net::{Micros, NetError, monotonic};
 use basaltward_peers::fetch_membership;
@@ -63,7 +63,7 @@
     links: BTreeMap<(usize, usize), SiteLink>,
     /// Names of workers by every address at which they are known.
     known: BTreeMap<String, String>,
-    clients: Option<JoinHandle<Result<Tally, NetError>>>,
+    clients: Option<JoinHandle<Result<ClientStats, NetError>>>,
     workspace: Workspace,
 }
 
@@ -335,7 +335,11 @@
     /// # Errors
     /// Where the system refuses their loop or thread.
     pub fn call(&mut self) -> Result<(), TrialError> {
-        let clients = Clients::through(self.reached.clone(), self.listens.clone(), self.recorder.clone())?;
+        let clients = Clients::with_recorded_addresses(
+            self.reached.clone(),
+            self.listens.clone(),
+            self.recorder.clone(),
+        )?;
         let plans = plans(&self.spec, &self.of.0);
         self.began = monotonic();
         let run = move || clients.run(plans);
@@ -347,7 +351,7 @@
     ///
     /// # Errors
     /// Where a process does not end or records can't be read.
-    pub fn finish(&mut self) -> Result<(Vec<Record>, Tally), TrialError> {
+    pub fn finish(&mut self) -> Result<(Vec<Record>, ClientStats), TrialError> {
         let clients = self.clients.take().map(|thread| thread.join().map_err(|_| TrialError::Clients));
         let tally = clients.transpose()?.transpose()?.unwrap_or_default();
         // Gateways first: they finish what they have.
--- a/crates/trial/src/site_load.rs
+++ b/crates/trial/src/site_load.rs
@@ -1,7 +1,7 @@
 //! What clients of each site ask, and when: drawn by the seed before the run.
 
 use crate::site_spec::{CLASSES, LoadSpec, SitesSpec};
-use basaltward_fakes::{Plan, Retries};
+use basaltward_fakes::{PlannedEvent, RetryPolicy};
 use basaltward_net::Micros;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -10,7 +10,7 @@
 const AGAIN_US: Micros = 50_000;
 
 /// All events of a run; `of` gives the site of each gateway.
-pub(crate) fn plans(spec: &SitesSpec, of: &[usize]) -> Vec<Plan> {
+pub(crate) fn plans(spec: &SitesSpec, of: &[usize]) -> Vec<PlannedEvent> {
     let mut all = Vec::new();
     for (number, load) in spec.loads.iter().enumerate() {
         let mut rng = StdRng::seed_from_u64(spec.seed ^ (number as u64) << 48);
@@ -30,8 +30,8 @@
             if CLASSES[class].1 != "safe" && rng.random::<f64>() < load.repeats {
                 // The same event at another gateway, of any site, while the first is in hand.
                 let other = (gateway + rng.random_range(1..of.len().max(2))) % of.len();
-                let at = first.at + rng.random_range(0..20_000);
-                all.push(Plan { at, gateway: other, ..first.clone() });
+                let at = first.send_at + rng.random_range(0..20_000);
+                all.push(PlannedEvent { send_at: at, gateway: other, ..first.clone() });
             }
             all.push(first);
         }
@@ -39,25 +39,30 @@
     all
 }
 
-fn plan(load: &LoadSpec, at: Micros, (gateway, class, function): (usize, usize, usize), id: String) -> Plan {
+fn plan(
+    load: &LoadSpec,
+    at: Micros,
+    (gateway, class, function): (usize, usize, usize),
+    id: String,
+) -> PlannedEvent {
     let (name, repeat) = CLASSES[class];
-    let retries = Retries {
-        most: load.retries,
-        wait: AGAIN_US,
-        leave_after: None,
-        after_failure: load.insists || repeat == "safe",
-        honour: load.honour,
+    let retries = RetryPolicy {
+        max_retries: load.retries,
+        delay: AGAIN_US,
+        abandon_after: None,
+        retry_failures: load.insists || repeat == "safe",
+        honor_retry_after: load.honour,
     };
-    Plan {
-        at,
+    PlannedEvent {
+        send_at: at,
         gateway,
         function: format!("{name}-{function}"),
         class: name.into(),
         tenant: load.tenant.clone(),
         id,
-        patience: load.patience,
+        timeout: load.patience,
         work: None,
         payload: 200,
-        retries,
+        retry_policy: retries,
     }
 }
