--- a/crates/fakes/src/bulletin.rs
+++ b/crates/fakes/src/bulletin.rs
@@ -1,4 +1,4 @@
-//! A bulletin that tells what a test says, and fails as it says.
+//! A fake bulletin that publishes the events of a test and fails on request.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,18 +8,19 @@
 
 #[derive(Default)]
 struct State {
-    /// Events after those that a scheduler knows from its start, in order; the first has this number.
+    /// Number of the first element of `events`; a scheduler starts with everything before it.
     first: u64,
+    /// Lines of all events published so far, in order.
     events: Vec<String>,
     open: Vec<TcpStream>,
-    /// Connections that stand and are told nothing any more.
-    hushed: Vec<TcpStream>,
-    /// What each connection asked.
-    asked: Vec<String>,
+    /// Open connections that receive nothing any more.
+    muted: Vec<TcpStream>,
+    /// The request line of each connection.
+    requests: Vec<String>,
     silent: bool,
-    /// Nobody is accepted.
+    /// New connections are refused.
     down: bool,
-    over: bool,
+    shut_down: bool,
 }
 
 impl State {
@@ -27,13 +28,13 @@
         self.first + self.events.len() as u64 - 1
     }
 
-    /// Keeps one more event that holds a change; gives its line.
-    fn hold(&mut self, targets: &str) -> String {
-        self.hold_as(targets, false)
+    /// Stores an event with a change of the roster and returns its line.
+    fn append(&mut self, targets: &str) -> String {
+        self.append_event(targets, false)
     }
 
-    /// The same, of a change or of the whole list.
-    fn hold_as(&mut self, targets: &str, all: bool) -> String {
+    /// Stores an event with a change of the roster, or with the full list, and returns its line.
+    fn append_event(&mut self, targets: &str, all: bool) -> String {
         let no = self.last() + 1;
         let event =
             format!("{{\"no\":{no},\"roster\":{{\"rev\":{no},\"all\":{all},\"targets\":[{targets}]}}}}\n");
@@ -41,18 +42,19 @@
         event
     }
 
-    fn say(&mut self, text: &str) {
+    /// Writes to all connections that are open and not muted; drops those on which the write fails.
+    fn send(&mut self, text: &str) {
         if !self.silent {
             self.open.retain_mut(|stream| stream.write_all(text.as_bytes()).is_ok());
         }
     }
 }
 
-/// A stand-in bulletin.
+/// A fake bulletin. It listens on loopback and sends each connection a heartbeat every second.
 pub struct FakeBulletin {
     address: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
-    accepts: Mutex<Option<JoinHandle<()>>>,
+    acceptor: Mutex<Option<JoinHandle<()>>>,
 }
 
 fn lock(state: &(Mutex<State>, Condvar)) -> MutexGuard<'_, State> {
@@ -60,68 +62,68 @@
 }
 
 impl FakeBulletin {
-    /// A bulletin whose next event has this number.
+    /// Starts a bulletin whose first event has the number `first`.
     ///
     /// # Errors
-    /// Where the system refuses a socket.
+    /// If the socket can't be opened.
     pub fn start(first: u64) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let state = Arc::new((Mutex::new(State { first, ..State::default() }), Condvar::new()));
-        let (accepts, ticking) = (accept(state.clone(), listener), state.clone());
+        let (acceptor, ticker_state) = (accept(state.clone(), listener), state.clone());
         std::thread::spawn(move || {
-            let mut state = lock(&ticking);
-            while !state.over {
+            let mut state = lock(&ticker_state);
+            while !state.shut_down {
                 let text = format!("{{\"no\":{}}}\n", state.last());
-                state.say(&text);
-                let waited = ticking.1.wait_timeout(state, Duration::from_secs(1));
+                state.send(&text);
+                let waited = ticker_state.1.wait_timeout(state, Duration::from_secs(1));
                 state = waited.unwrap_or_else(PoisonError::into_inner).0;
             }
         });
-        Ok(Self { address, state, accepts: Mutex::new(Some(accepts)) })
+        Ok(Self { address, state, acceptor: Mutex::new(Some(acceptor)) })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Tells one more event; `targets` are its entries, as JSON.
+    /// Publishes an event with a change of the roster; `targets` are its entries, as JSON.
     pub fn publish(&self, targets: &str) {
         let mut state = lock(&self.state);
-        let event = state.hold(targets);
-        state.say(&event);
+        let event = state.append(targets);
+        state.send(&event);
     }
 
-    /// Tells one more event that holds the whole list.
+    /// Publishes an event that holds the full list.
     pub fn publish_full_list(&self, targets: &str) {
         let mut state = lock(&self.state);
-        let event = state.hold_as(targets, true);
-        state.say(&event);
+        let event = state.append_event(targets, true);
+        state.send(&event);
     }
 
-    /// Holds one more event, tells the first half of its line and nothing more on the connections that stand, which it
-    /// leaves open.
+    /// Stores an event, sends the first half of its line and then nothing more on the open connections, which stay
+    /// open.
     pub fn stall_mid_event(&self, targets: &str) {
         let mut state = lock(&self.state);
-        let event = state.hold(targets);
-        state.say(&event[..event.len() / 2]);
+        let event = state.append(targets);
+        state.send(&event[..event.len() / 2]);
         let mut open = std::mem::take(&mut state.open);
-        state.hushed.append(&mut open);
+        state.muted.append(&mut open);
     }
 
-    /// Tells several events in one write.
+    /// Publishes several events in one write.
     pub fn publish_batch(&self, events: &[&str]) {
         let mut state = lock(&self.state);
-        let text: String = events.iter().map(|targets| state.hold(targets)).collect();
-        state.say(&text);
+        let text: String = events.iter().map(|targets| state.append(targets)).collect();
+        state.send(&text);
     }
 
-    /// Holds one more event, tells the first half of its line and ends every connection, by a reset where told so.
+    /// Stores an event, sends the first half of its line and ends every connection, with `reset` by a TCP reset.
     pub fn disconnect_mid_event(&self, targets: &str, reset: bool) {
         let mut state = lock(&self.state);
-        let event = state.hold(targets);
-        state.say(&event[..event.len() / 2]);
+        let event = state.append(targets);
+        state.send(&event[..event.len() / 2]);
         for stream in state.open.drain(..) {
             if reset {
                 let _ = rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO));
@@ -130,74 +132,74 @@
         }
     }
 
-    /// Speaks again after [`Board::silence`]: tells all events on every connection that stands, so late.
+    /// Ends the silence of [`FakeBulletin::set_silent`] and sends all events so far, late, on every open connection.
     pub fn resume_and_resend(&self) {
         let mut state = lock(&self.state);
         state.silent = false;
         let text = state.events.concat();
-        state.say(&text);
+        state.send(&text);
     }
 
-    /// Connections that have asked and that their scheduler has not ended.
+    /// Number of connections that have sent their request and that the scheduler has not closed.
     pub fn open_connections(&self) -> usize {
         let state = lock(&self.state);
-        state.open.iter().chain(&state.hushed).filter(|stream| stands(stream)).count()
+        state.open.iter().chain(&state.muted).filter(|stream| is_open(stream)).count()
     }
 
-    /// Writes these bytes to whoever listens.
+    /// Writes arbitrary text to all open connections.
     pub fn send_raw(&self, text: &str) {
-        lock(&self.state).say(text);
+        lock(&self.state).send(text);
     }
 
-    /// Ends every connection.
+    /// Closes every connection.
     pub fn disconnect_all(&self) {
         for stream in lock(&self.state).open.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Ends every connection and refuses new ones. Once this returns nobody is accepted.
+    /// Closes every connection and refuses new ones. Once this returns, no connection is accepted.
     pub fn stop_listening(&self) {
         lock(&self.state).down = true;
-        // Wakes the thread that accepts, whose end closes the listener.
+        // Wakes the accepting thread; the listener closes when that thread ends.
         let _ = TcpStream::connect(self.address);
-        let accepts = self.accepts.lock().unwrap_or_else(PoisonError::into_inner).take();
-        let _ = accepts.map(JoinHandle::join);
+        let acceptor = self.acceptor.lock().unwrap_or_else(PoisonError::into_inner).take();
+        let _ = acceptor.map(JoinHandle::join);
         self.disconnect_all();
     }
 
-    /// Listens again at the same address, after [`Board::down`].
+    /// Listens again at the same address, after [`FakeBulletin::stop_listening`].
     ///
     /// # Errors
-    /// Where the system refuses the socket.
+    /// If the socket can't be opened.
     pub fn resume_listening(&self) -> io::Result<()> {
         let listener = TcpListener::bind(self.address)?;
         lock(&self.state).down = false;
-        let mut accepts = self.accepts.lock().unwrap_or_else(PoisonError::into_inner);
-        *accepts = Some(accept(self.state.clone(), listener));
+        let mut acceptor = self.acceptor.lock().unwrap_or_else(PoisonError::into_inner);
+        *acceptor = Some(accept(self.state.clone(), listener));
         Ok(())
     }
 
-    /// Leaves the connections that stand open and says nothing more on them.
+    /// Sends nothing more on the connections that are open now and leaves them open.
     pub fn mute_open_connections(&self) {
         let mut state = lock(&self.state);
         let mut open = std::mem::take(&mut state.open);
-        state.hushed.append(&mut open);
+        state.muted.append(&mut open);
     }
 
-    /// Says nothing more on the connections that stand, or on any.
+    /// With `true`, sends nothing on any connection, new ones included, until it is called with `false`.
     pub fn set_silent(&self, silent: bool) {
         lock(&self.state).silent = silent;
     }
 
-    /// What the connections so far asked.
+    /// The request lines of all connections so far.
     pub fn received_requests(&self) -> Vec<String> {
-        lock(&self.state).asked.clone()
+        lock(&self.state).requests.clone()
     }
 }
 
-/// Whether the other end has not ended a connection on which it has nothing more to say.
-fn stands(stream: &TcpStream) -> bool {
+/// Whether the peer has neither closed the connection nor sent further data.
+fn is_open(stream: &TcpStream) -> bool {
     let flags = rustix::net::RecvFlags::PEEK | rustix::net::RecvFlags::DONTWAIT;
     matches!(rustix::net::recv(stream, &mut [0u8][..], flags), Err(rustix::io::Errno::AGAIN))
 }
@@ -206,24 +208,25 @@
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let now = lock(&state);
-            if now.over || now.down {
+            if now.shut_down || now.down {
                 return;
             }
             drop(now);
             if let Ok(stream) = stream {
-                let _ = take(&state, stream);
+                let _ = subscribe(&state, stream);
             }
         }
     })
 }
 
-fn take(state: &(Mutex<State>, Condvar), mut stream: TcpStream) -> io::Result<()> {
+/// Reads the request `after N` of a new connection, then sends the events after that number.
+fn subscribe(state: &(Mutex<State>, Condvar), mut stream: TcpStream) -> io::Result<()> {
     let mut line = String::new();
     BufReader::new(stream.try_clone()?).read_line(&mut line)?;
     let mut state = lock(state);
     let line = line.trim_end().to_owned();
     let after = line.strip_prefix("after ").and_then(|n| n.parse::<u64>().ok());
-    state.asked.push(line);
+    state.requests.push(line);
     let after = after.ok_or(io::ErrorKind::InvalidData)?;
     if !state.silent {
         let from = (after + 1).saturating_sub(state.first) as usize;
@@ -237,10 +240,10 @@
 
 impl Drop for FakeBulletin {
     fn drop(&mut self) {
-        lock(&self.state).over = true;
+        lock(&self.state).shut_down = true;
         self.state.1.notify_all();
         self.disconnect_all();
-        // Wakes the thread that accepts.
+        // Wakes the accepting thread.
         let _ = TcpStream::connect(self.address);
     }
 }
--- a/crates/fakes/src/dedup.rs
+++ b/crates/fakes/src/dedup.rs
@@ -1,90 +1,93 @@
-//! The memory of keys that a group of workers shares: a keyed call's repeat is dropped by whichever of them
-//! it reaches, and gets the first one's answer.
+//! Deduplication of keyed calls in a group of workers: a repeat is dropped by whichever worker it reaches and gets the
+//! answer of the first call.
 
 use basaltward_net::Micros;
 use std::collections::HashMap;
 
-/// Keys past which those whose window is over are forgotten.
-const MOST: usize = 4_096;
+/// Number of keys from which on those with an expired window are removed.
+const PRUNE_FROM: usize = 4_096;
 
 enum Stage {
-    /// Held by this worker, queued or running; these repeats wait for its answer.
-    Held(usize, Vec<u64>),
-    /// Its effect has happened.
-    Done(usize),
+    /// Queued or running at this worker; these repeats wait for its answer.
+    Pending(usize, Vec<u64>),
+    /// Executed by this worker.
+    Executed(usize),
 }
 
-/// What a keyed call gets that arrives.
+/// How an arriving keyed call relates to earlier ones with its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Known {
-    /// It is the first.
-    New,
-    /// The first is held: this one waits for its answer.
+pub(crate) enum Arrival {
+    /// The first call with this key.
+    First,
+    /// A repeat of a call that is queued or running: it waits for that call's answer.
     Waits,
-    /// The first has run.
-    Done,
+    /// A repeat of a call that has run.
+    AlreadyExecuted,
 }
 
-/// The group's memory.
+/// Keys that a group of workers remembers.
 #[derive(Default)]
-pub(crate) struct Keys {
-    known: HashMap<String, (Stage, Micros)>,
+pub(crate) struct DedupTable {
+    /// Stage and end of the window, by event.
+    keys: HashMap<String, (Stage, Micros)>,
 }
 
-impl Keys {
-    /// A call arrives at a worker.
-    pub fn arrive(&mut self, now: Micros, event: &str, worker: usize, token: u64, window: Micros) -> Known {
-        match self.known.get_mut(event) {
-            Some((Stage::Held(_, waiting), _)) => {
+impl DedupTable {
+    /// Registers a keyed call that arrives at a worker. Repeats are dropped for `window` microseconds, and for as long
+    /// as the first call is pending.
+    pub fn arrive(&mut self, now: Micros, event: &str, worker: usize, token: u64, window: Micros) -> Arrival {
+        match self.keys.get_mut(event) {
+            Some((Stage::Pending(_, waiting), _)) => {
                 waiting.push(token);
-                return Known::Waits;
+                return Arrival::Waits;
             }
-            Some((Stage::Done(_), until)) if *until > now => return Known::Done,
+            Some((Stage::Executed(_), until)) if *until > now => return Arrival::AlreadyExecuted,
             _ => {}
         }
-        if self.known.len() >= MOST {
-            self.known.retain(|_, (stage, until)| *until > now || matches!(stage, Stage::Held(..)));
+        if self.keys.len() >= PRUNE_FROM {
+            self.keys.retain(|_, (stage, until)| *until > now || matches!(stage, Stage::Pending(..)));
         }
-        self.known.insert(event.to_owned(), (Stage::Held(worker, Vec::new()), now + window));
-        Known::New
+        self.keys.insert(event.to_owned(), (Stage::Pending(worker, Vec::new()), now + window));
+        Arrival::First
     }
 
-    /// The first is answered: gives the repeats that get the same answer.
-    pub fn done(&mut self, event: &str) -> Vec<u64> {
-        match self.known.get_mut(event) {
-            Some((stage @ Stage::Held(..), _)) => {
-                let Stage::Held(worker, waiting) = stage else { return Vec::new() };
+    /// Marks the first call as executed. Returns the repeats that get the same answer.
+    pub fn complete(&mut self, event: &str) -> Vec<u64> {
+        match self.keys.get_mut(event) {
+            Some((stage @ Stage::Pending(..), _)) => {
+                let Stage::Pending(worker, waiting) = stage else { return Vec::new() };
                 let waiting = std::mem::take(waiting);
-                *stage = Stage::Done(*worker);
+                *stage = Stage::Executed(*worker);
                 waiting
             }
             _ => Vec::new(),
         }
     }
 
-    /// The first will not run after all: gives the repeats that waited for it.
-    pub fn forget(&mut self, event: &str) -> Vec<u64> {
-        match self.known.get(event) {
-            Some((Stage::Held(..), _)) => match self.known.remove(event) {
-                Some((Stage::Held(_, waiting), _)) => waiting,
+    /// Removes the key of a pending call that will not run. Returns the repeats that waited for it.
+    pub fn cancel(&mut self, event: &str) -> Vec<u64> {
+        match self.keys.get(event) {
+            Some((Stage::Pending(..), _)) => match self.keys.remove(event) {
+                Some((Stage::Pending(_, waiting), _)) => waiting,
                 _ => Vec::new(),
             },
             _ => Vec::new(),
         }
     }
 
-    /// A worker is gone. What it held had begun to run, so its effect stands: gives the repeats that waited
-    /// for it. Where the memory was the worker's own, its keys go with it.
-    pub fn died(&mut self, worker: usize, lost: bool) -> Vec<u64> {
+    /// Handles the death of a worker. Its pending calls count as executed, since they had begun to run. Returns the
+    /// repeats that waited for them. With `lose_keys`, as if each worker remembered its keys in its own memory only,
+    /// the keys of this worker are removed.
+    pub fn worker_died(&mut self, worker: usize, lose_keys: bool) -> Vec<u64> {
         let mut waiting = Vec::new();
-        self.known.retain(|_, (stage, _)| {
-            if let Stage::Held(by, repeats) = stage
+        self.keys.retain(|_, (stage, _)| {
+            if let Stage::Pending(by, repeats) = stage
                 && *by == worker
             {
                 waiting.append(repeats);
-                *stage = Stage::Done(worker);
+                *stage = Stage::Executed(worker);
             }
-            !lost || !matches!(stage, Stage::Done(by) if *by == worker)
+            !lose_keys || !matches!(stage, Stage::Executed(by) if *by == worker)
         });
         waiting
     }
@@ -96,18 +99,18 @@
 
     #[test]
     fn a_repeat_is_dropped_by_whichever_worker_it_reaches() {
-        let mut keys = Keys::default();
-        assert_eq!(keys.arrive(0, "e", 0, 1, 100), Known::New);
-        assert_eq!(keys.arrive(10, "e", 1, 2, 100), Known::Waits);
-        assert_eq!(keys.done("e"), [2]);
-        assert_eq!(keys.arrive(99, "e", 2, 3, 100), Known::Done);
-        assert_eq!(keys.arrive(100, "e", 2, 4, 100), Known::New);
-        // Called off before it ran: the next one is the first again.
-        assert_eq!((keys.forget("e"), keys.arrive(101, "e", 0, 5, 100)), (vec![], Known::New));
-        assert_eq!(keys.arrive(102, "e", 1, 6, 100), Known::Waits);
-        assert_eq!(keys.died(0, false), [6]);
-        assert_eq!(keys.arrive(103, "e", 1, 7, 100), Known::Done);
-        keys.died(0, true);
-        assert_eq!(keys.arrive(104, "e", 1, 8, 100), Known::New);
+        let mut keys = DedupTable::default();
+        assert_eq!(keys.arrive(0, "e", 0, 1, 100), Arrival::First);
+        assert_eq!(keys.arrive(10, "e", 1, 2, 100), Arrival::Waits);
+        assert_eq!(keys.complete("e"), [2]);
+        assert_eq!(keys.arrive(99, "e", 2, 3, 100), Arrival::AlreadyExecuted);
+        assert_eq!(keys.arrive(100, "e", 2, 4, 100), Arrival::First);
+        // Cancelled before it ran: the next one is the first again.
+        assert_eq!((keys.cancel("e"), keys.arrive(101, "e", 0, 5, 100)), (vec![], Arrival::First));
+        assert_eq!(keys.arrive(102, "e", 1, 6, 100), Arrival::Waits);
+        assert_eq!(keys.worker_died(0, false), [6]);
+        assert_eq!(keys.arrive(103, "e", 1, 7, 100), Arrival::AlreadyExecuted);
+        keys.worker_died(0, true);
+        assert_eq!(keys.arrive(104, "e", 1, 8, 100), Arrival::First);
     }
 }
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of stand-in workers on one loop: HTTP around the model, and scripted faults.
 
-use crate::dedup::Keys;
+use crate::dedup::DedupTable;
 use crate::store::{Store, StoreSpec};
 use crate::worker_model::{Call, CopyNote, Reply, Worker, WorkerSpec};
 use basaltward_http::{Body, Decoded, HeadWriter, Limits, Method, Request, RequestDecoder};
@@ -168,7 +168,7 @@
     servers: Vec<Server>,
     store: Store,
     /// Memories of keys, by group of workers.
-    keys: BTreeMap<u64, Keys>,
+    keys: BTreeMap<u64, DedupTable>,
     conns: HashMap<ConnId, Conn>,
     by_token: HashMap<u64, ConnId>,
     next: u64,
@@ -245,7 +245,7 @@
 
     fn apply(&mut self, now: Micros, index: usize, fault: Fault) -> Result<(), NetError> {
         if let Fault::StoreSlow(times) = fault {
-            self.store.slow = times.max(0.01);
+            self.store.slowdown = times.max(0.01);
             return Ok(());
         }
         let Some(server) = self.servers.get_mut(index) else { return Ok(()) };
@@ -270,7 +270,7 @@
                 let server = &mut self.servers[index];
                 server.model.fallen = true;
                 let keys = self.keys.entry(server.spec.key_group).or_default();
-                let repeats = keys.died(index, server.spec.loses_keys_when_killed);
+                let repeats = keys.worker_died(index, server.spec.loses_keys_when_killed);
                 let reply = |token| Reply::Ok { token, copy: CopyNote::Stood, crowd: 0 };
                 self.answer_all(now, repeats.into_iter().map(reply).collect());
             }
--- a/crates/fakes/src/front_client.rs
+++ b/crates/fakes/src/front_client.rs
@@ -1,4 +1,4 @@
-//! A client of the live scheduler's Thrift front.
+//! A blocking client of the scheduler's Thrift interface.
 
 use basaltward_thrift::{FrameLimits, ServerReply, next_frame, read_reply, write};
 use bytes::BytesMut;
@@ -6,20 +6,20 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// What a client was told.
+/// The reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FrontReply {
-    /// Served, with this body.
+    /// The call was served, with this body.
     Served(Vec<u8>),
-    /// Turned away, with the milliseconds to stay away.
+    /// The call was refused; the client should wait for so many milliseconds before it tries again.
     Rejected(Option<u64>),
-    /// Failed.
+    /// The call failed.
     Crashed,
-    /// Could not be taken.
+    /// The request was invalid: an unknown method or a protocol error.
     Exception,
 }
 
-/// One connection of a client. Its requests are numbered from 1.
+/// A client with one connection. Its requests have sequence numbers from 1 on.
 pub struct FrontClient {
     stream: TcpStream,
     input: BytesMut,
@@ -27,23 +27,23 @@
 }
 
 impl FrontClient {
-    /// Connects; a read fails after `patience` without a byte.
+    /// Connects. A read fails after `read_timeout` without a byte.
     ///
     /// # Errors
-    /// Where nobody listens there.
-    pub fn connect(to: SocketAddr, patience: Duration) -> io::Result<Self> {
+    /// If the connection can't be opened.
+    pub fn connect(to: SocketAddr, read_timeout: Duration) -> io::Result<Self> {
         let stream = TcpStream::connect(to)?;
-        stream.set_read_timeout(Some(patience))?;
+        stream.set_read_timeout(Some(read_timeout))?;
         stream.set_nodelay(true)?;
         Ok(Self { stream, input: BytesMut::new(), seqid: 0 })
     }
 
-    /// The port that it comes from; 0 where its connection is over.
+    /// The local port, or 0 if the connection is closed.
     pub fn port(&self) -> u16 {
-        self.stream.local_addr().map_or(0, |at| at.port())
+        self.stream.local_addr().map_or(0, |address| address.port())
     }
 
-    /// Its socket, for tests that end or slow it in ways of their own.
+    /// The socket, for tests that close it or slow it down themselves.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
@@ -56,18 +56,19 @@
         Ok(self.seqid)
     }
 
-    /// Sends a call; gives its number.
+    /// Sends a call and returns its sequence number.
     ///
     /// # Errors
-    /// Where the connection is over.
+    /// If the connection is closed.
     pub fn submit(&mut self, fields: &[(&str, &str)], body: &[u8]) -> io::Result<i32> {
         self.send(|out, seqid| write::submit(out, seqid, fields, body))
     }
 
-    /// Sends the first half of a call; gives its number and the bytes of the other half, for [`Self::raw`].
+    /// Sends the first half of a call. Returns its sequence number and the bytes of the second half, for
+    /// [`Self::send_raw_bytes`].
     ///
     /// # Errors
-    /// Where the connection is over.
+    /// If the connection is closed.
     pub fn submit_half(&mut self, fields: &[(&str, &str)], body: &[u8]) -> io::Result<(i32, Vec<u8>)> {
         self.seqid += 1;
         let mut out = BytesMut::new();
@@ -77,47 +78,47 @@
         Ok((self.seqid, rest.to_vec()))
     }
 
-    /// Waits no longer for a call.
+    /// Cancels a call.
     ///
     /// # Errors
-    /// Where the connection is over.
+    /// If the connection is closed.
     pub fn revoke(&mut self, of: i32) -> io::Result<()> {
         self.send(|out, seqid| write::revoke(out, seqid, of)).map(drop)
     }
 
-    /// Asks whether calls are taken; gives the number of the question.
+    /// Sends a heartbeat, whose reply shows whether calls are accepted. Returns its sequence number.
     ///
     /// # Errors
-    /// Where the connection is over.
+    /// If the connection is closed.
     pub fn heartbeat(&mut self) -> io::Result<i32> {
         self.send(write::heartbeat)
     }
 
-    /// Sends these bytes.
+    /// Sends arbitrary bytes.
     ///
     /// # Errors
-    /// Where the connection is over.
+    /// If the connection is closed.
     pub fn send_raw_bytes(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
 
-    /// Asks whether calls are taken, while nothing else is open, and reads the answer: whether it is ready; `None`
-    /// where the connection has ended.
+    /// Sends a heartbeat and reads its reply: whether calls are accepted, or `None` if the connection was closed. No
+    /// other request may be outstanding.
     ///
     /// # Errors
     /// As [`Self::read`].
     pub fn is_ready(&mut self) -> io::Result<Option<bool>> {
         self.heartbeat()?;
-        self.read_as(|_, told| matches!(told, ServerReply::Answer(_, true)))
+        self.read_as(|_, reply| matches!(reply, ServerReply::Answer(_, true)))
     }
 
-    /// Reads the next reply, with its number; `None` where the connection has ended.
+    /// Reads the next reply with the sequence number of its request, or `None` if the connection was closed.
     ///
     /// # Errors
-    /// Where nothing comes in time or what comes is no reply.
+    /// If nothing arrives in time or the data is not a valid reply.
     pub fn read(&mut self) -> io::Result<Option<(i32, FrontReply)>> {
-        self.read_as(|seqid, told| {
-            let reply = match told {
+        self.read_as(|seqid, reply| {
+            let reply = match reply {
                 ServerReply::Answer(body, _) => FrontReply::Served(body.to_vec()),
                 ServerReply::Rejected(wait) => FrontReply::Rejected(wait),
                 ServerReply::Crashed => FrontReply::Crashed,
@@ -127,14 +128,14 @@
         })
     }
 
-    fn read_as<T>(&mut self, told_as: impl FnOnce(i32, ServerReply) -> T) -> io::Result<Option<T>> {
-        let wrong = |error| io::Error::new(io::ErrorKind::InvalidData, error);
+    fn read_as<T>(&mut self, convert: impl FnOnce(i32, ServerReply) -> T) -> io::Result<Option<T>> {
+        let invalid = |error| io::Error::new(io::ErrorKind::InvalidData, error);
         loop {
             if let Some(frame) =
-                next_frame(FrameLimits { max_bytes: 1 << 20 }, &mut self.input).map_err(wrong)?
+                next_frame(FrameLimits { max_bytes: 1 << 20 }, &mut self.input).map_err(invalid)?
             {
-                let (seqid, told) = read_reply(&frame).map_err(wrong)?;
-                return Ok(Some(told_as(seqid, told)));
+                let (seqid, reply) = read_reply(&frame).map_err(invalid)?;
+                return Ok(Some(convert(seqid, reply)));
             }
             let mut bytes = [0; 4_096];
             match self.stream.read(&mut bytes) {
--- a/crates/fakes/src/kv_store.rs
+++ b/crates/fakes/src/kv_store.rs
@@ -1,37 +1,37 @@
-//! A multi-version store as a key-value registry keeps it: revisions, history, compaction, restores.
+//! An in-memory multi-version key-value store: revisions, history, compaction and restores from a backup.
 
 use std::collections::BTreeMap;
 
-/// A change as the store keeps it: the key, and its value unless it was deleted.
+/// A change of one key: the key, and its new value or `None` if it was deleted.
 pub type Change = (Vec<u8>, Option<Vec<u8>>);
 
-/// Keys with value and revision of the last change.
+/// All keys of one revision, each with its value and the revision of its last change.
 pub type Snapshot = BTreeMap<Vec<u8>, (Vec<u8>, i64)>;
 
-/// Why a question about the past can't be answered.
+/// Why a revision can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HistoryError {
-    /// The revision is compacted away; this is the oldest left.
+    /// The revision was compacted; this is the oldest readable one.
     Compacted(i64),
-    /// It lies in the future.
+    /// The revision is newer than the store's.
     Future,
 }
 
-/// The store. Every transaction with a change is one revision.
+/// The store. Every transaction that changes something creates one revision.
 #[derive(Clone, Debug)]
 pub struct KvStore {
-    /// Its cluster's id.
+    /// Id of the cluster.
     pub cluster_id: u64,
     revision: i64,
     compacted: i64,
-    /// As of `compacted`.
+    /// The keys at revision `compacted`.
     base: Snapshot,
-    /// Later transactions, by revision.
+    /// Transactions after `compacted`, by revision.
     history: BTreeMap<i64, Vec<Change>>,
 }
 
 impl KvStore {
-    /// An empty store at revision 1.
+    /// Creates an empty store at revision 1.
     pub fn new(cluster: u64) -> Self {
         Self {
             cluster_id: cluster,
@@ -42,36 +42,37 @@
         }
     }
 
-    /// The present revision.
+    /// The current revision.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// Applies changes as one transaction; deletes of absent keys change nothing.
+    /// Applies changes as one transaction and returns the current revision. Deletes of absent keys change nothing; a
+    /// transaction that changes nothing creates no revision.
     pub fn write(&mut self, changes: Vec<Change>) -> i64 {
         let mut now = self.snapshot_at(self.revision).unwrap_or_default();
-        let mut kept = Vec::new();
+        let mut effective = Vec::new();
         for (key, value) in changes {
-            let known = now.remove(&key).is_some();
+            let existed = now.remove(&key).is_some();
             if let Some(value) = &value {
                 now.insert(key.clone(), (value.clone(), 0));
             }
-            if known || value.is_some() {
-                kept.retain(|(k, _)| *k != key);
-                kept.push((key, value));
+            if existed || value.is_some() {
+                effective.retain(|(k, _)| *k != key);
+                effective.push((key, value));
             }
         }
-        if !kept.is_empty() {
+        if !effective.is_empty() {
             self.revision += 1;
-            self.history.insert(self.revision, kept);
+            self.history.insert(self.revision, effective);
         }
         self.revision
     }
 
-    /// All keys with value and revision of the last change, as of a revision.
+    /// All keys as of a revision.
     ///
     /// # Errors
-    /// Where that revision is compacted away or lies in the future.
+    /// If the revision was compacted or is newer than the store's.
     pub fn snapshot_at(&self, revision: i64) -> Result<Snapshot, HistoryError> {
         if revision > self.revision {
             return Err(HistoryError::Future);
@@ -90,10 +91,10 @@
         Ok(view)
     }
 
-    /// Transactions from a revision on.
+    /// The transactions from a revision on, that one included.
     ///
     /// # Errors
-    /// Where that revision is compacted away.
+    /// If the revision was compacted.
     pub fn changes_since(
         &self,
         revision: i64,
@@ -104,7 +105,7 @@
         Ok(self.history.range(revision..).map(|(at, changes)| (*at, changes)))
     }
 
-    /// Forgets the history up to a revision, which itself stays readable.
+    /// Drops the history before a revision, which itself stays readable.
     pub fn compact(&mut self, revision: i64) {
         if let (true, Ok(view)) = (revision > self.compacted, self.snapshot_at(revision)) {
             self.base = view;
@@ -113,7 +114,7 @@
         }
     }
 
-    /// The store as a backup of it would be: the same data under a new cluster's id.
+    /// A store restored from a backup of this one: the same data under a new cluster id.
     pub fn restored(&self, cluster: u64) -> Self {
         Self { cluster_id: cluster, ..self.clone() }
     }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of the project's own for what a gateway meets: workers with a shared store, and clients. They
-//! speak the same protocols over loopback sockets, do as a script tells them, and record what crossed.
+//! Fakes of what a gateway or scheduler talks to: workers with a shared store, clients, the bulletin and a key-value
+//! store. They speak the real protocols over loopback sockets, follow a script and record the traffic that they see.
 #![warn(missing_docs)]
 
 mod bulletin;
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -1,46 +1,46 @@
-//! The store that all workers fetch their functions from.
+//! The function store that all workers of a fleet fetch from.
 
 use basaltward_net::Micros;
 
-/// A store.
+/// Capacity of the function store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreSpec {
-    /// Fetches that it serves at full speed; more share it.
+    /// Concurrent fetches served at full speed; beyond that each slows down in proportion to their number.
     pub full_speed_fetches: u32,
-    /// Fetches past which it turns further ones away.
-    pub most: u32,
+    /// Maximum of concurrent fetches; further ones are rejected.
+    pub max_fetches: u32,
 }
 
 impl Default for StoreSpec {
     fn default() -> Self {
-        Self { full_speed_fetches: 8, most: 64 }
+        Self { full_speed_fetches: 8, max_fetches: 64 }
     }
 }
 
-/// The store's state.
+/// State of the function store.
 pub(crate) struct Store {
     spec: StoreSpec,
-    out: u32,
-    /// Times slower than usual.
-    pub slow: f64,
+    active_fetches: u32,
+    /// Factor by which every fetch is slowed down; 1.0 is normal speed.
+    pub slowdown: f64,
 }
 
 impl Store {
     pub fn new(spec: StoreSpec) -> Self {
-        Self { spec, out: 0, slow: 1.0 }
+        Self { spec, active_fetches: 0, slowdown: 1.0 }
     }
 
-    /// How long a fetch takes that begins now, or nothing where it is turned away.
-    pub fn begin(&mut self, usual: Micros) -> Option<Micros> {
-        if self.out >= self.spec.most {
+    /// Begins a fetch that takes `usual` without contention. Returns its duration, or `None` if the store rejects it.
+    pub fn begin_fetch(&mut self, usual: Micros) -> Option<Micros> {
+        if self.active_fetches >= self.spec.max_fetches {
             return None;
         }
-        self.out += 1;
-        let crowd = (f64::from(self.out) / f64::from(self.spec.full_speed_fetches)).max(1.0);
-        Some((usual as f64 * crowd * self.slow) as Micros)
+        self.active_fetches += 1;
+        let contention = (f64::from(self.active_fetches) / f64::from(self.spec.full_speed_fetches)).max(1.0);
+        Some((usual as f64 * contention * self.slowdown) as Micros)
     }
 
-    pub fn end(&mut self) {
-        self.out = self.out.saturating_sub(1);
+    pub fn end_fetch(&mut self) {
+        self.active_fetches = self.active_fetches.saturating_sub(1);
     }
 }
--- a/crates/fakes/src/worker_model.rs
+++ b/crates/fakes/src/worker_model.rs
@@ -1,7 +1,7 @@
 //! What a worker does with calls and orders: copies, lanes, cores, memory, loads, a cold start. No I/O and no
 //! clock; the fleet's loop hands it what comes and carries its answers.
 
-use crate::dedup::{Keys, Known};
+use crate::dedup::{Arrival, DedupTable};
 use crate::store::Store;
 use basaltward_net::Micros;
 use basaltward_timers::Timers;
@@ -222,7 +222,7 @@
     pub fn call(
         &mut self,
         now: Micros,
-        (store, keys): (&mut Store, &mut Keys),
+        (store, keys): (&mut Store, &mut DedupTable),
         call: Call,
         out: &mut Vec<Reply>,
     ) {
@@ -244,9 +244,9 @@
         // A repeat is dropped before anything else is said of it: told as never run it would be a lie.
         let first = call.window.map(|window| keys.arrive(now, &call.event, self.index, token, window));
         match first {
-            None | Some(Known::New) => {}
-            Some(Known::Waits) => return out.push(Reply::Repeat { token }),
-            Some(Known::Done) => {
+            None | Some(Arrival::First) => {}
+            Some(Arrival::Waits) => return out.push(Reply::Repeat { token }),
+            Some(Arrival::AlreadyExecuted) => {
                 out.push(Reply::Repeat { token });
                 return out.push(Reply::Ok { token, copy: CopyNote::Stood, crowd: 0 });
             }
@@ -289,7 +289,7 @@
     pub fn order(
         &mut self,
         now: Micros,
-        (store, keys): (&mut Store, &mut Keys),
+        (store, keys): (&mut Store, &mut DedupTable),
         order: (u64, &str, u32),
         needs: (f64, u32),
         out: &mut Vec<Reply>,
@@ -325,7 +325,7 @@
     }
 
     /// Nobody waits for this any more: it is not begun, but goes on where it runs.
-    pub fn cancel(&mut self, keys: &mut Keys, token: u64, out: &mut Vec<Reply>) {
+    pub fn cancel(&mut self, keys: &mut DedupTable, token: u64, out: &mut Vec<Reply>) {
         for known in self.copies.values_mut() {
             let gone = |w: &Waiting| w.call.token == token;
             for waiting in known.queue.iter().filter(|w| gone(w)) {
@@ -353,7 +353,7 @@
         if !self.make_room(name, needed) {
             return false;
         }
-        let Some(took) = store.begin(self.spec.fetch_and_start.0) else { return false };
+        let Some(took) = store.begin_fetch(self.spec.fetch_and_start.0) else { return false };
         self.number += 1;
         self.loading.insert(self.number, (name.to_owned(), true));
         self.due.set(now + took, Due::Fetched(self.number));
@@ -380,7 +380,7 @@
         }
     }
 
-    fn fail_waiting(&mut self, keys: &mut Keys, name: &str, out: &mut Vec<Reply>) {
+    fn fail_waiting(&mut self, keys: &mut DedupTable, name: &str, out: &mut Vec<Reply>) {
         let Some(known) = self.copies.get_mut(name) else { return };
         for (token, _) in known.orders.drain(..) {
             out.push(Reply::Copies { token, count: known.standing, kept: false });
@@ -423,12 +423,12 @@
     }
 
     /// Does what is due by `now`.
-    pub fn wake(&mut self, now: Micros, (store, keys): (&mut Store, &mut Keys), out: &mut Vec<Reply>) {
+    pub fn wake(&mut self, now: Micros, (store, keys): (&mut Store, &mut DedupTable), out: &mut Vec<Reply>) {
         while let Some((_, due)) = self.due.pop_due(now) {
             match due {
                 Due::Call(token) => self.finish(now, keys, token, out),
                 Due::Fetched(number) => {
-                    store.end();
+                    store.end_fetch();
                     if let Some((_, fetching)) = self.loading.get_mut(&number) {
                         *fetching = false;
                         self.due.set(now + self.spec.fetch_and_start.1, Due::Loaded(number));
@@ -450,7 +450,7 @@
     }
 
     /// Begins a load that waited for one to end.
-    fn next_load(&mut self, now: Micros, (store, keys): (&mut Store, &mut Keys), out: &mut Vec<Reply>) {
+    fn next_load(&mut self, now: Micros, (store, keys): (&mut Store, &mut DedupTable), out: &mut Vec<Reply>) {
         let Some(name) = self.waiting_loads.pop_front() else { return };
         if !self.begin_load(now, store, &name, false) {
             if let Some(known) = self.copies.get_mut(&name) {
@@ -473,7 +473,7 @@
         self.due.set(now + self.spec.idle_timeout + 1, Due::Idle);
     }
 
-    fn finish(&mut self, now: Micros, keys: &mut Keys, token: u64, out: &mut Vec<Reply>) {
+    fn finish(&mut self, now: Micros, keys: &mut DedupTable, token: u64, out: &mut Vec<Reply>) {
         let Some((call, copy, crowd)) = self.running.remove(&token) else { return };
         if let Some(known) = self.copies.get_mut(&call.function) {
             known.busy -= 1;
@@ -483,14 +483,14 @@
         out.push(Reply::Ok { token, copy, crowd });
         if call.window.is_some() {
             let reply = |token| Reply::Ok { token, copy: CopyNote::Stood, crowd };
-            out.extend(keys.done(&call.event).into_iter().map(reply));
+            out.extend(keys.complete(&call.event).into_iter().map(reply));
         }
     }
 }
 
 /// A call that was held, or not even that, will not run: neither do the repeats that waited for it.
-fn unseen(keys: &mut Keys, call: &Call, out: &mut Vec<Reply>) {
+fn unseen(keys: &mut DedupTable, call: &Call, out: &mut Vec<Reply>) {
     if call.window.is_some() {
-        out.extend(keys.forget(&call.event).into_iter().map(|token| Reply::Full { token }));
+        out.extend(keys.cancel(&call.event).into_iter().map(|token| Reply::Full { token }));
     }
 }
