--- a/crates/fakes/src/line_worker.rs
+++ b/crates/fakes/src/line_worker.rs
@@ -1,4 +1,4 @@
-//! A worker that speaks the platform's line protocol and does with each request what a script says.
+//! A fake worker that speaks the platform's line protocol and handles each request as a script says.
 
 use basaltward_net::monotonic;
 use basaltward_rules::{Observation, Recorder};
@@ -8,45 +8,45 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Most bytes of a body; the platform's clients send no more.
-const BODY: usize = 16 << 10;
+/// Maximum of bytes in a body; the platform's clients send no more.
+const MAX_BODY_BYTES: usize = 16 << 10;
 
-/// A request as it came.
+/// A request as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExecRequest {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// Its fields, as written.
+    /// The fields of its line, unparsed.
     pub fields: String,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// How many came to this worker before it.
+    /// Number of requests that this worker received before this one.
     pub arrival_index: usize,
 }
 
-/// What a worker does about a request, in this order.
+/// A step in handling a request. The script returns a list of them, which are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerAction {
-    /// Runs it: its effect happens.
+    /// Records the request as executed.
     Run,
-    /// Writes these bytes.
+    /// Writes these bytes to the connection.
     Write(Vec<u8>),
-    /// Lets time pass; what comes on this connection waits.
+    /// Sleeps; further requests on this connection wait.
     Wait(Duration),
-    /// Breaks the connection.
+    /// Resets the connection.
     Reset,
-    /// Ends the connection.
+    /// Closes the connection.
     Close,
 }
 
-/// An answer line with its body.
-pub fn answer_line(id: &str, word: &str, fields: &str, body: &[u8]) -> Vec<u8> {
-    let head = format!("{id} {word} {fields} {}\r\n", body.len());
+/// Encodes an answer: its line and its body.
+pub fn answer_line(id: &str, status: &str, fields: &str, body: &[u8]) -> Vec<u8> {
+    let head = format!("{id} {status} {fields} {}\r\n", body.len());
     [head.as_bytes(), body, b"\r\n"].concat()
 }
 
 impl ExecRequest {
-    /// Runs and answers with the body turned round.
+    /// The actions that run the request and answer with the reversed body.
     pub fn serve(&self) -> Vec<WorkerAction> {
         vec![
             WorkerAction::Run,
@@ -54,58 +54,58 @@
         ]
     }
 
-    /// Its body backwards: what [`Exec::serve`] answers with.
+    /// The body in reverse order, with which [`ExecRequest::serve`] answers.
     pub fn reversed_body(&self) -> Vec<u8> {
         self.body.iter().rev().copied().collect()
     }
 }
 
-/// Whether connections wait to be accepted.
+/// Whether the accepting thread accepts connections.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Gate {
+enum AcceptGate {
     Open,
-    /// It is to close behind the next connection.
-    Closes,
-    Shut,
+    /// Closes after the next connection.
+    Closing,
+    Closed,
 }
 
 type Script = dyn Fn(&ExecRequest) -> Vec<WorkerAction> + Send + Sync;
 
-type Who = dyn Fn(SocketAddr) -> String + Send + Sync;
+type IdentifyScheduler = dyn Fn(SocketAddr) -> String + Send + Sync;
 
 struct Shared {
     name: String,
-    /// Names the scheduler behind a connection.
-    who: Box<Who>,
+    /// Returns the name of the scheduler that a connection comes from.
+    identify_scheduler: Box<IdentifyScheduler>,
     script: Box<Script>,
     recorder: Recorder,
-    came: AtomicUsize,
-    /// Every line that came, without bodies.
+    request_count: AtomicUsize,
+    /// Every line received, without bodies.
     lines: Mutex<Vec<String>>,
-    /// When orders to load came, those that only ask left out.
-    ordered: Mutex<Vec<u64>>,
+    /// Arrival times of orders to load; queries (`slots_up=0`) are left out.
+    load_order_times: Mutex<Vec<u64>>,
     open: Mutex<Vec<TcpStream>>,
-    gate: (Mutex<Gate>, Condvar),
-    /// Orders get no answer but by [`LineWorker::say`].
-    holds_orders: AtomicBool,
-    /// It takes no new work and says so.
-    drains: AtomicBool,
-    /// New work that came while it drained.
-    turned_away: Mutex<Vec<RejectedLine>>,
+    accept_gate: (Mutex<AcceptGate>, Condvar),
+    /// Orders are not answered, except by [`LineWorker::write_to_port`].
+    order_answers_held: AtomicBool,
+    /// New work is answered `BUSY`.
+    draining: AtomicBool,
+    /// New work that arrived while draining.
+    rejected_while_draining: Mutex<Vec<RejectedLine>>,
 }
 
-/// New work that came to a worker that drains.
+/// A call or an order to load that arrived at a draining worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedLine {
-    /// When its line had come, in microseconds.
+    /// When its line was complete, in microseconds of the monotonic clock.
     pub at: u64,
-    /// Where it came from.
+    /// Address of the sender.
     pub from: SocketAddr,
-    /// The line, without a body.
+    /// The line, without the body.
     pub line: String,
 }
 
-/// A stand-in worker. Its threads end with their connections, which end when it is dropped.
+/// A fake worker. It has a thread per connection; dropping it closes the connections and so ends the threads.
 pub struct LineWorker {
     address: SocketAddr,
     listener: TcpListener,
@@ -113,10 +113,10 @@
 }
 
 impl LineWorker {
-    /// A worker of this name on a port of its own.
+    /// Starts a worker with this name on a free port of loopback. `script` decides how each request is handled.
     ///
     /// # Errors
-    /// Where the system refuses a socket.
+    /// If the socket can't be opened.
     pub fn start(
         name: &str,
         recorder: Recorder,
@@ -125,14 +125,15 @@
         Self::start_for_schedulers(name, recorder, |_| "n0".into(), script)
     }
 
-    /// As [`LineWorker::start`], for several schedulers, told apart by where they come from.
+    /// Like [`LineWorker::start`], for several schedulers: `identify_scheduler` returns a scheduler's name from the
+    /// address that its connection comes from.
     ///
     /// # Errors
     /// As [`LineWorker::start`].
     pub fn start_for_schedulers(
         name: &str,
         recorder: Recorder,
-        who: impl Fn(SocketAddr) -> String + Send + Sync + 'static,
+        identify_scheduler: impl Fn(SocketAddr) -> String + Send + Sync + 'static,
         script: impl Fn(&ExecRequest) -> Vec<WorkerAction> + Send + Sync + 'static,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -140,53 +141,53 @@
         recorder.put(monotonic(), name, Observation::WorkerStarted { capacity: 1.0, warm: true });
         let shared = Arc::new(Shared {
             name: name.into(),
-            who: Box::new(who),
+            identify_scheduler: Box::new(identify_scheduler),
             script: Box::new(script),
             recorder,
-            came: AtomicUsize::new(0),
+            request_count: AtomicUsize::new(0),
             lines: Mutex::default(),
-            ordered: Mutex::default(),
+            load_order_times: Mutex::default(),
             open: Mutex::default(),
-            gate: (Mutex::new(Gate::Open), Condvar::new()),
-            holds_orders: AtomicBool::new(false),
-            drains: AtomicBool::new(false),
-            turned_away: Mutex::default(),
+            accept_gate: (Mutex::new(AcceptGate::Open), Condvar::new()),
+            order_answers_held: AtomicBool::new(false),
+            draining: AtomicBool::new(false),
+            rejected_while_draining: Mutex::default(),
         });
-        let (weak, kept) = (Arc::downgrade(&shared), listener.try_clone()?);
+        let (weak, own_listener) = (Arc::downgrade(&shared), listener.try_clone()?);
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let (Ok(stream), Some(shared)) = (stream, weak.upgrade()) else { return };
-                shared.pass();
-                // What is written in pieces leaves in pieces.
+                shared.wait_for_accept_gate();
+                // Without Nagle's algorithm: separate writes are sent separately.
                 let _ = stream.set_nodelay(true);
-                if let Ok(kept) = stream.try_clone() {
-                    lock(&shared.open).push(kept);
+                if let Ok(clone) = stream.try_clone() {
+                    lock(&shared.open).push(clone);
                 }
                 std::thread::spawn(move || shared.connection(&stream));
             }
         });
-        Ok(Self { address, listener: kept, shared })
+        Ok(Self { address, listener: own_listener, shared })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Every line that came so far.
+    /// Every line received so far, without bodies.
     pub fn received_lines(&self) -> Vec<String> {
         lock(&self.shared.lines).clone()
     }
 
-    /// When orders to load came, in microseconds; those that only ask are left out.
+    /// Arrival times of orders to load, in microseconds of the monotonic clock. Queries (`slots_up=0`) are left out.
     pub fn load_order_times(&self) -> Vec<u64> {
-        lock(&self.shared.ordered).clone()
+        lock(&self.shared.load_order_times).clone()
     }
 
-    /// Writes these bytes on the connection that comes from this port, whatever its script says.
+    /// Writes these bytes on the connection that comes from this port, independent of the script.
     ///
     /// # Errors
-    /// Where no such connection stands.
+    /// If no connection from this port is open, or the write fails.
     pub fn write_to_port(&self, port: u16, bytes: &[u8]) -> io::Result<()> {
         let open = lock(&self.shared.open);
         let from = |stream: &&TcpStream| stream.peer_addr().is_ok_and(|from| from.port() == port);
@@ -194,70 +195,70 @@
         stream.write_all(bytes)
     }
 
-    /// Connections that come from now on hold few bytes that were not read: while the script of a request waits, the
-    /// caller's socket is soon full.
+    /// Gives further connections a receive buffer of 4 KiB, so that the caller's send buffer soon fills up while the
+    /// script of a request waits.
     ///
     /// # Errors
-    /// Where the system refuses it.
+    /// If the system rejects the socket option.
     pub fn shrink_receive_buffers(&self) -> io::Result<()> {
         Ok(rustix::net::sockopt::set_socket_recv_buffer_size(&self.listener, 4 << 10)?)
     }
 
-    /// From now on orders get no answer but by [`LineWorker::say`]. Its line is recorded with the port that it came
-    /// from, as in `ensure TAG path=F,slots_up=1 from=40000`.
+    /// From now on orders are not answered, except by [`LineWorker::write_to_port`]. Their lines are recorded with the
+    /// sender's port, as in `ensure TAG path=F,slots_up=1 from=40000`.
     pub fn hold_order_answers(&self) {
-        self.shared.holds_orders.store(true, Ordering::SeqCst);
+        self.shared.order_answers_held.store(true, Ordering::SeqCst);
     }
 
-    /// From now on it drains, or takes work again: while it drains calls and orders to load are answered `BUSY`, probes
-    /// `DOWN`; a question for copies is answered as ever.
-    pub fn set_draining(&self, drains: bool) {
-        self.shared.drains.store(drains, Ordering::SeqCst);
+    /// Starts or ends draining. A draining worker answers calls and orders to load with `BUSY` and probes with `DOWN`;
+    /// queries for the number of copies are answered as usual.
+    pub fn set_draining(&self, draining: bool) {
+        self.shared.draining.store(draining, Ordering::SeqCst);
     }
 
-    /// Calls and orders to load that came while it drained.
+    /// Calls and orders to load that arrived while the worker was draining.
     pub fn rejected_while_draining(&self) -> Vec<RejectedLine> {
-        lock(&self.shared.turned_away).clone()
+        lock(&self.shared.rejected_while_draining).clone()
     }
 
-    /// From now on new connections do not come up: the system drops their first packets. Those begun meanwhile come
-    /// up a second after their beginning or later, as the caller's system tries again, once [`LineWorker::unplug`] is
-    /// called.
+    /// From now on new connections are not established: the system drops their SYN packets, since the accept queue is
+    /// full. Connections begun meanwhile are established after [`LineWorker::unblock_new_connections`], a second or
+    /// more after their start, when the caller's system retransmits the SYN.
     ///
     /// # Errors
-    /// Where the system refuses a socket.
+    /// If the system refuses a socket.
     pub fn block_new_connections(&self) -> io::Result<()> {
-        *lock(&self.shared.gate.0) = Gate::Closes;
+        *lock(&self.shared.accept_gate.0) = AcceptGate::Closing;
         rustix::net::listen(&self.listener, 0)?;
-        // One connection that the thread holds, one that fills the system's queue. Where a caller was quicker, that one
-        // is held, or the queue is full already: ours would only be tried again.
+        // The accepting thread holds one connection, a second one fills the system's accept queue. If a caller connects
+        // first, its connection takes one of these places, and the connect below may time out because the queue is full.
         let fill = || match TcpStream::connect_timeout(&self.address, Duration::from_millis(500)) {
-            Ok(filled) => Ok(Some(filled)),
+            Ok(stream) => Ok(Some(stream)),
             Err(error) if error.kind() == io::ErrorKind::TimedOut => Ok(None),
             Err(error) => Err(error),
         };
         let held = fill()?;
-        let gate = lock(&self.shared.gate.0);
-        drop(self.shared.gate.1.wait_while(gate, |gate| *gate != Gate::Shut));
+        let gate = lock(&self.shared.accept_gate.0);
+        drop(self.shared.accept_gate.1.wait_while(gate, |gate| *gate != AcceptGate::Closed));
         let queued = fill()?;
         lock(&self.shared.open).extend(held.into_iter().chain(queued));
         Ok(())
     }
 
-    /// Accepts again.
+    /// Accepts connections again, after [`LineWorker::block_new_connections`].
     pub fn unblock_new_connections(&self) {
-        *lock(&self.shared.gate.0) = Gate::Open;
-        self.shared.gate.1.notify_all();
+        *lock(&self.shared.accept_gate.0) = AcceptGate::Open;
+        self.shared.accept_gate.1.notify_all();
     }
 
-    /// Ends every connection that stands, as one that was idle for too long.
+    /// Closes every open connection, as a worker does after the idle timeout.
     pub fn close_all(&self) {
         for stream in lock(&self.shared.open).drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Breaks every connection that stands.
+    /// Resets every open connection.
     pub fn reset_all(&self) {
         for stream in lock(&self.shared.open).drain(..) {
             reset(&stream);
@@ -269,30 +270,30 @@
     fn drop(&mut self) {
         self.unblock_new_connections();
         self.close_all();
-        // Wakes the thread that accepts, which then finds nobody left.
+        // Wakes the accepting thread, which ends because the shared state is gone.
         let _ = TcpStream::connect(self.address);
     }
 }
 
-fn lock<T>(of: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn reset(stream: &TcpStream) {
     let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
-    // With no time to linger a socket is reset once it is shut and closed; its reader closes it.
+    // With a linger time of zero the socket is reset once it is shut down and closed; the reading thread closes it.
     let _ = rustix::net::shutdown(stream, rustix::net::Shutdown::Both);
 }
 
 impl Shared {
-    /// Holds who accepts while the gate is shut.
-    fn pass(&self) {
-        let mut gate = lock(&self.gate.0);
-        if *gate == Gate::Closes {
-            *gate = Gate::Shut;
-            self.gate.1.notify_all();
+    /// Blocks the accepting thread while the gate is closed.
+    fn wait_for_accept_gate(&self) {
+        let mut gate = lock(&self.accept_gate.0);
+        if *gate == AcceptGate::Closing {
+            *gate = AcceptGate::Closed;
+            self.accept_gate.1.notify_all();
         }
-        drop(self.gate.1.wait_while(gate, |gate| *gate == Gate::Shut));
+        drop(self.accept_gate.1.wait_while(gate, |gate| *gate == AcceptGate::Closed));
     }
 
     fn connection(&self, stream: &TcpStream) {
@@ -310,45 +311,47 @@
             if reader.by_ref().take(4_096).read_line(&mut line)? == 0 {
                 return Ok(());
             }
-            let told = line.trim_end().to_owned();
-            let held = self.holds_orders.load(Ordering::SeqCst) && told.starts_with("ensure ");
-            let noted = if held { format!("{told} from={}", from.port()) } else { told.clone() };
-            lock(&self.lines).push(noted);
-            let words: Vec<&str> = told.split(' ').collect();
-            if words[0] == "ensure" && !told.ends_with("slots_up=0") {
-                lock(&self.ordered).push(monotonic());
+            let request = line.trim_end().to_owned();
+            let held = self.order_answers_held.load(Ordering::SeqCst) && request.starts_with("ensure ");
+            let recorded = if held { format!("{request} from={}", from.port()) } else { request.clone() };
+            lock(&self.lines).push(recorded);
+            let words: Vec<&str> = request.split(' ').collect();
+            if words[0] == "ensure" && !request.ends_with("slots_up=0") {
+                lock(&self.load_order_times).push(monotonic());
             }
             match words[..] {
                 ["exec", id, fields, length] => {
-                    let length = length.parse::<usize>().ok().filter(|l| *l <= BODY);
+                    let length = length.parse::<usize>().ok().filter(|l| *l <= MAX_BODY_BYTES);
                     let length = length.ok_or(io::ErrorKind::InvalidData)?;
                     let mut body = vec![0; length + 2];
                     reader.read_exact(&mut body)?;
                     body.truncate(length);
-                    let nth = self.came.fetch_add(1, Ordering::SeqCst);
-                    let exec = ExecRequest { id: id.into(), fields: fields.into(), body, arrival_index: nth };
-                    if self.drains.load(Ordering::SeqCst) {
-                        self.turn_away(from, &told);
+                    let arrival_index = self.request_count.fetch_add(1, Ordering::SeqCst);
+                    let exec = ExecRequest { id: id.into(), fields: fields.into(), body, arrival_index };
+                    if self.draining.load(Ordering::SeqCst) {
+                        self.record_rejected(from, &request);
                         out.write_all(&answer_line(id, "BUSY", "-", b""))?;
                         continue;
                     }
-                    if !self.act(&exec, from, stream)? {
+                    if !self.run_script(&exec, from, stream)? {
                         return Ok(());
                     }
                 }
                 ["health" | "load", tag] => {
-                    let word = if self.drains.load(Ordering::SeqCst) { "DOWN" } else { "UP" };
-                    out.write_all(&answer_line(tag, word, "-", b""))?;
+                    let status = if self.draining.load(Ordering::SeqCst) { "DOWN" } else { "UP" };
+                    out.write_all(&answer_line(tag, status, "-", b""))?;
                 }
                 ["ensure", ..] if held => {}
-                ["ensure", tag, _] if !told.ends_with("slots_up=0") && self.drains.load(Ordering::SeqCst) => {
-                    self.turn_away(from, &told);
+                ["ensure", tag, _]
+                    if !request.ends_with("slots_up=0") && self.draining.load(Ordering::SeqCst) =>
+                {
+                    self.record_rejected(from, &request);
                     out.write_all(&answer_line(tag, "BUSY", "slots_up=0", b""))?;
                 }
                 ["ensure", tag, fields] => {
                     let count = fields.rsplit_once("slots_up=").and_then(|(_, n)| n.parse().ok());
-                    let stand = format!("slots_up={}", count.unwrap_or(0u32).max(1));
-                    out.write_all(&answer_line(tag, "OK", &stand, b""))?;
+                    let copies = format!("slots_up={}", count.unwrap_or(0u32).max(1));
+                    out.write_all(&answer_line(tag, "OK", &copies, b""))?;
                 }
                 ["drop" | "release", _] => {}
                 _ => return Err(io::ErrorKind::InvalidData.into()),
@@ -356,20 +359,20 @@
         }
     }
 
-    fn turn_away(&self, from: SocketAddr, line: &str) {
-        lock(&self.turned_away).push(RejectedLine { at: monotonic(), from, line: line.into() });
+    fn record_rejected(&self, from: SocketAddr, line: &str) {
+        lock(&self.rejected_while_draining).push(RejectedLine { at: monotonic(), from, line: line.into() });
     }
 
-    /// Does what the script says; false where the connection is over.
-    fn act(&self, exec: &ExecRequest, from: SocketAddr, mut stream: &TcpStream) -> io::Result<bool> {
-        let attempt = || format!("{}:{}@{}", (self.who)(from), exec.id, from.port());
+    /// Carries out the script's actions for a request. Returns false if they end the connection.
+    fn run_script(&self, exec: &ExecRequest, from: SocketAddr, mut stream: &TcpStream) -> io::Result<bool> {
+        let attempt = || format!("{}:{}@{}", (self.identify_scheduler)(from), exec.id, from.port());
         let put = |what| self.recorder.put(monotonic(), &self.name, what);
         put(Observation::Arrived { event: exec.id.clone(), attempt: attempt(), work: 1 });
-        for act in (self.script)(exec) {
-            match act {
+        for action in (self.script)(exec) {
+            match action {
                 WorkerAction::Run => put(Observation::Ran { event: exec.id.clone(), attempt: attempt() }),
                 WorkerAction::Write(bytes) => stream.write_all(&bytes)?,
-                WorkerAction::Wait(span) => std::thread::sleep(span),
+                WorkerAction::Wait(duration) => std::thread::sleep(duration),
                 WorkerAction::Reset => {
                     reset(stream);
                     return Ok(false);
