--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -1,8 +1,8 @@
-//! A fleet of stand-in workers on one loop: HTTP around the model, and scripted faults.
+//! A fleet of fake workers on one event loop: HTTP around the worker model, and injected faults.
 
 use crate::dedup::DedupTable;
 use crate::store::{Store, StoreSpec};
-use crate::worker_model::{Call, CopyNote, Reply, Worker, WorkerSpec};
+use crate::worker_model::{Call, CopyState, Reply, WorkerModel, WorkerSpec};
 use basaltward_http::{Body, Decoded, HeadWriter, Limits, Method, Request, RequestDecoder};
 use basaltward_net::{ConnId, Io, IoEvent, IoLimits, Micros, NetError, Waker, bind, monotonic};
 use basaltward_rules::{Observation, Recorder};
@@ -13,42 +13,42 @@
 use std::thread::JoinHandle;
 use thiserror::Error;
 
-/// Why a fleet can't run.
+/// Errors of a fleet.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// The system refused something.
+    /// A socket or the event loop failed.
     #[error(transparent)]
     Net(#[from] NetError),
-    /// A thread can't be started.
-    #[error("thread: {0}")]
+    /// The fleet's thread could not be started.
+    #[error("could not start the fleet's thread: {0}")]
     Thread(#[from] std::io::Error),
-    /// Its thread has panicked.
-    #[error("the fleet has panicked")]
+    /// The fleet's thread panicked.
+    #[error("the fleet's thread panicked")]
     Panicked,
 }
 
-/// What may be done to one worker, or to the store they share.
+/// A fault to inject into one worker, or into the store that all workers share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// It takes everything and answers nothing.
+    /// The worker accepts requests and answers none.
     Silent(bool),
-    /// It works so many times slower.
+    /// The worker runs calls slower by this factor.
     Slow(f64),
-    /// It finishes what it has and takes nothing new.
+    /// The worker finishes the calls that it has and rejects new ones.
     Drain(bool),
-    /// Its process is gone: connections are reset, further ones refused.
+    /// The worker's process dies: its connections are reset, new ones refused.
     Kill,
-    /// It runs again under the same address, cold and empty.
+    /// The worker starts again at the same address, cold and without copies.
     Restart,
-    /// It answers with what is no HTTP.
+    /// The worker's answers are not HTTP.
     Garbage(bool),
-    /// It resets the connection after so many bytes of each answer; `None` ends the fault.
+    /// The worker resets the connection after so many bytes of each answer; `None` ends the fault.
     ResetAt(Option<usize>),
-    /// Its answers are longer than any limit.
+    /// The worker's answers announce a body longer than any limit.
     TooLong(bool),
-    /// It closes each connection after an answer without saying so, at once.
+    /// The worker closes each connection right after an answer, without `Connection: close` in its headers.
     CloseAfter(bool),
-    /// The store is so many times slower.
+    /// The store is slower by this factor.
     StoreSlow(f64),
 }
 
@@ -56,7 +56,7 @@
     address: SocketAddr,
     listener: Option<usize>,
     spec: WorkerSpec,
-    model: Worker,
+    model: WorkerModel,
     silent: bool,
     garbage: bool,
     too_long: bool,
@@ -67,18 +67,18 @@
 struct Conn {
     server: usize,
     decoder: RequestDecoder,
-    token: Option<Pending>,
+    pending: Option<PendingRequest>,
 }
 
-/// What a connection waits for.
-struct Pending {
+/// The request whose answer a connection waits for.
+struct PendingRequest {
     token: u64,
-    /// A call's payload with its content type, for the echo.
+    /// Payload and content type of a call, which the answer echoes.
     payload: Option<(Bytes, String)>,
     attempt: String,
 }
 
-/// What the loop is told: a fault with where to say that it is done, or nothing for the end.
+/// A command to the event loop: a worker's position, a fault and where to confirm it; `None` ends the loop.
 type Command = Option<(usize, Fault, SyncSender<()>)>;
 
 /// A running fleet.
@@ -90,11 +90,11 @@
 }
 
 impl Fleet {
-    /// Starts a worker for each spec, all on one thread. Port 0 in `addresses` has the system choose; with
-    /// none given all do.
+    /// Starts a worker for each spec, all on one thread. The system chooses the port of workers without an address in
+    /// `addresses` and of those with port 0.
     ///
     /// # Errors
-    /// Where an address or the thread can't be had.
+    /// If an address can't be bound or the thread can't be started.
     pub fn start(
         specs: Vec<WorkerSpec>,
         addresses: &[SocketAddr],
@@ -104,9 +104,9 @@
         let mut io = Io::new(IoLimits { connections: 50_000, ..IoLimits::default() })?;
         let mut servers = Vec::new();
         for (index, spec) in specs.into_iter().enumerate() {
-            let wanted = addresses.get(index).copied().unwrap_or(([127, 0, 0, 1], 0).into());
-            let (listener, address) = io.listen(bind(wanted, false)?)?;
-            let model = Worker::new(index, spec.clone(), None);
+            let address = addresses.get(index).copied().unwrap_or(([127, 0, 0, 1], 0).into());
+            let (listener, address) = io.listen(bind(address, false)?)?;
+            let model = WorkerModel::new(index, spec.clone(), None);
             servers.push(Server {
                 address,
                 listener: Some(listener),
@@ -122,40 +122,40 @@
         let addresses: Vec<_> = servers.iter().map(|s| s.address).collect();
         let (faults, commands) = channel();
         let waker = io.waker();
-        let running = Running {
+        let event_loop = FleetLoop {
             io,
             servers,
             store: Store::new(store),
             keys: BTreeMap::new(),
             conns: HashMap::new(),
             by_token: HashMap::new(),
-            next: 1,
+            next_token: 1,
             recorder,
             to_reset: Vec::new(),
         };
         let thread =
-            std::thread::Builder::new().name("fleet".into()).spawn(move || running.run(&commands))?;
+            std::thread::Builder::new().name("fleet".into()).spawn(move || event_loop.run(&commands))?;
         Ok(Self { addresses, faults, waker, thread })
     }
 
-    /// Where the workers listen, in the order of their specs.
+    /// The addresses that the workers listen on, in the order of their specs.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Does something to a worker, by position; it is done when this returns.
+    /// Injects a fault into the worker at this position. The fault is in effect when this returns.
     pub fn inject_fault(&self, worker: usize, fault: Fault) {
-        let (done, wait) = sync_channel(1);
-        let _ = self.faults.send(Some((worker, fault, done)));
+        let (confirm, confirmed) = sync_channel(1);
+        let _ = self.faults.send(Some((worker, fault, confirm)));
         self.waker.wake();
-        // Ends with the loop too, which drops its side.
-        let _ = wait.recv();
+        // Returns an error if the loop has ended, which drops the sender.
+        let _ = confirmed.recv();
     }
 
-    /// Ends the fleet.
+    /// Stops the fleet.
     ///
     /// # Errors
-    /// What failed its loop.
+    /// If its event loop failed or panicked.
     pub fn stop(self) -> Result<(), FleetError> {
         let _ = self.faults.send(None);
         self.waker.wake();
@@ -163,21 +163,21 @@
     }
 }
 
-struct Running {
+struct FleetLoop {
     io: Io,
     servers: Vec<Server>,
     store: Store,
-    /// Memories of keys, by group of workers.
+    /// Keys of each group of workers.
     keys: BTreeMap<u64, DedupTable>,
     conns: HashMap<ConnId, Conn>,
     by_token: HashMap<u64, ConnId>,
-    next: u64,
+    next_token: u64,
     recorder: Recorder,
-    /// Connections to be reset once what was put on them is written.
+    /// Connections to reset once their output is written.
     to_reset: Vec<ConnId>,
 }
 
-impl Running {
+impl FleetLoop {
     fn run(mut self, commands: &Receiver<Command>) -> Result<(), NetError> {
         for server in &self.servers {
             let (capacity, warm) = (server.model.capacity(), true);
@@ -187,37 +187,37 @@
                 Observation::WorkerStarted { capacity, warm },
             );
         }
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         loop {
             let due = self.servers.iter().filter_map(|s| s.model.next_due()).min();
             let now = monotonic();
-            // What is to be reset is written first, then reset at once.
+            // With resets pending the turn only writes their output and doesn't wait.
             let wait = if self.to_reset.is_empty() { due.map(|d| d.saturating_sub(now)) } else { Some(0) };
-            self.io.turn(wait, &mut happened)?;
+            self.io.turn(wait, &mut events)?;
             for conn in std::mem::take(&mut self.to_reset) {
                 self.io.reset(conn);
-                self.lost(conn);
+                self.on_connection_lost(conn);
             }
             let now = monotonic();
             for command in commands.try_iter() {
                 match command {
-                    Some((worker, fault, done)) => {
-                        self.apply(now, worker, fault)?;
-                        let _ = done.send(());
+                    Some((worker, fault, confirm)) => {
+                        self.apply_fault(now, worker, fault)?;
+                        let _ = confirm.send(());
                     }
                     None => return Ok(()),
                 }
             }
-            for happened in happened.drain(..) {
-                match happened {
+            for event in events.drain(..) {
+                match event {
                     IoEvent::Accepted { conn, listener } => {
                         if let Some(server) = self.servers.iter().position(|s| s.listener == Some(listener)) {
                             let decoder = RequestDecoder::new(Limits { body: 16 << 20, ..Limits::default() });
-                            self.conns.insert(conn, Conn { server, decoder, token: None });
+                            self.conns.insert(conn, Conn { server, decoder, pending: None });
                         }
                     }
-                    IoEvent::Data(conn) => self.data(now, conn),
-                    IoEvent::Ended(conn, _) => self.lost(conn),
+                    IoEvent::Data(conn) => self.on_data(now, conn),
+                    IoEvent::Ended(conn, _) => self.on_connection_lost(conn),
                     _ => {}
                 }
             }
@@ -225,25 +225,25 @@
                 let mut replies = Vec::new();
                 let server = &mut self.servers[index];
                 let keys = self.keys.entry(server.spec.key_group).or_default();
-                server.model.wake(now, (&mut self.store, keys), &mut replies);
-                self.answer_all_of(now, index, replies);
+                server.model.run_timers(now, (&mut self.store, keys), &mut replies);
+                self.handle_replies(now, index, replies);
             }
             self.io.free_ended();
         }
     }
 
-    fn lost(&mut self, conn: ConnId) {
-        let Some(known) = self.conns.remove(&conn) else { return };
-        if let Some(Pending { token, .. }) = known.token {
+    fn on_connection_lost(&mut self, conn: ConnId) {
+        let Some(connection) = self.conns.remove(&conn) else { return };
+        if let Some(PendingRequest { token, .. }) = connection.pending {
             self.by_token.remove(&token);
-            let (server, mut replies) = (&mut self.servers[known.server], Vec::new());
+            let (server, mut replies) = (&mut self.servers[connection.server], Vec::new());
             let keys = self.keys.entry(server.spec.key_group).or_default();
             server.model.cancel(keys, token, &mut replies);
-            self.answer_all(monotonic(), replies);
+            self.send_answers(monotonic(), replies);
         }
     }
 
-    fn apply(&mut self, now: Micros, index: usize, fault: Fault) -> Result<(), NetError> {
+    fn apply_fault(&mut self, now: Micros, index: usize, fault: Fault) -> Result<(), NetError> {
         if let Fault::StoreSlow(times) = fault {
             self.store.slowdown = times.max(0.01);
             return Ok(());
@@ -251,7 +251,7 @@
         let Some(server) = self.servers.get_mut(index) else { return Ok(()) };
         match fault {
             Fault::Silent(on) => server.silent = on,
-            Fault::Slow(times) => server.model.slow = times.max(0.01),
+            Fault::Slow(times) => server.model.slowdown = times.max(0.01),
             Fault::Drain(on) => server.model.draining = on,
             Fault::Garbage(on) => server.garbage = on,
             Fault::ResetAt(byte) => server.reset_at = byte,
@@ -261,75 +261,76 @@
                 if let Some(listener) = server.listener.take() {
                     self.io.stop_listening(listener);
                 }
-                let gone: Vec<_> =
+                let killed: Vec<_> =
                     self.conns.iter().filter(|(_, c)| c.server == index).map(|(id, _)| *id).collect();
-                for conn in gone {
+                for conn in killed {
                     self.io.reset(conn);
-                    self.lost(conn);
+                    self.on_connection_lost(conn);
                 }
                 let server = &mut self.servers[index];
-                server.model.fallen = true;
+                server.model.dead = true;
                 let keys = self.keys.entry(server.spec.key_group).or_default();
                 let repeats = keys.worker_died(index, server.spec.loses_keys_when_killed);
-                let reply = |token| Reply::Ok { token, copy: CopyNote::Stood, crowd: 0 };
-                self.answer_all(now, repeats.into_iter().map(reply).collect());
+                let reply = |token| Reply::Ok { token, copy: CopyState::Loaded, crowd: 0 };
+                self.send_answers(now, repeats.into_iter().map(reply).collect());
             }
             Fault::Restart => {
                 let (listener, _) = self.io.listen(bind(server.address, false)?)?;
                 server.listener = Some(listener);
-                server.model = Worker::new(index, server.spec.clone(), Some(now));
+                server.model = WorkerModel::new(index, server.spec.clone(), Some(now));
                 (server.silent, server.garbage, server.too_long, server.reset_at) =
                     (false, false, false, None);
-                let what = Observation::WorkerStarted { capacity: server.model.capacity(), warm: false };
-                self.recorder.put(now, &server.address.to_string(), what);
+                let observation =
+                    Observation::WorkerStarted { capacity: server.model.capacity(), warm: false };
+                self.recorder.put(now, &server.address.to_string(), observation);
             }
             Fault::StoreSlow(_) => {}
         }
         Ok(())
     }
 
-    fn data(&mut self, now: Micros, conn: ConnId) {
+    fn on_data(&mut self, now: Micros, conn: ConnId) {
         loop {
-            let Some(known) = self.conns.get_mut(&conn).filter(|c| c.token.is_none()) else { return };
+            let Some(connection) = self.conns.get_mut(&conn).filter(|c| c.pending.is_none()) else { return };
             let Some(input) = self.io.input(conn) else { return };
-            match known.decoder.decode(input) {
+            match connection.decoder.decode(input) {
                 Ok(Decoded::Message(request)) => {
                     self.io.release_input(conn);
                     self.io.pause(conn, false);
-                    self.request(now, conn, &request);
+                    self.on_request(now, conn, &request);
                 }
                 Ok(_) => return self.io.pause(conn, false),
                 Err(_) => {
                     self.io.abort(conn);
-                    return self.lost(conn);
+                    return self.on_connection_lost(conn);
                 }
             }
         }
     }
 
-    fn request(&mut self, now: Micros, conn: ConnId, request: &Request) {
-        let Some(known) = self.conns.get_mut(&conn) else { return };
-        let index = known.server;
+    fn on_request(&mut self, now: Micros, conn: ConnId, request: &Request) {
+        let Some(connection) = self.conns.get_mut(&conn) else { return };
+        let index = connection.server;
         let headers = &request.headers;
         let number = |name: &str| headers.get(name).and_then(|t| t.parse::<f64>().ok());
-        let token = self.next;
-        self.next += 1;
+        let token = self.next_token;
+        self.next_token += 1;
         let mut replies = Vec::new();
         let (path, query) = request.target().split_once('?').unwrap_or((request.target(), ""));
         let server = &mut self.servers[index];
         let keys = self.keys.entry(server.spec.key_group).or_default();
         let needs =
             (number("basaltward-memory-mb").unwrap_or(1.0), number("basaltward-lanes").unwrap_or(1.0) as u32);
-        let copies = path.strip_prefix("/functions/").and_then(|p| p.strip_suffix("/copies"));
+        let copies_of = path.strip_prefix("/functions/").and_then(|p| p.strip_suffix("/copies"));
         let attempt = headers.get("basaltward-attempt").unwrap_or_default().to_owned();
-        match (request.method, copies, path.strip_prefix("/functions/")) {
+        match (request.method, copies_of, path.strip_prefix("/functions/")) {
             (Method::Get, Some(function), _) => {
-                known.token = Some(Pending { token, payload: None, attempt });
+                connection.pending = Some(PendingRequest { token, payload: None, attempt });
                 self.by_token.insert(token, conn);
                 server.model.order(now, (&mut self.store, keys), (token, function, 0), needs, &mut replies);
             }
             (Method::Put, Some(function), _) => {
-                known.token = Some(Pending { token, payload: None, attempt });
+                connection.pending = Some(PendingRequest { token, payload: None, attempt });
                 self.by_token.insert(token, conn);
                 let count = query.strip_prefix("count=").and_then(|n| n.parse().ok()).unwrap_or(1);
                 server.model.order(
@@ -366,15 +367,16 @@
                 };
                 if self.recorder.is_enabled() {
                     let (work, attempt) = (server.model.work_of(&call), attempt.clone());
-                    let what = Observation::Arrived { event, attempt, work };
-                    self.recorder.put(now, &server.address.to_string(), what);
+                    let observation = Observation::Arrived { event, attempt, work };
+                    self.recorder.put(now, &server.address.to_string(), observation);
                 }
-                known.token = Some(Pending { token, payload: Some((request.body.clone(), kind)), attempt });
+                connection.pending =
+                    Some(PendingRequest { token, payload: Some((request.body.clone(), kind)), attempt });
                 self.by_token.insert(token, conn);
                 server.model.call(now, (&mut self.store, keys), call, &mut replies);
             }
             (Method::Get, None, _) if path == "/load" => {
-                let report = load(&server.model);
+                let report = load_report(&server.model);
                 if let Some(out) = self.io.output(conn) {
                     let head = HeadWriter::response(out, 200).field("basaltward-outcome", "ok");
                     head.field("basaltward-load", report).body(Body::Empty);
@@ -386,64 +388,64 @@
                 }
             }
         }
-        self.answer_all_of(now, index, replies);
+        self.handle_replies(now, index, replies);
     }
 
-    /// Carries out what a worker says.
-    fn answer_all_of(&mut self, now: Micros, index: usize, replies: Vec<Reply>) {
+    /// Records the events that a worker reports and sends its answers.
+    fn handle_replies(&mut self, now: Micros, index: usize, replies: Vec<Reply>) {
         let mut answers = Vec::new();
         for reply in replies {
-            let by = || self.servers[index].address.to_string();
+            let observer = || self.servers[index].address.to_string();
             match reply {
                 Reply::Ran { event, attempt } => {
                     if self.recorder.is_enabled() {
-                        self.recorder.put(now, &by(), Observation::Ran { event, attempt });
+                        self.recorder.put(now, &observer(), Observation::Ran { event, attempt });
                     }
                 }
-                Reply::Fell => self.recorder.put(now, &by(), Observation::WorkerCollapsed),
+                Reply::Collapsed => self.recorder.put(now, &observer(), Observation::WorkerCollapsed),
                 answer => answers.push(answer),
             }
         }
-        self.answer_all(now, answers);
+        self.send_answers(now, answers);
     }
 
-    /// Writes answers, each by the worker that its call reached: a repeat may wait at another one than the
-    /// first.
-    fn answer_all(&mut self, now: Micros, replies: Vec<Reply>) {
+    /// Sends answers, each from the worker that its request reached: a repeat may wait at another worker than the first
+    /// call.
+    fn send_answers(&mut self, now: Micros, replies: Vec<Reply>) {
         for reply in replies {
             match reply {
-                Reply::Ran { .. } | Reply::Fell => {}
-                Reply::Repeat { token } => self.note_dropped(now, token),
+                Reply::Ran { .. } | Reply::Collapsed => {}
+                Reply::Duplicate { token } => self.record_dropped(now, token),
                 Reply::Ok { token, copy, crowd } => {
                     let copy = match copy {
-                        CopyNote::Stood => "stood",
-                        CopyNote::Began => "began",
-                        CopyNote::Waited => "waited",
+                        CopyState::Loaded => "stood",
+                        CopyState::LoadStarted => "began",
+                        CopyState::LoadPending => "waited",
                     };
                     self.answer(now, token, 200, "ok", &[("basaltward-copy", copy)], Some(crowd), None);
                 }
-                Reply::Miss { token, failed } => {
-                    self.note_dropped(now, token);
-                    let copy: &[_] = if failed { &[("basaltward-copy", "failed")] } else { &[] };
+                Reply::Miss { token, load_failed } => {
+                    self.record_dropped(now, token);
+                    let copy: &[_] = if load_failed { &[("basaltward-copy", "failed")] } else { &[] };
                     self.answer(now, token, 404, "miss", copy, None, None);
                 }
                 Reply::Full { token } => {
-                    self.note_dropped(now, token);
+                    self.record_dropped(now, token);
                     self.answer(now, token, 503, "full", &[], None, None);
                 }
-                Reply::Copies { token, count, kept } => {
-                    let (status, outcome) = if kept { (200, "ok") } else { (503, "full") };
+                Reply::Copies { token, count, fulfilled } => {
+                    let (status, outcome) = if fulfilled { (200, "ok") } else { (503, "full") };
                     self.answer(now, token, status, outcome, &[], None, Some(count));
                 }
             }
         }
     }
 
-    fn note_dropped(&self, now: Micros, token: u64) {
+    fn record_dropped(&self, now: Micros, token: u64) {
         let Some(conn) = self.by_token.get(&token).and_then(|conn| self.conns.get(conn)) else { return };
-        if let Some(pending) = conn.token.as_ref().filter(|_| self.recorder.is_enabled()) {
-            let what = Observation::Dropped { attempt: pending.attempt.clone() };
-            self.recorder.put(now, &self.servers[conn.server].address.to_string(), what);
+        if let Some(pending) = conn.pending.as_ref().filter(|_| self.recorder.is_enabled()) {
+            let observation = Observation::Dropped { attempt: pending.attempt.clone() };
+            self.recorder.put(now, &self.servers[conn.server].address.to_string(), observation);
         }
     }
 
@@ -454,21 +456,21 @@
         token: u64,
         status: u16,
         outcome: &str,
-        more: &[(&str, &str)],
+        extra_fields: &[(&str, &str)],
         crowd: Option<usize>,
         copies: Option<u32>,
     ) {
         let Some(conn) = self.by_token.remove(&token) else { return };
-        let Some(known) = self.conns.get_mut(&conn) else { return };
-        let payload = known.token.take().and_then(|pending| pending.payload);
-        let server = &self.servers[known.server];
-        if server.silent || server.model.fallen {
+        let Some(connection) = self.conns.get_mut(&conn) else { return };
+        let payload = connection.pending.take().and_then(|pending| pending.payload);
+        let server = &self.servers[connection.server];
+        if server.silent || server.model.dead {
             return;
         }
         let (body, kind) = payload.filter(|_| status == 200).unwrap_or_default();
         let mut bytes = BytesMut::new();
         let mut head = HeadWriter::response(&mut bytes, status).field("basaltward-outcome", outcome);
-        for (name, value) in more {
+        for (name, value) in extra_fields {
             head = head.field(name, value);
         }
         if let Some(crowd) = crowd {
@@ -477,7 +479,7 @@
         if let Some(copies) = copies {
             head = head.shown("basaltward-copies", copies);
         }
-        let head = head.field("basaltward-load", load(&server.model));
+        let head = head.field("basaltward-load", load_report(&server.model));
         let head = if kind.is_empty() { head } else { head.field("Content-Type", kind) };
         if server.too_long {
             head.body(Body::Length(1 << 40));
@@ -499,13 +501,14 @@
             self.conns.remove(&conn);
             self.io.close(conn);
         } else {
-            // A request that came meanwhile.
-            self.data(now, conn);
+            // Handles a request that arrived on this connection meanwhile.
+            self.on_data(now, conn);
         }
     }
 }
 
-fn load(model: &Worker) -> String {
+/// The load report of a worker, as in its `basaltward-load` header.
+fn load_report(model: &WorkerModel) -> String {
     let (inflight, pinned, loads) = model.report();
     format!("inflight={inflight}, pinned={pinned:.3}, loads={loads}")
 }
--- a/crates/fakes/src/worker_model.rs
+++ b/crates/fakes/src/worker_model.rs
@@ -1,5 +1,5 @@
-//! What a worker does with calls and orders: copies, lanes, cores, memory, loads, a cold start. No I/O and no
-//! clock; the fleet's loop hands it what comes and carries its answers.
+//! Model of a worker: how calls and orders use copies, lanes, cores, memory and loads, and how a cold worker warms up.
+//! It does no I/O and reads no clock; the fleet's event loop passes requests in and sends the replies.
 
 use crate::dedup::{Arrival, DedupTable};
 use crate::store::Store;
@@ -7,38 +7,39 @@
 use basaltward_timers::Timers;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A worker.
+/// Properties of a worker. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerSpec {
-    /// Calls run at once over all copies.
+    /// Maximum of calls that run at the same time, over all copies.
     pub cores: u32,
-    /// Work done by a core in a microsecond.
+    /// Work done by a core in a microsecond when warm.
     pub speed: f64,
     /// Memory for copies, MB.
     pub memory_mb: f64,
-    /// Work of a call that tells none of its own, in microseconds.
+    /// Work of a call that doesn't specify its own.
     pub default_work: Micros,
-    /// How long a load takes: the fetch from the store, then the start.
+    /// Duration of the two parts of a load: the fetch from the store and the start after it.
     pub fetch_and_start: (Micros, Micros),
-    /// Loads under way at once; further orders wait.
+    /// Maximum of concurrent loads; further ones wait.
     pub max_concurrent_loads: usize,
-    /// Calls held for one function, past which it answers full.
+    /// Maximum of calls queued or running for one function; further ones are answered `full`.
     pub queue_limit: usize,
-    /// An idle copy goes after this.
+    /// How long a copy stays loaded without a call.
     pub idle_timeout: Micros,
-    /// A call without a copy loads one and waits, instead of the answer miss.
+    /// A call that finds no copy loads one and waits, instead of being answered `miss`.
     pub load_on_miss: bool,
-    /// Share of its capacity at the start, and how long until it has all.
+    /// Share of its capacity that a cold worker has when it starts.
     pub initial_capacity_share: f64,
-    /// See `cold_from`.
+    /// How long a cold worker takes to reach its full capacity, linearly.
     pub warm_up_time: Micros,
-    /// Workers of the same group share their memory of keys.
+    /// Workers of the same group deduplicate keyed calls together.
     pub key_group: u64,
-    /// A worker's keys go with it when it is killed, as if each remembered for itself.
+    /// The keys of a worker are lost when it is killed, as if each worker kept its own.
     pub loses_keys_when_killed: bool,
-    /// Sent more than this multiple of its present capacity ...
+    /// A cold worker collapses when it receives more than this multiple of its current capacity within
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// ... over this span while cold, it falls over.
+    /// Window over which received work is summed up for `overload_multiple`.
     pub overload_window: Micros,
 }
 
@@ -72,125 +73,134 @@
     pub memory_mb: f64,
     pub lanes: u32,
     pub work: Option<Micros>,
-    /// Names the event.
+    /// Source and id of the event.
     pub event: String,
-    /// Names the attempt.
+    /// Name of the attempt, for the records.
     pub attempt: String,
-    /// Keyed calls: how long a repeat is dropped.
+    /// How long repeats are dropped; `None` if the call is not keyed.
     pub window: Option<Micros>,
 }
 
-/// What became of the copy.
+/// State of the function's copies when the call arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CopyNote {
-    Stood,
-    Began,
-    Waited,
+pub(crate) enum CopyState {
+    /// A copy was loaded.
+    Loaded,
+    /// No copy was loaded; this call started a load.
+    LoadStarted,
+    /// No copy was loaded; the call waited for a load that had already started.
+    LoadPending,
 }
 
-/// What a worker answers.
+/// Replies and events that a worker produces.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Reply {
     Ok {
         token: u64,
-        copy: CopyNote,
+        copy: CopyState,
         crowd: usize,
     },
     Miss {
         token: u64,
-        failed: bool,
+        load_failed: bool,
     },
     Full {
         token: u64,
     },
-    /// An order or a question: copies standing, and whether the order was kept.
+    /// Answers an order or a query: number of loaded copies, and whether the order was fulfilled.
     Copies {
         token: u64,
         count: u32,
-        kept: bool,
+        fulfilled: bool,
     },
-    /// A call's effect happens now.
+    /// A call starts to run, which counts as its execution.
     Ran {
         event: String,
         attempt: String,
     },
-    /// A repeat of a keyed call was dropped; it gets the first one's answer.
-    Repeat {
+    /// A repeat of a keyed call was dropped; it gets the answer of the first call.
+    Duplicate {
         token: u64,
     },
-    /// It fell over: nothing is answered any more.
-    Fell,
+    /// The worker collapsed under overload: it answers nothing any more.
+    Collapsed,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Call(u64),
+enum Timer {
+    CallFinished(u64),
     Fetched(u64),
     Loaded(u64),
-    Idle,
+    IdleCheck,
 }
 
-struct Waiting {
+struct QueuedCall {
     call: Call,
     crowd: usize,
-    copy: CopyNote,
+    copy: CopyState,
 }
 
+/// Copies of one function, with its calls and orders.
 #[derive(Default)]
 struct Copies {
     memory_mb: f64,
     lanes: u32,
-    standing: u32,
-    busy: u32,
+    loaded: u32,
+    busy_lanes: u32,
+    /// Loads under way or waiting to begin.
     loading: u32,
-    last: Micros,
-    queue: VecDeque<Waiting>,
-    /// Orders that wait for so many copies.
+    last_used: Micros,
+    queue: VecDeque<QueuedCall>,
+    /// Pending orders: token, and the number of copies ordered.
     orders: Vec<(u64, u32)>,
 }
 
-/// A worker's state.
-pub(crate) struct Worker {
+/// State of a worker.
+pub(crate) struct WorkerModel {
     spec: WorkerSpec,
-    born: Option<Micros>,
+    /// When it started cold; `None` if it started warm.
+    started: Option<Micros>,
     pub draining: bool,
-    pub fallen: bool,
-    /// Times slower than usual.
-    pub slow: f64,
+    /// Killed or collapsed: it answers nothing.
+    pub dead: bool,
+    /// Factor by which calls are slowed down; 1.0 is normal speed.
+    pub slowdown: f64,
     copies: BTreeMap<String, Copies>,
-    running: HashMap<u64, (Call, CopyNote, usize)>,
-    /// Loads under way, by number: the function and whether it still fetches.
+    running: HashMap<u64, (Call, CopyState, usize)>,
+    /// Loads under way, by number: the function, and whether the fetch is still running.
     loading: HashMap<u64, (String, bool)>,
     waiting_loads: VecDeque<String>,
-    /// Its number in the fleet.
+    /// Position in the fleet.
     index: usize,
-    arrived: VecDeque<(Micros, f64)>,
-    due: Timers<Due>,
-    number: u64,
+    /// Time and work of the calls received within the overload window.
+    recent_work: VecDeque<(Micros, f64)>,
+    timers: Timers<Timer>,
+    /// Number of the latest load.
+    last_load: u64,
 }
 
-impl Worker {
-    /// A worker started now, or long ago where `born` is `None`.
-    pub fn new(index: usize, spec: WorkerSpec, born: Option<Micros>) -> Self {
+impl WorkerModel {
+    /// Creates a worker that starts cold at `started`, or that is already warm if it is `None`.
+    pub fn new(index: usize, spec: WorkerSpec, started: Option<Micros>) -> Self {
         Self {
             spec,
-            born,
+            started,
             draining: false,
-            fallen: false,
-            slow: 1.0,
+            dead: false,
+            slowdown: 1.0,
             copies: BTreeMap::new(),
             running: HashMap::new(),
             loading: HashMap::new(),
             waiting_loads: VecDeque::new(),
             index,
-            arrived: VecDeque::new(),
-            due: Timers::default(),
-            number: 0,
+            recent_work: VecDeque::new(),
+            timers: Timers::default(),
+            last_load: 0,
         }
     }
 
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.next_due()
+        self.timers.next_due()
     }
 
     /// Work done in a microsecond when warm.
@@ -198,18 +208,18 @@
         f64::from(self.spec.cores) * self.spec.speed
     }
 
-    /// The share of its capacity that it has by now.
-    fn warmth(&self, now: Micros) -> f64 {
-        self.born.map_or(1.0, |born| {
-            let age = now.saturating_sub(born) as f64 / self.spec.warm_up_time.max(1) as f64;
+    /// The share of its full capacity that the worker has at `now`.
+    fn capacity_share(&self, now: Micros) -> f64 {
+        self.started.map_or(1.0, |started| {
+            let age = now.saturating_sub(started) as f64 / self.spec.warm_up_time.max(1) as f64;
             (self.spec.initial_capacity_share + (1.0 - self.spec.initial_capacity_share) * age).min(1.0)
         })
     }
 
-    /// Calls held, share of memory that can't be freed, loads under way or waiting.
+    /// The load report: calls queued or running, share of memory that can't be freed, loads under way or waiting.
     pub fn report(&self) -> (usize, f64, usize) {
         let queued: usize = self.copies.values().map(|c| c.queue.len()).sum();
-        let pinned = |c: &Copies| f64::from(c.busy.div_ceil(c.lanes.max(1)) + c.loading) * c.memory_mb;
+        let pinned = |c: &Copies| f64::from(c.busy_lanes.div_ceil(c.lanes.max(1)) + c.loading) * c.memory_mb;
         let pinned: f64 = self.copies.values().map(pinned).sum();
         let loads = self.loading.len() + self.waiting_loads.len();
         (self.running.len() + queued, pinned / self.spec.memory_mb, loads)
@@ -226,66 +236,67 @@
         call: Call,
         out: &mut Vec<Reply>,
     ) {
-        if self.fallen {
+        if self.dead {
             return;
         }
-        if self.tips(now, self.work_of(&call) as f64) {
-            self.fallen = true;
-            return out.push(Reply::Fell);
+        if self.overloaded_by(now, self.work_of(&call) as f64) {
+            self.dead = true;
+            return out.push(Reply::Collapsed);
         }
         let token = call.token;
         if self.draining {
             return out.push(Reply::Full { token });
         }
         let name = call.function.clone();
-        let known = self.copies.entry(name.clone()).or_default();
-        (known.memory_mb, known.lanes) = (call.memory_mb, call.lanes.max(1));
-        let crowd = known.busy as usize + known.queue.len();
-        // A repeat is dropped before anything else is said of it: told as never run it would be a lie.
-        let first = call.window.map(|window| keys.arrive(now, &call.event, self.index, token, window));
-        match first {
+        let copies = self.copies.entry(name.clone()).or_default();
+        (copies.memory_mb, copies.lanes) = (call.memory_mb, call.lanes.max(1));
+        let crowd = copies.busy_lanes as usize + copies.queue.len();
+        // Repeats are handled first: a refusal below would wrongly claim that the event has not run.
+        let arrival = call.window.map(|window| keys.arrive(now, &call.event, self.index, token, window));
+        match arrival {
             None | Some(Arrival::First) => {}
-            Some(Arrival::Waits) => return out.push(Reply::Repeat { token }),
+            Some(Arrival::Waits) => return out.push(Reply::Duplicate { token }),
             Some(Arrival::AlreadyExecuted) => {
-                out.push(Reply::Repeat { token });
-                return out.push(Reply::Ok { token, copy: CopyNote::Stood, crowd: 0 });
+                out.push(Reply::Duplicate { token });
+                return out.push(Reply::Ok { token, copy: CopyState::Loaded, crowd: 0 });
             }
         }
         if crowd >= self.spec.queue_limit {
-            unseen(keys, &call, out);
+            discard(keys, &call, out);
             return out.push(Reply::Full { token });
         }
-        let copy = match (known.standing, known.loading) {
+        let copy = match (copies.loaded, copies.loading) {
             (0, 0) if !self.spec.load_on_miss => {
-                unseen(keys, &call, out);
-                return out.push(Reply::Miss { token, failed: false });
+                discard(keys, &call, out);
+                return out.push(Reply::Miss { token, load_failed: false });
             }
-            (0, 0) => CopyNote::Began,
-            (0, _) => CopyNote::Waited,
-            _ => CopyNote::Stood,
+            (0, 0) => CopyState::LoadStarted,
+            (0, _) => CopyState::LoadPending,
+            _ => CopyState::Loaded,
         };
-        let known = self.copies.entry(name.clone()).or_default();
-        known.queue.push_back(Waiting { call, crowd, copy });
-        if copy == CopyNote::Began && !self.load(now, store, &name) {
+        let copies = self.copies.entry(name.clone()).or_default();
+        copies.queue.push_back(QueuedCall { call, crowd, copy });
+        if copy == CopyState::LoadStarted && !self.load(now, store, &name) {
             self.fail_waiting(keys, &name, out);
         }
-        self.run(now, store, out);
+        self.run_queued(now, store, out);
     }
 
-    /// Whether this arrival pushes a cold worker over: more work in the span than the told multiple of its
-    /// present capacity.
-    fn tips(&mut self, now: Micros, work: f64) -> bool {
-        let warmth = self.warmth(now);
-        self.arrived.push_back((now, work));
-        while self.arrived.front().is_some_and(|(at, _)| at + self.spec.overload_window < now) {
-            self.arrived.pop_front();
+    /// Records a received call and returns whether it makes a cold worker collapse: it does if the work received before
+    /// it within the overload window exceeds `overload_multiple` of the current capacity.
+    fn overloaded_by(&mut self, now: Micros, work: f64) -> bool {
+        let capacity_share = self.capacity_share(now);
+        self.recent_work.push_back((now, work));
+        while self.recent_work.front().is_some_and(|(at, _)| at + self.spec.overload_window < now) {
+            self.recent_work.pop_front();
         }
-        let sent: f64 = self.arrived.iter().map(|(_, work)| work).sum();
-        let can = self.capacity() * warmth * self.spec.overload_window as f64;
-        warmth < 1.0 && sent > self.spec.overload_multiple * can + work
+        let received: f64 = self.recent_work.iter().map(|(_, work)| work).sum();
+        let sustainable = self.capacity() * capacity_share * self.spec.overload_window as f64;
+        capacity_share < 1.0 && received > self.spec.overload_multiple * sustainable + work
     }
 
-    /// An order to hold copies, or the question how many stand.
+    /// Handles an order to load copies, or with a count of 0 a query for the number of loaded copies. `order` is the
+    /// token, the function and the count; `needs` the memory of a copy in MB and its lanes.
     pub fn order(
         &mut self,
         now: Micros,
@@ -295,20 +306,20 @@
         out: &mut Vec<Reply>,
     ) {
         let (token, name, count) = order;
-        let standing = self.copies.get(name).map_or(0, |c| c.standing);
-        if count > 0 && self.draining && standing < count {
-            return out.push(Reply::Copies { token, count: standing, kept: false });
+        let loaded = self.copies.get(name).map_or(0, |c| c.loaded);
+        if count > 0 && self.draining && loaded < count {
+            return out.push(Reply::Copies { token, count: loaded, fulfilled: false });
         }
-        if count <= standing {
-            if let Some(known) = self.copies.get_mut(name).filter(|_| count > 0) {
-                known.last = now;
+        if count <= loaded {
+            if let Some(copies) = self.copies.get_mut(name).filter(|_| count > 0) {
+                copies.last_used = now;
             }
-            return out.push(Reply::Copies { token, count: standing, kept: true });
+            return out.push(Reply::Copies { token, count: loaded, fulfilled: true });
         }
-        let known = self.copies.entry(name.to_owned()).or_default();
-        (known.memory_mb, known.lanes) = (needs.0, needs.1.max(1));
-        known.orders.push((token, count));
-        let missing = count.saturating_sub(known.standing + known.loading);
+        let copies = self.copies.entry(name.to_owned()).or_default();
+        (copies.memory_mb, copies.lanes) = (needs.0, needs.1.max(1));
+        copies.orders.push((token, count));
+        let missing = count.saturating_sub(copies.loaded + copies.loading);
         for _ in 0..missing {
             if !self.load(now, store, name) {
                 self.fail_waiting(keys, name, out);
@@ -317,179 +328,201 @@
         }
     }
 
-    /// Unloads a function's idle copies.
+    /// Unloads the idle copies of a function.
     pub fn drop_idle(&mut self, name: &str) {
-        if let Some(known) = self.copies.get_mut(name) {
-            known.standing = known.busy.div_ceil(known.lanes.max(1));
+        if let Some(copies) = self.copies.get_mut(name) {
+            copies.loaded = copies.busy_lanes.div_ceil(copies.lanes.max(1));
         }
     }
 
-    /// Nobody waits for this any more: it is not begun, but goes on where it runs.
+    /// Cancels a call or an order whose client has disconnected. A queued call is removed; a running call continues.
     pub fn cancel(&mut self, keys: &mut DedupTable, token: u64, out: &mut Vec<Reply>) {
-        for known in self.copies.values_mut() {
-            let gone = |w: &Waiting| w.call.token == token;
-            for waiting in known.queue.iter().filter(|w| gone(w)) {
-                unseen(keys, &waiting.call, out);
+        for copies in self.copies.values_mut() {
+            let is_cancelled = |w: &QueuedCall| w.call.token == token;
+            for waiting in copies.queue.iter().filter(|w| is_cancelled(w)) {
+                discard(keys, &waiting.call, out);
             }
-            known.queue.retain(|w| !gone(w));
-            known.orders.retain(|(t, _)| *t != token);
+            copies.queue.retain(|w| !is_cancelled(w));
+            copies.orders.retain(|(t, _)| *t != token);
         }
     }
 
-    /// Begins to load a copy; false where no memory can be had or the store turns it away.
+    /// Begins to load a copy, or queues the load while too many are under way. Returns false if there is not enough
+    /// memory or the store rejects the fetch.
     fn load(&mut self, now: Micros, store: &mut Store, name: &str) -> bool {
         if self.loading.len() >= self.spec.max_concurrent_loads {
             self.waiting_loads.push_back(name.to_owned());
-            if let Some(known) = self.copies.get_mut(name) {
-                known.loading += 1;
+            if let Some(copies) = self.copies.get_mut(name) {
+                copies.loading += 1;
             }
             return true;
         }
         self.begin_load(now, store, name, true)
     }
 
-    fn begin_load(&mut self, now: Micros, store: &mut Store, name: &str, counts: bool) -> bool {
+    /// Begins a load. `count_load` is false for a load that was queued, which `loading` already counts.
+    fn begin_load(&mut self, now: Micros, store: &mut Store, name: &str, count_load: bool) -> bool {
         let needed = self.copies.get(name).map_or(0.0, |c| c.memory_mb);
-        if !self.make_room(name, needed) {
+        if !self.free_memory(name, needed) {
             return false;
         }
         let Some(took) = store.begin_fetch(self.spec.fetch_and_start.0) else { return false };
-        self.number += 1;
-        self.loading.insert(self.number, (name.to_owned(), true));
-        self.due.set(now + took, Due::Fetched(self.number));
-        if let Some(known) = self.copies.get_mut(name).filter(|_| counts) {
-            known.loading += 1;
+        self.last_load += 1;
+        self.loading.insert(self.last_load, (name.to_owned(), true));
+        self.timers.set(now + took, Timer::Fetched(self.last_load));
+        if let Some(copies) = self.copies.get_mut(name).filter(|_| count_load) {
+            copies.loading += 1;
         }
         true
     }
 
-    /// Unloads idle copies of others, longest unused first, until the memory is there.
-    fn make_room(&mut self, name: &str, needed: f64) -> bool {
+    /// Unloads idle copies of other functions, least recently used first, until `needed` MB are free. Returns false if
+    /// that is not enough.
+    fn free_memory(&mut self, name: &str, needed: f64) -> bool {
         loop {
-            let held = |c: &Copies| f64::from(c.standing + c.loading) * c.memory_mb;
+            let held = |c: &Copies| f64::from(c.loaded + c.loading) * c.memory_mb;
             let used: f64 = self.copies.values().map(held).sum();
             if used + needed <= self.spec.memory_mb {
                 return true;
             }
-            let idle = |c: &Copies| c.standing > c.busy.div_ceil(c.lanes.max(1));
+            let idle = |c: &Copies| c.loaded > c.busy_lanes.div_ceil(c.lanes.max(1));
             let others = self.copies.iter_mut().filter(|(n, c)| *n != name && idle(c));
-            match others.min_by_key(|(_, c)| c.last) {
-                Some((_, oldest)) => oldest.standing -= 1,
+            match others.min_by_key(|(_, c)| c.last_used) {
+                Some((_, oldest)) => oldest.loaded -= 1,
                 None => return false,
             }
         }
     }
 
+    /// Fails the pending orders of a function after a failed load; its queued calls too if no copy is loaded or loading.
     fn fail_waiting(&mut self, keys: &mut DedupTable, name: &str, out: &mut Vec<Reply>) {
-        let Some(known) = self.copies.get_mut(name) else { return };
-        for (token, _) in known.orders.drain(..) {
-            out.push(Reply::Copies { token, count: known.standing, kept: false });
+        let Some(copies) = self.copies.get_mut(name) else { return };
+        for (token, _) in copies.orders.drain(..) {
+            out.push(Reply::Copies { token, count: copies.loaded, fulfilled: false });
         }
-        if known.standing + known.loading == 0 {
-            for waiting in known.queue.drain(..) {
-                unseen(keys, &waiting.call, out);
-                out.push(Reply::Miss { token: waiting.call.token, failed: true });
+        if copies.loaded + copies.loading == 0 {
+            for waiting in copies.queue.drain(..) {
+                discard(keys, &waiting.call, out);
+                out.push(Reply::Miss { token: waiting.call.token, load_failed: true });
             }
         }
     }
 
-    /// Starts what can run, and further copies where all lanes are taken.
-    fn run(&mut self, now: Micros, store: &mut Store, out: &mut Vec<Reply>) {
-        let pace = self.spec.speed * self.warmth(now) / self.slow;
+    /// Starts queued calls while lanes and cores are free, and loads a further copy of functions whose lanes are all
+    /// busy.
+    fn run_queued(&mut self, now: Micros, store: &mut Store, out: &mut Vec<Reply>) {
+        let speed = self.spec.speed * self.capacity_share(now) / self.slowdown;
         let names: Vec<String> =
             self.copies.iter().filter(|(_, c)| !c.queue.is_empty()).map(|(n, _)| n.clone()).collect();
         for name in names {
-            while let Some(known) = self.copies.get_mut(&name) {
-                let lane = known.busy < known.standing * known.lanes;
-                if !lane || self.running.len() >= self.spec.cores as usize {
+            while let Some(copies) = self.copies.get_mut(&name) {
+                let lane_free = copies.busy_lanes < copies.loaded * copies.lanes;
+                if !lane_free || self.running.len() >= self.spec.cores as usize {
                     break;
                 }
-                let Some(waiting) = known.queue.pop_front() else { break };
-                known.busy += 1;
-                known.last = now;
+                let Some(waiting) = copies.queue.pop_front() else { break };
+                copies.busy_lanes += 1;
+                copies.last_used = now;
                 let work = waiting.call.work.unwrap_or(self.spec.default_work) as f64;
                 let (event, attempt) = (waiting.call.event.clone(), waiting.call.attempt.clone());
                 out.push(Reply::Ran { event, attempt });
-                self.due.set(now + (work / pace) as Micros, Due::Call(waiting.call.token));
+                self.timers.set(now + (work / speed) as Micros, Timer::CallFinished(waiting.call.token));
                 self.running.insert(waiting.call.token, (waiting.call, waiting.copy, waiting.crowd));
             }
-            let crowded = |c: &Copies| {
-                !c.queue.is_empty() && c.busy >= c.standing * c.lanes && c.loading == 0 && c.standing > 0
+            let needs_copy = |c: &Copies| {
+                !c.queue.is_empty() && c.busy_lanes >= c.loaded * c.lanes && c.loading == 0 && c.loaded > 0
             };
-            if self.copies.get(&name).is_some_and(crowded) {
+            if self.copies.get(&name).is_some_and(needs_copy) {
                 self.load(now, store, &name);
             }
         }
     }
 
-    /// Does what is due by `now`.
-    pub fn wake(&mut self, now: Micros, (store, keys): (&mut Store, &mut DedupTable), out: &mut Vec<Reply>) {
-        while let Some((_, due)) = self.due.pop_due(now) {
+    /// Handles all timers that expired by `now`.
+    pub fn run_timers(
+        &mut self,
+        now: Micros,
+        (store, keys): (&mut Store, &mut DedupTable),
+        out: &mut Vec<Reply>,
+    ) {
+        while let Some((_, due)) = self.timers.pop_due(now) {
             match due {
-                Due::Call(token) => self.finish(now, keys, token, out),
-                Due::Fetched(number) => {
+                Timer::CallFinished(token) => self.finish(now, keys, token, out),
+                Timer::Fetched(number) => {
                     store.end_fetch();
                     if let Some((_, fetching)) = self.loading.get_mut(&number) {
                         *fetching = false;
-                        self.due.set(now + self.spec.fetch_and_start.1, Due::Loaded(number));
+                        self.timers.set(now + self.spec.fetch_and_start.1, Timer::Loaded(number));
                     }
                 }
-                Due::Loaded(number) => {
-                    self.loaded(now, number, out);
-                    self.next_load(now, (store, keys), out);
+                Timer::Loaded(number) => {
+                    self.on_loaded(now, number, out);
+                    self.begin_queued_load(now, (store, keys), out);
                 }
-                Due::Idle => {
+                Timer::IdleCheck => {
                     let keep = self.spec.idle_timeout;
-                    for known in self.copies.values_mut().filter(|c| c.busy == 0 && c.last + keep <= now) {
-                        known.standing = 0;
+                    for copies in
+                        self.copies.values_mut().filter(|c| c.busy_lanes == 0 && c.last_used + keep <= now)
+                    {
+                        copies.loaded = 0;
                     }
                 }
             }
-            self.run(now, store, out);
+            self.run_queued(now, store, out);
         }
     }
 
-    /// Begins a load that waited for one to end.
-    fn next_load(&mut self, now: Micros, (store, keys): (&mut Store, &mut DedupTable), out: &mut Vec<Reply>) {
+    /// Begins the next queued load after one has ended.
+    fn begin_queued_load(
+        &mut self,
+        now: Micros,
+        (store, keys): (&mut Store, &mut DedupTable),
+        out: &mut Vec<Reply>,
+    ) {
         let Some(name) = self.waiting_loads.pop_front() else { return };
         if !self.begin_load(now, store, &name, false) {
-            if let Some(known) = self.copies.get_mut(&name) {
-                known.loading -= 1;
+            if let Some(copies) = self.copies.get_mut(&name) {
+                copies.loading -= 1;
             }
             self.fail_waiting(keys, &name, out);
         }
     }
 
-    fn loaded(&mut self, now: Micros, number: u64, out: &mut Vec<Reply>) {
+    fn on_loaded(&mut self, now: Micros, number: u64, out: &mut Vec<Reply>) {
         let Some((name, _)) = self.loading.remove(&number) else { return };
-        let Some(known) = self.copies.get_mut(&name) else { return };
-        known.loading -= 1;
-        known.standing += 1;
-        known.last = now;
-        let standing = known.standing;
-        let kept: Vec<u64> = known.orders.iter().filter(|(_, n)| *n <= standing).map(|(t, _)| *t).collect();
-        known.orders.retain(|(_, n)| *n > standing);
-        out.extend(kept.into_iter().map(|token| Reply::Copies { token, count: standing, kept: true }));
-        self.due.set(now + self.spec.idle_timeout + 1, Due::Idle);
+        let Some(copies) = self.copies.get_mut(&name) else { return };
+        copies.loading -= 1;
+        copies.loaded += 1;
+        copies.last_used = now;
+        let loaded = copies.loaded;
+        let fulfilled: Vec<u64> =
+            copies.orders.iter().filter(|(_, n)| *n <= loaded).map(|(t, _)| *t).collect();
+        copies.orders.retain(|(_, n)| *n > loaded);
+        out.extend(fulfilled.into_iter().map(|token| Reply::Copies {
+            token,
+            count: loaded,
+            fulfilled: true,
+        }));
+        self.timers.set(now + self.spec.idle_timeout + 1, Timer::IdleCheck);
     }
 
     fn finish(&mut self, now: Micros, keys: &mut DedupTable, token: u64, out: &mut Vec<Reply>) {
         let Some((call, copy, crowd)) = self.running.remove(&token) else { return };
-        if let Some(known) = self.copies.get_mut(&call.function) {
-            known.busy -= 1;
-            known.last = now;
+        if let Some(copies) = self.copies.get_mut(&call.function) {
+            copies.busy_lanes -= 1;
+            copies.last_used = now;
         }
-        self.due.set(now + self.spec.idle_timeout + 1, Due::Idle);
+        self.timers.set(now + self.spec.idle_timeout + 1, Timer::IdleCheck);
         out.push(Reply::Ok { token, copy, crowd });
         if call.window.is_some() {
-            let reply = |token| Reply::Ok { token, copy: CopyNote::Stood, crowd };
+            let reply = |token| Reply::Ok { token, copy: CopyState::Loaded, crowd };
             out.extend(keys.complete(&call.event).into_iter().map(reply));
         }
     }
 }
 
-/// A call that was held, or not even that, will not run: neither do the repeats that waited for it.
-fn unseen(keys: &mut DedupTable, call: &Call, out: &mut Vec<Reply>) {
+/// Removes the key of a call that will not run, and answers the repeats that waited for it with `full`.
+fn discard(keys: &mut DedupTable, call: &Call, out: &mut Vec<Reply>) {
     if call.window.is_some() {
         out.extend(keys.cancel(&call.event).into_iter().map(|token| Reply::Full { token }));
     }
