--- a/crates/cli/src/play.rs
+++ b/crates/cli/src/play.rs
@@ -20,7 +20,7 @@
     if let Some(path) = &options.records {
         records::write(path, &verdict.records)?;
     }
-    report::tally(&verdict.tally);
+    report::tally(&verdict.client_stats);
     report::verdict(&verdict.records, &verdict.breaches, &verdict.service)
 }
 
--- a/crates/scenario/src/harness.rs
+++ b/crates/scenario/src/harness.rs
@@ -1,4 +1,4 @@
-//! Gateways and a fleet in this process, with their files in a folder of their own.
+//! A harness that runs gateways and a fleet of fake workers in this process, with their files in a temporary directory.
 
 use basaltward::{Group, Repeat, WorkerState};
 use basaltward_config::Config;
@@ -12,28 +12,28 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use thiserror::Error;
 
-/// Why a bed can't be made or ended badly.
+/// Errors of starting, running or stopping a harness.
 #[derive(Debug, Error)]
 pub enum HarnessError {
-    /// A file or folder can't be had.
+    /// A file or directory could not be created or written.
     #[error("file: {0}")]
     File(#[from] std::io::Error),
-    /// The fleet.
+    /// The fleet of fake workers failed.
     #[error("workers: {0}")]
     Fleet(#[from] FleetError),
-    /// A gateway.
+    /// A gateway failed.
     #[error("gateway: {0}")]
     Gateway(#[from] GatewayError),
 }
 
-/// A folder for temporary files that goes with the value.
+/// A temporary directory, removed with its content when the value is dropped.
 pub struct TempDir(PathBuf);
 
 impl TempDir {
-    /// A fresh folder.
+    /// Creates an empty directory with a unique name in the system's temporary directory.
     ///
     /// # Errors
-    /// Where the system's place for temporary files can't be written.
+    /// If the directory can't be created.
     pub fn new() -> std::io::Result<Self> {
         static NUMBER: AtomicU64 = AtomicU64::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -43,7 +43,7 @@
         Ok(Self(path))
     }
 
-    /// Where it is.
+    /// Path of the directory.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -55,11 +55,11 @@
     }
 }
 
-/// The fleet's workers as a roster file lists them.
+/// A roster file with the workers of the fleet.
 pub struct RosterFile {
     path: PathBuf,
     names: Names,
-    /// The entries, by position in the fleet.
+    /// The entries, in the order of the workers in the fleet.
     pub entries: Vec<Entry>,
 }
 
@@ -79,35 +79,35 @@
         Ok(roster)
     }
 
-    /// Writes the file in one step.
+    /// Replaces the file atomically.
     ///
     /// # Errors
-    /// Where the folder can't be written.
+    /// If the file can't be written.
     pub fn save(&self) -> std::io::Result<()> {
         write(&self.path, &self.names, &self.entries)
     }
 
-    /// Writes an empty list, without forgetting the entries.
+    /// Writes an empty list to the file; `entries` stays unchanged.
     ///
     /// # Errors
-    /// As [`Roster::save`].
+    /// As [`RosterFile::save`].
     pub fn save_empty(&self) -> std::io::Result<()> {
         write(&self.path, &self.names, &[])
     }
 
-    /// Lists a worker in this state.
+    /// Sets a worker's state and saves the file.
     ///
     /// # Errors
-    /// As [`Roster::save`].
+    /// As [`RosterFile::save`].
     pub fn set_state(&mut self, worker: usize, state: WorkerState) -> std::io::Result<()> {
         self.entries[worker].state = state;
         self.save()
     }
 
-    /// Lists a worker as started at this wall time.
+    /// Sets a worker active, with a start time in microseconds since 1970, and saves the file.
     ///
     /// # Errors
-    /// As [`Roster::save`].
+    /// As [`RosterFile::save`].
     pub fn set_restarted(&mut self, worker: usize, wall: u64) -> std::io::Result<()> {
         let entry = &mut self.entries[worker];
         (entry.state, entry.started) = (WorkerState::Active, Some(wall));
@@ -115,35 +115,36 @@
     }
 }
 
-/// The wall clock, in microseconds since 1970.
-pub(crate) fn wall() -> u64 {
+/// The wall-clock time, in microseconds since 1970.
+pub(crate) fn wall_time() -> u64 {
     Clock::read().wall()
 }
 
-/// A fleet with its roster, and gateways on top.
+/// Gateways with a fleet of fake workers and its roster file.
 pub struct Harness {
-    /// Settings of the first gateway; the others differ in their number and address.
+    /// Settings of the first gateway; those of the others differ in index, name and address.
     pub config: Config,
-    /// The workers.
+    /// The fake workers.
     pub fleet: Fleet,
-    /// Their list.
+    /// The roster file that lists the workers.
     pub roster: RosterFile,
-    /// The gateways, by position; `None` for one that is down.
+    /// The gateways; `None` for one that is down.
     pub gateways: Vec<Option<Gateway>>,
-    /// Where each listens, also while it is down.
+    /// The address of each gateway, also while it is down.
     pub addresses: Vec<SocketAddr>,
-    /// What crossed the sockets.
+    /// Records of the traffic between clients, gateways and workers.
     pub recorder: Recorder,
-    /// What the loops of a gateway know of one another.
-    loops: LoopMode,
-    _folder: TempDir,
+    /// Whether the loops of a gateway coordinate.
+    loop_mode: LoopMode,
+    _dir: TempDir,
 }
 
 impl Harness {
-    /// Starts a fleet by `specs`, and `gateways` of them by `config`, all on ports that the system chooses.
+    /// Starts a fleet with a worker for each spec, and as many gateways as `gateways` says with the settings `config`.
+    /// The system chooses the ports, except the gateway's if `config` has several sites.
     ///
     /// # Errors
-    /// Where any of them can't start.
+    /// If the fleet, a gateway or the roster file can't be set up.
     pub fn start(
         config: &Config,
         gateways: u32,
@@ -153,21 +154,21 @@
         Self::start_with_mode(config, gateways, specs, recorder, LoopMode::Coordinated)
     }
 
-    /// As [`Bed::start`], with what the loops of each gateway know of one another.
+    /// Like [`Harness::start`], with a choice of whether the loops of a gateway coordinate.
     ///
     /// # Errors
-    /// As [`Bed::start`].
+    /// As [`Harness::start`].
     pub fn start_with_mode(
         config: &Config,
         gateways: u32,
         specs: Vec<WorkerSpec>,
         recorder: Recorder,
-        loops: LoopMode,
+        loop_mode: LoopMode,
     ) -> Result<Self, HarnessError> {
-        let folder = TempDir::new()?;
+        let dir = TempDir::new()?;
         let config = Config {
-            roster_file: folder.path().join("roster.xml"),
-            // Other sites have to know the address before.
+            roster_file: dir.path().join("roster.xml"),
+            // With several sites the others are configured with this address, so it can't be chosen here.
             listen: config.sites.as_ref().map_or(([127, 0, 0, 1], 0).into(), |_| config.listen),
             gateway_count: gateways,
             ..config.clone()
@@ -175,28 +176,28 @@
         let fleet = Fleet::start(specs, &[], StoreSpec::default(), recorder.clone())?;
         let names = Names { kinds: config.worker_kinds.clone(), zones: config.zones.clone() };
         let roster = RosterFile::new(config.roster_file.clone(), names, fleet.addresses())?;
-        let mut bed = Self {
+        let mut harness = Self {
             config,
             fleet,
             roster,
             gateways: Vec::new(),
             addresses: Vec::new(),
             recorder,
-            loops,
-            _folder: folder,
+            loop_mode,
+            _dir: dir,
         };
         for index in 0..gateways {
-            bed.addresses.push(bed.config.listen);
-            bed.gateways.push(None);
-            bed.start_gateway(index as usize)?;
+            harness.addresses.push(harness.config.listen);
+            harness.gateways.push(None);
+            harness.start_gateway(index as usize)?;
         }
-        Ok(bed)
+        Ok(harness)
     }
 
-    /// Starts a gateway that is down, under its former address if it had one.
+    /// Starts a gateway that is down, at its former address if it had one.
     ///
     /// # Errors
-    /// Where it can't start.
+    /// If the gateway can't be started.
     pub fn start_gateway(&mut self, index: usize) -> Result<(), HarnessError> {
         let config = Config {
             gateway_index: index as u32,
@@ -204,21 +205,21 @@
             listen: self.addresses[index],
             ..self.config.clone()
         };
-        let gateway = Gateway::start_with_mode(&config, &self.recorder, self.loops)?;
+        let gateway = Gateway::start_with_mode(&config, &self.recorder, self.loop_mode)?;
         self.addresses[index] = gateway.address();
         self.gateways[index] = Some(gateway);
         Ok(())
     }
 
-    /// Takes a gateway out, to be stopped or killed by the caller.
+    /// Removes a gateway and returns it, for the caller to stop or kill; `None` if it is down.
     pub fn take_gateway(&mut self, index: usize) -> Option<Gateway> {
         self.gateways.get_mut(index)?.take()
     }
 
-    /// Stops everything: gateways finish what they have first.
+    /// Stops the gateways, which finish their calls first, and then the fleet.
     ///
     /// # Errors
-    /// Where a loop had failed.
+    /// If the event loop of a gateway or of the fleet failed.
     pub fn stop(self) -> Result<(), HarnessError> {
         for gateway in self.gateways.iter().flatten() {
             gateway.stop();
@@ -231,7 +232,7 @@
     }
 }
 
-/// What the checker needs of a gateway's settings.
+/// The settings of the rule checker that follow from a gateway's settings and its roster.
 pub fn rule_settings(config: &Config, roster: &[Entry]) -> RuleSettings {
     let class = |(name, class): (&String, &basaltward::Class)| {
         let repeat = match class.repeat {
@@ -242,7 +243,7 @@
         let rule = ClassRule { repeat, aim: class.aim, value: class.value, late_share: class.late_value };
         (name.clone(), rule)
     };
-    let cells = config
+    let grouped_by_cell = config
         .controller
         .classes
         .iter()
@@ -252,7 +253,7 @@
         classes: config.classes.iter().zip(&config.controller.classes).map(class).collect(),
         groups: roster
             .iter()
-            .map(|e| (e.address.clone(), if cells { e.cell } else { e.zone as u64 }))
+            .map(|e| (e.address.clone(), if grouped_by_cell { e.cell } else { e.zone as u64 }))
             .collect(),
         drain_grace: config.drain_grace,
         load_window: family.load_window,
--- a/crates/scenario/src/runner.rs
+++ b/crates/scenario/src/runner.rs
@@ -1,6 +1,6 @@
-//! A day played over loopback sockets.
+//! Runs a scenario over loopback sockets.
 
-use crate::harness::{Harness, HarnessError, rule_settings, wall};
+use crate::harness::{Harness, HarnessError, rule_settings, wall_time};
 use crate::script::{Action, Scenario};
 use crate::workload;
 use basaltward::WorkerState;
@@ -13,115 +13,122 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a day could not be played to its end.
+/// Why a scenario could not be run to its end.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
-    /// Gateways, workers or their files.
+    /// Gateways, workers or their files failed.
     #[error(transparent)]
-    Bed(#[from] HarnessError),
-    /// The clients' loop.
+    Harness(#[from] HarnessError),
+    /// The clients' event loop failed.
     #[error("clients: {0}")]
     Net(#[from] NetError),
-    /// The clients' thread has panicked.
-    #[error("the clients have panicked")]
+    /// The clients' thread panicked.
+    #[error("the clients' thread panicked")]
     Panicked,
 }
 
-/// What a day came to.
+/// Results of a scenario, judged by the rules.
 pub struct Verdict {
-    /// By event, as the clients saw it.
-    pub tally: ClientStats,
-    /// Broken rules.
+    /// Results as the clients saw them.
+    pub client_stats: ClientStats,
+    /// Breaches of the rules.
     pub breaches: Vec<Breach>,
-    /// The service figure.
+    /// The service score.
     pub service: Service,
-    /// All that crossed the sockets, by time.
+    /// Records of the traffic between clients, gateways and workers, by time.
     pub records: Vec<Record>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Later {
+enum Timer {
+    /// The step at this position begins.
     Step(usize),
-    /// The end of a step's fault.
-    End(usize),
-    Listed(usize, Listed),
-    Restart(usize),
-    FillRoster,
-    GatewayUp(usize),
+    /// The fault of the step at this position ends.
+    FaultEnd(usize),
+    /// The roster lists a change of this worker.
+    RosterChange(usize, RosterChange),
+    RestartWorker(usize),
+    RestoreRoster,
+    StartGateway(usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Listed {
+enum RosterChange {
     Leaving,
     Gone,
+    /// Started at this wall-clock time, in microseconds since 1970.
     Started(u64),
 }
 
-struct Day<'a> {
-    script: &'a Scenario,
-    bed: Harness,
-    later: Timers<Later>,
-    /// Gateways on their way out, by position.
+struct Runner<'a> {
+    scenario: &'a Scenario,
+    harness: Harness,
+    timers: Timers<Timer>,
+    /// Gateways that were stopped or killed and may not have ended yet, with their positions.
     ending: Vec<(usize, Gateway)>,
-    failed: Option<HarnessError>,
+    /// The first error of a step.
+    error: Option<HarnessError>,
 }
 
-/// Plays a day to its end, all random choices drawn from its seed, and judges it.
+/// Runs a scenario to its end and judges it by the rules. All random choices follow from the scenario's seed.
 ///
 /// # Errors
-/// Where something of the day could not run; a broken rule is part of the verdict.
-pub fn run_scenario(script: &Scenario) -> Result<Verdict, ScenarioError> {
+/// If a part of the scenario could not run. A broken rule is not an error; the verdict lists it.
+pub fn run_scenario(scenario: &Scenario) -> Result<Verdict, ScenarioError> {
     let recorder = Recorder::memory();
-    let bed = Harness::start(&script.config, script.gateways, script.workers.clone(), recorder.clone())?;
-    let rules = rule_settings(&bed.config, &bed.roster.entries);
-    let mut day = Day { script, bed, later: Timers::default(), ending: Vec::new(), failed: None };
-    for (index, step) in script.steps.iter().enumerate() {
-        day.later.set(step.at, Later::Step(index));
+    let harness =
+        Harness::start(&scenario.config, scenario.gateways, scenario.workers.clone(), recorder.clone())?;
+    let rules = rule_settings(&harness.config, &harness.roster.entries);
+    let mut runner = Runner { scenario, harness, timers: Timers::default(), ending: Vec::new(), error: None };
+    for (index, step) in scenario.steps.iter().enumerate() {
+        runner.timers.set(step.at, Timer::Step(index));
     }
-    let clients = Clients::new(day.bed.addresses.clone(), recorder.clone())?;
-    let plans = workload::draw(script);
-    // What happens to gateways and workers has a thread of its own: starting a gateway or waiting for a fault
-    // to be done takes milliseconds, in which the clients would read no answers.
-    let tally = std::thread::scope(|scope| {
-        let (done, ended) = std::sync::mpsc::channel();
+    let clients = Clients::new(runner.harness.addresses.clone(), recorder.clone())?;
+    let plans = workload::generate(scenario);
+    // The clients have a thread of their own: starting a gateway or waiting until a fault is in effect takes
+    // milliseconds, in which they would read no answers.
+    let client_stats = std::thread::scope(|scope| {
+        let (done, clients_ended) = std::sync::mpsc::channel();
         let clients = scope.spawn(move || {
-            let tally = clients.run(plans);
+            let client_stats = clients.run(plans);
             let _ = done.send(());
-            tally
+            client_stats
         });
-        day.direct(monotonic(), &ended);
+        runner.run_steps(monotonic(), &clients_ended);
         clients.join()
     });
-    let tally = tally.map_err(|_| ScenarioError::Panicked)??;
-    for (_, gateway) in day.ending {
+    let client_stats = client_stats.map_err(|_| ScenarioError::Panicked)??;
+    for (_, gateway) in runner.ending {
         gateway.join().map_err(HarnessError::from)?;
     }
-    day.bed.stop()?;
-    if let Some(error) = day.failed {
+    runner.harness.stop()?;
+    if let Some(error) = runner.error {
         return Err(error.into());
     }
     let records = recorder.take();
     let (breaches, service) = (check(&records, &rules), service(&records, &rules));
-    Ok(Verdict { tally, breaches, service, records })
+    Ok(Verdict { client_stats, breaches, service, records })
 }
 
-impl Day<'_> {
-    /// Does each thing at its time, and those left when the clients have ended.
-    fn direct(&mut self, start: Micros, clients: &Receiver<()>) {
-        let mut running = true;
+impl Runner<'_> {
+    /// Handles each timer at its time, and returns when the clients have ended and no timer is left.
+    fn run_steps(&mut self, start: Micros, clients_ended: &Receiver<()>) {
+        let mut clients_running = true;
         loop {
             let now = monotonic() - start;
-            while let Some((_, later)) = self.later.pop_due(now) {
-                if let Err(error) = self.act(now, later) {
-                    self.failed.get_or_insert(error);
+            while let Some((_, timer)) = self.timers.pop_due(now) {
+                if let Err(error) = self.handle(now, timer) {
+                    self.error.get_or_insert(error);
                 }
             }
-            let wait = self.later.next_due().map(|at| Duration::from_micros(at.saturating_sub(now)));
-            match (running, wait) {
-                (true, Some(wait)) => running = clients.recv_timeout(wait) == Err(RecvTimeoutError::Timeout),
+            let wait = self.timers.next_due().map(|at| Duration::from_micros(at.saturating_sub(now)));
+            match (clients_running, wait) {
+                (true, Some(wait)) => {
+                    clients_running = clients_ended.recv_timeout(wait) == Err(RecvTimeoutError::Timeout)
+                }
                 (true, None) => {
-                    let _ = clients.recv();
-                    running = false;
+                    let _ = clients_ended.recv();
+                    clients_running = false;
                 }
                 (false, Some(wait)) => std::thread::sleep(wait),
                 (false, None) => return,
@@ -129,77 +136,84 @@
         }
     }
 
-    fn act(&mut self, now: Micros, later: Later) -> Result<(), HarnessError> {
-        let lag = self.script.roster_delay;
-        match later {
-            Later::Step(index) => match self.script.steps[index].action {
+    fn handle(&mut self, now: Micros, timer: Timer) -> Result<(), HarnessError> {
+        let roster_delay = self.scenario.roster_delay;
+        match timer {
+            Timer::Step(index) => match self.scenario.steps[index].action {
                 Action::WorkerFault(worker, fault, end) => {
-                    self.bed.fleet.inject_fault(worker, fault);
+                    self.harness.fleet.inject_fault(worker, fault);
                     if let Some((span, _)) = end {
-                        self.later.set(now + span, Later::End(index));
+                        self.timers.set(now + span, Timer::FaultEnd(index));
                     }
                 }
                 Action::Drain(worker, span) => {
-                    self.bed.fleet.inject_fault(worker, Fault::Drain(true));
-                    self.later.set(now + lag, Later::Listed(worker, Listed::Leaving));
-                    self.later.set(now + span.max(lag), Later::Listed(worker, Listed::Gone));
-                    self.later.set(now + span, Later::Restart(worker));
+                    self.harness.fleet.inject_fault(worker, Fault::Drain(true));
+                    self.timers.set(now + roster_delay, Timer::RosterChange(worker, RosterChange::Leaving));
+                    self.timers
+                        .set(now + span.max(roster_delay), Timer::RosterChange(worker, RosterChange::Gone));
+                    self.timers.set(now + span, Timer::RestartWorker(worker));
                 }
                 Action::Kill(worker, span) => {
-                    self.bed.fleet.inject_fault(worker, Fault::Kill);
-                    if span > lag {
-                        self.later.set(now + lag, Later::Listed(worker, Listed::Gone));
+                    self.harness.fleet.inject_fault(worker, Fault::Kill);
+                    if span > roster_delay {
+                        self.timers.set(now + roster_delay, Timer::RosterChange(worker, RosterChange::Gone));
                     }
-                    self.later.set(now + span, Later::Restart(worker));
+                    self.timers.set(now + span, Timer::RestartWorker(worker));
                 }
                 Action::RestartGateway(index, span, kill) => {
-                    if let Some(gateway) = self.bed.take_gateway(index) {
+                    if let Some(gateway) = self.harness.take_gateway(index) {
                         if kill {
                             gateway.kill()
                         } else {
                             gateway.stop()
                         }
                         self.ending.push((index, gateway));
-                        self.later.set(now + span, Later::GatewayUp(index));
+                        self.timers.set(now + span, Timer::StartGateway(index));
                     }
                 }
                 Action::EmptyRoster(span) => {
-                    self.bed.roster.save_empty()?;
-                    self.later.set(now + span, Later::FillRoster);
+                    self.harness.roster.save_empty()?;
+                    self.timers.set(now + span, Timer::RestoreRoster);
                 }
                 Action::Surge(..) | Action::EarlyLeavers { .. } => {}
             },
-            Later::End(index) => {
-                if let Action::WorkerFault(worker, _, Some((_, end))) = self.script.steps[index].action {
-                    self.bed.fleet.inject_fault(worker, end);
+            Timer::FaultEnd(index) => {
+                if let Action::WorkerFault(worker, _, Some((_, end))) = self.scenario.steps[index].action {
+                    self.harness.fleet.inject_fault(worker, end);
                 }
             }
-            Later::Restart(worker) => {
-                self.bed.fleet.inject_fault(worker, Fault::Kill);
-                self.bed.fleet.inject_fault(worker, Fault::Restart);
-                self.later.set(now + lag, Later::Listed(worker, Listed::Started(wall())));
+            Timer::RestartWorker(worker) => {
+                self.harness.fleet.inject_fault(worker, Fault::Kill);
+                self.harness.fleet.inject_fault(worker, Fault::Restart);
+                self.timers
+                    .set(now + roster_delay, Timer::RosterChange(worker, RosterChange::Started(wall_time())));
+            }
+            Timer::RosterChange(worker, RosterChange::Leaving) => {
+                self.harness.roster.set_state(worker, WorkerState::Leaving)?
+            }
+            Timer::RosterChange(worker, RosterChange::Gone) => {
+                self.harness.roster.set_state(worker, WorkerState::Gone)?
             }
-            Later::Listed(worker, Listed::Leaving) => {
-                self.bed.roster.set_state(worker, WorkerState::Leaving)?
+            Timer::RosterChange(worker, RosterChange::Started(at)) => {
+                self.harness.roster.set_restarted(worker, at)?
             }
-            Later::Listed(worker, Listed::Gone) => self.bed.roster.set_state(worker, WorkerState::Gone)?,
-            Later::Listed(worker, Listed::Started(at)) => self.bed.roster.set_restarted(worker, at)?,
-            Later::FillRoster => self.bed.roster.save()?,
-            Later::GatewayUp(index) => self.gateway_up(now, index)?,
+            Timer::RestoreRoster => self.harness.roster.save()?,
+            Timer::StartGateway(index) => self.restart_gateway(now, index)?,
         }
         Ok(())
     }
 
-    /// Starts a gateway again once the one before has ended: it needs the same address.
-    fn gateway_up(&mut self, now: Micros, index: usize) -> Result<(), HarnessError> {
+    /// Starts a gateway again. It needs the address of the previous one, so while that has not ended this tries again
+    /// every 5 ms.
+    fn restart_gateway(&mut self, now: Micros, index: usize) -> Result<(), HarnessError> {
         match self.ending.iter().position(|(i, _)| *i == index) {
             Some(at) if !self.ending[at].1.is_finished() => {
-                self.later.set(now + 5_000, Later::GatewayUp(index));
+                self.timers.set(now + 5_000, Timer::StartGateway(index));
                 return Ok(());
             }
             Some(at) => self.ending.remove(at).1.join()?,
             None => {}
         }
-        self.bed.start_gateway(index)
+        self.harness.start_gateway(index)
     }
 }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -59,15 +59,15 @@
     /// Events a second.
     pub rate: f64,
     /// How long events are sent.
-    pub span: Micros,
+    pub duration: Micros,
     /// Mean work of a call.
-    pub work: Micros,
+    pub mean_work: Micros,
     /// Popularity of functions falls as 1 / rank to this power.
     pub popularity_exponent: f64,
     /// Bytes of payload.
     pub payload: usize,
     /// What clients do without a reply.
-    pub retries: RetryPolicy,
+    pub retry_policy: RetryPolicy,
     /// A client's patience is drawn between this share of its class's deadline and all of it.
     pub min_timeout_share: f64,
     /// What happens, by time.
@@ -139,11 +139,11 @@
         workers: specs.collect(),
         gateways,
         rate: number(&clients, "rate", 1.0, faults),
-        span: (number(&clients, "seconds", 1.0, faults) * 1e6) as Micros,
-        work,
+        duration: (number(&clients, "seconds", 1.0, faults) * 1e6) as Micros,
+        mean_work: work,
         popularity_exponent: number(&clients, "skew", 1.0, faults),
         payload: number(&clients, "payload", 200.0, faults) as usize,
-        retries: RetryPolicy {
+        retry_policy: RetryPolicy {
             max_retries: number(&clients, "retries", 0.0, faults) as u32,
             delay: micros(number(&clients, "retry-wait-ms", 100.0, faults)),
             ..RetryPolicy::default()
--- a/crates/scenario/src/workload.rs
+++ b/crates/scenario/src/workload.rs
@@ -10,19 +10,19 @@
 
 /// Every event of the day: arrivals by a Poisson process, popularity by Zipf's law, work by a gamma
 /// distribution of shape 4 around its mean.
-pub fn draw(script: &Scenario) -> Vec<PlannedEvent> {
+pub fn generate(script: &Scenario) -> Vec<PlannedEvent> {
     let mut rng = StdRng::seed_from_u64(script.seed);
     let mut plans = Vec::new();
     let config = &script.config;
     let popularity = Zipf::new(config.functions.len() as f64, script.popularity_exponent).ok();
-    let work = Gamma::new(4.0, script.work as f64 / 4.0).ok();
+    let work = Gamma::new(4.0, script.mean_work as f64 / 4.0).ok();
     let quotas = &config.controller.tenant_quotas;
     let tenants = WeightedIndex::new(quotas.iter().copied()).ok();
     let mut at = 0.0;
     loop {
         let rate = script.rate * surge(script, at as Micros) / 1e6;
         at += Exp::new(rate).map_or(1e6, |gap| gap.sample(&mut rng));
-        if at as Micros >= script.span {
+        if at as Micros >= script.duration {
             return plans;
         }
         let rank = popularity.map_or(1.0, |zipf| zipf.sample(&mut rng));
@@ -70,6 +70,6 @@
             abandon_after: Some(leave),
             ..RetryPolicy::default()
         },
-        None => RetryPolicy { retry_failures: safe, ..script.retries },
+        None => RetryPolicy { retry_failures: safe, ..script.retry_policy },
     }
 }
