--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,5 +1,5 @@
-//! Scripted days: gateways, stand-in workers and clients in one process on loopback, faults at told times,
-//! and a verdict on what crossed the sockets.
+//! Scripted scenarios: gateways, fake workers and clients in one process on loopback, faults at given times, and a
+//! verdict on the recorded traffic.
 #![warn(missing_docs)]
 
 mod harness;
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,3 +1,5 @@
+//! Reads scenario scripts.
+
 use basaltward_config::xml::{Element, parse_validated};
 use basaltward_config::{Config, ConfigError, Fault};
 use basaltward_fakes::{RetryPolicy, WorkerSpec};
@@ -6,110 +8,113 @@
 
 const SCHEMA: &str = include_str!("../play.xsd");
 
-/// What happens at a told time.
+/// A fault or a change that a scenario brings about. Spans are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// A fault of a worker, and its end after a span.
+    /// Injects a fault into a worker; if given, the second fault, which ends the first, follows after the span.
     WorkerFault(usize, basaltward_fakes::Fault, Option<(Micros, basaltward_fakes::Fault)>),
-    /// A worker drains; the roster says so after its lag, and after the span that it is gone.
+    /// Drains a worker and restarts it after the span. The roster lists it as leaving after the roster's delay and as
+    /// gone after the span, or after the delay if that is longer.
     Drain(usize, Micros),
-    /// A worker's process dies, and is back, cold, after the span.
+    /// Kills a worker's process and restarts it, cold, after the span. The roster lists it as gone after the roster's
+    /// delay unless it has restarted by then.
     Kill(usize, Micros),
-    /// A gateway is killed or stopped, and back after the span.
+    /// Kills (`true`) or stops (`false`) a gateway and starts it again after the span.
     RestartGateway(usize, Micros, bool),
-    /// The roster is empty for a span.
+    /// Empties the roster for the span.
     EmptyRoster(Micros),
-    /// The rate of calls is so many times higher for a span.
+    /// Multiplies the rate of events by the factor for the span.
     Surge(f64, Micros),
-    /// A share of clients leaves after a time and repeats the same event, so many times, for a span.
+    /// For a span, some clients disconnect early and repeat the event at once.
     EarlyLeavers {
-        /// Share of the events.
+        /// Share of the events whose clients do so.
         share: f64,
-        /// They leave after this.
+        /// Time without an answer after which they disconnect.
         disconnect_after: Micros,
-        /// And repeat so often.
+        /// Maximum of repeats of an event.
         max_repeats: u32,
-        /// How long the spell lasts.
+        /// For how long new events are affected.
         span: Micros,
     },
 }
 
-/// An act at its time.
+/// An action with its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimedAction {
-    /// From the start of the day.
+    /// Time from the start of the scenario, in microseconds.
     pub at: Micros,
-    /// What happens.
+    /// The action to carry out.
     pub action: Action,
 }
 
-/// A day.
+/// A scenario: gateways, workers, the load of the clients, and faults. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Settings of the gateways.
     pub config: Config,
-    /// Every random choice follows from it.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// How much later the roster tells of a worker's change.
+    /// How long after a worker's change the roster lists it.
     pub roster_delay: Micros,
-    /// The workers.
+    /// Specs of the workers.
     pub workers: Vec<WorkerSpec>,
     /// Number of gateways.
     pub gateways: u32,
-    /// Events a second.
+    /// Events per second.
     pub rate: f64,
-    /// How long events are sent.
+    /// How long clients send events.
     pub duration: Micros,
     /// Mean work of a call.
     pub mean_work: Micros,
-    /// Popularity of functions falls as 1 / rank to this power.
+    /// Exponent of Zipf's law: a function's popularity is proportional to 1 / rank to this power.
     pub popularity_exponent: f64,
-    /// Bytes of payload.
+    /// Size of an event's payload in bytes.
     pub payload: usize,
-    /// What clients do without a reply.
+    /// How clients retry.
     pub retry_policy: RetryPolicy,
-    /// A client's patience is drawn between this share of its class's deadline and all of it.
+    /// A client's timeout is drawn between this share of its class's deadline and the whole deadline.
     pub min_timeout_share: f64,
-    /// What happens, by time.
+    /// Actions, ordered by time.
     pub steps: Vec<TimedAction>,
 }
 
-/// Reads a script and the settings that it names.
+/// Reads a script and the settings file that it refers to.
 ///
 /// # Errors
-/// All faults of either file.
+/// If a file can't be read or is invalid; the error lists all faults of that file.
 pub fn load(path: &Path) -> Result<Scenario, ConfigError> {
-    let told = path.display().to_string();
-    let text =
-        std::fs::read_to_string(path).map_err(|source| ConfigError::File { path: told.clone(), source })?;
-    let folder = path.parent().unwrap_or(Path::new(""));
-    // The schema first, then the settings that the script names, then what needs both.
-    let named = parse_validated(&text, &told, SCHEMA, |root, _| {
+    let script_name = path.display().to_string();
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| ConfigError::File { path: script_name.clone(), source })?;
+    let directory = path.parent().unwrap_or(Path::new(""));
+    // Validates against the schema first, then loads the settings that the script refers to, then reads the rest of the
+    // script, which needs both.
+    let config_file = parse_validated(&text, &script_name, SCHEMA, |root, _| {
         root.attribute("config").unwrap_or_default().to_owned()
     })?;
-    let config = basaltward_config::load(&folder.join(named))?;
-    parse_validated(&text, &told, SCHEMA, |root, faults| script(root, config, faults))
+    let config = basaltward_config::load(&directory.join(config_file))?;
+    parse_validated(&text, &script_name, SCHEMA, |root, faults| read_scenario(root, config, faults))
 }
 
 fn micros(millis: f64) -> Micros {
     (millis * 1e3).round() as Micros
 }
 
-fn script(root: Element, mut config: Config, faults: &mut Vec<Fault>) -> Scenario {
-    let part = |name: &str| root.child(name).unwrap_or(root);
-    let (workers, clients) = (part("workers"), part("clients"));
-    let number = |node: &Element, name: &str, absent: f64, faults: &mut Vec<Fault>| {
-        node.parse_attribute::<f64>(name, faults).unwrap_or(absent)
+fn read_scenario(root: Element, mut config: Config, faults: &mut Vec<Fault>) -> Scenario {
+    let element = |name: &str| root.child(name).unwrap_or(root);
+    let (workers, clients) = (element("workers"), element("clients"));
+    let number = |node: &Element, name: &str, default: f64, faults: &mut Vec<Fault>| {
+        node.parse_attribute::<f64>(name, faults).unwrap_or(default)
     };
     let count = number(&workers, "count", 1.0, faults) as usize;
-    let gateways = number(&part("gateways"), "count", 1.0, faults) as u32;
-    config.threads = part("gateways").parse_attribute("threads", faults).unwrap_or(config.threads);
+    let gateways = number(&element("gateways"), "count", 1.0, faults) as u32;
+    config.threads = element("gateways").parse_attribute("threads", faults).unwrap_or(config.threads);
     let work = micros(number(&clients, "work-ms", 20.0, faults));
-    let usual = WorkerSpec::default();
+    let defaults = WorkerSpec::default();
     let rules = &config.controller.rules;
     let spec = WorkerSpec {
         cores: number(&workers, "cores", 4.0, faults) as u32,
-        memory_mb: config.controller.copies.kind_memory_mb.first().copied().unwrap_or(usual.memory_mb),
+        memory_mb: config.controller.copies.kind_memory_mb.first().copied().unwrap_or(defaults.memory_mb),
         default_work: work,
         fetch_and_start: (
             micros(number(&workers, "fetch-ms", 300.0, faults)),
@@ -123,14 +128,14 @@
         warm_up_time: rules.warm_within,
         overload_multiple: rules.overload_multiple,
         overload_window: rules.overload_span,
-        ..usual
+        ..defaults
     };
-    let slow = (number(&workers, "slow-share", 0.0, faults) * count as f64).round() as usize;
-    let specs =
-        (0..count).map(|index| WorkerSpec { speed: if index < slow { 0.75 } else { 1.0 }, ..spec.clone() });
+    let slow_workers = (number(&workers, "slow-share", 0.0, faults) * count as f64).round() as usize;
+    let specs = (0..count)
+        .map(|index| WorkerSpec { speed: if index < slow_workers { 0.75 } else { 1.0 }, ..spec.clone() });
     let mut steps: Vec<TimedAction> = Vec::new();
     for node in root.children_named("at") {
-        steps.extend(step(&node, count, gateways as usize, faults));
+        steps.extend(read_step(&node, count, gateways as usize, faults));
     }
     steps.sort_by_key(|step| step.at);
     Scenario {
@@ -154,29 +159,35 @@
     }
 }
 
-fn step(node: &Element, workers: usize, gateways: usize, faults: &mut Vec<Fault>) -> Option<TimedAction> {
-    use basaltward_fakes::Fault as Does;
+fn read_step(
+    node: &Element,
+    workers: usize,
+    gateways: usize,
+    faults: &mut Vec<Fault>,
+) -> Option<TimedAction> {
+    use basaltward_fakes::Fault as WorkerFault;
     let at = micros(node.parse_attribute("ms", faults)?);
-    let told = node.attribute("do").unwrap_or_default();
+    let action_name = node.attribute("do").unwrap_or_default();
     let span = node.parse_attribute::<f64>("for-ms", faults).map(micros);
     let mut position = |attribute: &str, count: usize| {
         let position = node.parse_attribute::<usize>(attribute, faults);
         if position.is_none_or(|p| p >= count) {
-            faults
-                .push(node.fault(format!("{told} needs {attribute} from 0 to {}", count.saturating_sub(1))));
+            faults.push(
+                node.fault(format!("{action_name} needs {attribute} from 0 to {}", count.saturating_sub(1))),
+            );
         }
         position.filter(|p| *p < count)
     };
     let mut worker = || position("worker", workers);
-    let act = match told {
+    let action = match action_name {
         "drain" => Action::Drain(worker()?, span.unwrap_or(3_000_000)),
         "kill" | "restart" => {
-            Action::Kill(worker()?, span.unwrap_or(if told == "kill" { 2_000_000 } else { 1 }))
+            Action::Kill(worker()?, span.unwrap_or(if action_name == "kill" { 2_000_000 } else { 1 }))
         }
         "kill-gateway" | "stop-gateway" => Action::RestartGateway(
             position("gateway", gateways)?,
             span.unwrap_or(500_000),
-            told == "kill-gateway",
+            action_name == "kill-gateway",
         ),
         "empty-roster" => Action::EmptyRoster(span.unwrap_or(1_000_000)),
         "surge" => {
@@ -190,24 +201,27 @@
         },
         "store" => {
             let times = node.parse_attribute("times", faults).unwrap_or(5.0);
-            let end = (span.unwrap_or(5_000_000), Does::StoreSlow(1.0));
-            Action::WorkerFault(0, Does::StoreSlow(times), Some(end))
+            let end = (span.unwrap_or(5_000_000), WorkerFault::StoreSlow(1.0));
+            Action::WorkerFault(0, WorkerFault::StoreSlow(times), Some(end))
         }
         _ => {
             let worker = worker()?;
-            let (begin, end) = match told {
-                "silent" => (Does::Silent(true), Does::Silent(false)),
-                "slow" => (Does::Slow(node.parse_attribute("times", faults).unwrap_or(5.0)), Does::Slow(1.0)),
-                "garbage" => (Does::Garbage(true), Does::Garbage(false)),
+            let (begin, end) = match action_name {
+                "silent" => (WorkerFault::Silent(true), WorkerFault::Silent(false)),
+                "slow" => (
+                    WorkerFault::Slow(node.parse_attribute("times", faults).unwrap_or(5.0)),
+                    WorkerFault::Slow(1.0),
+                ),
+                "garbage" => (WorkerFault::Garbage(true), WorkerFault::Garbage(false)),
                 "reset" => (
-                    Does::ResetAt(Some(node.parse_attribute("byte", faults).unwrap_or(0))),
-                    Does::ResetAt(None),
+                    WorkerFault::ResetAt(Some(node.parse_attribute("byte", faults).unwrap_or(0))),
+                    WorkerFault::ResetAt(None),
                 ),
-                "too-long" => (Does::TooLong(true), Does::TooLong(false)),
-                _ => (Does::CloseAfter(true), Does::CloseAfter(false)),
+                "too-long" => (WorkerFault::TooLong(true), WorkerFault::TooLong(false)),
+                _ => (WorkerFault::CloseAfter(true), WorkerFault::CloseAfter(false)),
             };
             Action::WorkerFault(worker, begin, Some((span.unwrap_or(3_000_000), end)))
         }
     };
-    Some(TimedAction { at, action: act })
+    Some(TimedAction { at, action })
 }
--- a/crates/scenario/src/workload.rs
+++ b/crates/scenario/src/workload.rs
@@ -1,4 +1,4 @@
-//! The events of a day, drawn from its seed.
+//! Generates the load of a scenario from its seed.
 
 use crate::script::{Action, Scenario};
 use basaltward_fakes::{PlannedEvent, RetryPolicy};
@@ -8,68 +8,74 @@
 use rand_distr::weighted::WeightedIndex;
 use rand_distr::{Distribution, Exp, Gamma, Zipf};
 
-/// Every event of the day: arrivals by a Poisson process, popularity by Zipf's law, work by a gamma
-/// distribution of shape 4 around its mean.
-pub fn generate(script: &Scenario) -> Vec<PlannedEvent> {
-    let mut rng = StdRng::seed_from_u64(script.seed);
+/// Generates all events of a scenario. Arrivals follow a Poisson process, the popularity of functions Zipf's law, and
+/// the work of calls a gamma distribution of shape 4.
+pub fn generate(scenario: &Scenario) -> Vec<PlannedEvent> {
+    let mut rng = StdRng::seed_from_u64(scenario.seed);
     let mut plans = Vec::new();
-    let config = &script.config;
-    let popularity = Zipf::new(config.functions.len() as f64, script.popularity_exponent).ok();
-    let work = Gamma::new(4.0, script.mean_work as f64 / 4.0).ok();
+    let config = &scenario.config;
+    let popularity = Zipf::new(config.functions.len() as f64, scenario.popularity_exponent).ok();
+    let work = Gamma::new(4.0, scenario.mean_work as f64 / 4.0).ok();
     let quotas = &config.controller.tenant_quotas;
     let tenants = WeightedIndex::new(quotas.iter().copied()).ok();
     let mut at = 0.0;
     loop {
-        let rate = script.rate * surge(script, at as Micros) / 1e6;
+        let rate = scenario.rate * surge_factor(scenario, at as Micros) / 1e6;
         at += Exp::new(rate).map_or(1e6, |gap| gap.sample(&mut rng));
-        if at as Micros >= script.duration {
+        if at as Micros >= scenario.duration {
             return plans;
         }
         let rank = popularity.map_or(1.0, |zipf| zipf.sample(&mut rng));
         let function = &config.functions[(rank as usize).clamp(1, config.functions.len()) - 1];
         let class = &config.controller.classes[function.class];
-        let share = rng.random_range(script.min_timeout_share.min(1.0)..=1.0);
+        let share = rng.random_range(scenario.min_timeout_share.min(1.0)..=1.0);
         let tenant = tenants.as_ref().map(|t| t.sample(&mut rng)).and_then(|t| config.tenants.get(t));
         plans.push(PlannedEvent {
             send_at: at as Micros,
-            gateway: rng.random_range(0..script.gateways as usize),
+            gateway: rng.random_range(0..scenario.gateways as usize),
             function: function.name.to_string(),
             class: config.classes[function.class].clone(),
             tenant: tenant.cloned().unwrap_or_default(),
             id: plans.len().to_string(),
             timeout: ((class.deadline as f64 * share) as Micros).max(1_000),
             work: work.map(|w| (w.sample(&mut rng) as Micros).max(100)),
-            payload: script.payload,
-            retry_policy: retries(script, at as Micros, class.repeat == basaltward::Repeat::Safe, &mut rng),
+            payload: scenario.payload,
+            retry_policy: retry_policy(
+                scenario,
+                at as Micros,
+                class.repeat == basaltward::Repeat::Safe,
+                &mut rng,
+            ),
         });
     }
 }
 
-/// How many times the usual rate, with all surges of this moment.
-fn surge(script: &Scenario, at: Micros) -> f64 {
-    let within = script.steps.iter().filter_map(|step| match step.action {
+/// Factor on the rate at this time: the product of all surges under way.
+fn surge_factor(scenario: &Scenario, at: Micros) -> f64 {
+    let factors = scenario.steps.iter().filter_map(|step| match step.action {
         Action::Surge(times, span) if (step.at..step.at + span).contains(&at) => Some(times),
         _ => None,
     });
-    within.product()
+    factors.product()
 }
 
-fn retries(script: &Scenario, at: Micros, safe: bool, rng: &mut impl Rng) -> RetryPolicy {
-    let spell = script.steps.iter().find_map(|step| match step.action {
-        Action::EarlyLeavers { share, disconnect_after: leave, max_repeats: repeats, span }
+/// The retry policy of an event sent at this time. Clients of safe events also retry after a failure.
+fn retry_policy(scenario: &Scenario, at: Micros, safe: bool, rng: &mut impl Rng) -> RetryPolicy {
+    let early_leavers = scenario.steps.iter().find_map(|step| match step.action {
+        Action::EarlyLeavers { share, disconnect_after, max_repeats, span }
             if (step.at..step.at + span).contains(&at) =>
         {
-            Some((share, leave, repeats))
+            Some((share, disconnect_after, max_repeats))
         }
         _ => None,
     });
-    match spell.filter(|(share, ..)| rng.random_bool(*share)) {
-        Some((_, leave, repeats)) => RetryPolicy {
-            max_retries: repeats,
+    match early_leavers.filter(|(share, ..)| rng.random_bool(*share)) {
+        Some((_, abandon_after, max_retries)) => RetryPolicy {
+            max_retries,
             delay: 0,
-            abandon_after: Some(leave),
+            abandon_after: Some(abandon_after),
             ..RetryPolicy::default()
         },
-        None => RetryPolicy { retry_failures: safe, ..script.retry_policy },
+        None => RetryPolicy { retry_failures: safe, ..scenario.retry_policy },
     }
 }
