--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -81,7 +81,7 @@
 /// A command to the event loop: a worker's position, a fault and where to confirm it; `None` ends the loop.
 type Command = Option<(usize, Fault, SyncSender<()>)>;
 
-/// A running fleet.
+/// A running fleet of fake workers.
 pub struct Fleet {
     addresses: Vec<SocketAddr>,
     faults: Sender<Command>,
--- a/crates/fakes/src/line_worker.rs
+++ b/crates/fakes/src/line_worker.rs
@@ -231,7 +231,7 @@
         *lock(&self.shared.accept_gate.0) = AcceptGate::Closing;
         rustix::net::listen(&self.listener, 0)?;
         // The accepting thread holds one connection, a second one fills the system's accept queue. If a caller connects
-        // first, its connection takes one of these places, and the connect below may time out because the queue is full.
+        // first, its connection takes one of these places, and the connect below may time out since the queue is full.
         let fill = || match TcpStream::connect_timeout(&self.address, Duration::from_millis(500)) {
             Ok(stream) => Ok(Some(stream)),
             Err(error) if error.kind() == io::ErrorKind::TimedOut => Ok(None),
--- a/crates/fakes/src/worker_model.rs
+++ b/crates/fakes/src/worker_model.rs
@@ -199,6 +199,7 @@
         }
     }
 
+    /// When the next timer expires.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.next_due()
     }
@@ -225,10 +226,12 @@
         (self.running.len() + queued, pinned / self.spec.memory_mb, loads)
     }
 
+    /// Work of a call, or the worker's default.
     pub fn work_of(&self, call: &Call) -> Micros {
         call.work.unwrap_or(self.spec.default_work)
     }
 
+    /// Handles an arriving call.
     pub fn call(
         &mut self,
         now: Micros,
@@ -380,8 +383,8 @@
     /// that is not enough.
     fn free_memory(&mut self, name: &str, needed: f64) -> bool {
         loop {
-            let held = |c: &Copies| f64::from(c.loaded + c.loading) * c.memory_mb;
-            let used: f64 = self.copies.values().map(held).sum();
+            let occupied = |c: &Copies| f64::from(c.loaded + c.loading) * c.memory_mb;
+            let used: f64 = self.copies.values().map(occupied).sum();
             if used + needed <= self.spec.memory_mb {
                 return true;
             }
@@ -394,7 +397,8 @@
         }
     }
 
-    /// Fails the pending orders of a function after a failed load; its queued calls too if no copy is loaded or loading.
+    /// Fails the pending orders of a function after a failed load, and its queued calls too if no copy is loaded or
+    /// loading.
     fn fail_waiting(&mut self, keys: &mut DedupTable, name: &str, out: &mut Vec<Reply>) {
         let Some(copies) = self.copies.get_mut(name) else { return };
         for (token, _) in copies.orders.drain(..) {
@@ -445,8 +449,8 @@
         (store, keys): (&mut Store, &mut DedupTable),
         out: &mut Vec<Reply>,
     ) {
-        while let Some((_, due)) = self.timers.pop_due(now) {
-            match due {
+        while let Some((_, timer)) = self.timers.pop_due(now) {
+            match timer {
                 Timer::CallFinished(token) => self.finish(now, keys, token, out),
                 Timer::Fetched(number) => {
                     store.end_fetch();
@@ -460,9 +464,11 @@
                     self.begin_queued_load(now, (store, keys), out);
                 }
                 Timer::IdleCheck => {
-                    let keep = self.spec.idle_timeout;
-                    for copies in
-                        self.copies.values_mut().filter(|c| c.busy_lanes == 0 && c.last_used + keep <= now)
+                    let idle_timeout = self.spec.idle_timeout;
+                    for copies in self
+                        .copies
+                        .values_mut()
+                        .filter(|c| c.busy_lanes == 0 && c.last_used + idle_timeout <= now)
                     {
                         copies.loaded = 0;
                     }
--- a/crates/scenario/tests/failure_cases.rs
+++ b/crates/scenario/tests/failure_cases.rs
@@ -67,8 +67,8 @@
         .iter()
         .position(|r| matches!(&r.observation, Observation::WorkerState { state, .. } if state == "leaving"));
     let after = &records[reported.expect("state reported")..];
-    let to_it = |r: &&basaltward_rules::Record| matches!(&r.observation, Observation::Sent { worker, .. } if *worker == address);
-    assert_eq!((after.iter().filter(to_it).count(), breaches), (0, Vec::new()));
+    let sent_to_worker = |r: &&basaltward_rules::Record| matches!(&r.observation, Observation::Sent { worker, .. } if *worker == address);
+    assert_eq!((after.iter().filter(sent_to_worker).count(), breaches), (0, Vec::new()));
 }
 
 #[test]
@@ -103,10 +103,11 @@
     // Uses a client that writes records, since the checker needs the event's class.
     let (to, recorder) = (harness.addresses[0], harness.recorder.clone());
     let plans = vec![PlannedEvent { work: Some(400_000), ..plan("note", "keyed", 0) }];
-    let clients = std::thread::spawn(move || Clients::new(vec![to], recorder).expect("clients").run(plans));
+    let clients =
+        std::thread::spawn(move || Clients::new(vec![to], recorder).expect("clients created").run(plans));
     let worker = wait_running(&harness, "0");
     harness.fleet.inject_fault(worker, Fault::Kill);
-    assert_eq!(clients.join().expect("no panic").expect("run").served, 1);
+    assert_eq!(clients.join().expect("clients did not panic").expect("clients ran").served, 1);
     let (records, breaches) = judge(harness);
     assert_eq!((run_count(&records, "0"), breaches.len(), breaches[0].rule), (2, 1, 2), "{breaches:?}");
 }
@@ -136,7 +137,10 @@
     let to = harness.addresses[0];
     let mut idle: Vec<_> = (0..2_000).map(|_| Client::new(to)).collect();
     let plans = (0..300).map(|id| plan("view", "safe", id)).collect();
-    let stats = Clients::new(vec![to], harness.recorder.clone()).expect("clients").run(plans).expect("run");
+    let stats = Clients::new(vec![to], harness.recorder.clone())
+        .expect("clients created")
+        .run(plans)
+        .expect("clients ran");
     assert_eq!(stats.served, 300);
     let last = idle.last_mut().expect("idle connection exists");
     last.send(&event_request("view", "idle", "", "x"));
@@ -258,7 +262,7 @@
 
 #[test]
 fn the_checker_catches_a_gateway_that_forgets_executed_events() {
-    // Without a guard: the record of an unsafe event is dropped at once. Validation of a settings file would reject this.
+    // Without a guard: the record of an unsafe event is dropped at once. Validation of a settings file rejects this.
     let mut config = config();
     config.repeats.retention = 0;
     let harness =
@@ -270,7 +274,7 @@
     let again = |id| PlannedEvent { send_at: 300_000, ..twice(id) };
     let plans = vec![PlannedEvent { retry_policy: repeat, ..twice(1) }, again(1), twice(2), again(2)];
     let recorder = harness.recorder.clone();
-    Clients::new(vec![to], recorder.clone()).expect("clients").run(plans).expect("run");
+    Clients::new(vec![to], recorder.clone()).expect("clients created").run(plans).expect("clients ran");
     harness.stop().expect("harness stopped");
     let breaches = basaltward_rules::check(&recorder.take(), &rules);
     assert!(breaches.iter().any(|b| b.rule == 2), "{breaches:?}");
--- a/crates/scenario/tests/loops.rs
+++ b/crates/scenario/tests/loops.rs
@@ -34,9 +34,9 @@
 
 fn run_clients(harness: &Harness, plans: Vec<PlannedEvent>) -> ClientStats {
     Clients::new(harness.addresses.clone(), harness.recorder.clone())
-        .expect("clients")
+        .expect("clients created")
         .run(plans)
-        .expect("run")
+        .expect("clients ran")
 }
 
 /// Number of loops with a record for which `matches` is true.
