--- a/crates/cli/tests/crossings/killed.rs
+++ b/crates/cli/tests/crossings/killed.rs
@@ -3,7 +3,7 @@
 use crate::common::{Limits, TEST_TIMEOUT, bulletin_entry, config_json, wait_until_delivered};
 use crate::process::{file, freeze, signal, start};
 use basaltward_fakes::{
-    ExecRequest, FakeBulletin, FrontClient, FrontReply, LineWorker, WorkerAction, answer_line,
+    ExecRequest, FakeBulletin, LineWorker, ThriftClient, ThriftReply, WorkerAction, answer_line,
 };
 use basaltward_rules::Recorder;
 use rustix::process::Signal;
@@ -86,8 +86,8 @@
         self.schedulers[n].1
     }
 
-    fn client(&self, n: usize) -> FrontClient {
-        FrontClient::connect(self.to(n), TEST_TIMEOUT).expect("connected")
+    fn client(&self, n: usize) -> ThriftClient {
+        ThriftClient::connect(self.to(n), TEST_TIMEOUT).expect("connected")
     }
 
     /// Calls are served there. On a loaded machine some are turned away first.
@@ -98,7 +98,7 @@
             let mut client = self.client(n);
             send(&mut client, &one, again << 8 | n as u64);
             let told = client.read().expect("a reply").expect("an answer").1;
-            if matches!(told, FrontReply::Served(_)) {
+            if matches!(told, ThriftReply::Served(_)) {
                 return;
             }
             assert!(Instant::now() < until, "{told:?}");
@@ -119,7 +119,7 @@
     }
 
     /// Kills the first scheduler; none of its clients gets a byte any more.
-    fn kill(&mut self, mut clients: Vec<FrontClient>) {
+    fn kill(&mut self, mut clients: Vec<ThriftClient>) {
         let child = &mut self.schedulers[0].0;
         signal(child, Signal::KILL);
         child.wait().expect("ended");
@@ -127,7 +127,7 @@
     }
 
     /// The client's repeat at the other scheduler: the one answer that it gets, and no second one.
-    fn repeat(&self, one: &Op, id: u64) -> FrontReply {
+    fn repeat(&self, one: &Op, id: u64) -> ThriftReply {
         let mut client = self.client(1);
         let asked = send(&mut client, one, id);
         let (seqid, told) = client.read().expect("told").expect("an answer");
@@ -157,7 +157,7 @@
     key: Option<&'static str>,
 }
 
-fn send(client: &mut FrontClient, one: &Op, id: u64) -> i32 {
+fn send(client: &mut ThriftClient, one: &Op, id: u64) -> i32 {
     let id = format!("{id:016x}");
     let mut fields = vec![
         ("kind", one.class),
@@ -170,7 +170,7 @@
     client.submit(&fields, &one.body).expect("sent")
 }
 
-fn all_came(bed: &Bed, client: &FrontClient) {
+fn all_came(bed: &Bed, client: &ThriftClient) {
     wait_until_delivered(client.stream().local_addr().expect("it stands"), bed.to(0), "revoke");
 }
 
@@ -189,7 +189,7 @@
     }
     bed.kill(clients);
     for n in 0..2 {
-        assert!(matches!(bed.repeat(&unsafe_one(n), 0x200 + n as u64), FrontReply::Served(_)));
+        assert!(matches!(bed.repeat(&unsafe_one(n), 0x200 + n as u64), ThriftReply::Served(_)));
     }
     bed.passes(1);
     assert_eq!([0, 1].map(|n| bed.ran(&unsafe_one(n).body)), [1, 1]);
@@ -212,7 +212,7 @@
     // By now the system would have tried again what a living one had begun.
     std::thread::sleep(Duration::from_millis(1_300));
     assert_eq!(bed.ran(&waits.body), 0, "nothing of it had left");
-    assert!(matches!(bed.repeat(&waits, 0x200), FrontReply::Served(_)));
+    assert!(matches!(bed.repeat(&waits, 0x200), ThriftReply::Served(_)));
     bed.passes(1);
     assert_eq!(bed.ran(&waits.body), 1);
 }
@@ -225,7 +225,7 @@
     send(&mut client, &deed, 0x100);
     bed.runs(&deed.body);
     bed.kill(vec![client]);
-    assert!(matches!(bed.repeat(&deed, 0x200), FrontReply::Served(_)));
+    assert!(matches!(bed.repeat(&deed, 0x200), ThriftReply::Served(_)));
     assert_eq!(bed.ran(&deed.body), 1);
 }
 
@@ -240,7 +240,7 @@
     all_came(&bed, &client);
     bed.kill(vec![client]);
     // It has run there, and nobody can tell: it has failed, and no other worker gets it.
-    assert_eq!(bed.repeat(&broken, 0x200), FrontReply::Crashed);
+    assert_eq!(bed.repeat(&broken, 0x200), ThriftReply::Crashed);
     bed.passes(1);
     assert_eq!(bed.ran(&broken.body), 1);
 }
--- a/crates/cli/tests/crossings/ready.rs
+++ b/crates/cli/tests/crossings/ready.rs
@@ -1,15 +1,15 @@
 //! The program stands still for a while: once it says that it is ready, it serves.
 use crate::common::{Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send, wait_until_delivered};
 use crate::process::{file, freeze, signal, start, thaw};
-use basaltward_fakes::{FakeBulletin, FrontClient, FrontReply, LineWorker};
+use basaltward_fakes::{FakeBulletin, LineWorker, ThriftClient, ThriftReply};
 use basaltward_rules::Recorder;
 use rustix::process::Signal;
 use std::net::SocketAddr;
 use std::process::Child;
 use std::time::{Duration, Instant};
 
-fn client(to: SocketAddr) -> FrontClient {
-    FrontClient::connect(to, TEST_TIMEOUT).expect("connected")
+fn client(to: SocketAddr) -> ThriftClient {
+    ThriftClient::connect(to, TEST_TIMEOUT).expect("connected")
 }
 
 /// Between two calls of which the first was turned away.
@@ -20,7 +20,7 @@
 
 /// A good heartbeat, and then at once a call on a connection of its own, which is answered. A machine that is late may
 /// have some turned away or failed first, and soon none.
-fn ready_and_serves(to: SocketAddr, front: &mut FrontClient, number: u64, when: &str) {
+fn ready_and_serves(to: SocketAddr, front: &mut ThriftClient, number: u64, when: &str) {
     assert_eq!(front.is_ready().expect("told"), Some(true), "{when}");
     let since = Instant::now();
     for again in 0.. {
@@ -30,8 +30,8 @@
         let (seqid, told) = asks.read().expect("told").expect("an answer");
         assert_eq!(seqid, asked, "{when}");
         match told {
-            FrontReply::Served(_) => return,
-            FrontReply::Rejected(_) | FrontReply::Crashed if since.elapsed() < SOON => {
+            ThriftReply::Served(_) => return,
+            ThriftReply::Rejected(_) | ThriftReply::Crashed if since.elapsed() < SOON => {
                 std::thread::sleep(PAUSE)
             }
             told => panic!("{when}: {told:?} after {:?}", since.elapsed()),
--- a/crates/cli/tests/crossings/restarts.rs
+++ b/crates/cli/tests/crossings/restarts.rs
@@ -2,7 +2,7 @@
 //! by itself before SIGKILL may come.
 use crate::common::{Call, Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send};
 use crate::process::{end, file, signal, start};
-use basaltward_fakes::{ExecRequest, FakeBulletin, FrontClient, FrontReply, LineWorker, WorkerAction};
+use basaltward_fakes::{ExecRequest, FakeBulletin, LineWorker, ThriftClient, ThriftReply, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
 use rustix::process::Signal;
@@ -99,7 +99,7 @@
 }
 
 /// Sends one request and reads its answer.
-fn ask(client: &mut FrontClient, number: u64) -> Told {
+fn ask(client: &mut ThriftClient, number: u64) -> Told {
     let class = if number.is_multiple_of(2) { "view" } else { "extract" };
     let function = format!("7f3a9c21e0b4{:04x}", number % 40);
     let one = Call { timeout_ms: TIMEOUT / MS, function, ..call(number, class) };
@@ -112,9 +112,9 @@
             assert_eq!(id, seqid, "an answer to another request");
             match reply {
                 _ if took > TIMEOUT + LATE => Told::TooLate(took),
-                FrontReply::Served(_) => Told::Served,
-                FrontReply::Rejected(_) => Told::Refused,
-                FrontReply::Crashed | FrontReply::Exception => Told::Failed,
+                ThriftReply::Served(_) => Told::Served,
+                ThriftReply::Rejected(_) => Told::Refused,
+                ThriftReply::Crashed | ThriftReply::Exception => Told::Failed,
             }
         }
         Ok(None) | Err(_) => Told::Nothing,
@@ -129,10 +129,10 @@
     (before, after): (&Barrier, &Barrier),
     term: &dyn Fn() -> Micros,
 ) -> Vec<Went> {
-    let mut kept = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
+    let mut kept = ThriftClient::connect(to, TEST_TIMEOUT).expect("connected");
     let mut went = Vec::new();
     let mut next = number << 32;
-    let mut one = |client: &mut FrontClient, connection, term| {
+    let mut one = |client: &mut ThriftClient, connection, term| {
         next += 1;
         let sent = since(term, monotonic());
         went.push(Went { connection, sent, told: ask(client, next) });
@@ -150,7 +150,7 @@
             break;
         }
         if now < connects && nth % 2 == 1 {
-            let mut new = FrontClient::connect(to, TEST_TIMEOUT).expect("it still listens");
+            let mut new = ThriftClient::connect(to, TEST_TIMEOUT).expect("it still listens");
             one(&mut new, "new", Some(term));
         } else {
             one(&mut kept, "kept", Some(term));
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -4,7 +4,7 @@
 mod common;
 mod process;
 
-use basaltward_fakes::{FakeBulletin, FrontClient, FrontReply, LineWorker};
+use basaltward_fakes::{FakeBulletin, LineWorker, ThriftClient, ThriftReply};
 use basaltward_rules::Recorder;
 use common::{Limits, TEST_TIMEOUT, bulletin_entry, config_json};
 use process::{file, program, signal, start, start_heard};
@@ -50,11 +50,11 @@
     line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("a number")
 }
 
-fn call(to: SocketAddr, number: u64) -> FrontReply {
+fn call(to: SocketAddr, number: u64) -> ThriftReply {
     call_within(to, number, 800)
 }
 
-fn call_within(to: SocketAddr, number: u64, timeout_ms: u64) -> FrontReply {
+fn call_within(to: SocketAddr, number: u64, timeout_ms: u64) -> ThriftReply {
     let timeout = timeout_ms.to_string();
     let (id, function) = (format!("{number:016x}"), format!("{:016x}", number | 1 << 60));
     let fields = [
@@ -64,7 +64,7 @@
         ("subject", function.as_str()),
         ("props", "memory_mb:64;lanes:8;load_ms:20"),
     ];
-    let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
+    let mut client = ThriftClient::connect(to, TEST_TIMEOUT).expect("connected");
     client.submit(&fields, b"a body").expect("sent");
     client.read().expect("a reply").expect("an answer").1
 }
@@ -88,11 +88,11 @@
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let config = file("signals", &config_json(Limits::default(), board.address(), &targets));
     let (mut child, to) = start(&config);
-    assert!(matches!(call(to, 1), FrontReply::Served(_)));
+    assert!(matches!(call(to, 1), ThriftReply::Served(_)));
     for sent in [Signal::HUP, Signal::HUP, Signal::TERM, Signal::HUP, Signal::TERM] {
         signal(&child, sent);
     }
-    assert!(matches!(call(to, 2), FrontReply::Served(_)));
+    assert!(matches!(call(to, 2), ThriftReply::Served(_)));
     assert!(child.wait().expect("ended").success());
     std::fs::remove_file(config).expect("removed");
 }
@@ -119,7 +119,7 @@
                 generation += 1;
             }
             let told = call(to, number);
-            assert!(matches!(told, FrontReply::Served(_)), "{number}: {told:?}");
+            assert!(matches!(told, ThriftReply::Served(_)), "{number}: {told:?}");
         }
     };
     // Its tables have their size by then.
@@ -203,7 +203,7 @@
         signal(&child, Signal::HUP);
         let line = said(&lines, "not taken");
         assert!(line.contains(named), "{named}: {line}");
-        assert!(matches!(call(to, number as u64), FrontReply::Served(_)));
+        assert!(matches!(call(to, number as u64), ThriftReply::Served(_)));
         // It is read again every 0.1 s meanwhile.
         assert!(never_said(&lines, "configuration", Duration::from_millis(350)), "{named}: said twice");
     }
@@ -218,7 +218,7 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     assert!(never_said(&lines, "configuration", Duration::from_millis(350)), "it was read again");
-    assert!(matches!(call(to, 99), FrontReply::Served(_)));
+    assert!(matches!(call(to, 99), ThriftReply::Served(_)));
     stop(child);
     std::fs::remove_file(config).expect("removed");
 }
@@ -245,7 +245,7 @@
         signal(&child, Signal::HUP);
         let at = if nth % 2 == 0 { new.address() } else { old.address() };
         assert!(said(&lines, "configuration read").contains(&at.to_string()));
-        assert!(matches!(call(to, nth), FrontReply::Served(_)));
+        assert!(matches!(call(to, nth), ThriftReply::Served(_)));
     }
     stop(child);
     std::fs::remove_file(config).expect("removed");
@@ -269,7 +269,7 @@
     signal(&child, Signal::HUP);
     said(&lines, "not taken");
     std::thread::sleep(Duration::from_millis(2_000));
-    assert!(matches!(call(to, 1), FrontReply::Served(_)));
+    assert!(matches!(call(to, 1), ThriftReply::Served(_)));
     std::fs::write(&config, &good).expect("written");
     assert!(said(&lines, "configuration read").contains(&new.address().to_string()));
     stop(child);
@@ -298,7 +298,7 @@
         assert!(Instant::now() < until, "the new one is never followed");
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(matches!(call(to, 1), FrontReply::Served(_)));
+    assert!(matches!(call(to, 1), ThriftReply::Served(_)));
     stop(child);
     std::fs::remove_file(config).expect("removed");
 }
@@ -327,11 +327,11 @@
             std::thread::spawn(move || {
                 let began = Instant::now();
                 let (child, to) = start(&config);
-                let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
+                let mut client = ThriftClient::connect(to, TEST_TIMEOUT).expect("connected");
                 client.heartbeat().expect("sent");
                 let reply = client.read().expect("a reply").expect("an answer").1;
                 let took = began.elapsed();
-                assert!(matches!(reply, FrontReply::Served(_)), "{reply:?}");
+                assert!(matches!(reply, ThriftReply::Served(_)), "{reply:?}");
                 (child, to, config, took)
             })
         })
@@ -348,7 +348,7 @@
         assert!(spent < 20, "{spent} ticks of processor time in two seconds");
         // As long as the class allows: a machine that is late by itself is no matter here.
         let reply = call_within(*to, u64::from(child.id()), 8_000);
-        assert!(matches!(reply, FrontReply::Served(_)), "{reply:?}");
+        assert!(matches!(reply, ThriftReply::Served(_)), "{reply:?}");
     }
     for (child, _, config, _) in fleet {
         stop(child);
@@ -363,13 +363,13 @@
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let config = file("short", &config_json(Limits::default(), board.address(), &targets));
     let (mut child, to) = start(&config);
-    assert!((1..50).any(|n| matches!(call(to, n << 20), FrontReply::Served(_))));
+    assert!((1..50).any(|n| matches!(call(to, n << 20), ThriftReply::Served(_))));
     let pid = Pid::from_raw(child.id() as i32);
     let open = std::fs::read_dir(format!("/proc/{}/fd", child.id())).expect("it runs").count() as u64;
     let maximum = getrlimit(Resource::Nofile).maximum;
     let limit = prlimit(pid, Resource::Nofile, Rlimit { current: Some(open + 4), maximum }).expect("set");
     let mut idle: Vec<_> =
-        (0..20).map(|_| FrontClient::connect(to, TEST_TIMEOUT).expect("connected")).collect();
+        (0..20).map(|_| ThriftClient::connect(to, TEST_TIMEOUT).expect("connected")).collect();
     // The bulletin and the worker end what stands, and new connections to them need descriptors too.
     worker.reset_all();
     board.disconnect_all();
@@ -378,7 +378,7 @@
     let used = ticks(&child) - before;
     assert!(used < 30, "{used} hundredths of a second in one");
     prlimit(pid, Resource::Nofile, limit).expect("set");
-    assert!((1..50).any(|n| matches!(call(to, n << 20 | 2), FrontReply::Served(_))));
+    assert!((1..50).any(|n| matches!(call(to, n << 20 | 2), ThriftReply::Served(_))));
     let asked = idle[19].heartbeat().expect("sent");
     assert_eq!(idle[19].read().expect("told").map(|(seqid, _)| seqid), Some(asked));
     signal(&child, Signal::TERM);
@@ -394,13 +394,13 @@
     let limits = Limits::default();
     let config = file("flood", &config_json(limits, board.address(), &targets));
     let (mut child, to) = start(&config);
-    assert!((1..50).any(|n| matches!(call(to, n << 20), FrontReply::Served(_))));
+    assert!((1..50).any(|n| matches!(call(to, n << 20), ThriftReply::Served(_))));
     let before = resident(&child);
     // Each says that sixty megabytes come, or sends many requests and reads none of the answers.
     let floods: Vec<_> = (0..40)
         .map(|number| {
             std::thread::spawn(move || {
-                let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
+                let mut client = ThriftClient::connect(to, TEST_TIMEOUT).expect("connected");
                 client.stream().set_write_timeout(Some(Duration::from_millis(300))).expect("it stands");
                 let body = vec![b'x'; 16 << 10];
                 for sent in 0..400u64 {
@@ -428,7 +428,7 @@
     let held: Vec<_> = floods.into_iter().map(|flood| flood.join().expect("it ran")).collect();
     let after = resident(&child);
     assert!(after < before + u64::from(limits.memory_mb) * 1_024, "{before} KiB, then {after} KiB");
-    assert!((1..50).any(|n| matches!(call(to, n << 20 | 2), FrontReply::Served(_))));
+    assert!((1..50).any(|n| matches!(call(to, n << 20 | 2), ThriftReply::Served(_))));
     drop(held);
     signal(&child, Signal::TERM);
     assert!(child.wait().expect("ended").success());
@@ -453,7 +453,7 @@
     drop(taken);
     let until = Instant::now() + TEST_TIMEOUT;
     let serves = || {
-        FrontClient::connect(at, TEST_TIMEOUT)
+        ThriftClient::connect(at, TEST_TIMEOUT)
             .is_ok_and(|mut client| client.is_ready().is_ok_and(|r| r == Some(true)))
     };
     while !serves() {
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -9,7 +9,7 @@
 mod common;
 mod process;
 
-use basaltward_fakes::{ExecRequest, FakeBulletin, FrontClient, FrontReply, LineWorker, WorkerAction};
+use basaltward_fakes::{ExecRequest, FakeBulletin, LineWorker, ThriftClient, ThriftReply, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
 use common::{Call, Limits, bulletin_entry, config_json, fields};
@@ -228,7 +228,7 @@
 }
 
 /// Whether the peer has ended this connection, as a client looks before it sends.
-fn has_ended(client: &FrontClient) -> bool {
+fn has_ended(client: &ThriftClient) -> bool {
     let stream = client.stream();
     let _ = stream.set_nonblocking(true);
     let seen = stream.peek(&mut [0]);
@@ -240,7 +240,7 @@
 }
 
 /// Sends one request, at times in two pieces, and waits for its answer.
-fn ask(client: &mut FrontClient, one: &Call, apart: Option<Duration>, served: &mut bool) -> (Micros, Told) {
+fn ask(client: &mut ThriftClient, one: &Call, apart: Option<Duration>, served: &mut bool) -> (Micros, Told) {
     let timeout = one.timeout_ms.to_string();
     let fields = fields(one, &timeout);
     let written = match apart {
@@ -257,7 +257,7 @@
     match reply {
         Ok(Some((of, reply))) => {
             assert_eq!(of, seqid, "an answer to another request");
-            if let FrontReply::Served(body) = reply {
+            if let ThriftReply::Served(body) = reply {
                 let turned: Vec<u8> = one.body.iter().rev().copied().collect();
                 assert!(body == turned, "a body that no worker made");
                 *served = true;
@@ -283,8 +283,8 @@
 }
 
 impl Player<'_> {
-    fn connect(&self) -> Option<FrontClient> {
-        FrontClient::connect(self.to, Duration::from_millis(self.scenario.deadline_ms + 4_000)).ok()
+    fn connect(&self) -> Option<ThriftClient> {
+        ThriftClient::connect(self.to, Duration::from_millis(self.scenario.deadline_ms + 4_000)).ok()
     }
 
     fn call(&mut self) -> Call {
@@ -304,7 +304,7 @@
 
     /// One request by the platform's terms: one that crosses the close of its connection is sent again on a new one,
     /// once. Gives whether the connection still stands.
-    fn one(&mut self, client: &mut FrontClient) -> bool {
+    fn one(&mut self, client: &mut ThriftClient) -> bool {
         let (one, apart) = (self.call(), self.draw.one_in(5).then(|| self.draw.below(45)));
         let mut served = false;
         if apart.is_none() {
@@ -347,7 +347,7 @@
     fn play(mut self) -> Had {
         let opens = (200 + self.draw.below(200)) * MS;
         let may_open = |phase: &Phase| phase.since_term(monotonic()).is_none_or(|since| since < opens);
-        let mut kept: Option<FrontClient> = None;
+        let mut kept: Option<ThriftClient> = None;
         while !self.phase.killed.load(Ordering::SeqCst) {
             let mut client = match kept.take().filter(|client| !has_ended(client)) {
                 Some(client) => client,
--- a/crates/cli/tests/stalls.rs
+++ b/crates/cli/tests/stalls.rs
@@ -4,7 +4,7 @@
 mod common;
 mod process;
 
-use basaltward_fakes::{ExecRequest, FakeBulletin, FrontClient, FrontReply, LineWorker, answer_line};
+use basaltward_fakes::{ExecRequest, FakeBulletin, LineWorker, ThriftClient, ThriftReply, answer_line};
 use basaltward_net::monotonic;
 use basaltward_rules::{Observation, Recorder};
 use common::{
@@ -42,8 +42,8 @@
         Self { child, to, workers, config, recorder, _board: board }
     }
 
-    fn client(&self) -> FrontClient {
-        FrontClient::connect(self.to, TEST_TIMEOUT).expect("connected")
+    fn client(&self) -> ThriftClient {
+        ThriftClient::connect(self.to, TEST_TIMEOUT).expect("connected")
     }
 
     /// A call of a client of its own is served: the scheduler has come to what lay in its sockets before. On a loaded
@@ -55,7 +55,7 @@
             let asked = send(&mut client, &call(again << 20 | number, "view"));
             let (seqid, told) = client.read().expect("a reply").expect("an answer");
             assert_eq!(seqid, asked);
-            if matches!(told, FrontReply::Served(_)) {
+            if matches!(told, ThriftReply::Served(_)) {
                 return;
             }
             assert!(Instant::now() < until, "{told:?}");
@@ -235,7 +235,8 @@
         thaw(&bed.child);
         let told = client.read().expect("told");
         // It may be turned away, which is an answer.
-        let answered = |reply: &FrontReply| matches!(reply, FrontReply::Served(_) | FrontReply::Rejected(_));
+        let answered =
+            |reply: &ThriftReply| matches!(reply, ThriftReply::Served(_) | ThriftReply::Rejected(_));
         assert!(
             told.as_ref().is_some_and(|(id, reply)| *id == asked && answered(reply)),
             "{which}: {told:?}"
@@ -317,7 +318,7 @@
         std::thread::sleep(Duration::from_millis(300));
         thaw(&bed.child);
         let told = client.read().expect("told");
-        let answered = |reply: &FrontReply| matches!(reply, FrontReply::Served(_) | FrontReply::Crashed);
+        let answered = |reply: &ThriftReply| matches!(reply, ThriftReply::Served(_) | ThriftReply::Crashed);
         assert!(told.as_ref().is_some_and(|(id, reply)| *id == seqid && answered(reply)), "{told:?}");
         let next = client.heartbeat().expect("sent");
         assert_eq!(client.read().expect("told").map(|(seqid, _)| seqid), Some(next), "a second answer");
@@ -343,11 +344,11 @@
     std::thread::sleep(Duration::from_millis(1_000));
     thaw(&bed.child);
     let told = client.read().expect("told").expect("an answer").1;
-    assert!(matches!(told, FrontReply::Crashed | FrontReply::Rejected(_)), "{told:?}");
+    assert!(matches!(told, ThriftReply::Crashed | ThriftReply::Rejected(_)), "{told:?}");
     assert_eq!(bed.execs(&one.id), 1, "{:?}", bed.lines());
     // What has come meanwhile has its time from when it is read: nobody tells when its bytes came.
     let told = unread.read().expect("told").expect("an answer").1;
-    assert!(matches!(told, FrontReply::Crashed | FrontReply::Rejected(_)), "{told:?}");
+    assert!(matches!(told, ThriftReply::Crashed | ThriftReply::Rejected(_)), "{told:?}");
     assert!(monotonic() - began < 2_000_000, "it was told too late");
     bed.passes(2);
 }
--- a/crates/cli/tests/unseen_drains.rs
+++ b/crates/cli/tests/unseen_drains.rs
@@ -7,7 +7,7 @@
 mod process;
 
 use basaltward_fakes::{
-    ExecRequest, FakeBulletin, FrontClient, FrontReply, LineWorker, RejectedLine, WorkerAction,
+    ExecRequest, FakeBulletin, LineWorker, RejectedLine, ThriftClient, ThriftReply, WorkerAction,
 };
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
@@ -336,7 +336,7 @@
     over: &AtomicBool,
     (part, tallies): (&AtomicU64, &Tallies),
 ) {
-    let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
+    let mut client = ThriftClient::connect(to, TEST_TIMEOUT).expect("connected");
     for nth in 0u64.. {
         if over.load(Ordering::SeqCst) {
             return;
@@ -353,7 +353,7 @@
         let asked = monotonic();
         send(&mut client, &one);
         match client.read().expect("told").expect("it stands").1 {
-            FrontReply::Served(_) => drop(tally.served.fetch_add(1, Ordering::SeqCst)),
+            ThriftReply::Served(_) => drop(tally.served.fetch_add(1, Ordering::SeqCst)),
             _ => {
                 tally.refused.fetch_add(1, Ordering::SeqCst);
                 let late = monotonic() > asked + S + SLACK;
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -18,5 +18,5 @@
 pub use kv_store::{Change, HistoryError, KvStore, Snapshot};
 pub use line_worker::{ExecRequest, LineWorker, RejectedLine, WorkerAction, answer_line};
 pub use store::StoreSpec;
-pub use thrift_client::{FrontClient, FrontReply};
+pub use thrift_client::{ThriftClient, ThriftReply};
 pub use worker_model::WorkerSpec;
--- a/crates/fakes/src/thrift_client.rs
+++ b/crates/fakes/src/thrift_client.rs
@@ -8,7 +8,7 @@
 
 /// The reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FrontReply {
+pub enum ThriftReply {
     /// The call was served, with this body.
     Served(Vec<u8>),
     /// The call was refused; the client should wait for so many milliseconds before it tries again.
@@ -20,13 +20,13 @@
 }
 
 /// A client with one connection. Its requests have sequence numbers from 1 on.
-pub struct FrontClient {
+pub struct ThriftClient {
     stream: TcpStream,
     input: BytesMut,
     seqid: i32,
 }
 
-impl FrontClient {
+impl ThriftClient {
     /// Connects. A read fails after `read_timeout` without a byte.
     ///
     /// # Errors
@@ -116,13 +116,13 @@
     ///
     /// # Errors
     /// If nothing arrives in time or the data is not a valid reply.
-    pub fn read(&mut self) -> io::Result<Option<(i32, FrontReply)>> {
+    pub fn read(&mut self) -> io::Result<Option<(i32, ThriftReply)>> {
         self.read_as(|seqid, reply| {
             let reply = match reply {
-                ServerReply::Answer(body, _) => FrontReply::Served(body.to_vec()),
-                ServerReply::Rejected(wait) => FrontReply::Rejected(wait),
-                ServerReply::Crashed => FrontReply::Crashed,
-                ServerReply::UnknownMethod | ServerReply::ProtocolError => FrontReply::Exception,
+                ServerReply::Answer(body, _) => ThriftReply::Served(body.to_vec()),
+                ServerReply::Rejected(wait) => ThriftReply::Rejected(wait),
+                ServerReply::Crashed => ThriftReply::Crashed,
+                ServerReply::UnknownMethod | ServerReply::ProtocolError => ThriftReply::Exception,
             };
             (seqid, reply)
         })
--- a/crates/node/tests/cold_worker.rs
+++ b/crates/node/tests/cold_worker.rs
@@ -8,7 +8,7 @@
 #[allow(dead_code)]
 mod common;
 
-use basaltward_fakes::{ExecRequest, FakeBulletin, FrontClient, LineWorker, WorkerAction, answer_line};
+use basaltward_fakes::{ExecRequest, FakeBulletin, LineWorker, ThriftClient, WorkerAction, answer_line};
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::{Control, Node};
 use basaltward_rules::{Observation, Recorder};
@@ -109,7 +109,7 @@
     // The load is uneven: some schedulers get several times as many requests as others.
     let rate = CAPACITY * WARM as f64 * LOAD / SCHEDULERS as f64 * [0.4, 0.7, 1.0, 1.9][index % 4];
     let gap = Duration::from_secs_f64(1.0 / rate);
-    let mut connection: Option<(SocketAddr, FrontClient)> = None;
+    let mut connection: Option<(SocketAddr, ThriftClient)> = None;
     let mut was_rejecting = false;
     std::thread::sleep(gap * index as u32 / SCHEDULERS as u32);
     for number in 0u64.. {
@@ -118,7 +118,7 @@
         }
         let to = *to.lock().expect("lock not poisoned");
         if connection.as_ref().is_none_or(|(address, _)| *address != to) {
-            connection = Some((to, FrontClient::connect(to, TEST_TIMEOUT).expect("connected")));
+            connection = Some((to, ThriftClient::connect(to, TEST_TIMEOUT).expect("connected")));
         }
         let client = &mut connection.as_mut().expect("connected").1;
         let is_rejecting = rejecting.load(Ordering::SeqCst);
--- a/crates/node/tests/sockets/answers.rs
+++ b/crates/node/tests/sockets/answers.rs
@@ -1,7 +1,7 @@
 //! What a client receives for a call, whatever happens at its worker.
 
 use crate::common::*;
-use basaltward_fakes::{ExecRequest, FrontReply, WorkerAction, answer_line};
+use basaltward_fakes::{ExecRequest, ThriftReply, WorkerAction, answer_line};
 use basaltward_rules::Observation;
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
     exec.serve()
 }
 
-fn served(call: &Call) -> FrontReply {
-    FrontReply::Served(call.body.iter().rev().copied().collect())
+fn served(call: &Call) -> ThriftReply {
+    ThriftReply::Served(call.body.iter().rev().copied().collect())
 }
 
 #[test]
@@ -19,7 +19,7 @@
     let mut client = harness.client();
     assert_eq!(
         client.heartbeat().and_then(|_| client.read()).unwrap(),
-        Some((1, FrontReply::Served(vec![])))
+        Some((1, ThriftReply::Served(vec![])))
     );
     for round in 0..10 {
         let calls: Vec<_> =
@@ -65,11 +65,11 @@
         // A call that never ran may also be rejected; one that may have run has failed.
         if retried {
             assert!(
-                reply == served(&call) || matches!(reply, FrontReply::Rejected(_)),
+                reply == served(&call) || matches!(reply, ThriftReply::Rejected(_)),
                 "{number}: {reply:?}"
             );
         } else {
-            assert_eq!(reply, FrontReply::Crashed, "{number}");
+            assert_eq!(reply, ThriftReply::Crashed, "{number}");
         }
         assert_eq!(harness.check_rules(), [], "{number}");
     }
@@ -107,7 +107,7 @@
         let call = call(number, if number % 4 == 3 { "extract" } else { "view" });
         let reply = harness.call(&call);
         assert!(
-            reply == served(&call) || reply == FrontReply::Crashed && call.class == "extract",
+            reply == served(&call) || reply == ThriftReply::Crashed && call.class == "extract",
             "{reply:?}"
         );
     }
@@ -120,7 +120,7 @@
     for (number, class) in ["view", "extract"].into_iter().enumerate() {
         let mut one = call(number as u64, class);
         one.timeout_ms = 400;
-        assert!(matches!(harness.call(&one), FrontReply::Crashed | FrontReply::Rejected(_)));
+        assert!(matches!(harness.call(&one), ThriftReply::Crashed | ThriftReply::Rejected(_)));
     }
     // The calls are given up at the worker, too, which reads the drop shortly after the client has its answer.
     let dropped = |n: u64| harness.workers[0].received_lines().contains(&format!("drop {n:016x}"));
--- a/crates/node/tests/sockets/bulletin_outage.rs
+++ b/crates/node/tests/sockets/bulletin_outage.rs
@@ -2,7 +2,7 @@
 //! events: from then on a draining worker gets neither calls nor load orders.
 
 use crate::common::*;
-use basaltward_fakes::FrontReply;
+use basaltward_fakes::ThriftReply;
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{Observation, Record, check};
 use std::time::Duration;
@@ -50,7 +50,7 @@
             self.next += 1;
             let mut one = call(self.next, ["view", "extract"][self.next as usize % 2]);
             one.function = format!("7f3a9c21e0b4{:04x}", self.next % FUNCTIONS);
-            assert!(matches!(harness.call(&one), FrontReply::Served(_)), "call {}", self.next);
+            assert!(matches!(harness.call(&one), ThriftReply::Served(_)), "call {}", self.next);
         }
     }
 
--- a/crates/node/tests/sockets/common.rs
+++ b/crates/node/tests/sockets/common.rs
@@ -1,7 +1,7 @@
 //! Harness that runs a live scheduler on loopback between stand-in workers, a stand-in bulletin and clients, and
 //! checks the recorded events against the rules.
 
-use basaltward_fakes::{ExecRequest, FakeBulletin, FrontClient, FrontReply, LineWorker, WorkerAction};
+use basaltward_fakes::{ExecRequest, FakeBulletin, LineWorker, ThriftClient, ThriftReply, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::{Control, Node};
 use basaltward_rules::{
@@ -119,12 +119,12 @@
         Self { recorder, workers, board, address, control, config, node, try_no: 0 }
     }
 
-    pub fn client(&self) -> FrontClient {
-        FrontClient::connect(self.address, TEST_TIMEOUT).expect("connected")
+    pub fn client(&self) -> ThriftClient {
+        ThriftClient::connect(self.address, TEST_TIMEOUT).expect("connected")
     }
 
     /// Sends a call and records the request.
-    pub fn submit(&mut self, client: &mut FrontClient, call: &Call) -> Submitted {
+    pub fn submit(&mut self, client: &mut ThriftClient, call: &Call) -> Submitted {
         self.try_no += 1;
         let now = monotonic();
         self.recorder.put(
@@ -144,13 +144,13 @@
     }
 
     /// Reads one reply and records it for the request that it answers; `None` at the end of the connection.
-    pub fn read(&self, client: &mut FrontClient, open: &[&Submitted]) -> Option<(i32, FrontReply)> {
+    pub fn read(&self, client: &mut ThriftClient, open: &[&Submitted]) -> Option<(i32, ThriftReply)> {
         let (seqid, reply) = client.read().expect("reply read")?;
         let asked = open.iter().find(|a| a.seqid == seqid).expect("a reply to an open request");
         let (answer, status) = match &reply {
-            FrontReply::Served(_) => (FinalAnswer::Served, 200),
-            FrontReply::Rejected(_) => (FinalAnswer::Refused, 503),
-            FrontReply::Crashed | FrontReply::Exception => (FinalAnswer::Failed, 500),
+            ThriftReply::Served(_) => (FinalAnswer::Served, 200),
+            ThriftReply::Rejected(_) => (FinalAnswer::Refused, 503),
+            ThriftReply::Crashed | ThriftReply::Exception => (FinalAnswer::Failed, 500),
         };
         self.recorder.put(
             monotonic(),
@@ -161,7 +161,7 @@
     }
 
     /// Sends one call on its own connection and reads its reply.
-    pub fn call(&mut self, call: &Call) -> FrontReply {
+    pub fn call(&mut self, call: &Call) -> ThriftReply {
         let mut client = self.client();
         let asked = self.submit(&mut client, call);
         self.read(&mut client, &[&asked]).expect("a reply before the connection closes").1
@@ -205,7 +205,7 @@
 }
 
 /// Sends a call and returns its sequence id.
-pub fn send(client: &mut FrontClient, call: &Call) -> i32 {
+pub fn send(client: &mut ThriftClient, call: &Call) -> i32 {
     let timeout = call.timeout_ms.to_string();
     client.submit(&fields(call, &timeout), &call.body).expect("bytes sent")
 }
@@ -271,22 +271,22 @@
 /// Reads the replies to all of these requests, in any order; keyed by sequence id.
 pub fn read_all(
     harness: &Harness,
-    client: &mut FrontClient,
+    client: &mut ThriftClient,
     asked: &[Submitted],
-) -> HashMap<i32, FrontReply> {
+) -> HashMap<i32, ThriftReply> {
     let open: Vec<_> = asked.iter().collect();
     (0..asked.len()).filter_map(|_| harness.read(client, &open)).collect()
 }
 
 /// Sends calls until one is served: on a loaded machine the first few may be rejected.
 pub fn wait_until_served(harness: &mut Harness) {
-    let served = |n: u64| matches!(harness.call(&call(n << 20, "view")), FrontReply::Served(_));
+    let served = |n: u64| matches!(harness.call(&call(n << 20, "view")), ThriftReply::Served(_));
     assert!((1..100).any(served), "no call was served");
 }
 
 /// Sends calls on a connection without reading any reply, until the scheduler's output to it is full and it reads no
 /// more requests. Returns how many calls were sent; the last of them are rejected.
-pub fn fill_output(harness: &mut Harness, client: &mut FrontClient) -> usize {
+pub fn fill_output(harness: &mut Harness, client: &mut ThriftClient) -> usize {
     // On a loaded machine a single request may be rejected although it is read.
     let mut unserved = 0;
     for asked in 1..2_000 {
@@ -310,7 +310,7 @@
 
 /// Makes the client abandon these calls. On return this has reached the scheduler's socket. Returns the client unless
 /// its connection was reset.
-pub fn abandon(mut client: FrontClient, asked: &[i32], method: &str) -> Option<FrontClient> {
+pub fn abandon(mut client: ThriftClient, asked: &[i32], method: &str) -> Option<ThriftClient> {
     let ends = (client.stream().local_addr(), client.stream().peer_addr());
     let remaining = match method {
         "revoke" => {
--- a/crates/node/tests/sockets/connection_races.rs
+++ b/crates/node/tests/sockets/connection_races.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use crate::unsent_requests::{large_call, load_copies, served, wait_until_processed};
-use basaltward_fakes::{ExecRequest, FrontReply, LineWorker, WorkerAction, answer_line};
+use basaltward_fakes::{ExecRequest, LineWorker, ThriftReply, WorkerAction, answer_line};
 use basaltward_rules::{Observation, Record};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::os::fd::AsRawFd;
@@ -142,7 +142,7 @@
         // If the closure took too long the call is rejected, which also means that it never ran.
         match client.read().expect("reply read") {
             Some((id, reply)) if id == seqid && reply == served(&one) => rounds += 1,
-            reply => assert!(matches!(reply, Some((_, FrontReply::Rejected(_)))), "{reply:?}"),
+            reply => assert!(matches!(reply, Some((_, ThriftReply::Rejected(_)))), "{reply:?}"),
         }
         if rounds == 2 {
             return;
@@ -244,7 +244,7 @@
     wait_until(connecting);
     // It never ran, and the reply says so.
     let reply = harness.read(&mut client, &[&asked]).expect("a reply before the connection closes").1;
-    assert!(matches!(reply, FrontReply::Rejected(_)), "{reply:?}");
+    assert!(matches!(reply, ThriftReply::Rejected(_)), "{reply:?}");
     // The kernel itself would keep trying for minutes.
     wait_until(|| !connecting());
     assert_eq!(harness.check_rules(), []);
--- a/crates/node/tests/sockets/delayed_sends.rs
+++ b/crates/node/tests/sockets/delayed_sends.rs
@@ -39,7 +39,7 @@
     let mut harness = Harness::with_config(limits, 1, with_keyed_class, script);
     let mut client = harness.client();
     let timeout = "6000";
-    let submit = |client: &mut basaltward_fakes::FrontClient, id: &str| {
+    let submit = |client: &mut basaltward_fakes::ThriftClient, id: &str| {
         let one = call(1, "extract");
         let mut fields = fields(&one, timeout).to_vec();
         fields[1].1 = id;
@@ -50,7 +50,7 @@
     let until = Instant::now() + TEST_TIMEOUT;
     for number in 1.. {
         submit(&mut client, &format!("{number:016x}"));
-        if matches!(client.read().expect("reply read"), Some((_, basaltward_fakes::FrontReply::Served(_)))) {
+        if matches!(client.read().expect("reply read"), Some((_, basaltward_fakes::ThriftReply::Served(_)))) {
             break;
         }
         assert!(Instant::now() < until, "no call was served");
@@ -89,7 +89,7 @@
     harness.workers[0].block_new_connections().expect("accept queue blocked");
     let mut client = harness.client();
     // Functions without a copy anywhere, one after another: each needs a load order.
-    let send_call = |client: &mut basaltward_fakes::FrontClient, number: u64| {
+    let send_call = |client: &mut basaltward_fakes::ThriftClient, number: u64| {
         let one = Call { function: format!("{number:016x}"), timeout_ms: 3_500, ..call(number, "view") };
         send(client, &one);
     };
--- a/crates/node/tests/sockets/fleet_changes.rs
+++ b/crates/node/tests/sockets/fleet_changes.rs
@@ -2,7 +2,7 @@
 //! planned restarts.
 
 use crate::common::*;
-use basaltward_fakes::{ExecRequest, FakeBulletin, FrontReply, LineWorker, WorkerAction};
+use basaltward_fakes::{ExecRequest, FakeBulletin, LineWorker, ThriftReply, WorkerAction};
 use basaltward_rules::{Observation, Record, check};
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
 fn a_draining_worker_gets_no_new_work_and_its_address_can_be_reused() {
     let mut harness = Harness::new(Limits::default(), 2, serve);
     for number in 0..20 {
-        assert!(matches!(harness.call(&call(number, "view")), FrontReply::Served(_)));
+        assert!(matches!(harness.call(&call(number, "view")), ThriftReply::Served(_)));
     }
     let at = harness.workers[0].address();
     harness.board.publish(&bulletin_entry("s-0", at, "Terminating"));
@@ -42,7 +42,7 @@
     wait_until_closed(at);
     let before = harness.workers[0].received_lines().len();
     for number in 100..140 {
-        assert!(matches!(harness.call(&call(number, "extract")), FrontReply::Served(_)));
+        assert!(matches!(harness.call(&call(number, "extract")), ThriftReply::Served(_)));
     }
     assert_eq!(harness.workers[0].received_lines().len(), before);
     // A worker with another uid takes over the address, and the second worker goes.
@@ -51,7 +51,7 @@
     harness.board.publish(&bulletin_entry("s-1", harness.workers[1].address(), "Gone"));
     wait_for_state(&harness, "s-1", "gone");
     for number in 200..220 {
-        assert!(matches!(harness.call(&call(number, "view")), FrontReply::Served(_)));
+        assert!(matches!(harness.call(&call(number, "view")), ThriftReply::Served(_)));
     }
     assert!(harness.workers[0].received_lines().len() > before);
     let records = harness.finish();
@@ -79,7 +79,7 @@
     harness.board.publish(&bulletin_entry("s-11", new.address(), "Ready"));
     harness.board.set_silent(false);
     wait_for_state(&harness, "s-11", "active");
-    assert!(matches!(harness.call(&call(1, "view")), FrontReply::Served(_)));
+    assert!(matches!(harness.call(&call(1, "view")), ThriftReply::Served(_)));
     let asked = harness.board.received_requests();
     assert!(asked.len() >= 3 && asked[0] == "after 1", "{asked:?}");
     assert_eq!(harness.check_rules(), []);
@@ -88,7 +88,7 @@
 #[test]
 fn a_reload_switches_bulletins_only_once_the_configuration_file_is_complete() {
     let mut harness = Harness::new(Limits::default(), 1, serve);
-    assert!(matches!(harness.call(&call(1, "view")), FrontReply::Served(_)));
+    assert!(matches!(harness.call(&call(1, "view")), ThriftReply::Served(_)));
     let next = FakeBulletin::start(2).expect("bulletin started");
     let new =
         LineWorker::start("s-5", harness.recorder.clone(), |exec| exec.serve()).expect("worker started");
@@ -98,7 +98,7 @@
     std::fs::write(&harness.config, &whole[..whole.len() / 2]).expect("configuration written");
     harness.control.reload();
     harness.control.reload();
-    assert!(matches!(harness.call(&call(2, "view")), FrontReply::Served(_)));
+    assert!(matches!(harness.call(&call(2, "view")), ThriftReply::Served(_)));
     std::fs::write(&harness.config, &whole).expect("configuration written");
     wait_for_state(&harness, "s-5", "active");
     assert_eq!(next.received_requests(), ["after 1"]);
@@ -106,7 +106,7 @@
     harness.board.disconnect_all();
     next.publish(&bulletin_entry("s-5", new.address(), "Gone"));
     wait_for_state(&harness, "s-5", "gone");
-    assert!(matches!(harness.call(&call(3, "view")), FrontReply::Served(_)));
+    assert!(matches!(harness.call(&call(3, "view")), ThriftReply::Served(_)));
     assert_eq!(harness.check_rules(), []);
 }
 
@@ -125,12 +125,12 @@
     harness.control.reload();
     harness.control.stop();
     harness.wait_for(|what| matches!(what, Observation::Stopping));
-    assert!(matches!(harness.read(&mut idle, &[&first]), Some((_, FrontReply::Served(_)))));
+    assert!(matches!(harness.read(&mut idle, &[&first]), Some((_, ThriftReply::Served(_)))));
     // On the open connection and on new ones: both keep arriving for some tenths of a second.
     for number in 2..4 {
         let asked = harness.submit(&mut idle, &call(number, "extract"));
-        assert!(matches!(harness.read(&mut idle, &[&asked]), Some((_, FrontReply::Served(_)))));
-        assert!(matches!(harness.call(&call(100 + number, "view")), FrontReply::Served(_)));
+        assert!(matches!(harness.read(&mut idle, &[&asked]), Some((_, ThriftReply::Served(_)))));
+        assert!(matches!(harness.call(&call(100 + number, "view")), ThriftReply::Served(_)));
     }
     assert_eq!(harness.check_rules(), []);
 }
@@ -147,13 +147,13 @@
     idle.heartbeat().and_then(|_| idle.read()).expect("heartbeat answered");
     // By now the connection has been idle for longer than any other, and long enough to be evicted.
     for number in 0..8 {
-        assert!(matches!(harness.call(&call(number, "view")), FrontReply::Served(_)));
+        assert!(matches!(harness.call(&call(number, "view")), ThriftReply::Served(_)));
     }
     harness.control.stop();
     harness.wait_for(|what| matches!(what, Observation::Stopping));
     let new_clients: Vec<_> = (0..40).map(|_| harness.client()).collect();
     let asked = harness.submit(&mut idle, &call(100, "extract"));
-    assert!(matches!(harness.read(&mut idle, &[&asked]), Some((_, FrontReply::Served(_)))));
+    assert!(matches!(harness.read(&mut idle, &[&asked]), Some((_, ThriftReply::Served(_)))));
     drop(new_clients);
     assert_eq!(harness.check_rules(), []);
 }
--- a/crates/node/tests/sockets/fragmentation.rs
+++ b/crates/node/tests/sockets/fragmentation.rs
@@ -1,7 +1,7 @@
 //! Requests and answers that arrive byte by byte, or in segments with arbitrary boundaries.
 
 use crate::common::*;
-use basaltward_fakes::{ExecRequest, FrontClient, FrontReply, WorkerAction, answer_line};
+use basaltward_fakes::{ExecRequest, ThriftClient, ThriftReply, WorkerAction, answer_line};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
 use basaltward_thrift::write;
@@ -24,23 +24,23 @@
     out.to_vec()
 }
 
-fn reversed(call: &Call) -> FrontReply {
-    FrontReply::Served(call.body.iter().rev().copied().collect())
+fn reversed(call: &Call) -> ThriftReply {
+    ThriftReply::Served(call.body.iter().rev().copied().collect())
 }
 
 /// Waits until the scheduler has read everything written before this call.
-fn wait_until_read(marker: &mut FrontClient) {
+fn wait_until_read(marker: &mut ThriftClient) {
     let asked = marker.heartbeat().expect("bytes sent");
     assert_eq!(marker.read().expect("reply read").map(|(seqid, _)| seqid), Some(asked));
 }
 
 /// Reads one reply, which must be the one to this call.
-fn expect_reply(client: &mut FrontClient, seqid: i32, call: &Call, what: &str) {
+fn expect_reply(client: &mut ThriftClient, seqid: i32, call: &Call, what: &str) {
     assert_eq!(client.read().expect("reply read"), Some((seqid, reversed(call))), "{what}");
 }
 
 /// Writes these bytes one by one.
-fn send_byte_by_byte(client: &mut FrontClient, bytes: &[u8]) {
+fn send_byte_by_byte(client: &mut ThriftClient, bytes: &[u8]) {
     for byte in bytes {
         client.send_raw_bytes(&[*byte]).expect("bytes sent");
         std::thread::sleep(BYTE_INTERVAL);
--- a/crates/node/tests/sockets/gossip.rs
+++ b/crates/node/tests/sockets/gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip between schedulers about loaded copies, which replaces probes of workers.
 
 use crate::common::*;
-use basaltward_fakes::{ExecRequest, FrontReply};
+use basaltward_fakes::{ExecRequest, ThriftReply};
 use std::net::UdpSocket;
 
 /// The datagram that reports a copy of the function at the worker, seen just now.
@@ -25,7 +25,7 @@
     let (first, second, third) = ("00000000000000aa", "00000000000000bb", "00000000000000cc");
 
     // No report of a copy: the scheduler probes the workers and passes on what it finds.
-    assert!(matches!(harness.call(&of(1, first)), FrontReply::Served(_)));
+    assert!(matches!(harness.call(&of(1, first)), ThriftReply::Served(_)));
     assert!(lines(&harness, "ensure", first).iter().sum::<usize>() > 0);
     let mut datagram = [0; 300];
     let (length, from) = peer.recv_from(&mut datagram).expect("datagram received");
@@ -39,13 +39,13 @@
 
     // Reported by a peer: no worker is probed, and the call goes to the reported one.
     peer.send_to(&copy_report(second, "s-2"), from).expect("bytes sent");
-    assert!(matches!(harness.call(&of(2, second)), FrontReply::Served(_)));
+    assert!(matches!(harness.call(&of(2, second)), ThriftReply::Served(_)));
     assert_eq!(lines(&harness, "exec", second), [0, 0, 1]);
     assert_eq!(lines(&harness, "ensure", second), [0, 0, 0]);
 
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("socket bound");
     stranger.send_to(&copy_report(third, "s-2"), from).expect("bytes sent");
-    assert!(matches!(harness.call(&of(3, third)), FrontReply::Served(_)));
+    assert!(matches!(harness.call(&of(3, third)), ThriftReply::Served(_)));
     assert!(lines(&harness, "ensure", third).iter().sum::<usize>() > 0);
     assert_eq!(harness.check_rules(), []);
 }
--- a/crates/node/tests/sockets/half_open_connections.rs
+++ b/crates/node/tests/sockets/half_open_connections.rs
@@ -2,7 +2,7 @@
 //! nothing on it, and resets it later.
 
 use crate::common::*;
-use basaltward_fakes::{ExecRequest, FrontReply, WorkerAction};
+use basaltward_fakes::{ExecRequest, ThriftReply, WorkerAction};
 use basaltward_rules::Observation;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,7 +13,7 @@
 
 /// Sends a call of this class as the first one on a half-open connection; returns its reply and how often it reached
 /// a worker.
-fn call_on_half_open_connection(class: &'static str) -> (FrontReply, usize) {
+fn call_on_half_open_connection(class: &'static str) -> (ThriftReply, usize) {
     let half_open = Arc::new(AtomicBool::new(false));
     let script = {
         let half_open = half_open.clone();
@@ -40,8 +40,8 @@
 #[test]
 fn the_first_request_on_a_half_open_connection_fails_or_is_retried_once() {
     // It may have run, so it fails and is not retried.
-    assert_eq!(call_on_half_open_connection("extract"), (FrontReply::Crashed, 1));
+    assert_eq!(call_on_half_open_connection("extract"), (ThriftReply::Crashed, 1));
     // A safe call is retried.
     let (reply, arrivals) = call_on_half_open_connection("view");
-    assert!(matches!(reply, FrontReply::Served(_)) && arrivals == 2, "{reply:?} after {arrivals}");
+    assert!(matches!(reply, ThriftReply::Served(_)) && arrivals == 2, "{reply:?} after {arrivals}");
 }
--- a/crates/node/tests/sockets/invalid_requests.rs
+++ b/crates/node/tests/sockets/invalid_requests.rs
@@ -2,7 +2,7 @@
 //! affected.
 
 use crate::common::*;
-use basaltward_fakes::FrontReply;
+use basaltward_fakes::ThriftReply;
 use std::time::{Duration, Instant};
 
 const CLOSED_WITHIN: Duration = Duration::from_secs(3);
@@ -52,13 +52,13 @@
         client.submit(&fields(name, to), b"x").expect("bytes sent");
         assert_eq!(
             client.read().expect("reply read"),
-            Some((1, FrontReply::Rejected(None))),
+            Some((1, ThriftReply::Rejected(None))),
             "{name} {to:?}"
         );
     }
     let mut client = harness.client();
     client.submit(&fields("", None), &[0; (16 << 10) + 1]).expect("bytes sent");
-    assert_eq!(client.read().expect("reply read"), Some((1, FrontReply::Rejected(None))));
+    assert_eq!(client.read().expect("reply read"), Some((1, ThriftReply::Rejected(None))));
     assert!(harness.workers[0].received_lines().iter().all(|line| !line.starts_with("exec")));
     assert_eq!(harness.check_rules(), []);
 }
@@ -98,7 +98,7 @@
     first.submit(&fields("", None), b"mine").expect("bytes sent");
     harness.wait_for(|what| matches!(what, basaltward_rules::Observation::Accepted { .. }));
     second.submit(&fields("", None), b"another").expect("bytes sent");
-    assert_eq!(second.read().expect("reply read"), Some((1, FrontReply::Crashed)));
+    assert_eq!(second.read().expect("reply read"), Some((1, ThriftReply::Crashed)));
     // The same sequence id twice.
     let mut client = harness.client();
     let mut wire = bytes::BytesMut::new();
@@ -130,7 +130,7 @@
             let _ = invalid.submit(&fields("kind", Some("nobody")), b"x");
         }
         let call = call(number, "view");
-        assert!(matches!(harness.call(&call), FrontReply::Served(_)), "{number}");
+        assert!(matches!(harness.call(&call), ThriftReply::Served(_)), "{number}");
     }
     assert_eq!(harness.check_rules(), []);
 }
--- a/crates/node/tests/sockets/limits.rs
+++ b/crates/node/tests/sockets/limits.rs
@@ -2,7 +2,7 @@
 //! requests as allowed.
 
 use crate::common::*;
-use basaltward_fakes::{ExecRequest, FrontClient, FrontReply, WorkerAction};
+use basaltward_fakes::{ExecRequest, ThriftClient, ThriftReply, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
 use basaltward_thrift::write;
@@ -16,8 +16,8 @@
 /// Maximum number of open requests on one connection.
 const MAX_OPEN: usize = 32;
 
-fn served(call: &Call) -> FrontReply {
-    FrontReply::Served(call.body.iter().rev().copied().collect())
+fn served(call: &Call) -> ThriftReply {
+    ThriftReply::Served(call.body.iter().rev().copied().collect())
 }
 
 #[test]
@@ -34,7 +34,7 @@
         assert!(reply == served(&one), "{number}: {reply:.80?}");
     }
     let over = Call { body: vec![b'x'; MAX_BODY + 1], ..call(50, "view") };
-    assert_eq!(harness.call(&over), FrontReply::Rejected(None));
+    assert_eq!(harness.call(&over), ThriftReply::Rejected(None));
     assert_eq!(harness.check_rules(), []);
 }
 
@@ -53,7 +53,10 @@
         let seqid = send(&mut client, &one);
         let (answered, reply) = client.read().expect("reply read").expect("connection open");
         assert_eq!(answered, seqid);
-        assert!(matches!(reply, FrontReply::Rejected(_) | FrontReply::Crashed), "{timeout_ms} ms: {reply:?}");
+        assert!(
+            matches!(reply, ThriftReply::Rejected(_) | ThriftReply::Crashed),
+            "{timeout_ms} ms: {reply:?}"
+        );
         let took = monotonic() - began;
         assert!(took < 500 * MS, "{timeout_ms} ms left, answered after {took} us");
     }
@@ -88,14 +91,14 @@
         if answered == MAX_OPEN as i32 + 2 {
             break assert_eq!(reply, served(&next));
         }
-        assert!(reply != FrontReply::Exception && answered <= MAX_OPEN as i32, "{answered}: {reply:?}");
+        assert!(reply != ThriftReply::Exception && answered <= MAX_OPEN as i32, "{answered}: {reply:?}");
     }
     harness.control.stop();
 }
 
 /// Sends a request whose last byte arrives 50 ms after its first, on a connection opened `before` earlier.
-fn in_two_pieces(harness: &mut Harness, before: Duration) -> Option<FrontReply> {
-    let mut client = FrontClient::connect(harness.address, TEST_TIMEOUT).expect("connected");
+fn in_two_pieces(harness: &mut Harness, before: Duration) -> Option<ThriftReply> {
+    let mut client = ThriftClient::connect(harness.address, TEST_TIMEOUT).expect("connected");
     std::thread::sleep(before);
     let one = call(monotonic(), "view");
     let timeout = one.timeout_ms.to_string();
@@ -112,7 +115,7 @@
     // A connection without a request for 2.4 s is closed.
     for before in [2_360, 2_375, 2_390] {
         let reply = in_two_pieces(&mut harness, Duration::from_millis(before));
-        assert!(matches!(reply, Some(FrontReply::Served(_))), "opened {before} ms before: {reply:?}");
+        assert!(matches!(reply, Some(ThriftReply::Served(_))), "opened {before} ms before: {reply:?}");
     }
     harness.control.stop();
 }
--- a/crates/node/tests/sockets/local_connect_errors.rs
+++ b/crates/node/tests/sockets/local_connect_errors.rs
@@ -1,7 +1,7 @@
 //! System calls that fail briefly on the scheduler's own machine are not held against a worker and fail no call.
 
 use crate::common::*;
-use basaltward_fakes::{ExecRequest, FrontReply};
+use basaltward_fakes::{ExecRequest, ThriftReply};
 use basaltward_net::{Errno, Micros, SystemCall, monotonic};
 use basaltward_rules::Observation;
 
@@ -21,7 +21,7 @@
             let one = call(number, class);
             let began = monotonic();
             let reply = harness.call(&one);
-            assert!(matches!(reply, FrontReply::Served(_)), "{error:?}: {reply:?}");
+            assert!(matches!(reply, ThriftReply::Served(_)), "{error:?}: {reply:?}");
             let took = monotonic() - began;
             assert!(took < MAX_DELAY, "{error:?}: served after {took} us");
         }
--- a/crates/node/tests/sockets/planned_restart.rs
+++ b/crates/node/tests/sockets/planned_restart.rs
@@ -3,7 +3,7 @@
 //! plus 0.7 s after SIGTERM.
 
 use crate::common::*;
-use basaltward_fakes::{ExecRequest, FrontClient, FrontReply, WorkerAction};
+use basaltward_fakes::{ExecRequest, ThriftClient, ThriftReply, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
 use basaltward_thrift::{
@@ -40,7 +40,7 @@
     std::thread::sleep(Duration::from_micros(at.saturating_sub(monotonic())));
 }
 
-fn write_request(client: &mut FrontClient, call: &Call, half: bool) -> std::io::Result<(i32, Vec<u8>)> {
+fn write_request(client: &mut ThriftClient, call: &Call, half: bool) -> std::io::Result<(i32, Vec<u8>)> {
     let timeout = call.timeout_ms.to_string();
     let fields = fields(call, &timeout);
     match half {
@@ -57,7 +57,7 @@
     sent: Micros,
     timeout: Micros,
     /// When its reply was read, and the reply.
-    reply: Option<(Micros, FrontReply)>,
+    reply: Option<(Micros, ThriftReply)>,
 }
 
 /// The requests that must be answered by the specification, and are not or too late. A late one on a connection that
@@ -87,10 +87,10 @@
 static NEXT_CALL: AtomicU64 = AtomicU64::new(1 << 32);
 
 impl Plan {
-    fn run(self, to: SocketAddr, mut client: Option<FrontClient>, term: Micros) -> Vec<Observed> {
+    fn run(self, to: SocketAddr, mut client: Option<ThriftClient>, term: Micros) -> Vec<Observed> {
         if client.is_none() {
             sleep_until(term + self.opens);
-            client = FrontClient::connect(to, TEST_TIMEOUT).ok();
+            client = ThriftClient::connect(to, TEST_TIMEOUT).ok();
         }
         let mut seen = Vec::new();
         let mut numbers = Vec::new();
@@ -113,7 +113,7 @@
                 reply: None,
             });
         }
-        while let Some(Ok(Some((seqid, reply)))) = client.as_mut().map(FrontClient::read) {
+        while let Some(Ok(Some((seqid, reply)))) = client.as_mut().map(ThriftClient::read) {
             let at =
                 numbers.iter().position(|number| *number == Some(seqid)).expect("a reply to a sent request");
             seen[at].reply = Some((monotonic().saturating_sub(term), reply));
@@ -148,7 +148,7 @@
     // Connections that were there before have each been used once, except the silent one.
     let open_before = |plan: &Plan| {
         (plan.opens == 0).then(|| {
-            let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("connected");
+            let mut client = ThriftClient::connect(to, TEST_TIMEOUT).expect("connected");
             if !plan.sends.is_empty() {
                 client.heartbeat().and_then(|_| client.read()).expect("heartbeat answered");
             }
@@ -204,7 +204,7 @@
         let ends = down - stopping;
         assert!((LAST_REQUEST..KILL).contains(&ends), "the scheduler ended after {ends} us");
         if on_time(&all) {
-            let served = |s: &&Observed| matches!(s.reply, Some((_, FrontReply::Served(_))));
+            let served = |s: &&Observed| matches!(s.reply, Some((_, ThriftReply::Served(_))));
             let count = all.iter().filter(served).count();
             assert!(count * 10 >= all.len() * 9, "{count} of {} were served", all.len());
             return;
@@ -344,8 +344,8 @@
     let withheld = run(|nth| nth != 40, EndsAt::AllHandled);
     assert_eq!(lost(&withheld).len(), 1);
     let late = |reply| Observed { what: "late", sent: LAST_EXCUSED, timeout: 4_000 * MS, reply };
-    let (never, after) = (late(None), late(Some((KILL + LATE + MS, FrontReply::Crashed))));
-    assert_eq!(open_at_kill(&[never, after, late(Some((KILL, FrontReply::Crashed)))]).len(), 2);
+    let (never, after) = (late(None), late(Some((KILL + LATE + MS, ThriftReply::Crashed))));
+    assert_eq!(open_at_kill(&[never, after, late(Some((KILL, ThriftReply::Crashed)))]).len(), 2);
 }
 
 #[test]
--- a/crates/node/tests/sockets/readiness.rs
+++ b/crates/node/tests/sockets/readiness.rs
@@ -2,17 +2,17 @@
 //! reload. Readiness after a stall is covered by the program's own tests.
 
 use crate::common::*;
-use basaltward_fakes::{FakeBulletin, FrontClient, FrontReply};
+use basaltward_fakes::{FakeBulletin, ThriftClient, ThriftReply};
 use basaltward_rules::check;
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
 /// Queries the readiness check that a front uses before it sends traffic to a scheduler.
-fn is_ready(client: &mut FrontClient) -> bool {
+fn is_ready(client: &mut ThriftClient) -> bool {
     client.is_ready().expect("reply read").expect("connection open")
 }
 
-fn wait_until_ready(client: &mut FrontClient) {
+fn wait_until_ready(client: &mut ThriftClient) {
     let until = Instant::now() + TEST_TIMEOUT;
     while !is_ready(client) {
         assert!(Instant::now() < until, "the scheduler never became ready");
@@ -24,7 +24,7 @@
 /// After a positive check the very next call is served, on its own connection.
 fn serves_at_once(harness: &mut Harness, number: u64, when: &str) {
     let reply = harness.call(&call(number, ["view", "extract"][number as usize % 2]));
-    assert!(matches!(reply, FrontReply::Served(_)), "{when}: {reply:?}");
+    assert!(matches!(reply, ThriftReply::Served(_)), "{when}: {reply:?}");
 }
 
 /// An address without a listener.
--- a/crates/node/tests/sockets/reload.rs
+++ b/crates/node/tests/sockets/reload.rs
@@ -4,7 +4,7 @@
     Calls, FUNCTIONS, LATE, MS, SILENCE_LIMIT, busy_harness, sent_after, state_received,
 };
 use crate::common::*;
-use basaltward_fakes::{FakeBulletin, FrontReply, LineWorker};
+use basaltward_fakes::{FakeBulletin, LineWorker, ThriftReply};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{Observation, Record, check};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +22,7 @@
 }
 
 /// Sends calls of both classes without reading the answers.
-fn send_wave(harness: &mut Harness, calls: &mut Calls) -> (basaltward_fakes::FrontClient, Vec<Submitted>) {
+fn send_wave(harness: &mut Harness, calls: &mut Calls) -> (basaltward_fakes::ThriftClient, Vec<Submitted>) {
     let mut client = harness.client();
     let mut asked = Vec::new();
     for _ in 0..WAVE_SIZE {
@@ -35,9 +35,9 @@
 }
 
 /// Reads the answers to [`send_wave`], all of which must be served.
-fn expect_served(harness: &Harness, (mut client, asked): (basaltward_fakes::FrontClient, Vec<Submitted>)) {
+fn expect_served(harness: &Harness, (mut client, asked): (basaltward_fakes::ThriftClient, Vec<Submitted>)) {
     let replies = read_all(harness, &mut client, &asked);
-    let bad: Vec<_> = replies.iter().filter(|(_, reply)| !matches!(reply, FrontReply::Served(_))).collect();
+    let bad: Vec<_> = replies.iter().filter(|(_, reply)| !matches!(reply, ThriftReply::Served(_))).collect();
     assert!(replies.len() == asked.len() && bad.is_empty(), "{} of {}, {bad:?}", replies.len(), asked.len());
 }
 
@@ -188,7 +188,7 @@
                 let mut one = call(number, ["view", "extract"][number as usize % 2]);
                 one.function = format!("7f3a9c21e0b4{function:04x}");
                 functions.insert(one.id.clone(), one.function.clone());
-                assert!(matches!(harness.call(&one), FrontReply::Served(_)), "call {number}");
+                assert!(matches!(harness.call(&one), ThriftReply::Served(_)), "call {number}");
             }
         };
     // Until each of the three workers has functions: on a loaded machine one of them may serve all of the first
--- a/crates/node/tests/sockets/shutdown.rs
+++ b/crates/node/tests/sockets/shutdown.rs
@@ -2,7 +2,7 @@
 //! meet in one turn, and connections not yet accepted, are covered by the program's own tests.
 
 use crate::common::*;
-use basaltward_fakes::{ExecRequest, FrontClient, FrontReply, WorkerAction};
+use basaltward_fakes::{ExecRequest, ThriftClient, ThriftReply, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Observation;
 use std::time::{Duration, Instant};
@@ -42,7 +42,7 @@
     sleep_until(term + ACCEPT_PERIOD + 400 * MS);
     let mut read = 0;
     while let Some((_, reply)) = client.read().expect("complete answers and a clean close") {
-        assert!(matches!(reply, FrontReply::Served(_) | FrontReply::Rejected(_)), "{reply:?}");
+        assert!(matches!(reply, ThriftReply::Served(_) | ThriftReply::Rejected(_)), "{reply:?}");
         read += 1;
     }
     let (stopping, down) = ended(&mut harness);
@@ -80,7 +80,7 @@
     let term = monotonic();
     harness.control.reload();
     harness.control.stop();
-    assert!(matches!(harness.read(&mut first, &[&asked]), Some((_, FrontReply::Served(_)))));
+    assert!(matches!(harness.read(&mut first, &[&asked]), Some((_, ThriftReply::Served(_)))));
     sleep_until(term + 500 * MS);
     harness.control.stop();
     harness.control.reload();
@@ -103,7 +103,7 @@
     let (to, began) = (harness.address, Instant::now());
     let keep_connecting = move |number: u64| {
         for next in 0.. {
-            let asked = FrontClient::connect(to, TEST_TIMEOUT).and_then(|mut client| {
+            let asked = ThriftClient::connect(to, TEST_TIMEOUT).and_then(|mut client| {
                 send(&mut client, &call(number << 32 | next, "view"));
                 client.read()
             });
--- a/crates/node/tests/sockets/slow_workers.rs
+++ b/crates/node/tests/sockets/slow_workers.rs
@@ -1,15 +1,15 @@
 //! Workers that hang, connections that are established late, and answers that arrive twice.
 
 use crate::common::*;
-use basaltward_fakes::{ExecRequest, FrontReply, LineWorker, WorkerAction, answer_line};
+use basaltward_fakes::{ExecRequest, LineWorker, ThriftReply, WorkerAction, answer_line};
 use basaltward_net::monotonic;
 use basaltward_rules::{Observation, Record};
 use std::sync::mpsc;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-fn served(call: &Call) -> FrontReply {
-    FrontReply::Served(call.body.iter().rev().copied().collect())
+fn served(call: &Call) -> ThriftReply {
+    ThriftReply::Served(call.body.iter().rev().copied().collect())
 }
 
 /// The `exec` lines that a worker received.
@@ -84,7 +84,7 @@
     let open = [&first, &second];
     let (number, reply) = harness.read(&mut client, &open).expect("a reply before the connection closes");
     assert_eq!(number, first.seqid);
-    assert!(matches!(reply, FrontReply::Crashed | FrontReply::Rejected(_)), "{reply:?}");
+    assert!(matches!(reply, ThriftReply::Crashed | ThriftReply::Rejected(_)), "{reply:?}");
     assert!(execs(&harness.workers[0]).iter().all(|line| line.contains(&call(1, "extract").id)));
     harness.workers[0].unblock_new_connections();
     assert_eq!(harness.read(&mut client, &open), Some((second.seqid, served(&long))));
--- a/crates/node/tests/sockets/tenants_and_keys.rs
+++ b/crates/node/tests/sockets/tenants_and_keys.rs
@@ -2,7 +2,7 @@
 //! key.
 
 use crate::common::*;
-use basaltward_fakes::{ExecRequest, FrontClient, FrontReply, WorkerAction, answer_line};
+use basaltward_fakes::{ExecRequest, ThriftClient, ThriftReply, WorkerAction, answer_line};
 use std::sync::{Arc, Mutex, mpsc};
 
 const FUNCTION: &str = "7f3a9c21e0b4d655";
@@ -16,7 +16,7 @@
 }
 
 /// Sends a call with these additional fields.
-fn send_call(client: &mut FrontClient, number: u64, class: &str, more: &[(&str, &str)]) {
+fn send_call(client: &mut ThriftClient, number: u64, class: &str, more: &[(&str, &str)]) {
     let id = format!("{number:016x}");
     let props = "memory_mb:64;lanes:8;load_ms:20";
     let mut fields =
@@ -26,13 +26,13 @@
 }
 
 /// Sends a call and returns its reply.
-fn call_for_reply(client: &mut FrontClient, number: u64, class: &str, more: &[(&str, &str)]) -> FrontReply {
+fn call_for_reply(client: &mut ThriftClient, number: u64, class: &str, more: &[(&str, &str)]) -> ThriftReply {
     send_call(client, number, class, more);
     client.read().expect("read").expect("a reply before the connection closes").1
 }
 
-fn served() -> FrontReply {
-    FrontReply::Served(b"cba".to_vec())
+fn served() -> ThriftReply {
+    ThriftReply::Served(b"cba".to_vec())
 }
 
 #[test]
@@ -72,7 +72,7 @@
     for (number, (class, more)) in cases.into_iter().enumerate() {
         // Each case has its own connection: one that sends many invalid requests is closed.
         let reply = call_for_reply(&mut harness.client(), number as u64 + 1, class, more);
-        assert!(matches!(reply, FrontReply::Rejected(_)), "{number}: {reply:?}");
+        assert!(matches!(reply, ThriftReply::Rejected(_)), "{number}: {reply:?}");
     }
     let sent = harness.workers[0].received_lines();
     assert!(!sent.iter().any(|line| line.starts_with("exec")), "{sent:?}");
--- a/crates/node/tests/sockets/unsent_requests.rs
+++ b/crates/node/tests/sockets/unsent_requests.rs
@@ -2,7 +2,7 @@
 //! worker drains or the connection breaks.
 
 use crate::common::*;
-use basaltward_fakes::{ExecRequest, FrontClient, FrontReply, LineWorker};
+use basaltward_fakes::{ExecRequest, LineWorker, ThriftClient, ThriftReply};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{Observation, Record};
 use std::collections::BTreeMap;
@@ -18,8 +18,8 @@
 /// Maximum size of a body in bytes.
 const MAX_BODY: usize = 16 << 10;
 
-pub fn served(call: &Call) -> FrontReply {
-    FrontReply::Served(call.body.iter().rev().copied().collect())
+pub fn served(call: &Call) -> ThriftReply {
+    ThriftReply::Served(call.body.iter().rev().copied().collect())
 }
 
 /// Spreads calls over functions: a function has no more calls in flight than it has lanes.
@@ -100,7 +100,7 @@
 /// Sends calls until the scheduler gives no more of them to the connection.
 fn fill_connection(
     harness: &mut Harness,
-    clients: &mut [FrontClient; 2],
+    clients: &mut [ThriftClient; 2],
     timeout_ms: [u64; 2],
 ) -> Vec<(usize, Call, Submitted)> {
     let mut all = Vec::new();
@@ -155,9 +155,9 @@
 /// Reads the answers to all of these calls.
 fn read_each(
     harness: &Harness,
-    client: &mut FrontClient,
+    client: &mut ThriftClient,
     of: &[&(usize, Call, Submitted)],
-) -> BTreeMap<String, FrontReply> {
+) -> BTreeMap<String, ThriftReply> {
     let open: Vec<_> = of.iter().map(|(_, _, asked)| asked).collect();
     let read = of.iter().map(|_| harness.read(client, &open).expect("a reply before the connection closes"));
     let replies: BTreeMap<_, _> = read.collect();
@@ -169,7 +169,7 @@
 /// down with it. The calls of the second client are served on another connection, except those that may have run.
 fn abandon_unsent(
     timeout_ms: u64,
-    leave: impl Fn(&Harness, FrontClient, &[&(usize, Call, Submitted)]) -> Option<FrontClient>,
+    leave: impl Fn(&Harness, ThriftClient, &[&(usize, Call, Submitted)]) -> Option<ThriftClient>,
 ) {
     // On a loaded machine the kernel's buffers may grow late and take everything that was given until then.
     assert!((0..3).any(|_| abandon_unsent_once(timeout_ms, &leave)), "nothing was withdrawn");
@@ -178,7 +178,7 @@
 /// False if all or none of the given requests had begun to leave, so that nothing was tested.
 fn abandon_unsent_once(
     timeout_ms: u64,
-    leave: &impl Fn(&Harness, FrontClient, &[&(usize, Call, Submitted)]) -> Option<FrontClient>,
+    leave: &impl Fn(&Harness, ThriftClient, &[&(usize, Call, Submitted)]) -> Option<ThriftClient>,
 ) -> bool {
     let (mut harness, go) = with_unread_connection(Limits::default());
     let mut clients = [harness.client(), harness.client()];
@@ -209,7 +209,7 @@
         let times = arrived.get(&call.id).map_or(0, Vec::len);
         match &replies[&call.id] {
             reply if *reply == served(call) => assert_eq!(times, 1, "{}", call.id),
-            FrontReply::Crashed => assert!(times <= 1 && given.contains(&call.id), "{}", call.id),
+            ThriftReply::Crashed => assert!(times <= 1 && given.contains(&call.id), "{}", call.id),
             reply => panic!("{}: {reply:.80?}", call.id),
         }
     }
@@ -253,7 +253,7 @@
 fn unsent_requests_are_withdrawn_at_their_deadline() {
     abandon_unsent(1_500, |harness, mut client, calls| {
         for (id, reply) in read_each(harness, &mut client, calls) {
-            assert!(matches!(reply, FrontReply::Crashed | FrontReply::Rejected(_)), "{id}: {reply:.80?}");
+            assert!(matches!(reply, ThriftReply::Crashed | ThriftReply::Rejected(_)), "{id}: {reply:.80?}");
         }
         Some(client)
     });
@@ -356,7 +356,7 @@
     }
     let served_of = |(_, call, _): &&(usize, Call, Submitted)| replies[&call.id] == served(call);
     let failed: Vec<_> = all.iter().filter(|of| !served_of(of)).map(|(_, call, _)| call.id.clone()).collect();
-    assert!(failed.iter().all(|id| replies[id] == FrontReply::Crashed), "{failed:?} {:?}", ended(&harness));
+    assert!(failed.iter().all(|id| replies[id] == ThriftReply::Crashed), "{failed:?} {:?}", ended(&harness));
     // The failed calls are those sent first, without the four or more that the output still held.
     let large: Vec<_> =
         given.into_iter().filter(|id| all.iter().any(|(_, call, _)| call.id == *id)).collect();
--- a/crates/node/tests/sockets/watch.rs
+++ b/crates/node/tests/sockets/watch.rs
@@ -1,7 +1,7 @@
 //! Event ordering on the watch of the worker list, also while the configuration is reloaded.
 
 use crate::common::*;
-use basaltward_fakes::{ExecRequest, FakeBulletin, FrontReply, WorkerAction, answer_line};
+use basaltward_fakes::{ExecRequest, FakeBulletin, ThriftReply, WorkerAction, answer_line};
 use basaltward_rules::{Observation, Record, check};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
 }
 
 fn expect_call_served(harness: &mut Harness, number: u64) {
-    assert!(matches!(harness.call(&call(number, "view")), FrontReply::Served(_)), "call {number}");
+    assert!(matches!(harness.call(&call(number, "view")), ThriftReply::Served(_)), "call {number}");
 }
 
 /// An entry of a worker that does not exist; nothing listens at its address.
@@ -203,7 +203,7 @@
         wait_for_state(&harness, "s-9", "active");
         wait_for_state(&harness, "s-0", "gone");
         let reply = harness.read(&mut client, &[&asked]).expect("a reply before the connection closes").1;
-        assert!(matches!(reply, FrontReply::Served(_)), "{variant}: {reply:?}");
+        assert!(matches!(reply, ThriftReply::Served(_)), "{variant}: {reply:?}");
         for number in 2..12 {
             expect_call_served(&mut harness, number);
         }
--- a/crates/node/tests/wall_clock_steps.rs
+++ b/crates/node/tests/wall_clock_steps.rs
@@ -5,7 +5,7 @@
 #[allow(dead_code)]
 mod common;
 
-use basaltward_fakes::{ExecRequest, FakeBulletin, FrontClient, LineWorker, WorkerAction, answer_line};
+use basaltward_fakes::{ExecRequest, FakeBulletin, LineWorker, ThriftClient, WorkerAction, answer_line};
 use basaltward_net::{Micros, monotonic};
 use basaltward_node::Node;
 use basaltward_rules::{Observation, Recorder};
@@ -80,7 +80,7 @@
     let node = node.expect("scheduler created");
     let (address, control) = (node.address(), node.control());
     let thread = std::thread::spawn(move || node.run().expect("scheduler runs"));
-    let mut client = FrontClient::connect(address, TEST_TIMEOUT).expect("connected");
+    let mut client = ThriftClient::connect(address, TEST_TIMEOUT).expect("connected");
     let mut send_calls = |number: u64, at_once: u64| {
         for nth in 0..at_once {
             let mut one = call(number << 16 | nth, "view");
--- a/crates/trial/src/clients.rs
+++ b/crates/trial/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients that call without pause: each waits for its answer, then calls again, and is patient for a told
 //! time. Everything that they see is recorded.
 
-use basaltward_fakes::{FrontClient, FrontReply};
+use basaltward_fakes::{ThriftClient, ThriftReply};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{FinalAnswer, Observation, Recorder};
 use std::io::ErrorKind;
@@ -75,7 +75,7 @@
             let (class, patience) = &self.spec.classes[number as usize % self.spec.classes.len()];
             // Longer than its time: a late answer is recorded, and so found.
             let wait = Duration::from_millis(*patience) + Duration::from_secs(2);
-            let open = client.take().or_else(|| FrontClient::connect(self.to.0, wait).ok());
+            let open = client.take().or_else(|| ThriftClient::connect(self.to.0, wait).ok());
             let Some(mut open) = open else {
                 std::thread::sleep(Duration::from_millis(20));
                 continue;
@@ -92,7 +92,7 @@
     }
 
     /// One call; false where its connection is of no more use.
-    fn call(&self, client: &mut FrontClient, tried: u64, class: &str, patience: u64) -> bool {
+    fn call(&self, client: &mut ThriftClient, tried: u64, class: &str, patience: u64) -> bool {
         let (event, function) =
             (format!("{tried:016x}"), format!("{:016x}", 1 + tried % self.spec.functions));
         let timeout = patience.to_string();
@@ -118,9 +118,9 @@
         match told {
             Ok(Some((_, reply))) => {
                 let (answer, status) = match &reply {
-                    FrontReply::Served(_) => (FinalAnswer::Served, 200),
-                    FrontReply::Rejected(_) => (FinalAnswer::Refused, 503),
-                    FrontReply::Crashed | FrontReply::Exception => (FinalAnswer::Failed, 500),
+                    ThriftReply::Served(_) => (FinalAnswer::Served, 200),
+                    ThriftReply::Rejected(_) => (FinalAnswer::Refused, 503),
+                    ThriftReply::Crashed | ThriftReply::Exception => (FinalAnswer::Failed, 500),
                 };
                 self.put(Observation::Answered { request_id: tried, answer, status });
                 true
