--- a/crates/bench/src/memory.rs
+++ b/crates/bench/src/memory.rs
@@ -1,7 +1,7 @@
 //! Memory of idle connections in the gateway's process.
 
 use crate::{echo, path};
-use basaltward_play::Folder;
+use basaltward_scenario::TempDir;
 use std::error::Error;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -24,7 +24,7 @@
 /// # Errors
 /// If a connection fails or a call is not served.
 pub fn run(connections: usize) -> Result<(), Box<dyn Error>> {
-    let folder = Folder::new()?;
+    let folder = TempDir::new()?;
     let gateway = path::gateway(&folder, echo::start()?)?;
     let call = |id: usize, stream: &mut TcpStream| -> Result<(), Box<dyn Error>> {
         stream.write_all(CALL)?;
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -3,8 +3,8 @@
 
 use crate::{echo, load, proxy, spread};
 use basaltward_gateway::Gateway;
-use basaltward_play::Folder;
 use basaltward_rules::Recorder;
+use basaltward_scenario::TempDir;
 use std::error::Error;
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// If the configuration can't be written or the gateway can't be started.
-pub fn gateway(folder: &Folder, worker: SocketAddr) -> Result<Gateway, Box<dyn Error>> {
+pub fn gateway(folder: &TempDir, worker: SocketAddr) -> Result<Gateway, Box<dyn Error>> {
     let roster = format!(
         "<roster xmlns=\"urn:basaltward:roster:1\"><worker address=\"{worker}\" kind=\"std\"/></roster>"
     );
@@ -35,7 +35,7 @@
 /// # Errors
 /// If a connection fails or an answer is not 200.
 pub fn run(rounds: usize, calls: u64, connections: usize) -> Result<(), Box<dyn Error>> {
-    let folder = Folder::new()?;
+    let folder = TempDir::new()?;
     let worker = echo::start()?;
     let gateway = gateway(&folder, worker)?;
     let targets = [("straight", worker), ("gateway", gateway.address()), ("proxy", proxy::start(worker)?)];
--- a/crates/cli/src/play.rs
+++ b/crates/cli/src/play.rs
@@ -3,8 +3,8 @@
 use crate::args::{Judge, Play};
 use crate::serve::settings;
 use crate::{CommandError, records, report};
-use basaltward_play::{load, play, rule_settings};
 use basaltward_rules::{check, read_records, service};
+use basaltward_scenario::{load, rule_settings, run_scenario};
 
 /// Runs a script and checks the result.
 pub fn run(options: &Play) -> Result<(), CommandError> {
@@ -18,11 +18,11 @@
         script.steps.len(),
         script.seed
     );
-    let verdict = play(&script)?;
+    let verdict = run_scenario(&script)?;
     if let Some(path) = &options.records {
         records::write(path, &verdict.records)?;
     }
-    report::tally(&verdict.tally);
+    report::tally(&verdict.client_stats);
     report::verdict(&verdict.records, &verdict.breaches, &verdict.service)
 }
 
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,14 +1,14 @@
 //! Summaries of a run, printed to standard output.
 
 use crate::CommandError;
+use basaltward_fakes::ClientStats;
 use basaltward_rules::{Breach, Record, Service, late_answers};
-use basaltward_standins::Tally;
 
 /// The largest number of breaches printed per rule.
 const PRINTED_BREACHES: usize = 5;
 
 /// Prints the counts of events by outcome and the latencies of those served.
-pub fn tally(tally: &Tally) {
+pub fn tally(tally: &ClientStats) {
     let mut latencies = tally.latencies.clone();
     latencies.sort_unstable();
     let quantile = |q: f64| {
@@ -17,7 +17,7 @@
     };
     println!(
         "{} events: {} served, {} refused, {} failed, {} unanswered; {} tries",
-        tally.events, tally.served, tally.refused, tally.failed, tally.unanswered, tally.tries
+        tally.events, tally.served, tally.refused, tally.failed, tally.unanswered, tally.attempts
     );
     println!(
         "served after: median {} ms, 99% {} ms, longest {} ms",
--- a/crates/cli/src/worker.rs
+++ b/crates/cli/src/worker.rs
@@ -3,7 +3,7 @@
 use crate::args::Worker;
 use crate::records::Records;
 use crate::{CommandError, demo};
-use basaltward_standins::{Fleet, StoreSpec, WorkerSpec};
+use basaltward_fakes::{Fleet, StoreSpec, WorkerSpec};
 
 /// Runs stand-in workers until SIGINT or SIGTERM.
 pub fn run(options: &Worker) -> Result<(), CommandError> {
@@ -12,8 +12,8 @@
     let spec = WorkerSpec {
         cores: options.cores.max(1),
         memory_mb: options.memory_mb,
-        work: (options.work_ms.max(0.0) * 1e3) as u64,
-        load: (load_us * 3 / 5, load_us * 2 / 5),
+        default_work: (options.work_ms.max(0.0) * 1e3) as u64,
+        fetch_and_start: (load_us * 3 / 5, load_us * 2 / 5),
         load_on_miss: options.load_on_miss,
         ..WorkerSpec::default()
     };
--- a/crates/cli/tests/discovery_outage.rs
+++ b/crates/cli/tests/discovery_outage.rs
@@ -7,9 +7,11 @@
 mod common;
 mod process;
 
+use basaltward_fakes::{
+    ExecRequest, FakeBulletin, LineWorker, RejectedLine, ThriftClient, ThriftReply, WorkerAction,
+};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
-use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker, TurnedAway};
 use common::{Call, Limits, TEST_TIMEOUT, bulletin_entry, config_json, send};
 use process::{config_file, start_with_log};
 use rustix::process::Signal;
@@ -141,7 +143,7 @@
 /// The result of a scenario.
 struct RunResult {
     /// New work that arrived at draining workers later than the rule allows.
-    breaches: Vec<TurnedAway>,
+    breaches: Vec<RejectedLine>,
     /// All new work that arrived at draining workers.
     rejected: usize,
     /// Copy queries to all workers.
@@ -156,7 +158,7 @@
 /// The bulletin and the workers of a scenario.
 struct TestBed {
     scenario: Scenario,
-    board: Board,
+    board: FakeBulletin,
     workers: Vec<LineWorker>,
     /// Number of schedulers started.
     started: AtomicU64,
@@ -164,11 +166,12 @@
 
 impl TestBed {
     fn new(scenario: Scenario) -> Self {
-        let script = |exec: &Exec| [vec![Act::Wait(Duration::from_millis(3))], exec.serve()].concat();
+        let script =
+            |exec: &ExecRequest| [vec![WorkerAction::Wait(Duration::from_millis(3))], exec.serve()].concat();
         let worker =
             |n| LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("the worker starts");
         let workers = (0..WORKERS).map(worker).collect();
-        let board = Board::start(2).expect("the bulletin starts");
+        let board = FakeBulletin::start(2).expect("the bulletin starts");
         Self { scenario, board, workers, started: AtomicU64::new(0) }
     }
 
@@ -220,7 +223,7 @@
             let flapping = self.start_outage(outage_start, &schedulers, scope);
             let mut drained = Vec::new();
             let mut drain = |worker: usize| {
-                self.workers[worker].drain(true);
+                self.workers[worker].set_draining(true);
                 drained.push((worker, monotonic()));
             };
             sleep_until(outage_start + FIRST_DRAINS);
@@ -252,7 +255,7 @@
                 Incident::AllDrain => {
                     (3..WORKERS).for_each(&mut drain);
                     sleep_until(outage_start + THIRD_DRAIN + ALL_DRAINING);
-                    self.workers[4].drain(false);
+                    self.workers[4].set_draining(false);
                 }
                 _ => {}
             }
@@ -268,7 +271,7 @@
                 .map(|(worker, at)| (worker, at.max(known_at) + GRACE + SLACK))
                 .collect::<Vec<_>>()
         });
-        let rejected = |worker: usize| self.workers[worker].turned_away();
+        let rejected = |worker: usize| self.workers[worker].rejected_while_draining();
         let late = |(worker, until): &(usize, Micros)| {
             rejected(*worker).into_iter().filter(|work| work.at > *until).collect::<Vec<_>>()
         };
@@ -290,8 +293,8 @@
         scope: &'scope std::thread::Scope<'scope, '_>,
     ) -> Option<std::thread::ScopedJoinHandle<'scope, ()>> {
         match self.scenario.outage {
-            Outage::Refuses => self.board.down(),
-            Outage::Silent => self.board.silence(true),
+            Outage::Refuses => self.board.stop_listening(),
+            Outage::Silent => self.board.set_silent(true),
             Outage::Moves => {
                 let unused =
                     std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
@@ -302,17 +305,17 @@
                     std::fs::write(&scheduler.config, moved).expect("the file is written");
                     process::signal(&scheduler.child, Signal::HUP);
                 }
-                self.board.silence(true);
+                self.board.set_silent(true);
             }
             Outage::Flaps => {
-                self.board.down();
-                self.board.silence(true);
+                self.board.stop_listening();
+                self.board.set_silent(true);
                 return Some(scope.spawn(move || {
                     for nth in 1..=3 {
                         sleep_until(outage_start + nth * 3 * S);
-                        self.board.up().expect("its port is free");
+                        self.board.resume_listening().expect("its port is free");
                         sleep_until(outage_start + nth * 3 * S + 300 * MS);
-                        self.board.down();
+                        self.board.stop_listening();
                     }
                 }));
             }
@@ -323,24 +326,24 @@
     /// Makes discovery reachable again; it reports the drains.
     fn end_outage(&self) {
         if matches!(self.scenario.outage, Outage::Refuses | Outage::Flaps) {
-            self.board.up().expect("its port is free");
+            self.board.resume_listening().expect("its port is free");
         }
-        self.board.silence(false);
+        self.board.set_silent(false);
         let draining = if self.scenario.incident == Incident::AllDrain { WORKERS } else { 3 };
         let drains: Vec<_> =
             (0..draining).filter(|n| *n != 4).map(|n| self.entry(n, "Terminating")).collect();
-        self.board.tell(&drains.join(","));
+        self.board.publish(&drains.join(","));
     }
 }
 
 /// Number of calls that a worker has received.
 fn calls_received(worker: &LineWorker) -> usize {
-    worker.lines().iter().filter(|line| line.starts_with("exec ")).count()
+    worker.received_lines().iter().filter(|line| line.starts_with("exec ")).count()
 }
 
 /// Number of copy queries that a worker has received.
 fn queries(worker: &LineWorker) -> usize {
-    worker.lines().iter().filter(|line| line.starts_with("load ")).count()
+    worker.received_lines().iter().filter(|line| line.starts_with("load ")).count()
 }
 
 fn sleep_until(at: Micros) {
@@ -355,7 +358,7 @@
     finished: &AtomicBool,
     (phase, tallies): (&AtomicU64, &Tallies),
 ) {
-    let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
+    let mut client = ThriftClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
     for nth in 0u64.. {
         if finished.load(Ordering::SeqCst) {
             return;
@@ -372,7 +375,7 @@
         let sent = monotonic();
         send(&mut client, &call);
         match client.read().expect("a readable reply").expect("a reply").1 {
-            FrontReply::Served(_) => drop(tally.served.fetch_add(1, Ordering::SeqCst)),
+            ThriftReply::Served(_) => drop(tally.served.fetch_add(1, Ordering::SeqCst)),
             _ => {
                 tally.refused.fetch_add(1, Ordering::SeqCst);
                 let late = monotonic() > sent + S + SLACK;
--- a/crates/cli/tests/lifecycle/killed.rs
+++ b/crates/cli/tests/lifecycle/killed.rs
@@ -2,8 +2,10 @@
 //! happen twice, and each client gets one final reply.
 use crate::common::{Limits, TEST_TIMEOUT, bulletin_entry, config_json, wait_until_delivered};
 use crate::process::{config_file, freeze, signal, start};
+use basaltward_fakes::{
+    ExecRequest, FakeBulletin, LineWorker, ThriftClient, ThriftReply, WorkerAction, answer_line,
+};
 use basaltward_rules::Recorder;
-use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker, answer};
 use rustix::process::Signal;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,7 +28,7 @@
     schedulers: Vec<(Child, SocketAddr, PathBuf)>,
     workers: Vec<LineWorker>,
     effects: Arc<Mutex<Effects>>,
-    _boards: Vec<Board>,
+    _boards: Vec<FakeBulletin>,
 }
 
 /// Adds a keyed class, `deed`, to a configuration.
@@ -41,18 +43,18 @@
 const RESET: &[u8] = b"broken";
 
 /// Script of the workers.
-fn execute(effects: &Mutex<Effects>, exec: &Exec) -> Vec<Act> {
+fn execute(effects: &Mutex<Effects>, exec: &ExecRequest) -> Vec<WorkerAction> {
     let mut effects = effects.lock().expect("not poisoned");
     let key = exec.fields.split(',').find_map(|field| field.strip_prefix("uniq=")).map(str::to_owned);
     let repeated = key.as_ref().is_some_and(|key| effects.keys.contains(key));
     effects.keys.extend(key);
     if repeated {
-        return vec![Act::Write(answer(&exec.id, "OK", "detail=up", &exec.turned()))];
+        return vec![WorkerAction::Write(answer_line(&exec.id, "OK", "detail=up", &exec.reversed_body()))];
     }
     *effects.runs.entry(exec.body.clone()).or_default() += 1;
     match exec.body.as_slice() {
-        body if body.starts_with(UNANSWERED) => vec![Act::Run],
-        body if body.starts_with(RESET) => vec![Act::Run, Act::Reset],
+        body if body.starts_with(UNANSWERED) => vec![WorkerAction::Run],
+        body if body.starts_with(RESET) => vec![WorkerAction::Run, WorkerAction::Reset],
         _ => exec.serve(),
     }
 }
@@ -62,16 +64,16 @@
         let effects: Arc<Mutex<Effects>> = Arc::default();
         let start_one = |n| {
             let effects = effects.clone();
-            let script = move |exec: &Exec| execute(&effects, exec);
+            let script = move |exec: &ExecRequest| execute(&effects, exec);
             LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("the worker starts")
         };
         let workers: Vec<_> = (0..2).map(start_one).collect();
         let entry =
             |(n, worker): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), worker.address(), "Ready");
         let targets = workers.iter().enumerate().map(entry).collect::<Vec<_>>().join(",");
-        let boards: Vec<_> = (0..2).map(|_| Board::start(2).expect("the bulletin starts")).collect();
+        let boards: Vec<_> = (0..2).map(|_| FakeBulletin::start(2).expect("the bulletin starts")).collect();
         let limits = Limits { connect_ms: 3_000, ..Limits::default() };
-        let scheduler = |(n, board): (usize, &Board)| {
+        let scheduler = |(n, board): (usize, &FakeBulletin)| {
             let config = config_file(
                 &format!("{name}-{n}"),
                 &with_keyed_class(&config_json(limits, board.address(), &targets)),
@@ -90,8 +92,8 @@
         self.schedulers[n].1
     }
 
-    fn client(&self, n: usize) -> FrontClient {
-        FrontClient::connect(self.address(n), TEST_TIMEOUT).expect("the connection is accepted")
+    fn client(&self, n: usize) -> ThriftClient {
+        ThriftClient::connect(self.address(n), TEST_TIMEOUT).expect("the connection is accepted")
     }
 
     /// Sends calls to a scheduler until one is served. On a loaded machine some are rejected first.
@@ -102,7 +104,7 @@
             let mut client = self.client(n);
             send(&mut client, &op, attempt << 8 | n as u64);
             let reply = client.read().expect("a readable reply").expect("a reply").1;
-            if matches!(reply, FrontReply::Served(_)) {
+            if matches!(reply, ThriftReply::Served(_)) {
                 return;
             }
             assert!(Instant::now() < deadline, "{reply:?}");
@@ -124,7 +126,7 @@
     }
 
     /// Kills the first scheduler; its clients receive nothing but the end of their connections.
-    fn kill(&mut self, mut clients: Vec<FrontClient>) {
+    fn kill(&mut self, mut clients: Vec<ThriftClient>) {
         let child = &mut self.schedulers[0].0;
         signal(child, Signal::KILL);
         child.wait().expect("it exits");
@@ -134,7 +136,7 @@
     }
 
     /// Repeats a request at the other scheduler. Returns its reply, and checks that there is no second one.
-    fn repeat(&self, op: &Op, id: u64) -> FrontReply {
+    fn repeat(&self, op: &Op, id: u64) -> ThriftReply {
         let mut client = self.client(1);
         let sent = send(&mut client, op, id);
         let (seqid, reply) = client.read().expect("a readable reply").expect("a reply");
@@ -168,7 +170,7 @@
     key: Option<&'static str>,
 }
 
-fn send(client: &mut FrontClient, op: &Op, id: u64) -> i32 {
+fn send(client: &mut ThriftClient, op: &Op, id: u64) -> i32 {
     let id = format!("{id:016x}");
     let mut fields = vec![
         ("kind", op.class),
@@ -182,7 +184,7 @@
 }
 
 /// Waits until everything that the client sent has arrived in the first scheduler's socket.
-fn wait_until_received(bed: &TestBed, client: &FrontClient) {
+fn wait_until_received(bed: &TestBed, client: &ThriftClient) {
     wait_until_delivered(
         client.stream().local_addr().expect("the connection is open"),
         bed.address(0),
@@ -205,7 +207,7 @@
     }
     bed.kill(clients);
     for n in 0..2 {
-        assert!(matches!(bed.repeat(&unsafe_op(n), 0x200 + n as u64), FrontReply::Served(_)));
+        assert!(matches!(bed.repeat(&unsafe_op(n), 0x200 + n as u64), ThriftReply::Served(_)));
     }
     bed.wait_until_served(1);
     assert_eq!([0, 1].map(|n| bed.executions(&unsafe_op(n).body)), [1, 1]);
@@ -215,7 +217,7 @@
 fn request_that_waits_for_its_worker_at_a_killed_scheduler_runs_once_when_repeated() {
     let mut bed = TestBed::new("killed-waits");
     let waiting = Op { class: "extract", body: b"waits".to_vec(), key: None };
-    bed.workers.iter().for_each(|worker| worker.plug().expect("the worker stops accepting"));
+    bed.workers.iter().for_each(|worker| worker.block_new_connections().expect("the worker stops accepting"));
     bed.workers.iter().for_each(LineWorker::reset_all);
     let mut client = bed.client(0);
     send(&mut client, &waiting, 0x100);
@@ -224,11 +226,11 @@
         client.heartbeat().and_then(|_| client.read()).expect("the connection is alive");
     }
     bed.kill(vec![client]);
-    bed.workers.iter().for_each(LineWorker::unplug);
+    bed.workers.iter().for_each(LineWorker::unblock_new_connections);
     // By now the kernel would have retried the connection attempt of a live process.
     std::thread::sleep(Duration::from_millis(1_300));
     assert_eq!(bed.executions(&waiting.body), 0, "the killed scheduler has sent it to a worker");
-    assert!(matches!(bed.repeat(&waiting, 0x200), FrontReply::Served(_)));
+    assert!(matches!(bed.repeat(&waiting, 0x200), ThriftReply::Served(_)));
     bed.wait_until_served(1);
     assert_eq!(bed.executions(&waiting.body), 1);
 }
@@ -241,7 +243,7 @@
     send(&mut client, &deed, 0x100);
     bed.wait_until_executed(&deed.body);
     bed.kill(vec![client]);
-    assert!(matches!(bed.repeat(&deed, 0x200), FrontReply::Served(_)));
+    assert!(matches!(bed.repeat(&deed, 0x200), ThriftReply::Served(_)));
     assert_eq!(bed.executions(&deed.body), 1);
 }
 
@@ -256,7 +258,7 @@
     wait_until_received(&bed, &client);
     bed.kill(vec![client]);
     // It was executed, which the scheduler cannot know: the call fails and is sent to no other worker.
-    assert_eq!(bed.repeat(&broken, 0x200), FrontReply::Crashed);
+    assert_eq!(bed.repeat(&broken, 0x200), ThriftReply::Crashed);
     bed.wait_until_served(1);
     assert_eq!(bed.executions(&broken.body), 1);
 }
--- a/crates/cli/tests/lifecycle/ready.rs
+++ b/crates/cli/tests/lifecycle/ready.rs
@@ -1,15 +1,15 @@
 //! After a stall of the process, a scheduler that reports readiness has to serve calls.
 use crate::common::{Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send, wait_until_delivered};
 use crate::process::{config_file, freeze, signal, start, thaw};
+use basaltward_fakes::{FakeBulletin, LineWorker, ThriftClient, ThriftReply};
 use basaltward_rules::Recorder;
-use basaltward_standins::{Board, FrontClient, FrontReply, LineWorker};
 use rustix::process::Signal;
 use std::net::SocketAddr;
 use std::process::Child;
 use std::time::{Duration, Instant};
 
-fn client(to: SocketAddr) -> FrontClient {
-    FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted")
+fn client(to: SocketAddr) -> ThriftClient {
+    ThriftClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted")
 }
 
 /// Wait before a rejected call is sent again.
@@ -20,7 +20,7 @@
 
 /// Checks that the scheduler reports readiness and then serves a call on a new connection at once. On a slow machine some
 /// calls may be rejected or fail first, within [`RECOVERY_LIMIT`].
-fn check_ready_and_serving(to: SocketAddr, front: &mut FrontClient, number: u64, when: &str) {
+fn check_ready_and_serving(to: SocketAddr, front: &mut ThriftClient, number: u64, when: &str) {
     assert_eq!(front.is_ready().expect("a readable reply"), Some(true), "{when}");
     let ready_at = Instant::now();
     for attempt in 0.. {
@@ -30,8 +30,8 @@
         let (seqid, reply) = caller.read().expect("a readable reply").expect("a reply");
         assert_eq!(seqid, sent, "{when}");
         match reply {
-            FrontReply::Served(_) => return,
-            FrontReply::Rejected(_) | FrontReply::Crashed if ready_at.elapsed() < RECOVERY_LIMIT => {
+            ThriftReply::Served(_) => return,
+            ThriftReply::Rejected(_) | ThriftReply::Crashed if ready_at.elapsed() < RECOVERY_LIMIT => {
                 std::thread::sleep(RETRY_PAUSE)
             }
             reply => panic!("{when}: {reply:?} after {:?}", ready_at.elapsed()),
@@ -57,7 +57,7 @@
         LineWorker::start(&format!("s-{n}"), Recorder::none(), |exec| exec.serve())
             .expect("the worker starts")
     });
-    let board = Board::start(2).expect("the bulletin starts");
+    let board = FakeBulletin::start(2).expect("the bulletin starts");
     let entry = |n: usize, state: &str| bulletin_entry(&format!("s-{n}"), workers[n].address(), state);
     let config = config_file(
         "stalled",
@@ -79,9 +79,9 @@
         let sent: Vec<_> =
             (10..).zip(&mut waiting).map(|(n, client)| send(client, &call(number + n, "view"))).collect();
         workers.iter().for_each(LineWorker::close_all);
-        board.cut();
+        board.disconnect_all();
         // And its capacity shrinks: the bulletin reports one of the two workers as draining.
-        board.tell(&entry(0, "Terminating"));
+        board.publish(&entry(0, "Terminating"));
         std::thread::sleep(Duration::from_millis(stall));
         let front_address = front.stream().local_addr().expect("the connection is open");
         wait_until_delivered(front_address, to, "revoke");
@@ -96,7 +96,7 @@
             let reply = client.read().expect("a readable reply");
             assert!(reply.as_ref().is_some_and(|(seqid, _)| *seqid == sent), "{when}: {reply:?}");
         }
-        board.tell(&entry(0, "Ready"));
+        board.publish(&entry(0, "Ready"));
         number += 1_000;
     }
     signal(&running.0, Signal::TERM);
--- a/crates/cli/tests/lifecycle/restarts.rs
+++ b/crates/cli/tests/lifecycle/restarts.rs
@@ -2,9 +2,9 @@
 //! exits before the platform's SIGKILL.
 use crate::common::{Call, Limits, TEST_TIMEOUT, bulletin_entry, call, config_json, send};
 use crate::process::{config_file, end, signal, start};
+use basaltward_fakes::{ExecRequest, FakeBulletin, LineWorker, ThriftClient, ThriftReply, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
-use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
 use rustix::process::Signal;
 use std::net::SocketAddr;
 use std::os::unix::process::ExitStatusExt;
@@ -48,11 +48,11 @@
 }
 
 /// Workers leave one request in sixteen unanswered: its timeout has to end it.
-fn script(exec: &Exec) -> Vec<Act> {
-    if exec.nth % 16 == 15 {
-        return vec![Act::Run];
+fn script(exec: &ExecRequest) -> Vec<WorkerAction> {
+    if exec.arrival_index % 16 == 15 {
+        return vec![WorkerAction::Run];
     }
-    let mut acts = vec![Act::Wait(Duration::from_millis(3))];
+    let mut acts = vec![WorkerAction::Wait(Duration::from_millis(3))];
     acts.extend(exec.serve());
     acts
 }
@@ -63,7 +63,7 @@
     to: SocketAddr,
     config: std::path::PathBuf,
     _workers: Vec<LineWorker>,
-    _board: Board,
+    _board: FakeBulletin,
 }
 
 impl TestBed {
@@ -71,7 +71,7 @@
         let start_one =
             |n| LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("the worker starts");
         let workers: Vec<_> = (0..4).map(start_one).collect();
-        let board = Board::start(2).expect("the bulletin starts");
+        let board = FakeBulletin::start(2).expect("the bulletin starts");
         let entry =
             |(n, worker): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), worker.address(), "Ready");
         let targets = workers.iter().enumerate().map(entry).collect::<Vec<_>>().join(",");
@@ -106,7 +106,7 @@
 }
 
 /// Sends one request and reads its reply.
-fn request(client: &mut FrontClient, number: u64) -> Outcome {
+fn request(client: &mut ThriftClient, number: u64) -> Outcome {
     let class = if number.is_multiple_of(2) { "view" } else { "extract" };
     let function = format!("7f3a9c21e0b4{:04x}", number % 40);
     let call = Call { timeout_ms: TIMEOUT / MS, function, ..call(number, class) };
@@ -119,9 +119,9 @@
             assert_eq!(id, seqid, "a reply to another request");
             match reply {
                 _ if took > TIMEOUT + LATE_TOLERANCE => Outcome::TooLate(took),
-                FrontReply::Served(_) => Outcome::Served,
-                FrontReply::Rejected(_) => Outcome::Refused,
-                FrontReply::Crashed | FrontReply::Exception => Outcome::Failed,
+                ThriftReply::Served(_) => Outcome::Served,
+                ThriftReply::Rejected(_) => Outcome::Refused,
+                ThriftReply::Crashed | ThriftReply::Exception => Outcome::Failed,
             }
         }
         Ok(None) | Err(_) => Outcome::NoReply,
@@ -136,10 +136,10 @@
     (before, after): (&Barrier, &Barrier),
     term: &dyn Fn() -> Micros,
 ) -> Vec<Finished> {
-    let mut kept = FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
+    let mut kept = ThriftClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
     let mut finished = Vec::new();
     let mut next = number << 32;
-    let mut send_one = |client: &mut FrontClient, connection, term| {
+    let mut send_one = |client: &mut ThriftClient, connection, term| {
         next += 1;
         let sent = since(term, monotonic());
         finished.push(Finished { connection, sent, outcome: request(client, next) });
@@ -157,7 +157,7 @@
             break;
         }
         if now < connect_until && nth % 2 == 1 {
-            let mut new = FrontClient::connect(to, TEST_TIMEOUT).expect("it still listens");
+            let mut new = ThriftClient::connect(to, TEST_TIMEOUT).expect("it still listens");
             send_one(&mut new, "new", Some(term));
         } else {
             send_one(&mut kept, "kept", Some(term));
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -4,8 +4,8 @@
 mod common;
 mod process;
 
+use basaltward_fakes::{FakeBulletin, LineWorker, ThriftClient, ThriftReply};
 use basaltward_rules::Recorder;
-use basaltward_standins::{Board, FrontClient, FrontReply, LineWorker};
 use common::{Limits, TEST_TIMEOUT, bulletin_entry, config_json};
 use process::{config_file, program, signal, start, start_with_log};
 use rustix::process::{Pid, Resource, Rlimit, Signal, getrlimit, prlimit};
@@ -53,11 +53,11 @@
 }
 
 /// Sends one call on a new connection and returns the reply.
-fn call(to: SocketAddr, number: u64) -> FrontReply {
+fn call(to: SocketAddr, number: u64) -> ThriftReply {
     call_within(to, number, 800)
 }
 
-fn call_within(to: SocketAddr, number: u64, timeout_ms: u64) -> FrontReply {
+fn call_within(to: SocketAddr, number: u64, timeout_ms: u64) -> ThriftReply {
     let timeout = timeout_ms.to_string();
     let (id, function) = (format!("{number:016x}"), format!("{:016x}", number | 1 << 60));
     let fields = [
@@ -67,7 +67,7 @@
         ("subject", function.as_str()),
         ("props", "memory_mb:64;lanes:8;load_ms:20"),
     ];
-    let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
+    let mut client = ThriftClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
     client.submit(&fields, b"a body").expect("the request is sent");
     client.read().expect("a readable reply").expect("a reply").1
 }
@@ -87,15 +87,15 @@
 #[test]
 fn repeated_and_simultaneous_signals_are_handled() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
-    let board = Board::start(2).expect("the bulletin starts");
+    let board = FakeBulletin::start(2).expect("the bulletin starts");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let config = config_file("signals", &config_json(Limits::default(), board.address(), &targets));
     let (mut child, to) = start(&config);
-    assert!(matches!(call(to, 1), FrontReply::Served(_)));
+    assert!(matches!(call(to, 1), ThriftReply::Served(_)));
     for sent in [Signal::HUP, Signal::HUP, Signal::TERM, Signal::HUP, Signal::TERM] {
         signal(&child, sent);
     }
-    assert!(matches!(call(to, 2), FrontReply::Served(_)));
+    assert!(matches!(call(to, 2), ThriftReply::Served(_)));
     assert!(child.wait().expect("it exits").success());
     std::fs::remove_file(config).expect("the file is removed");
 }
@@ -103,7 +103,7 @@
 #[test]
 fn ten_thousand_clients_functions_and_many_workers_leak_no_memory_or_descriptors() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
-    let board = Board::start(2).expect("the bulletin starts");
+    let board = FakeBulletin::start(2).expect("the bulletin starts");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let long = config_json(Limits::default(), board.address(), &targets);
     // Idle state is dropped after 0.2 s and no timer lasts for seconds, so that the test does not take minutes.
@@ -116,12 +116,12 @@
             if number % 5 == 0 {
                 // A new worker replaces the old one at the same address.
                 let name = |n: u64| format!("s-{n}");
-                board.tell(&bulletin_entry(&name(generation + 1), worker.address(), "Ready"));
-                board.tell(&bulletin_entry(&name(generation), worker.address(), "Gone"));
+                board.publish(&bulletin_entry(&name(generation + 1), worker.address(), "Ready"));
+                board.publish(&bulletin_entry(&name(generation), worker.address(), "Gone"));
                 generation += 1;
             }
             let reply = call(to, number);
-            assert!(matches!(reply, FrontReply::Served(_)), "{number}: {reply:?}");
+            assert!(matches!(reply, ThriftReply::Served(_)), "{number}: {reply:?}");
         }
     };
     // By then its tables have reached their steady size.
@@ -188,8 +188,10 @@
 #[test]
 fn invalid_configuration_at_reload_changes_nothing_and_is_reported_in_one_line() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
-    let (old, new) =
-        (Board::start(2).expect("the bulletin starts"), Board::start(2).expect("the bulletin starts"));
+    let (old, new) = (
+        FakeBulletin::start(2).expect("the bulletin starts"),
+        FakeBulletin::start(2).expect("the bulletin starts"),
+    );
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let first = config_json(Limits::default(), old.address(), &targets);
     let config = config_file("again", &first);
@@ -207,22 +209,22 @@
         signal(&child, Signal::HUP);
         let line = wait_for_log(&lines, "configuration rejected");
         assert!(line.contains(field), "{field}: {line}");
-        assert!(matches!(call(to, number as u64), FrontReply::Served(_)));
+        assert!(matches!(call(to, number as u64), ThriftReply::Served(_)));
         // Meanwhile the scheduler reads it again every 0.1 s.
         assert!(not_logged(&lines, "configuration", Duration::from_millis(350)), "{field}: reported twice");
     }
-    assert_eq!((new.asked().len(), old.standing()), (0, 1));
+    assert_eq!((new.received_requests().len(), old.open_connections()), (0, 1));
     // The valid one that follows is applied without a further signal, and then it is not read again.
     std::fs::write(&config, &good).expect("the file is written");
     assert!(wait_for_log(&lines, "configuration read").contains(&new.address().to_string()));
-    new.tell(&bulletin_entry("s-9", worker.address(), "Gone"));
+    new.publish(&bulletin_entry("s-9", worker.address(), "Gone"));
     let deadline = Instant::now() + TEST_TIMEOUT;
-    while (old.standing(), new.standing()) != (0, 1) {
+    while (old.open_connections(), new.open_connections()) != (0, 1) {
         assert!(Instant::now() < deadline, "the scheduler does not switch to the new bulletin");
         std::thread::sleep(Duration::from_millis(5));
     }
     assert!(not_logged(&lines, "configuration", Duration::from_millis(350)), "it was read again");
-    assert!(matches!(call(to, 99), FrontReply::Served(_)));
+    assert!(matches!(call(to, 99), ThriftReply::Served(_)));
     stop(child);
     std::fs::remove_file(config).expect("the file is removed");
 }
@@ -230,8 +232,10 @@
 #[test]
 fn valid_configuration_signalled_while_an_invalid_one_is_retried_is_applied_at_once() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
-    let (old, new) =
-        (Board::start(2).expect("the bulletin starts"), Board::start(2).expect("the bulletin starts"));
+    let (old, new) = (
+        FakeBulletin::start(2).expect("the bulletin starts"),
+        FakeBulletin::start(2).expect("the bulletin starts"),
+    );
     let first =
         config_json(Limits::default(), old.address(), &bulletin_entry("s-0", worker.address(), "Ready"));
     let good = first.replace(&old.address().to_string(), &new.address().to_string());
@@ -249,7 +253,7 @@
         signal(&child, Signal::HUP);
         let expected = if nth % 2 == 0 { new.address() } else { old.address() };
         assert!(wait_for_log(&lines, "configuration read").contains(&expected.to_string()));
-        assert!(matches!(call(to, nth), FrontReply::Served(_)));
+        assert!(matches!(call(to, nth), ThriftReply::Served(_)));
     }
     stop(child);
     std::fs::remove_file(config).expect("the file is removed");
@@ -258,8 +262,10 @@
 #[test]
 fn second_signal_restarts_the_time_for_which_an_invalid_configuration_is_retried() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
-    let (old, new) =
-        (Board::start(2).expect("the bulletin starts"), Board::start(2).expect("the bulletin starts"));
+    let (old, new) = (
+        FakeBulletin::start(2).expect("the bulletin starts"),
+        FakeBulletin::start(2).expect("the bulletin starts"),
+    );
     let first =
         config_json(Limits::default(), old.address(), &bulletin_entry("s-0", worker.address(), "Ready"));
     let good = first.replace(&old.address().to_string(), &new.address().to_string());
@@ -273,7 +279,7 @@
     signal(&child, Signal::HUP);
     wait_for_log(&lines, "configuration rejected");
     std::thread::sleep(Duration::from_millis(2_000));
-    assert!(matches!(call(to, 1), FrontReply::Served(_)));
+    assert!(matches!(call(to, 1), ThriftReply::Served(_)));
     std::fs::write(&config, &good).expect("the file is written");
     assert!(wait_for_log(&lines, "configuration read").contains(&new.address().to_string()));
     stop(child);
@@ -283,8 +289,10 @@
 #[test]
 fn settings_that_need_a_restart_are_not_applied_at_reload_and_are_reported() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
-    let (old, new) =
-        (Board::start(2).expect("the bulletin starts"), Board::start(2).expect("the bulletin starts"));
+    let (old, new) = (
+        FakeBulletin::start(2).expect("the bulletin starts"),
+        FakeBulletin::start(2).expect("the bulletin starts"),
+    );
     let first =
         config_json(Limits::default(), old.address(), &bulletin_entry("s-0", worker.address(), "Ready"));
     let config = config_file("other", &first);
@@ -298,11 +306,11 @@
     assert!(line.contains("seed, settings") && !line.contains("listen"), "{line}");
     // The new bulletin is applied; the classes remain those of the start.
     let deadline = Instant::now() + TEST_TIMEOUT;
-    while new.standing() != 1 {
+    while new.open_connections() != 1 {
         assert!(Instant::now() < deadline, "the scheduler does not connect to the new bulletin");
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(matches!(call(to, 1), FrontReply::Served(_)));
+    assert!(matches!(call(to, 1), ThriftReply::Served(_)));
     stop(child);
     std::fs::remove_file(config).expect("the file is removed");
 }
@@ -333,11 +341,11 @@
             std::thread::spawn(move || {
                 let started_at = Instant::now();
                 let (child, to) = start(&config);
-                let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
+                let mut client = ThriftClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
                 client.heartbeat().expect("the request is sent");
                 let reply = client.read().expect("a readable reply").expect("a reply").1;
                 let took = started_at.elapsed();
-                assert!(matches!(reply, FrontReply::Served(_)), "{reply:?}");
+                assert!(matches!(reply, ThriftReply::Served(_)), "{reply:?}");
                 (child, to, config, took)
             })
         })
@@ -354,7 +362,7 @@
         assert!(spent < 20, "{spent} ticks of CPU time in two seconds");
         // The longest time that the class allows, so that a slow machine does not fail the test.
         let reply = call_within(*to, u64::from(child.id()), 8_000);
-        assert!(matches!(reply, FrontReply::Served(_)), "{reply:?}");
+        assert!(matches!(reply, ThriftReply::Served(_)), "{reply:?}");
     }
     for (child, _, config, _) in fleet {
         stop(child);
@@ -365,27 +373,27 @@
 #[test]
 fn without_free_descriptors_it_waits_idle_and_then_serves_again() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
-    let board = Board::start(2).expect("the bulletin starts");
+    let board = FakeBulletin::start(2).expect("the bulletin starts");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let config = config_file("short", &config_json(Limits::default(), board.address(), &targets));
     let (mut child, to) = start(&config);
-    assert!((1..50).any(|n| matches!(call(to, n << 20), FrontReply::Served(_))));
+    assert!((1..50).any(|n| matches!(call(to, n << 20), ThriftReply::Served(_))));
     let pid = Pid::from_raw(child.id() as i32);
     let open = std::fs::read_dir(format!("/proc/{}/fd", child.id())).expect("it runs").count() as u64;
     let maximum = getrlimit(Resource::Nofile).maximum;
     let limit = prlimit(pid, Resource::Nofile, Rlimit { current: Some(open + 4), maximum }).expect("set");
     let mut idle: Vec<_> = (0..20)
-        .map(|_| FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted"))
+        .map(|_| ThriftClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted"))
         .collect();
     // The bulletin and the worker close their connections, and new connections to them need descriptors too.
     worker.reset_all();
-    board.cut();
+    board.disconnect_all();
     let before = cpu_ticks(&child);
     std::thread::sleep(Duration::from_secs(1));
     let used = cpu_ticks(&child) - before;
     assert!(used < 30, "{used} hundredths of a second of CPU time in one second");
     prlimit(pid, Resource::Nofile, limit).expect("set");
-    assert!((1..50).any(|n| matches!(call(to, n << 20 | 2), FrontReply::Served(_))));
+    assert!((1..50).any(|n| matches!(call(to, n << 20 | 2), ThriftReply::Served(_))));
     let sent = idle[19].heartbeat().expect("the request is sent");
     assert_eq!(idle[19].read().expect("a readable reply").map(|(seqid, _)| seqid), Some(sent));
     signal(&child, Signal::TERM);
@@ -396,18 +404,18 @@
 #[test]
 fn large_bodies_and_clients_that_do_not_read_stay_within_the_memory_limit() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
-    let board = Board::start(2).expect("the bulletin starts");
+    let board = FakeBulletin::start(2).expect("the bulletin starts");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let limits = Limits::default();
     let config = config_file("flood", &config_json(limits, board.address(), &targets));
     let (mut child, to) = start(&config);
-    assert!((1..50).any(|n| matches!(call(to, n << 20), FrontReply::Served(_))));
+    assert!((1..50).any(|n| matches!(call(to, n << 20), ThriftReply::Served(_))));
     let before = resident_kib(&child);
     // Each announces a frame of sixty megabytes, or sends many requests and reads none of the replies.
     let floods: Vec<_> = (0..40)
         .map(|number| {
             std::thread::spawn(move || {
-                let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
+                let mut client = ThriftClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
                 client
                     .stream()
                     .set_write_timeout(Some(Duration::from_millis(300)))
@@ -423,8 +431,8 @@
                         ("props", "memory_mb:64;lanes:8;load_ms:20"),
                     ];
                     let result = match number % 2 {
-                        0 if sent == 0 => client.raw(b"\x03\x93\x87\x00"),
-                        0 => client.raw(&body),
+                        0 if sent == 0 => client.send_raw_bytes(b"\x03\x93\x87\x00"),
+                        0 => client.send_raw_bytes(&body),
                         _ => client.submit(&fields, &body).map(drop),
                     };
                     if result.is_err() {
@@ -439,7 +447,7 @@
         floods.into_iter().map(|flood| flood.join().expect("the client does not panic")).collect();
     let after = resident_kib(&child);
     assert!(after < before + u64::from(limits.memory_mb) * 1_024, "{before} KiB, then {after} KiB");
-    assert!((1..50).any(|n| matches!(call(to, n << 20 | 2), FrontReply::Served(_))));
+    assert!((1..50).any(|n| matches!(call(to, n << 20 | 2), ThriftReply::Served(_))));
     drop(held);
     signal(&child, Signal::TERM);
     assert!(child.wait().expect("it exits").success());
@@ -449,7 +457,7 @@
 #[test]
 fn scheduler_whose_address_is_in_use_for_a_moment_starts_once_it_is_free() {
     let worker = LineWorker::start("s-0", Recorder::none(), |exec| exec.serve()).expect("the worker starts");
-    let board = Board::start(2).expect("the bulletin starts");
+    let board = FakeBulletin::start(2).expect("the bulletin starts");
     let config = config_file(
         "patient",
         &config_json(Limits::default(), board.address(), &bulletin_entry("s-0", worker.address(), "Ready")),
@@ -467,7 +475,7 @@
     drop(taken);
     let deadline = Instant::now() + TEST_TIMEOUT;
     let serves = || {
-        FrontClient::connect(address, TEST_TIMEOUT)
+        ThriftClient::connect(address, TEST_TIMEOUT)
             .is_ok_and(|mut client| client.is_ready().is_ok_and(|r| r == Some(true)))
     };
     while !serves() {
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -9,9 +9,9 @@
 mod common;
 mod process;
 
+use basaltward_fakes::{ExecRequest, FakeBulletin, LineWorker, ThriftClient, ThriftReply, WorkerAction};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::Recorder;
-use basaltward_standins::{Act, Board, Exec, FrontClient, FrontReply, LineWorker};
 use common::{Call, Limits, bulletin_entry, config_json, fields};
 use process::{config_file, signal, start};
 use rustix::process::Signal;
@@ -122,7 +122,7 @@
 
 impl Budgets {
     /// Checks the budget of a call that a worker has received.
-    fn check(&self, exec: &Exec) {
+    fn check(&self, exec: &ExecRequest) {
         let deadline = self.deadlines.lock().expect("not poisoned").get(&exec.id).copied();
         let budget =
             exec.fields.split("budget=").nth(1).and_then(|rest| rest.split(',').next()?.parse().ok());
@@ -140,7 +140,7 @@
     /// Whether the workers execute calls without replying.
     hang: &'static AtomicBool,
     budgets: &'static Budgets,
-    board: Board,
+    board: FakeBulletin,
     workers: Vec<LineWorker>,
 }
 
@@ -148,17 +148,17 @@
     fn new(scenario: &Scenario) -> Self {
         let hang: &'static AtomicBool = Box::leak(Box::default());
         let budgets: &'static Budgets = Box::leak(Box::default());
-        let script = move |exec: &Exec| {
+        let script = move |exec: &ExecRequest| {
             budgets.check(exec);
-            match hang.load(Ordering::SeqCst) || exec.nth % 16 == 15 {
-                true => vec![Act::Run],
-                false => [vec![Act::Wait(Duration::from_millis(2))], exec.serve()].concat(),
+            match hang.load(Ordering::SeqCst) || exec.arrival_index % 16 == 15 {
+                true => vec![WorkerAction::Run],
+                false => [vec![WorkerAction::Wait(Duration::from_millis(2))], exec.serve()].concat(),
             }
         };
         let start_one =
             |n| LineWorker::start(&format!("s-{n}"), Recorder::none(), script).expect("the worker starts");
         let workers: Vec<_> = (0..4).map(start_one).collect();
-        let board = Board::start(2).expect("the bulletin starts");
+        let board = FakeBulletin::start(2).expect("the bulletin starts");
         let entry =
             |(n, worker): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), worker.address(), "Ready");
         let targets = workers.iter().enumerate().map(entry).collect::<Vec<_>>().join(",");
@@ -184,16 +184,16 @@
     /// Takes discovery down and drains two workers; returns until when new work may arrive at them.
     fn drain_during_outage(&self) -> Micros {
         let outage_start = monotonic();
-        self.board.down();
+        self.board.stop_listening();
         std::thread::sleep(Duration::from_millis(100));
-        self.workers[..2].iter().for_each(|worker| worker.drain(true));
+        self.workers[..2].iter().for_each(|worker| worker.set_draining(true));
         std::thread::sleep(Duration::from_micros(OUTAGE_LIMIT + GRACE));
         outage_start + OUTAGE_LIMIT + GRACE + CROSSING + MACHINE_DELAY
     }
 
     /// New work that arrived at draining workers later than that.
     fn late_work(&self, until: Micros) -> Vec<String> {
-        let rejected = self.workers.iter().flat_map(LineWorker::turned_away);
+        let rejected = self.workers.iter().flat_map(LineWorker::rejected_while_draining);
         rejected
             .filter(|work| work.at > until)
             .map(|work| format!("after the outage limit and the grace: {work:?}"))
@@ -243,7 +243,7 @@
 }
 
 /// Whether the peer has closed this connection, as a client checks before it sends.
-fn is_closed(client: &FrontClient) -> bool {
+fn is_closed(client: &ThriftClient) -> bool {
     let stream = client.stream();
     let _ = stream.set_nonblocking(true);
     let peeked = stream.peek(&mut [0]);
@@ -257,7 +257,7 @@
 /// Sends one request, in two parts if a pause between them is given, and waits for its reply. Returns when it was sent and
 /// its outcome.
 fn send_and_wait(
-    client: &mut FrontClient,
+    client: &mut ThriftClient,
     call: &Call,
     split: Option<Duration>,
     served: &mut bool,
@@ -266,9 +266,9 @@
     let fields = fields(call, &timeout);
     let written = match split {
         None => client.submit(&fields, &call.body),
-        Some(pause) => client.half(&fields, &call.body).and_then(|(seqid, rest)| {
+        Some(pause) => client.submit_half(&fields, &call.body).and_then(|(seqid, rest)| {
             std::thread::sleep(pause);
-            client.raw(&rest).map(|()| seqid)
+            client.send_raw_bytes(&rest).map(|()| seqid)
         }),
     };
     let sent = monotonic();
@@ -278,7 +278,7 @@
     match reply {
         Ok(Some((reply_seqid, reply))) => {
             assert_eq!(reply_seqid, seqid, "a reply to another request");
-            if let FrontReply::Served(body) = reply {
+            if let ThriftReply::Served(body) = reply {
                 let reversed: Vec<u8> = call.body.iter().rev().copied().collect();
                 assert!(body == reversed, "a body that no worker sent");
                 *served = true;
@@ -306,8 +306,8 @@
 
 impl Client<'_> {
     /// Opens a connection, or returns `None` if the scheduler does not accept it.
-    fn connect(&self) -> Option<FrontClient> {
-        FrontClient::connect(self.to, Duration::from_millis(self.scenario.deadline_ms + 4_000)).ok()
+    fn connect(&self) -> Option<ThriftClient> {
+        ThriftClient::connect(self.to, Duration::from_millis(self.scenario.deadline_ms + 4_000)).ok()
     }
 
     /// Draws the next call.
@@ -328,7 +328,7 @@
 
     /// Makes one request by the platform's terms: one that crosses the close of its connection is sent again, once, on a
     /// new connection. Returns whether the connection is still open.
-    fn request(&mut self, connection: &mut FrontClient) -> bool {
+    fn request(&mut self, connection: &mut ThriftClient) -> bool {
         let (call, split) = (self.draw_call(), self.rng.one_in(5).then(|| self.rng.below(45)));
         let mut served = false;
         if split.is_none() {
@@ -375,7 +375,7 @@
         let connect_window = (200 + self.rng.below(200)) * MS;
         let may_connect =
             |phase: &Phase| phase.since_term(monotonic()).is_none_or(|since| since < connect_window);
-        let mut kept: Option<FrontClient> = None;
+        let mut kept: Option<ThriftClient> = None;
         while !self.phase.killed.load(Ordering::SeqCst) {
             let mut connection = match kept.take().filter(|connection| !is_closed(connection)) {
                 Some(connection) => connection,
@@ -404,7 +404,7 @@
     phase.term.store(term, Ordering::SeqCst);
     cluster.hang.store(scenario.workers_hang, Ordering::SeqCst);
     if scenario.discovery_down && !scenario.drains_during_outage {
-        cluster.board.down();
+        cluster.board.stop_listening();
     }
     let mut signals = scenario.signals.iter().peekable();
     let mut exited = None;
--- a/crates/cli/tests/stalls.rs
+++ b/crates/cli/tests/stalls.rs
@@ -5,9 +5,9 @@
 mod common;
 mod process;
 
+use basaltward_fakes::{ExecRequest, FakeBulletin, LineWorker, ThriftClient, ThriftReply, answer_line};
 use basaltward_net::monotonic;
 use basaltward_rules::{Observation, Recorder};
-use basaltward_standins::{Board, Exec, FrontClient, FrontReply, LineWorker, answer};
 use common::{
     ABANDON_METHODS, Call, Limits, TEST_TIMEOUT, abandon, bulletin_entry, call, config_json, send,
     wait_until_delivered,
@@ -26,17 +26,17 @@
     workers: Vec<LineWorker>,
     config: PathBuf,
     recorder: Recorder,
-    _board: Board,
+    _board: FakeBulletin,
 }
 
 impl TestBed {
     fn new(name: &str, limits: Limits, workers: usize) -> Self {
         let recorder = Recorder::memory();
-        let script = |exec: &Exec| if exec.id.starts_with('f') { Vec::new() } else { exec.serve() };
+        let script = |exec: &ExecRequest| if exec.id.starts_with('f') { Vec::new() } else { exec.serve() };
         let start_one =
             |n| LineWorker::start(&format!("s-{n}"), recorder.clone(), script).expect("the worker starts");
         let workers: Vec<_> = (0..workers).map(start_one).collect();
-        let board = Board::start(2).expect("the bulletin starts");
+        let board = FakeBulletin::start(2).expect("the bulletin starts");
         let entry =
             |(n, worker): (usize, &LineWorker)| bulletin_entry(&format!("s-{n}"), worker.address(), "Ready");
         let targets = workers.iter().enumerate().map(entry).collect::<Vec<_>>().join(",");
@@ -45,8 +45,8 @@
         Self { child, to, workers, config, recorder, _board: board }
     }
 
-    fn client(&self) -> FrontClient {
-        FrontClient::connect(self.to, TEST_TIMEOUT).expect("the connection is accepted")
+    fn client(&self) -> ThriftClient {
+        ThriftClient::connect(self.to, TEST_TIMEOUT).expect("the connection is accepted")
     }
 
     /// Sends calls on new connections until one is served: by then the scheduler has processed what was in its sockets
@@ -58,7 +58,7 @@
             let sent = send(&mut client, &call(attempt << 20 | number, "view"));
             let (seqid, reply) = client.read().expect("a readable reply").expect("a reply");
             assert_eq!(seqid, sent);
-            if matches!(reply, FrontReply::Served(_)) {
+            if matches!(reply, ThriftReply::Served(_)) {
                 return;
             }
             assert!(Instant::now() < deadline, "{reply:?}");
@@ -84,7 +84,7 @@
 
     /// All lines that the workers have received.
     fn lines(&self) -> Vec<String> {
-        self.workers.iter().flat_map(LineWorker::lines).collect()
+        self.workers.iter().flat_map(LineWorker::received_lines).collect()
     }
 
     /// How often a call was sent to a worker.
@@ -110,7 +110,7 @@
     for method in ABANDON_METHODS {
         let bed = TestBed::new(&format!("left-answer-{method}"), Limits::default(), 1);
         bed.wait_until_served(1);
-        bed.workers[0].hold_orders();
+        bed.workers[0].hold_order_answers();
         let mut client = bed.client();
         let request = Call { function: "00000000000000f0".into(), ..unanswered_call(2, "extract") };
         let seqid = send(&mut client, &request);
@@ -126,8 +126,8 @@
         let line = query().expect("the worker was queried");
         let (query, port) = line.split_once(" from=").expect("a port");
         let tag = query.split(' ').nth(1).expect("a tag");
-        let reply = answer(tag, "OK", "slots_up=1", b"");
-        bed.workers[0].say(port.parse().expect("a port"), &reply).expect("the connection is open");
+        let reply = answer_line(tag, "OK", "slots_up=1", b"");
+        bed.workers[0].write_to_port(port.parse().expect("a port"), &reply).expect("the connection is open");
         let remaining = abandon(client, &[seqid], method);
         thaw(&bed.child);
         (10..13).for_each(|n| bed.wait_until_served(n));
@@ -142,7 +142,9 @@
         let limits = Limits { connect_ms: 3_000, ..Limits::default() };
         let bed = TestBed::new(&format!("left-connection-{method}"), limits, 1);
         bed.wait_until_served(1);
-        bed.workers.iter().for_each(|worker| worker.plug().expect("the worker stops accepting"));
+        bed.workers
+            .iter()
+            .for_each(|worker| worker.block_new_connections().expect("the worker stops accepting"));
         bed.workers.iter().for_each(LineWorker::reset_all);
         let mut client = bed.client();
         let request = unanswered_call(number as u64, "extract");
@@ -152,7 +154,7 @@
             client.heartbeat().and_then(|_| client.read()).expect("the connection is alive");
         }
         freeze(&bed.child);
-        bed.workers.iter().for_each(LineWorker::unplug);
+        bed.workers.iter().for_each(LineWorker::unblock_new_connections);
         // The kernel retries the connection attempt one second after the first SYN packet.
         std::thread::sleep(Duration::from_millis(1_300));
         let remaining = abandon(client, &[seqid], method);
@@ -223,7 +225,8 @@
             ("props", "memory_mb:64;lanes:8;load_ms:20"),
         ];
         let halved = open.as_mut().filter(|_| which == "halved");
-        let half = halved.map(|open| open.half(&fields, &request.body).expect("half of the request is sent"));
+        let half =
+            halved.map(|open| open.submit_half(&fields, &request.body).expect("half of the request is sent"));
         freeze(&bed.child);
         for sent in [Signal::HUP, Signal::TERM, Signal::TERM, Signal::HUP] {
             signal(&bed.child, sent);
@@ -232,7 +235,7 @@
         let mut client = open.unwrap_or_else(|| bed.client());
         let sent = match half {
             Some((seqid, rest)) => {
-                client.raw(&rest).expect("the request is sent");
+                client.send_raw_bytes(&rest).expect("the request is sent");
                 seqid
             }
             None => send(&mut client, &request),
@@ -241,7 +244,8 @@
         thaw(&bed.child);
         let reply = client.read().expect("a readable reply");
         // A rejection is a valid reply, too.
-        let answered = |reply: &FrontReply| matches!(reply, FrontReply::Served(_) | FrontReply::Rejected(_));
+        let answered =
+            |reply: &ThriftReply| matches!(reply, ThriftReply::Served(_) | ThriftReply::Rejected(_));
         assert!(
             reply.as_ref().is_some_and(|(id, reply)| *id == sent && answered(reply)),
             "{which}: {reply:?}"
@@ -252,8 +256,8 @@
 
 #[test]
 fn sigterm_during_start_up_ends_the_process_in_time() {
-    let worker = LineWorker::start("s-0", Recorder::none(), Exec::serve).expect("the worker starts");
-    let board = Board::start(2).expect("the bulletin starts");
+    let worker = LineWorker::start("s-0", Recorder::none(), ExecRequest::serve).expect("the worker starts");
+    let board = FakeBulletin::start(2).expect("the bulletin starts");
     let targets = bulletin_entry("s-0", worker.address(), "Ready");
     let config = config_file("early", &config_json(Limits::default(), board.address(), &targets));
     for round in 0..20u64 {
@@ -300,7 +304,9 @@
         let seqid = send(&mut client, &request);
         let (worker, port) = bed.wait_for_arrival(&request.id);
         freeze(&bed.child);
-        worker.say(port, &answer(&request.id, "OK", "detail=up", b"late")).expect("the connection is open");
+        worker
+            .write_to_port(port, &answer_line(&request.id, "OK", "detail=up", b"late"))
+            .expect("the connection is open");
         client = abandon(client, &[seqid], "revoke").expect("the connection is open");
         thaw(&bed.child);
         // The next reply belongs to the next request.
@@ -320,12 +326,14 @@
         let seqid = send(&mut client, &request);
         let (worker, port) = bed.wait_for_arrival(&request.id);
         freeze(&bed.child);
-        worker.say(port, &answer(&request.id, "OK", "detail=up", b"late")).expect("the connection is open");
+        worker
+            .write_to_port(port, &answer_line(&request.id, "OK", "detail=up", b"late"))
+            .expect("the connection is open");
         // The deadline has to pass.
         std::thread::sleep(Duration::from_millis(300));
         thaw(&bed.child);
         let reply = client.read().expect("a readable reply");
-        let answered = |reply: &FrontReply| matches!(reply, FrontReply::Served(_) | FrontReply::Crashed);
+        let answered = |reply: &ThriftReply| matches!(reply, ThriftReply::Served(_) | ThriftReply::Crashed);
         assert!(reply.as_ref().is_some_and(|(id, reply)| *id == seqid && answered(reply)), "{reply:?}");
         let next = client.heartbeat().expect("the request is sent");
         assert_eq!(
@@ -349,17 +357,17 @@
     let (mut unread, mut late) = (bed.client(), unanswered_call(2, "view"));
     late.timeout_ms = 400;
     send(&mut unread, &late);
-    worker.say(port, &answer(&request.id, "MISS", "-", b"")).expect("the connection is open");
+    worker.write_to_port(port, &answer_line(&request.id, "MISS", "-", b"")).expect("the connection is open");
     let stalled_at = monotonic();
     // A stopped process emits no event that could be waited for.
     std::thread::sleep(Duration::from_millis(1_000));
     thaw(&bed.child);
     let reply = client.read().expect("a readable reply").expect("a reply").1;
-    assert!(matches!(reply, FrontReply::Crashed | FrontReply::Rejected(_)), "{reply:?}");
+    assert!(matches!(reply, ThriftReply::Crashed | ThriftReply::Rejected(_)), "{reply:?}");
     assert_eq!(bed.times_sent(&request.id), 1, "{:?}", bed.lines());
     // The timeout of a request that came meanwhile counts from when it is read: its time of arrival is unknown.
     let reply = unread.read().expect("a readable reply").expect("a reply").1;
-    assert!(matches!(reply, FrontReply::Crashed | FrontReply::Rejected(_)), "{reply:?}");
+    assert!(matches!(reply, ThriftReply::Crashed | ThriftReply::Rejected(_)), "{reply:?}");
     assert!(monotonic() - stalled_at < 2_000_000, "the reply came too late");
     bed.wait_until_served(2);
 }
--- a/crates/cli/tests/trial.rs
+++ b/crates/cli/tests/trial.rs
@@ -73,7 +73,7 @@
 #[test]
 fn duplicate_effect_is_detected() {
     let bed = Cluster::start_with_worker(spec(1, 1), |exec| {
-        let mut acts = vec![basaltward_standins::Act::Run];
+        let mut acts = vec![basaltward_fakes::WorkerAction::Run];
         acts.extend(exec.serve());
         acts
     });
--- a/crates/faulttest/src/clients.rs
+++ b/crates/faulttest/src/clients.rs
@@ -1,9 +1,9 @@
 //! Closed-loop clients: each sends a call, waits for its answer up to the patience of the class, pauses and calls
 //! again. Everything that they observe is recorded.
 
+use basaltward_fakes::{ThriftClient, ThriftReply};
 use basaltward_net::{Micros, monotonic};
 use basaltward_rules::{FinalAnswer, Observation, Recorder};
-use basaltward_standins::{FrontClient, FrontReply};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -76,7 +76,7 @@
             let (class, patience) = &self.spec.classes[number as usize % self.spec.classes.len()];
             // Waits 2 s longer than the patience, so that a late answer is recorded and the checker finds it.
             let wait = Duration::from_millis(*patience) + Duration::from_secs(2);
-            let connection = client.take().or_else(|| FrontClient::connect(self.to.0, wait).ok());
+            let connection = client.take().or_else(|| ThriftClient::connect(self.to.0, wait).ok());
             let Some(mut connection) = connection else {
                 std::thread::sleep(Duration::from_millis(20));
                 continue;
@@ -93,7 +93,7 @@
     }
 
     /// Sends one call and records its result. Returns false if the connection cannot be used any more.
-    fn call(&self, client: &mut FrontClient, request_id: u64, class: &str, patience: u64) -> bool {
+    fn call(&self, client: &mut ThriftClient, request_id: u64, class: &str, patience: u64) -> bool {
         let (event, function) =
             (format!("{request_id:016x}"), format!("{:016x}", 1 + request_id % self.spec.functions));
         let timeout = patience.to_string();
@@ -119,9 +119,9 @@
         match result {
             Ok(Some((_, reply))) => {
                 let (answer, status) = match &reply {
-                    FrontReply::Served(_) => (FinalAnswer::Served, 200),
-                    FrontReply::Rejected(_) => (FinalAnswer::Refused, 503),
-                    FrontReply::Crashed | FrontReply::Exception => (FinalAnswer::Failed, 500),
+                    ThriftReply::Served(_) => (FinalAnswer::Served, 200),
+                    ThriftReply::Rejected(_) => (FinalAnswer::Refused, 503),
+                    ThriftReply::Crashed | ThriftReply::Exception => (FinalAnswer::Failed, 500),
                 };
                 self.record(Observation::Answered { request_id, answer, status });
                 true
--- a/crates/faulttest/src/cluster.rs
+++ b/crates/faulttest/src/cluster.rs
@@ -8,12 +8,12 @@
 use crate::relay::RelayBuilder;
 use crate::workspace::{Workspace, party_number, read_complete_records};
 use basaltward_config::ConfigError;
+use basaltward_fakes::{ExecRequest, FakeBulletin, LineWorker, WorkerAction};
 use basaltward_membership::StatusResponse;
 use basaltward_net::{Micros, NetError, monotonic};
 use basaltward_peers::fetch_membership;
 use basaltward_permits::Bounds;
 use basaltward_rules::{Observation, Record, Recorder};
-use basaltward_standins::{Act, Board, Exec, LineWorker};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
@@ -82,7 +82,7 @@
     /// The relays on all links.
     pub network: Network,
     /// The stand-in for the bulletin.
-    pub board: Board,
+    pub board: FakeBulletin,
     /// The workers, by number.
     pub workers: Vec<LineWorker>,
     /// Records of clients and workers.
@@ -110,7 +110,7 @@
     pub fn start(spec: ClusterSpec) -> Result<Self, HarnessError> {
         let work = Duration::from_millis(spec.work_ms);
         Self::start_with_worker(spec, move |exec| {
-            let mut acts = vec![Act::Wait(work)];
+            let mut acts = vec![WorkerAction::Wait(work)];
             acts.extend(exec.serve());
             acts
         })
@@ -122,17 +122,22 @@
     /// See [`Cluster::start`].
     pub fn start_with_worker(
         spec: ClusterSpec,
-        script: impl Fn(&Exec) -> Vec<Act> + Clone + Send + Sync + 'static,
+        script: impl Fn(&ExecRequest) -> Vec<WorkerAction> + Clone + Send + Sync + 'static,
     ) -> Result<Self, HarnessError> {
         let workspace = Workspace::new()?;
         let scheduler_name = |from: SocketAddr| party_number(from).map(name).unwrap_or_default();
         let recorder = Recorder::memory();
         let worker = |i: usize| {
             let script = script.clone();
-            LineWorker::start_for(&Party::Worker(i).to_string(), recorder.clone(), scheduler_name, script)
+            LineWorker::start_for_schedulers(
+                &Party::Worker(i).to_string(),
+                recorder.clone(),
+                scheduler_name,
+                script,
+            )
         };
         let workers = (0..spec.workers).map(worker).collect::<Result<Vec<_>, _>>()?;
-        let board = Board::start(2)?;
+        let board = FakeBulletin::start(2)?;
         let all = 0..spec.schedulers;
         let listens = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
         let peers = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
--- a/crates/faulttest/src/hollow/real_members.rs
+++ b/crates/faulttest/src/hollow/real_members.rs
@@ -6,10 +6,10 @@
 use crate::link::Party;
 use crate::process::Process;
 use crate::workspace::Workspace;
+use basaltward_fakes::{FakeBulletin, LineWorker, WorkerAction};
 use basaltward_net::Micros;
 use basaltward_permits::Bounds;
 use basaltward_rules::Recorder;
-use basaltward_standins::{Act, Board, LineWorker};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     /// The processes by number; they are the first members of the list.
     pub processes: Vec<Process>,
     // The stand-ins must exist as long as the processes run.
-    _board: Board,
+    _board: FakeBulletin,
     _worker: LineWorker,
 }
 
@@ -33,11 +33,11 @@
         peers: &[SocketAddr],
     ) -> Result<Self, HollowError> {
         let worker = LineWorker::start(&Party::Worker(0).to_string(), Recorder::memory(), |exec| {
-            let mut acts = vec![Act::Wait(WORK)];
+            let mut acts = vec![WorkerAction::Wait(WORK)];
             acts.extend(exec.serve());
             acts
         })?;
-        let board = Board::start(2)?;
+        let board = FakeBulletin::start(2)?;
         let targets = [target(&Party::Worker(0).to_string(), worker.address(), "Ready")];
         let cluster = ClusterSpec {
             program: spec.program.clone(),
--- a/crates/faulttest/src/site_checker.rs
+++ b/crates/faulttest/src/site_checker.rs
@@ -7,8 +7,8 @@
 use crate::link::Party;
 use crate::site_cluster::SiteCluster;
 use basaltward_net::Micros;
-use basaltward_play::rule_settings;
 use basaltward_rules::{FinalAnswer, Observation, Record, RepeatRule, RuleSettings};
+use basaltward_scenario::rule_settings;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Results of the calls that clients sent to one site.
--- a/crates/faulttest/src/site_cluster.rs
+++ b/crates/faulttest/src/site_cluster.rs
@@ -12,11 +12,11 @@
 use crate::site_workload::plans;
 use crate::workspace::{Workspace, read_complete_records};
 use basaltward_config::Config;
+use basaltward_fakes::{ClientStats, Clients};
 use basaltward_membership::StatusResponse;
 use basaltward_net::{Micros, NetError, monotonic};
 use basaltward_peers::fetch_membership;
 use basaltward_rules::{Observation, Record, Recorder};
-use basaltward_standins::{Clients, Tally};
 use std::collections::BTreeMap;
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
     links: BTreeMap<(usize, usize), SiteLink>,
     /// Names of workers by their own and their relay addresses.
     worker_names: BTreeMap<String, String>,
-    clients: Option<JoinHandle<Result<Tally, NetError>>>,
+    clients: Option<JoinHandle<Result<ClientStats, NetError>>>,
     workspace: Workspace,
 }
 
@@ -345,7 +345,7 @@
     /// # Errors
     /// The system cannot create the event loop or the thread of the clients.
     pub fn start_clients(&mut self) -> Result<(), HarnessError> {
-        let clients = Clients::through(
+        let clients = Clients::with_recorded_addresses(
             self.client_addresses.clone(),
             self.listen_addresses.clone(),
             self.recorder.clone(),
@@ -362,7 +362,7 @@
     ///
     /// # Errors
     /// A process did not exit in time, or records cannot be read.
-    pub fn finish(&mut self) -> Result<(Vec<Record>, Tally), HarnessError> {
+    pub fn finish(&mut self) -> Result<(Vec<Record>, ClientStats), HarnessError> {
         let clients =
             self.clients.take().map(|thread| thread.join().map_err(|_| HarnessError::ClientsPanicked));
         let tally = clients.transpose()?.transpose()?.unwrap_or_default();
--- a/crates/kv/tests/histories.rs
+++ b/crates/kv/tests/histories.rs
@@ -1,7 +1,7 @@
 //! Random histories of a registry: after each update, the view that a follower has reported is compared with the
 //! registry's contents at that revision.
+use basaltward_fakes::{HistoryError, KvStore};
 use basaltward_kv::*;
-use basaltward_standins::{KvStore, Past};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
@@ -60,13 +60,13 @@
 
     /// Records the contents of the store at its current revision.
     fn record_view(&mut self) {
-        let view = self.store.at(self.store.revision()).expect("the current revision");
+        let view = self.store.snapshot_at(self.store.revision()).expect("the current revision");
         let values = view.into_iter().map(|(k, (v, _))| (k, v)).collect();
-        self.expected_views.insert((self.store.cluster, self.store.revision()), values);
+        self.expected_views.insert((self.store.cluster_id, self.store.revision()), values);
     }
 
     fn header(&self) -> Header {
-        Header { cluster: self.store.cluster, revision: self.store.revision() }
+        Header { cluster: self.store.cluster_id, revision: self.store.revision() }
     }
 
     fn execute(&mut self, actions: Vec<Action>) {
@@ -116,9 +116,9 @@
         match self.pending_request.take() {
             Some(Request::Range { from, revision, limit }) => {
                 let at = if revision == 0 { self.store.revision() } else { revision };
-                match self.store.at(at) {
-                    Err(Past::Compacted(oldest)) => self.respond(Response::Compacted(oldest)),
-                    Err(Past::Future) => self.respond(Response::Failed),
+                match self.store.snapshot_at(at) {
+                    Err(HistoryError::Compacted(oldest)) => self.respond(Response::Compacted(oldest)),
+                    Err(HistoryError::Future) => self.respond(Response::Failed),
                     Ok(view) => {
                         let all = view.into_iter().filter(|(key, _)| *key >= from && key.starts_with(PREFIX));
                         let all: Vec<_> = all
@@ -132,8 +132,8 @@
             }
             Some(Request::Watch { revision }) => {
                 let revision = revision + self.revision_offset;
-                match self.store.since(revision).map(drop) {
-                    Err(Past::Compacted(oldest)) => self.respond(Response::Compacted(oldest)),
+                match self.store.changes_since(revision).map(drop) {
+                    Err(HistoryError::Compacted(oldest)) => self.respond(Response::Compacted(oldest)),
                     _ => {
                         self.next_watch_revision = Some(revision);
                         self.respond(Response::WatchCreated(header));
@@ -148,7 +148,7 @@
     fn deliver_changes(&mut self) {
         let Some(from) = self.next_watch_revision else { return };
         let most = self.rng.random_range(1..4);
-        let Ok(since) = self.store.since(from) else { return self.respond(Response::Compacted(0)) };
+        let Ok(since) = self.store.changes_since(from) else { return self.respond(Response::Compacted(0)) };
         let steps: Vec<_> = since.take(most).map(|(at, changes)| (at, changes.clone())).collect();
         let header = self.header();
         let Some(last) = steps.last().map(|(at, _)| *at) else {
@@ -227,7 +227,7 @@
             self.wake();
             self.serve();
         }
-        let expected = &self.expected_views[&(self.store.cluster, self.store.revision())];
+        let expected = &self.expected_views[&(self.store.cluster_id, self.store.revision())];
         let view: Values = self.follower.view().iter().map(|(k, kv)| (k.clone(), kv.value.clone())).collect();
         if view != *expected || self.reported.as_ref() != Some(expected) {
             self.mismatch.get_or_insert(format!("after settling: {view:?}, expected {expected:?}"));
--- a/crates/node/tests/sockets/half_open_connections.rs
+++ b/crates/node/tests/sockets/half_open_connections.rs
@@ -2,8 +2,8 @@
 //! nothing on it, and resets it later.
 
 use crate::common::*;
+use basaltward_fakes::{ExecRequest, ThriftReply, WorkerAction};
 use basaltward_rules::Observation;
-use basaltward_standins::{Act, Exec, FrontReply};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -13,13 +13,13 @@
 
 /// Sends a call of this class as the first one on a half-open connection; returns its reply and how often it reached
 /// a worker.
-fn call_on_half_open_connection(class: &'static str) -> (FrontReply, usize) {
+fn call_on_half_open_connection(class: &'static str) -> (ThriftReply, usize) {
     let half_open = Arc::new(AtomicBool::new(false));
     let script = {
         let half_open = half_open.clone();
         // A worker without the state of the connection processes nothing that comes on it.
-        move |_: usize, exec: &Exec| match half_open.swap(false, Ordering::SeqCst) {
-            true => vec![Act::Wait(RESET_DELAY), Act::Reset],
+        move |_: usize, exec: &ExecRequest| match half_open.swap(false, Ordering::SeqCst) {
+            true => vec![WorkerAction::Wait(RESET_DELAY), WorkerAction::Reset],
             false => exec.serve(),
         }
     };
@@ -40,8 +40,8 @@
 #[test]
 fn the_first_request_on_a_half_open_connection_fails_or_is_retried_once() {
     // It may have run, so it fails and is not retried.
-    assert_eq!(call_on_half_open_connection("extract"), (FrontReply::Crashed, 1));
+    assert_eq!(call_on_half_open_connection("extract"), (ThriftReply::Crashed, 1));
     // A safe call is retried.
     let (reply, arrivals) = call_on_half_open_connection("view");
-    assert!(matches!(reply, FrontReply::Served(_)) && arrivals == 2, "{reply:?} after {arrivals}");
+    assert!(matches!(reply, ThriftReply::Served(_)) && arrivals == 2, "{reply:?} after {arrivals}");
 }
--- a/crates/node/tests/sockets/invalid_requests.rs
+++ b/crates/node/tests/sockets/invalid_requests.rs
@@ -2,7 +2,7 @@
 //! affected.
 
 use crate::common::*;
-use basaltward_standins::FrontReply;
+use basaltward_fakes::ThriftReply;
 use std::time::{Duration, Instant};
 
 const CLOSED_WITHIN: Duration = Duration::from_secs(3);
@@ -52,14 +52,14 @@
         client.submit(&fields(name, to), b"x").expect("bytes sent");
         assert_eq!(
             client.read().expect("reply read"),
-            Some((1, FrontReply::Rejected(None))),
+            Some((1, ThriftReply::Rejected(None))),
             "{name} {to:?}"
         );
     }
     let mut client = harness.client();
     client.submit(&fields("", None), &[0; (16 << 10) + 1]).expect("bytes sent");
-    assert_eq!(client.read().expect("reply read"), Some((1, FrontReply::Rejected(None))));
-    assert!(harness.workers[0].lines().iter().all(|line| !line.starts_with("exec")));
+    assert_eq!(client.read().expect("reply read"), Some((1, ThriftReply::Rejected(None))));
+    assert!(harness.workers[0].received_lines().iter().all(|line| !line.starts_with("exec")));
     assert_eq!(harness.check_rules(), []);
 }
 
@@ -81,7 +81,7 @@
     let mut clients: Vec<_> = bad.iter().map(|_| harness.client()).collect();
     let began = Instant::now();
     for (client, bytes) in clients.iter_mut().zip(bad) {
-        client.raw(bytes).expect("bytes sent");
+        client.send_raw_bytes(bytes).expect("bytes sent");
     }
     for (client, bytes) in clients.iter_mut().zip(bad) {
         assert_eq!(client.read().expect("connection closed cleanly"), None, "{bytes:?}");
@@ -98,14 +98,14 @@
     first.submit(&fields("", None), b"mine").expect("bytes sent");
     harness.wait_for(|what| matches!(what, basaltward_rules::Observation::Accepted { .. }));
     second.submit(&fields("", None), b"another").expect("bytes sent");
-    assert_eq!(second.read().expect("reply read"), Some((1, FrontReply::Crashed)));
+    assert_eq!(second.read().expect("reply read"), Some((1, ThriftReply::Crashed)));
     // The same sequence id twice.
     let mut client = harness.client();
     let mut wire = bytes::BytesMut::new();
     for id in ["00000000000000ab", "00000000000000ac"] {
         basaltward_thrift::write::submit(&mut wire, 7, &fields("req", Some(id)), b"x");
     }
-    client.raw(&wire).expect("bytes sent");
+    client.send_raw_bytes(&wire).expect("bytes sent");
     assert_eq!(client.read().expect("connection closed cleanly"), None);
     // More requests than may be open on a connection.
     let mut client = harness.client();
@@ -130,7 +130,7 @@
             let _ = invalid.submit(&fields("kind", Some("nobody")), b"x");
         }
         let call = call(number, "view");
-        assert!(matches!(harness.call(&call), FrontReply::Served(_)), "{number}");
+        assert!(matches!(harness.call(&call), ThriftReply::Served(_)), "{number}");
     }
     assert_eq!(harness.check_rules(), []);
 }
--- a/crates/node/tests/sockets/readiness.rs
+++ b/crates/node/tests/sockets/readiness.rs
@@ -2,17 +2,17 @@
 //! reload. Readiness after a stall is covered by the program's own tests.
 
 use crate::common::*;
+use basaltward_fakes::{FakeBulletin, ThriftClient, ThriftReply};
 use basaltward_rules::check;
-use basaltward_standins::{Board, FrontClient, FrontReply};
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
 /// Queries the readiness check that a front uses before it sends traffic to a scheduler.
-fn is_ready(client: &mut FrontClient) -> bool {
+fn is_ready(client: &mut ThriftClient) -> bool {
     client.is_ready().expect("reply read").expect("connection open")
 }
 
-fn wait_until_ready(client: &mut FrontClient) {
+fn wait_until_ready(client: &mut ThriftClient) {
     let until = Instant::now() + TEST_TIMEOUT;
     while !is_ready(client) {
         assert!(Instant::now() < until, "the scheduler never became ready");
@@ -24,7 +24,7 @@
 /// After a positive check the very next call is served, on its own connection.
 fn serves_at_once(harness: &mut Harness, number: u64, when: &str) {
     let reply = harness.call(&call(number, ["view", "extract"][number as usize % 2]));
-    assert!(matches!(reply, FrontReply::Served(_)), "{when}: {reply:?}");
+    assert!(matches!(reply, ThriftReply::Served(_)), "{when}: {reply:?}");
 }
 
 /// An address without a listener.
@@ -33,13 +33,13 @@
 }
 
 /// How the bulletin announces the workers, none of which is in the configuration.
-type Announce = fn(&Board, &str);
+type Announce = fn(&FakeBulletin, &str);
 
 #[test]
 fn a_scheduler_without_workers_is_not_ready_until_one_that_takes_calls_is_listed() {
     let variants: [(&str, Announce); 2] = [
-        ("an update", |board, entry| board.tell(entry)),
-        ("a full list", |board, entry| board.tell_whole(entry)),
+        ("an update", |board, entry| board.publish(entry)),
+        ("a full list", |board, entry| board.publish_full_list(entry)),
     ];
     for (what, announce) in variants {
         let without_workers = |text: String| {
@@ -56,7 +56,7 @@
         }
         // A draining worker takes no calls.
         let at = harness.workers[0].address();
-        harness.board.tell(&bulletin_entry("s-9", unused_address(), "Terminating"));
+        harness.board.publish(&bulletin_entry("s-9", unused_address(), "Terminating"));
         harness
 .wait_for(
 |what| matches!(what, basaltward_rules::Observation::WorkerState { worker, .. } if worker == "s-9"),
@@ -95,8 +95,10 @@
     let mut harness = Harness::new(Limits::default(), 2, |_, exec| exec.serve());
     let mut front = harness.client();
     wait_until_ready(&mut front);
-    let (reachable, first) =
-        (Board::start(2).expect("bulletin started"), std::fs::read_to_string(&harness.config).expect("read"));
+    let (reachable, first) = (
+        FakeBulletin::start(2).expect("bulletin started"),
+        std::fs::read_to_string(&harness.config).expect("read"),
+    );
     let old = harness.board.address().to_string();
     let moved = |to: SocketAddr| first.replace(&old, &to.to_string());
     // A reachable bulletin, one that refuses connections, a truncated file, and the first one again.
