--- a/crates/bench/src/capacity/page.rs
+++ b/crates/bench/src/capacity/page.rs
@@ -39,12 +39,12 @@
          cargo run --release -p basaltward-bench -- capacity                 # measures, then writes\n    \
          cargo run --release -p basaltward-bench -- capacity --from-points   # writes from the points in docs/capacity/\n\n\
          Every figure is labelled: **arithmetic** follows from the plan and constants of the code; **measured** rests on \
-         slopes measured up to this size by the command that stands beside them; **extrapolated** rests on slopes measured \
-         at smaller sizes; **not run** has no run on record. A need is what the mechanism that stands today takes at the \
+         slopes measured up to this size by the command shown beside them; **extrapolated** rests on slopes measured \
+         at smaller sizes; **not run** has no run on record. A need is what today's mechanism takes at the \
          plan's size, a ratio is need over budget: above 1 it does not hold. Slopes are least squares, with the standard \
-         error (se) of each coefficient and the root mean square of what is left, relative to the mean. One run each on a \
-         shared machine of 8 cores: times are good to a factor of 2 or so. Seconds of virtual time are exact for their \
-         seeds.\n",
+         error (se) of each coefficient and the root mean square of the residuals, relative to the mean. One run each \
+         on a shared machine of 8 cores: times are good to a factor of 2 or so. Seconds of virtual time are exact \
+         for their seeds.\n",
     );
 }
 
@@ -254,7 +254,8 @@
     line(out, "## Sensitivity\n");
     line(
         out,
-        "Each assumption moved by itself; the largest ratio of each role (`=` as in the table), and what is missing first then.\n",
+        "Each assumption changed by itself; the largest ratio of each role (`=` as in the table), and what is missing \
+         first then.\n",
     );
     let names: Vec<&str> = Role::ALL.iter().map(|role| role.name()).collect();
     line(out, &format!("| case | {} | missing first |", names.join(" | ")));
@@ -292,10 +293,10 @@
         out,
         &format!(
             "The role with the largest ratio of need to budget; near ties are those within a factor of {NEAR_TIE_FACTOR} of it, \
-             and among them the mechanism that others stand on comes first.\n"
+             and among them the mechanism that others depend on comes first.\n"
         ),
     );
-    line(out, "| role past its budget | ratio | near tie | waits for |\n| --- | --- | --- | --- |");
+    line(out, "| role over its budget | ratio | near tie | waits for |\n| --- | --- | --- | --- |");
     for (at, Ranked { role, ratio, missing }) in decision.ranked.iter().enumerate() {
         let near_tie = if at < decision.near_ties { "yes" } else { "no" };
         let missing = missing.map_or("no new mechanism", Missing::name);
@@ -341,14 +342,14 @@
         .map(short)
         .collect();
     let why = match is_by_dependency {
-        true => "a near tie on which the mechanism of the largest ratio stands",
+        true => "a near tie on which the mechanism of the largest ratio depends",
         false => "that of the largest ratio",
     };
     let dependents = if dependents.is_empty() { "none".into() } else { dependents.join(", ") };
     let without = decision_without_largest(decision);
     format!(
-        "Largest: {}, {} times its budget; {ties}.\n\n**Missing first: {}** ({why}). Roles past their budget that wait for \
-         it: {}. Missing mechanisms that stand on it: {dependents}.\n\n{without}",
+        "Largest: {}, {} times its budget; {ties}.\n\n**Missing first: {}** ({why}). Roles over their budget that \
+         wait for it: {}. Missing mechanisms that depend on it: {dependents}.\n\n{without}",
         largest.role.name(),
         figure(largest.ratio),
         first.name(),
--- a/crates/bench/src/capacity/plan.rs
+++ b/crates/bench/src/capacity/plan.rs
@@ -221,19 +221,20 @@
             (
                 "skew",
                 self.skew(plan),
-                "calls fall as rank to this power; the least by which the median function is called less than once a minute",
+                "calls fall as rank to this power; the smallest value for which the median function is called less \
+                 than once a minute",
             ),
             (
                 "functions_held",
                 self.functions_held(plan),
-                "functions that one scheduler holds, from calls, skew and keep",
+                "functions that one scheduler holds, from calls, skew and keep_s",
             ),
             (
                 "new_share",
                 self.new_share(plan),
-                "of a scheduler's calls find no place of their function known, from calls, skew and keep",
+                "of a scheduler's calls are of a function of which no copy is known, from calls, skew and keep_s",
             ),
-            ("keep_s", self.keep_s, "s that an unused instance stands"),
+            ("keep_s", self.keep_s, "s that an unused instance is kept"),
             ("instance_life_s", self.instance_life_s, "s from an instance's start to its end, mean"),
             ("hop_zone_s", self.hop_zone_s, "s one way inside a zone"),
             ("hop_zones_s", self.hop_zones_s, "s one way between zones"),
@@ -241,7 +242,7 @@
             ("cold_control_share", self.cold_control_share, "of a cold start's time that control may take"),
             ("start_s", self.start_s, "s until a scheduler that starts has what it needs"),
             ("settle_s", self.settle_s, "s until members agree after a start, a death, a healed partition"),
-            ("pairs", self.pairs, "pairs of class and tenant told apart"),
+            ("pairs", self.pairs, "pairs of class and tenant, counted separately"),
             ("kept_share", self.kept_share, "of calls are kept in journals"),
             ("change_bytes", self.change_bytes, "bytes of a change of configuration"),
             ("worker_starts_per_day", self.worker_starts_per_day, "starts of one worker a day"),
--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -149,10 +149,13 @@
                 "membership by zones, whose delegates carry summaries and facts between zones"
             }
             Self::PartitionedDirectory => {
-                "an instance directory split over the schedulers, asked for on need"
+                "an instance directory split over the schedulers, queried on demand"
             }
-            Self::CandidateIndex => "candidates for a function before the ratios of all workers",
-            Self::VersionedConfiguration => "versioned configuration that is told to all",
+            Self::CandidateIndex => {
+                "a choice of candidates for a function before the ratios of all workers are \
+            computed"
+            }
+            Self::VersionedConfiguration => "versioned configuration that is sent to all schedulers",
         }
     }
 
@@ -483,8 +486,8 @@
 ),
 self.need(
 Resource::Time,
-"a cold start's questions",
-"0.015 s of patience with questions + 2 x hop_zones_s",
+"a cold start's queries",
+"0.015 s wait for answers to queries + 2 x hop_zones_s",
 Estimate::arithmetic(cold),
 plan.cold_start_s * assumptions.cold_control_share,
 ),
@@ -492,16 +495,16 @@
         Section {
             role,
             state: "Each worker of the list with demand, evidence and attempts; each function called within four times \
-                    keep_s with its places; calls in hand.",
-            messages: "In: calls, outcomes, the list of workers. Out: sends, load orders, up to 3 questions to workers for \
-                       a function of which no copy is known. No messages to other schedulers.",
+                    keep_s with the places of its copies; calls in progress.",
+            messages: "In: calls, outcomes, the list of workers. Out: sends, load orders, up to 3 queries to workers \
+                    for a function of which no copy is known. No messages to other schedulers.",
             needs,
-            mechanism: "`src/control.rs`: ranks every usable worker for each order and question, sums over all workers \
-                        and functions twice a second",
+            mechanism: "`src/control.rs`: ranks every usable worker for each order and query, computes sums over all \
+                    workers and functions twice a second",
             missing: Some(Missing::CandidateIndex),
             notes: vec![format!(
-                "One question to another region takes 2 x hop_regions_s = {} s, of {} s that control may take of a cold \
-                 start (arithmetic): questions have to stay within a region.",
+                "One query to another region takes 2 x hop_regions_s = {} s, of {} s that control may take of a cold \
+                 start (arithmetic): queries have to stay within a region.",
                 figure(2.0 * assumptions.hop_regions_s),
                 figure(plan.cold_start_s * assumptions.cold_control_share)
             )],
@@ -526,13 +529,13 @@
             self.need_of_share(
                 role,
                 Resource::Bandwidth,
-                "starts, ends and refreshes told to all",
+                "starts, ends and refreshes, sent to all schedulers",
                 "(2 x instances / instance_life_s + instances / (3/8 x keep_s)) x bytes an update",
                 slope(&update_bytes, updates),
             ),
             self.need(
                 Resource::Bandwidth,
-                "all that stands, for a scheduler that starts, of its whole budget",
+                "all existing instances, for a scheduler that starts, of its whole budget",
                 "instances x bytes an update / start_s",
                 slope(&update_bytes, plan.instances / assumptions.start_s),
                 plan.bytes_per_s,
@@ -540,7 +543,7 @@
             self.need_of_share(
                 role,
                 Resource::Processor,
-                "updates heard",
+                "updates received",
                 "(2 x instances / instance_life_s + instances / (3/8 x keep_s)) x us an update",
                 slope(&update_us, updates),
             ),
@@ -568,16 +571,16 @@
         ];
         Section {
 role,
-state: "Where copies stand, by function and worker, with age and count, as far as anybody has seen it within \
-                    keep_s: `crates/node/src/words.rs`, `hearsay.rs`.",
+state: "Places of copies, by function and worker, with age and count, as far as any scheduler has observed them \
+                    within keep_s: `crates/node/src/gossip.rs`, `crates/node/src/instance_directory.rs`.",
 messages: "Each start, end and refresh goes in one datagram of up to 25 updates to an address at which all \
-                       schedulers listen; every scheduler takes every update, called there or not. What is counted is \
-                       what one scheduler takes.",
+                       schedulers listen; every scheduler receives every update, whether it calls the function or \
+                       not. The figures are for what one scheduler receives.",
 needs,
-mechanism: "updates told to everyone",
+mechanism: "updates sent to all schedulers",
 missing: Some(Missing::PartitionedDirectory),
-notes: vec!["Used where the fleet's membership is off: with it on, the directory has no socket and tells \
-                         nothing (`Hearsay::open`)."
+notes: vec!["Used where the fleet's membership is off: with it on, there is no socket for the directory and \
+                         nothing is sent (`Gossip::open`)."
 .into()],
 }
     }
@@ -597,7 +600,7 @@
             time("the death of one is known to all", "settle_kill_one_ms"),
             time("a rack of 40 at once", "settle_kill_rack_ms"),
             time("a zone at once", "settle_kill_zone_ms"),
-            time("all agree after regions are joined again", "settle_heal_region_ms"),
+            time("all agree after a partition between regions heals", "settle_heal_region_ms"),
         ];
         needs.push(self.need_of_share(
             role,
@@ -631,15 +634,15 @@
             role,
             state: "An entry, a digest and up to 14 facts for each member of the fleet, in every member; no zones, no \
                     regions.",
-            messages: "A probe and its answer each 250 ms, through three others where none comes; updates to two members \
-                       each 83 ms while there are any, each passed on log2(members) + 3 times; comparisons of 64 block \
-                       digests where views differ.",
+            messages: "A probe and its answer each 250 ms, through three others where no answer comes; updates to two \
+                       members each 83 ms while there are any, each passed on log2(members) + 3 times; comparisons \
+                       of 64 block digests where views differ.",
             needs,
             mechanism: "`crates/membership`: SWIM with anti-entropy, one flat view of all members",
             missing: Some(Missing::ZonedMembership),
             notes: vec![format!(
-                "A member sends at most {} bytes/s by its usual settings (arithmetic), so a fleet that has more to tell \
-                 takes longer: its need shows as time.",
+                "A member sends at most {} bytes/s by its usual settings (arithmetic), so a fleet that has more \
+                 updates to send takes longer: its need shows as time.",
                 figure(rate)
             )],
         }
@@ -712,7 +715,7 @@
 self.need_of_share(
 role,
 Resource::Memory,
-"what the leader sees, while it answers",
+"the leader's observations, while it answers",
 "bytes(schedulers + workers)",
 Estimate::from_fits([(&observations, subjects)], |[bytes]| bytes),
 ),
@@ -727,10 +730,10 @@
         let release = plan.schedulers * assumptions.permit_s / MAX_PERMITS as f64 / 3_600.0;
         Section {
             role,
-            state: "A replicated state of up to 12 permits, a release plan and a halt, in one datagram; what is seen of \
-                    all schedulers and workers, put together when a request comes.",
-            messages: "The leader asks its voters each 400 ms; each member tells one other each second how far it knows \
-                       the state; a change is passed on by each to two others four times.",
+            state: "A replicated state of up to 12 permits, a release plan and a halt, in one datagram; observations \
+                    of all schedulers and workers, collected when a request comes.",
+            messages: "The leader asks its voters each 400 ms; each member sends one other each second the position \
+                       of the state it has; a change is passed on by each to two others four times.",
             needs,
             mechanism: "`crates/permits`: one quorum for the whole list",
             missing: None,
@@ -769,7 +772,7 @@
             self.need_of_share(
                 role,
                 Resource::Bandwidth,
-                "facts of load, told by all to all",
+                "facts of load, sent by all members to all",
                 "schedulers x facts_per_s(pairs) x bytes that each member sends for one fact",
                 bandwidth,
             ),
@@ -790,16 +793,17 @@
         ];
         Section {
 role,
-state: "What comes by class and tenant at each other member, told within the last 5 s; a table of shares.",
-messages: "Each member tells a head and pages of pairs as facts, those that changed each 500 ms; membership \
+state: "The load by class and tenant of each other member, as published within the last 5 s; a table of shares.",
+messages: "Each member publishes a summary and pages of pairs as facts, those that changed each 500 ms; membership \
                        carries each fact to every member.",
 needs,
-mechanism: "`crates/shed`: shares worked out alike by all from what all tell, on membership's facts",
+mechanism: "`crates/admission`: every member computes the same shares from the load that all publish, in membership's \
+                    facts",
 missing: Some(Missing::ZonedMembership),
 notes: vec!["Membership sends no faster than its own budget: past it facts come late, those older than 5 s are \
-                         not believed, and doors then take everything. So the need does not show as bytes but as \
-                         admission control that is off. Sums of a zone in place of facts of each member would be zones x \
-                         the same bytes. The door is in `serve`; `node` has none."
+                         not used, and every call is then admitted. So the need does not show as bytes but as \
+                         admission control that is off. Sums for each zone in place of facts of each member would be \
+                         zones x the same bytes. Admission control runs in `serve`; `node` has none."
 .into()],
 }
     }
@@ -830,7 +834,7 @@
             self.need_of_share(
                 role,
                 Resource::Bandwidth,
-                "the teller of a site",
+                "the coordinator of a site",
                 "teller_bytes_per_s(schedulers), 7 sites, 200 functions",
                 value("routing_teller_bytes_per_s"),
             ),
@@ -844,25 +848,25 @@
             self.need_of_share(
                 role,
                 Resource::Processor,
-                "telling and a table, each 250 ms",
+                "building the frames and a table, each 250 ms",
                 "4 x (tell_us(schedulers) + table_us(schedulers))",
                 each(value("routing_tell_us"), value("routing_table_us")),
             ),
             self.need_of_share(
                 role,
                 Resource::Memory,
-                "functions at 7 sites, nothing told yet",
+                "functions at 7 sites, before any counts arrive",
                 "bytes(functions)",
                 Estimate::from_fits([(&memory, &[plan.functions])], |[bytes]| bytes),
             ),
         ];
         Section {
             role,
-            state: "For each function its cost at each site and its home; queue, room and link of each site.",
-            messages: "Each 250 ms a gateway tells its counts to its site's teller, which tells other sites and its own \
-                       gateways.",
+            state: "For each function its cost at each site and its home; queue, free capacity and link of each site.",
+            messages: "Each 250 ms a gateway sends its counts to its site's coordinator, which reports to other sites \
+                       and to its own gateways.",
             needs,
-            mechanism: "`crates/route`: one teller a site, frames over kept connections",
+            mechanism: "`crates/site-routing`: one coordinator for each site, frames over persistent connections",
             missing: Some(Missing::ZonedMembership),
             notes: vec![
 "Measured with 200 functions called at every gateway; with more functions frames grow until their bound, \
@@ -887,14 +891,14 @@
             self.need_of_share(
                 role,
                 Resource::Bandwidth,
-                "entries, the events' own bytes left out",
+                "entries, without the events' own bytes",
                 "calls_per_s / schedulers x kept_share x event_bytes(0)",
                 Estimate::from_fits([(&bytes, &[0.0])], |[bytes]| bytes * stored_per_s),
             ),
             self.need_of_share(
                 role,
                 Resource::Processor,
-                "as writer and as another's holder",
+                "as writer and as holder for another writer",
                 "calls_per_s / schedulers x kept_share x us an event",
                 each(&us, stored_per_s),
             ),
@@ -908,10 +912,10 @@
         ];
         Section {
 role,
-state: "Events accepted and not ended, ended ones for their time, those held for neighbours.",
+state: "Events accepted and not ended, ended ones until their retention time is over, those held for other writers.",
 messages: "For each kept event three entries to a holder at another site, and their acknowledgements.",
 needs,
-mechanism: "`crates/pending`: a journal a writer, holders at other sites",
+mechanism: "`crates/pending`: one journal for each writer, holders at other sites",
 missing: None,
 notes: vec!["The bytes of the events themselves go to the holder too; they are traffic of calls here, not \
                          control. kept_share is the assumption that decides: see the sensitivity run."
@@ -926,7 +930,7 @@
         let needs = vec![
             self.need(
                 Resource::Time,
-                "until in force everywhere, if today's membership told it as it tells a death",
+                "until in force everywhere, if today's membership spread it as it spreads a death",
                 "settle_kill_one_ms(schedulers) / 1000",
                 in_force,
                 plan.change_in_force_s,
@@ -941,26 +945,27 @@
             self.need_of_share(
                 role,
                 Resource::Memory,
-                "a line a function",
-                "functions x (bytes of FunctionTold + 24)",
+                "an entry for each function",
+                "functions x (bytes of FunctionSpec + 24)",
                 Estimate::arithmetic(state),
             ),
         ];
         Section {
             role,
-            state: "A file a process, read at its start and on SIGHUP; the mark of the program's version is told to all, \
-                    that of its configuration to none.",
+            state: "A file for each process, read at its start and on SIGHUP; the mark of the program's version is \
+                    sent to all schedulers, that of its configuration to none.",
             messages: "None between schedulers. Whoever changes something writes a file to each machine and sends a signal.",
             needs,
             mechanism: "missing: SIGHUP, one process at a time",
             missing: Some(Missing::VersionedConfiguration),
             notes: vec![
                 format!(
-                    "One change each {} s (arithmetic): the next begins before the last has had its 9 s and a minute's \
-                     partition is over, so several versions are under way at once.",
+                    "One change each {} s (arithmetic): the next begins before the last has had its 9 s and before a \
+                     partition of a minute is over, so several versions are under way at once.",
                     figure(1.0 / plan.changes_per_s())
                 ),
-                "A straggler acts on the file that it last read, nobody knows which, and nothing fences it."
+                "A scheduler that missed a change acts on the file that it last read; no other process knows which \
+                 file that is, and nothing fences it."
                     .into(),
             ],
         }
@@ -984,7 +989,7 @@
             self.need_of_share(
                 role,
                 Resource::Bandwidth,
-                "changes and a line a second",
+                "changes, and one line each second",
                 "3 x workers x worker_starts_per_day / 86400 x bytes a worker + 12",
                 slope(&bytes, changes, WATCH_LINE_BYTES),
             ),
@@ -1016,7 +1021,7 @@
             role,
             state: "The list of workers with state, zone, kind and start; the number of the last event held.",
             messages: "One connection to the platform's list: numbered events, a line each second; after a gap the events \
-                       behind the last one held, at a start the whole list.",
+                       after the last one held, at a start the whole list.",
             needs,
             mechanism: "`crates/bulletin`: each scheduler follows the one list by itself",
             missing: None,
@@ -1073,7 +1078,7 @@
 ];
         Section {
             role,
-            state: "Nothing of this project: the platform's list of workers is told from there.",
+            state: "Nothing of this project: the platform's list of workers is served from there.",
             messages: "The list to 1,900 connections.",
             needs,
             mechanism: "missing: no part of this project runs on them",
