--- a/crates/pending/src/claims.rs
+++ b/crates/pending/src/claims.rs
@@ -151,9 +151,9 @@
         if !matches!(&event.stage, EventStage::Claiming(left) if left.contains(&from)) {
             return;
         }
-        // A peer that started after the owner was last heard from may have lost what it had stored. 5 / 4 allows for
+        // A peer that started after the last frame of the owner may have lost what it had stored. 5 / 4 allows for
         // clocks that run a tenth apart.
-        if age < now.saturating_sub(event.owner_last_heard).saturating_mul(5) / 4 {
+        if age < now.saturating_sub(event.owner_last_seen).saturating_mul(5) / 4 {
             event.first_send = FirstSend::Unknown;
         }
         if let Some(entry) = reply.accepted_entry.filter(|entry| event.is_superseded_by(*entry)) {
--- a/crates/pending/src/holder.rs
+++ b/crates/pending/src/holder.rs
@@ -154,7 +154,7 @@
         append.holder_life == self.life
     }
 
-    /// Stores entries from their writer and returns the ack and a detected fault. `granted` says whether a lease is
+    /// Stores entries from their writer and returns the ack and a detected fault. `granted` is whether a lease is
     /// granted to the writer; it is an error if the writer was taken over.
     pub fn handle_append(
         &mut self,
--- a/crates/pending/src/interface.rs
+++ b/crates/pending/src/interface.rs
@@ -135,7 +135,7 @@
     },
     /// The event is not replicated. After [`ReplicationError::Timeout`] a holder may still have it: the journal records
     /// its end, and until that is replicated another gateway could take the event over and run it. After any other
-    /// reason no other gateway knows the event.
+    /// reason no other gateway has the event.
     NotReplicated {
         /// The event.
         key: Key,
@@ -165,7 +165,7 @@
     /// Submit a request to the voters: `Acquire` for a takeover permit, `Reclaim` and `Return` when this gateway
     /// returns. Repeated until the answer arrives.
     RequestPermit(PermitRequest),
-    /// From now on events are accepted: this gateway knows which of its earlier events others have completed.
+    /// From now on events are accepted: this gateway has learned which of its earlier events others have completed.
     Ready,
     /// This gateway was taken over while it was unreachable, and this pending event now belongs to others. No byte of
     /// it may be sent any more; whether others completed it is known after [`Output::Ready`].
--- a/crates/pending/src/lease.rs
+++ b/crates/pending/src/lease.rs
@@ -36,13 +36,13 @@
         Self { terms, granted_requests: BTreeMap::new() }
     }
 
-    /// A holder has granted the request that was sent at `asked` by the local clock. A request time in the future is
-    /// ignored.
-    pub fn record_grant(&mut self, now: Micros, by: MemberId, life: u64, asked: Micros) {
-        if asked <= now {
-            let known = self.granted_requests.entry(by).or_insert((life, asked));
+    /// A holder has granted the request that was sent at `requested_at` by the local clock. A request time in
+    /// the future is ignored.
+    pub fn record_grant(&mut self, now: Micros, by: MemberId, life: u64, requested_at: Micros) {
+        if requested_at <= now {
+            let known = self.granted_requests.entry(by).or_insert((life, requested_at));
             // A new life of the holder has made none of the promises of an earlier one.
-            *known = if known.0 == life { (life, known.1.max(asked)) } else { (life, asked) };
+            *known = if known.0 == life { (life, known.1.max(requested_at)) } else { (life, requested_at) };
         }
     }
 
@@ -59,11 +59,12 @@
     /// Until when at least `needed` holders keep their promise, by the local clock. `Micros::MAX` if none is needed,
     /// as then no gateway could take over.
     pub fn valid_until(&self, needed: usize) -> Micros {
-        let mut asked: Vec<Micros> = self.granted_requests.values().map(|(_, asked)| *asked).collect();
-        asked.sort_unstable_by(|a, b| b.cmp(a));
+        let mut request_times: Vec<Micros> =
+            self.granted_requests.values().map(|(_, requested_at)| *requested_at).collect();
+        request_times.sort_unstable_by(|a, b| b.cmp(a));
         match needed.checked_sub(1) {
             None => Micros::MAX,
-            Some(at) => asked.get(at).map_or(0, |asked| asked + self.terms.lease),
+            Some(at) => request_times.get(at).map_or(0, |requested_at| requested_at + self.terms.lease),
         }
     }
 
@@ -82,7 +83,7 @@
 /// Why a holder refuses a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, strum::VariantNames)]
 pub enum LeaseRefusal {
-    /// An earlier life of this holder may have made promises that this life does not know.
+    /// An earlier life of this holder may have made promises that this life has no record of.
     #[error("this gateway has just started and waits until its earlier promises have expired; nothing to do")]
     #[strum(serialize = "Young")]
     Starting,
--- a/crates/pending/src/owner.rs
+++ b/crates/pending/src/owner.rs
@@ -1,5 +1,5 @@
 //! The owner of an event. All gateways compute the same owner from the configured list and the permits that the
-//! voters have agreed on, never from which gateways they believe to be live.
+//! voters have agreed on, never from which gateways appear to be live.
 
 use crate::types::Key;
 use basaltward_membership::{MemberId, SiteMap};
--- a/crates/pending/src/pending_events.rs
+++ b/crates/pending/src/pending_events.rs
@@ -245,8 +245,9 @@
         self.promises.has_expired(now, from)
     }
 
-    /// A claim shows that a life has ended, possibly before this gateway knew: a gateway that was taken over while it
-    /// ran starts another journal without a new connection. The promises to it have to expire first.
+    /// A claim shows that a life has ended, possibly before this gateway learned of it otherwise: a gateway that was
+    /// taken over while it ran starts another journal without a new connection. The promises to it have to expire
+    /// first.
     fn fence_ended_life(&mut self, now: Micros, Source { gateway, life }: Source) {
         if gateway == self.site_map.own() || self.promises.fenced_life(gateway) >= Some(life) {
             return;
--- a/crates/pending/src/recovery.rs
+++ b/crates/pending/src/recovery.rs
@@ -1,8 +1,8 @@
 //! Recovery of the pending events of lost gateways. A gateway claims each such event that it has in its replicas from
-//! every peer that is not lost itself. A peer that grants the claim reports what it knows and does not run the event.
-//! If several gateways claim an event, the one with the highest rank gets it. Once all peers have granted the claim,
-//! [`crate::resolve`] decides about the event, within rate and concurrency limits. Missing information is reported
-//! and counts as if the event may have been sent.
+//! every peer that is not lost itself. A peer that grants the claim reports the status that it has and does not run
+//! the event. If several gateways claim an event, the one with the highest rank gets it. Once all peers have granted
+//! the claim, [`crate::resolve`] decides about the event, within rate and concurrency limits. Missing information is
+//! reported and counts as if the event may have been sent.
 
 use crate::claims::MAX_EVENTS_PER_MESSAGE;
 use crate::resolution::{FirstSend, RecoveryCase, Resolution, resolve};
@@ -26,7 +26,7 @@
 pub enum RecoveryFault {
     /// Events that were sent are treated as never sent.
     RunsWhatWasSent,
-    /// Peers are not asked.
+    /// Peers are not queried.
     SkipsClaims,
 }
 
@@ -55,15 +55,15 @@
     pub(crate) accepted_entry: (Source, u64, u64),
     pub(crate) first_send: FirstSend,
     pub(crate) client_waiting: bool,
-    /// When its owner was last heard from.
-    pub(crate) owner_last_heard: Micros,
+    /// When its owner was last known to be live.
+    pub(crate) owner_last_seen: Micros,
     /// Sites of its lost owners; no gateway there could report more than their journals.
     pub(crate) lost_sites: BTreeSet<Site>,
     /// Lost gateways that had claimed it, in order; their entries take precedence over those of its first owner.
     pub(crate) previous_owners: Vec<MemberId>,
-    /// Peers that also have the event, and peers that asked for it.
+    /// Peers that also have the event, and peers that have claimed it.
     pub(crate) other_holders: BTreeSet<MemberId>,
-    /// Number of the last entry of its journal that any replying peer has, and of the last that any knows was
+    /// Number of the last entry of its journal that any replying peer has, and of the last that any reports as
     /// written.
     pub(crate) journal_extent: (u64, u64),
     /// Some replying peer lacks entries of another journal of a lost gateway.
@@ -86,7 +86,7 @@
     pub(crate) started_at: Micros,
     /// The last ended life of each gateway.
     pub(crate) ended_lives: BTreeMap<MemberId, u64>,
-    /// Gateways that are not asked because there is a takeover permit for them.
+    /// Gateways that are not queried because there is a takeover permit for them.
     pub(crate) unavailable: BTreeSet<MemberId>,
     /// Journals of lost gateways: number of the last entry stored here, and of the last that is known to be written.
     pub(crate) journal_extents: BTreeMap<Source, (u64, u64)>,
@@ -109,7 +109,7 @@
 }
 
 impl Event {
-    /// Whether this entry was written by a later owner of the event, which knew its state.
+    /// Whether this entry was written by a later owner of the event, which had its state.
     pub(crate) fn is_superseded_by(&self, entry: (Source, u64, u64)) -> bool {
         let owners = self.previous_owners.iter().copied().chain(match self.stage {
             EventStage::OwnedBy(of) => Some(of),
@@ -184,8 +184,8 @@
 
     /// Status of an event of a lost gateway or of an earlier life of this gateway.
     pub fn event_status(&self, key: Key) -> Option<EventStatus> {
-        let held = self.events.get(&key).map(|event| self.status_of(event));
-        held.or_else(|| self.learned.get(&key).map(|(_, status)| status.clone()))
+        let local = self.events.get(&key).map(|event| self.status_of(event));
+        local.or_else(|| self.learned.get(&key).map(|(_, status)| status.clone()))
     }
 
     pub(crate) fn status_of(&self, event: &Event) -> EventStatus {
@@ -204,7 +204,7 @@
 
     /// Takes over the pending events of a gateway, of this life and all before it, after all promises to it have
     /// expired. `snapshots` are all snapshots of its journals. `unavailable` means that there is a takeover permit for
-    /// it, so that it is not asked until [`Recovery::rejoined`]; otherwise a later life of it has reported that this
+    /// it, so that it is not queried until [`Recovery::rejoined`]; otherwise a later life of it has reported that this
     /// one ended.
     pub fn take_over(
         &mut self,
@@ -261,7 +261,7 @@
         }
     }
 
-    /// The gateway can be asked again.
+    /// The gateway can be queried again.
     pub fn rejoined(&mut self, of: MemberId) {
         self.unavailable.remove(&of);
     }
@@ -287,7 +287,7 @@
     fn apply_snapshot(&mut self, now: Micros, snapshot: JournalSnapshot) {
         let source = snapshot.source;
         self.journal_extents.insert(source, (snapshot.through, snapshot.head));
-        let (heard, site) = (now.saturating_sub(snapshot.silent_for), self.site(source.gateway));
+        let (last_seen, site) = (now.saturating_sub(snapshot.silent_for), self.site(source.gateway));
         for Entry { number, chain, step, .. } in snapshot.entries {
             match step {
                 Step::Accepted(accepted) => {
@@ -295,7 +295,7 @@
                         accepted_entry: (source, number, chain),
                         first_send: FirstSend::Never,
                         client_waiting: false,
-                        owner_last_heard: heard,
+                        owner_last_seen: last_seen,
                         lost_sites: BTreeSet::new(),
                         previous_owners: Vec::new(),
                         other_holders: BTreeSet::new(),
@@ -310,7 +310,7 @@
                     if event.is_superseded_by(entry) {
                         event.reset_to(entry, FirstSend::Never);
                     }
-                    event.owner_last_heard = event.owner_last_heard.max(heard);
+                    event.owner_last_seen = event.owner_last_seen.max(last_seen);
                     event.lost_sites.insert(site);
                 }
                 Step::Sending { key, at, .. } => {
@@ -434,7 +434,7 @@
         }
     }
 
-    /// Asks peers for journals that this gateway lacks; reports those that no peer has.
+    /// Queries peers for journals that this gateway lacks; reports those that no peer has.
     fn query_holders(&mut self, out: &mut Vec<RecoveryOutput>) {
         let exhausted: Vec<MemberId> =
             self.holder_queries.iter().filter(|(_, left)| left.is_empty()).map(|(of, _)| *of).collect();
--- a/crates/pending/src/resolution.rs
+++ b/crates/pending/src/resolution.rs
@@ -5,11 +5,11 @@
 /// Whether the first byte of an event was sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub enum FirstSend {
-    /// It was not sent: every gateway that could know has confirmed this.
+    /// It was not sent: every gateway that could have a record of it has confirmed this.
     Never,
     /// It may have been sent, first at this time.
     At(WallMs),
-    /// A gateway or an entry that could tell is missing.
+    /// A gateway or an entry that is needed to decide is missing.
     Unknown,
 }
 
@@ -57,11 +57,11 @@
     MayHaveRun,
     /// It was served: repeats get the recorded answer.
     Replay,
-    /// It was served, but the answer was too long to be recorded; repeats are told so.
+    /// It was served, but the answer was too long to be recorded; repeats are answered with that error.
     AnswerLost,
-    /// It ended without an answer; repeats are told how.
+    /// It ended without an answer; repeats get its outcome.
     Ended(Outcome),
-    /// Its deadline has passed: it is ended and counted, and repeats are told whether it may have run.
+    /// Its deadline has passed: it is ended and counted, and the answer to repeats states whether it may have run.
     Closed {
         /// It may have run.
         may_have_run: bool,
--- a/crates/pending/src/takeover.rs
+++ b/crates/pending/src/takeover.rs
@@ -27,7 +27,7 @@
         /// Its gateways, each with its last life that has ended.
         lives: Vec<(MemberId, u64)>,
     },
-    /// The permit was returned: its subject knows what became of its events.
+    /// The permit was returned: its subject has the status of its events.
     Returned(Subject),
     /// This gateway itself was taken over: pending events of this life belong to others, see [`Rejoin`].
     LostOwnership,
@@ -195,9 +195,9 @@
 /// An action of a gateway that has started or was taken over, before it accepts events.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RejoinAction {
-    /// Ask the voters whether the subject was taken over: `PermitRequest::Reclaim`.
+    /// Query the voters whether the subject was taken over: `PermitRequest::Reclaim`.
     Reclaim(Subject),
-    /// Ask a peer what became of the pending events: [`crate::TakeoverMessage::ReturnQuery`].
+    /// Query a peer for the status of the pending events: [`crate::TakeoverMessage::ReturnQuery`].
     QueryPeer(MemberId),
     /// Return a permit to the voters, as all peers have answered: `PermitRequest::Return`.
     ReturnPermit(Subject, u16),
@@ -267,7 +267,8 @@
         if self.stage == RejoinStage::Reclaiming && self.permits.values().all(Option::is_some) {
             self.stage = RejoinStage::QueryingPeers;
         }
-        // A live peer can't be cut off from all gateways that know, as a majority of the voters has answered before.
+        // A live peer can't be cut off from all gateways that have these statuses, as a
+        // majority of the voters has answered before.
         if self.stage == RejoinStage::QueryingPeers && live.iter().all(|of| self.answered_peers.contains(of))
         {
             self.permits.retain(|_, number| number.is_some_and(|number| number != 0));
--- a/crates/pending/src/takeover_messages.rs
+++ b/crates/pending/src/takeover_messages.rs
@@ -86,11 +86,12 @@
     pub key: Key,
     /// The decision.
     pub decision: ClaimDecision,
-    /// Whether the event was sent, as far as the responder knows.
+    /// Whether the event was sent, according to the responder's records.
     pub first_send: FirstSend,
     /// The entry that accepted the event (journal, number, chain value), if the responder has it.
     pub accepted_entry: Option<(Source, u64, u64)>,
-    /// The last entry of the claimed journal that the responder has, and the last that it knows was written.
+    /// The last entry of the claimed journal that the responder has, and the last that was written
+    /// according to its records.
     pub journal_extent: Option<(u64, u64)>,
     /// The responder lacks entries of some other journal of a lost gateway.
     pub other_journal_incomplete: bool,
@@ -111,12 +112,12 @@
     },
     /// Events have ended, each with its outcome and answer.
     Ended(Vec<(Key, Outcome, Vec<u8>)>),
-    /// Asks whether the receiver has any part of the journals of this gateway up to this life. Answered only by a
+    /// Queries whether the receiver has any part of the journals of this gateway up to this life. Answered only by a
     /// gateway that has begun to take over that life.
     HoldsQuery(MemberId, u64),
     /// The answer to [`TakeoverMessage::HoldsQuery`]: whether it has any part.
     HoldsReply(MemberId, bool),
-    /// The sender started a new life and asks what became of the events that its lives up to `life` had pending.
+    /// The sender started a new life and queries the status of the events that its lives up to `life` had pending.
     /// Processed only after all promises to the sender have expired.
     ReturnQuery {
         /// The last life that has ended.
@@ -182,7 +183,7 @@
     },
     /// A part of a journal is missing.
     JournalLoss(JournalLoss),
-    /// A peer has reported all that it knows of this gateway's earlier lives, see
+    /// A peer has reported all its records of this gateway's earlier lives, see
     /// [`crate::Rejoin::on_peer_answered`].
     ReturnLearned(MemberId),
 }
--- a/crates/pending/tests/journal_faults.rs
+++ b/crates/pending/tests/journal_faults.rs
@@ -24,7 +24,7 @@
     range.unwrap_or(0..default)
 }
 
-/// An event as the test knows it.
+/// An event as recorded by the test.
 struct Event {
     owner: MemberId,
     source: Source,
--- a/crates/pending/tests/takeover.rs
+++ b/crates/pending/tests/takeover.rs
@@ -317,7 +317,7 @@
     let (mut lost, mut ends) = (0, BTreeMap::<&str, usize>::new());
     for seed in seeds(6) {
         let run = isolated_and_back(seed);
-        // An isolated owner may receive an answer that no other gateway knows of, so that an event ends there as
+        // An isolated owner may receive an answer that no other gateway has received, so that an event ends there as
         // well.
         let twice: Vec<&String> =
             run.violations.iter().filter(|text| !text.contains("ends once more")).collect();
--- a/crates/pending/tests/takeover_faults.rs
+++ b/crates/pending/tests/takeover_faults.rs
@@ -28,8 +28,8 @@
     Ended,
 }
 
-/// The loop gave the event up. Until that is replicated another gateway may still run the event, and the client is
-/// told that it may have run.
+/// The loop gave the event up. Until that is replicated another gateway may still run the event, and the answer
+/// to the client states that it may have run.
 const GIVEN_UP: &str = "given up";
 
 /// The next action of a loop.
--- a/crates/pending/tests/takeover_model.rs
+++ b/crates/pending/tests/takeover_model.rs
@@ -41,8 +41,8 @@
     /// Entries stored of the owner's journal, and of the other holder's.
     stored: EntryCount,
     stored_of_other: EntryCount,
-    /// Whether it has taken the event over, whether its journal says that the first byte is about to be sent, and its
-    /// lease for that.
+    /// Whether it has taken the event over, whether its journal records that the first byte is about to be sent, and
+    /// its lease for that.
     adopted: bool,
     announced: bool,
     lease: Lease,
@@ -66,7 +66,7 @@
     owner: Owner,
     holders: [Holder; 2],
     permit_state: PermitState,
-    /// The permit state as each holder knows it.
+    /// The permit state as each holder has it.
     known_permits: [PermitState; 2],
     /// Whether each holder sees the first site as lost, rightly or not.
     sees_site_lost: [bool; 2],
@@ -388,8 +388,8 @@
             sent_after_end: false,
         };
         for count in 1..=self.entries {
-            let held = [1, 2].map(|of| ModelAction::Deliver(Packet::Append(of, count, START)));
-            for act in [ModelAction::Write].into_iter().chain(held) {
+            let appends = [1, 2].map(|of| ModelAction::Deliver(Packet::Append(of, count, START)));
+            for act in [ModelAction::Write].into_iter().chain(appends) {
                 state = self.next_state(&state, act).expect("it changes");
             }
         }
@@ -574,8 +574,8 @@
     std::env::var("HEIRS_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(20_000)
 }
 
-fn ticks(usual: u64) -> u64 {
-    std::env::var("HEIRS_TICKS").ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
+fn ticks(default: u64) -> u64 {
+    std::env::var("HEIRS_TICKS").ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
 fn check(model: TakeoverModel) -> impl Checker<TakeoverModel> {
@@ -618,7 +618,7 @@
 fn an_event_is_sent_once_if_its_owner_stalls_before_the_first_byte() {
     let checked = check(TakeoverModel { stalls: true, ..default_model(InjectedFault::Nothing) });
     assert!(checked.discovery("sent once").is_none());
-    // No clock can rule this out: the byte is sent after a client was told that the event may have run.
+    // No clock can rule this out: the byte is sent after a client was answered that the event may have run.
     assert!(checked.discovery("its owner runs it").is_some());
 }
 
