--- a/crates/faulttest/src/checker.rs
+++ b/crates/faulttest/src/checker.rs
@@ -68,7 +68,7 @@
                 write!(f, "{event}: acknowledged as kept, and has no end")
             }
             Self::WrongEnd(event, outcomes) => write!(f, "{event}: ended as {}", outcomes.join(" and as ")),
-            Self::FalseRefusal(event) => write!(f, "{event}: said to have run nowhere, but ran"),
+            Self::FalseRefusal(event) => write!(f, "{event}: answered as run nowhere, but ran"),
         }
     }
 }
@@ -274,8 +274,8 @@
     };
     let mut all: Vec<_> = records.iter().filter(kept).cloned().collect();
     let left = excused.iter().map(|(request_id, deadline)| {
-        let (t, what) = (*deadline, Observation::ClientLeft { request_id: *request_id });
-        Record { time: t, observer: "client".into(), observation: what }
+        let (time, observation) = (*deadline, Observation::ClientLeft { request_id: *request_id });
+        Record { time, observer: "client".into(), observation }
     });
     all.extend(left);
     all.sort_by_key(|record| record.time);
--- a/crates/faulttest/src/hollow/run.rs
+++ b/crates/faulttest/src/hollow/run.rs
@@ -147,8 +147,8 @@
             run.shards.open(members)?;
             run.wait(opened + (batch as Micros * START_BATCH_US).min(spec.start_us))?;
         }
-        let took = spec.now() - opened;
-        run.print_line(format!("all members started, hollow ones within {} ms", took / 1_000));
+        let elapsed = spec.now() - opened;
+        run.print_line(format!("all members started, hollow ones within {} ms", elapsed / 1_000));
         // Members gossip from the first start on, but the settle time counts from the start of the last member.
         run.settle("start", Some("settle_start_ms"), spec.now(), LoopCounters::default())?;
         Ok(run)
@@ -255,7 +255,7 @@
         let window = self.window(event, before)?;
         let drops = self.drops();
         let outcome = match settled {
-            Some(took) => format!("settled in {} ms", took / 1_000),
+            Some(elapsed) => format!("settled in {} ms", elapsed / 1_000),
             None => format!("unsettled after {} ms", self.script.spec.settle_us / 1_000),
         };
         self.print_line(format!(
@@ -270,15 +270,15 @@
             self.report.overloaded_steps.push(what.to_owned());
             return Ok(());
         }
-        let value = settled.map_or(Value::Unsettled, |took| Value::Measured(took as f64 / 1e3));
+        let value = settled.map_or(Value::Unsettled, |elapsed| Value::Measured(elapsed as f64 / 1e3));
         if let Some(series) = series {
             self.report.add(series, "ms", value);
         }
         let worst = window.counters.max_bytes_per_second as f64;
         self.report.add("bytes_per_s_storm_worst", "B/s", Value::Measured(worst));
         self.report.add("cpu_us_per_s_storm", "us/s", Value::Measured(window.cpu_us_per_s()));
-        let held = resident_bytes().saturating_sub(self.idle_bytes) as f64;
-        let each = held / self.script.spec.hollow_members.max(1) as f64;
+        let memory = resident_bytes().saturating_sub(self.idle_bytes) as f64;
+        let each = memory / self.script.spec.hollow_members.max(1) as f64;
         self.report.add("memory_bytes_member", "B", Value::Measured(each));
         Ok(())
     }
@@ -325,7 +325,7 @@
         self.print_line(format!("quiet: {}", describe_window(&window)));
         if let (Some((before, _)), Some((after, count @ 1..))) = (real, self.real.cpu_us()) {
             let each = (after - before) as f64 * 1e6 / (window.span_us as f64 * count as f64);
-            self.print_line(format!("quiet: a real process took {each:.0} us/s"));
+            self.print_line(format!("quiet: a real process used {each:.0} us/s"));
         }
         if window.late_share() > MAX_LATE_SHARE {
             self.print_line("quiet: the loops were late, its figures do not count".to_owned());
@@ -348,16 +348,16 @@
         let (event, at) = (self.now(), self.shared.peers[through]);
         loop {
             let reply = send_operator_command(at, OperatorCommand::Request(PermitRequest::Check(subject)));
-            let took = (self.now() - event) / 1_000;
+            let elapsed_ms = (self.now() - event) / 1_000;
             if let Ok(OperatorReply::Answer(Ok(_))) = reply {
                 self.print_line(format!(
-                    "permit for n{subject_number} through n{through}: yes after {took} ms"
+                    "permit for n{subject_number} through n{through}: yes after {elapsed_ms} ms"
                 ));
                 return Ok(());
             }
             if self.now() >= event + spec.settle_us {
                 self.print_line(format!(
-                    "permit for n{subject_number} through n{through}: none after {took} ms: {reply:?}"
+                    "permit for n{subject_number} through n{through}: none after {elapsed_ms} ms: {reply:?}"
                 ));
                 self.report.unsettled_steps.push("permit".to_owned());
                 return Ok(());
@@ -466,8 +466,8 @@
 
 fn describe_window(window: &Window) -> String {
     format!(
-        "a member sent {:.0} B/s, at worst {} B in a second, took {:.0} us/s; {} false deaths believed; {:.2}% done late, \
-         by {:.0} ms at worst",
+        "a member sent {:.0} B/s, at worst {} B in a second, used {:.0} us/s; {} false deaths reported; {:.2}% done \
+         late, by {:.0} ms at worst",
         window.bytes_per_s(),
         window.counters.max_bytes_per_second,
         window.cpu_us_per_s(),
--- a/crates/faulttest/src/kept_checker.rs
+++ b/crates/faulttest/src/kept_checker.rs
@@ -137,14 +137,14 @@
     fn accepted(number: u64) -> FrameFact {
         let (class, tenant, function, event) =
             (0, 0, "extract-0".into(), br#"{"source":"s","id":"1"}"#.to_vec());
-        let (again, owed, deadline) = (RepeatSafety::Unsafe, false, 1);
+        let (repeat_safety, finish_without_client, deadline) = (RepeatSafety::Unsafe, false, 1);
         let step = Accepted {
             key: KEY,
             class,
             tenant,
             function,
-            repeat_safety: again,
-            finish_without_client: owed,
+            repeat_safety,
+            finish_without_client,
             deadline,
             event,
         };
@@ -157,7 +157,7 @@
 
     fn ran() -> Vec<Record> {
         let (event, attempt) = ("s#1".to_owned(), "n0/0:1".to_owned());
-        let record = |t, what| Record { time: t, observer: "s-0".into(), observation: what };
+        let record = |time, observation| Record { time, observer: "s-0".into(), observation };
         vec![record(1, Observation::Ran { event, attempt }), record(u64::MAX, Observation::Stopping)]
     }
 
--- a/crates/faulttest/src/relay.rs
+++ b/crates/faulttest/src/relay.rs
@@ -2,7 +2,7 @@
 //!
 //! The outgoing half of a relayed connection uses the source port of the incoming half and the IP address of the
 //! connecting scheduler, so that both ends derive the same name for an attempt. A datagram leaves from the address
-//! under which the receiver knows the sender.
+//! that the receiver has for the sender.
 
 use crate::DatagramFaults;
 use crate::capture::{CaptureProtocol, CapturedTraffic};
--- a/crates/faulttest/src/site_spec.rs
+++ b/crates/faulttest/src/site_spec.rs
@@ -95,7 +95,7 @@
     pub retries: u32,
     /// Clients retry at the time that a refusal states, instead of after a fixed short delay.
     pub honour_retry_after: bool,
-    /// Clients also retry keyed and unsafe events whose answer says that they may have run.
+    /// Clients also retry keyed and unsafe events whose answer states that they may have run.
     pub retry_uncertain: bool,
     /// Tenant of the calls; empty for none.
     pub tenant: String,
--- a/crates/faulttest/tests/relay.rs
+++ b/crates/faulttest/tests/relay.rs
@@ -118,7 +118,7 @@
     }
     let (mut all, mut bytes) = (Vec::new(), [0; 8]);
     while let Ok((_, from)) = sockets[1].recv_from(&mut bytes) {
-        assert_eq!(from, mesh[1][0], "from the address under which the receiver knows the sender");
+        assert_eq!(from, mesh[1][0], "from the address that the receiver has for the sender");
         all.push(bytes[0]);
     }
     all.sort_unstable();
@@ -191,8 +191,8 @@
     let began = std::time::Instant::now();
     stream.write_all(&bytes).expect("written");
     expect_bytes(&mut stream, &bytes);
-    let took = began.elapsed();
-    assert!(took >= Duration::from_millis(280), "{took:?}");
+    let elapsed = began.elapsed();
+    assert!(elapsed >= Duration::from_millis(280), "{elapsed:?}");
 }
 
 #[test]
