--- a/crates/scenario/src/harness.rs
+++ b/crates/scenario/src/harness.rs
@@ -140,7 +140,7 @@
 }
 
 impl Harness {
-    /// Starts a fleet with a worker for each spec, and as many gateways as `gateways` says with the settings `config`.
+    /// Starts a fleet with a worker for each spec, and `gateways` gateways with the settings `config`.
     /// The system chooses the ports, except the gateway's if `config` has several sites.
     ///
     /// # Errors
--- a/crates/scenario/tests/sites.rs
+++ b/crates/scenario/tests/sites.rs
@@ -18,8 +18,8 @@
     bound.and_then(|listener| listener.local_addr()).expect("address reserved")
 }
 
-/// Settings of `count` sites with one gateway each. All classes are replicated to one other site; `unreplicated` says
-/// what happens when no other site holds an event.
+/// Settings of `count` sites with one gateway each. All classes are replicated to one other site; `unreplicated` is
+/// the policy for an event that no other site holds.
 fn site_configs(count: u8, unreplicated: UnreplicatedPolicy, host: u8) -> Vec<Config> {
     let address = |_: u8| reserve_address(host);
     let peer = |site: u8| SitePeerConfig {
@@ -81,7 +81,7 @@
     let recorder = Recorder::memory();
     let near = start(&configs[0], &recorder);
     let to = near.addresses[0];
-    // A safe event is not begun: 503. Of the others the gateway can't know whether this is a repeat: 502.
+    // A safe event is not begun: 503. Of the others the gateway can't determine whether this is a repeat: 502.
     let alone = FUNCTIONS.map(|function| status(to, function, "alone"));
     assert_eq!(alone, [503, 502, 502], "no other site holds the event, and its owner is unknown");
     let far = start(&configs[1], &recorder);
