--- a/crates/fakes/src/line_worker.rs
+++ b/crates/fakes/src/line_worker.rs
@@ -211,7 +211,7 @@
     }
 
     /// Starts or ends draining. A draining worker answers calls and orders to load with `BUSY` and probes with `DOWN`;
-    /// queries for the number of copies are answered as usual.
+    /// queries for the number of copies are still answered.
     pub fn set_draining(&self, draining: bool) {
         self.shared.draining.store(draining, Ordering::SeqCst);
     }
@@ -237,11 +237,11 @@
             Err(error) if error.kind() == io::ErrorKind::TimedOut => Ok(None),
             Err(error) => Err(error),
         };
-        let held = fill()?;
+        let accepted = fill()?;
         let gate = lock(&self.shared.accept_gate.0);
         drop(self.shared.accept_gate.1.wait_while(gate, |gate| *gate != AcceptGate::Closed));
         let queued = fill()?;
-        lock(&self.shared.open).extend(held.into_iter().chain(queued));
+        lock(&self.shared.open).extend(accepted.into_iter().chain(queued));
         Ok(())
     }
 
@@ -312,8 +312,8 @@
                 return Ok(());
             }
             let request = line.trim_end().to_owned();
-            let held = self.order_answers_held.load(Ordering::SeqCst) && request.starts_with("ensure ");
-            let recorded = if held { format!("{request} from={}", from.port()) } else { request.clone() };
+            let is_held = self.order_answers_held.load(Ordering::SeqCst) && request.starts_with("ensure ");
+            let recorded = if is_held { format!("{request} from={}", from.port()) } else { request.clone() };
             lock(&self.lines).push(recorded);
             let words: Vec<&str> = request.split(' ').collect();
             if words[0] == "ensure" && !request.ends_with("slots_up=0") {
@@ -341,7 +341,7 @@
                     let status = if self.draining.load(Ordering::SeqCst) { "DOWN" } else { "UP" };
                     out.write_all(&answer_line(tag, status, "-", b""))?;
                 }
-                ["ensure", ..] if held => {}
+                ["ensure", ..] if is_held => {}
                 ["ensure", tag, _]
                     if !request.ends_with("slots_up=0") && self.draining.load(Ordering::SeqCst) =>
                 {
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -30,14 +30,15 @@
         Self { spec, active_fetches: 0, slowdown: 1.0 }
     }
 
-    /// Begins a fetch that takes `usual` without contention. Returns its duration, or `None` if the store rejects it.
-    pub fn begin_fetch(&mut self, usual: Micros) -> Option<Micros> {
+    /// Begins a fetch that takes `base_duration` without contention. Returns its duration, or `None` if the store
+    /// rejects it.
+    pub fn begin_fetch(&mut self, base_duration: Micros) -> Option<Micros> {
         if self.active_fetches >= self.spec.max_fetches {
             return None;
         }
         self.active_fetches += 1;
         let contention = (f64::from(self.active_fetches) / f64::from(self.spec.full_speed_fetches)).max(1.0);
-        Some((usual as f64 * contention * self.slowdown) as Micros)
+        Some((base_duration as f64 * contention * self.slowdown) as Micros)
     }
 
     pub fn end_fetch(&mut self) {
