--- a/crates/bench/src/agreed.rs
+++ b/crates/bench/src/agreed.rs
@@ -135,13 +135,13 @@
         seed,
         bounds: Some(unlimited_bounds()),
     };
-    let bed = {
-        let mut bed = Cluster::start(spec)?;
-        bed.set_all_datagram_faults(DatagramFaults { loss_rate: lost, ..DatagramFaults::default() });
-        bed
+    let cluster = {
+        let mut cluster = Cluster::start(spec)?;
+        cluster.set_all_datagram_faults(DatagramFaults { loss_rate: lost, ..DatagramFaults::default() });
+        cluster
     };
     let request = |by: usize, permit_request: PermitRequest| {
-        send_operator_command(bed.peer_addresses[by], OperatorCommand::Request(permit_request))
+        send_operator_command(cluster.peer_addresses[by], OperatorCommand::Request(permit_request))
     };
     let permit = |by: usize, of: Subject, timeout: Duration| {
         let from = monotonic();
--- a/crates/bench/src/capacity/sensitivity.rs
+++ b/crates/bench/src/capacity/sensitivity.rs
@@ -37,17 +37,17 @@
     ("restart_hours", |assumptions, value| assumptions.restart_hours = value, &[2.0, 24.0]),
 ];
 
-/// Runs the analysis; the first row is the usual case.
-pub fn run(plan: &Plan, usual: &Assumptions, points: &Points) -> Vec<Row> {
+/// Runs the analysis; the first row is the base case.
+pub fn run(plan: &Plan, base: &Assumptions, points: &Points) -> Vec<Row> {
     let row = |case: String, assumptions: &Assumptions| {
         let sections = Model { plan, assumptions, points }.sections();
         let first = decide(&sections).map(|decision| decision.first);
         Row { case, ratios: sections.iter().map(|section| section.ratio()).collect(), first }
     };
-    let mut rows = vec![row("as in the table".into(), usual)];
+    let mut rows = vec![row("as in the table".into(), base)];
     for (name, set, values) in VARIATIONS {
         for value in values {
-            let mut assumptions = usual.clone();
+            let mut assumptions = base.clone();
             set(&mut assumptions, *value);
             rows.push(row(format!("{name} = {value}"), &assumptions));
         }
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -41,8 +41,8 @@
     let link = LinkFaults { loss_rate: lost, ..LinkFaults::default() };
     for &size in sizes {
         let settings = |seed| {
-            let usual = MembershipSettings::new(size, 0, 0, seed);
-            MembershipSettings { bytes_per_s, burst: burst.unwrap_or(usual.burst), ..usual }
+            let defaults = MembershipSettings::new(size, 0, 0, seed);
+            MembershipSettings { bytes_per_s, burst: burst.unwrap_or(defaults.burst), ..defaults }
         };
         let (mut start, mut death, mut leave, mut join, mut heal) =
             <(Vec<_>, Vec<_>, Vec<_>, Vec<_>, Vec<_>)>::default();
@@ -51,11 +51,11 @@
             let mut cluster = VirtualCluster::new(settings(seed), link);
             let all: Vec<_> = cluster.node_ids().collect();
             all.iter().for_each(|of| cluster.start(*of));
-            let took = |cluster: &mut VirtualCluster| {
+            let settle_time = |cluster: &mut VirtualCluster| {
                 let (from, until) = (cluster.now, cluster.now + 60 * SECOND_US);
                 cluster.run_until_condition(until, |cluster| cluster.agrees(&all)).map(|at| at - from)
             };
-            start.push(took(&mut cluster));
+            start.push(settle_time(&mut cluster));
             cluster.run_for(5 * SECOND_US);
             let (before, from) = (cluster.counters().sent.1, cluster.now);
             cluster.run_for(10 * SECOND_US);
@@ -64,20 +64,20 @@
             let victim = (seed % u64::from(size)) as MemberId;
             let (before, from) = (cluster.counters().sent.1, cluster.now);
             cluster.kill(victim);
-            death.push(took(&mut cluster));
+            death.push(settle_time(&mut cluster));
             cluster.run_for(SECOND_US);
             cluster.start(victim);
-            join.push(took(&mut cluster));
+            join.push(settle_time(&mut cluster));
             cluster.run_for(SECOND_US);
             cluster.stop(victim);
-            leave.push(took(&mut cluster));
+            leave.push(settle_time(&mut cluster));
             cluster.start(victim);
             cluster.run_for(5 * SECOND_US);
             let half: Vec<_> = (0..size / 2).collect();
             cluster.set_isolated(&half, true);
             cluster.run_for(6 * SECOND_US);
             cluster.set_isolated(&half, false);
-            heal.push(took(&mut cluster));
+            heal.push(settle_time(&mut cluster));
             storm += rate(cluster.counters().sent.1 - before, cluster.now - from);
         }
         println!(
--- a/crates/bench/src/jam.rs
+++ b/crates/bench/src/jam.rs
@@ -123,9 +123,9 @@
         let mut actions = Vec::new();
         let start = Instant::now();
         self.controller.handle(now, event, &mut actions);
-        let took = start.elapsed();
-        self.module_time += took;
-        self.worst = self.worst.max(took);
+        let elapsed = start.elapsed();
+        self.module_time += elapsed;
+        self.worst = self.worst.max(elapsed);
         self.events += 1;
         for action in actions {
             self.actions += 1;
@@ -187,12 +187,12 @@
         attempt: usize,
         worker: WorkerId,
         code: Code,
-        took: Micros,
+        latency: Micros,
     ) {
-        let held = self.workers.get(&worker).map_or(0, |m| m.queue.len() + m.running);
+        let load = self.workers.get(&worker).map_or(0, |m| m.queue.len() + m.running);
         let copy = if code == Code::Ok { CopyStatus::Loaded } else { CopyStatus::Unknown };
-        let (is_final, crowd, report) = (code == Code::Ok, Some((held / 4) as u32), vec![held as f64]);
-        let outcome = Outcome { id, attempt, worker, code, latency: took, is_final, copy, crowd, report };
+        let (is_final, crowd, report) = (code == Code::Ok, Some((load / 4) as u32), vec![load as f64]);
+        let outcome = Outcome { id, attempt, worker, code, latency, is_final, copy, crowd, report };
         self.deliver(now, Event::Outcome(outcome));
     }
 
--- a/crates/bench/src/module.rs
+++ b/crates/bench/src/module.rs
@@ -176,9 +176,9 @@
         let is_sweep = event == Event::Timer { token: SWEEP_TOKEN };
         let start = Instant::now();
         self.controller.handle(now, event, &mut actions);
-        let took = start.elapsed();
-        *if is_sweep { &mut self.sweep_time } else { &mut self.event_time } += took;
-        self.worst = self.worst.max(took);
+        let elapsed = start.elapsed();
+        *if is_sweep { &mut self.sweep_time } else { &mut self.event_time } += elapsed;
+        self.worst = self.worst.max(elapsed);
         for action in actions {
             self.sequence += 1;
             let (at, due) = match action {
@@ -229,9 +229,9 @@
     /// number of workers that provide the lanes for them.
     fn crowd(&self, rank: usize) -> u32 {
         let fleet = self.load.fleet_calls_per_s.unwrap_or(0.0);
-        let held = fleet * self.popularity.share(rank) * self.load.answer_us as f64 / 1e6;
-        let holders = (held / f64::from(LANES)).ceil().clamp(1.0, self.load.workers.max(1) as f64);
-        (held / holders).round() as u32
+        let fleet_calls = fleet * self.popularity.share(rank) * self.load.answer_us as f64 / 1e6;
+        let holders = (fleet_calls / f64::from(LANES)).ceil().clamp(1.0, self.load.workers.max(1) as f64);
+        (fleet_calls / holders).round() as u32
     }
 
     /// Makes the warm-up calls, then the measured ones.
--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -144,7 +144,7 @@
 /// Measures and prints the table of goodput by load.
 ///
 /// # Errors
-/// If the bed or the clients can't be started.
+/// If the harness or the clients can't be started.
 pub fn run(load: &Load) -> Result<(), Box<dyn Error>> {
     let spec = WorkerSpec { default_work: load.work, ..WorkerSpec::default() };
     let capacity = WORKERS as f64 * f64::from(spec.cores) * 1e6 / load.work as f64;
@@ -166,14 +166,14 @@
         // the limit.
         config.repeats.guards_per_tenant = (capacity * 15.0) as usize;
         let recorder = Recorder::memory();
-        let bed = Harness::start(&config, 1, vec![spec.clone(); WORKERS], recorder.clone())?;
-        let idle = (0..load.idle).map(|_| TcpStream::connect(bed.addresses[0]));
+        let harness = Harness::start(&config, 1, vec![spec.clone(); WORKERS], recorder.clone())?;
+        let idle = (0..load.idle).map(|_| TcpStream::connect(harness.addresses[0]));
         let idle = idle.collect::<Result<Vec<_>, _>>()?;
-        let clients = Clients::new(bed.addresses.clone(), recorder.clone())?;
+        let clients = Clients::new(harness.addresses.clone(), recorder.clone())?;
         clients.run(plans(load, *multiple, capacity))?;
         drop(idle);
-        let rules = rule_settings(&bed.config, &bed.roster.entries);
-        bed.stop()?;
+        let rules = rule_settings(&harness.config, &harness.roster.entries);
+        harness.stop()?;
         let records = recorder.take();
         let is_request = |r: &&Record| matches!(r.observation, Observation::RequestSent { .. });
         let start = records.iter().find(is_request).map_or(0, |r| r.time);
@@ -183,7 +183,7 @@
         let mut counts = count(&records, from, until);
         let after = |from: Micros, until: Micros| format!("{:.2}", served_share(&records, from, until));
         let lag = records.iter().filter_map(|r| match r.observation {
-            Observation::Lagged { longest_turn: turn, longest_wait: waited, .. } => Some(turn.max(waited)),
+            Observation::Lagged { longest_turn, longest_wait, .. } => Some(longest_turn.max(longest_wait)),
             _ => None,
         });
         let lag = lag.max().map_or("< 5".into(), |us| format!("{:.1}", us as f64 / 1e3));
@@ -214,7 +214,7 @@
 /// served.
 ///
 /// # Errors
-/// If the bed or the clients can't be started.
+/// If the harness or the clients can't be started.
 pub fn run_tenants(load: &Load) -> Result<(), Box<dyn Error>> {
     let spec = WorkerSpec { default_work: load.work, ..WorkerSpec::default() };
     let capacity = WORKERS as f64 * f64::from(spec.cores) * 1e6 / load.work as f64;
@@ -232,7 +232,7 @@
         config.tenants = ["a", "b", "third"].map(String::from).into();
         config.controller.tenant_quotas = vec![quota; 3];
         let recorder = Recorder::memory();
-        let bed = Harness::start(&config, 1, vec![spec.clone(); WORKERS], recorder.clone())?;
+        let harness = Harness::start(&config, 1, vec![spec.clone(); WORKERS], recorder.clone())?;
         let mut rng = StdRng::seed_from_u64(load.seed);
         let until = WARM_US + (load.seconds * 1e6) as Micros;
         let mut plans = Vec::new();
@@ -244,9 +244,9 @@
                 plans.push(plan(load, at, plans.len(), tenant));
             }
         }
-        Clients::new(bed.addresses.clone(), recorder.clone())?.run(plans)?;
-        let rules = rule_settings(&bed.config, &bed.roster.entries);
-        bed.stop()?;
+        Clients::new(harness.addresses.clone(), recorder.clone())?.run(plans)?;
+        let rules = rule_settings(&harness.config, &harness.roster.entries);
+        harness.stop()?;
         let records = recorder.take();
         let is_request = |r: &&Record| matches!(r.observation, Observation::RequestSent { .. });
         let start = records.iter().find(is_request).map_or(0, |r| r.time);
--- a/crates/bench/src/pending.rs
+++ b/crates/bench/src/pending.rs
@@ -205,8 +205,8 @@
         reported += pair.turn(keys.clone().map(sending));
         reported += pair.turn(keys.map(|key| ended(key, 100)));
     }
-    let took = start.elapsed().as_secs_f64();
-    if reported as u128 != 2 * events { Err("not all events were held and sent".into()) } else { Ok(took) }
+    let seconds = start.elapsed().as_secs_f64();
+    if reported as u128 != 2 * events { Err("not all events were held and sent".into()) } else { Ok(seconds) }
 }
 
 /// Seconds for the baseline without a journal: the same steps are built and dropped.
@@ -222,15 +222,15 @@
         "writer and holder on one core, 500 bytes an event, {rounds} rounds: batch | events/s | entries/s | us per event"
     );
     for batch in [1, 16, 256] {
-        let took: Result<Vec<f64>, _> = (0..rounds).map(|_| run_seconds(events, batch, 500)).collect();
-        let took = took?;
+        let seconds: Result<Vec<f64>, _> = (0..rounds).map(|_| run_seconds(events, batch, 500)).collect();
+        let seconds = seconds?;
         let rate =
-            |entries: f64| crate::spread(took.iter().map(|took| entries * events as f64 / took).collect());
-        let us = took.iter().map(|took| took * 1e6 / events as f64).collect();
+            |entries: f64| crate::spread(seconds.iter().map(|run| entries * events as f64 / run).collect());
+        let us = seconds.iter().map(|run| run * 1e6 / events as f64).collect();
         println!("{batch:>3} | {} | {} | {}", rate(1.0), rate(3.0), crate::spread(us));
     }
-    let took = (0..rounds).map(|_| baseline_seconds(events, 500) * 1e6 / events as f64).collect();
-    println!("  - | baseline: the same steps built and dropped, us per event: {}", crate::spread(took));
+    let us = (0..rounds).map(|_| baseline_seconds(events, 500) * 1e6 / events as f64).collect();
+    println!("  - | baseline: the same steps built and dropped, us per event: {}", crate::spread(us));
     Ok(())
 }
 
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -1,4 +1,4 @@
-//! Membership between processes of the program in the test bed: the time until all members agree, and the processor
+//! Membership between processes of the program in the test cluster: the time until all members agree, and the processor
 //! time of a member. The program has to be in the same folder as this one.
 
 use basaltward_faulttest::{Cluster, ClusterSpec, DatagramFaults};
@@ -17,9 +17,9 @@
     (ticks(11) + ticks(12)) * 10.0
 }
 
-/// Processor time that all schedulers of the bed have used, in milliseconds.
-fn total_processor_ms(bed: &Cluster) -> f64 {
-    bed.schedulers.iter().filter_map(basaltward_faulttest::Process::pid).map(processor_ms).sum()
+/// Processor time that all schedulers of the cluster have used, in milliseconds.
+fn total_processor_ms(cluster: &Cluster) -> f64 {
+    cluster.schedulers.iter().filter_map(basaltward_faulttest::Process::pid).map(processor_ms).sum()
 }
 
 /// Median and 99th percentile in milliseconds; `-` for those that did not agree.
@@ -51,29 +51,29 @@
             seed,
             bounds: None,
         };
-        let mut bed = Cluster::start(spec)?;
+        let mut cluster = Cluster::start(spec)?;
         let all: Vec<_> = (0..schedulers).collect();
         let half: Vec<_> = (0..schedulers / 2).collect();
-        let start = bed.wait_for_agreement(&all, AGREEMENT_TIMEOUT);
-        bed.set_all_datagram_faults(DatagramFaults { loss_rate: lost, ..DatagramFaults::default() });
-        let (before, from) = (total_processor_ms(&bed), Instant::now());
+        let start = cluster.wait_for_agreement(&all, AGREEMENT_TIMEOUT);
+        cluster.set_all_datagram_faults(DatagramFaults { loss_rate: lost, ..DatagramFaults::default() });
+        let (before, from) = (total_processor_ms(&cluster), Instant::now());
         std::thread::sleep(Duration::from_secs(10));
-        let cost = (total_processor_ms(&bed) - before) / from.elapsed().as_secs_f64() / schedulers as f64;
+        let cost = (total_processor_ms(&cluster) - before) / from.elapsed().as_secs_f64() / schedulers as f64;
         let (mut death, mut restart, mut leave, mut heal) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         for round in 0..rounds {
             let victim = round % schedulers;
-            bed.kill(victim);
-            death.push(bed.wait_for_agreement(&all, AGREEMENT_TIMEOUT));
-            bed.start_scheduler(victim)?;
-            restart.push(bed.wait_for_agreement(&all, AGREEMENT_TIMEOUT));
-            bed.stop(victim)?;
-            leave.push(bed.wait_for_agreement(&all, AGREEMENT_TIMEOUT));
-            bed.start_scheduler(victim)?;
-            bed.wait_for_agreement(&all, AGREEMENT_TIMEOUT);
-            bed.set_partition(&half, true);
+            cluster.kill(victim);
+            death.push(cluster.wait_for_agreement(&all, AGREEMENT_TIMEOUT));
+            cluster.start_scheduler(victim)?;
+            restart.push(cluster.wait_for_agreement(&all, AGREEMENT_TIMEOUT));
+            cluster.stop(victim)?;
+            leave.push(cluster.wait_for_agreement(&all, AGREEMENT_TIMEOUT));
+            cluster.start_scheduler(victim)?;
+            cluster.wait_for_agreement(&all, AGREEMENT_TIMEOUT);
+            cluster.set_partition(&half, true);
             std::thread::sleep(Duration::from_secs(6));
-            bed.set_partition(&half, false);
-            heal.push(bed.wait_for_agreement(&all, AGREEMENT_TIMEOUT));
+            cluster.set_partition(&half, false);
+            heal.push(cluster.wait_for_agreement(&all, AGREEMENT_TIMEOUT));
         }
         let columns = [death, restart, leave, heal].map(spread).join(" | ");
         println!("{schedulers} | {} | {columns} | {cost:.1}", spread(vec![start]));
--- a/crates/bench/src/route.rs
+++ b/crates/bench/src/route.rs
@@ -63,13 +63,13 @@
         swings += swing(&simulation.completed);
         completed.extend(simulation.completed);
     }
-    let mut took: Vec<_> = completed.iter().map(|e| e.latency.unwrap_or(u64::MAX)).collect();
-    took.sort_unstable();
+    let mut latencies: Vec<_> = completed.iter().map(|e| e.latency.unwrap_or(u64::MAX)).collect();
+    latencies.sort_unstable();
     let all = completed.len().max(1) as f64;
     Ok(DayResult {
         value: completed.iter().map(|e| e.value).sum::<f64>() / all,
-        p50: quantile(&took, 0.5),
-        p99: quantile(&took, 0.99),
+        p50: quantile(&latencies, 0.5),
+        p99: quantile(&latencies, 0.99),
         handed_over: completed.iter().filter(|e| e.hops > 0).count() as f64 / all,
         loads: loads / seeds.max(1),
         swing: swings / seeds.max(1) as f64,
--- a/crates/bench/src/route/grow.rs
+++ b/crates/bench/src/route/grow.rs
@@ -44,13 +44,13 @@
         let mean = 20.0 / f64::from(function + 1);
         let calls = (mean * rng.random_range(0.0..2.0)) as u32 + u32::from(rng.random_bool(0.05));
         if calls > 0 {
-            let took = u64::from(calls) * 50_000;
+            let total_time = u64::from(calls) * 50_000;
             let in_flight = calls.div_ceil(5);
             by.push(FunctionCounts {
                 function,
                 calls,
                 served: calls,
-                total_time: took,
+                total_time,
                 warm_starts: calls - u32::from(calls == 1),
                 in_flight,
             });
@@ -91,7 +91,7 @@
             route.record_counts(now, 0, &counts(&mut rng));
             let start = Instant::now();
             let built = route.build_frames(now);
-            let took = start.elapsed();
+            let elapsed = start.elapsed();
             let start = Instant::now();
             let table = route.build_table(now);
             if is_measured {
@@ -99,7 +99,7 @@
                 bytes[own] += built.iter().map(|(_, bytes)| bytes.len() as u64).sum::<u64>();
                 // Only the coordinator of a site sends more than one frame.
                 if built.len() > 1 {
-                    build_times.push(took.as_nanos() as f64 / 1e3);
+                    build_times.push(elapsed.as_nanos() as f64 / 1e3);
                 }
             }
             drop(table);
@@ -176,6 +176,7 @@
         curves.push(curve(format!("{sites} sites"), false, |sample| sample.max_bytes_per_s));
         curves.push(curve(String::new(), true, |sample| sample.median_bytes_per_s));
     }
-    let title = "Told over gateways: the site's teller (full) and the median gateway (dashed)".into();
+    let title =
+        "Routing bytes by gateways: the site's coordinator (full) and the median gateway (dashed)".into();
     Plot { title, marks: GATEWAYS.map(f64::from).to_vec(), unit: "bytes/s".into(), curves }.draw()
 }
