--- a/crates/pending/src/error.rs
+++ b/crates/pending/src/error.rs
@@ -53,9 +53,9 @@
         /// Number of gateways of other sites that are live.
         live: u8,
     },
-    /// This gateway does not know yet which of its events others completed while it was down.
+    /// This gateway has not learned yet which of its events others completed while it was down.
     #[error(
-        "events are not accepted until the voters and all live gateways have reported what became of earlier ones: \
+        "events are not accepted until the voters and all live gateways have reported the outcome of earlier ones: \
          check them"
     )]
     #[strum(serialize = "Away")]
--- a/crates/pending/src/holder.rs
+++ b/crates/pending/src/holder.rs
@@ -16,11 +16,11 @@
 /// Upper bound for entry numbers; no journal reaches it.
 const MAX_ENTRY_NUMBER: u64 = 1 << 62;
 /// Memory cost in bytes of a journal without its entries.
-const JOURNAL_BYTES: usize = size_of::<HeldJournal>() + 64;
+const JOURNAL_BYTES: usize = size_of::<Replica>() + 64;
 
 /// The replica of one journal.
 #[derive(Debug)]
-struct HeldJournal {
+struct Replica {
     /// Identifies this start of the journal, see [`Ack::generation`].
     generation: u32,
     /// Number of the first stored entry, and the chain value before it.
@@ -34,7 +34,7 @@
     /// Send time of the latest frame, on the writer's clock.
     last_sent_at: Micros,
     /// When that frame arrived, on the local clock.
-    last_heard_at: Micros,
+    last_received_at: Micros,
 }
 
 /// All journals stored for other gateways.
@@ -45,7 +45,7 @@
     bytes: usize,
     /// Generation of the journal that was started last.
     last_generation: u32,
-    journals: BTreeMap<Source, HeldJournal>,
+    journals: BTreeMap<Source, Replica>,
     /// Entries with a payload, by its expiry.
     expiry: BTreeSet<(WallMs, Source, u64)>,
     injected_fault: Option<HolderFault>,
@@ -56,12 +56,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HolderFault {
     /// Entries are acknowledged before they are stored, and some are lost.
-    AckFirst,
+    AcksBeforeStoring,
     /// The chain is not verified.
-    Unchained,
+    SkipsChainCheck,
 }
 
-impl HeldJournal {
+impl Replica {
     fn new(generation: u32, first: u64, chain_before: u64) -> Self {
         Self {
             generation,
@@ -71,7 +71,7 @@
             pending: BTreeMap::new(),
             head: 0,
             last_sent_at: 0,
-            last_heard_at: 0,
+            last_received_at: 0,
         }
     }
 
@@ -94,11 +94,11 @@
 }
 
 impl Holder {
-    /// Stores nothing yet, and at most `most` bytes.
-    pub fn new(life: u64, most: usize) -> Self {
+    /// Stores nothing yet, and at most `max_bytes` bytes.
+    pub fn new(life: u64, max_bytes: usize) -> Self {
         Self {
             life,
-            max_bytes: most,
+            max_bytes,
             bytes: 0,
             last_generation: 0,
             journals: BTreeMap::new(),
@@ -133,11 +133,11 @@
     /// Snapshots of the journals of all lives of a gateway up to this one.
     pub fn snapshots(&self, now: Micros, of: MemberId, life: u64) -> Vec<JournalSnapshot> {
         let range = Source { gateway: of, life: 0 }..=Source { gateway: of, life };
-        let snapshot = |(source, journal): (&Source, &HeldJournal)| JournalSnapshot {
+        let snapshot = |(source, journal): (&Source, &Replica)| JournalSnapshot {
             source: *source,
             through: journal.through(),
             head: journal.head.max(journal.through()),
-            silent_for: now.saturating_sub(journal.last_heard_at),
+            silent_for: now.saturating_sub(journal.last_received_at),
             entries: journal.decoded_entries(*source),
         };
         self.journals.range(range).map(snapshot).collect()
@@ -171,7 +171,7 @@
         let journal = self.journals.get(&source);
         let (generation, mut through) =
             journal.map_or((0, 0), |journal| (journal.generation, journal.through()));
-        if self.injected_fault == Some(HolderFault::AckFirst) && rejected.is_none() {
+        if self.injected_fault == Some(HolderFault::AcksBeforeStoring) && rejected.is_none() {
             through = through.max(append.first + append.entries.len() as u64 - 1);
         }
         let fault = rejected.map(|rejected| match rejected {
@@ -204,7 +204,7 @@
         if first == 0 || first > MAX_ENTRY_NUMBER {
             return Some(RejectReason::Corrupt(first));
         }
-        let through = self.journals.get(&source).map(HeldJournal::through);
+        let through = self.journals.get(&source).map(Replica::through);
         match through {
             Some(through) if first <= through + 1 => {}
             None if !append.starts_journal => return Some(RejectReason::UnknownJournal),
@@ -216,7 +216,7 @@
                 }
                 self.bytes += JOURNAL_BYTES;
                 self.last_generation += 1;
-                self.journals.insert(source, HeldJournal::new(self.last_generation, first, before));
+                self.journals.insert(source, Replica::new(self.last_generation, first, before));
             }
         }
         let (mut chain, mut rejected) = (before, None);
@@ -228,7 +228,8 @@
         }
         self.truncate_below(source, append.needed_from);
         if let Some(journal) = self.journals.get_mut(&source) {
-            (journal.last_sent_at, journal.last_heard_at) = (journal.last_sent_at.max(append.sent_at), now);
+            (journal.last_sent_at, journal.last_received_at) =
+                (journal.last_sent_at.max(append.sent_at), now);
             journal.head = journal.head.max(append.head);
         }
         rejected
@@ -247,7 +248,7 @@
             WireEntry::Full(bytes, chain) => (xxh3_64(bytes), u64::from_le_bytes(*chain)),
             WireEntry::DigestOnly(digest, chain) => (u64::from_le_bytes(*digest), u64::from_le_bytes(*chain)),
         };
-        let checked = self.injected_fault != Some(HolderFault::Unchained);
+        let checked = self.injected_fault != Some(HolderFault::SkipsChainCheck);
         if checked && next_chain(*chain, source, number, digest) != after {
             return Some(RejectReason::Corrupt(number));
         }
@@ -275,7 +276,7 @@
         if self.bytes + entry.memory_cost() > self.max_bytes {
             return Some(RejectReason::Full);
         }
-        if self.injected_fault == Some(HolderFault::AckFirst) && number.is_multiple_of(5) {
+        if self.injected_fault == Some(HolderFault::AcksBeforeStoring) && number.is_multiple_of(5) {
             return None;
         }
         self.bytes += entry.memory_cost();
@@ -347,8 +348,8 @@
             self.drop_payload(source, number);
             self.expiry.remove(&(until, source, number));
         }
-        let idle = |journal: &HeldJournal| {
-            now.saturating_sub(journal.last_heard_at) > IDLE_JOURNAL_TIMEOUT
+        let idle = |journal: &Replica| {
+            now.saturating_sub(journal.last_received_at) > IDLE_JOURNAL_TIMEOUT
                 && journal.entries.iter().all(|entry| entry.payload.is_none())
         };
         let idle: Vec<Source> =
--- a/crates/pending/src/lease.rs
+++ b/crates/pending/src/lease.rs
@@ -89,7 +89,7 @@
     Starting,
     /// The owner was taken over.
     #[error(
-        "gateway {gateway} was taken over: its next life accepts events once it knows what became of the earlier ones"
+        "gateway {gateway} was taken over: its next life accepts events once it has learned the outcome of the earlier ones"
     )]
     #[strum(serialize = "Taken")]
     TakenOver {
--- a/crates/pending/src/pending_events.rs
+++ b/crates/pending/src/pending_events.rs
@@ -174,7 +174,7 @@
             Input::ReclaimReply { subject, permit } => self.rejoin.on_reclaim_reply(subject, permit),
             Input::PermitReturned { subject } => self.rejoin.on_permit_returned(subject),
             Input::ClientRepeat(key) => self.recovery.client_waits_for(key),
-            Input::RecoveryLimits { rate, concurrency: most } => self.recovery.set_limits(rate, most),
+            Input::RecoveryLimits { rate, concurrency } => self.recovery.set_limits(rate, concurrency),
         }
     }
 
--- a/crates/pending/src/recovery.rs
+++ b/crates/pending/src/recovery.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RecoveryFault {
     /// Events that were sent are treated as never sent.
-    RunsWhatWasSent,
+    RerunsSentEvents,
     /// Peers are not queried.
     SkipsClaims,
 }
@@ -503,7 +503,7 @@
         for (_, key) in ready {
             let Some(event) = self.events.get_mut(&key) else { continue };
             let accepted = &event.accepted;
-            let sent = if self.injected_fault == Some(RecoveryFault::RunsWhatWasSent) {
+            let sent = if self.injected_fault == Some(RecoveryFault::RerunsSentEvents) {
                 FirstSend::Never
             } else {
                 event.first_send
@@ -520,7 +520,7 @@
             if let Some(outcome) = resolution.outcome() {
                 match resolution {
                     Resolution::MayHaveRun => self.counts.may_have_run += 1,
-                    Resolution::LetGo => self.counts.dropped += 1,
+                    Resolution::Dropped => self.counts.dropped += 1,
                     _ => self.counts.expired += 1,
                 }
                 out.push(RecoveryOutput::Resolved { key, resolution, outcome, answer: Vec::new() });
--- a/crates/pending/src/resolution.rs
+++ b/crates/pending/src/resolution.rs
@@ -67,7 +67,7 @@
         may_have_run: bool,
     },
     /// Drop it: no client waits, its class does not require it, and a repeat may run.
-    LetGo,
+    Dropped,
 }
 
 impl Resolution {
@@ -80,7 +80,7 @@
     pub fn outcome(self) -> Option<Outcome> {
         match self {
             Self::MayHaveRun | Self::Closed { may_have_run: true } => Some(Outcome::Failed),
-            Self::Closed { may_have_run: false } | Self::LetGo => Some(Outcome::Refused),
+            Self::Closed { may_have_run: false } | Self::Dropped => Some(Outcome::Refused),
             _ => None,
         }
     }
@@ -97,7 +97,7 @@
         (Some((outcome, _)), ..) => Resolution::Ended(outcome),
         _ if latest >= case.deadline => Resolution::Closed { may_have_run },
         (None, RepeatSafety::Safe, _) if !case.finish_without_client && !case.client_waiting => {
-            Resolution::LetGo
+            Resolution::Dropped
         }
         (None, _, FirstSend::Never) => Resolution::Run,
         (None, RepeatSafety::Safe, _) => Resolution::RunAgain,
@@ -159,8 +159,8 @@
             (late(Unsafe, AT), closed(true)),
             (late(KEYED, FirstSend::Unknown), closed(true)),
             (RecoveryCase { deadline: 10_101, ..case(Unsafe, FirstSend::Never) }, Resolution::Run),
-            (client_gone(Safe, FirstSend::Never), Resolution::LetGo),
-            (client_gone(Safe, AT), Resolution::LetGo),
+            (client_gone(Safe, FirstSend::Never), Resolution::Dropped),
+            (client_gone(Safe, AT), Resolution::Dropped),
             (RecoveryCase { client_waiting: true, ..client_gone(Safe, AT) }, Resolution::RunAgain),
             (client_gone(KEYED, FirstSend::Never), Resolution::Run),
             (client_gone(Unsafe, FirstSend::Never), Resolution::Run),
--- a/crates/pending/src/takeover.rs
+++ b/crates/pending/src/takeover.rs
@@ -207,9 +207,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum RejoinStage {
-    /// Asking the voters for the takeover permits of this site and gateway.
+    /// Querying the voters for the takeover permits of this site and gateway.
     Reclaiming,
-    /// Asking the live peers what became of the pending events.
+    /// Querying the live peers for the status of the pending events.
     QueryingPeers,
     /// Returning the takeover permits to the voters.
     ReturningPermits,
@@ -248,7 +248,7 @@
         }
     }
 
-    /// A peer has reported all that became of the pending events.
+    /// A peer has reported the status of all pending events.
     pub fn on_peer_answered(&mut self, from: MemberId) {
         self.answered_peers.insert(from);
     }
--- a/crates/pending/tests/journal_faults.rs
+++ b/crates/pending/tests/journal_faults.rs
@@ -402,7 +402,7 @@
 
 #[test]
 fn injected_faults_are_detected() {
-    for fault in [HolderFault::AckFirst, HolderFault::Unchained] {
+    for fault in [HolderFault::AcksBeforeStoring, HolderFault::SkipsChainCheck] {
         let seen = run_parallel(0..6, |seed| run(seed * 4 + 1, 1, Some(fault)));
         let found = seen.iter().filter(|(.., violations)| !violations.is_empty()).count();
         assert!(found >= 3, "{fault:?} was detected by {found} of 6 seeds");
--- a/crates/pending/tests/takeover_faults.rs
+++ b/crates/pending/tests/takeover_faults.rs
@@ -410,7 +410,7 @@
 #[test]
 fn running_events_that_were_sent_is_detected() {
     assert!(has_violations(Progress::Sent, DisruptionKind::KillSite, |gateway| gateway
-        .inject_recovery_fault(RecoveryFault::RunsWhatWasSent)));
+        .inject_recovery_fault(RecoveryFault::RerunsSentEvents)));
     assert!(!has_violations(Progress::Sent, DisruptionKind::KillSite, |_| {}));
 }
 
--- a/crates/pending/tests/takeover_model.rs
+++ b/crates/pending/tests/takeover_model.rs
@@ -88,11 +88,12 @@
     Write,
     Deliver(Packet),
     DeliverMessage(usize),
-    /// The voters permit the takeover of a site; a holder learns of it.
+    /// The voters permit the takeover of a site.
     Permit(MemberId),
-    Learn(usize),
+    /// A holder learns of the current permits.
+    LearnPermits(usize),
     /// A holder sees the first site as lost.
-    See(usize),
+    SeeSiteLost(usize),
     /// The owner sends the first byte; a holder that has taken the event over announces the first byte before it
     /// sends it.
     Send,
@@ -110,11 +111,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum InjectedFault {
     Nothing,
-    LeaseByTheWallClock,
-    RunsWhatWasSent,
-    TakeoverByTheViewAlone,
-    AckBeforeStored,
-    ReadyWithoutAskingPeers,
+    LeaseByWallClock,
+    RerunsSentEvents,
+    TakeoverByViewAlone,
+    AcksBeforeStoring,
+    ReadyWithoutQueryingPeers,
 }
 
 struct TakeoverModel {
@@ -177,8 +178,8 @@
         let mut recovery = Recovery::new(&settings(of, life), if life == 1 { 0 } else { now });
         let mut monitor = TakeoverMonitor::new(&site_map(of));
         match self.fault {
-            InjectedFault::RunsWhatWasSent => recovery.inject_fault(RecoveryFault::RunsWhatWasSent),
-            InjectedFault::TakeoverByTheViewAlone => monitor.inject_fault(TakeoverFault::IgnoresPermits),
+            InjectedFault::RerunsSentEvents => recovery.inject_fault(RecoveryFault::RerunsSentEvents),
+            InjectedFault::TakeoverByViewAlone => monitor.inject_fault(TakeoverFault::IgnoresPermits),
             _ => {}
         }
         let promises = HolderPromises::new(TERMS, if life == 1 { 0 } else { now });
@@ -280,8 +281,7 @@
     fn lease_clock(&self, state: &ModelState) -> Micros {
         let now = state.now * TICK;
         // Injected fault: a wall clock that is set back by two ticks at the sixth tick.
-        let back =
-            if self.fault == InjectedFault::LeaseByTheWallClock && state.now >= 6 { 2 * TICK } else { 0 };
+        let back = if self.fault == InjectedFault::LeaseByWallClock && state.now >= 6 { 2 * TICK } else { 0 };
         now - back
     }
 
@@ -299,7 +299,7 @@
             Packet::Append(of, entries, sent_at) => {
                 let holder = &mut state.holders[usize::from(of) - 1];
                 if holder.promises.grant(now, 0, 1).is_ok() {
-                    let unstored = self.fault == InjectedFault::AckBeforeStored && entries == 2;
+                    let unstored = self.fault == InjectedFault::AcksBeforeStoring && entries == 2;
                     holder.stored = holder.stored.max(if unstored { 1 } else { entries });
                     state.packets.retain(|packet| !matches!(packet, Packet::Ack(from, ..) if *from == of));
                     state.packets.insert(Packet::Ack(of, entries, sent_at));
@@ -378,7 +378,7 @@
             permit_state: PermitState::default(),
             known_permits: [PermitState::default(), PermitState::default()],
             // A holder that sees the site as lost requests the permit, which the voters grant at any time.
-            sees_site_lost: [self.fault != InjectedFault::TakeoverByTheViewAlone; 2],
+            sees_site_lost: [self.fault != InjectedFault::TakeoverByViewAlone; 2],
             packets: BTreeSet::new(),
             messages: Vec::new(),
             restarts: self.restarts,
@@ -416,9 +416,9 @@
             }
         }
         acts.extend(
-            (0..2).filter(|at| state.known_permits[*at] != state.permit_state).map(ModelAction::Learn),
+            (0..2).filter(|at| state.known_permits[*at] != state.permit_state).map(ModelAction::LearnPermits),
         );
-        acts.extend((0..2).filter(|at| !state.sees_site_lost[*at]).map(ModelAction::See));
+        acts.extend((0..2).filter(|at| !state.sees_site_lost[*at]).map(ModelAction::SeeSiteLost));
         if self.may_send(state) && !owner.lease_checked {
             acts.push(if self.stalls { ModelAction::CheckLease } else { ModelAction::Send });
         }
@@ -446,7 +446,7 @@
         }
         if let Some((rejoin, recovery)) = &owner.back {
             acts.push(ModelAction::Rejoin);
-            let ready = rejoin.is_ready() || self.fault == InjectedFault::ReadyWithoutAskingPeers;
+            let ready = rejoin.is_ready() || self.fault == InjectedFault::ReadyWithoutQueryingPeers;
             if ready && recovery.event_status(KEY).is_none() && !owner.sent {
                 acts.push(ModelAction::Repeat);
             }
@@ -478,8 +478,8 @@
                 let _ = state.permit_state.add(permit);
                 state.permit_state.last_number = number;
             }
-            ModelAction::Learn(at) => state.known_permits[at] = state.permit_state.clone(),
-            ModelAction::See(at) => state.sees_site_lost[at] = true,
+            ModelAction::LearnPermits(at) => state.known_permits[at] = state.permit_state.clone(),
+            ModelAction::SeeSiteLost(at) => state.sees_site_lost[at] = true,
             ModelAction::CheckLease => state.owner.lease_checked = true,
             ModelAction::Send => {
                 state.owner.sent = true;
@@ -657,7 +657,7 @@
         returns: true,
         entries: 2,
         writes: false,
-        ..default_model(InjectedFault::ReadyWithoutAskingPeers)
+        ..default_model(InjectedFault::ReadyWithoutQueryingPeers)
     };
     assert!(check(model).discovery("sent once").is_some());
 }
@@ -668,22 +668,21 @@
 
 #[test]
 fn a_lease_by_the_wall_clock_is_detected() {
-    assert!(detects(InjectedFault::LeaseByTheWallClock, "no byte after its end was reported"));
+    assert!(detects(InjectedFault::LeaseByWallClock, "no byte after its end was reported"));
 }
 
 #[test]
 fn running_an_event_that_was_sent_is_detected() {
-    assert!(detects(InjectedFault::RunsWhatWasSent, "sent once"));
+    assert!(detects(InjectedFault::RerunsSentEvents, "sent once"));
 }
 
 #[test]
 fn a_takeover_by_the_view_alone_is_detected() {
-    let model =
-        TakeoverModel { ticks: 1, entries: 2, ..default_model(InjectedFault::TakeoverByTheViewAlone) };
+    let model = TakeoverModel { ticks: 1, entries: 2, ..default_model(InjectedFault::TakeoverByViewAlone) };
     assert!(check(model).discovery("no byte after its end was reported").is_some());
 }
 
 #[test]
 fn an_ack_before_the_entry_is_stored_is_detected() {
-    assert!(detects(InjectedFault::AckBeforeStored, "sent once"));
+    assert!(detects(InjectedFault::AcksBeforeStoring, "sent once"));
 }
