--- a/crates/faulttest/src/lib.rs
+++ b/crates/faulttest/src/lib.rs
@@ -10,7 +10,7 @@
 mod clients;
 mod cluster;
 mod hollow;
-mod kept_checker;
+mod journal_checker;
 mod link;
 mod network;
 mod process;
--- a/crates/faulttest/src/site_checker.rs
+++ b/crates/faulttest/src/site_checker.rs
@@ -3,7 +3,7 @@
 
 use crate::capture::ForwardedCall;
 use crate::checker::{CallTarget, FleetViolation, Verdict, check_common, exit_violations};
-use crate::kept_checker::check_kept_events;
+use crate::journal_checker::check_kept_events;
 use crate::link::Party;
 use crate::site_cluster::SiteCluster;
 use basaltward_net::Micros;
