--- a/crates/bench/src/capacity/measure.rs
+++ b/crates/bench/src/capacity/measure.rs
@@ -157,7 +157,7 @@
     }
 }
 
-/// Bytes by which this process grows for one instance. Several instances are built and kept in memory at once, so that
+/// Bytes by which this process grows for one instance. Several instances are built and stay in memory at once, so that
 /// the granularity of memory pages does not show.
 fn memory_growth<T>(times: usize, build: impl Fn() -> MeasureResult<T>) -> MeasureResult<f64> {
     let before = resident()?;
--- a/crates/bench/src/pending.rs
+++ b/crates/bench/src/pending.rs
@@ -1,5 +1,5 @@
-//! Journaled events: bytes on the wire and in memory, the time until an event is held, in virtual time, and how many
-//! events a writer and a holder process in a second on one core.
+//! Journaled events: bytes on the wire and in memory, the time until an event is replicated, in virtual time, and how
+//! many events a writer and a holder process in a second on one core.
 
 use crate::memory::resident;
 use basaltward_membership::{LinkFaults, MemberId, Micros, SiteMap};
@@ -74,7 +74,7 @@
     }
 
     /// One turn of the writer's control thread: handles the steps, then delivers frames until none is in flight.
-    /// Returns how many events were reported as held or allowed to be sent.
+    /// Returns how many events were reported as replicated or allowed to be sent.
     fn turn(&mut self, steps: impl Iterator<Item = Step>) -> usize {
         let (mut reported, mut out) = (0, Vec::new());
         self.now += 1;
@@ -172,12 +172,12 @@
         let before = resident()?;
         let print = |pair: &Pair, stage: &str| -> Result<(), Box<dyn Error>> {
             let per = |bytes: f64| bytes / events as f64;
-            let (own, held) = (pair.nodes[0].journal_size().0, pair.nodes[1].replica_size().0);
+            let (own, replica) = (pair.nodes[0].journal_size().0, pair.nodes[1].replica_size().0);
             let resident = per(resident()? - before);
             println!(
                 "{body:>5} | {stage} | {:.0} + {:.0} | {resident:.0}",
                 per(own as f64),
-                per(held as f64)
+                per(replica as f64)
             );
             Ok(())
         };
@@ -194,7 +194,7 @@
 /// Seconds in which a writer and a holder process `events` events from acceptance to end, in turns of `batch` events.
 ///
 /// # Errors
-/// If the settings are invalid or not every event was held and allowed to be sent.
+/// If the settings are invalid or not every event was replicated and allowed to be sent.
 pub fn run_seconds(events: u128, batch: usize, body: usize) -> Result<f64, Box<dyn Error>> {
     let mut pair = Pair::new()?;
     let start = Instant::now();
@@ -206,7 +206,11 @@
         reported += pair.turn(keys.map(|key| ended(key, 100)));
     }
     let seconds = start.elapsed().as_secs_f64();
-    if reported as u128 != 2 * events { Err("not all events were held and sent".into()) } else { Ok(seconds) }
+    if reported as u128 != 2 * events {
+        Err("not all events were replicated and sent".into())
+    } else {
+        Ok(seconds)
+    }
 }
 
 /// Seconds for the baseline without a journal: the same steps are built and dropped.
@@ -234,8 +238,8 @@
     Ok(())
 }
 
-/// Times from acceptance until an event is held, and from the request to send it until it may be sent. With `together`
-/// the request follows acceptance at once, and the second time counts from acceptance.
+/// Times from acceptance until an event is replicated, and from the request to send it until it may be sent. With
+/// `together` the request follows acceptance at once, and the second time counts from acceptance.
 fn times(
     delay_range: (Micros, Micros),
     together: bool,
@@ -293,9 +297,9 @@
         let delay_range = (ms * 1_000, ms * 1_000);
         let mut collected = [Vec::new(), Vec::new(), Vec::new()];
         for seed in 0..seeds {
-            let [held, allowed] = times(delay_range, false, seed)?;
+            let [replicated, allowed] = times(delay_range, false, seed)?;
             let [_, both] = times(delay_range, true, seed)?;
-            collected.iter_mut().zip([held, allowed, both]).for_each(|(all, more)| all.extend(more));
+            collected.iter_mut().zip([replicated, allowed, both]).for_each(|(all, more)| all.extend(more));
         }
         let text = |values: &mut Vec<Micros>| {
             values.sort_unstable();
@@ -303,8 +307,8 @@
                 |share: usize| values.get(values.len() * share / 100).map_or(f64::NAN, |at| *at as f64 / 1e3);
             format!("{:.1} / {:.1}", at(50), at(99))
         };
-        let [held, allowed, both] = &mut collected;
-        println!("{ms:>2} | {} | {} | {}", text(held), text(allowed), text(both));
+        let [replicated, allowed, both] = &mut collected;
+        println!("{ms:>2} | {} | {} | {}", text(replicated), text(allowed), text(both));
     }
     Ok(())
 }
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -125,7 +125,7 @@
             seconds.join(" ")
         );
     }
-    let (acknowledged, ends) = &verdict.kept_events;
+    let (acknowledged, ends) = &verdict.journaled_events;
     let ends: Vec<_> = ends.iter().map(|(how, count)| format!(", {how} {count}")).collect();
     println!("kept events acknowledged {acknowledged}{}", ends.concat());
 }
--- a/crates/fakes/src/line_worker.rs
+++ b/crates/fakes/src/line_worker.rs
@@ -366,11 +366,11 @@
     /// Carries out the script's actions for a request. Returns false if they end the connection.
     fn run_script(&self, exec: &ExecRequest, from: SocketAddr, mut stream: &TcpStream) -> io::Result<bool> {
         let attempt = || format!("{}:{}@{}", (self.identify_scheduler)(from), exec.id, from.port());
-        let put = |what| self.recorder.put(monotonic(), &self.name, what);
-        put(Observation::Arrived { event: exec.id.clone(), attempt: attempt(), work: 1 });
+        let record = |observation| self.recorder.put(monotonic(), &self.name, observation);
+        record(Observation::Arrived { event: exec.id.clone(), attempt: attempt(), work: 1 });
         for action in (self.script)(exec) {
             match action {
-                WorkerAction::Run => put(Observation::Ran { event: exec.id.clone(), attempt: attempt() }),
+                WorkerAction::Run => record(Observation::Ran { event: exec.id.clone(), attempt: attempt() }),
                 WorkerAction::Write(bytes) => stream.write_all(&bytes)?,
                 WorkerAction::Wait(duration) => std::thread::sleep(duration),
                 WorkerAction::Reset => {
--- a/crates/fakes/src/worker_model.rs
+++ b/crates/fakes/src/worker_model.rs
@@ -34,7 +34,7 @@
     pub warm_up_time: Micros,
     /// Workers of the same group deduplicate keyed calls together.
     pub key_group: u64,
-    /// The keys of a worker are lost when it is killed, as if each worker kept its own.
+    /// The keys of a worker are lost when it is killed, as if each worker stored its own.
     pub loses_keys_when_killed: bool,
     /// A cold worker collapses when it receives more than this multiple of its current capacity within
     /// `overload_window`.
--- a/crates/faulttest/src/capture.rs
+++ b/crates/faulttest/src/capture.rs
@@ -1,4 +1,4 @@
-//! Decodes calls forwarded between gateways and journal messages about kept events as they cross the relays.
+//! Decodes calls forwarded between gateways and journal messages about journaled events as they cross the relays.
 
 use crate::link::{Link, Party};
 use basaltward_http::{Decoded, Limits, RequestDecoder};
@@ -10,7 +10,7 @@
 
 /// Maximum payload of a frame; gateways of a cluster send none that is longer.
 const MAX_FRAME_BYTES: usize = 256 << 10;
-/// Maximum size of the event of a kept call; gateways of a cluster accept none that is longer.
+/// Maximum size of the event of a journaled call; gateways of a cluster accept none that is longer.
 const MAX_ENTRY_BYTES: usize = 64 << 10;
 
 /// A call that one gateway forwarded to the front of another.
@@ -26,7 +26,7 @@
     pub hops: Option<u32>,
 }
 
-/// A message about kept events that one gateway sent to another.
+/// A message about journaled events that one gateway sent to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JournalMessage {
     /// When it crossed the relay.
@@ -78,7 +78,7 @@
 pub struct CapturedTraffic {
     /// Calls forwarded between gateways.
     pub forwarded_calls: Vec<ForwardedCall>,
-    /// Journal messages about kept events.
+    /// Journal messages about journaled events.
     pub journal_messages: Vec<JournalMessage>,
 }
 
--- a/crates/faulttest/src/checker.rs
+++ b/crates/faulttest/src/checker.rs
@@ -41,7 +41,7 @@
     DuplicateEffect(String, Vec<String>),
     /// A call was forwarded more than once: the event's name and the number of hops.
     TooManyHops(String, u32),
-    /// An acknowledged kept event did not end, or a journal ended it twice: its name and the outcomes.
+    /// An acknowledged journaled event did not end, or a journal ended it twice: its name and the outcomes.
     WrongEnd(String, Vec<String>),
     /// An event was refused as not executed, though a worker executed it.
     FalseRefusal(String),
@@ -50,25 +50,29 @@
 impl fmt::Display for FleetViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Crashed(name) => write!(f, "{name} ended by itself"),
-            Self::UncleanExit(name) => write!(f, "{name} did not end well after SIGTERM"),
+            Self::Crashed(name) => write!(f, "{name} exited by itself"),
+            Self::UncleanExit(name) => write!(f, "{name} exited with a failure status after SIGTERM"),
             Self::OversizedDatagram(link, count) => {
                 write!(f, "{link}: {count} datagrams of more than 256 bytes")
             }
-            Self::WrongSource(link, count) => write!(f, "{link}: {count} datagrams from another's address"),
-            Self::StaleMemberState(by, of) => write!(f, "{by} went back to an earlier life of n{of}"),
-            Self::PermitBoundExceeded(what, count) => write!(f, "{count} {what} may be out at once"),
+            Self::WrongSource(link, count) => {
+                write!(f, "{link}: {count} datagrams from an address that is not the sender's")
+            }
+            Self::StaleMemberState(by, of) => write!(f, "{by} went back to an earlier incarnation of n{of}"),
+            Self::PermitBoundExceeded(subjects, count) => write!(f, "{count} {subjects} may be down at once"),
             Self::PermitFork((ms, by), version) => {
-                write!(f, "two are agreed under epoch {ms} of n{by}, version {version}")
+                write!(f, "two permit states are agreed under epoch {ms} of n{by}, version {version}")
             }
             Self::LinkLeak(link, bytes) => write!(f, "{link}: {bytes} bytes crossed it while it was cut"),
-            Self::DuplicateEffect(event, at) => write!(f, "{event}: effects at {}", at.join(", ")),
-            Self::TooManyHops(event, hops) => write!(f, "{event}: handed over {hops} times"),
+            Self::DuplicateEffect(event, at) => {
+                write!(f, "{event}: took effect more than once, at {}", at.join(", "))
+            }
+            Self::TooManyHops(event, hops) => write!(f, "{event}: forwarded {hops} times"),
             Self::WrongEnd(event, outcomes) if outcomes.is_empty() => {
-                write!(f, "{event}: acknowledged as kept, and has no end")
+                write!(f, "{event}: acknowledged by its holders, but never ended")
             }
             Self::WrongEnd(event, outcomes) => write!(f, "{event}: ended as {}", outcomes.join(" and as ")),
-            Self::FalseRefusal(event) => write!(f, "{event}: answered as run nowhere, but ran"),
+            Self::FalseRefusal(event) => write!(f, "{event}: refused as not executed, but was executed"),
         }
     }
 }
@@ -82,8 +86,8 @@
     pub violations: Vec<FleetViolation>,
     /// Calls sent, and of these served, refused and failed.
     pub calls: (u64, u64, u64, u64),
-    /// Calls that an injected fault (a paused or stopped scheduler, a cut link) kept from being answered; the rules
-    /// do not apply to them.
+    /// Calls that an injected fault (a paused or stopped scheduler, a cut link) prevented from being answered; the
+    /// rules do not apply to them.
     pub excused: u64,
 }
 
@@ -136,7 +140,12 @@
             (counts.oversized, FleetViolation::OversizedDatagram as fn(_, _) -> _),
             (counts.wrong_source, FleetViolation::WrongSource),
         ];
-        verdict.violations.extend(found.into_iter().filter(|(n, _)| *n > 0).map(|(n, what)| what(link, n)));
+        verdict.violations.extend(
+            found
+                .into_iter()
+                .filter(|(count, _)| *count > 0)
+                .map(|(count, violation)| violation(link, count)),
+        );
     }
     verdict
         .violations
@@ -158,15 +167,15 @@
 fn stale_member_states(records: &[Record]) -> BTreeSet<FleetViolation> {
     let mut known: BTreeMap<(&str, u16), (u64, u32)> = BTreeMap::new();
     let mut found = BTreeSet::new();
-    for Record { observer: by, observation: what, .. } in records {
-        match what {
-            Observation::Up { .. } => known.retain(|(observer, _), _| observer != by),
-            Observation::MemberState { member: of, start, refutations: bump, .. } => {
-                let latest = known.entry((by, *of)).or_default();
-                if (*start, *bump) < *latest {
-                    found.insert(FleetViolation::StaleMemberState(by.clone(), *of));
+    for Record { observer, observation, .. } in records {
+        match observation {
+            Observation::Up { .. } => known.retain(|(by, _), _| by != observer),
+            Observation::MemberState { member, start, refutations, .. } => {
+                let latest = known.entry((observer, *member)).or_default();
+                if (*start, *refutations) < *latest {
+                    found.insert(FleetViolation::StaleMemberState(observer.clone(), *member));
                 }
-                *latest = (*start, *bump);
+                *latest = (*start, *refutations);
             }
             _ => {}
         }
@@ -183,22 +192,22 @@
         ("workers", "worker ", bounds.workers.to_count(cluster.workers.len())),
     ];
     let mut known: BTreeMap<((u64, u16), u32), &Vec<String>> = BTreeMap::new();
-    for Record { observation: what, .. } in records {
-        let Observation::PermitsUpdated { epoch, version, permits } = what else { continue };
+    for Record { observation, .. } in records {
+        let Observation::PermitsUpdated { epoch, version, permits } = observation else { continue };
         if *known.entry((*epoch, *version)).or_insert(permits) != permits {
             found.insert(FleetViolation::PermitFork(*epoch, *version));
         }
-        for (what, kind, max) in limits {
-            let count = permits.iter().filter(|permit| permit.starts_with(kind)).count();
+        for (subjects, prefix, max) in limits {
+            let count = permits.iter().filter(|permit| permit.starts_with(prefix)).count();
             if count > max {
-                found.insert(FleetViolation::PermitBoundExceeded(what, count));
+                found.insert(FleetViolation::PermitBoundExceeded(subjects, count));
             }
         }
     }
     found
 }
 
-/// Intervals in which injected faults kept clients from a scheduler, by its address.
+/// Intervals in which injected faults cut clients off from a scheduler, by its address.
 fn fault_intervals(
     call_targets: &[CallTarget],
     network: &Network,
@@ -220,8 +229,8 @@
         intervals.extend(since.map(|from| (from, Micros::MAX)));
         let link = Link { from: Party::Clients, to: *party };
         let mut since = None;
-        for (t, _, what) in network.fault_log.iter().filter(|(_, on, _)| *on == link) {
-            match (what.as_str(), since) {
+        for (t, _, fault) in network.fault_log.iter().filter(|(_, on, _)| *on == link) {
+            match (fault.as_str(), since) {
                 ("pass", Some(from)) => {
                     intervals.push((from, *t + RECOVERY_US));
                     since = None;
@@ -235,7 +244,8 @@
     all
 }
 
-/// Turns each call that injected faults kept from being answered in time into one whose client left at the deadline.
+/// Turns each call that injected faults prevented from being answered in time into one whose client left at the
+/// deadline.
 /// Answers that came in time stay, and so do all records that rule 2 needs.
 fn excuse(
     records: &[Record],
@@ -266,13 +276,13 @@
             excused.insert(*request_id, *deadline);
         }
     }
-    let kept = |record: &&Record| match &record.observation {
+    let is_retained = |record: &&Record| match &record.observation {
         Observation::Answered { request_id, .. } | Observation::ConnectionLost { request_id } => {
             !excused.contains_key(request_id)
         }
         _ => true,
     };
-    let mut all: Vec<_> = records.iter().filter(kept).cloned().collect();
+    let mut all: Vec<_> = records.iter().filter(is_retained).cloned().collect();
     let left = excused.iter().map(|(request_id, deadline)| {
         let (time, observation) = (*deadline, Observation::ClientLeft { request_id: *request_id });
         Record { time, observer: "client".into(), observation }
--- a/crates/faulttest/src/hollow/counters.rs
+++ b/crates/faulttest/src/hollow/counters.rs
@@ -57,7 +57,7 @@
         self.max_late_us = self.max_late_us.max(other.max_late_us);
     }
 
-    /// The difference to an earlier reading; maxima are kept as they are.
+    /// The difference to an earlier reading; maxima are not changed.
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             datagrams: self.datagrams - earlier.datagrams,
--- a/crates/faulttest/src/journal_checker.rs
+++ b/crates/faulttest/src/journal_checker.rs
@@ -1,5 +1,5 @@
-//! Checks kept events by the journal messages that crossed the relays: each event that enough holders acknowledged must
-//! end, with one outcome, and that outcome must be true.
+//! Checks journaled events by the journal messages that crossed the relays: each event that enough holders acknowledged
+//! must end, with one outcome, and that outcome must be true.
 
 use crate::capture::{JournalMessage, event_name};
 use crate::checker::FleetViolation;
@@ -8,11 +8,12 @@
 use basaltward_rules::{Observation, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A pending event must end by its deadline plus this: heirs first wait for leases and permits.
+/// A pending event must end by its deadline plus this: a gateway that takes it over first waits for leases and
+/// permits.
 const END_SLACK_US: Micros = 2_000_000;
 
-/// Number of acknowledged kept events, and of these the number per outcome.
-pub(crate) type KeptCounts = (u64, BTreeMap<String, u64>);
+/// Number of acknowledged journaled events, and of these the number per outcome.
+pub(crate) type JournaledCounts = (u64, BTreeMap<String, u64>);
 
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
@@ -29,26 +30,28 @@
     deadline: Micros,
     /// Whether enough holders acknowledged it to some journal.
     acknowledged: bool,
-    /// Journal lines that accepted the event (none) or ended it (with the outcome).
-    lines: BTreeMap<(Source, u64), Option<&'static str>>,
-    /// Outcomes that heirs report to one another.
-    heir_outcomes: BTreeSet<&'static str>,
+    /// Journal entries that accepted the event (none) or ended it (with the outcome).
+    entries: BTreeMap<(Source, u64), Option<&'static str>>,
+    /// Outcomes that gateways report to one another after they have taken the event over.
+    takeover_outcomes: BTreeSet<&'static str>,
 }
 
 impl Event {
     fn outcomes(&self) -> BTreeSet<&'static str> {
-        self.lines.values().flatten().chain(&self.heir_outcomes).copied().collect()
+        self.entries.values().flatten().chain(&self.takeover_outcomes).copied().collect()
     }
 
-    /// Whether a journal ends the event twice without accepting it again in between. A line between the two that was
-    /// not captured may have accepted it, so the two ends count only if all lines between them were captured.
+    /// Whether a journal ends the event twice without accepting it again in between. An entry between the two that
+    /// was not captured may have accepted it, so the two ends count only if all entries between them were captured.
     fn ended_twice(&self, journals: &BTreeMap<Source, Journal>) -> bool {
-        let lines: Vec<_> = self.lines.iter().collect();
-        lines.windows(2).any(|pair| {
+        let entries: Vec<_> = self.entries.iter().collect();
+        entries.windows(2).any(|pair| {
             let ((source, first), (other, second)) = (pair[0].0, pair[1].0);
             let captured =
-                |n| journals.get(source).is_some_and(|journal| journal.captured_lines.contains(&n));
-            source == other && pair.iter().all(|(_, how)| how.is_some()) && (first + 1..*second).all(captured)
+                |n| journals.get(source).is_some_and(|journal| journal.captured_entries.contains(&n));
+            source == other
+                && pair.iter().all(|(_, outcome)| outcome.is_some())
+                && (first + 1..*second).all(captured)
         })
     }
 }
@@ -56,46 +59,47 @@
 /// Captured state of one journal.
 #[derive(Default)]
 struct Journal {
-    /// Numbers of the lines whose content was captured.
-    captured_lines: BTreeSet<u64>,
-    /// Lines that accepted an event: its key, the gateways the line was sent to, and those that acknowledged it.
+    /// Numbers of the entries whose content was captured.
+    captured_entries: BTreeSet<u64>,
+    /// Entries that accepted an event: its key, the gateways the entry was sent to, and those that acknowledged it.
     accepted: BTreeMap<u64, (Key, BTreeSet<usize>, BTreeSet<usize>)>,
 }
 
 /// Checks all journal messages until the time of the last record.
-pub(crate) fn check_kept_events(
+pub(crate) fn check_journaled_events(
     messages: &[JournalMessage],
     holders: usize,
     records: &[Record],
-) -> (KeptCounts, Vec<FleetViolation>) {
+) -> (JournaledCounts, Vec<FleetViolation>) {
     let clock = Clock::read();
     let (mut events, mut journals) = (BTreeMap::<Key, Event>::new(), BTreeMap::<Source, Journal>::new());
     for JournalMessage { from, to, content, .. } in messages {
         if let FrameFact::Entry(source, number, _) = content {
-            journals.entry(*source).or_default().captured_lines.insert(*number);
+            journals.entry(*source).or_default().captured_entries.insert(*number);
         }
         match content {
             FrameFact::Entry(source, number, Step::Accepted(accepted)) => {
                 let event = events.entry(accepted.key).or_default();
                 event.name = event_name(accepted);
                 event.deadline = event.deadline.max(clock.to_monotonic(accepted.deadline * 1_000));
-                event.lines.insert((*source, *number), None);
-                let lines = &mut journals.entry(*source).or_default().accepted;
-                let line = lines.entry(*number).or_insert((accepted.key, BTreeSet::new(), BTreeSet::new()));
-                line.1.insert(*to);
+                event.entries.insert((*source, *number), None);
+                let entries = &mut journals.entry(*source).or_default().accepted;
+                let entry =
+                    entries.entry(*number).or_insert((accepted.key, BTreeSet::new(), BTreeSet::new()));
+                entry.1.insert(*to);
             }
             FrameFact::Entry(source, number, Step::Ended { key, outcome, .. }) => {
                 let event = events.entry(*key).or_default();
-                event.lines.insert((*source, *number), Some(outcome_name(*outcome)));
+                event.entries.insert((*source, *number), Some(outcome_name(*outcome)));
             }
             FrameFact::Entry(_, _, Step::Sending { .. }) => {}
             FrameFact::Ended(key, outcome) => {
-                events.entry(*key).or_default().heir_outcomes.insert(outcome_name(*outcome));
+                events.entry(*key).or_default().takeover_outcomes.insert(outcome_name(*outcome));
             }
             FrameFact::Acked(source, through) => {
                 let Some(journal) = journals.get_mut(source) else { continue };
-                for (key, sent, held) in journal.accepted.range_mut(..=through).map(|(_, line)| line) {
-                    if sent.contains(from) && held.insert(*from) && held.len() >= holders {
+                for (key, sent, acked) in journal.accepted.range_mut(..=through).map(|(_, entry)| entry) {
+                    if sent.contains(from) && acked.insert(*from) && acked.len() >= holders {
                         events.entry(*key).or_default().acknowledged = true;
                     }
                 }
@@ -112,9 +116,9 @@
         acknowledged += 1;
         let outcomes = event.outcomes();
         // A refused repeat does not end the event itself, so `refused` counts only without another outcome.
-        let end = ["served", "failed", "refused"].into_iter().find(|how| outcomes.contains(how));
-        if let Some(how) = end {
-            *counts.entry(how.to_owned()).or_default() += 1;
+        let end = ["served", "failed", "refused"].into_iter().find(|outcome| outcomes.contains(outcome));
+        if let Some(outcome) = end {
+            *counts.entry(outcome.to_owned()).or_default() += 1;
         }
         if event.ended_twice(&journals) || end.is_none() && event.deadline + END_SLACK_US < last {
             let outcomes = outcomes.into_iter().map(str::to_owned).collect();
@@ -163,10 +167,10 @@
 
     /// Violations after gateway 0 accepted the event, gateway 1 acknowledged it and gateway 0 sent `messages`.
     fn violations(messages: Vec<FrameFact>, records: &[Record]) -> Vec<FleetViolation> {
-        let message = |from: usize, what| JournalMessage { time: 0, from, to: 1 - from, content: what };
+        let message = |from: usize, content| JournalMessage { time: 0, from, to: 1 - from, content };
         let mut all = vec![message(0, accepted(5)), message(1, FrameFact::Acked(SOURCE, 5))];
-        all.extend(messages.into_iter().map(|what| message(0, what)));
-        check_kept_events(&all, 1, records).1
+        all.extend(messages.into_iter().map(|content| message(0, content)));
+        check_journaled_events(&all, 1, records).1
     }
 
     #[test]
@@ -187,16 +191,16 @@
         let repeated = vec![ended(6, Outcome::Refused), accepted(8), ended(9, Outcome::Served)];
         assert_eq!(violations(repeated, &ran()), [], "refused, and accepted when it was repeated");
         let not_captured = vec![ended(6, Outcome::Refused), ended(8, Outcome::Served)];
-        assert_eq!(violations(not_captured, &ran()), [], "line 7 may have accepted it again");
+        assert_eq!(violations(not_captured, &ran()), [], "entry 7 may have accepted it again");
     }
 
     #[test]
     fn event_with_too_few_holders_is_not_checked() {
-        let message = |from: usize, what| JournalMessage { time: 0, from, to: 1 - from, content: what };
+        let message = |from: usize, content| JournalMessage { time: 0, from, to: 1 - from, content };
         let all = [message(0, accepted(5)), message(1, FrameFact::Acked(SOURCE, 4))];
-        assert_eq!(check_kept_events(&all, 1, &ran()), ((0, BTreeMap::new()), vec![]));
+        assert_eq!(check_journaled_events(&all, 1, &ran()), ((0, BTreeMap::new()), vec![]));
         let all = [message(0, accepted(5)), message(1, FrameFact::Acked(SOURCE, 5))];
-        assert_eq!(check_kept_events(&all, 2, &ran()).0.0, 0);
-        assert_eq!(check_kept_events(&all, 1, &ran()).0.0, 1);
+        assert_eq!(check_journaled_events(&all, 2, &ran()).0.0, 0);
+        assert_eq!(check_journaled_events(&all, 1, &ran()).0.0, 1);
     }
 }
--- a/crates/faulttest/src/link.rs
+++ b/crates/faulttest/src/link.rs
@@ -7,7 +7,7 @@
 pub enum Party {
     /// A scheduler or gateway, by its number.
     Scheduler(usize),
-    /// The address at which a gateway, by its number, accepts its peers' connections for journals of kept events.
+    /// The address at which a gateway, by its number, accepts its peers' connections for journals of pending events.
     Journal(usize),
     /// A worker, by its number.
     Worker(usize),
--- a/crates/faulttest/src/shaping.rs
+++ b/crates/faulttest/src/shaping.rs
@@ -1,4 +1,4 @@
-//! Delay, loss, rate limit and blackholing of the bytes on connections, per direction. The order of bytes is kept.
+//! Delay, loss, rate limit and blackholing of the bytes on connections, per direction. The order of bytes is preserved.
 
 use basaltward_net::{EndReason, Micros};
 use bytes::BytesMut;
--- a/crates/faulttest/src/site_checker.rs
+++ b/crates/faulttest/src/site_checker.rs
@@ -3,7 +3,7 @@
 
 use crate::capture::ForwardedCall;
 use crate::checker::{CallTarget, FleetViolation, Verdict, check_common, exit_violations};
-use crate::journal_checker::check_kept_events;
+use crate::journal_checker::check_journaled_events;
 use crate::link::Party;
 use crate::site_cluster::SiteCluster;
 use basaltward_net::Micros;
@@ -50,8 +50,8 @@
     pub verdict: Verdict,
     /// Results of calls, by the site they were sent to.
     pub sites: Vec<SiteCalls>,
-    /// Number of acknowledged kept events, and of these the number per outcome.
-    pub kept_events: (u64, BTreeMap<String, u64>),
+    /// Number of acknowledged journaled events, and of these the number per outcome.
+    pub journaled_events: (u64, BTreeMap<String, u64>),
 }
 
 /// Checks a finished run.
@@ -69,10 +69,14 @@
     let sent = SentCalls::from_records(cluster, &records);
     verdict.violations.extend(duplicate_effects(&records, &rules, &sent));
     verdict.violations.extend(hop_violations(&captured.forwarded_calls, &sent));
-    let (kept_events, kept_violations) =
-        check_kept_events(&captured.journal_messages, cluster.spec.holders, &records);
-    verdict.violations.extend(kept_violations);
-    SitesVerdict { sites: by_site(cluster, &records, &captured.forwarded_calls, &sent), kept_events, verdict }
+    let (journaled_events, journal_violations) =
+        check_journaled_events(&captured.journal_messages, cluster.spec.holders, &records);
+    verdict.violations.extend(journal_violations);
+    SitesVerdict {
+        sites: by_site(cluster, &records, &captured.forwarded_calls, &sent),
+        journaled_events,
+        verdict,
+    }
 }
 
 /// Calls that clients sent.
@@ -114,8 +118,9 @@
                 let repeat = sent.first.get(event.as_str()).and_then(|(class, _)| rules.classes.get(*class));
                 let worker: &str = &record.observer;
                 let all = ran.entry(event).or_default();
-                let lost =
-                    |(t, by): &&(Micros, &str)| *by == worker && started.get(worker).is_some_and(|b| t < b);
+                let lost = |(t, by): &&(Micros, &str)| {
+                    *by == worker && started.get(worker).is_some_and(|start| t < start)
+                };
                 let counts = match repeat.map(|class| class.repeat) {
                     Some(RepeatRule::Unsafe) => all.len(),
                     Some(RepeatRule::Keyed { .. }) => all.iter().filter(|ran| !lost(ran)).count(),
@@ -159,18 +164,21 @@
 ) -> Vec<SiteCalls> {
     let blank = SiteCalls { ran_at: vec![0; cluster.spec.sites.len()], ..SiteCalls::default() };
     let mut sites = vec![blank; cluster.spec.sites.len()];
-    let (of, at) = &cluster.sites_of;
-    let workers: BTreeMap<_, _> =
-        at.iter().enumerate().map(|(w, s)| (Party::Worker(w).to_string(), *s)).collect();
+    let (gateway_sites, worker_sites) = &cluster.sites_of;
+    let workers: BTreeMap<_, _> = worker_sites
+        .iter()
+        .enumerate()
+        .map(|(worker, site)| (Party::Worker(worker).to_string(), *site))
+        .collect();
     let (mut attempts_by_id, mut refused) = (BTreeMap::new(), BTreeSet::new());
-    for Record { time: t, observer: by, observation: what } in records {
-        match what {
+    for Record { time, observer, observation } in records {
+        match observation {
             Observation::RequestSent { request_id, event, to, .. } => {
                 let Some(gateway) = sent.gateways.get(to) else { continue };
                 let is_retry = refused.contains(event);
-                attempts_by_id.insert(*request_id, (*t, of[*gateway], event, is_retry));
-                sites[of[*gateway]].attempts += 1;
-                sites[of[*gateway]].retried.0 += u64::from(is_retry);
+                attempts_by_id.insert(*request_id, (*time, gateway_sites[*gateway], event, is_retry));
+                sites[gateway_sites[*gateway]].attempts += 1;
+                sites[gateway_sites[*gateway]].retried.0 += u64::from(is_retry);
             }
             Observation::Answered { request_id, answer, .. } => {
                 let Some((began, site, event, is_retry)) = attempts_by_id.get(request_id) else { continue };
@@ -179,8 +187,8 @@
                 match answer {
                     FinalAnswer::Served => {
                         site.served += 1;
-                        site.latencies.push(t - began);
-                        let second = (t.saturating_sub(cluster.clients_started_at) / 1_000_000) as usize;
+                        site.latencies.push(time - began);
+                        let second = (time.saturating_sub(cluster.clients_started_at) / 1_000_000) as usize;
                         site.served_per_second.resize(site.served_per_second.len().max(second + 1), 0);
                         site.served_per_second[second] += 1;
                     }
@@ -192,10 +200,13 @@
                 }
             }
             Observation::Ran { event, .. } => {
-                if let Some(((_, gateway), at)) = sent.first.get(event.as_str()).zip(workers.get(by)) {
-                    let there = (0..of.len()).any(|i| of[i] == *at && sent.at.contains(&(event, i)));
-                    let counted_site = if there { *at } else { of[*gateway] };
-                    sites[counted_site].ran_at[*at] += 1;
+                if let Some(((_, gateway), ran_at)) =
+                    sent.first.get(event.as_str()).zip(workers.get(observer))
+                {
+                    let sent_there = (0..gateway_sites.len())
+                        .any(|i| gateway_sites[i] == *ran_at && sent.at.contains(&(event, i)));
+                    let counted_site = if sent_there { *ran_at } else { gateway_sites[*gateway] };
+                    sites[counted_site].ran_at[*ran_at] += 1;
                 }
             }
             _ => {}
@@ -203,7 +214,7 @@
     }
     for ForwardedCall { link, .. } in forwarded {
         if let Party::Scheduler(from) = link.from {
-            sites[of[from]].forwarded += 1;
+            sites[gateway_sites[from]].forwarded += 1;
         }
     }
     sites.iter_mut().for_each(|site| site.latencies.sort_unstable());
@@ -217,10 +228,10 @@
     use basaltward_rules::ClassRule;
 
     fn records(observations: &[(&str, Observation)]) -> Vec<Record> {
-        let record = |(t, (by, what)): (usize, &(&str, Observation))| Record {
-            time: t as Micros,
-            observer: (*by).into(),
-            observation: what.clone(),
+        let record = |(time, (observer, observation)): (usize, &(&str, Observation))| Record {
+            time: time as Micros,
+            observer: (*observer).into(),
+            observation: observation.clone(),
         };
         observations.iter().enumerate().map(record).collect()
     }
--- a/crates/faulttest/src/site_spec.rs
+++ b/crates/faulttest/src/site_spec.rs
@@ -114,7 +114,7 @@
     pub work_ms: u64,
     /// Load time of a copy in milliseconds.
     pub load_ms: u64,
-    /// Number of peers that hold each keyed and unsafe event; with 0 these events are not kept.
+    /// Number of peers that hold each keyed and unsafe event; with 0 these events are not journaled.
     pub holders: usize,
     /// Gateways have no configured peers.
     pub standalone: bool,
--- a/crates/faulttest/src/timeline.rs
+++ b/crates/faulttest/src/timeline.rs
@@ -33,9 +33,9 @@
         let mut current: Option<(Micros, &'static str)> = None;
         let mut change_state = |t: Micros, next: Option<&'static str>, intervals: &mut Vec<Interval>| {
             let at = t.saturating_sub(began);
-            let ended = current.take().map(|(from, what)| Interval { from, until: at, state: what });
+            let ended = current.take().map(|(from, state)| Interval { from, until: at, state });
             intervals.extend(ended);
-            current = next.map(|what| (at, what));
+            current = next.map(|state| (at, state));
         };
         for (t, change) in &process.changes {
             let next = match change {
@@ -48,12 +48,12 @@
         }
         change_state(end, None, &mut intervals);
         let mut since = None;
-        for (t, link, what) in faults {
+        for (t, link, fault) in faults {
             if link.from != Party::Clients || link.to != party {
                 continue;
             }
             let at = t.saturating_sub(began);
-            if what != "pass" {
+            if fault != "pass" {
                 since.get_or_insert(at);
             } else if let Some(from) = since.take() {
                 intervals.push(Interval { from, until: at, state: "cut" });
