--- a/crates/faulttest/src/hollow/run.rs
+++ b/crates/faulttest/src/hollow/run.rs
@@ -266,7 +266,7 @@
             self.report.unsettled_steps.push(what.to_owned());
         }
         if window.late_share() > MAX_LATE_SHARE {
-            self.print_line(format!("{what}: the loops were late, its figures do not count"));
+            self.print_line(format!("{what}: the loops were late, its measurements are void"));
             self.report.overloaded_steps.push(what.to_owned());
             return Ok(());
         }
@@ -297,7 +297,9 @@
                 self.measure_idle(span)
             }
             HollowAction::Loss { loss_rate, duplicate_rate } => {
-                self.print_line(format!("from now on lost {loss_rate}, doubled {duplicate_rate}"));
+                self.print_line(format!(
+                    "from now on loss rate {loss_rate}, duplicate rate {duplicate_rate}"
+                ));
                 self.update_state(|state| {
                     (state.conditions.loss_rate, state.conditions.duplicate_rate) =
                         (loss_rate, duplicate_rate)
@@ -328,7 +330,7 @@
             self.print_line(format!("quiet: a real process used {each:.0} us/s"));
         }
         if window.late_share() > MAX_LATE_SHARE {
-            self.print_line("quiet: the loops were late, its figures do not count".to_owned());
+            self.print_line("quiet: the loops were late, its measurements are void".to_owned());
             self.report.overloaded_steps.push("quiet".to_owned());
             return Ok(());
         }
--- a/crates/pending/src/takeover.rs
+++ b/crates/pending/src/takeover.rs
@@ -267,8 +267,8 @@
         if self.stage == RejoinStage::Reclaiming && self.permits.values().all(Option::is_some) {
             self.stage = RejoinStage::QueryingPeers;
         }
-        // A live peer can't be cut off from all gateways that have these statuses, as a
-        // majority of the voters has answered before.
+        // A live peer can't be cut off from all gateways that have these statuses, as a majority of the voters has
+        // answered before.
         if self.stage == RejoinStage::QueryingPeers && live.iter().all(|of| self.answered_peers.contains(of))
         {
             self.permits.retain(|_, number| number.is_some_and(|number| number != 0));
