--- a/crates/pending/src/interface.rs
+++ b/crates/pending/src/interface.rs
@@ -12,8 +12,8 @@
 pub struct PendingSettings {
     /// The site of each gateway.
     pub site_map: SiteMap,
-    /// Start of this gateway's life, the same value as in its incarnation; differs from that of all its earlier
-    /// lives.
+    /// Identifies this life (process run) of the gateway: its start, the same value as in its incarnation; differs from
+    /// that of all its earlier lives.
     pub life: u64,
     /// Number of gateways of other sites that must store an entry, by class; 0 if a class does not replicate its
     /// events.
