--- a/crates/pending/src/resolution.rs
+++ b/crates/pending/src/resolution.rs
@@ -5,11 +5,11 @@
 /// Whether the first byte of an event was sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub enum FirstSend {
-    /// It was not sent: every gateway that could know has confirmed this.
+    /// It was not sent: every gateway that could have a record of it has confirmed this.
     Never,
     /// It may have been sent, first at this time.
     At(WallMs),
-    /// A gateway or an entry that could tell is missing.
+    /// A gateway or an entry that is needed to decide is missing.
     Unknown,
 }
 
@@ -57,17 +57,17 @@
     MayHaveRun,
     /// It was served: repeats get the recorded answer.
     Replay,
-    /// It was served, but the answer was too long to be recorded; repeats are told so.
+    /// It was served, but the answer was too long to be recorded; repeats are answered with that error.
     AnswerLost,
-    /// It ended without an answer; repeats are told how.
+    /// It ended without an answer; repeats get its outcome.
     Ended(Outcome),
-    /// Its deadline has passed: it is ended and counted, and repeats are told whether it may have run.
+    /// Its deadline has passed: it is ended and counted, and the answer to repeats states whether it may have run.
     Closed {
         /// It may have run.
         may_have_run: bool,
     },
     /// Drop it: no client waits, its class does not require it, and a repeat may run.
-    LetGo,
+    Dropped,
 }
 
 impl Resolution {
@@ -80,7 +80,7 @@
     pub fn outcome(self) -> Option<Outcome> {
         match self {
             Self::MayHaveRun | Self::Closed { may_have_run: true } => Some(Outcome::Failed),
-            Self::Closed { may_have_run: false } | Self::LetGo => Some(Outcome::Refused),
+            Self::Closed { may_have_run: false } | Self::Dropped => Some(Outcome::Refused),
             _ => None,
         }
     }
@@ -97,7 +97,7 @@
         (Some((outcome, _)), ..) => Resolution::Ended(outcome),
         _ if latest >= case.deadline => Resolution::Closed { may_have_run },
         (None, RepeatSafety::Safe, _) if !case.finish_without_client && !case.client_waiting => {
-            Resolution::LetGo
+            Resolution::Dropped
         }
         (None, _, FirstSend::Never) => Resolution::Run,
         (None, RepeatSafety::Safe, _) => Resolution::RunAgain,
@@ -159,8 +159,8 @@
             (late(Unsafe, AT), closed(true)),
             (late(KEYED, FirstSend::Unknown), closed(true)),
             (RecoveryCase { deadline: 10_101, ..case(Unsafe, FirstSend::Never) }, Resolution::Run),
-            (client_gone(Safe, FirstSend::Never), Resolution::LetGo),
-            (client_gone(Safe, AT), Resolution::LetGo),
+            (client_gone(Safe, FirstSend::Never), Resolution::Dropped),
+            (client_gone(Safe, AT), Resolution::Dropped),
             (RecoveryCase { client_waiting: true, ..client_gone(Safe, AT) }, Resolution::RunAgain),
             (client_gone(KEYED, FirstSend::Never), Resolution::Run),
             (client_gone(Unsafe, FirstSend::Never), Resolution::Run),
--- a/crates/pending/tests/takeover_faults.rs
+++ b/crates/pending/tests/takeover_faults.rs
@@ -28,8 +28,8 @@
     Ended,
 }
 
-/// The loop gave the event up. Until that is replicated another gateway may still run the event, and the client is
-/// told that it may have run.
+/// The loop gave the event up. Until that is replicated another gateway may still run the event, and the answer
+/// to the client states that it may have run.
 const GIVEN_UP: &str = "given up";
 
 /// The next action of a loop.
@@ -410,7 +410,7 @@
 #[test]
 fn running_events_that_were_sent_is_detected() {
     assert!(has_violations(Progress::Sent, DisruptionKind::KillSite, |gateway| gateway
-        .inject_recovery_fault(RecoveryFault::RunsWhatWasSent)));
+        .inject_recovery_fault(RecoveryFault::RerunsSentEvents)));
     assert!(!has_violations(Progress::Sent, DisruptionKind::KillSite, |_| {}));
 }
 
