--- a/src/control.rs
+++ b/src/control.rs
@@ -163,8 +163,13 @@
     /// Evaluates a worker as a place for a function. The key is randomized by a hash that all schedulers
     /// share, so that those which see similar ratios choose alike. The home stays until a ratio passes the
     /// threshold.
-    fn choice<'a>(&self, now: Micros, of: (&Function, f64), at: (&'a WorkerId, &'a Worker)) -> Choice<'a> {
-        let ((function, added), (id, worker)) = (of, at);
+    fn choice<'a>(
+        &self,
+        now: Micros,
+        demand: (&Function, f64),
+        at: (&'a WorkerId, &'a Worker),
+    ) -> Choice<'a> {
+        let ((function, added), (id, worker)) = (demand, at);
         self.evaluations.set(self.evaluations.get() + 1);
         let ratio = self.pressure_ratio(now, worker, added, function.memory_mb, function.class);
         let biased = if function.home.as_ref() == Some(id) { ratio / REBALANCE_GAIN } else { ratio };
@@ -421,7 +426,7 @@
             let choice = |at| self.choice(now, self.with_demand(now, function), at);
             let home_ratio = at(&home).map_or(f64::INFINITY, |at| choice(at).ratio);
             let gains = |c: &&Choice| *c.id != home && home_ratio > c.ratio * REBALANCE_GAIN;
-            // Without an order it can only move to a loaded copy: rarely worth ranking the whole fleet.
+            // Without an order it can only move to a loaded copy: it rarely pays to rank the whole fleet.
             let loaded = function.places.iter().filter(|(_, p)| p.loaded);
             let can_move_to_loaded = || loaded.filter_map(|(id, _)| at(id)).any(|at| gains(&&choice(at)));
             let may_order = has_order_left && self.may_order(now, function) && self.load_gap == 0;
@@ -950,7 +955,7 @@
         self.finish(id, Some(answer), out);
     }
 
-    /// Ends a request. Sends the final answer unless one was given before, and cancels attempts in flight.
+    /// Ends a request. Sends the final answer unless one was sent before, and cancels attempts in flight.
     fn finish(&mut self, id: RequestId, answer: Option<Action>, out: &mut Out) {
         let Some(call) = self.requests.get_mut(&id) else { return };
         if !call.answered {
@@ -1018,7 +1023,7 @@
             (least + copies.0 * f.memory_mb, most + copies.1.max(copies.0) * f.memory_mb)
         };
         let (least, most) = self.functions.values().fold((0.0, 0.0), sum);
-        let mean = |of: &dyn Fn(&Worker) -> f64| usable.iter().map(|w| of(w)).sum::<f64>() / count;
+        let mean = |value: &dyn Fn(&Worker) -> f64| usable.iter().map(|w| value(w)).sum::<f64>() / count;
         let calls = self.sends.get(now, WINDOW_US) / count;
         let others = 1.0 - 1.0 / f64::from(self.settings.schedulers);
         let first_quartile = |class: usize| {
--- a/src/standing.rs
+++ b/src/standing.rs
@@ -2,7 +2,7 @@
 //!
 //! A drain that the list would have announced is deemed announced at a known time, even if the scheduler could not
 //! receive it. Once the grace after that time is over, the list alone no longer permits new work. From then on the
-//! scheduler relies on leases: an answer that a draining worker would not have given, to something sent at `t`, proves
+//! scheduler relies on leases: an answer that a draining worker would not have sent, to something sent at `t`, proves
 //! that the worker was not draining at `t`, so that new work may begin until `t` plus the grace. Served calls renew the
 //! lease; if there are too few of them, the scheduler probes the worker before it sends the call. A worker that reports
 //! that it drains, or does not answer, gets no work and is probed again with exponential backoff.
--- a/src/state.rs
+++ b/src/state.rs
@@ -58,7 +58,7 @@
     pub cold_at: Micros,
     /// This scheduler's attempts in flight there.
     pub due: DueAttempts,
-    /// Memory of the copies that this scheduler believes loaded there, MB.
+    /// Memory of the copies that are loaded there according to this scheduler's records, MB.
     pub placed_mb: f64,
     /// Latency relative to the function's typical latency, minus 1; decays.
     pub slowness: DecayingValue,
@@ -74,7 +74,7 @@
     pub drain_evidence: DrainEvidence,
 }
 
-/// State of one function on one worker, as far as this scheduler knows.
+/// State of one function on one worker, according to this scheduler's records.
 #[derive(Default)]
 pub struct Place {
     /// At least one copy is loaded.
@@ -155,7 +155,7 @@
     /// It waits although copies are loaded, because their workers have no free capacity.
     pub awaits_capacity: bool,
     pub attempts: Vec<Attempt>,
-    /// The final answer was given, or the client has left.
+    /// The final answer was sent, or the client has left.
     pub answered: bool,
     /// It is queued in [`Controller::waiting`].
     pub is_waiting: bool,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -367,7 +367,7 @@
     assert_under_bound(&[
         ("quiet", Scenario { burst: QUIET, ..Scenario::default() }),
         ("small", lost(10.0)),
-        ("usual", lost(20.0)),
+        ("default", lost(20.0)),
     ]);
 }
 
