--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -308,7 +308,7 @@
         assert_eq!((fleet.zones, fleet.version.as_str()), (vec![0, 1, 0], "a"));
         let bounds = Bounds { workers: basaltward_permits::Limit::Number(3), ..Bounds::default() };
         assert_eq!(fleet.bounds, Some(bounds));
-        let many: Vec<_> = (0..257).map(|of: u32| of.to_string()).collect();
+        let many: Vec<_> = (0..257).map(|name: u32| name.to_string()).collect();
         assert!(number_names(&many).is_err() && number_names(&many[..256]).is_ok());
     }
 }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -399,9 +399,9 @@
                     Err(reply) => reply,
                 }
             }
-            ClientRequest::Revoke(of) => {
+            ClientRequest::Revoke(revoked) => {
                 let client = self.clients.get_mut(&conn)?;
-                let at = client.open.iter().position(|(seqid, _)| *seqid == of);
+                let at = client.open.iter().position(|(seqid, _)| *seqid == revoked);
                 let waiter = at.map(|at| client.open.swap_remove(at).1);
                 if let Some(waiter) = waiter {
                     self.remove_request(waiter);
@@ -477,7 +477,7 @@
             self.count_invalid(conn)?;
             return Some(Err(ServerReply::Rejected(None)));
         };
-        // The open request with this id may run, so the client must not be told that a retry is safe.
+        // The open request with this id may run, so the answer must not state that a retry is safe.
         if !self.ids.insert(parsed.request) {
             self.count_invalid(conn)?;
             return Some(Err(ServerReply::Crashed));
@@ -570,13 +570,13 @@
         Some(request)
     }
 
-    /// Marks the scheduler as ready: it knows an active worker. It stays ready when all workers are gone, because
+    /// Marks the scheduler as ready: its list has an active worker. It stays ready when all workers are gone, because
     /// that is no fault of this scheduler, and another one could serve no more.
     pub fn set_ready(&mut self) {
         self.knows_worker = true;
     }
 
-    /// The scheduler was asked to stop; clients keep sending requests for a while.
+    /// The scheduler has received a signal to stop; clients keep sending requests for a while.
     pub fn start_stopping(&mut self) {
         self.is_stopping = true;
     }
--- a/crates/node/src/instance_directory.rs
+++ b/crates/node/src/instance_directory.rs
@@ -56,7 +56,7 @@
     peers: usize,
     /// When this scheduler began to listen.
     listening_since: Micros,
-    /// When each peer was last heard from.
+    /// When the last message of each peer was received.
     last_received: HashMap<u32, Micros>,
     workers: HashMap<u32, Worker>,
     functions: HashMap<u32, CalledFunction>,
@@ -143,7 +143,7 @@
             .get(&function_hash)
             .and_then(|by_worker| by_worker.get(&worker_hash))
             .map_or(0, |observation| observation.copies);
-        // That no copy is loaded matters only if one was believed to be.
+        // That no copy is loaded matters only if this scheduler's records show one.
         if before == 0 && copies == 0 {
             return;
         }
@@ -241,7 +241,7 @@
 
     /// Answers the module's query whether a worker has copies loaded. Peers' observations of the function are
     /// reported to the module. If there is any loaded copy among them, the observation of this worker is the
-    /// answer. If there is none although enough peers are heard, no copy is in use.
+    /// answer. If there is none although reports of enough peers are received, no copy is in use.
     pub fn query(&mut self, now: Micros, worker: &WorkerId, function: &FunctionId) -> Option<u32> {
         self.note_call(now, function);
         let (function_hash, keep) = (name_hash(function.as_str()), self.keep);
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -422,11 +422,11 @@
         self.abort(io, now, JobKey::Order(id), Code::Cancelled);
     }
 
-    fn abort(&mut self, io: &mut Io, now: Micros, of: JobKey, code: Code) -> Option<JobEnd> {
-        let (conn, id) = self.jobs.remove(&of)?;
+    fn abort(&mut self, io: &mut Io, now: Micros, key: JobKey, code: Code) -> Option<JobEnd> {
+        let (conn, id) = self.jobs.remove(&key)?;
         let link = self.conns.get_mut(&conn)?;
         let (mut code, mut silent) = (code, false);
-        let job = if let Some(at) = link.queue.iter().position(|job| job_key(job) == Some(of)) {
+        let job = if let Some(at) = link.queue.iter().position(|job| job_key(job) == Some(key)) {
             code = Code::Moot;
             link.queue.remove(at)?
         } else {
@@ -490,9 +490,9 @@
     /// reset, with everything else on it, if the socket has not taken the rest of that request, or if the worker is
     /// still silent and either takes no more bytes or has no other job on it. Otherwise the request would begin
     /// with no client waiting for it.
-    fn reset_unless_read(&mut self, io: &mut Io, conn: ConnId, of: Span, done: &mut Vec<JobEnd>) {
+    fn reset_unless_read(&mut self, io: &mut Io, conn: ConnId, span: Span, done: &mut Vec<JobEnd>) {
         let Some(link) = self.conns.get(&conn) else { return };
-        let is_sent = link.output_bytes.progress(io, conn, of) == SendProgress::Complete;
+        let is_sent = link.output_bytes.progress(io, conn, span) == SendProgress::Complete;
         let is_unread = link.maybe_unread && (io.is_write_blocked(conn) || link.load() == 0);
         if !is_sent || is_unread {
             debug!(worker = %link.worker, "connection reset: the worker has not read a request that was given up");
@@ -545,8 +545,8 @@
                     if let Job::Order { function, count, .. } = &open.job {
                         let (worker, code) = (&worker, reply.status);
                         let took_us = now.saturating_sub(open.since);
-                        let stand = reply.copies;
-                        debug!(target: "basaltward::load", %worker, %function, count, ?code, stand, took_us, "load");
+                        let copies = reply.copies;
+                        debug!(target: "basaltward::load", %worker, %function, count, ?code, stand = copies, took_us, "load");
                     }
                     done.extend(end_with_reply(&open.job, reply, &self.report));
                     self.close_or_keep(io, now, conn);
@@ -595,14 +595,14 @@
         let unsent_code = if code == Code::ConnectFailed { code } else { Code::Moot };
         let mut open: Vec<_> = link.open.into_values().collect();
         open.sort_by_key(|open| open.span);
-        let mut how = |of| {
-            if link.output_bytes.progress(io, conn, of) == SendProgress::Complete {
+        let mut end_code = |span| {
+            if link.output_bytes.progress(io, conn, span) == SendProgress::Complete {
                 code
             } else {
                 unsent_code
             }
         };
-        let ends: Vec<_> = open.into_iter().map(|open| (how(open.span), open.job)).collect();
+        let ends: Vec<_> = open.into_iter().map(|open| (end_code(open.span), open.job)).collect();
         close(io, conn);
         for (code, job) in ends.into_iter().chain(link.queue.into_iter().map(|job| (unsent_code, job))) {
             job_key(&job).map(|key| self.jobs.remove(&key));
@@ -618,7 +618,7 @@
             let Some((_, due)) = self.due.pop_due(now) else { return };
             match due {
                 Due::Attempt(id) => done.extend(self.abort(io, now, JobKey::Attempt(id), Code::Timeout)),
-                Due::UnreadCheck(conn, of) => self.reset_unless_read(io, conn, of, done),
+                Due::UnreadCheck(conn, span) => self.reset_unless_read(io, conn, span, done),
                 Due::Connection(conn) => {
                     let idle = self.settings.idle_close / 2;
                     let Some(link) = self.conns.get_mut(&conn) else { continue };
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -239,7 +239,7 @@
             node.apply_roster(now, &item.roster);
         }
         node.update_list_trust(now);
-        // Listen only now, so that the first client finds a scheduler that knows its workers.
+        // Listen only now, so that the first client finds a scheduler that has its list of workers.
         let (_, address) = node.io.listen(bind(listen.unwrap_or(node.address), false)?)?;
         node.address = address;
         node.recorder.up(now, address);
@@ -283,7 +283,7 @@
         Ok(self.io.watch_signals(Signals::register(&signals)?)?)
     }
 
-    /// Runs until it is asked to stop and has no outstanding work.
+    /// Runs until it is signalled to stop and has no outstanding work.
     ///
     /// # Errors
     /// If a system call of the loop itself fails.
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -67,8 +67,8 @@
         act(&mut self.transport, &mut self.events);
         for event in std::mem::take(&mut self.events) {
             match event {
-                Event::MemberChanged { member: of, incarnation, state } => {
-                    recorder.view_changed(now, of, incarnation, state)
+                Event::MemberChanged { member, incarnation, state } => {
+                    recorder.view_changed(now, member, incarnation, state)
                 }
                 Event::Agreed(known) => recorder.permits_changed(now, &known),
                 Event::DrainsChanged(names) => {
@@ -104,12 +104,12 @@
 
     fn worker(&self, target: &Target) -> Worker {
         let zone = self.zones.iter().position(|zone| *zone == target.az).unwrap_or(self.zones.len());
-        let stands = match target.state {
+        let state = match target.state {
             TargetState::Ready => WorkerState::Ready,
             TargetState::Terminating => WorkerState::Leaving,
             TargetState::Gone => WorkerState::Gone,
         };
-        Worker { name: target.uid.clone(), zone: zone as u8, boot_ms: target.boot_ms, state: stands }
+        Worker { name: target.uid.clone(), zone: zone as u8, boot_ms: target.boot_ms, state }
     }
 
     fn with_drain(&self, target: &Target) -> Target {
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -51,15 +51,20 @@
     pub fn view_changed(
         &self,
         now: Micros,
-        of: MemberId,
-        life: Incarnation,
-        is: basaltward_membership::MemberState,
+        member: MemberId,
+        incarnation: Incarnation,
+        state: basaltward_membership::MemberState,
     ) {
         if self.recorder.is_enabled() {
-            let state = format!("{is:?}").to_lowercase();
+            let state = format!("{state:?}").to_lowercase();
             self.put(
                 now,
-                Observation::MemberState { member: of, start: life.start, refutations: life.bump, state },
+                Observation::MemberState {
+                    member,
+                    start: incarnation.start,
+                    refutations: incarnation.bump,
+                    state,
+                },
             );
         }
     }
@@ -68,10 +73,10 @@
     pub fn permits_changed(&self, now: Micros, known: &Stored<PermitState>) {
         if self.recorder.is_enabled() {
             let permit = |permit: &Permit| match permit.subject {
-                Subject::Scheduler(of) => format!("scheduler {of} {}", permit.number),
-                Subject::Worker(of) => format!("worker {of:08x} {}", permit.number),
-                Subject::Site(of) => format!("site {of} {}", permit.number),
-                Subject::Gateway(of) => format!("gateway {of} {}", permit.number),
+                Subject::Scheduler(member) => format!("scheduler {member} {}", permit.number),
+                Subject::Worker(hash) => format!("worker {hash:08x} {}", permit.number),
+                Subject::Site(site) => format!("site {site} {}", permit.number),
+                Subject::Gateway(member) => format!("gateway {member} {}", permit.number),
             };
             let permits = known.value.permits.iter().map(permit).collect();
             let (epoch, version) = ((known.epoch.ms, known.epoch.by), known.version);
--- a/crates/node/src/send_progress.rs
+++ b/crates/node/src/send_progress.rs
@@ -39,9 +39,9 @@
     }
 
     /// How much of a request the socket has taken.
-    pub fn progress(&self, io: &mut Io, conn: ConnId, of: Span) -> SendProgress {
+    pub fn progress(&self, io: &mut Io, conn: ConnId, span: Span) -> SendProgress {
         let taken = self.bytes - io.unsent(conn) as u64;
-        match of {
+        match span {
             Span { begin, .. } if taken <= begin => SendProgress::Unsent,
             Span { end, .. } if taken < end => SendProgress::Partial,
             _ => SendProgress::Complete,
@@ -54,21 +54,21 @@
         &mut self,
         io: &mut Io,
         conn: ConnId,
-        of: Span,
+        request: Span,
         others: impl Iterator<Item = &'a mut Span>,
     ) -> bool {
-        if self.progress(io, conn, of) != SendProgress::Unsent {
+        if self.progress(io, conn, request) != SendProgress::Unsent {
             return false;
         }
         // A connection that has ended sends no more, and the bytes that its socket took remain as they are.
         let Some(out) = io.output(conn) else { return true };
         let taken = self.bytes - out.len() as u64;
-        let length = of.end - of.begin;
-        let (from, to) = ((of.begin - taken) as usize, (of.end - taken) as usize);
+        let length = request.end - request.begin;
+        let (from, to) = ((request.begin - taken) as usize, (request.end - taken) as usize);
         out.copy_within(to.., from);
         out.truncate(out.len() - length as usize);
         self.bytes -= length;
-        for span in others.filter(|span| span.begin >= of.end) {
+        for span in others.filter(|span| span.begin >= request.end) {
             (span.begin, span.end) = (span.begin - length, span.end - length);
         }
         true
