--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -291,8 +291,8 @@
         let mut outputs = Vec::new();
         for event in events {
             let input = match event {
-                EndpointEvent::Transport(Event::MemberChanged { member: of, incarnation, state }) => {
-                    self.member_changed(now, of, incarnation, state);
+                EndpointEvent::Transport(Event::MemberChanged { member, incarnation, state }) => {
+                    self.member_changed(now, member, incarnation, state);
                     continue;
                 }
                 EndpointEvent::Connection(ConnectionEvent::Frame(from, Channel::Pending, bytes)) => {
@@ -339,19 +339,19 @@
     fn member_changed(
         &self,
         now: Micros,
-        of: MemberId,
+        member: MemberId,
         incarnation: basaltward_membership::Incarnation,
         state: MemberState,
     ) {
         let state = format!("{state:?}").to_lowercase();
-        info!(scheduler = self.name, member = of, state, "peer");
-        let what = Observation::MemberState {
-            member: of,
+        info!(scheduler = self.name, member, state, "peer");
+        let observation = Observation::MemberState {
+            member,
             start: incarnation.start,
             refutations: incarnation.bump,
             state,
         };
-        self.recorder.put(now, &self.name, what);
+        self.recorder.put(now, &self.name, observation);
     }
 
     /// Runs the timers that are due in each subsystem, and publishes the tables.
@@ -382,7 +382,8 @@
     fn update_live_members(&mut self, now: Micros) {
         let members = self.endpoint.membership().members();
         let own = usize::from(self.endpoint.membership().own());
-        let live: Vec<_> = members.iter().enumerate().map(|(of, e)| of == own || e.state.is_live()).collect();
+        let live: Vec<_> =
+            members.iter().enumerate().map(|(member, e)| member == own || e.state.is_live()).collect();
         if live != self.live {
             self.live = live;
             self.route.set_live(&self.live);
@@ -395,14 +396,14 @@
 
     /// Passes new round-trip times to routing, sends its frames to other sites, and publishes its table.
     fn update_route(&mut self, now: Micros) {
-        for of in 0..self.peer_count {
+        for member in 0..self.peer_count {
             // Each measurement is passed on once: repeated, it would count as several.
-            if let Some((rtt, age)) = self.endpoint.connections().rtt(of, now)
-                && let Some(last) = self.last_rtt_at.get_mut(usize::from(of))
+            if let Some((rtt, age)) = self.endpoint.connections().rtt(member, now)
+                && let Some(last) = self.last_rtt_at.get_mut(usize::from(member))
                 && now.saturating_sub(age) > *last
             {
                 *last = now.saturating_sub(age);
-                self.route.record_rtt(now, of, rtt);
+                self.route.record_rtt(now, member, rtt);
             }
         }
         for (to, frame) in self.route.build_frames(now) {
@@ -414,10 +415,10 @@
 
     /// Passes the load that peers have published to admission, publishes its own, and publishes its table.
     fn update_shed(&mut self, now: Micros) {
-        for of in 0..self.peer_count {
+        for member in 0..self.peer_count {
             for key in SHED_KEYS {
-                if let Some(value) = self.endpoint.fact(now, of, key).map(<[u8]>::to_vec) {
-                    self.shed.receive_fact(now, of, key, &value);
+                if let Some(value) = self.endpoint.fact(now, member, key).map(<[u8]>::to_vec) {
+                    self.shed.receive_fact(now, member, key, &value);
                 }
             }
         }
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -234,13 +234,15 @@
         if let Some(us) = stalled {
             self.recorder.put(now, &self.name, Observation::Stalled { us });
         }
-        if let Some(Lag { longest_turn: turn, longest_wait: waited, stalled }) = lag {
-            warn!(scheduler = self.name, turn_us = turn, waited_us = waited, stalled_us = stalled, "late");
-            self.recorder.put(
-                now,
-                &self.name,
-                Observation::Lagged { longest_turn: turn, longest_wait: waited, stalled },
+        if let Some(Lag { longest_turn, longest_wait, stalled }) = lag {
+            warn!(
+                scheduler = self.name,
+                turn_us = longest_turn,
+                waited_us = longest_wait,
+                stalled_us = stalled,
+                "late"
             );
+            self.recorder.put(now, &self.name, Observation::Lagged { longest_turn, longest_wait, stalled });
         }
     }
 
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -203,8 +203,8 @@
     }
 
     /// The name of a peer, for records.
-    pub fn name(&self, of: MemberId) -> &str {
-        self.config.peers.get(usize::from(of)).map_or("", |peer| &peer.name)
+    pub fn name(&self, member: MemberId) -> &str {
+        self.config.peers.get(usize::from(member)).map_or("", |peer| &peer.name)
     }
 
     /// The counts of a function since the last report.
@@ -227,7 +227,7 @@
             Some(EventOwner::Member(_)) if handed_over => {
                 return Arrival::Answered(Answer::Failed(Failure::OwnerUnreachable));
             }
-            // Admission is left to the owner: only it knows whether the event is already in flight.
+            // Admission is left to the owner: only the owner can decide whether the event is already in flight.
             Some(EventOwner::Member(owner)) => {
                 let until = call.deadline.saturating_sub(ANSWER_RESERVE_US + self.lateness);
                 return self.hand_over(io, now, call, (function, owner), (until, true));
@@ -313,7 +313,7 @@
             return Some(EventOwner::Unknown);
         };
         Some(match owner(Key(digest(&call.identity)), &owners.taken_over) {
-            Some(of) if of != self.config.own_index => EventOwner::Member(of),
+            Some(member) if member != self.config.own_index => EventOwner::Member(member),
             Some(_) if owners.accepts => EventOwner::Local,
             _ => EventOwner::Unknown,
         })
@@ -372,14 +372,14 @@
                 },
             ));
         }
-        let took = now.saturating_sub(began);
+        let duration = now.saturating_sub(began);
         let handed_end = match end.code {
             Code::Ok => HandoverOutcome::Served,
             Code::Full | Code::Miss => HandoverOutcome::Refused,
             Code::ConnectFailed => HandoverOutcome::Unreached,
             _ => HandoverOutcome::Lost,
         };
-        let handed = Handover { function, to, duration: took, outcome: handed_end };
+        let handed = Handover { function, to, duration, outcome: handed_end };
         self.router.handover_ended(now, &handed);
         self.rings.reports.send(LoopReport::HandedOver(handed));
         Some(match end.reply {
@@ -460,11 +460,9 @@
             return true;
         }
         // The result is unknown. Counted as lost, it would lower the rating of a site that did nothing wrong.
-        let took = now.saturating_sub(began);
-        self.router.handover_ended(
-            now,
-            &Handover { function, to, duration: took, outcome: HandoverOutcome::Refused },
-        );
+        let duration = now.saturating_sub(began);
+        self.router
+            .handover_ended(now, &Handover { function, to, duration, outcome: HandoverOutcome::Refused });
         true
     }
 
@@ -472,16 +470,16 @@
     /// longer retry delay.
     pub fn answer_ready(&mut self, now: Micros, waiter: WaiterId, answer: Answer<Reply>) -> Answer<Reply> {
         let Some(local) = self.local_calls.get(&waiter) else { return answer };
-        let took = now.saturating_sub(local.arrived_at);
+        let elapsed = now.saturating_sub(local.arrived_at);
         let (function, class, tenant, hash) = (local.function, local.class, local.tenant, local.hash);
         let mut answer = answer;
         if matches!(answer, Answer::Served(_)) {
             let counted = self.counted(function);
-            (counted.served, counted.total_time) = (counted.served + 1, counted.total_time + took);
+            (counted.served, counted.total_time) = (counted.served + 1, counted.total_time + elapsed);
             // The wait includes every queue of the call's path, those at workers too.
-            let waited = took.saturating_sub(self.run_times.get(&function).copied().unwrap_or(took));
-            let waited = self.wait_estimates.record(now, function, now - took, waited);
-            let in_aim = took <= self.aims[class];
+            let waited = elapsed.saturating_sub(self.run_times.get(&function).copied().unwrap_or(elapsed));
+            let waited = self.wait_estimates.record(now, function, now - elapsed, waited);
+            let in_aim = elapsed <= self.aims[class];
             self.local_call_ended(
                 waiter,
                 Some(if in_aim { CallOutcome::Served(waited) } else { CallOutcome::Late(waited) }),
@@ -520,10 +518,10 @@
         let Some((function, began)) = self.attempts.remove(&attempt) else { return };
         if end.code == Code::Ok && end.copy == basaltward::CopyStatus::Loaded {
             self.counted(function).warm_starts += 1;
-            let (took, run) =
+            let (run_time, shortest) =
                 (now.saturating_sub(began), self.run_times.entry(function).or_insert(Micros::MAX));
             // Grows by a hundredth with each run, so that the value follows runs that have become longer.
-            *run = run.saturating_add(*run / 100).min(took);
+            *shortest = shortest.saturating_add(*shortest / 100).min(run_time);
         }
     }
 
@@ -539,8 +537,8 @@
         self.links.wake(io, now, &mut ends);
         if now >= self.reported_at + REPORT_INTERVAL_US {
             let span = now - std::mem::replace(&mut self.reported_at, now);
-            let in_hand = self.local_calls.len() as u32;
-            let by: Vec<_> = self.counts.values().copied().collect();
+            let in_flight = self.local_calls.len() as u32;
+            let functions: Vec<_> = self.counts.values().copied().collect();
             // The calls in flight carry over; all other counts restart.
             self.counts.retain(|_, counted| {
                 *counted = FunctionCounts {
@@ -552,11 +550,11 @@
             });
             self.rings.reports.send(LoopReport::Calls(LoopCounts {
                 span,
-                functions: by,
-                in_flight: in_hand,
+                functions,
+                in_flight,
                 workers: self.active_workers,
             }));
-            self.rings.reports.send(LoopReport::Admission(self.admission.take_counts(now, in_hand)));
+            self.rings.reports.send(LoopReport::Admission(self.admission.take_counts(now, in_flight)));
             let dropped = self.rings.reports.dropped();
             if std::mem::replace(&mut self.dropped_reports, dropped) < dropped {
                 warn!(lost = dropped, "control thread is stalled: reports of counts were dropped");
--- a/crates/gateway/src/tables.rs
+++ b/crates/gateway/src/tables.rs
@@ -148,11 +148,8 @@
         let waker = Io::new(IoLimits::default()).expect("create an I/O loop").waker();
         let (LoopEnd { mut reports, .. }, ControlEnd { reports: mut control, .. }) =
             control_rings(waker.clone(), waker);
-        let report = |in_hand| {
-            LoopReport::Calls(basaltward_site_routing::LoopCounts {
-                in_flight: in_hand,
-                ..Default::default()
-            })
+        let report = |in_flight| {
+            LoopReport::Calls(basaltward_site_routing::LoopCounts { in_flight, ..Default::default() })
         };
         (0..3 * RING_CAPACITY as u32).for_each(|n| reports.send(report(n)));
         assert_eq!(reports.dropped(), RING_CAPACITY as u64);
