--- a/crates/bulletin/src/freshness.rs
+++ b/crates/bulletin/src/freshness.rs
@@ -8,7 +8,7 @@
 
 /// After a connection broke, events that it did not deliver count as delivered this many microseconds later.
 pub const DELIVERED_AFTER_BREAK_US: Micros = 2_000_000;
-/// After a bulletin fell silent, events that it did not deliver count as delivered this many microseconds after the
+/// After a bulletin became silent, events that it did not deliver count as delivered this many microseconds after the
 /// list was last confirmed.
 pub const DELIVERED_AFTER_SILENCE_US: Micros = 4_000_000;
 /// A bulletin sends a line every second. After this many microseconds (half a second late) it counts as interrupted.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -219,8 +219,8 @@
     /// [`Engine::next_due`] returns a time that has passed.
     ///
     /// Returns as soon as there is an attempt to start. Whether its bytes are written is known only after the
-    /// caller has handled that output; if the call's time ran out within the same wake-up, its client would
-    /// wrongly be told that the call never ran.
+    /// caller has handled that output; if the call's time ran out within the same wake-up, the answer to its
+    /// client would wrongly state that the call never ran.
     pub fn wake(&mut self, now: Micros, outputs: &mut Outputs<P, R>) {
         if self.answer_expired(now, outputs) {
             return;
@@ -372,11 +372,11 @@
     }
 
     /// Answers a client whose time has run out. The call goes on for the clients that wait longer, or lingers
-    /// for a repeat. If it never ran and has no other client, it ends: its client is told that it took no
+    /// for a repeat. If it never ran and has no other client, it ends: the answer states that it took no
     /// effect, which must remain true.
     fn expire_waiter(&mut self, now: Micros, id: WaiterId, outputs: &mut Outputs<P, R>) {
-        let late = self.margin.lateness(now);
-        if self.waiters.get(&id).is_none_or(|w| w.answer_by > now + late) {
+        let lateness = self.margin.lateness(now);
+        if self.waiters.get(&id).is_none_or(|w| w.answer_by > now + lateness) {
             return;
         }
         let Some(waiter) = self.waiters.remove(&id) else { return };
@@ -452,13 +452,14 @@
     fn conclude(&mut self, now: Micros, request: RequestId, answer: Answer<R>, outputs: &mut Outputs<P, R>) {
         let Some(state) = self.requests.get(&request).filter(|t| !t.concluded) else { return };
         let (id, deadline) = (state.call, state.deadline);
-        let late = matches!(answer, Answer::Failed(_)) && now + self.settings.controller.tick >= deadline;
+        let past_deadline =
+            matches!(answer, Answer::Failed(_)) && now + self.settings.controller.tick >= deadline;
         let answer = match answer {
             Answer::Failed(_) if !self.may_have_run(request) => {
                 self.abort_unwritten(request, outputs);
                 Answer::Refused(Refusal::NotStarted, None)
             }
-            Answer::Failed(_) if late => Answer::Failed(Failure::Deadline),
+            Answer::Failed(_) if past_deadline => Answer::Failed(Failure::Deadline),
             answer => answer,
         };
         let reply = if let Answer::Served(reply) = &answer { Some(reply.clone()) } else { None };
@@ -469,7 +470,7 @@
         let joined_waiter = |w: &WaiterId| self.waiters.get(w).filter(|w| w.origin == AnswerOrigin::Joined);
         let answer_by_of = |w: &WaiterId| joined_waiter(w).map(|w| w.answer_by.saturating_sub(lateness));
         let latest = call.waiters.iter().filter_map(answer_by_of).max();
-        if late && latest.is_some_and(|answer_by| answer_by > now + self.settings.margin.min) {
+        if past_deadline && latest.is_some_and(|answer_by| answer_by > now + self.settings.margin.min) {
             // The client that began the call had less patience than others that joined. They are treated as if
             // they repeated the event now.
             let waiting = std::mem::take(&mut call.waiters);
--- a/crates/engine/src/pace.rs
+++ b/crates/engine/src/pace.rs
@@ -104,11 +104,12 @@
 
     /// Ends a turn. `cpu_time` is the processor time that this loop has used since its start.
     pub fn end_turn(&mut self, now: Micros, cpu_time: Micros) -> TurnReport {
-        let (began, took) = (self.began, now.saturating_sub(self.began));
-        let worked = self.cpu_time.replace(cpu_time).map_or(took, |before| cpu_time.saturating_sub(before));
-        let stalled = Some(took.saturating_sub(worked)).filter(|off| *off >= MIN_STALL_US);
+        let (began, turn_time) = (self.began, now.saturating_sub(self.began));
+        let worked =
+            self.cpu_time.replace(cpu_time).map_or(turn_time, |before| cpu_time.saturating_sub(before));
+        let stalled = Some(turn_time.saturating_sub(worked)).filter(|off| *off >= MIN_STALL_US);
         self.worst.stalled += stalled.unwrap_or(0);
-        self.worst.longest_turn = self.worst.longest_turn.max(took);
+        self.worst.longest_turn = self.worst.longest_turn.max(turn_time);
         if now < self.last_report + REPORT_INTERVAL_US {
             return TurnReport { began, stalled, lag: None };
         }
--- a/crates/engine/src/types.rs
+++ b/crates/engine/src/types.rs
@@ -47,7 +47,7 @@
     pub payload: Arc<P>,
 }
 
-/// How an attempt ended, as far as can be told from its connection.
+/// How an attempt ended, as far as its connection shows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd<R> {
     /// The outcome, which also states whether the attempt can have run.
--- a/crates/engine/tests/calls.rs
+++ b/crates/engine/tests/calls.rs
@@ -323,7 +323,7 @@
         bed.call(1, "e", 300 * MS);
         bed.advance(300 * MS);
         assert_eq!(bed.take_answers(), [(1, Answer::Refused(Refusal::NotStarted, None))]);
-        // It does not linger: its client was told that it took no effect, so it must not begin.
+        // It does not linger: the answer to its client said that it took no effect, so it must not begin.
         assert_eq!((bed.engine.calls_in_flight(), bed.take_starts().len()), (0, 0));
         // No attempt ran: each worker answered that it has no copy.
         let mut bed = TestBed::new(repeat, 3, |_| {});
--- a/crates/net/tests/system_calls.rs
+++ b/crates/net/tests/system_calls.rs
@@ -83,8 +83,8 @@
     let (mut io, at) = listening();
     io.inject_failures(SystemCall::EpollAdd, Errno::NOMEM, 40);
     let _clients = clients(at, 1);
-    let (_, took) = turn_until(&mut io, |all| data_events(all) == 1);
-    assert!(took < 100 * MS, "read after {took} us");
+    let (_, elapsed) = turn_until(&mut io, |all| data_events(all) == 1);
+    assert!(elapsed < 100 * MS, "read after {elapsed} us");
     // The registration of a connection can't be changed temporarily: a paused connection is still resumed.
     let (mut io, at) = listening();
     let mut clients = clients(at, 1);
@@ -121,9 +121,9 @@
         let mut io = Io::new(IoLimits::default()).expect("a loop");
         io.inject_failures(SystemCall::Connect, error, 5);
         let conn = io.connect(at).expect("started");
-        let (all, took) = turn_until(&mut io, |all| !all.is_empty());
+        let (all, elapsed) = turn_until(&mut io, |all| !all.is_empty());
         assert_eq!(all, [IoEvent::Connected(conn)], "{error:?}");
-        assert!(took < 200 * MS, "{error:?}: {took} us");
+        assert!(elapsed < 200 * MS, "{error:?}: {elapsed} us");
         io.output(conn).expect("open").extend_from_slice(b"x");
         io.flush(&mut Vec::new());
         let mut byte = [0];
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -257,7 +257,7 @@
             overload_multiple: rules.tip_multiple,
             overload_span: rules.fall_us as u64,
             drain_grace: rules.drain_grace_us.map(|grace| grace as u64),
-            // Set by the network code, which knows how long sending may take.
+            // Set by the network code, which has the limits for the duration of sending.
             send_delay: 0,
         },
         report_names: options.report.names,
