--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -60,11 +60,11 @@
     names
 }
 
-/// The index in `names` of the name that an attribute holds. Adds a fault if it is not among them.
+/// The index in `names` of the name that an attribute holds. Adds a fault if the value is not one of them.
 fn index_of(node: &Element, attribute: &str, names: &[String], faults: &mut Faults) -> usize {
-    let wanted = node.attribute(attribute).unwrap_or_default();
-    names.iter().position(|n| n == wanted).unwrap_or_else(|| {
-        faults.push(node.fault(format!("{attribute} {wanted:?} is not among {}", names.join(", "))));
+    let value = node.attribute(attribute).unwrap_or_default();
+    names.iter().position(|n| n == value).unwrap_or_else(|| {
+        faults.push(node.fault(format!("{attribute} {value:?} is not one of {}", names.join(", "))));
         0
     })
 }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -41,7 +41,7 @@
         (("<kinds>", "<kind/><kinds>"), 5, "kind"),
         (("deadline-ms=\"2500\"", "deadline-ms=\"700\""), 7, "deadline-ms must not be below aim-ms"),
         ((" window-ms=\"3000\"", ""), 8, "needs window-ms"),
-        (("class=\"note\"", "class=\"nota\""), 10, "\"nota\" is not among view, note"),
+        (("class=\"note\"", "class=\"nota\""), 10, "\"nota\" is not one of view, note"),
         (("memory-mb=\"400\"", "memory-mb=\"40000\""), 10, "fits no kind"),
         (("name=\"note\"", "name=\"view\""), 8, "duplicate class \"view\""),
         (("index=\"1\"", "index=\"3\""), 2, "must be below count"),
--- a/crates/roster/src/file.rs
+++ b/crates/roster/src/file.rs
@@ -83,7 +83,7 @@
                 faults.push(node.fault(format!("address {:?} is not IP:port", entry.address)));
             }
             if !addresses.insert(entry.address.clone()) {
-                faults.push(node.fault(format!("worker {} is listed twice", entry.address)));
+                faults.push(node.fault(format!("duplicate worker {:?}", entry.address)));
             }
             entries.push(entry);
         }
