--- a/crates/peers/src/workers.rs
+++ b/crates/peers/src/workers.rs
@@ -55,12 +55,12 @@
     pub fn observations(&self, now: Micros) -> Observations {
         let observation = |(mark, (worker, since)): (&u32, &(Worker, Micros))| {
             let used = (worker.state == WorkerState::Ready).then(|| now.saturating_sub(*since));
-            let life = (worker.boot_ms / 1_000) as u16;
+            let incarnation = (worker.boot_ms / 1_000) as u16;
             (
                 Subject::Worker(*mark),
                 Observation {
                     zone: worker.zone,
-                    incarnation: life,
+                    incarnation,
                     in_use_for: used,
                     holds_last_copy: false,
                     running_version: None,
--- a/crates/permits/src/settings.rs
+++ b/crates/permits/src/settings.rs
@@ -62,13 +62,13 @@
 
 impl PermitSettings {
     /// The defaults: a lease of 2 s with at least four heartbeats in it, for clocks that run up to 10 % fast or slow.
-    pub fn new(size: MemberId, own: MemberId, life: u32, seed: u64) -> Self {
+    pub fn new(size: MemberId, own: MemberId, incarnation: u32, seed: u64) -> Self {
         let settle = basaltward_membership::MembershipSettings::new(size.max(1), 0, 0, 0).settling_time();
         Self {
             fleet: 0,
             own,
             voters: default_voters(size),
-            incarnation: life,
+            incarnation,
             seed,
             times: Times { lease: 2_000_000, silence: 2_500_000, learning: 2_500_000 + settle },
             tick: 400_000,
