--- a/crates/node/tests/sockets/answers.rs
+++ b/crates/node/tests/sockets/answers.rs
@@ -24,10 +24,10 @@
     for round in 0..10 {
         let calls: Vec<_> =
             (0..30).map(|n| call(round * 100 + n, ["view", "extract"][n as usize % 2])).collect();
-        let asked: Vec<_> = calls.iter().map(|c| harness.submit(&mut client, c)).collect();
-        let replies = read_all(&harness, &mut client, &asked);
-        for (call, asked) in calls.iter().zip(&asked) {
-            assert_eq!(replies[&asked.seqid], served(call));
+        let submitted: Vec<_> = calls.iter().map(|c| harness.submit(&mut client, c)).collect();
+        let replies = read_all(&harness, &mut client, &submitted);
+        for (call, submitted) in calls.iter().zip(&submitted) {
+            assert_eq!(replies[&submitted.seqid], served(call));
         }
     }
     assert_eq!(harness.check_rules(), []);
@@ -80,9 +80,12 @@
     let mut client = harness.client();
     for round in 0..20 {
         let calls: Vec<_> = (0..10).map(|n| call(round * 100 + n, "extract")).collect();
-        let asked: Vec<_> = calls.iter().map(|c| harness.submit(&mut client, c)).collect();
-        let replies = read_all(&harness, &mut client, &asked);
-        calls.iter().zip(&asked).for_each(|(call, asked)| assert_eq!(replies[&asked.seqid], served(call)));
+        let submitted: Vec<_> = calls.iter().map(|c| harness.submit(&mut client, c)).collect();
+        let replies = read_all(&harness, &mut client, &submitted);
+        calls
+            .iter()
+            .zip(&submitted)
+            .for_each(|(call, submitted)| assert_eq!(replies[&submitted.seqid], served(call)));
     }
     assert_eq!(harness.check_rules(), []);
 }
@@ -130,16 +133,16 @@
     let mut harness = Harness::new(Limits::default(), 1, script);
     let mut client = harness.client();
     let (first, second) = (call(1, "extract"), call(2, "view"));
-    let asked = harness.submit(&mut client, &first);
+    let submitted = harness.submit(&mut client, &first);
     harness.wait_for(|what| matches!(what, Observation::Ran { event, .. } if *event == first.id));
-    client.revoke(asked.seqid).expect("bytes sent");
+    client.revoke(submitted.seqid).expect("bytes sent");
     harness.recorder.put(
         basaltward_net::monotonic(),
         "client",
-        Observation::ClientLeft { request_id: asked.try_no },
+        Observation::ClientLeft { request_id: submitted.try_no },
     );
-    let asked = harness.submit(&mut client, &second);
-    assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
+    let submitted = harness.submit(&mut client, &second);
+    assert_eq!(harness.read(&mut client, &[&submitted]), Some((submitted.seqid, served(&second))));
     assert!(harness.workers[0].lines().contains(&format!("drop {}", first.id)));
     assert_eq!(harness.check_rules(), []);
 }
@@ -170,12 +173,12 @@
     for round in 0..5u64 {
         for (at, client) in clients.iter_mut().enumerate() {
             let calls: Vec<_> = (0..8).map(|n| call(round * 1_000 + at as u64 * 100 + n, "view")).collect();
-            let asked: Vec<_> = calls.iter().map(|c| harness.submit(client, c)).collect();
-            let replies = read_all(&harness, client, &asked);
+            let submitted: Vec<_> = calls.iter().map(|c| harness.submit(client, c)).collect();
+            let replies = read_all(&harness, client, &submitted);
             calls
                 .iter()
-                .zip(&asked)
-                .for_each(|(call, asked)| assert_eq!(replies[&asked.seqid], served(call)));
+                .zip(&submitted)
+                .for_each(|(call, submitted)| assert_eq!(replies[&submitted.seqid], served(call)));
         }
     }
     assert_eq!(harness.check_rules(), []);
--- a/crates/node/tests/sockets/client_disconnects.rs
+++ b/crates/node/tests/sockets/client_disconnects.rs
@@ -22,8 +22,8 @@
 }
 
 fn execs(harness: &Harness, call: &Call) -> usize {
-    let of = format!("exec {}", call.id);
-    harness.workers.iter().flat_map(LineWorker::lines).filter(|line| line.starts_with(&of)).count()
+    let prefix = format!("exec {}", call.id);
+    harness.workers.iter().flat_map(LineWorker::lines).filter(|line| line.starts_with(&prefix)).count()
 }
 
 /// Waits for a matching line at the first worker.
@@ -48,10 +48,10 @@
         let mut harness = Harness::new(Limits::default(), 1, hold_calls);
         let mut client = harness.client();
         let calls: Vec<_> = (0..32).map(|n| held_call(n, "extract")).collect();
-        let asked: Vec<_> = calls.iter().map(|one| harness.submit(&mut client, one).seqid).collect();
+        let seqids: Vec<_> = calls.iter().map(|one| harness.submit(&mut client, one).seqid).collect();
         wait_until_run(&harness, &calls[0]);
         harness.wait_for(|what| matches!(what, Observation::Accepted { event } if *event == calls[31].id));
-        let remaining = abandon(client, &asked[..1], method);
+        let remaining = abandon(client, &seqids[..1], method);
         wait_until_dropped(&harness, &calls[0]);
         if let Some(mut client) = remaining.filter(|_| method == "revoke") {
             // One more than may be open would close the connection.
@@ -69,7 +69,7 @@
         let mut harness = Harness::new(Limits::default(), 1, hold_calls);
         let mut client = harness.client();
         let one = held_call(1, "extract");
-        let asked = harness.submit(&mut client, &one).seqid;
+        let seqid = harness.submit(&mut client, &one).seqid;
         wait_until_run(&harness, &one);
         set_socket_recv_buffer_size(client.stream(), 4 << 10).expect("connection open");
         fill_output(&mut harness, &mut client);
@@ -77,7 +77,7 @@
         for number in 5_000..5_004 {
             harness.submit(&mut client, &Call { body: vec![b'x'; 16 << 10], ..call(number, "view") });
         }
-        let remaining = abandon(client, &[asked], method);
+        let remaining = abandon(client, &[seqid], method);
         wait_until_dropped(&harness, &one);
         drop(remaining);
         harness.control.stop();
@@ -114,10 +114,10 @@
         harness.workers[0].hold_orders();
         let mut client = harness.client();
         let one = Call { function: "00000000000000f0".into(), ..held_call(1, "extract") };
-        let asked = harness.submit(&mut client, &one);
+        let submitted = harness.submit(&mut client, &one);
         wait_for_line(&harness, |line| line.starts_with("ensure") && line.contains(&one.function));
         let before = execs(&harness, &one);
-        let remaining = abandon(client, &[asked.seqid], method);
+        let remaining = abandon(client, &[submitted.seqid], method);
         // The scheduler has processed the leaving once calls of another client have completed, a turn or two later.
         (10..13).for_each(|n| drop(harness.call(&call(n, "view"))));
         for order in harness.workers[0].lines().iter().filter(|line| line.contains(&one.function)) {
@@ -143,10 +143,10 @@
         harness.workers[0].reset_all();
         let (mut client, mut other) = (harness.client(), harness.client());
         let (one, second) = (held_call(1, "extract"), Call { timeout_ms: 60_000, ..call(2, "extract") });
-        let asked = harness.submit(&mut client, &one);
+        let submitted = harness.submit(&mut client, &one);
         let waits = harness.submit(&mut other, &second);
         harness.wait_for(|what| matches!(what, Observation::Accepted { event } if *event == second.id));
-        let remaining = abandon(client, &[asked.seqid], method);
+        let remaining = abandon(client, &[submitted.seqid], method);
         other.heartbeat().and_then(|_| other.read()).expect("heartbeat answered");
         harness.workers[0].unplug();
         // The other client's call is sent on the connection that is now established.
@@ -167,7 +167,7 @@
         let mut harness = Harness::new(Limits::default(), 1, void);
         let client = &mut harness.client();
         let one = held_call(1, "view");
-        let asked = harness.submit(client, &one).seqid;
+        let seqid = harness.submit(client, &one).seqid;
         wait_for_line(&harness, |line| line.starts_with("exec"));
         // Rejected by the only worker, the call waits for another, and the scheduler meanwhile probes for capacity.
         let sent = |line: &str| line.starts_with("exec");
@@ -177,7 +177,7 @@
             assert!(Instant::now() < until, "{:?}", harness.workers[0].lines());
             std::thread::yield_now();
         }
-        let remaining = abandon(std::mem::replace(client, harness.client()), &[asked], method);
+        let remaining = abandon(std::mem::replace(client, harness.client()), &[seqid], method);
         client.heartbeat().and_then(|_| client.read()).expect("heartbeat answered");
         let other = LineWorker::start("s-1", harness.recorder.clone(), Exec::serve).expect("worker started");
         harness.board.tell(&bulletin_entry("s-1", other.address(), "Ready"));
--- a/crates/node/tests/sockets/common.rs
+++ b/crates/node/tests/sockets/common.rs
@@ -146,7 +146,7 @@
     /// Reads one reply and records it for the request that it answers; `None` at the end of the connection.
     pub fn read(&self, client: &mut FrontClient, open: &[&Submitted]) -> Option<(i32, FrontReply)> {
         let (seqid, reply) = client.read().expect("reply read")?;
-        let asked = open.iter().find(|a| a.seqid == seqid).expect("a reply to an open request");
+        let submitted = open.iter().find(|a| a.seqid == seqid).expect("a reply to an open request");
         let (answer, status) = match &reply {
             FrontReply::Served(_) => (FinalAnswer::Served, 200),
             FrontReply::Rejected(_) => (FinalAnswer::Refused, 503),
@@ -155,7 +155,7 @@
         self.recorder.put(
             monotonic(),
             "client",
-            Observation::Answered { request_id: asked.try_no, answer, status },
+            Observation::Answered { request_id: submitted.try_no, answer, status },
         );
         Some((seqid, reply))
     }
@@ -163,8 +163,8 @@
     /// Sends one call on its own connection and reads its reply.
     pub fn call(&mut self, call: &Call) -> FrontReply {
         let mut client = self.client();
-        let asked = self.submit(&mut client, call);
-        self.read(&mut client, &[&asked]).expect("a reply before the connection closes").1
+        let submitted = self.submit(&mut client, call);
+        self.read(&mut client, &[&submitted]).expect("a reply before the connection closes").1
     }
 
     /// Waits until the recorder holds an event that matches; panics after [`TEST_TIMEOUT`].
@@ -272,10 +272,10 @@
 pub fn read_all(
     harness: &Harness,
     client: &mut FrontClient,
-    asked: &[Submitted],
+    submitted: &[Submitted],
 ) -> HashMap<i32, FrontReply> {
-    let open: Vec<_> = asked.iter().collect();
-    (0..asked.len()).filter_map(|_| harness.read(client, &open)).collect()
+    let open: Vec<_> = submitted.iter().collect();
+    (0..submitted.len()).filter_map(|_| harness.read(client, &open)).collect()
 }
 
 /// Sends calls until one is served: on a loaded machine the first few may be rejected.
@@ -289,8 +289,8 @@
 pub fn fill_output(harness: &mut Harness, client: &mut FrontClient) -> usize {
     // On a loaded machine a single request may be rejected although it is read.
     let mut unserved = 0;
-    for asked in 1..2_000 {
-        let one = Call { body: vec![b'x'; 16 << 10], ..call(1_000 + asked, "view") };
+    for sent in 1..2_000 {
+        let one = Call { body: vec![b'x'; 16 << 10], ..call(1_000 + sent, "view") };
         harness.submit(client, &one);
         let matches_call =
             |what: &Observation| matches!(what, Observation::Ran { event, .. } if *event == one.id);
@@ -299,7 +299,7 @@
             .wait_until(Duration::from_millis(700), |all| all.iter().any(|r| matches_call(&r.observation)));
         unserved = if ran { 0 } else { unserved + 1 };
         if unserved == 3 {
-            return asked as usize;
+            return sent as usize;
         }
     }
     panic!("the output to the client never filled up");
@@ -310,11 +310,11 @@
 
 /// Makes the client abandon these calls. On return this has reached the scheduler's socket. Returns the client unless
 /// its connection was reset.
-pub fn abandon(mut client: FrontClient, asked: &[i32], method: &str) -> Option<FrontClient> {
+pub fn abandon(mut client: FrontClient, seqids: &[i32], method: &str) -> Option<FrontClient> {
     let ends = (client.stream().local_addr(), client.stream().peer_addr());
     let remaining = match method {
         "revoke" => {
-            asked.iter().for_each(|seqid| client.revoke(*seqid).expect("bytes sent"));
+            seqids.iter().for_each(|seqid| client.revoke(*seqid).expect("bytes sent"));
             Some(client)
         }
         "end" => {
@@ -335,14 +335,15 @@
 /// peer, according to the kernel's connection table.
 pub fn wait_until_delivered(client: SocketAddr, server: SocketAddr, method: &str) {
     let until = Instant::now() + TEST_TIMEOUT;
-    let port = |of: &str| of.rsplit_once(':').and_then(|(_, port)| u16::from_str_radix(port, 16).ok());
+    let port =
+        |address: &str| address.rsplit_once(':').and_then(|(_, port)| u16::from_str_radix(port, 16).ok());
     let holds = || {
         let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
-        let of = format!(":{:04X} ", client.port());
+        let client_port = format!(":{:04X} ", client.port());
         let rows = table
             .lines()
             .skip(1)
-            .filter(|row| row.contains(&of))
+            .filter(|row| row.contains(&client_port))
             .map(|row| row.split_whitespace().collect::<Vec<_>>());
         let ends = |row: &Vec<&str>| (port(row[1]).unwrap_or(0), port(row[2]).unwrap_or(0));
         let rows: Vec<_> = rows.map(|row| (ends(&row), row[3].to_owned(), row[4].to_owned())).collect();
@@ -369,11 +370,12 @@
     const LISTEN: &str = "0A";
     const TIME_WAIT: &str = "06";
     let until = Instant::now() + TEST_TIMEOUT;
-    let of = format!(":{:04X}", server.port());
+    let server_port = format!(":{:04X}", server.port());
     let is_open = || {
         let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
         let rows = table.lines().skip(1).map(|row| row.split_whitespace().collect::<Vec<_>>());
-        rows.filter(|row| row[1].ends_with(&of) && ![LISTEN, TIME_WAIT].contains(&row[3])).count() > 0
+        rows.filter(|row| row[1].ends_with(&server_port) && ![LISTEN, TIME_WAIT].contains(&row[3])).count()
+            > 0
     };
     while is_open() {
         assert!(Instant::now() < until, "the connections were never closed");
--- a/crates/node/tests/sockets/connection_races.rs
+++ b/crates/node/tests/sockets/connection_races.rs
@@ -29,15 +29,15 @@
     assert_eq!(harness.call(&warm), served(&warm));
     let mut client = harness.client();
     let first = Call { body: b"held".to_vec(), ..call(2, "extract") };
-    let asked = harness.submit(&mut client, &first);
+    let submitted = harness.submit(&mut client, &first);
     harness.wait_for(|what| matches!(what, Observation::Ran { event, .. } if *event == first.id));
     let port = port_of(&harness, &first.id);
-    client.revoke(asked.seqid).expect("bytes sent");
+    client.revoke(submitted.seqid).expect("bytes sent");
     let dropped = format!("drop {}", first.id);
     wait_until(|| harness.workers[0].lines().contains(&dropped));
     // The client reuses the id; the first answer arrives while the second request is in flight.
     let second = Call { body: b"another".to_vec(), ..first.clone() };
-    let asked = harness.submit(&mut client, &second);
+    let submitted = harness.submit(&mut client, &second);
     wait_until(|| {
         harness.workers[0].lines().iter().filter(|line| line.contains(&format!("exec {}", first.id))).count()
             == 2
@@ -45,7 +45,7 @@
     harness.workers[0].say(port, &answer(&first.id, "OK", "detail=up", b"dleh")).expect("connection open");
     wait_until_processed(&harness);
     go.send(()).expect("receiver alive");
-    assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
+    assert_eq!(harness.read(&mut client, &[&submitted]), Some((submitted.seqid, served(&second))));
 }
 
 /// One end of a connection, according to the kernel's table.
@@ -62,7 +62,7 @@
 }
 
 /// The connections from and to a port, both ends of each.
-fn sockets(of: u16) -> Vec<Socket> {
+fn sockets(port: u16) -> Vec<Socket> {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
     let row = |line: &str| {
         let hex = |text: &str| usize::from_str_radix(text.rsplit(':').next()?, 16).ok();
@@ -72,8 +72,8 @@
         Some(Socket { local, remote, state, unsent, unread, inode: columns[9].parse().ok()? })
     };
     // The table is large if many connections ended recently, so most lines are skipped before parsing.
-    let of = format!(" {:08X}:{of:04X} ", u32::from_ne_bytes([127, 0, 0, 1]));
-    table.lines().filter(|line| line.contains(&of)).filter_map(row).collect()
+    let address = format!(" {:08X}:{port:04X} ", u32::from_ne_bytes([127, 0, 0, 1]));
+    table.lines().filter(|line| line.contains(&address)).filter_map(row).collect()
 }
 
 /// One end of a connection.
@@ -180,8 +180,8 @@
     for round in 0..6 {
         let calls: Vec<_> =
             (0..4).map(|n| Call { timeout_ms: 60, ..large_call(256 + 4 * round + n, "view") }).collect();
-        let asked: Vec<_> = calls.iter().map(|call| harness.submit(&mut client, call)).collect();
-        read_all(&harness, &mut client, &asked);
+        let submitted: Vec<_> = calls.iter().map(|call| harness.submit(&mut client, call)).collect();
+        read_all(&harness, &mut client, &submitted);
         let held = held_ends(to);
         max_held = if held.len() > max_held.len() { held } else { max_held };
     }
@@ -234,10 +234,10 @@
     harness.workers[0].reset_all();
     wait_until_processed(&harness);
     let mut client = harness.client();
-    let asked = harness.submit(&mut client, &Call { timeout_ms: 1_500, ..call(2, "extract") });
+    let submitted = harness.submit(&mut client, &Call { timeout_ms: 1_500, ..call(2, "extract") });
     wait_until(connecting);
     // It never ran, and the reply says so.
-    let reply = harness.read(&mut client, &[&asked]).expect("a reply before the connection closes").1;
+    let reply = harness.read(&mut client, &[&submitted]).expect("a reply before the connection closes").1;
     assert!(matches!(reply, FrontReply::Rejected(_)), "{reply:?}");
     // The kernel itself would keep trying for minutes.
     wait_until(|| !connecting());
@@ -276,10 +276,10 @@
     // New calls, beside those in flight: the failure on this machine must not be held against their worker either.
     for number in 3..9 {
         let one = call(number, "extract");
-        let asked = harness.submit(&mut client, &one);
+        let submitted = harness.submit(&mut client, &one);
         assert_eq!(
-            harness.read(&mut client, &[&open, &asked]),
-            Some((asked.seqid, served(&one))),
+            harness.read(&mut client, &[&open, &submitted]),
+            Some((submitted.seqid, served(&one))),
             "{number}"
         );
         assert_eq!(port_of(&harness, &one.id), port_of(&harness, &held.id));
--- a/crates/node/tests/sockets/delayed_sends.rs
+++ b/crates/node/tests/sockets/delayed_sends.rs
@@ -19,8 +19,8 @@
 
 /// When each attempt of a request arrived complete at a worker.
 fn arrivals(records: &[Record], id: &str) -> Vec<Micros> {
-    let of = |what: &Observation| matches!(what, Observation::Arrived { event, .. } if event == id);
-    records.iter().filter(|record| of(&record.observation)).map(|record| record.time).collect()
+    let arrived = |what: &Observation| matches!(what, Observation::Arrived { event, .. } if event == id);
+    records.iter().filter(|record| arrived(&record.observation)).map(|record| record.time).collect()
 }
 
 #[test]
--- a/crates/node/tests/sockets/fleet_changes.rs
+++ b/crates/node/tests/sockets/fleet_changes.rs
@@ -80,8 +80,8 @@
     harness.board.silence(false);
     wait_for_state(&harness, "s-11", "active");
     assert!(matches!(harness.call(&call(1, "view")), FrontReply::Served(_)));
-    let asked = harness.board.asked();
-    assert!(asked.len() >= 3 && asked[0] == "after 1", "{asked:?}");
+    let queries = harness.board.asked();
+    assert!(queries.len() >= 3 && queries[0] == "after 1", "{queries:?}");
     assert_eq!(harness.check_rules(), []);
 }
 
@@ -128,8 +128,8 @@
     assert!(matches!(harness.read(&mut idle, &[&first]), Some((_, FrontReply::Served(_)))));
     // On the open connection and on new ones: both keep arriving for some tenths of a second.
     for number in 2..4 {
-        let asked = harness.submit(&mut idle, &call(number, "extract"));
-        assert!(matches!(harness.read(&mut idle, &[&asked]), Some((_, FrontReply::Served(_)))));
+        let submitted = harness.submit(&mut idle, &call(number, "extract"));
+        assert!(matches!(harness.read(&mut idle, &[&submitted]), Some((_, FrontReply::Served(_)))));
         assert!(matches!(harness.call(&call(100 + number, "view")), FrontReply::Served(_)));
     }
     assert_eq!(harness.check_rules(), []);
@@ -152,8 +152,8 @@
     harness.control.stop();
     harness.wait_for(|what| matches!(what, Observation::Stopping));
     let new_clients: Vec<_> = (0..40).map(|_| harness.client()).collect();
-    let asked = harness.submit(&mut idle, &call(100, "extract"));
-    assert!(matches!(harness.read(&mut idle, &[&asked]), Some((_, FrontReply::Served(_)))));
+    let submitted = harness.submit(&mut idle, &call(100, "extract"));
+    assert!(matches!(harness.read(&mut idle, &[&submitted]), Some((_, FrontReply::Served(_)))));
     drop(new_clients);
     assert_eq!(harness.check_rules(), []);
 }
--- a/crates/node/tests/sockets/fragmentation.rs
+++ b/crates/node/tests/sockets/fragmentation.rs
@@ -30,8 +30,8 @@
 
 /// Waits until the scheduler has read everything written before this call.
 fn wait_until_read(marker: &mut FrontClient) {
-    let asked = marker.heartbeat().expect("bytes sent");
-    assert_eq!(marker.read().expect("reply read").map(|(seqid, _)| seqid), Some(asked));
+    let sent = marker.heartbeat().expect("bytes sent");
+    assert_eq!(marker.read().expect("reply read").map(|(seqid, _)| seqid), Some(sent));
 }
 
 /// Reads one reply, which must be the one to this call.
@@ -174,10 +174,10 @@
         let calls: Vec<_> =
             (0..8).map(|n| call(wave * 100 + n, ["view", "extract"][n as usize % 2])).collect();
         let sent = monotonic();
-        let asked: Vec<_> = calls.iter().map(|one| harness.submit(&mut client, one)).collect();
-        let replies = read_all(&harness, &mut client, &asked);
-        for (asked, one) in asked.iter().zip(&calls) {
-            assert_eq!(replies.get(&asked.seqid), Some(&reversed(one)));
+        let submitted: Vec<_> = calls.iter().map(|one| harness.submit(&mut client, one)).collect();
+        let replies = read_all(&harness, &mut client, &submitted);
+        for (submitted, one) in submitted.iter().zip(&calls) {
+            assert_eq!(replies.get(&submitted.seqid), Some(&reversed(one)));
         }
         assert!(monotonic() - sent < IN_TIME, "{} us", monotonic() - sent);
     }
--- a/crates/node/tests/sockets/gossip.rs
+++ b/crates/node/tests/sockets/gossip.rs
@@ -11,8 +11,8 @@
 }
 
 fn lines(harness: &Harness, command: &str, function: &str) -> Vec<usize> {
-    let of = |line: &&String| line.starts_with(command) && line.contains(function);
-    harness.workers.iter().map(|worker| worker.lines().iter().filter(of).count()).collect()
+    let matching = |line: &&String| line.starts_with(command) && line.contains(function);
+    harness.workers.iter().map(|worker| worker.lines().iter().filter(matching).count()).collect()
 }
 
 #[test]
@@ -21,11 +21,11 @@
     peer.set_read_timeout(Some(TEST_TIMEOUT)).expect("timeout set");
     let limits = Limits { peer: peer.local_addr().ok(), ..Limits::default() };
     let mut harness = Harness::new(limits, 3, |_: usize, exec: &Exec| exec.serve());
-    let of = |number, function: &str| Call { function: function.into(), ..call(number, "view") };
+    let call_of = |number, function: &str| Call { function: function.into(), ..call(number, "view") };
     let (first, second, third) = ("00000000000000aa", "00000000000000bb", "00000000000000cc");
 
     // No report of a copy: the scheduler probes the workers and passes on what it finds.
-    assert!(matches!(harness.call(&of(1, first)), FrontReply::Served(_)));
+    assert!(matches!(harness.call(&call_of(1, first)), FrontReply::Served(_)));
     assert!(lines(&harness, "ensure", first).iter().sum::<usize>() > 0);
     let mut datagram = [0; 300];
     let (length, from) = peer.recv_from(&mut datagram).expect("datagram received");
@@ -39,13 +39,13 @@
 
     // Reported by a peer: no worker is probed, and the call goes to the reported one.
     peer.send_to(&copy_report(second, "s-2"), from).expect("bytes sent");
-    assert!(matches!(harness.call(&of(2, second)), FrontReply::Served(_)));
+    assert!(matches!(harness.call(&call_of(2, second)), FrontReply::Served(_)));
     assert_eq!(lines(&harness, "exec", second), [0, 0, 1]);
     assert_eq!(lines(&harness, "ensure", second), [0, 0, 0]);
 
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("socket bound");
     stranger.send_to(&copy_report(third, "s-2"), from).expect("bytes sent");
-    assert!(matches!(harness.call(&of(3, third)), FrontReply::Served(_)));
+    assert!(matches!(harness.call(&call_of(3, third)), FrontReply::Served(_)));
     assert!(lines(&harness, "ensure", third).iter().sum::<usize>() > 0);
     assert_eq!(harness.check_rules(), []);
 }
--- a/crates/node/tests/sockets/lease_expiry.rs
+++ b/crates/node/tests/sockets/lease_expiry.rs
@@ -57,10 +57,10 @@
     let mut client = harness.client();
     // An unsafe call is not given up while it waits.
     let one = Call { timeout_ms: 7_000, ..call(9 << 40, "extract") };
-    let asked = harness.submit(&mut client, &one);
+    let submitted = harness.submit(&mut client, &one);
     wait_until(silent + LEASE_EXPIRY + Duration::from_millis(300));
     other.unplug();
-    harness.read(&mut client, &[&asked]).expect("a reply before the connection closes");
+    harness.read(&mut client, &[&submitted]).expect("a reply before the connection closes");
     let records = harness.finish();
     let lines = other.lines();
     let first = |word: &str| lines.iter().position(|line| line.starts_with(word));
@@ -99,11 +99,11 @@
         function: format!("7f3a9c21e0b4{number:04x}"),
         ..call(number, "extract")
     };
-    let asked: Vec<_> = (1..=24).map(|number| harness.submit(&mut client, &big(number))).collect();
+    let submitted: Vec<_> = (1..=24).map(|number| harness.submit(&mut client, &big(number))).collect();
     wait_until(silent + LEASE_EXPIRY + Duration::from_millis(500));
     go.send(()).expect("receiver alive");
-    let replies = read_all(&harness, &mut client, &asked);
-    assert_eq!(replies.len(), asked.len(), "each request gets exactly one answer");
+    let replies = read_all(&harness, &mut client, &submitted);
+    assert_eq!(replies.len(), submitted.len(), "each request gets exactly one answer");
     let records = harness.finish();
     let count = withdrawn(&records);
     assert!(count > 0, "nothing was withdrawn: all requests had left at once");
--- a/crates/node/tests/sockets/limits.rs
+++ b/crates/node/tests/sockets/limits.rs
@@ -53,13 +53,13 @@
         let (answered, reply) = client.read().expect("reply read").expect("connection open");
         assert_eq!(answered, seqid);
         assert!(matches!(reply, FrontReply::Rejected(_) | FrontReply::Crashed), "{timeout_ms} ms: {reply:?}");
-        let took = monotonic() - began;
-        assert!(took < 500 * MS, "{timeout_ms} ms left, answered after {took} us");
+        let elapsed = monotonic() - began;
+        assert!(elapsed < 500 * MS, "{timeout_ms} ms left, answered after {elapsed} us");
     }
     // The worker still serves as usual.
     let one = call(99, "view");
-    let asked = harness.submit(&mut client, &one);
-    assert_eq!(harness.read(&mut client, &[&asked]).map(|(_, reply)| reply), Some(served(&one)));
+    let submitted = harness.submit(&mut client, &one);
+    assert_eq!(harness.read(&mut client, &[&submitted]).map(|(_, reply)| reply), Some(served(&one)));
     harness.control.stop();
 }
 
@@ -70,14 +70,14 @@
     wait_until_served(&mut harness);
     let mut client = harness.client();
     let open = |number: u64| Call { id: format!("f{number:015x}"), ..call(0, "view") };
-    let asked: Vec<_> = (0..MAX_OPEN as u64).map(|number| send(&mut client, &open(number))).collect();
+    let submitted: Vec<_> = (0..MAX_OPEN as u64).map(|number| send(&mut client, &open(number))).collect();
     for number in 0..MAX_OPEN as u64 {
         harness.wait_for(|what| matches!(what, Observation::Accepted { event } if *event == open(number).id));
     }
     let next = Call { function: "00000000000000f0".into(), ..call(77, "view") };
     let timeout = next.timeout_ms.to_string();
     let mut bytes = BytesMut::new();
-    write::revoke(&mut bytes, MAX_OPEN as i32 + 1, asked[5]);
+    write::revoke(&mut bytes, MAX_OPEN as i32 + 1, submitted[5]);
     write::submit(&mut bytes, MAX_OPEN as i32 + 2, &fields(&next, &timeout), &next.body);
     client.stream().write_all(&bytes).expect("bytes sent");
     // Some of the open requests may be rejected meanwhile.
@@ -123,11 +123,11 @@
     let mut client = harness.client();
     for (number, timeout_ms) in [(1, 60), (2, 250), (3, 1_000), (4, 4_000)] {
         let one = Call { timeout_ms, ..call(number, "view") };
-        let asked = harness.submit(&mut client, &one);
-        harness.read(&mut client, &[&asked]).expect("a reply before the connection closes");
-        let of = format!("exec {}", one.id);
+        let submitted = harness.submit(&mut client, &one);
+        harness.read(&mut client, &[&submitted]).expect("a reply before the connection closes");
+        let prefix = format!("exec {}", one.id);
         let lines = harness.workers[0].lines();
-        for line in lines.iter().filter(|line| line.starts_with(&of)) {
+        for line in lines.iter().filter(|line| line.starts_with(&prefix)) {
             let budget =
                 line.split("budget=").nth(1).and_then(|rest| rest.split([',', ' ']).next()?.parse().ok());
             assert!(budget.is_some_and(|budget: u64| (1..=timeout_ms).contains(&budget)), "{line}");
--- a/crates/node/tests/sockets/local_connect_errors.rs
+++ b/crates/node/tests/sockets/local_connect_errors.rs
@@ -21,8 +21,8 @@
             let began = monotonic();
             let reply = harness.call(&one);
             assert!(matches!(reply, FrontReply::Served(_)), "{error:?}: {reply:?}");
-            let took = monotonic() - began;
-            assert!(took < MAX_DELAY, "{error:?}: served after {took} us");
+            let elapsed = monotonic() - began;
+            assert!(elapsed < MAX_DELAY, "{error:?}: served after {elapsed} us");
         }
         let records = harness.finish();
         let failed = records
--- a/crates/node/tests/sockets/planned_restart.rs
+++ b/crates/node/tests/sockets/planned_restart.rs
@@ -170,7 +170,7 @@
     last.clone().count() == 1 && all.iter().all(|s| s.sent <= LAST_REQUEST + SLACK)
 }
 
-/// When the scheduler was asked to stop, and when it ended.
+/// When the scheduler began to stop, and when it ended.
 fn ended(harness: &mut Harness) -> (Micros, Micros) {
     let (mut stopping, mut down) = (0, 0);
     harness.finish().iter().for_each(|record| match record.observation {
@@ -216,7 +216,7 @@
 /// When a [`FaultyScheduler`] ends its connections.
 #[derive(Clone, Copy)]
 enum EndsAt {
-    /// This long after it is asked to stop; whatever it reads later goes unanswered, however late it is itself.
+    /// This long after the signal to stop; whatever it reads later goes unanswered, however late it is itself.
     After(Micros),
     /// Once it has handled all requests of [`plans`].
     AllHandled,
@@ -271,11 +271,11 @@
         let (mut input, mut bytes) = (BytesMut::new(), [0; 4_096]);
         loop {
             while let Some(frame) = next_frame(FrameLimits { max_bytes: 1 << 20 }, &mut input).ok()? {
-                let (head, asked) = read_request(&frame).ok()?;
+                let (head, request) = read_request(&frame).ok()?;
                 if monotonic() >= counts.until.load(Ordering::SeqCst) {
                     return stream.shutdown(Shutdown::Both).ok();
                 }
-                let submit = matches!(asked, Request::Submit(_));
+                let submit = matches!(request, Request::Submit(_));
                 if !submit || answers(counts.received.fetch_add(1, Ordering::SeqCst)) {
                     let mut out = BytesMut::new();
                     write::reply(&mut out, head.method, head.seqid, &ServerReply::Answer(b"", true));
@@ -356,7 +356,7 @@
         Harness::new(Limits { deadline_ms: LONG_MS, ..Limits::default() }, 2, |_, _| vec![Act::Run]);
     let mut before = harness.client();
     let long = |number| Call { timeout_ms: LONG_MS, ..call(number, "extract") };
-    let asked: Vec<_> = (1..=8).map(|number| harness.submit(&mut before, &long(number))).collect();
+    let submitted: Vec<_> = (1..=8).map(|number| harness.submit(&mut before, &long(number))).collect();
     harness.wait_for(|what| matches!(what, Observation::Sent { .. }));
     let plan = |what, at, timeout_ms| Plan { what, opens: 0, sends: vec![(at, 0)], timeout_ms };
     let plans = [
@@ -368,8 +368,8 @@
     let plans = plans.map(|plan| (harness.client(), plan));
     let (to, term) = (harness.address, stop(&harness));
     let threads = plans.map(|(client, plan)| std::thread::spawn(move || plan.run(to, Some(client), term)));
-    let open: Vec<_> = asked.iter().collect();
-    for _ in &asked {
+    let open: Vec<_> = submitted.iter().collect();
+    for _ in &submitted {
         harness.read(&mut before, &open).expect("a reply to each request sent before the signal");
     }
     let answered = monotonic() - term;
--- a/crates/node/tests/sockets/reload.rs
+++ b/crates/node/tests/sockets/reload.rs
@@ -24,21 +24,29 @@
 /// Sends calls of both classes without reading the answers.
 fn send_wave(harness: &mut Harness, calls: &mut Calls) -> (basaltward_standins::FrontClient, Vec<Submitted>) {
     let mut client = harness.client();
-    let mut asked = Vec::new();
+    let mut submitted = Vec::new();
     for _ in 0..WAVE_SIZE {
         calls.next += 1;
         let mut one = call(calls.next, ["view", "extract"][calls.next as usize % 2]);
         one.function = format!("7f3a9c21e0b4{:04x}", calls.next % FUNCTIONS);
-        asked.push(harness.submit(&mut client, &one));
+        submitted.push(harness.submit(&mut client, &one));
     }
-    (client, asked)
+    (client, submitted)
 }
 
 /// Reads the answers to [`send_wave`], all of which must be served.
-fn expect_served(harness: &Harness, (mut client, asked): (basaltward_standins::FrontClient, Vec<Submitted>)) {
-    let replies = read_all(harness, &mut client, &asked);
+fn expect_served(
+    harness: &Harness,
+    (mut client, submitted): (basaltward_standins::FrontClient, Vec<Submitted>),
+) {
+    let replies = read_all(harness, &mut client, &submitted);
     let bad: Vec<_> = replies.iter().filter(|(_, reply)| !matches!(reply, FrontReply::Served(_))).collect();
-    assert!(replies.len() == asked.len() && bad.is_empty(), "{} of {}, {bad:?}", replies.len(), asked.len());
+    assert!(
+        replies.len() == submitted.len() && bad.is_empty(),
+        "{} of {}, {bad:?}",
+        replies.len(),
+        submitted.len()
+    );
 }
 
 /// Which bulletin announces the drain, and when.
--- a/crates/node/tests/sockets/shutdown.rs
+++ b/crates/node/tests/sockets/shutdown.rs
@@ -19,7 +19,7 @@
     std::thread::sleep(Duration::from_micros(at.saturating_sub(monotonic())));
 }
 
-/// When the scheduler was asked to stop, and when it ended.
+/// When the scheduler began to stop, and when it ended.
 fn ended(harness: &mut Harness) -> (Micros, Micros) {
     let (mut stopping, mut down) = (Vec::new(), 0);
     harness.finish().iter().for_each(|record| match record.observation {
@@ -35,7 +35,7 @@
 fn partially_written_answers_reach_a_slow_reader_complete() {
     let mut harness = Harness::new(Limits::default(), 1, |_, exec| exec.serve());
     let mut client = harness.client();
-    let asked = fill_output(&mut harness, &mut client);
+    let submitted = fill_output(&mut harness, &mut client);
     let term = monotonic();
     harness.control.stop();
     // The client reads again after the scheduler has closed all idle connections, and before it ends.
@@ -46,7 +46,7 @@
         read += 1;
     }
     let (stopping, down) = ended(&mut harness);
-    assert_eq!(read, asked);
+    assert_eq!(read, submitted);
     assert!(down - stopping < ACCEPT_PERIOD + READ_PERIOD + LATE, "{}", down - stopping);
 }
 
@@ -58,10 +58,10 @@
     harness.control.stop();
     let (stopping, down) = ended(&mut harness);
     // The scheduler waits for its answers to be read, up to the bound and no longer.
-    let took = down - stopping;
+    let elapsed = down - stopping;
     assert!(
-        (ACCEPT_PERIOD + READ_PERIOD - 100 * MS..ACCEPT_PERIOD + READ_PERIOD + LATE).contains(&took),
-        "{took}"
+        (ACCEPT_PERIOD + READ_PERIOD - 100 * MS..ACCEPT_PERIOD + READ_PERIOD + LATE).contains(&elapsed),
+        "{elapsed}"
     );
 }
 
@@ -75,22 +75,22 @@
     let mut harness = Harness::new(Limits::default(), 1, slow);
     let (mut first, mut second) = (harness.client(), harness.client());
     let one = call(1, "extract");
-    let asked = harness.submit(&mut first, &one);
+    let submitted = harness.submit(&mut first, &one);
     std::fs::write(&harness.config, "{").expect("configuration written");
     let term = monotonic();
     harness.control.reload();
     harness.control.stop();
-    assert!(matches!(harness.read(&mut first, &[&asked]), Some((_, FrontReply::Served(_)))));
+    assert!(matches!(harness.read(&mut first, &[&submitted]), Some((_, FrontReply::Served(_)))));
     sleep_until(term + 500 * MS);
     harness.control.stop();
     harness.control.reload();
     let one = call(2, "extract");
-    let asked = harness.submit(&mut second, &one);
+    let submitted = harness.submit(&mut second, &one);
     // A rejection counts as an answer.
-    assert!(harness.read(&mut second, &[&asked]).is_some());
+    assert!(harness.read(&mut second, &[&submitted]).is_some());
     let (stopping, down) = ended(&mut harness);
-    let took = down - stopping;
-    assert!((ACCEPT_PERIOD..ACCEPT_PERIOD + 300 * MS + LATE).contains(&took), "{took}");
+    let elapsed = down - stopping;
+    assert!((ACCEPT_PERIOD..ACCEPT_PERIOD + 300 * MS + LATE).contains(&elapsed), "{elapsed}");
 }
 
 /// The earliest SIGKILL after SIGTERM, where the longest deadline is 3 s or more.
@@ -103,11 +103,11 @@
     let (to, began) = (harness.address, Instant::now());
     let keep_connecting = move |number: u64| {
         for next in 0.. {
-            let asked = FrontClient::connect(to, TEST_TIMEOUT).and_then(|mut client| {
+            let submitted = FrontClient::connect(to, TEST_TIMEOUT).and_then(|mut client| {
                 send(&mut client, &call(number << 32 | next, "view"));
                 client.read()
             });
-            if asked.is_err() || began.elapsed() > TEST_TIMEOUT {
+            if submitted.is_err() || began.elapsed() > TEST_TIMEOUT {
                 return;
             }
         }
@@ -115,7 +115,7 @@
     let clients: Vec<_> = (1..=4).map(|number| std::thread::spawn(move || keep_connecting(number))).collect();
     let stopped = Instant::now();
     harness.finish();
-    let took = stopped.elapsed();
-    assert!(took < KILL + Duration::from_millis(500), "the scheduler ended after {took:?}");
+    let elapsed = stopped.elapsed();
+    assert!(elapsed < KILL + Duration::from_millis(500), "the scheduler ended after {elapsed:?}");
     clients.into_iter().for_each(|client| client.join().expect("client thread ended"));
 }
--- a/crates/node/tests/sockets/slow_workers.rs
+++ b/crates/node/tests/sockets/slow_workers.rs
@@ -35,10 +35,10 @@
                 ..call(number, if number % 5 == 4 { "extract" } else { "view" })
             })
             .collect();
-        let asked: Vec<_> = calls.iter().map(|c| harness.submit(&mut client, c)).collect();
-        let replies = read_all(harness, &mut client, &asked);
-        for (call, asked) in calls.iter().zip(&asked) {
-            unserved += usize::from(call.class == "view" && replies[&asked.seqid] != served(call));
+        let submitted: Vec<_> = calls.iter().map(|c| harness.submit(&mut client, c)).collect();
+        let replies = read_all(harness, &mut client, &submitted);
+        for (call, submitted) in calls.iter().zip(&submitted) {
+            unserved += usize::from(call.class == "view" && replies[&submitted.seqid] != served(call));
         }
     }
     let arrived = execs(&harness.workers[0]).len() - before;
@@ -145,10 +145,10 @@
     let mut harness = Harness::new(Limits::default(), 1, script);
     let mut client = harness.client();
     let (first, attempt_ports) = (call(7, "view"), Arc::new(Mutex::new(Vec::new())));
-    let asked = harness.submit(&mut client, &first);
-    assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&first))));
+    let submitted = harness.submit(&mut client, &first);
+    assert_eq!(harness.read(&mut client, &[&submitted]), Some((submitted.seqid, served(&first))));
     let second = Call { body: b"another body".to_vec(), ..first.clone() };
-    let asked = harness.submit(&mut client, &second);
+    let submitted = harness.submit(&mut client, &second);
     let sent = |record: &Record| matches!(&record.observation, Observation::Sent { event, .. } if *event == first.id);
     let twice = harness.recorder.wait_until(TEST_TIMEOUT, |all| {
         *attempt_ports.lock().expect("lock not poisoned") = ports(all);
@@ -162,15 +162,18 @@
     harness.workers[0].say(port, &again).expect("connection open");
     std::thread::sleep(Duration::from_millis(5));
     go.send(()).expect("receiver alive");
-    assert_eq!(harness.read(&mut client, &[&asked]), Some((asked.seqid, served(&second))));
+    assert_eq!(harness.read(&mut client, &[&submitted]), Some((submitted.seqid, served(&second))));
     // The connection that carried the duplicate stays in use where several are needed at once.
     let until = Instant::now() + TEST_TIMEOUT;
     let used = |all: &[Record]| ports(all)[2..].contains(&port);
     for round in 2.. {
         let calls: Vec<_> = (0..4).map(|n| call(round * 10 + n, "view")).collect();
-        let asked: Vec<_> = calls.iter().map(|c| harness.submit(&mut client, c)).collect();
-        let replies = read_all(&harness, &mut client, &asked);
-        calls.iter().zip(&asked).for_each(|(call, asked)| assert_eq!(replies[&asked.seqid], served(call)));
+        let submitted: Vec<_> = calls.iter().map(|c| harness.submit(&mut client, c)).collect();
+        let replies = read_all(&harness, &mut client, &submitted);
+        calls
+            .iter()
+            .zip(&submitted)
+            .for_each(|(call, submitted)| assert_eq!(replies[&submitted.seqid], served(call)));
         if harness.recorder.wait_until(Duration::ZERO, used) {
             break;
         }
--- a/crates/node/tests/sockets/unread_requests.rs
+++ b/crates/node/tests/sockets/unread_requests.rs
@@ -33,17 +33,17 @@
     let mut client = harness.client();
     let timeout_ms = if method == "deadline" { 800 } else { 8_000 };
     let one = Call { timeout_ms, body: vec![7; BODY_SIZE], ..call(7 << 40, "extract") };
-    let asked = harness.submit(&mut client, &one);
+    let submitted = harness.submit(&mut client, &one);
     harness.wait_for(|what| matches!(what, Observation::Sent { event, .. } if *event == one.id));
     // A connection counts as suspect once it has been silent for the connect timeout.
     std::thread::sleep(Duration::from_millis(300));
     let left = match method {
         "deadline" => harness
-            .read(&mut client, &[&asked])
+            .read(&mut client, &[&submitted])
             .map(|_| monotonic())
             .expect("a reply before the connection closes"),
         method => {
-            drop(abandon(client, &[asked.seqid], method));
+            drop(abandon(client, &[submitted.seqid], method));
             monotonic()
         }
     };
--- a/crates/node/tests/sockets/unsent_requests.rs
+++ b/crates/node/tests/sockets/unsent_requests.rs
@@ -107,9 +107,9 @@
     for number in 0..CALLS {
         let at = number as usize % 2;
         let call = Call { timeout_ms: timeout_ms[at], ..large_call(number, "extract") };
-        let asked = harness.submit(&mut clients[at], &call);
+        let submitted = harness.submit(&mut clients[at], &call);
         harness.wait_for(|what| matches!(what, Observation::Accepted { event } if *event == call.id));
-        all.push((at, call, asked));
+        all.push((at, call, submitted));
     }
     wait_until_processed(harness);
     assert!(sent(harness).len() < CALLS as usize, "the connection never filled up");
@@ -133,11 +133,11 @@
 
 /// The commands that the worker received for this request: `exec`, then `drop`.
 fn commands_for(harness: &Harness, id: &str) -> Vec<String> {
-    let of = |line: &String| line.split(' ').nth(1) == Some(id);
+    let for_request = |line: &String| line.split(' ').nth(1) == Some(id);
     harness.workers[0]
         .lines()
         .into_iter()
-        .filter(of)
+        .filter(for_request)
         .map(|l| l.split(' ').next().unwrap_or("").to_owned())
         .collect()
 }
@@ -156,12 +156,13 @@
 fn read_each(
     harness: &Harness,
     client: &mut FrontClient,
-    of: &[&(usize, Call, Submitted)],
+    calls: &[&(usize, Call, Submitted)],
 ) -> BTreeMap<String, FrontReply> {
-    let open: Vec<_> = of.iter().map(|(_, _, asked)| asked).collect();
-    let read = of.iter().map(|_| harness.read(client, &open).expect("a reply before the connection closes"));
+    let open: Vec<_> = calls.iter().map(|(_, _, submitted)| submitted).collect();
+    let read =
+        calls.iter().map(|_| harness.read(client, &open).expect("a reply before the connection closes"));
     let replies: BTreeMap<_, _> = read.collect();
-    of.iter().map(|(_, call, asked)| (call.id.clone(), replies[&asked.seqid].clone())).collect()
+    calls.iter().map(|(_, call, submitted)| (call.id.clone(), replies[&submitted.seqid].clone())).collect()
 }
 
 /// Calls of two clients fill the only connection; then `leave` abandons those of the first. The worker does not read:
@@ -225,8 +226,8 @@
 }
 
 fn record_leaving(harness: &Harness, calls: &[&(usize, Call, Submitted)]) {
-    for (_, _, asked) in calls {
-        harness.recorder.put(monotonic(), "client", Observation::ClientLeft { request_id: asked.try_no });
+    for (_, _, submitted) in calls {
+        harness.recorder.put(monotonic(), "client", Observation::ClientLeft { request_id: submitted.try_no });
     }
 }
 
@@ -243,7 +244,7 @@
 fn unsent_requests_are_withdrawn_on_revoke() {
     abandon_unsent(8_000, |harness, mut client, calls| {
         record_leaving(harness, calls);
-        calls.iter().for_each(|(_, _, asked)| client.revoke(asked.seqid).expect("bytes sent"));
+        calls.iter().for_each(|(_, _, submitted)| client.revoke(submitted.seqid).expect("bytes sent"));
         Some(client)
     });
 }
@@ -275,9 +276,9 @@
         ended(&harness).into_iter().filter(|(_, code)| code == "Moot").map(|(id, _)| id).collect();
     go.send(()).expect("receiver alive");
     for (at, client) in clients.iter_mut().enumerate() {
-        let of: Vec<_> = all.iter().filter(|(a, ..)| *a == at).collect();
-        let replies = read_each(&harness, client, &of);
-        of.iter().for_each(|(_, call, _)| assert!(replies[&call.id] == served(call), "{}", call.id));
+        let sent: Vec<_> = all.iter().filter(|(a, ..)| *a == at).collect();
+        let replies = read_each(&harness, client, &sent);
+        sent.iter().for_each(|(_, call, _)| assert!(replies[&call.id] == served(call), "{}", call.id));
     }
     for (_, call, _) in &all {
         let not_withdrawn = given.contains(&call.id) && !moot.contains(&call.id);
@@ -319,16 +320,16 @@
     let mut client = harness.client();
     // More than is given to a connection at a time, and less than a socket holds.
     let calls: Vec<_> = (0..16).map(|number| large_call(number, "extract")).collect();
-    let asked: Vec<_> = calls.iter().map(|call| harness.submit(&mut client, call)).collect();
+    let submitted: Vec<_> = calls.iter().map(|call| harness.submit(&mut client, call)).collect();
     for call in &calls {
         harness.wait_for(|what| matches!(what, Observation::Accepted { event } if *event == call.id));
     }
     wait_until_processed(&harness);
     assert!(sent(&harness).len() == 8, "the connection was established already");
     harness.workers[0].unplug();
-    let replies = read_all(&harness, &mut client, &asked);
-    for (call, asked) in calls.iter().zip(&asked) {
-        assert!(replies[&asked.seqid] == served(call), "{}: {:.80?}", call.id, replies[&asked.seqid]);
+    let replies = read_all(&harness, &mut client, &submitted);
+    for (call, submitted) in calls.iter().zip(&submitted) {
+        assert!(replies[&submitted.seqid] == served(call), "{}: {:.80?}", call.id, replies[&submitted.seqid]);
     }
     assert_eq!(harness.check_rules(), []);
 }
@@ -348,11 +349,12 @@
     go.send(()).expect("receiver alive");
     let mut replies = BTreeMap::new();
     for (at, client) in clients.iter_mut().enumerate() {
-        let of: Vec<_> = all.iter().filter(|(a, ..)| *a == at).collect();
-        replies.extend(read_each(&harness, client, &of));
+        let sent: Vec<_> = all.iter().filter(|(a, ..)| *a == at).collect();
+        replies.extend(read_each(&harness, client, &sent));
     }
-    let served_of = |(_, call, _): &&(usize, Call, Submitted)| replies[&call.id] == served(call);
-    let failed: Vec<_> = all.iter().filter(|of| !served_of(of)).map(|(_, call, _)| call.id.clone()).collect();
+    let is_served = |(_, call, _): &&(usize, Call, Submitted)| replies[&call.id] == served(call);
+    let failed: Vec<_> =
+        all.iter().filter(|call| !is_served(call)).map(|(_, call, _)| call.id.clone()).collect();
     assert!(failed.iter().all(|id| replies[id] == FrontReply::Crashed), "{failed:?} {:?}", ended(&harness));
     // The failed calls are those sent first, without the four or more that the output still held.
     let large: Vec<_> =
--- a/crates/node/tests/sockets/watch.rs
+++ b/crates/node/tests/sockets/watch.rs
@@ -27,15 +27,18 @@
 }
 
 fn wait_for_state(harness: &Harness, uid: &str, expected: &str) {
-    harness
-.wait_for(
-|what| matches!(what, Observation::WorkerState { worker, state } if worker == uid && state == expected),
-);
+    harness.wait_for(|what| {
+        matches!(what, Observation::WorkerState { worker, state }
+            if worker == uid && state == expected)
+    });
 }
 
 /// How often a worker's state was reported.
 fn count(records: &[Record], uid: &str, expected: &str) -> usize {
-    let reported = |r: &&Record| matches!(&r.observation, Observation::WorkerState { worker, state } if worker == uid && state == expected);
+    let reported = |r: &&Record| {
+        matches!(&r.observation, Observation::WorkerState { worker, state }
+            if worker == uid && state == expected)
+    };
     records.iter().filter(reported).count()
 }
 
@@ -61,8 +64,8 @@
         for number in 0..20 {
             expect_call_served(&mut harness, number);
         }
-        let asked = harness.board.asked();
-        assert_eq!(asked.iter().filter(|a| **a != "after 1" && **a != "after 2").count(), 0, "{asked:?}");
+        let queries = harness.board.asked();
+        assert_eq!(queries.iter().filter(|a| **a != "after 1" && **a != "after 2").count(), 0, "{queries:?}");
         let records = harness.finish();
         assert_eq!((count(&records, "s-0", "leaving"), count(&records, "s-9", "gone")), (1, 1));
         assert_eq!(check(&records, &rule_settings()), []);
@@ -185,7 +188,7 @@
         let at = harness.workers[0].address();
         wait_until("the bulletin is queried", || harness.board.standing() == 1);
         let mut client = harness.client();
-        let asked = harness.submit(&mut client, &call(1, "extract"));
+        let submitted = harness.submit(&mut client, &call(1, "extract"));
         harness.wait_for(|what| matches!(what, Observation::Arrived { .. }));
         let (gone, ready) = (bulletin_entry("s-0", at, "Gone"), bulletin_entry("s-9", at, "Ready"));
         match variant {
@@ -196,7 +199,7 @@
         }
         wait_for_state(&harness, "s-9", "active");
         wait_for_state(&harness, "s-0", "gone");
-        let reply = harness.read(&mut client, &[&asked]).expect("a reply before the connection closes").1;
+        let reply = harness.read(&mut client, &[&submitted]).expect("a reply before the connection closes").1;
         assert!(matches!(reply, FrontReply::Served(_)), "{variant}: {reply:?}");
         for number in 2..12 {
             expect_call_served(&mut harness, number);
