--- a/crates/peers/src/config.rs
+++ b/crates/peers/src/config.rs
@@ -69,30 +69,30 @@
     pub(crate) fn membership_settings(&self, start_ms: u64) -> Result<MembershipSettings, PeerError> {
         let size =
             MemberId::try_from(self.peers.len()).map_err(|_| PeerError::TooManyPeers(self.peers.len()))?;
-        let usual = MembershipSettings::new(size, self.own, start_ms, self.seed);
+        let defaults = MembershipSettings::new(size, self.own, start_ms, self.seed);
         // A period covers a direct probe with its answer, then an indirect one through other members.
-        let period = usual.period.max(self.round_trip * 3);
+        let period = defaults.period.max(self.round_trip * 3);
         let settings = MembershipSettings {
             fleet: (self.fleet_hash() >> 16) as u16,
             round_trip: self.round_trip,
             period,
-            bytes_per_s: usual.bytes_per_s.max(self.bytes_per_s),
-            ..usual
+            bytes_per_s: defaults.bytes_per_s.max(self.bytes_per_s),
+            ..defaults
         };
         settings.check()?;
         Ok(settings)
     }
 
-    /// Settings of the permits, if this process takes part in them. `life` identifies the run of this process.
+    /// Settings of the permits, if this process takes part in them. `incarnation` identifies the run of this process.
     pub(crate) fn permit_settings(
         &self,
         membership: &MembershipSettings,
-        life: u32,
+        incarnation: u32,
     ) -> Option<PermitSettings> {
-        let usual = PermitSettings::new(membership.size, membership.own, life, membership.seed);
+        let defaults = PermitSettings::new(membership.size, membership.own, incarnation, membership.seed);
         let settle = membership.settling_time();
-        let times = basaltward_permits::Times { learning: usual.times.silence + settle, ..usual.times };
-        Some(PermitSettings { fleet: membership.fleet, bounds: self.bounds?, settle, times, ..usual })
+        let times = basaltward_permits::Times { learning: defaults.times.silence + settle, ..defaults.times };
+        Some(PermitSettings { fleet: membership.fleet, bounds: self.bounds?, settle, times, ..defaults })
     }
 }
 
--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -86,9 +86,9 @@
         config: &PeerConfig,
         now: Micros,
     ) -> Result<Option<Self>, PeerError> {
-        let life = [membership.start, membership.seed, u64::from(std::process::id()), now];
-        let life = life.map(u64::to_le_bytes).concat();
-        let Some(settings) = config.permit_settings(membership, crc32fast::hash(&life)) else {
+        let run = [membership.start, membership.seed, u64::from(std::process::id()), now];
+        let run = run.map(u64::to_le_bytes).concat();
+        let Some(settings) = config.permit_settings(membership, crc32fast::hash(&run)) else {
             return Ok(None);
         };
         let node = PermitNode::new(settings, now)?;
@@ -281,7 +281,7 @@
         let observer =
             MembershipObserver { membership, zones: &self.peer_zones, workers: &workers, wall_ms: 0 };
         let all = self.node.out_of_service(now, &observer);
-        let of_workers = all.iter().filter(|of| matches!(of, Subject::Worker(_))).count();
+        let of_workers = all.iter().filter(|subject| matches!(subject, Subject::Worker(_))).count();
         let state = self.node.known();
         PermitStatus {
             own: membership.own(),
--- a/crates/permits/src/bounds.rs
+++ b/crates/permits/src/bounds.rs
@@ -174,13 +174,13 @@
     };
     for (group, most) in [(Group::Fleet, of_fleet), (Group::Zone(seen.zone), of_zone)] {
         // A subject with a permit that left the list has no known zone and counts in the whole fleet only.
-        let within = |of: &Subject| {
-            let zone = observations.get(of).map(|seen| seen.zone);
-            kind(*of) == kind(subject) && (group == Group::Fleet || zone == Some(seen.zone))
+        let in_group = |other: &Subject| {
+            let zone = observations.get(other).map(|seen| seen.zone);
+            kind(*other) == kind(subject) && (group == Group::Fleet || zone == Some(seen.zone))
         };
         let (count, most) = (
-            out.iter().filter(|of| within(of)).count(),
-            most.to_count(observations.keys().filter(|of| within(of)).count()),
+            out.iter().filter(|other| in_group(other)).count(),
+            most.to_count(observations.keys().filter(|other| in_group(other)).count()),
         );
         if count > most {
             return Err(Denied::Bound { of: group, out: count as u16, most: most as u16 });
--- a/crates/permits/src/bounds/tests.rs
+++ b/crates/permits/src/bounds/tests.rs
@@ -23,8 +23,8 @@
 fn every_subject_out_of_service_counts_whatever_the_cause() {
     let bounds = Bounds { workers: Limit::Number(3), workers_of_zone: Limit::Number(2), ..Bounds::default() };
     let mut state = PermitState::default();
-    let request = |state: &PermitState, used: &[bool], of| {
-        grant_permit(state, &observations(used), &bounds, Subject::Worker(of))
+    let request = |state: &PermitState, used: &[bool], worker| {
+        grant_permit(state, &observations(used), &bounds, Subject::Worker(worker))
     };
     let all = [true; 10];
     let permit = request(&state, &all, 0).expect("nothing is out");
@@ -63,8 +63,8 @@
 fn no_more_permits_are_granted_than_a_datagram_holds() {
     let mut state = PermitState::default();
     let permit =
-        |of: u32| Permit { subject: Subject::Worker(of), number: 1, incarnation: 0, returned: false };
-    assert!((0..MAX_PERMITS as u32).all(|of| state.add(permit(of))));
+        |worker: u32| Permit { subject: Subject::Worker(worker), number: 1, incarnation: 0, returned: false };
+    assert!((0..MAX_PERMITS as u32).all(|worker| state.add(permit(worker))));
     assert!(!state.add(permit(99)) && state.add(permit(3)));
     let bounds =
         Bounds { workers: Limit::Percent(100), workers_of_zone: Limit::Percent(100), ..Bounds::default() };
--- a/crates/permits/src/node.rs
+++ b/crates/permits/src/node.rs
@@ -380,11 +380,11 @@
         }
     }
 
-    /// The leader as far as this node knows.
+    /// The leader as seen by this node.
     pub fn leader(&self) -> Option<MemberId> {
-        let ours = self.register.as_ref().filter(|register| register.is_elected()).map(|_| self.settings.own);
+        let own = self.register.as_ref().filter(|register| register.is_elected()).map(|_| self.settings.own);
         let seen = self.voter.as_ref().map(Voter::promised).filter(|epoch| *epoch > Epoch::default());
-        ours.or(seen.max(self.known.as_ref().map(|known| known.epoch)).map(|epoch| epoch.by))
+        own.or(seen.max(self.known.as_ref().map(|known| known.epoch)).map(|epoch| epoch.by))
     }
 
     fn random_members(&mut self, count: usize, observer: &impl FleetObserver) -> Vec<MemberId> {
@@ -456,12 +456,12 @@
                 }
                 self.adopt_halt(halt, out);
             }
-            Body::Position(theirs, halt) => {
+            Body::Position(remote, halt) => {
                 self.adopt_halt(halt, out);
-                let ours = self.known.as_ref().map(Stored::position);
-                if ours > theirs || self.halt > halt {
+                let local = self.known.as_ref().map(Stored::position);
+                if local > remote || self.halt > halt {
                     self.send(from, Body::State(self.known.clone(), self.halt), out);
-                } else if theirs > ours {
+                } else if remote > local {
                     self.send(from, Body::StateQuery, out);
                 }
             }
--- a/crates/permits/src/observer.rs
+++ b/crates/permits/src/observer.rs
@@ -23,26 +23,26 @@
 
 impl FleetObserver for MembershipObserver<'_> {
     fn observations(&self, now: Micros) -> Observations {
-        let running_version = |of: usize| {
+        let running_version = |member: usize| {
             let counters = self
                 .membership
-                .fact_of_current_life(now, of as MemberId, VERSION_KEY)
+                .fact_of_current_life(now, member as MemberId, VERSION_KEY)
                 .and_then(decode_counters)?;
             counters.first().and_then(|version| u32::try_from(*version).ok())
         };
-        let observe = |(of, entry): (usize, &Member)| {
+        let observe = |(member, entry): (usize, &Member)| {
             // A suspected member is not known to be in use.
             let in_use_for = (entry.state == MemberState::Up).then(|| now.saturating_sub(entry.state_since));
             let incarnation = (entry.incarnation.start / 1_000) as u16;
-            let zone = self.zones.get(of).copied().unwrap_or(0);
+            let zone = self.zones.get(member).copied().unwrap_or(0);
             (
-                Subject::Scheduler(of as MemberId),
+                Subject::Scheduler(member as MemberId),
                 Observation {
                     zone,
                     incarnation,
                     in_use_for,
                     holds_last_copy: false,
-                    running_version: running_version(of),
+                    running_version: running_version(member),
                 },
             )
         };
@@ -54,8 +54,8 @@
 
     fn live(&self) -> Vec<MemberId> {
         let own = self.membership.own();
-        let live = |(of, entry): (usize, &Member)| {
-            (entry.state.is_live() && of != usize::from(own)).then_some(of as MemberId)
+        let live = |(member, entry): (usize, &Member)| {
+            (entry.state.is_live() && member != usize::from(own)).then_some(member as MemberId)
         };
         self.membership.members().iter().enumerate().filter_map(live).collect()
     }
@@ -69,10 +69,10 @@
 /// was live for the settling time, a gateway once it was not live for that time. A gateway of a lost site is not out of
 /// use on its own.
 pub fn observe_sites(membership: &Membership, places: &SiteMap, settle: Micros, now: Micros) -> Observations {
-    let in_use_for = |of: MemberId| {
-        let entry = &membership.members()[usize::from(of)];
+    let in_use_for = |member: MemberId| {
+        let entry = &membership.members()[usize::from(member)];
         let since = now.saturating_sub(entry.state_since);
-        match entry.state.is_live() || of == membership.own() {
+        match entry.state.is_live() || member == membership.own() {
             true => Some(if entry.state == MemberState::Up { since } else { 0 }),
             false => (since < settle).then_some(0),
         }
@@ -84,17 +84,20 @@
         holds_last_copy: false,
         running_version: None,
     };
-    let incarnation = |of: MemberId| (membership.members()[usize::from(of)].incarnation.start / 1_000) as u16;
+    let incarnation =
+        |member: MemberId| (membership.members()[usize::from(member)].incarnation.start / 1_000) as u16;
     let mut observations = Observations::new();
     for site in places.sites() {
-        let members: Vec<MemberId> =
-            places.members_at(site).filter(|of| usize::from(*of) < membership.members().len()).collect();
-        let site_in_use = members.iter().filter_map(|of| in_use_for(*of)).max();
+        let members: Vec<MemberId> = places
+            .members_at(site)
+            .filter(|member| usize::from(*member) < membership.members().len())
+            .collect();
+        let site_in_use = members.iter().filter_map(|member| in_use_for(*member)).max();
         observations.insert(Subject::Site(site), observation(site_in_use, 0));
-        for of in members {
+        for member in members {
             // The one permit for a lost site covers all its gateways.
-            let used = if site_in_use.is_none() { Some(0) } else { in_use_for(of) };
-            observations.insert(Subject::Gateway(of), observation(used, incarnation(of)));
+            let used = if site_in_use.is_none() { Some(0) } else { in_use_for(member) };
+            observations.insert(Subject::Gateway(member), observation(used, incarnation(member)));
         }
     }
     observations
--- a/crates/permits/src/operator.rs
+++ b/crates/permits/src/operator.rs
@@ -31,12 +31,12 @@
     pub command: OperatorCommand,
 }
 
-/// The state of permits as one member knows it.
+/// The state of permits as seen by one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitStatus {
     /// The member that responds.
     pub own: MemberId,
-    /// The leader as far as it knows.
+    /// The leader as seen by that member.
     #[serde(rename = "foreman")]
     pub leader: Option<MemberId>,
     /// The position of the latest committed state that it knows.
--- a/crates/permits/src/operator/tests.rs
+++ b/crates/permits/src/operator/tests.rs
@@ -6,8 +6,12 @@
 
 #[test]
 fn the_largest_status_fits_into_a_datagram_and_round_trips() {
-    let permit =
-        |of| Permit { subject: Subject::Worker(of), number: u16::MAX, incarnation: u16::MAX, returned: true };
+    let permit = |worker| Permit {
+        subject: Subject::Worker(worker),
+        number: u16::MAX,
+        incarnation: u16::MAX,
+        returned: true,
+    };
     let status = PermitStatus {
         own: u16::MAX,
         leader: Some(u16::MAX),
@@ -16,7 +20,7 @@
         out: (u16::MAX, u16::MAX),
         unclear: u16::MAX,
         plan: Some((Plan { number: u16::MAX, to: u32::MAX, from: u32::MAX, rollback: true }, u16::MAX)),
-        permits: (0..MAX_PERMITS as u32).map(|of| permit(u32::MAX - of)).collect(),
+        permits: (0..MAX_PERMITS as u32).map(|worker| permit(u32::MAX - worker)).collect(),
     };
     let response = OperatorResponse { tag: u32::MAX, reply: OperatorReply::Status(status) };
     let bytes = response.write();
--- a/crates/permits/src/plan.rs
+++ b/crates/permits/src/plan.rs
@@ -8,7 +8,7 @@
 
 fn schedulers(observations: &Observations) -> impl Iterator<Item = (MemberId, &Observation)> {
     observations.iter().filter_map(|(subject, seen)| match subject {
-        Subject::Scheduler(of) => Some((*of, seen)),
+        Subject::Scheduler(member) => Some((*member, seen)),
         _ => None,
     })
 }
@@ -33,21 +33,21 @@
     if schedulers(observations).all(|(_, seen)| seen.running_version == Some(plan.to)) {
         return Err(Denied::Over);
     }
-    let permitted = |of: MemberId| state.permit(Subject::Scheduler(of)).is_some();
-    let out = schedulers(observations).filter(|(of, _)| permitted(*of)).count();
+    let permitted = |member: MemberId| state.permit(Subject::Scheduler(member)).is_some();
+    let out = schedulers(observations).filter(|(member, _)| permitted(*member)).count();
     if out > done {
         return Err(Denied::Waits);
     }
-    let remaining = schedulers(observations).filter(|(of, seen)| {
+    let remaining = schedulers(observations).filter(|(member, seen)| {
         seen.in_use_for.is_some()
             && seen.running_version.is_some_and(|version| version != plan.to)
-            && !permitted(*of)
+            && !permitted(*member)
     });
-    let order = |(of, seen): &(MemberId, &Observation)| {
+    let order = |(member, seen): &(MemberId, &Observation)| {
         let newest_first = if plan.rollback { seen.in_use_for.unwrap_or_default() } else { 0 };
-        (*of == leader, newest_first, *of)
+        (*member == leader, newest_first, *member)
     };
-    remaining.min_by_key(order).map(|(of, _)| Subject::Scheduler(of)).ok_or(Denied::Waits)
+    remaining.min_by_key(order).map(|(member, _)| Subject::Scheduler(member)).ok_or(Denied::Waits)
 }
 
 #[cfg(test)]
--- a/crates/permits/src/request_table.rs
+++ b/crates/permits/src/request_table.rs
@@ -56,7 +56,7 @@
     /// The reply to a request that was received before: `Some(None)` while it waits, none for a new request.
     pub fn reply_to_repeated(&self, request_id: RequestId) -> Option<Option<PermitResult>> {
         let waits = self.waiting.iter().any(|waiting| waiting.request_id == request_id).then_some(None);
-        waits.or_else(|| self.replies.iter().find(|(of, _)| *of == request_id).map(|(_, reply)| Some(*reply)))
+        waits.or_else(|| self.replies.iter().find(|(id, _)| *id == request_id).map(|(_, reply)| Some(*reply)))
     }
 
     /// Remembers a reply for repetitions of its request.
--- a/crates/permits/src/virtual_fleet.rs
+++ b/crates/permits/src/virtual_fleet.rs
@@ -196,17 +196,18 @@
     }
 
     /// Starts a scheduler as a new incarnation without any state.
-    pub fn start(&mut self, of: MemberId) {
-        self.start_with_version(of, 0);
+    pub fn start(&mut self, member: MemberId) {
+        self.start_with_version(member, 0);
     }
 
     /// Like [`VirtualFleet::start`], with the hash of the version that the scheduler runs.
-    pub fn start_with_version(&mut self, of: MemberId, version: u32) {
-        let (size, now) = (self.net.node_ids().end, self.net.clock(of));
+    pub fn start_with_version(&mut self, member: MemberId, version: u32) {
+        let (size, now) = (self.net.node_ids().end, self.net.clock(member));
         let wall = EPOCH_MS + self.net.now / 1_000;
         let incarnation = self.net.random_below(u64::from(u32::MAX)) as u32;
-        let settings = PermitSettings { own: of, incarnation, ..self.settings.clone() };
-        let membership = Membership::new(MembershipSettings::new(size, of, wall, self.settings.seed), now);
+        let settings = PermitSettings { own: member, incarnation, ..self.settings.clone() };
+        let membership =
+            Membership::new(MembershipSettings::new(size, member, wall, self.settings.seed), now);
         let (Ok(membership), Ok(mut node)) = (membership, PermitNode::new(settings, now)) else { return };
         self.fault.into_iter().for_each(|fault| node.inject(fault, now));
         let wall_ms = wall - now / 1_000;
@@ -214,19 +215,19 @@
             membership,
             node,
             workers: self.workers.clone(),
-            places: SiteMap::new(self.sites.clone(), of).map(|places| (places, self.settings.settle)),
+            places: SiteMap::new(self.sites.clone(), member).map(|places| (places, self.settings.settle)),
             wall_ms,
             bytes: 0,
             version,
             next_version_report: now,
         };
-        self.net.insert(of, scheduler);
+        self.net.insert(member, scheduler);
     }
 
     /// Replaces the observations of workers at all schedulers, also at those started later.
     pub fn set_workers(&mut self, workers: Observations) {
-        for of in self.net.node_ids() {
-            self.net.node_mut(of).into_iter().for_each(|one| one.workers.clone_from(&workers));
+        for member in self.net.node_ids() {
+            self.net.node_mut(member).into_iter().for_each(|one| one.workers.clone_from(&workers));
         }
         self.workers = workers;
     }
@@ -245,7 +246,7 @@
 
     /// Bytes of permit datagrams that the running schedulers have sent; datagrams of the membership are not included.
     pub fn permit_bytes_sent(&self) -> u64 {
-        self.net.node_ids().filter_map(|of| self.net.node(of)).map(|one| one.bytes).sum()
+        self.net.node_ids().filter_map(|member| self.net.node(member)).map(|one| one.bytes).sum()
     }
 
     /// Runs until this time and collects the replies received.
@@ -263,12 +264,12 @@
 
     /// The schedulers that consider themselves leader.
     pub fn leaders(&self) -> Vec<MemberId> {
-        let is_leader = |of: &MemberId| self.net.node(*of).is_some_and(|one| one.node.is_leader());
+        let is_leader = |member: &MemberId| self.net.node(*member).is_some_and(|one| one.node.is_leader());
         self.net.node_ids().filter(is_leader).collect()
     }
 
     /// Whether a subject is a scheduler that does not run.
     pub fn is_down(&self, subject: Subject) -> bool {
-        matches!(subject, Subject::Scheduler(of) if self.net.node(of).is_none())
+        matches!(subject, Subject::Scheduler(member) if self.net.node(member).is_none())
     }
 }
--- a/crates/permits/src/wire/tests.rs
+++ b/crates/permits/src/wire/tests.rs
@@ -6,9 +6,9 @@
 
 #[test]
 fn the_largest_state_fits_into_a_datagram_and_round_trips() {
-    let subject = |of| Subject::Worker(u32::MAX - of);
+    let subject = |worker| Subject::Worker(u32::MAX - worker);
     let permit =
-        |of| Permit { subject: subject(of), number: u16::MAX, incarnation: u16::MAX, returned: true };
+        |worker| Permit { subject: subject(worker), number: u16::MAX, incarnation: u16::MAX, returned: true };
     let plan = Some(Plan { number: u16::MAX, to: u32::MAX, from: u32::MAX, rollback: true });
     let value =
         PermitState { permits: (0..MAX_PERMITS as u32).map(permit).collect(), last_number: u16::MAX, plan };
--- a/crates/permits/tests/hard_cases.rs
+++ b/crates/permits/tests/hard_cases.rs
@@ -17,7 +17,7 @@
 
 /// A permit that an operator has received and not yet acted on.
 struct HeldPermit {
-    of: MemberId,
+    member: MemberId,
     number: u16,
     /// The scheduler through which it was requested.
     through: MemberId,
@@ -84,7 +84,7 @@
     }
 
     fn up(&self) -> Vec<MemberId> {
-        self.fleet.net.node_ids().filter(|of| self.fleet.net.is_up(*of)).collect()
+        self.fleet.net.node_ids().filter(|member| self.fleet.net.is_up(*member)).collect()
     }
 
     fn any_up(&mut self) -> Option<MemberId> {
@@ -93,15 +93,15 @@
         up.get(at).copied()
     }
 
-    fn start(&mut self, of: MemberId) {
-        self.failed.remove(&of);
-        self.fleet.start(of);
+    fn start(&mut self, member: MemberId) {
+        self.failed.remove(&member);
+        self.fleet.start(member);
     }
 
-    fn kill(&mut self, of: MemberId) {
-        if self.fleet.net.node(of).is_some() {
-            self.fleet.net.kill(of);
-            self.failed.insert(of, self.now());
+    fn kill(&mut self, member: MemberId) {
+        if self.fleet.net.node(member).is_some() {
+            self.fleet.net.kill(member);
+            self.failed.insert(member, self.now());
         }
     }
 
@@ -120,14 +120,14 @@
         for at in self.read..self.fleet.answers.len() {
             let answer = self.fleet.answers[at];
             match (answer.request, answer.answer) {
-                (PermitRequest::Acquire(Subject::Scheduler(of)), Ok(number)) => {
+                (PermitRequest::Acquire(Subject::Scheduler(member)), Ok(number)) => {
                     let act_at =
                         now + self.fleet.net.random_below(if self.ignores_lease { 30 * S } else { 3 * S });
                     let (through, until) = (answer.through, answer.until);
-                    self.held.push(HeldPermit { of, number, through, until, act_at });
+                    self.held.push(HeldPermit { member, number, through, until, act_at });
                 }
-                (PermitRequest::Return(Subject::Scheduler(of), number), Ok(_) | Err(Denied::Stale)) => {
-                    self.to_return.retain(|back, returned| (*back, *returned) != (of, number));
+                (PermitRequest::Return(Subject::Scheduler(member), number), Ok(_) | Err(Denied::Stale)) => {
+                    self.to_return.retain(|back, returned| (*back, *returned) != (member, number));
                 }
                 _ => {}
             }
@@ -135,32 +135,34 @@
         self.read = self.fleet.answers.len();
         // A permit that may still be acted on can take its scheduler out at any moment.
         let usable = self.held.iter().filter(|held| self.fleet.net.clock(held.through) < held.until);
-        let all: BTreeSet<_> = usable.map(|held| held.of).chain(self.out.keys().copied()).collect();
+        let all: BTreeSet<_> = usable.map(|held| held.member).chain(self.out.keys().copied()).collect();
         if all.len() > BOUND {
             self.violations.push((now, format!("{all:?} are out or may be taken out")));
         }
         let (due, held): (Vec<_>, Vec<_>) = self.held.drain(..).partition(|held| held.act_at <= now);
         self.held = held;
-        for HeldPermit { of, number, through, until, .. } in due {
+        for HeldPermit { member, number, through, until, .. } in due {
             let in_time = self.ignores_lease || self.fleet.net.clock(through) < until;
-            if in_time && self.fleet.net.node(of).is_some() {
-                self.take_out(of, number);
+            if in_time && self.fleet.net.node(member).is_some() {
+                self.take_out(member, number);
             }
         }
-        let back = self.out.iter().filter(|(_, (at, _))| *at <= now).map(|(of, (_, number))| (*of, *number));
-        for (of, number) in back.collect::<Vec<_>>() {
-            self.out.remove(&of);
-            self.fleet.start(of);
-            self.to_return.insert(of, number);
+        let back =
+            self.out.iter().filter(|(_, (at, _))| *at <= now).map(|(member, (_, number))| (*member, *number));
+        for (member, number) in back.collect::<Vec<_>>() {
+            self.out.remove(&member);
+            self.fleet.start(member);
+            self.to_return.insert(member, number);
         }
         if now >= self.next_request {
             self.next_request = now + 200_000 + self.fleet.net.random_below(400_000);
-            let (of, through) = (self.fleet.net.random_below(self.size().into()) as MemberId, self.any_up());
-            let back = self.to_return.first_key_value().map(|(of, number)| (*of, *number));
+            let (member, through) =
+                (self.fleet.net.random_below(self.size().into()) as MemberId, self.any_up());
+            let back = self.to_return.first_key_value().map(|(member, number)| (*member, *number));
             if let Some(through) = through {
-                self.fleet.submit(through, PermitRequest::Acquire(Subject::Scheduler(of)));
-                if let Some((of, number)) = back {
-                    self.fleet.submit(through, PermitRequest::Return(Subject::Scheduler(of), number));
+                self.fleet.submit(through, PermitRequest::Acquire(Subject::Scheduler(member)));
+                if let Some((member, number)) = back {
+                    self.fleet.submit(through, PermitRequest::Return(Subject::Scheduler(member), number));
                 }
             }
         }
@@ -168,11 +170,11 @@
 
     /// Takes a scheduler out by its permit, and checks the bound. Failures count once the leader could have observed
     /// them.
-    fn take_out(&mut self, of: MemberId, number: u16) {
+    fn take_out(&mut self, member: MemberId, number: u16) {
         let now = self.now();
-        self.fleet.net.kill(of);
+        self.fleet.net.kill(member);
         let back = now + S + self.fleet.net.random_below(self.max_down);
-        self.out.insert(of, (back, number));
+        self.out.insert(member, (back, number));
         self.taken_out += 1;
         let observable = now.saturating_sub(self.settings.settle + self.settings.times.lease);
         let failed = self.failed.values().filter(|since| **since <= observable).count();
@@ -204,26 +206,26 @@
         for _ in 0..12 {
             let moment = run.fleet.net.random_below(4 * S);
             run.pass(moment);
-            if let Some(of) = run.leader() {
-                run.kill(of);
+            if let Some(member) = run.leader() {
+                run.kill(member);
                 run.pass(S);
-                run.start(of);
+                run.start(member);
             }
         }
     }),
     ("the leader is paused for twenty seconds", |run| {
         for _ in 0..2 {
-            if let Some(of) = run.leader() {
-                run.fleet.net.pause(of, 20 * S);
+            if let Some(member) = run.leader() {
+                run.fleet.net.pause(member, 20 * S);
             }
             run.pass(25 * S);
         }
     }),
     ("the leader is paused for about the length of a lease", |run| {
         for _ in 0..10 {
-            if let Some(of) = run.leader() {
+            if let Some(member) = run.leader() {
                 let span = S + run.fleet.net.random_below(3 * S);
-                run.fleet.net.pause(of, span);
+                run.fleet.net.pause(member, span);
             }
             run.pass(5 * S);
         }
@@ -239,10 +241,10 @@
     }),
     ("the leader cannot send, then cannot receive", |run| {
         for can_send in [false, true] {
-            let Some(of) = run.leader() else { continue };
+            let Some(member) = run.leader() else { continue };
             for blocked in [true, false] {
-                for other in run.fleet.net.node_ids().filter(|other| *other != of) {
-                    let link = if can_send { (other, of) } else { (of, other) };
+                for other in run.fleet.net.node_ids().filter(|other| *other != member) {
+                    let link = if can_send { (other, member) } else { (member, other) };
                     run.fleet.net.set_blocked(link, blocked);
                 }
                 run.pass(8 * S);
@@ -251,18 +253,18 @@
     }),
     ("70 % of the schedulers are killed at once while permits are in force", |run| {
         let most: Vec<_> = (0..run.size() * 7 / 10).collect();
-        most.iter().for_each(|of| run.kill(*of));
+        most.iter().for_each(|member| run.kill(*member));
         run.pass(3 * S);
-        most.iter().for_each(|of| run.start(*of));
+        most.iter().for_each(|member| run.start(*member));
     }),
     ("all voters are restarted within a second", |run| {
         for _ in 0..3 {
-            for of in run.settings.voters.clone() {
+            for member in run.settings.voters.clone() {
                 let moment = run.fleet.net.random_below(S / 5);
                 run.pass(moment);
-                if run.fleet.net.node(of).is_some() {
-                    run.kill(of);
-                    run.start(of);
+                if run.fleet.net.node(member).is_some() {
+                    run.kill(member);
+                    run.start(member);
                 }
             }
             run.pass(20 * S);
@@ -270,26 +272,26 @@
     }),
     ("one voter after another is restarted", |run| {
         for round in 0..15 {
-            let of = run.settings.voters[round % run.settings.voters.len()];
-            if run.fleet.net.node(of).is_some() {
-                run.kill(of);
-                run.start(of);
+            let member = run.settings.voters[round % run.settings.voters.len()];
+            if run.fleet.net.node(member).is_some() {
+                run.kill(member);
+                run.start(member);
             }
             let moment = S / 2 + run.fleet.net.random_below(2 * S);
             run.pass(moment);
         }
     }),
     ("half of the clocks run 10 % fast, a quarter 10 % slow", |run| {
-        for of in run.fleet.net.node_ids() {
-            run.fleet.net.set_clock_rate(of, [1.1, 0.9, 1.1, 1.0][usize::from(of % 4)]);
-            run.kill(of);
-            run.start(of);
+        for member in run.fleet.net.node_ids() {
+            run.fleet.net.set_clock_rate(member, [1.1, 0.9, 1.1, 1.0][usize::from(member % 4)]);
+            run.kill(member);
+            run.start(member);
         }
         run.pass(40 * S);
-        if let Some(of) = run.leader() {
-            run.kill(of);
+        if let Some(member) = run.leader() {
+            run.kill(member);
             run.pass(S);
-            run.start(of);
+            run.start(member);
         }
         run.pass(20 * S);
     }),
@@ -301,10 +303,10 @@
             let span = 3 * S + run.fleet.net.random_below(25 * S);
             run.pass(span);
             run.fleet.net.set_isolated(&voters[at..=at], false);
-            for of in voters.iter().copied().filter(|of| *of != voters[at]) {
-                if run.fleet.net.node(of).is_some() {
-                    run.kill(of);
-                    run.start(of);
+            for member in voters.iter().copied().filter(|member| *member != voters[at]) {
+                if run.fleet.net.node(member).is_some() {
+                    run.kill(member);
+                    run.start(member);
                 }
             }
             run.pass(15 * S);
@@ -321,7 +323,7 @@
     let lost = [0.05, 0.0, 0.15, 0.3][(seed % 4) as usize];
     let mut run = Run::new(size, seed, lost);
     inject(&mut run);
-    run.fleet.net.node_ids().for_each(|of| run.fleet.start(of));
+    run.fleet.net.node_ids().for_each(|member| run.fleet.start(member));
     run.run_until_permit_used();
     (case.1)(&mut run);
     run.pass(15 * S);
@@ -371,25 +373,26 @@
     inject(&mut run);
     run.next_request = Micros::MAX;
     run.max_down = 60 * S;
-    run.fleet.net.node_ids().for_each(|of| run.fleet.start(of));
+    run.fleet.net.node_ids().for_each(|member| run.fleet.start(member));
     run.pass(40 * S);
-    let missing = run.settings.voters.iter().copied().find(|of| Some(*of) != run.leader()).expect("a voter");
-    let request = |of| PermitRequest::Acquire(Subject::Scheduler(of));
+    let missing =
+        run.settings.voters.iter().copied().find(|member| Some(*member) != run.leader()).expect("a voter");
+    let request = |member| PermitRequest::Acquire(Subject::Scheduler(member));
     run.fleet.net.set_isolated(&[missing], true);
-    for of in [1, 3] {
+    for member in [1, 3] {
         let through = run.leader().expect("a leader");
-        run.fleet.submit(through, request(of));
+        run.fleet.submit(through, request(member));
     }
     // Operators act on the permits at the last moment.
     run.pass(S);
     run.held.iter_mut().for_each(|held| held.act_at = held.until - S / 10);
     run.fleet.net.set_isolated(&[missing], false);
-    for of in run.settings.voters.clone().into_iter().filter(|of| *of != missing) {
-        run.kill(of);
-        run.start(of);
+    for member in run.settings.voters.clone().into_iter().filter(|member| *member != missing) {
+        run.kill(member);
+        run.start(member);
     }
     for _ in 0..20 {
-        [5, 7].into_iter().for_each(|of| run.fleet.submit(missing, request(of)));
+        [5, 7].into_iter().for_each(|member| run.fleet.submit(missing, request(member)));
         run.pass(S / 4);
     }
     run
@@ -425,13 +428,13 @@
     for seed in 0..20 {
         let mut run = Run::new(8, seed, 0.05);
         run.next_request = Micros::MAX;
-        run.fleet.net.node_ids().for_each(|of| run.fleet.start(of));
+        run.fleet.net.node_ids().for_each(|member| run.fleet.start(member));
         run.pass(40 * S);
         for _ in 0..2 {
-            let of = run.leader().expect("a leader");
-            run.kill(of);
+            let member = run.leader().expect("a leader");
+            run.kill(member);
             run.pass(12 * S);
-            assert!(run.leader().is_some_and(|other| other != of), "seed {seed}");
+            assert!(run.leader().is_some_and(|other| other != member), "seed {seed}");
         }
     }
 }
--- a/crates/permits/tests/release.rs
+++ b/crates/permits/tests/release.rs
@@ -31,17 +31,17 @@
             Observations::new(),
             LinkFaults { loss_rate: lost, duplicate_rate: 0.05, ..LinkFaults::default() },
         );
-        let versions: BTreeMap<_, _> = fleet.net.node_ids().map(|of| (of, 1)).collect();
-        versions.iter().for_each(|(of, version)| fleet.start_with_version(*of, *version));
+        let versions: BTreeMap<_, _> = fleet.net.node_ids().map(|member| (member, 1)).collect();
+        versions.iter().for_each(|(member, version)| fleet.start_with_version(*member, *version));
         fleet.run(40 * S);
         Self { fleet, versions, out: BTreeMap::new(), restarts: 0, most_out: 0 }
     }
 
     fn any_up(&mut self) -> MemberId {
         loop {
-            let of = self.fleet.net.random_below(12) as MemberId;
-            if self.fleet.net.is_up(of) {
-                return of;
+            let member = self.fleet.net.random_below(12) as MemberId;
+            if self.fleet.net.is_up(member) {
+                return member;
             }
         }
     }
@@ -70,22 +70,23 @@
     fn pass(&mut self, span: Micros) {
         let next = self.fleet.net.now + span;
         self.fleet.run(next);
-        let back: Vec<_> = self.out.iter().filter(|(_, (at, _))| *at <= next).map(|(of, _)| *of).collect();
-        for of in back {
-            let (_, number) = self.out.remove(&of).expect("it is out");
-            self.fleet.start_with_version(of, self.versions[&of]);
+        let back: Vec<_> =
+            self.out.iter().filter(|(_, (at, _))| *at <= next).map(|(member, _)| *member).collect();
+        for member in back {
+            let (_, number) = self.out.remove(&member).expect("it is out");
+            self.fleet.start_with_version(member, self.versions[&member]);
             let through = self.any_up();
-            self.fleet.submit(through, PermitRequest::Return(Subject::Scheduler(of), number));
+            self.fleet.submit(through, PermitRequest::Return(Subject::Scheduler(member), number));
         }
     }
 
-    /// The scheduler that a permit is for, once the one that it was requested through knows of it.
+    /// The scheduler that a permit is for, once the scheduler that it was requested through has received the state with it.
     fn subject(&mut self, through: MemberId, permit: u16) -> Option<MemberId> {
         for _ in 0..50 {
             let known = self.fleet.net.node(through).and_then(|one| one.node.known());
             let one = known.and_then(|known| known.value.permits.iter().find(|p| p.number == permit));
-            if let Some(Subject::Scheduler(of)) = one.map(|one| one.subject) {
-                return Some(of);
+            if let Some(Subject::Scheduler(member)) = one.map(|one| one.subject) {
+                return Some(member);
             }
             self.pass(20_000);
         }
@@ -121,19 +122,19 @@
             match self.request(PermitRequest::Next(number), 3 * S) {
                 Some((_, Err(Denied::Over), _)) => return restarted,
                 Some((through, Ok(permit), until)) => {
-                    let Some(of) = self.subject(through, permit) else { continue };
+                    let Some(member) = self.subject(through, permit) else { continue };
                     // The operator dies before it acts on its permit, or the permit is too old.
                     if step % 7 == 6 || self.fleet.net.clock(through) >= until {
                         continue;
                     }
-                    if self.fleet.net.kill(of).is_some() {
+                    if self.fleet.net.kill(member).is_some() {
                         let at = self.fleet.net.now + S + self.fleet.net.random_below(2 * S);
-                        self.out.insert(of, (at, permit));
-                        self.versions.insert(of, to);
+                        self.out.insert(member, (at, permit));
+                        self.versions.insert(member, to);
                         self.restarts += 1;
                         self.most_out = self.most_out.max(self.out.len());
                         assert!(self.out.len() <= BOUND, "{:?} are out", self.out.keys());
-                        restarted.push(of);
+                        restarted.push(member);
                     }
                 }
                 Some((_, Err(Denied::Stale), _)) => panic!("the plan is lost"),
@@ -151,13 +152,13 @@
     let leader = run.fleet.leaders().first().copied();
     let half = [0, 1, 2, 3, 4, 5];
     match (step % 40, leader) {
-        (9, Some(of)) if !run.out.contains_key(&of) => {
-            run.fleet.net.kill(of);
+        (9, Some(member)) if !run.out.contains_key(&member) => {
+            run.fleet.net.kill(member);
             run.pass(S);
-            run.fleet.start_with_version(of, run.versions[&of]);
+            run.fleet.start_with_version(member, run.versions[&member]);
         }
-        (19, Some(of)) => {
-            run.fleet.net.pause(of, 4 * S);
+        (19, Some(member)) => {
+            run.fleet.net.pause(member, 4 * S);
             run.pass(5 * S);
         }
         (29, _) => {
@@ -211,9 +212,9 @@
     let Some((through, Ok(permit), _)) = run.request(PermitRequest::Next(number), 3 * S) else {
         panic!("no step")
     };
-    let of = run.subject(through, permit).expect("the permit is in force");
-    run.fleet.net.kill(of);
+    let member = run.subject(through, permit).expect("the permit is in force");
+    run.fleet.net.kill(member);
     run.pass(200 * S);
-    let halted = |run: &Run, of| run.fleet.net.node(of).is_some_and(|one| one.node.halt().on);
-    assert!(run.fleet.net.node_ids().filter(|other| *other != of).all(|other| halted(&run, other)));
+    let halted = |run: &Run, member| run.fleet.net.node(member).is_some_and(|one| one.node.halt().on);
+    assert!(run.fleet.net.node_ids().filter(|other| *other != member).all(|other| halted(&run, other)));
 }
