--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -186,10 +186,10 @@
     /// Load of all loops of this gateway together, by cell.
     fn local_loads(&self) -> Vec<CellLoad> {
         let sum = |cell: usize| {
-            self.loops.iter().fold(CellLoad::default(), |sum, of| CellLoad {
-                arrivals: sum.arrivals + of[cell].arrivals,
-                first_attempts: sum.first_attempts + of[cell].first_attempts,
-                retries: sum.retries + of[cell].retries,
+            self.loops.iter().fold(CellLoad::default(), |sum, cells| CellLoad {
+                arrivals: sum.arrivals + cells[cell].arrivals,
+                first_attempts: sum.first_attempts + cells[cell].first_attempts,
+                retries: sum.retries + cells[cell].retries,
             })
         };
         (0..self.settings.cell_count()).map(sum).collect()
--- a/crates/admission/src/retry_budget.rs
+++ b/crates/admission/src/retry_budget.rs
@@ -59,15 +59,15 @@
             let budget: f64 = loads.iter().map(|load| 0.2 * load.first_attempts).sum();
             // Each gateway uses all of its part or none and reports that; then the budget is divided again.
             for _ in 0..4 {
-                let others = |of: usize| {
-                    let other = |at: &usize| *at != of;
+                let others = |own: usize| {
+                    let other = |at: &usize| *at != own;
                     (0..size)
                         .filter(other)
                         .map(|at| GatewayLoad { load: loads[at], lends: true })
                         .collect::<Vec<_>>()
                 };
                 let parts: Vec<f64> =
-                    (0..size).map(|of| gateway_budget(0.2, loads[of], &others(of))).collect();
+                    (0..size).map(|own| gateway_budget(0.2, loads[own], &others(own))).collect();
                 let used: f64 = parts
                     .iter()
                     .zip(&loads)
@@ -86,11 +86,11 @@
         let own = CellLoad { arrivals: 100.0, first_attempts: 100.0, retries: 0.0 };
         let honest = GatewayLoad { load: own, lends: true };
         let false_report = GatewayLoad { load: CellLoad { first_attempts: 400_000.0, ..own }, lends: true };
-        let usual = gateway_budget(0.2, own, &[honest, honest, honest]);
+        let honest_budget = gateway_budget(0.2, own, &[honest, honest, honest]);
         let raised = gateway_budget(0.2, own, &[honest, honest, false_report]);
         assert!(
-            (usual - 20.0).abs() < 1e-9 && raised <= usual * 1.5 + 1e-9,
-            "{usual} without the false report, {raised} with it"
+            (honest_budget - 20.0).abs() < 1e-9 && raised <= honest_budget * 1.5 + 1e-9,
+            "{honest_budget} without the false report, {raised} with it"
         );
         let busy = CellLoad { retries: raised, ..own };
         assert!(gateway_budget(0.2, busy, &[honest, honest, false_report]) <= raised * 2.0 + 1e-9);
--- a/crates/admission/src/scheduled_retries.rs
+++ b/crates/admission/src/scheduled_retries.rs
@@ -49,7 +49,7 @@
     /// elsewhere.
     pub fn substitute_due(&mut self, now: Micros, cell: usize) -> bool {
         let due = self.by_time.range(..=(now, u64::MAX)).take(MAX_DUE_PROBES);
-        let same_cell = |key: &u64| self.by_event.get(key).is_some_and(|(_, of)| *of == cell);
+        let same_cell = |key: &u64| self.by_event.get(key).is_some_and(|(_, event_cell)| *event_cell == cell);
         let found = due.map(|(_, key)| *key).find(same_cell);
         found.into_iter().for_each(|key| self.remove(key));
         found.is_some()
--- a/crates/admission/src/water_filling.rs
+++ b/crates/admission/src/water_filling.rs
@@ -44,9 +44,9 @@
     let tenants = settings.tenant_count();
     // Value, whether the calls are above their quota, and class.
     let mut levels: Vec<(f64, bool, usize)> = Vec::new();
-    for (class, of) in settings.classes.iter().enumerate() {
-        levels.push((of.value, false, class));
-        levels.push((of.value * settings.over_share_value, true, class));
+    for (class, class_settings) in settings.classes.iter().enumerate() {
+        levels.push((class_settings.value, false, class));
+        levels.push((class_settings.value * settings.over_share_value, true, class));
     }
     levels.sort_by(|a, b| b.0.total_cmp(&a.0).then((a.1, a.2).cmp(&(b.1, b.2))));
     let mut allocated: Vec<SiteDemand> = sites
@@ -126,8 +126,8 @@
     fn settings(values: &[f64], quotas: Vec<f64>) -> AdmissionSettings {
         let class = |value: &f64| ClassSettings { value: *value, aim: 500_000, deadline: 2_000_000 };
         let site_map = SiteMap::new(vec![0], 0).expect("in the list");
-        let usual = AdmissionSettings::new(values.iter().map(class).collect(), quotas, site_map);
-        AdmissionSettings { over_share_value: 0.2, ..usual }
+        let defaults = AdmissionSettings::new(values.iter().map(class).collect(), quotas, site_map);
+        AdmissionSettings { over_share_value: 0.2, ..defaults }
     }
 
     #[test]
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -20,7 +20,7 @@
 pub struct Probe {
     pub to: MemberId,
     pub sequence: u32,
-    /// When other members are asked to probe the target.
+    /// When other members are requested to probe the target.
     pub indirect_at: Micros,
     /// When the probe fails if it was not acknowledged.
     pub deadline: Micros,
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,6 +1,6 @@
 //! One member's view of all members: its state and queries, applying updates and sending messages.
 //!
-//! The protocol is SWIM. In each period a member probes one other member. If that does not ack, three others are asked
+//! The protocol is SWIM. In each period a member probes one other member. If that does not ack, three others are requested
 //! to probe it. Without an ack after a second such attempt it is suspected, and it is declared gone when the suspicion
 //! times out without a refutation. A member that learns that it is suspected or declared gone refutes with a higher
 //! incarnation. The members are known from the configured list, so members that are gone are probed too, one per
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -153,8 +153,9 @@
         }
         // One member that is not live, in rotation. The probe is not tracked, as a missing ack would change nothing.
         let size = self.settings.size;
-        let not_live =
-            |of: &MemberId| *of != self.settings.own && !self.members[usize::from(*of)].state.is_live();
+        let not_live = |member: &MemberId| {
+            *member != self.settings.own && !self.members[usize::from(*member)].state.is_live()
+        };
         let mut rotation = (1..=size)
             .map(|step| ((u32::from(self.last_dead_probed) + u32::from(step)) % u32::from(size)) as MemberId);
         if let Some(to) = rotation.find(not_live) {
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -124,9 +124,9 @@
                 fleet.updates.insert((i, (own, MemberState::Up)));
             }
         }
-        for of in 0..MEMBERS {
-            let own = fleet.members[of].own;
-            fleet.invented |= fleet.members.iter().any(|m| m.entries[of].0 > own);
+        for member in 0..MEMBERS {
+            let own = fleet.members[member].own;
+            fleet.invented |= fleet.members.iter().any(|m| m.entries[member].0 > own);
         }
         (fleet != *last).then_some(fleet)
     }
--- a/crates/site-routing/src/planner.rs
+++ b/crates/site-routing/src/planner.rs
@@ -205,7 +205,7 @@
 
     fn move_homes(&self, input: &PlanInput, homes: &mut Homes) {
         let (now, local_site) = (input.now, input.local_site());
-        let mut wanted = BTreeMap::new();
+        let mut preferred = BTreeMap::new();
         let mut functions: BTreeSet<_> = homes.tracked_functions().into_iter().collect();
         functions.extend(input.local.functions.values().filter(|f| f.slow_arrivals > 0).map(|f| f.function));
         for function in functions {
@@ -256,14 +256,14 @@
                 homes.adopt(now, function, best.site, false);
                 continue;
             }
-            wanted.insert(function, best.site);
+            preferred.insert(function, best.site);
             let peer = PeerHomeStatus {
                 status: best.stats.home_status(best.site, function),
                 acked: best.stats.acked_report,
             };
             homes.request_move(now, function, best.site, input.next_report, &peer);
         }
-        homes.expire_bids(now, &wanted);
+        homes.expire_bids(now, &preferred);
     }
 
     /// Updates the capacity of a worker, and returns the load above the local capacity.
