--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -208,7 +208,7 @@
     }
 }
 
-/// Prints the status of permits, halt and release as one scheduler knows it.
+/// Prints the status of permits, halt and release as seen by one scheduler.
 fn print_status(options: &OperatorOptions) -> Result<(), CommandError> {
     let status = status(options)?;
     if options.json {
@@ -334,7 +334,7 @@
     if let Err(CommandError::Run(error) | CommandError::Input(error)) =
         request_granted(options, PermitRequest::Return(subject, permit))
     {
-        print_step(options, &name, "is back, but that could not be told", json!({"why": error}));
+        print_step(options, &name, "is back, but its permit could not be returned", json!({"why": error}));
     }
     print_step(options, &name, "is back", json!({}));
     Ok(())
--- a/crates/cli/tests/lifecycle/restarts.rs
+++ b/crates/cli/tests/lifecycle/restarts.rs
@@ -113,12 +113,12 @@
     let sent = monotonic();
     let seqid = send(client, &call);
     let reply = client.read();
-    let took = monotonic() - sent;
+    let elapsed = monotonic() - sent;
     match reply {
         Ok(Some((id, reply))) => {
             assert_eq!(id, seqid, "a reply to another request");
             match reply {
-                _ if took > TIMEOUT + LATE_TOLERANCE => Outcome::TooLate(took),
+                _ if elapsed > TIMEOUT + LATE_TOLERANCE => Outcome::TooLate(elapsed),
                 FrontReply::Served(_) => Outcome::Served,
                 FrontReply::Rejected(_) => Outcome::Refused,
                 FrontReply::Crashed | FrontReply::Exception => Outcome::Failed,
@@ -192,13 +192,13 @@
             .flat_map(|client| client.join().expect("the client does not panic"))
             .collect::<Vec<_>>()
     });
-    let (took, status) = bed.wait_for_exit(term());
-    (finished, took, status)
+    let (elapsed, status) = bed.wait_for_exit(term());
+    (finished, elapsed, status)
 }
 
 #[test]
 fn all_requests_of_thirty_clients_get_replies_during_a_restart_and_it_exits_in_time() {
-    let (finished, took, status) = restart("thirty");
+    let (finished, elapsed, status) = restart("thirty");
     let bad = |request: &&Finished| matches!(request.outcome, Outcome::NoReply | Outcome::TooLate(_));
     let unanswered: Vec<_> = finished
         .iter()
@@ -206,8 +206,8 @@
         .map(|request| format!("{} at {} us: {:?}", request.connection, request.sent, request.outcome))
         .collect();
     assert!(unanswered.is_empty(), "{} of {}: {unanswered:?}", unanswered.len(), finished.len());
-    assert_eq!((status.code(), status.signal()), (Some(0), None), "after {took} us");
-    assert!(took < SIGKILL_AFTER, "it exited after {took} us");
+    assert_eq!((status.code(), status.signal()), (Some(0), None), "after {elapsed} us");
+    assert!(elapsed < SIGKILL_AFTER, "it exited after {elapsed} us");
     // Requests after the signal are served until the end. On a loaded machine some are rejected, at most half of them.
     for (kind, from) in [("kept", 0), ("new", 0), ("kept", CONNECT_WINDOW.0 + 100 * MS)] {
         let late = finished.iter().filter(|request| request.sent > from && request.connection == kind);
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -336,16 +336,16 @@
                 let mut client = FrontClient::connect(to, TEST_TIMEOUT).expect("the connection is accepted");
                 client.heartbeat().expect("the request is sent");
                 let reply = client.read().expect("a readable reply").expect("a reply").1;
-                let took = started_at.elapsed();
+                let elapsed = started_at.elapsed();
                 assert!(matches!(reply, FrontReply::Served(_)), "{reply:?}");
-                (child, to, config, took)
+                (child, to, config, elapsed)
             })
         })
         .collect();
     let fleet: Vec<_> = fleet.into_iter().map(|start| start.join().expect("it becomes ready")).collect();
-    let times: Vec<_> = fleet.iter().map(|(.., took)| *took).collect();
+    let times: Vec<_> = fleet.iter().map(|(.., elapsed)| *elapsed).collect();
     println!("ready after {times:?}");
-    assert!(times.iter().all(|took| *took < READY_LIMIT), "{times:?}");
+    assert!(times.iter().all(|elapsed| *elapsed < READY_LIMIT), "{times:?}");
     let before: Vec<_> = fleet.iter().map(|(child, ..)| cpu_ticks(child)).collect();
     // Two seconds of connection attempts to the bulletins.
     std::thread::sleep(Duration::from_secs(2));
--- a/crates/cli/tests/operator_commands.rs
+++ b/crates/cli/tests/operator_commands.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// The number of the leader as this scheduler knows it.
+/// The number of the leader as seen by this scheduler.
 fn leader(bed: &Bed, through: usize) -> usize {
     let status = succeed(bed, through, &["status"]);
     let number = status.split("leader n").nth(1).and_then(|rest| rest.split(['\n', ',']).next());
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -274,7 +274,7 @@
     let sent = monotonic();
     let Ok(seqid) = written else { return (sent, Outcome::NotAccepted) };
     let reply = client.read();
-    let took = monotonic() - sent;
+    let elapsed = monotonic() - sent;
     match reply {
         Ok(Some((reply_seqid, reply))) => {
             assert_eq!(reply_seqid, seqid, "a reply to another request");
@@ -283,12 +283,12 @@
                 assert!(body == reversed, "a body that no worker sent");
                 *served = true;
             }
-            match took.checked_sub(call.timeout_ms * MS) {
+            match elapsed.checked_sub(call.timeout_ms * MS) {
                 Some(late) if late > LATE_TOLERANCE + MACHINE_DELAY => (sent, Outcome::Late(late)),
                 _ => (sent, Outcome::Replied),
             }
         }
-        Ok(None) | Err(_) => (sent, Outcome::ConnectionEnded(took)),
+        Ok(None) | Err(_) => (sent, Outcome::ConnectionEnded(elapsed)),
     }
 }
 
