--- a/crates/config/src/sites.rs
+++ b/crates/config/src/sites.rs
@@ -10,7 +10,7 @@
 pub enum UnreplicatedPolicy {
     /// It is refused without having run.
     Refuse,
-    /// It is processed, and its answer says that it was not replicated.
+    /// It is processed, and its answer states that it was not replicated.
     Continue,
 }
 
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -395,10 +395,10 @@
     }
 
     /// A connection has ended, closed by the peer or broken. Returns the end of its job.
-    pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, how: EndReason) -> Option<JobEnd> {
+    pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, reason: EndReason) -> Option<JobEnd> {
         let connection = self.conns.get_mut(&conn)?;
         // A response may be delimited by the end of its connection.
-        let input = io.input(conn).filter(|_| how == EndReason::Closed);
+        let input = io.input(conn).filter(|_| reason == EndReason::Closed);
         if let Some(Ok(response)) = input.map(|input| connection.decoder.finish(input)) {
             return self.finish(io, now, conn, response, false);
         }
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -444,8 +444,8 @@
     }
 
     /// See [`Links::ended`].
-    pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, how: EndReason) -> Option<JobEnd> {
-        self.links.ended(io, now, conn, how)
+    pub fn ended(&mut self, io: &mut Io, now: Micros, conn: ConnId, reason: EndReason) -> Option<JobEnd> {
+        self.links.ended(io, now, conn, reason)
     }
 
     /// A client has disconnected. Returns true if its call was at another site, which is notified by closing the
--- a/crates/membership/src/updates.rs
+++ b/crates/membership/src/updates.rs
@@ -22,7 +22,7 @@
 }
 
 impl UpdateQueue {
-    /// Queues a new update in place of an earlier one about the same member. `in_digest` says whether views without it
+    /// Queues a new update in place of an earlier one about the same member. `in_digest` states whether views without it
     /// have a different digest.
     pub fn add(&mut self, update: Update, in_digest: bool) {
         if let Some(transmissions) = self.transmissions.insert(update.member, 0) {
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -122,7 +122,7 @@
                 let none = end.code == Code::Miss || end.copy == CopyStatus::LoadFailed;
                 (self.attempts.remove(id), if is_loaded { Some(1) } else { none.then_some(0) })
             }
-            // A rejected order says nothing about copies that were loaded before.
+            // A rejected order is no evidence about copies that were loaded before.
             JobEnd::Order(id, code, copies) => {
                 (self.orders.remove(id), (*code == Code::Ok).then_some(*copies))
             }
--- a/crates/node/src/instance_directory.rs
+++ b/crates/node/src/instance_directory.rs
@@ -1,6 +1,6 @@
-//! What this scheduler and its peers have observed of loaded copies. Observations age, are announced to the fleet
+//! Observations of loaded copies by this scheduler and its peers. Observations age, are announced to the fleet
 //! once, and can replace a query to a worker. Free of I/O. The directory makes no decision on a call: it answers
-//! the module's queries to workers in the module's own terms, and an update never says more than what some
+//! the module's queries to workers in the module's own terms, and an update contains only what some
 //! scheduler observed.
 
 use crate::gossip_wire::{InstanceUpdate, decode, encode, name_hash};
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -1,7 +1,7 @@
 //! Connections to the workers: several per worker, with many requests on each. A request ends only with an outcome
 //! that can be proven.
 //!
-//! A request provably never ran if its socket did not take all of its bytes, or if the worker says so. Any other
+//! A request provably never ran if its socket did not take all of its bytes, or if the worker reports it. Any other
 //! request may have run once its last byte is with the socket.
 
 use crate::Budget;
@@ -263,7 +263,7 @@
                 Some(conn) if self.is_open(conn) && io.peer_has_ended(conn) => self.retire(io, conn),
                 Some(conn) => break conn,
                 None if !has_capacity => return end_without_reply(&job, Code::Full),
-                // Running out of descriptors says nothing about the worker: the request shares a connection if it
+                // Running out of descriptors is no evidence about the worker: the request shares a connection if it
                 // can.
                 None => match self.connect(io, now, worker) {
                     Some(conn) => break conn,
@@ -564,8 +564,8 @@
     }
 
     /// Handles a connection that failed or was closed by the worker.
-    pub fn ended(&mut self, io: &mut Io, conn: ConnId, how: EndReason, done: &mut Vec<JobEnd>) {
-        let code = if how == EndReason::ConnectFailed { Code::ConnectFailed } else { Code::Reset };
+    pub fn ended(&mut self, io: &mut Io, conn: ConnId, reason: EndReason, done: &mut Vec<JobEnd>) {
+        let code = if reason == EndReason::ConnectFailed { Code::ConnectFailed } else { Code::Reset };
         let worker = self.conns.get(&conn).map(|link| link.worker.clone());
         self.abort_link(io, conn, code, done);
         self.disconnected.extend(worker.filter(|worker| !self.has_open_connection(worker)));
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -31,8 +31,8 @@
         Self { name: name.into(), recorder, attempt_names, unflushed_answers, known }
     }
 
-    fn put(&self, now: Micros, what: Observation) {
-        self.recorder.put(now, &self.name, what);
+    fn put(&self, now: Micros, observation: Observation) {
+        self.recorder.put(now, &self.name, observation);
     }
 
     pub fn up(&self, now: Micros, address: SocketAddr) {
--- a/crates/peers/src/connection.rs
+++ b/crates/peers/src/connection.rs
@@ -250,7 +250,7 @@
     }
 
     /// Restarts the timeouts after this process itself stalled: the data at the socket was not read meanwhile, so
-    /// neither the time without data nor the age of the pending ping says anything about the peer.
+    /// neither the time without data nor the age of the pending ping is evidence about the peer.
     pub fn reset_after_stall(&mut self, now: Micros) {
         (self.last_received, self.pending_ping) = (now, None);
         if self.remote.is_none() {
--- a/crates/permits/tests/model.rs
+++ b/crates/permits/tests/model.rs
@@ -83,50 +83,51 @@
         world.in_flight.insert((from, to, request));
     }
 
-    fn send_heartbeats(&self, world: &mut World, of: usize) {
+    fn send_heartbeats(&self, world: &mut World, member: usize) {
         let now = world.now;
         let requests =
-            world.registers[of].as_mut().map(|register| register.heartbeat(now)).unwrap_or_default();
+            world.registers[member].as_mut().map(|register| register.heartbeat(now)).unwrap_or_default();
         for (to, request) in requests {
             // A candidate's request to its own voter is delivered at once.
-            if usize::from(to) == of {
-                if let Some(response) = world.voters[of].handle(now, request) {
-                    world.registers[of]
+            if usize::from(to) == member {
+                if let Some(response) = world.voters[member].handle(now, request) {
+                    world.registers[member]
                         .iter_mut()
                         .for_each(|register| register.handle(now, to, response.clone()));
                 }
             } else {
-                Self::send(world, of as u16, to, request);
+                Self::send(world, member as u16, to, request);
             }
         }
     }
 
-    fn process_events(&self, world: &mut World, of: usize) {
+    fn process_events(&self, world: &mut World, member: usize) {
         loop {
             let now = world.now;
-            let was_leading = world.registers[of].as_ref().is_some_and(|register| register.value().is_some());
-            let Some(register) = &mut world.registers[of] else { return };
+            let was_leading =
+                world.registers[member].as_ref().is_some_and(|register| register.value().is_some());
+            let Some(register) = &mut world.registers[member] else { return };
             match register.poll(now) {
                 RegisterEvent::Unchanged => {
                     let is_leading = register.value().is_some();
                     if was_leading == is_leading {
                         return;
                     }
-                    self.send_heartbeats(world, of);
+                    self.send_heartbeats(world, member);
                 }
-                RegisterEvent::SteppedDown => world.registers[of] = None,
+                RegisterEvent::SteppedDown => world.registers[member] = None,
                 RegisterEvent::LearningStarted(_) => {}
                 RegisterEvent::LearningDue => {
                     // No permit of an earlier leader can be acted on any more, and the subjects that are out are
                     // observed.
                     let out = world.out;
                     register.finish_learning(now, out);
-                    self.send_heartbeats(world, of);
+                    self.send_heartbeats(world, member);
                 }
                 RegisterEvent::Committed(_) => {
                     let committed = register.committed().map_or(0, |committed| committed.value);
-                    if committed >> of & 1 == 1 && world.requested[of].is_some() {
-                        world.granted[of] = true;
+                    if committed >> member & 1 == 1 && world.requested[member].is_some() {
+                        world.granted[member] = true;
                     }
                 }
             }
@@ -174,20 +175,20 @@
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         steps.extend((world.now < self.ticks).then_some(Step::Tick));
-        for of in 0..2 {
-            let may_vote = world.voters[of].may_vote(world.now);
-            if world.elections[of] > 0 && world.registers[of].is_none() && may_vote {
-                steps.push(Step::StartElection(of));
+        for member in 0..2 {
+            let may_vote = world.voters[member].may_vote(world.now);
+            if world.elections[member] > 0 && world.registers[member].is_none() && may_vote {
+                steps.push(Step::StartElection(member));
             }
-            let no_permits = world.registers[of]
+            let no_permits = world.registers[member]
                 .as_ref()
                 .is_some_and(|register| register.committed().is_some() && register.value() == Some(&0));
-            if no_permits && world.requested[of].is_none() {
-                steps.push(Step::RequestPermit(of));
+            if no_permits && world.requested[member].is_none() {
+                steps.push(Step::RequestPermit(member));
             }
-            let in_time = world.requested[of].is_some_and(|since| world.now < since + TIMES.lease);
-            if world.granted[of] && in_time && world.out >> of & 1 == 0 {
-                steps.push(Step::GoOut(of));
+            let in_time = world.requested[member].is_some_and(|since| world.now < since + TIMES.lease);
+            if world.granted[member] && in_time && world.out >> member & 1 == 0 {
+                steps.push(Step::GoOut(member));
             }
         }
         if world.restarts > 0 {
@@ -203,34 +204,34 @@
         match step {
             Step::Tick => {
                 world.now += 1;
-                (0..2).for_each(|of| self.process_events(&mut world, of));
-                (0..2).for_each(|of| self.send_heartbeats(&mut world, of));
+                (0..2).for_each(|member| self.process_events(&mut world, member));
+                (0..2).for_each(|member| self.send_heartbeats(&mut world, member));
             }
-            Step::StartElection(of) => {
-                world.elections[of] -= 1;
-                let epoch = world.voters[of].promised().next(world.now + 10, of as u16);
+            Step::StartElection(member) => {
+                world.elections[member] -= 1;
+                let epoch = world.voters[member].promised().next(world.now + 10, member as u16);
                 let mut register = ReplicatedRegister::candidate(TIMES, &VOTERS, epoch, world.now);
                 if matches!(self.fault, Fault::Amnesia | Fault::NoSilence) {
                     register.inject_amnesia();
                 }
-                world.registers[of] = Some(register);
-                self.send_heartbeats(&mut world, of);
+                world.registers[member] = Some(register);
+                self.send_heartbeats(&mut world, member);
             }
-            Step::RequestPermit(of) => {
-                world.requested[of] = Some(world.now);
-                let _ = world.registers[of].as_mut().and_then(|register| register.propose(1 << of));
-                self.send_heartbeats(&mut world, of);
+            Step::RequestPermit(member) => {
+                world.requested[member] = Some(world.now);
+                let _ = world.registers[member].as_mut().and_then(|register| register.propose(1 << member));
+                self.send_heartbeats(&mut world, member);
             }
-            Step::GoOut(of) => world.out |= 1 << of,
-            Step::Restart(of) => {
+            Step::GoOut(member) => world.out |= 1 << member,
+            Step::Restart(member) => {
                 world.restarts -= 1;
                 let silence = if self.fault == Fault::NoSilence { 0 } else { TIMES.silence };
-                world.voters[of] = Voter::new(u32::from(world.restarts) + 10, world.now, silence);
+                world.voters[member] = Voter::new(u32::from(world.restarts) + 10, world.now, silence);
                 world
                     .registers
                     .iter_mut()
                     .enumerate()
-                    .filter(|(i, _)| *i == of)
+                    .filter(|(i, _)| *i == member)
                     .for_each(|(_, register)| *register = None);
             }
             Step::Deliver((from, to, request), answered) => {
@@ -245,7 +246,7 @@
                 }
             }
         }
-        (0..2).for_each(|of| self.process_events(&mut world, of));
+        (0..2).for_each(|member| self.process_events(&mut world, member));
         (world != *last).then_some(world)
     }
 
--- a/crates/permits/tests/workers.rs
+++ b/crates/permits/tests/workers.rs
@@ -45,8 +45,8 @@
     fleet
 }
 
-fn state(fleet: &VirtualFleet, of: MemberId) -> Vec<(Subject, bool)> {
-    let known = fleet.net.node(of).and_then(|one| one.node.known());
+fn state(fleet: &VirtualFleet, member: MemberId) -> Vec<(Subject, bool)> {
+    let known = fleet.net.node(member).and_then(|one| one.node.known());
     known
         .map(|known| known.value.permits.iter().map(|p| (p.subject, p.returned)).collect())
         .unwrap_or_default()
--- a/src/control.rs
+++ b/src/control.rs
@@ -267,8 +267,8 @@
         }
         // After a miss, a worker may be tried again once a copy is loaded there. Otherwise a call whose own
         // order loaded the copy would wait next to it until its deadline, always so in a small fleet. Known
-        // drawback: if copies come and go faster than answers, attempts are used up. A lost connection says
-        // nothing about the copy either: a process that died refuses the next connection.
+        // drawback: if copies come and go faster than answers, attempts are used up. A lost connection
+        // is no evidence about the copy either: a process that died refuses the next connection.
         let retryable = |a: &Attempt| matches!(a.ended, Some(Code::Miss | Code::Reset));
         let tried = |id: &WorkerId| call.attempts.iter().any(|a| a.worker == *id && !retryable(a));
         let class = call.request.class;
@@ -477,7 +477,7 @@
 
     /// How far past its aim a new request would wait in its function's queue, at the rate of answers measured
     /// while calls waited. It would be shed at its aim, so it is better refused at once. Answers without a
-    /// queue say nothing about the capacity of the copies: a burst after a quiet time is admitted. Known
+    /// queue are no evidence of the capacity of the copies: a burst after a quiet time is admitted. Known
     /// drawback: copies about to be loaded may serve faster.
     fn wait_past_aim(&self, now: Micros, id: RequestId) -> Option<Micros> {
         let call = self.requests.get(&id)?;
