--- a/src/control.rs
+++ b/src/control.rs
@@ -163,13 +163,8 @@
     /// Evaluates a worker as a place for a function. The key is randomized by a hash that all schedulers
     /// share, so that those which see similar ratios choose alike. The home stays until a ratio passes the
     /// threshold.
-    fn choice<'a>(
-        &self,
-        now: Micros,
-        demand: (&Function, f64),
-        at: (&'a WorkerId, &'a Worker),
-    ) -> Choice<'a> {
-        let ((function, added), (id, worker)) = (demand, at);
+    fn choice<'a>(&self, now: Micros, load: (&Function, f64), at: (&'a WorkerId, &'a Worker)) -> Choice<'a> {
+        let ((function, added), (id, worker)) = (load, at);
         self.evaluations.set(self.evaluations.get() + 1);
         let ratio = self.pressure_ratio(now, worker, added, function.memory_mb, function.class);
         let biased = if function.home.as_ref() == Some(id) { ratio / REBALANCE_GAIN } else { ratio };
