--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -227,7 +227,7 @@
             Some(EventOwner::Member(_)) if handed_over => {
                 return Arrival::Answered(Answer::Failed(Failure::OwnerUnreachable));
             }
-            // Admission is left to the owner: only the owner can decide whether the event is already in flight.
+            // Admission is left to the owner, which alone has the record of whether the event is already in flight.
             Some(EventOwner::Member(owner)) => {
                 let until = call.deadline.saturating_sub(ANSWER_RESERVE_US + self.lateness);
                 return self.hand_over(io, now, call, (function, owner), (until, true));
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,10 +1,11 @@
 //! One member's view of all members: its state and queries, applying updates and sending messages.
 //!
-//! The protocol is SWIM. In each period a member probes one other member. If that does not ack, three others are requested
-//! to probe it. Without an ack after a second such attempt it is suspected, and it is declared gone when the suspicion
-//! times out without a refutation. A member that learns that it is suspected or declared gone refutes with a higher
-//! incarnation. The members are known from the configured list, so members that are gone are probed too, one per
-//! period, and a healed partition is noticed without intervention. Anti-entropy by digests finds what gossip missed.
+//! The protocol is SWIM. In each period a member probes one other member. If that does not ack, it sends ping requests
+//! to three others. Without an ack after a second such attempt the probed member is suspected, and it is declared gone
+//! when the suspicion times out without a refutation. A member that learns that it is suspected or declared gone
+//! refutes with a higher incarnation. The members are known from the configured list, so members that are gone are
+//! probed too, one per period, and a healed partition is noticed without intervention. Anti-entropy by digests finds
+//! what gossip missed.
 //!
 //! Inputs are settings and times, outputs are [`Output`]s. Received datagrams are handled in `receive`, periodic work
 //! in `probe` and anti-entropy in `sync`; they use this module, which uses none of them. Bounds: one entry, one update
--- a/crates/membership/src/updates.rs
+++ b/crates/membership/src/updates.rs
@@ -22,8 +22,8 @@
 }
 
 impl UpdateQueue {
-    /// Queues a new update in place of an earlier one about the same member. `in_digest` states whether views without it
-    /// have a different digest.
+    /// Queues a new update in place of an earlier one about the same member. `in_digest` states whether views without
+    /// it have a different digest.
     pub fn add(&mut self, update: Update, in_digest: bool) {
         if let Some(transmissions) = self.transmissions.insert(update.member, 0) {
             self.order.remove(&(transmissions, update.member));
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -546,7 +546,10 @@
                         let (worker, code) = (&worker, reply.status);
                         let took_us = now.saturating_sub(open.since);
                         let copies = reply.copies;
-                        debug!(target: "basaltward::load", %worker, %function, count, ?code, stand = copies, took_us, "load");
+                        debug!(
+                            target: "basaltward::load",
+                            %worker, %function, count, ?code, stand = copies, took_us, "load"
+                        );
                     }
                     done.extend(end_with_reply(&open.job, reply, &self.report));
                     self.close_or_keep(io, now, conn);
--- a/crates/permits/tests/release.rs
+++ b/crates/permits/tests/release.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The scheduler that a permit is for, once the scheduler that it was requested through has received the state with it.
+    /// The scheduler that a permit is for, once the scheduler that it was requested through has that state.
     fn subject(&mut self, through: MemberId, permit: u16) -> Option<MemberId> {
         for _ in 0..50 {
             let known = self.fleet.net.node(through).and_then(|one| one.node.known());
--- a/crates/site-routing/src/homes.rs
+++ b/crates/site-routing/src/homes.rs
@@ -84,8 +84,9 @@
         statuses.collect()
     }
 
-    /// Handles the homes in the report of another site. A function that has its home here according to that site, or for
-    /// which that site bids to move it here, does not move there for a while. If two sites bid for each other, the bid towards the higher rank survives.
+    /// Handles the homes in the report of another site. A function that has its home here according to that site, or
+    /// for which that site bids to move it here, does not move there for a while. If two sites bid for each other, the
+    /// bid towards the higher rank survives.
     pub fn handle_report(&mut self, now: Micros, from: Site, homes: &BTreeMap<u32, HomeStatus>) {
         for status in homes.values() {
             if status.home == self.local_site || status.bid == Some(self.local_site) {
@@ -146,7 +147,7 @@
         match entry.bid.filter(|bid| bid.to == to) {
             None => entry.bid = Some(Bid { to, first_report: next_report, since: now }),
             Some(bid) => {
-                // The other site bids for this one, against the rank: it withdraws that bid when it receives the local one.
+                // The other site bids for this one, against the rank: it withdraws its bid on receipt of the local one.
                 let yields =
                     peer.status.bid == Some(local_site) && rank(function, local_site) < rank(function, to);
                 if peer.acked >= bid.first_report && (peer.status.bid.is_none() || yields) {
