--- a/src/control.rs
+++ b/src/control.rs
@@ -163,8 +163,8 @@
     /// Evaluates a worker as a place for a function. The key is randomized by a hash that all schedulers
     /// share, so that those which see similar ratios choose alike. The home stays until a ratio passes the
     /// threshold.
-    fn choice<'a>(&self, now: Micros, of: (&Function, f64), at: (&'a WorkerId, &'a Worker)) -> Choice<'a> {
-        let ((function, added), (id, worker)) = (of, at);
+    fn choice<'a>(&self, now: Micros, load: (&Function, f64), at: (&'a WorkerId, &'a Worker)) -> Choice<'a> {
+        let ((function, added), (id, worker)) = (load, at);
         self.evaluations.set(self.evaluations.get() + 1);
         let ratio = self.pressure_ratio(now, worker, added, function.memory_mb, function.class);
         let biased = if function.home.as_ref() == Some(id) { ratio / REBALANCE_GAIN } else { ratio };
@@ -262,8 +262,8 @@
         }
         // After a miss, a worker may be tried again once a copy is loaded there. Otherwise a call whose own
         // order loaded the copy would wait next to it until its deadline, always so in a small fleet. Known
-        // drawback: if copies come and go faster than answers, attempts are used up. A lost connection says
-        // nothing about the copy either: a process that died refuses the next connection.
+        // drawback: if copies come and go faster than answers, attempts are used up. A lost connection
+        // is no evidence about the copy either: a process that died refuses the next connection.
         let retryable = |a: &Attempt| matches!(a.ended, Some(Code::Miss | Code::Reset));
         let tried = |id: &WorkerId| call.attempts.iter().any(|a| a.worker == *id && !retryable(a));
         let class = call.request.class;
@@ -421,7 +421,7 @@
             let choice = |at| self.choice(now, self.with_demand(now, function), at);
             let home_ratio = at(&home).map_or(f64::INFINITY, |at| choice(at).ratio);
             let gains = |c: &&Choice| *c.id != home && home_ratio > c.ratio * REBALANCE_GAIN;
-            // Without an order it can only move to a loaded copy: rarely worth ranking the whole fleet.
+            // Without an order it can only move to a loaded copy: it rarely pays to rank the whole fleet.
             let loaded = function.places.iter().filter(|(_, p)| p.loaded);
             let can_move_to_loaded = || loaded.filter_map(|(id, _)| at(id)).any(|at| gains(&&choice(at)));
             let may_order = has_order_left && self.may_order(now, function) && self.load_gap == 0;
@@ -472,7 +472,7 @@
 
     /// How far past its aim a new request would wait in its function's queue, at the rate of answers measured
     /// while calls waited. It would be shed at its aim, so it is better refused at once. Answers without a
-    /// queue say nothing about the capacity of the copies: a burst after a quiet time is admitted. Known
+    /// queue are no evidence of the capacity of the copies: a burst after a quiet time is admitted. Known
     /// drawback: copies about to be loaded may serve faster.
     fn wait_past_aim(&self, now: Micros, id: RequestId) -> Option<Micros> {
         let call = self.requests.get(&id)?;
@@ -950,7 +950,7 @@
         self.finish(id, Some(answer), out);
     }
 
-    /// Ends a request. Sends the final answer unless one was given before, and cancels attempts in flight.
+    /// Ends a request. Sends the final answer unless one was sent before, and cancels attempts in flight.
     fn finish(&mut self, id: RequestId, answer: Option<Action>, out: &mut Out) {
         let Some(call) = self.requests.get_mut(&id) else { return };
         if !call.answered {
@@ -1018,7 +1018,7 @@
             (least + copies.0 * f.memory_mb, most + copies.1.max(copies.0) * f.memory_mb)
         };
         let (least, most) = self.functions.values().fold((0.0, 0.0), sum);
-        let mean = |of: &dyn Fn(&Worker) -> f64| usable.iter().map(|w| of(w)).sum::<f64>() / count;
+        let mean = |value: &dyn Fn(&Worker) -> f64| usable.iter().map(|w| value(w)).sum::<f64>() / count;
         let calls = self.sends.get(now, WINDOW_US) / count;
         let others = 1.0 - 1.0 / f64::from(self.settings.schedulers);
         let first_quartile = |class: usize| {
