--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -334,7 +334,7 @@
     if let Err(CommandError::Run(error) | CommandError::Input(error)) =
         request_granted(options, PermitRequest::Return(subject, permit))
     {
-        print_step(options, &name, "is back, but its permit could not be returned", json!({"why": error}));
+        print_step(options, &name, "is back, but that could not be told", json!({"why": error}));
     }
     print_step(options, &name, "is back", json!({}));
     Ok(())
