--- a/benchlink/src/lib.rs
+++ b/benchlink/src/lib.rs
@@ -17,7 +17,7 @@
     Malformed {
         /// The line's number, from 1.
         line: usize,
-        /// What was expected there.
+        /// Description of the expected input.
         expected: String,
     },
     /// Reading or writing failed.
@@ -190,7 +190,7 @@
                 (MembersKind::Failed, _) => Vec::new(),
                 (_, Some(text)) => {
                     let number = text.parse::<u32>().ok();
-                    number.and_then(|n| lists.get(&n)).cloned().ok_or("the number of a list given before")?
+                    number.and_then(|n| lists.get(&n)).cloned().ok_or("the number of an earlier list")?
                 }
                 (_, None) => return Err("the number of a list".into()),
             };
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -47,7 +47,7 @@
     /// Source of the ids of calls, requests and orders.
     sequence: u64,
     stopping: bool,
-    /// When the process will be killed, if known: no answer can be given later. Otherwise [`Micros::MAX`].
+    /// When the process will be killed, if known: no answer can be sent later. Otherwise [`Micros::MAX`].
     exit_at: Micros,
     actions: Vec<Action>,
     /// Events to pass to the controller, including those caused by its own actions.
@@ -93,8 +93,9 @@
         answer.into_iter().chain(self.timers.next_due()).min()
     }
 
-    /// How often the controller has weighed a worker so far, see [`Controller::placements_evaluated`].
-    pub fn workers_weighed(&self) -> u64 {
+    /// How often the controller has evaluated a worker as a place for a function; see
+    /// [`Controller::placements_evaluated`].
+    pub fn placements_evaluated(&self) -> u64 {
         self.controller.placements_evaluated()
     }
 
@@ -108,12 +109,12 @@
         self.margin.lateness(now)
     }
 
-    /// Records that the loop handled at `now` what was due at `due`.
+    /// Records that the loop handled at `now` something that was due at `due`.
     pub fn record_lateness(&mut self, now: Micros, due: Micros) {
         self.margin.record(now, due);
     }
 
-    /// Handles one input at time `now` and appends what the caller has to do to `outputs`.
+    /// Handles one input at time `now` and appends the resulting requests to the caller to `outputs`.
     pub fn handle(&mut self, now: Micros, input: Input<P, R>, outputs: &mut Outputs<P, R>) {
         match input {
             Input::Call(call) => {
@@ -187,20 +188,20 @@
     /// Records that the first bytes of an attempt are about to be written to a connection: from now on it may
     /// run.
     pub fn mark_written(&mut self, id: AttemptId) {
-        let attempt = self.requests.get_mut(&id.request).and_then(|t| t.attempts.get_mut(id.number));
+        let attempt = self.requests.get_mut(&id.request).and_then(|state| state.attempts.get_mut(id.number));
         attempt.into_iter().for_each(|attempt| attempt.written = true);
     }
 
-    /// Cancels the attempts of an ended call that still wait for a connection. Its client is told that the call
-    /// never ran, which must remain true.
+    /// Cancels the attempts of an ended call that still wait for a connection. The answer to its client
+    /// states that the call never ran, which must remain true.
     fn abort_unwritten(&self, request: RequestId, outputs: &mut Outputs<P, R>) {
-        let attempts = self.requests.get(&request).map(|t| t.attempts.as_slice()).unwrap_or_default();
-        let unwritten = attempts.iter().enumerate().filter(|(_, s)| !s.written && s.end_code.is_none());
+        let attempts = self.requests.get(&request).map(|state| state.attempts.as_slice()).unwrap_or_default();
+        let unwritten = attempts.iter().enumerate().filter(|(_, a)| !a.written && a.end_code.is_none());
         outputs.extend(unwritten.map(|(number, _)| Output::Abort(AttemptId { request, number })));
     }
 
     /// Answers the clients whose time has run out by `now`. True if it stopped early because there is an
-    /// attempt to start, for the reason given at [`Engine::wake`].
+    /// attempt to start; [`Engine::wake`] explains why.
     pub fn answer_expired(&mut self, now: Micros, outputs: &mut Outputs<P, R>) -> bool {
         let early = self.margin.lateness(now);
         while let Some((at, id)) = self.answer_timers.pop_due(now + early) {
@@ -414,8 +415,8 @@
     }
 
     /// Keeps a call without clients going for a while, because clients that leave early usually repeat their
-    /// event. The work is wasted if the client has gone for good; but without it, many clients that leave early
-    /// would have each run begun and none finished.
+    /// event. The work is wasted if the client never returns; but otherwise, if many clients leave early, every
+    /// run would begin and none would finish.
     fn linger(&mut self, now: Micros, id: CallId, outputs: &mut Outputs<P, R>) {
         if !self.calls.get(&id).is_some_and(|c| c.waiters.is_empty()) {
             return;
@@ -450,7 +451,7 @@
 
     /// Ends the call of a request: records the end and answers every client that still waits.
     fn conclude(&mut self, now: Micros, request: RequestId, answer: Answer<R>, outputs: &mut Outputs<P, R>) {
-        let Some(state) = self.requests.get(&request).filter(|t| !t.concluded) else { return };
+        let Some(state) = self.requests.get(&request).filter(|state| !state.concluded) else { return };
         let (id, deadline) = (state.call, state.deadline);
         let past_deadline =
             matches!(answer, Answer::Failed(_)) && now + self.settings.controller.tick >= deadline;
@@ -466,7 +467,7 @@
         let Some(mut call) = self.close_call(now, request, reply) else { return };
         let lateness = self.margin.lateness(now);
         // Excludes the client that began the call: its time can only seem longer now because the lateness has
-        // decayed since, and its call has already been given up, so it is answered at once.
+        // decayed since, and its call has already ended, so it is answered at once.
         let joined_waiter = |w: &WaiterId| self.waiters.get(w).filter(|w| w.origin == AnswerOrigin::Joined);
         let answer_by_of = |w: &WaiterId| joined_waiter(w).map(|w| w.answer_by.saturating_sub(lateness));
         let latest = call.waiters.iter().filter_map(answer_by_of).max();
@@ -519,7 +520,7 @@
 
     /// Marks a request as concluded, removes its call and records how it ended.
     fn close_call(&mut self, now: Micros, request: RequestId, reply: Option<R>) -> Option<Call<P>> {
-        let state = self.requests.get_mut(&request).filter(|t| !t.concluded)?;
+        let state = self.requests.get_mut(&request).filter(|state| !state.concluded)?;
         state.concluded = true;
         let call = self.calls.remove(&state.call)?;
         let ended = match (reply, state.first_possible_run()) {
@@ -537,7 +538,7 @@
 
     fn attempt_ended(&mut self, now: Micros, id: AttemptId, end: AttemptEnd<R>, outputs: &mut Outputs<P, R>) {
         let Some(state) = self.requests.get_mut(&id.request) else { return };
-        let Some(attempt) = state.attempts.get_mut(id.number).filter(|s| s.end_code.is_none()) else {
+        let Some(attempt) = state.attempts.get_mut(id.number).filter(|a| a.end_code.is_none()) else {
             return;
         };
         // A success without a reply can't be passed on to the client.
@@ -623,7 +624,7 @@
             Action::Send { id, worker, until } => self.start_attempt(now, id, worker, until, outputs),
             Action::Cancel { id, attempt } => {
                 let pending =
-                    |t: &RequestState| t.attempts.get(attempt).is_some_and(|s| s.end_code.is_none());
+                    |state: &RequestState| state.attempts.get(attempt).is_some_and(|a| a.end_code.is_none());
                 if self.requests.get(&id).is_some_and(pending) {
                     outputs.push(Output::Abort(AttemptId { request: id, number: attempt }));
                 }
--- a/crates/engine/src/handoff.rs
+++ b/crates/engine/src/handoff.rs
@@ -102,12 +102,12 @@
 }
 
 /// The answer to a call that its owner never took. A refusal states that trying again is harmless, which holds
-/// only for an event that can't have run.
+/// only for an event that can't have run or that may safely run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UntakenAnswer {
-    /// The event never ran: refuse.
+    /// The event never ran, or may safely run again: refuse.
     Refuse,
-    /// The event may repeat one that ran, which only its owner could tell: fail.
+    /// The event may repeat one that ran, which only its owner can determine: fail.
     Fail,
 }
 
--- a/crates/engine/src/in_flight.rs
+++ b/crates/engine/src/in_flight.rs
@@ -53,13 +53,13 @@
 impl RequestState {
     /// When the first attempt was sent that may have run.
     pub fn first_possible_run(&self) -> Option<Micros> {
-        let possible = |s: &&Attempt| s.written && !s.end_code.is_some_and(Code::never_ran);
-        self.attempts.iter().filter(possible).map(|s| s.sent_at).min()
+        let possible = |a: &&Attempt| a.written && !a.end_code.is_some_and(Code::never_ran);
+        self.attempts.iter().filter(possible).map(|a| a.sent_at).min()
     }
 
     /// Whether the request is concluded and all of its attempts have ended.
     pub fn is_finished(&self) -> bool {
-        self.concluded && self.attempts.iter().all(|s| s.end_code.is_some())
+        self.concluded && self.attempts.iter().all(|a| a.end_code.is_some())
     }
 }
 
--- a/crates/engine/src/margin.rs
+++ b/crates/engine/src/margin.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct Margin {
     settings: MarginSettings,
-    /// The observed lateness that is currently decisive, in microseconds.
+    /// The recorded lateness from which the current value decays, in microseconds.
     peak: f64,
     /// When it was observed.
     peak_at: Micros,
--- a/crates/engine/src/repeats.rs
+++ b/crates/engine/src/repeats.rs
@@ -7,7 +7,7 @@
 //! | end of the call | safe | keyed | unsafe |
 //! | --- | --- | --- | --- |
 //! | served | the answer | the answer, guarded | the answer, guarded |
-//! | may have run | nothing | the fact, guarded | the fact, guarded |
+//! | may have run | nothing | its send time, guarded | its send time, guarded |
 //! | never ran | nothing | nothing | nothing |
 //!
 //! An event that may have run must not run again, so that its repeats fail. The exception is a keyed event with
@@ -64,7 +64,7 @@
     Join(C),
     /// It was served with this answer.
     Recorded(R),
-    /// It may have run, or was served and its answer has been evicted: fail it.
+    /// It may have run, or was served with an answer that has been evicted or was too large: fail it.
     Blocked,
     /// The tenant has reached its limit of guarded events: refuse it.
     GuardLimit,
--- a/crates/engine/src/settings.rs
+++ b/crates/engine/src/settings.rs
@@ -12,7 +12,7 @@
     pub memory_mb: f64,
     /// Number of calls that one copy runs concurrently.
     pub lanes: u32,
-    /// Usual time to load a copy, if known.
+    /// Typical time to load a copy, if known.
     pub load_time: Option<Micros>,
 }
 
--- a/crates/engine/src/types.rs
+++ b/crates/engine/src/types.rs
@@ -56,7 +56,7 @@
     pub reply: Option<R>,
     /// State of the copy, as the worker reported it.
     pub copy: CopyStatus,
-    /// Number of requests for the function that the worker held on arrival, if reported.
+    /// Number of requests for the function at the worker when this one arrived, if reported.
     pub crowd: Option<u32>,
     /// The load report, in the order of the controller's settings.
     pub report: Vec<f64>,
@@ -95,7 +95,7 @@
     /// Refuse new calls; those in flight go on.
     Stop,
     /// The process will be killed at this time: the clients of all current and future calls are answered before
-    /// it, however long they would wait. Ignored if an earlier time was given before.
+    /// it, however long they would wait. Ignored if an earlier time is set already.
     ExitAt(Micros),
 }
 
@@ -104,7 +104,8 @@
 pub enum Refusal {
     /// The controller refused it.
     Overload,
-    /// The maximum number of calls is in flight, or of clients waits for this call.
+    /// The limit of calls in flight, or of clients that wait for this call, is reached, or the loop that owns the
+    /// event did not take the call in time.
     TooManyInFlight,
     /// Too little of the client's time was left on arrival.
     TooLittleTime,
@@ -114,7 +115,7 @@
     NotStarted,
     /// The tenant has reached its limit of records that guard against a second run.
     GuardLimit,
-    /// Its class requires that events are persisted, and no other gateway can hold this one.
+    /// Its class requires that events are persisted, and no other gateway can store this one.
     NotReplicated,
     /// This gateway is stopping.
     Stopping,
@@ -139,7 +140,7 @@
 pub enum Answer<R> {
     /// Served, with the worker's reply.
     Served(R),
-    /// Refused without effect; the client may retry after this time, if given.
+    /// Refused without effect; the client may retry after this delay, if there is one.
     Refused(Refusal, Option<Micros>),
     /// Failed; the call may have run.
     Failed(Failure),
@@ -148,11 +149,11 @@
 /// Where an answer comes from, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerOrigin {
-    /// From a call that this client's event began.
+    /// From the call that this client's event started.
     First,
     /// From a call in flight that this client's event joined.
     Joined,
-    /// From the record of an earlier call, or given without running the call.
+    /// From the record of an earlier call, or decided without running the call.
     Direct,
 }
 
@@ -184,7 +185,7 @@
         function: Arc<Function>,
         /// The data to send.
         payload: Arc<P>,
-        /// When the answer becomes useless.
+        /// When to give up: a later answer would be too late for the client.
         until: Micros,
     },
     /// Cancel an attempt. Its [`Input::AttemptEnded`] is still required.
--- a/crates/engine/tests/late_loop.rs
+++ b/crates/engine/tests/late_loop.rs
@@ -49,7 +49,7 @@
     pacer: LoopPacer,
     cost: WorkCost,
     now: Micros,
-    /// Workers weighed until now, see [`Engine::workers_weighed`].
+    /// Workers weighed until now, see [`Engine::placements_evaluated`].
     weighed: u64,
     /// Inputs that will reach the loop, by time and sequence number.
     pending: BTreeMap<(Micros, u64), LoopInput>,
@@ -121,7 +121,7 @@
 
     /// Advances the clock by the cost of the work done.
     fn spend(&mut self, own: Micros) {
-        let newly_weighed = self.engine.workers_weighed() - self.weighed;
+        let newly_weighed = self.engine.placements_evaluated() - self.weighed;
         self.weighed += newly_weighed;
         self.now += own + newly_weighed * self.cost.per_100_weighed / 100;
     }
--- a/crates/net/src/io.rs
+++ b/crates/net/src/io.rs
@@ -375,8 +375,8 @@
         self.get(id).is_some_and(|conn| conn.write_blocked)
     }
 
-    /// Limits the kernel's send buffer of a connection. Data in it can't be withdrawn, and by default the kernel
-    /// buffers megabytes for a peer that does not read.
+    /// Limits the kernel's send buffer of a connection, in bytes; a failure is ignored. Data in the buffer can't be
+    /// withdrawn, and by default the kernel buffers megabytes for a peer that does not read.
     pub fn set_send_buffer_size(&mut self, id: ConnId, bytes: usize) {
         if let Some(conn) = self.get(id) {
             let _ = sockopt::set_socket_send_buffer_size(&conn.stream, bytes);
--- a/crates/net/src/retry.rs
+++ b/crates/net/src/retry.rs
@@ -11,9 +11,11 @@
 const RETRY_DELAY_US: Micros = 5_000;
 /// After this number of consecutive interrupts (`EINTR`) the call is retried later.
 const MAX_INTERRUPTS: usize = 8;
-/// Minimum and maximum pause in accepting, in microseconds, after two failures of `accept` in a row. Without a pause
-/// the waiting connections would wake the loop at every turn.
-const ACCEPT_DELAYS_US: (Micros, Micros) = (1_000, 20_000);
+/// First pause in accepting after two failures of `accept` in a row, in microseconds; it doubles with each further one.
+/// Without a pause the waiting connections would wake the loop at every turn.
+const MIN_ACCEPT_DELAY_US: Micros = 1_000;
+/// Longest such pause, in microseconds.
+const MAX_ACCEPT_DELAY_US: Micros = 20_000;
 
 /// Failed calls to be retried.
 #[derive(Debug, Default)]
@@ -28,7 +30,7 @@
     retry_at: Micros,
     /// No connection is accepted before this time.
     accept_at: Micros,
-    /// Length of the current pause in accepting; 0 if the last accept succeeded.
+    /// Length of the current pause in accepting, in microseconds; 0 if the last accept succeeded.
     accept_delay: Micros,
 }
 
@@ -56,7 +58,7 @@
 
     /// Pauses accepting after two failures in a row, for twice as long each time.
     pub fn accept_failed(&mut self) {
-        self.accept_delay = (self.accept_delay * 2).clamp(ACCEPT_DELAYS_US.0, ACCEPT_DELAYS_US.1);
+        self.accept_delay = (self.accept_delay * 2).clamp(MIN_ACCEPT_DELAY_US, MAX_ACCEPT_DELAY_US);
         self.accept_at = monotonic() + self.accept_delay;
     }
 }
@@ -121,7 +123,7 @@
             return;
         };
         let connect = || self.system.connect(&conn.stream, &to);
-        // An interrupted call may have started the connection or not: the result of the next call tells which.
+        // An interrupted call may have started the connection or not: the result of the next call shows which.
         let result =
             std::iter::repeat_with(connect).take(MAX_INTERRUPTS).find(|result| *result != Err(Errno::INTR));
         match result.unwrap_or(Err(Errno::AGAIN)) {
--- a/crates/timers/src/lib.rs
+++ b/crates/timers/src/lib.rs
@@ -30,6 +30,7 @@
     slots: Vec<Vec<Entry<T>>>,
     /// Bitmap of the slots that are not empty.
     occupied: Vec<u64>,
+    /// Entries due after the last slot of the calendar, by slot number.
     overflow: BTreeMap<u64, Vec<Entry<T>>>,
     /// Entries inserted so far; orders entries with equal times.
     sequence: u64,
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,24 +1,24 @@
 //! The scheduling policy. Events and actions are defined in `src/interface.rs`, the state in `src/state.rs`.
 //! Each function is placed on the worker whose memory pressure ratio (weighted demand over free memory) would
 //! be lowest. Its requests go there and overflow to other workers by the same rule. A timer moves the
-//! function when another worker is better by more than a threshold, and idle placements are released.
+//! function when another worker is better by more than a threshold, and removes records of idle copies.
 
 use crate::interface::*;
 use crate::standing::Access;
 use crate::state::*;
 use std::collections::BTreeSet;
 
-/// Weight of the ratio against the shared hash: a worker with 1.25 times the ratio ranks first in 3 of 10.
+/// Weight of the ratio against the shared hash: with 1.25 times another's ratio, a worker ranks first in 3 of 10.
 const RATIO_EXPONENT: f64 = 4.0;
 /// A function leaves its home once another worker's ratio is lower by this factor.
 const REBALANCE_GAIN: f64 = 1.6;
-/// Calls per worker in the window that make one of many schedulers trust its own figures like the mean.
+/// Calls per worker in the window at which one of many schedulers weighs its own data like the fleet's mean.
 const CONFIDENT_CALLS: f64 = 20.0;
 /// Share of the memory planned for copies; running requests and other schedulers' placements take the rest.
 const COPY_MEMORY_SHARE: f64 = 0.5;
 /// Interval at which waiting calls are routed again.
 const SWEEP_US: Micros = 50_000;
-/// Interval at which fleet statistics are refreshed and idle placements released.
+/// Interval at which fleet statistics are refreshed and records of idle copies removed.
 const MAINTENANCE_US: Micros = 500_000;
 /// Interval at which functions are checked for a better home.
 const REBALANCE_US: Micros = 1_000_000;
@@ -84,20 +84,20 @@
             Event::AnswerStarted { id, attempt } => self.on_answer_started(id, attempt, out),
             Event::Timer { token: 0 } => self.on_sweep(now, out),
             Event::Timer { token } => match self.timers.remove(&token) {
-                Some(TimerPurpose::Deadline(id)) if self.requests.get(&id).is_none_or(|h| h.streaming) => {}
+                Some(TimerPurpose::Deadline(id)) if self.requests.get(&id).is_none_or(|r| r.streaming) => {}
                 Some(TimerPurpose::Deadline(id)) => self.finish(id, Some(Action::Fail { id }), out),
                 Some(TimerPurpose::Shed(id)) => {
                     // The aim can't be met: all copies are busy, loads fail and none is under way, or no
                     // worker may get work. Known drawback: late answers may have a high value.
-                    let is_loading = |h: &PendingRequest| {
-                        let function = self.functions.get(&h.request.function);
+                    let is_loading = |call: &PendingRequest| {
+                        let function = self.functions.get(&call.request.function);
                         function.is_some_and(|f| f.places.values().any(|p| p.loading.is_some()))
                     };
                     let no_worker_open = self.is_no_worker_open(now);
-                    let is_stuck = |h: &PendingRequest| {
-                        no_worker_open || h.awaits_capacity || self.load_gap > 0 && !is_loading(h)
+                    let is_stuck = |call: &PendingRequest| {
+                        no_worker_open || call.awaits_capacity || self.load_gap > 0 && !is_loading(call)
                     };
-                    let is_shed = |h: &PendingRequest| h.is_waiting && is_stuck(h) && self.may_refuse(h);
+                    let is_shed = |r: &PendingRequest| r.is_waiting && is_stuck(r) && self.may_refuse(r);
                     if self.requests.get(&id).is_some_and(is_shed) {
                         let wait = Some(self.load_gap).filter(|gap| *gap > 0);
                         self.refuse_or_fail(id, wait, out);
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Whether the request may be refused, which tells the client that a retry is harmless.
+    /// Whether the request may be refused, which states to the client that a retry is harmless.
     fn may_refuse(&self, call: &PendingRequest) -> bool {
         match self.settings.classes[call.request.class].repeat {
             Repeat::Safe | Repeat::Keyed { group: Group::All, .. } => true,
@@ -250,7 +250,7 @@
     /// sweep, so one that can't be sent must be cheap: the whole fleet is evaluated only if an order may
     /// follow.
     fn route(&mut self, now: Micros, id: RequestId, out: &mut Out) {
-        let Some(call) = self.requests.get(&id).filter(|h| !h.answered) else { return };
+        let Some(call) = self.requests.get(&id).filter(|r| !r.answered) else { return };
         let name = call.request.function.clone();
         let Some(function) = self.functions.get(&name) else { return };
         let allowed = |w: &Worker| self.may_send(now, call, w);
@@ -305,7 +305,7 @@
         let idle = best(first, true).or_else(|| best(rest, true));
         let choice = idle.clone().or_else(|| best(first, false)).or_else(|| best(rest, false));
         // The holder preferred by the local hash gets copies even while others have capacity: so all holders
-        // are used, although each scheduler knows only a few.
+        // are used, although each scheduler has records of only a few.
         let needs_copies = |c: &&Choice| {
             let place = function.places.get(c.id);
             !place.is_some_and(|p| p.loading.is_some() || p.loaded && p.copies as usize * holders >= copies)
@@ -373,7 +373,7 @@
             return self.enqueue(id, true);
         }
         let credit = self.workers.get(worker).map_or(0.0, |w| self.cold_credit(now, w));
-        let (Some(call), Some(known)) = (self.requests.get_mut(&id), self.workers.get_mut(worker)) else {
+        let (Some(call), Some(state)) = (self.requests.get_mut(&id), self.workers.get_mut(worker)) else {
             return;
         };
         let Some(function) = self.functions.get_mut(&call.request.function) else { return };
@@ -391,10 +391,10 @@
         let left = (aim - function.latency * 1.5).max(function.latency * 1.5);
         let after = allowance.min(left).max(20_000.0) as Micros;
         let (number, due) = (call.attempts.len(), now + after);
-        call.attempts.push(Attempt::new(&known.member, now, due));
-        known.due.insert((due, id, number));
-        known.demand.add(now, function.latency * function.weight, WINDOW_US);
-        (known.cold_credit, known.cold_at) = (credit - 1.0, now);
+        call.attempts.push(Attempt::new(&state.member, now, due));
+        state.due.insert((due, id, number));
+        state.demand.add(now, function.latency * function.weight, WINDOW_US);
+        (state.cold_credit, state.cold_at) = (credit - 1.0, now);
         self.sends.add(now, 1.0, WINDOW_US);
         out.push(Action::Send { id, worker: worker.clone(), until: None });
         self.set_timer(after, TimerPurpose::Overdue(id, number), out);
@@ -456,9 +456,9 @@
 
     /// Whether a new request is refused for overload. If attempts are rejected or late, all schedulers
     /// together send more than the fleet can serve, even if each sends little. Requests over their tenant's
-    /// share go first, then a growing part of the rest; otherwise all would be late. It ends as answers come
-    /// in time, or after seconds without any. Known drawback: one overloaded worker with most calls triggers
-    /// it.
+    /// share are refused first, then a growing part of the rest; otherwise all would be late. It ends as
+    /// answers come in time, or after seconds without any. Known drawback: one overloaded worker with most
+    /// calls triggers it.
     fn rejects_for_overload(&mut self, now: Micros, over_share: bool) -> bool {
         let excess = self.overload.get(now, DECAY_US) - OVERLOAD_SHARE;
         if excess <= 0.0 || over_share {
@@ -471,7 +471,7 @@
     }
 
     /// How far past its aim a new request would wait in its function's queue, at the rate of answers measured
-    /// while calls waited. It would be shed at its aim, so it is better refused at once. Answers without a
+    /// while calls waited. It would be shed later, so it is better refused at once. Answers without a
     /// queue are no evidence of the capacity of the copies: a burst after a quiet time is admitted. Known
     /// drawback: copies about to be loaded may serve faster.
     fn wait_past_aim(&self, now: Micros, id: RequestId) -> Option<Micros> {
@@ -546,7 +546,7 @@
         {
             return false;
         }
-        self.make_room(now, worker, name, out);
+        self.free_memory(now, worker, name, out);
         let Some(function) = self.functions.get_mut(name) else { return false };
         let place = function.places.entry(worker.clone()).or_default();
         place.loading = Some(now);
@@ -560,12 +560,12 @@
     /// Before a load on a worker short of memory, unloads the most recently loaded idle copy of a function
     /// called once, so that the load evicts no older, busier copy. Others stay: other schedulers may use
     /// them.
-    fn make_room(&mut self, now: Micros, worker: &WorkerId, name: &FunctionId, out: &mut Out) {
-        let (Some(known), Some(function)) = (self.workers.get(worker), self.functions.get(name)) else {
+    fn free_memory(&mut self, now: Micros, worker: &WorkerId, name: &FunctionId, out: &mut Out) {
+        let (Some(state), Some(function)) = (self.workers.get(worker), self.functions.get(name)) else {
             return;
         };
-        let memory = self.settings.copies.kind_memory_mb.get(known.member.kind);
-        if memory.is_none_or(|memory| memory - known.placed_mb >= function.memory_mb) {
+        let memory = self.settings.copies.kind_memory_mb.get(state.member.kind);
+        if memory.is_none_or(|memory| memory - state.placed_mb >= function.memory_mb) {
             return;
         }
         let idle = self.functions.iter().filter(|(n, _)| *n != name).filter_map(|(n, f)| {
@@ -588,8 +588,8 @@
         place.loaded_at = if loaded && !place.loaded { now } else { place.loaded_at };
         (place.loaded, place.copies) = (loaded, copies);
         let after = if loaded { f64::from(copies.max(1)) } else { 0.0 };
-        if let Some(known) = self.workers.get_mut(worker) {
-            known.placed_mb = (known.placed_mb + (after - before) * function.memory_mb).max(0.0);
+        if let Some(state) = self.workers.get_mut(worker) {
+            state.placed_mb = (state.placed_mb + (after - before) * function.memory_mb).max(0.0);
         }
         if loaded {
             place.loading = None;
@@ -632,8 +632,8 @@
             let duration = if latency > 20_000 { latency } else { function.load_time };
             function.load_time = (function.load_time * 7 + duration * 3) / 10;
             self.set_copies(worker, name, true, count, now);
-        } else if let Some(known) = self.workers.get_mut(worker) {
-            known.failures.add(now, 1.0, DECAY_US);
+        } else if let Some(state) = self.workers.get_mut(worker) {
+            state.failures.add(now, 1.0, DECAY_US);
             function.order_after = now + function.load_time / 2;
         }
         if code == Code::Error {
@@ -657,7 +657,7 @@
         let mut heads: BTreeSet<_> = heads.collect();
         while let Some(((.., id), name)) = heads.pop_first() {
             self.route(now, id, out);
-            if !self.requests.get(&id).is_some_and(|h| h.is_waiting) {
+            if !self.requests.get(&id).is_some_and(|r| r.is_waiting) {
                 let next = self.waiting.get(&name).and_then(|calls| first_waiting(now, calls));
                 heads.extend(next.map(|next| (next, name)));
             }
@@ -708,8 +708,8 @@
                 let started = member.started;
                 self.add_cold_worker(now, member.clone(), started);
             }
-            if let Some(known) = self.workers.get_mut(&id) {
-                (known.usable, known.member) = (member.state == WorkerState::Active, member);
+            if let Some(state) = self.workers.get_mut(&id) {
+                (state.usable, state.member) = (member.state == WorkerState::Active, member);
             }
         }
         let lost: Vec<_> = self.workers.iter().filter(|(_, w)| !w.usable).map(|(id, _)| id.clone()).collect();
@@ -720,8 +720,8 @@
 
     /// Clears all records of copies on a worker.
     pub(crate) fn clear_placements(&mut self, worker: &WorkerId) {
-        let held = self.functions.iter().filter(|(_, f)| f.places.contains_key(worker));
-        let names: Vec<_> = held.map(|(n, _)| n.clone()).collect();
+        let placed = self.functions.iter().filter(|(_, f)| f.places.contains_key(worker));
+        let names: Vec<_> = placed.map(|(n, _)| n.clone()).collect();
         for name in names {
             self.set_copies(worker, &name, false, 0, 0);
             let Some(function) = self.functions.get_mut(&name) else { continue };
@@ -796,7 +796,7 @@
         self.record(now, &name, (class, due, overdue, is_load), &outcome);
         if answered {
             self.finish(outcome.id, None, out);
-        } else if self.requests.get(&outcome.id).is_some_and(|h| now + self.settings.tick >= h.deadline) {
+        } else if self.requests.get(&outcome.id).is_some_and(|r| now + self.settings.tick >= r.deadline) {
             self.finish(outcome.id, Some(Action::Fail { id: outcome.id }), out);
         } else if ended {
             self.route(now, outcome.id, out);
@@ -813,11 +813,11 @@
         let Some(function) = self.functions.get_mut(name) else { return };
         let place = function.places.entry(worker.clone()).or_default();
         place.in_flight = place.in_flight.saturating_sub(1);
-        let Some(known) = self.workers.get_mut(worker) else { return };
-        known.due.remove(&key);
+        let Some(state) = self.workers.get_mut(worker) else { return };
+        state.due.remove(&key);
         if !matches!(end.code, Code::Timeout | Code::Cancelled | Code::ConnectFailed | Code::Moot) {
-            known.answered_at[class] = now;
-            known.unanswered[class].blend(now, 0.0, 0.7, DECAY_US);
+            state.answered_at[class] = now;
+            state.unanswered[class].blend(now, 0.0, 0.7, DECAY_US);
         }
         if let Some(crowd) = end.crowd {
             let others = (f64::from(crowd) - f64::from(place.in_flight)).max(0.0);
@@ -830,13 +830,13 @@
         let names = &self.settings.report_names;
         let index = names.iter().position(|n| n == "outstanding" || n == "inflight");
         if let Some(reported) = index.and_then(|i| end.report.get(i)).filter(|v| v.is_finite()) {
-            let others = (reported.clamp(0.0, 1_000.0) - known.due.len() as f64).max(0.0);
-            known.others_in_flight.blend(now, others, 0.3, CROWD_US);
+            let others = (reported.clamp(0.0, 1_000.0) - state.due.len() as f64).max(0.0);
+            state.others_in_flight.blend(now, others, 0.3, CROWD_US);
         }
         let from_copy = end.code == Code::Ok && matches!(end.copy, CopyStatus::Loaded | CopyStatus::Unknown);
         let share = end.latency as f64 / self.settings.classes[class].aim as f64;
         // A timeout at a worker that meanwhile answers others of the class is overload, otherwise silence.
-        let is_responsive = known.answered_at[class] + end.latency > now;
+        let is_responsive = state.answered_at[class] + end.latency > now;
         if is_load
             && (matches!(end.code, Code::Full | Code::Ok) || end.code == Code::Timeout && is_responsive)
         {
@@ -857,15 +857,15 @@
                 if from_copy {
                     let latency = end.latency as f64;
                     let slow = (latency / function.latency.max(1.0)).clamp(0.1, 10.0) - 1.0;
-                    known.slowness.blend(now, slow, 0.15, DECAY_US);
-                    // Tracks 1.3 times the median: a busy period must not pass for a longer service time.
+                    state.slowness.blend(now, slow, 0.15, DECAY_US);
+                    // Tracks 1.3 times the median: a busy period must not be taken for a longer service time.
                     function.latency *= if latency * 1.3 > function.latency { 1.03 } else { 1.0 / 1.03 };
                     let typical = &mut self.class_latency[class];
                     *typical += 0.02 * (latency.min(*typical * 10.0) - *typical);
                 }
                 let load_started = end.copy == CopyStatus::LoadStarted && place.loaded;
                 let copies = (place.copies + u32::from(load_started)).max(1);
-                if known.usable {
+                if state.usable {
                     self.set_copies(worker, name, true, copies, now);
                 }
             }
@@ -873,15 +873,15 @@
             // No copy is loaded there, whatever was recorded: more requests would only load again and fail.
             Code::Error if end.copy == CopyStatus::LoadFailed => {
                 function.order_after = now + function.load_time / 2;
-                known.failures.add(now, 0.5, DECAY_US);
+                state.failures.add(now, 0.5, DECAY_US);
                 self.set_copies(worker, name, false, 0, now);
                 self.on_load_failed(now, false);
             }
-            Code::ConnectFailed => known.failures.add(now, 3.0, DECAY_US),
+            Code::ConnectFailed => state.failures.add(now, 3.0, DECAY_US),
             // A single reset may be the network's fault; a process that dies resets all open connections.
-            Code::Reset => known.failures.add(now, 1.0, DECAY_US),
-            Code::Error | Code::Unknown => known.failures.add(now, 0.5, DECAY_US),
-            Code::Timeout | Code::Cancelled if overdue => known.unanswered[class].add(now, 1.0, DECAY_US),
+            Code::Reset => state.failures.add(now, 1.0, DECAY_US),
+            Code::Error | Code::Unknown => state.failures.add(now, 0.5, DECAY_US),
+            Code::Timeout | Code::Cancelled if overdue => state.unanswered[class].add(now, 1.0, DECAY_US),
             Code::Full | Code::Timeout | Code::Cancelled | Code::Moot => {}
         }
         let place = self.functions.get_mut(name).and_then(|f| f.places.get_mut(worker));
@@ -890,11 +890,11 @@
         }
     }
 
-    /// An attempt is overdue: counts against its worker unless that answered this class since, and tries
-    /// again if allowed. A worker that answers others is working, and a second attempt would only add load,
-    /// unless it is suspect. Second attempts are rationed, so that they do not amplify an overload.
+    /// Counts an overdue attempt against its worker, unless that has answered this class since, and starts
+    /// another attempt if allowed. A worker that answers others is working, and a second attempt would only
+    /// add load, unless it is suspect. They are rationed, so that they do not amplify an overload.
     fn on_overdue(&mut self, now: Micros, id: RequestId, number: usize, out: &mut Out) {
-        let Some(call) = self.requests.get_mut(&id).filter(|h| !h.answered) else { return };
+        let Some(call) = self.requests.get_mut(&id).filter(|r| !r.answered) else { return };
         let (latest, class, deadline) =
             (call.attempts.len() == number + 1, call.request.class, call.deadline);
         let attempts_left = call.attempts.len() < self.settings.limits.attempts as usize;
@@ -907,7 +907,7 @@
         let (sent, worker) = (attempt.sent, &self.workers[&attempt.worker]);
         let suspect = self.penalty(now, worker, class) >= self.suspect_threshold(class);
         // The alternative to concurrent attempts is to cancel, which loses work: only for a suspect worker.
-        let wait = worker.answered_at.iter().any(|h| *h > sent) || !self.settings.limits.concurrent_attempts;
+        let wait = worker.answered_at.iter().any(|t| *t > sent) || !self.settings.limits.concurrent_attempts;
         if wait && !suspect {
             let retry_after = (now - sent).max(1);
             if now + retry_after < deadline {
@@ -932,7 +932,7 @@
 
     /// An answer has begun to stream: cancels the other attempts.
     fn on_answer_started(&mut self, id: RequestId, attempt: usize, out: &mut Out) {
-        let call = self.requests.get_mut(&id).filter(|h| !h.answered && attempt < h.attempts.len());
+        let call = self.requests.get_mut(&id).filter(|r| !r.answered && attempt < r.attempts.len());
         let Some(call) = call else { return };
         call.streaming = true;
         let others = call.attempts.iter().enumerate().filter(|(i, a)| *i != attempt && a.ended.is_none());
@@ -945,7 +945,7 @@
     fn refuse_or_fail(&mut self, id: RequestId, wait: Option<Micros>, out: &mut Out) {
         let limits = &self.settings.limits;
         let wait = wait.filter(|_| limits.retry_after).map(|wait| wait.min(limits.max_retry_after));
-        let refuse = self.requests.get(&id).is_some_and(|h| self.may_refuse(h));
+        let refuse = self.requests.get(&id).is_some_and(|r| self.may_refuse(r));
         let answer = if refuse { Action::Refuse { id, wait } } else { Action::Fail { id } };
         self.finish(id, Some(answer), out);
     }
@@ -986,7 +986,7 @@
         self.rebalance(now, out);
     }
 
-    /// Abandons unanswered loads, releases idle copies and placements, refreshes the fleet statistics.
+    /// Abandons unanswered loads, removes records of idle copies, refreshes the fleet statistics.
     fn maintain(&mut self, now: Micros) {
         // Occasional failures of single loads do not indicate an overloaded store.
         self.load_gap = if now >= self.load_gap_raised_at + LOAD_GAP_RESET_US { 0 } else { self.load_gap };
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -98,7 +98,7 @@
 pub struct CopySettings {
     /// Memory of each kind of worker, MB.
     pub kind_memory_mb: Vec<f64>,
-    /// A worker without a copy loads one while the request waits; otherwise it answers `Miss`.
+    /// If true, a worker without a copy loads one while the request waits; if false, it answers `Miss`.
     pub load_on_miss: bool,
     /// `Load` and `Drop` are allowed.
     pub orders: bool,
@@ -136,7 +136,8 @@
 pub struct Rules {
     /// A final answer still counts this long after the client's deadline.
     pub answer_slack: Micros,
-    /// A worker that has just started has at least this share of its capacity.
+    /// Share of its capacity that a worker is guaranteed to have when it has just started. Must be above 0; values
+    /// above 1 count as 1.
     pub cold_from: f64,
     /// Time after its start at which a worker has its full capacity.
     pub warm_within: Micros,
@@ -229,6 +230,9 @@
     }
 
     /// Validates the settings.
+    ///
+    /// # Errors
+    /// The first problem found; see [`SettingsError`].
     pub fn check(&self) -> Result<(), SettingsError> {
         let positive = |x: f64| x.is_finite() && x > 0.0;
         if self.classes.is_empty() {
@@ -321,7 +325,7 @@
     pub started: Micros,
     /// Reported relative capacity, comparable between workers.
     pub hint: f64,
-    /// Its kind, an index into [`Family::kind_memory_mb`].
+    /// Its kind, an index into [`CopySettings::kind_memory_mb`].
     pub kind: usize,
     /// Its zone.
     pub zone: usize,
@@ -392,7 +396,7 @@
 }
 
 impl Request {
-    /// A request of the first class and tenant.
+    /// A request of the first class and tenant, whose client gives up after `patience` microseconds.
     pub fn new(id: u64, function: &str, memory_mb: f64, lanes: u32, patience: Micros) -> Self {
         let function = function.into();
         Self {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,9 @@
 //! The decision module of a function platform's scheduler.
 //!
 //! A [`Controller`] receives what its front end observes as events (requests, outcomes, the list of workers) and
-//! returns what to do as actions (send, load, refuse, ...). It places every function on the worker with the lowest
+//! returns actions to carry out (send, load, refuse, ...). It places every function on the worker with the lowest
 //! memory pressure ratio; requests follow that placement and overflow to other workers by the same rule.
 //! It does no I/O, reads no clock and starts no thread; identical events give identical actions.
-
 //!
 //! ```
 //! use basaltward::{Action, Class, Controller, Event, Member, MembersKind, Repeat, Settings, WorkerState};
--- a/src/standing.rs
+++ b/src/standing.rs
@@ -93,12 +93,12 @@
     /// caller must check it again before it writes the first byte, as the decision may have been queued in between.
     pub fn new_work_until(&self, worker: &WorkerId) -> Option<Micros> {
         let listed = self.listed_until()?;
-        let Some(known) = self.workers.get(worker) else { return Some(listed) };
-        let is_closed = known.drain_evidence.denial.is_some() || known.drain_evidence.refused_at.is_some();
+        let Some(state) = self.workers.get(worker) else { return Some(listed) };
+        let is_closed = state.drain_evidence.denial.is_some() || state.drain_evidence.refused_at.is_some();
         if is_closed && self.settings.limits.probes && !self.is_list_current() {
             Some(0)
         } else {
-            Some(listed.max(self.lease_until(known)))
+            Some(listed.max(self.lease_until(state)))
         }
     }
 
@@ -168,8 +168,8 @@
     /// Whether new work may begin at this worker now. All new work, calls and load orders, passes this check. It sends
     /// a probe to a worker that needs one.
     pub(crate) fn may_begin(&mut self, now: Micros, worker: &WorkerId, out: &mut Out) -> bool {
-        let Some(known) = self.workers.get(worker) else { return false };
-        let access = self.access(now, known);
+        let Some(state) = self.workers.get(worker) else { return false };
+        let access = self.access(now, state);
         if access == Access::NeedsProbe {
             self.probe(now, worker, out);
         }
@@ -177,8 +177,8 @@
     }
 
     fn probe(&mut self, now: Micros, worker: &WorkerId, out: &mut Out) {
-        if let Some(known) = self.workers.get_mut(worker) {
-            known.drain_evidence.probe_sent_at = Some(now);
+        if let Some(state) = self.workers.get_mut(worker) {
+            state.drain_evidence.probe_sent_at = Some(now);
             out.push(Action::Probe { worker: worker.clone() });
         }
     }
@@ -232,8 +232,8 @@
 
     /// A worker's last connection was lost. While the list is out of reach this is the only sign of a restart.
     pub(crate) fn on_disconnected(&mut self, now: Micros, worker: &WorkerId) {
-        let Some(known) = self.workers.get_mut(worker) else { return };
-        known.drain_evidence.disconnected_at = Some(now);
+        let Some(state) = self.workers.get_mut(worker) else { return };
+        state.drain_evidence.disconnected_at = Some(now);
         if !self.is_list_current() {
             self.presume_restart(now, worker);
         }
@@ -242,31 +242,31 @@
     /// A worker may have restarted: it counts as cold and empty from now on, and again from its next answer on.
     fn presume_restart(&mut self, now: Micros, worker: &WorkerId) {
         self.record_restart(now, worker);
-        if let Some(known) = self.workers.get_mut(worker) {
-            known.drain_evidence.restart_expected = true;
+        if let Some(state) = self.workers.get_mut(worker) {
+            state.drain_evidence.restart_expected = true;
         }
     }
 
     /// Treats a worker as started now. Its drain evidence is retained.
     fn record_restart(&mut self, now: Micros, worker: &WorkerId) {
-        let Some(known) = self.workers.get(worker) else { return };
-        let (mut member, evidence) = (known.member.clone(), known.drain_evidence.clone());
+        let Some(state) = self.workers.get(worker) else { return };
+        let (mut member, evidence) = (state.member.clone(), state.drain_evidence.clone());
         member.started = now;
         // Schedulers detect the restart at different times, so the key must not depend on the time: with a constant
         // key their shares of the cold budget are still spread evenly.
         self.add_cold_worker(now, member, 0);
-        if let Some(known) = self.workers.get_mut(worker) {
-            known.drain_evidence = evidence;
+        if let Some(state) = self.workers.get_mut(worker) {
+            state.drain_evidence = evidence;
         }
     }
 
-    /// A worker has answered something sent at `sent` as a draining worker would not have done.
+    /// Records an answer, to a request or probe sent at `sent`, that a draining worker would not have sent.
     pub(crate) fn renew_lease(&mut self, now: Micros, worker: &WorkerId, sent: Micros) {
         if self.is_list_current() {
             return;
         }
-        let Some(known) = self.workers.get_mut(worker) else { return };
-        let evidence = &mut known.drain_evidence;
+        let Some(state) = self.workers.get_mut(worker) else { return };
+        let evidence = &mut state.drain_evidence;
         evidence.not_draining_at = evidence.not_draining_at.max(Some(sent));
         if evidence.refused_at.take_if(|refused| *refused <= sent).is_some() {
             evidence.refusals = 0;
@@ -283,8 +283,8 @@
     /// rejections in a row counts as overload.
     pub(crate) fn on_refusal(&mut self, now: Micros, worker: &WorkerId, sent: Micros) -> bool {
         let (current, probes) = (self.is_list_current(), self.settings.limits.probes);
-        let Some(known) = self.workers.get_mut(worker).filter(|_| !current) else { return true };
-        let evidence = &mut known.drain_evidence;
+        let Some(state) = self.workers.get_mut(worker).filter(|_| !current) else { return true };
+        let evidence = &mut state.drain_evidence;
         if probes && evidence.probe_passed_at.is_some_and(|passed| passed + FULL_AFTER_PROBE_US > now) {
             return true;
         }
@@ -307,11 +307,11 @@
     ) {
         let (code, latency) = result;
         let (sent, current) = (now.saturating_sub(latency), self.is_list_current());
-        let Some(known) = self.workers.get_mut(worker).filter(|_| !current) else { return };
-        known.drain_evidence.probe_sent_at = None;
+        let Some(state) = self.workers.get_mut(worker).filter(|_| !current) else { return };
+        state.drain_evidence.probe_sent_at = None;
         match code {
             Code::Ok => {
-                known.drain_evidence.probe_passed_at = Some(sent);
+                state.drain_evidence.probe_passed_at = Some(sent);
                 self.renew_lease(now, worker, sent);
             }
             code => self.deny(now, worker, sent, code == Code::Error),
@@ -323,9 +323,9 @@
     /// A worker has reported that it drains, or has not answered. One that drains returns as a new process, empty and
     /// cold.
     fn deny(&mut self, now: Micros, worker: &WorkerId, sent: Micros, drains: bool) {
-        let Some(known) = self.workers.get_mut(worker) else { return };
-        let evidence = &mut known.drain_evidence;
-        // Something sent later was answered successfully.
+        let Some(state) = self.workers.get_mut(worker) else { return };
+        let evidence = &mut state.drain_evidence;
+        // A request or probe sent later was answered successfully.
         if evidence.not_draining_at.is_some_and(|proven| proven > sent) {
             return;
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -105,9 +105,10 @@
     pub rate: DecayingValue,
     pub class: usize,
     pub hash: u64,
-    /// Number and sum of the crowds reported for it; both decay. The mean crowd times the holders estimates the
-    /// requests in flight in the whole fleet.
+    /// Number of crowds reported for it; decays.
     pub crowd_reports: DecayingValue,
+    /// Sum of the crowds reported for it; decays. The mean crowd times the holders estimates the requests in
+    /// flight in the whole fleet.
     pub crowd_sum: DecayingValue,
     /// Number of workers that should hold copies.
     pub holders: f64,
@@ -118,15 +119,17 @@
     /// Worker that becomes the home once a copy is loaded there.
     pub moving_to: Option<WorkerId>,
     pub places: BTreeMap<WorkerId, Place>,
-    /// Unanswered queries for loaded copies, and the time until which calls wait for the answers.
+    /// Number of unanswered queries for loaded copies.
     pub queries: u32,
+    /// Time until which calls wait for the answers to the last queries; 0 if none was sent.
     pub query_deadline: Micros,
     /// Time of the last served call.
     pub served_at: Micros,
     /// Calls were waiting for the function when it was last served.
     pub had_waiting: bool,
-    /// Mean time between answers while calls waited, in microseconds, and the number of samples in it.
+    /// Mean time between answers while calls waited, in microseconds.
     pub gap: f64,
+    /// Number of samples of `gap`.
     pub gap_count: u32,
     /// After a failed order, the earliest time of the next one. Without the pause, each answer that the worker
     /// is full would cause another order.
@@ -196,16 +199,16 @@
 /// Removes a call from its waiting queue, if it is queued.
 pub fn stop_waiting(
     (waiting, longest_queue): (&mut BTreeMap<FunctionId, WaitingCalls>, &Cell<Option<usize>>),
-    held: &mut PendingRequest,
+    call: &mut PendingRequest,
 ) {
-    if !std::mem::take(&mut held.is_waiting) {
+    if !std::mem::take(&mut call.is_waiting) {
         return;
     }
     longest_queue.set(None);
-    if let Some(calls) = waiting.get_mut(&held.request.function) {
-        calls.queues[usize::from(held.over_share)].remove(&(held.aim, held.request.id));
+    if let Some(calls) = waiting.get_mut(&call.request.function) {
+        calls.queues[usize::from(call.over_share)].remove(&(call.aim, call.request.id));
         if calls.queues.iter().all(BTreeSet::is_empty) {
-            waiting.remove(&held.request.function);
+            waiting.remove(&call.request.function);
         }
     }
 }
@@ -254,9 +257,11 @@
     pub headroom: f64,
     /// Mean configured memory over the kinds of worker, MB.
     pub memory_mb: f64,
-    /// Means over the usable workers: reported size, demand from this scheduler, requests in flight.
+    /// Mean reported size of the usable workers.
     pub hint: f64,
+    /// Mean demand from this scheduler per usable worker.
     pub demand: f64,
+    /// Mean number of requests in flight per usable worker.
     pub in_flight: f64,
     /// Weight of this scheduler's own measurements of a worker against the fleet's mean, 0 to 1.
     pub confidence: f64,
@@ -346,8 +351,8 @@
     pub(crate) class_latency: Vec<f64>,
     /// Attempts sent; decays.
     pub(crate) sends: DecayingValue,
-    /// Requests served per warm worker; decays. A cold worker counted by the share of its capacity that it had
-    /// at that time.
+    /// Requests served per warm worker; decays. A cold worker counts as the share of its capacity that it had
+    /// when the request was served.
     pub(crate) served: DecayingValue,
     /// Second attempts for overdue ones; decays.
     pub(crate) hedges: DecayingValue,
@@ -368,8 +373,9 @@
     pub(crate) next_load: Micros,
     /// Time of the last increase of `load_gap`.
     pub(crate) load_gap_raised_at: Micros,
-    /// Arrival times of the requests, and send times of the orders, within the window of the order quota.
+    /// Arrival times of the requests within the window of the order quota.
     pub(crate) recent_requests: VecDeque<Micros>,
+    /// Send times of the orders within that window.
     pub(crate) recent_orders: VecDeque<Micros>,
     /// Cached largest number of calls waiting for one function.
     pub(crate) longest_queue: Cell<Option<usize>>,
@@ -422,14 +428,14 @@
     /// Queues a request until a copy is loaded or capacity becomes free. `awaits_capacity` is true if copies are
     /// loaded but can't take it.
     pub(crate) fn enqueue(&mut self, id: RequestId, awaits_capacity: bool) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
-        held.awaits_capacity = awaits_capacity;
+        let Some(call) = self.requests.get_mut(&id) else { return };
+        call.awaits_capacity = awaits_capacity;
 
-        if !held.is_waiting {
-            held.is_waiting = true;
+        if !call.is_waiting {
+            call.is_waiting = true;
             self.longest_queue.set(None);
-            let calls = self.waiting.entry(held.request.function.clone()).or_default();
-            calls.queues[usize::from(held.over_share)].insert((held.aim, id));
+            let calls = self.waiting.entry(call.request.function.clone()).or_default();
+            calls.queues[usize::from(call.over_share)].insert((call.aim, id));
         }
     }
 
