--- a/src/control.rs
+++ b/src/control.rs
@@ -4,8 +4,8 @@
 //! function when another worker is better by more than a threshold, and removes records of idle copies.
 
 use crate::interface::*;
-use crate::standing::Access;
 use crate::state::*;
+use crate::worker_access::Access;
 use std::collections::BTreeSet;
 
 /// Weight of the ratio against the shared hash: with 1.25 times another's ratio, a worker ranks first in 3 of 10.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,8 +27,8 @@
 mod control;
 mod interface;
 mod slow_start;
-mod standing;
 mod state;
+mod worker_access;
 
 pub use interface::*;
 pub use state::Controller;
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,7 +2,7 @@
 //! `control.rs`.
 
 use crate::interface::*;
-use crate::standing::DrainEvidence;
+use crate::worker_access::DrainEvidence;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
