--- a/src/control.rs
+++ b/src/control.rs
@@ -93,7 +93,7 @@
                         let function = self.functions.get(&call.request.function);
                         function.is_some_and(|f| f.places.values().any(|p| p.loading.is_some()))
                     };
-                    let no_worker_open = self.is_no_worker_open(now);
+                    let no_worker_open = self.has_no_open_worker(now);
                     let is_stuck = |call: &PendingRequest| {
                         no_worker_open || call.awaits_capacity || self.load_gap > 0 && !is_loading(call)
                     };
@@ -153,11 +153,11 @@
     /// The ratio of a holder, randomized by a hash local to this scheduler. The less the scheduler can rely
     /// on its own measurements, the more it is randomized; otherwise all schedulers would overload the same
     /// holder. If crossing zones has a cost, holders in the local zone are preferred.
-    fn holder_key(&self, function: &Function, c: &Choice) -> f64 {
-        let spread = -unit_interval(rendezvous(function.hash ^ self.local_hash, c.worker.hash)).ln();
-        let other_zone = f64::from(u8::from(c.worker.member.zone != self.settings.zone));
+    fn holder_key(&self, function: &Function, choice: &Choice) -> f64 {
+        let spread = -unit_interval(rendezvous(function.hash ^ self.local_hash, choice.worker.hash)).ln();
+        let other_zone = f64::from(u8::from(choice.worker.member.zone != self.settings.zone));
         let zone_factor = 1.0 + CROSS_ZONE_WEIGHT * self.settings.cross_zone * other_zone;
-        c.ratio * zone_factor * spread.powf((1.0 - self.fleet.confidence).powi(2))
+        choice.ratio * zone_factor * spread.powf((1.0 - self.fleet.confidence).powi(2))
     }
 
     /// Evaluates a worker as a place for a function. The key is randomized by a hash that all schedulers
@@ -443,8 +443,8 @@
 
     // ---- fairness -----------------------------------------------------------------------------------------
 
-    /// Whether a request exceeds this scheduler's part of its tenant's share. Only admitted requests within
-    /// the share are counted, so the share itself is always available, however many repeats come on top.
+    /// Whether a request exceeds this scheduler's part of its tenant's share. Only requests within the
+    /// share are counted, so the share itself is always available, however many repeats exceed it.
     /// Requests over the share wait behind the others and are shed first.
     fn is_over_share(&mut self, now: Micros, tenant: usize) -> bool {
         let Some(quota) = self.settings.tenant_quotas.get(tenant) else { return false };
@@ -834,13 +834,13 @@
             state.others_in_flight.blend(now, others, 0.3, CROWD_US);
         }
         let from_copy = end.code == Code::Ok && matches!(end.copy, CopyStatus::Loaded | CopyStatus::Unknown);
-        let share = end.latency as f64 / self.settings.classes[class].aim as f64;
+        let aim_share = end.latency as f64 / self.settings.classes[class].aim as f64;
         // A timeout at a worker that meanwhile answers others of the class is overload, otherwise silence.
         let is_responsive = state.answered_at[class] + end.latency > now;
         if is_load
             && (matches!(end.code, Code::Full | Code::Ok) || end.code == Code::Timeout && is_responsive)
         {
-            let is_overloaded = end.code != Code::Ok || share > 1.0;
+            let is_overloaded = end.code != Code::Ok || aim_share > 1.0;
             self.overload.blend(now, f64::from(u8::from(is_overloaded)), 0.1, DECAY_US);
         }
         match end.code {
--- a/src/state.rs
+++ b/src/state.rs
@@ -53,8 +53,9 @@
     pub demand: DecayingValue,
     /// Hash of its id.
     pub hash: u64,
-    /// Send credit during slow start, as of `cold_at`.
+    /// Send credit during slow start, in requests, as of `cold_at`.
     pub cold_credit: f64,
+    /// Time of the last update of `cold_credit`.
     pub cold_at: Micros,
     /// This scheduler's attempts in flight there.
     pub due: DueAttempts,
@@ -83,7 +84,7 @@
     pub copies: u32,
     /// This scheduler's attempts in flight for the function there.
     pub in_flight: u32,
-    /// Start of a load under way.
+    /// Start time of a load under way.
     pub loading: Option<Micros>,
     pub last_used: Micros,
     pub loaded_at: Micros,
@@ -142,6 +143,7 @@
     pub zone: usize,
     pub cell: u64,
     pub sent: Micros,
+    /// Time at which it becomes overdue.
     pub due: Micros,
     /// Found overdue and counted in [`Worker::unanswered`].
     pub overdue: bool,
@@ -151,7 +153,9 @@
 /// A request that is unanswered or still has attempts in flight.
 pub struct PendingRequest {
     pub request: Request,
+    /// Time at which the client gives up.
     pub deadline: Micros,
+    /// Latest time for an answer of full value; not after the deadline.
     pub aim: Micros,
     /// It exceeded its tenant's share when it arrived.
     pub over_share: bool,
@@ -361,7 +365,7 @@
     /// Admission credit during overload: each new request adds the share that is admitted, and each admitted
     /// one takes 1.
     pub(crate) admission_credit: f64,
-    /// Requests admitted within the share of each tenant; decays.
+    /// Requests of each tenant that were within its share on arrival; decays.
     pub(crate) tenants: Vec<DecayingValue>,
     pub(crate) waiting: BTreeMap<FunctionId, WaitingCalls>,
     pub(crate) fleet: FleetStats,
--- a/src/worker_access.rs
+++ b/src/worker_access.rs
@@ -194,7 +194,7 @@
     }
 
     /// Whether the list is out of reach and no listed worker may get work without a probe.
-    pub(crate) fn is_no_worker_open(&self, now: Micros) -> bool {
+    pub(crate) fn has_no_open_worker(&self, now: Micros) -> bool {
         !self.is_list_current()
             && !self.workers.values().any(|w| w.usable && self.access(now, w) == Access::Open)
     }
@@ -341,7 +341,7 @@
         if self.is_list_current() || !self.settings.limits.probes {
             return;
         }
-        let longest = if self.is_no_worker_open(now) { MAX_PAUSE_NONE_OPEN_US } else { MAX_PAUSE_US };
+        let longest = if self.has_no_open_worker(now) { MAX_PAUSE_NONE_OPEN_US } else { MAX_PAUSE_US };
         let no_probe_pending = |w: &Worker| {
             w.usable && w.drain_evidence.probe_sent_at.is_none_or(|sent| now >= sent + PROBE_TIMEOUT_US)
         };
