--- a/benchlink/src/lib.rs
+++ b/benchlink/src/lib.rs
@@ -190,7 +190,7 @@
                 (MembersKind::Failed, _) => Vec::new(),
                 (_, Some(text)) => {
                     let number = text.parse::<u32>().ok();
-                    number.and_then(|n| lists.get(&n)).cloned().ok_or("the number of an earlier list")?
+                    number.and_then(|n| lists.get(&n)).cloned().ok_or("the number of a list sent before")?
                 }
                 (_, None) => return Err("the number of a list".into()),
             };
--- a/src/control.rs
+++ b/src/control.rs
@@ -8,7 +8,7 @@
 use crate::worker_access::Access;
 use std::collections::BTreeSet;
 
-/// Weight of the ratio against the shared hash: with 1.25 times another's ratio, a worker ranks first in 3 of 10.
+/// Weight of the ratio against the shared hash: a worker with 1.25 times another's ratio wins in 3 of 10.
 const RATIO_EXPONENT: f64 = 4.0;
 /// A function leaves its home once another worker's ratio is lower by this factor.
 const REBALANCE_GAIN: f64 = 1.6;
