--- a/crates/membership/src/budget.rs
+++ b/crates/membership/src/budget.rs
@@ -35,8 +35,8 @@
         self.available >= (bytes + reserved) * UNITS_PER_BYTE
     }
 
-    /// Deducts sent bytes, down to zero. Mandatory messages are sent even from an empty bucket; what they take from it
-    /// is then not available to later ones.
+    /// Deducts sent bytes, down to zero. Mandatory messages are sent even from an empty bucket; the tokens that they
+    /// use are not available to later messages.
     pub fn spend(&mut self, now: Micros, bytes: u64) {
         self.refill(now);
         self.available = self.available.saturating_sub(bytes * UNITS_PER_BYTE);
--- a/crates/membership/src/limits.rs
+++ b/crates/membership/src/limits.rs
@@ -16,7 +16,8 @@
 /// digests, which transfers only the differences. Otherwise three hundred members that start together, or rejoin after
 /// a partition, would send each other all updates a dozen times.
 pub(crate) const MAX_GOSSIPED_UPDATES: usize = 30;
-/// After this many consecutive datagrams with the local digest, the others are taken to have all that digests cover.
+/// After this many consecutive datagrams with the local digest, the others are assumed to have all updates that
+/// digests cover.
 pub(crate) const AGREEING_DATAGRAMS: u32 = 3;
 /// Maximum number of datagrams in response to one sync request; the next request gets the rest.
 pub(crate) const MAX_SYNC_DATAGRAMS: usize = 8;
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Whether no update or suspicion is pending and all members received from in the last four periods sent the local
-    /// digest.
+    /// Whether no update or suspicion is pending and the latest datagram of each member that sent one in the last four
+    /// periods carried the local digest.
     pub fn is_settled(&self, now: Micros) -> bool {
         let since = now.saturating_sub(self.settings.period * 4);
         let mut recent = self
--- a/crates/membership/src/virtual_cluster.rs
+++ b/crates/membership/src/virtual_cluster.rs
@@ -146,7 +146,7 @@
         })
     }
 
-    /// Pairs of running members of which the first has the second as gone.
+    /// Pairs of running members of which the first lists the second as gone.
     pub fn falsely_gone(&self) -> Vec<(MemberId, MemberId)> {
         let up: Vec<_> = self.node_ids().filter(|id| self.is_up(*id)).collect();
         let is_gone = |id: &MemberId, other: &MemberId| {
@@ -161,8 +161,8 @@
 
     /// Sums of the counters of all members, ended lives included.
     pub fn counters(&self) -> MembershipCounters {
-        let living = self.node_ids().filter_map(|id| self.membership(id)).map(Membership::counters);
-        living.fold(self.ended_counters, sum)
+        let running = self.node_ids().filter_map(|id| self.membership(id)).map(Membership::counters);
+        running.fold(self.ended_counters, sum)
     }
 }
 
--- a/crates/membership/src/virtual_network.rs
+++ b/crates/membership/src/virtual_network.rs
@@ -35,7 +35,7 @@
 }
 
 impl Default for LinkFaults {
-    /// No loss or duplication, with the platform's network delays.
+    /// No loss or duplication, with the platform's network delays of 1.2 to 33 ms.
     fn default() -> Self {
         Self { loss_rate: 0.0, duplicate_rate: 0.0, delay_range: (1_200, 33_000) }
     }
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Sets delays by sender and receiver for datagrams sent from now on, in place of `link.delay_range`. The ranges
-    /// have to start with the minimum.
+    /// Sets delays by sender and receiver for datagrams sent from now on, in place of `link.delay_range`. The minimum of
+    /// a range must not exceed its maximum.
     pub fn set_delays(&mut self, delays: DelayFn) {
         self.delays = Some(delays);
     }
--- a/crates/peers/src/operator_client.rs
+++ b/crates/peers/src/operator_client.rs
@@ -11,11 +11,12 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Attempts to fetch one page of the membership.
 const STATUS_TRIES: u32 = 5;
-/// Attempts to send an operator command. Together they take longer than a leader is given to answer.
+/// Attempts to send an operator command. Together they take 2.7 s, longer than the default lease of 2 s within which a
+/// leader has to answer.
 const PERMIT_TRIES: u32 = 9;
 
-/// Sends a command about permits to the scheduler at `address`, repeating the same request until it is answered, for
-/// at most as long as an answer would be valid.
+/// Sends a command about permits to the scheduler at `address`, repeating the same request until it is answered, at
+/// most nine times.
 ///
 /// # Errors
 /// An I/O error of the socket, or [`ErrorKind::TimedOut`] if there is no answer.
--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -21,12 +21,12 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// Most requests of operators retained, to answer repeated ones; the oldest are dropped.
+/// The largest number of operator requests retained, to answer repeated ones; the oldest are dropped.
 const MAX_PENDING_REQUESTS: usize = 64;
 /// Interval at which the number of calls in flight on drained workers is published.
 const DRAIN_REPORT_INTERVAL: PublishInterval = PublishInterval { min_us: 1_000_000, per_member_us: 100_000 };
 /// A process that starts uses no worker until it has learned which ones are drained, but for no longer than this:
-/// with no member there to answer, it serves.
+/// if no member has answered by then, it starts to serve.
 const LEARNING_TIMEOUT_US: Micros = 500_000;
 /// Interval between requests for the permit state while learning.
 const LEARNING_RETRY_US: Micros = 50_000;
@@ -56,7 +56,9 @@
 pub struct PermitService {
     node: PermitNode,
     workers: Workers,
+    /// Name hashes of the drained workers in the list.
     drained: BTreeSet<u32>,
+    /// The latest requests of operators, answered ones included.
     pending: VecDeque<PendingRequest>,
     /// When the calls in flight on drained workers are published next.
     next_drain_report: Micros,
@@ -65,8 +67,8 @@
     /// Zones of the schedulers, by number.
     peer_zones: Vec<u8>,
     sites: Option<SitesToWatch>,
-    /// Mark of the version of this process.
-    version_mark: u32,
+    /// Hash of the name of the version of this process.
+    version_hash: u32,
     /// When the version is published next.
     next_version_report: Micros,
     /// Epoch and version of the latest permit state reported as an event.
@@ -86,9 +88,9 @@
         config: &PeerConfig,
         now: Micros,
     ) -> Result<Option<Self>, PeerError> {
-        let run = [membership.start, membership.seed, u64::from(std::process::id()), now];
-        let run = run.map(u64::to_le_bytes).concat();
-        let Some(settings) = config.permit_settings(membership, crc32fast::hash(&run)) else {
+        let run_id = [membership.start, membership.seed, u64::from(std::process::id()), now];
+        let run_id = run_id.map(u64::to_le_bytes).concat();
+        let Some(settings) = config.permit_settings(membership, crc32fast::hash(&run_id)) else {
             return Ok(None);
         };
         let node = PermitNode::new(settings, now)?;
@@ -103,7 +105,7 @@
             learning,
             started: now,
             last_reported: None,
-            version_mark: name_hash(&config.version),
+            version_hash: name_hash(&config.version),
             peer_zones: config.zones.clone(),
             sites: config.sites.clone(),
             next_version_report: now,
@@ -191,14 +193,14 @@
             membership.publish_fact(
                 now,
                 VERSION_KEY,
-                &encode_counters(&[self.version_mark.into()]),
+                &encode_counters(&[self.version_hash.into()]),
                 interval * 4,
             );
         }
         if !self.drained.is_empty() && now >= self.next_drain_report {
             let interval = DRAIN_REPORT_INTERVAL.for_members(membership.members().len());
             self.next_drain_report = now + interval;
-            let names = self.drained.iter().filter_map(|mark| Some(self.workers.get(*mark)?.name.as_str()));
+            let names = self.drained.iter().filter_map(|hash| Some(self.workers.get(*hash)?.name.as_str()));
             let calls = in_flight(&names.collect::<Vec<_>>());
             let at = self.node.known().map_or((0, 0), |state| (state.epoch.ms, state.version));
             membership.publish_fact(
@@ -253,8 +255,9 @@
         self.pending.push_back(PendingRequest { from, operator_tag: request.tag, node_tag, answer: None });
     }
 
-    /// Number of members that may still have calls in flight on drained workers: those that did not publish a count
-    /// of zero since they know the latest permit state, and were not gone for longer than any call lasts.
+    /// Number of members that may still have calls in flight on drained workers: those that have not published a
+    /// count of zero for the latest permit state or a later one. Members that have stopped, or have been gone for
+    /// longer than any call lasts, are left out.
     fn members_not_clear(&self, membership: &Membership, now: Micros) -> usize {
         let at = self.node.known().map_or((0, 0), |state| (state.epoch.ms, u64::from(state.version)));
         let not_clear = |(number, member): (usize, &basaltward_membership::Member)| {
@@ -291,8 +294,8 @@
             out: ((all.len() - of_workers) as u16, of_workers as u16),
             unclear: if self.drained.is_empty() { 0 } else { self.members_not_clear(membership, now) as u16 },
             plan: state.and_then(|state| state.value.plan).map(|plan| {
-                let done = on_target_version(&plan, &observer.observations(now));
-                (plan, done as u16)
+                let on_target = on_target_version(&plan, &observer.observations(now));
+                (plan, on_target as u16)
             }),
             permits: state.map(|state| state.value.permits.clone()).unwrap_or_default(),
         }
@@ -303,7 +306,7 @@
         self.node.known()
     }
 
-    /// Submits a request of this process itself; returns its number.
+    /// Submits a request of this process itself; returns its tag.
     pub fn submit(&mut self, membership: &Membership, now: Micros, permit_request: PermitRequest) -> u32 {
         let mut tag = 0;
         self.with_node(membership, |node, observer, out| {
@@ -388,12 +391,12 @@
             "agreed"
         );
         let drained: BTreeSet<u32> =
-            self.workers.marks().filter(|mark| state.value.is_drained(*mark)).collect();
+            self.workers.name_hashes().filter(|hash| state.value.is_drained(*hash)).collect();
         let before = std::mem::replace(&mut self.drained, drained);
         // Publish the calls in flight at once, so that operators see the progress of a new drain soon.
         self.next_drain_report = now;
         let changed = before.symmetric_difference(&self.drained);
-        changed.filter_map(|mark| Some(self.workers.get(*mark)?.name.clone())).collect()
+        changed.filter_map(|hash| Some(self.workers.get(*hash)?.name.clone())).collect()
     }
 
     /// Answers an operator that no leader can be reached; used where this process takes no part in the permits.
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -117,6 +117,7 @@
     }
 
     /// Applies a new configuration: the list of members, the operators, and the bounds and zones of the permits.
+    /// Changes nothing if the local number is not within the new list.
     pub fn update_peers(&mut self, config: &PeerConfig) {
         if self.membership.resize(config.peers.len() as MemberId) {
             (self.peers, self.member_numbers) = (config.peers.clone(), member_numbers(&config.peers));
--- a/crates/permits/src/bounds.rs
+++ b/crates/permits/src/bounds.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Limit {
-    /// An absolute number.
+    /// An absolute number; the size of the group, if that is smaller.
     Number(u16),
-    /// A percentage of the group, rounded down, but at least one.
+    /// A percentage of the group, at most 100, rounded down, but at least one unless the group is empty.
     Percent(u8),
 }
 
@@ -65,7 +65,8 @@
     pub zone: u8,
     /// Identifies its current incarnation: the low 16 bits of its start time in seconds, 0 for a site.
     pub incarnation: u16,
-    /// How long it has been in use without interruption; none if it is listed as draining or gone, or is silent.
+    /// How long it has been in use without interruption, in microseconds; none if it is listed as draining or gone, or
+    /// is silent.
     pub in_use_for: Option<Micros>,
     /// Whether it is the only one known to hold something that calls need.
     pub holds_last_copy: bool,
@@ -173,7 +174,7 @@
         Subject::Gateway(_) => (bounds.gateways, bounds.gateways),
     };
     for (group, most) in [(Group::Fleet, of_fleet), (Group::Zone(seen.zone), of_zone)] {
-        // A subject with a permit that left the list has no known zone and counts in the whole fleet only.
+        // A subject that has a permit but is no longer observed has no known zone: it counts in the fleet only.
         let in_group = |other: &Subject| {
             let zone = observations.get(other).map(|seen| seen.zone);
             kind(*other) == kind(subject) && (group == Group::Fleet || zone == Some(seen.zone))
--- a/crates/permits/src/leader.rs
+++ b/crates/permits/src/leader.rs
@@ -133,8 +133,8 @@
         subject: Subject,
         observer: &impl FleetObserver,
     ) -> PermitResult {
-        let none = PermitState { last_number: state.last_number, ..PermitState::default() };
-        let counted = if self.counts_permits { &*state } else { &none };
+        let no_permits = PermitState { last_number: state.last_number, ..PermitState::default() };
+        let counted = if self.counts_permits { &*state } else { &no_permits };
         let granted = grant_permit(counted, &observer.observations(now), &self.settings.bounds, subject)?;
         if !state.add(granted) {
             return Err(Denied::Full);
@@ -146,7 +146,10 @@
 
     /// All subjects that are out of service, counted as the leader counts them.
     pub fn out_of_service(&self, now: Micros, observer: &impl FleetObserver) -> BTreeSet<Subject> {
-        let none = PermitState::default();
-        out_of_service(self.known.as_ref().map_or(&none, |known| &known.value), &observer.observations(now))
+        let no_permits = PermitState::default();
+        out_of_service(
+            self.known.as_ref().map_or(&no_permits, |known| &known.value),
+            &observer.observations(now),
+        )
     }
 }
--- a/crates/permits/src/node.rs
+++ b/crates/permits/src/node.rs
@@ -23,7 +23,7 @@
 const GOSSIP_INTERVAL_US: Micros = 100_000;
 /// The interval at which the position of the known state is sent to one random member, which repairs lost gossip.
 const POSITION_INTERVAL_US: Micros = 1_000_000;
-/// How many members a leader that is still learning asks for their state in each tick.
+/// How many members a learning leader queries for their state in each tick.
 const QUERIES_PER_TICK: usize = 16;
 /// The largest number of local requests in flight.
 const MAX_PENDING_REQUESTS: usize = 64;
@@ -91,7 +91,7 @@
     pub(crate) requests: RequestTable,
     /// The states received from members, merged; the first value of the register once learning is over.
     learned: PermitState,
-    /// Members that are still to be pending for their state.
+    /// Members that are still to be queried for their state.
     to_query: Vec<MemberId>,
     pub(crate) known: Option<Stored<PermitState>>,
     pub(crate) halt: Halt,
@@ -104,7 +104,7 @@
     election_at: Micros,
     pending: BTreeMap<u32, PendingRequest>,
     /// The tag of the latest request.
-    tag: u32,
+    last_tag: u32,
     /// Outcomes of the latest local requests for permits.
     outcomes: VecDeque<Outcome>,
     /// Whether a member has sent its state since the start of this node.
@@ -144,7 +144,7 @@
             pending: BTreeMap::new(),
             // A leader remembers its replies to the previous incarnation of this node, so that incarnation's tags must
             // not be used again.
-            tag: settings.incarnation,
+            last_tag: settings.incarnation,
             outcomes: VecDeque::new(),
             received_state: false,
             rng: StdRng::seed_from_u64(seed),
@@ -188,7 +188,8 @@
         self.received_state
     }
 
-    /// Asks the voters for their state. For a node that has just started, whose membership lists no live member yet.
+    /// Queries the voters for their state. Used by a node that has just started, whose membership lists no live member
+    /// yet.
     pub fn query_voters(&mut self, out: &mut Outputs) {
         let own = self.settings.own;
         let voters = self.settings.voters.clone().into_iter();
@@ -213,9 +214,9 @@
         due.into_iter().chain(gossip).chain(pending).min().unwrap_or(Micros::MAX)
     }
 
-    /// Sends a request to the leader, again and again until the lease ends, and returns its tag. The reply is an
-    /// [`Output::Answered`] with this tag: [`Denied::NoLeader`] after the lease, [`Denied::Full`] at once if too many
-    /// requests are in flight.
+    /// Sends a request to the leader, resends it until a reply arrives or the lease ends, and returns its tag. The
+    /// result is an [`Output::Answered`] with this tag: [`Denied::NoLeader`] if no reply arrives within the lease,
+    /// [`Denied::Full`] at once if 64 requests are in flight.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -223,8 +224,8 @@
         observer: &impl FleetObserver,
         out: &mut Outputs,
     ) -> u32 {
-        self.tag = self.tag.wrapping_add(1);
-        let tag = self.tag;
+        self.last_tag = self.last_tag.wrapping_add(1);
+        let tag = self.last_tag;
         if self.pending.len() >= MAX_PENDING_REQUESTS {
             out.push(Output::Answered { tag, answer: Err(Denied::Full) });
             return tag;
@@ -296,7 +297,7 @@
                 self.halt_all(out);
             }
         }
-        self.query_some(out);
+        self.query_next_members(out);
         self.send_heartbeats(now, out);
     }
 
@@ -307,9 +308,9 @@
         }
     }
 
-    fn query_some(&mut self, out: &mut Outputs) {
-        let from = self.to_query.len().saturating_sub(QUERIES_PER_TICK);
-        for to in self.to_query.split_off(from) {
+    fn query_next_members(&mut self, out: &mut Outputs) {
+        let start = self.to_query.len().saturating_sub(QUERIES_PER_TICK);
+        for to in self.to_query.split_off(start) {
             self.send(to, Body::StateQuery, out);
         }
     }
@@ -383,8 +384,8 @@
     /// The leader as seen by this node.
     pub fn leader(&self) -> Option<MemberId> {
         let own = self.register.as_ref().filter(|register| register.is_elected()).map(|_| self.settings.own);
-        let seen = self.voter.as_ref().map(Voter::promised).filter(|epoch| *epoch > Epoch::default());
-        own.or(seen.max(self.known.as_ref().map(|known| known.epoch)).map(|epoch| epoch.by))
+        let promised = self.voter.as_ref().map(Voter::promised).filter(|epoch| *epoch > Epoch::default());
+        own.or(promised.max(self.known.as_ref().map(|known| known.epoch)).map(|epoch| epoch.by))
     }
 
     fn random_members(&mut self, count: usize, observer: &impl FleetObserver) -> Vec<MemberId> {
@@ -473,8 +474,8 @@
         }
     }
 
-    /// Handles the reply to a local request. A permit that nobody will act on is returned: the reply came after the
-    /// lease, or a request that was delayed, possibly for an hour, acquired a second permit.
+    /// Handles the reply to a local request. A permit that the requester will not act on is returned: the reply came
+    /// after the lease, or a request that was delayed, possibly for an hour, acquired a second permit.
     fn handle_reply(
         &mut self,
         now: Micros,
@@ -537,6 +538,6 @@
     VotesAfterRestart,
     /// A voter accepts requests of any epoch.
     IgnoresEpochs,
-    /// A leader counts the subjects that it observes as out, but not those with a permit.
+    /// A leader counts the subjects that it observes as out of service, but not those with a permit.
     IgnoresPermits,
 }
--- a/crates/permits/src/observer.rs
+++ b/crates/permits/src/observer.rs
@@ -14,8 +14,8 @@
     pub membership: &'a Membership,
     /// Zones of the schedulers, by their number; those not listed are in zone 0.
     pub zones: &'a [u8],
-    /// Observations of workers, from the bulletin, and of sites, see [`observe_sites`]. Computed on demand, which few
-    /// datagrams need.
+    /// Observations of workers, from the bulletin, and of sites, see [`observe_sites`]. Computed on demand, as
+    /// few datagrams need them.
     pub workers: &'a dyn Fn(Micros) -> Observations,
     /// The wall clock, in milliseconds since the beginning of 2026.
     pub wall_ms: u64,
@@ -68,7 +68,12 @@
 /// Observations of all sites and their gateways, from the membership. A site is out of use once none of its gateways
 /// was live for the settling time, a gateway once it was not live for that time. A gateway of a lost site is not out of
 /// use on its own.
-pub fn observe_sites(membership: &Membership, places: &SiteMap, settle: Micros, now: Micros) -> Observations {
+pub fn observe_sites(
+    membership: &Membership,
+    site_map: &SiteMap,
+    settle: Micros,
+    now: Micros,
+) -> Observations {
     let in_use_for = |member: MemberId| {
         let entry = &membership.members()[usize::from(member)];
         let since = now.saturating_sub(entry.state_since);
@@ -87,8 +92,8 @@
     let incarnation =
         |member: MemberId| (membership.members()[usize::from(member)].incarnation.start / 1_000) as u16;
     let mut observations = Observations::new();
-    for site in places.sites() {
-        let members: Vec<MemberId> = places
+    for site in site_map.sites() {
+        let members: Vec<MemberId> = site_map
             .members_at(site)
             .filter(|member| usize::from(*member) < membership.members().len())
             .collect();
--- a/crates/permits/src/plan.rs
+++ b/crates/permits/src/plan.rs
@@ -18,8 +18,8 @@
     schedulers(observations).filter(|(_, seen)| seen.running_version == Some(plan.to)).count()
 }
 
-/// The scheduler to restart next, among those in use that report another version: the one with the lowest number, in a
-/// rollback the most recently started one. The leader comes last.
+/// The scheduler to restart next, among those that are in use, have no permit and report another version: the one with
+/// the lowest number, in a rollback the most recently started one. The leader comes last.
 ///
 /// # Errors
 /// [`Denied::Over`] if all run the target version, [`Denied::Waits`] if the next step has to wait.
@@ -29,13 +29,13 @@
     observations: &Observations,
     leader: MemberId,
 ) -> Result<Subject, Denied> {
-    let done = on_target_version(plan, observations);
+    let on_target = on_target_version(plan, observations);
     if schedulers(observations).all(|(_, seen)| seen.running_version == Some(plan.to)) {
         return Err(Denied::Over);
     }
     let permitted = |member: MemberId| state.permit(Subject::Scheduler(member)).is_some();
-    let out = schedulers(observations).filter(|(member, _)| permitted(*member)).count();
-    if out > done {
+    let with_permit = schedulers(observations).filter(|(member, _)| permitted(*member)).count();
+    if with_permit > on_target {
         return Err(Denied::Waits);
     }
     let remaining = schedulers(observations).filter(|(member, seen)| {
@@ -43,11 +43,11 @@
             && seen.running_version.is_some_and(|version| version != plan.to)
             && !permitted(*member)
     });
-    let order = |(member, seen): &(MemberId, &Observation)| {
+    let restart_order = |(member, seen): &(MemberId, &Observation)| {
         let newest_first = if plan.rollback { seen.in_use_for.unwrap_or_default() } else { 0 };
         (*member == leader, newest_first, *member)
     };
-    remaining.min_by_key(order).map(|(member, _)| Subject::Scheduler(member)).ok_or(Denied::Waits)
+    remaining.min_by_key(restart_order).map(|(member, _)| Subject::Scheduler(member)).ok_or(Denied::Waits)
 }
 
 #[cfg(test)]
--- a/crates/permits/src/register.rs
+++ b/crates/permits/src/register.rs
@@ -16,8 +16,8 @@
     /// How long a voter stays silent after its start: longer than the lease by the largest difference in clock rates.
     pub silence: Micros,
     /// How long a new leader learns which subjects are out if too many voters lost their state in a restart: a silence,
-    /// after which nobody acts on permits of an earlier leader any more, and the time until those who did are observed
-    /// as out.
+    /// after which permits of an earlier leader are no longer acted on, plus the time until the subjects that such
+    /// permits took out of service are observed as out.
     pub learning: Micros,
 }
 
@@ -29,7 +29,7 @@
     incarnation: u32,
     /// When the latest request that it responded to was sent.
     request_sent: Option<Micros>,
-    /// The value of its promise.
+    /// The stored value that its latest promise carried.
     held: Option<Stored<V>>,
     /// The version that it has accepted.
     version: u32,
@@ -172,7 +172,8 @@
         self.voters.iter().filter_map(request).collect()
     }
 
-    /// Handles a voter's response.
+    /// Handles a voter's response. Ignores one of another epoch, of a member that does not vote, or to a request that
+    /// was sent a lease ago or earlier.
     pub fn handle(&mut self, now: Micros, from: MemberId, response: VoterResponse<V>) {
         let (epoch, heartbeat, incarnation) = match &response {
             VoterResponse::Promise { epoch, heartbeat, incarnation, .. }
@@ -250,9 +251,9 @@
     fn become_elected(&mut self, now: Micros) -> RegisterEvent<V> {
         let held: Vec<_> = self.responsive(now).filter_map(|(_, state)| state.held.as_ref()).collect();
         let latest = held.iter().max_by_key(|held| held.position()).map(|held| held.value.clone());
-        let with_memory = if self.checks_memory { held.len() } else { self.voters_in_lease(now) };
+        let with_state = if self.checks_memory { held.len() } else { self.voters_in_lease(now) };
         match latest {
-            Some(value) if with_memory >= self.majority() => {
+            Some(value) if with_state >= self.majority() => {
                 self.lead(value);
                 RegisterEvent::Unchanged
             }
@@ -274,8 +275,8 @@
         }
     }
 
-    /// Proposes a value. Returns the version that has to be committed before anybody acts on the value; none unless it
-    /// is the leader.
+    /// Proposes a value. Returns the version that has to be committed before the value may be acted on; none unless
+    /// it is the leader.
     pub fn propose(&mut self, value: V) -> Option<u32> {
         let Stage::Leading { version, value: current, .. } = &mut self.stage else { return None };
         if *current != value {
--- a/crates/permits/src/request_table.rs
+++ b/crates/permits/src/request_table.rs
@@ -7,8 +7,8 @@
 use basaltward_membership::{MemberId, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The largest number of waiting requests, and of remembered replies: a member that sends requests without end has to
-/// wait.
+/// The largest number of waiting requests, and of remembered replies; it bounds the memory that members can take up by
+/// sending requests without end.
 const MAX_REQUESTS: usize = 64;
 
 /// The reply to a request: the number of the permit or plan that it concerns, 0 for none.
@@ -100,10 +100,11 @@
 
     /// Returns the state without the permits whose subjects have proven to be back in use.
     ///
-    /// A permit may be acted on for a lease from when it was requested. So a silence after this leader first knew of
-    /// the permit nobody starts to act on it any more, and a settling time later the membership shows whether its
-    /// subject is out. The holder may return the permit earlier. A drained worker is back once it runs as a new
-    /// incarnation, or once its permit was returned, and it has been in use since.
+    /// A permit may be acted on for a lease from when it was requested. Once a silence has passed since this leader
+    /// first knew of the permit, its holder can no longer start to act on it, and a settling time later the membership
+    /// shows whether its subject is out. A returned permit may end before that: its subject has to be in use for
+    /// `min_in_use` after the return. A drained worker's permit ends without a return only if the worker runs as a new
+    /// incarnation.
     pub fn without_ended(
         &mut self,
         now: Micros,
@@ -124,7 +125,7 @@
             let without_return = match subject {
                 Subject::Scheduler(_) => visible,
                 Subject::Worker(_) => visible && seen.incarnation != permit.incarnation,
-                // It first has to learn what was done in its place, and then returns the permit.
+                // The subject itself returns the permit, once it has learned which of its work was taken over.
                 Subject::Site(_) | Subject::Gateway(_) => false,
             };
             if long_in_use
--- a/crates/permits/src/settings.rs
+++ b/crates/permits/src/settings.rs
@@ -46,8 +46,8 @@
     Short(&'static str),
 }
 
-/// The default voters of a fleet of this size: five, three or one, spread over the list, as neighbours in the list
-/// often run in the same zone or on the same machine.
+/// The default voters of a fleet of this size: five, three or one, or none for size 0. They are spread over the list,
+/// as neighbours in the list often run in the same zone or on the same machine.
 pub fn default_voters(size: MemberId) -> Vec<MemberId> {
     let count: MemberId = match size {
         0 => 0,
--- a/crates/permits/src/state.rs
+++ b/crates/permits/src/state.rs
@@ -4,7 +4,7 @@
 use basaltward_membership::{MemberId, Site};
 use serde::{Deserialize, Serialize};
 
-/// Most permits in force at once: as many as fit into a datagram.
+/// The largest number of permits in force at once: as many as fit into a datagram.
 pub const MAX_PERMITS: usize = 12;
 
 /// What a permit takes out of service.
@@ -44,7 +44,7 @@
     /// out since.
     #[serde(rename = "life")]
     pub incarnation: u16,
-    /// The permit was returned: nobody acts on it any more and the subject may be used, but it counts against the
+    /// The permit was returned: its holder no longer acts on it and the subject may be used, but it counts against the
     /// bounds until the subject has proven to be in use again.
     #[serde(rename = "back")]
     pub returned: bool,
@@ -106,8 +106,8 @@
     }
 
     /// Adds the permits of another member's state, up to [`MAX_PERMITS`], and takes the later number and plan. A permit
-    /// that no longer fits is left out: its subject counts if it is observed to be out of service. A permit counts as
-    /// returned only if both states say so.
+    /// that no longer fits is left out: its subject counts if it is observed to be out of service. A permit in
+    /// both states counts as returned only if it is returned in both.
     pub fn merge(&mut self, other: &Self) {
         self.last_number = self.last_number.max(other.last_number);
         let later = |plan: &Plan| self.plan.is_none_or(|own| own.number < plan.number);
--- a/crates/permits/src/virtual_fleet.rs
+++ b/crates/permits/src/virtual_fleet.rs
@@ -27,8 +27,8 @@
     /// The permit node.
     pub node: PermitNode,
     workers: Observations,
-    /// The sites of all gateways, and the settling time after which one counts as lost.
-    places: Option<(SiteMap, Micros)>,
+    /// The sites of all gateways, and the time in microseconds after which one that is not live counts as lost.
+    site_map: Option<(SiteMap, Micros)>,
     wall_ms: u64,
     /// Bytes of permit datagrams sent.
     bytes: u64,
@@ -55,11 +55,13 @@
         act: impl FnOnce(&mut PermitNode, &MembershipObserver, &mut Vec<Output>) -> T,
     ) -> T {
         let wall_ms = self.wall_ms + now / 1_000;
-        let (membership, workers, places) = (&self.membership, &self.workers, &self.places);
+        let (membership, workers, site_map) = (&self.membership, &self.workers, &self.site_map);
         let observations = |now| {
             let mut observations = workers.clone();
             observations.extend(
-                places.iter().flat_map(|(places, settle)| observe_sites(membership, places, *settle, now)),
+                site_map
+                    .iter()
+                    .flat_map(|(site_map, settle)| observe_sites(membership, site_map, *settle, now)),
             );
             observations
         };
@@ -215,7 +217,8 @@
             membership,
             node,
             workers: self.workers.clone(),
-            places: SiteMap::new(self.sites.clone(), member).map(|places| (places, self.settings.settle)),
+            site_map: SiteMap::new(self.sites.clone(), member)
+                .map(|site_map| (site_map, self.settings.settle)),
             wall_ms,
             bytes: 0,
             version,
@@ -227,7 +230,10 @@
     /// Replaces the observations of workers at all schedulers, also at those started later.
     pub fn set_workers(&mut self, workers: Observations) {
         for member in self.net.node_ids() {
-            self.net.node_mut(member).into_iter().for_each(|one| one.workers.clone_from(&workers));
+            self.net
+                .node_mut(member)
+                .into_iter()
+                .for_each(|scheduler| scheduler.workers.clone_from(&workers));
         }
         self.workers = workers;
     }
@@ -235,8 +241,9 @@
     /// An operator submits a request through a scheduler, which has to be up.
     pub fn submit(&mut self, through: MemberId, request: PermitRequest) {
         let mut submitted = None;
-        self.net.with_node(through, |one, now, out| {
-            let tag = one.with_node(now, out, |node, observer, out| node.submit(now, request, observer, out));
+        self.net.with_node(through, |scheduler, now, out| {
+            let tag =
+                scheduler.with_node(now, out, |node, observer, out| node.submit(now, request, observer, out));
             submitted = Some((tag, now));
         });
         if let Some((tag, submitted_at)) = submitted {
@@ -246,7 +253,7 @@
 
     /// Bytes of permit datagrams that the running schedulers have sent; datagrams of the membership are not included.
     pub fn permit_bytes_sent(&self) -> u64 {
-        self.net.node_ids().filter_map(|member| self.net.node(member)).map(|one| one.bytes).sum()
+        self.net.node_ids().filter_map(|member| self.net.node(member)).map(|scheduler| scheduler.bytes).sum()
     }
 
     /// Runs until this time and collects the replies received.
@@ -264,7 +271,8 @@
 
     /// The schedulers that consider themselves leader.
     pub fn leaders(&self) -> Vec<MemberId> {
-        let is_leader = |member: &MemberId| self.net.node(*member).is_some_and(|one| one.node.is_leader());
+        let is_leader =
+            |member: &MemberId| self.net.node(*member).is_some_and(|scheduler| scheduler.node.is_leader());
         self.net.node_ids().filter(is_leader).collect()
     }
 
--- a/crates/permits/src/voter.rs
+++ b/crates/permits/src/voter.rs
@@ -1,5 +1,5 @@
 //! One voter: it promises not to accept earlier epochs, and it stores the accepted value. It persists nothing, so a
-//! restart loses both; the design note, "A voter that has forgotten", explains how a restarted voter is kept from
+//! restart loses both; the design note, "A voter that has forgotten", explains how a restarted voter is prevented from
 //! undoing them. Input: a request of a candidate or leader and a time; output: a response, or none while it must stay
 //! silent.
 
@@ -45,14 +45,14 @@
 /// A request of a candidate or a leader to a voter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum VoterRequest<V> {
-    /// Asks for the voter's promise and its stored value.
+    /// Requests the voter's promise and its stored value.
     Prepare {
         /// The epoch of the candidate.
         epoch: Epoch,
-        /// Numbers what the leader sends, so that a response identifies when its request was sent.
+        /// The sender's number of the heartbeat, by which it finds out when the request of a response was sent.
         heartbeat: u32,
     },
-    /// Asks the voter to store a value.
+    /// Requests the voter to store a value.
     Accept {
         /// As in `Prepare`.
         heartbeat: u32,
@@ -157,8 +157,8 @@
             VoterRequest::Accept { stored, .. } if stored.epoch < promised && self.checks_epochs => {
                 VoterResponse::Rejected { epoch: stored.epoch, promised, incarnation }
             }
-            // The leader knows another incarnation of this voter or none: the request may have been delayed for an
-            // hour.
+            // The request names another incarnation of this voter, or none, and this incarnation has stored no value
+            // yet: the request may have been delayed for an hour.
             VoterRequest::Accept { incarnation: known, stored, .. }
                 if self.held.is_none() && known != incarnation =>
             {
--- a/crates/permits/src/wire.rs
+++ b/crates/permits/src/wire.rs
@@ -45,9 +45,9 @@
     Next(u16),
     /// Ends the halt of this count.
     Resume(u32),
-    /// A restarted site or gateway asks whether it may accept persisted events again. The reply is the number of the
-    /// permit by which it was taken over, 0 for none, once a majority has confirmed it: never the leader's memory
-    /// alone.
+    /// A restarted site or gateway queries whether it may accept persisted events again. The reply is the number of
+    /// the permit by which it was taken over, 0 for none. It is sent once a majority has confirmed it, never from the
+    /// leader's memory alone.
     Reclaim(Subject),
 }
 
@@ -63,7 +63,7 @@
     /// The position of the latest committed state known to the sender, and the halt. A receiver that knows a later one
     /// replies with `State`.
     Position(Option<(Epoch, u32)>, Halt),
-    /// Asks the receiver for its `State`.
+    /// Queries the receiver for its `State`.
     StateQuery,
     /// A request to the leader, with a tag that the reply repeats.
     Request(u32, PermitRequest),
