--- a/crates/membership/src/virtual_network.rs
+++ b/crates/membership/src/virtual_network.rs
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Sets delays by sender and receiver for datagrams sent from now on, in place of `link.delay_range`. The minimum of
-    /// a range must not exceed its maximum.
+    /// Sets delays by sender and receiver for datagrams sent from now on, in place of `link.delay_range`. The minimum
+    /// of a range must not exceed its maximum.
     pub fn set_delays(&mut self, delays: DelayFn) {
         self.delays = Some(delays);
     }
--- a/crates/peers/src/connections.rs
+++ b/crates/peers/src/connections.rs
@@ -86,7 +86,7 @@
 
     /// The latest round trip time on the active connection and its age, in microseconds; `None` without a connection.
     /// If the pending ping has been unanswered for longer than that time, the age of the ping is returned instead, as
-    /// a lower bound that is 0 microseconds old.
+    /// a lower bound, with an age of 0.
     pub fn rtt(&self, member: MemberId, now: Micros) -> Option<(Micros, Micros)> {
         let peer = self.peers.get(usize::from(member))?;
         let (rtt, measured_at) = peer.rtt?;
--- a/crates/peers/src/permit_service.rs
+++ b/crates/peers/src/permit_service.rs
@@ -235,10 +235,10 @@
             OperatorCommand::Status => return reply(OperatorReply::Status(self.status(membership, now))),
             OperatorCommand::Request(permit_request) => permit_request,
         };
-        let same = |pending_request: &&PendingRequest| {
+        let is_repeated = |pending_request: &&PendingRequest| {
             pending_request.from == from && pending_request.operator_tag == request.tag
         };
-        if let Some(pending_request) = self.pending.iter().find(same) {
+        if let Some(pending_request) = self.pending.iter().find(is_repeated) {
             if let Some(answer) = pending_request.answer {
                 reply(OperatorReply::Answer(answer));
             }
@@ -256,8 +256,8 @@
     }
 
     /// Number of members that may still have calls in flight on drained workers: those that have not published a
-    /// count of zero for the latest permit state or a later one. Members that have stopped, or have been gone for
-    /// longer than any call lasts, are left out.
+    /// count of zero for the latest permit state or a later one. Members that have stopped, and those that were gone
+    /// or never seen for longer than any call lasts, are left out.
     fn members_not_clear(&self, membership: &Membership, now: Micros) -> usize {
         let at = self.node.known().map_or((0, 0), |state| (state.epoch.ms, u64::from(state.version)));
         let not_clear = |(number, member): (usize, &basaltward_membership::Member)| {
--- a/crates/permits/src/bounds/tests.rs
+++ b/crates/permits/src/bounds/tests.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 fn observations(used: &[bool]) -> Observations {
-    let observation = |(at, used): (usize, &bool)| {
+    let observation = |(index, used): (usize, &bool)| {
         let used = used.then_some(1_000_000);
         (
-            Subject::Worker(at as u32),
+            Subject::Worker(index as u32),
             Observation {
-                zone: (at % 2) as u8,
+                zone: (index % 2) as u8,
                 incarnation: 1,
                 in_use_for: used,
-                holds_last_copy: at == 9,
+                holds_last_copy: index == 9,
                 running_version: None,
             },
         )
--- a/crates/permits/src/observer.rs
+++ b/crates/permits/src/observer.rs
@@ -14,8 +14,8 @@
     pub membership: &'a Membership,
     /// Zones of the schedulers, by their number; those not listed are in zone 0.
     pub zones: &'a [u8],
-    /// Observations of workers, from the bulletin, and of sites, see [`observe_sites`]. Computed on demand, as
-    /// few datagrams need them.
+    /// Observations of workers, from the bulletin, and of sites, see [`observe_sites`]. Called on demand, as few
+    /// datagrams need them.
     pub workers: &'a dyn Fn(Micros) -> Observations,
     /// The wall clock, in milliseconds since the beginning of 2026.
     pub wall_ms: u64,
--- a/crates/permits/src/plan/tests.rs
+++ b/crates/permits/src/plan/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::state::Permit;
 
-fn observations(runs: &[Option<u32>]) -> Observations {
-    let observation = |(member, runs): (usize, &Option<u32>)| {
+fn observations(running_versions: &[Option<u32>]) -> Observations {
+    let observation = |(member, running_version): (usize, &Option<u32>)| {
         let used = Some(1_000_000 * (10 - member as u64));
         (
             Subject::Scheduler(member as MemberId),
@@ -13,11 +13,11 @@
                 incarnation: 0,
                 in_use_for: used,
                 holds_last_copy: false,
-                running_version: *runs,
+                running_version: *running_version,
             },
         )
     };
-    runs.iter().enumerate().map(observation).collect()
+    running_versions.iter().enumerate().map(observation).collect()
 }
 
 #[test]
--- a/crates/permits/src/register.rs
+++ b/crates/permits/src/register.rs
@@ -172,8 +172,8 @@
         self.voters.iter().filter_map(request).collect()
     }
 
-    /// Handles a voter's response. Ignores one of another epoch, of a member that does not vote, or to a request that
-    /// was sent a lease ago or earlier.
+    /// Handles a voter's response. Ignores one of another epoch or of a member that does not vote and, unless it is a
+    /// rejection, one to a request that was sent a lease ago or earlier.
     pub fn handle(&mut self, now: Micros, from: MemberId, response: VoterResponse<V>) {
         let (epoch, heartbeat, incarnation) = match &response {
             VoterResponse::Promise { epoch, heartbeat, incarnation, .. }
--- a/crates/permits/src/voter.rs
+++ b/crates/permits/src/voter.rs
@@ -1,6 +1,6 @@
 //! One voter: it promises not to accept earlier epochs, and it stores the accepted value. It persists nothing, so a
-//! restart loses both; the design note, "A voter that has forgotten", explains how a restarted voter is prevented from
-//! undoing them. Input: a request of a candidate or leader and a time; output: a response, or none while it must stay
+//! restart loses both; the design note, "A voter that has forgotten", explains how the protocol stays safe
+//! nevertheless. Input: a request of a candidate or leader and a time; output: a response, or none while it must stay
 //! silent.
 
 use basaltward_membership::{MemberId, Micros};
@@ -49,7 +49,7 @@
     Prepare {
         /// The epoch of the candidate.
         epoch: Epoch,
-        /// The sender's number of the heartbeat, by which it finds out when the request of a response was sent.
+        /// The number of the heartbeat. A response repeats it, so that the sender can tell when the request was sent.
         heartbeat: u32,
     },
     /// Requests the voter to store a value.
