--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -162,8 +162,10 @@
         let shed = shed_settings(config, sites).ok_or(GatewayError::NotAPeer)?;
         let shed_fact_lifetime = shed.load_ttl;
         let shed = AdmissionController::new(now, shed)?;
-        let holders =
-            config.replication.iter().map(|kept| kept.map_or(0, |kept| kept.holders.min(255) as u8));
+        let holders = config
+            .replication
+            .iter()
+            .map(|class| class.map_or(0, |replication| replication.holders.min(255) as u8));
         let site_map = site_map(sites).ok_or(GatewayError::NotAPeer)?;
         let pending = PendingSettings {
             journal_bytes: sites.journal.max_bytes,
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -248,7 +248,7 @@
         }
         let input = io.input(conn)?;
         let decoded = client.decoder.decode(input);
-        let (within, within_body) =
+        let (has_partial, in_body) =
             (client.decoder.has_partial_message(input), client.decoder.is_reading_body());
         match decoded {
             Ok(Decoded::Message(request)) => {
@@ -257,12 +257,12 @@
                 Some(self.request(io, now, conn, &request, began))
             }
             Ok(decoded) => {
-                if !within {
+                if !has_partial {
                     client.request_began = None;
                 } else {
                     // After the head, the body gets its own timeout in addition.
                     let began = *client.request_began.get_or_insert(now);
-                    let until = began + self.timeouts.0 + if within_body { self.timeouts.1 } else { 0 };
+                    let until = began + self.timeouts.0 + if in_body { self.timeouts.1 } else { 0 };
                     self.set_timeout(conn, until);
                 }
                 io.pause(conn, false);
@@ -430,7 +430,7 @@
             id: event.id.as_str().into(),
         };
         self.waiters_created += 1;
-        // The last slot is never given to a client.
+        // The last slot is reserved for calls without a client.
         let waiter = waiter_id(self.thread, self.waiters_created, SLOT_MASK as usize);
         let deadline = now + pending.deadline.saturating_sub(wall) * 1_000;
         Some(NewCall { waiter, identity, function: function.clone(), deadline, payload: Arc::new(event) })
--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -15,7 +15,7 @@
     pub retryable: bool,
     /// Seconds for `Retry-After`.
     pub retry_after: Option<u64>,
-    /// What happened and what the client can do.
+    /// Describes the problem and how the client can react.
     pub detail: String,
 }
 
@@ -25,7 +25,7 @@
         Self { status, outcome: "rejected", retryable: false, retry_after: None, detail: detail.into() }
     }
 
-    /// A refusal, with the time after which a retry is welcome.
+    /// A refusal, with the delay after which the client may retry.
     pub fn refused(why: Refusal, wait: Option<Micros>) -> Self {
         let detail = match why {
             Refusal::Overload => {
--- a/crates/gateway/src/replicated.rs
+++ b/crates/gateway/src/replicated.rs
@@ -1,7 +1,7 @@
-//! One loop's replicated events, which are the events of classes that have a [`KeptConfig`]. A call of such a class
-//! goes to the engine once gateways of other sites have stored its journal entry. Each of its attempts is sent once
-//! the entry of that attempt is stored too and, if the event must not run twice, under a lease. Free of I/O: calls,
-//! attempts and messages of the control thread go in, the actions that follow come out.
+//! One loop's replicated events, which are the events of classes that have a [`ReplicationConfig`]. A call of such a
+//! class goes to the engine once gateways of other sites have stored its journal entry. Each of its attempts is sent
+//! once the entry of that attempt is stored too and, if the event must not run twice, under a lease. Free of I/O:
+//! calls, attempts and messages of the control thread go in, the actions that follow come out.
 
 use crate::front::extensions::KEPT;
 use crate::sites::digest;
@@ -81,7 +81,7 @@
     attempts: u32,
     /// At least one attempt may have run.
     may_have_run: bool,
-    /// No other gateway has stored it.
+    /// Its journal entry counts as not replicated.
     unreplicated: bool,
     /// From this time on an unconfirmed entry counts as not replicated.
     replicate_by: Micros,
@@ -239,7 +239,7 @@
         AcceptOutcome::Waiting
     }
 
-    /// Gateways of other sites have stored an event's entry, or could not. Returns what follows for the waiting calls.
+    /// Handles the result of replicating an event's entry to other sites. Returns the actions for the waiting calls.
     pub fn replication_result(&mut self, key: Key, replicated: bool) -> Vec<Action> {
         let Some(event) = self.events.get_mut(&key) else { return Vec::new() };
         let State::AwaitingReplication(calls) = &mut event.state else { return Vec::new() };
@@ -300,7 +300,8 @@
         actions
     }
 
-    /// Another gateway is responsible for an event with this key: clients waiting here are asked to retry later.
+    /// Another gateway is responsible for an event with this key: clients waiting here get a refusal with a
+    /// retry delay.
     pub fn owned_elsewhere(&mut self, key: Key) -> Vec<Action> {
         if !matches!(self.events.get(&key), Some(TrackedEvent { state: State::AwaitingReplication(_), .. })) {
             return Vec::new();
@@ -318,11 +319,11 @@
         calls.into_iter().map(refused).collect()
     }
 
-    /// A parked attempt may be sent before `until`, or not at all.
+    /// Handles the decision about a parked attempt: it may be sent before `until`; with `None` it must not be sent.
     pub fn lease_decided(&mut self, key: Key, number: u32, until: Option<Micros>) -> Option<Action> {
-        let is_meant =
+        let is_this_attempt =
             |(_, parked): &(&AttemptId, &ParkedAttempt)| (parked.key, parked.attempt) == (key, number);
-        let attempt = *self.parked.iter().find(is_meant)?.0;
+        let attempt = *self.parked.iter().find(is_this_attempt)?.0;
         self.parked.remove(&attempt);
         Some(match until {
             Some(until) => {
@@ -491,8 +492,8 @@
 
     const S: Micros = 1_000_000;
 
-    fn new_events(unheld: UnreplicatedPolicy, repeat: Repeat) -> ReplicatedEvents {
-        let kept = ReplicationConfig { holders: 1, unreplicated: unheld, finish_without_client: false };
+    fn new_events(unreplicated: UnreplicatedPolicy, repeat: Repeat) -> ReplicatedEvents {
+        let kept = ReplicationConfig { holders: 1, unreplicated, finish_without_client: false };
         ReplicatedEvents::new(vec![(Some(kept), repeat), (None, Repeat::Safe)], 1_000, 2)
             .expect("a replicated class")
     }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -88,7 +88,7 @@
         Self::start_with_mode(config, recorder, LoopMode::Coordinated)
     }
 
-    /// Like [`Gateway::start`], with the given coordination of the loops.
+    /// Like [`Gateway::start`], with this coordination of the loops.
     ///
     /// # Errors
     /// As [`Gateway::start`].
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -29,7 +29,7 @@
 /// Retry delay reported to a client if the owner of its event does not accept events yet.
 const OWNER_NOT_READY_RETRY_US: Micros = 1_000_000;
 
-/// What follows from the end of a handed-over call.
+/// The next step after the end of a handed-over call.
 pub enum HandOverResult {
     /// The client is answered.
     Answer(WaiterId, Answer<Reply>),
@@ -37,7 +37,7 @@
     RunLocally(NewCall<Event>),
 }
 
-/// What follows from the arrival of a call.
+/// The next step after the arrival of a call.
 pub enum Arrival {
     /// The call is handled at this site.
     Local(NewCall<Event>),
@@ -302,7 +302,7 @@
     }
 
     /// The owner of a call's event. Only keyed and unsafe events of replicated classes have a single owner over all
-    /// sites.
+    /// sites; `None` for all others.
     fn event_owner(&self, now: Micros, call: &NewCall<Event>) -> Option<EventOwner> {
         let class = call.function.class;
         if self.repeats[class] == Repeat::Safe || !self.replicated.as_ref()?.is_replicated_class(class) {
@@ -496,13 +496,13 @@
         answer
     }
 
-    /// A call is no longer in flight here. `ended` is its end unless admission has counted it already.
-    fn local_call_ended(&mut self, waiter: WaiterId, ended: Option<CallOutcome>) {
+    /// A call is no longer in flight here. `outcome` is its result, `None` if admission has counted it already.
+    fn local_call_ended(&mut self, waiter: WaiterId, outcome: Option<CallOutcome>) {
         let Some(local) = self.local_calls.remove(&waiter) else { return };
         let counted = self.counted(local.function);
         counted.in_flight = counted.in_flight.saturating_sub(1);
-        if let Some(ended) = ended {
-            self.admission.record_outcome(local.class, local.tenant, ended);
+        if let Some(outcome) = outcome {
+            self.admission.record_outcome(local.class, local.tenant, outcome);
         }
     }
 
--- a/crates/pending/src/claims.rs
+++ b/crates/pending/src/claims.rs
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Answers a claim. A granted claim binds this gateway from then on.
+    /// Answers a claim. A granted claim binds this gateway from then on. `None` if this gateway has not begun to take
+    /// over the journal.
     fn answer_claim(
         &mut self,
         from: MemberId,
@@ -96,8 +97,8 @@
         let other_journal_incomplete =
             self.journal_extents.iter().any(|(of, (through, head))| *of != source && head > through);
         let Some(event) = self.events.get_mut(&key) else {
-            // The replica here goes past the accepting entry but no longer has the event: it has ended, and how is no
-            // longer known.
+            // The replica here goes past the accepting entry but no longer has the event: it has ended, and its
+            // outcome is no longer known.
             let ended = journal_extent.is_some_and(|(through, _)| through >= entry_number);
             let decision = if ended {
                 ClaimDecision::Ended(Outcome::Failed, Vec::new())
@@ -114,7 +115,7 @@
             });
         };
         event.other_holders.insert(from);
-        let keep = match event.stage {
+        let keeps_event = match event.stage {
             EventStage::Ready | EventStage::Running => true,
             EventStage::Unclaimed | EventStage::Claiming(_) => {
                 claim_rank(key, self.own) > claim_rank(key, from)
@@ -123,7 +124,7 @@
         };
         let decision = match &event.stage {
             EventStage::Ended(outcome, answer) => ClaimDecision::Ended(*outcome, answer.clone()),
-            _ if keep => ClaimDecision::Denied,
+            _ if keeps_event => ClaimDecision::Denied,
             _ => {
                 event.stage = EventStage::OwnedBy(from);
                 ClaimDecision::Granted
@@ -169,10 +170,10 @@
                 event.complete_holders.insert(from);
             }
         }
-        let (own, mut contradicted) = (event.accepted_entry, None);
+        let (own_entry, mut contradicted) = (event.accepted_entry, None);
         if let Some((source, number, chain)) = reply.accepted_entry {
             event.other_holders.insert(from);
-            if (source, number) == (own.0, own.1) && chain != own.2 {
+            if (source, number) == (own_entry.0, own_entry.1) && chain != own_entry.2 {
                 event.first_send = FirstSend::Unknown;
                 contradicted = Some(JournalLoss {
                     source_of: source,
--- a/crates/pending/src/holder.rs
+++ b/crates/pending/src/holder.rs
@@ -23,8 +23,9 @@
 struct Replica {
     /// Identifies this start of the journal, see [`Ack::generation`].
     generation: u32,
-    /// Number of the first stored entry, and the chain value before it.
+    /// Number of the first stored entry.
     first: u64,
+    /// The chain value before the first stored entry.
     chain_before: u64,
     entries: VecDeque<StoredEntry>,
     /// Entry numbers of events that have not ended, by event.
@@ -155,7 +156,7 @@
     }
 
     /// Stores entries from their writer and returns the ack and a detected fault. `granted` is whether a lease is
-    /// granted to the writer; it is an error if the writer was taken over.
+    /// granted to the writer, `Err` if the writer was taken over.
     pub fn handle_append(
         &mut self,
         now: Micros,
--- a/crates/pending/src/holder_progress.rs
+++ b/crates/pending/src/holder_progress.rs
@@ -164,7 +164,7 @@
     }
 
     /// The holder rejected entries. Only the first rejection per resync counts, as the frames sent after it are
-    /// rejected for the same reason.
+    /// rejected for the same reason. Returns whether this one counted, so that sending restarts.
     pub fn on_rejected(&mut self, resync_count: u32, corrupt: bool, after: u64) -> bool {
         let first = resync_count == self.resync_count;
         if first {
--- a/crates/pending/src/holder_selection.rs
+++ b/crates/pending/src/holder_selection.rs
@@ -15,11 +15,11 @@
     Suspect,
 }
 
-/// Selects up to `most` holders for the local journal, best first. Candidates without a state are not live.
+/// Selects up to `max_holders` holders for the local journal, best first. Candidates without a state are not live.
 pub fn select_holders(
     site_map: &SiteMap,
     seed: u64,
-    most: usize,
+    max_holders: usize,
     state: impl Fn(MemberId) -> Option<CandidateState>,
 ) -> Vec<MemberId> {
     let rank = |of: MemberId| {
@@ -37,7 +37,7 @@
     for (suspect, other_site_only) in [(false, true), (false, false), (true, true), (true, false)] {
         for (state, _, of) in &ranked {
             let other_site = selected.iter().all(|other| site_map.site_of(*other) != site_map.site_of(*of));
-            if selected.len() < most
+            if selected.len() < max_holders
                 && !selected.contains(of)
                 && (*state == CandidateState::Suspect) == suspect
                 && (other_site || !other_site_only)
--- a/crates/pending/src/inspect.rs
+++ b/crates/pending/src/inspect.rs
@@ -17,7 +17,8 @@
     Ended(Key, Outcome),
 }
 
-/// Returns the facts in a frame. Entries without payload are skipped.
+/// Returns the facts in a frame. Entries without payload are skipped. `entry_bytes` is the maximum size of an event or
+/// an answer, as in [`crate::PendingSettings::entry_bytes`].
 ///
 /// # Errors
 /// If the frame is malformed or was corrupted.
--- a/crates/pending/src/interface.rs
+++ b/crates/pending/src/interface.rs
@@ -180,7 +180,7 @@
         accepted: Accepted,
         /// When its first byte was sent, if it was; the window of a keyed event runs from then.
         first_send_at: Option<WallMs>,
-        /// How it is to be run.
+        /// The decision, one of those that run the event.
         resolution: Resolution,
     },
     /// An event of a lost gateway is ended without running it.
--- a/crates/pending/src/journal.rs
+++ b/crates/pending/src/journal.rs
@@ -60,15 +60,17 @@
 pub struct Journal {
     settings: PendingSettings,
     source: Source,
-    /// Number of the first retained entry, and the chain value before it.
+    /// Number of the first retained entry.
     first: u64,
+    /// The chain value before the first retained entry.
     chain_before: u64,
     entries: VecDeque<StoredEntry>,
     events: BTreeMap<Key, Event>,
     /// Entries with a payload, by its expiry.
     expiry: BTreeSet<(WallMs, u64)>,
-    /// [`Step::Ended`] entries with a payload, and their memory cost.
+    /// Numbers of the [`Step::Ended`] entries with a payload.
     retained_ends: BTreeSet<u64>,
+    /// Memory cost of those entries.
     retained_end_bytes: usize,
     /// Memory cost of all entries.
     bytes: usize,
@@ -330,7 +332,8 @@
         }
     }
 
-    /// An event of a lost gateway will be accepted here next; `first` is the time of its first send, if it was sent.
+    /// An event of a lost gateway will be accepted here next; `first_send_at` is the time of its first send,
+    /// if it was sent.
     pub fn mark_recovered(&mut self, key: Key, first_send_at: Option<WallMs>) {
         self.recovered.insert(key, first_send_at);
     }
--- a/crates/pending/src/lease.rs
+++ b/crates/pending/src/lease.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The holder grants nothing any more, or is no longer a holder.
+    /// Removes the grant of a gateway that is no longer a holder or grants no further leases.
     pub fn revoke(&mut self, by: MemberId) {
         self.granted_requests.remove(&by);
     }
@@ -57,7 +57,7 @@
     }
 
     /// Until when at least `needed` holders keep their promise, by the local clock. `Micros::MAX` if none is needed,
-    /// as then no gateway could take over.
+    /// as then no gateway could take over; 0 if fewer holders have granted a lease.
     pub fn valid_until(&self, needed: usize) -> Micros {
         let mut request_times: Vec<Micros> =
             self.granted_requests.values().map(|(_, requested_at)| *requested_at).collect();
--- a/crates/pending/src/owner.rs
+++ b/crates/pending/src/owner.rs
@@ -10,12 +10,12 @@
 pub fn taken_over(permit_state: &PermitState, site_map: &SiteMap) -> Vec<bool> {
     let mut taken = vec![false; site_map.len()];
     for permit in &permit_state.permits {
-        let of: Vec<MemberId> = match permit.subject {
+        let members: Vec<MemberId> = match permit.subject {
             Subject::Site(site) => site_map.members_at(site).collect(),
             Subject::Gateway(of) => vec![of],
             Subject::Scheduler(_) | Subject::Worker(_) => Vec::new(),
         };
-        for of in of {
+        for of in members {
             taken.get_mut(usize::from(of)).into_iter().for_each(|taken| *taken = true);
         }
     }
--- a/crates/pending/src/recovery.rs
+++ b/crates/pending/src/recovery.rs
@@ -460,8 +460,9 @@
             if !matches!(&event.stage, EventStage::Claiming(left) if left.is_empty()) {
                 continue;
             }
-            // A gateway that is lost as well, or that restarted and lost its memory, might have known that the event
-            // was sent. So might an entry that no peer has, or an entry of a previous owner that some peer lacks.
+            // The event may have been sent although no reply shows it: the record may have been at a gateway that is
+            // lost as well or has restarted without its memory, in an entry that no peer has, or in an entry of a
+            // previous owner that some peer lacks.
             let need = self.required_holders.get(usize::from(event.accepted.class)).copied().unwrap_or(0);
             let (source, number, _) = event.accepted_entry;
             let stored_here =
@@ -491,7 +492,7 @@
     /// Resolves claimed events, nearest deadline first; events to be run are subject to the limits.
     fn resolve_ready(&mut self, now: Micros, wall: WallMs, out: &mut Vec<RecoveryOutput>) {
         let gained = now.saturating_sub(self.budget_filled_at).saturating_mul(u64::from(self.rate)) / 1_000;
-        // Budget older than a tenth of a second is discarded, so that events don't start in bursts.
+        // Capped at the budget of a tenth of a second, but at least one event, so that events don't start in bursts.
         let full = (u64::from(self.rate) * 100).max(1_000);
         if gained > 0 {
             (self.budget, self.budget_filled_at) = ((self.budget + gained).min(full), now);
--- a/crates/pending/src/resolution.rs
+++ b/crates/pending/src/resolution.rs
@@ -14,7 +14,7 @@
 }
 
 impl FirstSend {
-    /// Combines the knowledge of two gateways: the earliest time wins, and `Unknown` stays `Unknown`.
+    /// Combines the records of two gateways: the earliest time wins, and `Unknown` stays `Unknown`.
     pub fn merge(self, other: Self) -> Self {
         match (self, other) {
             (Self::Unknown, _) | (_, Self::Unknown) => Self::Unknown,
@@ -24,7 +24,7 @@
     }
 }
 
-/// What is known about an event when its end is decided.
+/// The facts about a pending event on which its [`Resolution`] depends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RecoveryCase {
     /// Whether it may be sent again after it was sent once.
@@ -118,13 +118,13 @@
     const AT: FirstSend = FirstSend::At(1_000);
 
     /// A case for `resolve` at time 10,000 with a slack of 100.
-    fn case(again: RepeatSafety, sent: FirstSend) -> RecoveryCase {
+    fn case(repeat_safety: RepeatSafety, first_send: FirstSend) -> RecoveryCase {
         RecoveryCase {
-            repeat_safety: again,
+            repeat_safety,
             finish_without_client: true,
             client_waiting: false,
             deadline: 20_000,
-            first_send: sent,
+            first_send,
             ended: None,
         }
     }
--- a/crates/pending/src/simulation.rs
+++ b/crates/pending/src/simulation.rs
@@ -168,7 +168,7 @@
     fn into_datagram(out: SimulatedOutput) -> Result<(MemberId, Vec<u8>), SimulatedOutput> {
         match out {
             SimulatedOutput::Send(to, bytes) => Ok((to, bytes)),
-            outputs => Err(outputs),
+            output => Err(output),
         }
     }
 }
@@ -205,8 +205,9 @@
     seed: u64,
 }
 
-/// Interval at which the voters answer permit requests, and at which the view is sent to all gateways.
+/// Interval at which the voters answer permit requests.
 const PERMIT_POLL_INTERVAL: Micros = 10_000;
+/// Interval at which the view is sent to all gateways.
 const BROADCAST_INTERVAL: Micros = 1_000_000;
 /// Wall-clock time at the start of the simulation.
 const EPOCH_MS: WallMs = 1_800_000_000_000;
--- a/crates/pending/src/takeover.rs
+++ b/crates/pending/src/takeover.rs
@@ -27,7 +27,7 @@
         /// Its gateways, each with its last life that has ended.
         lives: Vec<(MemberId, u64)>,
     },
-    /// The permit was returned: its subject has the status of its events.
+    /// The permit was returned: its subject has learned the status of its events.
     Returned(Subject),
     /// This gateway itself was taken over: pending events of this life belong to others, see [`Rejoin`].
     LostOwnership,
--- a/crates/pending/src/types.rs
+++ b/crates/pending/src/types.rs
@@ -28,7 +28,7 @@
         /// How long workers deduplicate by the key.
         window: Micros,
     },
-    /// It must not run twice.
+    /// Must not run twice.
     Unsafe,
 }
 
@@ -56,7 +56,7 @@
 /// How a recorded event ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was served; the answer is recorded with it.
+    /// It was served. Its answer is recorded with the outcome unless it is too long.
     Served,
     /// It was refused and never ran.
     Refused,
@@ -86,7 +86,8 @@
         key: Key,
         /// How it ended.
         outcome: Outcome,
-        /// The answer as a structured CloudEvent; empty if there is none or if it exceeds the configured bound.
+        /// The answer as a structured CloudEvent; empty if there is none or if it does not fit into the
+        /// configured size limits.
         answer: Vec<u8>,
     },
 }
--- a/crates/pending/src/wire.rs
+++ b/crates/pending/src/wire.rs
@@ -122,7 +122,10 @@
     bytes
 }
 
-/// Decodes a frame.
+/// Decodes a frame. `entry_bytes` is the maximum size of an event or an answer.
+///
+/// # Errors
+/// If the frame is too long, corrupted, truncated or malformed, or has another version.
 pub fn decode(bytes: &[u8], entry_bytes: usize) -> Result<Message<'_>, WireError> {
     if bytes.len() > TARGET_FRAME_BYTES.max(entry_bytes) + FRAME_OVERHEAD_BYTES {
         return Err(WireError::TooLong(bytes.len()));
--- a/crates/rules/src/answers.rs
+++ b/crates/rules/src/answers.rs
@@ -4,7 +4,7 @@
 use crate::record::{Micros, Observation, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a client and a gateway do within this time of each other may have raced. In particular a request that
+/// Actions of a client and a gateway within this time of each other may have raced. In particular a request that
 /// overlaps the end of its gateway may lose its connection without a breach.
 pub(crate) const RACE_TOLERANCE_US: Micros = 1_000_000;
 
@@ -79,7 +79,7 @@
     /// The gateway had written them in time. With both on one machine the bytes were then available to the client,
     /// whose own event loop was late.
     pub delayed_at_client: usize,
-    /// The gateway got no processor for longer than they were late. No program can answer while it is stopped;
+    /// The gateway was without a processor for longer than they were late. No program can answer while it is stopped;
     /// the margins before a deadline make this rare.
     pub gateway_stalled: usize,
 }
@@ -187,7 +187,7 @@
                 at_address.contains(by) && (request.sent..=end + RACE_TOLERANCE_US).contains(t)
             })
         });
-        // A scheduler that stops in order answers what it has accepted; a killed one can't.
+        // A scheduler that stops gracefully answers the calls that it has accepted; a killed one can't.
         let excused = ends.iter().any(|(by, t, killed)| {
             let overlaps =
                 (request.sent.saturating_sub(RACE_TOLERANCE_US)..=end + RACE_TOLERANCE_US).contains(t);
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,4 +1,4 @@
-//! Records of what clients, schedulers and workers observed at their sockets, and a checker of the five rules of
+//! Records of the observations of clients, schedulers and workers at their sockets, and a checker of the five rules of
 //! the service. The checker uses only the records and the rules, and does not depend on the engine.
 #![warn(missing_docs)]
 
--- a/crates/rules/src/record.rs
+++ b/crates/rules/src/record.rs
@@ -26,12 +26,12 @@
     /// The observer: a client, a scheduler (one event loop of a gateway) or a worker.
     #[serde(rename = "by")]
     pub observer: String,
-    /// What was observed.
+    /// The observation.
     #[serde(flatten)]
     pub observation: Observation,
 }
 
-/// What a client, scheduler or worker observed. The `rename` attributes keep the names of the stored format.
+/// An observation by a client, a scheduler or a worker. The `rename` attributes keep the names of the stored format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Observation {
--- a/crates/rules/src/service.rs
+++ b/crates/rules/src/service.rs
@@ -58,11 +58,11 @@
             None => 0.0,
         };
         // Windows overlap by half, so that one of them covers most of a short outage.
-        let half = (event.first_sent - start) / (WINDOW_US / 2);
+        let half_window = (event.first_sent - start) / (WINDOW_US / 2);
         let add = |sum: &mut (f64, f64)| *sum = (sum.0 + earned, sum.1 + class.value);
         add(&mut all);
-        add(windows.entry(half).or_default());
-        add(windows.entry(half + 1).or_default());
+        add(windows.entry(half_window).or_default());
+        add(windows.entry(half_window + 1).or_default());
         add(tenants.entry(event.tenant).or_default());
     }
     let share = |sum: &(f64, f64)| if sum.1 > 0.0 { sum.0 / sum.1 } else { 1.0 };
