--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -489,30 +489,31 @@
                     info!(scheduler = self.name, after_us = wait, "accepting replicated events");
                 }
                 Output::OwnershipLost { key } => self.broadcast(|| ControlMessage::TakenOver(key)),
-                Output::Run { accepted: pending, resolution: end, .. } => {
+                Output::Run { accepted, resolution, .. } => {
                     info!(
                         scheduler = self.name,
-                        key = format!("{:x}", pending.key.0),
-                        ?end,
+                        key = format!("{:x}", accepted.key.0),
+                        end = ?resolution,
                         "running an event of a lost gateway"
                     );
-                    let before = if let Resolution::SameKey { before } = end { before } else { u64::MAX };
-                    let loop_index = (pending.key.0 % self.loops.len().max(1) as u128) as usize;
+                    let before =
+                        if let Resolution::SameKey { before } = resolution { before } else { u64::MAX };
+                    let loop_index = (accepted.key.0 % self.loops.len().max(1) as u128) as usize;
                     if let Some(messages) = self.queued.get_mut(loop_index) {
-                        messages.push_back(ControlMessage::RunForLostSite(Box::new(pending), before));
+                        messages.push_back(ControlMessage::RunForLostSite(Box::new(accepted), before));
                     }
                 }
-                Output::Resolved { key, resolution: end, outcome, answer } => {
+                Output::Resolved { key, resolution, outcome, answer } => {
                     info!(
                         scheduler = self.name,
                         key = format!("{:x}", key.0),
-                        ?end,
+                        end = ?resolution,
                         "event of a lost gateway has ended"
                     );
                     self.broadcast(|| ControlMessage::EndedElsewhere(key, outcome, answer.clone()));
                 }
-                Output::JournalLoss(gone) => {
-                    warn!(scheduler = self.name, %gone, "journal of a lost gateway is incomplete")
+                Output::JournalLoss(loss) => {
+                    warn!(scheduler = self.name, gone = %loss, "journal of a lost gateway is incomplete")
                 }
             }
         }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -418,13 +418,13 @@
     /// here or the event can't be parsed. `wall` is the wall clock in milliseconds.
     pub fn call_of_lost_site(
         &mut self,
-        pending: &Accepted,
+        accepted: &Accepted,
         (now, wall): (Micros, u64),
     ) -> Option<NewCall<Event>> {
-        let event = from_json(&pending.event).ok()?;
-        let (function, _) = self.functions.get(pending.function.as_str())?;
+        let event = from_json(&accepted.event).ok()?;
+        let (function, _) = self.functions.get(accepted.function.as_str())?;
         let identity = Identity {
-            tenant: usize::from(pending.tenant),
+            tenant: usize::from(accepted.tenant),
             function: function.name.clone(),
             source: event.source.as_str().into(),
             id: event.id.as_str().into(),
@@ -432,7 +432,7 @@
         self.waiters_created += 1;
         // The last slot is reserved for calls without a client.
         let waiter = waiter_id(self.thread, self.waiters_created, SLOT_MASK as usize);
-        let deadline = now + pending.deadline.saturating_sub(wall) * 1_000;
+        let deadline = now + accepted.deadline.saturating_sub(wall) * 1_000;
         Some(NewCall { waiter, identity, function: function.clone(), deadline, payload: Arc::new(event) })
     }
 
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -48,7 +48,7 @@
     Panicked,
 }
 
-/// Added to the retention of seen events, as a loop may move on to its next period this late.
+/// Added to the retention of seen events, in microseconds: a loop may start its next retention span this late.
 const RECORD_SLACK_US: u64 = 1_000_000;
 
 /// How the loops of a gateway coordinate on events.
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -281,8 +281,8 @@
                 let end = self.sites.as_mut().and_then(|sites| sites.data(&mut self.io, now, conn));
                 self.remote_job_ended(now, end);
             }
-            IoEvent::Ended(conn, how) if self.is_peer_connection(conn) => {
-                let end = self.sites.as_mut().and_then(|sites| sites.ended(&mut self.io, now, conn, how));
+            IoEvent::Ended(conn, reason) if self.is_peer_connection(conn) => {
+                let end = self.sites.as_mut().and_then(|sites| sites.ended(&mut self.io, now, conn, reason));
                 self.remote_job_ended(now, end);
             }
             IoEvent::Connected(conn) => {
@@ -295,8 +295,8 @@
                 self.job_ended(now, end);
             }
             IoEvent::Data(conn) | IoEvent::Drained(conn) => self.front.input_arrived(now, conn),
-            IoEvent::Ended(conn, how) if self.links.owns(conn) => {
-                let end = self.links.ended(&mut self.io, now, conn, how);
+            IoEvent::Ended(conn, reason) if self.links.owns(conn) => {
+                let end = self.links.ended(&mut self.io, now, conn, reason);
                 self.job_ended(now, end);
             }
             IoEvent::Ended(conn, _) => {
--- a/crates/gateway/src/scheduler/calls.rs
+++ b/crates/gateway/src/scheduler/calls.rs
@@ -140,12 +140,12 @@
                 }
                 ControlMessage::TakenOver(key) => replicated.taken_over(key),
                 ControlMessage::OwnedElsewhere(key) => replicated.owned_elsewhere(key),
-                ControlMessage::RunForLostSite(pending, before) => {
-                    let key = pending.key;
-                    let Some(mut call) = self.front.call_of_lost_site(&pending, (now, wall_ms())) else {
+                ControlMessage::RunForLostSite(accepted, before) => {
+                    let key = accepted.key;
+                    let Some(mut call) = self.front.call_of_lost_site(&accepted, (now, wall_ms())) else {
                         warn!(
                             scheduler = self.name,
-                            function = pending.function,
+                            function = accepted.function,
                             "event of a lost site not run: unknown function or invalid event"
                         );
                         replicated.abandon(key);
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -208,7 +208,7 @@
     }
 
     /// The counts of a function since the last report.
-    fn counted(&mut self, function: u32) -> &mut FunctionCounts {
+    fn counts_of(&mut self, function: u32) -> &mut FunctionCounts {
         self.counts.entry(function).or_insert(FunctionCounts { function, ..FunctionCounts::default() })
     }
 
@@ -220,7 +220,7 @@
         let class = call.function.class;
         let handed_over = was_handed_over(&call.payload);
         if !handed_over {
-            self.counted(function).calls += 1;
+            self.counts_of(function).calls += 1;
         }
         match self.event_owner(now, &call) {
             Some(EventOwner::Unknown) => return Arrival::Answered(Answer::Failed(Failure::OwnerUnreachable)),
@@ -296,7 +296,7 @@
     /// Adds a call to those in flight at this site.
     fn track_local(&mut self, now: Micros, function: u32, call: &NewCall<Event>) {
         let (class, tenant) = (call.function.class, call.identity.tenant);
-        self.counted(function).in_flight += 1;
+        self.counts_of(function).in_flight += 1;
         let hash = digest(&call.identity) as u64;
         self.local_calls.insert(call.waiter, LocalCall { function, class, tenant, hash, arrived_at: now });
     }
@@ -373,15 +373,15 @@
             ));
         }
         let duration = now.saturating_sub(began);
-        let handed_end = match end.code {
+        let outcome = match end.code {
             Code::Ok => HandoverOutcome::Served,
             Code::Full | Code::Miss => HandoverOutcome::Refused,
             Code::ConnectFailed => HandoverOutcome::Unreached,
             _ => HandoverOutcome::Lost,
         };
-        let handed = Handover { function, to, duration, outcome: handed_end };
-        self.router.handover_ended(now, &handed);
-        self.rings.reports.send(LoopReport::HandedOver(handed));
+        let handover = Handover { function, to, duration, outcome };
+        self.router.handover_ended(now, &handover);
+        self.rings.reports.send(LoopReport::HandedOver(handover));
         Some(match end.reply {
             Some(reply) => HandOverResult::Answer(waiter, Answer::Served(reply)),
             None => match self.admit_local(now, function, &call, false) {
@@ -474,8 +474,8 @@
         let (function, class, tenant, hash) = (local.function, local.class, local.tenant, local.hash);
         let mut answer = answer;
         if matches!(answer, Answer::Served(_)) {
-            let counted = self.counted(function);
-            (counted.served, counted.total_time) = (counted.served + 1, counted.total_time + elapsed);
+            let counts = self.counts_of(function);
+            (counts.served, counts.total_time) = (counts.served + 1, counts.total_time + elapsed);
             // The wait includes every queue of the call's path, those at workers too.
             let waited = elapsed.saturating_sub(self.run_times.get(&function).copied().unwrap_or(elapsed));
             let waited = self.wait_estimates.record(now, function, now - elapsed, waited);
@@ -499,8 +499,8 @@
     /// A call is no longer in flight here. `outcome` is its result, `None` if admission has counted it already.
     fn local_call_ended(&mut self, waiter: WaiterId, outcome: Option<CallOutcome>) {
         let Some(local) = self.local_calls.remove(&waiter) else { return };
-        let counted = self.counted(local.function);
-        counted.in_flight = counted.in_flight.saturating_sub(1);
+        let counts = self.counts_of(local.function);
+        counts.in_flight = counts.in_flight.saturating_sub(1);
         if let Some(outcome) = outcome {
             self.admission.record_outcome(local.class, local.tenant, outcome);
         }
@@ -517,7 +517,7 @@
     pub fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: &AttemptEnd<Reply>) {
         let Some((function, began)) = self.attempts.remove(&attempt) else { return };
         if end.code == Code::Ok && end.copy == basaltward::CopyStatus::Loaded {
-            self.counted(function).warm_starts += 1;
+            self.counts_of(function).warm_starts += 1;
             let (run_time, shortest) =
                 (now.saturating_sub(began), self.run_times.entry(function).or_insert(Micros::MAX));
             // Grows by a hundredth with each run, so that the value follows runs that have become longer.
--- a/crates/pending/src/claims.rs
+++ b/crates/pending/src/claims.rs
@@ -70,7 +70,7 @@
             }
             TakeoverMessage::HoldsReply(of, true) => _ = self.holder_queries.remove(&of),
             TakeoverMessage::HoldsReply(of, false) => {
-                self.holder_queries.get_mut(&of).into_iter().for_each(|left| _ = left.remove(&from));
+                self.holder_queries.get_mut(&of).into_iter().for_each(|awaited| _ = awaited.remove(&from));
             }
             TakeoverMessage::ReturnQuery { life, after } => {
                 self.answer_return_query(now, from, life, after, snapshots, out)
@@ -149,7 +149,7 @@
         out: &mut Vec<RecoveryOutput>,
     ) {
         let Some(event) = self.events.get_mut(&reply.key) else { return };
-        if !matches!(&event.stage, EventStage::Claiming(left) if left.contains(&from)) {
+        if !matches!(&event.stage, EventStage::Claiming(awaited) if awaited.contains(&from)) {
             return;
         }
         // A peer that started after the last frame of the owner may have lost what it had stored. 5 / 4 allows for
@@ -185,8 +185,8 @@
         }
         match reply.decision {
             ClaimDecision::Granted => {
-                if let EventStage::Claiming(left) = &mut event.stage {
-                    left.remove(&from);
+                if let EventStage::Claiming(awaited) = &mut event.stage {
+                    awaited.remove(&from);
                 }
             }
             ClaimDecision::Denied => event.stage = EventStage::OwnedBy(from),
--- a/crates/pending/src/error.rs
+++ b/crates/pending/src/error.rs
@@ -67,7 +67,7 @@
     /// The entry was not acknowledged in time. Some holder may still have it, so it is unknown whether the event may
     /// be taken over and run.
     #[error(
-        "not replicated within {waited} us: check the links to other sites and what their gateways reject"
+        "not replicated within {waited} us: check the links to other sites, and the faults that their gateways log"
     )]
     #[strum(serialize = "Late")]
     Timeout {
--- a/crates/pending/src/holder.rs
+++ b/crates/pending/src/holder.rs
@@ -184,7 +184,7 @@
             }
             RejectReason::TakenOver => JournalFault::TakenOver { of: source },
         });
-        let granted = granted == Ok(true) && self.is_for_this_life(append);
+        let lease_granted = granted == Ok(true) && self.is_for_this_life(append);
         (
             Ack {
                 source,
@@ -193,7 +193,7 @@
                 through,
                 echoed_sent_at: append.sent_at,
                 resync_count: append.resync_count,
-                lease_granted: granted,
+                lease_granted,
                 rejected,
             },
             fault,
@@ -304,9 +304,9 @@
     }
 
     /// Removes entries of a journal below a number, which are no longer needed.
-    fn truncate_below(&mut self, source: Source, low: u64) {
+    fn truncate_below(&mut self, source: Source, needed_from: u64) {
         while let Some(journal) = self.journals.get(&source)
-            && journal.first < low
+            && journal.first < needed_from
             && let Some(entry) = journal.entries.front()
         {
             let (number, chain) = (journal.first, entry.chain);
@@ -334,8 +334,8 @@
     /// Removes a journal.
     pub fn remove_journal(&mut self, source: Source) {
         if let Some(journal) = self.journals.get(&source) {
-            let above = journal.through() + 1;
-            self.truncate_below(source, above);
+            let after_last = journal.through() + 1;
+            self.truncate_below(source, after_last);
             self.journals.remove(&source);
             self.bytes -= JOURNAL_BYTES;
         }
--- a/crates/pending/src/journal.rs
+++ b/crates/pending/src/journal.rs
@@ -222,7 +222,7 @@
     /// Why an event can't be accepted, if it can't.
     fn check_admission(&self, required: u8, class: u16, key: Key, bytes: usize) -> Option<ReplicationError> {
         let live = self.candidates().count();
-        // Reserves an eighth for further steps and the ends of pending events.
+        // Reserves an eighth of the size limit for further steps and the ends of pending events.
         let most = self.settings.journal_bytes - self.settings.journal_bytes / 8;
         if self.events.contains_key(&key) {
             Some(ReplicationError::AlreadyPending(key))
--- a/crates/pending/src/pending_events.rs
+++ b/crates/pending/src/pending_events.rs
@@ -271,11 +271,11 @@
     }
 
     fn handle_append(&mut self, now: Micros, from: MemberId, append: &Append, out: &mut Vec<Output>) {
-        let granted = match self.holder.is_for_this_life(append) {
+        let grant = match self.holder.is_for_this_life(append) {
             true => self.promises.grant(now, from, append.source.life),
             false => Err(LeaseRefusal::Starting),
         };
-        let granted = match granted {
+        let granted = match grant {
             Ok(()) => Ok(true),
             Err(LeaseRefusal::Starting) => Ok(false),
             Err(LeaseRefusal::TakenOver { .. }) => Err(()),
--- a/crates/pending/src/recovery.rs
+++ b/crates/pending/src/recovery.rs
@@ -218,7 +218,7 @@
         *known = life.max(*known);
         if unavailable {
             self.unavailable.insert(of);
-            self.holder_queries.values_mut().for_each(|left| _ = left.remove(&of));
+            self.holder_queries.values_mut().for_each(|awaited| _ = awaited.remove(&of));
             if snapshots.is_empty() {
                 self.holder_queries.insert(of, self.peers());
             }
@@ -240,7 +240,7 @@
                     event.previous_owners.push(of);
                     event.stage = EventStage::Unclaimed;
                 }
-                EventStage::Claiming(left) if unavailable => _ = left.remove(&of),
+                EventStage::Claiming(awaited) if unavailable => _ = awaited.remove(&of),
                 _ => {}
             }
         }
@@ -400,7 +400,7 @@
             self.events.values().filter(|event| matches!(event.stage, EventStage::Claiming(_))).count();
         let open = self.events.values_mut().filter(|event| event.stage == EventStage::Unclaimed);
         for event in open.take(MAX_OPEN_CLAIMS - claiming.min(MAX_OPEN_CLAIMS)) {
-            let left = if self.injected_fault == Some(RecoveryFault::SkipsClaims) {
+            let awaited = if self.injected_fault == Some(RecoveryFault::SkipsClaims) {
                 BTreeSet::new()
             } else {
                 peers.clone()
@@ -412,12 +412,12 @@
             event.other_journal_incomplete = self.journal_extents.iter().any(lacks);
             event.journal_extent =
                 self.journal_extents.get(&event.accepted_entry.0).copied().unwrap_or((0, 0));
-            event.stage = EventStage::Claiming(left);
+            event.stage = EventStage::Claiming(awaited);
         }
         let mut claims: BTreeMap<MemberId, Vec<(Key, Source, u64)>> = BTreeMap::new();
         for (key, event) in &self.events {
-            if let EventStage::Claiming(left) = &event.stage {
-                left.iter().for_each(|of| {
+            if let EventStage::Claiming(awaited) = &event.stage {
+                awaited.iter().for_each(|of| {
                     claims.entry(*of).or_default().push((
                         *key,
                         event.accepted_entry.0,
@@ -437,16 +437,16 @@
     /// Queries peers for journals that this gateway lacks; reports those that no peer has.
     fn query_holders(&mut self, out: &mut Vec<RecoveryOutput>) {
         let exhausted: Vec<MemberId> =
-            self.holder_queries.iter().filter(|(_, left)| left.is_empty()).map(|(of, _)| *of).collect();
+            self.holder_queries.iter().filter(|(_, awaited)| awaited.is_empty()).map(|(of, _)| *of).collect();
         for of in exhausted {
             self.holder_queries.remove(&of);
             let source_of = Source { gateway: of, life: self.ended_lives.get(&of).copied().unwrap_or(0) };
             self.report_loss(JournalLoss { source_of, from: 1, to: None, why: LossReason::Unheld }, out);
         }
-        for (of, left) in &self.holder_queries {
+        for (of, awaited) in &self.holder_queries {
             let life = self.ended_lives.get(of).copied().unwrap_or(0);
             out.extend(
-                left.iter().map(|to| RecoveryOutput::Send(*to, TakeoverMessage::HoldsQuery(*of, life))),
+                awaited.iter().map(|to| RecoveryOutput::Send(*to, TakeoverMessage::HoldsQuery(*of, life))),
             );
         }
     }
@@ -457,7 +457,7 @@
         let unavailable: Vec<(MemberId, Site)> =
             self.unavailable.iter().map(|of| (*of, self.site(*of))).collect();
         for event in self.events.values_mut() {
-            if !matches!(&event.stage, EventStage::Claiming(left) if left.is_empty()) {
+            if !matches!(&event.stage, EventStage::Claiming(awaited) if awaited.is_empty()) {
                 continue;
             }
             // The event may have been sent although no reply shows it: the record may have been at a gateway that is
@@ -493,9 +493,9 @@
     fn resolve_ready(&mut self, now: Micros, wall: WallMs, out: &mut Vec<RecoveryOutput>) {
         let gained = now.saturating_sub(self.budget_filled_at).saturating_mul(u64::from(self.rate)) / 1_000;
         // Capped at the budget of a tenth of a second, but at least one event, so that events don't start in bursts.
-        let full = (u64::from(self.rate) * 100).max(1_000);
+        let max_budget = (u64::from(self.rate) * 100).max(1_000);
         if gained > 0 {
-            (self.budget, self.budget_filled_at) = ((self.budget + gained).min(full), now);
+            (self.budget, self.budget_filled_at) = ((self.budget + gained).min(max_budget), now);
         }
         let ready = self.events.iter().filter(|(_, event)| event.stage == EventStage::Ready);
         let mut ready: Vec<(WallMs, Key)> =
@@ -504,7 +504,7 @@
         for (_, key) in ready {
             let Some(event) = self.events.get_mut(&key) else { continue };
             let accepted = &event.accepted;
-            let sent = if self.injected_fault == Some(RecoveryFault::RerunsSentEvents) {
+            let first_send = if self.injected_fault == Some(RecoveryFault::RerunsSentEvents) {
                 FirstSend::Never
             } else {
                 event.first_send
@@ -514,7 +514,7 @@
                 finish_without_client: accepted.finish_without_client,
                 client_waiting: event.client_waiting,
                 deadline: accepted.deadline,
-                first_send: sent,
+                first_send,
                 ended: None,
             };
             let resolution = resolve(wall, self.clock_skew_ms, &case);
@@ -538,12 +538,8 @@
             }
             (self.running, self.budget, event.stage) =
                 (self.running + 1, self.budget - 1_000, EventStage::Running);
-            let first = if let FirstSend::At(first) = event.first_send { Some(first) } else { None };
-            out.push(RecoveryOutput::Adopt {
-                accepted: event.accepted.clone(),
-                first_send_at: first,
-                resolution,
-            });
+            let first_send_at = if let FirstSend::At(at) = event.first_send { Some(at) } else { None };
+            out.push(RecoveryOutput::Adopt { accepted: event.accepted.clone(), first_send_at, resolution });
         }
     }
 }
--- a/crates/pending/src/takeover.rs
+++ b/crates/pending/src/takeover.rs
@@ -263,7 +263,7 @@
     /// Performs the next actions. `live` lists the live peers; a live peer that has not reported everything is waited
     /// for.
     pub fn wake(&mut self, now: Micros, live: &[MemberId], out: &mut Vec<RejoinAction>) {
-        let was = self.stage;
+        let stage_before = self.stage;
         if self.stage == RejoinStage::Reclaiming && self.permits.values().all(Option::is_some) {
             self.stage = RejoinStage::QueryingPeers;
         }
@@ -278,7 +278,7 @@
             self.stage = RejoinStage::Ready;
             out.push(RejoinAction::Ready);
         }
-        if now < self.next_retry && was == self.stage {
+        if now < self.next_retry && stage_before == self.stage {
             return;
         }
         self.next_retry = now + RETRY_INTERVAL;
