--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -115,8 +115,12 @@
     max_batch: usize,
     /// No further request is read while more than this many bytes of responses are unsent.
     max_unsent: usize,
-    /// Timeouts of the request head, of the body in addition, and of an idle connection.
-    timeouts: (Micros, Micros, Micros),
+    /// Timeout of the request head, from its first byte.
+    head_timeout: Micros,
+    /// Additional timeout of the request body.
+    body_timeout: Micros,
+    /// Timeout of an idle connection.
+    idle_timeout: Micros,
     /// Every function that may be called, with its class's deadline.
     functions: BTreeMap<String, (Arc<Function>, Micros)>,
     /// Whether calls may run again, by class.
@@ -156,7 +160,9 @@
             },
             max_batch: front.batch_events,
             max_unsent: front.unsent_bytes,
-            timeouts: (front.head_timeout, front.body_timeout, front.idle_timeout),
+            head_timeout: front.head_timeout,
+            body_timeout: front.body_timeout,
+            idle_timeout: front.idle_timeout,
             functions: functions.collect(),
             repeats: config.controller.classes.iter().map(|c| c.repeat).collect(),
             tenants: config.tenants.clone(),
@@ -182,7 +188,7 @@
 
     /// A client has connected.
     pub fn client_connected(&mut self, now: Micros, conn: ConnId) {
-        let until = now + self.timeouts.2;
+        let until = now + self.idle_timeout;
         let decoder = RequestDecoder::new(self.limits);
         let client = Client {
             decoder,
@@ -262,7 +268,7 @@
                 } else {
                     // After the head, the body gets its own timeout in addition.
                     let began = *client.request_began.get_or_insert(now);
-                    let until = began + self.timeouts.0 + if in_body { self.timeouts.1 } else { 0 };
+                    let until = began + self.head_timeout + if in_body { self.body_timeout } else { 0 };
                     self.set_timeout(conn, until);
                 }
                 io.pause(conn, false);
@@ -502,7 +508,7 @@
             self.clients.remove(&conn);
             return io.close(conn);
         }
-        self.set_timeout(conn, now + self.timeouts.2);
+        self.set_timeout(conn, now + self.idle_timeout);
         io.pause(conn, false);
     }
 
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -74,7 +74,7 @@
 /// One connection.
 struct LinkConn {
     /// Address of the worker, or of the gateway of another site.
-    worker: WorkerId,
+    address: WorkerId,
     decoder: ResponseDecoder,
     stage: Stage,
     job: Option<Job>,
@@ -202,10 +202,10 @@
             self.jobs.insert(key, conn);
         }
         let decoder = ResponseDecoder::new(self.limits);
-        let (worker, stage, job) = (worker.clone(), Stage::Connecting, Some(job));
+        let (address, stage, job) = (worker.clone(), Stage::Connecting, Some(job));
         let (stage_ends, timer_at) = (Micros::MAX, Micros::MAX);
         self.conns
-            .insert(conn, LinkConn { worker, decoder, stage, job, stage_since: now, stage_ends, timer_at });
+            .insert(conn, LinkConn { address, decoder, stage, job, stage_since: now, stage_ends, timer_at });
         self.set_timeout(conn, now + self.config.connect_timeout);
         None
     }
@@ -232,9 +232,9 @@
             return Some(end_without_response(job, Code::Moot));
         }
         let (connection, out) = self.conns.get_mut(&conn).zip(io.output(conn))?;
-        let host = connection.worker.as_str();
+        let host = connection.address.as_str();
         let mut timeout_at = Micros::MAX;
-        let mut sent = Sent { worker: connection.worker.clone(), attempt: None, order: None };
+        let mut sent = Sent { worker: connection.address.clone(), attempt: None, order: None };
         match &job {
             Job::Attempt { id, event, function, repeat, until, identity, .. } => {
                 let patience_ms = until.saturating_sub(now) / 1_000;
@@ -297,11 +297,11 @@
     /// Removes a closed connection and returns the job that was on it.
     fn remove(&mut self, conn: ConnId) -> Option<Job> {
         let connection = self.conns.remove(&conn)?;
-        if let Some(link) = self.links.get_mut(&connection.worker) {
+        if let Some(link) = self.links.get_mut(&connection.address) {
             link.open -= 1;
             link.idle.retain(|c| *c != conn);
             if link.open == 0 {
-                self.links.remove(&connection.worker);
+                self.links.remove(&connection.address);
             }
         }
         let job = connection.job?;
@@ -364,7 +364,7 @@
         }
         (connection.stage, connection.stage_since) = (Stage::Idle, now);
         if reusable {
-            if let Some(link) = self.links.get_mut(&connection.worker) {
+            if let Some(link) = self.links.get_mut(&connection.address) {
                 link.idle.push(conn);
             }
             self.set_timeout(conn, now + self.config.idle_timeout);
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -540,13 +540,13 @@
             let in_flight = self.local_calls.len() as u32;
             let functions: Vec<_> = self.counts.values().copied().collect();
             // The calls in flight carry over; all other counts restart.
-            self.counts.retain(|_, counted| {
-                *counted = FunctionCounts {
-                    function: counted.function,
-                    in_flight: counted.in_flight,
+            self.counts.retain(|_, counts| {
+                *counts = FunctionCounts {
+                    function: counts.function,
+                    in_flight: counts.in_flight,
                     ..FunctionCounts::default()
                 };
-                counted.in_flight > 0
+                counts.in_flight > 0
             });
             self.rings.reports.send(LoopReport::Calls(LoopCounts {
                 span,
--- a/crates/gateway/src/worker_wire.rs
+++ b/crates/gateway/src/worker_wire.rs
@@ -144,7 +144,8 @@
     let headers = &response.headers;
     let attribute =
         |name: &str, default: &dyn Fn() -> String| headers.get(name).map_or_else(default, str::to_owned);
-    let known = ["ce-id", "ce-source", "ce-type", "ce-specversion", "ce-subject", "ce-time", "ce-dataschema"];
+    let core_attributes =
+        ["ce-id", "ce-source", "ce-type", "ce-specversion", "ce-subject", "ce-time", "ce-dataschema"];
     let mut reply = Event::new(
         attribute("ce-id", &|| event.id.clone()),
         attribute("ce-source", &|| event.source.clone()),
@@ -160,7 +161,7 @@
         let is_valid =
             |n: &&str| n.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit()) && !n.is_empty();
         if let Some(extension) =
-            name.strip_prefix("ce-").filter(is_valid).filter(|_| !known.contains(&&*name))
+            name.strip_prefix("ce-").filter(is_valid).filter(|_| !core_attributes.contains(&&*name))
         {
             reply.extensions.push((extension.to_owned(), Attribute::Text(value.to_owned())));
         }
--- a/crates/pending/src/journal/replication.rs
+++ b/crates/pending/src/journal/replication.rs
@@ -129,7 +129,7 @@
         if connect_due {
             self.next_connect = now + CONNECT_INTERVAL;
         }
-        // A former holder that was wrongly taken for dead may have entries that no other has, so it is released only
+        // A former holder that was wrongly considered dead may have entries that no other has, so it is released only
         // when others have stored as much.
         let replicated = self.replicated_through(self.max_holders()).max(self.first - 1);
         for (of, (through, release)) in &self.releasing {
--- a/crates/pending/src/simulation.rs
+++ b/crates/pending/src/simulation.rs
@@ -49,8 +49,11 @@
     Local(Output),
 }
 
+/// Kind of a datagram that opens a connection.
 const HELLO: u8 = 0;
+/// Kind of a datagram that confirms an opened connection.
 const WELCOME: u8 = 1;
+/// Kind of a datagram that carries a frame.
 const FRAME: u8 = 2;
 
 impl SimulatedGateway {
@@ -83,10 +86,11 @@
         }
     }
 
-    fn datagram(&self, kind: u8, to: u64, frame: &[u8]) -> Vec<u8> {
+    /// A datagram: kind, lives of the sender and of the receiver, and the frame, if any.
+    fn datagram(&self, kind: u8, receiver_life: u64, frame: &[u8]) -> Vec<u8> {
         let mut bytes = vec![kind];
         bytes.extend(self.life.to_le_bytes());
-        bytes.extend(to.to_le_bytes());
+        bytes.extend(receiver_life.to_le_bytes());
         bytes.extend(frame);
         bytes
     }
@@ -136,7 +140,8 @@
     type Out = SimulatedOutput;
 
     fn handle(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Vec<SimulatedOutput>) {
-        let (Some(kind), Some(life), Some(to)) = (bytes.first(), read_u64(bytes, 1), read_u64(bytes, 9))
+        let (Some(kind), Some(life), Some(receiver_life)) =
+            (bytes.first(), read_u64(bytes, 1), read_u64(bytes, 9))
         else {
             return;
         };
@@ -145,8 +150,10 @@
                 self.on_connected(now, from, life, out);
                 out.push(SimulatedOutput::Send(from, self.datagram(WELCOME, life, &[])));
             }
-            WELCOME if to == self.life => self.on_connected(now, from, life, out),
-            FRAME if to != self.life => out.push(SimulatedOutput::Send(from, self.datagram(HELLO, 0, &[]))),
+            WELCOME if receiver_life == self.life => self.on_connected(now, from, life, out),
+            FRAME if receiver_life != self.life => {
+                out.push(SimulatedOutput::Send(from, self.datagram(HELLO, 0, &[])))
+            }
             FRAME if self.connections.get(&from) == Some(&life) => {
                 let bytes = bytes[17..].to_vec();
                 self.handle_input(now, Input::Frame { from, bytes }, out);
@@ -197,7 +204,7 @@
     changed: BTreeMap<MemberId, Micros>,
     /// Whether each gateway counts as live.
     live_view: Vec<bool>,
-    /// Gateways that run but are taken for dead.
+    /// Gateways that run but are considered dead.
     falsely_dead: BTreeSet<MemberId>,
     /// Gateways that run but are isolated from all others.
     isolated: BTreeSet<MemberId>,
@@ -275,7 +282,7 @@
         of.collect::<Vec<_>>().into_iter().for_each(|of| self.kill(of));
     }
 
-    /// Sets whether others take a running gateway for dead.
+    /// Sets whether others consider a running gateway dead.
     pub fn set_falsely_dead(&mut self, of: MemberId, dead: bool) {
         if dead {
             self.falsely_dead.insert(of);
--- a/crates/rules/src/record.rs
+++ b/crates/rules/src/record.rs
@@ -148,11 +148,11 @@
     /// A scheduler has received a newer version of the state that the fleet agrees on.
     #[serde(rename = "agreed")]
     PermitsUpdated {
-        /// The leader's epoch: when it was drawn, in milliseconds since the beginning of 2026, and by which member.
+        /// The leader's epoch: when it was created, in milliseconds since the beginning of 2026, and by which member.
         epoch: (u64, u16),
         /// The version within that epoch, counted by the leader.
         version: u32,
-        /// The permits held: kind, then number or mark of the holder, then number of the permit.
+        /// The current permits, each as text: kind of its subject, number or hash of the subject, number of the permit.
         permits: Vec<String>,
     },
     /// A scheduler has received a worker's state from its list of workers.
