--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -115,8 +115,12 @@
     max_batch: usize,
     /// No further request is read while more than this many bytes of responses are unsent.
     max_unsent: usize,
-    /// Timeouts of the request head, of the body in addition, and of an idle connection.
-    timeouts: (Micros, Micros, Micros),
+    /// Timeout of the request head, from its first byte.
+    head_timeout: Micros,
+    /// Additional timeout of the request body.
+    body_timeout: Micros,
+    /// Timeout of an idle connection.
+    idle_timeout: Micros,
     /// Every function that may be called, with its class's deadline.
     functions: BTreeMap<String, (Arc<Function>, Micros)>,
     /// Whether calls may run again, by class.
@@ -156,7 +160,9 @@
             },
             max_batch: front.batch_events,
             max_unsent: front.unsent_bytes,
-            timeouts: (front.head_timeout, front.body_timeout, front.idle_timeout),
+            head_timeout: front.head_timeout,
+            body_timeout: front.body_timeout,
+            idle_timeout: front.idle_timeout,
             functions: functions.collect(),
             repeats: config.controller.classes.iter().map(|c| c.repeat).collect(),
             tenants: config.tenants.clone(),
@@ -182,7 +188,7 @@
 
     /// A client has connected.
     pub fn client_connected(&mut self, now: Micros, conn: ConnId) {
-        let until = now + self.timeouts.2;
+        let until = now + self.idle_timeout;
         let decoder = RequestDecoder::new(self.limits);
         let client = Client {
             decoder,
@@ -248,7 +254,7 @@
         }
         let input = io.input(conn)?;
         let decoded = client.decoder.decode(input);
-        let (within, within_body) =
+        let (has_partial, in_body) =
             (client.decoder.has_partial_message(input), client.decoder.is_reading_body());
         match decoded {
             Ok(Decoded::Message(request)) => {
@@ -257,12 +263,12 @@
                 Some(self.request(io, now, conn, &request, began))
             }
             Ok(decoded) => {
-                if !within {
+                if !has_partial {
                     client.request_began = None;
                 } else {
                     // After the head, the body gets its own timeout in addition.
                     let began = *client.request_began.get_or_insert(now);
-                    let until = began + self.timeouts.0 + if within_body { self.timeouts.1 } else { 0 };
+                    let until = began + self.head_timeout + if in_body { self.body_timeout } else { 0 };
                     self.set_timeout(conn, until);
                 }
                 io.pause(conn, false);
@@ -418,21 +424,21 @@
     /// here or the event can't be parsed. `wall` is the wall clock in milliseconds.
     pub fn call_of_lost_site(
         &mut self,
-        pending: &Accepted,
+        accepted: &Accepted,
         (now, wall): (Micros, u64),
     ) -> Option<NewCall<Event>> {
-        let event = from_json(&pending.event).ok()?;
-        let (function, _) = self.functions.get(pending.function.as_str())?;
+        let event = from_json(&accepted.event).ok()?;
+        let (function, _) = self.functions.get(accepted.function.as_str())?;
         let identity = Identity {
-            tenant: usize::from(pending.tenant),
+            tenant: usize::from(accepted.tenant),
             function: function.name.clone(),
             source: event.source.as_str().into(),
             id: event.id.as_str().into(),
         };
         self.waiters_created += 1;
-        // The last slot is never given to a client.
+        // The last slot is reserved for calls without a client.
         let waiter = waiter_id(self.thread, self.waiters_created, SLOT_MASK as usize);
-        let deadline = now + pending.deadline.saturating_sub(wall) * 1_000;
+        let deadline = now + accepted.deadline.saturating_sub(wall) * 1_000;
         Some(NewCall { waiter, identity, function: function.clone(), deadline, payload: Arc::new(event) })
     }
 
@@ -502,7 +508,7 @@
             self.clients.remove(&conn);
             return io.close(conn);
         }
-        self.set_timeout(conn, now + self.timeouts.2);
+        self.set_timeout(conn, now + self.idle_timeout);
         io.pause(conn, false);
     }
 
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -48,7 +48,7 @@
     Panicked,
 }
 
-/// Added to the retention of seen events, as a loop may move on to its next period this late.
+/// Added to the retention of seen events, in microseconds: a loop may start its next retention span this late.
 const RECORD_SLACK_US: u64 = 1_000_000;
 
 /// How the loops of a gateway coordinate on events.
@@ -88,7 +88,7 @@
         Self::start_with_mode(config, recorder, LoopMode::Coordinated)
     }
 
-    /// Like [`Gateway::start`], with the given coordination of the loops.
+    /// Like [`Gateway::start`], with this coordination of the loops.
     ///
     /// # Errors
     /// As [`Gateway::start`].
--- a/crates/pending/src/holder.rs
+++ b/crates/pending/src/holder.rs
@@ -23,8 +23,9 @@
 struct Replica {
     /// Identifies this start of the journal, see [`Ack::generation`].
     generation: u32,
-    /// Number of the first stored entry, and the chain value before it.
+    /// Number of the first stored entry.
     first: u64,
+    /// The chain value before the first stored entry.
     chain_before: u64,
     entries: VecDeque<StoredEntry>,
     /// Entry numbers of events that have not ended, by event.
@@ -155,7 +156,7 @@
     }
 
     /// Stores entries from their writer and returns the ack and a detected fault. `granted` is whether a lease is
-    /// granted to the writer; it is an error if the writer was taken over.
+    /// granted to the writer, `Err` if the writer was taken over.
     pub fn handle_append(
         &mut self,
         now: Micros,
@@ -183,7 +184,7 @@
             }
             RejectReason::TakenOver => JournalFault::TakenOver { of: source },
         });
-        let granted = granted == Ok(true) && self.is_for_this_life(append);
+        let lease_granted = granted == Ok(true) && self.is_for_this_life(append);
         (
             Ack {
                 source,
@@ -192,7 +193,7 @@
                 through,
                 echoed_sent_at: append.sent_at,
                 resync_count: append.resync_count,
-                lease_granted: granted,
+                lease_granted,
                 rejected,
             },
             fault,
@@ -303,9 +304,9 @@
     }
 
     /// Removes entries of a journal below a number, which are no longer needed.
-    fn truncate_below(&mut self, source: Source, low: u64) {
+    fn truncate_below(&mut self, source: Source, needed_from: u64) {
         while let Some(journal) = self.journals.get(&source)
-            && journal.first < low
+            && journal.first < needed_from
             && let Some(entry) = journal.entries.front()
         {
             let (number, chain) = (journal.first, entry.chain);
@@ -333,8 +334,8 @@
     /// Removes a journal.
     pub fn remove_journal(&mut self, source: Source) {
         if let Some(journal) = self.journals.get(&source) {
-            let above = journal.through() + 1;
-            self.truncate_below(source, above);
+            let after_last = journal.through() + 1;
+            self.truncate_below(source, after_last);
             self.journals.remove(&source);
             self.bytes -= JOURNAL_BYTES;
         }
--- a/crates/pending/src/takeover.rs
+++ b/crates/pending/src/takeover.rs
@@ -27,7 +27,7 @@
         /// Its gateways, each with its last life that has ended.
         lives: Vec<(MemberId, u64)>,
     },
-    /// The permit was returned: its subject has the status of its events.
+    /// The permit was returned: its subject has learned the status of its events.
     Returned(Subject),
     /// This gateway itself was taken over: pending events of this life belong to others, see [`Rejoin`].
     LostOwnership,
@@ -263,7 +263,7 @@
     /// Performs the next actions. `live` lists the live peers; a live peer that has not reported everything is waited
     /// for.
     pub fn wake(&mut self, now: Micros, live: &[MemberId], out: &mut Vec<RejoinAction>) {
-        let was = self.stage;
+        let stage_before = self.stage;
         if self.stage == RejoinStage::Reclaiming && self.permits.values().all(Option::is_some) {
             self.stage = RejoinStage::QueryingPeers;
         }
@@ -278,7 +278,7 @@
             self.stage = RejoinStage::Ready;
             out.push(RejoinAction::Ready);
         }
-        if now < self.next_retry && was == self.stage {
+        if now < self.next_retry && stage_before == self.stage {
             return;
         }
         self.next_retry = now + RETRY_INTERVAL;
--- a/crates/rules/src/record.rs
+++ b/crates/rules/src/record.rs
@@ -26,12 +26,12 @@
     /// The observer: a client, a scheduler (one event loop of a gateway) or a worker.
     #[serde(rename = "by")]
     pub observer: String,
-    /// What was observed.
+    /// The observation.
     #[serde(flatten)]
     pub observation: Observation,
 }
 
-/// What a client, scheduler or worker observed. The `rename` attributes keep the names of the stored format.
+/// An observation by a client, a scheduler or a worker. The `rename` attributes keep the names of the stored format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Observation {
@@ -148,11 +148,11 @@
     /// A scheduler has received a newer version of the state that the fleet agrees on.
     #[serde(rename = "agreed")]
     PermitsUpdated {
-        /// The leader's epoch: when it was drawn, in milliseconds since the beginning of 2026, and by which member.
+        /// The leader's epoch: when it was created, in milliseconds since the beginning of 2026, and by which member.
         epoch: (u64, u16),
         /// The version within that epoch, counted by the leader.
         version: u32,
-        /// The permits held: kind, then number or mark of the holder, then number of the permit.
+        /// The current permits, each as text: kind of its subject, number or hash of the subject, number of the permit.
         permits: Vec<String>,
     },
     /// A scheduler has received a worker's state from its list of workers.
