--- a/crates/admission/src/capacity.rs
+++ b/crates/admission/src/capacity.rs
@@ -12,8 +12,8 @@
 const NO_WAIT_GAIN: f64 = 0.8;
 /// Time without a wait after which `NO_WAIT_GAIN` applies.
 const NO_WAIT_CONFIRMATION: Micros = 500_000;
-/// Largest relative change of the estimate per second by the estimates of peers. It is less than the change by a wait
-/// two thirds above its target, so that peers' reports cannot drive the wait further from its target.
+/// Largest relative change of the estimate per second by the estimates of peers. A wait two thirds above its target
+/// changes the estimate as fast, so that peers' reports cannot drive the wait further from its target than that.
 const MAX_PEER_CHANGE: f64 = 0.1;
 
 /// Measurements of one step.
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -20,8 +20,8 @@
 const DEPARTED_LOAD_TTL: Micros = 30_000_000;
 /// Minimum of a gateway's share, as a fraction of an even share of its site, whatever load peers report.
 pub(crate) const MIN_EVEN_SHARE: f64 = 0.25;
-/// Additional rate for cells whose calls are all admitted, as a fraction of the rate. It is at least the square root of
-/// the rate, by which a count of random arrivals varies.
+/// Additional rate for cells whose calls are all admitted, as a fraction of the admitted rate. The addition is at least
+/// the square root of that rate, by which a count of random arrivals varies.
 const HEADROOM: f64 = 0.25;
 /// Fraction of a cell's share that is divided evenly among the loops, for calls that have just moved between loops.
 const EVEN_LOOP_SHARE: f64 = 0.05;
@@ -31,8 +31,8 @@
 /// Fraction of the total rate that is divided among the minimum rates of all cells.
 const MIN_RATE_SHARE: f64 = 0.02;
 
-/// Answer rate of a peer that is used at most, as a multiple of the local one. With two gateways a false report raises
-/// the capacity estimate to no more than three halves of the true value.
+/// Upper bound on the answer rate that is used for a peer, as a multiple of the local rate. With two gateways a false
+/// report raises the capacity estimate to no more than three halves of the true value.
 const MAX_PEER_ANSWER_RATIO: f64 = 2.0;
 /// If one in this many calls is late or refused after admission, the wait is taken to be at least the target wait. A
 /// higher fraction raises that bound in proportion, up to three times the target.
@@ -215,11 +215,12 @@
         let renew = self.settings.load_ttl / 3;
         let facts = [wire::encode_summary(&summary, self.publish_count)].into_iter().chain(pages);
         let mut due = Vec::new();
-        for (key, (value, last)) in (SHED_KEYS).zip(facts.zip(&mut self.published)) {
+        for (key, (value, published)) in (SHED_KEYS).zip(facts.zip(&mut self.published)) {
             // The first byte counts publications. A page that was never used need not be published.
-            let changed = value.get(1..) != last.1.get(1..) && (value.len() > 1 || last.1.len() > 1);
-            if changed || value.len() > 1 && now.saturating_sub(last.0) >= renew {
-                *last = (now, value.clone());
+            let changed =
+                value.get(1..) != published.1.get(1..) && (value.len() > 1 || published.1.len() > 1);
+            if changed || value.len() > 1 && now.saturating_sub(published.0) >= renew {
+                *published = (now, value.clone());
                 due.push((key, value));
             }
         }
@@ -262,9 +263,11 @@
         let wait_from_missed =
             (self.settings.target_wait() as f64 * (missed * MISSED_WEIGHT).min(3.0)) as Micros;
         let (wait, shed) = (wait.map(|wait| wait.max(wait_from_missed)), step.shed);
-        let here = self.settings.site_map.own_site();
+        let own_site = self.settings.site_map.own_site();
         let site_peers = || {
-            peers.iter().filter(|peer| peer.live && self.settings.site_map.site_of(peer.member) == Some(here))
+            peers
+                .iter()
+                .filter(|peer| peer.live && self.settings.site_map.site_of(peer.member) == Some(own_site))
         };
         let own_rate = self.answered.iter().sum::<f64>();
         let answered = own_rate
@@ -279,8 +282,8 @@
         self.capacity.update(&Observation { span, wait, answered, shed, peer_estimate: peers });
     }
 
-    /// Computes the share table that is valid from now on. `live` says for each gateway whether membership considers it
-    /// live. If the previous table is older than [`AdmissionSettings::load_ttl`], because the thread was stalled, the
+    /// Computes the share table that is valid from now on. `live` holds for each gateway whether membership considers
+    /// it live. If the previous table is older than [`AdmissionSettings::load_ttl`], because the thread was stalled, the
     /// load of the peers and the counters are discarded first.
     pub fn compute_table(&mut self, now: Micros, live: &[bool]) -> ShareTable {
         if now.saturating_sub(self.last_table_at) > self.settings.load_ttl {
@@ -312,13 +315,14 @@
         let (mut own_arrivals, mut gateways) = (vec![0.0; cells], 1);
         let silent = self.silent_gateways(live, peers);
         for site in &sites {
-            let here = *site == site_map.own_site();
+            let is_own_site = *site == site_map.own_site();
             let reporting = || peers.iter().filter(|peer| site_map.site_of(peer.member) == Some(*site));
             let reported = reporting()
                 .filter(|peer| peer.live)
                 .map(|peer| peer.summary.capacity)
                 .filter(|capacity| *capacity > 0.0);
-            let capacity = if here { admission_rate } else { median(reported.collect()).unwrap_or(f64::MAX) };
+            let capacity =
+                if is_own_site { admission_rate } else { median(reported.collect()).unwrap_or(f64::MAX) };
             // A reported rate counts up to the capacity of its site, which could not admit more in any case.
             let mut arrivals = vec![0.0; cells];
             for peer in reporting() {
@@ -329,7 +333,7 @@
                 }
             }
             let unlisted: f64 = reporting().filter(|peer| peer.live).map(|peer| peer.summary.unlisted).sum();
-            if here {
+            if is_own_site {
                 own_arrivals = own.iter().map(|load| load.arrivals.min(capacity)).collect();
                 arrivals.iter_mut().zip(&own_arrivals).for_each(|(all, own)| *all += own);
                 gateways += reporting().filter(|peer| peer.live).count() + silent;
@@ -337,13 +341,13 @@
             // Cells that fit on no page use their part of the capacity, too.
             let listed: f64 = arrivals.iter().sum();
             let part = if unlisted > 0.0 { listed / (listed + unlisted) } else { 1.0 };
-            let part = if here { part * (gateways - silent) as f64 / gateways as f64 } else { part };
+            let part = if is_own_site { part * (gateways - silent) as f64 / gateways as f64 } else { part };
             demand.push(SiteDemand { capacity: capacity * part, arrivals });
         }
         let within_quota = within_quota(settings, &totals, 1.0);
         let allocated = allocate(settings, &demand, &within_quota);
-        let here = sites.iter().position(|site| *site == site_map.own_site()).unwrap_or_default();
-        let (allocated, demand) = (&allocated[here], &demand[here]);
+        let own_index = sites.iter().position(|site| *site == site_map.own_site()).unwrap_or_default();
+        let (allocated, demand) = (&allocated[own_index], &demand[own_index]);
         let guaranteed = self.guaranteed_rates(admission_rate / gateways as f64, &own, peers.len() + 1);
         let rate = |cell: usize| {
             let (all, own) = (demand.arrivals[cell], own_arrivals[cell]);
--- a/crates/admission/src/limiter.rs
+++ b/crates/admission/src/limiter.rs
@@ -30,9 +30,9 @@
 const MIN_RETRY_DELAY: Micros = 250_000;
 /// Maximum delay until a scheduled retry. No capacity is reserved beyond it.
 const MAX_RETRY_DELAY: Micros = 120_000_000;
-/// Weight of one retry, on time or missed, in the mean of how many shed calls return on time.
+/// Weight of one scheduled retry, on time or missed, in the smoothed fraction of those that come on time.
 const RETURN_SHARE_GAIN: f64 = 0.005;
-/// Lower bound of that mean when retries are scheduled.
+/// Lower bound of that fraction when retries are scheduled.
 const MIN_RETURN_SHARE: f64 = 0.05;
 
 /// Faults that tests inject.
--- a/crates/admission/src/scheduled_retries.rs
+++ b/crates/admission/src/scheduled_retries.rs
@@ -8,7 +8,7 @@
 const MAX_EVENTS: usize = 32_768;
 /// Time after its scheduled retry at which an event is no longer expected.
 const LATE_TOLERANCE: Micros = 3_000_000;
-/// Maximum number of due events that are searched for one that another event can replace.
+/// Maximum number of due events, earliest first, that are searched for one of the same cell.
 const MAX_DUE_PROBES: usize = 16;
 
 /// Scheduled retries of shed events.
@@ -44,9 +44,9 @@
         }
     }
 
-    /// Lets an event of this cell that another limiter shed use the slot of a local event that is due, and removes the
-    /// latter; `false` if none is due. Clients may retry at any gateway, so about as many locally shed events return
-    /// elsewhere.
+    /// Removes a due event of this cell, in place of which the caller may admit an event that another limiter has shed;
+    /// `false` if none is found. Clients may retry at any gateway, so about as many events that were shed here
+    /// return elsewhere.
     pub fn substitute_due(&mut self, now: Micros, cell: usize) -> bool {
         let due = self.by_time.range(..=(now, u64::MAX)).take(MAX_DUE_PROBES);
         let same_cell = |key: &u64| self.by_event.get(key).is_some_and(|(_, event_cell)| *event_cell == cell);
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -59,7 +59,8 @@
 }
 
 impl AdmissionSettings {
-    /// Settings with default values: retry budget 20%, publish interval 500 ms, load TTL 5 s.
+    /// Settings with default values: one loop, retry budget 20%, publish interval 500 ms, load TTL 5 s, and the full
+    /// value of the class for calls above a quota.
     pub fn new(classes: Vec<ClassSettings>, quotas: Vec<f64>, site_map: SiteMap) -> Self {
         Self {
             classes,
--- a/crates/admission/src/simulation.rs
+++ b/crates/admission/src/simulation.rs
@@ -16,11 +16,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 /// Interval at which counters are read and tables computed.
 const CONTROL_INTERVAL: Micros = 100_000;
-/// Delay after which membership notices that a gateway has departed, returned or become unreachable.
-const DETECTION_DELAY: Micros = 2 * S;
+/// Delay after which membership detects that a gateway has departed, returned or become unreachable.
+const DETECTION_DELAY: Micros = 2 * SECOND;
 
 /// Calls of one class and tenant that arrive at one site, or evenly at all sites.
 #[derive(Clone, Copy, Debug)]
@@ -86,7 +86,7 @@
             worker_queue_depth: 2,
             workers_report_waits: true,
             mean_work: 50_000,
-            classes: vec![ClassSettings { value: 1.0, aim: 500_000, deadline: 2 * S }],
+            classes: vec![ClassSettings { value: 1.0, aim: 500_000, deadline: 2 * SECOND }],
             quotas: Vec::new(),
             over_share_value: 1.0,
             streams: vec![ArrivalStream {
@@ -98,7 +98,7 @@
             }],
             load_steps: vec![(0, 1.0)],
             honour_share: 0.5,
-            patience: 5 * S,
+            patience: 5 * SECOND,
             roaming_share: 0.5,
             clients_mark_retries: false,
             fact_delay_and_loss: (600_000, 0.1),
@@ -112,7 +112,7 @@
     }
 
     /// Number of gateways.
-    fn size(&self) -> MemberId {
+    fn gateway_count(&self) -> MemberId {
         MemberId::from(self.sites) * self.gateways
     }
 }
@@ -123,7 +123,7 @@
     }
 }
 
-/// Action on the fleet at a given time.
+/// Action on the fleet.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Kills a gateway.
@@ -184,7 +184,7 @@
     ControlStep(MemberId),
     /// A fact reaches the first gateway from the second.
     Fact(MemberId, MemberId, u8, Vec<u8>),
-    /// The first gateway notices whether the second is live.
+    /// The first gateway detects that the second is live or is not.
     LivenessChange(MemberId, MemberId, bool),
     /// Applies the action with this index.
     Action(usize),
@@ -232,9 +232,11 @@
     /// Current time.
     pub now: Micros,
     gateways: Vec<Gateway>,
+    /// Number of calls that the workers execute, by site.
     busy: Vec<usize>,
     /// Calls in the queues of each site's workers, with the gateway that sent them and its incarnation.
     queued: Vec<VecDeque<(MemberId, u32, u64)>>,
+    /// Position at the site of the gateway that is served next, by site.
     next_gateway: Vec<MemberId>,
     calls: BTreeMap<u64, Call>,
     next_call: u64,
@@ -242,7 +244,9 @@
     sequence: u64,
     rng: StdRng,
     actions: Vec<Action>,
+    /// Gateways that are partitioned from the others.
     partitioned: Vec<bool>,
+    /// Whether a gateway considers another one live, by observer, then member.
     live: Vec<Vec<bool>>,
     /// Counters by second.
     pub seconds: Vec<SecondStats>,
@@ -250,9 +254,9 @@
 }
 
 impl Simulation {
-    /// A fleet that has just been started, and the actions to apply to it at the given times.
+    /// A fleet that has just been started, and the actions to apply to it, each with its time.
     pub fn new(config: SimulationConfig, seed: u64, actions: Vec<(Micros, Action)>) -> Self {
-        let size = config.size();
+        let gateway_count = config.gateway_count();
         let mut simulation = Self {
             now: 0,
             busy: vec![0; config.sites.into()],
@@ -264,15 +268,15 @@
             sequence: 0,
             rng: StdRng::seed_from_u64(seed),
             actions: Vec::new(),
-            partitioned: vec![false; size.into()],
-            live: vec![vec![true; size.into()]; size.into()],
+            partitioned: vec![false; gateway_count.into()],
+            live: vec![vec![true; gateway_count.into()]; gateway_count.into()],
             seconds: Vec::new(),
             gateways: Vec::new(),
             faults: (None, None),
             config,
         };
-        simulation.gateways = (0..size).map(|member| simulation.gateway(member, 0)).collect();
-        for member in 0..size {
+        simulation.gateways = (0..gateway_count).map(|member| simulation.gateway(member, 0)).collect();
+        for member in 0..gateway_count {
             let at = simulation.rng.random_range(0..CONTROL_INTERVAL);
             simulation.schedule_event(at, Event::ControlStep(member));
         }
@@ -285,7 +289,7 @@
     }
 
     fn settings(&self, member: MemberId) -> AdmissionSettings {
-        let sites = (0..self.config.size()).map(|at| (at / self.config.gateways) as Site).collect();
+        let sites = (0..self.config.gateway_count()).map(|at| (at / self.config.gateways) as Site).collect();
         let site_map = SiteMap::new(sites, member).unwrap_or_else(|| unreachable!("all are in the list"));
         let defaults =
             AdmissionSettings::new(self.config.classes.clone(), self.config.quotas.clone(), site_map);
@@ -332,7 +336,7 @@
     }
 
     fn current_second(&mut self) -> &mut SecondStats {
-        let at = (self.now / S) as usize;
+        let at = (self.now / SECOND) as usize;
         if self.seconds.len() <= at {
             self.seconds.resize_with(at + 1, SecondStats::default);
         }
@@ -390,8 +394,8 @@
     }
 
     fn schedule_liveness_changes(&mut self) {
-        for observer in 0..self.config.size() {
-            for member in 0..self.config.size() {
+        for observer in 0..self.config.gateway_count() {
+            for member in 0..self.config.gateway_count() {
                 let live = self.is_reachable(observer, member);
                 if self.live[usize::from(observer)][usize::from(member)] != live {
                     self.schedule_event(
@@ -516,7 +520,7 @@
         call.on_schedule = retry_after.is_some() && call.honours_retry_after;
         let delay = match retry_after {
             // The Retry-After header holds whole seconds.
-            Some(retry_after) if call.honours_retry_after => retry_after.div_ceil(S).max(1) * S,
+            Some(retry_after) if call.honours_retry_after => retry_after.div_ceil(SECOND).max(1) * SECOND,
             _ => default_delay << call.attempts.min(4),
         };
         if now + delay > call.started_at + patience {
@@ -531,7 +535,7 @@
         let now = self.now;
         let Some(call) = self.calls.get(&id) else { return };
         let (class, tenant) = (call.class, call.tenant);
-        let fleet_size = f64::from(self.config.size());
+        let fleet_size = f64::from(self.config.gateway_count());
         let gateway = &mut self.gateways[usize::from(member)];
         let mut value = self.config.classes[class].value;
         if !self.config.quotas.is_empty() {
@@ -553,7 +557,7 @@
         let aim = self.config.classes[class].aim;
         let excess = ahead as f64 * answer_gap - aim as f64;
         if gap_count >= 10 && gateway.waiting > 0 && excess > 0.0 {
-            return self.handle_refusal(member, id, (excess as Micros).min(5 * S));
+            return self.handle_refusal(member, id, (excess as Micros).min(5 * SECOND));
         }
         gateway.queue.entry(queue_key).or_default().push_back(id);
         gateway.waiting += 1;
@@ -596,7 +600,7 @@
             let Some(call) = self.calls.get_mut(&id) else { continue };
             if self.now > call.arrived_at + self.config.classes[call.class].aim {
                 gateway.in_flight = gateway.in_flight.saturating_sub(1);
-                self.handle_refusal(member, id, S);
+                self.handle_refusal(member, id, SECOND);
                 continue;
             }
             call.wait = self.now - call.arrived_at;
@@ -681,7 +685,7 @@
         second.budgeted_retries += budgeted;
         second.reserved_retries += reserved;
         for (key, value) in facts {
-            for to in 0..self.config.size() {
+            for to in 0..self.config.gateway_count() {
                 let lost = self.rng.random::<f64>() < self.config.fact_delay_and_loss.1;
                 let delay = self.rng.random_range(20_000..=self.config.fact_delay_and_loss.0.max(20_000));
                 if to != member && self.is_reachable(member, to) && !lost {
--- a/crates/admission/src/types.rs
+++ b/crates/admission/src/types.rs
@@ -2,7 +2,7 @@
 
 use basaltward_membership::Micros;
 
-/// Kind of an attempt, which selects the budget that pays for it.
+/// Kind of an attempt, which selects the budget that it counts against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptKind {
     /// First attempt, or an attempt that the client does not mark as a retry: the limiter recognizes a retry of a call
--- a/crates/admission/src/wait_estimator.rs
+++ b/crates/admission/src/wait_estimator.rs
@@ -22,12 +22,12 @@
 pub struct WaitEstimator {
     /// Recent answers: time of the answer and the call's wait.
     recent: VecDeque<(Micros, Micros)>,
-    /// First answer since the function was last cold, and latest answer, by function.
+    /// Times of the first answer since the function was last cold, and of its latest answer, by function.
     warm: HashMap<u32, (Micros, Micros)>,
 }
 
 impl WaitEstimator {
-    /// Records a call of a function that arrived at `arrived_at` and was answered after this wait, and returns the
+    /// Records a call of a function that arrived at `arrived_at`, waited for this time and is answered now. Returns the
     /// current estimate.
     pub fn record(&mut self, now: Micros, function: u32, arrived_at: Micros, wait: Micros) -> Micros {
         let (warm_since, last_answer) = self.warm.entry(function).or_insert((now, now));
@@ -43,8 +43,8 @@
             self.recent.pop_front();
         }
         let mut waits: Vec<_> = self.recent.iter().map(|(_, wait)| *wait).collect();
-        let quarter = waits.len() / QUANTILE_DIVISOR;
-        *waits.select_nth_unstable(quarter).1
+        let rank = waits.len() / QUANTILE_DIVISOR;
+        *waits.select_nth_unstable(rank).1
     }
 }
 
--- a/crates/admission/src/water_filling.rs
+++ b/crates/admission/src/water_filling.rs
@@ -18,8 +18,8 @@
 /// Maximum number of steps of one water filling. Each step ends when a cell's demand is met or a site is full.
 const MAX_STEPS: usize = 400;
 
-/// Fraction of each cell's calls that is within its tenant's quota, of which `quota_share` is counted. Classes of
-/// higher value use the quota first.
+/// Fraction of each cell's calls that is within `quota_share` times its tenant's quota. `totals` are the cells' calls
+/// per second. Classes of higher value use the quota first.
 pub fn within_quota(settings: &AdmissionSettings, totals: &[f64], quota_share: f64) -> Vec<f64> {
     let tenants = settings.tenant_count();
     let mut within = vec![1.0; totals.len()];
--- a/crates/admission/src/wire.rs
+++ b/crates/admission/src/wire.rs
@@ -36,7 +36,7 @@
     pub retries: f64,
 }
 
-/// Encodes a rate as one byte; rates below 0.24 become 0.
+/// Encodes a rate as one byte; rates below 0.24 become 0, and those above 588,000 the highest code.
 pub fn encode_rate(rate: f64) -> u8 {
     if rate < 0.24 { 0 } else { ((rate * 4.0).log2() * 12.0 + 1.0).round().clamp(1.0, 255.0) as u8 }
 }
@@ -50,38 +50,38 @@
     FORMAT_VERSION << 6 | count & 63
 }
 
-/// Encodes a load summary as a fact.
-pub fn encode_summary(head: &LoadSummary, count: u8) -> Vec<u8> {
-    let [low, high] = head.settings_hash.to_le_bytes();
-    let wait = encode_rate(head.wait as f64 / 1e3);
+/// Encodes a load summary as a fact; `count` is the number of the publication.
+pub fn encode_summary(summary: &LoadSummary, count: u8) -> Vec<u8> {
+    let [low, high] = summary.settings_hash.to_le_bytes();
+    let wait = encode_rate(summary.wait as f64 / 1e3);
     vec![
         first_byte(count),
         low,
         high,
-        encode_rate(head.capacity),
-        encode_rate(head.answered),
+        encode_rate(summary.capacity),
+        encode_rate(summary.answered),
         wait,
-        encode_rate(head.unlisted),
+        encode_rate(summary.unlisted),
     ]
 }
 
 /// Decodes a load summary; `None` if the length or format is wrong.
 pub fn decode_summary(value: &[u8]) -> Option<LoadSummary> {
-    let [first, low, high, capacity, answered, wait, rest] = *value else { return None };
+    let [first, low, high, capacity, answered, wait, unlisted] = *value else { return None };
     (first >> 6 == FORMAT_VERSION).then(|| LoadSummary {
         settings_hash: u16::from_le_bytes([low, high]),
         capacity: decode_rate(capacity),
         answered: decode_rate(answered),
         wait: (decode_rate(wait) * 1e3) as Micros,
-        unlisted: decode_rate(rest),
+        unlisted: decode_rate(unlisted),
     })
 }
 
 /// Encodes the cells with the highest arrival rates as pages, and returns the arrival rate of the cells that did not
-/// fit.
+/// fit. `count` is the number of the publication.
 pub fn encode_pages(mut loads: Vec<(usize, CellLoad)>, count: u8) -> (Vec<Vec<u8>>, f64) {
     loads.sort_by(|(a, x), (b, y)| y.arrivals.total_cmp(&x.arrivals).then(a.cmp(b)));
-    let (mut pages, mut rest) = (vec![vec![first_byte(count)]; PAGES], 0.0);
+    let (mut pages, mut unlisted) = (vec![vec![first_byte(count)]; PAGES], 0.0);
     // Each cell takes four or five bytes: its index in one or two, then three rates.
     for (cell, load) in loads.into_iter().filter(|(_, load)| encode_rate(load.arrivals) > 0) {
         let low = (cell & 0x7f) as u8;
@@ -95,10 +95,10 @@
                     encode_rate(load.retries),
                 ]);
             }
-            None => rest += load.arrivals,
+            None => unlisted += load.arrivals,
         }
     }
-    (pages, rest)
+    (pages, unlisted)
 }
 
 /// Decodes the cells of a page; `None` if the page is malformed, lists a cell twice or an index of `cells` or more.
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -8,7 +8,7 @@
     pub line: usize,
     /// Its column, from 1; 0 if the place is unknown.
     pub column: usize,
-    /// What is wrong and what was expected.
+    /// Description of the fault and of the expected value.
     pub message: String,
 }
 
@@ -26,11 +26,11 @@
     File {
         /// Path of the file.
         path: String,
-        /// The error of the system.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The file is not well-formed, does not conform to the schema, or contradicts itself.
-    #[error("{}", list(path, faults))]
+    #[error("{}", fault_lines(path, faults))]
     Faults {
         /// Path of the file.
         path: String,
@@ -42,7 +42,7 @@
     Schema(String),
 }
 
-fn list(path: &str, faults: &[Fault]) -> String {
+fn fault_lines(path: &str, faults: &[Fault]) -> String {
     let lines: Vec<_> = faults.iter().map(|fault| format!("{path}:{fault}")).collect();
     lines.join("\n")
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings of the program: an XML file that is validated against the schema `basaltward.xsd`, then checked for what
-//! a schema can't express. Every fault names its line and column and what was expected.
+//! Settings of the program: an XML file that is validated against the schema `basaltward.xsd`, then checked for
+//! constraints that a schema can't express. Every fault names its line and column and the expected value.
 #![warn(missing_docs)]
 
 mod error;
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -6,7 +6,8 @@
 use basaltward::{Class, Group, Micros, Repeat, Settings};
 use std::path::{Path, PathBuf};
 
-/// Longest retry delay that clients are given. The state of a queue that a delay is estimated from is outdated by then.
+/// Maximum retry delay sent to clients, in microseconds. A delay is estimated from the state of a queue, which is
+/// outdated after this time.
 const MAX_RETRY_AFTER_US: u64 = 5_000_000;
 
 type Faults = Vec<Fault>;
@@ -152,19 +153,19 @@
         Some(node) => index_of(&node, "zone", &zones, faults),
         None => 0,
     };
-    let family = &mut controller.copies;
-    family.load_on_miss = workers.bool_or("load-on-miss", false);
-    family.orders = workers.bool_or("orders", true);
-    family.order_timeout = workers.micros_or("order-timeout-ms", 10_000.0, faults);
-    family.keep_alive = workers.micros_or("keep-ms", 10_000.0, faults);
-    family.load_window = workers.micros_or("load-window-ms", 0.0, faults);
-    family.load_free = workers.parse_or("load-free", 0.0, faults);
-    family.load_share = workers.parse_or("load-share", 0.0, faults);
-    if let Some(node) = workers.0.filter(|_| !family.orders && !family.load_on_miss) {
+    let copies = &mut controller.copies;
+    copies.load_on_miss = workers.bool_or("load-on-miss", false);
+    copies.orders = workers.bool_or("orders", true);
+    copies.order_timeout = workers.micros_or("order-timeout-ms", 10_000.0, faults);
+    copies.keep_alive = workers.micros_or("keep-ms", 10_000.0, faults);
+    copies.load_window = workers.micros_or("load-window-ms", 0.0, faults);
+    copies.load_free = workers.parse_or("load-free", 0.0, faults);
+    copies.load_share = workers.parse_or("load-share", 0.0, faults);
+    if let Some(node) = workers.0.filter(|_| !copies.orders && !copies.load_on_miss) {
         faults.push(node.fault("with neither orders nor load-on-miss no copy can ever be loaded"));
     }
     if let Some(node) =
-        workers.0.filter(|_| family.load_window > 0 && family.load_free < 1.0 && !family.load_on_miss)
+        workers.0.filter(|_| copies.load_window > 0 && copies.load_free < 1.0 && !copies.load_on_miss)
     {
         faults.push(node.fault("load-free below 1 allows no first load within load-window-ms"));
     }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -14,7 +14,7 @@
     pub memory_mb: f64,
     /// Number of calls that one copy runs concurrently.
     pub lanes: u32,
-    /// Usual time to load a copy, in microseconds, if configured.
+    /// Expected time to load a copy, in microseconds, if configured.
     pub load_time: Option<Micros>,
 }
 
@@ -60,16 +60,16 @@
     pub idle_timeout: Micros,
 }
 
-/// What is remembered of events that have ended, to recognise repeats. Times are in microseconds.
+/// Limits on the records of ended events, by which repeats are recognised. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RepeatsConfig {
-    /// How long it is remembered.
+    /// How long a record is retained.
     pub retention: Micros,
-    /// Maximum number of safe events remembered for a tenant.
+    /// Maximum number of records of safe events for a tenant.
     pub answers_per_tenant: usize,
-    /// Maximum number of keyed and unsafe events remembered for a tenant.
+    /// Maximum number of records of keyed and unsafe events for a tenant.
     pub guards_per_tenant: usize,
-    /// Maximum size of the answers remembered for a tenant, in bytes.
+    /// Maximum size of the retained answers for a tenant, in bytes.
     pub bytes_per_tenant: usize,
     /// How long a call continues after its last client has left.
     pub linger: Micros,
@@ -118,13 +118,13 @@
     /// Settings of the controller. `schedulers` and `self_index` are left at their defaults here;
     /// [`Config::controller_settings`] sets them.
     pub controller: Settings,
-    /// How long after the gateway learned of a drain new calls may still go to the worker, in microseconds.
+    /// How long after the gateway was notified of a drain it may still send new calls to the worker, in microseconds.
     pub drain_grace: Micros,
     /// Settings of connections to workers.
     pub links: LinkConfig,
     /// Limits on clients.
     pub client_limits: ClientLimits,
-    /// What is remembered of ended events.
+    /// Limits on the records of ended events.
     pub repeats: RepeatsConfig,
     /// The margin reserved for delivering an answer.
     pub margin: MarginConfig,
--- a/crates/config/src/sites.rs
+++ b/crates/config/src/sites.rs
@@ -5,7 +5,7 @@
 use basaltward::Micros;
 use std::net::{IpAddr, SocketAddr};
 
-/// What happens to an event that should be replicated but that no gateway of another site can hold.
+/// Policy for an event that should be replicated but that too few gateways of other sites can hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreplicatedPolicy {
     /// It is refused without having run.
@@ -19,7 +19,7 @@
 pub struct ReplicationConfig {
     /// Number of gateways that must hold an event's entry before the event is processed.
     pub holders: usize,
-    /// What happens if they can't be reached.
+    /// Policy if fewer than that can be reached.
     pub unreplicated: UnreplicatedPolicy,
     /// Whether safe events are finished even after their clients have left.
     pub finish_without_client: bool,
--- a/crates/config/src/xml.rs
+++ b/crates/config/src/xml.rs
@@ -6,7 +6,7 @@
 
 /// Elements that were renamed: old name, new name.
 const RENAMED_ELEMENTS: [(&str, &str); 1] = [("fellow", "peer")];
-/// Most faults reported for one file.
+/// Maximum number of faults reported for one file.
 const MAX_FAULTS: usize = 20;
 
 /// Parses a document, validates it against a schema and passes its root to `convert`, which may add faults. `path` is
@@ -66,7 +66,7 @@
 }
 
 /// A prefix for a fault's message: the element at the place, and its attribute whose value the message quotes. The
-/// validator names neither.
+/// validator names neither. Empty if the place is not in the text.
 fn describe_place(text: &str, line: usize, column: usize, message: &str) -> String {
     let tag = || {
         let line = text.lines().nth(line.checked_sub(1)?)?;
--- a/crates/http/src/decode.rs
+++ b/crates/http/src/decode.rs
@@ -30,7 +30,7 @@
         Self { limits, head_scanner: HeadScanner::default(), partial: None }
     }
 
-    /// Whether part of a request has been received; `input` is what the last call of `decode` left in the buffer.
+    /// Whether part of a request has been received; `input` is the buffer as the last call of `decode` left it.
     pub fn has_partial_message(&self, input: &BytesMut) -> bool {
         self.partial.is_some() || !input.is_empty()
     }
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -12,7 +12,7 @@
     /// An HTTP version other than 1.0 and 1.1.
     #[error("HTTP version not supported")]
     Version,
-    /// A field line without a name, with white space before the colon, or with a forbidden byte.
+    /// A field line without a name or a colon, with white space before the colon, or with a forbidden byte.
     #[error("malformed header field")]
     InvalidField,
     /// A field continued on the next line (RFC 9112 section 5.2).
@@ -42,7 +42,7 @@
     /// A chunk size, a line end or the trailer section is malformed.
     #[error("malformed chunk")]
     InvalidChunk,
-    /// An `Expect` other than `100-continue`.
+    /// An `Expect` other than a single `100-continue`.
     #[error("expectation not supported")]
     UnsupportedExpectation,
     /// The body is longer than [`Limits::body`](crate::Limits::body).
--- a/crates/kv/src/backoff.rs
+++ b/crates/kv/src/backoff.rs
@@ -1,6 +1,6 @@
 use crate::Micros;
 
-/// Limits of the delay between attempts.
+/// Limits of the delay between attempts; times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffSettings {
     /// Maximum of the first delay.
--- a/crates/site-routing/src/controller.rs
+++ b/crates/site-routing/src/controller.rs
@@ -275,7 +275,7 @@
     }
 
     /// Earliest time at which a received frame can have been sent, from the local frame that it acknowledges. `None` if it
-    /// acknowledges none, or one too old to be remembered: the age of such a frame is unknown.
+    /// acknowledges none, or one no longer in the history: the age of such a frame is unknown.
     fn sent_not_before(&self, now: Micros, ack: Option<Acknowledgment>) -> Option<Micros> {
         if self.fault == Some(Fault::IgnoreFrameAge) {
             return Some(now);
--- a/crates/site-routing/src/homes.rs
+++ b/crates/site-routing/src/homes.rs
@@ -42,8 +42,8 @@
     local_site: Site,
     dwell: Micros,
     entries: BTreeMap<u32, HomeEntry>,
-    /// Sites that have, or want, their calls of a function served here; until this time the function does not move to
-    /// them.
+    /// Sites that have, or bid to have, their calls of a function served here; until this time the function does not
+    /// move to them.
     incoming: BTreeMap<(u32, Site), Micros>,
 }
 
--- a/crates/site-routing/src/planner.rs
+++ b/crates/site-routing/src/planner.rs
@@ -22,13 +22,13 @@
 const STATS_FADE: f64 = 1_000_000.0;
 /// Rate of calls that a site may get before it has served any of the local calls.
 const INITIAL_RATE: f64 = 8.0;
-/// The same as a share of the rate served locally; the larger of the two applies.
+/// Alternative to `INITIAL_RATE`, as a share of the rate served locally; the larger of the two applies.
 const INITIAL_SHARE: f64 = 0.25;
 /// The workers of another site count up to this multiple of the local ones.
 const MAX_SIZE_RATIO: f64 = 3.0;
-/// Beside the initial rate, a site gets at most this multiple of the rate of local calls that it has served.
+/// In addition to the initial rate, a site gets at most this multiple of the rate of local calls that it has served.
 const GROWTH_FACTOR: f64 = 2.0;
-/// Share of the capacity of the local site up to which calls are kept.
+/// Share of the capacity of the local site up to which calls are served locally.
 const LOCAL_FILL: f64 = 0.95;
 /// Share of the capacity of another site up to which calls are handed to it.
 const REMOTE_FILL: f64 = 1.0;
@@ -363,7 +363,7 @@
         let at_home = |f: &u32| homes.home_of(*f) == input.local_site();
         let local_functions =
             input.local.functions.values().filter(|f| f.arrivals > 0 && at_home(&f.function));
-        let mut by_gain = Vec::new();
+        let mut by_extra_cost = Vec::new();
         for stats in local_functions.filter(|f| !rows.contains_key(&f.function)) {
             let function = stats.function;
             let local_cost = input.current_local_cost(function);
@@ -373,13 +373,13 @@
                 .map(|remote| (input.current_remote_cost(remote, function), remote))
                 .collect();
             candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-            let Some((first, _)) = candidates.first() else { return };
+            let Some((lowest_cost, _)) = candidates.first() else { return };
             let preference = if self.spilled.contains(&function) { SPILL_STICKINESS } else { 0.0 };
-            by_gain.push((first - local_cost - preference, stats, local_cost, candidates));
+            by_extra_cost.push((lowest_cost - local_cost - preference, stats, local_cost, candidates));
         }
-        by_gain.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let arrivals: f64 = by_gain.iter().map(|(_, stats, ..)| stats.arrivals()).sum();
-        for (_, stats, local_cost, candidates) in by_gain {
+        by_extra_cost.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let arrivals: f64 = by_extra_cost.iter().map(|(_, stats, ..)| stats.arrivals()).sum();
+        for (_, stats, local_cost, candidates) in by_extra_cost {
             let (function, calls) = (stats.function, stats.arrivals());
             let aim = input.settings.functions[function as usize].aim as f64;
             let (mut row, mut remaining, mut used) = (PlannedRow::default(), calls, 0);
@@ -421,29 +421,33 @@
     /// Rate of calls for each site, in proportion to its free capacity. Of that capacity, this site takes a part according
     /// to its share of the excess of all sites, up to the rate limit of the site.
     fn allocate_spill(&mut self, input: &PlanInput, excess: f64, mean_s: f64) -> BTreeMap<Site, f64> {
-        let capacity = |o: &RemoteSite| {
-            let local_load = o.served_rate() * mean_s;
-            let workers = o.stats.workers.min(MAX_SIZE_RATIO * input.local.workers);
-            let free =
-                (REMOTE_FILL * self.calls_per_worker * workers - o.stats.in_service + local_load).max(0.0);
-            let other_excess: f64 =
-                input.remotes.iter().filter(|x| x.site != o.site).map(|x| x.stats.excess * x.weight).sum();
+        let capacity = |remote: &RemoteSite| {
+            let local_load = remote.served_rate() * mean_s;
+            let workers = remote.stats.workers.min(MAX_SIZE_RATIO * input.local.workers);
+            let free = (REMOTE_FILL * self.calls_per_worker * workers - remote.stats.in_service + local_load)
+                .max(0.0);
+            let other_excess: f64 = input
+                .remotes
+                .iter()
+                .filter(|other| other.site != remote.site)
+                .map(|other| other.stats.excess * other.weight)
+                .sum();
             let share = if excess > 0.0 { excess / (excess + other_excess) } else { 0.0 };
-            if o.stats.saturated() {
+            if remote.stats.saturated() {
                 local_load * SATURATED_DECAY
             } else {
-                (free * share * o.trust()).max(0.0)
+                (free * share * remote.trust()).max(0.0)
             }
         };
-        let capacities: Vec<_> = input.remotes.iter().map(|o| (o, capacity(o))).collect();
+        let capacities: Vec<_> = input.remotes.iter().map(|remote| (remote, capacity(remote))).collect();
         let total: f64 = capacities.iter().map(|(_, capacity)| capacity).sum();
-        let rates = capacities.into_iter().map(|(o, capacity)| {
+        let rates = capacities.into_iter().map(|(remote, capacity)| {
             let allotted = if total > 0.0 { capacity.min(excess * capacity / total) } else { 0.0 };
-            let previous = self.spill_rates.get(&o.site).copied().unwrap_or(0.0);
+            let previous = self.spill_rates.get(&remote.site).copied().unwrap_or(0.0);
             // Increase at once, as calls are waiting. Decrease by half of the difference per round, as reports lag behind
             // the calls handed over.
             let smooth = (allotted / mean_s).max(f64::midpoint(allotted / mean_s, previous));
-            (o.site, smooth.min(input.rate_limit(o)))
+            (remote.site, smooth.min(input.rate_limit(remote)))
         });
         let rates: BTreeMap<_, _> = rates.collect();
         self.spill_rates.clone_from(&rates);
--- a/crates/site-routing/src/router.rs
+++ b/crates/site-routing/src/router.rs
@@ -25,7 +25,7 @@
 struct SiteHealth {
     /// Calls handed over that have not ended yet.
     in_flight: u32,
-    /// Time of the last answer, or of the first handover since no call was in flight.
+    /// Time of the last answer, or of the first handover after no call was in flight, whichever is later.
     silent_since: Micros,
     /// Expected latency at the last handover.
     expected_latency: Micros,
--- a/crates/site-routing/src/settings.rs
+++ b/crates/site-routing/src/settings.rs
@@ -5,9 +5,9 @@
 /// Configuration of a function, the same at all sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FunctionSpec {
-    /// Memory of a copy.
+    /// Memory of a copy, in MB; above 0.
     pub memory_mb: u32,
-    /// Calls that a copy serves concurrently.
+    /// Calls that a copy serves concurrently; at least 1.
     pub lanes: u32,
     /// Time to load a copy, where configured; otherwise estimated from the aim.
     pub load_time: Option<Micros>,
@@ -24,7 +24,7 @@
     pub site_map: SiteMap,
     /// All functions, by position.
     pub functions: Vec<FunctionSpec>,
-    /// Memory of one worker.
+    /// Memory of one worker, in MB; above 0.
     pub worker_mb: u32,
     /// Upper bound on the number of workers taken from the report of a site.
     pub max_site_workers: u32,
@@ -81,11 +81,11 @@
     }
 }
 
-/// Most sites between which calls are handed over.
+/// Maximum number of sites between which calls are handed over.
 pub(crate) const MAX_SITES: u8 = 64;
-/// Most bytes of a frame.
+/// Maximum length of a frame, in bytes.
 pub(crate) const MAX_FRAME_BYTES: usize = 65_536;
-/// Most functions; frames name a function by its position in the list.
+/// Maximum number of functions; frames name a function by its position in the list.
 const MAX_FUNCTIONS: usize = 100_000;
 
 /// Invalid settings, or a received frame that was rejected. A rejected frame changes no state.
@@ -123,7 +123,8 @@
         /// Size of the frame in bytes.
         bytes: usize,
     },
-    /// A frame of a kind that its sender may not send, as it is not at the site in question.
+    /// A frame of a kind that may not come from the sender's site: site reports come from other sites, the other kinds
+    /// from the own site.
     #[error(
         "gateway {0} reported for a site other than its own: configure the same list of sites at all gateways"
     )]
--- a/crates/site-routing/src/simulation/mod.rs
+++ b/crates/site-routing/src/simulation/mod.rs
@@ -79,7 +79,7 @@
     ended: bool,
 }
 
-/// A scheduled event. Calls are given by their index.
+/// A scheduled event. Calls are identified by their index.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival {
@@ -135,7 +135,7 @@
         sent: Micros,
     },
     TakeSnapshot,
-    /// All gateways learn which gateways are up.
+    /// Reports to all gateways which gateways are up.
     UpdateLive,
 }
 
@@ -211,7 +211,7 @@
 
 /// Interval of reports and tables at the control threads, and of policy snapshots.
 const CONTROL_INTERVAL: Micros = 250_000;
-/// Interval of pings between sites, and delay until gateways learn that a site went up or down.
+/// Interval of pings between sites, and delay until gateways are notified that a site went up or down.
 const PING_INTERVAL: Micros = 1_000_000;
 /// Virtual time at the start. It is not 0, as no real clock is.
 const START: Micros = 10_000_000;
@@ -370,7 +370,7 @@
         self.calls.iter().filter(to).count()
     }
 
-    /// Runs until the given time since the start.
+    /// Runs until `until`, a time since the start.
     pub fn run_until(&mut self, until: Micros) {
         let until = START + until;
         while let Some(Reverse((at, ..))) = self.events.peek()
@@ -559,10 +559,10 @@
         match self.choose_destination(gateway, function, patience, handed_over) {
             Destination::Local => self.start_call(call, gateway),
             Destination::Remote { site, peer } => {
-                let c = &mut self.calls[call];
-                c.hops += 1;
-                (c.handed_to, c.attempt) = (Some((peer, self.now)), c.attempt + 1);
-                let attempt = c.attempt;
+                let record = &mut self.calls[call];
+                record.hops += 1;
+                (record.handed_to, record.attempt) = (Some((peer, self.now)), record.attempt + 1);
+                let attempt = record.attempt;
                 if !handed_over {
                     self.schedule(patience / 2, Event::HandoverTimeout { call, attempt });
                 }
@@ -573,16 +573,16 @@
     }
 
     fn receive_handover(&mut self, call: usize, attempt: u32, gateway: MemberId) {
-        let (c, there) = (self.calls[call], self.site_of(gateway));
-        if !self.is_up(gateway) || c.attempt != attempt {
+        let (record, there) = (self.calls[call], self.site_of(gateway));
+        if !self.is_up(gateway) || record.attempt != attempt {
             return;
         }
         let state = &self.sites[usize::from(there)];
-        if state.refuses_handovers || state.workers.is_full(self.now, c.deadline) {
+        if state.refuses_handovers || state.workers.is_full(self.now, record.deadline) {
             let answer = Event::AnswerArrives { call, attempt, outcome: 1, by: there };
-            return self.send(there, c.site, answer);
+            return self.send(there, record.site, answer);
         }
-        let patience = c.deadline.saturating_sub(self.now);
+        let patience = record.deadline.saturating_sub(self.now);
         self.route_call(call, gateway, patience, true);
     }
 
@@ -625,51 +625,54 @@
     }
 
     fn finish_call(&mut self, site: Site, job: Job, warm: bool) {
-        let (c, now) = (self.calls[job.call], self.now);
+        let (record, now) = (self.calls[job.call], self.now);
         self.update_counts(job.gateway, job.function, |n| {
             (n.served, n.total_time, n.warm_starts) =
                 (n.served + 1, n.total_time + now - job.arrived_at, n.warm_starts + u32::from(warm));
             n.in_flight = n.in_flight.saturating_sub(1);
         });
-        match c.handed_to.is_some() {
-            _ if c.attempt != job.attempt => {}
+        match record.handed_to.is_some() {
+            _ if record.attempt != job.attempt => {}
             true => self.send(
                 site,
-                c.site,
-                Event::AnswerArrives { call: job.call, attempt: c.attempt, outcome: 0, by: site },
+                record.site,
+                Event::AnswerArrives { call: job.call, attempt: record.attempt, outcome: 0, by: site },
             ),
-            false => self.end_call(job.call, site, Some(now - c.arrived_at)),
+            false => self.end_call(job.call, site, Some(now - record.arrived_at)),
         }
     }
 
     /// Handles the end of a handover. Without an answer, the call is served by the site of its client.
     fn handover_ended(&mut self, call: usize, attempt: u32, outcome: HandoverOutcome, by: Site) {
-        let c = self.calls[call];
-        let Some((to, sent)) = c.handed_to.filter(|_| c.attempt == attempt && !c.ended) else { return };
-        let handover = Handover { function: c.function, to, duration: self.now - sent, outcome };
-        let gateway = &mut self.gateways[usize::from(c.gateway)];
+        let record = self.calls[call];
+        let Some((to, sent)) = record.handed_to.filter(|_| record.attempt == attempt && !record.ended) else {
+            return;
+        };
+        let handover = Handover { function: record.function, to, duration: self.now - sent, outcome };
+        let gateway = &mut self.gateways[usize::from(record.gateway)];
         gateway.router.handover_ended(self.now, &handover);
         gateway.controller.record_handover(self.now, &handover);
         self.calls[call].handed_to = None;
         self.calls[call].attempt += 1;
         match outcome {
-            HandoverOutcome::Served => self.end_call(call, by, Some(self.now - c.arrived_at)),
-            _ => self.start_call(call, c.gateway),
+            HandoverOutcome::Served => self.end_call(call, by, Some(self.now - record.arrived_at)),
+            _ => self.start_call(call, record.gateway),
         }
     }
 
     fn end_call(&mut self, call: usize, answered_by: Site, latency: Option<Micros>) {
-        let c = &mut self.calls[call];
-        if std::mem::replace(&mut c.ended, true) {
+        let record = &mut self.calls[call];
+        if std::mem::replace(&mut record.ended, true) {
             return;
         }
-        let spec = self.settings.functions[c.function as usize].spec;
+        let spec = self.settings.functions[record.function as usize].spec;
         let latency = latency.filter(|latency| *latency <= spec.deadline);
         let value = latency.map_or(0.0, |latency| {
             let left = spec.deadline.saturating_sub(latency) as f64;
             (left / (spec.deadline - spec.aim).max(1) as f64).min(1.0)
         });
-        let (arrived_at, function, site, hops) = (c.arrived_at - START, c.function, c.site, c.hops);
+        let (arrived_at, function, site, hops) =
+            (record.arrived_at - START, record.function, record.site, record.hops);
         self.completed.push(CompletedCall { arrived_at, function, site, answered_by, hops, latency, value });
     }
 
--- a/crates/site-routing/src/simulation/workers.rs
+++ b/crates/site-routing/src/simulation/workers.rs
@@ -4,10 +4,10 @@
 use basaltward_membership::{MemberId, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Actual behaviour of a function, which the gateways do not know.
+/// Actual behaviour of a function, which is hidden from the gateways.
 #[derive(Clone, Copy, Debug)]
 pub struct ModelFunction {
-    /// Configuration that the gateways know.
+    /// Configuration that the gateways have.
     pub spec: FunctionSpec,
     /// Mean service time of a call.
     pub service_time: Micros,
@@ -45,7 +45,7 @@
     running: u32,
 }
 
-/// A copy idle for less than this is not evicted to make room for another one.
+/// A copy idle for less than this is not evicted to free memory for another one.
 const MIN_IDLE: Micros = 1_000_000;
 
 /// Events that the simulation has to schedule.
--- a/crates/site-routing/src/site_stats.rs
+++ b/crates/site-routing/src/site_stats.rs
@@ -8,7 +8,7 @@
 
 /// Estimated time to load a copy where none is configured, as a multiple of the aim.
 const DEFAULT_LOAD_AIMS: f64 = 2.0;
-/// A queueing time below this, or below half of the mean service time, counts as chance and not as saturation.
+/// A queueing time below this, or below half of the mean service time, is attributed to chance and not to saturation.
 const MIN_QUEUE_TIME: f64 = 20_000.0;
 /// Rate of calls of a function at which its own queue counts as much as that of the whole site.
 const SITE_QUEUE_WEIGHT: f64 = 10.0;
@@ -17,7 +17,8 @@
 /// Additional cost of a load when memory is fully in use, as a multiple of the load time.
 const EVICTION_PENALTY: f64 = 3.0;
 
-/// Service times of functions without queueing, learned from the reports of all sites. Time above them was spent waiting.
+/// Service times of functions without queueing, estimated from the reports of all sites. Time above them
+/// was spent waiting.
 #[derive(Clone, Debug)]
 pub(crate) struct BaselineTimes(Vec<f64>);
 
@@ -33,7 +34,8 @@
         }
     }
 
-    /// Learns from the statistics of a site: quickly downward, slowly upward, and not upward while calls wait there.
+    /// Updates the times with the statistics of a site: quickly downward, slowly upward, and not upward while calls
+    /// wait there.
     pub fn update(&mut self, settings: &RoutingSettings, site: &SiteStats) {
         let interval = settings.interval as f64 / 1e6;
         for stats in site.functions.values().filter(|f| f.served > 0 && f.mean_time > 0) {
@@ -41,13 +43,13 @@
             let loading = stats.cold_starts() * load_time(settings, stats.function);
             let sample = (f64::from(stats.mean_time) - loading).max(f64::from(stats.mean_time) * 0.1);
             let calls = (stats.served() * interval / 5.0).min(1.0);
-            let up = if site.saturated() { 0.0 } else { 0.003 };
+            let upward_weight = if site.saturated() { 0.0 } else { 0.003 };
             let weight = if *baseline == 0.0 {
                 1.0
             } else if sample < *baseline {
                 0.1 * calls
             } else {
-                up * calls
+                upward_weight * calls
             };
             *baseline += (sample - *baseline) * weight;
         }
@@ -78,7 +80,7 @@
     pub in_flight: f64,
     /// Calls in service, estimated by the baseline times.
     pub in_service: f64,
-    /// Time that a call waits, less what random variation explains.
+    /// Mean time that a call waits, without the part that random variation explains.
     pub queue_time: f64,
     /// Mean baseline time of the calls served there.
     pub mean_time: f64,
@@ -87,7 +89,8 @@
 }
 
 impl SiteStats {
-    /// Reads a report. Unknown functions and excessive numbers of functions, homes and workers are ignored.
+    /// Reads a report. Unknown functions, and functions and homes beyond the maximum number, are ignored; the number
+    /// of workers is capped.
     pub fn from_report(
         settings: &RoutingSettings,
         baselines: &BaselineTimes,
--- a/crates/site-routing/src/types.rs
+++ b/crates/site-routing/src/types.rs
@@ -2,8 +2,8 @@
 
 use basaltward_membership::{MemberId, Micros, Site};
 
-/// Counts of one function at one traffic loop since its previous report. A function is given by its position in the
-/// list of functions, which is the same at all sites.
+/// Counts of one function at one traffic loop since its previous report. A function is identified by its position
+/// in the list of functions, which is the same at all sites.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FunctionCounts {
     /// Position of the function.
@@ -84,11 +84,11 @@
     pub expected_latency: Micros,
     /// Share of the calls that go there, in 65,535ths; 0 for an unused entry.
     pub share: u16,
-    /// Most calls that one loop may send there by one table.
+    /// Maximum number of calls that one loop may send there by one table.
     pub call_limit: u16,
 }
 
-/// Most other sites in the row of a function.
+/// Maximum number of other sites in the row of a function.
 pub const MAX_REMOTE_ROUTES: usize = 2;
 
 /// Routing of the calls of one function.
--- a/crates/site-routing/src/wire.rs
+++ b/crates/site-routing/src/wire.rs
@@ -1,13 +1,13 @@
 //! Frames between gateways, in postcard encoding.
 //!
-//! All figures are integers, so that a frame can't contain NaN or infinity.
+//! All values are integers, so that a frame can't contain NaN or infinity.
 
 use crate::settings::{MAX_FRAME_BYTES, RoutingError};
 use crate::types::{MAX_REMOTE_ROUTES, RemoteRoute};
 use basaltward_membership::{MemberId, Micros, Site};
 use serde::{Deserialize, Serialize};
 
-/// Most functions in a report; if there are more, those with the most calls are included.
+/// Maximum number of functions in a report; if there are more, those with the most calls are included.
 pub(crate) const MAX_FUNCTIONS_PER_REPORT: usize = 2_500;
 
 /// Statistics of a function at a gateway or a site. Rates are in calls per 1,000 s.
