--- a/crates/faulttest/src/capture.rs
+++ b/crates/faulttest/src/capture.rs
@@ -22,7 +22,7 @@
     pub link: Link,
     /// Name of the event as in records: `source#id`.
     pub event: String,
-    /// How often the call has been forwarded, according to its `ce-hops` header; none without a valid header.
+    /// How often the call has been forwarded, according to its `ce-hops` header; `None` without a valid header.
     pub hops: Option<u32>,
 }
 
@@ -82,7 +82,7 @@
     pub journal_messages: Vec<JournalMessage>,
 }
 
-/// What a captured link carries.
+/// Protocol of the traffic on a captured link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CaptureProtocol {
     /// Calls over HTTP; only the direction from the connecting side is decoded.
@@ -106,7 +106,7 @@
 }
 
 impl Capture {
-    /// A decoder for one direction: bytes from the connecting side or towards it. None if that direction is not
+    /// A decoder for one direction: bytes from the connecting side or towards it. `None` if that direction is not
     /// decoded.
     pub fn new(protocol: CaptureProtocol, link: Link, from_connector: bool) -> Option<Self> {
         let limits = Limits { body: 64 << 20, ..Limits::default() };
@@ -118,7 +118,7 @@
         Some(Self { decoder, link, from_connector })
     }
 
-    /// Decodes bytes that crossed the relay at `time`. Adds what they complete to `out`.
+    /// Decodes bytes that crossed the relay at `time`. Adds the calls and messages that they complete to `out`.
     pub fn decode(&mut self, time: Micros, bytes: &[u8], out: &mut CapturedTraffic) {
         let decodable = match &mut self.decoder {
             Decoder::Calls(decoder, buffer) => {
--- a/crates/faulttest/src/checker.rs
+++ b/crates/faulttest/src/checker.rs
@@ -165,13 +165,13 @@
 
 /// Between two of its own restarts, a scheduler never goes back to an earlier incarnation of another member.
 fn stale_member_states(records: &[Record]) -> BTreeSet<FleetViolation> {
-    let mut known: BTreeMap<(&str, u16), (u64, u32)> = BTreeMap::new();
+    let mut latest_states: BTreeMap<(&str, u16), (u64, u32)> = BTreeMap::new();
     let mut found = BTreeSet::new();
     for Record { observer, observation, .. } in records {
         match observation {
-            Observation::Up { .. } => known.retain(|(by, _), _| by != observer),
+            Observation::Up { .. } => latest_states.retain(|(by, _), _| by != observer),
             Observation::MemberState { member, start, refutations, .. } => {
-                let latest = known.entry((observer, *member)).or_default();
+                let latest = latest_states.entry((observer, *member)).or_default();
                 if (*start, *refutations) < *latest {
                     found.insert(FleetViolation::StaleMemberState(observer.clone(), *member));
                 }
@@ -191,10 +191,10 @@
         ("schedulers", "scheduler ", bounds.schedulers.to_count(cluster.schedulers.len())),
         ("workers", "worker ", bounds.workers.to_count(cluster.workers.len())),
     ];
-    let mut known: BTreeMap<((u64, u16), u32), &Vec<String>> = BTreeMap::new();
+    let mut agreed_permits: BTreeMap<((u64, u16), u32), &Vec<String>> = BTreeMap::new();
     for Record { observation, .. } in records {
         let Observation::PermitsUpdated { epoch, version, permits } = observation else { continue };
-        if *known.entry((*epoch, *version)).or_insert(permits) != permits {
+        if *agreed_permits.entry((*epoch, *version)).or_insert(permits) != permits {
             found.insert(FleetViolation::PermitFork(*epoch, *version));
         }
         for (subjects, prefix, max) in limits {
@@ -245,8 +245,8 @@
 }
 
 /// Turns each call that injected faults prevented from being answered in time into one whose client left at the
-/// deadline.
-/// Answers that came in time stay, and so do all records that rule 2 needs.
+/// deadline. Answers that came in time stay, and so do all records that rule 2 needs. Also returns the number of these
+/// calls.
 fn excuse(
     records: &[Record],
     fault_intervals: &BTreeMap<String, Vec<(Micros, Micros)>>,
--- a/crates/faulttest/src/clients.rs
+++ b/crates/faulttest/src/clients.rs
@@ -14,7 +14,7 @@
 /// How much later than the deadline an answer may arrive when it crosses real sockets.
 const DEADLINE_SLACK_US: Micros = 50_000;
 
-/// What clients call.
+/// The calls that clients send.
 #[derive(Clone, Debug)]
 pub struct ClientSpec {
     /// Classes with the patience of their clients in milliseconds, called in turn.
--- a/crates/faulttest/src/cluster.rs
+++ b/crates/faulttest/src/cluster.rs
@@ -110,9 +110,9 @@
     pub fn start(spec: ClusterSpec) -> Result<Self, HarnessError> {
         let work = Duration::from_millis(spec.work_ms);
         Self::start_with_worker(spec, move |exec| {
-            let mut acts = vec![WorkerAction::Wait(work)];
-            acts.extend(exec.serve());
-            acts
+            let mut actions = vec![WorkerAction::Wait(work)];
+            actions.extend(exec.serve());
+            actions
         })
     }
 
@@ -165,7 +165,7 @@
             schedulers.push(Process::scheduler(&name(i), &spec.program, &config, &records));
         }
         let network = Network::new(relays.start(spec.seed)?);
-        let (began, clients) = (monotonic(), None);
+        let (started_at, clients) = (monotonic(), None);
         let mut cluster = Self {
             spec,
             schedulers,
@@ -177,7 +177,7 @@
             recorder,
             default_faults: DatagramFaults::default(),
             mesh,
-            started_at: began,
+            started_at,
             clients,
             client_addresses,
             workspace,
@@ -329,7 +329,7 @@
         views.len() == up.len() && views.iter().all(|view| view.digest == views[0].digest && live(view) == up)
     }
 
-    /// Waits until [`Cluster::views_agree`]. Returns how long that took, or none if it took longer than `within`.
+    /// Waits until [`Cluster::views_agree`]. Returns how long that took, or `None` if it took longer than `within`.
     pub fn wait_for_agreement(&self, group: &[usize], within: Duration) -> Option<Duration> {
         let began = std::time::Instant::now();
         while began.elapsed() < within {
--- a/crates/faulttest/src/hollow/counters.rs
+++ b/crates/faulttest/src/hollow/counters.rs
@@ -2,8 +2,8 @@
 
 use basaltward_net::Micros;
 
-/// Delay from which an operation of a loop counts as late. A tenth of the round trip that members assume would be 7 ms;
-/// from half of the round trip on, answers begin to miss their timeouts.
+/// Delay above which an operation of a loop counts as late. It is between a tenth (7 ms) and half (35 ms) of the round
+/// trip that members assume; from half of the round trip on, answers begin to miss their timeouts.
 pub(crate) const LATE_US: Micros = 20_000;
 
 /// Counters of one or all event loops since their start. Processor time is that of the loops' threads.
--- a/crates/faulttest/src/hollow/real_members.rs
+++ b/crates/faulttest/src/hollow/real_members.rs
@@ -33,9 +33,9 @@
         peers: &[SocketAddr],
     ) -> Result<Self, HollowError> {
         let worker = LineWorker::start(&Party::Worker(0).to_string(), Recorder::memory(), |exec| {
-            let mut acts = vec![WorkerAction::Wait(WORK)];
-            acts.extend(exec.serve());
-            acts
+            let mut actions = vec![WorkerAction::Wait(WORK)];
+            actions.extend(exec.serve());
+            actions
         })?;
         let board = FakeBulletin::start(2)?;
         let targets = [target(&Party::Worker(0).to_string(), worker.address(), "Ready")];
@@ -64,18 +64,18 @@
         Ok(real)
     }
 
-    /// Starts the processes that are marked, concurrently, and waits until each is ready.
-    pub fn start_all(&mut self, marked: &[bool]) -> Result<(), HollowError> {
+    /// Starts the processes for which `selected` is true, concurrently, and waits until each is ready.
+    pub fn start_all(&mut self, selected: &[bool]) -> Result<(), HollowError> {
         let started: Vec<Result<(), _>> = std::thread::scope(|scope| {
-            let marked = self.processes.iter_mut().zip(marked).filter(|(_, marked)| **marked);
-            let threads: Vec<_> = marked.map(|(process, _)| scope.spawn(|| process.start())).collect();
+            let to_start = self.processes.iter_mut().zip(selected).filter(|(_, selected)| **selected);
+            let threads: Vec<_> = to_start.map(|(process, _)| scope.spawn(|| process.start())).collect();
             threads.into_iter().filter_map(|thread| thread.join().ok()).collect()
         });
         started.into_iter().collect::<Result<(), _>>().map_err(HarnessError::from)?;
         Ok(())
     }
 
-    /// Total processor time of the running processes in microseconds, and their number; none if it cannot be read for
+    /// Total processor time of the running processes in microseconds, and their number; `None` if it cannot be read for
     /// one.
     pub fn cpu_us(&self) -> Option<(Micros, usize)> {
         let pids: Vec<_> = self.processes.iter().filter_map(Process::pid).collect();
--- a/crates/faulttest/src/hollow/run.rs
+++ b/crates/faulttest/src/hollow/run.rs
@@ -80,12 +80,14 @@
     probe: Probe,
     began: Micros,
     host: Ipv4Addr,
+    /// Datagrams dropped at each socket so far, by the socket's inode.
     drops: BTreeMap<u64, u64>,
+    /// Resident memory of this process before the hollow members started, in bytes.
     idle_bytes: u64,
     report: HollowReport,
 }
 
-/// How many members agree on a view.
+/// Agreement of the members' views.
 struct Agreement {
     /// Whether all members have the same view and it is correct.
     all: bool,
@@ -230,7 +232,7 @@
     /// traffic and processor time since `before`.
     fn settle(
         &mut self,
-        what: &str,
+        step_name: &str,
         series: Option<&'static str>,
         event: Micros,
         before: LoopCounters,
@@ -248,7 +250,7 @@
             if now >= last_progress + PROGRESS_US {
                 last_progress = now;
                 let Agreement { most, members, views, .. } = agreement;
-                self.print_line(format!("{what}: {most} of {members} agree, {views} views"));
+                self.print_line(format!("{step_name}: {most} of {members} agree, {views} views"));
             }
             self.wait(now + AGREEMENT_CHECK_US)?;
         };
@@ -259,15 +261,15 @@
             None => format!("unsettled after {} ms", self.script.spec.settle_us / 1_000),
         };
         self.print_line(format!(
-            "{what}: {outcome}; {}; {drops} datagrams dropped at sockets",
+            "{step_name}: {outcome}; {}; {drops} datagrams dropped at sockets",
             describe_window(&window)
         ));
         if settled.is_none() {
-            self.report.unsettled_steps.push(what.to_owned());
+            self.report.unsettled_steps.push(step_name.to_owned());
         }
         if window.late_share() > MAX_LATE_SHARE {
-            self.print_line(format!("{what}: the loops were late, its measurements are void"));
-            self.report.overloaded_steps.push(what.to_owned());
+            self.print_line(format!("{step_name}: the loops were late, its measurements are void"));
+            self.report.overloaded_steps.push(step_name.to_owned());
             return Ok(());
         }
         let value = settled.map_or(Value::Unsettled, |elapsed| Value::Measured(elapsed as f64 / 1e3));
@@ -278,8 +280,8 @@
         self.report.add("bytes_per_s_storm_worst", "B/s", Value::Measured(worst));
         self.report.add("cpu_us_per_s_storm", "us/s", Value::Measured(window.cpu_us_per_s()));
         let memory = resident_bytes().saturating_sub(self.idle_bytes) as f64;
-        let each = memory / self.script.spec.hollow_members.max(1) as f64;
-        self.report.add("memory_bytes_member", "B", Value::Measured(each));
+        let bytes_per_member = memory / self.script.spec.hollow_members.max(1) as f64;
+        self.report.add("memory_bytes_member", "B", Value::Measured(bytes_per_member));
         Ok(())
     }
 
@@ -326,8 +328,8 @@
         let window = self.window(from, before)?;
         self.print_line(format!("quiet: {}", describe_window(&window)));
         if let (Some((before, _)), Some((after, count @ 1..))) = (real, self.real.cpu_us()) {
-            let each = (after - before) as f64 * 1e6 / (window.span_us as f64 * count as f64);
-            self.print_line(format!("quiet: a real process used {each:.0} us/s"));
+            let cpu_us_per_process = (after - before) as f64 * 1e6 / (window.span_us as f64 * count as f64);
+            self.print_line(format!("quiet: a real process used {cpu_us_per_process:.0} us/s"));
         }
         if window.late_share() > MAX_LATE_SHARE {
             self.print_line("quiet: the loops were late, its measurements are void".to_owned());
@@ -368,7 +370,8 @@
         }
     }
 
-    /// Running hollow members of one zone that are adjacent in the list.
+    /// Running hollow members of one zone that are adjacent in the list, drawn by the seed and the step's index; fewer
+    /// than `count` if the zone has fewer.
     fn neighbours(&self, index: usize, count: usize) -> Result<Vec<MemberId>, HollowError> {
         let (spec, running) = (&self.script.spec, self.running()?);
         let mut rng = StdRng::seed_from_u64(spec.seed ^ (index as u64) << 32);
@@ -381,7 +384,12 @@
         Ok(members.into_iter().skip(first).take(count).collect())
     }
 
-    fn kill(&mut self, members: &[MemberId], what: &str, series: &'static str) -> Result<(), HollowError> {
+    fn kill(
+        &mut self,
+        members: &[MemberId],
+        step_name: &str,
+        series: &'static str,
+    ) -> Result<(), HollowError> {
         self.drops();
         let before = self.counters(true)?;
         self.update_state(|state| {
@@ -395,11 +403,11 @@
         self.shards.kill(members)?;
         let event = self.now();
         self.print_line(format!(
-            "{what}: {} members dead within {} ms",
+            "{step_name}: {} members dead within {} ms",
             members.len(),
             (event - from) / 1_000
         ));
-        self.settle(what, Some(series), event, before)
+        self.settle(step_name, Some(series), event, before)
     }
 
     fn restart(&mut self) -> Result<(), HollowError> {
@@ -407,8 +415,8 @@
         let down: Vec<_> = (0..spec.members()).filter(|member| !running[*member]).collect();
         let (real, hollow): (Vec<_>, Vec<_>) = down.iter().partition(|member| **member < spec.real_members);
         let before = self.counters(true)?;
-        let marked: Vec<_> = (0..spec.real_members).map(|number| real.contains(&number)).collect();
-        self.real.start_all(&marked)?;
+        let to_start: Vec<_> = (0..spec.real_members).map(|number| real.contains(&number)).collect();
+        self.real.start_all(&to_start)?;
         self.shards.open(&hollow.iter().map(|member| *member as MemberId).collect::<Vec<_>>())?;
         self.update_state(|state| state.running.fill(true))?;
         let event = self.now();
@@ -448,10 +456,10 @@
         let drops = self.drops();
         self.report.add("datagrams_lost_at_socket", "datagrams", Value::Measured(drops as f64));
         self.print_line(format!(
-"end: hollow members sent {} datagrams, {} that the system did not take, received {}; {drops} dropped at \
-             sockets",
-counters.datagrams, counters.send_failures, counters.received
-));
+            "end: hollow members sent {} datagrams, {} that the system did not take, received {}; \
+             {drops} dropped at sockets",
+            counters.datagrams, counters.send_failures, counters.received
+        ));
         let running = self.running()?;
         self.report.failed_processes = self.real.crashed(&running);
         let ended = self.real.finish();
--- a/crates/faulttest/src/hollow/script.rs
+++ b/crates/faulttest/src/hollow/script.rs
@@ -221,7 +221,7 @@
     (faults.len() == before).then_some(HollowStep { action })
 }
 
-/// Number of hollow members in the zone that victims are drawn from: any but the first, if there are several zones.
+/// Number of hollow members in the zone from which the members to kill are drawn: any but the first, if there are several zones.
 fn max_neighbours(spec: &HollowSpec) -> usize {
     let topology = spec.conditions.topology;
     match topology.zones {
--- a/crates/faulttest/src/hollow/shard.rs
+++ b/crates/faulttest/src/hollow/shard.rs
@@ -31,7 +31,7 @@
 struct Member {
     transport: PeerTransport,
     /// Distinguishes this start of the member from earlier and later ones.
-    life: u32,
+    start_number: u32,
     /// Time of the next wakeup.
     next_wake: Micros,
     rng: StdRng,
@@ -49,7 +49,7 @@
     /// The hollow member that sends or receives it.
     member: MemberId,
     /// The start of the member that it belongs to.
-    life: u32,
+    start_number: u32,
     /// Whether the hollow member sends it; otherwise it receives it.
     outgoing: bool,
     /// Address of the other end.
@@ -195,8 +195,8 @@
         let next_wake = transport.next_due().max(now);
         self.wakes.insert((next_wake, member));
         let rng = StdRng::seed_from_u64(spec.seed ^ u64::from(member) << 32 ^ u64::from(self.starts));
-        let (life, drawn_until, second) = (self.starts, now, (0, 0));
-        self.members.insert(member, Member { transport, life, next_wake, rng, drawn_until, second });
+        let (start_number, drawn_until, second) = (self.starts, now, (0, 0));
+        self.members.insert(member, Member { transport, start_number, next_wake, rng, drawn_until, second });
         Ok(())
     }
 
@@ -252,12 +252,13 @@
     ) {
         let Some(member) = self.members.get(&number) else { return };
         self.sequence += 1;
-        let (at, sequence, life) = (self.shared.spec.now() + delay, self.sequence, member.life);
+        let (at, sequence, start_number) =
+            (self.shared.spec.now() + delay, self.sequence, member.start_number);
         self.delayed.push(Reverse(DelayedDatagram {
             at,
             sequence,
             member: number,
-            life,
+            start_number,
             outgoing,
             other,
             bytes: bytes.to_vec(),
@@ -283,7 +284,9 @@
                 return;
             }
             let Some(Reverse(due)) = self.delayed.pop() else { return };
-            let Some(member) = self.members.get(&due.member).filter(|member| member.life == due.life) else {
+            let Some(member) =
+                self.members.get(&due.member).filter(|member| member.start_number == due.start_number)
+            else {
                 // The member was killed in the meantime.
                 continue;
             };
--- a/crates/faulttest/src/hollow/socket_drops.rs
+++ b/crates/faulttest/src/hollow/socket_drops.rs
@@ -17,12 +17,12 @@
     table.lines().filter_map(parse).collect()
 }
 
-/// Merges the counts of a table into `known`, keeping the largest count of each socket, and returns the sum over all
+/// Merges the counts of a table into `largest`, keeping the largest count of each socket, and returns the sum over all
 /// sockets seen so far, closed ones included.
-pub fn total_drops(known: &mut BTreeMap<u64, u64>, seen: BTreeMap<u64, u64>) -> u64 {
-    for (inode, drops) in seen {
-        let count = known.entry(inode).or_default();
+pub fn total_drops(largest: &mut BTreeMap<u64, u64>, current: BTreeMap<u64, u64>) -> u64 {
+    for (inode, drops) in current {
+        let count = largest.entry(inode).or_default();
         *count = drops.max(*count);
     }
-    known.values().sum()
+    largest.values().sum()
 }
--- a/crates/faulttest/src/journal_checker.rs
+++ b/crates/faulttest/src/journal_checker.rs
@@ -28,9 +28,9 @@
 struct Event {
     name: String,
     deadline: Micros,
-    /// Whether enough holders acknowledged it to some journal.
+    /// Whether enough holders acknowledged an entry that accepted it.
     acknowledged: bool,
-    /// Journal entries that accepted the event (none) or ended it (with the outcome).
+    /// Journal entries that accepted the event (`None`) or ended it (with the outcome).
     entries: BTreeMap<(Source, u64), Option<&'static str>>,
     /// Outcomes that gateways report to one another after they have taken the event over.
     takeover_outcomes: BTreeSet<&'static str>,
--- a/crates/faulttest/src/lib.rs
+++ b/crates/faulttest/src/lib.rs
@@ -2,7 +2,7 @@
 //! bulletin, workers and clients, injects network and process faults by a script, and checks the recorded history.
 //!
 //! Every party reaches every other party through a relay address of that pair, so that faults can be set on each pair
-//! and direction alone. A cluster stops every process that it started, by pid, also when a test panics.
+//! and direction separately. A cluster stops every process that it started, by pid, also when a test panics.
 #![warn(missing_docs)]
 
 mod capture;
--- a/crates/faulttest/src/relay.rs
+++ b/crates/faulttest/src/relay.rs
@@ -43,14 +43,14 @@
     pub link: Link,
     pub address: SocketAddr,
     pub target: SocketAddr,
-    /// Source address of outgoing connections, if it matters.
+    /// Source address of outgoing connections; `None` to let the system choose.
     pub from: Option<IpAddr>,
     pub listener: Option<usize>,
     pub mode: ConnectionMode,
     /// From the connecting side, and back.
     pub shapings: [Shaping; 2],
     /// With a rate limit: the time at which everything queued so far has been sent, per direction.
-    pub free: [Micros; 2],
+    pub free_at: [Micros; 2],
     /// One byte of the next chunk from the connecting side is to be corrupted.
     pub corrupt_next: bool,
     /// How the traffic is decoded as it crosses, if at all.
@@ -112,7 +112,7 @@
     }
 
     /// Adds a link for connections and returns the relay address that leads to `target`. Outgoing connections use
-    /// `from` as their source address, if given.
+    /// `from` as their source address, or one that the system chooses if it is `None`.
     ///
     /// # Errors
     /// The system cannot create the listener.
@@ -131,7 +131,7 @@
             listener: Some(number),
             mode: ConnectionMode::Pass,
             shapings: Default::default(),
-            free: [0; 2],
+            free_at: [0; 2],
             corrupt_next: false,
             capture: None,
             count: 0,
@@ -185,8 +185,8 @@
     pub fn start(self, seed: u64) -> Result<Relay, NetError> {
         let shared = Arc::new(Shared::default());
         let waker = self.io.waker();
-        let running = RelayLoop::new(self.io, (self.routes, self.pairs), seed, shared.clone());
-        let thread = std::thread::Builder::new().name("relays".into()).spawn(|| running.run())?;
+        let relay_loop = RelayLoop::new(self.io, (self.routes, self.pairs), seed, shared.clone());
+        let thread = std::thread::Builder::new().name("relays".into()).spawn(|| relay_loop.run())?;
         Ok(Relay { shared, waker, thread: Some(thread) })
     }
 }
--- a/crates/faulttest/src/relay_loop.rs
+++ b/crates/faulttest/src/relay_loop.rs
@@ -28,7 +28,7 @@
     capture: Option<Capture>,
 }
 
-/// What a timer delivers.
+/// A delivery that a timer triggers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     /// A datagram, by its number.
@@ -204,7 +204,7 @@
         route.mode == ConnectionMode::Pass && !route.shapings[usize::from(!half.from_connector)].blackhole
     }
 
-    /// Reads what arrived on one half and forwards what is due to the other.
+    /// Reads the bytes received on one half and forwards those that are due to the other.
     fn forward(&mut self, conn: ConnId) {
         let Some(half) = self.halves.get(&conn) else { return };
         if !self.forwards(half) {
@@ -225,7 +225,7 @@
         route.shapings[usize::from(!half.from_connector)].draw(&mut rng)
     }
 
-    /// Queues what arrived on a half.
+    /// Queues the bytes received on a half.
     fn enqueue_input(&mut self, conn: ConnId) {
         let Some(input) = self.io.input(conn) else { return };
         let bytes = std::mem::take(input);
@@ -238,12 +238,12 @@
         half.queue.push(
             now,
             bytes,
-            (route.shapings[direction].bytes_per_s, &mut route.free[direction]),
+            (route.shapings[direction].bytes_per_s, &mut route.free_at[direction]),
             delay,
         );
     }
 
-    /// Writes what is due to the other half.
+    /// Writes the queued bytes that are due, and the end of the connection after them, to the other half.
     fn deliver(&mut self, conn: ConnId) {
         let now = monotonic();
         loop {
--- a/crates/faulttest/src/script.rs
+++ b/crates/faulttest/src/script.rs
@@ -168,7 +168,7 @@
             let worker = self.number("worker", self.fleet.workers, faults)?;
             Some((FleetAction::Connections(link(Party::Worker(worker), scheduler), mode), scheduler, worker))
         };
-        let actions = match name {
+        let (action, end_action) = match name {
             "kill" | "stop" | "start" | "reread" => {
                 let Some(one) = self.number("scheduler", schedulers, faults) else { return };
                 match name {
@@ -218,8 +218,8 @@
                 (action, Some(FleetAction::Connections(link(Party::Worker(to), one), ConnectionMode::Pass)))
             }
         };
-        steps.push(FleetStep { at, action: actions.0 });
-        let end = duration.zip(actions.1).map(|(duration, action)| FleetStep { at: at + duration, action });
+        steps.push(FleetStep { at, action });
+        let end = duration.zip(end_action).map(|(duration, action)| FleetStep { at: at + duration, action });
         steps.extend(end);
     }
 }
--- a/crates/faulttest/src/shaping.rs
+++ b/crates/faulttest/src/shaping.rs
@@ -10,7 +10,7 @@
 
 /// Extra delay for each loss of a chunk, as of a TCP retransmission.
 const RETRANSMIT_US: Micros = 200_000;
-/// How often one chunk is lost at most.
+/// Maximum number of times that one chunk is lost.
 const MAX_RETRANSMITS: u32 = 6;
 
 /// Faults of the bytes on a link's connections in one direction.
@@ -20,7 +20,7 @@
     pub delay_range: (Micros, Micros),
     /// Share of chunks that are lost and retransmitted, which delays them and everything queued behind them.
     pub loss_rate: f64,
-    /// Rate limit in bytes per second over all connections of the link; none for no limit.
+    /// Rate limit in bytes per second over all connections of the link; `None` for no limit.
     pub bytes_per_s: Option<u64>,
     /// Nothing is forwarded, but connections stay open.
     pub blackhole: bool,
@@ -54,13 +54,13 @@
 }
 
 impl DelayQueue {
-    /// Queues bytes. With a rate limit, `free` is the time at which the link has sent all earlier bytes; `delay` is
+    /// Queues bytes. With a rate limit, `free_at` is the time at which the link has sent all earlier bytes; `delay` is
     /// added.
     pub fn push(
         &mut self,
         now: Micros,
         bytes: BytesMut,
-        (rate, free): (Option<u64>, &mut Micros),
+        (rate, free_at): (Option<u64>, &mut Micros),
         delay: Micros,
     ) {
         let Some(rate) = rate.map(|rate| rate.max(1)) else {
@@ -71,8 +71,8 @@
         let chunk = (rate / 20).max(1) as usize;
         while !rest.is_empty() {
             let next = rest.split_to(chunk.min(rest.len()));
-            *free = (*free).max(now) + next.len() as u64 * 1_000_000 / rate;
-            self.put(*free + delay, Item::Bytes(next));
+            *free_at = (*free_at).max(now) + next.len() as u64 * 1_000_000 / rate;
+            self.put(*free_at + delay, Item::Bytes(next));
         }
     }
 
--- a/crates/faulttest/src/site_cluster.rs
+++ b/crates/faulttest/src/site_cluster.rs
@@ -79,12 +79,13 @@
     /// A socket, file or thread failed, or a process did not become ready.
     pub fn start(spec: SitesSpec) -> Result<Self, HarnessError> {
         let workspace = Workspace::new()?;
-        let (of, at) = (spec.gateways(), spec.workers());
-        let count = of.len();
+        let (gateway_sites, worker_sites) = (spec.gateways(), spec.workers());
+        let count = gateway_sites.len();
         let addresses = || (0..count).map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>();
         let (listens, datagram_addresses, journals) = (addresses()?, addresses()?, addresses()?);
-        let worker_at = |w| workspace.reserve(count + w);
-        let worker_at = (0..at.len()).map(worker_at).collect::<Result<Vec<SocketAddr>, _>>()?;
+        let reserve_worker = |w| workspace.reserve(count + w);
+        let worker_addresses =
+            (0..worker_sites.len()).map(reserve_worker).collect::<Result<Vec<SocketAddr>, _>>()?;
         let mut relays = RelayBuilder::new()?;
         let mesh = relays.add_datagram_mesh(&datagram_addresses)?;
         let mut worker_names = BTreeMap::new();
@@ -111,9 +112,9 @@
             }
             front_addresses.push(addresses_of_peers.iter().map(|addresses| addresses.front).collect());
             let mut workers = Vec::new();
-            for w in (0..at.len()).filter(|w| at[*w] == of[i]) {
+            for w in (0..worker_sites.len()).filter(|w| worker_sites[*w] == gateway_sites[i]) {
                 let to = Party::Worker(w);
-                let address = relays.add_link(Link { from, to }, worker_at[w], None)?;
+                let address = relays.add_link(Link { from, to }, worker_addresses[w], None)?;
                 worker_names.insert(address.to_string(), to.to_string());
                 workers.push((w, address));
             }
@@ -135,7 +136,7 @@
             gateways.push(Process::new(&from.to_string(), &spec.program, launch));
         }
         let worker = |(w, address): (usize, &SocketAddr)| {
-            let (party, site) = (Party::Worker(w), &spec.sites[at[w]]);
+            let (party, site) = (Party::Worker(w), &spec.sites[worker_sites[w]]);
             worker_names.insert(address.to_string(), party.to_string());
             let mut args: Vec<OsString> = vec!["worker".into(), "--records".into()];
             args.push(records(&workspace, party).into());
@@ -150,12 +151,12 @@
             let launch = Launch { args, env: Vec::new(), ready_line: "worker on" };
             Process::new(&party.to_string(), &spec.program, launch)
         };
-        let workers = worker_at.iter().enumerate().map(worker).collect();
+        let workers = worker_addresses.iter().enumerate().map(worker).collect();
         let network = Network::new(relays.start(spec.seed)?);
         let config = config.ok_or(HarnessError::NoGateways)?;
         let recorder = Recorder::memory();
-        let (began, links, clients) = (monotonic(), BTreeMap::new(), None);
-        let sites_of = (of, at);
+        let (started_at, links, clients) = (monotonic(), BTreeMap::new(), None);
+        let sites_of = (gateway_sites, worker_sites);
         let mut cluster = Self {
             spec,
             gateways,
@@ -166,7 +167,7 @@
             datagram_addresses,
             network,
             recorder,
-            clients_started_at: began,
+            clients_started_at: started_at,
             config,
             sites_of,
             links,
@@ -238,8 +239,8 @@
             }
         }
         for w in workers {
-            let here = self.sites_of.1[w];
-            for i in self.gateways_of(here) {
+            let site = self.sites_of.1[w];
+            for i in self.gateways_of(site) {
                 self.network.set_target_down(Link { from: Party::Scheduler(i), to: Party::Worker(w) }, down);
             }
         }
@@ -358,14 +359,14 @@
     }
 
     /// Waits for the clients, stops all processes and returns all records, sorted by time, with workers' addresses
-    /// replaced by their names.
+    /// replaced by their names, and the clients' statistics.
     ///
     /// # Errors
-    /// A process did not exit in time, or records cannot be read.
+    /// The clients failed, a process did not exit in time, or records cannot be read.
     pub fn finish(&mut self) -> Result<(Vec<Record>, ClientStats), HarnessError> {
         let clients =
             self.clients.take().map(|thread| thread.join().map_err(|_| HarnessError::ClientsPanicked));
-        let tally = clients.transpose()?.transpose()?.unwrap_or_default();
+        let client_stats = clients.transpose()?.transpose()?.unwrap_or_default();
         // Gateways first, so that they can finish their calls at the workers.
         for process in self.gateways.iter_mut().chain(&mut self.workers) {
             process.resume();
@@ -381,7 +382,7 @@
         }
         all.iter_mut().for_each(|record| self.name_workers(record));
         all.sort_by_key(|record| record.time);
-        Ok((all, tally))
+        Ok((all, client_stats))
     }
 
     fn name_workers(&self, record: &mut Record) {
--- a/crates/faulttest/src/site_config.rs
+++ b/crates/faulttest/src/site_config.rs
@@ -13,7 +13,7 @@
 /// How long workers drop a repeated keyed event.
 const REPEAT_WINDOW_MS: u64 = 12_000;
 
-/// Addresses by which a gateway is reached by another gateway, or its own.
+/// Addresses by which another gateway reaches a gateway, or on which that gateway itself listens.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GatewayAddresses {
     pub datagrams: SocketAddr,
@@ -38,7 +38,7 @@
         started: None,
         kind: 0,
         zone: 0,
-        // Each worker process is a cell of its own, because it remembers only the keys of calls that reached itself.
+        // Each worker process is a cell of its own, because it remembers only the keys of calls that reached it.
         cell: *number as u64,
         size: 1.0,
     };
@@ -51,14 +51,14 @@
 }
 
 fn settings(spec: &SitesSpec, own: usize, addresses: &[GatewayAddresses]) -> String {
-    let of = spec.gateways();
-    let site = of[own];
-    let first = of.iter().position(|s| *s == site).unwrap_or(0);
+    let gateway_sites = spec.gateways();
+    let site = gateway_sites[own];
+    let first = gateway_sites.iter().position(|s| *s == site).unwrap_or(0);
     let (index, count) = (own - first, spec.sites[site].gateways);
     let mut text = String::from("<basaltward xmlns=\"urn:basaltward:config:1\">\n");
-    let at = addresses[own];
+    let own_addresses = addresses[own];
     let _ = writeln!(text, "  <gateway name=\"n{own}\" index=\"{index}\" count=\"{count}\"/>");
-    let _ = writeln!(text, "  <listen address=\"{}\"/>", at.front);
+    let _ = writeln!(text, "  <listen address=\"{}\"/>", own_addresses.front);
     let _ = writeln!(text, "  <roster file=\"n{own}.roster.xml\"/>");
     let memory = spec.sites[site].memory_mb;
     let _ = writeln!(text, "  <kinds><kind name=\"std\" memory-mb=\"{memory}\"/></kinds>\n  <classes>");
@@ -101,13 +101,15 @@
 }
 
 fn peers(spec: &SitesSpec, own: usize, addresses: &[GatewayAddresses]) -> String {
-    let (of, at) = (spec.gateways(), addresses[own]);
-    let mut text =
-        format!("  <sites fleet=\"trial\" listen=\"{}\" journal-listen=\"{}\"", at.datagrams, at.journal);
+    let (gateway_sites, own_addresses) = (spec.gateways(), addresses[own]);
+    let mut text = format!(
+        "  <sites fleet=\"trial\" listen=\"{}\" journal-listen=\"{}\"",
+        own_addresses.datagrams, own_addresses.journal
+    );
     text.push_str(" operators=\"127.0.0.1\">\n");
     for (site, site_spec) in spec.sites.iter().enumerate() {
         let _ = writeln!(text, "    <site name=\"{}\">", site_spec.name);
-        for number in (0..of.len()).filter(|i| of[*i] == site) {
+        for number in (0..gateway_sites.len()).filter(|i| gateway_sites[*i] == site) {
             let GatewayAddresses { datagrams, front, journal } = addresses[number];
             let _ = write!(text, "      <peer name=\"n{number}\" tell=\"{datagrams}\"");
             let _ = writeln!(text, " front=\"{front}\" journal=\"{journal}\"/>");
--- a/crates/faulttest/src/site_script.rs
+++ b/crates/faulttest/src/site_script.rs
@@ -125,7 +125,7 @@
 }
 
 impl Reader {
-    /// Index of the site named in an attribute.
+    /// Index of the site named in an attribute; `None` if the attribute is absent or names no site.
     fn site(&self, node: Element, name: &str, faults: &mut Vec<Fault>) -> Option<usize> {
         let site_name = node.attribute(name)?;
         let site = self.spec.sites.iter().position(|site| site.name == site_name);
@@ -252,14 +252,15 @@
             "stall-control" => {
                 let Some(selector) = self.processes(node, index, faults) else { return };
                 let value = format!("{}:{}", at / 1_000, duration.unwrap_or(20_000_000) / 1_000);
-                let of = self.spec.gateways();
+                let gateway_sites = self.spec.gateways();
                 let selected = |i: &usize| match selector {
-                    ProcessSelector::Site(site) => of[*i] == site,
+                    ProcessSelector::Site(site) => gateway_sites[*i] == site,
                     ProcessSelector::Gateway(one) => *i == one,
                     ProcessSelector::Worker(_) => false,
                 };
-                let vars =
-                    (0..of.len()).filter(selected).map(|i| (i, STALL_CONTROL.to_owned(), value.clone()));
+                let vars = (0..gateway_sites.len())
+                    .filter(selected)
+                    .map(|i| (i, STALL_CONTROL.to_owned(), value.clone()));
                 self.spec.env.extend(vars);
             }
             "change-byte" => {
--- a/crates/faulttest/src/site_spec.rs
+++ b/crates/faulttest/src/site_spec.rs
@@ -41,7 +41,7 @@
     pub loss_rate: f64,
     /// Share of datagrams that are duplicated.
     pub duplicate_rate: f64,
-    /// Rate limit in bytes per second of each link between two gateways; none for no limit.
+    /// Rate limit in bytes per second of each link between two gateways; `None` for no limit.
     pub bytes_per_s: Option<u64>,
     /// Nothing is forwarded, but connections stay open.
     pub blackhole: bool,
@@ -79,7 +79,7 @@
 pub struct LoadSpec {
     /// Index of the site whose gateways the clients call.
     pub site: usize,
-    /// The class of all calls; none to draw the class of each call.
+    /// The class of all calls; `None` to draw the class of each call.
     pub class: Option<usize>,
     /// Numbers of the called functions of each class.
     pub functions: Range<usize>,
@@ -120,7 +120,7 @@
     pub standalone: bool,
     /// Tenants with their quotas in calls per second.
     pub tenants: Vec<(String, f64)>,
-    /// Links by source and target site; a missing pair has the link of a single site.
+    /// Links by source and target site; a missing pair has the link within a site.
     pub links: BTreeMap<(usize, usize), SiteLink>,
     /// Loads of the clients.
     pub loads: Vec<LoadSpec>,
--- a/crates/faulttest/src/site_workload.rs
+++ b/crates/faulttest/src/site_workload.rs
@@ -9,12 +9,13 @@
 /// Delay before the next attempt of a client that ignores the retry time in a refusal.
 const RETRY_DELAY_US: Micros = 50_000;
 
-/// All calls of a run; `of` gives the site of each gateway.
-pub(crate) fn plans(spec: &SitesSpec, of: &[usize]) -> Vec<PlannedEvent> {
+/// All calls of a run; `gateway_sites` holds the site of each gateway.
+pub(crate) fn plans(spec: &SitesSpec, gateway_sites: &[usize]) -> Vec<PlannedEvent> {
     let mut all = Vec::new();
     for (number, load) in spec.loads.iter().enumerate() {
         let mut rng = StdRng::seed_from_u64(spec.seed ^ (number as u64) << 48);
-        let gateways: Vec<usize> = (0..of.len()).filter(|i| of[*i] == load.site).collect();
+        let gateways: Vec<usize> =
+            (0..gateway_sites.len()).filter(|i| gateway_sites[*i] == load.site).collect();
         let mut at = load.span.start as f64;
         for event in 0_u64.. {
             // Poisson arrivals at the configured rate.
@@ -29,7 +30,7 @@
             let first = plan(load, at as Micros, (gateway, class, function), id);
             if CLASSES[class].1 != "safe" && rng.random::<f64>() < load.duplicate_share {
                 // Sends the same event to another gateway of any site while the first attempt is in flight.
-                let other = (gateway + rng.random_range(1..of.len().max(2))) % of.len();
+                let other = (gateway + rng.random_range(1..gateway_sites.len().max(2))) % gateway_sites.len();
                 let at = first.send_at + rng.random_range(0..20_000);
                 all.push(PlannedEvent { send_at: at, gateway: other, ..first.clone() });
             }
