--- a/crates/faulttest/src/cluster.rs
+++ b/crates/faulttest/src/cluster.rs
@@ -82,7 +82,7 @@
     /// The relays on all links.
     pub network: Network,
     /// The stand-in for the bulletin.
-    pub board: FakeBulletin,
+    pub bulletin: FakeBulletin,
     /// The workers, by number.
     pub workers: Vec<LineWorker>,
     /// Records of clients and workers.
@@ -137,7 +137,7 @@
             )
         };
         let workers = (0..spec.workers).map(worker).collect::<Result<Vec<_>, _>>()?;
-        let board = FakeBulletin::start(2)?;
+        let bulletin = FakeBulletin::start(2)?;
         let all = 0..spec.schedulers;
         let listens = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
         let peers = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
@@ -147,7 +147,7 @@
         for i in all {
             let from = Party::Scheduler(i);
             let to = |to| Link { from, to };
-            let bulletin = relays.add_link(to(Party::Bulletin), board.address(), None)?;
+            let bulletin_relay = relays.add_link(to(Party::Bulletin), bulletin.address(), None)?;
             let mut targets = Vec::new();
             for (w, worker) in workers.iter().enumerate() {
                 let at = relays.add_link(to(Party::Worker(w)), worker.address(), Some(workspace.ip(i)))?;
@@ -159,7 +159,8 @@
                 None,
             )?);
             let config = workspace.file(&format!("n{i}.json"));
-            let settings = configuration(&spec, i, (listens[i], peers[i], bulletin), &mesh[i], &targets);
+            let settings =
+                configuration(&spec, i, (listens[i], peers[i], bulletin_relay), &mesh[i], &targets);
             std::fs::write(&config, settings.to_string())?;
             let records = workspace.file(&format!("n{i}.records"));
             schedulers.push(Process::scheduler(&name(i), &spec.program, &config, &records));
@@ -172,7 +173,7 @@
             listen_addresses: listens,
             peer_addresses: peers,
             network,
-            board,
+            bulletin,
             workers,
             recorder,
             default_faults: DatagramFaults::default(),
--- a/crates/faulttest/src/hollow/real_members.rs
+++ b/crates/faulttest/src/hollow/real_members.rs
@@ -21,7 +21,7 @@
     /// The processes by number; they are the first members of the list.
     pub processes: Vec<Process>,
     // The stand-ins must exist as long as the processes run.
-    _board: FakeBulletin,
+    _bulletin: FakeBulletin,
     _worker: LineWorker,
 }
 
@@ -37,7 +37,7 @@
             actions.extend(exec.serve());
             actions
         })?;
-        let board = FakeBulletin::start(2)?;
+        let bulletin = FakeBulletin::start(2)?;
         let targets = [target(&Party::Worker(0).to_string(), worker.address(), "Ready")];
         let cluster = ClusterSpec {
             program: spec.program.clone(),
@@ -53,13 +53,13 @@
             let listen = workspace.reserve(number)?;
             let config = workspace.file(&format!("n{number}.json"));
             let settings =
-                configuration(&cluster, number, (listen, peers[number], board.address()), peers, &targets);
+                configuration(&cluster, number, (listen, peers[number], bulletin.address()), peers, &targets);
             std::fs::write(&config, settings.to_string())?;
             let records = workspace.file(&format!("n{number}.records"));
             let name = Party::Scheduler(number).to_string();
             processes.push(Process::scheduler(&name, &spec.program, &config, &records));
         }
-        let mut real = Self { processes, _board: board, _worker: worker };
+        let mut real = Self { processes, _bulletin: bulletin, _worker: worker };
         real.start_all(&vec![true; spec.real_members])?;
         Ok(real)
     }
