--- a/crates/admission/src/simulation.rs
+++ b/crates/admission/src/simulation.rs
@@ -250,6 +250,7 @@
     live: Vec<Vec<bool>>,
     /// Counters by second.
     pub seconds: Vec<SecondStats>,
+    /// Faults injected into all controllers and all limiters, also into those of gateways started later.
     faults: (Option<ControllerFault>, Option<LimiterFault>),
 }
 
--- a/crates/faulttest/src/relay.rs
+++ b/crates/faulttest/src/relay.rs
@@ -56,7 +56,7 @@
     /// How the traffic is decoded as it crosses, if at all.
     pub capture: Option<CaptureProtocol>,
     /// Chunks so far: the delay of each follows from the seed and this count.
-    pub count: u64,
+    pub chunk_count: u64,
 }
 
 /// The socket to which one scheduler sends its datagrams for another.
@@ -69,7 +69,7 @@
     pub target: SocketAddr,
     pub faults: DatagramFaults,
     /// Datagrams so far: loss, duplication and delay of each follow from the seed and this count.
-    pub count: u64,
+    pub datagram_count: u64,
 }
 
 pub(crate) enum Command {
@@ -134,7 +134,7 @@
             free_at: [0; 2],
             corrupt_next: false,
             capture: None,
-            count: 0,
+            chunk_count: 0,
         });
         Ok(address)
     }
@@ -171,7 +171,7 @@
                     out_socket,
                     target,
                     faults: DatagramFaults::default(),
-                    count: 0,
+                    datagram_count: 0,
                 });
             }
         }
--- a/crates/faulttest/src/relay_loop.rs
+++ b/crates/faulttest/src/relay_loop.rs
@@ -165,20 +165,20 @@
 
     fn handle(&mut self, event: IoEvent) {
         match event {
-            IoEvent::Accepted { conn, listener } => self.accepted(conn, listener),
+            IoEvent::Accepted { conn, listener } => self.handle_accepted(conn, listener),
             IoEvent::Connected(conn) | IoEvent::Data(conn) => self.forward(conn),
             IoEvent::Drained(conn) => {
                 if let Some(other) = self.halves.get(&conn).map(|half| half.other) {
                     self.forward(other);
                 }
             }
-            IoEvent::Ended(conn, reason) => self.ended(conn, reason),
-            IoEvent::Datagrams(number) => self.datagrams(number),
+            IoEvent::Ended(conn, reason) => self.handle_ended(conn, reason),
+            IoEvent::Datagrams(number) => self.receive_datagrams(number),
             IoEvent::Signal(_) | IoEvent::Woken => {}
         }
     }
 
-    fn accepted(&mut self, conn: ConnId, listener: usize) {
+    fn handle_accepted(&mut self, conn: ConnId, listener: usize) {
         let Some(number) = self.listeners.get(&listener).copied() else { return self.io.reset(conn) };
         let Route { link, target, from, capture: protocol, .. } = self.routes[number];
         let port = self.io.peer_address(conn).map_or(0, |peer| peer.port());
@@ -220,8 +220,8 @@
     fn draw_delay(&mut self, conn: ConnId) -> Micros {
         let Some(half) = self.halves.get(&conn) else { return 0 };
         let route = &mut self.routes[half.route];
-        route.count += 1;
-        let mut rng = StdRng::seed_from_u64(self.seed ^ (half.route as u64) << 40 ^ route.count);
+        route.chunk_count += 1;
+        let mut rng = StdRng::seed_from_u64(self.seed ^ (half.route as u64) << 40 ^ route.chunk_count);
         route.shapings[usize::from(!half.from_connector)].draw(&mut rng)
     }
 
@@ -295,7 +295,7 @@
         }
     }
 
-    fn ended(&mut self, conn: ConnId, reason: EndReason) {
+    fn handle_ended(&mut self, conn: ConnId, reason: EndReason) {
         // Bytes received before the end must be queued before it, also while nothing is forwarded.
         self.enqueue_input(conn);
         let delay = self.draw_delay(conn);
@@ -313,7 +313,7 @@
         }
     }
 
-    fn datagrams(&mut self, number: usize) {
+    fn receive_datagrams(&mut self, number: usize) {
         let mut bytes = [0; RECEIVE_BYTES];
         while let Some((length, from)) = self.io.receive(number, &mut bytes) {
             let Some(pair) = self.pairs.get_mut(number) else { return };
@@ -322,9 +322,9 @@
                 self.count(link, |c| c.wrong_source += 1);
                 continue;
             }
-            pair.count += 1;
+            pair.datagram_count += 1;
             // Seeded for this datagram alone, so that its faults do not depend on other traffic.
-            let mut rng = StdRng::seed_from_u64(self.seed ^ (number as u64) << 40 ^ pair.count);
+            let mut rng = StdRng::seed_from_u64(self.seed ^ (number as u64) << 40 ^ pair.datagram_count);
             let copies = match (rng.random::<f64>(), rng.random::<f64>()) {
                 (lost, _) if lost < faults.loss_rate => 0,
                 (_, doubled) if doubled < faults.duplicate_rate => 2,
--- a/crates/faulttest/src/site_cluster.rs
+++ b/crates/faulttest/src/site_cluster.rs
@@ -58,7 +58,7 @@
     pub clients_started_at: Micros,
     /// Settings of the first gateway; the settings of the checked rules derive from them.
     pub config: Config,
-    /// Site of each gateway and of each worker, by number.
+    /// Site of each gateway, and of each worker, by number.
     pub(crate) sites_of: (Vec<usize>, Vec<usize>),
     links: BTreeMap<(usize, usize), SiteLink>,
     /// Names of workers by their own and their relay addresses.
@@ -68,7 +68,7 @@
 }
 
 /// Path of a process's file of records.
-fn records(workspace: &Workspace, party: Party) -> std::path::PathBuf {
+fn records_path(workspace: &Workspace, party: Party) -> std::path::PathBuf {
     workspace.file(&format!("{party}.records"))
 }
 
@@ -139,7 +139,7 @@
             let (party, site) = (Party::Worker(w), &spec.sites[worker_sites[w]]);
             worker_names.insert(address.to_string(), party.to_string());
             let mut args: Vec<OsString> = vec!["worker".into(), "--records".into()];
-            args.push(records(&workspace, party).into());
+            args.push(records_path(&workspace, party).into());
             let options = [
                 ("--listen", address.to_string()),
                 ("--cores", site.cores.to_string()),
@@ -378,7 +378,7 @@
         let mut all = self.recorder.take();
         let gateways = (0..self.gateways.len()).map(Party::Scheduler);
         for party in gateways.chain((0..self.workers.len()).map(Party::Worker)) {
-            all.extend(read_complete_records(&records(&self.workspace, party))?);
+            all.extend(read_complete_records(&records_path(&self.workspace, party))?);
         }
         all.iter_mut().for_each(|record| self.name_workers(record));
         all.sort_by_key(|record| record.time);
