--- a/crates/faulttest/src/cluster.rs
+++ b/crates/faulttest/src/cluster.rs
@@ -82,7 +82,7 @@
     /// The relays on all links.
     pub network: Network,
     /// The stand-in for the bulletin.
-    pub board: FakeBulletin,
+    pub bulletin: FakeBulletin,
     /// The workers, by number.
     pub workers: Vec<LineWorker>,
     /// Records of clients and workers.
@@ -110,9 +110,9 @@
     pub fn start(spec: ClusterSpec) -> Result<Self, HarnessError> {
         let work = Duration::from_millis(spec.work_ms);
         Self::start_with_worker(spec, move |exec| {
-            let mut acts = vec![WorkerAction::Wait(work)];
-            acts.extend(exec.serve());
-            acts
+            let mut actions = vec![WorkerAction::Wait(work)];
+            actions.extend(exec.serve());
+            actions
         })
     }
 
@@ -137,7 +137,7 @@
             )
         };
         let workers = (0..spec.workers).map(worker).collect::<Result<Vec<_>, _>>()?;
-        let board = FakeBulletin::start(2)?;
+        let bulletin = FakeBulletin::start(2)?;
         let all = 0..spec.schedulers;
         let listens = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
         let peers = all.clone().map(|i| workspace.reserve(i)).collect::<Result<Vec<_>, _>>()?;
@@ -147,7 +147,7 @@
         for i in all {
             let from = Party::Scheduler(i);
             let to = |to| Link { from, to };
-            let bulletin = relays.add_link(to(Party::Bulletin), board.address(), None)?;
+            let bulletin_relay = relays.add_link(to(Party::Bulletin), bulletin.address(), None)?;
             let mut targets = Vec::new();
             for (w, worker) in workers.iter().enumerate() {
                 let at = relays.add_link(to(Party::Worker(w)), worker.address(), Some(workspace.ip(i)))?;
@@ -159,25 +159,26 @@
                 None,
             )?);
             let config = workspace.file(&format!("n{i}.json"));
-            let settings = configuration(&spec, i, (listens[i], peers[i], bulletin), &mesh[i], &targets);
+            let settings =
+                configuration(&spec, i, (listens[i], peers[i], bulletin_relay), &mesh[i], &targets);
             std::fs::write(&config, settings.to_string())?;
             let records = workspace.file(&format!("n{i}.records"));
             schedulers.push(Process::scheduler(&name(i), &spec.program, &config, &records));
         }
         let network = Network::new(relays.start(spec.seed)?);
-        let (began, clients) = (monotonic(), None);
+        let (started_at, clients) = (monotonic(), None);
         let mut cluster = Self {
             spec,
             schedulers,
             listen_addresses: listens,
             peer_addresses: peers,
             network,
-            board,
+            bulletin,
             workers,
             recorder,
             default_faults: DatagramFaults::default(),
             mesh,
-            started_at: began,
+            started_at,
             clients,
             client_addresses,
             workspace,
@@ -329,7 +330,7 @@
         views.len() == up.len() && views.iter().all(|view| view.digest == views[0].digest && live(view) == up)
     }
 
-    /// Waits until [`Cluster::views_agree`]. Returns how long that took, or none if it took longer than `within`.
+    /// Waits until [`Cluster::views_agree`]. Returns how long that took, or `None` if it took longer than `within`.
     pub fn wait_for_agreement(&self, group: &[usize], within: Duration) -> Option<Duration> {
         let began = std::time::Instant::now();
         while began.elapsed() < within {
--- a/crates/faulttest/src/hollow/real_members.rs
+++ b/crates/faulttest/src/hollow/real_members.rs
@@ -21,7 +21,7 @@
     /// The processes by number; they are the first members of the list.
     pub processes: Vec<Process>,
     // The stand-ins must exist as long as the processes run.
-    _board: FakeBulletin,
+    _bulletin: FakeBulletin,
     _worker: LineWorker,
 }
 
@@ -33,11 +33,11 @@
         peers: &[SocketAddr],
     ) -> Result<Self, HollowError> {
         let worker = LineWorker::start(&Party::Worker(0).to_string(), Recorder::memory(), |exec| {
-            let mut acts = vec![WorkerAction::Wait(WORK)];
-            acts.extend(exec.serve());
-            acts
+            let mut actions = vec![WorkerAction::Wait(WORK)];
+            actions.extend(exec.serve());
+            actions
         })?;
-        let board = FakeBulletin::start(2)?;
+        let bulletin = FakeBulletin::start(2)?;
         let targets = [target(&Party::Worker(0).to_string(), worker.address(), "Ready")];
         let cluster = ClusterSpec {
             program: spec.program.clone(),
@@ -53,29 +53,29 @@
             let listen = workspace.reserve(number)?;
             let config = workspace.file(&format!("n{number}.json"));
             let settings =
-                configuration(&cluster, number, (listen, peers[number], board.address()), peers, &targets);
+                configuration(&cluster, number, (listen, peers[number], bulletin.address()), peers, &targets);
             std::fs::write(&config, settings.to_string())?;
             let records = workspace.file(&format!("n{number}.records"));
             let name = Party::Scheduler(number).to_string();
             processes.push(Process::scheduler(&name, &spec.program, &config, &records));
         }
-        let mut real = Self { processes, _board: board, _worker: worker };
+        let mut real = Self { processes, _bulletin: bulletin, _worker: worker };
         real.start_all(&vec![true; spec.real_members])?;
         Ok(real)
     }
 
-    /// Starts the processes that are marked, concurrently, and waits until each is ready.
-    pub fn start_all(&mut self, marked: &[bool]) -> Result<(), HollowError> {
+    /// Starts the processes for which `selected` is true, concurrently, and waits until each is ready.
+    pub fn start_all(&mut self, selected: &[bool]) -> Result<(), HollowError> {
         let started: Vec<Result<(), _>> = std::thread::scope(|scope| {
-            let marked = self.processes.iter_mut().zip(marked).filter(|(_, marked)| **marked);
-            let threads: Vec<_> = marked.map(|(process, _)| scope.spawn(|| process.start())).collect();
+            let to_start = self.processes.iter_mut().zip(selected).filter(|(_, selected)| **selected);
+            let threads: Vec<_> = to_start.map(|(process, _)| scope.spawn(|| process.start())).collect();
             threads.into_iter().filter_map(|thread| thread.join().ok()).collect()
         });
         started.into_iter().collect::<Result<(), _>>().map_err(HarnessError::from)?;
         Ok(())
     }
 
-    /// Total processor time of the running processes in microseconds, and their number; none if it cannot be read for
+    /// Total processor time of the running processes in microseconds, and their number; `None` if it cannot be read for
     /// one.
     pub fn cpu_us(&self) -> Option<(Micros, usize)> {
         let pids: Vec<_> = self.processes.iter().filter_map(Process::pid).collect();
