--- a/crates/membership/tests/hard_cases.rs
+++ b/crates/membership/tests/hard_cases.rs
@@ -82,8 +82,8 @@
         );
         run_for(cluster, checker, 100_000);
     }
-    // A delayed update from before, or a new suspicion at 30% packet loss, may have a live member declared gone for a
-    // moment, until its refutation arrives. Above 20% loss this may happen at any time, otherwise only in the first two
+    // A delayed update from before, or a new suspicion at 30% packet loss, may cause a live member to be declared gone
+    // until its refutation arrives. Above 20% loss this may happen at any time, otherwise only in the first two
     // seconds, and in no case for a second or longer.
     let mut since: BTreeMap<_, Micros> = BTreeMap::new();
     for step in 0..50 {
@@ -386,8 +386,8 @@
     }
 }
 
-/// Facts published without end leave half of the burst to updates. Before that rule, facts used up the budget for
-/// anti-entropy, and some of forty processes still had a member as up a minute after it had left.
+/// Facts that are published continuously leave half of the burst to updates. Before that rule, facts used up the budget
+/// for anti-entropy, and some of forty processes still listed a member as up a minute after it had left.
 #[test]
 fn endless_facts_leave_half_of_the_burst_to_updates() {
     let (mut cluster, mut checker) = settled_cluster(2, 1, 0.0);
@@ -463,8 +463,8 @@
             }
         }
     }
-    let superseded = |t: &&(Micros, usize, basaltward_membership::Output)| {
-        matches!(t.2, basaltward_membership::Output::Superseded { start: 9_000 })
+    let superseded = |output: &&(Micros, usize, basaltward_membership::Output)| {
+        matches!(output.2, basaltward_membership::Output::Superseded { start: 9_000 })
     };
     let superseded: Vec<_> = outputs.iter().filter(superseded).collect();
     assert!(superseded.len() == 1 && superseded[0].1 == 0 && superseded[0].0 < 20 * S, "{superseded:?}");
--- a/crates/peers/tests/links/connections.rs
+++ b/crates/peers/tests/links/connections.rs
@@ -153,10 +153,11 @@
 #[test]
 fn attempts_to_connect_to_a_closed_port_become_rarer() {
     let mut network = TestNetwork::new(2);
-    let (now, zero) = (network.now, &mut network.peers[0]);
-    let closed_ports = zero.config.connections.peers.clone();
-    zero.endpoint
-        .update_peers(&mut zero.io, now, (&zero.config.transport, closed_ports))
+    let (now, first_peer) = (network.now, &mut network.peers[0]);
+    let closed_ports = first_peer.config.connections.peers.clone();
+    first_peer
+        .endpoint
+        .update_peers(&mut first_peer.io, now, (&first_peer.config.transport, closed_ports))
         .expect("valid lists");
     for _ in 0..60 {
         network.send(0, 1, b"undeliverable").expect("accepted");
--- a/crates/peers/tests/links/faulty_peers.rs
+++ b/crates/peers/tests/links/faulty_peers.rs
@@ -17,12 +17,12 @@
     bytes
 }
 
-fn fleet() -> u32 {
+fn fleet_hash() -> u32 {
     crc32fast::hash(b"test")
 }
 
 /// Connects to a peer without a relay and sends these bytes.
-fn raw(network: &TestNetwork, to: usize, bytes: &[u8]) -> TcpStream {
+fn connect_raw(network: &TestNetwork, to: usize, bytes: &[u8]) -> TcpStream {
     let mut raw = TcpStream::connect(network.peers[to].endpoint.listen_address()).expect("connected");
     // The simulated time runs faster than the delay of Nagle's algorithm.
     raw.set_nodelay(true).expect("socket option set");
@@ -99,7 +99,7 @@
 #[test]
 fn connections_of_non_peers_are_closed_and_cause_no_events() {
     let mut network = TestNetwork::new(3);
-    let mut other_format = handshake(fleet(), 1, 5, 0);
+    let mut other_format = handshake(fleet_hash(), 1, 5, 0);
     other_format[10] = 2;
     let body = other_format.split_off(9);
     other_format.clear();
@@ -107,11 +107,11 @@
     let mut frame = BytesMut::new();
     write_frame(1, b"no handshake before this frame", &mut frame);
     let non_peers = [
-        handshake(fleet() + 1, 1, 5, 0).to_vec(),
-        handshake(fleet(), 0, 5, 0).to_vec(),
-        handshake(fleet(), 3, 5, 0).to_vec(),
-        handshake(fleet(), u16::MAX, 5, 0).to_vec(),
-        handshake(fleet(), 1, 5, 2).to_vec(),
+        handshake(fleet_hash() + 1, 1, 5, 0).to_vec(),
+        handshake(fleet_hash(), 0, 5, 0).to_vec(),
+        handshake(fleet_hash(), 3, 5, 0).to_vec(),
+        handshake(fleet_hash(), u16::MAX, 5, 0).to_vec(),
+        handshake(fleet_hash(), 1, 5, 2).to_vec(),
         other_format.to_vec(),
         frame.to_vec(),
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
@@ -119,7 +119,7 @@
         vec![0; 64],
     ];
     for (number, bytes) in non_peers.iter().enumerate() {
-        let raw = raw(&network, 0, bytes);
+        let raw = connect_raw(&network, 0, bytes);
         network.run_until("rejected", |network| {
             network.peers[0].endpoint.connections().rejected() == number as u64 + 1
         });
@@ -132,8 +132,8 @@
             .all(|event| !matches!(event, basaltward_peers::EndpointEvent::Connection(_)))
     );
     // Connections without a handshake are dropped for newer ones, and all are closed after the handshake timeout. At
-    // most 19 (3 peers plus 16) are kept.
-    let silent: Vec<_> = (0..100).map(|_| raw(&network, 0, b"\x10")).collect();
+    // most 19 (3 peers plus 16) stay open.
+    let silent: Vec<_> = (0..100).map(|_| connect_raw(&network, 0, b"\x10")).collect();
     network.run_until("older connections dropped", |network| {
         network.peers[0].endpoint.connections().rejected() == 10 + 100 - 19
     });
@@ -151,8 +151,11 @@
     let two = network.peers[2].endpoint.listen_address();
     network.relays[1] = Relay::new(two);
     let addresses: Vec<_> = network.relays.iter().map(Relay::address).collect();
-    let (now, zero) = (network.now, &mut network.peers[0]);
-    zero.endpoint.update_peers(&mut zero.io, now, (&zero.config.transport, addresses)).expect("valid lists");
+    let (now, first_peer) = (network.now, &mut network.peers[0]);
+    first_peer
+        .endpoint
+        .update_peers(&mut first_peer.io, now, (&first_peer.config.transport, addresses))
+        .expect("valid lists");
     network.send(0, 1, b"for 1").expect("accepted");
     network.advance(10 * S);
     assert_eq!(
@@ -167,15 +170,18 @@
     let impostor = TcpListener::bind("127.0.0.1:0").expect("bound");
     network.relays[1] = Relay::new(impostor.local_addr().expect("bound"));
     let addresses: Vec<_> = network.relays.iter().map(Relay::address).collect();
-    let (now, zero) = (network.now, &mut network.peers[0]);
-    zero.endpoint.update_peers(&mut zero.io, now, (&zero.config.transport, addresses)).expect("valid lists");
+    let (now, first_peer) = (network.now, &mut network.peers[0]);
+    first_peer
+        .endpoint
+        .update_peers(&mut first_peer.io, now, (&first_peer.config.transport, addresses))
+        .expect("valid lists");
     while network.relays[1].accepted == 0 {
         network.send(0, 1, b"for 1").expect("accepted");
         network.advance(S);
     }
     let protocol_errors = network.peers[0].endpoint.connections().counters(1).protocol_errors;
     let (mut raw, _) = impostor.accept().expect("a connection");
-    raw.write_all(&handshake(fleet(), 2, 5, 0)).expect("written");
+    raw.write_all(&handshake(fleet_hash(), 2, 5, 0)).expect("written");
     network.run_until("rejected", |network| {
         network.peers[0].endpoint.connections().counters(1).protocol_errors == protocol_errors + 1
     });
@@ -190,13 +196,13 @@
     let mut network = TestNetwork::new(2);
     let mut frame = BytesMut::new();
     write_frame(1, b"1", &mut frame);
-    let mut first = raw(&network, 0, &[&handshake(fleet(), 1, 5, 0)[..], &frame].concat());
+    let mut first = connect_raw(&network, 0, &[&handshake(fleet_hash(), 1, 5, 0)[..], &frame].concat());
     network.run_until("first connection up", |network| network.peers[0].received_from(1).len() == 1);
-    let second = raw(&network, 0, &[&handshake(fleet(), 1, 5, 0)[..], &frame, &frame].concat());
+    let second = connect_raw(&network, 0, &[&handshake(fleet_hash(), 1, 5, 0)[..], &frame, &frame].concat());
     network.run_until("second connection up", |network| network.peers[0].received_from(1).len() == 3);
     let _ = first.write_all(&frame);
     network.run_until("the first connection is closed", |_| is_closed(&first));
-    let earlier = raw(&network, 0, &[&handshake(fleet(), 1, 4, 0)[..], &frame].concat());
+    let earlier = connect_raw(&network, 0, &[&handshake(fleet_hash(), 1, 4, 0)[..], &frame].concat());
     network.run_until("the connection of the earlier incarnation is closed", |_| is_closed(&earlier));
     network.advance(S);
     assert_eq!(
@@ -210,7 +216,7 @@
     network.run_until("the second connection is down", |network| {
         network.peers[0].endpoint.connections().connected_start_ms(1).is_none()
     });
-    let earlier = raw(&network, 0, &handshake(fleet(), 1, 4, 0));
+    let earlier = connect_raw(&network, 0, &handshake(fleet_hash(), 1, 4, 0));
     network.run_until("an earlier incarnation is accepted once the later one is disconnected", |network| {
         network.peers[0].endpoint.connections().connected_start_ms(1) == Some(4)
     });
@@ -233,7 +239,7 @@
     let mut network = TestNetwork::new(2);
     let mut ping = BytesMut::new();
     write_frame(0, &[1, 7], &mut ping);
-    let mut first = raw(&network, 0, &handshake(fleet(), 1, 5, 0));
+    let mut first = connect_raw(&network, 0, &handshake(fleet_hash(), 1, 5, 0));
     network
         .run_until("up", |network| network.peers[0].endpoint.connections().connected_start_ms(1).is_some());
     let payload = [7; 4 << 10];
@@ -243,11 +249,11 @@
         network.send(0, 1, &[0; (4 << 10) + 1]),
         Err(ConnectionError::Length { length: 4097, max: 4096 })
     );
-    let zero = &mut network.peers[0];
-    let unsent = zero.endpoint.connections().unsent_bytes(&mut zero.io, 1);
+    let first_peer = &mut network.peers[0];
+    let unsent = first_peer.endpoint.connections().unsent_bytes(&mut first_peer.io, 1);
     assert!(unsent <= 256 << 10, "{unsent}");
     assert_eq!(network.peers[0].endpoint.connections().counters(1).rejected, 2);
-    // The peer goes on sending pings but reads no answers, so the pong timeout ends the connection.
+    // The peer continues to send pings but reads no answers, so the pong timeout ends the connection.
     let mut pings = 0;
     while network.peers[0].endpoint.connections().connected_start_ms(1).is_some() {
         let _ = first.write(&ping);
@@ -257,7 +263,7 @@
     }
     assert_eq!(network.peers[0].endpoint.connections().counters(1).stalled, 1);
     // A flood of pings ends the connection before any timeout, so that the pongs do not fill the memory.
-    let mut second = raw(&network, 0, &handshake(fleet(), 1, 5, 0));
+    let mut second = connect_raw(&network, 0, &handshake(fleet_hash(), 1, 5, 0));
     network
         .run_until("up", |network| network.peers[0].endpoint.connections().connected_start_ms(1).is_some());
     fill(&mut network, &payload);
--- a/crates/peers/tests/links/network.rs
+++ b/crates/peers/tests/links/network.rs
@@ -44,11 +44,11 @@
         if self.endpoint.next_due() <= now {
             self.events.extend(self.endpoint.wake(&mut self.io, now));
         }
-        let mut happened = Vec::new();
-        self.io.turn(Some(0), &mut happened).expect("a turn of the loop");
-        for happened in happened {
-            assert!(!matches!(happened, IoEvent::Signal(_)));
-            self.events.extend(self.endpoint.handle_event(&mut self.io, now, &happened));
+        let mut io_events = Vec::new();
+        self.io.turn(Some(0), &mut io_events).expect("a turn of the loop");
+        for io_event in io_events {
+            assert!(!matches!(io_event, IoEvent::Signal(_)));
+            self.events.extend(self.endpoint.handle_event(&mut self.io, now, &io_event));
         }
         self.io.free_ended();
     }
@@ -109,11 +109,11 @@
         Self::with(size, |_| {})
     }
 
-    pub fn with(size: usize, set: impl Fn(&mut EndpointConfig)) -> Self {
+    pub fn with(size: usize, adjust: impl Fn(&mut EndpointConfig)) -> Self {
         let now = S;
         let peer = |own| {
             let mut config = config(own, size);
-            set(&mut config);
+            adjust(&mut config);
             Peer::new(config, now)
         };
         let peers: Vec<_> = (0..size as u16).map(peer).collect();
@@ -123,7 +123,7 @@
         network
     }
 
-    /// Gives every peer the addresses of all; connections go through the relays.
+    /// Configures every peer with the addresses of all; connections go through the relays.
     fn update_peer_lists(&mut self) {
         let peers: Vec<_> = self.peers.iter_mut().map(|peer| peer.endpoint.transport().address()).collect();
         let connections: Vec<_> = self.relays.iter().map(Relay::address).collect();
--- a/crates/peers/tests/links/relay.rs
+++ b/crates/peers/tests/links/relay.rs
@@ -20,6 +20,7 @@
     pub corrupt_at: Option<usize>,
 }
 
+/// A relayed connection: the accepted socket and the socket to the peer.
 struct Pair {
     ends: [TcpStream; 2],
     in_flight: [VecDeque<(Micros, Vec<u8>)>; 2],
@@ -65,7 +66,7 @@
         self.pairs.clear();
     }
 
-    /// Stops forwarding on the present connections, their end included.
+    /// Stops forwarding on the current connections, their end included.
     pub fn freeze(&mut self) {
         self.pairs.iter_mut().for_each(|pair| pair.frozen = true);
     }
@@ -92,7 +93,7 @@
 }
 
 impl Pair {
-    /// Forwards bytes in one direction; returns false once the connection is over.
+    /// Forwards bytes in one direction; returns false once the connection has ended.
     fn forward(&mut self, direction: usize, now: Micros, faults: &Faults, buffer: &mut [u8]) -> bool {
         if faults.stalled[direction] || self.frozen || now < self.busy_until[direction] {
             return true;
@@ -115,9 +116,9 @@
                 {
                     *byte ^= 0x10;
                 }
-                let left =
+                let remaining =
                     faults.close_after.map_or(usize::MAX, |limit| limit.saturating_sub(self.forwarded));
-                bytes.truncate(left);
+                bytes.truncate(remaining);
                 self.forwarded += bytes.len();
             }
             if (&self.ends[1 - direction]).write_all(&bytes).is_err()
--- a/crates/permits/tests/hard_cases.rs
+++ b/crates/permits/tests/hard_cases.rs
@@ -37,10 +37,10 @@
     failed: BTreeMap<MemberId, Micros>,
     /// Permits that operators have received and not yet acted on.
     held: Vec<HeldPermit>,
-    /// Permits still to be returned, by scheduler, as the scheduler is back.
+    /// Permits still to be returned, by scheduler: the scheduler is in use again.
     to_return: BTreeMap<MemberId, u16>,
     /// How many of the replies have been read.
-    read: usize,
+    answers_read: usize,
     next_request: Micros,
     /// How many schedulers have been taken out by a permit so far.
     taken_out: usize,
@@ -53,11 +53,11 @@
 }
 
 impl Run {
-    fn new(size: MemberId, seed: u64, lost: f64) -> Self {
+    fn new(size: MemberId, seed: u64, loss_rate: f64) -> Self {
         let most = Limit::Number(BOUND as u16);
         let bounds = Bounds { schedulers: most, schedulers_of_zone: most, ..Bounds::default() };
         let settings = PermitSettings { bounds, ..PermitSettings::new(size, 0, 0, seed) };
-        let link = LinkFaults { loss_rate: lost, duplicate_rate: 0.05, ..LinkFaults::default() };
+        let link = LinkFaults { loss_rate, duplicate_rate: 0.05, ..LinkFaults::default() };
         let fleet = VirtualFleet::new(size, settings.clone(), Observations::new(), link);
         Self {
             fleet,
@@ -66,7 +66,7 @@
             failed: BTreeMap::new(),
             held: Vec::new(),
             to_return: BTreeMap::new(),
-            read: 0,
+            answers_read: 0,
             next_request: 0,
             taken_out: 0,
             violations: Vec::new(),
@@ -89,8 +89,8 @@
 
     fn any_up(&mut self) -> Option<MemberId> {
         let up = self.up();
-        let at = self.fleet.net.random_below(up.len() as u64) as usize;
-        up.get(at).copied()
+        let index = self.fleet.net.random_below(up.len() as u64) as usize;
+        up.get(index).copied()
     }
 
     fn start(&mut self, member: MemberId) {
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Lets time pass while operators act.
-    fn pass(&mut self, span: Micros) {
+    /// Runs the fleet and its operators for this long.
+    fn advance(&mut self, span: Micros) {
         let until = self.now() + span;
         while self.now() < until {
             let next = (self.now() + 50_000).min(until);
@@ -117,8 +117,8 @@
 
     fn operate(&mut self) {
         let now = self.now();
-        for at in self.read..self.fleet.answers.len() {
-            let answer = self.fleet.answers[at];
+        for index in self.answers_read..self.fleet.answers.len() {
+            let answer = self.fleet.answers[index];
             match (answer.request, answer.answer) {
                 (PermitRequest::Acquire(Subject::Scheduler(member)), Ok(number)) => {
                     let act_at =
@@ -132,7 +132,7 @@
                 _ => {}
             }
         }
-        self.read = self.fleet.answers.len();
+        self.answers_read = self.fleet.answers.len();
         // A permit that may still be acted on can take its scheduler out at any moment.
         let usable = self.held.iter().filter(|held| self.fleet.net.clock(held.through) < held.until);
         let all: BTreeSet<_> = usable.map(|held| held.member).chain(self.out.keys().copied()).collect();
@@ -147,9 +147,9 @@
                 self.take_out(member, number);
             }
         }
-        let back =
+        let returning =
             self.out.iter().filter(|(_, (at, _))| *at <= now).map(|(member, (_, number))| (*member, *number));
-        for (member, number) in back.collect::<Vec<_>>() {
+        for (member, number) in returning.collect::<Vec<_>>() {
             self.out.remove(&member);
             self.fleet.start(member);
             self.to_return.insert(member, number);
@@ -158,10 +158,10 @@
             self.next_request = now + 200_000 + self.fleet.net.random_below(400_000);
             let (member, through) =
                 (self.fleet.net.random_below(self.size().into()) as MemberId, self.any_up());
-            let back = self.to_return.first_key_value().map(|(member, number)| (*member, *number));
+            let next_return = self.to_return.first_key_value().map(|(member, number)| (*member, *number));
             if let Some(through) = through {
                 self.fleet.submit(through, PermitRequest::Acquire(Subject::Scheduler(member)));
-                if let Some((member, number)) = back {
+                if let Some((member, number)) = next_return {
                     self.fleet.submit(through, PermitRequest::Return(Subject::Scheduler(member), number));
                 }
             }
@@ -173,8 +173,8 @@
     fn take_out(&mut self, member: MemberId, number: u16) {
         let now = self.now();
         self.fleet.net.kill(member);
-        let back = now + S + self.fleet.net.random_below(self.max_down);
-        self.out.insert(member, (back, number));
+        let back_at = now + S + self.fleet.net.random_below(self.max_down);
+        self.out.insert(member, (back_at, number));
         self.taken_out += 1;
         let observable = now.saturating_sub(self.settings.settle + self.settings.times.lease);
         let failed = self.failed.values().filter(|since| **since <= observable).count();
@@ -193,7 +193,7 @@
         let (until, taken_out) = (self.now() + 180 * S, self.taken_out);
         while self.taken_out == taken_out {
             assert!(self.now() < until, "no permit in 180 s; leaders {:?}", self.fleet.leaders());
-            self.pass(S / 2);
+            self.advance(S / 2);
         }
     }
 }
@@ -201,14 +201,14 @@
 type Case = (&'static str, fn(&mut Run));
 
 const CASES: [Case; 12] = [
-    ("nothing fails", |run| run.pass(40 * S)),
+    ("nothing fails", |run| run.advance(40 * S)),
     ("the leader is killed repeatedly, at random moments", |run| {
         for _ in 0..12 {
             let moment = run.fleet.net.random_below(4 * S);
-            run.pass(moment);
+            run.advance(moment);
             if let Some(member) = run.leader() {
                 run.kill(member);
-                run.pass(S);
+                run.advance(S);
                 run.start(member);
             }
         }
@@ -218,7 +218,7 @@
             if let Some(member) = run.leader() {
                 run.fleet.net.pause(member, 20 * S);
             }
-            run.pass(25 * S);
+            run.advance(25 * S);
         }
     }),
     ("the leader is paused for about the length of a lease", |run| {
@@ -227,16 +227,16 @@
                 let span = S + run.fleet.net.random_below(3 * S);
                 run.fleet.net.pause(member, span);
             }
-            run.pass(5 * S);
+            run.advance(5 * S);
         }
     }),
     ("the fleet is partitioned into two halves", |run| {
         let half: Vec<_> = (0..run.size() / 2).collect();
         for span in [6 * S, 20 * S] {
             run.fleet.net.set_isolated(&half, true);
-            run.pass(span);
+            run.advance(span);
             run.fleet.net.set_isolated(&half, false);
-            run.pass(10 * S);
+            run.advance(10 * S);
         }
     }),
     ("the leader cannot send, then cannot receive", |run| {
@@ -247,27 +247,27 @@
                     let link = if can_send { (other, member) } else { (member, other) };
                     run.fleet.net.set_blocked(link, blocked);
                 }
-                run.pass(8 * S);
+                run.advance(8 * S);
             }
         }
     }),
     ("70 % of the schedulers are killed at once while permits are in force", |run| {
         let most: Vec<_> = (0..run.size() * 7 / 10).collect();
         most.iter().for_each(|member| run.kill(*member));
-        run.pass(3 * S);
+        run.advance(3 * S);
         most.iter().for_each(|member| run.start(*member));
     }),
     ("all voters are restarted within a second", |run| {
         for _ in 0..3 {
             for member in run.settings.voters.clone() {
                 let moment = run.fleet.net.random_below(S / 5);
-                run.pass(moment);
+                run.advance(moment);
                 if run.fleet.net.node(member).is_some() {
                     run.kill(member);
                     run.start(member);
                 }
             }
-            run.pass(20 * S);
+            run.advance(20 * S);
         }
     }),
     ("one voter after another is restarted", |run| {
@@ -278,7 +278,7 @@
                 run.start(member);
             }
             let moment = S / 2 + run.fleet.net.random_below(2 * S);
-            run.pass(moment);
+            run.advance(moment);
         }
     }),
     ("half of the clocks run 10 % fast, a quarter 10 % slow", |run| {
@@ -287,53 +287,53 @@
             run.kill(member);
             run.start(member);
         }
-        run.pass(40 * S);
+        run.advance(40 * S);
         if let Some(member) = run.leader() {
             run.kill(member);
-            run.pass(S);
+            run.advance(S);
             run.start(member);
         }
-        run.pass(20 * S);
+        run.advance(20 * S);
     }),
     ("a partitioned voter reconnects as all others restart", |run| {
         for _ in 0..4 {
             let voters = run.settings.voters.clone();
-            let at = run.fleet.net.random_below(voters.len() as u64) as usize;
-            run.fleet.net.set_isolated(&voters[at..=at], true);
+            let isolated = run.fleet.net.random_below(voters.len() as u64) as usize;
+            run.fleet.net.set_isolated(&voters[isolated..=isolated], true);
             let span = 3 * S + run.fleet.net.random_below(25 * S);
-            run.pass(span);
-            run.fleet.net.set_isolated(&voters[at..=at], false);
-            for member in voters.iter().copied().filter(|member| *member != voters[at]) {
+            run.advance(span);
+            run.fleet.net.set_isolated(&voters[isolated..=isolated], false);
+            for member in voters.iter().copied().filter(|member| *member != voters[isolated]) {
                 if run.fleet.net.node(member).is_some() {
                     run.kill(member);
                     run.start(member);
                 }
             }
-            run.pass(15 * S);
+            run.advance(15 * S);
         }
     }),
     ("two schedulers never come back", |run| {
         run.kill(1);
         run.kill(2);
-        run.pass(30 * S);
+        run.advance(30 * S);
     }),
 ];
 
-fn play(size: MemberId, seed: u64, case: Case, inject: impl FnOnce(&mut Run)) -> Run {
-    let lost = [0.05, 0.0, 0.15, 0.3][(seed % 4) as usize];
-    let mut run = Run::new(size, seed, lost);
+fn run_case(size: MemberId, seed: u64, case: Case, inject: impl FnOnce(&mut Run)) -> Run {
+    let loss_rate = [0.05, 0.0, 0.15, 0.3][(seed % 4) as usize];
+    let mut run = Run::new(size, seed, loss_rate);
     inject(&mut run);
     run.fleet.net.node_ids().for_each(|member| run.fleet.start(member));
     run.run_until_permit_used();
     (case.1)(&mut run);
-    run.pass(15 * S);
+    run.advance(15 * S);
     run
 }
 
 fn all_cases(size: MemberId, count: u64) {
     for seed in seeds(count) {
         for case in CASES {
-            let mut run = play(size, seed, case, |_| {});
+            let mut run = run_case(size, seed, case, |_| {});
             // Once nothing fails any more, permits are granted again, except in the case in which schedulers never come
             // back.
             if case.0 != CASES[11].0 {
@@ -363,7 +363,7 @@
 /// Whether the checker finds a violation in any of the cases with any of the seeds.
 fn finds_violation(cases: &[usize], seeds: u64, inject: impl Fn(&mut Run)) -> bool {
     (0..seeds)
-        .any(|seed| cases.iter().any(|case| !play(5, seed, CASES[*case], &inject).violations.is_empty()))
+        .any(|seed| cases.iter().any(|case| !run_case(5, seed, CASES[*case], &inject).violations.is_empty()))
 }
 
 /// One voter misses the commit of two permits, and all voters that stored them restart before the schedulers that go
@@ -374,7 +374,7 @@
     run.next_request = Micros::MAX;
     run.max_down = 60 * S;
     run.fleet.net.node_ids().for_each(|member| run.fleet.start(member));
-    run.pass(40 * S);
+    run.advance(40 * S);
     let missing =
         run.settings.voters.iter().copied().find(|member| Some(*member) != run.leader()).expect("a voter");
     let request = |member| PermitRequest::Acquire(Subject::Scheduler(member));
@@ -384,7 +384,7 @@
         run.fleet.submit(through, request(member));
     }
     // Operators act on the permits at the last moment.
-    run.pass(S);
+    run.advance(S);
     run.held.iter_mut().for_each(|held| held.act_at = held.until - S / 10);
     run.fleet.net.set_isolated(&[missing], false);
     for member in run.settings.voters.clone().into_iter().filter(|member| *member != missing) {
@@ -393,7 +393,7 @@
     }
     for _ in 0..20 {
         [5, 7].into_iter().for_each(|member| run.fleet.submit(missing, request(member)));
-        run.pass(S / 4);
+        run.advance(S / 4);
     }
     run
 }
@@ -421,19 +421,19 @@
     assert!(finds_violation(&[0], 40, |run| run.ignores_lease = true));
 }
 
-/// A candidate that lost an election has to start another one later. Once four of five voters that had lost the first
-/// election never did, and nobody replaced a leader that died.
+/// A candidate that lost an election has to start another one later. Otherwise, if
+/// four of five voters lose the first election and never start another one, a leader that dies is not replaced.
 #[test]
 fn a_dead_leader_is_replaced() {
     for seed in 0..20 {
         let mut run = Run::new(8, seed, 0.05);
         run.next_request = Micros::MAX;
         run.fleet.net.node_ids().for_each(|member| run.fleet.start(member));
-        run.pass(40 * S);
+        run.advance(40 * S);
         for _ in 0..2 {
             let member = run.leader().expect("a leader");
             run.kill(member);
-            run.pass(12 * S);
+            run.advance(12 * S);
             assert!(run.leader().is_some_and(|other| other != member), "seed {seed}");
         }
     }
@@ -442,12 +442,12 @@
 /// Permits are granted while the bound allows it: the checks above would also hold if none ever were.
 #[test]
 fn permits_are_granted_within_the_bound() {
-    let run = play(10, 1, CASES[0], |_| {});
+    let run = run_case(10, 1, CASES[0], |_| {});
     assert!(run.taken_out >= 8, "{} were taken out", run.taken_out);
     // Two schedulers that never come back use up the bound.
-    let mut run = play(10, 1, CASES[11], |_| {});
+    let mut run = run_case(10, 1, CASES[11], |_| {});
     let taken_out = run.taken_out;
-    run.pass(30 * S);
+    run.advance(30 * S);
     assert_eq!(run.taken_out, taken_out);
     let last =
         run.fleet.answers.iter().rev().find(|answer| matches!(answer.request, PermitRequest::Acquire(_)));
--- a/crates/permits/tests/release.rs
+++ b/crates/permits/tests/release.rs
@@ -21,7 +21,7 @@
 }
 
 impl Run {
-    fn new(seed: u64, lost: f64) -> Self {
+    fn new(seed: u64, loss_rate: f64) -> Self {
         let most = Limit::Number(BOUND as u16);
         let bounds = Bounds { schedulers: most, schedulers_of_zone: most, ..Bounds::default() };
         let settings = PermitSettings { bounds, ..PermitSettings::new(12, 0, 0, seed) };
@@ -29,7 +29,7 @@
             12,
             settings,
             Observations::new(),
-            LinkFaults { loss_rate: lost, duplicate_rate: 0.05, ..LinkFaults::default() },
+            LinkFaults { loss_rate, duplicate_rate: 0.05, ..LinkFaults::default() },
         );
         let versions: BTreeMap<_, _> = fleet.net.node_ids().map(|member| (member, 1)).collect();
         versions.iter().for_each(|(member, version)| fleet.start_with_version(*member, *version));
@@ -46,18 +46,18 @@
         }
     }
 
-    /// Submits a request and waits for the reply, at most for `patience`. Returns the scheduler that the request went
+    /// Submits a request and waits for the reply, for at most `timeout`. Returns the scheduler that the request went
     /// through, the reply, and until when it may be acted on by that scheduler's clock.
     fn request(
         &mut self,
         request: PermitRequest,
-        patience: Micros,
+        timeout: Micros,
     ) -> Option<(MemberId, Result<u16, Denied>, Micros)> {
         let (through, read) = (self.any_up(), self.fleet.answers.len());
         self.fleet.submit(through, request);
-        let until = self.fleet.net.now + patience;
+        let until = self.fleet.net.now + timeout;
         while self.fleet.net.now < until {
-            self.pass(20_000);
+            self.advance(20_000);
             let mut new = self.fleet.answers[read..].iter();
             if let Some(answer) = new.find(|answer| answer.through == through && answer.request == request) {
                 return Some((through, answer.answer, answer.until));
@@ -66,8 +66,8 @@
         None
     }
 
-    /// Lets time pass; schedulers that are out come back when their time is up.
-    fn pass(&mut self, span: Micros) {
+    /// Runs the fleet for this long; schedulers that are out come back when their time is up.
+    fn advance(&mut self, span: Micros) {
         let next = self.fleet.net.now + span;
         self.fleet.run(next);
         let back: Vec<_> =
@@ -80,15 +80,16 @@
         }
     }
 
-    /// The scheduler that a permit is for, once the scheduler that it was requested through has that state.
-    fn subject(&mut self, through: MemberId, permit: u16) -> Option<MemberId> {
+    /// The scheduler that the permit of this number is for, once the scheduler that it was requested through knows the
+    /// state with the permit; none if it does not within a second.
+    fn subject(&mut self, through: MemberId, number: u16) -> Option<MemberId> {
         for _ in 0..50 {
-            let known = self.fleet.net.node(through).and_then(|one| one.node.known());
-            let one = known.and_then(|known| known.value.permits.iter().find(|p| p.number == permit));
-            if let Some(Subject::Scheduler(member)) = one.map(|one| one.subject) {
+            let known = self.fleet.net.node(through).and_then(|scheduler| scheduler.node.known());
+            let permit = known.and_then(|known| known.value.permits.iter().find(|p| p.number == number));
+            if let Some(Subject::Scheduler(member)) = permit.map(|permit| permit.subject) {
                 return Some(member);
             }
-            self.pass(20_000);
+            self.advance(20_000);
         }
         None
     }
@@ -100,7 +101,7 @@
         to: u32,
         from: u32,
         rollback: bool,
-        disturb: fn(&mut Self, usize),
+        inject_fault: fn(&mut Self, usize),
     ) -> Vec<MemberId> {
         let until = self.fleet.net.now + 1_200 * S;
         let number = loop {
@@ -118,7 +119,7 @@
                 restarted.len(),
                 self.fleet.leaders()
             );
-            disturb(self, step);
+            inject_fault(self, step);
             match self.request(PermitRequest::Next(number), 3 * S) {
                 Some((_, Err(Denied::Over), _)) => return restarted,
                 Some((through, Ok(permit), until)) => {
@@ -138,7 +139,7 @@
                     }
                 }
                 Some((_, Err(Denied::Stale), _)) => panic!("the plan is lost"),
-                _ => self.pass(S / 2),
+                _ => self.advance(S / 2),
             }
         }
         restarted
@@ -154,16 +155,16 @@
     match (step % 40, leader) {
         (9, Some(member)) if !run.out.contains_key(&member) => {
             run.fleet.net.kill(member);
-            run.pass(S);
+            run.advance(S);
             run.fleet.start_with_version(member, run.versions[&member]);
         }
         (19, Some(member)) => {
             run.fleet.net.pause(member, 4 * S);
-            run.pass(5 * S);
+            run.advance(5 * S);
         }
         (29, _) => {
             run.fleet.net.set_isolated(&half, true);
-            run.pass(6 * S);
+            run.advance(6 * S);
             run.fleet.net.set_isolated(&half, false);
         }
         _ => {}
@@ -186,8 +187,8 @@
 
 #[test]
 fn a_release_survives_its_operators_and_leaders_and_restarts_no_scheduler_twice() {
-    for (seed, lost) in [(2, 0.0), (3, 0.05), (4, 0.15), (5, 0.05), (6, 0.1)] {
-        let mut run = Run::new(seed, lost);
+    for (seed, loss_rate) in [(2, 0.0), (3, 0.05), (4, 0.15), (5, 0.05), (6, 0.1)] {
+        let mut run = Run::new(seed, loss_rate);
         let restarted = run.release(2, 1, false, with_faults);
         assert!(run.versions.values().all(|version| *version == 2), "seed {seed}: {restarted:?}");
         assert_eq!(run.restarts, 12, "seed {seed}: {restarted:?}");
@@ -202,10 +203,10 @@
     else {
         panic!("no plan")
     };
-    run.fleet.net.with_node(3, |one, now, out| {
-        one.with_node(now, out, |node, _, out| node.halt_all(out));
+    run.fleet.net.with_node(3, |scheduler, now, out| {
+        scheduler.with_node(now, out, |node, _, out| node.halt_all(out));
     });
-    run.pass(2 * S);
+    run.advance(2 * S);
     let reply = run.request(PermitRequest::Next(number), 3 * S).map(|reply| reply.1);
     assert_eq!(reply, Some(Err(Denied::Halted)));
     assert!(matches!(run.request(PermitRequest::Resume(1), 3 * S), Some((_, Ok(_), _))));
@@ -214,7 +215,8 @@
     };
     let member = run.subject(through, permit).expect("the permit is in force");
     run.fleet.net.kill(member);
-    run.pass(200 * S);
-    let halted = |run: &Run, member| run.fleet.net.node(member).is_some_and(|one| one.node.halt().on);
+    run.advance(200 * S);
+    let halted =
+        |run: &Run, member| run.fleet.net.node(member).is_some_and(|scheduler| scheduler.node.halt().on);
     assert!(run.fleet.net.node_ids().filter(|other| *other != member).all(|other| halted(&run, other)));
 }
--- a/crates/permits/tests/sites.rs
+++ b/crates/permits/tests/sites.rs
@@ -25,13 +25,13 @@
         let link = LinkFaults { loss_rate: 0.02, duplicate_rate: 0.02, ..LinkFaults::default() };
         let mut fleet = VirtualFleet::new(sites.len() as MemberId, settings, Observations::new(), link);
         fleet.set_sites(sites.to_vec());
-        fleet.net.node_ids().for_each(|of| fleet.start(of));
+        fleet.net.node_ids().for_each(|member| fleet.start(member));
         fleet.run(25 * S);
         Self { fleet, sites: sites.to_vec() }
     }
 
     fn members(&self, site: Site) -> Vec<MemberId> {
-        self.fleet.net.node_ids().filter(|of| self.sites[usize::from(*of)] == site).collect()
+        self.fleet.net.node_ids().filter(|member| self.sites[usize::from(*member)] == site).collect()
     }
 
     /// The leader's reply to a request, which is repeated until there is a leader.
@@ -44,8 +44,8 @@
             let new = &self.fleet.answers[before..];
             reply = new
                 .iter()
-                .find(|one| one.through == through && one.request == request)
-                .map_or(reply, |one| one.answer);
+                .find(|answer| answer.through == through && answer.request == request)
+                .map_or(reply, |answer| answer.answer);
             if reply != Err(Denied::NoLeader) {
                 break;
             }
@@ -61,7 +61,7 @@
         assert_eq!(run.request(4, PermitRequest::Acquire(LOST)), Err(Denied::InUse), "seed {seed}");
         assert_eq!(run.request(2, PermitRequest::Reclaim(LOST)), Ok(0), "seed {seed}");
         let lost = run.members(1);
-        lost.iter().for_each(|of| _ = run.fleet.net.kill(*of));
+        lost.iter().for_each(|member| _ = run.fleet.net.kill(*member));
         run.fleet.run(run.fleet.net.now + 20 * S);
         let number = run.request(4, PermitRequest::Acquire(LOST)).expect("it is lost");
         assert_eq!(run.request(0, PermitRequest::Acquire(LOST)), Err(Denied::Taken(number)), "seed {seed}");
@@ -71,7 +71,7 @@
             Err(Denied::InUse),
             "seed {seed}"
         );
-        lost.iter().for_each(|of| run.fleet.start(*of));
+        lost.iter().for_each(|member| run.fleet.start(*member));
         run.fleet.run(run.fleet.net.now + 20 * S);
         // The permit stays in force while the site is in use again, until the site returns it.
         assert_eq!(run.request(3, PermitRequest::Reclaim(LOST)), Ok(number), "seed {seed}");
@@ -97,7 +97,7 @@
         }
         assert!(run.request(0, PermitRequest::Acquire(LOST)).is_ok(), "seed {seed}");
         let mut run = Run::new(&[0, 0, 0, 1, 2], seed);
-        [3, 4].into_iter().for_each(|of| _ = run.fleet.net.kill(of));
+        [3, 4].into_iter().for_each(|member| _ = run.fleet.net.kill(member));
         run.fleet.run(run.fleet.net.now + 20 * S);
         let denied = run.request(0, PermitRequest::Acquire(Subject::Site(1)));
         assert!(matches!(denied, Err(Denied::Bound { out: 2, most: 1, .. })), "seed {seed}: {denied:?}");
