--- a/crates/bulletin/src/event.rs
+++ b/crates/bulletin/src/event.rs
@@ -11,7 +11,7 @@
     /// The line is longer than [`FollowerLimits::max_line`](crate::FollowerLimits::max_line).
     #[error("line exceeds the length limit")]
     LineTooLong,
-    /// Events between the last one applied and the received number are missing.
+    /// The received number shows that events after the last one applied are missing.
     #[error("events are missing: received number {received} after event {last}")]
     Gap {
         /// Number of the last event applied.
@@ -39,13 +39,13 @@
     pub uid: String,
     /// Address that the worker listens on.
     pub endpoint: SocketAddr,
-    /// Zone.
+    /// Name of the zone; empty if not reported.
     #[serde(default)]
     pub az: String,
-    /// Kind of the worker.
+    /// Name of the worker's kind; empty if not reported.
     #[serde(default)]
     pub model: String,
-    /// Cell.
+    /// Number of the cell.
     #[serde(default)]
     pub pod_group: u64,
     /// State.
@@ -53,7 +53,8 @@
     /// Relative size, comparable between workers.
     #[serde(default = "one")]
     pub capacity_hint: f64,
-    /// Start time of a worker that started late, in Unix milliseconds; 0 for all others.
+    /// Start time in Unix milliseconds, reported only for workers that started later than the others; 0 counts as long
+    /// ago.
     #[serde(default)]
     pub boot_ms: u64,
 }
--- a/crates/bulletin/src/follower.rs
+++ b/crates/bulletin/src/follower.rs
@@ -69,7 +69,7 @@
     was_connected: bool,
     /// Whether a valid line has been received.
     has_valid_line: bool,
-    /// Bytes of the input that contain no newline.
+    /// Number of input bytes already searched; they contain no newline.
     searched: usize,
 }
 
@@ -195,10 +195,10 @@
         }
     }
 
-    /// Closes all connections for which `kept` is false.
-    fn close_others(&mut self, kept: impl Fn(&Feed) -> bool, out: &mut Vec<Step>) {
-        out.extend(self.feeds.iter().filter(|f| !kept(f)).map(|f| Step::Close(f.id)));
-        self.feeds.retain(kept);
+    /// Closes all connections for which `keep` is false.
+    fn close_others(&mut self, keep: impl Fn(&Feed) -> bool, out: &mut Vec<Step>) {
+        out.extend(self.feeds.iter().filter(|f| !keep(f)).map(|f| Step::Close(f.id)));
+        self.feeds.retain(keep);
     }
 
     /// Consumes the complete lines in a connection's input.
@@ -218,14 +218,14 @@
             let fits = end < self.limits.max_line;
             let parsed = if fits { parse(&input[..end]) } else { Err(BulletinError::LineTooLong) };
             input.advance(end + 1);
-            let is_complete =
+            let confirms_list =
                 parsed.as_ref().is_ok_and(|line| line.roster.is_none() && line.no == self.last_event);
             if let Err(error) = parsed.and_then(|line| self.apply(line, out)) {
                 out.push(Step::Close(id));
                 self.on_break(now, id);
                 return self.abandon(now, id, Some(error), out);
             }
-            if is_complete && self.is_current(id) {
+            if confirms_list && self.is_current(id) {
                 self.freshness.confirm(self.drained_at.min(now));
             }
             self.on_valid_line(now, id, out);
@@ -272,16 +272,17 @@
     }
 
     /// Removes a connection and schedules the next one if none to the current address is left.
-    fn abandon(&mut self, now: Micros, id: FeedId, why: Option<BulletinError>, out: &mut Vec<Step>) {
+    fn abandon(&mut self, now: Micros, id: FeedId, error: Option<BulletinError>, out: &mut Vec<Step>) {
         let Some(at) = self.feeds.iter().position(|f| f.id == id) else { return };
         let feed = self.feeds.remove(at);
-        out.push(Step::Abandoned(id, why));
+        out.push(Step::Abandoned(id, error));
         if feed.address != self.address || self.feeds.iter().any(|f| f.address == self.address) {
             return;
         }
-        // Reconnects at once after a useful connection: one that delivered an event or lasted for the longest delay. A
-        // valid line alone is not enough: a bulletin that sends one and breaks each time would be reconnected to
-        // without pause. Else the delay doubles up to the maximum.
+        // Reconnects at once if this connection sent a valid line and the delay is at its minimum. The delay doubles
+        // each time, up to the maximum; it is reset by an event, or by a connection that sent a valid line and lasted
+        // at least the maximum delay. A valid line alone doesn't reset it: a bulletin that sends one and breaks each
+        // time would be reconnected to without pause.
         let (min_delay, max_delay) = self.limits.reconnect_delays;
         if feed.has_valid_line && now.saturating_sub(feed.opened_at) >= max_delay {
             self.reconnect_delay = min_delay;
--- a/crates/cli/src/call.rs
+++ b/crates/cli/src/call.rs
@@ -31,9 +31,9 @@
         request.push_str(&format!("ce-tenant: {}\r\n", checked("--tenant", tenant)?));
     }
     request.push_str("\r\n");
-    let patience = Duration::from_millis(options.timeout_ms.max(1) + 1_000);
-    let mut stream = TcpStream::connect_timeout(&options.to, patience)?;
-    stream.set_read_timeout(Some(patience))?;
+    let io_timeout = Duration::from_millis(options.timeout_ms.max(1) + 1_000);
+    let mut stream = TcpStream::connect_timeout(&options.to, io_timeout)?;
+    stream.set_read_timeout(Some(io_timeout))?;
     stream.write_all(&[request.as_bytes(), options.data.as_bytes()].concat())?;
     let mut response = Vec::new();
     stream.take(64 << 20).read_to_end(&mut response)?;
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -15,9 +15,9 @@
 pub fn run(options: &Demo) -> Result<(), CommandError> {
     let config = basaltward_config::read(CONFIG, Path::new("demo.xml"))?;
     let specs = vec![WorkerSpec::default(); options.workers.clamp(1, 1_000)];
-    let bed = Harness::start(&config, 1, specs, Recorder::none())?;
-    let address = bed.addresses[0];
-    println!("gateway on http://{address} with {} stand-in workers; try", bed.fleet.addresses().len());
+    let harness = Harness::start(&config, 1, specs, Recorder::none())?;
+    let address = harness.addresses[0];
+    println!("gateway on http://{address} with {} stand-in workers; try", harness.fleet.addresses().len());
     println!(
         "  curl -i http://{address}/functions/echo -H 'ce-specversion: 1.0' -H 'ce-id: 1' \\\n    \
          -H 'ce-source: /me' -H 'ce-type: demo' -H 'Content-Type: text/plain' -d hello"
@@ -29,7 +29,7 @@
         }
         None => wait_for_signal()?,
     }
-    bed.stop()?;
+    harness.stop()?;
     Ok(())
 }
 
@@ -57,20 +57,20 @@
     wait_for_signal_with_action(None)
 }
 
-/// Like [`wait_for_signal`]; runs the action once, when the given time has passed since the call.
+/// Like [`wait_for_signal`]; runs the action once, after the given time since the call.
 pub fn wait_for_signal_with_action(mut planned: Option<(Duration, &dyn Fn())>) -> Result<(), CommandError> {
     let mut io = Io::new(IoLimits::default())?;
     io.watch_signals(Signals::register(&SIGNALS)?)?;
     let (mut events, started_at) = (Vec::new(), monotonic());
     while events.is_empty() {
-        let left =
+        let remaining =
             planned.map(|(after, _)| (started_at + after.as_micros() as u64).saturating_sub(monotonic()));
-        if let (Some(0), Some((_, action))) = (left, planned) {
+        if let (Some(0), Some((_, action))) = (remaining, planned) {
             action();
             planned = None;
             continue;
         }
-        io.turn(left, &mut events)?;
+        io.turn(remaining, &mut events)?;
     }
     Ok(())
 }
--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -140,9 +140,9 @@
 /// Requests a permit until it is granted. Returns the permit's number and when it was requested. Returns an error at
 /// the deadline, or at once on a denial that a retry can't change.
 ///
-/// If a reply of this command may have been lost and the worker then has a permit already, that permit is taken as
-/// acquired: whoever requested it, the worker is drained. A scheduler's permit may belong to another operator who is
-/// restarting it now, so it is not taken over; a permit that nobody uses expires.
+/// If a reply of this command may have been lost and the worker then has a permit already, that permit counts as
+/// acquired: the worker is drained, no matter which operator requested it. A scheduler's permit may belong to another
+/// operator who is restarting it now, so it is not taken over; an unused permit expires.
 fn acquire_permit(
     options: &OperatorOptions,
     name: &str,
@@ -182,8 +182,8 @@
     }
 }
 
-/// Waits until every scheduler has reported that no request of its is in flight to a drained worker. The queried
-/// scheduler has to know this drain first: until then its count covers other drains only.
+/// Waits until every scheduler has reported that none of its requests is in flight to a drained worker. The queried
+/// scheduler must have received this drain first: until then its count covers other drains only.
 fn wait_until_clear(
     options: &OperatorOptions,
     name: &str,
@@ -258,7 +258,7 @@
 }
 
 /// Carries out the steps of a plan that the fleet stores. If this process dies, the same command run again continues
-/// the plan; a permit that nobody acts on expires.
+/// the plan; a permit that is not acted on expires.
 fn run_release(options: &OperatorOptions, release: &Release) -> Result<(), CommandError> {
     if release.dry_run {
         return print_status(options);
--- a/crates/cli/src/play.rs
+++ b/crates/cli/src/play.rs
@@ -31,9 +31,9 @@
     let config = settings(&options.config)?;
     let mut records = Vec::new();
     for path in &options.records {
-        let read_records = read_records(path)
+        let file_records = read_records(path)
             .map_err(|error| CommandError::Input(format!("{}: {error}", path.display())))?;
-        records.extend(read_records);
+        records.extend(file_records);
     }
     records.sort_by_key(|record| record.time);
     println!("{} records", records.len());
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -8,16 +8,16 @@
 const PRINTED_BREACHES: usize = 5;
 
 /// Prints the counts of events by outcome and the latencies of those served.
-pub fn tally(tally: &ClientStats) {
-    let mut latencies = tally.latencies.clone();
+pub fn tally(stats: &ClientStats) {
+    let mut latencies = stats.latencies.clone();
     latencies.sort_unstable();
     let quantile = |q: f64| {
         let index = ((latencies.len() as f64 * q) as usize).min(latencies.len().saturating_sub(1));
-        latencies.get(index).map_or("-".into(), |t| format!("{:.1}", *t as f64 / 1e3))
+        latencies.get(index).map_or("-".into(), |latency_us| format!("{:.1}", *latency_us as f64 / 1e3))
     };
     println!(
         "{} events: {} served, {} refused, {} failed, {} unanswered; {} tries",
-        tally.events, tally.served, tally.refused, tally.failed, tally.unanswered, tally.attempts
+        stats.events, stats.served, stats.refused, stats.failed, stats.unanswered, stats.attempts
     );
     println!(
         "served after: median {} ms, 99% {} ms, longest {} ms",
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -8,15 +8,15 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Environment variable by which trials inject a fault, `AT:FOR` in milliseconds: the control thread stalls AT after the
-/// start for FOR.
+/// Environment variable by which trials inject a fault, `AT:FOR` in milliseconds: AT after the start, the control
+/// thread stalls for FOR.
 const STALL_CONTROL: &str = "BASALTWARD_PLANT_STALL_CONTROL_MS";
 
 /// Parses `AT:FOR`; `None` if absent or malformed.
 fn parse_stall(text: Option<&str>) -> Option<(Duration, Duration)> {
-    let (at, span) = text?.split_once(':')?;
+    let (at, duration) = text?.split_once(':')?;
     let millis = |text: &str| text.parse().ok().map(Duration::from_millis);
-    Some((millis(at)?, millis(span)?))
+    Some((millis(at)?, millis(duration)?))
 }
 
 /// Reads a settings file; errors in it are input errors (exit code 2).
@@ -48,7 +48,9 @@
     info!(name = config.name, address = %gateway.address(), loops = config.threads, "serving");
     let stall = parse_stall(std::env::var(STALL_CONTROL).ok().as_deref());
     match stall {
-        Some((at, span)) => demo::wait_for_signal_with_action(Some((at, &|| gateway.stall_control(span))))?,
+        Some((at, duration)) => {
+            demo::wait_for_signal_with_action(Some((at, &|| gateway.stall_control(duration))))?
+        }
         None => demo::wait_for_signal()?,
     }
     gateway.stop();
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -53,15 +53,15 @@
         script.steps.len(),
         fleet.seed
     );
-    let mut bed = run_script(script)?;
+    let mut cluster = run_script(script)?;
     let ended_at = monotonic();
-    let records = bed.finish()?;
-    let verdict = check_cluster(&bed, &records);
-    let parties = bed.schedulers.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
+    let records = cluster.finish()?;
+    let verdict = check_cluster(&cluster, &records);
+    let parties = cluster.schedulers.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
     write_timeline(
         options,
         &records,
-        &timeline_lanes(parties, &bed.network.fault_log, (bed.started_at, ended_at)),
+        &timeline_lanes(parties, &cluster.network.fault_log, (cluster.started_at, ended_at)),
     )?;
     print_verdict(&verdict)
 }
@@ -77,23 +77,33 @@
         script.steps.len(),
         spec.seed
     );
-    let mut bed = run_sites(script)?;
+    let mut cluster = run_sites(script)?;
     let ended_at = monotonic();
-    let (records, _) = bed.finish()?;
-    let verdict = check_sites(&bed, &records);
-    let gateways = bed.gateways.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
-    let workers = bed.workers.iter().enumerate().map(|(w, process)| (Party::Worker(w), process));
+    let (records, _) = cluster.finish()?;
+    let verdict = check_sites(&cluster, &records);
+    let gateways = cluster.gateways.iter().enumerate().map(|(i, process)| (Party::Scheduler(i), process));
+    let workers = cluster.workers.iter().enumerate().map(|(w, process)| (Party::Worker(w), process));
     write_timeline(
         options,
         &records,
-        &timeline_lanes(gateways.chain(workers), &bed.network.fault_log, (bed.clients_started_at, ended_at)),
+        &timeline_lanes(
+            gateways.chain(workers),
+            &cluster.network.fault_log,
+            (cluster.clients_started_at, ended_at),
+        ),
     )?;
     if let Some(folder) = &options.records {
-        for (number, process) in bed.gateways.iter().enumerate() {
+        for (number, process) in cluster.gateways.iter().enumerate() {
             write(folder.join(format!("n{number}.log")), process.output().join("\n"))?;
         }
-        let notes: Vec<_> =
-            bed.network.relay.captured().journal_messages.iter().map(|note| format!("{note}\n")).collect();
+        let notes: Vec<_> = cluster
+            .network
+            .relay
+            .captured()
+            .journal_messages
+            .iter()
+            .map(|note| format!("{note}\n"))
+            .collect();
         write(folder.join("kept.txt"), notes.concat())?;
     }
     print_site_shares(script, &verdict);
@@ -137,10 +147,10 @@
     lanes: &[basaltward_faulttest::TimelineLane],
 ) -> Result<(), CommandError> {
     let mut text = String::new();
-    for (name, spells) in lanes {
+    for (name, intervals) in lanes {
         text += name;
-        for spell in spells {
-            text += &format!("  {} {}-{}", spell.state, spell.from / 1_000, spell.until / 1_000);
+        for interval in intervals {
+            text += &format!("  {} {}-{}", interval.state, interval.from / 1_000, interval.until / 1_000);
         }
         text.push('\n');
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -115,7 +115,7 @@
     sockets: usize,
 }
 
-/// How other schedulers are reached, if the settings allow it.
+/// Addresses for gossip with other schedulers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peers {
     /// Where their datagrams arrive.
@@ -143,7 +143,8 @@
     pub known: InitialEvents,
     /// The settings.
     pub settings: PlatformSettings,
-    /// Other schedulers, if the settings allow datagrams to them and a group address is configured.
+    /// Addresses for gossip, if it is enabled, the settings allow datagrams between schedulers, `peer_listen` and
+    /// `peers_all` are configured, and there are at most 10,000 peers.
     pub peers: Option<Peers>,
     /// The fleet's view, if it is enabled.
     pub fleet: Option<FleetConfig>,
@@ -248,11 +249,11 @@
     let mut seen: Vec<&String> = Vec::new();
     let mut number = |name| {
         let known = seen.iter().position(|known| *known == name);
-        let at = known.unwrap_or_else(|| {
+        let index = known.unwrap_or_else(|| {
             seen.push(name);
             seen.len() - 1
         });
-        u8::try_from(at).map_err(|_| ConfigError::Fleet("zones holds more than 256 names"))
+        u8::try_from(index).map_err(|_| ConfigError::Fleet("zones holds more than 256 names"))
     };
     names.iter().map(&mut number).collect()
 }
--- a/crates/node/src/discovery_log.rs
+++ b/crates/node/src/discovery_log.rs
@@ -46,16 +46,17 @@
     /// Updates the freshness of the list; `last` is the number of the last event held.
     pub fn update(&mut self, now: Micros, freshness: Freshness, last: u64) {
         match freshness {
-            // After a start, the bulletin has a second to respond.
+            // After a start, the bulletin has a second to respond. No outage is logged before it has confirmed the
+            // list once.
             Freshness::Unconfirmed => {}
             Freshness::Current { .. } => self.recovered(now, last),
-            Freshness::Interrupted { delivered_by: told_at, why } => {
+            Freshness::Interrupted { delivered_by, why } => {
                 if self.interrupted_since.is_none() {
                     self.interrupted_since = Some(now);
-                    let told_in_ms = told_at.saturating_sub(now) / 1_000;
+                    let told_in_ms = delivered_by.saturating_sub(now) / 1_000;
                     warn!(name = self.name, ?why, last, told_in_ms, "discovery is out of reach");
                 }
-                if now >= told_at && !std::mem::replace(&mut self.has_expired, true) {
+                if now >= delivered_by && !std::mem::replace(&mut self.has_expired, true) {
                     warn!(name = self.name, last, "the list has expired, workers are probed before new work");
                 }
             }
@@ -75,7 +76,7 @@
         );
     }
 
-    /// A probe was sent to a worker.
+    /// Counts a probe that was sent to a worker.
     pub fn probe_sent(&mut self, probe: OrderId, worker: &WorkerId) {
         self.probes.sent += 1;
         if self.outstanding.len() < MAX_OUTSTANDING {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// A probe was answered or has failed.
+    /// Counts and logs a probe that was answered or has failed.
     pub fn probe_ended(&mut self, probe: OrderId, code: Code) {
         let Some(worker) = self.outstanding.remove(&probe) else { return };
         debug!(target: "basaltward::question", name = self.name, %worker, ?code, "probe ended");
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -58,7 +58,7 @@
 pub enum Step {
     /// A call for the engine.
     Call(NewCall<CallPayload>),
-    /// These calls no longer wait for an answer.
+    /// The clients of these calls no longer wait for an answer.
     Left(Vec<WaiterId>),
     /// Nothing for the engine: the frame has been answered already, or needs no answer.
     Nothing,
@@ -74,6 +74,7 @@
     rejected_unread: usize,
     /// Whether a complete request has arrived.
     has_requested: bool,
+    /// Whether the connection is queued for reading.
     input_pending: bool,
     /// When the first byte of the incomplete request arrived.
     request_began: Option<Micros>,
@@ -107,7 +108,9 @@
     max_clients: usize,
     classes: Vec<FrontClass>,
     tenants: Vec<String>,
+    /// Largest memory of any kind of worker, the bound of a function's memory.
     memory_mb: f64,
+    /// Source in the identity of every call; empty, since requests carry none.
     source: Arc<str>,
     clients: HashMap<ConnId, Client>,
     /// Connections without an open request, by the time of their last use.
@@ -115,13 +118,15 @@
     requests: Slab<OpenRequest>,
     /// Ids of open requests.
     ids: HashSet<u64>,
+    /// Counter that makes waiter ids unique.
     last_waiter: u64,
     due: Timers<ConnId>,
+    /// Connections queued for reading, with the arrival time of their input.
     input_pending: VecDeque<(Micros, ConnId)>,
     /// When idle connections are next reclaimed.
     reclaim_at: Option<Micros>,
     /// Whether the list has ever held an active worker; heartbeats report it.
-    knows_worker: bool,
+    is_ready: bool,
     is_stopping: bool,
     /// When the last of the connections was closed that were accepted before the scheduler began to reject
     /// requests.
@@ -141,7 +146,7 @@
 }
 
 fn parse_positive(text: &str, max: f64) -> Option<f64> {
-    text.parse::<f64>().ok().filter(|x| x.is_finite() && *x > 0.0 && *x <= max)
+    text.parse::<f64>().ok().filter(|value| value.is_finite() && *value > 0.0 && *value <= max)
 }
 
 /// The settings of a class that the front end uses.
@@ -194,7 +199,7 @@
             due: Timers::default(),
             input_pending: VecDeque::new(),
             reclaim_at: None,
-            knows_worker: false,
+            is_ready: false,
             is_stopping: false,
             last_closed_at: 0,
         }
@@ -386,9 +391,9 @@
         (arrived, conn): (Micros, ConnId),
         frame: &[u8],
     ) -> Option<Step> {
-        let (head, request) = read_request(frame).ok()?;
-        let (name, seqid) = (head.method, head.seqid);
-        let oneway = head.kind == MessageKind::Oneway;
+        let (header, request) = read_request(frame).ok()?;
+        let (name, seqid) = (header.method, header.seqid);
+        let oneway = header.kind == MessageKind::Oneway;
         let reply = match request {
             ClientRequest::Submit(submit) if !oneway => {
                 match self.submit(io, (arrived, conn), seqid, &submit)? {
@@ -411,7 +416,7 @@
             }
             ClientRequest::Heartbeat if !oneway => {
                 self.check_answers_read(io, conn)?;
-                ServerReply::Answer(b"", self.knows_worker)
+                ServerReply::Answer(b"", self.is_ready)
             }
             ClientRequest::UnknownMethod if !oneway => {
                 self.count_invalid(conn)?;
@@ -573,7 +578,7 @@
     /// Marks the scheduler as ready: its list has an active worker. It stays ready when all workers are gone, because
     /// that is no fault of this scheduler, and another one could serve no more.
     pub fn set_ready(&mut self) {
-        self.knows_worker = true;
+        self.is_ready = true;
     }
 
     /// The scheduler has received a signal to stop; clients keep sending requests for a while.
@@ -638,13 +643,13 @@
             }
             // Unread input is read first, even if the loop was late to notice it. The rest of a partial request is
             // waited for, but for no longer than this.
-            let (is_read, rest) =
+            let (input_is_read, rest_due) =
                 (!client.input_pending, client.request_began.map(|began| began + IN_TRANSIT_US));
-            if let Some(rest) = rest.filter(|rest| *rest > now) {
-                self.set_close_time(conn, rest);
+            if let Some(rest_due) = rest_due.filter(|due| *due > now) {
+                self.set_close_time(conn, rest_due);
                 continue;
             }
-            if !is_read || rest.is_none() && io.is_stale(conn) {
+            if !input_is_read || rest_due.is_none() && io.is_stale(conn) {
                 self.set_close_time(conn, now + RECHECK_US);
                 continue;
             }
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -109,18 +109,18 @@
         self.orders.remove(&id);
     }
 
-    /// Whether peers use the idle copies that the module wants to release.
+    /// Whether peers use the idle copies that the module would release.
     pub fn is_shared(&self, now: Micros, worker: &WorkerId, function: &FunctionId) -> bool {
         self.directory.is_shared(now, worker, function)
     }
 
     /// Records what the end of a job reveals about copies.
     pub fn job_ended(&mut self, now: Micros, done: &JobEnd) {
-        let (at, copies) = match done {
+        let (location, copies) = match done {
             JobEnd::Attempt(id, end) => {
                 let is_loaded = end.code == Code::Ok && end.copy != CopyStatus::Unknown;
-                let none = end.code == Code::Miss || end.copy == CopyStatus::LoadFailed;
-                (self.attempts.remove(id), if is_loaded { Some(1) } else { none.then_some(0) })
+                let is_absent = end.code == Code::Miss || end.copy == CopyStatus::LoadFailed;
+                (self.attempts.remove(id), if is_loaded { Some(1) } else { is_absent.then_some(0) })
             }
             // A rejected order is no evidence about copies that were loaded before.
             JobEnd::Order(id, code, copies) => {
@@ -128,7 +128,7 @@
             }
             JobEnd::Probe(..) => return,
         };
-        if let (Some((worker, function)), Some(copies)) = (at, copies) {
+        if let (Some((worker, function)), Some(copies)) = (location, copies) {
             self.directory.observe(now, &worker, &function, copies);
         }
     }
--- a/crates/node/src/gossip_wire.rs
+++ b/crates/node/src/gossip_wire.rs
@@ -6,7 +6,8 @@
 
 /// The first byte; datagrams of the view and of permits have other values.
 pub const VERSION: u8 = 3;
-/// Unit of an age. The oldest age that can be encoded is four times a usual keep-alive.
+/// Unit of an encoded age, in microseconds. The oldest age that can be encoded, 255 units, is about four times a
+/// typical keep-alive.
 const AGE_UNIT_US: Micros = 250_000;
 
 /// An observation of one function at one worker. Names are sent as hashes. Two names with the same hash are
@@ -23,6 +24,7 @@
     /// Updates that fit into a datagram after the version and their count.
     pub const MAX_PER_DATAGRAM: usize = (MAX_DATAGRAM_BYTES - 2) / 10;
 
+    /// Rounds the age up to the next unit. Ages above 255 units and more than 255 copies are encoded as 255.
     pub fn new((function, worker): (u32, u32), age: Micros, copies: u32) -> Self {
         let (function, worker) = (function.to_le_bytes(), worker.to_le_bytes());
         let age = u8::try_from(age.div_ceil(AGE_UNIT_US)).unwrap_or(u8::MAX);
--- a/crates/node/src/instance_directory.rs
+++ b/crates/node/src/instance_directory.rs
@@ -62,6 +62,7 @@
     functions: HashMap<u32, CalledFunction>,
     /// Observations by the hashes of function and worker.
     observations: BTreeMap<u32, BTreeMap<u32, Observation>>,
+    /// Total number of observations.
     count: usize,
     /// Observations to announce.
     pending: BTreeSet<(u32, u32)>,
@@ -138,17 +139,17 @@
     pub fn observe(&mut self, now: Micros, worker: &WorkerId, function: &FunctionId, copies: u32) {
         let (function_hash, worker_hash) = (name_hash(function.as_str()), name_hash(worker.as_str()));
         let announce_interval = self.announce_interval(function_hash, worker_hash);
-        let before = self
+        let previous_copies = self
             .observations
             .get(&function_hash)
             .and_then(|by_worker| by_worker.get(&worker_hash))
             .map_or(0, |observation| observation.copies);
         // That no copy is loaded matters only if this scheduler's records show one.
-        if before == 0 && copies == 0 {
+        if previous_copies == 0 && copies == 0 {
             return;
         }
         let Some(observation) = self.entry(function_hash, worker_hash, now) else { return };
-        let changed = (before == 0) != (copies == 0);
+        let changed = (previous_copies == 0) != (copies == 0);
         (observation.copies, observation.seen, observation.known_to_module) =
             (copies, now, (copies > 0).then_some(now));
         if changed || now >= observation.announced + announce_interval {
@@ -160,8 +161,9 @@
                 .into_iter()
                 .flatten()
                 .any(|(worker, seen)| *worker != worker_hash && seen.copies > 0);
-            let by = now + if changed && !is_known_elsewhere { FIRST_COPY_DELAY_US } else { UPDATE_DELAY_US };
-            self.announce_at = Some(self.announce_at.map_or(by, |at| at.min(by)));
+            let due =
+                now + if changed && !is_known_elsewhere { FIRST_COPY_DELAY_US } else { UPDATE_DELAY_US };
+            self.announce_at = Some(self.announce_at.map_or(due, |at| at.min(due)));
         }
     }
 
@@ -266,11 +268,15 @@
             }
             self.report_to_module(now, function_hash, *worker_hash);
         }
-        let here = self
+        let at_worker = self
             .observations
             .get(&function_hash)
             .and_then(|by_worker| by_worker.get(&name_hash(worker.as_str())));
-        Some(here.filter(|observation| is_loaded(observation)).map_or(0, |observation| observation.copies))
+        Some(
+            at_worker
+                .filter(|observation| is_loaded(observation))
+                .map_or(0, |observation| observation.copies),
+        )
     }
 
     /// The number of copies loaded at a worker, if it is at least what the module orders, so that the order need
@@ -450,7 +456,7 @@
     }
 
     #[test]
-    fn no_report_means_no_copy_in_use_only_if_enough_peers_are_heard() {
+    fn no_report_means_no_copy_in_use_only_if_enough_peers_send_datagrams() {
         let [mut many, mut few] = fleet(0..2).try_into().ok().expect("two");
         let (a, f, g) = ("a".into(), "f".into(), "g".into());
         let datagram =
--- a/crates/node/src/job.rs
+++ b/crates/node/src/job.rs
@@ -9,7 +9,7 @@
 /// A request to a worker.
 #[derive(Clone)]
 pub enum Job {
-    /// An attempt of a call.
+    /// An attempt of a call, aborted at `until`.
     Attempt { id: AttemptId, payload: Arc<CallPayload>, function: FunctionId, until: Micros },
     /// An order to load copies, or a query for loaded copies if `count` is 0.
     Order { id: OrderId, function: FunctionId, count: u32 },
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -67,13 +67,14 @@
     last_used: Micros,
     /// Whether its timer is set. There is one timer per connection; it is set again if it fires too early.
     has_timer: bool,
-    /// Nothing has arrived since a request was sent that has been given up, so the system may still hold that
-    /// request.
+    /// A request was given up, and nothing has arrived since it was sent, so the system's send buffer may still
+    /// hold it.
     maybe_unread: bool,
 }
 
 impl Link {
-    fn load(&self) -> usize {
+    /// Number of jobs that are queued or await an answer.
+    fn job_count(&self) -> usize {
         self.open.len() + self.queue.len()
     }
 
@@ -120,7 +121,8 @@
     budget: Budget,
     settings: LinkSettings,
     classes: Vec<String>,
-    report: Vec<String>,
+    /// Names of the values to take from load reports.
+    report_names: Vec<String>,
     workers: BTreeMap<WorkerId, Worker>,
     conns: HashMap<ConnId, Link>,
     /// The connection of each job that has a key, and the job's id on the wire.
@@ -159,7 +161,7 @@
             budget: config.budget,
             settings: settings.links,
             classes: settings.classes.clone(),
-            report: settings.module.report_names.clone(),
+            report_names: settings.module.report_names.clone(),
             workers: BTreeMap::new(),
             conns: HashMap::new(),
             jobs: HashMap::new(),
@@ -184,7 +186,7 @@
     // ---- workers -----------------------------------------------------------------------------------------
 
     /// Applies a list of workers, or changes to it. Jobs for a worker that is draining or gone are withdrawn if the
-    /// socket has no byte of them.
+    /// socket has no byte of them; their ends are appended to `done`.
     pub fn update_members(
         &mut self,
         io: &mut Io,
@@ -234,14 +236,14 @@
     /// Number of jobs of this scheduler at these workers.
     pub fn count_jobs(&self, workers: &[&str]) -> usize {
         let links = self.conns.values().filter(|link| workers.contains(&&*link.worker.to_string()));
-        links.map(Link::load).sum()
+        links.map(Link::job_count).sum()
     }
 
-    /// Lets a connection take no more jobs, and closes it at once if none is on it.
+    /// Stops assigning jobs to a connection, and closes it at once if it has none.
     fn retire(&mut self, io: &mut Io, conn: ConnId) {
         let Some(link) = self.conns.get_mut(&conn) else { return };
         link.is_retired = true;
-        if link.load() == 0 {
+        if link.job_count() == 0 {
             self.close(io, conn);
         }
     }
@@ -293,25 +295,27 @@
     /// Returns the connection for a job, if there is one, and whether another one may be opened; `may_connect` is
     /// false if no descriptors are left.
     fn choose(&self, worker: &WorkerId, job: &Job, may_connect: bool) -> (Option<ConnId>, bool) {
-        let held = self.workers.get(worker).map(|known| known.conns.as_slice()).unwrap_or_default();
+        let conns = self.workers.get(worker).map(|known| known.conns.as_slice()).unwrap_or_default();
         let streams = self.settings.streams.max(1);
         let has_carried = |payload: &CallPayload, conn| {
             payload.has_used(conn) || self.recent_ids.contains(conn, payload.number)
         };
         let is_unused =
             |conn: &ConnId| !matches!(job, Job::Attempt { payload, .. } if has_carried(payload, *conn));
-        let available = |conn: &ConnId| self.conns.get(conn).filter(|l| !l.is_retired && l.load() < streams);
-        let candidates = held.iter().filter(|conn| is_unused(conn)).filter_map(|c| Some((*c, available(c)?)));
+        let available =
+            |conn: &ConnId| self.conns.get(conn).filter(|l| !l.is_retired && l.job_count() < streams);
+        let candidates =
+            conns.iter().filter(|conn| is_unused(conn)).filter_map(|c| Some((*c, available(c)?)));
         // Among equally loaded connections, prefer the most recently used one, so that the others can idle out.
         let best =
-            candidates.min_by_key(|(_, l)| (l.load(), !l.is_connected, std::cmp::Reverse(l.last_used)));
+            candidates.min_by_key(|(_, l)| (l.job_count(), !l.is_connected, std::cmp::Reverse(l.last_used)));
         // An attempt has a connection to itself while there are enough: a failure of a connection ends every
         // request on it.
         let is_attempt = matches!(job, Job::Attempt { .. });
         let max_links = self.budget.links_per_worker(self.workers.len());
-        let has_capacity = may_connect && held.len() < max_links && self.conns.len() < self.budget.links;
+        let has_capacity = may_connect && conns.len() < max_links && self.conns.len() < self.budget.links;
         let chosen =
-            best.filter(|(_, l)| l.load() == 0 || !is_attempt || !has_capacity).map(|(conn, _)| conn);
+            best.filter(|(_, l)| l.job_count() == 0 || !is_attempt || !has_capacity).map(|(conn, _)| conn);
         (chosen, has_capacity)
     }
 
@@ -422,6 +426,8 @@
         self.abort(io, now, JobKey::Order(id), Code::Cancelled);
     }
 
+    /// Ends a job with `code`, or with [`Code::Moot`] if the socket has no byte of it. `None` if the job is unknown or
+    /// its connection is gone.
     fn abort(&mut self, io: &mut Io, now: Micros, key: JobKey, code: Code) -> Option<JobEnd> {
         let (conn, id) = self.jobs.remove(&key)?;
         let link = self.conns.get_mut(&conn)?;
@@ -466,7 +472,7 @@
     /// Closes a retired connection whose last job has ended; keeps any other for the next job until it idles out.
     fn close_or_keep(&mut self, io: &mut Io, now: Micros, conn: ConnId) {
         let idle = self.settings.idle_close / 2;
-        let Some(link) = self.conns.get_mut(&conn).filter(|l| l.load() == 0) else { return };
+        let Some(link) = self.conns.get_mut(&conn).filter(|l| l.job_count() == 0) else { return };
         if link.is_retired {
             self.close(io, conn);
         } else if idle > 0 && !std::mem::replace(&mut link.has_timer, true) {
@@ -493,7 +499,7 @@
     fn reset_unless_read(&mut self, io: &mut Io, conn: ConnId, span: Span, done: &mut Vec<JobEnd>) {
         let Some(link) = self.conns.get(&conn) else { return };
         let is_sent = link.output_bytes.progress(io, conn, span) == SendProgress::Complete;
-        let is_unread = link.maybe_unread && (io.is_write_blocked(conn) || link.load() == 0);
+        let is_unread = link.maybe_unread && (io.is_write_blocked(conn) || link.job_count() == 0);
         if !is_sent || is_unread {
             debug!(worker = %link.worker, "connection reset: the worker has not read a request that was given up");
             self.close_with(io, conn, Code::Reset, Io::reset, done);
@@ -551,7 +557,7 @@
                             %worker, %function, count, ?code, stand = copies, took_us, "load"
                         );
                     }
-                    done.extend(end_with_reply(&open.job, reply, &self.report));
+                    done.extend(end_with_reply(&open.job, reply, &self.report_names));
                     self.close_or_keep(io, now, conn);
                 }
                 Ok(None) => {
@@ -576,8 +582,8 @@
 
     /// Whether a connection to the worker is established.
     fn has_open_connection(&self, worker: &WorkerId) -> bool {
-        let held = self.workers.get(worker).map(|known| known.conns.as_slice()).unwrap_or_default();
-        held.iter().any(|conn| self.is_open(*conn))
+        let conns = self.workers.get(worker).map(|known| known.conns.as_slice()).unwrap_or_default();
+        conns.iter().any(|conn| self.is_open(*conn))
     }
 
     /// Aborts a connection and ends every job on it. Requests that the socket did not take completely never ran.
@@ -628,7 +634,7 @@
                     link.has_timer = false;
                     if !link.is_connected {
                         self.abort_link(io, conn, Code::ConnectFailed, done);
-                    } else if link.load() > 0 || idle == 0 {
+                    } else if link.job_count() > 0 || idle == 0 {
                         // The timer is set again when the connection becomes idle.
                     } else if link.last_used + idle <= now {
                         self.close(io, conn);
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The list is up to date as of now.
+    /// Records that input from the bulletin, which keeps the list up to date, was handled at `now`.
     pub fn list_confirmed(&mut self, now: Micros) {
         self.starts.list_confirmed(now);
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -75,6 +75,7 @@
 /// A live scheduler.
 pub struct Node {
     name: String,
+    /// The configuration file.
     path: PathBuf,
     /// The configuration read at the start, without its list of workers.
     config: NodeConfig,
@@ -86,6 +87,7 @@
     front: Front,
     links: Links,
     follower: Follower,
+    /// Connections to bulletins.
     feeds: HashMap<ConnId, FeedId>,
     members: MemberMapper,
     /// The fleet's view, if the configuration enables it.
@@ -169,7 +171,7 @@
         Self::new_with_view(path, listen, recorder, false)
     }
 
-    /// As [`Node::new`]; `view` enables the fleet's view even if the configuration does not mention it.
+    /// As [`Node::new`]; `view` enables the fleet's view if the configuration does not mention the fleet.
     ///
     /// # Errors
     /// As [`Node::new`].
@@ -310,14 +312,15 @@
     }
 
     fn poll_timeout(&self, now: Micros) -> Micros {
-        let term =
+        let reject_at =
             self.term_at.map(|at| at + self.rejects_after).filter(|at| *at > now || !self.is_rejecting);
-        let last = self.is_rejecting.then_some(now + 5_000);
+        let finish_check = self.is_rejecting.then_some(now + 5_000);
         let reload = self.reload.map(|(at, _)| at);
         let fleet = self.fleet.as_ref().map(|fleet| fleet.transport.next_due());
         let due = [self.engine.next_due(now), self.front.next_due(), self.links.next_due()];
         let gossip = self.gossip.as_ref().and_then(Gossip::next_due);
-        let due = due.into_iter().chain([self.follower.next_due(), term, last, reload, fleet, gossip]);
+        let due =
+            due.into_iter().chain([self.follower.next_due(), reject_at, finish_check, reload, fleet, gossip]);
         let due = due.flatten().min().unwrap_or(now + 1_000_000);
         if self.oldest_request().is_some() { 0 } else { due.saturating_sub(now) }
     }
@@ -342,10 +345,10 @@
         self.engine.calls_in_flight() == 0 && (settled || unread_until <= now)
     }
 
-    /// Runs one turn. Clients' input is read first, as it may withdraw work that would otherwise be sent; then
-    /// other events and timers are handled; then requests are started. Each phase has a time budget. Input is read
-    /// before any request in it is started, because the request's time is running: a loop that has fallen behind
-    /// must know of it to answer in time.
+    /// Runs one turn; `since` is when the poll for events began, and `due` when it was to end. Clients' input is read
+    /// first, as it may withdraw work that would otherwise be sent; then other events and timers are handled; then
+    /// requests are started. Each phase has a time budget. Input is read before any request in it is started, because
+    /// the request's time is running: a loop that has fallen behind must have read it to answer in time.
     fn turn(&mut self, (since, due): (Micros, Micros), events: &mut Vec<IoEvent>) {
         let mut now = monotonic();
         let began = now;
@@ -767,9 +770,9 @@
         let freshness = self.follower.freshness(now);
         let trust = match freshness {
             Freshness::Unconfirmed => ListFreshness::Unconfirmed { since: self.started_at },
-            Freshness::Current { delivered_by: told_at } => ListFreshness::Current { announced_at: told_at },
-            Freshness::Interrupted { delivered_by: told_at, .. } => {
-                ListFreshness::Interrupted { announced_at: told_at }
+            Freshness::Current { delivered_by } => ListFreshness::Current { announced_at: delivered_by },
+            Freshness::Interrupted { delivered_by, .. } => {
+                ListFreshness::Interrupted { announced_at: delivered_by }
             }
         };
         self.discovery_log.update(now, freshness, self.follower.last_event());
@@ -839,16 +842,17 @@
     /// Reads the configuration again after SIGHUP; it applies as a whole or not at all. Only the bulletin's address
     /// and the members of the fleet can change in a running scheduler.
     fn reload(&mut self, now: Micros) {
-        let Some((_, left)) = self.reload.take() else { return };
+        let Some((_, retries_left)) = self.reload.take() else { return };
         match load_with_view(&self.path, self.config.fleet.is_some()) {
             Ok(config) => {
                 info!(name = self.name, bulletin = %config.bulletin, "configuration read");
-                let kept = self.config.fields_needing_restart(&config);
-                if !kept.is_empty() {
-                    let kept = kept.join(", ");
+                let ignored_fields = self.config.fields_needing_restart(&config);
+                if !ignored_fields.is_empty() {
+                    let ignored_fields = ignored_fields.join(", ");
                     warn!(
                         name = self.name,
-                        kept, "changed fields that take effect only after a restart were ignored"
+                        kept = ignored_fields,
+                        "changed fields that take effect only after a restart were ignored"
                     );
                 }
                 self.fleet.iter_mut().for_each(|fleet| fleet.reread(&config));
@@ -859,10 +863,10 @@
             }
             Err(why) => {
                 // One line per signal, however often the file is read.
-                if left == MAX_RELOAD_RETRIES {
+                if retries_left == MAX_RELOAD_RETRIES {
                     warn!(name = self.name, %why, "configuration rejected, keeping the previous one");
                 }
-                self.reload = (left > 0).then_some((now + RELOAD_RETRY_US, left - 1));
+                self.reload = (retries_left > 0).then_some((now + RELOAD_RETRY_US, retries_left - 1));
             }
         }
     }
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -22,13 +22,15 @@
     attempt_names: HashMap<AttemptId, String>,
     /// Answers written to an output buffer and not yet flushed.
     unflushed_answers: Vec<(String, u16)>,
-    known: BTreeSet<WorkerId>,
+    /// Workers in the list so far, to record those that a later whole list omits.
+    listed_workers: BTreeSet<WorkerId>,
 }
 
 impl TraceRecorder {
     pub fn new(name: &str, recorder: Recorder) -> Self {
-        let (attempt_names, unflushed_answers, known) = (HashMap::new(), Vec::new(), BTreeSet::new());
-        Self { name: name.into(), recorder, attempt_names, unflushed_answers, known }
+        let (attempt_names, unflushed_answers, listed_workers) =
+            (HashMap::new(), Vec::new(), BTreeSet::new());
+        Self { name: name.into(), recorder, attempt_names, unflushed_answers, listed_workers }
     }
 
     fn put(&self, now: Micros, observation: Observation) {
@@ -47,7 +49,7 @@
         self.put(now, Observation::Down { killed: false });
     }
 
-    /// The fleet's view has changed.
+    /// Records a change of a member's state in the fleet's view.
     pub fn view_changed(
         &self,
         now: Micros,
@@ -69,7 +71,7 @@
         }
     }
 
-    /// The fleet has agreed on a later state of the permits.
+    /// Records a later state of the permits that the fleet has agreed on.
     pub fn permits_changed(&self, now: Micros, known: &Stored<PermitState>) {
         if self.recorder.is_enabled() {
             let permit = |permit: &Permit| match permit.subject {
@@ -90,7 +92,8 @@
         }
     }
 
-    /// An id is used on a connection only once, so id and port identify an attempt; the worker sees the same pair.
+    /// Records an attempt or an order written to a connection. An id is used on a connection only once, so id and port
+    /// identify an attempt; the worker sees the same pair.
     pub fn job_written(&mut self, now: Micros, io: &mut Io, written: &Written) {
         if !self.recorder.is_enabled() {
             return;
@@ -167,7 +170,7 @@
         }
     }
 
-    /// The answers in the output buffers are now with the system.
+    /// Records that the answers in the output buffers have been handed to their sockets.
     pub fn answers_flushed(&mut self) {
         if self.unflushed_answers.is_empty() {
             return;
@@ -184,10 +187,10 @@
         }
         if kind == MembersKind::Whole {
             let listed: BTreeSet<_> = members.iter().map(|m| m.worker.clone()).collect();
-            for worker in self.known.difference(&listed) {
+            for worker in self.listed_workers.difference(&listed) {
                 self.put(now, Observation::WorkerState { worker: worker.to_string(), state: "gone".into() });
             }
-            self.known = listed;
+            self.listed_workers = listed;
         }
         for member in members {
             let state = match member.state {
@@ -195,7 +198,7 @@
                 WorkerState::Leaving => "leaving",
                 WorkerState::Gone => "gone",
             };
-            self.known.insert(member.worker.clone());
+            self.listed_workers.insert(member.worker.clone());
             self.put(
                 now,
                 Observation::WorkerState { worker: member.worker.to_string(), state: state.into() },
--- a/crates/node/src/start_times.rs
+++ b/crates/node/src/start_times.rs
@@ -35,7 +35,7 @@
     workers: HashMap<String, WorkerStart>,
     /// When the list being read arrived.
     now: Micros,
-    /// When the list was last confirmed, even if only as unchanged.
+    /// When input from the bulletin was last handled, even if it left the list unchanged.
     confirmed_at: Option<Micros>,
 }
 
@@ -60,7 +60,7 @@
         self.workers.retain(|_, known| known.gone.is_none_or(|at| at + GONE_RETENTION_US > now));
     }
 
-    /// The list is up to date as of now.
+    /// Records that input from the bulletin, which keeps the list up to date, was handled at `now`.
     pub fn list_confirmed(&mut self, now: Micros) {
         self.confirmed_at = Some(now);
     }
@@ -95,9 +95,9 @@
     /// The latest time by any of the clocks that is not in the future, or now if none is plausible.
     fn to_monotonic(&self, boot_ms: u64) -> Micros {
         let wall = boot_ms.saturating_mul(1_000);
-        let places = self.readings.iter().map(|clock| clock.to_monotonic(wall));
+        let candidates = self.readings.iter().map(|clock| clock.to_monotonic(wall));
         // Clocks that were not stepped differ a little too.
-        let past = places.filter(|at| *at <= self.now + ADJUSTED_US).max();
+        let past = candidates.filter(|at| *at <= self.now + ADJUSTED_US).max();
         let earliest = self.confirmed_at.map_or(0, |confirmed_at| confirmed_at.saturating_sub(LIST_LAG_US));
         past.filter(|at| *at >= earliest).unwrap_or(self.now).clamp(1, self.now.max(1))
     }
--- a/crates/roster/src/file.rs
+++ b/crates/roster/src/file.rs
@@ -15,7 +15,9 @@
 pub struct RosterFile {
     path: PathBuf,
     names: Names,
+    /// Interval between checks for changes.
     interval: Micros,
+    /// When the next check is due.
     due: Micros,
     /// Size, modification time and inode of the file last read: a rename over it changes at least the inode.
     last_read: Option<(u64, SystemTime, u64)>,
@@ -31,13 +33,13 @@
 
     /// Reads the file if it has changed.
     fn read_if_changed(&mut self) -> Result<Option<Vec<Entry>>, String> {
-        let failed = |error: io::Error| format!("{}: {error}", self.path.display());
-        let metadata = std::fs::metadata(&self.path).map_err(failed)?;
-        let version = (metadata.len(), metadata.modified().map_err(failed)?, inode(&metadata));
+        let with_path = |error: io::Error| format!("{}: {error}", self.path.display());
+        let metadata = std::fs::metadata(&self.path).map_err(with_path)?;
+        let version = (metadata.len(), metadata.modified().map_err(with_path)?, inode(&metadata));
         if self.last_read == Some(version) {
             return Ok(None);
         }
-        let text = std::fs::read_to_string(&self.path).map_err(failed)?;
+        let text = std::fs::read_to_string(&self.path).map_err(with_path)?;
         self.last_read = Some(version);
         read(&text, &self.path, &self.names).map(Some).map_err(|error| error.to_string())
     }
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -1,4 +1,4 @@
-//! Sources of the list of workers. A [`Source`] returns [`RosterUpdate`]s; [`RosterFile`] is the first one.
+//! Sources of the list of workers. A [`Source`] returns [`RosterUpdate`]s; [`RosterFile`] reads them from a file.
 #![warn(missing_docs)]
 
 mod entry;
@@ -22,9 +22,10 @@
 
 /// A source of the list of workers.
 pub trait Source {
-    /// Returns the update since the last call, if there is any. Must not block on the network.
+    /// Returns the update since the last call, if there is any; `now` is in microseconds of the caller's monotonic
+    /// clock. Must not block on the network.
     fn poll(&mut self, now: Micros) -> Option<RosterUpdate>;
 
-    /// When the next [`Source::poll`] is due.
+    /// When the next [`Source::poll`] is due, on the same clock.
     fn next_due(&self) -> Micros;
 }
--- a/crates/thrift/src/message.rs
+++ b/crates/thrift/src/message.rs
@@ -68,9 +68,9 @@
 /// A reply to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerReply<'a> {
-    /// The result `Answer`: the body, and whether the call succeeded.
+    /// The result `Answer`: the body, and whether the call succeeded or, for a heartbeat, whether calls are accepted.
     Answer(&'a [u8], bool),
-    /// The exception `Rejected`, with the time in milliseconds after which to retry, if given.
+    /// The exception `Rejected`, with the time in milliseconds after which to retry, if there is one.
     Rejected(Option<u64>),
     /// The exception `Crashed`.
     Crashed,
@@ -164,18 +164,19 @@
                 reply = Some(ServerReply::Answer(body, ok));
             }
             (MessageKind::Reply, STRUCT, 1 | 2) => {
-                let mut wait = None;
+                let mut retry_after_ms = None;
                 while let Some(field) = reader.field()? {
                     match field {
                         (MAP, 1) => {
                             let details = read_fields(&mut reader)?;
                             let holdoff = details.iter().find(|(name, _)| *name == "holdoff");
-                            wait = holdoff.and_then(|(_, value)| value.parse().ok());
+                            retry_after_ms = holdoff.and_then(|(_, value)| value.parse().ok());
                         }
                         (kind, _) => reader.skip(kind)?,
                     }
                 }
-                reply = Some(if id == 1 { ServerReply::Rejected(wait) } else { ServerReply::Crashed });
+                reply =
+                    Some(if id == 1 { ServerReply::Rejected(retry_after_ms) } else { ServerReply::Crashed });
             }
             _ => reader.skip(kind)?,
         }
@@ -187,19 +188,21 @@
     Ok((header.seqid, reply))
 }
 
+/// Writes the header of a message, with a frame length that [`finish_message`] sets. Returns the frame's position.
 fn begin_message(out: &mut BytesMut, kind: MessageKind, method: &str, seqid: i32) -> usize {
-    let at = out.len();
+    let frame_start = out.len();
     out.put_i32(0);
     out.put_u32(VERSION | (kind as u32 + 1));
     put_binary(out, method.as_bytes());
     out.put_i32(seqid);
-    at
+    frame_start
 }
 
-fn finish_message(out: &mut BytesMut, at: usize) {
+/// Ends the struct of the message and sets the length of the frame that begins at `frame_start`.
+fn finish_message(out: &mut BytesMut, frame_start: usize) {
     out.put_u8(STOP);
-    let length = (out.len() - at - 4) as u32;
-    out[at..at + 4].copy_from_slice(&length.to_be_bytes());
+    let length = (out.len() - frame_start - 4) as u32;
+    out[frame_start..frame_start + 4].copy_from_slice(&length.to_be_bytes());
 }
 
 /// Writing of messages, each as one frame.
@@ -209,7 +212,7 @@
     /// Writes a reply to the call of this method and sequence number.
     pub fn reply(out: &mut BytesMut, method: &str, seqid: i32, reply: &ServerReply) {
         let failed = matches!(reply, ServerReply::UnknownMethod | ServerReply::ProtocolError);
-        let at = begin_message(
+        let frame_start = begin_message(
             out,
             if failed { MessageKind::Exception } else { MessageKind::Reply },
             method,
@@ -226,9 +229,9 @@
                 out.put_u8(u8::from(*ok));
                 out.put_u8(STOP);
             }
-            ServerReply::Rejected(wait) => {
-                let wait = wait.map(|ms| ms.to_string());
-                let entries: Vec<_> = wait.iter().map(|ms| ("holdoff", ms.as_str())).collect();
+            ServerReply::Rejected(retry_after_ms) => {
+                let retry_after_ms = retry_after_ms.map(|ms| ms.to_string());
+                let entries: Vec<_> = retry_after_ms.iter().map(|ms| ("holdoff", ms.as_str())).collect();
                 put_field(out, STRUCT, 1);
                 put_field(out, MAP, 1);
                 put_map(out, &entries);
@@ -253,33 +256,33 @@
                 out.put_i32(code);
             }
         }
-        finish_message(out, at);
+        finish_message(out, frame_start);
     }
 
     /// Writes a call of `submit`.
     pub fn submit(out: &mut BytesMut, seqid: i32, fields: &[(&str, &str)], body: &[u8]) {
-        let at = begin_message(out, MessageKind::Call, SUBMIT, seqid);
+        let frame_start = begin_message(out, MessageKind::Call, SUBMIT, seqid);
         put_field(out, MAP, 1);
         put_map(out, fields);
         put_field(out, STRING, 2);
         put_binary(out, body);
-        finish_message(out, at);
+        finish_message(out, frame_start);
     }
 
     /// Writes a one-way `revoke` of the call with the sequence number `target`.
     pub fn revoke(out: &mut BytesMut, seqid: i32, target: i32) {
-        let at = begin_message(out, MessageKind::Oneway, REVOKE, seqid);
+        let frame_start = begin_message(out, MessageKind::Oneway, REVOKE, seqid);
         put_field(out, I32, 1);
         out.put_i32(target);
-        finish_message(out, at);
+        finish_message(out, frame_start);
     }
 
     /// Writes a call of `heartbeat`.
     pub fn heartbeat(out: &mut BytesMut, seqid: i32) {
-        let at = begin_message(out, MessageKind::Call, HEARTBEAT, seqid);
+        let frame_start = begin_message(out, MessageKind::Call, HEARTBEAT, seqid);
         put_field(out, BOOL, 1);
         out.put_u8(1);
-        finish_message(out, at);
+        finish_message(out, frame_start);
     }
 }
 
--- a/crates/worker-lines/src/write.rs
+++ b/crates/worker-lines/src/write.rs
@@ -15,7 +15,7 @@
     pub path: &'a str,
     /// How long the scheduler waits for the answer, in milliseconds.
     pub budget_ms: u64,
-    /// Key of the effect, for classes whose workers discard repeats by key.
+    /// Idempotency key, for classes whose workers discard repeated requests by key.
     pub key: Option<&'a str>,
 }
 
@@ -37,17 +37,17 @@
     write_text(out, format_args!("drop {id}\r\n"));
 }
 
-/// Writes a `health` command, which asks whether the worker is healthy.
+/// Writes a `health` command, which queries whether the worker is healthy.
 pub fn health(out: &mut BytesMut, tag: &str) {
     write_text(out, format_args!("health {tag}\r\n"));
 }
 
-/// Writes a `load` command, which asks whether the worker is healthy and for its load report.
+/// Writes a `load` command, which queries the worker's health and its load report.
 pub fn load(out: &mut BytesMut, tag: &str) {
     write_text(out, format_args!("load {tag}\r\n"));
 }
 
-/// Writes an `ensure` command, which has at least `count` copies loaded; 0 only queries their number.
+/// Writes an `ensure` command: the worker loads copies until at least `count` are loaded. 0 only queries their number.
 pub fn ensure(out: &mut BytesMut, tag: &str, path: &str, count: u32) {
     write_text(out, format_args!("ensure {tag} path={path},slots_up={count}\r\n"));
 }
