--- a/crates/bulletin/src/lib.rs
+++ b/crates/bulletin/src/lib.rs
@@ -1,6 +1,6 @@
 //! Client of the bulletin, a stream of numbered events with the changes to the list of workers. [`Follower`] is a
-//! state machine without I/O or clock: the caller passes it the received lines and the time, and it returns what to
-//! connect, write and close, and which rosters to apply.
+//! state machine without I/O or clock: the caller passes it the received lines and the time, and it returns the
+//! connections to open, write to and close, and the rosters to apply.
 //!
 //! Fault handling: an event that was received already is ignored. A number that skips events, a line that can't be
 //! parsed, the end of the connection, and silence for longer than [`FollowerLimits::silence_timeout`] (the bulletin
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: a gateway and stand-in workers in one process; and the wait for a signal that other commands share.
+//! `demo`: a gateway and stand-in workers in one process. Other commands share its functions that wait for a signal.
 
 use crate::args::Demo;
 use crate::{CommandError, report};
--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -1,5 +1,5 @@
-//! The `fleet` subcommands of operators that need the fleet's agreement on what may be out of service: drains,
-//! releases and halts.
+//! The `fleet` subcommands of operators that need the fleet's agreement on which workers and schedulers may be
+//! out of service: drains, releases and halts.
 
 use crate::CommandError;
 use crate::args::{FleetCommand, OperatorOptions};
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -31,8 +31,8 @@
 /// Delay after which a connection that is due to close but has unread input is checked again.
 const RECHECK_US: Micros = 10_000;
 /// The rest of a request arrives within 50 ms of its first bytes. A request that crossed the close of its
-/// connection arrives on a new connection within 50 ms. The remainder allows for network delay. Until then such a
-/// connection is not closed.
+/// connection arrives on a new connection within 50 ms. The remainder allows for network delay. A
+/// connection on which such a request may still arrive is not closed before this time.
 const IN_TRANSIT_US: Micros = 60_000;
 /// Connections kept free for new clients.
 const RESERVED_CONNECTIONS: usize = 4;
@@ -566,7 +566,9 @@
         if let Some(out) = io.output(conn) {
             let reply = match answer {
                 Answer::Served(ReplyBody(body)) => ServerReply::Answer(body, true),
-                Answer::Refused(_, wait) => ServerReply::Rejected(wait.map(|us| us.div_ceil(1_000))),
+                Answer::Refused(_, retry_after) => {
+                    ServerReply::Rejected(retry_after.map(|us| us.div_ceil(1_000)))
+                }
                 Answer::Failed(_) => ServerReply::Crashed,
             };
             write::reply(out, "submit", request.seqid, &reply);
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -114,7 +114,7 @@
         self.directory.is_shared(now, worker, function)
     }
 
-    /// Records what the end of a job reveals about copies.
+    /// Records the loaded copies, or their absence, that the end of a job reveals.
     pub fn job_ended(&mut self, now: Micros, done: &JobEnd) {
         let (location, copies) = match done {
             JobEnd::Attempt(id, end) => {
--- a/crates/node/src/instance_directory.rs
+++ b/crates/node/src/instance_directory.rs
@@ -1,7 +1,7 @@
 //! Observations of loaded copies by this scheduler and its peers. Observations age, are announced to the fleet
 //! once, and can replace a query to a worker. Free of I/O. The directory makes no decision on a call: it answers
-//! the module's queries to workers in the module's own terms, and an update contains only what some
-//! scheduler observed.
+//! the module's queries to workers in the module's own terms, and an update contains only
+//! observations of some scheduler.
 
 use crate::gossip_wire::{InstanceUpdate, decode, encode, name_hash};
 use basaltward::{FunctionId, Member, MembersKind, Micros, WorkerId, WorkerState};
@@ -48,7 +48,7 @@
 /// Worker, function and number of loaded copies, as reported to the module.
 pub type CopyReport = (WorkerId, FunctionId, u32);
 
-/// What a scheduler and its peers have observed of copies.
+/// Observations of loaded copies by a scheduler and its peers.
 pub struct InstanceDirectory {
     own: u32,
     /// A copy in use is retained for at least this long.
@@ -154,7 +154,7 @@
             (copies, now, (copies > 0).then_some(now));
         if changed || now >= observation.announced + announce_interval {
             self.pending.insert((function_hash, worker_hash));
-            // Peers that know another copy don't send a query.
+            // The delay can be long if another copy is known: peers that know one don't query.
             let is_known_elsewhere = self
                 .observations
                 .get(&function_hash)
@@ -358,7 +358,7 @@
         Member { state, started, ..Member::active(name) }
     }
 
-    /// Schedulers with these numbers that know workers a and b.
+    /// Directories of the schedulers with these numbers; workers a and b are listed.
     fn fleet(numbers: std::ops::Range<u32>) -> Vec<InstanceDirectory> {
         let each = numbers.map(|own| {
             let mut directory = InstanceDirectory::new(0, (own, 4), KEEP);
@@ -384,7 +384,7 @@
         other.receive(S + FIRST_COPY_DELAY_US, 1, &datagram);
         assert_eq!(other.take_reports(), [report("a", 2)], "it has calls for the function");
         other.receive(2 * S, 1, &datagram);
-        assert_eq!(other.take_reports(), [], "the module knows already");
+        assert_eq!(other.take_reports(), [], "the module has received it already");
         assert_eq!(other.query(3 * S, &b, &f), Some(0), "no copy is known there, but one elsewhere");
         assert_eq!(other.query(3 * S, &a, &f), Some(2));
         assert_eq!(
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -33,7 +33,7 @@
 
 /// Timers handled in one call of [`Links::wake`].
 const MAX_DUE_PER_WAKE: usize = 32;
-/// Time for a worker to read a request that was given up. It is half of the time within which the platform lets an
+/// Time for a worker to read a request that was aborted. It is half of the time within which the platform lets an
 /// attempt begin after its client has gone.
 const READ_GRACE_US: Micros = 50_000;
 
@@ -41,7 +41,7 @@
 enum Due {
     Connection(ConnId),
     Attempt(AttemptId),
-    /// Checks whether the worker has read a request that was given up.
+    /// Checks whether the worker has read a request that was aborted.
     UnreadCheck(ConnId, Span),
 }
 
@@ -67,7 +67,7 @@
     last_used: Micros,
     /// Whether its timer is set. There is one timer per connection; it is set again if it fires too early.
     has_timer: bool,
-    /// A request was given up, and nothing has arrived since it was sent, so the system's send buffer may still
+    /// A request was aborted, and nothing has arrived since it was sent, so the system's send buffer may still
     /// hold it.
     maybe_unread: bool,
 }
@@ -482,7 +482,7 @@
     }
 
     /// Closes a connection with no outstanding jobs. Its descriptor is released at once, because the budget has
-    /// none to spare beyond those of open connections. If the system may still hold a request that was given up,
+    /// none to spare beyond those of open connections. If the system may still hold a request that was aborted,
     /// the connection is reset: that request would otherwise begin whenever the worker is back.
     fn close(&mut self, io: &mut Io, conn: ConnId) {
         match self.conns.get(&conn).is_some_and(|link| link.maybe_unread) {
@@ -492,7 +492,7 @@
         self.remove_link(conn);
     }
 
-    /// Checks a connection on which a request was given up that its worker may not have read. The connection is
+    /// Checks a connection on which a request was aborted that its worker may not have read. The connection is
     /// reset, with everything else on it, if the socket has not taken the rest of that request, or if the worker is
     /// still silent and either takes no more bytes or has no other job on it. Otherwise the request would begin
     /// with no client waiting for it.
@@ -501,7 +501,7 @@
         let is_sent = link.output_bytes.progress(io, conn, span) == SendProgress::Complete;
         let is_unread = link.maybe_unread && (io.is_write_blocked(conn) || link.job_count() == 0);
         if !is_sent || is_unread {
-            debug!(worker = %link.worker, "connection reset: the worker has not read a request that was given up");
+            debug!(worker = %link.worker, "connection reset: the worker has not read a request that was aborted");
             self.close_with(io, conn, Code::Reset, Io::reset, done);
         }
     }
@@ -539,7 +539,7 @@
             (link.last_input, link.maybe_unread) = (now, false);
             match link.decoder.next(input) {
                 Ok(Some(reply)) => {
-                    // No job waits under this id: a duplicate answer, or the answer to a request that was given up.
+                    // No job waits under this id: a duplicate answer, or the answer to a request that was aborted.
                     // The answer is complete, so the input that follows can be read.
                     let Some(open) = link.open.remove(&reply.id) else { continue };
                     if let Job::Attempt { payload, .. } = &open.job {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -113,8 +113,8 @@
     deferred_events: Vec<IoEvent>,
     /// Ends of jobs that were withdrawn within a turn.
     withdrawn: Vec<JobEnd>,
-    /// Trust in the list of workers, as last passed to the module.
-    list_trust: Option<ListFreshness>,
+    /// Freshness of the list of workers, as last passed to the module.
+    list_freshness: Option<ListFreshness>,
     discovery_log: DiscoveryLog,
     recorder: TraceRecorder,
     commands: Arc<AtomicU8>,
@@ -229,7 +229,7 @@
             outputs: Vec::new(),
             deferred_events: Vec::new(),
             withdrawn: Vec::new(),
-            list_trust: None,
+            list_freshness: None,
             discovery_log: DiscoveryLog::new(&config.name),
             recorder: TraceRecorder::new(&config.name, recorder),
             commands: Arc::default(),
@@ -240,7 +240,7 @@
         for item in &known.items {
             node.apply_roster(now, &item.roster);
         }
-        node.update_list_trust(now);
+        node.update_list_freshness(now);
         // Listen only now, so that the first client finds a scheduler that has its list of workers.
         let (_, address) = node.io.listen(bind(listen.unwrap_or(node.address), false)?)?;
         node.address = address;
@@ -538,7 +538,7 @@
             });
         }
         self.apply_drain_changes(now);
-        self.update_list_trust(now);
+        self.update_list_freshness(now);
         self.gossip.iter_mut().for_each(|gossip| gossip.send_due(&mut self.io, now));
         loop {
             let mut outputs = std::mem::take(&mut self.outputs);
@@ -753,7 +753,7 @@
     fn disconnected(&mut self, now: Micros) -> Vec<WorkerId> {
         let mut workers = std::mem::take(&mut self.links.disconnected);
         let mut first = std::mem::take(&mut self.links.first_connected);
-        let is_out_of_reach = match self.list_trust {
+        let is_out_of_reach = match self.list_freshness {
             Some(ListFreshness::Interrupted { .. }) => true,
             // At a normal start the bulletin's first event number arrives within this time.
             Some(ListFreshness::Unconfirmed { since }) => now > since + LINE_OVERDUE_US,
@@ -765,10 +765,10 @@
         workers
     }
 
-    /// Passes the trust in the list of workers to the module if it has changed.
-    fn update_list_trust(&mut self, now: Micros) {
+    /// Passes the freshness of the list of workers to the module if it has changed.
+    fn update_list_freshness(&mut self, now: Micros) {
         let freshness = self.follower.freshness(now);
-        let trust = match freshness {
+        let list_freshness = match freshness {
             Freshness::Unconfirmed => ListFreshness::Unconfirmed { since: self.started_at },
             Freshness::Current { delivered_by } => ListFreshness::Current { announced_at: delivered_by },
             Freshness::Interrupted { delivered_by, .. } => {
@@ -776,8 +776,8 @@
             }
         };
         self.discovery_log.update(now, freshness, self.follower.last_event());
-        if self.list_trust.replace(trust) != Some(trust) {
-            self.notify_engine(now, Input::ListTrust(trust));
+        if self.list_freshness.replace(list_freshness) != Some(list_freshness) {
+            self.notify_engine(now, Input::ListTrust(list_freshness));
         }
     }
 
@@ -791,7 +791,7 @@
         let mut input = std::mem::take(input);
         self.drive_follower(now, |follower, out| follower.read_lines(now, feed, &mut input, out));
         self.members.list_confirmed(now);
-        self.update_list_trust(now);
+        self.update_list_freshness(now);
         if let Some(left) = self.io.input(conn) {
             *left = input;
             self.io.release_input(conn);
--- a/crates/node/src/payload.rs
+++ b/crates/node/src/payload.rs
@@ -1,4 +1,4 @@
-//! What the engine carries for the Thrift front end: a call's payload and its reply.
+//! Types that the engine carries for the Thrift front end: the payload of a call, and its reply.
 
 use basaltward_engine::Reply;
 use basaltward_net::ConnId;
