--- a/crates/node/src/instance_directory.rs
+++ b/crates/node/src/instance_directory.rs
@@ -1,7 +1,7 @@
 //! Observations of loaded copies by this scheduler and its peers. Observations age, are announced to the fleet
 //! once, and can replace a query to a worker. Free of I/O. The directory makes no decision on a call: it answers
-//! the module's queries to workers in the module's own terms, and an update contains only what some
-//! scheduler observed.
+//! the module's queries to workers in the module's own terms, and an update contains only
+//! observations of some scheduler.
 
 use crate::gossip_wire::{InstanceUpdate, decode, encode, name_hash};
 use basaltward::{FunctionId, Member, MembersKind, Micros, WorkerId, WorkerState};
@@ -48,7 +48,7 @@
 /// Worker, function and number of loaded copies, as reported to the module.
 pub type CopyReport = (WorkerId, FunctionId, u32);
 
-/// What a scheduler and its peers have observed of copies.
+/// Observations of loaded copies by a scheduler and its peers.
 pub struct InstanceDirectory {
     own: u32,
     /// A copy in use is retained for at least this long.
@@ -62,6 +62,7 @@
     functions: HashMap<u32, CalledFunction>,
     /// Observations by the hashes of function and worker.
     observations: BTreeMap<u32, BTreeMap<u32, Observation>>,
+    /// Total number of observations.
     count: usize,
     /// Observations to announce.
     pending: BTreeSet<(u32, u32)>,
@@ -138,30 +139,31 @@
     pub fn observe(&mut self, now: Micros, worker: &WorkerId, function: &FunctionId, copies: u32) {
         let (function_hash, worker_hash) = (name_hash(function.as_str()), name_hash(worker.as_str()));
         let announce_interval = self.announce_interval(function_hash, worker_hash);
-        let before = self
+        let previous_copies = self
             .observations
             .get(&function_hash)
             .and_then(|by_worker| by_worker.get(&worker_hash))
             .map_or(0, |observation| observation.copies);
         // That no copy is loaded matters only if this scheduler's records show one.
-        if before == 0 && copies == 0 {
+        if previous_copies == 0 && copies == 0 {
             return;
         }
         let Some(observation) = self.entry(function_hash, worker_hash, now) else { return };
-        let changed = (before == 0) != (copies == 0);
+        let changed = (previous_copies == 0) != (copies == 0);
         (observation.copies, observation.seen, observation.known_to_module) =
             (copies, now, (copies > 0).then_some(now));
         if changed || now >= observation.announced + announce_interval {
             self.pending.insert((function_hash, worker_hash));
-            // Peers that know another copy don't send a query.
+            // The delay can be long if another copy is known: peers that know one don't query.
             let is_known_elsewhere = self
                 .observations
                 .get(&function_hash)
                 .into_iter()
                 .flatten()
                 .any(|(worker, seen)| *worker != worker_hash && seen.copies > 0);
-            let by = now + if changed && !is_known_elsewhere { FIRST_COPY_DELAY_US } else { UPDATE_DELAY_US };
-            self.announce_at = Some(self.announce_at.map_or(by, |at| at.min(by)));
+            let due =
+                now + if changed && !is_known_elsewhere { FIRST_COPY_DELAY_US } else { UPDATE_DELAY_US };
+            self.announce_at = Some(self.announce_at.map_or(due, |at| at.min(due)));
         }
     }
 
@@ -266,11 +268,15 @@
             }
             self.report_to_module(now, function_hash, *worker_hash);
         }
-        let here = self
+        let at_worker = self
             .observations
             .get(&function_hash)
             .and_then(|by_worker| by_worker.get(&name_hash(worker.as_str())));
-        Some(here.filter(|observation| is_loaded(observation)).map_or(0, |observation| observation.copies))
+        Some(
+            at_worker
+                .filter(|observation| is_loaded(observation))
+                .map_or(0, |observation| observation.copies),
+        )
     }
 
     /// The number of copies loaded at a worker, if it is at least what the module orders, so that the order need
@@ -352,7 +358,7 @@
         Member { state, started, ..Member::active(name) }
     }
 
-    /// Schedulers with these numbers that know workers a and b.
+    /// Directories of the schedulers with these numbers; workers a and b are listed.
     fn fleet(numbers: std::ops::Range<u32>) -> Vec<InstanceDirectory> {
         let each = numbers.map(|own| {
             let mut directory = InstanceDirectory::new(0, (own, 4), KEEP);
@@ -378,7 +384,7 @@
         other.receive(S + FIRST_COPY_DELAY_US, 1, &datagram);
         assert_eq!(other.take_reports(), [report("a", 2)], "it has calls for the function");
         other.receive(2 * S, 1, &datagram);
-        assert_eq!(other.take_reports(), [], "the module knows already");
+        assert_eq!(other.take_reports(), [], "the module has received it already");
         assert_eq!(other.query(3 * S, &b, &f), Some(0), "no copy is known there, but one elsewhere");
         assert_eq!(other.query(3 * S, &a, &f), Some(2));
         assert_eq!(
@@ -450,7 +456,7 @@
     }
 
     #[test]
-    fn no_report_means_no_copy_in_use_only_if_enough_peers_are_heard() {
+    fn no_report_means_no_copy_in_use_only_if_enough_peers_send_datagrams() {
         let [mut many, mut few] = fleet(0..2).try_into().ok().expect("two");
         let (a, f, g) = ("a".into(), "f".into(), "g".into());
         let datagram =
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -75,6 +75,7 @@
 /// A live scheduler.
 pub struct Node {
     name: String,
+    /// The configuration file.
     path: PathBuf,
     /// The configuration read at the start, without its list of workers.
     config: NodeConfig,
@@ -86,6 +87,7 @@
     front: Front,
     links: Links,
     follower: Follower,
+    /// Connections to bulletins.
     feeds: HashMap<ConnId, FeedId>,
     members: MemberMapper,
     /// The fleet's view, if the configuration enables it.
@@ -111,8 +113,8 @@
     deferred_events: Vec<IoEvent>,
     /// Ends of jobs that were withdrawn within a turn.
     withdrawn: Vec<JobEnd>,
-    /// Trust in the list of workers, as last passed to the module.
-    list_trust: Option<ListFreshness>,
+    /// Freshness of the list of workers, as last passed to the module.
+    list_freshness: Option<ListFreshness>,
     discovery_log: DiscoveryLog,
     recorder: TraceRecorder,
     commands: Arc<AtomicU8>,
@@ -169,7 +171,7 @@
         Self::new_with_view(path, listen, recorder, false)
     }
 
-    /// As [`Node::new`]; `view` enables the fleet's view even if the configuration does not mention it.
+    /// As [`Node::new`]; `view` enables the fleet's view if the configuration does not mention the fleet.
     ///
     /// # Errors
     /// As [`Node::new`].
@@ -227,7 +229,7 @@
             outputs: Vec::new(),
             deferred_events: Vec::new(),
             withdrawn: Vec::new(),
-            list_trust: None,
+            list_freshness: None,
             discovery_log: DiscoveryLog::new(&config.name),
             recorder: TraceRecorder::new(&config.name, recorder),
             commands: Arc::default(),
@@ -238,7 +240,7 @@
         for item in &known.items {
             node.apply_roster(now, &item.roster);
         }
-        node.update_list_trust(now);
+        node.update_list_freshness(now);
         // Listen only now, so that the first client finds a scheduler that has its list of workers.
         let (_, address) = node.io.listen(bind(listen.unwrap_or(node.address), false)?)?;
         node.address = address;
@@ -310,14 +312,15 @@
     }
 
     fn poll_timeout(&self, now: Micros) -> Micros {
-        let term =
+        let reject_at =
             self.term_at.map(|at| at + self.rejects_after).filter(|at| *at > now || !self.is_rejecting);
-        let last = self.is_rejecting.then_some(now + 5_000);
+        let finish_check = self.is_rejecting.then_some(now + 5_000);
         let reload = self.reload.map(|(at, _)| at);
         let fleet = self.fleet.as_ref().map(|fleet| fleet.transport.next_due());
         let due = [self.engine.next_due(now), self.front.next_due(), self.links.next_due()];
         let gossip = self.gossip.as_ref().and_then(Gossip::next_due);
-        let due = due.into_iter().chain([self.follower.next_due(), term, last, reload, fleet, gossip]);
+        let due =
+            due.into_iter().chain([self.follower.next_due(), reject_at, finish_check, reload, fleet, gossip]);
         let due = due.flatten().min().unwrap_or(now + 1_000_000);
         if self.oldest_request().is_some() { 0 } else { due.saturating_sub(now) }
     }
@@ -342,10 +345,10 @@
         self.engine.calls_in_flight() == 0 && (settled || unread_until <= now)
     }
 
-    /// Runs one turn. Clients' input is read first, as it may withdraw work that would otherwise be sent; then
-    /// other events and timers are handled; then requests are started. Each phase has a time budget. Input is read
-    /// before any request in it is started, because the request's time is running: a loop that has fallen behind
-    /// must know of it to answer in time.
+    /// Runs one turn; `since` is when the poll for events began, and `due` when it was to end. Clients' input is read
+    /// first, as it may withdraw work that would otherwise be sent; then other events and timers are handled; then
+    /// requests are started. Each phase has a time budget. Input is read before any request in it is started, because
+    /// the request's time is running: a loop that has fallen behind must have read it to answer in time.
     fn turn(&mut self, (since, due): (Micros, Micros), events: &mut Vec<IoEvent>) {
         let mut now = monotonic();
         let began = now;
@@ -535,7 +538,7 @@
             });
         }
         self.apply_drain_changes(now);
-        self.update_list_trust(now);
+        self.update_list_freshness(now);
         self.gossip.iter_mut().for_each(|gossip| gossip.send_due(&mut self.io, now));
         loop {
             let mut outputs = std::mem::take(&mut self.outputs);
@@ -750,7 +753,7 @@
     fn disconnected(&mut self, now: Micros) -> Vec<WorkerId> {
         let mut workers = std::mem::take(&mut self.links.disconnected);
         let mut first = std::mem::take(&mut self.links.first_connected);
-        let is_out_of_reach = match self.list_trust {
+        let is_out_of_reach = match self.list_freshness {
             Some(ListFreshness::Interrupted { .. }) => true,
             // At a normal start the bulletin's first event number arrives within this time.
             Some(ListFreshness::Unconfirmed { since }) => now > since + LINE_OVERDUE_US,
@@ -762,19 +765,19 @@
         workers
     }
 
-    /// Passes the trust in the list of workers to the module if it has changed.
-    fn update_list_trust(&mut self, now: Micros) {
+    /// Passes the freshness of the list of workers to the module if it has changed.
+    fn update_list_freshness(&mut self, now: Micros) {
         let freshness = self.follower.freshness(now);
-        let trust = match freshness {
+        let list_freshness = match freshness {
             Freshness::Unconfirmed => ListFreshness::Unconfirmed { since: self.started_at },
-            Freshness::Current { delivered_by: told_at } => ListFreshness::Current { announced_at: told_at },
-            Freshness::Interrupted { delivered_by: told_at, .. } => {
-                ListFreshness::Interrupted { announced_at: told_at }
+            Freshness::Current { delivered_by } => ListFreshness::Current { announced_at: delivered_by },
+            Freshness::Interrupted { delivered_by, .. } => {
+                ListFreshness::Interrupted { announced_at: delivered_by }
             }
         };
         self.discovery_log.update(now, freshness, self.follower.last_event());
-        if self.list_trust.replace(trust) != Some(trust) {
-            self.notify_engine(now, Input::ListTrust(trust));
+        if self.list_freshness.replace(list_freshness) != Some(list_freshness) {
+            self.notify_engine(now, Input::ListTrust(list_freshness));
         }
     }
 
@@ -788,7 +791,7 @@
         let mut input = std::mem::take(input);
         self.drive_follower(now, |follower, out| follower.read_lines(now, feed, &mut input, out));
         self.members.list_confirmed(now);
-        self.update_list_trust(now);
+        self.update_list_freshness(now);
         if let Some(left) = self.io.input(conn) {
             *left = input;
             self.io.release_input(conn);
@@ -839,16 +842,17 @@
     /// Reads the configuration again after SIGHUP; it applies as a whole or not at all. Only the bulletin's address
     /// and the members of the fleet can change in a running scheduler.
     fn reload(&mut self, now: Micros) {
-        let Some((_, left)) = self.reload.take() else { return };
+        let Some((_, retries_left)) = self.reload.take() else { return };
         match load_with_view(&self.path, self.config.fleet.is_some()) {
             Ok(config) => {
                 info!(name = self.name, bulletin = %config.bulletin, "configuration read");
-                let kept = self.config.fields_needing_restart(&config);
-                if !kept.is_empty() {
-                    let kept = kept.join(", ");
+                let ignored_fields = self.config.fields_needing_restart(&config);
+                if !ignored_fields.is_empty() {
+                    let ignored_fields = ignored_fields.join(", ");
                     warn!(
                         name = self.name,
-                        kept, "changed fields that take effect only after a restart were ignored"
+                        kept = ignored_fields,
+                        "changed fields that take effect only after a restart were ignored"
                     );
                 }
                 self.fleet.iter_mut().for_each(|fleet| fleet.reread(&config));
@@ -859,10 +863,10 @@
             }
             Err(why) => {
                 // One line per signal, however often the file is read.
-                if left == MAX_RELOAD_RETRIES {
+                if retries_left == MAX_RELOAD_RETRIES {
                     warn!(name = self.name, %why, "configuration rejected, keeping the previous one");
                 }
-                self.reload = (left > 0).then_some((now + RELOAD_RETRY_US, left - 1));
+                self.reload = (retries_left > 0).then_some((now + RELOAD_RETRY_US, retries_left - 1));
             }
         }
     }
